--- a/internal/cell/division.go
+++ b/internal/cell/division.go
@@ -118,14 +118,14 @@
 // Cells are all cells.
 func (d *Division) Cells() []Cell { return d.cells }
 
-// Of returns the index of an engine's cell; it reports false for an engine that was not divided.
-func (d *Division) Of(engine uint64) (index int, known bool) {
+// CellOf returns the index of an engine's cell; it reports false for an engine that was not divided.
+func (d *Division) CellOf(engine uint64) (index int, known bool) {
 	index, known = d.of[engine]
 	return index, known
 }
 
-// Find returns the index of the cell with an identity; it reports false when there is none.
-func (d *Division) Find(id uint64) (index int, known bool) {
+// IndexByID returns the index of the cell with an identity; it reports false when there is none.
+func (d *Division) IndexByID(id uint64) (index int, known bool) {
 	index = slices.IndexFunc(d.cells, func(cell Cell) bool { return cell.ID == id })
 	return index, index >= 0
 }
--- a/internal/cell/division_test.go
+++ b/internal/cell/division_test.go
@@ -43,7 +43,7 @@
 				require.NotEmpty(t, cell.Members)
 				require.LessOrEqual(t, len(cell.Members), 2*Size)
 				for _, member := range cell.Members {
-					of, known := division.Of(members[member].Hash)
+					of, known := division.CellOf(members[member].Hash)
 					require.True(t, known)
 					require.Equal(t, index, of)
 					seen++
@@ -61,8 +61,8 @@
 	rand.New(rand.NewPCG(1, 2)).Shuffle(len(shuffled), func(a, b int) { shuffled[a], shuffled[b] = shuffled[b], shuffled[a] })
 	one, other := Divide("service", members), Divide("service", shuffled)
 	for _, member := range members {
-		a, _ := one.Of(member.Hash)
-		b, _ := other.Of(member.Hash)
+		a, _ := one.CellOf(member.Hash)
+		b, _ := other.CellOf(member.Hash)
 		require.Equal(t, one.Cells()[a].ID, other.Cells()[b].ID)
 	}
 }
@@ -72,8 +72,8 @@
 	members := fleet(5, 32)
 	before, after := Divide("service", members), Divide("service", members[1:])
 	for _, member := range members[1:] {
-		a, _ := before.Of(member.Hash)
-		b, _ := after.Of(member.Hash)
+		a, _ := before.CellOf(member.Hash)
+		b, _ := after.CellOf(member.Hash)
 		require.Equal(t, before.Cells()[a].ID, after.Cells()[b].ID)
 	}
 	const prompts = 5000
@@ -127,10 +127,10 @@
 // A cell is found by its identity, and one of another fleet is not.
 func TestFind(t *testing.T) {
 	division := Divide("service", fleet(2, 16))
-	index, known := division.Find(division.Cells()[1].ID)
+	index, known := division.IndexByID(division.Cells()[1].ID)
 	require.True(t, known)
 	require.Equal(t, 1, index)
-	_, known = division.Find(Divide("other", fleet(2, 16)).Cells()[0].ID)
+	_, known = division.IndexByID(Divide("other", fleet(2, 16)).Cells()[0].ID)
 	require.False(t, known)
 }
 
--- a/internal/cell/growth_test.go
+++ b/internal/cell/growth_test.go
@@ -38,25 +38,25 @@
 	// wholeParts are the tokens of shared parts that were read, again those of them that some
 	// engine had read before, offers how often owners were asked.
 	wholeParts, again, offers, requests int
-	read                                map[placement.PartHash]bool
+	read                                map[placement.BlockHash]bool
 }
 
 // simulatedEngine reads one prompt after another.
 type simulatedEngine struct {
 	hash   uint64
 	zone   string
-	cache  *placement.Cache
+	cache  *placement.PrefixCache
 	freeAt time.Duration
 	busy   time.Duration
 }
 
 func newSimulatedFleet(zones, perZone int) *simulatedFleet {
-	fleet := &simulatedFleet{policy: placement.DefaultParameters(), random: rand.New(rand.NewPCG(1, uint64(zones*perZone))), read: map[placement.PartHash]bool{}}
+	fleet := &simulatedFleet{policy: placement.DefaultParameters(), random: rand.New(rand.NewPCG(1, uint64(zones*perZone))), read: map[placement.BlockHash]bool{}}
 	var members []cell.Member
 	for zone := range zones {
 		for number := range perZone {
 			engine := &simulatedEngine{
-				hash: cell.HashEngine(fmt.Sprint(zone, "/", number)), zone: fmt.Sprint("zone-", zone), cache: placement.NewCache(engineMemory),
+				hash: cell.HashEngine(fmt.Sprint(zone, "/", number)), zone: fmt.Sprint("zone-", zone), cache: placement.NewPrefixCache(engineMemory),
 			}
 			fleet.engines = append(fleet.engines, engine)
 			members = append(members, cell.Member{Hash: engine.hash, Zone: engine.zone})
@@ -70,17 +70,17 @@
 func (f *simulatedFleet) play() {
 	requests := requestsPerEngine * len(f.engines) * int(played.Seconds())
 	for number := range requests {
-		f.serve(time.Duration(number)*played/time.Duration(requests), placement.PartHash(f.random.IntN(partsPerEngine*len(f.engines))+1))
+		f.serve(time.Duration(number)*played/time.Duration(requests), placement.BlockHash(f.random.IntN(partsPerEngine*len(f.engines))+1))
 	}
 }
 
 // serve has one prompt with a shared part read.
-func (f *simulatedFleet) serve(now time.Duration, part placement.PartHash) {
+func (f *simulatedFleet) serve(now time.Duration, part placement.BlockHash) {
 	f.requests++
-	own := placement.PartHash(f.random.Uint64())
+	own := placement.BlockHash(f.random.Uint64())
 	request := placement.Request{
-		Now: now, Stage: serving.StageDecode, Target: time.Second, Tokens: partTokens + ownTokens, UsualShare: 0.4, TimeLeft: 5 * time.Second,
-		Prompt: []placement.Part{{Hash: part, Tokens: partTokens}, {Hash: own, Tokens: ownTokens}}, TokenMove: 400 * time.Nanosecond,
+		Now: now, Stage: serving.StageDecode, Target: time.Second, Tokens: partTokens + ownTokens, UncachedShare: 0.4, TimeLeft: 5 * time.Second,
+		Prompt: []placement.PrefixBlock{{Hash: part, Tokens: partTokens}, {Hash: own, Tokens: ownTokens}}, TokenTransferTime: 400 * time.Nanosecond,
 	}
 	var best placement.Decision
 	var chosen *simulatedEngine
@@ -90,11 +90,11 @@
 		if chosen == nil || decision.IsBetter(best) {
 			best, chosen = decision, engine
 		}
-		if !f.policy.Spills(request, best) {
+		if !f.policy.ShouldSpill(request, best) {
 			break
 		}
 	}
-	if chosen == nil || best.Action != placement.ReadApart {
+	if chosen == nil || best.Action != placement.PrefillSeparately {
 		return
 	}
 	f.begin(now, request, best, chosen)
@@ -108,10 +108,10 @@
 		waits := max(engine.freeAt-request.Now, 0)
 		engines[index] = placement.Engine{
 			Hash: engine.hash, Zone: engine.zone, Stage: serving.StagePrefill, Slots: 64, PerToken: perToken,
-			Work: placement.Reading(int(waits/perToken), 0), Cached: engine.cache.Cached(request.Prompt, request.Now),
+			Work: placement.PrefillWork(int(waits/perToken), 0), Cached: engine.cache.Lookup(request.Prompt, request.Now),
 		}
 	}
-	decision := f.policy.PlaceReading(request, engines, f.random.Float64)
+	decision := f.policy.PlacePrefill(request, engines, f.random.Float64)
 	if decision.Engine == nil {
 		return decision, nil
 	}
@@ -120,18 +120,18 @@
 
 // begin has the engine read what it does not have.
 func (f *simulatedFleet) begin(now time.Duration, request placement.Request, decision placement.Decision, engine *simulatedEngine) {
-	took := time.Duration(decision.Engine.Effort) * perToken
+	took := time.Duration(decision.Engine.EffectiveTokens) * perToken
 	engine.freeAt = max(engine.freeAt, now) + took
 	engine.busy += took
 	part := request.Prompt[0].Hash
-	if decision.Engine.ToRead > ownTokens {
+	if decision.Engine.PrefillTokens > ownTokens {
 		f.wholeParts += partTokens
 		if f.read[part] {
 			f.again += partTokens
 		}
 		f.read[part] = true
 	}
-	engine.cache.Keep(now, request.Prompt)
+	engine.cache.AddReady(now, request.Prompt)
 }
 
 // busiest is the work of the busiest engine over the mean.
@@ -165,10 +165,10 @@
 // the next cells, which read it once each.
 func TestHotPartSpreadsOverCells(t *testing.T) {
 	fleet := newSimulatedFleet(5, 32)
-	const hot = placement.PartHash(1 << 40)
+	const hot = placement.BlockHash(1 << 40)
 	requests := requestsPerEngine * len(fleet.engines) * int(played.Seconds())
 	for number := range requests {
-		part := placement.PartHash(fleet.random.IntN(partsPerEngine*len(fleet.engines)) + 1)
+		part := placement.BlockHash(fleet.random.IntN(partsPerEngine*len(fleet.engines)) + 1)
 		if number%5 == 0 {
 			part = hot
 		}
--- a/internal/cell/health.go
+++ b/internal/cell/health.go
@@ -47,8 +47,8 @@
 	return min(max(h.trip+deviations*h.deviation, leastTimeout), mostTimeout)
 }
 
-// Answered notes that a relay has answered within its time.
-func (h *Health) Answered(relay string, took time.Duration) {
+// RecordAnswer notes that a relay has answered within its time.
+func (h *Health) RecordAnswer(relay string, took time.Duration) {
 	delete(h.relays, relay)
 	if h.trip == 0 {
 		h.trip, h.deviation = took, took/2
@@ -59,9 +59,9 @@
 	h.trip += time.Duration(tripWeight * float64(took-h.trip))
 }
 
-// Missed notes that a relay has not answered in time. It reports whether the relay is passed over
+// RecordTimeout notes that a relay has not answered in time. It reports whether the relay is passed over
 // from now on.
-func (h *Health) Missed(now time.Duration, relay string) (doubted bool) {
+func (h *Health) RecordTimeout(now time.Duration, relay string) (doubted bool) {
 	known := h.relays[relay]
 	known.misses++
 	if known.misses >= missesBeforeDoubt {
@@ -72,13 +72,13 @@
 	return known.misses >= missesBeforeDoubt
 }
 
-// Trusted reports whether a relay is not passed over.
-func (h *Health) Trusted(now time.Duration, relay string) bool {
+// IsTrusted reports whether a relay is not passed over.
+func (h *Health) IsTrusted(now time.Duration, relay string) bool {
 	return now >= h.relays[relay].doubtedUntil
 }
 
-// Keep forgets the relays that are not listed.
-func (h *Health) Keep(listed func(relay string) bool) {
+// Retain forgets the relays that are not listed.
+func (h *Health) Retain(listed func(relay string) bool) {
 	for relay := range h.relays {
 		if !listed(relay) {
 			delete(h.relays, relay)
--- a/internal/cell/health_test.go
+++ b/internal/cell/health_test.go
@@ -11,33 +11,33 @@
 // and is asked again after that.
 func TestSilentOwnersArePassedOver(t *testing.T) {
 	health := NewHealth()
-	require.False(t, health.Missed(0, "one"))
-	require.True(t, health.Trusted(0, "one"))
-	require.True(t, health.Missed(0, "one"))
-	require.False(t, health.Trusted(firstDoubt-1, "one"))
-	require.True(t, health.Trusted(firstDoubt, "one"))
-	require.True(t, health.Trusted(0, "other"))
+	require.False(t, health.RecordTimeout(0, "one"))
+	require.True(t, health.IsTrusted(0, "one"))
+	require.True(t, health.RecordTimeout(0, "one"))
+	require.False(t, health.IsTrusted(firstDoubt-1, "one"))
+	require.True(t, health.IsTrusted(firstDoubt, "one"))
+	require.True(t, health.IsTrusted(0, "other"))
 
-	require.True(t, health.Missed(firstDoubt, "one"))
-	require.False(t, health.Trusted(firstDoubt+2*firstDoubt-1, "one"))
+	require.True(t, health.RecordTimeout(firstDoubt, "one"))
+	require.False(t, health.IsTrusted(firstDoubt+2*firstDoubt-1, "one"))
 	for range 20 {
-		health.Missed(0, "one")
+		health.RecordTimeout(0, "one")
 	}
-	require.True(t, health.Trusted(longestDoubt, "one"))
+	require.True(t, health.IsTrusted(longestDoubt, "one"))
 }
 
 // An answer ends all doubt, and a relay that is gone is forgotten.
 func TestDoubtEnds(t *testing.T) {
 	health := NewHealth()
 	for _, relay := range []string{"one", "two"} {
-		health.Missed(0, relay)
-		health.Missed(0, relay)
+		health.RecordTimeout(0, relay)
+		health.RecordTimeout(0, relay)
 	}
-	health.Answered("one", time.Millisecond)
-	require.True(t, health.Trusted(0, "one"))
-	require.False(t, health.Missed(0, "one"), "misses in a row count")
-	health.Keep(func(relay string) bool { return relay != "two" })
-	require.True(t, health.Trusted(0, "two"))
+	health.RecordAnswer("one", time.Millisecond)
+	require.True(t, health.IsTrusted(0, "one"))
+	require.False(t, health.RecordTimeout(0, "one"), "misses in a row count")
+	health.Retain(func(relay string) bool { return relay != "two" })
+	require.True(t, health.IsTrusted(0, "two"))
 }
 
 // The time that an answer may take follows the round trips within its bounds: owners in another
@@ -55,7 +55,7 @@
 			health := NewHealth()
 			require.Equal(t, firstTimeout, health.Timeout())
 			for range 50 {
-				health.Answered("one", row.trip)
+				health.RecordAnswer("one", row.trip)
 			}
 			require.GreaterOrEqual(t, health.Timeout(), row.least)
 			require.LessOrEqual(t, health.Timeout(), row.most)
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -58,7 +58,7 @@
 	}
 	if due(c.now, &c.duties.housekeeping, housekeepInterval) {
 		c.divider.DropExpired(c.now)
-		c.demands.DropOld(c.now)
+		c.demands.DropExpired(c.now)
 		c.forgetRelays()
 	}
 	if due(c.now, &c.duties.engines, engineGoneInterval) {
--- a/internal/control/harness_replicas_test.go
+++ b/internal/control/harness_replicas_test.go
@@ -39,7 +39,7 @@
 	config.PriorPrefillShare = 0
 	config.ReadConfiguration = func([]byte) (serving.Configuration, error) {
 		return serving.Configuration{Services: []serving.Service{{Name: "s", Scaling: &serving.Scaling{
-			Least: 1, Most: 30, Boot: replicaBoot, SpotPrice: 0.2, ZonePrices: map[string]float64{"a": 1, "b": 1.1, "c": 1.2},
+			Min: 1, Max: 30, BootTime: replicaBoot, SpotPrice: 0.2, ZonePrices: map[string]float64{"a": 1, "b": 1.1, "c": 1.2},
 		}}}}, nil
 	}
 }
--- a/internal/control/listing_plan.go
+++ b/internal/control/listing_plan.go
@@ -85,7 +85,7 @@
 		planned[service] = int(float64(count) * listingMargin)
 	}
 	pageSize := (len(list) + calls - 1) / calls
-	pages := (subsetting.Prefix(listedEntries(list), planned) + pageSize - 1) / pageSize
+	pages := (subsetting.PrefixLength(listedEntries(list), planned) + pageSize - 1) / pageSize
 	if pages == 0 || pages*leastPartGain > calls {
 		return list
 	}
@@ -124,10 +124,10 @@
 	return open
 }
 
-func listedEntries(list []*v1.ListedBackEnd) []subsetting.Listed {
-	entries := make([]subsetting.Listed, len(list))
+func listedEntries(list []*v1.ListedBackEnd) []subsetting.Entry {
+	entries := make([]subsetting.Entry, len(list))
 	for index, backEnd := range list {
-		entries[index] = subsetting.Listed{Service: backEnd.GetService(), Open: !backEnd.GetLeaving()}
+		entries[index] = subsetting.Entry{Service: backEnd.GetService(), Open: !backEnd.GetLeaving()}
 	}
 	return entries
 }
--- a/internal/control/nodes.go
+++ b/internal/control/nodes.go
@@ -90,7 +90,7 @@
 	node := request.GetNode()
 	c.tracker.GatewayHeard(c.now, node, request.Revision, false)
 	if request.WindowMs > 0 || len(request.Demands) > 0 { // else it asks for shares only
-		c.demands.Take(c.now, node, request)
+		c.demands.RecordReport(c.now, node, request)
 	}
 	c.takeGatewaysLimits(request.GetLimits())
 	response := &v1.ReportResponse{Limits: c.gatewaysLimits()}
--- a/internal/control/relay_list.go
+++ b/internal/control/relay_list.go
@@ -66,7 +66,7 @@
 	if c.news.fresh {
 		return
 	}
-	c.news.relayList = subsetting.Candidates(c.noticeAddresses(), len(c.listing.told))
+	c.news.relayList = subsetting.OwnerCandidates(c.noticeAddresses(), len(c.listing.told))
 	c.news.formerRelays = c.formerAmong(c.news.relayList)
 	c.news.relayHash = hashOfList(slices.Concat(c.news.relayList, c.news.formerRelays))
 	c.news.fresh = true
--- a/internal/control/replicas.go
+++ b/internal/control/replicas.go
@@ -104,7 +104,7 @@
 func (c *Core) scalingOf(service serving.Service) replicaplan.Scaling {
 	return replicaplan.Scaling{
 		OnDemandShare: c.config.OnDemandShare,
-		Service:       service.Name, Least: service.Scaling.Least, Most: service.Scaling.Most, Boot: service.Scaling.Boot,
+		Service:       service.Name, Min: service.Scaling.Min, Max: service.Scaling.Max, BootTime: service.Scaling.BootTime,
 		SpotPrice: service.Scaling.SpotPrice, ZonePrices: service.Scaling.ZonePrices,
 	}
 }
@@ -125,7 +125,7 @@
 	agreed := desiredOf(c.state.Replicas(service))
 	listed := c.listedGroups(service)
 	reported := c.serviceWork(service)
-	wanted := work.plan.Next(c.now, replicaplan.Seen{Listed: listed, Agreed: agreed, Work: reported.Prefill + reported.Decode})
+	wanted := work.plan.Next(c.now, replicaplan.Input{Listed: listed, Agreed: agreed, Work: reported.Prefill + reported.Decode})
 	if !wanted.Equal(agreed) && (!wanted.Equal(work.proposed) || c.now-work.proposedAt >= proposalRetry) {
 		work.proposed, work.proposedAt = wanted, c.now
 		c.proposeQuietly(&v1.Command{Body: &v1.Command_SetReplicas{SetReplicas: desiredRecord(service, wanted)}})
@@ -133,13 +133,13 @@
 }
 
 // orderReplicas makes the calls that the list does not show yet.
-func (c *Core) orderReplicas(work *serviceReplicas, agreed replicaplan.Desired, listed map[replicaplan.Group]replicaplan.Listed) {
-	for _, order := range work.orders.Due(c.now, work.plan.Boot(), agreed, listed) {
+func (c *Core) orderReplicas(work *serviceReplicas, agreed replicaplan.Desired, listed map[replicaplan.Group]replicaplan.ListedCounts) {
+	for _, order := range work.orders.DueOrders(c.now, work.plan.BootTime(), agreed, listed) {
 		subject := duty.Subject("replicas of " + order.Group.Service + " in " + order.Group.Zone)
 		if !c.dutyCalls.May(c.now, subject) || !work.first && c.now-c.leadingSince < c.config.OrderWait {
 			continue
 		}
-		work.orders.Began(c.now, order)
+		work.orders.RecordStart(c.now, order)
 		c.emit(OrderReplicas{
 			DutyCall: c.beginCall(subject), Group: order.Group, Desired: order.Desired, Listed: listed[order.Group].Ready + listed[order.Group].Changing, Work: work.plan.Work(),
 		})
@@ -158,7 +158,7 @@
 	}
 	c.endCall(order.DutyCall, outcome)
 	if work := c.replicas.services[order.Group.Service]; work != nil {
-		work.orders.Answered(c.now, replicaplan.Order{Group: order.Group, Desired: order.Desired}, outcome)
+		work.orders.RecordOutcome(c.now, replicaplan.Order{Group: order.Group, Desired: order.Desired}, outcome)
 	}
 }
 
@@ -169,14 +169,14 @@
 	for name, work := range c.replicas.services {
 		listed := c.listedGroups(name)
 		agreed := desiredOf(c.state.Replicas(name))
-		outgoing[name] = work.plan.OnDemandLast(agreed.Base) == 0 && work.orders.OnTheWay(agreed, listed)
+		outgoing[name] = work.plan.FinalOnDemand(agreed.Base) == 0 && work.orders.SpotsPending(agreed, listed)
 	}
 	return outgoing
 }
 
 // listedGroups counts the listed replicas of a service.
-func (c *Core) listedGroups(service string) map[replicaplan.Group]replicaplan.Listed {
-	listed := map[replicaplan.Group]replicaplan.Listed{}
+func (c *Core) listedGroups(service string) map[replicaplan.Group]replicaplan.ListedCounts {
+	listed := map[replicaplan.Group]replicaplan.ListedCounts{}
 	for _, backEnd := range c.listing.raw {
 		if backEnd.GetService() != service {
 			continue
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -129,7 +129,7 @@
 		if stage, is := stageOf(role); is && !backEnd.GetLeaving() {
 			engines[backEnd.GetService()] = append(engines[backEnd.GetService()], stageplan.Engine{
 				ID: backEnd.GetId(), Group: backEnd.GetZone(), Stage: stage, Busy: ordered,
-				Fresh: c.now-c.stages.seenAt[backEnd.GetId()] < freshFor,
+				JustStarted: c.now-c.stages.seenAt[backEnd.GetId()] < freshFor,
 			})
 			members[backEnd.GetService()] = append(members[backEnd.GetService()], memberOf(backEnd))
 		}
@@ -161,7 +161,7 @@
 
 // memberOf is an engine as relays divide engines into cells.
 func memberOf(backEnd *v1.ListedBackEnd) cell.Member {
-	return cell.Member{Hash: cell.HashEngine(serving.BackEndFromListed(backEnd).Expected()), Zone: backEnd.GetZone()}
+	return cell.Member{Hash: cell.HashEngine(serving.BackEndFromProto(backEnd).ExpectedID()), Zone: backEnd.GetZone()}
 }
 
 // groupByCell adds the engines' cells to their zones: an owner that decides on one cell needs
@@ -169,7 +169,7 @@
 func groupByCell(service string, engines []stageplan.Engine, members []cell.Member) {
 	division := cell.Divide(service, members)
 	for index, member := range members {
-		if number, known := division.Of(member.Hash); known {
+		if number, known := division.CellOf(member.Hash); known {
 			engines[index].Group = member.Zone + "/" + strconv.Itoa(number)
 		}
 	}
@@ -182,7 +182,7 @@
 	}
 	plan := c.stages.plans[service]
 	if plan == nil {
-		plan = stageplan.New(stageplan.Config{PriorPrefillShare: c.config.PriorPrefillShare, Hold: stageHold, Without: c.config.Without})
+		plan = stageplan.New(stageplan.Config{PriorPrefillShare: c.config.PriorPrefillShare, MinChangeInterval: stageHold, Without: c.config.Without})
 		c.stages.plans[service] = plan
 	}
 	for _, change := range plan.Next(c.now, engines, work) {
--- a/internal/control/told_part.go
+++ b/internal/control/told_part.go
@@ -12,12 +12,12 @@
 // toldPart chooses the back ends that relays are told of. Those that are left out get no work, so that
 // what relays hold and are sent follows the work and not the number of back ends.
 func (c *Core) toldPart(listed []*v1.ListedBackEnd) []*v1.ListedBackEnd {
-	parts := map[string]subsetting.Part{}
+	parts := map[string]subsetting.Subset{}
 	for service, count := range openCounts(listed) {
 		parts[service] = c.demandFor(service).part.Next(count, c.demandFor(service).Wanted())
 	}
 	return slices.DeleteFunc(slices.Clone(listed), func(backEnd *v1.ListedBackEnd) bool {
-		return !parts[backEnd.GetService()].Holds(backEnd.GetAddress())
+		return !parts[backEnd.GetService()].Contains(backEnd.GetAddress())
 	})
 }
 
@@ -48,9 +48,9 @@
 		if _, known := least[service]; known {
 			continue
 		}
-		least[service] = subsetting.LeastWhole
+		least[service] = subsetting.MinWholeBackEnds
 		if _, isEngine := stageOf(backEnd.GetRole()); isEngine {
-			least[service] = subsetting.LeastEngines
+			least[service] = subsetting.MinEngines
 		}
 	}
 	wanted := make(map[string]int, len(least))
--- a/internal/controller/site.go
+++ b/internal/controller/site.go
@@ -201,9 +201,9 @@
 		if fault, isNews := l.faults.Next(read, err); isNews {
 			l.log.Warn().Str(events.FieldEvent, string(events.ListingFault)).Str("fault", fault).Send()
 		}
-		received := control.ListingReceived{Failed: err != nil, Calls: read.Calls, Whole: read.Whole}
+		received := control.ListingReceived{Failed: err != nil, Calls: read.Calls, Whole: read.Complete}
 		for _, backEnd := range read.BackEnds {
-			received.BackEnds = append(received.BackEnds, backEnd.Listed())
+			received.BackEnds = append(received.BackEnds, backEnd.ToProto())
 		}
 		if l.deliver(ctx, received) != nil {
 			return
--- a/internal/controller/stage_orders.go
+++ b/internal/controller/stage_orders.go
@@ -73,7 +73,7 @@
 
 func (s *stageOrderer) carryOut(ctx context.Context, change control.ChangeStage) {
 	order := StageOrder{
-		Engine: serving.BackEndFromListed(change.BackEnd), Stage: serving.StageOfRole(change.Role),
+		Engine: serving.BackEndFromProto(change.BackEnd), Stage: serving.StageOfRole(change.Role),
 		Holder: change.Holder, Fence: change.Fence,
 	}
 	outcome, err := s.send(ctx, order, change.NotAfter)
--- a/internal/demand/table.go
+++ b/internal/demand/table.go
@@ -36,8 +36,8 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{reports: map[string]*report{}} }
 
-// Take replaces a gateway's report.
-func (t *Table) Take(now time.Duration, node *v1.NodeIdentity, request *v1.ReportRequest) {
+// RecordReport replaces a gateway's report.
+func (t *Table) RecordReport(now time.Duration, node *v1.NodeIdentity, request *v1.ReportRequest) {
 	window := time.Duration(request.WindowMs) * time.Millisecond
 	if window <= 0 {
 		window = defaultWindow
@@ -51,8 +51,8 @@
 	}
 }
 
-// DropOld forgets reports that no longer count.
-func (t *Table) DropOld(now time.Duration) {
+// DropExpired forgets reports that no longer count.
+func (t *Table) DropExpired(now time.Duration) {
 	for name, report := range t.reports {
 		if now-report.at > reportLifetime {
 			delete(t.reports, name)
--- a/internal/experiment/controller.go
+++ b/internal/experiment/controller.go
@@ -48,7 +48,7 @@
 // take receives a gateway's demand report.
 func (c *controller) take(from *v1.NodeIdentity, report *v1.ReportRequest) {
 	if c.stopped == 0 && c.deaf == 0 {
-		c.demands.Take(c.world.now, from, report)
+		c.demands.RecordReport(c.world.now, from, report)
 	}
 }
 
--- a/internal/experiment/exchange.go
+++ b/internal/experiment/exchange.go
@@ -36,7 +36,7 @@
 	}
 	asked.present = current
 	unread := max(asked.estimatedPrompt-choice.CachedTokens, 0)
-	sent := routing.Sent{BackEnd: choice.BackEnd.Name, Exchange: current.id, PromptTokens: unread, PrefixBlocks: asked.routingBlocks, Home: choice.Home}
+	sent := routing.Dispatch{BackEnd: choice.BackEnd.Name, Exchange: current.id, PromptTokens: unread, PrefixBlocks: asked.routingBlocks, CachedAtHome: choice.CachedAtHome}
 	if choice.Prefill == nil {
 		g.router.Observe(w.now, sent)
 		g.send(current, current.output, enginemodel.PhaseFull)
@@ -45,7 +45,7 @@
 	current.prefill = w.byName[choice.Prefill.Name]
 	sent.BackEnd = choice.Prefill.Name
 	g.router.Observe(w.now, sent)
-	g.router.Observe(w.now, routing.Sent{BackEnd: choice.BackEnd.Name, Exchange: current.id})
+	g.router.Observe(w.now, routing.Dispatch{BackEnd: choice.BackEnd.Name, Exchange: current.id})
 	g.send(current, current.prefill, enginemodel.PhasePrefillOnly)
 }
 
@@ -81,9 +81,9 @@
 	}
 	g.release(current)
 	if answer == submissionUnreachable {
-		g.router.Observe(g.world.now, routing.Failed{BackEnd: by.declared.Name, Exchange: current.id})
+		g.router.Observe(g.world.now, routing.Failure{BackEnd: by.declared.Name, Exchange: current.id})
 	} else {
-		g.router.Observe(g.world.now, routing.Answered{
+		g.router.Observe(g.world.now, routing.AnswerHeaders{
 			BackEnd: by.declared.Name, Incarnation: by.incarnation, State: by.state, Role: by.role,
 		})
 	}
@@ -101,7 +101,7 @@
 	}
 	for _, each := range engines {
 		each.cancel(current)
-		g.router.Observe(g.world.now, routing.Finished{BackEnd: each.declared.Name, Exchange: current.id})
+		g.router.Observe(g.world.now, routing.Completion{BackEnd: each.declared.Name, Exchange: current.id})
 	}
 }
 
@@ -111,7 +111,7 @@
 		return
 	}
 	g.release(current)
-	g.router.Observe(g.world.now, routing.Failed{BackEnd: at.declared.Name, Exchange: current.id})
+	g.router.Observe(g.world.now, routing.Failure{BackEnd: at.declared.Name, Exchange: current.id})
 	current.excluded = append(current.excluded, at.declared.Name)
 	g.begin(current.request)
 }
@@ -121,7 +121,7 @@
 	if current.over {
 		return
 	}
-	g.router.Observe(g.world.now, routing.Finished{
+	g.router.Observe(g.world.now, routing.Completion{
 		BackEnd: current.prefill.declared.Name, Exchange: current.id, PromptTokens: current.PromptTokens, CachedTokens: current.cached,
 	})
 	g.answered(current.prefill)
@@ -156,7 +156,7 @@
 		return
 	}
 	load := seen.routingLoad()
-	g.router.Observe(g.world.now, routing.Answered{
+	g.router.Observe(g.world.now, routing.AnswerHeaders{
 		BackEnd: by.declared.Name, Incarnation: by.incarnation, State: by.state, Role: by.role,
 		Load: &load, Age: g.world.now - seen.at,
 	})
@@ -167,7 +167,7 @@
 		return
 	}
 	current.over = true
-	finished := routing.Finished{BackEnd: current.output.declared.Name, Exchange: current.id}
+	finished := routing.Completion{BackEnd: current.output.declared.Name, Exchange: current.id}
 	if current.prefill == nil {
 		finished.PromptTokens, finished.CachedTokens = current.PromptTokens, current.cached
 	}
--- a/internal/experiment/hindsight.go
+++ b/internal/experiment/hindsight.go
@@ -117,7 +117,7 @@
 			continue
 		}
 		// Beyond what the demand needs, the split with the larger margin is better.
-		if worth := model.Goodput(split, mean.demands) + model.Margin(split, mean.demands); worth > most {
+		if worth := model.Goodput(split, mean.demands) + model.HeadroomBonus(split, mean.demands); worth > most {
 			best, most = split, worth
 		}
 	}
--- a/internal/experiment/outages.go
+++ b/internal/experiment/outages.go
@@ -49,5 +49,5 @@
 			demands[i] = demand
 		}
 	}
-	return w.up * (model.Goodput(split, demands) + model.Margin(split, demands))
+	return w.up * (model.Goodput(split, demands) + model.HeadroomBonus(split, demands))
 }
--- a/internal/gateway/completion_connect.go
+++ b/internal/gateway/completion_connect.go
@@ -105,11 +105,11 @@
 	c.exchange = upstream.NewExchange()
 	c.sequence.Begin(c.exchange)
 	c.resumes = 0
-	sent := routing.Sent{BackEnd: c.backEnd.Name, Exchange: c.exchange}
+	sent := routing.Dispatch{BackEnd: c.backEnd.Name, Exchange: c.exchange}
 	if cache == nil {
 		sent.PromptTokens = max(c.routing.PromptTokens-choice.CachedTokens, 0)
 		sent.PrefixBlocks = c.routing.PrefixBlocks
-		sent.Home = choice.Home
+		sent.CachedAtHome = choice.CachedAtHome
 	}
 	c.gateway.dispatcher.observe(sent)
 	message := c.message(c.backEnd.Address, c.exchange, c.deadline)
@@ -146,10 +146,10 @@
 		c.excluded = append(c.excluded, c.backEnd.Name) // a failed import says nothing against the engine
 	}
 	if failure.Status == 0 {
-		c.gateway.dispatcher.observe(routing.Failed{BackEnd: c.backEnd.Name, Exchange: c.exchange})
+		c.gateway.dispatcher.observe(routing.Failure{BackEnd: c.backEnd.Name, Exchange: c.exchange})
 		return nil
 	}
-	c.gateway.dispatcher.observe(routing.Finished{BackEnd: c.backEnd.Name, Exchange: c.exchange})
+	c.gateway.dispatcher.observe(routing.Completion{BackEnd: c.backEnd.Name, Exchange: c.exchange})
 	if failure.Code == enginecontract.CodeInvalidRequest {
 		return c.refusal(refuseParameters())
 	}
--- a/internal/gateway/completion_end.go
+++ b/internal/gateway/completion_end.go
@@ -20,7 +20,7 @@
 func (c *completion) abandon() {
 	c.open = false
 	c.excluded = append(c.excluded, c.backEnd.Name)
-	c.gateway.dispatcher.observe(routing.Failed{BackEnd: c.backEnd.Name, Exchange: c.exchange})
+	c.gateway.dispatcher.observe(routing.Failure{BackEnd: c.backEnd.Name, Exchange: c.exchange})
 	c.gateway.cancelLater(c.backEnd, c.exchange)
 	c.noteBroken(c.backEnd, endWait)
 }
@@ -42,7 +42,7 @@
 		c.answer, c.scanner = nil, nil
 	}
 	c.open = false
-	c.gateway.dispatcher.observe(routing.Finished{BackEnd: c.backEnd.Name, Exchange: c.exchange})
+	c.gateway.dispatcher.observe(routing.Completion{BackEnd: c.backEnd.Name, Exchange: c.exchange})
 	cancelled := c.gateway.cancel(cancellation{backEnd: c.backEnd, exchange: c.exchange}, cancelTimeout)
 	if cancelled == verdict.NotRun && c.tried.total() == 1 && !c.promptSent {
 		c.mayHaveRun = false
@@ -67,7 +67,7 @@
 	}
 	c.answer.Close()
 	c.answer, c.scanner = nil, nil
-	c.gateway.dispatcher.observe(routing.Finished{
+	c.gateway.dispatcher.observe(routing.Completion{
 		BackEnd: c.backEnd.Name, Exchange: c.exchange, PromptTokens: c.usage.promptTokens, CachedTokens: c.usage.cachedTokens,
 	})
 }
@@ -91,7 +91,7 @@
 	}
 	if c.open {
 		c.open = false
-		c.gateway.dispatcher.observe(routing.Finished{BackEnd: c.backEnd.Name, Exchange: c.exchange})
+		c.gateway.dispatcher.observe(routing.Completion{BackEnd: c.backEnd.Name, Exchange: c.exchange})
 		c.gateway.cancelLater(c.backEnd, c.exchange)
 	}
 }
--- a/internal/gateway/dispatcher.go
+++ b/internal/gateway/dispatcher.go
@@ -27,7 +27,7 @@
 func newDispatcher(clock clock, config settings.Gateway, permits *permits, restarted func(former routing.BackEnd)) (*dispatcher, error) {
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(config.Name)) // never fails, by its documentation
-	router, err := routing.New(routing.Config{Zone: config.Zone, ZoneLatency: config.ZoneLatency, Seed: seed.Sum64(), Restarted: restarted})
+	router, err := routing.New(routing.Config{Zone: config.Zone, ZoneLatency: config.ZoneLatency, Seed: seed.Sum64(), OnRestart: restarted})
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -53,8 +53,8 @@
 	if report.State == "" && report.Load == "" && report.Rest == 0 && report.Limit == nil {
 		return
 	}
-	d.observe(routing.Answered{
-		BackEnd: backEnd, Exchange: exchange, State: report.State, Role: report.Role, Load: parseLoad(report.Load), Rest: report.Rest, Limit: report.Limit,
+	d.observe(routing.AnswerHeaders{
+		BackEnd: backEnd, Exchange: exchange, State: report.State, Role: report.Role, Load: parseLoad(report.Load), Backoff: report.Rest, Limit: report.Limit,
 	})
 }
 
@@ -62,7 +62,7 @@
 func (d *dispatcher) rests(backEnd routing.BackEnd) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.router.Rest(d.clock.now(), backEnd) > 0
+	return d.router.Backoff(d.clock.now(), backEnd) > 0
 }
 
 // hasRestarted reports whether a later incarnation of a back end is known.
--- a/internal/gateway/hand_over.go
+++ b/internal/gateway/hand_over.go
@@ -46,10 +46,10 @@
 func (c *completion) readPrompt(choice *routing.Choice) (*exportedCache, *refusal) {
 	exchange := upstream.NewExchange()
 	dispatcher := c.gateway.dispatcher
-	dispatcher.observe(routing.Sent{
+	dispatcher.observe(routing.Dispatch{
 		BackEnd: choice.Prefill.Name, Exchange: exchange,
 		PromptTokens: max(c.routing.PromptTokens-choice.CachedTokens, 0), PrefixBlocks: c.routing.PrefixBlocks,
-		Home: choice.Home,
+		CachedAtHome: choice.CachedAtHome,
 	})
 	patience := time.Duration(prefillShare * float64(c.deadline-c.gateway.clock.now()))
 	message := c.message(choice.Prefill.Address, exchange, c.gateway.clock.now()+patience)
@@ -65,7 +65,7 @@
 	}
 	c.mayHaveRun, c.promptSent = true, true
 	dispatcher.observe(routing.FirstToken{BackEnd: choice.Prefill.Name, Exchange: exchange})
-	dispatcher.observe(routing.Finished{
+	dispatcher.observe(routing.Completion{
 		BackEnd: choice.Prefill.Name, Exchange: exchange, PromptTokens: read.PromptTokens, CachedTokens: read.CachedTokens,
 	})
 	return &exportedCache{handle: read.KVHandle, source: choice.Prefill.Address}, nil
@@ -111,9 +111,9 @@
 		c.noteBroken(*prefill, endWait)
 	}
 	if failure.Status != 0 || c.interrupter.Interrupted() {
-		c.gateway.dispatcher.observe(routing.Finished{BackEnd: prefill.Name, Exchange: exchange})
+		c.gateway.dispatcher.observe(routing.Completion{BackEnd: prefill.Name, Exchange: exchange})
 	} else {
-		c.gateway.dispatcher.observe(routing.Failed{BackEnd: prefill.Name, Exchange: exchange})
+		c.gateway.dispatcher.observe(routing.Failure{BackEnd: prefill.Name, Exchange: exchange})
 	}
 	if failure.Code == enginecontract.CodeInvalidRequest {
 		return c.refusal(refuseParameters())
--- a/internal/gateway/page_exchange.go
+++ b/internal/gateway/page_exchange.go
@@ -66,21 +66,21 @@
 	message.Exchange = upstream.NewExchange()
 	message.Headers = append(append([]upstream.Header(nil), message.Headers...),
 		deadlineHeader(p.deadline-p.gateway.clock.now()))
-	p.gateway.dispatcher.observe(routing.Sent{BackEnd: backEnd.Name, Exchange: message.Exchange})
+	p.gateway.dispatcher.observe(routing.Dispatch{BackEnd: backEnd.Name, Exchange: message.Exchange})
 	answer, report, failure := p.gateway.upstream.Do(message)
 	p.gateway.dispatcher.observeReport(backEnd.Name, message.Exchange, report)
 	if failure == nil {
 		defer answer.Close()
 		var whole *pageAnswer
 		if whole, failure = readPage(answer); failure == nil {
-			p.gateway.dispatcher.observe(routing.Finished{BackEnd: backEnd.Name, Exchange: message.Exchange})
+			p.gateway.dispatcher.observe(routing.Completion{BackEnd: backEnd.Name, Exchange: message.Exchange})
 			return whole, nil
 		}
 	}
 	if failure.Status == 0 {
-		p.gateway.dispatcher.observe(routing.Failed{BackEnd: backEnd.Name, Exchange: message.Exchange})
+		p.gateway.dispatcher.observe(routing.Failure{BackEnd: backEnd.Name, Exchange: message.Exchange})
 	} else {
-		p.gateway.dispatcher.observe(routing.Finished{BackEnd: backEnd.Name, Exchange: message.Exchange})
+		p.gateway.dispatcher.observe(routing.Completion{BackEnd: backEnd.Name, Exchange: message.Exchange})
 	}
 	return nil, failure
 }
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -104,7 +104,7 @@
 // mayCall reports whether one call may go to a back end that may name a limit. One that is owed must go there.
 func (d *dispatcher) mayCall(backEnd routing.BackEnd, rank int, owed bool) bool {
 	d.mutex.Lock()
-	ask, needed := d.router.PermitAsk(backEnd)
+	ask, needed := d.router.PermitRequest(backEnd)
 	d.mutex.Unlock()
 	if !needed {
 		return true
@@ -113,7 +113,7 @@
 	answer, answered := d.permits.take(ask)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.router.PermitAnswered(d.clock.now(), backEnd, answer, answered)
+	d.router.ApplyPermitAnswer(d.clock.now(), backEnd, answer, answered)
 	return answer.Granted
 }
 
@@ -121,7 +121,7 @@
 func (d *dispatcher) heardLimits() []fleetlimit.Named {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.router.HeardLimits()
+	return d.router.UnreportedLimits()
 }
 
 // limitsReported takes what the leader said of limits to a report that told it some.
@@ -134,6 +134,6 @@
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.router.LimitsTold(told)
-	d.router.TakeLimits(d.clock.now(), known)
+	d.router.MarkLimitsReported(told)
+	d.router.ApplyLimits(d.clock.now(), known)
 }
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -98,25 +98,25 @@
 	reader := r.BackEnd
 	if choice.Prefill != nil {
 		reader, r.PrefillZone = choice.Prefill.Name, choice.Prefill.Zone
-		r.control.dispatcher.observe(routing.Sent{BackEnd: r.BackEnd, Exchange: r.exchange})
+		r.control.dispatcher.observe(routing.Dispatch{BackEnd: r.BackEnd, Exchange: r.exchange})
 	}
 	prompt := upstream.NewExchange()
 	if choice.Prefill == nil {
 		prompt = r.exchange
 	}
-	r.control.dispatcher.observe(routing.Sent{
+	r.control.dispatcher.observe(routing.Dispatch{
 		BackEnd: reader, Exchange: prompt, PromptTokens: max(r.trial.PromptTokens-choice.CachedTokens, 0),
-		PrefixBlocks: routed.PrefixBlocks, Home: choice.Home,
+		PrefixBlocks: routed.PrefixBlocks, CachedAtHome: choice.CachedAtHome,
 	})
 	if choice.Prefill != nil { // the prompt is read at once here
-		r.control.dispatcher.observe(routing.Finished{BackEnd: reader, Exchange: prompt, PromptTokens: r.trial.PromptTokens})
+		r.control.dispatcher.observe(routing.Completion{BackEnd: reader, Exchange: prompt, PromptTokens: r.trial.PromptTokens})
 	}
 	return nil
 }
 
 // End reports the request as completed.
 func (r *TrialRun) End() {
-	r.control.dispatcher.observe(routing.Finished{BackEnd: r.BackEnd, Exchange: r.exchange, PromptTokens: r.trial.PromptTokens})
+	r.control.dispatcher.observe(routing.Completion{BackEnd: r.BackEnd, Exchange: r.exchange, PromptTokens: r.trial.PromptTokens})
 	r.place.finish(admission.Result{PromptTokens: r.trial.PromptTokens, OutputTokens: r.trial.OutputTokens})
 	r.finishClaim(verdict.Ran)
 	r.record(gatewaystate.Outcome{Completed: true})
--- a/internal/listing/faults.go
+++ b/internal/listing/faults.go
@@ -16,8 +16,8 @@
 	switch {
 	case err != nil:
 		text = err.Error()
-	case len(read.PassedOver) > 0:
-		text = fmt.Sprintf("%d entries name no back end; the first: %s", len(read.PassedOver), read.PassedOver[0])
+	case len(read.SkippedEntries) > 0:
+		text = fmt.Sprintf("%d entries name no back end; the first: %s", len(read.SkippedEntries), read.SkippedEntries[0])
 	}
 	isNews = text != f.told
 	f.told = text
--- a/internal/listing/faults_test.go
+++ b/internal/listing/faults_test.go
@@ -17,7 +17,7 @@
 		require.Equal(t, expected, text)
 		require.Equal(t, expectNews, isNews)
 	}
-	odd := serving.Listing{PassedOver: []string{"no Slots", "no Zone"}}
+	odd := serving.Listing{SkippedEntries: []string{"no Slots", "no Zone"}}
 	next(serving.Listing{}, nil, "", false)
 	next(odd, nil, "2 entries name no back end; the first: no Slots", true)
 	next(odd, nil, "2 entries name no back end; the first: no Slots", false)
--- a/internal/measure/chooser.go
+++ b/internal/measure/chooser.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nowhere
 	}
-	return pick{engine: c.world.index[choice.BackEnd.Name], cached: choice.CachedTokens, home: choice.Home}
+	return pick{engine: c.world.index[choice.BackEnd.Name], cached: choice.CachedTokens, home: choice.CachedAtHome}
 }
 
 func (c *routerChooser) observe(now time.Duration, observation routing.Observation) {
--- a/internal/measure/decisions.go
+++ b/internal/measure/decisions.go
@@ -70,8 +70,8 @@
 		if err != nil {
 			return 0, trace.Wrap(err)
 		}
-		router.Observe(0, routing.Sent{BackEnd: choice.BackEnd.Name, Exchange: "x", PromptTokens: decisionTokens, PrefixBlocks: asked.PrefixBlocks})
-		router.Observe(0, routing.Finished{BackEnd: choice.BackEnd.Name, Exchange: "x"})
+		router.Observe(0, routing.Dispatch{BackEnd: choice.BackEnd.Name, Exchange: "x", PromptTokens: decisionTokens, PrefixBlocks: asked.PrefixBlocks})
+		router.Observe(0, routing.Completion{BackEnd: choice.BackEnd.Name, Exchange: "x"})
 	}
 	return time.Since(began) / decisionCount, nil
 }
--- a/internal/measure/gateway.go
+++ b/internal/measure/gateway.go
@@ -109,9 +109,9 @@
 		return
 	}
 	current := &flight{request: asked, gateway: g, engine: chosen.engine, exchange: strconv.Itoa(asked.number), started: w.now}
-	g.chooser.observe(w.now, routing.Sent{
+	g.chooser.observe(w.now, routing.Dispatch{
 		BackEnd: engineName(chosen.engine), Exchange: current.exchange, PromptTokens: asked.prompt - chosen.cached,
-		PrefixBlocks: asked.routingBlocks, Home: chosen.home,
+		PrefixBlocks: asked.routingBlocks, CachedAtHome: chosen.home,
 	})
 	w.agenda.Add(w.now+w.latency(g, chosen.engine), func() { g.arrive(current) })
 }
@@ -164,11 +164,11 @@
 // answered passes on the headers of an answer.
 func (g *gateway) answered(current *flight) {
 	load := loadOf(g.world.engines[current.engine])
-	g.chooser.observe(g.world.now, routing.Answered{BackEnd: engineName(current.engine), Incarnation: 1, Load: &load})
+	g.chooser.observe(g.world.now, routing.AnswerHeaders{BackEnd: engineName(current.engine), Incarnation: 1, Load: &load})
 }
 
 func (g *gateway) finished(current *flight) {
-	g.chooser.observe(g.world.now, routing.Finished{
+	g.chooser.observe(g.world.now, routing.Completion{
 		BackEnd: engineName(current.engine), Exchange: current.exchange, PromptTokens: current.prompt, CachedTokens: current.cached,
 	})
 }
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -16,14 +16,14 @@
 	// FetchFrom is the index of the engine from which it takes the beginning of the prompt, or
 	// None.
 	FetchFrom int
-	// ToRead is how many tokens it has to read itself, Effort what that takes, counted in first
+	// PrefillTokens is how many tokens it has to read itself, EffectiveTokens what that takes, counted in first
 	// tokens of a prompt.
-	ToRead, Effort int
-	// Unusable is how much of the prompt the engine is reading for other requests, which cannot
+	PrefillTokens, EffectiveTokens int
+	// PendingTokens is how much of the prompt the engine is reading for other requests, which cannot
 	// be used before those have it.
-	Unusable int
-	// Waiting is how long the reading waits at the engine.
-	Waiting time.Duration
+	PendingTokens int
+	// QueueDelay is how long the reading waits at the engine.
+	QueueDelay time.Duration
 	// Cost is in seconds; less is better.
 	Cost float64
 }
--- a/internal/placement/connections_test.go
+++ b/internal/placement/connections_test.go
@@ -48,7 +48,7 @@
 					engines[index].Running = 1
 				}
 			}
-			chosen := policy.Generator(Request{Now: now, Stage: serving.StageWhole}, engines, random.Float64)
+			chosen := policy.PickBackEnd(Request{Now: now, Stage: serving.StageWhole}, engines, random.Float64)
 			if !engines[chosen.Index].Connected {
 				connections++
 			}
@@ -64,6 +64,6 @@
 // A back end that is busier by a request is not chosen for its connection.
 func TestConnectionsDecideAmongEqualsOnly(t *testing.T) {
 	engines := []Engine{{Stage: serving.StageWhole, Connected: true, Running: 1}, {Stage: serving.StageWhole}}
-	chosen := DefaultParameters().Generator(Request{Stage: serving.StageWhole}, engines, func() float64 { return 0.5 })
+	chosen := DefaultParameters().PickBackEnd(Request{Stage: serving.StageWhole}, engines, func() float64 { return 0.5 })
 	require.Equal(t, 1, chosen.Index)
 }
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -25,44 +25,44 @@
 // Each prompt has a home, the same for every relay, which wins among equals.
 func (p Parameters) weighPrefill(request Request, candidate *Candidate, engine Engine, held holder) {
 	fetching := p.planReading(request, candidate, engine, held)
-	reading := PrefillTime(engine.PerToken, candidate.Effort)
-	candidate.Waiting = p.WaitingTime(engine.Work, p.ReadingRank(request.Rank, candidate.ToRead), engine.PerToken)
-	cost := candidate.Waiting + fetching + 2*reading
+	reading := PrefillTime(engine.PerToken, candidate.EffectiveTokens)
+	candidate.QueueDelay = p.PrefillQueueDelay(engine.Work, p.PrefillRank(request.Rank, candidate.PrefillTokens), engine.PerToken)
+	cost := candidate.QueueDelay + fetching + 2*reading
 	if candidate.FetchFrom != None {
-		cost += time.Duration(held.tokens) * p.CopyHarm
+		cost += time.Duration(held.tokens) * p.TransferEvictionCost
 	}
-	if late := candidate.Waiting + fetching + reading - time.Duration(p.PromptTargetShare*float64(request.Target)); late > 0 {
+	if late := candidate.QueueDelay + fetching + reading - time.Duration(p.PrefillTargetShare*float64(request.Target)); late > 0 {
 		cost += time.Duration(p.LateWeight) * late
 	}
 	if engine.Zone != request.Zone {
-		cost += p.ZoneTime
+		cost += p.ZoneCost
 	}
-	candidate.Cost = cost.Seconds() + p.HomeTime.Seconds()*distanceFromHome(request.Prompt, engine.Hash)
+	candidate.Cost = cost.Seconds() + p.HomePreference.Seconds()*distanceFromHome(request.Prompt, engine.Hash)
 }
 
 // planReading notes what the engine has to read itself and where it takes the rest from; it
 // returns how long that takes.
 func (p Parameters) planReading(request Request, candidate *Candidate, engine Engine, held holder) time.Duration {
-	candidate.Unusable = engine.Cached.Unusable
-	candidate.leaveToRead(request.Tokens, engine.Cached.Held)
-	fetched := held.tokens - engine.Cached.Held
-	if fetched < p.LeastFetch || held.index == candidate.Index {
+	candidate.PendingTokens = engine.Cached.Pending
+	candidate.leaveToRead(request.Tokens, engine.Cached.Total)
+	fetched := held.tokens - engine.Cached.Total
+	if fetched < p.MinTransferTokens || held.index == candidate.Index {
 		return 0
 	}
 	candidate.leaveToRead(request.Tokens, held.tokens)
 	candidate.FetchFrom = held.index
-	return p.FetchSetup + time.Duration(fetched)*request.TokenMove
+	return p.TransferSetup + time.Duration(fetched)*request.TokenTransferTime
 }
 
 // leaveToRead notes what of a prompt's tokens is to be read after those that are held.
 func (c *Candidate) leaveToRead(tokens, held int) {
-	c.ToRead = max(tokens-held, 0)
-	c.Effort = ReadingEffort(held, c.ToRead)
+	c.PrefillTokens = max(tokens-held, 0)
+	c.EffectiveTokens = EffectiveTokens(held, c.PrefillTokens)
 }
 
-// Holder returns the index of the engine that keeps most of the prompt for any request, and how
+// LongestPrefixHolder returns the index of the engine that keeps most of the prompt for any request, and how
 // many tokens; None when none keeps any.
-func Holder(engines []Engine) (index, tokens int) {
+func LongestPrefixHolder(engines []Engine) (index, tokens int) {
 	found := holderOf(engines)
 	return found.index, found.tokens
 }
@@ -75,26 +75,26 @@
 func holderOf(engines []Engine) holder {
 	best := holder{index: None}
 	for index, engine := range engines {
-		if engine.Failures == 0 && engine.Cached.Usable > best.tokens {
-			best = holder{index: index, tokens: engine.Cached.Usable}
+		if engine.Failures == 0 && engine.Cached.Ready > best.tokens {
+			best = holder{index: index, tokens: engine.Cached.Ready}
 		}
 	}
 	return best
 }
 
-// WaitingTime is how long a reading of the rank waits at an engine: for what goes before it,
+// PrefillQueueDelay is how long a reading of the rank waits at an engine: for what goes before it,
 // and for what is left of the reading under way, which is not interrupted.
-func (p Parameters) WaitingTime(total Work, rank int, perToken time.Duration) time.Duration {
+func (p Parameters) PrefillQueueDelay(total Work, rank int, perToken time.Duration) time.Duration {
 	before := total.TokensUpTo(rank)
 	tokens := float64(before)
 	if after := total.PromptTokens() - before; after > 0 {
-		tokens += p.ResidualShare * float64(after) / float64(max(total.Prompts, 1))
+		tokens += p.ResidualShare * float64(after) / float64(max(total.Prefills, 1))
 	}
-	return time.Duration(total.Prompts)*prefillOverhead + time.Duration(tokens*float64(perToken))
+	return time.Duration(total.Prefills)*prefillOverhead + time.Duration(tokens*float64(perToken))
 }
 
 // distanceFromHome is in [0, 1): each prompt orders the engines in a way of its own.
-func distanceFromHome(prompt []Part, engine uint64) float64 {
+func distanceFromHome(prompt []PrefixBlock, engine uint64) float64 {
 	if len(prompt) < 2 {
 		return 0
 	}
@@ -108,17 +108,17 @@
 // for it and holds its streams up meanwhile.
 func (p Parameters) weighDecode(request Request, candidate *Candidate, engine Engine, held holder) {
 	perToken := engine.PerToken * time.Duration(p.DecodeSlowdown)
-	candidate.Waiting = time.Duration(engine.Work.TokensUpTo(request.Rank.First)) * perToken
-	cost := candidate.Waiting + time.Duration(engine.Work.Streams)*p.StreamTime
+	candidate.QueueDelay = time.Duration(engine.Work.TokensUpTo(request.Rank.First)) * perToken
+	cost := candidate.QueueDelay + time.Duration(engine.Work.Streams)*p.StreamCost
 	if engine.Zone != request.Zone {
-		cost += p.ZoneTime
+		cost += p.ZoneCost
 	}
 	if request.Tokens > 0 {
 		cost += p.planReading(request, candidate, engine, held)
-		harm := 1 + p.StreamHarm*float64(engine.Work.Streams)
-		cost += prefillOverhead + time.Duration(harm*float64(time.Duration(candidate.Effort)*perToken))
-		if engine.Work.PromptTokens()+candidate.Effort > p.readingRoom(request.Gap, request.Stride, perToken) {
-			cost += time.Duration(engine.Work.Streams) * p.PauseHarm
+		harm := 1 + p.StreamSlowdown*float64(engine.Work.Streams)
+		cost += prefillOverhead + time.Duration(harm*float64(time.Duration(candidate.EffectiveTokens)*perToken))
+		if engine.Work.PromptTokens()+candidate.EffectiveTokens > p.readingRoom(request.Gap, request.Stride, perToken) {
+			cost += time.Duration(engine.Work.Streams) * p.StreamPauseCost
 		}
 	}
 	candidate.Cost = cost.Seconds()
@@ -128,9 +128,9 @@
 // streams come more slowly than the gap allows: an event's tokens come one a step, and each
 // step reads one piece.
 func (p Parameters) readingRoom(gap time.Duration, stride int, perToken time.Duration) int {
-	piece := time.Duration(p.DecodePiece) * perToken
+	piece := time.Duration(p.DecodeChunk) * perToken
 	if gap <= 0 || stride <= 0 || time.Duration(stride)*(piece+p.DecodeStep) <= gap {
 		return math.MaxInt
 	}
-	return max(int((gap-time.Duration(stride)*p.DecodeStep)/piece), 1) * p.DecodePiece
+	return max(int((gap-time.Duration(stride)*p.DecodeStep)/piece), 1) * p.DecodeChunk
 }
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -14,12 +14,12 @@
 const (
 	// Unplaced requests have no engine that could read their prompt now.
 	Unplaced Action = iota
-	// ReadDirectly has a decoding engine read the prompt and generate.
-	ReadDirectly
-	// ReadApart has a prefill engine read the prompt for a decoding one.
-	ReadApart
-	// AwaitReading waits until the engine has read shared parts for another request.
-	AwaitReading
+	// PrefillOnDecodeEngine has a decoding engine read the prompt and generate.
+	PrefillOnDecodeEngine
+	// PrefillSeparately has a prefill engine read the prompt for a decoding one.
+	PrefillSeparately
+	// AwaitSharedPrefill waits until the engine has read shared parts for another request.
+	AwaitSharedPrefill
 	// Refuse gives the request up, which has not run.
 	Refuse
 )
@@ -28,28 +28,28 @@
 type Decision struct {
 	Action Action
 	Engine *Candidate
-	// Short is the stage whose engines have too little time for a request that is refused.
-	Short serving.Stage
+	// OverloadedStage is the stage whose engines have too little time for a request that is refused.
+	OverloadedStage serving.Stage
 	// Reason says why, and RetryAfter when a refused request had better come back.
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// PlaceReading decides where a prompt is read: at the prefill engine or at the decoding one that
+// PlacePrefill decides where a prompt is read: at the prefill engine or at the decoding one that
 // generates, whichever has it sooner.
-func (p Parameters) PlaceReading(request Request, engines []Engine, draw func() float64) Decision {
+func (p Parameters) PlacePrefill(request Request, engines []Engine, draw func() float64) Decision {
 	direct := p.best(request, serving.StageDecode, engines, draw)
-	apart := p.Reader(request, engines, draw)
+	apart := p.PickPrefillEngine(request, engines, draw)
 	decision := p.chooseReader(direct, apart)
 	switch chosen := decision.Engine; {
 	case chosen == nil:
-		return Decision{Action: Unplaced, Reason: NoReader}
+		return Decision{Action: Unplaced, Reason: ReasonNoEngine}
 	case p.slotsTaken(request, engines):
-		return Decision{Action: Refuse, Engine: chosen, Short: serving.StageDecode, Reason: SlotsTaken, RetryAfter: p.comeBack(request, draw)}
-	case chosen.Unusable >= p.LeastUnusable && request.Waits < p.MostWaits:
-		return Decision{Action: AwaitReading, Engine: chosen, Reason: SharedPartsRead}
-	case decision.Action == ReadApart && chosen.Waiting > p.longestWait(request, chosen.ToRead):
-		return Decision{Action: Refuse, Engine: chosen, Short: serving.StagePrefill, Reason: TooManyPrompts, RetryAfter: p.comeBack(request, draw)}
+		return Decision{Action: Refuse, Engine: chosen, OverloadedStage: serving.StageDecode, Reason: ReasonSlotsTaken, RetryAfter: p.comeBack(request, draw)}
+	case chosen.PendingTokens >= p.MinPendingTokens && request.PrefillWaits < p.MaxPrefillWaits:
+		return Decision{Action: AwaitSharedPrefill, Engine: chosen, Reason: ReasonSharedPrefillRunning}
+	case decision.Action == PrefillSeparately && chosen.QueueDelay > p.longestWait(request, chosen.PrefillTokens):
+		return Decision{Action: Refuse, Engine: chosen, OverloadedStage: serving.StagePrefill, Reason: ReasonPrefillQueueFull, RetryAfter: p.comeBack(request, draw)}
 	default:
 		return decision
 	}
@@ -58,7 +58,7 @@
 // slotsTaken reports whether a request would wait for a slot too long at every decoding engine.
 // Those of the first rank are let in before all others, so that they wait for one another only.
 func (p Parameters) slotsTaken(request Request, engines []Engine) bool {
-	if request.Rank.First == 0 || request.Residence <= 0 {
+	if request.Rank.First == 0 || request.SlotHoldTime <= 0 {
 		return false
 	}
 	open := false
@@ -67,8 +67,8 @@
 			continue
 		}
 		open = true
-		wait := time.Duration(engine.Work.Streams-engine.Slots) * request.Residence / time.Duration(engine.Slots)
-		if wait < time.Duration(p.LongestSlotWait*float64(request.Target)) {
+		wait := time.Duration(engine.Work.Streams-engine.Slots) * request.SlotHoldTime / time.Duration(engine.Slots)
+		if wait < time.Duration(p.MaxSlotDelayShare*float64(request.Target)) {
 			return false
 		}
 	}
@@ -80,41 +80,41 @@
 // the size of its prompt, and what it costs others by the part that is read.
 func (p Parameters) longestWait(request Request, toRead int) time.Duration {
 	share := float64(max(toRead, 1)) / float64(max(request.Tokens, 1))
-	scale := min(max(request.UsualShare/share, p.LeastWaitScale), p.MostWaitScale)
-	return time.Duration(p.LongestWaitShare * scale * float64(request.Target))
+	scale := min(max(request.UncachedShare/share, p.MinDelayScale), p.MaxDelayScale)
+	return time.Duration(p.MaxPrefillDelayShare * scale * float64(request.Target))
 }
 
 // comeBack is when a refused client had better come back: those that are refused together are
 // spread over the time in which they can still be served, and do not meet the same crowd again.
 func (p Parameters) comeBack(request Request, draw func() float64) time.Duration {
-	latest := p.ComeBackShare * float64(request.TimeLeft)
-	return time.Duration(latest * (1 - p.ComeBackSpread*draw()))
+	latest := p.RetryShare * float64(request.TimeLeft)
+	return time.Duration(latest * (1 - p.RetrySpread*draw()))
 }
 
 // chooseReader decides between the decoding engine and the prefill engine; either may be nil.
 func (p Parameters) chooseReader(direct, apart *Candidate) Decision {
 	switch {
 	case apart == nil:
-		return Decision{Action: ReadDirectly, Engine: direct, Reason: NoPrefillEngine}
+		return Decision{Action: PrefillOnDecodeEngine, Engine: direct, Reason: ReasonNoPrefillEngine}
 	case direct != nil && p.readsDirectly(direct, apart):
-		return Decision{Action: ReadDirectly, Engine: direct, Reason: DecodingAsSoon}
+		return Decision{Action: PrefillOnDecodeEngine, Engine: direct, Reason: ReasonDecodeAsSoon}
 	default:
-		return Decision{Action: ReadApart, Engine: apart, Reason: PrefillSooner}
+		return Decision{Action: PrefillSeparately, Engine: apart, Reason: ReasonPrefillSooner}
 	}
 }
 
 // readsDirectly reports whether a decoding engine had better read the prompt itself.
 func (p Parameters) readsDirectly(direct, apart *Candidate) bool {
-	return direct.ToRead <= p.LongestDirect && direct.Cost <= apart.Cost+p.HandOverTime.Seconds()
+	return direct.PrefillTokens <= p.MaxDecodePrefill && direct.Cost <= apart.Cost+p.KVTransferTime.Seconds()
 }
 
-// Reader picks the prefill engine that reads a prompt; nil when there is none.
-func (p Parameters) Reader(request Request, engines []Engine, draw func() float64) *Candidate {
+// PickPrefillEngine picks the prefill engine that reads a prompt; nil when there is none.
+func (p Parameters) PickPrefillEngine(request Request, engines []Engine, draw func() float64) *Candidate {
 	return p.best(request, serving.StagePrefill, engines, draw)
 }
 
-// Taker picks the decoding engine with a free slot that takes over a run; nil when there is none.
-func (p Parameters) Taker(request Request, engines []Engine, draw func() float64) *Candidate {
+// PickMigrationTarget picks the decoding engine with a free slot that takes over a run; nil when there is none.
+func (p Parameters) PickMigrationTarget(request Request, engines []Engine, draw func() float64) *Candidate {
 	free := slices.Clone(engines)
 	for index, engine := range free {
 		free[index].Closed = engine.Closed || engine.Work.Streams >= engine.Slots
@@ -122,32 +122,32 @@
 	return p.best(request, serving.StageDecode, free, draw)
 }
 
-// Generator picks the back end that answers; nil when there is none, or none that may read what
+// PickBackEnd picks the back end that answers; nil when there is none, or none that may read what
 // is left of the prompt itself. While a decoding engine reads a long prompt its other streams
 // pause and new ones wait, so it does so only where nothing else waits to be read, and, for a
 // request that can still come back, where few streams run.
-func (p Parameters) Generator(request Request, engines []Engine, draw func() float64) *Candidate {
+func (p Parameters) PickBackEnd(request Request, engines []Engine, draw func() float64) *Candidate {
 	best := p.best(request, request.Stage, engines, draw)
-	if best == nil || request.Stage != serving.StageDecode || best.ToRead <= p.LongestDirect {
+	if best == nil || request.Stage != serving.StageDecode || best.PrefillTokens <= p.MaxDecodePrefill {
 		return best
 	}
 	work := engines[best.Index].Work
-	if work.PromptTokens() > p.LongestDirect || !request.MayHaveRun && work.Streams > p.FewStreams {
+	if work.PromptTokens() > p.MaxDecodePrefill || !request.MayHaveRun && work.Streams > p.MaxPausedStreams {
 		return nil
 	}
 	return best
 }
 
-// Spills reports whether a request had better be offered to engines elsewhere as well: it found
+// ShouldSpill reports whether a request had better be offered to engines elsewhere as well: it found
 // none here, was refused, or would wait long.
-func (p Parameters) Spills(request Request, decision Decision) bool {
+func (p Parameters) ShouldSpill(request Request, decision Decision) bool {
 	switch decision.Action {
 	case Unplaced, Refuse:
 		return true
-	case AwaitReading:
+	case AwaitSharedPrefill:
 		return false
 	default:
-		return decision.Engine.Waiting > time.Duration(p.SpillShare*float64(request.Target)) && request.Target > 0
+		return decision.Engine.QueueDelay > time.Duration(p.SpillShare*float64(request.Target)) && request.Target > 0
 	}
 }
 
--- a/internal/placement/decide_test.go
+++ b/internal/placement/decide_test.go
@@ -14,12 +14,12 @@
 // crowd is a request whose prefill engine has so much before it.
 func crowd(before, tokens, kept int) (Request, []Engine) {
 	request := Request{
-		Stage: serving.StageDecode, Tokens: tokens, Prompt: []Part{{Hash: 1, Tokens: tokens}}, Target: 500 * time.Millisecond,
-		UsualShare: 0.5, TimeLeft: 6 * time.Second,
+		Stage: serving.StageDecode, Tokens: tokens, Prompt: []PrefixBlock{{Hash: 1, Tokens: tokens}}, Target: 500 * time.Millisecond,
+		UncachedShare: 0.5, TimeLeft: 6 * time.Second,
 	}
 	return request, []Engine{{
-		Stage: serving.StagePrefill, PerToken: 25 * time.Microsecond, Work: Reading(before, 0),
-		Cached: Beginning{Held: kept, Usable: kept},
+		Stage: serving.StagePrefill, PerToken: 25 * time.Microsecond, Work: PrefillWork(before, 0),
+		Cached: CachedPrefix{Total: kept, Ready: kept},
 	}}
 }
 
@@ -29,19 +29,19 @@
 		kept int
 		want Action
 	}{
-		"most of it is kept":    {9_000, ReadApart},
+		"most of it is kept":    {9_000, PrefillSeparately},
 		"as much as usual":      {5_000, Refuse},
 		"nothing of it is kept": {0, Refuse},
 	} {
 		t.Run(name, func(t *testing.T) {
 			request, engines := crowd(28_000, 10_000, row.kept)
-			require.Equal(t, row.want, DefaultParameters().PlaceReading(request, engines, rand.Float64).Action)
+			require.Equal(t, row.want, DefaultParameters().PlacePrefill(request, engines, rand.Float64).Action)
 		})
 	}
 	request, engines := crowd(18_000, 10_000, 0)
-	require.Equal(t, Refuse, DefaultParameters().PlaceReading(request, engines, rand.Float64).Action)
+	require.Equal(t, Refuse, DefaultParameters().PlacePrefill(request, engines, rand.Float64).Action)
 	request, engines = crowd(18_000, 10_000, 5_000)
-	require.Equal(t, ReadApart, DefaultParameters().PlaceReading(request, engines, rand.Float64).Action)
+	require.Equal(t, PrefillSeparately, DefaultParameters().PlacePrefill(request, engines, rand.Float64).Action)
 }
 
 // Those that are refused together are told to come back at different times, in which they can
@@ -51,7 +51,7 @@
 	request, engines := crowd(100_000, 10_000, 0)
 	earliest, latest := time.Hour, time.Duration(0)
 	for range 200 {
-		decision := DefaultParameters().PlaceReading(request, engines, random.Float64)
+		decision := DefaultParameters().PlacePrefill(request, engines, random.Float64)
 		require.Equal(t, Refuse, decision.Action)
 		earliest, latest = min(earliest, decision.RetryAfter), max(latest, decision.RetryAfter)
 	}
@@ -86,10 +86,10 @@
 	target := time.Duration(20_000) * perToken
 	for range slots {
 		request := Request{
-			Stage: serving.StageDecode, Tokens: 8_000, Prompt: []Part{{Hash: PartHash(random.Uint64()), Tokens: 4_000}, {Hash: PartHash(random.Uint64()), Tokens: 4_000}},
-			Target: max(target, 200*time.Millisecond), TokenMove: time.Duration(2_000/link) * time.Nanosecond, UsualShare: 1, TimeLeft: 5 * time.Second,
+			Stage: serving.StageDecode, Tokens: 8_000, Prompt: []PrefixBlock{{Hash: BlockHash(random.Uint64()), Tokens: 4_000}, {Hash: BlockHash(random.Uint64()), Tokens: 4_000}},
+			Target: max(target, 200*time.Millisecond), TokenTransferTime: time.Duration(2_000/link) * time.Nanosecond, UncachedShare: 1, TimeLeft: 5 * time.Second,
 		}
-		decision := DefaultParameters().PlaceReading(request, engines, random.Float64)
+		decision := DefaultParameters().PlacePrefill(request, engines, random.Float64)
 		idle := false
 		for _, engine := range engines {
 			idle = idle || engine.Stage == serving.StagePrefill && engine.Work == (Work{})
@@ -98,16 +98,16 @@
 			require.NotEqual(t, Refuse, decision.Action)
 			require.NotEqual(t, Unplaced, decision.Action)
 		}
-		if decision.Action == ReadApart {
+		if decision.Action == PrefillSeparately {
 			chosen := &engines[decision.Engine.Index]
-			chosen.Work = chosen.Work.Plus(Reading(decision.Engine.Effort, 0)).Plus(Work{Prompts: 1})
+			chosen.Work = chosen.Work.Plus(PrefillWork(decision.Engine.EffectiveTokens, 0)).Plus(Work{Prefills: 1})
 		}
 	}
 	if slots < len(engines) {
 		return
 	}
 	for index, engine := range engines[:5] {
-		require.NotZero(t, engine.Work.Prompts, "engine %d gets nothing", index)
+		require.NotZero(t, engine.Work.Prefills, "engine %d gets nothing", index)
 	}
 }
 
@@ -120,20 +120,20 @@
 		known   time.Duration
 		want    Action
 	}{
-		"a slot is free":         {streams: [2]int{60, 10}, rank: 3, known: 2 * time.Second, want: ReadDirectly},
-		"a slot is soon free":    {streams: [2]int{60, 51}, rank: 3, known: 2 * time.Second, want: ReadDirectly},
+		"a slot is free":         {streams: [2]int{60, 10}, rank: 3, known: 2 * time.Second, want: PrefillOnDecodeEngine},
+		"a slot is soon free":    {streams: [2]int{60, 51}, rank: 3, known: 2 * time.Second, want: PrefillOnDecodeEngine},
 		"many wait everywhere":   {streams: [2]int{60, 60}, rank: 3, known: 2 * time.Second, want: Refuse},
-		"it is let in first":     {streams: [2]int{60, 60}, rank: 0, known: 2 * time.Second, want: ReadDirectly},
-		"runs end at once":       {streams: [2]int{60, 60}, rank: 3, known: 20 * time.Millisecond, want: ReadDirectly},
-		"nothing is known of it": {streams: [2]int{60, 60}, rank: 3, want: ReadDirectly},
+		"it is let in first":     {streams: [2]int{60, 60}, rank: 0, known: 2 * time.Second, want: PrefillOnDecodeEngine},
+		"runs end at once":       {streams: [2]int{60, 60}, rank: 3, known: 20 * time.Millisecond, want: PrefillOnDecodeEngine},
+		"nothing is known of it": {streams: [2]int{60, 60}, rank: 3, want: PrefillOnDecodeEngine},
 	} {
 		t.Run(name, func(t *testing.T) {
-			request := Request{Stage: serving.StageDecode, Rank: Rank{First: row.rank, Steps: 1}, Tokens: 200, Target: 250 * time.Millisecond, Residence: row.known, TimeLeft: 9 * time.Second}
+			request := Request{Stage: serving.StageDecode, Rank: Rank{First: row.rank, Steps: 1}, Tokens: 200, Target: 250 * time.Millisecond, SlotHoldTime: row.known, TimeLeft: 9 * time.Second}
 			var engines []Engine
 			for _, streams := range row.streams {
 				engines = append(engines, Engine{Stage: serving.StageDecode, Slots: 48, PerToken: time.Microsecond, Work: Work{Streams: streams}})
 			}
-			decision := DefaultParameters().PlaceReading(request, engines, rand.Float64)
+			decision := DefaultParameters().PlacePrefill(request, engines, rand.Float64)
 			require.Equal(t, row.want, decision.Action)
 			require.Equal(t, row.want == Refuse, decision.RetryAfter > 0)
 		})
@@ -146,9 +146,9 @@
 		return Engine{Stage: stage, Slots: 8, Closed: closed, Work: Work{Streams: streams}}
 	}
 	engines := []Engine{engine(8, serving.StageDecode, false), engine(0, serving.StageDecode, true), engine(0, serving.StagePrefill, false)}
-	require.Nil(t, DefaultParameters().Taker(Request{Stage: serving.StageDecode}, engines, rand.Float64))
+	require.Nil(t, DefaultParameters().PickMigrationTarget(Request{Stage: serving.StageDecode}, engines, rand.Float64))
 	engines = append(engines, engine(7, serving.StageDecode, false))
-	taker := DefaultParameters().Taker(Request{Stage: serving.StageDecode}, engines, rand.Float64)
+	taker := DefaultParameters().PickMigrationTarget(Request{Stage: serving.StageDecode}, engines, rand.Float64)
 	require.Equal(t, 3, taker.Index)
 	require.False(t, engines[0].Closed, "what is known of engines is left alone")
 }
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -29,5 +29,5 @@
 	// PerToken is how long it takes for the first token of a prompt as a prefill engine.
 	PerToken time.Duration
 	// Cached is how much of the request's prompt it has.
-	Cached Beginning
+	Cached CachedPrefix
 }
--- a/internal/placement/pace.go
+++ b/internal/placement/pace.go
@@ -31,22 +31,22 @@
 	slowestPace = 6
 )
 
-// Pace learns how long engines take for one token of a prompt, each engine and all together, and
+// PrefillSpeed learns how long engines take for one token of a prompt, each engine and all together, and
 // how much of prompts they have to read.
-type Pace struct {
+type PrefillSpeed struct {
 	share   float64
 	overall time.Duration
 	engines map[uint64]time.Duration
 }
 
-// NewPace returns a Pace that has seen nothing.
-func NewPace() *Pace {
-	return &Pace{share: priorShare, overall: defaultPace, engines: map[uint64]time.Duration{}}
+// NewPrefillSpeed returns a Pace that has seen nothing.
+func NewPrefillSpeed() *PrefillSpeed {
+	return &PrefillSpeed{share: priorShare, overall: defaultPace, engines: map[uint64]time.Duration{}}
 }
 
-// ObservedPace is the time per token that a reading with nothing ahead of it shows; 0 when it
+// TimePerToken is the time per token that a reading with nothing ahead of it shows; 0 when it
 // was too short to show any.
-func ObservedPace(effort int, took time.Duration) time.Duration {
+func TimePerToken(effort int, took time.Duration) time.Duration {
 	if effort < leastPaceTokens || took <= prefillOverhead {
 		return 0
 	}
@@ -54,7 +54,7 @@
 }
 
 // Observe notes the time per token of one reading at an engine.
-func (p *Pace) Observe(engine uint64, perToken time.Duration) {
+func (p *PrefillSpeed) Observe(engine uint64, perToken time.Duration) {
 	if perToken <= 0 {
 		return
 	}
@@ -71,8 +71,8 @@
 	p.engines[engine] = blend(known, perToken, weight)
 }
 
-// Learn takes the time per token of an engine from a relay that knows it better.
-func (p *Pace) Learn(engine uint64, perToken time.Duration) {
+// SetPerToken takes the time per token of an engine from a relay that knows it better.
+func (p *PrefillSpeed) SetPerToken(engine uint64, perToken time.Duration) {
 	if perToken > 0 {
 		p.engines[engine] = perToken
 	}
@@ -82,31 +82,31 @@
 	return time.Duration((1-weight)*float64(known) + weight*float64(observed))
 }
 
-// ObserveShare notes how much of a prompt had to be read.
-func (p *Pace) ObserveShare(tokens, toRead int) {
+// ObserveUncachedShare notes how much of a prompt had to be read.
+func (p *PrefillSpeed) ObserveUncachedShare(tokens, toRead int) {
 	if tokens > 0 {
 		p.share += shareWeight * (float64(toRead)/float64(tokens) - p.share)
 	}
 }
 
-// UsualShare is the part of prompts that usually has to be read.
-func (p *Pace) UsualShare() float64 { return p.share }
+// UncachedShare is the part of prompts that usually has to be read.
+func (p *PrefillSpeed) UncachedShare() float64 { return p.share }
 
-// Of returns the time per token at an engine.
-func (p *Pace) Of(engine uint64) time.Duration {
+// PerToken returns the time per token at an engine.
+func (p *PrefillSpeed) PerToken(engine uint64) time.Duration {
 	if known, is := p.engines[engine]; is {
 		return known
 	}
 	return p.overall
 }
 
-// Keep forgets the engines that are not listed.
-func (p *Pace) Keep(listed func(engine uint64) bool) {
+// Retain forgets the engines that are not listed.
+func (p *PrefillSpeed) Retain(listed func(engine uint64) bool) {
 	maps.DeleteFunc(p.engines, func(engine uint64, _ time.Duration) bool { return !listed(engine) })
 }
 
-// ReadingEffort is what reading tokens takes after those before them, counted in first tokens.
-func ReadingEffort(before, tokens int) int {
+// EffectiveTokens is what reading tokens takes after those before them, counted in first tokens.
+func EffectiveTokens(before, tokens int) int {
 	return tokens + int(attentionShare*float64(tokens)*(float64(before)+float64(tokens)/2))
 }
 
--- a/internal/placement/part.go
+++ b/internal/placement/part.go
@@ -6,23 +6,23 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// PartHash identifies a part of prompts for one model.
-type PartHash uint64
+// BlockHash identifies a part of prompts for one model.
+type BlockHash uint64
 
-// HashPart returns the hash of a part.
-func HashPart(model, id string) PartHash { return PartHash(xxhash.Sum64String(model + "/" + id)) }
+// HashBlock returns the hash of a part.
+func HashBlock(model, id string) BlockHash { return BlockHash(xxhash.Sum64String(model + "/" + id)) }
 
-// Part is one part of a prompt with its length.
-type Part struct {
-	Hash   PartHash
+// PrefixBlock is one part of a prompt with its length.
+type PrefixBlock struct {
+	Hash   BlockHash
 	Tokens int
 }
 
-// PartsOf returns the parts of a prompt in order.
-func PartsOf(prompt serving.Prompt) []Part {
-	parts := make([]Part, 0, len(prompt.Parts))
-	for _, part := range prompt.Parts {
-		parts = append(parts, Part{Hash: HashPart(prompt.Model, part.ID), Tokens: part.Tokens})
+// PrefixBlocksOf returns the parts of a prompt in order.
+func PrefixBlocksOf(prompt serving.Prompt) []PrefixBlock {
+	parts := make([]PrefixBlock, 0, len(prompt.Blocks))
+	for _, part := range prompt.Blocks {
+		parts = append(parts, PrefixBlock{Hash: HashBlock(prompt.Model, part.ID), Tokens: part.Tokens})
 	}
 	return parts
 }
--- a/internal/placement/rank.go
+++ b/internal/placement/rank.go
@@ -8,27 +8,27 @@
 	Steps int
 }
 
-// MostSteps is the most ranks that readings spread over: short, middling and long ones.
-const MostSteps = 3
+// MaxRankSteps is the most ranks that readings spread over: short, middling and long ones.
+const MaxRankSteps = 3
 
 // RankOf ranks one of so many levels of priority, of which level 0 goes first. Engines know few
 // ranks: where there are more levels, neighbours share one.
 func RankOf(level, levels int) Rank {
 	levels = max(levels, 1)
 	level = min(max(level, 0), levels-1)
-	first := level * Ranks / levels
-	next := (level + 1) * Ranks / levels
-	return Rank{First: first, Steps: min(max(next-first, 1), MostSteps)}
+	first := level * RankCount / levels
+	next := (level + 1) * RankCount / levels
+	return Rank{First: first, Steps: min(max(next-first, 1), MaxRankSteps)}
 }
 
-// ReadingRank ranks the reading of a prompt: by its request, and then by its length.
-func (p Parameters) ReadingRank(rank Rank, toRead int) int {
+// PrefillRank ranks the reading of a prompt: by its request, and then by its length.
+func (p Parameters) PrefillRank(rank Rank, toRead int) int {
 	step := 0
-	if toRead > p.ShortReading {
+	if toRead > p.ShortPrefill {
 		step++
 	}
-	if toRead > p.LongReading {
+	if toRead > p.LongPrefill {
 		step++
 	}
-	return min(rank.First+min(step, max(rank.Steps, 1)-1), Ranks-1)
+	return min(rank.First+min(step, max(rank.Steps, 1)-1), RankCount-1)
 }
--- a/internal/placement/rank_test.go
+++ b/internal/placement/rank_test.go
@@ -14,11 +14,11 @@
 		last := -1
 		for level := range levels {
 			rank := RankOf(level, levels)
-			shortest, longest := policy.ReadingRank(rank, 1), policy.ReadingRank(rank, policy.LongReading+1)
+			shortest, longest := policy.PrefillRank(rank, 1), policy.PrefillRank(rank, policy.LongPrefill+1)
 			require.Equal(t, rank.First, shortest)
 			require.LessOrEqual(t, shortest, longest)
-			require.Less(t, longest, Ranks)
-			if levels <= Ranks {
+			require.Less(t, longest, RankCount)
+			if levels <= RankCount {
 				require.Greater(t, shortest, last, "%d of %d levels", level, levels)
 			} else {
 				require.GreaterOrEqual(t, shortest, last, "%d of %d levels", level, levels)
@@ -32,7 +32,7 @@
 	policy := DefaultParameters()
 	rank := RankOf(1, 3)
 	require.Equal(t, Rank{First: 3, Steps: 3}, rank)
-	require.Equal(t, 3, policy.ReadingRank(rank, policy.ShortReading))
-	require.Equal(t, 4, policy.ReadingRank(rank, policy.ShortReading+1))
-	require.Equal(t, 5, policy.ReadingRank(rank, policy.LongReading+1))
+	require.Equal(t, 3, policy.PrefillRank(rank, policy.ShortPrefill))
+	require.Equal(t, 4, policy.PrefillRank(rank, policy.ShortPrefill+1))
+	require.Equal(t, 5, policy.PrefillRank(rank, policy.LongPrefill+1))
 }
--- a/internal/placement/reason.go
+++ b/internal/placement/reason.go
@@ -5,38 +5,38 @@
 
 // Reasons.
 const (
-	// NoReason is given where there was nothing to weigh.
-	NoReason Reason = iota
-	// NoReader leaves a request unplaced.
-	NoReader
-	// SlotsTaken refuses a request that would wait long for a slot.
-	SlotsTaken
-	// TooManyPrompts refuses a prompt that would wait long to be read.
-	TooManyPrompts
-	// SharedPartsRead lets a prompt wait for another one's reading.
-	SharedPartsRead
-	// NoPrefillEngine, DecodingAsSoon and PrefillSooner say where a prompt is read.
-	NoPrefillEngine
-	DecodingAsSoon
-	PrefillSooner
+	// ReasonNone is given where there was nothing to weigh.
+	ReasonNone Reason = iota
+	// ReasonNoEngine leaves a request unplaced.
+	ReasonNoEngine
+	// ReasonSlotsTaken refuses a request that would wait long for a slot.
+	ReasonSlotsTaken
+	// ReasonPrefillQueueFull refuses a prompt that would wait long to be read.
+	ReasonPrefillQueueFull
+	// ReasonSharedPrefillRunning lets a prompt wait for another one's reading.
+	ReasonSharedPrefillRunning
+	// ReasonNoPrefillEngine, DecodingAsSoon and PrefillSooner say where a prompt is read.
+	ReasonNoPrefillEngine
+	ReasonDecodeAsSoon
+	ReasonPrefillSooner
 )
 
 // String says the reason in words.
 func (r Reason) String() string {
 	switch r {
-	case NoReader:
+	case ReasonNoEngine:
 		return "no engine can read the prompt"
-	case SlotsTaken:
+	case ReasonSlotsTaken:
 		return "too many requests wait for a slot"
-	case TooManyPrompts:
+	case ReasonPrefillQueueFull:
 		return "too many prompts wait to be read"
-	case SharedPartsRead:
+	case ReasonSharedPrefillRunning:
 		return "the engine reads shared parts for another request"
-	case NoPrefillEngine:
+	case ReasonNoPrefillEngine:
 		return "no prefill engine is left"
-	case DecodingAsSoon:
+	case ReasonDecodeAsSoon:
 		return "the decoding engine has it as soon"
-	case PrefillSooner:
+	case ReasonPrefillSooner:
 		return "a prefill engine has it sooner"
 	default:
 		return ""
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -21,18 +21,18 @@
 	Target, Gap time.Duration
 	Stride      int
 	// Prompt is what is to be read, Tokens its length; 0 when an engine has read it.
-	Prompt []Part
+	Prompt []PrefixBlock
 	Tokens int
-	// TokenMove is how long the memory of one token is on its way between engines.
-	TokenMove time.Duration
-	// UsualShare is the part of prompts that usually has to be read, in (0, 1].
-	UsualShare float64
-	// Residence is how long requests that run now keep their slots, on average; 0 when not known.
-	Residence time.Duration
+	// TokenTransferTime is how long the memory of one token is on its way between engines.
+	TokenTransferTime time.Duration
+	// UncachedShare is the part of prompts that usually has to be read, in (0, 1].
+	UncachedShare float64
+	// SlotHoldTime is how long requests that run now keep their slots, on average; 0 when not known.
+	SlotHoldTime time.Duration
 	// TimeLeft is what is left of the client's time.
 	TimeLeft time.Duration
-	// Waits counts how often the request has waited for another one's reading.
-	Waits int
+	// PrefillWaits counts how often the request has waited for another one's reading.
+	PrefillWaits int
 	// MayHaveRun tells that the request cannot be refused as not run any more.
 	MayHaveRun bool
 }
--- a/internal/placement/reservations.go
+++ b/internal/placement/reservations.go
@@ -6,8 +6,8 @@
 // relay that asked has told of it: the answer's way, the begin of the work and the notice's way.
 const ReservationLifetime = 300 * time.Millisecond
 
-// Asker names one question of one relay.
-type Asker struct {
+// QueryID names one question of one relay.
+type QueryID struct {
 	// Relay is the identity of the relay's start, Number that of its question.
 	Relay, Number uint64
 }
@@ -16,8 +16,8 @@
 type Reservation struct {
 	Engine uint64
 	Work   Work
-	// Begun are the parts of the prompt that the engine will read anew for it.
-	Begun []PartHash
+	// PendingBlocks are the parts of the prompt that the engine will read anew for it.
+	PendingBlocks []BlockHash
 
 	at time.Duration
 }
@@ -25,27 +25,27 @@
 // Reservations are an owner's assignments that relays have not told of. They are not safe for
 // concurrent use.
 type Reservations struct {
-	open map[Asker]Reservation
+	open map[QueryID]Reservation
 	// work is what is reserved at each engine.
 	work map[uint64]Work
 }
 
 // NewReservations returns none.
 func NewReservations() *Reservations {
-	return &Reservations{open: map[Asker]Reservation{}, work: map[uint64]Work{}}
+	return &Reservations{open: map[QueryID]Reservation{}, work: map[uint64]Work{}}
 }
 
 // Add reserves; what the asker had reserved before is given up and returned.
-func (r *Reservations) Add(now time.Duration, asker Asker, reserved Reservation) (former Reservation, had bool) {
-	former, had = r.Take(asker)
+func (r *Reservations) Add(now time.Duration, asker QueryID, reserved Reservation) (former Reservation, had bool) {
+	former, had = r.Release(asker)
 	reserved.at = now
 	r.open[asker] = reserved
 	r.work[reserved.Engine] = r.work[reserved.Engine].Plus(reserved.Work)
 	return former, had
 }
 
-// Take ends a reservation, since its work counts otherwise now or will never begin.
-func (r *Reservations) Take(asker Asker) (ended Reservation, had bool) {
+// Release ends a reservation, since its work counts otherwise now or will never begin.
+func (r *Reservations) Release(asker QueryID) (ended Reservation, had bool) {
 	ended, had = r.open[asker]
 	if !had {
 		return Reservation{}, false
@@ -64,12 +64,12 @@
 func (r *Reservations) Expire(now time.Duration) (expired []Reservation) {
 	for asker, reserved := range r.open {
 		if now-reserved.at >= ReservationLifetime {
-			r.Take(asker)
+			r.Release(asker)
 			expired = append(expired, reserved)
 		}
 	}
 	return expired
 }
 
-// At is the work that is reserved at an engine.
-func (r *Reservations) At(engine uint64) Work { return r.work[engine] }
+// ReservedWork is the work that is reserved at an engine.
+func (r *Reservations) ReservedWork(engine uint64) Work { return r.work[engine] }
--- a/internal/placement/spill_test.go
+++ b/internal/placement/spill_test.go
@@ -13,16 +13,16 @@
 	p := DefaultParameters()
 	request := Request{Target: time.Second}
 	waiting := func(wait time.Duration, cost float64) Decision {
-		return Decision{Action: ReadApart, Engine: &Candidate{Waiting: wait, Cost: cost}}
+		return Decision{Action: PrefillSeparately, Engine: &Candidate{QueueDelay: wait, Cost: cost}}
 	}
 	short := waiting(100*time.Millisecond, 0.5)
 	long := waiting(400*time.Millisecond, 0.9)
 	refused := Decision{Action: Refuse, Engine: &Candidate{Cost: 2}}
-	require.False(t, p.Spills(request, short))
-	require.True(t, p.Spills(request, long))
-	require.True(t, p.Spills(request, refused))
-	require.True(t, p.Spills(request, Decision{}))
-	require.False(t, p.Spills(Request{}, long), "a prompt that is read already stays near its memory")
+	require.False(t, p.ShouldSpill(request, short))
+	require.True(t, p.ShouldSpill(request, long))
+	require.True(t, p.ShouldSpill(request, refused))
+	require.True(t, p.ShouldSpill(request, Decision{}))
+	require.False(t, p.ShouldSpill(Request{}, long), "a prompt that is read already stays near its memory")
 
 	require.True(t, short.IsBetter(long))
 	require.False(t, long.IsBetter(short))
--- a/internal/placement/work.go
+++ b/internal/placement/work.go
@@ -1,26 +1,26 @@
 package placement
 
-// Ranks is the number of ranks that a request can have at an engine; 0 goes first.
-const Ranks = 10
+// RankCount is the number of ranks that a request can have at an engine; 0 goes first.
+const RankCount = 10
 
 // Work is what requests do at a back end.
 type Work struct {
-	// Prompts counts readings of prompts for other engines, Streams everything else.
-	Prompts, Streams int
+	// Prefills counts readings of prompts for other engines, Streams everything else.
+	Prefills, Streams int
 	// Tokens are those of prompts that the back end still has to read, by rank.
-	Tokens [Ranks]int
+	Tokens [RankCount]int
 }
 
-// Reading is the work of a prompt's tokens at a rank.
-func Reading(tokens, rank int) Work {
+// PrefillWork is the work of a prompt's tokens at a rank.
+func PrefillWork(tokens, rank int) Work {
 	asked := Work{}
-	asked.Tokens[min(max(rank, 0), Ranks-1)] = tokens
+	asked.Tokens[min(max(rank, 0), RankCount-1)] = tokens
 	return asked
 }
 
 // Plus adds work.
 func (w Work) Plus(other Work) Work {
-	w.Prompts += other.Prompts
+	w.Prefills += other.Prefills
 	w.Streams += other.Streams
 	for rank := range w.Tokens {
 		w.Tokens[rank] += other.Tokens[rank]
@@ -30,7 +30,7 @@
 
 // Minus takes work away.
 func (w Work) Minus(other Work) Work {
-	w.Prompts -= other.Prompts
+	w.Prefills -= other.Prefills
 	w.Streams -= other.Streams
 	for rank := range w.Tokens {
 		w.Tokens[rank] -= other.Tokens[rank]
@@ -39,12 +39,12 @@
 }
 
 // PromptTokens are all tokens that wait to be read.
-func (w Work) PromptTokens() int { return w.TokensUpTo(Ranks - 1) }
+func (w Work) PromptTokens() int { return w.TokensUpTo(RankCount - 1) }
 
 // TokensUpTo are the tokens that go before or with those of a rank.
 func (w Work) TokensUpTo(rank int) int {
 	sum := 0
-	for _, tokens := range w.Tokens[:min(max(rank, 0), Ranks-1)+1] {
+	for _, tokens := range w.Tokens[:min(max(rank, 0), RankCount-1)+1] {
 		sum += tokens
 	}
 	return sum
--- a/internal/planner/model.go
+++ b/internal/planner/model.go
@@ -128,9 +128,9 @@
 	return pairs + whole
 }
 
-// Margin is a small preference, far below the worth of one request a second, for
+// HeadroomBonus is a small preference, far below the worth of one request a second, for
 // splits whose fullest pool is less full.
-func (m Model) Margin(split Split, demands []KindDemand) float64 {
+func (m Model) HeadroomBonus(split Split, demands []KindDemand) float64 {
 	var need usage
 	arriving := 0.0
 	for _, kind := range demands {
--- a/internal/planner/split.go
+++ b/internal/planner/split.go
@@ -57,8 +57,8 @@
 // Roles returns the roles in the order in which decisions look at them.
 func Roles() []enginecontract.Role { return append([]enginecontract.Role(nil), roles...) }
 
-// Moves is the least number of engines that change between two splits.
-func (s Split) Moves(to Split) int {
+// ChangesTo is the least number of engines that change between two splits.
+func (s Split) ChangesTo(to Split) int {
 	moves := 0
 	for _, role := range roles {
 		moves += max(to.Count(role)-s.Count(role), 0)
--- a/internal/planner/weighing.go
+++ b/internal/planner/weighing.go
@@ -122,7 +122,7 @@
 func (w *weighing) bestTarget(splits []Split) (target, bool) {
 	var targets []target
 	for _, split := range splits {
-		targets = append(targets, target{split: split, moves: w.split.Moves(split), rate: w.model.Goodput(split, w.mean)})
+		targets = append(targets, target{split: split, moves: w.split.ChangesTo(split), rate: w.model.Goodput(split, w.mean)})
 	}
 	slices.SortStableFunc(targets, func(a, b target) int {
 		return cmp.Or(cmp.Compare(b.rate, a.rate), cmp.Compare(a.moves, b.moves))
@@ -149,7 +149,7 @@
 	for prefill := max(w.split.Prefill-most, 0); prefill <= min(w.split.Prefill+most, total); prefill++ {
 		for decode := max(w.split.Decode-most, 0); decode <= min(w.split.Decode+most, total-prefill); decode++ {
 			split := Split{Prefill: prefill, Decode: decode, Mixed: total - prefill - decode}
-			moves := w.split.Moves(split)
+			moves := w.split.ChangesTo(split)
 			switch {
 			case moves == 0 || moves > most:
 			case w.allowed(split):
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -21,7 +21,7 @@
 // admit finds whose request it is. A request without a key is nobody's; only open routes admit it. A
 // key that is given must be known on every route.
 func (r *Relay) admit(table *serving.Table, request *request) keyFault {
-	if !table.Configuration.Keyed {
+	if !table.Configuration.RequireKeys {
 		return ""
 	}
 	request.keyed = true
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -32,7 +32,7 @@
 		return
 	}
 	a.message.backEnd.end(placement.Work{Tokens: a.message.work.Tokens})
-	a.message.work.Tokens = [placement.Ranks]int{}
+	a.message.work.Tokens = [placement.RankCount]int{}
 	a.exchanger.noteWork(a.message)
 }
 
--- a/internal/relay/asker.go
+++ b/internal/relay/asker.go
@@ -74,7 +74,7 @@
 		return engineAnswer{}, false
 	}
 	a.peers.Judge(a.relay.clock.now(), owner, told != nil, a.relay.clock.now()-asked)
-	for waits := 0; told != nil && told.GetAction() == v1.PlacementAction_PLACEMENT_ACTION_WAIT && waits <= a.relay.policy.MostWaits; waits++ {
+	for waits := 0; told != nil && told.GetAction() == v1.PlacementAction_PLACEMENT_ACTION_WAIT && waits <= a.relay.policy.MaxPrefillWaits; waits++ {
 		a.relay.metrics.waits.Inc()
 		told = a.await(answers, fromMicroseconds(told.GetWaitingUs())+furtherAnswerSlack, stop)
 	}
--- a/internal/relay/asker_test.go
+++ b/internal/relay/asker_test.go
@@ -58,7 +58,7 @@
 func (r *testRelay) reservedAt(engine string) placement.Work {
 	r.owner.mutex.Lock()
 	defer r.owner.mutex.Unlock()
-	return r.owner.reserved.At(r.engineOf(engine).hash)
+	return r.owner.reserved.ReservedWork(r.engineOf(engine).hash)
 }
 
 // ask has the owner answer a question of another relay about its only cell; answers come one by one.
@@ -78,7 +78,7 @@
 // beginning is the question where a prompt should be read.
 func beginning(prompt serving.Prompt) *engineQuery {
 	return &engineQuery{purpose: toBegin, service: "service", request: placement.Request{
-		Stage: serving.StageDecode, Prompt: placement.PartsOf(prompt), Tokens: prompt.PromptTokens, Target: time.Second, TimeLeft: time.Hour,
+		Stage: serving.StageDecode, Prompt: placement.PrefixBlocksOf(prompt), Tokens: prompt.PromptTokens, Target: time.Second, TimeLeft: time.Hour,
 	}}
 }
 
@@ -88,7 +88,7 @@
 	busy := startBackEnd(t, "busy", serving.StageDecode, streaming("busy", eventOne))
 	idle := startBackEnd(t, "idle", serving.StageDecode, streaming("idle", eventOne))
 	owner := newTestRelay(t, route(stream(true)), busy, idle)
-	owner.engineOf("busy").begin(placement.Work{Streams: 8}.Plus(placement.Reading(100_000, 0)))
+	owner.engineOf("busy").begin(placement.Work{Streams: 8}.Plus(placement.PrefillWork(100_000, 0)))
 	answer := <-owner.ask(beginning(serving.ParsePrompt("m", "300,50", "aa:100,bb:200")), 5)
 	require.Equal(t, owner.engineOf("idle").hash, answer.GetEngine())
 	require.Equal(t, 1, owner.reservedAt("idle").Streams)
@@ -151,7 +151,7 @@
 	leaving := startBackEnd(t, "leaving", serving.StageDecode, streaming("leaving", eventOne))
 	staying := startBackEnd(t, "staying", serving.StageDecode, streaming("staying", eventOne))
 	asking, owner := newPair(t, leaving, staying)
-	owner.engineOf("staying").begin(placement.Work{Streams: 8}.Plus(placement.Reading(100_000, 0)))
+	owner.engineOf("staying").begin(placement.Work{Streams: 8}.Plus(placement.PrefillWork(100_000, 0)))
 	asking.leave("leaving")
 	asking.ownedBy(owner.datagrams.Address)
 	require.Equal(t, eventOne, asking.client(t).do("POST", "/path/", "x", shortPrompt...).body)
@@ -188,11 +188,11 @@
 	reader := startBackEnd(t, "reader", serving.StagePrefill, refusing(503))
 	owner := newTestRelay(t, route(stream(true)), reader, startBackEnd(t, "decoder", serving.StageDecode, refusing(503)))
 	owner.readingSlack = time.Hour
-	parts := placement.PartsOf(serving.ParsePrompt("m", "9000,50", "aa:6000,bb:3000"))
+	parts := placement.PrefixBlocksOf(serving.ParsePrompt("m", "9000,50", "aa:6000,bb:3000"))
 	owner.engineOf("reader").cache.begin(owner.clock.now(), parts)
 	answers := owner.ask(beginning(serving.ParsePrompt("m", "9500,50", "aa:6000,cc:3500")), 1)
 	require.Equal(t, v1.PlacementAction_PLACEMENT_ACTION_WAIT, (<-answers).GetAction())
-	require.Eventually(t, func() bool { return owner.engineOf("reader").look(0).own.Prompts == 1 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return owner.engineOf("reader").look(0).own.Prefills == 1 }, time.Minute, time.Millisecond)
 	owner.engineOf("reader").cache.keep(owner.clock.now(), parts)
 	answer := <-answers
 	require.Equal(t, v1.PlacementAction_PLACEMENT_ACTION_READ_APART, answer.GetAction())
@@ -206,10 +206,10 @@
 	reader := startBackEnd(t, "reader", serving.StagePrefill, refusing(503))
 	owner := newTestRelay(t, route(stream(true)), reader, startBackEnd(t, "decoder", serving.StageDecode, refusing(503)))
 	owner.readingSlack = time.Hour
-	owner.engineOf("reader").cache.begin(owner.clock.now(), placement.PartsOf(serving.ParsePrompt("m", "9000,50", "aa:6000,bb:3000")))
+	owner.engineOf("reader").cache.begin(owner.clock.now(), placement.PrefixBlocksOf(serving.ParsePrompt("m", "9000,50", "aa:6000,bb:3000")))
 	answers := owner.ask(beginning(serving.ParsePrompt("m", "9500,50", "aa:6000,cc:3500")), 1)
 	require.Equal(t, v1.PlacementAction_PLACEMENT_ACTION_WAIT, (<-answers).GetAction())
-	require.Eventually(t, func() bool { return owner.engineOf("reader").look(0).own.Prompts == 1 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return owner.engineOf("reader").look(0).own.Prefills == 1 }, time.Minute, time.Millisecond)
 	owner.takeDatagram(&v1.RelayDatagram{Content: &v1.RelayDatagram_Cancel{Cancel: &v1.PlacementCancel{Relay: otherRelay, Number: 1}}}, "")
 	require.Eventually(t, func() bool { return owner.engineOf("reader").look(0).own == placement.Work{} }, time.Minute, time.Millisecond)
 	require.Empty(t, answers)
@@ -220,13 +220,13 @@
 func TestCancelledAssignmentIsForgotten(t *testing.T) {
 	reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 	_, owner := newPair(t, reader, startBackEnd(t, "decoder", serving.StageDecode, refusing(503)))
-	parts := []placement.Part{{Hash: 1, Tokens: 4000}, {Hash: 2, Tokens: 3000}}
+	parts := []placement.PrefixBlock{{Hash: 1, Tokens: 4000}, {Hash: 2, Tokens: 3000}}
 	query := &engineQuery{purpose: toRead, service: "service", request: placement.Request{Prompt: parts, Tokens: 7000, Target: time.Second}}
-	asker := placement.Asker{Relay: 1, Number: 1}
+	asker := placement.QueryID{Relay: 1, Number: 1}
 	answer := owner.owner.decide(query, owner.view.Load().byService["service"], &asker)
-	require.Equal(t, 7000, answer.chosen.backEnd.cache.cached(parts, 0).Held)
+	require.Equal(t, 7000, answer.chosen.backEnd.cache.cached(parts, 0).Total)
 	owner.takeDatagram(&v1.RelayDatagram{Content: &v1.RelayDatagram_Cancel{Cancel: &v1.PlacementCancel{Relay: 1, Number: 1}}}, "")
-	require.Zero(t, answer.chosen.backEnd.cache.cached(parts, 0).Held)
+	require.Zero(t, answer.chosen.backEnd.cache.cached(parts, 0).Total)
 	require.Zero(t, owner.reservedAt(answer.chosen.backEnd.ID))
 }
 
@@ -258,7 +258,7 @@
 		purpose: toTakeOver, service: "service", excluded: []uint64{4}, holder: &promptHolder{engine: known, tokens: 12},
 		request: placement.Request{
 			Stage: serving.StageDecode, Zone: "zone", Rank: placement.Rank{First: 6, Steps: 2}, Target: time.Second, Gap: time.Millisecond, Stride: 7, Tokens: 70,
-			Prompt: []placement.Part{{Hash: 1, Tokens: 60}, {Hash: 2, Tokens: 10}}, TokenMove: 33, Residence: time.Minute,
+			Prompt: []placement.PrefixBlock{{Hash: 1, Tokens: 60}, {Hash: 2, Tokens: 10}}, TokenTransferTime: 33, SlotHoldTime: time.Minute,
 			TimeLeft: 4 * time.Second, MayHaveRun: true,
 		},
 	}
@@ -266,11 +266,11 @@
 	require.Equal(t, query, queryFromWire(asked, view))
 
 	decided := engineAnswer{
-		decision: placement.Decision{Action: placement.ReadApart, Reason: placement.PrefillSooner, RetryAfter: time.Second, Short: serving.StageDecode},
+		decision: placement.Decision{Action: placement.PrefillSeparately, Reason: placement.ReasonPrefillSooner, RetryAfter: time.Second, OverloadedStage: serving.StageDecode},
 		holder:   &promptHolder{engine: known, tokens: 5},
 		chosen: &place{
-			backEnd: known, fetchFrom: known, perToken: time.Microsecond, ahead: placement.Work{Prompts: 1, Streams: 2}.Plus(placement.Reading(9, 3)),
-			Candidate: placement.Candidate{Index: placement.None, FetchFrom: placement.None, ToRead: 3, Effort: 4, Unusable: 5, Waiting: time.Second, Cost: 0.25},
+			backEnd: known, fetchFrom: known, perToken: time.Microsecond, ahead: placement.Work{Prefills: 1, Streams: 2}.Plus(placement.PrefillWork(9, 3)),
+			Candidate: placement.Candidate{Index: placement.None, FetchFrom: placement.None, PrefillTokens: 3, EffectiveTokens: 4, PendingTokens: 5, QueueDelay: time.Second, Cost: 0.25},
 		},
 	}
 	decided.decision.Engine = &decided.chosen.Candidate
@@ -307,8 +307,8 @@
 		require.GreaterOrEqual(t, query.request.Target, time.Duration(0))
 		answer, _ := answerFromWire(datagram.GetAnswer(), view, func(*backEnd) bool { return false }, 0)
 		if answer.chosen != nil {
-			require.GreaterOrEqual(t, answer.chosen.Waiting, time.Duration(0))
-			require.GreaterOrEqual(t, answer.chosen.ToRead, 0)
+			require.GreaterOrEqual(t, answer.chosen.QueueDelay, time.Duration(0))
+			require.GreaterOrEqual(t, answer.chosen.PrefillTokens, 0)
 		}
 	})
 }
--- a/internal/relay/await_reading.go
+++ b/internal/relay/await_reading.go
@@ -16,7 +16,7 @@
 // keptWait is the wait of one request for parts of its prompt that an engine reads for others.
 type keptWait struct {
 	chosen *place
-	parts  []placement.Part
+	parts  []placement.PrefixBlock
 	rank   placement.Rank
 	limit  time.Duration
 	// stop ends the wait when it is closed.
@@ -25,7 +25,7 @@
 
 // waitLimit is how long a request waits for a reading at the engine.
 func (r *Relay) waitLimit(chosen *place) time.Duration {
-	return r.readingSlack + time.Duration(readingSlackShare*float64(chosen.Waiting))
+	return r.readingSlack + time.Duration(readingSlackShare*float64(chosen.QueueDelay))
 }
 
 // awaitReading waits until the engine can use for this request what it reads for others.
@@ -53,7 +53,7 @@
 	cache := wait.chosen.backEnd.cache
 	for {
 		changed := cache.changes()
-		if cache.cached(wait.parts, r.clock.now()).Unusable < r.policy.LeastUnusable {
+		if cache.cached(wait.parts, r.clock.now()).Pending < r.policy.MinPendingTokens {
 			return true
 		}
 		select {
--- a/internal/relay/await_reading_test.go
+++ b/internal/relay/await_reading_test.go
@@ -51,7 +51,7 @@
 	first.send("POST", "/path/", "x", longPrompt...)
 	require.Eventually(t, func() bool { return len(reader.seen()) == 1 }, time.Minute, time.Millisecond)
 	second.send("POST", "/path/", "x", "T-Model: m", "T-Tokens: 9500,50", "T-Parts: aa:6000,cc:3500")
-	require.Eventually(t, func() bool { return r.engineOf("reader").look(0).own.Prompts == 2 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return r.engineOf("reader").look(0).own.Prefills == 2 }, time.Minute, time.Millisecond)
 	return first, second
 }
 
@@ -114,7 +114,7 @@
 	_, second := relay.sendSharing(t, reader)
 	engine := relay.engineOf("reader")
 	_ = second.connection.Close()
-	require.Eventually(t, func() bool { return engine.look(0).own.Prompts == 1 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return engine.look(0).own.Prefills == 1 }, time.Minute, time.Millisecond)
 	require.Len(t, reader.seen(), 1)
 }
 
@@ -123,7 +123,7 @@
 	reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 	relay := newTestRelay(t, route(stream(false)), reader)
 	engine := relay.engineOf("reader")
-	parts := []placement.Part{{Hash: 1, Tokens: 4000}, {Hash: 2, Tokens: 2000}}
+	parts := []placement.PrefixBlock{{Hash: 1, Tokens: 4000}, {Hash: 2, Tokens: 2000}}
 	now := relay.clock.now()
 	tell := func(change func(*v1.EngineWork)) {
 		told := &v1.EngineWork{Engine: engine.hash}
@@ -131,19 +131,19 @@
 		relay.notices.learn(&v1.LoadNotice{Engines: []*v1.EngineWork{told}})
 	}
 	tell(func(told *v1.EngineWork) { told.Parts, told.PartTokens = wireParts(parts) })
-	require.Equal(t, placement.Beginning{Held: 6000, Unusable: 6000}, engine.cache.cached(parts, now))
+	require.Equal(t, placement.CachedPrefix{Total: 6000, Pending: 6000}, engine.cache.cached(parts, now))
 
 	tell(func(told *v1.EngineWork) { told.KeptParts, told.KeptTokens = wireParts(parts[:1]) })
 	tell(func(told *v1.EngineWork) { told.DroppedParts = []uint64{1, 2} })
-	require.Equal(t, placement.Beginning{Held: 4000, Usable: 4000}, engine.cache.cached(parts, now), "what is kept is not dropped")
+	require.Equal(t, placement.CachedPrefix{Total: 4000, Ready: 4000}, engine.cache.cached(parts, now), "what is kept is not dropped")
 }
 
 // A part of which nothing more is heard counts as kept once its memory must have lapsed.
 func TestSilentReadingCountsAsKeptLater(t *testing.T) {
 	cache := newPromptCache(100_000)
-	parts := []placement.Part{{Hash: 1, Tokens: 4000}}
+	parts := []placement.PrefixBlock{{Hash: 1, Tokens: 4000}}
 	require.Equal(t, parts, cache.begin(0, parts))
 	require.Empty(t, cache.begin(0, parts), "it is being read already")
-	require.Zero(t, cache.cached(parts, placement.KeptAfter).Usable)
-	require.Equal(t, 4000, cache.cached(parts, placement.KeptAfter+1).Usable)
+	require.Zero(t, cache.cached(parts, placement.AssumeReadyAfter).Ready)
+	require.Equal(t, 4000, cache.cached(parts, placement.AssumeReadyAfter+1).Ready)
 }
--- a/internal/relay/back_end.go
+++ b/internal/relay/back_end.go
@@ -41,8 +41,8 @@
 // newBackEnd returns the record of a listed back end; memory is an engine's, in tokens.
 func newBackEnd(entry serving.BackEnd, memory int) *backEnd {
 	return &backEnd{
-		BackEnd: entry, hash: cell.HashEngine(entry.Expected()), startHash: cell.HashEngine(entry.ID), signals: &backpressure.Signals{},
-		cache: newPromptCache(placement.CacheCapacity(entry.Stage, memory)),
+		BackEnd: entry, hash: cell.HashEngine(entry.ExpectedID()), startHash: cell.HashEngine(entry.ID), signals: &backpressure.Signals{},
+		cache: newPromptCache(placement.PrefixCacheCapacity(entry.Stage, memory)),
 	}
 }
 
--- a/internal/relay/back_end_limits_test.go
+++ b/internal/relay/back_end_limits_test.go
@@ -126,9 +126,9 @@
 		relay := newTestRelay(t, route(stream(false)), engine)
 		relay.limit("engine", small)
 		reader := &cacheReader{relay: relay.Relay, readAt: map[*promptCache]time.Duration{}}
-		reader.read = func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReading, error) {
+		reader.read = func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReport, error) {
 			t.Error("it was asked")
-			return serving.CacheReading{}, nil
+			return serving.CacheReport{}, nil
 		}
 		reader.readNew(t.Context())
 	})
@@ -183,7 +183,7 @@
 	relay := newTestRelay(t, route(nil), names)
 	relay.limit("names", small)
 	again := names.entry
-	again.ID, again.Replica, again.Born = "names/2", "names", 2
+	again.ID, again.Replica, again.StartedAtMs = "names/2", "names", 2
 	next := *relay.view.Load()
 	relay.knowledge.takeBackEnds([]serving.BackEnd{again}, &next)
 	relay.view.Store(&next)
--- a/internal/relay/back_end_signals_test.go
+++ b/internal/relay/back_end_signals_test.go
@@ -105,7 +105,7 @@
 	list()
 	require.True(t, list(asks.entry).leaving())
 	again := asks.entry
-	again.ID, again.Replica, again.Born = "asks/2", "asks", 2
+	again.ID, again.Replica, again.StartedAtMs = "asks/2", "asks", 2
 	require.False(t, list(again).leaving())
 	require.False(t, list(again).resting(relay.clock.now()))
 }
@@ -143,9 +143,9 @@
 		relay := newTestRelay(t, route(stream(false)), engine)
 		asked := 0
 		reader := &cacheReader{relay: relay.Relay, readAt: map[*promptCache]time.Duration{}}
-		reader.read = func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReading, error) {
+		reader.read = func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReport, error) {
 			asked++
-			return serving.CacheReading{Asked: backpressure.Asked{Rest: time.Hour}}, nil
+			return serving.CacheReport{Signals: backpressure.Asked{Rest: time.Hour}}, nil
 		}
 		for range 3 {
 			reader.readNew(t.Context())
@@ -175,9 +175,9 @@
 	engine.signals.AskRest(relay.clock.now(), time.Hour)
 	engines := relay.view.Load().byService["service"]
 	asked := &engineQuery{purpose: toGenerate, service: "service", request: placement.Request{Stage: serving.StageDecode}}
-	require.NotNil(t, relay.owner.decide(asked, engines, &placement.Asker{Relay: 7, Number: 1}).chosen)
+	require.NotNil(t, relay.owner.decide(asked, engines, &placement.QueryID{Relay: 7, Number: 1}).chosen)
 	asked.excluded = []uint64{engine.hash}
-	require.Nil(t, relay.owner.decide(asked, engines, &placement.Asker{Relay: 7, Number: 2}).chosen)
+	require.Nil(t, relay.owner.decide(asked, engines, &placement.QueryID{Relay: 7, Number: 2}).chosen)
 	require.Equal(t, 503, relay.client(t).do("POST", "/path/", "x").status, "its own request")
 	require.Empty(t, rests.seen())
 }
--- a/internal/relay/cache_reader.go
+++ b/internal/relay/cache_reader.go
@@ -27,7 +27,7 @@
 // learns from notices.
 type cacheReader struct {
 	relay  *Relay
-	read   func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReading, error)
+	read   func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReport, error)
 	client *http.Client
 	// owned are the engines that were this relay's at the last look, readAt when they were read.
 	owned  map[*promptCache]bool
@@ -56,10 +56,10 @@
 		}
 		c.readAt[engine.cache] = c.relay.clock.now()
 		cached, err := c.read(ctx, c.client, engine.BackEnd)
-		c.relay.noteAsked(engine, cached.Asked, noRequest)
-		c.relay.noteBorn(engine, cached.Born)
+		c.relay.noteAsked(engine, cached.Signals, noRequest)
+		c.relay.noteBorn(engine, cached.StartedAtMs)
 		if err == nil {
-			engine.cache.keep(c.relay.clock.now(), hashed(cached.Parts))
+			engine.cache.keep(c.relay.clock.now(), hashed(cached.Blocks))
 		}
 		if !pause.For(ctx, cacheReadPause) {
 			return
@@ -84,10 +84,10 @@
 	return !was || c.relay.clock.now()-readAt >= cacheReadAgain
 }
 
-func hashed(parts []serving.CachedPart) []placement.Part {
-	converted := make([]placement.Part, 0, len(parts))
+func hashed(parts []serving.CachedBlock) []placement.PrefixBlock {
+	converted := make([]placement.PrefixBlock, 0, len(parts))
 	for _, part := range parts {
-		converted = append(converted, placement.Part{Hash: placement.HashPart(part.Model, part.Part.ID), Tokens: part.Part.Tokens})
+		converted = append(converted, placement.PrefixBlock{Hash: placement.HashBlock(part.Model, part.Block.ID), Tokens: part.Block.Tokens})
 	}
 	return converted
 }
--- a/internal/relay/cache_reader_test.go
+++ b/internal/relay/cache_reader_test.go
@@ -15,10 +15,10 @@
 )
 
 // settle lets everything that engines hold of a prompt have been read.
-func (r *testRelay) settle(parts []placement.Part) {
+func (r *testRelay) settle(parts []placement.PrefixBlock) {
 	now := r.clock.now()
 	for _, engine := range r.view.Load().byService["service"] {
-		held := engine.cache.cached(parts, now).Held
+		held := engine.cache.cached(parts, now).Total
 		for count, tokens := 0, 0; count < len(parts) && tokens < held; count++ {
 			tokens += parts[count].Tokens
 			engine.cache.keep(now, parts[:count+1])
@@ -35,12 +35,12 @@
 	relay := newTestRelay(t, route(stream(false)), cold, warm, decoder)
 	var asked []string
 	reader := &cacheReader{relay: relay.Relay, readAt: map[*promptCache]time.Duration{}}
-	reader.read = func(_ context.Context, _ *http.Client, engine serving.BackEnd) (serving.CacheReading, error) {
+	reader.read = func(_ context.Context, _ *http.Client, engine serving.BackEnd) (serving.CacheReport, error) {
 		asked = append(asked, engine.ID)
 		if engine.ID != "warm" {
-			return serving.CacheReading{}, errors.New("does not answer")
+			return serving.CacheReport{}, errors.New("does not answer")
 		}
-		return serving.CacheReading{Parts: []serving.CachedPart{{Model: "m", Part: serving.PromptPart{ID: "aa", Tokens: 6000}}}}, nil
+		return serving.CacheReport{Blocks: []serving.CachedBlock{{Model: "m", Block: serving.PrefixBlock{ID: "aa", Tokens: 6000}}}}, nil
 	}
 	reader.readNew(t.Context())
 	require.ElementsMatch(t, []string{"cold", "warm", "decoder"}, asked)
@@ -52,10 +52,10 @@
 
 	for _, backEnd := range relay.view.Load().byService["service"] {
 		if backEnd.ID == "warm" {
-			backEnd.begin(placement.Reading(200_000, 0).Plus(placement.Work{Prompts: 1}))
+			backEnd.begin(placement.PrefillWork(200_000, 0).Plus(placement.Work{Prefills: 1}))
 		}
 	}
-	relay.settle(placement.PartsOf(serving.ParsePrompt("m", "9000,50", "aa:6000,bb:3000")))
+	relay.settle(placement.PrefixBlocksOf(serving.ParsePrompt("m", "9000,50", "aa:6000,bb:3000")))
 	require.Equal(t, eventOne, relay.client(t).do("POST", "/path/", "x", "T-Model: m", "T-Tokens: 9000,50", "T-Parts: aa:6000,cc:3000").body)
 	require.Equal(t, warm.entry.Address, string(cold.seen()[0].head.Peek("T-Fetch")))
 }
@@ -67,13 +67,13 @@
 	next := &view{}
 	relay.knowledge.takeBackEnds([]serving.BackEnd{{ID: "new", Service: "service", Stage: serving.StagePrefill}}, next)
 	engine := next.byService["service"][0]
-	require.Equal(t, placement.CacheCapacity(serving.StagePrefill, defaultCacheTokens), engine.cache.cache.Capacity())
+	require.Equal(t, placement.PrefixCacheCapacity(serving.StagePrefill, defaultCacheTokens), engine.cache.cache.Capacity())
 	relay.dialect.ParseConfiguration = func([]byte) (serving.Configuration, error) {
 		return serving.Configuration{Number: 1, Services: []serving.Service{{Name: "service", Engine: &serving.Engine{Slots: 8, CacheTokens: 600_000}}}}, nil
 	}
 	relay.knowledge.takeDocument(&v1.Document{Number: 1}, next)
 	require.NotNil(t, next.table)
-	require.Equal(t, placement.CacheCapacity(serving.StagePrefill, 600_000), engine.cache.cache.Capacity())
+	require.Equal(t, placement.PrefixCacheCapacity(serving.StagePrefill, 600_000), engine.cache.cache.Capacity())
 }
 
 // An engine that rests when it becomes this relay's is read once its rest is over: it was counted as read and stayed
@@ -85,9 +85,9 @@
 	relay.engineOf("engine").signals.AskRest(relay.clock.now(), time.Minute)
 	asked := 0
 	reader := &cacheReader{relay: relay.Relay, readAt: map[*promptCache]time.Duration{}}
-	reader.read = func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReading, error) {
+	reader.read = func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReport, error) {
 		asked++
-		return serving.CacheReading{}, nil
+		return serving.CacheReport{}, nil
 	}
 	reader.readNew(t.Context())
 	require.Zero(t, asked)
--- a/internal/relay/engine_query.go
+++ b/internal/relay/engine_query.go
@@ -73,39 +73,39 @@
 func (q *engineQuery) decideFrom(policy placement.Parameters, seen survey, draw func() float64) placement.Decision {
 	switch q.purpose {
 	case toBegin:
-		return policy.PlaceReading(q.request, seen.engines, draw)
+		return policy.PlacePrefill(q.request, seen.engines, draw)
 	case toRead:
-		return decisionFor(placement.ReadApart, policy.Reader(q.request, seen.engines, draw))
+		return decisionFor(placement.PrefillSeparately, policy.PickPrefillEngine(q.request, seen.engines, draw))
 	case toTakeOver:
-		return decisionFor(placement.ReadDirectly, policy.Taker(q.request, seen.engines, draw))
+		return decisionFor(placement.PrefillOnDecodeEngine, policy.PickMigrationTarget(q.request, seen.engines, draw))
 	default:
-		return decisionFor(placement.ReadDirectly, policy.Generator(q.request, seen.engines, draw))
+		return decisionFor(placement.PrefillOnDecodeEngine, policy.PickBackEnd(q.request, seen.engines, draw))
 	}
 }
 
 // decisionFor is the decision for an engine, or for none.
 func decisionFor(action placement.Action, chosen *placement.Candidate) placement.Decision {
 	if chosen == nil {
-		return placement.Decision{Action: placement.Unplaced, Reason: placement.NoReader}
+		return placement.Decision{Action: placement.Unplaced, Reason: placement.ReasonNoEngine}
 	}
 	return placement.Decision{Action: action, Engine: chosen}
 }
 
 // workOf is the work that a decision gives its engine.
 func (q *engineQuery) workOf(policy placement.Parameters, decision placement.Decision) placement.Work {
-	if decision.Action == placement.ReadApart {
+	if decision.Action == placement.PrefillSeparately {
 		return readingWork(policy, q.request.Rank, decision.Engine)
 	}
 	work := placement.Work{Streams: 1}
 	if q.request.Tokens > 0 {
-		work = work.Plus(placement.Reading(decision.Engine.Effort, q.request.Rank.First))
+		work = work.Plus(placement.PrefillWork(decision.Engine.EffectiveTokens, q.request.Rank.First))
 	}
 	return work
 }
 
 // readingWork is the work of a prompt that is read apart.
 func readingWork(policy placement.Parameters, rank placement.Rank, engine *placement.Candidate) placement.Work {
-	return placement.Reading(engine.Effort, policy.ReadingRank(rank, engine.ToRead)).Plus(placement.Work{Prompts: 1})
+	return placement.PrefillWork(engine.EffectiveTokens, policy.PrefillRank(rank, engine.PrefillTokens)).Plus(placement.Work{Prefills: 1})
 }
 
 // engineAnswer is a decision with what stands behind it.
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -157,7 +157,7 @@
 func (e *exchanger) exchangeOn(connection *connpool.Connection, message *message) (*answer, *failure) {
 	set := append([]header{
 		{e.names.DeadlineMs, milliseconds(message.deadline - e.clock.now())},
-		{e.names.ExpectInstance, message.backEnd.Expected()},
+		{e.names.ExpectInstance, message.backEnd.ExpectedID()},
 	}, message.set...)
 	if tenant := message.request.tenant; tenant != nil {
 		set = append(set, header{e.names.Tenant, tenant.Name})
--- a/internal/relay/exchange_notes.go
+++ b/internal/relay/exchange_notes.go
@@ -33,7 +33,7 @@
 }
 
 // noteKept notes, here and at other relays, that an engine keeps parts for any request.
-func (e *exchanger) noteKept(engine *backEnd, parts []placement.Part) {
+func (e *exchanger) noteKept(engine *backEnd, parts []placement.PrefixBlock) {
 	if engine.isEngine() && len(parts) > 0 {
 		engine.cache.keep(e.clock.now(), parts)
 		e.notices.noteKept(engine, parts)
@@ -46,7 +46,7 @@
 	if !message.backEnd.isEngine() || len(message.begun) == 0 {
 		return
 	}
-	dropped := make([]placement.PartHash, len(message.begun))
+	dropped := make([]placement.BlockHash, len(message.begun))
 	for index, part := range message.begun {
 		dropped[index] = part.Hash
 	}
@@ -85,9 +85,9 @@
 	engine, now := message.backEnd, e.clock.now()
 	seen := engine.look(now)
 	known := e.notices.table.total(now, engine, seen)
-	busy := max(known.Streams+known.Prompts, seen.told)
+	busy := max(known.Streams+known.Prefills, seen.told)
 	if chosen := message.chosen; chosen != nil {
-		busy = max(busy, chosen.ahead.Streams+chosen.ahead.Prompts)
+		busy = max(busy, chosen.ahead.Streams+chosen.ahead.Prefills)
 	}
 	return engine.isEngine() && busy < engine.Slots/2
 }
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -229,7 +229,7 @@
 			service.Engine = &serving.Engine{Slots: 8, CacheTokens: 100_000, Movable: true}
 		}
 	}
-	configuration := serving.Configuration{Number: 1, Routes: []serving.Route{made}, Services: []serving.Service{service}, Keyed: len(tenants) > 0, Tenants: tenants}
+	configuration := serving.Configuration{Number: 1, Routes: []serving.Route{made}, Services: []serving.Service{service}, RequireKeys: len(tenants) > 0, Tenants: tenants}
 	require.NoError(t, configuration.Check())
 	next := &view{table: serving.NewTable(&configuration), byService: map[string][]*backEnd{}}
 	entries := make([]serving.BackEnd, 0, len(backEnds))
--- a/internal/relay/identified_starts.go
+++ b/internal/relay/identified_starts.go
@@ -8,13 +8,13 @@
 func (k *knowledge) identified(listed []serving.BackEnd, former bool) []serving.BackEnd {
 	byReplica := make(map[string]*backEnd, len(k.known))
 	for _, known := range k.known {
-		byReplica[known.Expected()] = known
+		byReplica[known.ExpectedID()] = known
 	}
 	identified := make([]serving.BackEnd, len(listed))
 	for index, entry := range listed {
-		if known := byReplica[entry.Expected()]; known != nil && k.isSameStart(known, entry, former) {
-			known.toldBorn = max(known.toldBorn, entry.Born)
-			entry.ID, entry.Replica, entry.Born = known.ID, known.Replica, known.Born
+		if known := byReplica[entry.ExpectedID()]; known != nil && k.isSameStart(known, entry, former) {
+			known.toldBorn = max(known.toldBorn, entry.StartedAtMs)
+			entry.ID, entry.Replica, entry.StartedAtMs = known.ID, known.Replica, known.StartedAtMs
 		}
 		identified[index] = entry
 	}
@@ -28,11 +28,11 @@
 	switch {
 	case known.Address != entry.Address:
 		return false
-	case former && entry.Born == 0:
+	case former && entry.StartedAtMs == 0:
 		return true
-	case known.Born != 0 || entry.Born == 0:
+	case known.StartedAtMs != 0 || entry.StartedAtMs == 0:
 		return false
 	default:
-		return known.toldBorn == entry.Born || known.toldBorn == 0 && k.formerListed
+		return known.toldBorn == entry.StartedAtMs || known.toldBorn == 0 && k.formerListed
 	}
 }
--- a/internal/relay/identified_starts_test.go
+++ b/internal/relay/identified_starts_test.go
@@ -12,7 +12,7 @@
 func entryOf(born int64, address string) serving.BackEnd {
 	entry := serving.BackEnd{ID: "i-1", Service: "s", Address: address, Zone: "z", Slots: 4}
 	if born != 0 {
-		entry.ID, entry.Replica, entry.Born = "i-1/"+string(rune('0'+born)), "i-1", born
+		entry.ID, entry.Replica, entry.StartedAtMs = "i-1/"+string(rune('0'+born)), "i-1", born
 	}
 	return entry
 }
@@ -43,7 +43,7 @@
 				relay.setView(&next)
 				require.Len(t, next.byService["s"], 1)
 				listed := next.byService["s"][0]
-				require.Equal(t, "i-1", listed.Expected(), "requests name the replica")
+				require.Equal(t, "i-1", listed.ExpectedID(), "requests name the replica")
 				require.Equal(t, telling.same, listed == former, "telling %d", index)
 				former = listed
 			}
--- a/internal/relay/knowledge.go
+++ b/internal/relay/knowledge.go
@@ -284,7 +284,7 @@
 func translate(entries []*v1.ListedBackEnd) []serving.BackEnd {
 	backEnds := make([]serving.BackEnd, 0, len(entries))
 	for _, entry := range entries {
-		backEnds = append(backEnds, serving.BackEndFromListed(entry))
+		backEnds = append(backEnds, serving.BackEndFromProto(entry))
 	}
 	return backEnds
 }
--- a/internal/relay/known_back_ends.go
+++ b/internal/relay/known_back_ends.go
@@ -14,7 +14,7 @@
 func (k *knowledge) resizeCaches(next *view) {
 	for service, backEnds := range next.byService {
 		for _, engine := range backEnds {
-			engine.cache.resize(placement.CacheCapacity(engine.Stage, cacheTokens(next, service)))
+			engine.cache.resize(placement.PrefixCacheCapacity(engine.Stage, cacheTokens(next, service)))
 		}
 	}
 }
@@ -87,7 +87,7 @@
 		replaced.changingSince = now
 	}
 	if former.Stage != entry.Stage {
-		replaced.cache.resize(placement.CacheCapacity(entry.Stage, cacheTokens(view, entry.Service)))
+		replaced.cache.resize(placement.PrefixCacheCapacity(entry.Stage, cacheTokens(view, entry.Service)))
 		replaced.avoid(awaySince(former, now) + roleChange(view, entry.Service))
 	}
 	former.pool.Close()
@@ -106,7 +106,7 @@
 // roleChange is how long an engine of the service is away when its stage changes.
 func roleChange(view *view, service string) time.Duration {
 	if engine := view.engine(service); engine != nil {
-		return engine.RoleChange
+		return engine.RoleChangeTime
 	}
 	return 0
 }
--- a/internal/relay/load_table.go
+++ b/internal/relay/load_table.go
@@ -51,7 +51,7 @@
 			relays = map[uint64]toldWork{}
 			t.engines[engine.GetEngine()] = relays
 		}
-		told := placement.Work{Prompts: int(engine.GetPrompts()), Streams: int(engine.GetStreams()), Tokens: tokensFromWire(engine.GetPromptTokens())}
+		told := placement.Work{Prefills: int(engine.GetPrompts()), Streams: int(engine.GetStreams()), Tokens: tokensFromWire(engine.GetPromptTokens())}
 		if told == (placement.Work{}) {
 			delete(relays, relay)
 			continue
--- a/internal/relay/notice_pending.go
+++ b/internal/relay/notice_pending.go
@@ -10,8 +10,8 @@
 type pendingNotice struct {
 	// read are the parts that the engine has begun to read, kept those that it has read and
 	// keeps for any request, dropped those whose reading was given up.
-	read, kept []placement.Part
-	dropped    []placement.PartHash
+	read, kept []placement.PrefixBlock
+	dropped    []placement.BlockHash
 	// assigned are the numbers of questions whose assignments have begun.
 	assigned []uint64
 	// tokenTime is the newest observation of the time per token, 0 for none.
@@ -25,7 +25,7 @@
 
 // noteBegun tells what an engine has begun to read, and the number of the question that was
 // answered with it, 0 for none.
-func (n *notices) noteBegun(engine *backEnd, read []placement.Part, assigned uint64) {
+func (n *notices) noteBegun(engine *backEnd, read []placement.PrefixBlock, assigned uint64) {
 	told := pendingNotice{read: read}
 	if assigned != 0 {
 		told.assigned = []uint64{assigned}
@@ -34,12 +34,12 @@
 }
 
 // noteKept tells that an engine keeps parts for any request.
-func (n *notices) noteKept(engine *backEnd, kept []placement.Part) {
+func (n *notices) noteKept(engine *backEnd, kept []placement.PrefixBlock) {
 	n.add(engine, pendingNotice{kept: kept})
 }
 
 // noteDropped tells that the reading of parts was given up.
-func (n *notices) noteDropped(engine *backEnd, dropped []placement.PartHash) {
+func (n *notices) noteDropped(engine *backEnd, dropped []placement.BlockHash) {
 	n.add(engine, pendingNotice{dropped: dropped})
 }
 
--- a/internal/relay/notice_wire.go
+++ b/internal/relay/notice_wire.go
@@ -19,15 +19,15 @@
 }
 
 // tokensFromWire is the reverse of wireTokens.
-func tokensFromWire(told []uint32) (tokens [placement.Ranks]int) {
-	for rank, count := range slices.All(told[:min(len(told), placement.Ranks)]) {
+func tokensFromWire(told []uint32) (tokens [placement.RankCount]int) {
+	for rank, count := range slices.All(told[:min(len(told), placement.RankCount)]) {
 		tokens[rank] = int(count)
 	}
 	return tokens
 }
 
 // wireParts returns the hashes and lengths of parts for a notice.
-func wireParts(parts []placement.Part) (hashes []uint64, tokens []uint32) {
+func wireParts(parts []placement.PrefixBlock) (hashes []uint64, tokens []uint32) {
 	for _, part := range parts {
 		hashes = append(hashes, uint64(part.Hash))
 		tokens = append(tokens, uint32(max(part.Tokens, 0)))
@@ -36,21 +36,21 @@
 }
 
 // partsFromWire is the reverse of wireParts; what does not fit together is left out.
-func partsFromWire(hashes []uint64, tokens []uint32) []placement.Part {
+func partsFromWire(hashes []uint64, tokens []uint32) []placement.PrefixBlock {
 	if len(hashes) != len(tokens) {
 		return nil
 	}
-	parts := make([]placement.Part, len(hashes))
+	parts := make([]placement.PrefixBlock, len(hashes))
 	for index, hash := range hashes {
-		parts[index] = placement.Part{Hash: placement.PartHash(hash), Tokens: int(tokens[index])}
+		parts[index] = placement.PrefixBlock{Hash: placement.BlockHash(hash), Tokens: int(tokens[index])}
 	}
 	return parts
 }
 
-func hashesFromWire(told []uint64) []placement.PartHash {
-	hashes := make([]placement.PartHash, len(told))
+func hashesFromWire(told []uint64) []placement.BlockHash {
+	hashes := make([]placement.BlockHash, len(told))
 	for index, hash := range told {
-		hashes[index] = placement.PartHash(hash)
+		hashes[index] = placement.BlockHash(hash)
 	}
 	return hashes
 }
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -150,7 +150,7 @@
 func (n *notices) workOf(now time.Duration, engine *backEnd, waiting pendingNotice) *v1.EngineWork {
 	own := engine.look(now).own
 	told := &v1.EngineWork{
-		Engine: engine.hash, Prompts: uint32(max(own.Prompts, 0)), PromptTokens: wireTokens(own), Streams: uint32(max(own.Streams, 0)),
+		Engine: engine.hash, Prompts: uint32(max(own.Prefills, 0)), PromptTokens: wireTokens(own), Streams: uint32(max(own.Streams, 0)),
 		TokenNs: uint32(min(waiting.tokenTime, math.MaxUint32)), Failed: waiting.failed, Assigned: waiting.assigned,
 	}
 	told.Parts, told.PartTokens = wireParts(waiting.read)
--- a/internal/relay/offer.go
+++ b/internal/relay/offer.go
@@ -40,10 +40,10 @@
 // first one keeps of its prompt can be fetched by an engine of the next.
 func (a *asker) decide(known *cells, homes []int, query *engineQuery, stop <-chan struct{}) engineAnswer {
 	if len(homes) == 0 {
-		return engineAnswer{decision: placement.Decision{Action: placement.Unplaced, Reason: placement.NoReader}}
+		return engineAnswer{decision: placement.Decision{Action: placement.Unplaced, Reason: placement.ReasonNoEngine}}
 	}
 	best := a.decideIn(known, homes[0], query, stop)
-	if !a.relay.policy.Spills(query.request, best.decision) {
+	if !a.relay.policy.ShouldSpill(query.request, best.decision) {
 		return best
 	}
 	query.holder = best.holder
@@ -59,7 +59,7 @@
 		if next.chosen != nil {
 			a.cancel(next.chosen.assigned)
 		}
-		if !a.relay.policy.Spills(query.request, best.decision) {
+		if !a.relay.policy.ShouldSpill(query.request, best.decision) {
 			break
 		}
 	}
--- a/internal/relay/options.go
+++ b/internal/relay/options.go
@@ -20,7 +20,7 @@
 	// called only while no controller leads.
 	ReadListing func(ctx context.Context, client *http.Client, pages int) (serving.Listing, error)
 	// ReadCache reads what an engine has cached; nil where that cannot be asked.
-	ReadCache func(ctx context.Context, client *http.Client, engine serving.BackEnd) (serving.CacheReading, error)
+	ReadCache func(ctx context.Context, client *http.Client, engine serving.BackEnd) (serving.CacheReport, error)
 	// Listen opens a listener; nil means net.Listen.
 	Listen func(network, address string) (net.Listener, error)
 	// ListenPacket opens a datagram socket; nil means net.ListenPacket.
--- a/internal/relay/owner_faults_test.go
+++ b/internal/relay/owner_faults_test.go
@@ -87,7 +87,7 @@
 	client := relay.client(t)
 	client.send("POST", "/path/", "x", shortPrompt...)
 	asked, from := owner.read()
-	for range relay.policy.MostWaits + 1 {
+	for range relay.policy.MaxPrefillWaits + 1 {
 		owner.write(from, &v1.RelayDatagram{Content: &v1.RelayDatagram_Answer{Answer: &v1.PlacementAnswer{
 			Number: asked.GetRequest().GetNumber(), Relay: asked.GetRequest().GetRelay(),
 			Action: v1.PlacementAction_PLACEMENT_ACTION_WAIT, Engine: relay.engineOf("engine").hash,
@@ -105,8 +105,8 @@
 		return &engineQuery{purpose: toGenerate, service: "service", request: placement.Request{Stage: serving.StageDecode}}
 	}
 	for number := range uint64(3) {
-		one.owner.decide(query(), one.view.Load().byService["service"], &placement.Asker{Relay: 7, Number: number})
-		other.owner.decide(query(), other.view.Load().byService["service"], &placement.Asker{Relay: 8, Number: number})
+		one.owner.decide(query(), one.view.Load().byService["service"], &placement.QueryID{Relay: 7, Number: number})
+		other.owner.decide(query(), other.view.Load().byService["service"], &placement.QueryID{Relay: 8, Number: number})
 	}
 	hash := one.engineOf("engine").hash
 	require.Equal(t, 3, one.reservedAt("engine").Streams)
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -50,7 +50,7 @@
 	if known == nil {
 		return nil, 0
 	}
-	index, is := known.division.Of(engine.hash)
+	index, is := known.division.CellOf(engine.hash)
 	if !is {
 		return nil, 0
 	}
@@ -197,7 +197,7 @@
 
 // homes returns the indexes of the cells in which a prompt had better run, the best first. Only
 // a shared part that is worth fetching ties a prompt to cells of other zones.
-func (c *cells) homes(prompt []placement.Part, request, zone string, least, count int) []int {
+func (c *cells) homes(prompt []placement.PrefixBlock, request, zone string, least, count int) []int {
 	if shared := sharedTokens(prompt); shared >= least {
 		return c.division.Homes(uint64(prompt[len(prompt)-2].Hash), "", count)
 	}
@@ -205,7 +205,7 @@
 }
 
 // sharedTokens is the length of a prompt without its last part, which is its own.
-func sharedTokens(prompt []placement.Part) int {
+func sharedTokens(prompt []placement.PrefixBlock) int {
 	shared := 0
 	for _, part := range prompt[:max(len(prompt)-1, 0)] {
 		shared += part.Tokens
--- a/internal/relay/peerhealth/table.go
+++ b/internal/relay/peerhealth/table.go
@@ -25,7 +25,7 @@
 func (t *Table) Trusted(now time.Duration, relay string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.health.Trusted(now, relay)
+	return t.health.IsTrusted(now, relay)
 }
 
 // Timeout is how long an answer is awaited now.
@@ -40,9 +40,9 @@
 	t.mutex.Lock()
 	isDoubted := false
 	if answered {
-		t.health.Answered(relay, took)
+		t.health.RecordAnswer(relay, took)
 	} else {
-		isDoubted = t.health.Missed(now, relay)
+		isDoubted = t.health.RecordTimeout(now, relay)
 	}
 	t.mutex.Unlock()
 	if isDoubted {
@@ -54,5 +54,5 @@
 func (t *Table) Keep(listed map[string]bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.health.Keep(func(relay string) bool { return listed[relay] })
+	t.health.Retain(func(relay string) bool { return listed[relay] })
 }
--- a/internal/relay/pick.go
+++ b/internal/relay/pick.go
@@ -16,7 +16,7 @@
 
 // surveyOf looks at back ends that are not excluded. Those that rest are excluded by whoever asks: a back end that has
 // asked this relay for rest serves others.
-func (r *Relay) surveyOf(backEnds []*backEnd, prompt []placement.Part, isExcluded func(*backEnd) bool, now time.Duration) survey {
+func (r *Relay) surveyOf(backEnds []*backEnd, prompt []placement.PrefixBlock, isExcluded func(*backEnd) bool, now time.Duration) survey {
 	seen := survey{backEnds: backEnds, engines: make([]placement.Engine, len(backEnds))}
 	for index, backEnd := range backEnds {
 		load := backEnd.look(now)
@@ -40,21 +40,21 @@
 func (s survey) with(holder *promptHolder) survey {
 	for index, known := range s.backEnds {
 		if known == holder.engine {
-			s.engines[index].Cached.Usable = max(s.engines[index].Cached.Usable, holder.tokens)
+			s.engines[index].Cached.Ready = max(s.engines[index].Cached.Ready, holder.tokens)
 			return s
 		}
 	}
 	s.backEnds = append(s.backEnds[:len(s.backEnds):len(s.backEnds)], holder.engine)
 	s.engines = append(s.engines, placement.Engine{
 		Hash: holder.engine.hash, Zone: holder.engine.Zone, Stage: holder.engine.Stage, Closed: true,
-		Cached: placement.Beginning{Held: holder.tokens, Usable: holder.tokens},
+		Cached: placement.CachedPrefix{Total: holder.tokens, Ready: holder.tokens},
 	})
 	return s
 }
 
 // holder is the engine that keeps most of the prompt; nil for none.
 func (s survey) holder() *promptHolder {
-	index, tokens := placement.Holder(s.engines)
+	index, tokens := placement.LongestPrefixHolder(s.engines)
 	if index == placement.None {
 		return nil
 	}
@@ -98,7 +98,7 @@
 		seen.engines[index].Connected = backEnd.pool.Holds(now, limit)
 	}
 	wanted := placement.Request{Now: now, Stage: answeringStage(request.service), Zone: r.settings.Zone}
-	return seen.place(r.policy.Generator(wanted, seen.engines, r.draw))
+	return seen.place(r.policy.PickBackEnd(wanted, seen.engines, r.draw))
 }
 
 // defaultTokenMove is the way of one token where the links are not known.
@@ -106,8 +106,8 @@
 
 // tokenMoveTime is how long the memory of one token is on its way between engines.
 func tokenMoveTime(engine *serving.Engine) time.Duration {
-	if engine == nil || engine.LinkBytes <= 0 {
+	if engine == nil || engine.LinkBytesPerSecond <= 0 {
 		return defaultTokenMove
 	}
-	return time.Duration(float64(engine.TokenBytes) / engine.LinkBytes * float64(time.Second))
+	return time.Duration(float64(engine.TokenBytes) / engine.LinkBytesPerSecond * float64(time.Second))
 }
--- a/internal/relay/placement_owner.go
+++ b/internal/relay/placement_owner.go
@@ -22,24 +22,24 @@
 	reserved *placement.Reservations
 	// waiting are the questions that wait for another request's reading; closing a channel ends
 	// the wait.
-	waiting map[placement.Asker]chan struct{}
+	waiting map[placement.QueryID]chan struct{}
 }
 
 func newPlacementOwner(relay *Relay) *placementOwner {
-	return &placementOwner{relay: relay, reserved: placement.NewReservations(), waiting: map[placement.Asker]chan struct{}{}}
+	return &placementOwner{relay: relay, reserved: placement.NewReservations(), waiting: map[placement.QueryID]chan struct{}{}}
 }
 
 // decide decides among the engines. The work that it assigns counts from now on when another
 // relay has asked; asker is nil for this relay's own requests, whose work begins at once.
-func (o *placementOwner) decide(query *engineQuery, engines []*backEnd, asker *placement.Asker) engineAnswer {
+func (o *placementOwner) decide(query *engineQuery, engines []*backEnd, asker *placement.QueryID) engineAnswer {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	now := o.relay.clock.now()
-	query.request.Now, query.request.UsualShare = now, o.relay.pace.usualShare()
+	query.request.Now, query.request.UncachedShare = now, o.relay.pace.usualShare()
 	o.expire(now)
 	seen := o.relay.surveyOf(engines, query.request.Prompt, query.excludes, now)
 	for index := range seen.engines {
-		seen.engines[index].Work = seen.engines[index].Work.Plus(o.reserved.At(seen.engines[index].Hash))
+		seen.engines[index].Work = seen.engines[index].Work.Plus(o.reserved.ReservedWork(seen.engines[index].Hash))
 	}
 	answer := engineAnswer{holder: seen.holder()}
 	if query.holder != nil {
@@ -47,8 +47,8 @@
 	}
 	answer.decision = query.decideFrom(o.relay.policy, seen, o.relay.draw)
 	answer.chosen = seen.place(answer.decision.Engine)
-	if answer.decision.Action == placement.ReadApart && query.purpose == toBegin {
-		o.relay.pace.observeShare(query.request.Tokens, answer.decision.Engine.ToRead)
+	if answer.decision.Action == placement.PrefillSeparately && query.purpose == toBegin {
+		o.relay.pace.observeShare(query.request.Tokens, answer.decision.Engine.PrefillTokens)
 	}
 	if asker != nil && o.relay.without.On(mechanism.Reservations) {
 		o.reserve(now, *asker, query, answer)
@@ -57,13 +57,13 @@
 }
 
 // reserve counts the work that an answer gives its engine. The mutex is held.
-func (o *placementOwner) reserve(now time.Duration, asker placement.Asker, query *engineQuery, answer engineAnswer) {
-	if action := answer.decision.Action; action != placement.ReadApart && action != placement.ReadDirectly {
+func (o *placementOwner) reserve(now time.Duration, asker placement.QueryID, query *engineQuery, answer engineAnswer) {
+	if action := answer.decision.Action; action != placement.PrefillSeparately && action != placement.PrefillOnDecodeEngine {
 		return
 	}
 	reserved := placement.Reservation{Engine: answer.chosen.backEnd.hash, Work: query.workOf(o.relay.policy, answer.decision)}
 	for _, part := range answer.chosen.backEnd.cache.begin(now, query.request.Prompt) {
-		reserved.Begun = append(reserved.Begun, part.Hash)
+		reserved.PendingBlocks = append(reserved.PendingBlocks, part.Hash)
 	}
 	if former, had := o.reserved.Add(now, asker, reserved); had {
 		o.giveUp(former)
@@ -79,8 +79,8 @@
 
 // giveUp forgets what a reservation's engine would have read. The mutex is held.
 func (o *placementOwner) giveUp(reserved placement.Reservation) {
-	if engine := o.relay.view.Load().byHash[reserved.Engine]; engine != nil && len(reserved.Begun) > 0 {
-		engine.cache.drop(reserved.Begun)
+	if engine := o.relay.view.Load().byHash[reserved.Engine]; engine != nil && len(reserved.PendingBlocks) > 0 {
+		engine.cache.drop(reserved.PendingBlocks)
 	}
 }
 
@@ -92,20 +92,20 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	for _, number := range numbers {
-		o.reserved.Take(placement.Asker{Relay: relay, Number: number})
+		o.reserved.Release(placement.QueryID{Relay: relay, Number: number})
 	}
 }
 
 // cancel ends a question: its wait, or the reservation that it got.
 func (o *placementOwner) cancel(asked *v1.PlacementCancel) {
-	asker := placement.Asker{Relay: asked.GetRelay(), Number: asked.GetNumber()}
+	asker := placement.QueryID{Relay: asked.GetRelay(), Number: asked.GetNumber()}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if stop, waits := o.waiting[asker]; waits {
 		close(stop)
 		delete(o.waiting, asker)
 	}
-	if reserved, had := o.reserved.Take(asker); had {
+	if reserved, had := o.reserved.Release(asker); had {
 		o.giveUp(reserved)
 	}
 }
@@ -118,22 +118,22 @@
 		replyUnknown(asked, reply)
 		return
 	}
-	index, known := current.division.Find(asked.GetCell())
+	index, known := current.division.IndexByID(asked.GetCell())
 	if !known {
 		replyUnknown(asked, reply)
 		return
 	}
 	engines := current.members[index]
 	query := queryFromWire(asked, o.relay.view.Load())
-	asker := placement.Asker{Relay: asked.GetRelay(), Number: asked.GetNumber()}
+	asker := placement.QueryID{Relay: asked.GetRelay(), Number: asked.GetNumber()}
 	decided := o.decide(query, engines, &asker)
-	if decided.decision.Action != placement.AwaitReading {
+	if decided.decision.Action != placement.AwaitSharedPrefill {
 		reply(answerToWire(asked, decided))
 		return
 	}
 	stop := o.beginWait(asker)
 	if stop == nil {
-		query.request.Waits = o.relay.policy.MostWaits
+		query.request.PrefillWaits = o.relay.policy.MaxPrefillWaits
 		reply(answerToWire(asked, o.decide(query, engines, &asker)))
 		return
 	}
@@ -149,7 +149,7 @@
 }
 
 // beginWait notes a question that waits; nil when too many do, or when it does already.
-func (o *placementOwner) beginWait(asker placement.Asker) (stop chan struct{}) {
+func (o *placementOwner) beginWait(asker placement.QueryID) (stop chan struct{}) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if _, waits := o.waiting[asker]; waits || len(o.waiting) >= maximumWaiting {
@@ -162,8 +162,8 @@
 
 // answerAfterWait waits for readings of other requests, and answers then.
 func (o *placementOwner) answerAfterWait(asked *v1.PlacementRequest, query *engineQuery, engines []*backEnd, decided engineAnswer, stop chan struct{}, reply func(*v1.PlacementAnswer)) {
-	asker := placement.Asker{Relay: asked.GetRelay(), Number: asked.GetNumber()}
-	for decided.decision.Action == placement.AwaitReading {
+	asker := placement.QueryID{Relay: asked.GetRelay(), Number: asked.GetNumber()}
+	for decided.decision.Action == placement.AwaitSharedPrefill {
 		limit := min(o.relay.waitLimit(decided.chosen), query.request.TimeLeft)
 		waiting := answerToWire(asked, decided)
 		waiting.WaitingUs = microseconds(limit)
@@ -171,9 +171,9 @@
 		waited := o.relay.awaitKept(&keptWait{
 			chosen: decided.chosen, parts: query.request.Prompt, rank: query.request.Rank, limit: limit, stop: stop,
 		})
-		query.request.Waits++
+		query.request.PrefillWaits++
 		if !waited {
-			query.request.Waits = o.relay.policy.MostWaits
+			query.request.PrefillWaits = o.relay.policy.MaxPrefillWaits
 		}
 		select {
 		case <-stop:
@@ -184,7 +184,7 @@
 	}
 	o.mutex.Lock()
 	if _, waits := o.waiting[asker]; !waits { // it was cancelled meanwhile
-		reserved, _ := o.reserved.Take(asker)
+		reserved, _ := o.reserved.Release(asker)
 		o.giveUp(reserved)
 		o.mutex.Unlock()
 		return
--- a/internal/relay/placement_wire.go
+++ b/internal/relay/placement_wire.go
@@ -34,11 +34,11 @@
 
 // wireActions are the actions as datagrams name them.
 var wireActions = map[placement.Action]v1.PlacementAction{
-	placement.Unplaced:     v1.PlacementAction_PLACEMENT_ACTION_UNPLACED,
-	placement.ReadDirectly: v1.PlacementAction_PLACEMENT_ACTION_READ_DIRECTLY,
-	placement.ReadApart:    v1.PlacementAction_PLACEMENT_ACTION_READ_APART,
-	placement.AwaitReading: v1.PlacementAction_PLACEMENT_ACTION_WAIT,
-	placement.Refuse:       v1.PlacementAction_PLACEMENT_ACTION_REFUSE,
+	placement.Unplaced:              v1.PlacementAction_PLACEMENT_ACTION_UNPLACED,
+	placement.PrefillOnDecodeEngine: v1.PlacementAction_PLACEMENT_ACTION_READ_DIRECTLY,
+	placement.PrefillSeparately:     v1.PlacementAction_PLACEMENT_ACTION_READ_APART,
+	placement.AwaitSharedPrefill:    v1.PlacementAction_PLACEMENT_ACTION_WAIT,
+	placement.Refuse:                v1.PlacementAction_PLACEMENT_ACTION_REFUSE,
 }
 
 // actionFromWire is the reverse of wireActions; unknown ones leave a request unplaced.
@@ -57,7 +57,7 @@
 	asked := &v1.PlacementRequest{
 		Relay: relay, Number: number, Purpose: wirePurposes[query.purpose], Service: query.service, Cell: cell, Zone: wanted.Zone,
 		Rank: uint32(max(wanted.Rank.First, 0)), RankSteps: uint32(max(wanted.Rank.Steps, 0)), TargetUs: microseconds(wanted.Target), GapUs: microseconds(wanted.Gap), Stride: uint32(max(wanted.Stride, 0)),
-		Tokens: uint32(max(wanted.Tokens, 0)), TokenMoveNs: uint64(max(wanted.TokenMove, 0)), ResidenceUs: microseconds(wanted.Residence),
+		Tokens: uint32(max(wanted.Tokens, 0)), TokenMoveNs: uint64(max(wanted.TokenTransferTime, 0)), ResidenceUs: microseconds(wanted.SlotHoldTime),
 		TimeLeftUs: microseconds(wanted.TimeLeft), MayHaveRun: wanted.MayHaveRun, Excluded: query.excluded,
 	}
 	asked.Formats = formats.Own().ToWire()
@@ -78,7 +78,7 @@
 			Stage: serving.StageDecode, Zone: asked.GetZone(), Rank: rankFromWire(asked),
 			Target: fromMicroseconds(asked.GetTargetUs()), Gap: fromMicroseconds(asked.GetGapUs()), Stride: tokensOf(asked.GetStride()),
 			Prompt: partsFromWire(asked.GetParts(), asked.GetPartTokens()), Tokens: tokensOf(asked.GetTokens()),
-			TokenMove: time.Duration(min(asked.GetTokenMoveNs(), uint64(time.Second))), Residence: fromMicroseconds(asked.GetResidenceUs()),
+			TokenTransferTime: time.Duration(min(asked.GetTokenMoveNs(), uint64(time.Second))), SlotHoldTime: fromMicroseconds(asked.GetResidenceUs()),
 			TimeLeft: fromMicroseconds(asked.GetTimeLeftUs()), MayHaveRun: asked.GetMayHaveRun(),
 		},
 	}
@@ -91,8 +91,8 @@
 // rankFromWire reads the rank of a request.
 func rankFromWire(asked *v1.PlacementRequest) placement.Rank {
 	return placement.Rank{
-		First: int(min(asked.GetRank(), placement.Ranks-1)),
-		Steps: int(min(max(asked.GetRankSteps(), 1), placement.MostSteps)),
+		First: int(min(asked.GetRank(), placement.RankCount-1)),
+		Steps: int(min(max(asked.GetRankSteps(), 1), placement.MaxRankSteps)),
 	}
 }
 
@@ -100,7 +100,7 @@
 func unplacedAnswer(asked *v1.PlacementRequest) *v1.PlacementAnswer {
 	return &v1.PlacementAnswer{
 		Relay: asked.GetRelay(), Number: asked.GetNumber(),
-		Action: v1.PlacementAction_PLACEMENT_ACTION_UNPLACED, Reason: uint32(placement.NoReader), UnknownCell: true,
+		Action: v1.PlacementAction_PLACEMENT_ACTION_UNPLACED, Reason: uint32(placement.ReasonNoEngine), UnknownCell: true,
 	}
 }
 
@@ -109,7 +109,7 @@
 	answer := &v1.PlacementAnswer{
 		Relay: asked.GetRelay(), Number: asked.GetNumber(), Action: wireActions[decided.decision.Action],
 		Reason: uint32(decided.decision.Reason), RetryAfterUs: microseconds(decided.decision.RetryAfter),
-		DecodeShort: decided.decision.Short == serving.StageDecode,
+		DecodeShort: decided.decision.OverloadedStage == serving.StageDecode,
 	}
 	if holder := decided.holder; holder != nil {
 		answer.Holder, answer.HolderTokens = holder.engine.hash, uint32(max(holder.tokens, 0))
@@ -118,10 +118,10 @@
 	if chosen == nil {
 		return answer
 	}
-	answer.Engine, answer.ToRead, answer.Effort = chosen.backEnd.hash, uint32(max(chosen.ToRead, 0)), uint32(max(chosen.Effort, 0))
-	answer.Unusable, answer.WaitingUs = uint32(max(chosen.Unusable, 0)), microseconds(chosen.Waiting)
+	answer.Engine, answer.ToRead, answer.Effort = chosen.backEnd.hash, uint32(max(chosen.PrefillTokens, 0)), uint32(max(chosen.EffectiveTokens, 0))
+	answer.Unusable, answer.WaitingUs = uint32(max(chosen.PendingTokens, 0)), microseconds(chosen.QueueDelay)
 	answer.CostUs = microseconds(time.Duration(chosen.Cost * float64(time.Second)))
-	answer.Prompts, answer.Streams = uint32(max(chosen.ahead.Prompts, 0)), uint32(max(chosen.ahead.Streams, 0))
+	answer.Prompts, answer.Streams = uint32(max(chosen.ahead.Prefills, 0)), uint32(max(chosen.ahead.Streams, 0))
 	answer.PromptTokens, answer.TokenNs = wireTokens(chosen.ahead), uint64(max(chosen.perToken, 0))
 	if chosen.fetchFrom != nil {
 		answer.FetchFrom = chosen.fetchFrom.hash
@@ -137,10 +137,10 @@
 	}
 	answer := engineAnswer{decision: placement.Decision{
 		Action: actionFromWire(told.GetAction()), Reason: placement.Reason(told.GetReason()),
-		RetryAfter: fromMicroseconds(told.GetRetryAfterUs()), Short: serving.StagePrefill,
+		RetryAfter: fromMicroseconds(told.GetRetryAfterUs()), OverloadedStage: serving.StagePrefill,
 	}}
 	if told.GetDecodeShort() {
-		answer.decision.Short = serving.StageDecode
+		answer.decision.OverloadedStage = serving.StageDecode
 	}
 	if holder := view.byHash[told.GetHolder()]; holder != nil {
 		answer.holder = &promptHolder{engine: holder, tokens: tokensOf(told.GetHolderTokens())}
@@ -155,11 +155,11 @@
 	answer.chosen = &place{
 		backEnd: engine, fetchFrom: view.byHash[told.GetFetchFrom()], perToken: time.Duration(min(told.GetTokenNs(), uint64(time.Second))),
 		Candidate: placement.Candidate{
-			Index: placement.None, FetchFrom: placement.None, ToRead: tokensOf(told.GetToRead()), Effort: tokensOf(told.GetEffort()),
-			Unusable: tokensOf(told.GetUnusable()), Waiting: fromMicroseconds(told.GetWaitingUs()),
+			Index: placement.None, FetchFrom: placement.None, PrefillTokens: tokensOf(told.GetToRead()), EffectiveTokens: tokensOf(told.GetEffort()),
+			PendingTokens: tokensOf(told.GetUnusable()), QueueDelay: fromMicroseconds(told.GetWaitingUs()),
 			Cost: fromMicroseconds(told.GetCostUs()).Seconds(),
 		},
-		ahead: placement.Work{Prompts: tokensOf(told.GetPrompts()), Streams: tokensOf(told.GetStreams()), Tokens: tokensFromWire(told.GetPromptTokens())},
+		ahead: placement.Work{Prefills: tokensOf(told.GetPrompts()), Streams: tokensOf(told.GetStreams()), Tokens: tokensFromWire(told.GetPromptTokens())},
 	}
 	answer.decision.Engine = &answer.chosen.Candidate
 	return answer, true
--- a/internal/relay/prompt_cache.go
+++ b/internal/relay/prompt_cache.go
@@ -10,43 +10,43 @@
 // promptCache is a placement.Cache that goroutines share and may wait for.
 type promptCache struct {
 	mutex sync.Mutex
-	cache *placement.Cache
+	cache *placement.PrefixCache
 	// changed is closed and replaced when a part is kept or dropped.
 	changed chan struct{}
 }
 
 // newPromptCache returns the cache of an engine that keeps so many tokens.
 func newPromptCache(capacity int) *promptCache {
-	return &promptCache{cache: placement.NewCache(capacity), changed: make(chan struct{})}
+	return &promptCache{cache: placement.NewPrefixCache(capacity), changed: make(chan struct{})}
 }
 
 // cached returns how much of the prompt's beginning the engine has.
-func (c *promptCache) cached(wanted []placement.Part, now time.Duration) placement.Beginning {
+func (c *promptCache) cached(wanted []placement.PrefixBlock, now time.Duration) placement.CachedPrefix {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.cache.Cached(wanted, now)
+	return c.cache.Lookup(wanted, now)
 }
 
 // begin notes parts that the engine is sent to read, and returns those that it did not hold.
-func (c *promptCache) begin(now time.Duration, read []placement.Part) (begun []placement.Part) {
+func (c *promptCache) begin(now time.Duration, read []placement.PrefixBlock) (begun []placement.PrefixBlock) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.cache.Begin(now, read)
+	return c.cache.AddPending(now, read)
 }
 
 // keep notes parts that the engine has read and keeps for any request.
-func (c *promptCache) keep(now time.Duration, read []placement.Part) {
+func (c *promptCache) keep(now time.Duration, read []placement.PrefixBlock) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.cache.Keep(now, read)
+	c.cache.AddReady(now, read)
 	c.tellChange()
 }
 
 // drop forgets parts whose reading was given up.
-func (c *promptCache) drop(given []placement.PartHash) {
+func (c *promptCache) drop(given []placement.BlockHash) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.cache.Drop(given)
+	c.cache.RemovePending(given)
 	c.tellChange()
 }
 
@@ -54,7 +54,7 @@
 func (c *promptCache) clear(capacity int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.cache = placement.NewCache(capacity)
+	c.cache = placement.NewPrefixCache(capacity)
 	c.tellChange()
 }
 
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -56,7 +56,7 @@
 	if !errors.Is(fault, errBroken) {
 		return
 	}
-	replica := crashguard.Replica{ID: backEnd.ID, Name: backEnd.Expected(), Address: backEnd.Address}
+	replica := crashguard.Replica{ID: backEnd.ID, Name: backEnd.ExpectedID(), Address: backEnd.Address}
 	if !request.route.Repeatable() || a.sent >= request.route.MaxAttempts {
 		go relay.guard.Broke(request.signature, replica, 0)
 		return
@@ -94,7 +94,7 @@
 func (r *Relay) isReplaced(replica crashguard.Replica) bool {
 	for _, backEnds := range r.view.Load().byService {
 		for _, backEnd := range backEnds {
-			if backEnd.ID != replica.ID && (backEnd.Address == replica.Address || backEnd.Expected() == replica.Name) {
+			if backEnd.ID != replica.ID && (backEnd.Address == replica.Address || backEnd.ExpectedID() == replica.Name) {
 				return true
 			}
 		}
@@ -110,10 +110,10 @@
 	taken, started := make(map[string]bool, len(present)), make(map[string]bool, len(present))
 	for _, backEnd := range present {
 		taken[backEnd.Address] = true
-		started[backEnd.Expected()] = true
+		started[backEnd.ExpectedID()] = true
 	}
 	for _, backEnd := range gone {
-		if taken[backEnd.Address] || started[backEnd.Expected()] {
+		if taken[backEnd.Address] || started[backEnd.ExpectedID()] {
 			r.guard.Ended(backEnd.ID)
 		}
 	}
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -211,7 +211,7 @@
 // to the former one break: what is found to serve there then is not what ended.
 func TestABackEndInWhosePlaceAnotherStartedHasEnded(t *testing.T) {
 	serves := startBackEnd(t, "serves", serving.StageWhole, answering(200, "ok"))
-	serves.entry.ID, serves.entry.Replica, serves.entry.Born = "one/2", "one", 2
+	serves.entry.ID, serves.entry.Replica, serves.entry.StartedAtMs = "one/2", "one", 2
 	relay := newTestRelay(t, route(safe), serves)
 	elsewhere, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/relay/read_prompt.go
+++ b/internal/relay/read_prompt.go
@@ -16,7 +16,7 @@
 type heldPrompt struct {
 	engine *backEnd
 	handle string
-	parts  []placement.Part
+	parts  []placement.PrefixBlock
 }
 
 // source is how a decoding engine is told where the prompt is.
@@ -27,7 +27,7 @@
 func (r *Relay) serveStream(request *request, reply *replier) {
 	tried := &attempts{relay: r, request: request}
 	stream := &streamReply{relay: r, request: request, reply: reply, tried: tried,
-		parts: placement.PartsOf(request.prompt), last: string(request.header.Peek(r.dialect.Headers.LastEventID))}
+		parts: placement.PrefixBlocksOf(request.prompt), last: string(request.header.Peek(r.dialect.Headers.LastEventID))}
 	begun := r.beginStream(stream)
 	if begun.refused != nil {
 		r.log.refused(request, *begun.refused, tried)
@@ -84,10 +84,10 @@
 // readPrompt lets a prefill engine read a prompt. It returns nil when it has not.
 func (r *Relay) readPrompt(stream *streamReply, chosen *place) *heldPrompt {
 	request, engine, now := stream.request, chosen.backEnd, r.clock.now()
-	rank := r.policy.ReadingRank(stream.rank(), chosen.ToRead)
+	rank := r.policy.PrefillRank(stream.rank(), chosen.PrefillTokens)
 	request.trace.prefill(chosen, now, rank)
 	perToken := r.pace.of(engine.hash)
-	r.noteAskedReading(request.service.Name, engine, chosen.Effort)
+	r.noteAskedReading(request.service.Name, engine, chosen.EffectiveTokens)
 	set := []header{r.rankHeader(rank), {r.dialect.Headers.Stage, r.dialect.PrefillStage}}
 	if chosen.fetchFrom != nil {
 		set = append(set, header{r.dialect.Headers.KVFetch, chosen.fetchFrom.Address})
@@ -95,7 +95,7 @@
 	answer, fault := r.exchanger.send(&message{
 		request: request, backEnd: engine, deadline: request.deadline, reads: stream.parts, set: set, chosen: chosen, reading: true,
 		work:     readingWork(r.policy, stream.rank(), &chosen.Candidate),
-		stall:    prefillStall + time.Duration(prefillStallShare*float64(r.policy.WaitingTime(chosen.ahead, placement.Ranks-1, perToken)+placement.PrefillTime(perToken, chosen.Effort))),
+		stall:    prefillStall + time.Duration(prefillStallShare*float64(r.policy.PrefillQueueDelay(chosen.ahead, placement.RankCount-1, perToken)+placement.PrefillTime(perToken, chosen.EffectiveTokens))),
 		mayBreak: true,
 	})
 	if fault != nil {
@@ -103,8 +103,8 @@
 		stream.tried.noteReading(engine, fault)
 		return nil
 	}
-	if chosen.ahead.Prompts == 0 && chosen.fetchFrom == nil {
-		r.notePace(engine, placement.ObservedPace(chosen.Effort, r.clock.now()-now))
+	if chosen.ahead.Prefills == 0 && chosen.fetchFrom == nil {
+		r.notePace(engine, placement.TimePerToken(chosen.EffectiveTokens, r.clock.now()-now))
 	}
 	defer answer.finish()
 	held := r.takeHandle(answer, stream.parts)
@@ -121,7 +121,7 @@
 }
 
 // takeHandle reads the answer to the reading of a prompt; nil when it is none.
-func (r *Relay) takeHandle(answer *answer, parts []placement.Part) *heldPrompt {
+func (r *Relay) takeHandle(answer *answer, parts []placement.PrefixBlock) *heldPrompt {
 	body, err := io.ReadAll(io.LimitReader(answer, maximumPrefillAnswer))
 	if err != nil || answer.status != fasthttp.StatusOK {
 		return nil
--- a/internal/relay/refusal_test.go
+++ b/internal/relay/refusal_test.go
@@ -36,7 +36,7 @@
 // the change learn it from one refusal, whichever relay had it.
 func TestRefusalOfAnEngineWithRoomCountsAsFailure(t *testing.T) {
 	relay, engine := newRefusingRelay(t, serving.StageDecode)
-	relay.refuse(engine, placement.Work{Streams: 1}.Plus(placement.Reading(500, 0)))
+	relay.refuse(engine, placement.Work{Streams: 1}.Plus(placement.PrefillWork(500, 0)))
 	require.Equal(t, 1, engine.look(relay.clock.now()).failures)
 	require.True(t, relay.isToldFailed(engine))
 }
@@ -46,12 +46,12 @@
 	for name, fill := range map[string]func(*testRelay, *backEnd){
 		"own work":      func(_ *testRelay, engine *backEnd) { engine.begin(placement.Work{Streams: 6}) },
 		"its own word":  func(relay *testRelay, engine *backEnd) { engine.tell(relay.clock.now()+time.Hour, 4, 3) },
-		"both together": func(_ *testRelay, engine *backEnd) { engine.begin(placement.Work{Streams: 2, Prompts: 2}) },
+		"both together": func(_ *testRelay, engine *backEnd) { engine.begin(placement.Work{Streams: 2, Prefills: 2}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			relay, engine := newRefusingRelay(t, serving.StageDecode)
 			fill(relay, engine)
-			relay.refuse(engine, placement.Work{Streams: 1}.Plus(placement.Reading(500, 0)))
+			relay.refuse(engine, placement.Work{Streams: 1}.Plus(placement.PrefillWork(500, 0)))
 			require.Zero(t, engine.look(relay.clock.now()).failures)
 			require.Equal(t, 1, engine.look(relay.clock.now()).refusals)
 			require.False(t, relay.isToldFailed(engine))
--- a/internal/relay/release.go
+++ b/internal/relay/release.go
@@ -45,7 +45,7 @@
 // its address. A body is JSON; nil is none.
 func (e *exchanger) writeCall(connection *connpool.Connection, engine *backEnd, method, path string, body []byte) error {
 	head := append([]byte(nil), method+" "+path+" HTTP/1.1\r\nHost: "+engine.Address+"\r\n"...)
-	head = appendHeader(head, e.names.ExpectInstance, engine.Expected())
+	head = appendHeader(head, e.names.ExpectInstance, engine.ExpectedID())
 	if body != nil {
 		head = appendHeader(head, fasthttp.HeaderContentType, "application/json")
 		head = appendHeader(head, fasthttp.HeaderContentLength, strconv.Itoa(len(body)))
--- a/internal/relay/request_trace.go
+++ b/internal/relay/request_trace.go
@@ -27,7 +27,7 @@
 // prefill notes which engine was asked to read the prompt at a rank, and what it had to do.
 func (t *requestTrace) prefill(chosen *place, now time.Duration, rank int) {
 	t.prefillEngine, t.prefillAt = chosen.backEnd.ID, now
-	t.toRead, t.ahead, t.aheadAll = chosen.ToRead, chosen.ahead.TokensUpTo(rank), chosen.ahead.PromptTokens()
+	t.toRead, t.ahead, t.aheadAll = chosen.PrefillTokens, chosen.ahead.TokensUpTo(rank), chosen.ahead.PromptTokens()
 }
 
 // passed notes that events were passed on.
--- a/internal/relay/role_change_test.go
+++ b/internal/relay/role_change_test.go
@@ -16,7 +16,7 @@
 		t.Run(name, func(t *testing.T) {
 			engine := startBackEnd(t, "engine", serving.StageDecode, refusing(503))
 			relay := newTestRelay(t, route(stream(true)), engine)
-			relay.view.Load().table.Service("service").Engine.RoleChange = time.Hour
+			relay.view.Load().table.Service("service").Engine.RoleChangeTime = time.Hour
 			before := relay.clock.now()
 			relay.relist(func(entry *serving.BackEnd) { entry.Changing = marked })
 			require.Zero(t, relay.engineOf("engine").look(0).avoidUntil)
--- a/internal/relay/sending.go
+++ b/internal/relay/sending.go
@@ -26,7 +26,7 @@
 	reading bool
 	// reads are the parts of the prompt that the back end reads, begun those of them that it
 	// did not hold when the message was sent.
-	reads, begun []placement.Part
+	reads, begun []placement.PrefixBlock
 	// sentAt is when it was sent.
 	sentAt time.Duration
 }
--- a/internal/relay/serve_engine.go
+++ b/internal/relay/serve_engine.go
@@ -54,13 +54,13 @@
 	for waits := 0; ; waits++ {
 		decision, chosen := r.placeReading(stream, waits)
 		switch decision.Action {
-		case placement.AwaitReading:
+		case placement.AwaitSharedPrefill:
 			if !r.awaitReading(stream, chosen) {
-				waits = r.policy.MostWaits // it goes where it had better not wait any more
+				waits = r.policy.MaxPrefillWaits // it goes where it had better not wait any more
 			}
-		case placement.ReadDirectly:
+		case placement.PrefillOnDecodeEngine:
 			return start{direct: chosen}
-		case placement.ReadApart:
+		case placement.PrefillSeparately:
 			return start{held: r.readTwice(stream, chosen)}
 		case placement.Refuse:
 			r.noteRefusedWork(stream, decision, chosen)
@@ -77,11 +77,11 @@
 // short of them.
 func (r *Relay) noteRefusedWork(stream *streamReply, decision placement.Decision, chosen *place) {
 	service := stream.request.service.Name
-	if decision.Short == serving.StageDecode {
+	if decision.OverloadedStage == serving.StageDecode {
 		r.work.Generate(service, r.work.Residence(service)/time.Duration(max(chosen.backEnd.Slots, 1)))
 		return
 	}
-	r.noteAskedReading(service, chosen.backEnd, chosen.Effort)
+	r.noteAskedReading(service, chosen.backEnd, chosen.EffectiveTokens)
 }
 
 // noteAskedReading counts a reading as work that prefill engines are asked for.
@@ -92,11 +92,11 @@
 // placeReading decides where the prompt is read, after so many waits for others' readings.
 func (r *Relay) placeReading(stream *streamReply, waits int) (placement.Decision, *place) {
 	wanted := stream.wanted(nil)
-	wanted.Waits = waits
-	wanted.Residence = r.work.Residence(stream.request.service.Name)
+	wanted.PrefillWaits = waits
+	wanted.SlotHoldTime = r.work.Residence(stream.request.service.Name)
 	wanted.TimeLeft = stream.request.deadline - wanted.Now
 	answer := r.decide(stream.request, stream.beginning(wanted), nil)
-	if answer.decision.Action == placement.ReadDirectly && stream.reserved != nil {
+	if answer.decision.Action == placement.PrefillOnDecodeEngine && stream.reserved != nil {
 		r.asker.cancel(answer.chosen.assigned)
 		answer.chosen, stream.reserved = stream.reserved, nil
 	}
@@ -110,7 +110,7 @@
 	for {
 		answer := r.decideOnce(request, query, near)
 		action := answer.decision.Action
-		if action != placement.ReadDirectly && action != placement.ReadApart || query.reserved && action == placement.ReadDirectly {
+		if action != placement.PrefillOnDecodeEngine && action != placement.PrefillSeparately || query.reserved && action == placement.PrefillOnDecodeEngine {
 			return answer
 		}
 		if r.permitPlace(answer.chosen, request.rank) {
@@ -131,7 +131,7 @@
 	if known == nil || request.service.Engine == nil {
 		return r.owner.decide(query, r.view.Load().byService[query.service], nil)
 	}
-	homes := known.homes(query.request.Prompt, request.id, r.settings.Zone, r.policy.LeastShared, mostHomes)
+	homes := known.homes(query.request.Prompt, request.id, r.settings.Zone, r.policy.MinSharedTokens, mostHomes)
 	if near != nil {
 		if of, index := ownership.of(near); of == known {
 			homes = append([]int{index}, slices.DeleteFunc(homes, func(home int) bool { return home == index })...)
@@ -146,7 +146,7 @@
 
 // rankHeader ranks a request at an engine.
 func (r *Relay) rankHeader(rank int) header {
-	return header{r.dialect.Headers.Priority, strconv.Itoa(min(max(rank, 0), placement.Ranks-1))}
+	return header{r.dialect.Headers.Priority, strconv.Itoa(min(max(rank, 0), placement.RankCount-1))}
 }
 
 // allLimited reports whether all engines of a stage that take work name limits.
--- a/internal/relay/serve_request.go
+++ b/internal/relay/serve_request.go
@@ -38,7 +38,7 @@
 		return
 	}
 	request.signature = quarantine.SignatureOf(request.caller(), request.method, request.target, request.body)
-	request.rank = placement.RankOf(view.table.Level(request.tenant, request.route))
+	request.rank = placement.RankOf(view.table.PriorityLevel(request.tenant, request.route))
 	names := r.dialect.Headers
 	request.deadline = request.arrivedAt +
 		min(request.route.Timeout, clientDeadline(request.header, names.DeadlineMs, request.route.Timeout))
@@ -69,7 +69,7 @@
 	if len(route.Splits) == 1 {
 		return route.Splits[0].Service
 	}
-	return route.Choose(r.splits.Next(route.Name))
+	return route.ChooseService(r.splits.Next(route.Name))
 }
 
 // refuseByConfiguration answers a request that the configuration does not allow. Only a relay whose
--- a/internal/relay/splitdraw/draws_test.go
+++ b/internal/relay/splitdraw/draws_test.go
@@ -18,7 +18,7 @@
 		draws := New(random.Float64)
 		var chosen []bool
 		for range 2000 {
-			chosen = append(chosen, split.Choose(draws.Next("route")) == "one")
+			chosen = append(chosen, split.ChooseService(draws.Next("route")) == "one")
 		}
 		const window = 40
 		for start := range len(chosen) - window {
--- a/internal/relay/started_again.go
+++ b/internal/relay/started_again.go
@@ -9,11 +9,11 @@
 // start under the same identity: it holds nothing of what was read before, and the listed one has ended. Its own
 // record comes with the list, a second later at most.
 func (r *Relay) noteBorn(backEnd *backEnd, born int64) {
-	if backEnd.Born == 0 || born <= backEnd.Born || !backEnd.startedAgain.CompareAndSwap(false, true) {
+	if backEnd.StartedAtMs == 0 || born <= backEnd.StartedAtMs || !backEnd.startedAgain.CompareAndSwap(false, true) {
 		return
 	}
 	r.event(events.BackEndStartedAgain).Str("back_end", backEnd.ID).Int64("born", born).Send()
-	backEnd.cache.clear(placement.CacheCapacity(backEnd.Stage, cacheTokens(r.view.Load(), backEnd.Service)))
+	backEnd.cache.clear(placement.PrefixCacheCapacity(backEnd.Stage, cacheTokens(r.view.Load(), backEnd.Service)))
 	backEnd.pool.Drop()
 	r.guard.Ended(backEnd.ID)
 }
--- a/internal/relay/started_again_test.go
+++ b/internal/relay/started_again_test.go
@@ -25,7 +25,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, test.answer))
-			reader.entry.Born = test.listed
+			reader.entry.StartedAtMs = test.listed
 			decoder := startBackEnd(t, "decoder", serving.StageDecode, streaming("decoder", eventOne))
 			relay := newTestRelay(t, route(stream(false)), reader, decoder)
 			var engine *backEnd
@@ -34,12 +34,12 @@
 					engine = known
 				}
 			}
-			before := []placement.Part{{Hash: placement.HashPart("m", "ff"), Tokens: 3000}}
+			before := []placement.PrefixBlock{{Hash: placement.HashBlock("m", "ff"), Tokens: 3000}}
 			engine.cache.keep(relay.clock.now(), before)
 			require.Equal(t, eventOne, relay.client(t).do("POST", "/path/", "x", longPrompt...).body)
 			require.NotEmpty(t, reader.seen())
 			require.Equal(t, test.forgotten, engine.startedAgain.Load())
-			require.Equal(t, test.forgotten, engine.cache.cached(before, relay.clock.now()).Held == 0)
+			require.Equal(t, test.forgotten, engine.cache.cached(before, relay.clock.now()).Total == 0)
 		})
 	}
 }
--- a/internal/relay/stream_reply.go
+++ b/internal/relay/stream_reply.go
@@ -22,7 +22,7 @@
 	reply   *replier
 	tried   *attempts
 	// parts are those of the prompt, in order.
-	parts []placement.Part
+	parts []placement.PrefixBlock
 	// last is the identity of the last event that the client has.
 	last string
 	// pieces are events that wait for the next write.
@@ -54,7 +54,7 @@
 	}
 	wanted.Prompt, wanted.Tokens = s.parts, s.request.prompt.PromptTokens
 	if engine := s.request.service.Engine; engine != nil && wanted.Tokens > 0 {
-		wanted.TokenMove = tokenMoveTime(engine)
+		wanted.TokenTransferTime = tokenMoveTime(engine)
 		wanted.Target, wanted.Gap, wanted.Stride = s.request.route.Target, s.request.route.TargetGap, engine.Stride
 	}
 	return wanted
@@ -84,14 +84,14 @@
 	if engine.isEngine() {
 		ended := s.relay.work.Run(began, s.request.service.Name, engine.Slots)
 		defer func() { ended(s.relay.clock.now()) }()
-		if chosen.Effort > 0 { // prefill engines could read it as well, in the time that counts
-			s.relay.noteAskedReading(s.request.service.Name, engine, chosen.Effort)
+		if chosen.EffectiveTokens > 0 { // prefill engines could read it as well, in the time that counts
+			s.relay.noteAskedReading(s.request.service.Name, engine, chosen.EffectiveTokens)
 		}
 	}
 	s.request.trace.engine, s.request.trace.sentAt = engine.ID, began
 	asked := placement.Work{Streams: 1}
 	if held == nil {
-		asked = asked.Plus(placement.Reading(chosen.Effort, s.rank().First))
+		asked = asked.Plus(placement.PrefillWork(chosen.EffectiveTokens, s.rank().First))
 		if chosen.fetchFrom != nil {
 			set = append(set, header{names.KVFetch, chosen.fetchFrom.Address})
 		}
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -190,7 +190,7 @@
 		})
 		busy := startBackEnd(t, "busy", serving.StageDecode, streaming("busy", eventOne))
 		relay = newTestRelay(t, route(stream(true)), reader, broken, busy).preferring("broken")
-		relay.engineOf("busy").begin(placement.Reading(10_000, 0))
+		relay.engineOf("busy").begin(placement.PrefillWork(10_000, 0))
 		answer := relay.client(t).do("POST", "/path/", "x", longPrompt...)
 		if readerFails {
 			require.Equal(t, 502, answer.status)
@@ -206,7 +206,7 @@
 // A long prompt whose reading failed is not read by a decoding engine with streams: the request
 // has not run, so its client is told to come back.
 func TestLongPromptIsNotReadBesideStreams(t *testing.T) {
-	for streams, status := range map[int]int{placement.DefaultParameters().FewStreams: 200, placement.DefaultParameters().FewStreams + 1: 503} {
+	for streams, status := range map[int]int{placement.DefaultParameters().MaxPausedStreams: 200, placement.DefaultParameters().MaxPausedStreams + 1: 503} {
 		reader := startBackEnd(t, "reader", serving.StagePrefill, writing(""))
 		decoder := startBackEnd(t, "decoder", serving.StageDecode, streaming("decoder", eventOne))
 		relay := newTestRelay(t, route(func(r *serving.Route) { stream(false)(r); r.MaxAttempts = 1 }), reader, decoder)
@@ -227,7 +227,7 @@
 	relay := newTestRelay(t, route(stream(true)), reader, decoder)
 	for _, backEnd := range relay.view.Load().byService["service"] {
 		if backEnd.ID == "reader" {
-			backEnd.begin(placement.Reading(100_000, 0).Plus(placement.Work{Prompts: 5}))
+			backEnd.begin(placement.PrefillWork(100_000, 0).Plus(placement.Work{Prefills: 5}))
 		}
 	}
 	answer := relay.client(t).do("POST", "/path/", "x", longPrompt...)
@@ -247,7 +247,7 @@
 		relay := newTestRelay(t, made, broken, reader, decoder)
 		for _, backEnd := range relay.view.Load().byService["service"] {
 			if backEnd.ID == "reader" {
-				backEnd.begin(placement.Reading(5000, 0))
+				backEnd.begin(placement.PrefillWork(5000, 0))
 			}
 		}
 		answer := relay.client(t).do("POST", "/path/", "x", longPrompt...)
--- a/internal/replicaplan/config.go
+++ b/internal/replicaplan/config.go
@@ -36,10 +36,10 @@
 // Scaling is what the operator allows for a service.
 type Scaling struct {
 	Service string
-	// Least and Most bound the replicas of both kinds together in each zone.
-	Least, Most int
-	// Boot is how long a new replica takes until it serves.
-	Boot time.Duration
+	// Min and Max bound the replicas of both kinds together in each zone.
+	Min, Max int
+	// BootTime is how long a new replica takes until it serves.
+	BootTime time.Duration
 	// SpotPrice is the price of a replica that may be taken away, as a part of that of one that
 	// stays; 0 where there are none.
 	SpotPrice float64
--- a/internal/replicaplan/desired.go
+++ b/internal/replicaplan/desired.go
@@ -2,14 +2,14 @@
 
 import "maps"
 
-// Listed is what the list shows of a group.
-type Listed struct {
+// ListedCounts is what the list shows of a group.
+type ListedCounts struct {
 	// Ready replicas serve, Changing ones will soon, Leaving ones are on their way out.
 	Ready, Changing, Leaving int
 }
 
 // staying counts those that are there and do not leave.
-func (l Listed) staying() int { return l.Ready + l.Changing }
+func (l ListedCounts) staying() int { return l.Ready + l.Changing }
 
 // Desired are the numbers of replicas wanted of one service.
 type Desired struct {
@@ -20,7 +20,7 @@
 }
 
 // of returns how many replicas of a group are wanted: those that are there where none were ordered.
-func (d Desired) of(group Group, listed Listed) int {
+func (d Desired) of(group Group, listed ListedCounts) int {
 	if count, named := d.Counts[group]; named {
 		return count
 	}
--- a/internal/replicaplan/orders.go
+++ b/internal/replicaplan/orders.go
@@ -32,8 +32,8 @@
 // NewOrders returns those of a leader that begins: it has ordered nothing.
 func NewOrders() *Orders { return &Orders{made: map[Group]madeOrder{}} }
 
-// Due returns the orders that are to be made now, those for more replicas first.
-func (o *Orders) Due(now, boot time.Duration, agreed Desired, listed map[Group]Listed) []Order {
+// DueOrders returns the orders that are to be made now, those for more replicas first.
+func (o *Orders) DueOrders(now, boot time.Duration, agreed Desired, listed map[Group]ListedCounts) []Order {
 	var due []Order
 	for _, group := range slices.SortedFunc(maps.Keys(agreed.Counts), Group.Compare) {
 		desired := agreed.Counts[group]
@@ -61,13 +61,13 @@
 	}
 }
 
-// Began notes that an order is made.
-func (o *Orders) Began(now time.Duration, order Order) {
+// RecordStart notes that an order is made.
+func (o *Orders) RecordStart(now time.Duration, order Order) {
 	o.made[order.Group] = madeOrder{desired: order.Desired, at: now, taken: true}
 }
 
-// Answered notes what became of it.
-func (o *Orders) Answered(now time.Duration, order Order, outcome duty.Outcome) {
+// RecordOutcome notes what became of it.
+func (o *Orders) RecordOutcome(now time.Duration, order Order, outcome duty.Outcome) {
 	made := o.made[order.Group]
 	made.taken = outcome == duty.Taken || outcome == duty.Lost // lost ones show, or not, in the list
 	if outcome == duty.Declined {
@@ -76,9 +76,9 @@
 	o.made[order.Group] = made
 }
 
-// OnTheWay reports whether spot replicas are wanted, and in each zone they are there or
+// SpotsPending reports whether spot replicas are wanted, and in each zone they are there or
 // were ordered and not declined.
-func (o *Orders) OnTheWay(agreed Desired, listed map[Group]Listed) bool {
+func (o *Orders) SpotsPending(agreed Desired, listed map[Group]ListedCounts) bool {
 	wanted := 0
 	for group, count := range agreed.Counts {
 		if !group.Spot {
--- a/internal/replicaplan/plan.go
+++ b/internal/replicaplan/plan.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Seen is what a plan goes by.
-type Seen struct {
-	Listed map[Group]Listed
+// Input is what a plan goes by.
+type Input struct {
+	Listed map[Group]ListedCounts
 	Agreed Desired
 	// Work is how many replicas the requests keep busy; it counts once it is above 0.
 	Work float64
@@ -37,15 +37,15 @@
 // SetScaling takes what the operator allows now.
 func (p *Plan) SetScaling(scaling Scaling) { p.scaling = scaling }
 
-// Boot is how long a new replica takes until it serves.
-func (p *Plan) Boot() time.Duration { return p.scaling.Boot }
+// BootTime is how long a new replica takes until it serves.
+func (p *Plan) BootTime() time.Duration { return p.scaling.BootTime }
 
 // Work is how many replicas the requests of late kept busy.
 func (p *Plan) Work() float64 { return p.work }
 
 // Next returns the numbers desired, which are the agreed ones most of the time. Groups that need no
 // change are not named.
-func (p *Plan) Next(now time.Duration, seen Seen) Desired {
+func (p *Plan) Next(now time.Duration, seen Input) Desired {
 	p.observe(now, seen)
 	if len(seen.Agreed.Counts) == 0 && (!p.hasSpots() || p.scaling.OnDemandShare >= 1) {
 		return seen.Agreed // nothing is to be replaced, and what is there is the operator's choice
@@ -69,9 +69,9 @@
 // listSettled reports whether the list has shown the same for a while.
 func (p *Plan) listSettled(now time.Duration) bool { return now-p.changedAt >= listSettles }
 
-// OnDemandLast is how many replicas on demand are wanted beside spot replicas, once all of
+// FinalOnDemand is how many replicas on demand are wanted beside spot replicas, once all of
 // those are there.
-func (p *Plan) OnDemandLast(base int) int {
+func (p *Plan) FinalOnDemand(base int) int {
 	zones := len(p.zones())
 	if zones == 0 || !p.hasSpots() {
 		return base
@@ -82,7 +82,7 @@
 }
 
 // observe remembers what was listed last, and smooths the work.
-func (p *Plan) observe(now time.Duration, seen Seen) {
+func (p *Plan) observe(now time.Duration, seen Input) {
 	listed := map[Group]int{}
 	for group, counted := range seen.Listed {
 		listed[group] = counted.staying()
@@ -100,7 +100,7 @@
 }
 
 // wanted is how many replicas are wanted now, before any lowering is put off.
-func (p *Plan) wanted(seen Seen) Desired {
+func (p *Plan) wanted(seen Input) Desired {
 	desired := Desired{Base: max(seen.Agreed.Base, p.onDemandListed(seen)), Counts: map[Group]int{}}
 	total := p.total(desired.Base)
 	spots := p.spots(total-p.floor(desired.Base), seen)
@@ -126,7 +126,7 @@
 
 // usable is how many replicas of a group count as able to work. Those that change their part are away
 // for seconds, which matters only once there is work.
-func (p *Plan) usable(listed Listed) int {
+func (p *Plan) usable(listed ListedCounts) int {
 	if p.work <= 0 {
 		return listed.staying()
 	}
@@ -134,7 +134,7 @@
 }
 
 // onDemandAgreed is how many replicas on demand are agreed on, or there where none were ordered.
-func (p *Plan) onDemandAgreed(seen Seen) int {
+func (p *Plan) onDemandAgreed(seen Input) int {
 	sum := 0
 	for _, zone := range p.zones() {
 		group := p.group(zone, false)
@@ -144,7 +144,7 @@
 }
 
 // onDemandListed is how many replicas on demand are listed. More than were agreed on are the operator's.
-func (p *Plan) onDemandListed(seen Seen) int {
+func (p *Plan) onDemandListed(seen Input) int {
 	sum := 0
 	for _, zone := range p.zones() {
 		sum += seen.Listed[p.group(zone, false)].staying()
@@ -183,7 +183,7 @@
 func (p *Plan) hasSpots() bool { return p.scaling.SpotPrice > 0 && p.scaling.SpotPrice < 1 }
 
 // spots spreads spot replicas evenly over the zones, as far as there is room beside those on demand.
-func (p *Plan) spots(total int, seen Seen) map[string]int {
+func (p *Plan) spots(total int, seen Input) map[string]int {
 	counts := map[string]int{}
 	zones := p.zones()
 	for index, zone := range zones {
@@ -196,7 +196,7 @@
 			share++
 		}
 		onDemand := p.group(zone, false)
-		room := p.scaling.Most - max(seen.Agreed.of(onDemand, seen.Listed[onDemand]), seen.Listed[onDemand].staying())
+		room := p.scaling.Max - max(seen.Agreed.of(onDemand, seen.Listed[onDemand]), seen.Listed[onDemand].staying())
 		counts[zone] = max(min(share, room), min(share, seen.Agreed.Counts[p.group(zone, true)]))
 	}
 	return counts
@@ -205,13 +205,13 @@
 // spread spreads replicas on demand over the zones. Those that are agreed on stay where they are, evenly
 // where they are too many; further ones go where they are cheapest, no more than half of
 // all into one zone while others have room. Zones without any keep the least that the operator allows.
-func (p *Plan) spread(count int, spots map[string]int, seen Seen) map[string]int {
+func (p *Plan) spread(count int, spots map[string]int, seen Input) map[string]int {
 	zones := p.zones()
 	slices.SortStableFunc(zones, func(a, b string) int { return cmp.Compare(p.scaling.ZonePrices[a], p.scaling.ZonePrices[b]) })
 	counts := map[string]int{}
 	left := count
 	even := (count + len(zones) - 1) / max(len(zones), 1)
-	for _, limit := range []int{even, p.scaling.Most} {
+	for _, limit := range []int{even, p.scaling.Max} {
 		for _, zone := range zones {
 			group := p.group(zone, false)
 			kept := max(min(seen.Agreed.of(group, seen.Listed[group]), limit, counts[zone]+left), counts[zone])
@@ -219,16 +219,16 @@
 			counts[zone] = kept
 		}
 	}
-	for _, limit := range []int{(count + 1) / 2, p.scaling.Most} {
+	for _, limit := range []int{(count + 1) / 2, p.scaling.Max} {
 		for _, zone := range zones {
-			added := max(min(left, limit-counts[zone], p.scaling.Most-spots[zone]-counts[zone]), 0)
+			added := max(min(left, limit-counts[zone], p.scaling.Max-spots[zone]-counts[zone]), 0)
 			counts[zone] += added
 			left -= added
 		}
 	}
 	for _, zone := range zones {
 		if spots[zone] == 0 {
-			counts[zone] = max(counts[zone], p.scaling.Least)
+			counts[zone] = max(counts[zone], p.scaling.Min)
 		}
 	}
 	return counts
--- a/internal/replicaplan/plan_test.go
+++ b/internal/replicaplan/plan_test.go
@@ -13,7 +13,7 @@
 // testScaling allows 94 replicas in each of three zones.
 func testScaling() Scaling {
 	return Scaling{
-		Service: "s", Least: 1, Most: 94, Boot: 4 * time.Second, SpotPrice: 0.18,
+		Service: "s", Min: 1, Max: 94, BootTime: 4 * time.Second, SpotPrice: 0.18,
 		ZonePrices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1.0},
 	}
 }
@@ -58,11 +58,11 @@
 }
 
 // list is what the platform shows.
-func (p *platform) list() map[Group]Listed {
-	listed := map[Group]Listed{}
+func (p *platform) list() map[Group]ListedCounts {
+	listed := map[Group]ListedCounts{}
 	for group, count := range p.ready {
 		if count > 0 {
-			listed[group] = Listed{Ready: count}
+			listed[group] = ListedCounts{Ready: count}
 		}
 	}
 	return listed
@@ -88,13 +88,13 @@
 	other := order.Group
 	other.Spot = !other.Spot
 	group := order.Group
-	count := min(order.Desired, p.scaling.Most-p.ready[other]-len(p.booting[other]))
+	count := min(order.Desired, p.scaling.Max-p.ready[other]-len(p.booting[other]))
 	if count != p.desired[group] {
 		p.changes[group]++
 	}
 	p.desired[group] = count
 	for p.ready[group]+len(p.booting[group]) < count {
-		p.booting[group] = append(p.booting[group], p.now+p.scaling.Boot)
+		p.booting[group] = append(p.booting[group], p.now+p.scaling.BootTime)
 	}
 	if surplus := p.ready[group] + len(p.booting[group]) - count; surplus > 0 {
 		cut := min(surplus, len(p.booting[group]))
@@ -157,10 +157,10 @@
 // step plans and orders once.
 func (l *leader) step(platform *platform) {
 	listed := platform.list()
-	*l.agreed = l.plan.Next(platform.now, Seen{Listed: listed, Agreed: *l.agreed, Work: l.work})
-	for _, order := range l.orders.Due(platform.now, l.plan.Boot(), *l.agreed, listed) {
-		l.orders.Began(platform.now, order)
-		l.orders.Answered(platform.now, order, platform.order(order))
+	*l.agreed = l.plan.Next(platform.now, Input{Listed: listed, Agreed: *l.agreed, Work: l.work})
+	for _, order := range l.orders.DueOrders(platform.now, l.plan.BootTime(), *l.agreed, listed) {
+		l.orders.RecordStart(platform.now, order)
+		l.orders.RecordOutcome(platform.now, order, platform.order(order))
 	}
 }
 
@@ -228,7 +228,7 @@
 // A list that fills by and by never makes a leader give up what it does not show yet.
 func TestAListThatFillsIsNotTakenForAll(t *testing.T) {
 	scaling := testScaling()
-	scaling.Boot = 100 * time.Millisecond // others serve before the list has filled
+	scaling.BootTime = 100 * time.Millisecond // others serve before the list has filled
 	platform := newPlatform(scaling, 1)
 	leader := newLeader(scaling, &Desired{})
 	for count := 1; count <= 40; count++ {
@@ -317,8 +317,8 @@
 			for _, zone := range testZones {
 				group := Group{Service: "s", Zone: zone}
 				cheap := Group{Service: "s", Zone: zone, Spot: true}
-				require.GreaterOrEqual(t, platform.ready[group]+platform.ready[cheap], scaling.Least, "%s, seed %d", name, seed)
-				require.LessOrEqual(t, platform.ready[group]+platform.ready[cheap], scaling.Most, "%s, seed %d", name, seed)
+				require.GreaterOrEqual(t, platform.ready[group]+platform.ready[cheap], scaling.Min, "%s, seed %d", name, seed)
+				require.LessOrEqual(t, platform.ready[group]+platform.ready[cheap], scaling.Max, "%s, seed %d", name, seed)
 			}
 			again := 0
 			for _, count := range platform.changes {
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -15,7 +15,7 @@
 	ExpectedFirstToken time.Duration
 	// CachedTokens is the part of the prompt expected in the prefix cache.
 	CachedTokens int
-	// Home tells that the cache is expected only because the back end that reads the
+	// CachedAtHome tells that the cache is expected only because the back end that reads the
 	// prompt is the home of its prefix; pass it on with Sent.
-	Home bool
+	CachedAtHome bool
 }
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -38,19 +38,19 @@
 	SubsetSize int
 	// SampleSize is the number of candidates the picker compares; default 3.
 	SampleSize int
-	// PrefixMemory bounds the number of prefix blocks remembered; default 16384.
-	PrefixMemory int
+	// PrefixIndexSize bounds the number of prefix blocks remembered; default 16384.
+	PrefixIndexSize int
 	// Cooldown is how long a back end is avoided after a failure; it doubles with
 	// each further failure up to MaximumCooldown. Defaults 500 ms and 8 s.
 	Cooldown        time.Duration
 	MaximumCooldown time.Duration
-	// HandOver is the fixed cost of handing a KV cache from engine to engine; default 10 ms.
-	HandOver time.Duration
+	// KVTransferCost is the fixed cost of handing a KV cache from engine to engine; default 10 ms.
+	KVTransferCost time.Duration
 	// TokenTimes is the engines' speed before anything has been measured.
 	TokenTimes TokenTimes
-	// Restarted is told of a former incarnation of a back end once a later one is known; nil for nobody. It must not call
+	// OnRestart is told of a former incarnation of a back end once a later one is known; nil for nobody. It must not call
 	// the Router.
-	Restarted func(former BackEnd)
+	OnRestart func(former BackEnd)
 	// Filters, Scorers and Picker replace the standard pipeline when set.
 	Filters []Filter
 	Scorers []Scorer
@@ -61,16 +61,16 @@
 	if c.Zone == "" {
 		return trace.BadParameter("routing: Config.Zone is empty; set the zone of the gateway")
 	}
-	if c.SubsetSize < 0 || c.SampleSize < 0 || c.PrefixMemory < 0 {
+	if c.SubsetSize < 0 || c.SampleSize < 0 || c.PrefixIndexSize < 0 {
 		return trace.BadParameter("routing: SubsetSize, SampleSize and PrefixMemory must not be negative")
 	}
 	setDefault(&c.OtherZoneLatency, defaultOtherZoneLatency)
 	setDefault(&c.SubsetSize, defaultSubsetSize)
 	setDefault(&c.SampleSize, defaultSampleSize)
-	setDefault(&c.PrefixMemory, defaultPrefixMemory)
+	setDefault(&c.PrefixIndexSize, defaultPrefixMemory)
 	setDefault(&c.Cooldown, defaultCooldown)
 	setDefault(&c.MaximumCooldown, defaultMaximumCooldown)
-	setDefault(&c.HandOver, defaultHandOver)
+	setDefault(&c.KVTransferCost, defaultHandOver)
 	c.TokenTimes.setDefaults()
 	return nil
 }
--- a/internal/routing/errors.go
+++ b/internal/routing/errors.go
@@ -14,8 +14,8 @@
 	ErrNoneConfirmed = errors.New("no back end is confirmed to be serving")
 	// ErrAllExcluded: every serving back end has failed this request or is cooling down.
 	ErrAllExcluded = errors.New("every serving back end has failed lately")
-	// ErrAllResting: every back end that serves has asked to be left alone for now.
-	ErrAllResting = errors.New("every serving back end has asked to be left alone for now")
+	// ErrAllInBackoff: every back end that serves has asked to be left alone for now.
+	ErrAllInBackoff = errors.New("every serving back end has asked to be left alone for now")
 	// ErrAllLimited: no back end that serves has room by the limit that it names for all gateways together.
 	ErrAllLimited = errors.New("the limits of the serving back ends leave no room for now")
 	// ErrInfeasible: no back end can finish before the deadline.
--- a/internal/routing/filter_rest.go
+++ b/internal/routing/filter_rest.go
@@ -4,7 +4,7 @@
 // failures this is no guess, so that nothing is sent to them even where no other back end is left.
 type restFilter struct{}
 
-func (restFilter) Reason() error { return ErrAllResting }
+func (restFilter) Reason() error { return ErrAllInBackoff }
 
 func (restFilter) Keep(decision *Decision, candidate *Candidate) bool {
 	return candidate.signals.Rest(decision.Now) == 0
--- a/internal/routing/limits.go
+++ b/internal/routing/limits.go
@@ -17,9 +17,9 @@
 	}
 }
 
-// HeardLimits returns the limits that back ends have named to this gateway, or ceased to name, and that the leader has
+// UnreportedLimits returns the limits that back ends have named to this gateway, or ceased to name, and that the leader has
 // not been told.
-func (r *Router) HeardLimits() []fleetlimit.Named {
+func (r *Router) UnreportedLimits() []fleetlimit.Named {
 	heard := make([]fleetlimit.Named, 0, len(r.limits))
 	for backEnd, limit := range r.limits {
 		heard = append(heard, fleetlimit.Named{BackEnd: backEnd, Limit: limit})
@@ -27,8 +27,8 @@
 	return heard
 }
 
-// LimitsTold notes that the leader has been told what back ends had named.
-func (r *Router) LimitsTold(told []fleetlimit.Named) {
+// MarkLimitsReported notes that the leader has been told what back ends had named.
+func (r *Router) MarkLimitsReported(told []fleetlimit.Named) {
 	for _, named := range told {
 		if r.limits[named.BackEnd] == named.Limit {
 			delete(r.limits, named.BackEnd)
@@ -36,8 +36,8 @@
 	}
 }
 
-// TakeLimits takes limits as the leader knows them.
-func (r *Router) TakeLimits(now time.Duration, told []fleetlimit.Named) {
+// ApplyLimits takes limits as the leader knows them.
+func (r *Router) ApplyLimits(now time.Duration, told []fleetlimit.Named) {
 	if len(told) == 0 {
 		return
 	}
@@ -54,9 +54,9 @@
 	}
 }
 
-// PermitAsk returns what to ask the leader before a request goes to a back end; it reports false where that needs no
+// PermitRequest returns what to ask the leader before a request goes to a back end; it reports false where that needs no
 // permit. A wait for permits is not looked at: picks have done so.
-func (r *Router) PermitAsk(backEnd BackEnd) (ask fleetlimit.Ask, needed bool) {
+func (r *Router) PermitRequest(backEnd BackEnd) (ask fleetlimit.Ask, needed bool) {
 	candidate, known := r.candidates[backEnd.Name]
 	if !known || candidate.Incarnation != backEnd.Incarnation {
 		return fleetlimit.Ask{}, false
@@ -65,8 +65,8 @@
 	return fleetlimit.Ask{BackEnd: limitHash(backEnd), Limit: limit, Heard: own}, limit.Named
 }
 
-// PermitAnswered takes the answer to a PermitAsk; answered is false where no leader gave one.
-func (r *Router) PermitAnswered(now time.Duration, backEnd BackEnd, answer fleetlimit.Answer, answered bool) {
+// ApplyPermitAnswer takes the answer to a PermitAsk; answered is false where no leader gave one.
+func (r *Router) ApplyPermitAnswer(now time.Duration, backEnd BackEnd, answer fleetlimit.Answer, answered bool) {
 	candidate, known := r.candidates[backEnd.Name]
 	if !known || candidate.Incarnation != backEnd.Incarnation {
 		return
--- a/internal/routing/load_estimate_test.go
+++ b/internal/routing/load_estimate_test.go
@@ -15,17 +15,17 @@
 	m1 := router.candidates["m1"]
 	load := func() loadEstimate { return m1.othersLoad().plus(m1.ownLoad()) }
 	for i := range 3 {
-		router.Observe(time.Second, Sent{BackEnd: "m1", Exchange: fmt.Sprint(i), PromptTokens: 100})
+		router.Observe(time.Second, Dispatch{BackEnd: "m1", Exchange: fmt.Sprint(i), PromptTokens: 100})
 	}
 	require.Equal(t, loadEstimate{requests: 7, unreadTokens: 300}, load())
 
-	router.Observe(2*time.Second, Answered{BackEnd: "m1", Load: &Load{Running: 7}, Age: 500 * time.Millisecond})
+	router.Observe(2*time.Second, AnswerHeaders{BackEnd: "m1", Load: &Load{Running: 7}, Age: 500 * time.Millisecond})
 	require.Equal(t, loadEstimate{requests: 7}, load(), "the report covers what was sent before it was measured")
 
-	router.Observe(3*time.Second, Finished{BackEnd: "m1", Exchange: "1"})
+	router.Observe(3*time.Second, Completion{BackEnd: "m1", Exchange: "1"})
 	require.Equal(t, loadEstimate{requests: 6}, load(), "the report still counts the finished one")
 
-	router.Observe(4*time.Second, Answered{BackEnd: "m1", Load: &Load{Running: 6}})
+	router.Observe(4*time.Second, AnswerHeaders{BackEnd: "m1", Load: &Load{Running: 6}})
 	require.Equal(t, loadEstimate{requests: 6}, load())
 }
 
@@ -36,15 +36,15 @@
 	m1 := router.candidates["m1"]
 	load := func() loadEstimate { return m1.othersLoad().plus(m1.ownLoad()) }
 	send := func(exchange string) {
-		router.Observe(0, Sent{BackEnd: "m1", Exchange: exchange, PromptTokens: 1000})
+		router.Observe(0, Dispatch{BackEnd: "m1", Exchange: exchange, PromptTokens: 1000})
 	}
 	send("a")
 	router.Observe(time.Second, FirstToken{BackEnd: "m1", Exchange: "a"})
-	router.Observe(4*time.Second, Finished{BackEnd: "m1", Exchange: "a"})
+	router.Observe(4*time.Second, Completion{BackEnd: "m1", Exchange: "a"})
 	require.Equal(t, loadEstimate{requests: 4, unreadTokens: 4 * 250}, load(), "a quarter of its time a request is unread")
 
 	send("b")
-	router.Observe(5*time.Second, Answered{BackEnd: "m1", Load: &Load{Running: 5}})
+	router.Observe(5*time.Second, AnswerHeaders{BackEnd: "m1", Load: &Load{Running: 5}})
 	require.Equal(t, loadEstimate{requests: 5, unreadTokens: 4*250 + 1000}, load())
 	router.Observe(6*time.Second, FirstToken{BackEnd: "m1", Exchange: "b"})
 	require.Equal(t, loadEstimate{requests: 5, unreadTokens: 4 * 250}, load(), "the own prompt is read")
@@ -69,8 +69,8 @@
 func TestHomeShareIsLearned(t *testing.T) {
 	router := newTestRouter(t, engine("m1", enginecontract.RoleMixed))
 	run := func(home bool, cached int) {
-		router.Observe(0, Sent{BackEnd: "m1", Exchange: "x", PromptTokens: 1000, Home: home})
-		router.Observe(0, Finished{BackEnd: "m1", Exchange: "x", PromptTokens: 1000, CachedTokens: cached})
+		router.Observe(0, Dispatch{BackEnd: "m1", Exchange: "x", PromptTokens: 1000, CachedAtHome: home})
+		router.Observe(0, Completion{BackEnd: "m1", Exchange: "x", PromptTokens: 1000, CachedTokens: cached})
 	}
 	for range 300 {
 		run(false, 1000)
--- a/internal/routing/observation.go
+++ b/internal/routing/observation.go
@@ -10,18 +10,18 @@
 // Observation is one thing that the gateway saw happen at a back end.
 type Observation interface{ isObservation() }
 
-// Sent tells that a request was sent, before its first byte left. Every Sent is
+// Dispatch tells that a request was sent, before its first byte left. Every Dispatch is
 // followed by exactly one Finished or Failed with the same BackEnd and Exchange.
-type Sent struct {
+type Dispatch struct {
 	BackEnd      string
 	Exchange     string
 	PromptTokens int // expected to be read, less those expected in the cache
 	PrefixBlocks []uint64
-	Home         bool // of the Choice; routing learns from it what a home is worth
+	CachedAtHome bool // of the Choice; routing learns from it what a home is worth
 }
 
-// Answered tells what an answer's headers said about the back end.
-type Answered struct {
+// AnswerHeaders tells what an answer's headers said about the back end.
+type AnswerHeaders struct {
 	BackEnd     string
 	Incarnation uint64 // 0 when the answer did not tell
 	// Exchange is the request that was answered. The state may be as old as its
@@ -34,8 +34,8 @@
 	// Load is nil when the answer did not tell. It was measured Age ago.
 	Load *Load
 	Age  time.Duration
-	// Rest is how long the back end wants nothing from this gateway, from now on; 0 when it did not ask.
-	Rest time.Duration
+	// Backoff is how long the back end wants nothing from this gateway, from now on; 0 when it did not ask.
+	Backoff time.Duration
 	// Limit is what the back end takes of all gateways together, the zero value for no limit; nil when the answer said
 	// nothing of that.
 	Limit *backpressure.Limit
@@ -48,8 +48,8 @@
 	Exchange string
 }
 
-// Finished tells that an exchange has ended without a fault of the back end.
-type Finished struct {
+// Completion tells that an exchange has ended without a fault of the back end.
+type Completion struct {
 	BackEnd  string
 	Exchange string
 	// PromptTokens and CachedTokens are what the answer's usage said; PromptTokens
@@ -58,15 +58,15 @@
 	CachedTokens int
 }
 
-// Failed tells that an exchange has ended by a fault of the back end or of the
+// Failure tells that an exchange has ended by a fault of the back end or of the
 // way there; the back end is avoided for a while.
-type Failed struct {
+type Failure struct {
 	BackEnd  string
 	Exchange string
 }
 
-func (Sent) isObservation()       {}
-func (Answered) isObservation()   {}
-func (FirstToken) isObservation() {}
-func (Finished) isObservation()   {}
-func (Failed) isObservation()     {}
+func (Dispatch) isObservation()      {}
+func (AnswerHeaders) isObservation() {}
+func (FirstToken) isObservation()    {}
+func (Completion) isObservation()    {}
+func (Failure) isObservation()       {}
--- a/internal/routing/observe.go
+++ b/internal/routing/observe.go
@@ -10,31 +10,31 @@
 // the directory are ignored.
 func (r *Router) Observe(now time.Duration, observation Observation) {
 	switch seen := observation.(type) {
-	case Sent:
+	case Dispatch:
 		r.observeSent(now, seen)
-	case Answered:
+	case AnswerHeaders:
 		r.observeAnswered(now, seen)
 	case FirstToken:
 		if candidate, known := r.candidates[seen.BackEnd]; known {
 			candidate.work.firstToken(now, seen.Exchange)
 		}
-	case Finished:
+	case Completion:
 		r.observeFinished(now, seen)
-	case Failed:
+	case Failure:
 		r.observeFailed(now, seen)
 	}
 }
 
-func (r *Router) observeSent(now time.Duration, seen Sent) {
+func (r *Router) observeSent(now time.Duration, seen Dispatch) {
 	candidate, known := r.candidates[seen.BackEnd]
 	if !known {
 		return
 	}
-	candidate.work.add(sentWork{exchange: seen.Exchange, at: now, promptTokens: seen.PromptTokens, asHome: seen.Home})
+	candidate.work.add(sentWork{exchange: seen.Exchange, at: now, promptTokens: seen.PromptTokens, asHome: seen.CachedAtHome})
 	r.prefixes.remember(seen.PrefixBlocks, candidate.node)
 }
 
-func (r *Router) observeAnswered(now time.Duration, seen Answered) {
+func (r *Router) observeAnswered(now time.Duration, seen AnswerHeaders) {
 	candidate, known := r.candidates[seen.BackEnd]
 	if !known || (seen.Incarnation != 0 && seen.Incarnation < candidate.Incarnation) {
 		return
@@ -47,7 +47,7 @@
 	if seen.Incarnation > candidate.Incarnation {
 		r.restart(candidate, seen.Incarnation)
 	}
-	candidate.signals.AskRest(now, seen.Rest)
+	candidate.signals.AskRest(now, seen.Backoff)
 	if seen.Limit != nil {
 		r.observeLimit(now, sentAt, candidate, *seen.Limit)
 	}
@@ -76,7 +76,7 @@
 	r.sortPools()
 }
 
-func (r *Router) observeFinished(now time.Duration, seen Finished) {
+func (r *Router) observeFinished(now time.Duration, seen Completion) {
 	candidate, known := r.candidates[seen.BackEnd]
 	if !known {
 		return
@@ -90,7 +90,7 @@
 	candidate.failures = 0
 }
 
-func (r *Router) observeFailed(now time.Duration, seen Failed) {
+func (r *Router) observeFailed(now time.Duration, seen Failure) {
 	candidate, known := r.candidates[seen.BackEnd]
 	if !known {
 		return
--- a/internal/routing/own_answers_test.go
+++ b/internal/routing/own_answers_test.go
@@ -11,8 +11,8 @@
 
 const second = time.Second
 
-func answered(state enginecontract.ServiceState) Answered {
-	return Answered{BackEnd: "m1", Incarnation: 1, State: state}
+func answered(state enginecontract.ServiceState) AnswerHeaders {
+	return AnswerHeaders{BackEnd: "m1", Incarnation: 1, State: state}
 }
 
 func confirmed(at time.Duration) BackEnd {
@@ -31,7 +31,7 @@
 		do: func(r *Router) { r.Observe(3*second, answered(enginecontract.StateServing)) }},
 	{name: "a late answer confirms as of the sending", now: 6 * second, err: ErrNoneConfirmed,
 		do: func(r *Router) {
-			r.Observe(second, Sent{BackEnd: "m1", Exchange: "late"})
+			r.Observe(second, Dispatch{BackEnd: "m1", Exchange: "late"})
 			late := answered(enginecontract.StateServing)
 			late.Exchange = "late"
 			r.Observe(5*second, late)
@@ -63,7 +63,7 @@
 		}},
 	{name: "answer of an older incarnation counts for nothing", now: 5 * second, err: ErrNoneConfirmed,
 		do: func(r *Router) {
-			r.Observe(second, Answered{BackEnd: "m1", Incarnation: 3, State: enginecontract.StateLeaving})
+			r.Observe(second, AnswerHeaders{BackEnd: "m1", Incarnation: 3, State: enginecontract.StateLeaving})
 			r.Observe(2*second, answered(enginecontract.StateServing))
 		}},
 	{name: "leaving counts without an incarnation", now: 3 * second, err: ErrNoneConfirmed,
@@ -102,10 +102,10 @@
 		}},
 	{name: "role seen in an answer counts at once", now: 2 * second, err: ErrNoBackEnd,
 		do: func(r *Router) {
-			r.Observe(second, Answered{BackEnd: "m1", Incarnation: 1, Role: enginecontract.RolePrefill})
+			r.Observe(second, AnswerHeaders{BackEnd: "m1", Incarnation: 1, Role: enginecontract.RolePrefill})
 		}},
 	{name: "unknown back end is ignored", now: 0,
-		do: func(r *Router) { r.Observe(0, Failed{BackEnd: "gone", Exchange: "x"}) }},
+		do: func(r *Router) { r.Observe(0, Failure{BackEnd: "gone", Exchange: "x"}) }},
 }
 
 func TestOwnAnswersOverrideTheDirectory(t *testing.T) {
