--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -34,7 +34,7 @@
 	decision.prefix = r.prefixes.view(&request)
 
 	choice, err := r.choose(decision)
-	if errors.Is(err, ErrAllResting) || errors.Is(err, ErrAllLimited) {
+	if errors.Is(err, ErrAllInBackoff) || errors.Is(err, ErrAllLimited) {
 		return Choice{}, &PickError{Reason: err, Service: request.Service, RetryAfter: r.shortestWait(now, request.Service)}
 	}
 	if err != nil {
@@ -85,12 +85,12 @@
 }
 
 func (r *Router) pickPair(decision *Decision) (prefill, output part, err error) {
-	decision.Stage = StagePrompt
+	decision.Stage = StagePrefill
 	prefill, err = r.pickRole(decision, enginecontract.RolePrefill)
 	if err != nil {
 		return part{}, part{}, err
 	}
-	decision.Stage = StageOutput
+	decision.Stage = StageDecode
 	decision.PrefillZone = prefill.candidate.Zone
 	output, err = r.pickRole(decision, enginecontract.RoleDecode)
 	return prefill, output, err
@@ -153,7 +153,7 @@
 		for _, scorer := range r.config.Scorers {
 			cost += scorer.Cost(decision, candidate)
 		}
-		r.scored = append(r.scored, Scored{Candidate: candidate, Cost: cost})
+		r.scored = append(r.scored, ScoredCandidate{Candidate: candidate, Cost: cost})
 	}
 }
 
@@ -164,7 +164,7 @@
 		Expected:           max(whole.cost, 0),
 		ExpectedFirstToken: max(whole.cost-output, 0),
 		CachedTokens:       int(whole.cached),
-		Home:               whole.asHome,
+		CachedAtHome:       whole.asHome,
 	}
 }
 
@@ -176,7 +176,7 @@
 		Expected:           max(prefill.cost+output.cost, 0),
 		ExpectedFirstToken: max(prefill.cost+output.cost-r.outputTime(decision.Request, output.candidate), 0),
 		CachedTokens:       int(prefill.cached),
-		Home:               prefill.asHome,
+		CachedAtHome:       prefill.asHome,
 	}
 }
 
@@ -188,7 +188,7 @@
 // moreTelling returns the error of the later filter: it tells more about what
 // would help.
 func moreTelling(a, b error) error {
-	for _, reason := range []error{ErrAllExcluded, ErrAllLimited, ErrAllResting, ErrNoneConfirmed} {
+	for _, reason := range []error{ErrAllExcluded, ErrAllLimited, ErrAllInBackoff, ErrNoneConfirmed} {
 		if errors.Is(a, reason) || errors.Is(b, reason) {
 			return reason
 		}
--- a/internal/routing/pick_bench_test.go
+++ b/internal/routing/pick_bench_test.go
@@ -43,8 +43,8 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					router.Observe(time.Second, Sent{BackEnd: choice.BackEnd.Name, Exchange: "x", PromptTokens: 2000, PrefixBlocks: asked.PrefixBlocks})
-					router.Observe(time.Second, Finished{BackEnd: choice.BackEnd.Name, Exchange: "x"})
+					router.Observe(time.Second, Dispatch{BackEnd: choice.BackEnd.Name, Exchange: "x", PromptTokens: 2000, PrefixBlocks: asked.PrefixBlocks})
+					router.Observe(time.Second, Completion{BackEnd: choice.BackEnd.Name, Exchange: "x"})
 				}
 			})
 		}
--- a/internal/routing/pick_test.go
+++ b/internal/routing/pick_test.go
@@ -99,7 +99,7 @@
 
 func TestFailedBackEndIsAvoidedWhileAnotherServes(t *testing.T) {
 	router := newTestRouter(t, engine("m1", enginecontract.RoleMixed), engine("m2", enginecontract.RoleMixed))
-	router.Observe(0, Failed{BackEnd: "m1", Exchange: "x"})
+	router.Observe(0, Failure{BackEnd: "m1", Exchange: "x"})
 	for range 50 {
 		choice, err := router.Pick(0, request(), nil)
 		require.NoError(t, err)
--- a/internal/routing/picker_best.go
+++ b/internal/routing/picker_best.go
@@ -1,10 +1,10 @@
 package routing
 
-// Best picks the candidate of least cost; of equal ones the first.
-type Best struct{}
+// LowestCost picks the candidate of least cost; of equal ones the first.
+type LowestCost struct{}
 
 // Pick implements Picker.
-func (Best) Pick(_ *Decision, scored []Scored) int {
+func (LowestCost) Pick(_ *Decision, scored []ScoredCandidate) int {
 	best := 0
 	for i := range scored {
 		if scored[i].Cost < scored[best].Cost {
--- a/internal/routing/picker_sample.go
+++ b/internal/routing/picker_sample.go
@@ -22,8 +22,8 @@
 }
 
 // Pick implements Picker.
-func (w *WeightedSample) Pick(_ *Decision, scored []Scored) int {
-	least := scored[Best{}.Pick(nil, scored)].Cost
+func (w *WeightedSample) Pick(_ *Decision, scored []ScoredCandidate) int {
+	least := scored[LowestCost{}.Pick(nil, scored)].Cost
 	total := 0.0
 	for i := range scored {
 		total += weight(scored[i].Cost - least)
@@ -39,7 +39,7 @@
 }
 
 // draw returns the index at which the running sum of weights passes target.
-func draw(scored []Scored, least time.Duration, target float64) int {
+func draw(scored []ScoredCandidate, least time.Duration, target float64) int {
 	for i := range scored {
 		target -= weight(scored[i].Cost - least)
 		if target < 0 {
--- a/internal/routing/pipeline.go
+++ b/internal/routing/pipeline.go
@@ -36,11 +36,11 @@
 // Picker chooses one of the scored candidates, of which there is at least one.
 type Picker interface {
 	// Pick returns an index into scored.
-	Pick(decision *Decision, scored []Scored) int
+	Pick(decision *Decision, scored []ScoredCandidate) int
 }
 
-// Scored is a candidate with the sum of its costs.
-type Scored struct {
+// ScoredCandidate is a candidate with the sum of its costs.
+type ScoredCandidate struct {
 	Candidate *Candidate
 	Cost      time.Duration
 }
--- a/internal/routing/prefix_memory_test.go
+++ b/internal/routing/prefix_memory_test.go
@@ -115,9 +115,9 @@
 				engine("m1", enginecontract.RoleMixed, withLoad(Load{WaitingPromptTokens: row.waiting})))
 			asked := request()
 			asked.PromptTokens, asked.PrefixBlocks = 20_000, chain(60, 1, 1)
-			router.Observe(0, Sent{BackEnd: "m1", Exchange: "x", PrefixBlocks: asked.PrefixBlocks})
-			router.Observe(0, Finished{BackEnd: "m1", Exchange: "x"})
-			router.config.Picker = Best{}
+			router.Observe(0, Dispatch{BackEnd: "m1", Exchange: "x", PrefixBlocks: asked.PrefixBlocks})
+			router.Observe(0, Completion{BackEnd: "m1", Exchange: "x"})
+			router.config.Picker = LowestCost{}
 			choice, err := router.Pick(0, asked, nil)
 			require.NoError(t, err)
 			require.Equal(t, row.want, choice.BackEnd.Name)
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -29,8 +29,8 @@
 const (
 	// StageWhole runs the whole request: a mixed engine or a page service.
 	StageWhole Stage = iota
-	// StagePrompt reads the prompt and exports the KV cache: a prefill engine.
-	StagePrompt
-	// StageOutput imports the KV cache and writes the output: a decode engine.
-	StageOutput
+	// StagePrefill reads the prompt and exports the KV cache: a prefill engine.
+	StagePrefill
+	// StageDecode imports the KV cache and writes the output: a decode engine.
+	StageDecode
 )
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -22,7 +22,7 @@
 	limits map[uint64]backpressure.Limit
 	// kept and scored are scratch space of one decision.
 	kept   []*Candidate
-	scored []Scored
+	scored []ScoredCandidate
 }
 
 // New returns a Router with an empty directory.
@@ -39,7 +39,7 @@
 	if config.Picker == nil {
 		config.Picker = NewWeightedSample(config.Seed, config.SampleSize)
 	}
-	prefixes, err := newPrefixMemory(config.PrefixMemory)
+	prefixes, err := newPrefixMemory(config.PrefixIndexSize)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -92,8 +92,8 @@
 }
 
 func (r *Router) tellRestarted(former BackEnd) {
-	if r.config.Restarted != nil {
-		r.config.Restarted(former)
+	if r.config.OnRestart != nil {
+		r.config.OnRestart(former)
 	}
 }
 
@@ -126,8 +126,8 @@
 	return shortest
 }
 
-// Rest is how much longer a back end wants nothing from this gateway; 0 when it can be sent requests.
-func (r *Router) Rest(now time.Duration, backEnd BackEnd) time.Duration {
+// Backoff is how much longer a back end wants nothing from this gateway; 0 when it can be sent requests.
+func (r *Router) Backoff(now time.Duration, backEnd BackEnd) time.Duration {
 	candidate, known := r.candidates[backEnd.Name]
 	if !known || candidate.Incarnation != backEnd.Incarnation {
 		return 0
--- a/internal/routing/scorer_distance.go
+++ b/internal/routing/scorer_distance.go
@@ -9,8 +9,8 @@
 func (distanceScorer) Cost(decision *Decision, candidate *Candidate) time.Duration {
 	router := decision.router
 	cost := 2 * router.zoneLatency(candidate.Zone)
-	if decision.Stage == StageOutput && candidate.Zone != decision.PrefillZone {
-		cost += router.config.HandOver + router.config.OtherZoneLatency
+	if decision.Stage == StageDecode && candidate.Zone != decision.PrefillZone {
+		cost += router.config.KVTransferCost + router.config.OtherZoneLatency
 	}
 	return cost
 }
--- a/internal/routing/scorer_load.go
+++ b/internal/routing/scorer_load.go
@@ -14,10 +14,10 @@
 		return time.Duration(load.requests * float64(times.PageTime))
 	}
 	var cost time.Duration
-	if decision.Stage != StageOutput {
+	if decision.Stage != StageDecode {
 		cost += times.promptTime(load.unreadTokens)
 	}
-	if decision.Stage != StagePrompt {
+	if decision.Stage != StagePrefill {
 		cost += time.Duration(request.OutputTokens) * (times.interval(load.requests) - times.TokenInterval)
 	}
 	return cost
--- a/internal/routing/scorer_prefix.go
+++ b/internal/routing/scorer_prefix.go
@@ -11,7 +11,7 @@
 type prefixScorer struct{}
 
 func (prefixScorer) Cost(decision *Decision, candidate *Candidate) time.Duration {
-	if decision.Stage == StageOutput {
+	if decision.Stage == StageDecode {
 		return 0
 	}
 	saved, _ := decision.cachedTokens(candidate)
--- a/internal/routing/scorer_work.go
+++ b/internal/routing/scorer_work.go
@@ -11,10 +11,10 @@
 		return times.PageTime
 	}
 	var cost time.Duration
-	if decision.Stage != StageOutput {
+	if decision.Stage != StageDecode {
 		cost += times.promptTime(float64(request.PromptTokens))
 	}
-	if decision.Stage != StagePrompt {
+	if decision.Stage != StagePrefill {
 		cost += time.Duration(request.OutputTokens) * times.TokenInterval
 	}
 	return cost
--- a/internal/routing/signals_test.go
+++ b/internal/routing/signals_test.go
@@ -11,8 +11,8 @@
 )
 
 // rests tells that a back end has asked for rest.
-func rests(name string, incarnation uint64, rest time.Duration) Answered {
-	return Answered{BackEnd: name, Incarnation: incarnation, Rest: rest}
+func rests(name string, incarnation uint64, rest time.Duration) AnswerHeaders {
+	return AnswerHeaders{BackEnd: name, Incarnation: incarnation, Backoff: rest}
 }
 
 // A back end that has asked for rest is sent nothing until it is over, also where it is the only one left and
@@ -31,7 +31,7 @@
 
 	router.SetBackEnds([]BackEnd{only})
 	_, err = router.Pick(2*second, request(), nil)
-	require.ErrorIs(t, err, ErrAllResting)
+	require.ErrorIs(t, err, ErrAllInBackoff)
 	var fault *PickError
 	require.ErrorAs(t, err, &fault)
 	require.Equal(t, second, fault.RetryAfter)
@@ -43,7 +43,7 @@
 func TestRestAndLeavingBelongToOneIncarnation(t *testing.T) {
 	row := engine("m1", enginecontract.RoleMixed)
 	next := engine("m1", enginecontract.RoleMixed, func(b *BackEnd) { b.Incarnation = 2 })
-	for name, asked := range map[string]Answered{
+	for name, asked := range map[string]AnswerHeaders{
 		"rest":    rests("m1", 1, 3*second),
 		"leaving": {BackEnd: "m1", Incarnation: 1, State: enginecontract.StateLeaving},
 	} {
@@ -59,7 +59,7 @@
 	}
 	router := newTestRouter(t, row)
 	router.Observe(0, rests("m1", 1, 3*second))
-	router.Observe(second, Answered{BackEnd: "m1", Incarnation: 2, State: enginecontract.StateServing})
+	router.Observe(second, AnswerHeaders{BackEnd: "m1", Incarnation: 2, State: enginecontract.StateServing})
 	_, err := router.Pick(second, request(), nil)
 	require.NoError(t, err, "its own word of another start")
 }
@@ -77,7 +77,7 @@
 // A later incarnation, shown by the directory or told in an answer, ends the former one.
 func TestALaterIncarnationEndsTheFormerOne(t *testing.T) {
 	var ended []uint64
-	router, err := New(Config{Zone: testZone, Restarted: func(former BackEnd) { ended = append(ended, former.Incarnation) }})
+	router, err := New(Config{Zone: testZone, OnRestart: func(former BackEnd) { ended = append(ended, former.Incarnation) }})
 	require.NoError(t, err)
 	row := func(incarnation uint64) BackEnd {
 		return engine("m1", enginecontract.RoleMixed, func(b *BackEnd) { b.Incarnation = incarnation })
@@ -85,7 +85,7 @@
 	router.SetBackEnds([]BackEnd{row(1)})
 	require.False(t, router.HasRestarted(row(1)))
 	router.SetBackEnds([]BackEnd{row(2)})
-	router.Observe(0, Answered{BackEnd: "m1", Incarnation: 3})
+	router.Observe(0, AnswerHeaders{BackEnd: "m1", Incarnation: 3})
 	router.SetBackEnds([]BackEnd{row(2)})
 	router.SetBackEnds([]BackEnd{row(3)})
 	require.Equal(t, []uint64{1, 2}, ended)
--- a/internal/servercommand/site.go
+++ b/internal/servercommand/site.go
@@ -20,7 +20,7 @@
 	// ReadListing reads so many pages of the list of back ends at an address; 0 pages are all.
 	ReadListing func(ctx context.Context, client *http.Client, address string, pages int) (serving.Listing, error)
 	// ReadCache reads what an engine has cached.
-	ReadCache func(ctx context.Context, client *http.Client, engine serving.BackEnd) (serving.CacheReading, error)
+	ReadCache func(ctx context.Context, client *http.Client, engine serving.BackEnd) (serving.CacheReport, error)
 	// OrderStage orders an engine into a role.
 	OrderStage func(ctx context.Context, client *http.Client, order controller.StageOrder) (controller.StageAnswer, error)
 	// Duties reads the names of the platform's singleton duties.
--- a/internal/serving/backend.go
+++ b/internal/serving/backend.go
@@ -21,9 +21,9 @@
 	ID string
 	// Replica is the identity that starts of one replica share; empty where it is ID.
 	Replica string
-	// Born is when this start began, in Unix milliseconds; 0 where the list does not tell.
-	Born    int64
-	Service string
+	// StartedAtMs is when this start began, in Unix milliseconds; 0 where the list does not tell.
+	StartedAtMs int64
+	Service     string
 	// Address is IP:port; after the back end is gone it may belong to another service.
 	Address string
 	Zone    string
@@ -33,14 +33,14 @@
 	// Changing back ends get no new work while their stage changes.
 	Changing bool
 	// Spot back ends are cheap, and the platform may take them away.
-	Spot   bool
-	Cold   time.Duration
-	Stage  Stage
-	Models []string
+	Spot          bool
+	ColdRemaining time.Duration
+	Stage         Stage
+	Models        []string
 }
 
-// Expected is the identity by which requests name the back end that is meant.
-func (b BackEnd) Expected() string {
+// ExpectedID is the identity by which requests name the back end that is meant.
+func (b BackEnd) ExpectedID() string {
 	if b.Replica == "" {
 		return b.ID
 	}
--- a/internal/serving/configuration.go
+++ b/internal/serving/configuration.go
@@ -28,10 +28,10 @@
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Keyed tells that callers prove by a key which tenant they are, on all routes that are not open.
+	// RequireKeys tells that callers prove by a key which tenant they are, on all routes that are not open.
 	// Without tenants there are no keys, and requests belong to nobody.
-	Keyed   bool
-	Tenants []Tenant
+	RequireKeys bool
+	Tenants     []Tenant
 }
 
 // Route says where the requests of one host and path prefix go and what holds for them.
@@ -86,10 +86,10 @@
 
 // Scaling bounds how many back ends of a service may be ordered, and tells what they cost.
 type Scaling struct {
-	// Least and Most bound the back ends in each zone.
-	Least, Most int
-	// Boot is how long a new back end takes until it serves.
-	Boot time.Duration
+	// Min and Max bound the back ends in each zone.
+	Min, Max int
+	// BootTime is how long a new back end takes until it serves.
+	BootTime time.Duration
 	// SpotPrice is the price of a back end that the platform may take away, as a part of that of
 	// one that stays; 0 where there are none.
 	SpotPrice float64
@@ -106,12 +106,12 @@
 	TokenBytes  int
 	// Stride is how many tokens one event of a stream holds; 0 when not told.
 	Stride int
-	// LinkBytes is what an engine's link to others carries in a second; 0 when not told.
-	LinkBytes float64
-	// HandleLife is how long a prompt that was read is kept for a decoding engine.
-	HandleLife time.Duration
-	// RoleChange is how long an engine is away when its role changes.
-	RoleChange time.Duration
+	// LinkBytesPerSecond is what an engine's link to others carries in a second; 0 when not told.
+	LinkBytesPerSecond float64
+	// HandleLifetime is how long a prompt that was read is kept for a decoding engine.
+	HandleLifetime time.Duration
+	// RoleChangeTime is how long an engine is away when its role changes.
+	RoleChangeTime time.Duration
 	// Movable runs can be moved to another engine while they generate.
 	Movable bool
 }
--- a/internal/serving/configuration_test.go
+++ b/internal/serving/configuration_test.go
@@ -58,19 +58,19 @@
 
 func TestChooseFollowsWeights(t *testing.T) {
 	route := Route{Splits: []Split{{"s", 90}, {"none", 0}, {"t", 10}}}
-	require.Equal(t, "s", route.Choose(0))
-	require.Equal(t, "s", route.Choose(0.899))
-	require.Equal(t, "t", route.Choose(0.9))
-	require.Equal(t, "t", route.Choose(0.999))
+	require.Equal(t, "s", route.ChooseService(0))
+	require.Equal(t, "s", route.ChooseService(0.899))
+	require.Equal(t, "t", route.ChooseService(0.9))
+	require.Equal(t, "t", route.ChooseService(0.999))
 }
 
 func TestParsePrompt(t *testing.T) {
 	prompt := ParsePrompt("m", "1460,80", "5c1e07a2:800,91bd3f06:410,e4402b7d:250")
 	require.Equal(t, 1460, prompt.PromptTokens)
 	require.Equal(t, 80, prompt.OutputTokens)
-	require.Equal(t, "91bd3f06", prompt.SharedKey())
-	require.Len(t, prompt.Parts, 3)
+	require.Equal(t, "91bd3f06", prompt.SharedBlockID())
+	require.Len(t, prompt.Blocks, 3)
 	spoilt := ParsePrompt("", "x", "a,b:,:")
-	require.Empty(t, spoilt.Parts)
-	require.Empty(t, spoilt.SharedKey())
+	require.Empty(t, spoilt.Blocks)
+	require.Empty(t, spoilt.SharedBlockID())
 }
--- a/internal/serving/listed.go
+++ b/internal/serving/listed.go
@@ -13,22 +13,22 @@
 	StageDecode:  v1.Role_ROLE_DECODE,
 }
 
-// Listed returns the back end as controllers hand it to relays.
-func (b BackEnd) Listed() *v1.ListedBackEnd {
+// ToProto returns the back end as controllers hand it to relays.
+func (b BackEnd) ToProto() *v1.ListedBackEnd {
 	return &v1.ListedBackEnd{
 		Id: b.ID, Service: b.Service, Address: b.Address, Zone: b.Zone, Slots: uint32(max(b.Slots, 0)),
-		Leaving: b.Leaving, Changing: b.Changing, ColdMs: uint32(max(b.Cold.Milliseconds(), 0)), Role: stages[b.Stage], Models: b.Models,
-		Spot: b.Spot, Replica: b.Replica, BornMs: b.Born,
+		Leaving: b.Leaving, Changing: b.Changing, ColdMs: uint32(max(b.ColdRemaining.Milliseconds(), 0)), Role: stages[b.Stage], Models: b.Models,
+		Spot: b.Spot, Replica: b.Replica, BornMs: b.StartedAtMs,
 	}
 }
 
-// BackEndFromListed is the reverse of Listed.
-func BackEndFromListed(listed *v1.ListedBackEnd) BackEnd {
+// BackEndFromProto is the reverse of Listed.
+func BackEndFromProto(listed *v1.ListedBackEnd) BackEnd {
 	backEnd := BackEnd{
 		ID: listed.GetId(), Service: listed.GetService(), Address: listed.GetAddress(), Zone: listed.GetZone(),
 		Slots: int(listed.GetSlots()), Leaving: listed.GetLeaving(),
-		Spot: listed.GetSpot(), Replica: listed.GetReplica(), Born: listed.GetBornMs(),
-		Cold: time.Duration(listed.GetColdMs()) * time.Millisecond, Models: listed.GetModels(),
+		Spot: listed.GetSpot(), Replica: listed.GetReplica(), StartedAtMs: listed.GetBornMs(),
+		ColdRemaining: time.Duration(listed.GetColdMs()) * time.Millisecond, Models: listed.GetModels(),
 	}
 	backEnd.Changing = listed.GetChanging()
 	backEnd.Stage = StageOfRole(listed.GetRole())
--- a/internal/serving/prompt.go
+++ b/internal/serving/prompt.go
@@ -14,30 +14,30 @@
 	// generated; 0 when not declared.
 	PromptTokens int
 	OutputTokens int
-	// Parts are the parts of the prompt in order; the last belongs to this request or
+	// Blocks are the parts of the prompt in order; the last belongs to this request or
 	// its session alone.
-	Parts []PromptPart
+	Blocks []PrefixBlock
 }
 
-// PromptPart is one part that requests may share.
-type PromptPart struct {
+// PrefixBlock is one part that requests may share.
+type PrefixBlock struct {
 	ID     string
 	Tokens int
 }
 
-// CachedPart is a part of prompts that an engine has cached for a model.
-type CachedPart struct {
+// CachedBlock is a part of prompts that an engine has cached for a model.
+type CachedBlock struct {
 	Model string
-	Part  PromptPart
+	Block PrefixBlock
 }
 
-// CacheReading is one engine's answer of what it has cached.
-type CacheReading struct {
-	Parts []CachedPart
-	// Born is when the start that answered began, in Unix milliseconds; 0 where it does not tell.
-	Born int64
-	// Asked is what the engine asked for in its answer, also in one that brought no parts.
-	Asked backpressure.Asked
+// CacheReport is one engine's answer of what it has cached.
+type CacheReport struct {
+	Blocks []CachedBlock
+	// StartedAtMs is when the start that answered began, in Unix milliseconds; 0 where it does not tell.
+	StartedAtMs int64
+	// Signals is what the engine asked for in its answer, also in one that brought no parts.
+	Signals backpressure.Asked
 }
 
 // ParsePrompt reads the declarations: "PROMPT,OUTPUT" and "ID:TOKENS,ID:TOKENS". What
@@ -56,16 +56,16 @@
 		if !found || err != nil {
 			continue
 		}
-		prompt.Parts = append(prompt.Parts, PromptPart{ID: id, Tokens: length})
+		prompt.Blocks = append(prompt.Blocks, PrefixBlock{ID: id, Tokens: length})
 	}
 	return prompt
 }
 
-// SharedKey identifies the longest part of the prompt that other requests share; empty
+// SharedBlockID identifies the longest part of the prompt that other requests share; empty
 // when there is none.
-func (p *Prompt) SharedKey() string {
-	if len(p.Parts) < 2 {
+func (p *Prompt) SharedBlockID() string {
+	if len(p.Blocks) < 2 {
 		return ""
 	}
-	return p.Parts[len(p.Parts)-2].ID
+	return p.Blocks[len(p.Blocks)-2].ID
 }
--- a/internal/serving/table.go
+++ b/internal/serving/table.go
@@ -66,9 +66,9 @@
 // Tenant returns the tenant that holds the key, or nil.
 func (t *Table) Tenant(key string) *Tenant { return t.byKey[key] }
 
-// Level ranks a request of a tenant, nil for nobody, on a route: 0 goes first, and there are so many
+// PriorityLevel ranks a request of a tenant, nil for nobody, on a route: 0 goes first, and there are so many
 // levels in all.
-func (t *Table) Level(tenant *Tenant, route *Route) (level, levels int) {
+func (t *Table) PriorityLevel(tenant *Tenant, route *Route) (level, levels int) {
 	pair := priorities{route: route.Priority}
 	if tenant != nil {
 		pair.tenant = tenant.Priority
@@ -76,8 +76,8 @@
 	return t.ranks.levels[pair], t.ranks.count
 }
 
-// Choose returns the service for one request of the route. The draw is uniform in [0, 1).
-func (r *Route) Choose(draw float64) string {
+// ChooseService returns the service for one request of the route. The draw is uniform in [0, 1).
+func (r *Route) ChooseService(draw float64) string {
 	if len(r.Splits) == 1 {
 		return r.Splits[0].Service
 	}
--- a/internal/serving/tenant_test.go
+++ b/internal/serving/tenant_test.go
@@ -10,7 +10,7 @@
 // keyed returns a configuration with two routes and the tenants.
 func keyed(tenants ...Tenant) *Configuration {
 	return &Configuration{
-		Number: 1, Keyed: true, Tenants: tenants, Services: []Service{{Name: "s"}},
+		Number: 1, RequireKeys: true, Tenants: tenants, Services: []Service{{Name: "s"}},
 		Routes: []Route{
 			{Name: "urgent", Host: "h", Prefix: "/u/", Timeout: time.Second, Splits: []Split{{Service: "s", Weight: 1}}},
 			{Name: "slow", Host: "h", Prefix: "/s/", Timeout: time.Second, Priority: 2, Splits: []Split{{Service: "s", Weight: 1}}},
@@ -55,10 +55,10 @@
 		tenant *Tenant
 		route  *Route
 	}{{first, urgent}, {first, slow}, {second, urgent}, {second, slow}} {
-		got, levels := table.Level(pair.tenant, pair.route)
+		got, levels := table.PriorityLevel(pair.tenant, pair.route)
 		require.Equal(t, level, got)
 		require.Equal(t, 4, levels)
 	}
-	level, _ := table.Level(nil, slow)
+	level, _ := table.PriorityLevel(nil, slow)
 	require.Equal(t, 1, level)
 }
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -174,7 +174,7 @@
 	g.exchanges++
 	name, exchange := choice.BackEnd.Name, fmt.Sprint(g.exchanges)
 	g.world.checks.workSent(g, target)
-	g.router.Observe(g.local(), routing.Sent{BackEnd: name, Exchange: exchange, PromptTokens: 100})
+	g.router.Observe(g.local(), routing.Dispatch{BackEnd: name, Exchange: exchange, PromptTokens: 100})
 	call(g.world.network, &g.host, &target.host, 2*time.Second,
 		func(reply func(worked)) {
 			accepted, state := target.work()
@@ -182,11 +182,11 @@
 		},
 		func(answer worked, answered bool) {
 			if !answered {
-				g.router.Observe(g.local(), routing.Failed{BackEnd: name, Exchange: exchange})
+				g.router.Observe(g.local(), routing.Failure{BackEnd: name, Exchange: exchange})
 				return
 			}
-			g.router.Observe(g.local(), routing.Answered{BackEnd: name, Exchange: exchange, Incarnation: answer.incarnation, State: answer.state})
-			g.router.Observe(g.local(), routing.Finished{BackEnd: name, Exchange: exchange})
+			g.router.Observe(g.local(), routing.AnswerHeaders{BackEnd: name, Exchange: exchange, Incarnation: answer.incarnation, State: answer.state})
+			g.router.Observe(g.local(), routing.Completion{BackEnd: name, Exchange: exchange})
 			g.state.Record(gatewaystate.Outcome{Service: service, Kind: "matching", Completed: answer.accepted, Refused: !answer.accepted})
 		})
 }
--- a/internal/stageplan/fresh.go
+++ b/internal/stageplan/fresh.go
@@ -47,7 +47,7 @@
 // prefillShare is the part of the engines that serve for longer which read prompts, or the prior one
 // where there are none.
 func (p *Plan) prefillShare(engines []Engine) float64 {
-	settled := slices.DeleteFunc(slices.Clone(engines), func(engine Engine) bool { return engine.Fresh })
+	settled := slices.DeleteFunc(slices.Clone(engines), func(engine Engine) bool { return engine.JustStarted })
 	if len(settled) < 2*leastEngines {
 		return p.config.PriorPrefillShare
 	}
@@ -67,7 +67,7 @@
 		if engine.Stage == StagePrefill {
 			group.prefill++
 		}
-		if engine.Fresh && !engine.Busy {
+		if engine.JustStarted && !engine.Busy {
 			group.fresh[engine.Stage] = append(group.fresh[engine.Stage], engine.ID)
 		}
 	}
--- a/internal/stageplan/fresh_test.go
+++ b/internal/stageplan/fresh_test.go
@@ -16,7 +16,7 @@
 	require.Empty(t, plan.Next(0, engines, work))
 	for index := range engines {
 		if engines[index].Group == "z1" {
-			engines[index].Stage, engines[index].Fresh = StageDecode, true
+			engines[index].Stage, engines[index].JustStarted = StageDecode, true
 		}
 	}
 	changes := plan.Next(time.Second, engines, work)
@@ -35,7 +35,7 @@
 	engines := fleet(30, 18)
 	for index := range engines {
 		if engines[index].Group == "z1" && index < 6 {
-			engines[index].Stage, engines[index].Fresh = StageDecode, true
+			engines[index].Stage, engines[index].JustStarted = StageDecode, true
 		}
 	}
 	require.Empty(t, plan.placeFresh(engines))
@@ -45,7 +45,7 @@
 	plan := New(config())
 	engines := fleet(12, 6)
 	for index := range engines {
-		engines[index].Fresh, engines[index].Busy = index >= 9, index >= 9
+		engines[index].JustStarted, engines[index].Busy = index >= 9, index >= 9
 	}
 	require.Empty(t, plan.placeFresh(engines))
 }
@@ -55,7 +55,7 @@
 	plan := New(config())
 	engines := fleet(12, 0)
 	for index := range engines {
-		engines[index].Fresh = true
+		engines[index].JustStarted = true
 	}
 	apply(engines, plan.placeFresh(engines))
 	require.Equal(t, 9, countPrefill(engines), "three of four in each group")
--- a/internal/stageplan/plan.go
+++ b/internal/stageplan/plan.go
@@ -34,8 +34,8 @@
 	Stage Stage
 	// Busy engines take no order: they leave, or one is under way.
 	Busy bool
-	// Fresh engines have just begun to serve: they run and keep nothing that a change would cost.
-	Fresh bool
+	// JustStarted engines have just begun to serve: they run and keep nothing that a change would cost.
+	JustStarted bool
 }
 
 // Work is the engine time that a service's requests take per time: how many engines they
@@ -57,8 +57,8 @@
 type Config struct {
 	// PriorPrefillShare is the part of the engines that read prompts until work is known.
 	PriorPrefillShare float64
-	// Hold is the time without changes after one under load.
-	Hold time.Duration
+	// MinChangeInterval is the time without changes after one under load.
+	MinChangeInterval time.Duration
 	// Without are mechanisms that are left out; none for users.
 	Without mechanism.Set
 }
@@ -112,7 +112,7 @@
 	var changes []Change
 	if !work.Known || p.work.Prefill+p.work.Decode < leastWork*float64(len(engines)) {
 		changes = p.towardsPrior(engines)
-	} else if !p.changed || now-p.changedAt >= p.config.Hold {
+	} else if !p.changed || now-p.changedAt >= p.config.MinChangeInterval {
 		changes = p.underLoad(engines)
 		if p.turnsBack(now, changes) {
 			return nil
@@ -127,7 +127,7 @@
 // turnsBack reports whether changes would take back others that are not old enough for that: a
 // mix that swings within seconds is better borne than chased.
 func (p *Plan) turnsBack(now time.Duration, changes []Change) bool {
-	return len(changes) > 0 && p.changed && p.config.Without.On(mechanism.TurnBack) && changes[0].Stage != p.towards && now-p.changedAt < turnBackHolds*p.config.Hold
+	return len(changes) > 0 && p.changed && p.config.Without.On(mechanism.TurnBack) && changes[0].Stage != p.towards && now-p.changedAt < turnBackHolds*p.config.MinChangeInterval
 }
 
 // observe smooths the work, which swings within seconds.
--- a/internal/stageplan/plan_test.go
+++ b/internal/stageplan/plan_test.go
@@ -9,7 +9,7 @@
 )
 
 func config() Config {
-	return Config{PriorPrefillShare: 0.67, Hold: 3 * time.Second}
+	return Config{PriorPrefillShare: 0.67, MinChangeInterval: 3 * time.Second}
 }
 
 // fleet returns engines in three zones, the first ones reading prompts.
--- a/internal/subsetting/chooser.go
+++ b/internal/subsetting/chooser.go
@@ -7,12 +7,12 @@
 // Chooser follows the part of one service's back ends that is enough. The zero value has not chosen yet.
 type Chooser struct {
 	chosen bool
-	part   Part
+	part   Subset
 }
 
 // Next returns the part for so many back ends of which some are wanted.
-func (c *Chooser) Next(backEnds, wanted int) Part {
-	needed := PartFor(backEnds, wanted)
+func (c *Chooser) Next(backEnds, wanted int) Subset {
+	needed := SubsetFor(backEnds, wanted)
 	larger := needed.Halvings < c.part.Halvings
 	muchSmaller := needed.Halvings > c.part.Halvings+spareHalvings
 	if !c.chosen || larger || muchSmaller {
--- a/internal/subsetting/demand.go
+++ b/internal/subsetting/demand.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// LeastEngines is the least number of a service's engines that relays are to know, where there are so
+	// MinEngines is the least number of a service's engines that relays are to know, where there are so
 	// many: 16 cells of 16 engines, three and more in each of five zones, so that the loss of a zone leaves
 	// every prompt several cells. A fleet of up to twice as many is known whole.
-	LeastEngines = 256
-	// LeastWhole is the same for back ends that answer requests whole, which keep nothing: six in each of
+	MinEngines = 256
+	// MinWholeBackEnds is the same for back ends that answer requests whole, which keep nothing: six in each of
 	// five zones, of which a zone and one in six others may be lost.
-	LeastWhole = 32
+	MinWholeBackEnds = 32
 	// spare is how many back ends are to be known for each one that the observed work would keep busy.
 	// Reading one long prompt takes longer than half of its time to the first token, so a request must find
 	// an idle engine nearly always: with a quarter of the engines busy, all 16 of a cell are with a
--- a/internal/subsetting/owners.go
+++ b/internal/subsetting/owners.go
@@ -15,11 +15,11 @@
 	enginesPerCandidate = 4
 )
 
-// Candidates returns the relays, by their addresses, that may own the cells of so many engines, sorted.
+// OwnerCandidates returns the relays, by their addresses, that may own the cells of so many engines, sorted.
 // All relays know these and no other, so that one of the others that comes or goes is no news to
 // anybody. One that goes is replaced by one, and all others stay; their number is a power of two, so
 // that an engine more or less changes none.
-func Candidates(relays []string, engines int) []string {
+func OwnerCandidates(relays []string, engines int) []string {
 	count := leastCandidates
 	for count*enginesPerCandidate < engines {
 		count *= 2
--- a/internal/subsetting/owners_test.go
+++ b/internal/subsetting/owners_test.go
@@ -9,22 +9,22 @@
 
 // Of a thousand relays each knows those few that may own cells.
 func TestCandidatesDoNotGrowWithRelays(t *testing.T) {
-	require.Equal(t, addresses(7), Candidates(addresses(7), 9))
+	require.Equal(t, addresses(7), OwnerCandidates(addresses(7), 9))
 	for _, relays := range []int{100, 1000, 10_000} {
-		require.Len(t, Candidates(addresses(relays), 320), min(relays, 128))
+		require.Len(t, OwnerCandidates(addresses(relays), 320), min(relays, 128))
 	}
-	require.Len(t, Candidates(addresses(390), 930), 256, "four and more for each cell of 16 engines")
-	require.Equal(t, Candidates(addresses(1000), 300), Candidates(addresses(1000), 500), "engines come and go")
+	require.Len(t, OwnerCandidates(addresses(390), 930), 256, "four and more for each cell of 16 engines")
+	require.Equal(t, OwnerCandidates(addresses(1000), 300), OwnerCandidates(addresses(1000), 500), "engines come and go")
 }
 
 // Relays that come and go change the candidates by as many as belong to them.
 func TestFewRelaysThatRestartAreNews(t *testing.T) {
 	relays := addresses(1000)
-	before := Candidates(relays, 320)
+	before := OwnerCandidates(relays, 320)
 	changed := 0
 	for index := range relays {
 		without := slices.Delete(slices.Clone(relays), index, index+1)
-		after := Candidates(without, 320)
+		after := OwnerCandidates(without, 320)
 		require.Len(t, after, len(before))
 		if !slices.Equal(before, after) {
 			changed++
--- a/internal/subsetting/part.go
+++ b/internal/subsetting/part.go
@@ -5,23 +5,23 @@
 // mostHalvings is the most by which a part may be smaller than all.
 const mostHalvings = 30
 
-// Part is a part of a service's back ends: one half to the power of Halvings of them. The zero value is
+// Subset is a part of a service's back ends: one half to the power of Halvings of them. The zero value is
 // all of them.
-type Part struct {
+type Subset struct {
 	Halvings int
 }
 
-// PartFor returns the smallest part of so many back ends that has as many as are wanted.
-func PartFor(backEnds, wanted int) Part {
-	part := Part{}
+// SubsetFor returns the smallest part of so many back ends that has as many as are wanted.
+func SubsetFor(backEnds, wanted int) Subset {
+	part := Subset{}
 	for part.Halvings < mostHalvings && backEnds>>(part.Halvings+1) >= wanted {
 		part.Halvings++
 	}
 	return part
 }
 
-// Holds reports whether the back end at an address belongs to the part. A larger part holds all that a
+// Contains reports whether the back end at an address belongs to the part. A larger part holds all that a
 // smaller one holds.
-func (p Part) Holds(address string) bool {
+func (p Subset) Contains(address string) bool {
 	return xxhash.Sum64String(address)>>(64-p.Halvings) == 0
 }
--- a/internal/subsetting/prefix.go
+++ b/internal/subsetting/prefix.go
@@ -1,16 +1,16 @@
 package subsetting
 
-// Listed is an entry of the outside list of back ends.
-type Listed struct {
+// Entry is an entry of the outside list of back ends.
+type Entry struct {
 	Service string
 	// Open back ends take new work.
 	Open bool
 }
 
-// Prefix returns how many entries from the start of a list hold as many open back ends of each service as
+// PrefixLength returns how many entries from the start of a list hold as many open back ends of each service as
 // are wanted, or all that there are. A list that keeps its order need not be read further: what is read of
 // it, and how often it can be read, then follow the work and not its length.
-func Prefix(list []Listed, wanted map[string]int) int {
+func PrefixLength(list []Entry, wanted map[string]int) int {
 	lacking := map[string]int{}
 	for _, entry := range list {
 		if entry.Open && lacking[entry.Service] < wanted[entry.Service] {
--- a/internal/subsetting/prefix_test.go
+++ b/internal/subsetting/prefix_test.go
@@ -7,10 +7,10 @@
 )
 
 // mixed lists engines, and one back end of another service in 30.
-func mixed(count int) []Listed {
-	list := make([]Listed, count)
+func mixed(count int) []Entry {
+	list := make([]Entry, count)
 	for index := range list {
-		list[index] = Listed{Service: "engines", Open: index%10 != 0}
+		list[index] = Entry{Service: "engines", Open: index%10 != 0}
 		if index%30 == 29 {
 			list[index].Service = "pages"
 		}
@@ -20,18 +20,18 @@
 
 // What must be read of a list follows what is wanted, not its length.
 func TestPrefixDoesNotGrowWithTheList(t *testing.T) {
-	wanted := map[string]int{"engines": LeastEngines, "pages": LeastWhole}
+	wanted := map[string]int{"engines": MinEngines, "pages": MinWholeBackEnds}
 	for _, count := range []int{2_000, 10_000, 20_000, 100_000} {
-		require.Equal(t, 30*LeastWhole, Prefix(mixed(count), wanted))
+		require.Equal(t, 30*MinWholeBackEnds, PrefixLength(mixed(count), wanted))
 	}
-	require.Equal(t, 30*LeastWhole, Prefix(mixed(30*LeastWhole), wanted))
+	require.Equal(t, 30*MinWholeBackEnds, PrefixLength(mixed(30*MinWholeBackEnds), wanted))
 }
 
 // Where there are fewer than are wanted the list is read to the last of them.
 func TestPrefixHoldsAllWhereThereAreFew(t *testing.T) {
-	list := append(mixed(300), Listed{Service: "rare", Open: true})
-	require.Equal(t, len(list), Prefix(list, map[string]int{"engines": 5, "rare": 3}))
-	require.Equal(t, 0, Prefix(list, nil))
-	closed := append(list, Listed{Service: "rare"})
-	require.Equal(t, len(list), Prefix(closed, map[string]int{"rare": 3}), "those that leave are not looked for")
+	list := append(mixed(300), Entry{Service: "rare", Open: true})
+	require.Equal(t, len(list), PrefixLength(list, map[string]int{"engines": 5, "rare": 3}))
+	require.Equal(t, 0, PrefixLength(list, nil))
+	closed := append(list, Entry{Service: "rare"})
+	require.Equal(t, len(list), PrefixLength(closed, map[string]int{"rare": 3}), "those that leave are not looked for")
 }
