--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -6,65 +6,64 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// None is the index of no engine.
+// None is used as an engine index where there is no engine.
 const None = -1
 
-// Candidate is an engine that may be picked, with what picking it means.
+// Candidate is an engine that may be picked, with the estimated cost of picking it.
 type Candidate struct {
-	// Index is the engine's among those that the decision was given.
+	// Index is the engine's index in the list that was passed to the decision.
 	Index int
-	// FetchFrom is the index of the engine from which it takes the beginning of the prompt, or
-	// None.
+	// FetchFrom is the index of the engine from which it fetches the prompt prefix, or None.
 	FetchFrom int
-	// PrefillTokens is how many tokens it has to read itself, EffectiveTokens what that takes, counted in first
-	// tokens of a prompt.
+	// PrefillTokens is the number of tokens that it has to prefill itself. EffectiveTokens is the cost of
+	// that prefill, in units of the first token of a prompt.
 	PrefillTokens, EffectiveTokens int
-	// PendingTokens is how much of the prompt the engine is reading for other requests, which cannot
-	// be used before those have it.
+	// PendingTokens is the number of the prompt's tokens that the engine is prefilling for other requests.
+	// They cannot be used before that prefill has finished.
 	PendingTokens int
-	// QueueDelay is how long the reading waits at the engine.
+	// QueueDelay is how long the prefill waits in the engine's queue.
 	QueueDelay time.Duration
-	// Cost is in seconds; less is better.
+	// Cost is in seconds; the lowest is picked.
 	Cost float64
 }
 
-// best returns the candidate of least cost among the engines of a stage, or nil. Back ends that
-// failed lately are taken only when no other is left.
-func (p Parameters) best(request Request, stage serving.Stage, engines []Engine, draw func() float64) *Candidate {
+// bestCandidate returns the cheapest candidate among the engines of a stage, or nil. Back ends that failed
+// recently are picked only if no other is left.
+func (p Parameters) bestCandidate(request Request, stage serving.Stage, engines []Engine, draw func() float64) *Candidate {
 	healthy := false
 	for _, engine := range engines {
-		healthy = healthy || engine.isOpen(stage) && request.Now >= engine.AvoidUntil
+		healthy = healthy || engine.isEligible(stage) && request.Now >= engine.AvoidUntil
 	}
-	held := holderOf(engines)
+	source := findKVSource(engines)
 	candidates := make([]Candidate, 0, len(engines))
 	for index, engine := range engines {
-		if !engine.isOpen(stage) || healthy && request.Now < engine.AvoidUntil {
+		if !engine.isEligible(stage) || healthy && request.Now < engine.AvoidUntil {
 			continue
 		}
-		candidates = append(candidates, p.weigh(request, index, engines, held))
+		candidates = append(candidates, p.evaluate(request, index, engines, source))
 	}
 	return cheapest(candidates, draw)
 }
 
-// isOpen reports whether the engine may be picked for a stage.
-func (e Engine) isOpen(stage serving.Stage) bool { return !e.Closed && e.Stage == stage }
+// isEligible reports whether the engine may be picked for a stage.
+func (e Engine) isEligible(stage serving.Stage) bool { return !e.Closed && e.Stage == stage }
 
-// weigh returns the candidate with its cost.
-func (p Parameters) weigh(request Request, index int, engines []Engine, held holder) Candidate {
+// evaluate returns the engine at index as a candidate with its cost.
+func (p Parameters) evaluate(request Request, index int, engines []Engine, source kvSource) Candidate {
 	candidate := Candidate{Index: index, FetchFrom: None}
 	engine := engines[index]
 	switch engine.Stage {
 	case serving.StagePrefill:
-		p.weighPrefill(request, &candidate, engine, held)
+		p.setPrefillCost(request, &candidate, engine, source)
 	case serving.StageDecode:
-		p.weighDecode(request, &candidate, engine, held)
+		p.setDecodeCost(request, &candidate, engine, source)
 	default:
-		p.weighPlain(request, &candidate, engine)
+		p.setPlainCost(request, &candidate, engine)
 	}
 	return candidate
 }
 
-// cheapest returns the candidate of least cost, or nil; equal ones are drawn.
+// cheapest returns the candidate with the lowest cost, or nil. It breaks ties at random.
 func cheapest(candidates []Candidate, draw func() float64) *Candidate {
 	var best *Candidate
 	ties := 0
--- a/internal/placement/connections_test.go
+++ b/internal/placement/connections_test.go
@@ -10,27 +10,27 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// Pattern: far more relays and back ends than requests. 100 relays before 60 back ends of 6 slots pass on 100
-// short requests a second, in threes of one client that follow one another within half a second; a connection
-// may rest for 4 s. The figures are those of a zone of a fleet of a thousand relays that answers 427 requests a
-// second, a quarter of them whole.
+// With far more relays and back ends than requests, each request would open a connection. 100 relays send 100
+// short requests a second to 60 back ends of 6 slots; three requests of a client follow one another within half
+// a second, and an idle connection is closed after 4 s. These are the figures of one zone in a fleet of a thousand
+// relays that serves 427 requests a second, a quarter of them whole.
 func TestFewRequestsOfManyRelaysShareConnections(t *testing.T) {
-	opened, busiest := playShortRequests(DefaultParameters())
+	opened, busiest := simulateShortRequests(DefaultParameters())
 	without := DefaultParameters()
 	without.ConnectionPenalty = 0
-	openedWithout, _ := playShortRequests(without)
+	openedWithout, _ := simulateShortRequests(without)
 	t.Logf("%.2f connections a request, %.2f without; %d running at once at most", opened, openedWithout, busiest)
 	require.Less(t, opened, 0.5)
 	require.Greater(t, openedWithout, 0.9)
-	require.LessOrEqual(t, busiest, 2, "no back end is given more for it")
+	require.LessOrEqual(t, busiest, 2, "open connections load no back end more")
 }
 
-// playShortRequests returns the connections opened for a request, and the most requests at one back end.
-func playShortRequests(policy Parameters) (opened float64, busiest int) {
+// simulateShortRequests returns the connections opened per request and the largest number of requests at a back end.
+func simulateShortRequests(policy Parameters) (opened float64, busiest int) {
 	const (
 		relays, backEnds = 100, 60
 		series, length   = 1000, 3
-		rests            = 4 * time.Second
+		idleTimeout      = 4 * time.Second
 		work             = 20 * time.Millisecond
 	)
 	random := rand.New(rand.NewPCG(3, 4))
@@ -42,8 +42,8 @@
 		for range length {
 			engines := make([]Engine, backEnds)
 			for index := range engines {
-				used, was := usedAt[[2]int{relay, index}]
-				engines[index] = Engine{Hash: uint64(index), Stage: serving.StageWhole, Slots: 6, Connected: was && now-used < rests}
+				lastUsed, known := usedAt[[2]int{relay, index}]
+				engines[index] = Engine{Hash: uint64(index), Stage: serving.StageWhole, Slots: 6, Connected: known && now-lastUsed < idleTimeout}
 				if busyUntil[index] > now {
 					engines[index].Running = 1
 				}
@@ -61,8 +61,8 @@
 	return float64(connections) / float64(requests), busiest
 }
 
-// A back end that is busier by a request is not chosen for its connection.
-func TestConnectionsDecideAmongEqualsOnly(t *testing.T) {
+// A back end with one more running request is not picked for its open connection.
+func TestOpenConnectionsOnlyBreakTies(t *testing.T) {
 	engines := []Engine{{Stage: serving.StageWhole, Connected: true, Running: 1}, {Stage: serving.StageWhole}}
 	chosen := DefaultParameters().PickBackEnd(Request{Stage: serving.StageWhole}, engines, func() float64 { return 0.5 })
 	require.Equal(t, 1, chosen.Index)
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -7,127 +7,127 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// Action is what a decision on the reading of a prompt asks for.
+// Action is the outcome of a placement decision.
 type Action int
 
 // Actions.
 const (
-	// Unplaced requests have no engine that could read their prompt now.
+	// Unplaced means that no engine can prefill the prompt now.
 	Unplaced Action = iota
-	// PrefillOnDecodeEngine has a decoding engine read the prompt and generate.
+	// PrefillOnDecodeEngine has a decode engine prefill the prompt and generate.
 	PrefillOnDecodeEngine
-	// PrefillSeparately has a prefill engine read the prompt for a decoding one.
+	// PrefillSeparately has a prefill engine prefill the prompt for a decode engine.
 	PrefillSeparately
-	// AwaitSharedPrefill waits until the engine has read shared parts for another request.
+	// AwaitSharedPrefill waits until the engine has prefilled shared prefix blocks for another request.
 	AwaitSharedPrefill
-	// Refuse gives the request up, which has not run.
+	// Refuse rejects the request, which has not run.
 	Refuse
 )
 
-// Decision is what becomes of the reading of a prompt. Engine is set but for Unplaced.
+// Decision says where a prompt is prefilled. Engine is nil only for Unplaced.
 type Decision struct {
 	Action Action
 	Engine *Candidate
-	// OverloadedStage is the stage whose engines have too little time for a request that is refused.
+	// OverloadedStage is the stage whose engines are too busy for a refused request.
 	OverloadedStage serving.Stage
-	// Reason says why, and RetryAfter when a refused request had better come back.
+	// Reason explains the decision. RetryAfter is when the client of a refused request should retry.
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// PlacePrefill decides where a prompt is read: at the prefill engine or at the decoding one that
-// generates, whichever has it sooner.
+// PlacePrefill decides where a prompt is prefilled: at a prefill engine or at the decode engine that generates,
+// whichever finishes first.
 func (p Parameters) PlacePrefill(request Request, engines []Engine, draw func() float64) Decision {
-	direct := p.best(request, serving.StageDecode, engines, draw)
-	apart := p.PickPrefillEngine(request, engines, draw)
-	decision := p.chooseReader(direct, apart)
+	decode := p.bestCandidate(request, serving.StageDecode, engines, draw)
+	prefill := p.PickPrefillEngine(request, engines, draw)
+	decision := p.choosePrefillStage(decode, prefill)
 	switch chosen := decision.Engine; {
 	case chosen == nil:
 		return Decision{Action: Unplaced, Reason: ReasonNoEngine}
-	case p.slotsTaken(request, engines):
-		return Decision{Action: Refuse, Engine: chosen, OverloadedStage: serving.StageDecode, Reason: ReasonSlotsTaken, RetryAfter: p.comeBack(request, draw)}
+	case p.areSlotsTaken(request, engines):
+		return Decision{Action: Refuse, Engine: chosen, OverloadedStage: serving.StageDecode, Reason: ReasonSlotsTaken, RetryAfter: p.retryAfter(request, draw)}
 	case chosen.PendingTokens >= p.MinPendingTokens && request.PrefillWaits < p.MaxPrefillWaits:
 		return Decision{Action: AwaitSharedPrefill, Engine: chosen, Reason: ReasonSharedPrefillRunning}
-	case decision.Action == PrefillSeparately && chosen.QueueDelay > p.longestWait(request, chosen.PrefillTokens):
-		return Decision{Action: Refuse, Engine: chosen, OverloadedStage: serving.StagePrefill, Reason: ReasonPrefillQueueFull, RetryAfter: p.comeBack(request, draw)}
+	case decision.Action == PrefillSeparately && chosen.QueueDelay > p.maxPrefillDelay(request, chosen.PrefillTokens):
+		return Decision{Action: Refuse, Engine: chosen, OverloadedStage: serving.StagePrefill, Reason: ReasonPrefillQueueFull, RetryAfter: p.retryAfter(request, draw)}
 	default:
 		return decision
 	}
 }
 
-// slotsTaken reports whether a request would wait for a slot too long at every decoding engine.
-// Those of the first rank are let in before all others, so that they wait for one another only.
-func (p Parameters) slotsTaken(request Request, engines []Engine) bool {
+// areSlotsTaken reports whether a request would wait too long for a slot at every decode engine. Requests of
+// rank 0 are admitted before all others, so they wait only for one another.
+func (p Parameters) areSlotsTaken(request Request, engines []Engine) bool {
 	if request.Rank.First == 0 || request.SlotHoldTime <= 0 {
 		return false
 	}
-	open := false
+	eligible := false
 	for _, engine := range engines {
-		if !engine.isOpen(serving.StageDecode) || engine.Slots <= 0 {
+		if !engine.isEligible(serving.StageDecode) || engine.Slots <= 0 {
 			continue
 		}
-		open = true
+		eligible = true
 		wait := time.Duration(engine.Work.Streams-engine.Slots) * request.SlotHoldTime / time.Duration(engine.Slots)
 		if wait < time.Duration(p.MaxSlotDelayShare*float64(request.Target)) {
 			return false
 		}
 	}
-	return open
+	return eligible
 }
 
-// longestWait is how long a prompt may wait to be read. One of which more than usual is kept may
-// wait longer, and one of which less is kept must not wait as long: the worth of an answer goes by
-// the size of its prompt, and what it costs others by the part that is read.
-func (p Parameters) longestWait(request Request, toRead int) time.Duration {
-	share := float64(max(toRead, 1)) / float64(max(request.Tokens, 1))
+// maxPrefillDelay is how long a prompt may wait for its prefill. A prompt with more cached tokens than usual may
+// wait longer, and one with fewer must wait less: the worth of an answer depends on the size of the prompt, but
+// the cost to other requests depends on the tokens that are prefilled.
+func (p Parameters) maxPrefillDelay(request Request, prefillTokens int) time.Duration {
+	share := float64(max(prefillTokens, 1)) / float64(max(request.Tokens, 1))
 	scale := min(max(request.UncachedShare/share, p.MinDelayScale), p.MaxDelayScale)
 	return time.Duration(p.MaxPrefillDelayShare * scale * float64(request.Target))
 }
 
-// comeBack is when a refused client had better come back: those that are refused together are
-// spread over the time in which they can still be served, and do not meet the same crowd again.
-func (p Parameters) comeBack(request Request, draw func() float64) time.Duration {
+// retryAfter is when a refused client should retry. Clients that are refused together are spread over the time
+// in which they can still be served, so that they do not return at once.
+func (p Parameters) retryAfter(request Request, draw func() float64) time.Duration {
 	latest := p.RetryShare * float64(request.TimeLeft)
 	return time.Duration(latest * (1 - p.RetrySpread*draw()))
 }
 
-// chooseReader decides between the decoding engine and the prefill engine; either may be nil.
-func (p Parameters) chooseReader(direct, apart *Candidate) Decision {
+// choosePrefillStage chooses between the decode engine and the prefill engine. Either may be nil.
+func (p Parameters) choosePrefillStage(decode, prefill *Candidate) Decision {
 	switch {
-	case apart == nil:
-		return Decision{Action: PrefillOnDecodeEngine, Engine: direct, Reason: ReasonNoPrefillEngine}
-	case direct != nil && p.readsDirectly(direct, apart):
-		return Decision{Action: PrefillOnDecodeEngine, Engine: direct, Reason: ReasonDecodeAsSoon}
+	case prefill == nil:
+		return Decision{Action: PrefillOnDecodeEngine, Engine: decode, Reason: ReasonNoPrefillEngine}
+	case decode != nil && p.prefersDecodeEngine(decode, prefill):
+		return Decision{Action: PrefillOnDecodeEngine, Engine: decode, Reason: ReasonDecodeAsSoon}
 	default:
-		return Decision{Action: PrefillSeparately, Engine: apart, Reason: ReasonPrefillSooner}
+		return Decision{Action: PrefillSeparately, Engine: prefill, Reason: ReasonPrefillSooner}
 	}
 }
 
-// readsDirectly reports whether a decoding engine had better read the prompt itself.
-func (p Parameters) readsDirectly(direct, apart *Candidate) bool {
-	return direct.PrefillTokens <= p.MaxDecodePrefill && direct.Cost <= apart.Cost+p.KVTransferTime.Seconds()
+// prefersDecodeEngine reports whether the decode engine should prefill the prompt itself.
+func (p Parameters) prefersDecodeEngine(decode, prefill *Candidate) bool {
+	return decode.PrefillTokens <= p.MaxDecodePrefill && decode.Cost <= prefill.Cost+p.KVTransferTime.Seconds()
 }
 
-// PickPrefillEngine picks the prefill engine that reads a prompt; nil when there is none.
+// PickPrefillEngine returns the prefill engine for a prompt, or nil if there is none.
 func (p Parameters) PickPrefillEngine(request Request, engines []Engine, draw func() float64) *Candidate {
-	return p.best(request, serving.StagePrefill, engines, draw)
+	return p.bestCandidate(request, serving.StagePrefill, engines, draw)
 }
 
-// PickMigrationTarget picks the decoding engine with a free slot that takes over a run; nil when there is none.
+// PickMigrationTarget returns the decode engine with a free slot that takes over a run, or nil if there is none.
 func (p Parameters) PickMigrationTarget(request Request, engines []Engine, draw func() float64) *Candidate {
-	free := slices.Clone(engines)
-	for index, engine := range free {
-		free[index].Closed = engine.Closed || engine.Work.Streams >= engine.Slots
+	available := slices.Clone(engines)
+	for index, engine := range available {
+		available[index].Closed = engine.Closed || engine.Work.Streams >= engine.Slots
 	}
-	return p.best(request, serving.StageDecode, free, draw)
+	return p.bestCandidate(request, serving.StageDecode, available, draw)
 }
 
-// PickBackEnd picks the back end that answers; nil when there is none, or none that may read what
-// is left of the prompt itself. While a decoding engine reads a long prompt its other streams
-// pause and new ones wait, so it does so only where nothing else waits to be read, and, for a
-// request that can still come back, where few streams run.
+// PickBackEnd returns the back end that answers, or nil if there is none or none that may prefill the rest of
+// the prompt itself. While a decode engine prefills a long prompt, its other streams pause and new ones wait. It
+// therefore does so only if no other prefill is queued and, for a request that can still be refused, if few
+// streams run.
 func (p Parameters) PickBackEnd(request Request, engines []Engine, draw func() float64) *Candidate {
-	best := p.best(request, request.Stage, engines, draw)
+	best := p.bestCandidate(request, request.Stage, engines, draw)
 	if best == nil || request.Stage != serving.StageDecode || best.PrefillTokens <= p.MaxDecodePrefill {
 		return best
 	}
@@ -138,8 +138,8 @@
 	return best
 }
 
-// ShouldSpill reports whether a request had better be offered to engines elsewhere as well: it found
-// none here, was refused, or would wait long.
+// ShouldSpill reports whether a request should also be offered to engines of other cells: it found no engine
+// here, was refused, or would wait long.
 func (p Parameters) ShouldSpill(request Request, decision Decision) bool {
 	switch decision.Action {
 	case Unplaced, Refuse:
@@ -151,16 +151,16 @@
 	}
 }
 
-// IsBetter reports whether a decision is better than another one elsewhere.
+// IsBetter reports whether the decision is better for the request than one of another cell.
 func (d Decision) IsBetter(other Decision) bool {
-	if d.order() != other.order() {
-		return d.order() < other.order()
+	if d.outcomeOrder() != other.outcomeOrder() {
+		return d.outcomeOrder() < other.outcomeOrder()
 	}
 	return d.Engine != nil && other.Engine != nil && d.Engine.Cost < other.Engine.Cost
 }
 
-// order sorts decisions by what they mean for a request.
-func (d Decision) order() int {
+// outcomeOrder orders decisions by their outcome, the best first.
+func (d Decision) outcomeOrder() int {
 	switch d.Action {
 	case Refuse:
 		return 1
--- a/internal/placement/decide_test.go
+++ b/internal/placement/decide_test.go
@@ -11,44 +11,43 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// crowd is a request whose prefill engine has so much before it.
-func crowd(before, tokens, kept int) (Request, []Engine) {
+// queuedRequest returns a request and its only engine, a prefill engine with queued tokens ahead of it.
+func queuedRequest(queuedTokens, tokens, cached int) (Request, []Engine) {
 	request := Request{
 		Stage: serving.StageDecode, Tokens: tokens, Prompt: []PrefixBlock{{Hash: 1, Tokens: tokens}}, Target: 500 * time.Millisecond,
 		UncachedShare: 0.5, TimeLeft: 6 * time.Second,
 	}
 	return request, []Engine{{
-		Stage: serving.StagePrefill, PerToken: 25 * time.Microsecond, Work: PrefillWork(before, 0),
-		Cached: CachedPrefix{Total: kept, Ready: kept},
+		Stage: serving.StagePrefill, PerToken: 25 * time.Microsecond, Work: PrefillWork(queuedTokens, 0),
+		Cached: CachedPrefix{Total: cached, Ready: cached},
 	}}
 }
 
-// Under a crowd, what costs little for its size is read, and what costs much is told to come back.
-func TestPromptsThatCostLittleMayWaitLonger(t *testing.T) {
+// In an overload, prompts that are mostly cached are prefilled and the others are refused.
+func TestCachedPromptsMayWaitLonger(t *testing.T) {
 	for name, row := range map[string]struct {
-		kept int
-		want Action
+		cached int
+		want   Action
 	}{
-		"most of it is kept":    {9_000, PrefillSeparately},
-		"as much as usual":      {5_000, Refuse},
-		"nothing of it is kept": {0, Refuse},
+		"most of it is cached": {9_000, PrefillSeparately},
+		"as much as usual":     {5_000, Refuse},
+		"nothing is cached":    {0, Refuse},
 	} {
 		t.Run(name, func(t *testing.T) {
-			request, engines := crowd(28_000, 10_000, row.kept)
+			request, engines := queuedRequest(28_000, 10_000, row.cached)
 			require.Equal(t, row.want, DefaultParameters().PlacePrefill(request, engines, rand.Float64).Action)
 		})
 	}
-	request, engines := crowd(18_000, 10_000, 0)
+	request, engines := queuedRequest(18_000, 10_000, 0)
 	require.Equal(t, Refuse, DefaultParameters().PlacePrefill(request, engines, rand.Float64).Action)
-	request, engines = crowd(18_000, 10_000, 5_000)
+	request, engines = queuedRequest(18_000, 10_000, 5_000)
 	require.Equal(t, PrefillSeparately, DefaultParameters().PlacePrefill(request, engines, rand.Float64).Action)
 }
 
-// Those that are refused together are told to come back at different times, in which they can
-// still be served.
-func TestRefusedClientsAreSpread(t *testing.T) {
+// Requests that are refused together get different retry times, all of them early enough to be served.
+func TestRetryAfterIsSpread(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	request, engines := crowd(100_000, 10_000, 0)
+	request, engines := queuedRequest(100_000, 10_000, 0)
 	earliest, latest := time.Hour, time.Duration(0)
 	for range 200 {
 		decision := DefaultParameters().PlacePrefill(request, engines, random.Float64)
@@ -60,8 +59,8 @@
 	require.LessOrEqual(t, latest, 2*time.Second)
 }
 
-// On engines of any speed, with links of any speed and any number of slots, nothing is refused
-// while an engine that reads is idle, and work is shared: no reader gets nothing.
+// For any speed of engines and links and any number of slots, no request is refused while a prefill engine is
+// idle, and every prefill engine gets work.
 func TestNoRefusalWhileAnEngineIsIdle(t *testing.T) {
 	for _, speed := range []float64{0.1, 1, 10} {
 		for _, link := range []float64{0.1, 1, 10} {
@@ -74,7 +73,7 @@
 	}
 }
 
-// checkSharing sends prompts to a small fleet without an end of any reading.
+// checkSharing sends prompts to a small fleet in which no prefill finishes.
 func checkSharing(t *testing.T, speed, link float64, slots int) {
 	random := rand.New(rand.NewPCG(3, 4))
 	perToken := time.Duration(25_000/speed) * time.Nanosecond
@@ -107,28 +106,28 @@
 		return
 	}
 	for index, engine := range engines[:5] {
-		require.NotZero(t, engine.Work.Prefills, "engine %d gets nothing", index)
+		require.NotZero(t, engine.Work.Prefills, "engine %d gets no prefill", index)
 	}
 }
 
-// A request that would wait long for a slot everywhere is told to come back, unless it is let in
-// before those that wait.
-func TestRequestsComeBackWhenSlotsAreTaken(t *testing.T) {
+// A request that would wait long for a slot at every engine is refused, unless its rank is admitted before those
+// that wait.
+func TestRequestsAreRefusedWhenSlotsAreTaken(t *testing.T) {
 	for name, row := range map[string]struct {
-		streams [2]int
-		rank    int
-		known   time.Duration
-		want    Action
+		streams      [2]int
+		rank         int
+		slotHoldTime time.Duration
+		want         Action
 	}{
-		"a slot is free":         {streams: [2]int{60, 10}, rank: 3, known: 2 * time.Second, want: PrefillOnDecodeEngine},
-		"a slot is soon free":    {streams: [2]int{60, 51}, rank: 3, known: 2 * time.Second, want: PrefillOnDecodeEngine},
-		"many wait everywhere":   {streams: [2]int{60, 60}, rank: 3, known: 2 * time.Second, want: Refuse},
-		"it is let in first":     {streams: [2]int{60, 60}, rank: 0, known: 2 * time.Second, want: PrefillOnDecodeEngine},
-		"runs end at once":       {streams: [2]int{60, 60}, rank: 3, known: 20 * time.Millisecond, want: PrefillOnDecodeEngine},
-		"nothing is known of it": {streams: [2]int{60, 60}, rank: 3, want: PrefillOnDecodeEngine},
+		"a slot is free":           {streams: [2]int{60, 10}, rank: 3, slotHoldTime: 2 * time.Second, want: PrefillOnDecodeEngine},
+		"a slot frees up soon":     {streams: [2]int{60, 51}, rank: 3, slotHoldTime: 2 * time.Second, want: PrefillOnDecodeEngine},
+		"every engine has a queue": {streams: [2]int{60, 60}, rank: 3, slotHoldTime: 2 * time.Second, want: Refuse},
+		"rank 0 is admitted first": {streams: [2]int{60, 60}, rank: 0, slotHoldTime: 2 * time.Second, want: PrefillOnDecodeEngine},
+		"runs end quickly":         {streams: [2]int{60, 60}, rank: 3, slotHoldTime: 20 * time.Millisecond, want: PrefillOnDecodeEngine},
+		"the hold time is unknown": {streams: [2]int{60, 60}, rank: 3, want: PrefillOnDecodeEngine},
 	} {
 		t.Run(name, func(t *testing.T) {
-			request := Request{Stage: serving.StageDecode, Rank: Rank{First: row.rank, Steps: 1}, Tokens: 200, Target: 250 * time.Millisecond, SlotHoldTime: row.known, TimeLeft: 9 * time.Second}
+			request := Request{Stage: serving.StageDecode, Rank: Rank{First: row.rank, Steps: 1}, Tokens: 200, Target: 250 * time.Millisecond, SlotHoldTime: row.slotHoldTime, TimeLeft: 9 * time.Second}
 			var engines []Engine
 			for _, streams := range row.streams {
 				engines = append(engines, Engine{Stage: serving.StageDecode, Slots: 48, PerToken: time.Microsecond, Work: Work{Streams: streams}})
@@ -140,15 +139,15 @@
 	}
 }
 
-// A run is taken over by an engine that has a slot free, or by none.
-func TestTakerHasASlotFree(t *testing.T) {
+// A run migrates only to an engine with a free slot.
+func TestMigrationTargetHasAFreeSlot(t *testing.T) {
 	engine := func(streams int, stage serving.Stage, closed bool) Engine {
 		return Engine{Stage: stage, Slots: 8, Closed: closed, Work: Work{Streams: streams}}
 	}
 	engines := []Engine{engine(8, serving.StageDecode, false), engine(0, serving.StageDecode, true), engine(0, serving.StagePrefill, false)}
 	require.Nil(t, DefaultParameters().PickMigrationTarget(Request{Stage: serving.StageDecode}, engines, rand.Float64))
 	engines = append(engines, engine(7, serving.StageDecode, false))
-	taker := DefaultParameters().PickMigrationTarget(Request{Stage: serving.StageDecode}, engines, rand.Float64)
-	require.Equal(t, 3, taker.Index)
-	require.False(t, engines[0].Closed, "what is known of engines is left alone")
+	target := DefaultParameters().PickMigrationTarget(Request{Stage: serving.StageDecode}, engines, rand.Float64)
+	require.Equal(t, 3, target.Index)
+	require.False(t, engines[0].Closed, "the caller's engines are not modified")
 }
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,8 +1,8 @@
-// Package placement decides where a site's requests run: which engine reads a prompt, which
-// one generates, where parts of a prompt are copied from, what waits for another reading and
-// what is refused. It also holds what those decisions go by: the work that engines have, how
-// fast they read, and what they keep in memory.
+// Package placement decides where a site's requests run: which engine prefills a prompt, which one
+// generates, where prefix blocks are fetched from, which requests wait for another prefill and which
+// are refused. It also holds the inputs of those decisions: the work queued at each engine, the
+// prefill speed of each engine and the contents of its prefix cache.
 //
-// It is pure: it reads no clock, does no I/O and starts no goroutine. Its owner brings what is
-// known of the engines, with the time, and carries out the decision.
+// It is pure: it reads no clock, does no I/O and starts no goroutine. The caller passes the state of
+// the engines and the time, and carries out the decision.
 package placement
--- a/internal/placement/parameters.go
+++ b/internal/placement/parameters.go
@@ -2,78 +2,78 @@
 
 import "time"
 
-// Parameters are the weights and bounds of the decisions.
+// Parameters are the weights and bounds of placement decisions.
 type Parameters struct {
-	// ZonePenalty is how many more running requests a back end of the preferred zone may
-	// have before one of another zone is taken.
+	// ZonePenalty is by how many running requests a back end of the preferred zone may exceed one of another
+	// zone and still be picked.
 	ZonePenalty float64
-	// ConnectionPenalty is how many more running requests a back end may have to which a connection is
-	// open before one is taken to which one has to be opened. Below one it decides among equals: a request
-	// saves two round trips, and a back end the opening, which holds one of its slots. Each of a thousand
-	// relays meets any of three hundred back ends otherwise, and never one of them twice.
+	// ConnectionPenalty is the same for a back end with an open connection compared to one without. Below 1 it
+	// only breaks ties. A reused connection saves the request two round trips and saves the back end a
+	// handshake, which occupies one of its slots. Without it, each of a thousand relays picks any of three
+	// hundred back ends and never reaches the same one twice.
 	ConnectionPenalty float64
-	// ZoneCost is the cost of a prompt's way to another zone.
+	// ZoneCost is the cost of sending a prompt to another zone.
 	ZoneCost time.Duration
-	// HomePreference is the most by which a prompt's home engine is preferred to others.
+	// HomePreference is the largest advantage of a prompt's home engine over others.
 	HomePreference time.Duration
-	// PrefillTargetShare is the part of a route's target that the reading of a prompt may take.
+	// PrefillTargetShare is the share of a route's target that the prefill may take.
 	PrefillTargetShare float64
-	// LateWeight is how much worse it is to be late than to wait.
+	// LateWeight is the weight of time beyond the target, relative to waiting time.
 	LateWeight int
-	// MinSharedTokens is the least shared beginning of a prompt, in tokens, that ties it to the engines
-	// that keep it, wherever they are.
+	// MinSharedTokens is the shortest shared prefix, in tokens, that ties a prompt to the engines that have it
+	// cached, in whatever zone they are.
 	MinSharedTokens int
-	// MinTransferTokens is the least number of tokens that are worth taking from another engine,
-	// FetchSetup what taking them costs beside their way.
+	// MinTransferTokens is the smallest number of tokens worth fetching from another engine. TransferSetup is
+	// the fixed time of a KV transfer.
 	MinTransferTokens int
 	TransferSetup     time.Duration
-	// TransferEvictionCost is what each token costs of which another engine takes a copy: the copy drives
-	// other parts out of its memory, which then have to be read again.
+	// TransferEvictionCost is the cost of each token that is copied to another engine: the copy evicts other
+	// prefix blocks there, which then have to be prefilled again.
 	TransferEvictionCost time.Duration
-	// ResidualShare is the part of a reading under way that is left on average.
+	// ResidualShare is the share of a running prefill that remains on average.
 	ResidualShare float64
-	// StreamCost is what one running stream of a decoding engine weighs.
+	// StreamCost is the cost of each running stream at a decode engine.
 	StreamCost time.Duration
-	// StreamSlowdown is how much dearer reading at a decoding engine is for each stream that it
-	// holds up, as a part of the reading's time.
+	// StreamSlowdown is the relative increase in the cost of a prefill at a decode engine for each stream that
+	// it delays.
 	StreamSlowdown float64
-	// DecodeChunk is how many tokens of a prompt a decoding engine reads in one step, and
-	// DecodeStep how long a step without reading takes about.
+	// DecodeChunk is how many prompt tokens a decode engine prefills in one step. DecodeStep is the
+	// approximate time of a step without prefill.
 	DecodeChunk int
 	DecodeStep  time.Duration
-	// StreamPauseCost is what it costs for each stream that its engine makes late by reading.
+	// StreamPauseCost is the cost of each stream that exceeds its gap target because of a prefill.
 	StreamPauseCost time.Duration
-	// DecodeSlowdown is how much slower a decoding engine reads prompts than a prefill engine.
+	// DecodeSlowdown is how many times slower a decode engine prefills than a prefill engine.
 	DecodeSlowdown int
-	// KVTransferTime is what handing a prompt from one engine to another takes.
+	// KVTransferTime is the time to transfer a prompt's KV cache from the prefill engine to the decode engine.
 	KVTransferTime time.Duration
-	// MaxDecodePrefill is the longest reading, in tokens, that a decoding engine takes on while a
-	// prefill engine could: its streams would pause too long. MaxPausedStreams is how many streams may
-	// be held up by a longer one.
+	// MaxDecodePrefill is the longest prefill, in tokens, that a decode engine takes on if a prefill engine is
+	// available: a longer one would pause its streams too long. MaxPausedStreams is how many streams a longer
+	// one may pause.
 	MaxDecodePrefill, MaxPausedStreams int
-	// MaxPrefillDelayShare is how many targets of its route a prompt may wait to be read: one that
-	// waits longer would be late, and those behind it too.
+	// MaxPrefillDelayShare bounds how long a prompt may queue for its prefill, as a multiple of its route's
+	// target: one that queues longer would be late and would make those behind it late.
 	MaxPrefillDelayShare float64
-	// SpillShare is the part of its route's target that a request may wait at the engines that
-	// keep its prompt before others are asked as well.
+	// SpillShare is the share of its route's target that a request may wait at the cell of its prefix before
+	// other cells are asked as well.
 	SpillShare float64
-	// MaxSlotDelayShare is how many targets of its route a request may wait for a slot.
+	// MaxSlotDelayShare bounds how long a request may wait for a slot, as a multiple of its route's target.
 	MaxSlotDelayShare float64
-	// MinDelayScale and MaxDelayScale bound by how much a prompt may wait less, or longer, for
-	// the part of it that is kept.
+	// MinDelayScale and MaxDelayScale bound the factor by which MaxPrefillDelayShare is adjusted for the
+	// cached share of a prompt.
 	MinDelayScale, MaxDelayScale float64
-	// RetryShare is the part of a refused client's time after which it had better come back at
-	// the latest, and RetrySpread the part of that over which clients are spread.
+	// RetryShare is the share of a refused client's remaining time after which it should retry at the latest.
+	// RetrySpread is the share of that time over which clients are spread.
 	RetryShare, RetrySpread float64
-	// MinPendingTokens is the least number of tokens that are worth waiting for while the engine
-	// reads them for another request, MaxPrefillWaits how often one request waits.
+	// MinPendingTokens is the smallest number of tokens worth waiting for while the engine prefills them for
+	// another request. MaxPrefillWaits is how often one request waits.
 	MinPendingTokens, MaxPrefillWaits int
-	// ShortPrefill and LongPrefill divide the prompts of one rank, in tokens: short ones go
-	// first, as they wait least and delay others least.
+	// ShortPrefill and LongPrefill divide the prompts of one priority, in tokens: short ones go first, since
+	// they delay others least.
 	ShortPrefill, LongPrefill int
 }
 
-// DefaultParameters are those in use.
+// DefaultParameters returns the parameters used in production.
 func DefaultParameters() Parameters {
 	return Parameters{
 		ZonePenalty:          1.5,
--- a/internal/placement/rank.go
+++ b/internal/placement/rank.go
@@ -1,18 +1,18 @@
 package placement
 
-// Rank is that of a request at engines, where the lowest goes first.
+// Rank is the scheduling rank of a request at engines; the lowest goes first.
 type Rank struct {
-	// First is the rank of the request's runs and of its shortest readings.
+	// First is the rank of the request's decode and of its shortest prefills.
 	First int
-	// Steps is how many ranks from First on its readings spread over, by their length; at least 1.
+	// Steps is the number of ranks, from First on, over which prefills spread by length; at least 1.
 	Steps int
 }
 
-// MaxRankSteps is the most ranks that readings spread over: short, middling and long ones.
+// MaxRankSteps is the largest number of ranks over which prefills spread: short, medium and long ones.
 const MaxRankSteps = 3
 
-// RankOf ranks one of so many levels of priority, of which level 0 goes first. Engines know few
-// ranks: where there are more levels, neighbours share one.
+// RankOf returns the rank of one of so many priority levels; level 0 goes first. Engines have RankCount ranks:
+// if there are more levels, adjacent ones share a rank.
 func RankOf(level, levels int) Rank {
 	levels = max(levels, 1)
 	level = min(max(level, 0), levels-1)
@@ -21,13 +21,13 @@
 	return Rank{First: first, Steps: min(max(next-first, 1), MaxRankSteps)}
 }
 
-// PrefillRank ranks the reading of a prompt: by its request, and then by its length.
-func (p Parameters) PrefillRank(rank Rank, toRead int) int {
+// PrefillRank returns the rank of a prefill: by the priority of its request, then by its length.
+func (p Parameters) PrefillRank(rank Rank, prefillTokens int) int {
 	step := 0
-	if toRead > p.ShortPrefill {
+	if prefillTokens > p.ShortPrefill {
 		step++
 	}
-	if toRead > p.LongPrefill {
+	if prefillTokens > p.LongPrefill {
 		step++
 	}
 	return min(rank.First+min(step, max(rank.Steps, 1)-1), RankCount-1)
--- a/internal/placement/rank_test.go
+++ b/internal/placement/rank_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Whatever the number of levels, no reading of a level goes after one of the next level, and all
-// ranks are ones that engines know.
-func TestRanksKeepTheOrderOfLevels(t *testing.T) {
+// For any number of priority levels, no prefill of a level goes after one of the next level, and all ranks are
+// below RankCount.
+func TestRanksPreservePriorityLevels(t *testing.T) {
 	policy := DefaultParameters()
 	for levels := 1; levels <= 40; levels++ {
 		last := -1
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestFewLevelsLeaveRoomForLengths(t *testing.T) {
+func TestFewLevelsSpreadByPromptLength(t *testing.T) {
 	policy := DefaultParameters()
 	rank := RankOf(1, 3)
 	require.Equal(t, Rank{First: 3, Steps: 3}, rank)
--- a/internal/placement/reason.go
+++ b/internal/placement/reason.go
@@ -1,27 +1,27 @@
 package placement
 
-// Reason is why a decision was made. Its numbers go between processes and are never reused.
+// Reason is why a decision was made. Its numbers are sent between processes and are never reused.
 type Reason uint32
 
 // Reasons.
 const (
-	// ReasonNone is given where there was nothing to weigh.
+	// ReasonNone means that there was nothing to decide.
 	ReasonNone Reason = iota
-	// ReasonNoEngine leaves a request unplaced.
+	// ReasonNoEngine means that no engine can prefill the prompt.
 	ReasonNoEngine
-	// ReasonSlotsTaken refuses a request that would wait long for a slot.
+	// ReasonSlotsTaken refuses a request that would wait too long for a slot.
 	ReasonSlotsTaken
-	// ReasonPrefillQueueFull refuses a prompt that would wait long to be read.
+	// ReasonPrefillQueueFull refuses a prompt that would wait too long for its prefill.
 	ReasonPrefillQueueFull
-	// ReasonSharedPrefillRunning lets a prompt wait for another one's reading.
+	// ReasonSharedPrefillRunning makes a prompt wait for the prefill of another one with shared prefix blocks.
 	ReasonSharedPrefillRunning
-	// ReasonNoPrefillEngine, DecodingAsSoon and PrefillSooner say where a prompt is read.
+	// ReasonNoPrefillEngine, ReasonDecodeAsSoon and ReasonPrefillSooner explain where a prompt is prefilled.
 	ReasonNoPrefillEngine
 	ReasonDecodeAsSoon
 	ReasonPrefillSooner
 )
 
-// String says the reason in words.
+// String returns the reason as text.
 func (r Reason) String() string {
 	switch r {
 	case ReasonNoEngine:
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -10,29 +10,29 @@
 type Request struct {
 	// Now is the time of the decision.
 	Now time.Duration
-	// Stage is that of the back ends which answer: StageWhole for services without engines.
+	// Stage is the stage of the back ends that answer: StageWhole for services without engines.
 	Stage serving.Stage
-	// Zone is preferred: the relay's, or that of the engine that holds the prompt.
+	// Zone is the preferred zone: the relay's, or that of the engine that has prefilled the prompt.
 	Zone string
-	// Rank is the request's at engines.
+	// Rank is the request's rank at engines.
 	Rank Rank
-	// Target is the time to the first event that is in time, Gap the longest pause between
-	// events that is, and Stride the tokens of one event.
+	// Target is the target for the time to the first event, Gap the target for the longest pause between
+	// events, and Stride the number of tokens per event.
 	Target, Gap time.Duration
 	Stride      int
-	// Prompt is what is to be read, Tokens its length; 0 when an engine has read it.
+	// Prompt is what has to be prefilled and Tokens its length; 0 if an engine has prefilled it.
 	Prompt []PrefixBlock
 	Tokens int
-	// TokenTransferTime is how long the memory of one token is on its way between engines.
+	// TokenTransferTime is how long the KV transfer of one token between engines takes.
 	TokenTransferTime time.Duration
-	// UncachedShare is the part of prompts that usually has to be read, in (0, 1].
+	// UncachedShare is the usual share of prompt tokens that are prefilled, in (0, 1].
 	UncachedShare float64
-	// SlotHoldTime is how long requests that run now keep their slots, on average; 0 when not known.
+	// SlotHoldTime is how long running requests hold their slots on average; 0 if unknown.
 	SlotHoldTime time.Duration
-	// TimeLeft is what is left of the client's time.
+	// TimeLeft is the time until the client's deadline.
 	TimeLeft time.Duration
-	// PrefillWaits counts how often the request has waited for another one's reading.
+	// PrefillWaits counts how often the request has waited for another request's prefill.
 	PrefillWaits int
-	// MayHaveRun tells that the request cannot be refused as not run any more.
+	// MayHaveRun is true if the request can no longer be refused as not run.
 	MayHaveRun bool
 }
--- a/internal/placement/reservations.go
+++ b/internal/placement/reservations.go
@@ -2,74 +2,74 @@
 
 import "time"
 
-// ReservationLifetime is how long work that was assigned to an engine counts there before the
-// relay that asked has told of it: the answer's way, the begin of the work and the notice's way.
+// ReservationLifetime is how long work assigned to an engine stays reserved until the querying relay reports it:
+// it covers the answer, the start of the work and the load notice.
 const ReservationLifetime = 300 * time.Millisecond
 
-// QueryID names one question of one relay.
+// QueryID identifies a placement query of a relay.
 type QueryID struct {
-	// Relay is the identity of the relay's start, Number that of its question.
+	// Relay identifies the relay's incarnation, Number its query.
 	Relay, Number uint64
 }
 
-// Reservation is work that was assigned to an engine and of which its relay has not told yet.
+// Reservation is work that was assigned to an engine and that its relay has not reported yet.
 type Reservation struct {
 	Engine uint64
 	Work   Work
-	// PendingBlocks are the parts of the prompt that the engine will read anew for it.
+	// PendingBlocks are the prefix blocks that the engine will prefill for it and does not have cached.
 	PendingBlocks []BlockHash
 
-	at time.Duration
+	addedAt time.Duration
 }
 
-// Reservations are an owner's assignments that relays have not told of. They are not safe for
+// Reservations are a cell owner's assignments that relays have not reported yet. They are not safe for
 // concurrent use.
 type Reservations struct {
-	open map[QueryID]Reservation
-	// work is what is reserved at each engine.
+	byQuery map[QueryID]Reservation
+	// work is the reserved work of each engine.
 	work map[uint64]Work
 }
 
-// NewReservations returns none.
+// NewReservations returns an empty set.
 func NewReservations() *Reservations {
-	return &Reservations{open: map[QueryID]Reservation{}, work: map[uint64]Work{}}
+	return &Reservations{byQuery: map[QueryID]Reservation{}, work: map[uint64]Work{}}
 }
 
-// Add reserves; what the asker had reserved before is given up and returned.
-func (r *Reservations) Add(now time.Duration, asker QueryID, reserved Reservation) (former Reservation, had bool) {
-	former, had = r.Release(asker)
-	reserved.at = now
-	r.open[asker] = reserved
-	r.work[reserved.Engine] = r.work[reserved.Engine].Plus(reserved.Work)
-	return former, had
+// Add adds a reservation and replaces the query's previous one, which it returns.
+func (r *Reservations) Add(now time.Duration, query QueryID, reservation Reservation) (previous Reservation, replaced bool) {
+	previous, replaced = r.Release(query)
+	reservation.addedAt = now
+	r.byQuery[query] = reservation
+	r.work[reservation.Engine] = r.work[reservation.Engine].Plus(reservation.Work)
+	return previous, replaced
 }
 
-// Release ends a reservation, since its work counts otherwise now or will never begin.
-func (r *Reservations) Release(asker QueryID) (ended Reservation, had bool) {
-	ended, had = r.open[asker]
-	if !had {
+// Release removes a reservation, since its work is reported now or will never start.
+func (r *Reservations) Release(query QueryID) (released Reservation, found bool) {
+	released, found = r.byQuery[query]
+	if !found {
 		return Reservation{}, false
 	}
-	delete(r.open, asker)
-	left := r.work[ended.Engine].Minus(ended.Work)
-	if left == (Work{}) {
-		delete(r.work, ended.Engine)
+	delete(r.byQuery, query)
+	remaining := r.work[released.Engine].Minus(released.Work)
+	if remaining == (Work{}) {
+		delete(r.work, released.Engine)
 	} else {
-		r.work[ended.Engine] = left
+		r.work[released.Engine] = remaining
 	}
-	return ended, true
+	return released, true
 }
 
-// Expire ends the reservations of which nothing was told in time, and returns them.
+// Expire removes the reservations whose work was not reported in time, and returns them.
 func (r *Reservations) Expire(now time.Duration) (expired []Reservation) {
-	for asker, reserved := range r.open {
-		if now-reserved.at >= ReservationLifetime {
-			r.Release(asker)
-			expired = append(expired, reserved)
+	for query, reservation := range r.byQuery {
+		if now-reservation.addedAt >= ReservationLifetime {
+			r.Release(query)
+			expired = append(expired, reservation)
 		}
 	}
 	return expired
 }
 
-// ReservedWork is the work that is reserved at an engine.
+// ReservedWork returns the work that is reserved at an engine.
 func (r *Reservations) ReservedWork(engine uint64) Work { return r.work[engine] }
--- a/internal/placement/spill_test.go
+++ b/internal/placement/spill_test.go
@@ -7,22 +7,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A request is offered elsewhere when it would wait long, is refused or finds none; the better
-// decision then counts.
-func TestSpills(t *testing.T) {
+// A request is offered to other cells if it would wait long, is refused or finds no engine; the better decision
+// is used.
+func TestShouldSpill(t *testing.T) {
 	p := DefaultParameters()
 	request := Request{Target: time.Second}
-	waiting := func(wait time.Duration, cost float64) Decision {
+	placed := func(wait time.Duration, cost float64) Decision {
 		return Decision{Action: PrefillSeparately, Engine: &Candidate{QueueDelay: wait, Cost: cost}}
 	}
-	short := waiting(100*time.Millisecond, 0.5)
-	long := waiting(400*time.Millisecond, 0.9)
+	short := placed(100*time.Millisecond, 0.5)
+	long := placed(400*time.Millisecond, 0.9)
 	refused := Decision{Action: Refuse, Engine: &Candidate{Cost: 2}}
 	require.False(t, p.ShouldSpill(request, short))
 	require.True(t, p.ShouldSpill(request, long))
 	require.True(t, p.ShouldSpill(request, refused))
 	require.True(t, p.ShouldSpill(request, Decision{}))
-	require.False(t, p.ShouldSpill(Request{}, long), "a prompt that is read already stays near its memory")
+	require.False(t, p.ShouldSpill(Request{}, long), "a prefilled prompt stays near its KV cache")
 
 	require.True(t, short.IsBetter(long))
 	require.False(t, long.IsBetter(short))
--- a/internal/placement/without.go
+++ b/internal/placement/without.go
@@ -7,10 +7,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/mechanism"
 )
 
-// longEnough is a time that no request lives.
-const longEnough = 1e6
+// unlimitedShare, as a multiple of a target, exceeds the lifetime of any request.
+const unlimitedShare = 1e6
 
-// Without returns the parameters with some mechanisms left out.
+// Without returns the parameters with the mechanisms disabled that are switched off.
 func (p Parameters) Without(off mechanism.Set) Parameters {
 	for name, leaveOut := range map[mechanism.Mechanism]func(){
 		mechanism.Homes:            func() { p.HomePreference = 0 },
@@ -18,15 +18,15 @@
 		mechanism.CopyHarm:         func() { p.TransferEvictionCost = 0 },
 		mechanism.AwaitReading:     func() { p.MinPendingTokens, p.MaxPrefillWaits = math.MaxInt, 0 },
 		mechanism.DirectReading:    func() { p.MaxDecodePrefill = -1 },
-		mechanism.RefusalByWait:    func() { p.MaxPrefillDelayShare = longEnough },
-		mechanism.RefusalBySlots:   func() { p.MaxSlotDelayShare = longEnough },
+		mechanism.RefusalByWait:    func() { p.MaxPrefillDelayShare = unlimitedShare },
+		mechanism.RefusalBySlots:   func() { p.MaxSlotDelayShare = unlimitedShare },
 		mechanism.ComeBackSpread:   func() { p.RetrySpread = 0 },
 		mechanism.ShortBeforeLong:  func() { p.ShortPrefill, p.LongPrefill = math.MaxInt, math.MaxInt },
 		mechanism.ZoneAffinity:     func() { p.ZonePenalty, p.ZoneCost = 0, 0 },
 		mechanism.WaitByReading:    func() { p.MinDelayScale, p.MaxDelayScale = 1, 1 },
 		mechanism.StreamHarm:       func() { p.StreamSlowdown, p.StreamPauseCost, p.StreamCost = 0, 0, time.Nanosecond },
 		mechanism.ResidualOfReader: func() { p.ResidualShare = 0 },
-		mechanism.Spills:           func() { p.SpillShare = longEnough },
+		mechanism.Spills:           func() { p.SpillShare = unlimitedShare },
 	} {
 		if !off.On(name) {
 			leaveOut()
--- a/internal/placement/work.go
+++ b/internal/placement/work.go
@@ -1,24 +1,24 @@
 package placement
 
-// RankCount is the number of ranks that a request can have at an engine; 0 goes first.
+// RankCount is the number of ranks of requests at an engine; rank 0 goes first.
 const RankCount = 10
 
-// Work is what requests do at a back end.
+// Work is the work that requests cause at a back end.
 type Work struct {
-	// Prefills counts readings of prompts for other engines, Streams everything else.
+	// Prefills counts prefills for other engines, Streams all other requests.
 	Prefills, Streams int
-	// Tokens are those of prompts that the back end still has to read, by rank.
+	// Tokens are the prompt tokens that the back end still has to prefill, by rank.
 	Tokens [RankCount]int
 }
 
-// PrefillWork is the work of a prompt's tokens at a rank.
+// PrefillWork returns the work of prefilling a prompt's tokens at a rank.
 func PrefillWork(tokens, rank int) Work {
-	asked := Work{}
-	asked.Tokens[min(max(rank, 0), RankCount-1)] = tokens
-	return asked
+	work := Work{}
+	work.Tokens[min(max(rank, 0), RankCount-1)] = tokens
+	return work
 }
 
-// Plus adds work.
+// Plus returns the sum of both.
 func (w Work) Plus(other Work) Work {
 	w.Prefills += other.Prefills
 	w.Streams += other.Streams
@@ -28,7 +28,7 @@
 	return w
 }
 
-// Minus takes work away.
+// Minus returns the work less the other.
 func (w Work) Minus(other Work) Work {
 	w.Prefills -= other.Prefills
 	w.Streams -= other.Streams
@@ -38,10 +38,10 @@
 	return w
 }
 
-// PromptTokens are all tokens that wait to be read.
+// PromptTokens returns the prompt tokens of all ranks that wait for their prefill.
 func (w Work) PromptTokens() int { return w.TokensUpTo(RankCount - 1) }
 
-// TokensUpTo are the tokens that go before or with those of a rank.
+// TokensUpTo returns the prompt tokens that go before those of a rank or together with them.
 func (w Work) TokensUpTo(rank int) int {
 	sum := 0
 	for _, tokens := range w.Tokens[:min(max(rank, 0), RankCount-1)+1] {
