--- a/internal/placement/parameters.go
+++ b/internal/placement/parameters.go
@@ -2,110 +2,110 @@
 
 import "time"
 
-// Parameters are the weights and bounds of the decisions.
+// Parameters are the weights and bounds of placement decisions.
 type Parameters struct {
-	// ZonePenalty is how many more running requests a back end of the preferred zone may
-	// have before one of another zone is taken.
+	// ZonePenalty is by how many running requests a back end of the preferred zone may exceed one of another
+	// zone and still be picked.
 	ZonePenalty float64
-	// ConnectionPenalty is how many more running requests a back end may have to which a connection is
-	// open before one is taken to which one has to be opened. Below one it decides among equals: a request
-	// saves two round trips, and a back end the opening, which holds one of its slots. Each of a thousand
-	// relays meets any of three hundred back ends otherwise, and never one of them twice.
+	// ConnectionPenalty is the same for a back end with an open connection compared to one without. Below 1 it
+	// only breaks ties. A reused connection saves the request two round trips and saves the back end a
+	// handshake, which occupies one of its slots. Without it, each of a thousand relays picks any of three
+	// hundred back ends and never reaches the same one twice.
 	ConnectionPenalty float64
-	// ZoneTime is the cost of a prompt's way to another zone.
-	ZoneTime time.Duration
-	// HomeTime is the most by which a prompt's home engine is preferred to others.
-	HomeTime time.Duration
-	// PromptTargetShare is the part of a route's target that the reading of a prompt may take.
-	PromptTargetShare float64
-	// LateWeight is how much worse it is to be late than to wait.
+	// ZoneCost is the cost of sending a prompt to another zone.
+	ZoneCost time.Duration
+	// HomePreference is the largest advantage of a prompt's home engine over others.
+	HomePreference time.Duration
+	// PrefillTargetShare is the share of a route's target that the prefill may take.
+	PrefillTargetShare float64
+	// LateWeight is the weight of time beyond the target, relative to waiting time.
 	LateWeight int
-	// LeastShared is the least shared beginning of a prompt, in tokens, that ties it to the engines
-	// that keep it, wherever they are.
-	LeastShared int
-	// LeastFetch is the least number of tokens that are worth taking from another engine,
-	// FetchSetup what taking them costs beside their way.
-	LeastFetch int
-	FetchSetup time.Duration
-	// CopyHarm is what each token costs of which another engine takes a copy: the copy drives
-	// other parts out of its memory, which then have to be read again.
-	CopyHarm time.Duration
-	// ResidualShare is the part of a reading under way that is left on average.
+	// MinSharedTokens is the shortest shared prefix, in tokens, that ties a prompt to the engines that have it
+	// cached, in whatever zone they are.
+	MinSharedTokens int
+	// MinTransferTokens is the smallest number of tokens worth fetching from another engine. TransferSetup is
+	// the fixed time of a KV transfer.
+	MinTransferTokens int
+	TransferSetup     time.Duration
+	// TransferEvictionCost is the cost of each token that is copied to another engine: the copy evicts other
+	// prefix blocks there, which then have to be prefilled again.
+	TransferEvictionCost time.Duration
+	// ResidualShare is the share of a running prefill that remains on average.
 	ResidualShare float64
-	// StreamTime is what one running stream of a decoding engine weighs.
-	StreamTime time.Duration
-	// StreamHarm is how much dearer reading at a decoding engine is for each stream that it
-	// holds up, as a part of the reading's time.
-	StreamHarm float64
-	// DecodePiece is how many tokens of a prompt a decoding engine reads in one step, and
-	// DecodeStep how long a step without reading takes about.
-	DecodePiece int
+	// StreamCost is the cost of each running stream at a decode engine.
+	StreamCost time.Duration
+	// StreamSlowdown is the relative increase in the cost of a prefill at a decode engine for each stream that
+	// it delays.
+	StreamSlowdown float64
+	// DecodeChunk is how many prompt tokens a decode engine prefills in one step. DecodeStep is the
+	// approximate time of a step without prefill.
+	DecodeChunk int
 	DecodeStep  time.Duration
-	// PauseHarm is what it costs for each stream that its engine makes late by reading.
-	PauseHarm time.Duration
-	// DecodeSlowdown is how much slower a decoding engine reads prompts than a prefill engine.
+	// StreamPauseCost is the cost of each stream that exceeds its gap target because of a prefill.
+	StreamPauseCost time.Duration
+	// DecodeSlowdown is how many times slower a decode engine prefills than a prefill engine.
 	DecodeSlowdown int
-	// HandOverTime is what handing a prompt from one engine to another takes.
-	HandOverTime time.Duration
-	// LongestDirect is the longest reading, in tokens, that a decoding engine takes on while a
-	// prefill engine could: its streams would pause too long. FewStreams is how many streams may
-	// be held up by a longer one.
-	LongestDirect, FewStreams int
-	// LongestWaitShare is how many targets of its route a prompt may wait to be read: one that
-	// waits longer would be late, and those behind it too.
-	LongestWaitShare float64
-	// SpillShare is the part of its route's target that a request may wait at the engines that
-	// keep its prompt before others are asked as well.
+	// KVTransferTime is the time to transfer a prompt's KV cache from the prefill engine to the decode engine.
+	KVTransferTime time.Duration
+	// MaxDecodePrefill is the longest prefill, in tokens, that a decode engine takes on if a prefill engine is
+	// available: a longer one would pause its streams too long. MaxPausedStreams is how many streams a longer
+	// one may pause.
+	MaxDecodePrefill, MaxPausedStreams int
+	// MaxPrefillDelayShare bounds how long a prompt may queue for its prefill, as a multiple of its route's
+	// target: one that queues longer would be late and would make those behind it late.
+	MaxPrefillDelayShare float64
+	// SpillShare is the share of its route's target that a request may wait at the cell of its prefix before
+	// other cells are asked as well.
 	SpillShare float64
-	// LongestSlotWait is how many targets of its route a request may wait for a slot.
-	LongestSlotWait float64
-	// LeastWaitScale and MostWaitScale bound by how much a prompt may wait less, or longer, for
-	// the part of it that is kept.
-	LeastWaitScale, MostWaitScale float64
-	// ComeBackShare is the part of a refused client's time after which it had better come back at
-	// the latest, and ComeBackSpread the part of that over which clients are spread.
-	ComeBackShare, ComeBackSpread float64
-	// LeastUnusable is the least number of tokens that are worth waiting for while the engine
-	// reads them for another request, MostWaits how often one request waits.
-	LeastUnusable, MostWaits int
-	// ShortReading and LongReading divide the prompts of one rank, in tokens: short ones go
-	// first, as they wait least and delay others least.
-	ShortReading, LongReading int
+	// MaxSlotDelayShare bounds how long a request may wait for a slot, as a multiple of its route's target.
+	MaxSlotDelayShare float64
+	// MinDelayScale and MaxDelayScale bound the factor by which MaxPrefillDelayShare is adjusted for the
+	// cached share of a prompt.
+	MinDelayScale, MaxDelayScale float64
+	// RetryShare is the share of a refused client's remaining time after which it should retry at the latest.
+	// RetrySpread is the share of that time over which clients are spread.
+	RetryShare, RetrySpread float64
+	// MinPendingTokens is the smallest number of tokens worth waiting for while the engine prefills them for
+	// another request. MaxPrefillWaits is how often one request waits.
+	MinPendingTokens, MaxPrefillWaits int
+	// ShortPrefill and LongPrefill divide the prompts of one priority, in tokens: short ones go first, since
+	// they delay others least.
+	ShortPrefill, LongPrefill int
 }
 
-// DefaultParameters are those in use.
+// DefaultParameters returns the parameters used in production.
 func DefaultParameters() Parameters {
 	return Parameters{
-		ZonePenalty:       1.5,
-		ConnectionPenalty: 0.5,
-		ZoneTime:          4 * time.Millisecond,
-		HomeTime:          15 * time.Millisecond,
-		PromptTargetShare: 0.8,
-		LateWeight:        3,
-		LeastShared:       1_000,
-		LeastFetch:        1_000,
-		FetchSetup:        12 * time.Millisecond,
-		CopyHarm:          6 * time.Microsecond,
-		ResidualShare:     0.6,
-		StreamTime:        2 * time.Millisecond,
-		StreamHarm:        0.1,
-		DecodePiece:       512,
-		DecodeStep:        6 * time.Millisecond,
-		PauseHarm:         15 * time.Millisecond,
-		DecodeSlowdown:    2,
-		HandOverTime:      25 * time.Millisecond,
-		LongestDirect:     2_048,
-		FewStreams:        2,
-		LongestWaitShare:  1.2,
-		SpillShare:        0.2,
-		LongestSlotWait:   0.6,
-		LeastWaitScale:    0.6,
-		MostWaitScale:     1.3,
-		ComeBackShare:     1.0 / 3,
-		ComeBackSpread:    0.5,
-		LeastUnusable:     1_000,
-		MostWaits:         3,
-		ShortReading:      5_000,
-		LongReading:       14_000,
+		ZonePenalty:          1.5,
+		ConnectionPenalty:    0.5,
+		ZoneCost:             4 * time.Millisecond,
+		HomePreference:       15 * time.Millisecond,
+		PrefillTargetShare:   0.8,
+		LateWeight:           3,
+		MinSharedTokens:      1_000,
+		MinTransferTokens:    1_000,
+		TransferSetup:        12 * time.Millisecond,
+		TransferEvictionCost: 6 * time.Microsecond,
+		ResidualShare:        0.6,
+		StreamCost:           2 * time.Millisecond,
+		StreamSlowdown:       0.1,
+		DecodeChunk:          512,
+		DecodeStep:           6 * time.Millisecond,
+		StreamPauseCost:      15 * time.Millisecond,
+		DecodeSlowdown:       2,
+		KVTransferTime:       25 * time.Millisecond,
+		MaxDecodePrefill:     2_048,
+		MaxPausedStreams:     2,
+		MaxPrefillDelayShare: 1.2,
+		SpillShare:           0.2,
+		MaxSlotDelayShare:    0.6,
+		MinDelayScale:        0.6,
+		MaxDelayScale:        1.3,
+		RetryShare:           1.0 / 3,
+		RetrySpread:          0.5,
+		MinPendingTokens:     1_000,
+		MaxPrefillWaits:      3,
+		ShortPrefill:         5_000,
+		LongPrefill:          14_000,
 	}
 }
--- a/internal/placement/reason.go
+++ b/internal/placement/reason.go
@@ -1,42 +1,42 @@
 package placement
 
-// Reason is why a decision was made. Its numbers go between processes and are never reused.
+// Reason is why a decision was made. Its numbers are sent between processes and are never reused.
 type Reason uint32
 
 // Reasons.
 const (
-	// NoReason is given where there was nothing to weigh.
-	NoReason Reason = iota
-	// NoReader leaves a request unplaced.
-	NoReader
-	// SlotsTaken refuses a request that would wait long for a slot.
-	SlotsTaken
-	// TooManyPrompts refuses a prompt that would wait long to be read.
-	TooManyPrompts
-	// SharedPartsRead lets a prompt wait for another one's reading.
-	SharedPartsRead
-	// NoPrefillEngine, DecodingAsSoon and PrefillSooner say where a prompt is read.
-	NoPrefillEngine
-	DecodingAsSoon
-	PrefillSooner
+	// ReasonNone means that there was nothing to decide.
+	ReasonNone Reason = iota
+	// ReasonNoEngine means that no engine can prefill the prompt.
+	ReasonNoEngine
+	// ReasonSlotsTaken refuses a request that would wait too long for a slot.
+	ReasonSlotsTaken
+	// ReasonPrefillQueueFull refuses a prompt that would wait too long for its prefill.
+	ReasonPrefillQueueFull
+	// ReasonSharedPrefillRunning makes a prompt wait for the prefill of another one with shared prefix blocks.
+	ReasonSharedPrefillRunning
+	// ReasonNoPrefillEngine, ReasonDecodeAsSoon and ReasonPrefillSooner explain where a prompt is prefilled.
+	ReasonNoPrefillEngine
+	ReasonDecodeAsSoon
+	ReasonPrefillSooner
 )
 
-// String says the reason in words.
+// String returns the reason as text.
 func (r Reason) String() string {
 	switch r {
-	case NoReader:
+	case ReasonNoEngine:
 		return "no engine can read the prompt"
-	case SlotsTaken:
+	case ReasonSlotsTaken:
 		return "too many requests wait for a slot"
-	case TooManyPrompts:
+	case ReasonPrefillQueueFull:
 		return "too many prompts wait to be read"
-	case SharedPartsRead:
+	case ReasonSharedPrefillRunning:
 		return "the engine reads shared parts for another request"
-	case NoPrefillEngine:
+	case ReasonNoPrefillEngine:
 		return "no prefill engine is left"
-	case DecodingAsSoon:
+	case ReasonDecodeAsSoon:
 		return "the decoding engine has it as soon"
-	case PrefillSooner:
+	case ReasonPrefillSooner:
 		return "a prefill engine has it sooner"
 	default:
 		return ""
