--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -23,8 +23,8 @@
 	// QueueLength and QueueBytes bound the waiting requests; defaults 1024 and 64 MiB.
 	QueueLength int
 	QueueBytes  int64
-	// InFlight bounds the started requests; default 4096.
-	InFlight int
+	// MaxInFlight bounds the started requests; default 4096.
+	MaxInFlight int
 	// OutputWeight is the cost of one output token in prompt tokens; default 8.
 	OutputWeight float64
 	// WaitTarget is the wait at back ends above which the window shrinks; default 1 s.
@@ -44,7 +44,7 @@
 }
 
 func (c *Config) checkAndSetDefaults() error {
-	if c.QueueLength < 0 || c.QueueBytes < 0 || c.InFlight < 0 {
+	if c.QueueLength < 0 || c.QueueBytes < 0 || c.MaxInFlight < 0 {
 		return trace.BadParameter("admission: QueueLength, QueueBytes and InFlight must not be negative")
 	}
 	if c.WorthBound != 0 && c.WorthBound < 1 {
@@ -52,7 +52,7 @@
 	}
 	setDefault(&c.QueueLength, defaultQueueLength)
 	setDefault(&c.QueueBytes, defaultQueueBytes)
-	setDefault(&c.InFlight, defaultInFlight)
+	setDefault(&c.MaxInFlight, defaultInFlight)
 	setDefault(&c.OutputWeight, defaultOutputWeight)
 	setDefault(&c.WaitTarget, defaultWaitTarget)
 	setDefault(&c.InitialWindow, defaultInitialWindow)
--- a/internal/admission/core.go
+++ b/internal/admission/core.go
@@ -84,12 +84,12 @@
 	return c.shed()
 }
 
-// Next returns the request to start now, if there is one and the window has room. The
+// StartNext returns the request to start now, if there is one and the window has room. The
 // caller must end it with Finish. Requests that could not end in time any more are given
 // up on instead; Refused returns them.
-func (c *Core) Next(now time.Duration) (Request, bool) {
+func (c *Core) StartNext(now time.Duration) (Request, bool) {
 	next, found := c.nextInTime(now)
-	if !found || c.window.count >= c.config.InFlight || !c.window.admits(next.cost) {
+	if !found || c.window.count >= c.config.MaxInFlight || !c.window.admits(next.cost) {
 		return Request{}, false
 	}
 	queue := next.queue
@@ -123,16 +123,16 @@
 	}
 }
 
-// Refused returns, once, the requests that Next has given up on.
-func (c *Core) Refused() []Refusal {
+// DrainRefusals returns, once, the requests that Next has given up on.
+func (c *Core) DrainRefusals() []Refusal {
 	refused := c.refused
 	c.refused = nil
 	return refused
 }
 
-// FirstToken notes that a started request has brought its first token, wait later than
+// RecordFirstToken notes that a started request has brought its first token, wait later than
 // its own work explains. The pace of its class follows at once.
-func (c *Core) FirstToken(now time.Duration, id uint64, wait time.Duration) {
+func (c *Core) RecordFirstToken(now time.Duration, id uint64, wait time.Duration) {
 	writing, found := c.started[id]
 	if !found || writing.firstToken > 0 {
 		return
@@ -181,11 +181,11 @@
 	return true
 }
 
-// InFlight is the number of started requests.
-func (c *Core) InFlight() int { return len(c.started) }
+// InFlightCount is the number of started requests.
+func (c *Core) InFlightCount() int { return len(c.started) }
 
-// Waiting is the number of waiting requests.
-func (c *Core) Waiting() int { return len(c.entries) }
+// WaitingCount is the number of waiting requests.
+func (c *Core) WaitingCount() int { return len(c.entries) }
 
 func (c *Core) known(id uint64) bool {
 	_, waits := c.entries[id]
--- a/internal/admission/core_test.go
+++ b/internal/admission/core_test.go
@@ -20,7 +20,7 @@
 }
 
 // oneAtATime lets one request be in flight.
-func oneAtATime(c *Config) { c.InFlight = 1 }
+func oneAtATime(c *Config) { c.MaxInFlight = 1 }
 
 func queueLength(length int) func(*Config) { return func(c *Config) { c.QueueLength = length } }
 
@@ -42,7 +42,7 @@
 func drain(core *Core, now time.Duration) []uint64 {
 	var started []uint64
 	for {
-		next, found := core.Next(now)
+		next, found := core.StartNext(now)
 		if !found {
 			return started
 		}
@@ -117,7 +117,7 @@
 func TestExpireGivesUpAtOnce(t *testing.T) {
 	core := newTestCore(t, oneAtATime)
 	require.Empty(t, core.Offer(0, offered(1, "a")))
-	_, found := core.Next(0)
+	_, found := core.StartNext(0)
 	require.True(t, found)
 	require.Empty(t, core.Offer(0, offered(2, "a", deadline(5*time.Second, 3*time.Second))))
 	require.Empty(t, core.Expire(2*time.Second), "it can still start now")
@@ -133,7 +133,7 @@
 	}
 	var now time.Duration
 	for range 4 {
-		next, found := core.Next(now)
+		next, found := core.StartNext(now)
 		require.True(t, found)
 		now += time.Second
 		core.Finish(now, next.ID, Result{})
@@ -156,7 +156,7 @@
 	inFlight := func() []uint64 {
 		var ids []uint64
 		for {
-			next, found := core.Next(0)
+			next, found := core.StartNext(0)
 			if !found {
 				return ids
 			}
@@ -174,7 +174,7 @@
 		}
 		inFlight()
 	}
-	require.Greater(t, core.InFlight(), 2, "the window grows while nothing waits")
+	require.Greater(t, core.InFlightCount(), 2, "the window grows while nothing waits")
 }
 
 // TestBoundsHold offers, starts, finishes and expires at random: the queue and the
@@ -182,7 +182,7 @@
 func TestBoundsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length, bytes, inFlight = 10, 100, 3
-		core := newTestCore(t, func(c *Config) { c.QueueLength, c.QueueBytes, c.InFlight = length, bytes, inFlight })
+		core := newTestCore(t, func(c *Config) { c.QueueLength, c.QueueBytes, c.MaxInFlight = length, bytes, inFlight })
 		open := map[uint64]bool{}
 		var started []uint64
 		end := func(refused []Refusal) {
@@ -205,7 +205,7 @@
 				}))
 			case 2:
 				end(core.Expire(now))
-				if next, found := core.Next(now); found {
+				if next, found := core.StartNext(now); found {
 					require.True(t, open[next.ID])
 					started = append(started, next.ID)
 				}
@@ -216,12 +216,12 @@
 					started = started[1:]
 				}
 			}
-			require.LessOrEqual(t, core.Waiting(), length)
+			require.LessOrEqual(t, core.WaitingCount(), length)
 			require.LessOrEqual(t, core.queuedBytes, int64(bytes))
-			require.LessOrEqual(t, core.InFlight(), inFlight)
-			require.Equal(t, len(open), core.Waiting()+core.InFlight())
-			require.LessOrEqual(t, len(core.tenants), core.Waiting()+core.InFlight())
-			require.Equal(t, core.Waiting(), core.byStart.Len())
+			require.LessOrEqual(t, core.InFlightCount(), inFlight)
+			require.Equal(t, len(open), core.WaitingCount()+core.InFlightCount())
+			require.LessOrEqual(t, len(core.tenants), core.WaitingCount()+core.InFlightCount())
+			require.Equal(t, core.WaitingCount(), core.byStart.Len())
 		}
 	})
 }
@@ -246,7 +246,7 @@
 		}
 		used := make([]float64, tenants)
 		for range 500 {
-			next, found := core.Next(0)
+			next, found := core.StartNext(0)
 			require.True(t, found)
 			var tenant int
 			_, err := fmt.Sscan(next.Tenant, &tenant)
--- a/internal/admission/deadline.go
+++ b/internal/admission/deadline.go
@@ -12,7 +12,7 @@
 // or is predicted not to. The owner calls it often (every 50 ms) and answers the
 // callers at once.
 func (c *Core) Expire(now time.Duration) []Refusal {
-	given := c.Refused()
+	given := c.DrainRefusals()
 	for {
 		first, found := c.byStart.Min()
 		if !found || first.start >= now {
--- a/internal/admission/estimator.go
+++ b/internal/admission/estimator.go
@@ -15,21 +15,21 @@
 	memorySamples = 100
 )
 
-// Declared is what operators expect of a kind before anything has been measured.
-type Declared struct {
+// DeclaredTokens is what operators expect of a kind before anything has been measured.
+type DeclaredTokens struct {
 	PromptTokens int
 	OutputTokens int
 }
 
-// Shape is what is known of a request before it runs.
-type Shape struct {
+// RequestShape is what is known of a request before it runs.
+type RequestShape struct {
 	Tenant string
 	Kind   string
 	// PromptBytes is the length of the prompt's text; 0 when unknown.
 	PromptBytes int
 	// MaximumOutputTokens is the caller's own bound; 0 for none.
 	MaximumOutputTokens int
-	Declared            Declared
+	DeclaredTokens      DeclaredTokens
 }
 
 // Estimate is the expected number of tokens of a request.
@@ -69,11 +69,11 @@
 }
 
 // Estimate returns the expected tokens of a request.
-func (e *Estimator) Estimate(shape Shape) Estimate {
+func (e *Estimator) Estimate(shape RequestShape) Estimate {
 	means := tokenMeans{
 		bytesPerToken: mean{value: defaultBytesPerToken},
-		prompt:        mean{value: float64(shape.Declared.PromptTokens)},
-		output:        mean{value: float64(shape.Declared.OutputTokens)},
+		prompt:        mean{value: float64(shape.DeclaredTokens.PromptTokens)},
+		output:        mean{value: float64(shape.DeclaredTokens.OutputTokens)},
 	}
 	if kind, found := e.kinds.Get(shape.Kind); found {
 		means.blend(kind)
@@ -95,8 +95,8 @@
 	return Estimate{PromptTokens: int(prompt + 0.5), OutputTokens: int(output + 0.5)}
 }
 
-// Learn takes in what a request has used.
-func (e *Estimator) Learn(shape Shape, used Estimate) {
+// RecordUsage takes in what a request has used.
+func (e *Estimator) RecordUsage(shape RequestShape, used Estimate) {
 	key := pairKey{shape.Tenant, shape.Kind}
 	pair, found := e.pairs.Get(key)
 	if !found {
@@ -119,7 +119,7 @@
 	output        mean
 }
 
-func (m *tokenMeans) learn(shape Shape, used Estimate) {
+func (m *tokenMeans) learn(shape RequestShape, used Estimate) {
 	if shape.PromptBytes > 0 && used.PromptTokens > 0 {
 		m.bytesPerToken.add(float64(shape.PromptBytes) / float64(used.PromptTokens))
 	}
--- a/internal/admission/estimator_test.go
+++ b/internal/admission/estimator_test.go
@@ -8,30 +8,30 @@
 )
 
 func TestEstimates(t *testing.T) {
-	declared := Declared{PromptTokens: 600, OutputTokens: 40}
-	own := Shape{Tenant: "a", Kind: "matching", Declared: declared}
-	learn := func(e *Estimator, shape Shape, used Estimate) {
+	declared := DeclaredTokens{PromptTokens: 600, OutputTokens: 40}
+	own := RequestShape{Tenant: "a", Kind: "matching", DeclaredTokens: declared}
+	learn := func(e *Estimator, shape RequestShape, used Estimate) {
 		for range 200 {
-			e.Learn(shape, used)
+			e.RecordUsage(shape, used)
 		}
 	}
 	rows := []struct {
 		name   string
 		learn  func(*Estimator)
-		change func(*Shape)
+		change func(*RequestShape)
 		want   Estimate
 	}{
 		{"declared before anything is measured", nil, nil, Estimate{600, 40}},
-		{"four bytes a token before anything is measured", nil, func(s *Shape) { s.PromptBytes = 4000 }, Estimate{1000, 40}},
-		{"the caller's own bound", nil, func(s *Shape) { s.MaximumOutputTokens = 8 }, Estimate{600, 8}},
+		{"four bytes a token before anything is measured", nil, func(s *RequestShape) { s.PromptBytes = 4000 }, Estimate{1000, 40}},
+		{"the caller's own bound", nil, func(s *RequestShape) { s.MaximumOutputTokens = 8 }, Estimate{600, 8}},
 		{"nothing known but the caller's bound", nil,
-			func(s *Shape) { s.Declared, s.MaximumOutputTokens = Declared{}, 8 }, Estimate{0, 8}},
-		{"other tenants of the kind", func(e *Estimator) { learn(e, Shape{Tenant: "b", Kind: "matching"}, Estimate{6000, 100}) },
+			func(s *RequestShape) { s.DeclaredTokens, s.MaximumOutputTokens = DeclaredTokens{}, 8 }, Estimate{0, 8}},
+		{"other tenants of the kind", func(e *Estimator) { learn(e, RequestShape{Tenant: "b", Kind: "matching"}, Estimate{6000, 100}) },
 			nil, Estimate{5600, 96}},
 		{"the tenant itself above others", func(e *Estimator) {
-			learn(e, Shape{Tenant: "a", Kind: "matching", PromptBytes: 3000}, Estimate{1000, 10})
-			learn(e, Shape{Tenant: "b", Kind: "matching"}, Estimate{6000, 100})
-		}, func(s *Shape) { s.PromptBytes = 6000 }, Estimate{1996, 16}},
+			learn(e, RequestShape{Tenant: "a", Kind: "matching", PromptBytes: 3000}, Estimate{1000, 10})
+			learn(e, RequestShape{Tenant: "b", Kind: "matching"}, Estimate{6000, 100})
+		}, func(s *RequestShape) { s.PromptBytes = 6000 }, Estimate{1996, 16}},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -53,7 +53,7 @@
 	estimator, err := NewEstimator(10)
 	require.NoError(t, err)
 	for i := range 100 {
-		estimator.Learn(Shape{Tenant: fmt.Sprint(i), Kind: fmt.Sprint(i)}, Estimate{1, 1})
+		estimator.RecordUsage(RequestShape{Tenant: fmt.Sprint(i), Kind: fmt.Sprint(i)}, Estimate{1, 1})
 	}
 	require.Equal(t, 10, estimator.pairs.Len())
 	require.Equal(t, 10, estimator.kinds.Len())
--- a/internal/admission/pace.go
+++ b/internal/admission/pace.go
@@ -65,7 +65,7 @@
 	took := now - ended.startedAt
 	known, found := p.classes.Get(ended.Class)
 	switch {
-	case ended.firstToken == 0 && result.Missed:
+	case ended.firstToken == 0 && result.DeadlineMissed:
 		// It had no token when it was given up: its first token is later than that.
 		if !found || took > known.firstToken {
 			p.firstToken(now, ended.Class, took)
--- a/internal/admission/pace_test.go
+++ b/internal/admission/pace_test.go
@@ -43,7 +43,7 @@
 		{"requests that varied need a margin",
 			[]seen{completed("slow", time.Second, 0), completed("slow", 4*time.Second, 0)}, 0, 1500 * time.Millisecond, ErrDeadline},
 		{"one gave up without a token", []seen{completed("slow", 100*time.Millisecond, 0),
-			{class: "slow", took: 30 * time.Second, result: Result{Failed: true, Missed: true}}}, 0, 2 * time.Second, ErrDeadline},
+			{class: "slow", took: 30 * time.Second, result: Result{Failed: true, DeadlineMissed: true}}}, 0, 2 * time.Second, ErrDeadline},
 		{"one failed for a reason of its own", []seen{completed("slow", 100*time.Millisecond, 0),
 			{class: "slow", took: time.Second, result: Result{Failed: true}}}, 0, 2 * time.Second, nil},
 	}
@@ -53,10 +53,10 @@
 			var now time.Duration
 			for number, each := range row.before {
 				require.Empty(t, core.Offer(now, offered(uint64(number), "a", func(r *Request) { r.Class = each.class })))
-				_, found := core.Next(now)
+				_, found := core.StartNext(now)
 				require.True(t, found)
 				if each.firstToken > 0 {
-					core.FirstToken(now+each.firstToken, uint64(number), 0)
+					core.RecordFirstToken(now+each.firstToken, uint64(number), 0)
 				}
 				now += each.took
 				core.Finish(now, uint64(number), each.result)
@@ -83,23 +83,23 @@
 		return core.Offer(now, offered(id, "a", deadline(now+time.Second, 0), func(r *Request) { r.Class = "slow" }))
 	}
 	require.Empty(t, ask(0, 0))
-	_, found := core.Next(0)
+	_, found := core.StartNext(0)
 	require.True(t, found)
-	core.FirstToken(3*time.Second, 0, 0)
+	core.RecordFirstToken(3*time.Second, 0, 0)
 	core.Finish(3*time.Second, 0, Result{PromptTokens: 1000})
 	now := 3*time.Second + paceLifetime + 1
 	require.Empty(t, ask(now, 1))
-	_, found = core.Next(now)
+	_, found = core.StartNext(now)
 	require.True(t, found, "the first one tries")
 	for id := range uint64(9) {
 		require.Len(t, ask(now, 10+id), 1, "the others do not")
 	}
 	for id := uint64(1); id < 6; id++ {
-		core.FirstToken(now+10*time.Millisecond, id, 0)
+		core.RecordFirstToken(now+10*time.Millisecond, id, 0)
 		core.Finish(now+10*time.Millisecond, id, Result{PromptTokens: 1000})
 		now += paceLifetime + 20*time.Millisecond
 		require.Empty(t, ask(now, id+1))
-		_, found = core.Next(now)
+		_, found = core.StartNext(now)
 		require.True(t, found)
 	}
 	require.Empty(t, ask(now, 100), "the pace is good again")
@@ -110,16 +110,16 @@
 func TestNextGivesUpOnTheLate(t *testing.T) {
 	core := newTestCore(t, oneAtATime)
 	require.Empty(t, core.Offer(0, offered(1, "a")))
-	_, found := core.Next(0)
+	_, found := core.StartNext(0)
 	require.True(t, found)
 	require.Empty(t, core.Offer(0, offered(2, "a", deadline(time.Second, 0))))
 	require.Empty(t, core.Offer(0, offered(3, "a", deadline(time.Minute, 0))))
 	core.Finish(2*time.Second, 1, Result{})
-	next, found := core.Next(2 * time.Second)
+	next, found := core.StartNext(2 * time.Second)
 	require.True(t, found)
 	require.Equal(t, uint64(3), next.ID)
-	require.Equal(t, []Refusal{{2, ErrDeadline, time.Second}}, core.Refused())
-	require.Empty(t, core.Refused())
+	require.Equal(t, []Refusal{{2, ErrDeadline, time.Second}}, core.DrainRefusals())
+	require.Empty(t, core.DrainRefusals())
 	require.False(t, core.Remove(2))
 }
 
@@ -132,7 +132,7 @@
 		wait    time.Duration
 		shrinks bool
 	}{
-		{"missed", Result{Failed: true, Missed: true}, 0, 0, true},
+		{"missed", Result{Failed: true, DeadlineMissed: true}, 0, 0, true},
 		{"failed", Result{Failed: true}, 0, 0, false},
 		{"failed after a long wait for its first token", Result{Failed: true}, time.Minute, time.Minute, true},
 		{"completed without waiting", Result{}, time.Millisecond, 0, false},
@@ -145,10 +145,10 @@
 			before := core.window.size
 			for id := range uint64(20) {
 				require.Empty(t, core.Offer(0, offered(id, "a")))
-				_, found := core.Next(0)
+				_, found := core.StartNext(0)
 				require.True(t, found)
 				if row.tokenAt > 0 {
-					core.FirstToken(row.tokenAt, id, row.wait)
+					core.RecordFirstToken(row.tokenAt, id, row.wait)
 				}
 				core.Finish(time.Minute, id, row.result)
 			}
--- a/internal/admission/reading_test.go
+++ b/internal/admission/reading_test.go
@@ -35,14 +35,14 @@
 			start := func() {
 				id++
 				require.Empty(t, core.Offer(now, offered(id, "a", func(r *Request) { r.Class, r.Priority = "read", row.priority })))
-				_, found := core.Next(now)
+				_, found := core.StartNext(now)
 				require.True(t, found)
 			}
 			start()
 			for range 20 { // one is unread all the time
 				start()
 				now += each
-				core.FirstToken(now, id-1, 0)
+				core.RecordFirstToken(now, id-1, 0)
 				core.Finish(now, id-1, Result{PromptTokens: 1000})
 			}
 			for range row.unread - 1 {
@@ -68,11 +68,11 @@
 	core := newTestCore(t)
 	start := func(now time.Duration, id uint64) {
 		require.Empty(t, core.Offer(now, offered(id, "a", func(r *Request) { r.Class = "read" })))
-		_, found := core.Next(now)
+		_, found := core.StartNext(now)
 		require.True(t, found)
 	}
 	end := func(now time.Duration, id uint64) {
-		core.FirstToken(now, id, 0)
+		core.RecordFirstToken(now, id, 0)
 		core.Finish(now, id, Result{PromptTokens: 1000})
 	}
 	start(0, 1)
--- a/internal/admission/result.go
+++ b/internal/admission/result.go
@@ -10,8 +10,8 @@
 	// Wait is how much longer than its own work the request took; it counts when
 	// FirstToken was not told.
 	Wait time.Duration
-	// Missed tells that it was given up because its deadline had passed.
-	Missed bool
+	// DeadlineMissed tells that it was given up because its deadline had passed.
+	DeadlineMissed bool
 	// Overloaded tells that a back end refused it for too much load.
 	Overloaded bool
 	// Failed tells that it did not complete. Unless it Missed or was Overloaded, that says
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -60,7 +60,7 @@
 	}
 	w.measureRoundTrip(now - ended.startedAt)
 	switch {
-	case result.Missed:
+	case result.DeadlineMissed:
 		w.measureWait(missedWait)
 	case ended.firstToken > 0:
 		w.measureWait(float64(ended.wait) / float64(w.allowedWait(ended)))
--- a/internal/authority/commander.go
+++ b/internal/authority/commander.go
@@ -181,7 +181,7 @@
 	if record == nil {
 		return append(c.proposeOnce(now, engine, recordCommand(engine)), c.raiseFence(now, engine)...)
 	}
-	if !engine.fenced(c.epoch) && c.config.Safeguards.On(SafeguardFence) {
+	if !engine.fenced(c.epoch) && c.config.Safeguards.IsEnabled(SafeguardFence) {
 		return append(c.giveUpSilent(now, engine, record), c.raiseFence(now, engine)...)
 	}
 	if record.Outstanding == nil {
--- a/internal/authority/decide.go
+++ b/internal/authority/decide.go
@@ -37,7 +37,7 @@
 // Proposed tells that a prepared order was proposed as the log's entry at index. The
 // order is sent by Step once it is committed, and never from here.
 func (c *Commander) Proposed(issue *v1.IssueOrder, index uint64) []Action {
-	if c.config.Safeguards.On(SafeguardCommitBeforeSend) {
+	if c.config.Safeguards.IsEnabled(SafeguardCommitBeforeSend) {
 		return nil
 	}
 	order := proto.CloneOf(issue.GetOrder())
@@ -62,14 +62,14 @@
 		return trace.Wrap(ErrEngineUnknown, "engine %q; see `show engines`", wanted.Engine)
 	case !engine.heard || now-engine.heardAt > c.config.Freshness:
 		return trace.Wrap(ErrEngineSilent, "engine %q", wanted.Engine)
-	case !engine.fenced(c.epoch) && c.config.Safeguards.On(SafeguardFence):
+	case !engine.fenced(c.epoch) && c.config.Safeguards.IsEnabled(SafeguardFence):
 		return trace.Wrap(ErrNoAuthority, "engine %q has not confirmed the fence; try again in a second", wanted.Engine)
 	}
 	record := state.Engine(wanted.Engine)
 	switch {
 	case record == nil:
 		return trace.Wrap(ErrEngineUnknown, "engine %q is not recorded yet; try again in a second", wanted.Engine)
-	case record.Outstanding != nil && c.config.Safeguards.On(controlstate.OneOrderAtATime):
+	case record.Outstanding != nil && c.config.Safeguards.IsEnabled(controlstate.OneOrderAtATime):
 		return trace.Wrap(ErrEngineBusy, "engine %q holds order %d/%d; wait or abort it",
 			wanted.Engine, record.Outstanding.Epoch, record.Outstanding.Sequence)
 	case engine.ordering != nil || underWay(engine.last):
--- a/internal/authority/limits.go
+++ b/internal/authority/limits.go
@@ -25,7 +25,7 @@
 		return nil
 	}
 	bounds := boundsOf(state, engine.last.Service)
-	if c.config.Safeguards.On(SafeguardOutBound) {
+	if c.config.Safeguards.IsEnabled(SafeguardOutBound) {
 		if err := c.checkOut(state, engine, bounds); err != nil {
 			return err
 		}
--- a/internal/backpressure/asked.go
+++ b/internal/backpressure/asked.go
@@ -9,10 +9,10 @@
 	statusUnavailable     = 503
 )
 
-// Asked is what one answer of a back end asks for; the zero value asks for nothing.
-type Asked struct {
-	// Rest is how long the back end wants nothing from this process.
-	Rest time.Duration
+// Directives is what one answer of a back end asks for; the zero value asks for nothing.
+type Directives struct {
+	// Backoff is how long the back end wants nothing from this process.
+	Backoff time.Duration
 	// Leaving tells that the back end leaves.
 	Leaving bool
 	// Limit is what the back end takes of all processes together. Unlimited tells that the answer says by its silence that
@@ -21,26 +21,26 @@
 	Unlimited bool
 }
 
-// Words are the headers of one answer with which a back end asks for something.
-type Words struct {
+// Headers are the headers of one answer with which a back end asks for something.
+type Headers struct {
 	// RetryAfter is the value of Retry-After, Leaving that of the header that tells of leaving; empty where absent.
 	RetryAfter, Leaving []byte
 	// Limit are the values of the header that names a limit.
 	Limit [][]byte
 }
 
-// AskedIn reads an answer's status and words. Any value of the header that tells of leaving is a yes. Only a 503 asks
+// ParseDirectives reads an answer's status and words. Any value of the header that tells of leaving is a yes. Only a 503 asks
 // for rest; with other statuses Retry-After is about one request.
-func AskedIn(status int, words Words) Asked {
-	asked := Asked{Leaving: len(words.Leaving) > 0}
+func ParseDirectives(status int, words Headers) Directives {
+	asked := Directives{Leaving: len(words.Leaving) > 0}
 	limit, readable := ParseLimit(words.Limit)
 	isSuccess := status >= statusOK && status < statusMultipleChoices
-	asked.Limit, asked.Unlimited = limit, readable && !limit.Named && isSuccess
+	asked.Limit, asked.Unlimited = limit, readable && !limit.IsSet && isSuccess
 	if status == statusUnavailable {
-		asked.Rest = RetryAfter(words.RetryAfter)
+		asked.Backoff = ParseRetryAfter(words.RetryAfter)
 	}
 	return asked
 }
 
-// SpeaksOfLimit reports whether the answer said anything of a limit.
-func (a Asked) SpeaksOfLimit() bool { return a.Limit.Named || a.Unlimited }
+// StatesLimit reports whether the answer said anything of a limit.
+func (a Directives) StatesLimit() bool { return a.Limit.IsSet || a.Unlimited }
--- a/internal/backpressure/ledger.go
+++ b/internal/backpressure/ledger.go
@@ -6,15 +6,15 @@
 // that lags may show it again for some seconds; those that leave end within seconds to minutes.
 const leavingMemory = 10 * time.Minute
 
-// Ledger holds the signals of back ends by the identities of their starts, so that they outlive a back end's
+// Registry holds the signals of back ends by the identities of their starts, so that they outlive a back end's
 // absence from the list, and what else is known of it. It is not safe for concurrent use; the Signals are.
-type Ledger struct{ signals map[string]*Signals }
+type Registry struct{ signals map[string]*Signals }
 
-// NewLedger returns the ledger that knows of no signals.
-func NewLedger() *Ledger { return &Ledger{signals: map[string]*Signals{}} }
+// NewRegistry returns the ledger that knows of no signals.
+func NewRegistry() *Registry { return &Registry{signals: map[string]*Signals{}} }
 
-// Of returns the signals of one start of a back end, always the same ones for one identity.
-func (l *Ledger) Of(identity string) *Signals {
+// SignalsOf returns the signals of one start of a back end, always the same ones for one identity.
+func (l *Registry) SignalsOf(identity string) *Signals {
 	signals := l.signals[identity]
 	if signals == nil {
 		signals = &Signals{}
@@ -24,10 +24,10 @@
 }
 
 // Len is how many starts of back ends the ledger holds.
-func (l *Ledger) Len() int { return len(l.signals) }
+func (l *Registry) Len() int { return len(l.signals) }
 
-// Keep forgets the back ends that are not listed, once nothing that they asked for holds any more.
-func (l *Ledger) Keep(now time.Duration, isListed func(identity string) bool) {
+// RemoveUnlisted forgets the back ends that are not listed, once nothing that they asked for holds any more.
+func (l *Registry) RemoveUnlisted(now time.Duration, isListed func(identity string) bool) {
 	for identity, signals := range l.signals {
 		if !isListed(identity) && signals.forgettable(now) {
 			delete(l.signals, identity)
--- a/internal/backpressure/limit.go
+++ b/internal/backpressure/limit.go
@@ -14,8 +14,8 @@
 
 // Limit is how many requests a second a back end takes of all processes together; the zero value is no limit.
 type Limit struct {
-	// Named tells that there is a limit.
-	Named bool
+	// IsSet tells that there is a limit.
+	IsSet bool
 	// PerSecond is 0 or more.
 	PerSecond float64
 }
@@ -37,7 +37,7 @@
 
 // below reports whether a limit allows less than another one.
 func (l Limit) below(other Limit) bool {
-	return l.Named && (!other.Named || l.PerSecond < other.PerSecond)
+	return l.IsSet && (!other.IsSet || l.PerSecond < other.PerSecond)
 }
 
 // parseLimit reads one value. One beyond what any back end serves is no limit.
@@ -53,6 +53,6 @@
 	case err != nil, perSecond < 0:
 		return Limit{}, false
 	default:
-		return Limit{Named: true, PerSecond: perSecond}, true
+		return Limit{IsSet: true, PerSecond: perSecond}, true
 	}
 }
--- a/internal/backpressure/limit_state.go
+++ b/internal/backpressure/limit_state.go
@@ -16,11 +16,11 @@
 // limitMemory is how long a limit is remembered of a back end that is not listed.
 const limitMemory = 10 * time.Minute
 
-// HearLimit takes the limit in an answer of the back end to a request that was sent at a time, the zero value for
+// RecordBackEndLimit takes the limit in an answer of the back end to a request that was sent at a time, the zero value for
 // none. An answer to a request that was sent before the present limit was known may be older than it: it is only
 // followed to a smaller one. It reports whether the limit has changed.
-func (s *Signals) HearLimit(now, sentAt time.Duration, limit Limit) (changed bool) {
-	if !limit.Named && s.limit.Load() == nil {
+func (s *Signals) RecordBackEndLimit(now, sentAt time.Duration, limit Limit) (changed bool) {
+	if !limit.IsSet && s.limit.Load() == nil {
 		return false // the usual case
 	}
 	return s.updateLimit(func(former limitState) limitState {
@@ -31,15 +31,15 @@
 	})
 }
 
-// TellLimit takes the limit as another process knows it. It reports whether the limit has changed.
-func (s *Signals) TellLimit(now time.Duration, limit Limit) (changed bool) {
+// RecordPeerLimit takes the limit as another process knows it. It reports whether the limit has changed.
+func (s *Signals) RecordPeerLimit(now time.Duration, limit Limit) (changed bool) {
 	return s.updateLimit(func(former limitState) limitState { return former.with(now, limit, false) })
 }
 
-// AwaitPermit notes that no permit is to be had until a time, as long as the limit stays the same.
-func (s *Signals) AwaitPermit(until time.Duration) {
+// DelayPermits notes that no permit is to be had until a time, as long as the limit stays the same.
+func (s *Signals) DelayPermits(until time.Duration) {
 	s.updateLimit(func(former limitState) limitState {
-		if former.limit.Named {
+		if former.limit.IsSet {
 			former.waitUntil = max(former.waitUntil, until)
 		}
 		return former
@@ -79,9 +79,9 @@
 	return known.limit, known.own
 }
 
-// LimitKnownFor is how long the present limit, or that there is none any more, has been known; false when nothing was
+// LimitAge is how long the present limit, or that there is none any more, has been known; false when nothing was
 // ever heard of one.
-func (s *Signals) LimitKnownFor(now time.Duration) (time.Duration, bool) {
+func (s *Signals) LimitAge(now time.Duration) (time.Duration, bool) {
 	known := s.limit.Load()
 	if known == nil {
 		return 0, false
@@ -92,7 +92,7 @@
 // limitForgettable reports whether nothing depends on the limit of a back end that is not listed.
 func (s *Signals) limitForgettable(now time.Duration) bool {
 	known := stateOf(s.limit.Load())
-	return !known.limit.Named || now-known.at > limitMemory
+	return !known.limit.IsSet || now-known.at > limitMemory
 }
 
 // stateOf returns the state, the zero value where nothing is known.
--- a/internal/backpressure/limit_test.go
+++ b/internal/backpressure/limit_test.go
@@ -8,11 +8,11 @@
 
 func TestLimitsAreDecimalNumbers(t *testing.T) {
 	for value, expected := range map[string]Limit{
-		"1.5":    {Named: true, PerSecond: 1.5},
-		" 2 ":    {Named: true, PerSecond: 2},
-		"0":      {Named: true},
-		"0.001":  {Named: true, PerSecond: 0.001},
-		"1e2":    {Named: true, PerSecond: 100},
+		"1.5":    {IsSet: true, PerSecond: 1.5},
+		" 2 ":    {IsSet: true, PerSecond: 2},
+		"0":      {IsSet: true},
+		"0.001":  {IsSet: true, PerSecond: 0.001},
+		"1e2":    {IsSet: true, PerSecond: 100},
 		"100001": {},
 		"1e999":  {},
 	} {
@@ -30,7 +30,7 @@
 	require.Equal(t, Limit{}, none)
 	smallest, readable := ParseLimit([][]byte{[]byte("1e999"), []byte("3"), []byte("2"), []byte("4")})
 	require.True(t, readable)
-	require.Equal(t, Limit{Named: true, PerSecond: 2}, smallest)
+	require.Equal(t, Limit{IsSet: true, PerSecond: 2}, smallest)
 }
 
 // Whatever stands in the header, a limit is a number from 0 to the largest that binds.
@@ -40,7 +40,7 @@
 	}
 	f.Fuzz(func(t *testing.T, value []byte) {
 		limit, readable := ParseLimit([][]byte{value})
-		if !readable || !limit.Named {
+		if !readable || !limit.IsSet {
 			require.Equal(t, Limit{}, limit)
 			return
 		}
--- a/internal/backpressure/retry_after.go
+++ b/internal/backpressure/retry_after.go
@@ -11,9 +11,9 @@
 // for days.
 const longestRest = time.Hour
 
-// RetryAfter reads the value of a header Retry-After: seconds, fractions included. It is 0 where the header
+// ParseRetryAfter reads the value of a header Retry-After: seconds, fractions included. It is 0 where the header
 // is missing, is a date or cannot be read, and longestRest at most.
-func RetryAfter(value []byte) time.Duration {
+func ParseRetryAfter(value []byte) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(string(value)), 64)
 	if err != nil || math.IsNaN(seconds) || seconds <= 0 {
 		return 0
--- a/internal/backpressure/retry_after_test.go
+++ b/internal/backpressure/retry_after_test.go
@@ -21,6 +21,6 @@
 		"1e300":                         longestRest,
 		"Wed, 21 Oct 2026 07:28:00 GMT": 0,
 	} {
-		require.Equal(t, expected, RetryAfter([]byte(value)), value)
+		require.Equal(t, expected, ParseRetryAfter([]byte(value)), value)
 	}
 }
--- a/internal/backpressure/signals.go
+++ b/internal/backpressure/signals.go
@@ -14,9 +14,9 @@
 	limit atomic.Pointer[limitState]
 }
 
-// AskRest notes that the back end wants nothing for a while. A shorter rest that is asked for later does not
+// ExtendBackoff notes that the back end wants nothing for a while. A shorter rest that is asked for later does not
 // shorten one that was asked for before.
-func (s *Signals) AskRest(now, rest time.Duration) {
+func (s *Signals) ExtendBackoff(now, rest time.Duration) {
 	until := int64(now + rest)
 	for {
 		held := s.restUntil.Load()
@@ -26,21 +26,21 @@
 	}
 }
 
-// Rest is how much longer the back end wants nothing; 0 when it can be sent requests.
-func (s *Signals) Rest(now time.Duration) time.Duration {
+// RemainingBackoff is how much longer the back end wants nothing; 0 when it can be sent requests.
+func (s *Signals) RemainingBackoff(now time.Duration) time.Duration {
 	return max(time.Duration(s.restUntil.Load())-now, 0)
 }
 
-// SayLeaving notes that the back end leaves, which is for good. It reports whether that is news.
-func (s *Signals) SayLeaving(now time.Duration) bool {
+// MarkLeaving notes that the back end leaves, which is for good. It reports whether that is news.
+func (s *Signals) MarkLeaving(now time.Duration) bool {
 	return s.leavingSince.CompareAndSwap(0, max(int64(now), 1))
 }
 
-// Leaving reports whether the back end has said that it leaves.
-func (s *Signals) Leaving() bool { return s.leavingSince.Load() != 0 }
+// IsLeaving reports whether the back end has said that it leaves.
+func (s *Signals) IsLeaving() bool { return s.leavingSince.Load() != 0 }
 
 // forgettable reports whether nothing depends on these signals any more, of a back end that is not listed.
 func (s *Signals) forgettable(now time.Duration) bool {
 	leaving := time.Duration(s.leavingSince.Load())
-	return s.Rest(now) == 0 && (leaving == 0 || now-leaving > leavingMemory) && s.limitForgettable(now)
+	return s.RemainingBackoff(now) == 0 && (leaving == 0 || now-leaving > leavingMemory) && s.limitForgettable(now)
 }
--- a/internal/claimclient/client.go
+++ b/internal/claimclient/client.go
@@ -45,7 +45,7 @@
 // context ends first the request is refused as not run. When release is true the
 // claim may be held, and Finish with verdict.NotRun has to follow.
 func (c *Client) Begin(ctx context.Context, deadline time.Duration, claim *v1.BeginClaim) (decision claims.Decision, release bool) {
-	begin := claims.NewBegin(c.config, c.now(), deadline, claim, c.controllers.Addresses())
+	begin := claims.NewBeginOperation(c.config, c.now(), deadline, claim, c.controllers.Addresses())
 	for {
 		step := begin.Next(c.now())
 		if step.Done {
@@ -53,18 +53,18 @@
 		}
 		if step.Call == "" {
 			if !c.sleepUntil(ctx, step.Wait) {
-				return claims.Abandoned(), true
+				return claims.AbandonedDecision(), true
 			}
 			continue
 		}
 		response, err := c.callBegin(ctx, step, begin.Request())
 		switch {
 		case err == nil:
-			begin.Answered(response)
+			begin.HandleResponse(response)
 		case ctx.Err() != nil:
-			return claims.Abandoned(), true
+			return claims.AbandonedDecision(), true
 		default:
-			begin.Failed(c.now(), failureOf(err))
+			begin.HandleFailure(c.now(), failureOf(err))
 		}
 	}
 }
@@ -72,12 +72,12 @@
 // Finish records how a claimed request ended, and reports whether a controller has
 // confirmed it. Not recording an outcome is safe; see claims.Finish.
 func (c *Client) Finish(ctx context.Context, claim *v1.BeginClaim, ended verdict.Verdict, outcome claims.Outcome) bool {
-	finish := claims.NewFinish(c.config, c.now(), claim, ended, outcome, c.controllers.Addresses())
+	finish := claims.NewFinishOperation(c.config, c.now(), claim, ended, outcome, c.controllers.Addresses())
 	for {
 		step := finish.Next(c.now())
 		switch {
 		case step.Done:
-			return finish.Recorded()
+			return finish.IsRecorded()
 		case step.Call == "":
 			if !c.sleepUntil(ctx, step.Wait) {
 				return false
@@ -85,12 +85,12 @@
 		default:
 			err := c.callFinish(ctx, step, finish.Request())
 			if err == nil {
-				finish.Answered()
+				finish.MarkRecorded()
 			} else {
-				finish.Failed(c.now(), failureOf(err))
+				finish.HandleFailure(c.now(), failureOf(err))
 			}
 			if ctx.Err() != nil {
-				return finish.Recorded()
+				return finish.IsRecorded()
 			}
 		}
 	}
--- a/internal/claimclient/client_test.go
+++ b/internal/claimclient/client_test.go
@@ -83,8 +83,8 @@
 		{"sent on to the leader", []reply{{err: notLeader("three")}, granted}, claims.Decision{Run: true}, false, []string{"one", "three"}, 0},
 		{"refused for good", []reply{{err: connect.NewError(connect.CodeInvalidArgument, errors.New("bad"))}},
 			claims.Decision{Reason: claims.ErrRefused}, false, []string{"one"}, 0},
-		{"every call lost", []reply{{lost: true}}, claims.Abandoned(), true, nil, 3 * time.Second},
-		{"every call refused for now", []reply{{err: notLeader("")}}, claims.Abandoned(), true, nil, 3 * time.Second},
+		{"every call lost", []reply{{lost: true}}, claims.AbandonedDecision(), true, nil, 3 * time.Second},
+		{"every call refused for now", []reply{{err: notLeader("")}}, claims.AbandonedDecision(), true, nil, 3 * time.Second},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -114,7 +114,7 @@
 		now := clock()
 		client := New(claims.Config{}, &scriptedControllers{replies: []reply{{lost: true}}}, now)
 		decision, release := client.Begin(ctx, 0, &v1.BeginClaim{})
-		require.Equal(t, claims.Abandoned(), decision)
+		require.Equal(t, claims.AbandonedDecision(), decision)
 		require.True(t, release)
 		require.Equal(t, 100*time.Millisecond, now())
 	})
--- a/internal/claims/begin.go
+++ b/internal/claims/begin.go
@@ -7,24 +7,24 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// Begin asks for the right to run one request.
-type Begin struct {
+// BeginOperation asks for the right to run one request.
+type BeginOperation struct {
 	config   Config
 	claim    *v1.BeginClaim
 	resend   resend
 	decision *Decision
 }
 
-// NewBegin starts to ask. The claim carries an attempt identity that no other
+// NewBeginOperation starts to ask. The claim carries an attempt identity that no other
 // claim has; controllers are addresses, the leader first when it is known. deadline
 // is the request's own, 0 for none.
-func NewBegin(config Config, now, deadline time.Duration, claim *v1.BeginClaim, controllers []string) *Begin {
+func NewBeginOperation(config Config, now, deadline time.Duration, claim *v1.BeginClaim, controllers []string) *BeginOperation {
 	config = config.WithDefaults()
 	limit := config.BeginTimeout
 	if deadline != 0 {
 		limit = min(limit, (deadline-now)/2)
 	}
-	return &Begin{
+	return &BeginOperation{
 		config: config,
 		claim:  claim,
 		resend: newResend(controllers, config.CallTimeout, now+limit),
@@ -32,7 +32,7 @@
 }
 
 // Next says what to do now. When it says Done, Decision holds the result.
-func (b *Begin) Next(now time.Duration) Step {
+func (b *BeginOperation) Next(now time.Duration) Step {
 	if b.decision == nil && b.resend.over(now) {
 		b.giveUp()
 	}
@@ -44,20 +44,20 @@
 
 // Request is the message to send. It is the same for each call, so that a resend
 // of a claim that was granted is granted again.
-func (b *Begin) Request() *v1.BeginClaimRequest {
+func (b *BeginOperation) Request() *v1.BeginClaimRequest {
 	return &v1.BeginClaimRequest{Claim: b.claim}
 }
 
-// Answered takes in the answer to a call. An answer after the decision changes nothing.
-func (b *Begin) Answered(response *v1.BeginClaimResponse) {
-	if b.decision == nil || !b.config.Safeguards.On(NoLateRun) {
+// HandleResponse takes in the answer to a call. An answer after the decision changes nothing.
+func (b *BeginOperation) HandleResponse(response *v1.BeginClaimResponse) {
+	if b.decision == nil || !b.config.Safeguards.IsEnabled(NoLateRun) {
 		decision := decide(response)
 		b.decision = &decision
 	}
 }
 
-// Failed takes in that a call brought no answer. The claim may have been granted.
-func (b *Begin) Failed(now time.Duration, failure Failure) {
+// HandleFailure takes in that a call brought no answer. The claim may have been granted.
+func (b *BeginOperation) HandleFailure(now time.Duration, failure Failure) {
 	if b.decision != nil {
 		return
 	}
@@ -65,7 +65,7 @@
 		b.decision = &Decision{Reason: ErrRefused, Verdict: verdict.NotRun}
 		return
 	}
-	if failure.Full {
+	if failure.OverCapacity {
 		b.decision = &Decision{Reason: ErrFull, Verdict: verdict.NotRun, RetryAfter: retryAfterFull}
 		return
 	}
@@ -73,22 +73,22 @@
 }
 
 // Decision is the result; nil before Next has said Done.
-func (b *Begin) Decision() *Decision { return b.decision }
+func (b *BeginOperation) Decision() *Decision { return b.decision }
 
 // MustRelease reports whether the claim may be held by this attempt although it
 // will not run: then a Finish with the verdict not run has to follow.
-func (b *Begin) MustRelease() bool {
+func (b *BeginOperation) MustRelease() bool {
 	return b.decision != nil && b.decision.Reason == ErrUnreachable
 }
 
 // giveUp refuses the request. Its verdict is true: only this attempt could have run
 // under the claim, and it never will.
-func (b *Begin) giveUp() {
-	if !b.config.Safeguards.On(GrantRequired) {
+func (b *BeginOperation) giveUp() {
+	if !b.config.Safeguards.IsEnabled(GrantRequired) {
 		b.decision = &Decision{Run: true}
 		return
 	}
-	abandoned := Abandoned()
+	abandoned := AbandonedDecision()
 	b.decision = &abandoned
 }
 
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -41,13 +41,13 @@
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			begin := NewBegin(Config{}, 0, 0, testClaim, []string{first})
+			begin := NewBeginOperation(Config{}, 0, 0, testClaim, []string{first})
 			require.Equal(t, Step{Call: first, Timeout: 500 * millisecond}, begin.Next(0))
-			begin.Answered(row.response)
+			begin.HandleResponse(row.response)
 			require.True(t, begin.Next(0).Done)
 			require.Equal(t, &row.want, begin.Decision())
-			begin.Answered(&v1.BeginClaimResponse{State: v1.ClaimState_CLAIM_STATE_GRANTED})
-			begin.Failed(0, Failure{Permanent: true})
+			begin.HandleResponse(&v1.BeginClaimResponse{State: v1.ClaimState_CLAIM_STATE_GRANTED})
+			begin.HandleFailure(0, Failure{Permanent: true})
 			require.Equal(t, &row.want, begin.Decision(), "the first decision stands")
 			require.False(t, begin.MustRelease())
 		})
@@ -63,13 +63,13 @@
 		want    Decision
 	}{
 		{"invalid", Failure{Permanent: true}, Decision{Reason: ErrRefused}},
-		{"too many claims", Failure{Full: true}, Decision{Reason: ErrFull, RetryAfter: 30 * time.Second}},
+		{"too many claims", Failure{OverCapacity: true}, Decision{Reason: ErrFull, RetryAfter: 30 * time.Second}},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			begin := NewBegin(Config{}, 0, 0, testClaim, []string{first, second})
+			begin := NewBeginOperation(Config{}, 0, 0, testClaim, []string{first, second})
 			begin.Next(0)
-			begin.Failed(millisecond, row.failure)
+			begin.HandleFailure(millisecond, row.failure)
 			require.True(t, begin.Next(millisecond).Done)
 			row.want.Verdict = verdict.NotRun
 			require.Equal(t, &row.want, begin.Decision())
@@ -93,7 +93,7 @@
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			begin := NewBegin(Config{}, 0, 0, testClaim, []string{first, second, third})
+			begin := NewBeginOperation(Config{}, 0, 0, testClaim, []string{first, second, third})
 			var now time.Duration
 			var called []string
 			for _, failure := range append(row.failures, Failure{}) {
@@ -108,7 +108,7 @@
 					called = append(called, step.Call)
 				}
 				now += millisecond
-				begin.Failed(now, failure)
+				begin.HandleFailure(now, failure)
 			}
 			require.Equal(t, row.want, called)
 		})
@@ -129,14 +129,14 @@
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			begin := NewBegin(Config{}, 0, row.deadline, testClaim, row.controllers)
+			begin := NewBeginOperation(Config{}, 0, row.deadline, testClaim, row.controllers)
 			if row.giveUpAt > 0 {
 				require.False(t, begin.Next(row.giveUpAt-1).Done)
 			}
 			require.True(t, begin.Next(row.giveUpAt).Done)
 			require.Equal(t, refused, begin.Decision())
 			require.True(t, begin.MustRelease())
-			begin.Answered(&v1.BeginClaimResponse{State: v1.ClaimState_CLAIM_STATE_GRANTED})
+			begin.HandleResponse(&v1.BeginClaimResponse{State: v1.ClaimState_CLAIM_STATE_GRANTED})
 			require.Equal(t, refused, begin.Decision(), "a late grant does not run the request")
 		})
 	}
@@ -159,20 +159,20 @@
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			row.want.Tenant, row.want.Kind, row.want.Key, row.want.Attempt = "t", "alert", "k", "a1"
-			finish := NewFinish(Config{}, 0, testClaim, row.ended, row.outcome, []string{first, second})
+			finish := NewFinishOperation(Config{}, 0, testClaim, row.ended, row.outcome, []string{first, second})
 			require.Equal(t, row.want, finish.Request().GetClaim())
 			require.Equal(t, first, finish.Next(0).Call)
-			finish.Failed(0, Failure{})
+			finish.HandleFailure(0, Failure{})
 			require.Equal(t, second, finish.Next(0).Call)
-			finish.Answered()
+			finish.MarkRecorded()
 			require.True(t, finish.Next(0).Done)
-			require.True(t, finish.Recorded())
+			require.True(t, finish.IsRecorded())
 		})
 	}
-	finish := NewFinish(Config{}, 0, testClaim, verdict.Ran, outcome, []string{first})
+	finish := NewFinishOperation(Config{}, 0, testClaim, verdict.Ran, outcome, []string{first})
 	require.True(t, finish.Next(30*time.Second).Done)
-	require.False(t, finish.Recorded())
-	refused := NewFinish(Config{}, 0, testClaim, verdict.Ran, outcome, []string{first})
-	refused.Failed(0, Failure{Permanent: true})
+	require.False(t, finish.IsRecorded())
+	refused := NewFinishOperation(Config{}, 0, testClaim, verdict.Ran, outcome, []string{first})
+	refused.HandleFailure(0, Failure{Permanent: true})
 	require.True(t, refused.Next(0).Done)
 }
--- a/internal/claims/decision.go
+++ b/internal/claims/decision.go
@@ -54,8 +54,8 @@
 	BodyOmitted bool
 }
 
-// Abandoned is the decision about a request whose caller went away, or whose
+// AbandonedDecision is the decision about a request whose caller went away, or whose
 // gateway stops, before its claim was decided.
-func Abandoned() Decision {
+func AbandonedDecision() Decision {
 	return Decision{Reason: ErrUnreachable, Verdict: verdict.NotRun, RetryAfter: retryAfterUnreachable}
 }
--- a/internal/claims/finish.go
+++ b/internal/claims/finish.go
@@ -7,19 +7,19 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// Finish records the outcome of a claimed request. Until it is recorded other
+// FinishOperation records the outcome of a claimed request. Until it is recorded other
 // sendings are told that the request is running, and once the gateway is known to
-// be lost that it may have run: a Finish that fails is safe.
-type Finish struct {
+// be lost that it may have run: a FinishOperation that fails is safe.
+type FinishOperation struct {
 	message  *v1.FinishClaimRequest
 	resend   resend
 	recorded bool
 	over     bool
 }
 
-// NewFinish starts to record how a claimed request ended. outcome is needed for
+// NewFinishOperation starts to record how a claimed request ended. outcome is needed for
 // verdict.Ran and ignored otherwise.
-func NewFinish(config Config, now time.Duration, claim *v1.BeginClaim, ended verdict.Verdict, outcome Outcome, controllers []string) *Finish {
+func NewFinishOperation(config Config, now time.Duration, claim *v1.BeginClaim, ended verdict.Verdict, outcome Outcome, controllers []string) *FinishOperation {
 	config = config.WithDefaults()
 	message := &v1.FinishClaim{Tenant: claim.GetTenant(), Kind: claim.GetKind(), Key: claim.GetKey(), Attempt: claim.GetAttempt()}
 	switch {
@@ -27,19 +27,19 @@
 		message.Status = uint32(outcome.Status)
 		message.ContentType = outcome.ContentType
 		message.Body = bounded(outcome.Body)
-	case ended == verdict.NotRun || !config.Safeguards.On(ReleaseOnlyNotRun):
+	case ended == verdict.NotRun || !config.Safeguards.IsEnabled(ReleaseOnlyNotRun):
 		message.NotRun = true
 	default:
 		message.MayHaveRun = true
 	}
-	return &Finish{
+	return &FinishOperation{
 		message: &v1.FinishClaimRequest{Claim: message},
 		resend:  newResend(controllers, config.CallTimeout, now+config.FinishTimeout),
 	}
 }
 
 // Next says what to do now.
-func (f *Finish) Next(now time.Duration) Step {
+func (f *FinishOperation) Next(now time.Duration) Step {
 	f.over = f.over || f.recorded || f.resend.over(now)
 	if f.over {
 		return Step{Done: true}
@@ -48,19 +48,19 @@
 }
 
 // Request is the message to send, the same for each call.
-func (f *Finish) Request() *v1.FinishClaimRequest { return f.message }
+func (f *FinishOperation) Request() *v1.FinishClaimRequest { return f.message }
 
-// Answered takes in that the outcome is recorded.
-func (f *Finish) Answered() { f.recorded = true }
+// MarkRecorded takes in that the outcome is recorded.
+func (f *FinishOperation) MarkRecorded() { f.recorded = true }
 
-// Failed takes in that a call brought no answer.
-func (f *Finish) Failed(now time.Duration, failure Failure) {
+// HandleFailure takes in that a call brought no answer.
+func (f *FinishOperation) HandleFailure(now time.Duration, failure Failure) {
 	f.over = f.over || failure.Permanent
 	f.resend.failed(now, failure.Leader)
 }
 
-// Recorded reports whether a controller has confirmed the outcome.
-func (f *Finish) Recorded() bool { return f.recorded }
+// IsRecorded reports whether a controller has confirmed the outcome.
+func (f *FinishOperation) IsRecorded() bool { return f.recorded }
 
 // bounded cuts a body that is too large to one byte more than controllers keep:
 // they see that it is too large and record that it was left out.
--- a/internal/claims/step.go
+++ b/internal/claims/step.go
@@ -17,8 +17,8 @@
 type Failure struct {
 	// Leader is the address of the leader, when the controller named it.
 	Leader string
-	// Full tells that the controllers keep no more claims for now.
-	Full bool
+	// OverCapacity tells that the controllers keep no more claims for now.
+	OverCapacity bool
 	// Permanent tells that the controllers have refused and will refuse again.
 	Permanent bool
 }
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -146,7 +146,7 @@
 		return
 	}
 	if c.members.votes(c.id) {
-		c.campaign(c.config.Safeguards.On(SafeguardPreVote))
+		c.campaign(c.config.Safeguards.IsEnabled(SafeguardPreVote))
 		return
 	}
 	c.leader = "" // it can't elect another one, but must not be taken to hear this one
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -40,7 +40,7 @@
 // leaderMayHoldLease reports whether a vote must wait because a leader, as far as
 // this member knows, may still hold its lease.
 func (c *Core) leaderMayHoldLease() bool {
-	if !c.config.Safeguards.On(SafeguardLeaseWait) {
+	if !c.config.Safeguards.IsEnabled(SafeguardLeaseWait) {
 		return false
 	}
 	if c.role == RoleLeader {
@@ -51,7 +51,7 @@
 
 // logAllowsVote reports whether the candidate holds every entry that may be committed.
 func (c *Core) logAllowsVote(message *v1.ConsensusMessage) bool {
-	if !c.config.Safeguards.On(SafeguardLogComparison) {
+	if !c.config.Safeguards.IsEnabled(SafeguardLogComparison) {
 		return true
 	}
 	return c.log.upToDate(position{index: message.GetLogIndex(), term: message.GetLogTerm()})
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -38,7 +38,7 @@
 	if len(changed.voters()) == 0 {
 		return trace.Wrap(ErrMembershipStep, "the change leaves no voter")
 	}
-	if c.config.Safeguards.On(SafeguardMembershipStep) {
+	if c.config.Safeguards.IsEnabled(SafeguardMembershipStep) {
 		if c.pendingMember > c.log.commit || c.log.commit < c.leaderStart {
 			return trace.Wrap(ErrMembershipPending, "entry %d is not committed", max(c.pendingMember, c.leaderStart))
 		}
@@ -57,7 +57,7 @@
 // caughtUp reports whether the learner holds, synced, all that is committed and has
 // answered lately.
 func (c *Core) caughtUp(id string) bool {
-	if !c.config.Safeguards.On(SafeguardLearnerCatchUp) {
+	if !c.config.Safeguards.IsEnabled(SafeguardLearnerCatchUp) {
 		return true
 	}
 	progress := c.progress[id]
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -88,7 +88,7 @@
 // hardState returns the state that must survive a restart.
 func (c *Core) hardState() *v1.HardState {
 	state := &v1.HardState{Term: c.term, VotedFor: c.votedFor, Commit: min(c.log.commit, c.log.last().index)}
-	if !c.config.Safeguards.On(SafeguardVotePersistence) {
+	if !c.config.Safeguards.IsEnabled(SafeguardVotePersistence) {
 		state.VotedFor = ""
 	}
 	return state
@@ -98,7 +98,7 @@
 func (c *Core) holdUnsynced() {
 	waiting := c.out.unsynced
 	c.out.unsynced = nil
-	free := c.out.synced == c.out.lastBatch || !c.config.Safeguards.On(SafeguardSyncBeforeAnswer)
+	free := c.out.synced == c.out.lastBatch || !c.config.Safeguards.IsEnabled(SafeguardSyncBeforeAnswer)
 	for _, message := range waiting {
 		if free {
 			c.release(message)
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -48,7 +48,7 @@
 // election timeout.
 func (c *Core) tickLeader() {
 	silent := c.QuorumSilence() >= c.config.ElectionTimeout
-	if silent && c.config.Safeguards.On(SafeguardQuorumCheck) {
+	if silent && c.config.Safeguards.IsEnabled(SafeguardQuorumCheck) {
 		c.becomeFollower(c.term, "")
 		return
 	}
@@ -186,7 +186,7 @@
 	if previous.index < c.log.base.index {
 		return true // compacted entries are committed, so they match
 	}
-	if !c.config.Safeguards.On(SafeguardConflictCheck) {
+	if !c.config.Safeguards.IsEnabled(SafeguardConflictCheck) {
 		return previous.index <= c.log.last().index
 	}
 	return c.log.matches(previous)
@@ -263,7 +263,7 @@
 		return
 	}
 	term, err := c.log.term(index)
-	if err != nil || term != c.term && c.config.Safeguards.On(SafeguardCommitOwnTerm) {
+	if err != nil || term != c.term && c.config.Safeguards.IsEnabled(SafeguardCommitOwnTerm) {
 		return
 	}
 	for _, entry := range c.log.between(c.log.commit, index) {
--- a/internal/consensus/restart.go
+++ b/internal/consensus/restart.go
@@ -132,7 +132,7 @@
 
 // allRestarted reports whether something holds for every voter.
 func (c *Core) allRestarted(holds func(id string) bool) bool {
-	if !c.config.Safeguards.On(SafeguardAllRestarted) {
+	if !c.config.Safeguards.IsEnabled(SafeguardAllRestarted) {
 		return c.members.quorum(holds)
 	}
 	return !slices.ContainsFunc(c.members.voters(), func(id string) bool { return !holds(id) })
--- a/internal/control/agreement.go
+++ b/internal/control/agreement.go
@@ -136,7 +136,7 @@
 		return
 	}
 	result := controlstate.Result{}
-	if c.config.Safeguards.On(controlstate.Quarantine) {
+	if c.config.Safeguards.IsEnabled(controlstate.Quarantine) {
 		result = controlstate.ApplyToSuspects(c.ownSuspects, command)
 	}
 	finish(c, result)
--- a/internal/control/former_build_test.go
+++ b/internal/control/former_build_test.go
@@ -205,7 +205,7 @@
 	former := w.controllers[w.names[0]]
 	w.rebuild(former, 0)
 	leader := w.waitLeaderOtherThan(former)
-	for replica := range uint64(quarantine.HoldAfter) {
+	for replica := range uint64(quarantine.QuarantineThreshold) {
 		w.tellEnd(endingSignature, replica)
 	}
 	require.Equal(t, formats.First, leader.core.State().AgreedFormat())
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -27,7 +27,7 @@
 	c.commander.Lead(c.now, term)
 	// Shares are granted under an authority only, so that without one there are none.
 	epoch, _ := c.state.Authority()
-	c.divider.Lead(c.now, epoch == 0)
+	c.divider.StartLeading(c.now, epoch == 0)
 	c.demands = demand.NewTable()
 	c.planning = newPlanning()
 	c.heldBack = nil
--- a/internal/control/limits.go
+++ b/internal/control/limits.go
@@ -32,7 +32,7 @@
 // nothing, and its permits begin when the lease of the one before has run out.
 type namedLimits struct {
 	// keeper keeps the counts of gateways.
-	keeper *fleetlimit.Keeper
+	keeper *fleetlimit.LimitCounters
 	// told are the limits whose counts relays keep, with when a relay told of them last.
 	told map[uint64]toldLimit
 }
@@ -44,7 +44,7 @@
 }
 
 func newNamedLimits() namedLimits {
-	return namedLimits{keeper: fleetlimit.NewKeeper(), told: map[uint64]toldLimit{}}
+	return namedLimits{keeper: fleetlimit.NewLimitCounters(), told: map[uint64]toldLimit{}}
 }
 
 // takePermitAsked grants a permit or denies it.
@@ -58,13 +58,13 @@
 		c.refuse(received.Call, trace.BadParameter("%g requests a second are no limit; send a number of 0 or more", request.GetLimit().GetPerSecond()))
 		return
 	}
-	ask := fleetlimit.Ask{
-		BackEnd: named.BackEnd, Limit: named.Limit, Heard: request.GetHeard(),
-		Asker: xxhash.Sum64String(request.GetNode().GetName()), Rank: int(min(request.GetRank(), fleetlimit.Ranks-1)), Owed: request.GetOwed(),
+	ask := fleetlimit.PermitRequest{
+		BackEnd: named.BackEnd, Limit: named.Limit, LimitFromBackEnd: request.GetHeard(),
+		RequesterID: xxhash.Sum64String(request.GetNode().GetName()), Rank: int(min(request.GetRank(), fleetlimit.RankCount-1)), MustResume: request.GetOwed(),
 	}
-	answer := c.limits.keeper.Ask(c.now, ask, fleetlimit.Whole, drawOf(ask.Asker, c.now))
+	answer := c.limits.keeper.HandleRequest(c.now, ask, fleetlimit.FullFraction, drawOf(ask.RequesterID, c.now))
 	c.answer(Answer{Call: received.Call, Response: &v1.TakePermitResponse{
-		Granted: answer.Granted, WaitUs: uint64(answer.Wait.Microseconds()), Limit: fleetlimit.ToWire(fleetlimit.Named{BackEnd: ask.BackEnd, Limit: answer.Limit}),
+		Granted: answer.Granted, WaitUs: uint64(answer.Wait.Microseconds()), Limit: fleetlimit.ToWire(fleetlimit.BackEndLimit{BackEnd: ask.BackEnd, Limit: answer.Limit}),
 	}})
 }
 
@@ -79,7 +79,7 @@
 func (c *Core) takeGatewaysLimits(told []*v1.NamedLimit) {
 	for _, limit := range told[:min(len(told), mostLimits)] {
 		if named, valid := fleetlimit.FromWire(limit); valid {
-			c.limits.keeper.Name(c.now, named.BackEnd, named.Limit)
+			c.limits.keeper.SetLimit(c.now, named.BackEnd, named.Limit)
 		}
 	}
 }
@@ -87,7 +87,7 @@
 // gatewaysLimits is what gateways are told of limits.
 func (c *Core) gatewaysLimits() []*v1.NamedLimit {
 	limits := c.limits.keeper.Limits(c.now)
-	return fleetlimit.AllToWire(limits[:min(len(limits), mostLimits)])
+	return fleetlimit.LimitsToWire(limits[:min(len(limits), mostLimits)])
 }
 
 // takeRelaysLimits takes the limits whose counts a relay keeps.
--- a/internal/control/nodes.go
+++ b/internal/control/nodes.go
@@ -52,7 +52,7 @@
 	asked := controlstate.DeltaRequest{
 		Revision: request.Revision, HeldTenants: request.HeldTenants, UnknownKeyHashes: request.UnknownKeyHashes,
 	}
-	if !c.config.Safeguards.On(SafeguardRevisionOrder) && request.Revision > c.state.Revision() {
+	if !c.config.Safeguards.IsEnabled(SafeguardRevisionOrder) && request.Revision > c.state.Revision() {
 		asked.Revision = 0
 	}
 	return asked
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -101,7 +101,7 @@
 
 // mayAnswerAsLeader reports whether what this controller has applied is all there is.
 func (c *Core) mayAnswerAsLeader() bool {
-	if !c.config.Safeguards.On(SafeguardLeaseRead) {
+	if !c.config.Safeguards.IsEnabled(SafeguardLeaseRead) {
 		return c.consensus.Leading()
 	}
 	return c.consensus.LeaseValid(c.now)
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -38,7 +38,7 @@
 
 // requestQuarantine is what a controller keeps for the requests that are held.
 type requestQuarantine struct {
-	keeper *quarantine.Keeper
+	keeper *quarantine.TrialScheduler
 	// held is what nodes are told, version its hash, 0 for nothing.
 	held    []*v1.HeldRequest
 	version uint64
@@ -48,7 +48,7 @@
 }
 
 func newRequestQuarantine() requestQuarantine {
-	return requestQuarantine{keeper: quarantine.NewKeeper()}
+	return requestQuarantine{keeper: quarantine.NewTrialScheduler()}
 }
 
 // takeReplicaEnds takes a node's word on ends of replicas.
@@ -67,7 +67,7 @@
 func (c *Core) replicaEndsResponse(ends []*v1.ReplicaEnd) *v1.ReportReplicaEndsResponse {
 	response := &v1.ReportReplicaEndsResponse{}
 	for _, end := range ends {
-		if signature, valid := quarantine.SignatureFrom(end.GetSignature()); valid && c.suspects().Held(signature) {
+		if signature, valid := quarantine.SignatureFromBytes(end.GetSignature()); valid && c.suspects().IsQuarantined(signature) {
 			response.Held = append(response.Held, end.GetSignature())
 		}
 	}
@@ -93,7 +93,7 @@
 
 // trialDue returns the held request with a signature if it may be tried now; nil otherwise.
 func (c *Core) trialDue(bytes []byte) *quarantine.Suspect {
-	signature, valid := quarantine.SignatureFrom(bytes)
+	signature, valid := quarantine.SignatureFromBytes(bytes)
 	if !valid {
 		return nil
 	}
@@ -142,7 +142,7 @@
 		return
 	}
 	var forgotten [][]byte
-	for _, signature := range c.quarantine.keeper.Forgettable(c.now, ledger) {
+	for _, signature := range c.quarantine.keeper.ExpiredEntries(c.now, ledger) {
 		forgotten = append(forgotten, signature[:])
 	}
 	if len(forgotten) > 0 {
@@ -165,7 +165,7 @@
 	q.held = nil
 	sum := xxhash.New()
 	for _, suspect := range ledger.Suspects() {
-		if !suspect.Held() {
+		if !suspect.IsQuarantined() {
 			continue
 		}
 		told := &v1.HeldRequest{Signature: suspect.Signature[:], TrialDue: core.leading && q.keeper.TrialDue(core.now, suspect)}
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -29,11 +29,11 @@
 func (w *world) holdRequest() {
 	w.t.Helper()
 	w.waitAgreement()
-	for replica := range uint64(quarantine.HoldAfter - 1) {
+	for replica := range uint64(quarantine.QuarantineThreshold - 1) {
 		require.Empty(w.t, w.tellEnd(endingSignature, replica))
 		require.Empty(w.t, w.tellEnd(endingSignature, replica), "the same end told again")
 	}
-	require.Len(w.t, w.tellEnd(endingSignature, quarantine.HoldAfter), 1)
+	require.Len(w.t, w.tellEnd(endingSignature, quarantine.QuarantineThreshold), 1)
 }
 
 // askTrial asks the leader for a trial.
@@ -129,7 +129,7 @@
 			}
 		}
 	}
-	require.LessOrEqual(t, quarantine.HoldAfter+granted, 5)
+	require.LessOrEqual(t, quarantine.QuarantineThreshold+granted, 5)
 	require.Positive(t, granted, "what broke off by bad luck is served after a while")
 }
 
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -135,7 +135,7 @@
 		}
 	}
 	for _, service := range sortedKeys(engines) {
-		if c.config.Without.On(mechanism.StageGroups) {
+		if c.config.Without.IsEnabled(mechanism.StageGroups) {
 			groupByCell(service, engines[service], members[service])
 		}
 		c.planStages(service, engines[service])
--- a/internal/control/usage.go
+++ b/internal/control/usage.go
@@ -63,11 +63,11 @@
 	if !c.demandLeader(received.Call) {
 		return
 	}
-	if c.config.Usage.Window <= 0 || c.state.Usage().Next() == 0 {
+	if c.config.Usage.Window <= 0 || c.state.Usage().NextOpenWindow() == 0 {
 		c.refuse(received.Call, errUsageNotCounted)
 		return
 	}
-	if c.state.Usage().Taken(received.Report) {
+	if c.state.Usage().HasReport(received.Report) {
 		c.answer(Answer{Call: received.Call, Response: &v1.ReportUsageResponse{}})
 		return
 	}
@@ -84,7 +84,7 @@
 	if !agreed {
 		return
 	}
-	if through, due := c.usage.reporter.Closing(c.now, now, c.state.Usage()); due {
+	if through, due := c.usage.reporter.NextClosing(c.now, now, c.state.Usage()); due {
 		c.proposeQuietly(&v1.Command{Body: &v1.Command_CloseUsage{CloseUsage: &v1.CloseUsage{Through: int64(through)}}})
 	}
 	c.deliverUsage(now)
@@ -117,13 +117,13 @@
 	if !c.mayCall(SubjectUsage) {
 		return
 	}
-	closed, due := c.usage.reporter.Next(trueTimeMs, c.state.Usage())
+	closed, due := c.usage.reporter.NextReport(trueTimeMs, c.state.Usage())
 	if !due {
 		return
 	}
 	c.emit(DeliverUsage{
 		DutyCall: c.beginCall(SubjectUsage), Window: closed.Window, Counts: closed.Counts,
-		Late: c.usage.reporter.Late(closed.Window, trueTimeMs),
+		Late: c.usage.reporter.IsOverdue(closed.Window, trueTimeMs),
 	})
 }
 
@@ -137,7 +137,7 @@
 		return
 	}
 	window := received.Call.Window
-	c.usage.reporter.Delivered(window)
+	c.usage.reporter.MarkDelivered(window)
 	c.proposeQuietly(&v1.Command{Body: &v1.Command_SettleUsage{SettleUsage: &v1.SettleUsage{Window: int64(window)}}})
 }
 
--- a/internal/control/usage_test.go
+++ b/internal/control/usage_test.go
@@ -22,7 +22,7 @@
 	w.run(settled)
 	relays.requireTold(platform, first, first+5)
 	require.Len(t, platform.arrivals, len(platform.accepted), "nothing is told twice")
-	require.LessOrEqual(t, len(w.leader().core.State().Usage().Unsettled()), 1)
+	require.LessOrEqual(t, len(w.leader().core.State().Usage().UnsettledWindows()), 1)
 }
 
 // faultsOfUsage are failures that may hit the telling of usage. Each leaves every window told once,
@@ -45,7 +45,7 @@
 	},
 	"the leader dies between agreement and call": func(w *world, _ *usagePlatform) {
 		leader := w.leader()
-		w.until("a closed window", func() bool { return len(leader.core.State().Usage().Unsettled()) > 0 })
+		w.until("a closed window", func() bool { return len(leader.core.State().Usage().UnsettledWindows()) > 0 })
 		w.restart(leader)
 	},
 	"the leader dies after the call before its answer": func(w *world, platform *usagePlatform) {
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -137,7 +137,7 @@
 	var suspects []language.SuspectView
 	for _, suspect := range v.core.suspects().Suspects() {
 		suspects = append(suspects, language.SuspectView{
-			Content: suspect.Signature.String(), Ended: len(suspect.Replicas), Held: suspect.Held(), Trials: int(suspect.Trials),
+			Content: suspect.Signature.String(), Ended: len(suspect.Replicas), Held: suspect.IsQuarantined(), Trials: int(suspect.Trials),
 		})
 	}
 	return suspects
@@ -161,7 +161,7 @@
 	if !v.core.leading {
 		return nil
 	}
-	granted := v.core.divider.Granted(v.core.now)
+	granted := v.core.divider.ActiveGrants(v.core.now)
 	shares := make([]language.ShareView, len(granted))
 	for i, share := range granted {
 		shares[i] = language.ShareView{
--- a/internal/controller/encryption.go
+++ b/internal/controller/encryption.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return encryption{}, trace.Wrap(err)
 	}
-	factory.CertificateExpiry(credentials.Expires)
+	factory.CertificateExpiry(credentials.ExpiresAt)
 	return encryption{
 		server: credentials.ServerConfig(config.Fleet, true, keys.RoleController, keys.RoleGateway, keys.RoleOperator),
 		client: credentials.ClientConfig(config.Fleet, keys.RoleController),
--- a/internal/controller/operator_service.go
+++ b/internal/controller/operator_service.go
@@ -106,14 +106,14 @@
 		return operatorIdentity{}, connect.NewError(connect.CodeUnauthenticated,
 			trace.AccessDenied("the call carries no operator key; send it as Authorization: Bearer KEY"))
 	}
-	keyHash := keys.Hash(key)
+	keyHash := keys.HashBearerKey(key)
 	var identity operatorIdentity
 	var found bool
 	err := o.loop.inspect(ctx, func() { identity.name, identity.role, found = o.lookUp(keyHash) })
 	if err != nil {
 		return operatorIdentity{}, err
 	}
-	if !found && keys.Matches(key, strings.ToLower(o.firstKeyHash)) {
+	if !found && keys.BearerKeyMatches(key, strings.ToLower(o.firstKeyHash)) {
 		return operatorIdentity{name: firstAdministrator, role: v1.OperatorRole_OPERATOR_ROLE_ADMINISTRATOR}, nil
 	}
 	if !found {
--- a/internal/controller/operator_service_test.go
+++ b/internal/controller/operator_service_test.go
@@ -46,9 +46,9 @@
 	go loop.run(ctx)
 	shared := &service{loop: loop, calls: calls, peers: http.DefaultClient, peerURL: peerURL(false), leaderAddress: leaderAddress, answered: func(string, string) {}}
 	operator := operatorService{
-		service: shared, firstKeyHash: keys.Hash("first"),
+		service: shared, firstKeyHash: keys.HashBearerKey("first"),
 		lookUp: func(keyHash string) (string, v1.OperatorRole, bool) {
-			return "vera", v1.OperatorRole_OPERATOR_ROLE_VIEWER, keyHash == keys.Hash("viewer")
+			return "vera", v1.OperatorRole_OPERATOR_ROLE_VIEWER, keyHash == keys.HashBearerKey("viewer")
 		},
 	}
 	server := httptest.NewServer(handler("fleet", connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc { return next }), consensusService{loop: loop}, nodeService{shared}, operator))
--- a/internal/controller/site.go
+++ b/internal/controller/site.go
@@ -95,7 +95,7 @@
 // StageAnswer is what became of a StageOrder, and what the engine asked for in its answer.
 type StageAnswer struct {
 	Outcome control.StageOutcome
-	Asked   backpressure.Asked
+	Asked   backpressure.Directives
 }
 
 // takeSeeds hands seeds that were read again to the Core until the context ends.
--- a/internal/controller/stage_orders.go
+++ b/internal/controller/stage_orders.go
@@ -38,14 +38,14 @@
 
 	mutex sync.Mutex
 	// signals are what engines have asked of this process.
-	signals *backpressure.Ledger
+	signals *backpressure.Registry
 }
 
 func newStageOrderer(site *Site, dial dialing.Dial, now func() time.Duration, deliver func(context.Context, control.Input) error, log *logring.Log) *stageOrderer {
 	return &stageOrderer{
 		order: site.OrderStage, dial: dial, now: now,
 		queue: make(chan control.ChangeStage, stageOrderQueue), deliver: deliver, log: log,
-		signals: backpressure.NewLedger(),
+		signals: backpressure.NewRegistry(),
 	}
 }
 
@@ -106,7 +106,7 @@
 func (s *stageOrderer) rests(identity string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.signals.Of(identity).Rest(s.now()) > 0
+	return s.signals.SignalsOf(identity).RemainingBackoff(s.now()) > 0
 }
 
 // limitedOrderPause is the least time between two orders to an engine that names a limit for all processes together: the
@@ -115,13 +115,13 @@
 const limitedOrderPause = 4 * time.Second
 
 // noteAsked takes what an engine has asked for, and forgets the engines whose rest is over.
-func (s *stageOrderer) noteAsked(identity string, asked backpressure.Asked) {
+func (s *stageOrderer) noteAsked(identity string, asked backpressure.Directives) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	rest := asked.Rest
-	if asked.Limit.Named { // relays have the rest of what it allows: its order and the look before it are two calls
+	rest := asked.Backoff
+	if asked.Limit.IsSet { // relays have the rest of what it allows: its order and the look before it are two calls
 		rest = max(rest, limitedOrderPause)
 	}
-	s.signals.Of(identity).AskRest(s.now(), rest)
-	s.signals.Keep(s.now(), func(string) bool { return false })
+	s.signals.SignalsOf(identity).ExtendBackoff(s.now(), rest)
+	s.signals.RemoveUnlisted(s.now(), func(string) bool { return false })
 }
--- a/internal/controller/stage_orders_test.go
+++ b/internal/controller/stage_orders_test.go
@@ -55,7 +55,7 @@
 	orderer, delivered := newTestOrderer(func() time.Duration { return now },
 		func(context.Context, *http.Client, StageOrder) (StageAnswer, error) {
 			sent++
-			return StageAnswer{Outcome: control.StageRefused, Asked: backpressure.Asked{Rest: 3 * time.Second}}, nil
+			return StageAnswer{Outcome: control.StageRefused, Asked: backpressure.Directives{Backoff: 3 * time.Second}}, nil
 		})
 	order := func(engine string) {
 		orderer.carryOut(t.Context(), control.ChangeStage{BackEnd: &v1.ListedBackEnd{Id: engine}, NotAfter: time.Hour})
@@ -80,7 +80,7 @@
 	orderer, delivered := newTestOrderer(func() time.Duration { return now },
 		func(context.Context, *http.Client, StageOrder) (StageAnswer, error) {
 			sent++
-			return StageAnswer{Outcome: control.StageTaken, Asked: backpressure.Asked{Limit: backpressure.Limit{Named: true, PerSecond: 1}}}, nil
+			return StageAnswer{Outcome: control.StageTaken, Asked: backpressure.Directives{Limit: backpressure.Limit{IsSet: true, PerSecond: 1}}}, nil
 		})
 	order := func() {
 		orderer.carryOut(t.Context(), control.ChangeStage{BackEnd: &v1.ListedBackEnd{Id: "limited"}, NotAfter: time.Hour})
--- a/internal/controlstate/declaration.go
+++ b/internal/controlstate/declaration.go
@@ -15,7 +15,7 @@
 // anything else is looked at, and a taken change number is told before any fault.
 func (s *State) applyDeclaration(at int64, declaration *v1.ApplyDeclaration) *v1.ApplyResponse {
 	hash := declarationHash(declaration)
-	if s.safeguards.On(ResendDeduplication) {
+	if s.safeguards.IsEnabled(ResendDeduplication) {
 		first, err := s.requests.find(declaration.Operator, declaration.RequestId, hash)
 		if err != nil {
 			return s.refusal(v1.ApplyOutcome_APPLY_OUTCOME_INVALID, err.Error())
@@ -52,7 +52,7 @@
 // checkSubmission checks everything but the objects.
 func (s *State) checkSubmission(declaration *v1.ApplyDeclaration) *v1.ApplyResponse {
 	number := declaration.ChangeNumber
-	if winner, taken := s.changes.taken(number); number != 0 && taken && s.safeguards.On(ChangeNumberCheck) {
+	if winner, taken := s.changes.taken(number); number != 0 && taken && s.safeguards.IsEnabled(ChangeNumberCheck) {
 		return s.numberTaken(number, winner)
 	}
 	if number > s.changes.highest+MaximumNumberStep {
@@ -61,7 +61,7 @@
 			number, s.changes.highest, s.changes.highest+MaximumNumberStep))
 	}
 	base := declaration.BaseRevision
-	if base != 0 && base != s.revision && s.safeguards.On(BaseRevisionCheck) {
+	if base != 0 && base != s.revision && s.safeguards.IsEnabled(BaseRevisionCheck) {
 		return s.refusal(v1.ApplyOutcome_APPLY_OUTCOME_STALE, fmt.Sprintf(
 			"planned against revision %d, but revision %d is in force; plan again", base, s.revision))
 	}
--- a/internal/controlstate/orders.go
+++ b/internal/controlstate/orders.go
@@ -11,7 +11,7 @@
 
 // beginAuthority starts the authority of a new leader. Epochs only rise.
 func (s *State) beginAuthority(begin *v1.BeginAuthority) Result {
-	if begin.Epoch <= s.epoch && s.safeguards.On(EpochCheck) {
+	if begin.Epoch <= s.epoch && s.safeguards.IsEnabled(EpochCheck) {
 		return Result{Err: trace.Wrap(ErrStaleEpoch, "epoch %d asked for, epoch %d in force", begin.Epoch, s.epoch)}
 	}
 	s.epoch = begin.Epoch
@@ -44,9 +44,9 @@
 	switch {
 	case record == nil:
 		return Result{Err: trace.Wrap(ErrUnknownEngine, "engine %q; see `show engines`", proposed.GetEngine())}
-	case proposed.Epoch != s.epoch && s.safeguards.On(EpochCheck):
+	case proposed.Epoch != s.epoch && s.safeguards.IsEnabled(EpochCheck):
 		return Result{Err: trace.Wrap(ErrStaleEpoch, "order of epoch %d, epoch %d in force", proposed.Epoch, s.epoch)}
-	case record.Outstanding != nil && s.safeguards.On(OneOrderAtATime):
+	case record.Outstanding != nil && s.safeguards.IsEnabled(OneOrderAtATime):
 		return Result{Err: trace.Wrap(ErrOrderOutstanding, "engine %q holds order %d/%d; wait or abort it",
 			proposed.Engine, record.Outstanding.Epoch, record.Outstanding.Sequence)}
 	case proposed.Action == v1.OrderAction_ORDER_ACTION_UNSPECIFIED:
@@ -83,7 +83,7 @@
 	switch {
 	case record == nil:
 		return Result{Err: trace.Wrap(ErrUnknownEngine, "engine %q", abort.Engine)}
-	case abort.Epoch != s.epoch && s.safeguards.On(EpochCheck):
+	case abort.Epoch != s.epoch && s.safeguards.IsEnabled(EpochCheck):
 		return Result{Err: trace.Wrap(ErrStaleEpoch, "abort of epoch %d, epoch %d in force", abort.Epoch, s.epoch)}
 	case record.Outstanding == nil || record.Outstanding.Sequence != abort.Sequence:
 		return Result{Err: trace.Wrap(ErrNoSuchOrder, "engine %q, sequence %d", abort.Engine, abort.Sequence)}
--- a/internal/controlstate/requests.go
+++ b/internal/controlstate/requests.go
@@ -80,7 +80,7 @@
 // declaration. It is nil for a command not seen before and fails when the request
 // identity was used with another text.
 func (s *State) FirstAnswer(operator, requestID, text string) (*v1.RequestRecord, error) {
-	if !s.safeguards.On(ResendDeduplication) {
+	if !s.safeguards.IsEnabled(ResendDeduplication) {
 		return nil, nil
 	}
 	return s.requests.find(operator, requestID, textHash(text))
--- a/internal/controlstate/state.go
+++ b/internal/controlstate/state.go
@@ -116,7 +116,7 @@
 		return s.agree(index, body.AgreeFormat)
 	case *v1.Command_RecordUsage:
 		for _, report := range body.RecordUsage.GetReports() {
-			s.usage.Record(report)
+			s.usage.RecordReport(report)
 		}
 		return Result{}
 	case *v1.Command_CloseUsage:
--- a/internal/controlstate/suspects.go
+++ b/internal/controlstate/suspects.go
@@ -12,7 +12,7 @@
 
 // applyToSuspects carries out a command on the requests under which replicas have ended.
 func (s *State) applyToSuspects(command *v1.Command) Result {
-	if !s.safeguards.On(Quarantine) {
+	if !s.safeguards.IsEnabled(Quarantine) {
 		return Result{}
 	}
 	return ApplyToSuspects(s.suspects, command)
@@ -38,16 +38,16 @@
 // recordReplicaEnds notes under which requests replicas have ended.
 func recordReplicaEnds(suspects *quarantine.Ledger, record *v1.RecordReplicaEnds) {
 	for _, end := range record.GetEnds() {
-		if signature, valid := quarantine.SignatureFrom(end.GetSignature()); valid {
-			suspects.Record(signature, end.GetReplica())
+		if signature, valid := quarantine.SignatureFromBytes(end.GetSignature()); valid {
+			suspects.RecordCrash(signature, end.GetReplica())
 		}
 	}
 }
 
 // grantTrial lets a held request run once more.
 func grantTrial(suspects *quarantine.Ledger, grant *v1.GrantTrial) Result {
-	signature, valid := quarantine.SignatureFrom(grant.GetSignature())
-	if !valid || !suspects.Grant(signature, grant.GetGrantedBefore()) {
+	signature, valid := quarantine.SignatureFromBytes(grant.GetSignature())
+	if !valid || !suspects.GrantTrial(signature, grant.GetGrantedBefore()) {
 		return Result{Err: trace.Wrap(ErrNoTrial, "the request is not held, or another trial was granted meanwhile")}
 	}
 	return Result{}
@@ -56,7 +56,7 @@
 // releaseRequests forgets requests.
 func releaseRequests(suspects *quarantine.Ledger, release *v1.ReleaseRequests) {
 	for _, bytes := range release.GetSignatures() {
-		if signature, valid := quarantine.SignatureFrom(bytes); valid {
+		if signature, valid := quarantine.SignatureFromBytes(bytes); valid {
 			suspects.Release(signature)
 		}
 	}
--- a/internal/crashguard/admission.go
+++ b/internal/crashguard/admission.go
@@ -11,9 +11,9 @@
 	Allowed Admission = iota
 	// Trial: the request is held, and this attempt alone may be sent to one back end, once.
 	Trial
-	// Held: the request must not be sent to any back end.
-	Held
+	// Quarantined: the request must not be sent to any back end.
+	Quarantined
 )
 
-// ComeBackAfter is when a held request may come back: about when the first trial is granted.
-const ComeBackAfter = 3 * time.Second
+// QuarantineRetryAfter is when a held request may come back: about when the first trial is granted.
+const QuarantineRetryAfter = 3 * time.Second
--- a/internal/crashguard/calls.go
+++ b/internal/crashguard/calls.go
@@ -9,14 +9,14 @@
 	"github.com/hazelpitch/hazelpitch/api/hazelpitch/v1/hazelpitchv1connect"
 )
 
-// Calls is the Leader of a node that calls controllers. One that does not lead passes calls on.
-type Calls struct {
+// LeaderClient is the Leader of a node that calls controllers. One that does not lead passes calls on.
+type LeaderClient struct {
 	// Client returns the client of the controller that is called next.
 	Client func() hazelpitchv1connect.NodeServiceClient
 }
 
 // ReportReplicaEnds implements Leader.
-func (c Calls) ReportReplicaEnds(ctx context.Context, ends []*v1.ReplicaEnd) ([][]byte, error) {
+func (c LeaderClient) ReportReplicaEnds(ctx context.Context, ends []*v1.ReplicaEnd) ([][]byte, error) {
 	response, err := c.Client().ReportReplicaEnds(ctx, connect.NewRequest(&v1.ReportReplicaEndsRequest{Ends: ends}))
 	if err != nil {
 		return nil, err
@@ -25,7 +25,7 @@
 }
 
 // BeginTrial implements Leader.
-func (c Calls) BeginTrial(ctx context.Context, signature []byte) (bool, error) {
+func (c LeaderClient) BeginTrial(ctx context.Context, signature []byte) (bool, error) {
 	response, err := c.Client().BeginTrial(ctx, connect.NewRequest(&v1.BeginTrialRequest{Signature: signature}))
 	if err != nil {
 		return false, err
@@ -34,7 +34,7 @@
 }
 
 // ReleaseRequest implements Leader.
-func (c Calls) ReleaseRequest(ctx context.Context, signature []byte) error {
+func (c LeaderClient) ReleaseRequest(ctx context.Context, signature []byte) error {
 	_, err := c.Client().ReleaseRequest(ctx, connect.NewRequest(&v1.ReleaseRequestRequest{Signature: signature}))
 	return err
 }
--- a/internal/crashguard/guard.go
+++ b/internal/crashguard/guard.go
@@ -33,19 +33,19 @@
 	// Now is a steady clock.
 	Now func() time.Duration
 	// Probe looks whether a back end takes connections.
-	Probe func(ctx context.Context, replica Replica) Sight
+	Probe func(ctx context.Context, replica Replica) ProbeResult
 	// Observer is told what the guard finds.
 	Observer Observer
 }
 
 // Observer is told what a Guard finds, for logs and metrics.
 type Observer interface {
-	// ReplicaEnded: a back end ended while it ran so many requests of this node.
-	ReplicaEnded(replica string, requests int)
-	// RequestHeld: this node has learnt that a request is held.
-	RequestHeld(signature quarantine.Signature)
-	// ReportFailed: a call to the leader has to be made again, or was given up.
-	ReportFailed(err error)
+	// ReplicaCrashed: a back end ended while it ran so many requests of this node.
+	ReplicaCrashed(replica string, requests int)
+	// RequestQuarantined: this node has learnt that a request is held.
+	RequestQuarantined(signature quarantine.Signature)
+	// LeaderCallFailed: a call to the leader has to be made again, or was given up.
+	LeaderCallFailed(err error)
 }
 
 const (
@@ -101,15 +101,15 @@
 	}
 }
 
-// Version is the version of the held requests that the controllers told last.
-func (g *Guard) Version() uint64 {
+// QuarantineVersion is the version of the held requests that the controllers told last.
+func (g *Guard) QuarantineVersion() uint64 {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.version
 }
 
-// Take takes the held requests as the controllers told them.
-func (g *Guard) Take(version uint64, held []*v1.HeldRequest) {
+// ApplyQuarantine takes the held requests as the controllers told them.
+func (g *Guard) ApplyQuarantine(version uint64, held []*v1.HeldRequest) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.silent = false
@@ -118,12 +118,12 @@
 	}
 	told := make(map[quarantine.Signature]bool, len(held))
 	for _, request := range held {
-		signature, valid := quarantine.SignatureFrom(request.GetSignature())
+		signature, valid := quarantine.SignatureFromBytes(request.GetSignature())
 		if !valid {
 			continue
 		}
 		if _, known := g.told[signature]; !known {
-			g.options.Observer.RequestHeld(signature)
+			g.options.Observer.RequestQuarantined(signature)
 		}
 		told[signature] = request.GetTrialDue()
 		g.local.remove(signature) // from now on the controllers say when it ends
@@ -131,9 +131,9 @@
 	g.told, g.version = told, version
 }
 
-// TakeSilence takes that the controllers say nothing of held requests: the leader's build knows of none. What was told
+// MarkQuarantineUnsupported takes that the controllers say nothing of held requests: the leader's build knows of none. What was told
 // before holds for as long as what this node holds by itself, and nobody grants trials meanwhile.
-func (g *Guard) TakeSilence() {
+func (g *Guard) MarkQuarantineUnsupported() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.silent {
@@ -142,15 +142,15 @@
 	g.silent, g.silentSince = true, g.options.Now()
 }
 
-// HeldCount is how many requests the controllers hold.
-func (g *Guard) HeldCount() int {
+// QuarantinedCount is how many requests the controllers hold.
+func (g *Guard) QuarantinedCount() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return len(g.told)
 }
 
-// Held reports whether a request must not be sent to any back end.
-func (g *Guard) Held(signature quarantine.Signature) bool {
+// IsQuarantined reports whether a request must not be sent to any back end.
+func (g *Guard) IsQuarantined(signature quarantine.Signature) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.isHeld(signature)
@@ -176,16 +176,16 @@
 	case !held:
 		return Allowed
 	case !due:
-		return Held
+		return Quarantined
 	}
 	limited, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
 	granted, err := g.options.Leader.BeginTrial(limited, signature[:])
 	if err != nil {
-		g.options.Observer.ReportFailed(err)
+		g.options.Observer.LeaderCallFailed(err)
 	}
 	if !granted {
-		return Held
+		return Quarantined
 	}
 	return Trial
 }
@@ -193,8 +193,8 @@
 // trialTimeout ends the wait for a trial; it is asked for again once the controllers tell of it anew.
 const trialTimeout = 500 * time.Millisecond
 
-// RanWell notes that a back end has run a request to a good end.
-func (g *Guard) RanWell(signature quarantine.Signature) {
+// RecordSuccess notes that a back end has run a request to a good end.
+func (g *Guard) RecordSuccess(signature quarantine.Signature) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.well.put(signature, g.options.Now())
--- a/internal/crashguard/guard_test.go
+++ b/internal/crashguard/guard_test.go
@@ -48,9 +48,9 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, end := range ends {
-		signature, _ := quarantine.SignatureFrom(end.Signature)
-		l.ledger.Record(signature, end.Replica)
-		if l.ledger.Held(signature) {
+		signature, _ := quarantine.SignatureFromBytes(end.Signature)
+		l.ledger.RecordCrash(signature, end.Replica)
+		if l.ledger.IsQuarantined(signature) {
 			held = append(held, end.Signature)
 		}
 	}
@@ -73,7 +73,7 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	signature, _ := quarantine.SignatureFrom(bytes)
+	signature, _ := quarantine.SignatureFromBytes(bytes)
 	l.released = append(l.released, signature)
 	return nil
 }
@@ -97,27 +97,27 @@
 // nobody observes nothing.
 type nobody struct{}
 
-func (nobody) ReplicaEnded(string, int)         {}
-func (nobody) RequestHeld(quarantine.Signature) {}
-func (nobody) ReportFailed(error)               {}
+func (nobody) ReplicaCrashed(string, int)              {}
+func (nobody) RequestQuarantined(quarantine.Signature) {}
+func (nobody) LeaderCallFailed(error)                  {}
 
 // testGuard is a Guard with its leader, and what looks at back ends show.
 type testGuard struct {
 	*Guard
 	leader *testLeader
 	mutex  sync.Mutex
-	sights map[string]Sight
+	sights map[string]ProbeResult
 	looks  int
 }
 
 // inBubble runs a test with a Guard in virtual time.
 func inBubble(t *testing.T, test func(t *testing.T, guard *testGuard)) {
 	synctest.Test(t, func(t *testing.T) {
-		made := &testGuard{leader: &testLeader{ledger: quarantine.NewLedger()}, sights: map[string]Sight{}}
+		made := &testGuard{leader: &testLeader{ledger: quarantine.NewLedger()}, sights: map[string]ProbeResult{}}
 		origin := time.Now()
 		made.Guard = New(Options{
 			Leader: made.leader, Observer: nobody{}, Now: func() time.Duration { return time.Since(origin) },
-			Probe: func(_ context.Context, replica Replica) Sight {
+			Probe: func(_ context.Context, replica Replica) ProbeResult {
 				time.Sleep(time.Millisecond)
 				made.mutex.Lock()
 				defer made.mutex.Unlock()
@@ -134,7 +134,7 @@
 	})
 }
 
-func (g *testGuard) show(replica string, sight Sight) Replica {
+func (g *testGuard) show(replica string, sight ProbeResult) Replica {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.sights[replica] = sight
@@ -148,11 +148,11 @@
 
 func TestTheThirdEndHoldsARequestBeforeItGoesOn(t *testing.T) {
 	inBubble(t, func(t *testing.T, guard *testGuard) {
-		for number := 1; number < quarantine.HoldAfter; number++ {
-			require.False(t, guard.Broke(ending, guard.show(fmt.Sprint(number), Gone), time.Second))
+		for number := 1; number < quarantine.QuarantineThreshold; number++ {
+			require.False(t, guard.RecordBrokenRun(ending, guard.show(fmt.Sprint(number), ProbeGone), time.Second))
 		}
-		require.True(t, guard.Broke(ending, guard.show("last", Gone), time.Second))
-		require.Equal(t, Held, guard.Admit(t.Context(), ending))
+		require.True(t, guard.RecordBrokenRun(ending, guard.show("last", ProbeGone), time.Second))
+		require.Equal(t, Quarantined, guard.Admit(t.Context(), ending))
 		require.Equal(t, Allowed, guard.Admit(t.Context(), another))
 	})
 }
@@ -160,20 +160,20 @@
 // What other nodes saw counts with what this one sees.
 func TestEndsOfOtherNodesCount(t *testing.T) {
 	inBubble(t, func(t *testing.T, guard *testGuard) {
-		for replica := range uint64(quarantine.HoldAfter - 1) {
-			guard.leader.ledger.Record(ending, replica)
+		for replica := range uint64(quarantine.QuarantineThreshold - 1) {
+			guard.leader.ledger.RecordCrash(ending, replica)
 		}
-		require.True(t, guard.Broke(ending, guard.show("here", Gone), time.Second))
+		require.True(t, guard.RecordBrokenRun(ending, guard.show("here", ProbeGone), time.Second))
 	})
 }
 
 // A connection that broke tells nothing of its back end: links are reset, answers lost.
 func TestBrokenConnectionsOfSoundBackEndsDoNotCount(t *testing.T) {
-	for name, sight := range map[string]Sight{"it serves": Serves, "the way there is cut": Unclear} {
+	for name, sight := range map[string]ProbeResult{"it serves": ProbeServing, "the way there is cut": ProbeUnclear} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T, guard *testGuard) {
 				for number := range 10 {
-					require.False(t, guard.Broke(ending, guard.show(fmt.Sprint(number), sight), time.Second))
+					require.False(t, guard.RecordBrokenRun(ending, guard.show(fmt.Sprint(number), sight), time.Second))
 				}
 				require.Zero(t, guard.leader.ends(ending))
 				require.Equal(t, Allowed, guard.Admit(t.Context(), ending))
@@ -186,23 +186,23 @@
 // ended once another start has its address.
 func TestAnEndIsSeenLater(t *testing.T) {
 	inBubble(t, func(t *testing.T, guard *testGuard) {
-		guard.Broke(ending, guard.show("one", Unclear), time.Second)
-		guard.Broke(ending, guard.show("two", Serves), time.Second)
-		guard.WentSilent(ending, "three")
-		guard.WentSilent(ending, "four")
+		guard.RecordBrokenRun(ending, guard.show("one", ProbeUnclear), time.Second)
+		guard.RecordBrokenRun(ending, guard.show("two", ProbeServing), time.Second)
+		guard.RecordSilentRun(ending, "three")
+		guard.RecordSilentRun(ending, "four")
 		for _, replica := range []string{"one", "two", "three"} {
-			guard.Ended(replica)
-			guard.Ended(replica)
+			guard.RecordCrash(replica)
+			guard.RecordCrash(replica)
 		}
-		guard.Ended("unknown")
+		guard.RecordCrash("unknown")
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, 3, guard.leader.ends(ending))
-		require.True(t, guard.Held(ending))
-		guard.WentSilent(another, "three")
+		require.True(t, guard.IsQuarantined(ending))
+		guard.RecordSilentRun(another, "three")
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, 1, guard.leader.ends(another), "it ran there, and was slower to be noticed")
 		time.Sleep(breakMemory)
-		guard.Ended("four")
+		guard.RecordCrash("four")
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, 3, guard.leader.ends(ending), "the run broke long before")
 	})
@@ -211,20 +211,20 @@
 // All runs that break at the end of one back end cost one look and count once each.
 func TestOneLookServesAllRunsThatBrokeThere(t *testing.T) {
 	inBubble(t, func(t *testing.T, guard *testGuard) {
-		replica := guard.show("one", Gone)
+		replica := guard.show("one", ProbeGone)
 		var running sync.WaitGroup
 		for range 20 {
-			running.Go(func() { guard.Broke(ending, replica, time.Second) })
-			running.Go(func() { guard.Broke(another, replica, time.Second) })
+			running.Go(func() { guard.RecordBrokenRun(ending, replica, time.Second) })
+			running.Go(func() { guard.RecordBrokenRun(another, replica, time.Second) })
 		}
 		running.Wait()
 		require.Equal(t, 1, guard.looks)
 		require.Equal(t, 1, guard.leader.ends(ending))
 		require.Equal(t, 1, guard.leader.ends(another))
-		require.False(t, guard.Held(ending))
-		serving := guard.show("two", Serves)
+		require.False(t, guard.IsQuarantined(ending))
+		serving := guard.show("two", ProbeServing)
 		for range 20 {
-			guard.Broke(ending, serving, time.Second)
+			guard.RecordBrokenRun(ending, serving, time.Second)
 		}
 		require.Equal(t, 2, guard.looks, "a back end that was seen to serve is not looked at again at once")
 	})
@@ -235,62 +235,62 @@
 	inBubble(t, func(t *testing.T, guard *testGuard) {
 		guard.leader.setSilent(true)
 		began := time.Now()
-		for number := range quarantine.HoldAfter {
-			guard.Broke(ending, guard.show(fmt.Sprint(number), Gone), 300*time.Millisecond)
+		for number := range quarantine.QuarantineThreshold {
+			guard.RecordBrokenRun(ending, guard.show(fmt.Sprint(number), ProbeGone), 300*time.Millisecond)
 		}
-		require.True(t, guard.Held(ending))
-		require.LessOrEqual(t, time.Since(began), time.Duration(quarantine.HoldAfter)*300*time.Millisecond, "nobody waits for long")
+		require.True(t, guard.IsQuarantined(ending))
+		require.LessOrEqual(t, time.Since(began), time.Duration(quarantine.QuarantineThreshold)*300*time.Millisecond, "nobody waits for long")
 		guard.leader.setSilent(false)
 		time.Sleep(2 * time.Second)
-		require.Equal(t, quarantine.HoldAfter, guard.leader.ends(ending))
+		require.Equal(t, quarantine.QuarantineThreshold, guard.leader.ends(ending))
 		time.Sleep(localHold)
-		require.False(t, guard.Held(ending), "no controller holds it")
+		require.False(t, guard.IsQuarantined(ending), "no controller holds it")
 	})
 }
 
 func TestATrialIsAskedForOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T, guard *testGuard) {
 		guard.leader.granted = 1
-		guard.Take(7, []*v1.HeldRequest{{Signature: ending[:]}, {Signature: []byte("short")}})
-		require.Equal(t, Held, guard.Admit(t.Context(), ending))
+		guard.ApplyQuarantine(7, []*v1.HeldRequest{{Signature: ending[:]}, {Signature: []byte("short")}})
+		require.Equal(t, Quarantined, guard.Admit(t.Context(), ending))
 		require.Zero(t, guard.leader.trials, "none is due")
-		guard.Take(8, []*v1.HeldRequest{{Signature: ending[:], TrialDue: true}})
+		guard.ApplyQuarantine(8, []*v1.HeldRequest{{Signature: ending[:], TrialDue: true}})
 		require.Equal(t, Trial, guard.Admit(t.Context(), ending))
-		require.Equal(t, Held, guard.Admit(t.Context(), ending))
+		require.Equal(t, Quarantined, guard.Admit(t.Context(), ending))
 		require.Equal(t, 1, guard.leader.trials)
-		guard.Take(9, []*v1.HeldRequest{{Signature: ending[:], TrialDue: true}})
-		require.Equal(t, Held, guard.Admit(t.Context(), ending), "another node was granted it")
+		guard.ApplyQuarantine(9, []*v1.HeldRequest{{Signature: ending[:], TrialDue: true}})
+		require.Equal(t, Quarantined, guard.Admit(t.Context(), ending), "another node was granted it")
 		guard.leader.setSilent(true)
-		guard.Take(10, []*v1.HeldRequest{{Signature: ending[:], TrialDue: true}})
-		require.Equal(t, Held, guard.Admit(t.Context(), ending), "nobody has granted it")
+		guard.ApplyQuarantine(10, []*v1.HeldRequest{{Signature: ending[:], TrialDue: true}})
+		require.Equal(t, Quarantined, guard.Admit(t.Context(), ending), "nobody has granted it")
 	})
 }
 
 func TestAGoodRunReleasesARequest(t *testing.T) {
 	inBubble(t, func(t *testing.T, guard *testGuard) {
-		guard.Take(7, []*v1.HeldRequest{{Signature: ending[:]}})
+		guard.ApplyQuarantine(7, []*v1.HeldRequest{{Signature: ending[:]}})
 		guard.leader.setSilent(true)
-		guard.RanWell(ending)
+		guard.RecordSuccess(ending)
 		require.Equal(t, Allowed, guard.Admit(t.Context(), ending))
 		time.Sleep(2 * time.Second)
 		guard.leader.setSilent(false)
 		time.Sleep(2 * time.Second)
 		require.Equal(t, []quarantine.Signature{ending}, guard.leader.released)
-		guard.Take(9, nil)
-		require.Zero(t, guard.HeldCount())
+		guard.ApplyQuarantine(9, nil)
+		require.Zero(t, guard.QuarantinedCount())
 	})
 }
 
 // A page that many ask for, and that was served a moment ago, is not held because a rack went.
 func TestRequestsThatRunWellAreNotSuspected(t *testing.T) {
 	inBubble(t, func(t *testing.T, guard *testGuard) {
-		guard.RanWell(another)
+		guard.RecordSuccess(another)
 		for number := range 5 {
-			require.False(t, guard.Broke(another, guard.show(fmt.Sprint(number), Gone), time.Second))
+			require.False(t, guard.RecordBrokenRun(another, guard.show(fmt.Sprint(number), ProbeGone), time.Second))
 		}
 		require.Zero(t, guard.leader.ends(another))
 		time.Sleep(wellMemory)
-		guard.Broke(another, guard.show("late", Gone), time.Second)
+		guard.RecordBrokenRun(another, guard.show("late", ProbeGone), time.Second)
 		require.Equal(t, 1, guard.leader.ends(another), "it may do harm by now")
 	})
 }
@@ -300,17 +300,17 @@
 		guard.leader.setSilent(true)
 		for number := range 3 * mostRemembered {
 			signature := quarantine.SignatureOf("", "", fmt.Sprint(number), nil)
-			guard.WentSilent(signature, "one")
-			guard.WentSilent(signature, fmt.Sprint("replica ", number))
-			guard.Ended(fmt.Sprint("replica ", number))
-			guard.RanWell(signature)
+			guard.RecordSilentRun(signature, "one")
+			guard.RecordSilentRun(signature, fmt.Sprint("replica ", number))
+			guard.RecordCrash(fmt.Sprint("replica ", number))
+			guard.RecordSuccess(signature)
 		}
 		require.LessOrEqual(t, len(guard.remembered()["one"].broken), mostBroken)
 		require.LessOrEqual(t, len(guard.unreported), mostUnreported)
 		require.LessOrEqual(t, len(guard.well.values), mostRemembered)
 		require.LessOrEqual(t, len(guard.ended.values), mostRemembered)
 		time.Sleep(2 * breakMemory)
-		guard.WentSilent(ending, "two")
+		guard.RecordSilentRun(ending, "two")
 		require.Len(t, guard.remembered(), 1)
 		guard.leader.setSilent(false)
 	})
@@ -321,7 +321,7 @@
 
 func TestReplicasAreNamedByTheirStart(t *testing.T) {
 	inBubble(t, func(t *testing.T, guard *testGuard) {
-		guard.Broke(ending, guard.show("one", Gone), time.Second)
+		guard.RecordBrokenRun(ending, guard.show("one", ProbeGone), time.Second)
 		require.Equal(t, []uint64{xxhash.Sum64String("one")}, guard.leader.ledger.Suspect(ending).Replicas)
 	})
 }
--- a/internal/crashguard/look.go
+++ b/internal/crashguard/look.go
@@ -32,10 +32,10 @@
 // mostBroken bounds the runs that are remembered of one back end.
 const mostBroken = 256
 
-// Broke notes that the connection broke on which a back end ran a request, and finds out whether the
+// RecordBrokenRun notes that the connection broke on which a back end ran a request, and finds out whether the
 // back end has ended. With a wait it returns once that is known and agreed on, or the wait has passed;
 // it reports whether the request is held then.
-func (g *Guard) Broke(signature quarantine.Signature, replica Replica, wait time.Duration) (held bool) {
+func (g *Guard) RecordBrokenRun(signature quarantine.Signature, replica Replica, wait time.Duration) (held bool) {
 	g.mutex.Lock()
 	if g.ranWellLately(signature) {
 		g.mutex.Unlock()
@@ -63,12 +63,12 @@
 		case <-timer.C:
 		}
 	}
-	return g.Held(signature)
+	return g.IsQuarantined(signature)
 }
 
-// WentSilent notes that a back end that ran a request has not been heard of for long. It may have ended,
+// RecordSilentRun notes that a back end that ran a request has not been heard of for long. It may have ended,
 // or the way there is cut: the run counts only once the back end is known to have ended.
-func (g *Guard) WentSilent(signature quarantine.Signature, replica string) {
+func (g *Guard) RecordSilentRun(signature quarantine.Signature, replica string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.ranWellLately(signature) {
@@ -102,11 +102,11 @@
 	current.done = nil
 	var told <-chan struct{}
 	switch sight {
-	case Serves:
+	case ProbeServing:
 		current.aliveAt = g.options.Now()
-	case Gone:
+	case ProbeGone:
 		told = g.noteEnded(replica.ID, current)
-	case Unclear: // it may be seen later
+	case ProbeUnclear: // it may be seen later
 	}
 	g.mutex.Unlock()
 	if told != nil {
@@ -115,8 +115,8 @@
 	close(done)
 }
 
-// Ended notes that a back end is known to have ended: nothing serves at its address, or another one.
-func (g *Guard) Ended(replica string) {
+// RecordCrash notes that a back end is known to have ended: nothing serves at its address, or another one.
+func (g *Guard) RecordCrash(replica string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	current := g.looks[replica]
@@ -148,7 +148,7 @@
 	if len(told.ends) == 0 {
 		return nil
 	}
-	g.options.Observer.ReplicaEnded(replica, len(told.ends))
+	g.options.Observer.ReplicaCrashed(replica, len(told.ends))
 	if len(g.unreported) >= mostUnreported {
 		close(g.unreported[0].done) // it is given up; those who wait go by what is known here
 		g.unreported = g.unreported[1:]
@@ -166,7 +166,7 @@
 		g.ended.put(signature, ended)
 	}
 	ended[replica] = true
-	if len(ended) >= quarantine.HoldAfter {
+	if len(ended) >= quarantine.QuarantineThreshold {
 		g.local.put(signature, now+localHold)
 	}
 }
--- a/internal/crashguard/report.go
+++ b/internal/crashguard/report.go
@@ -66,12 +66,12 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if err != nil {
-		g.options.Observer.ReportFailed(err)
+		g.options.Observer.LeaderCallFailed(err)
 		g.unreported = append(reports, g.unreported...)
 		return false
 	}
 	for _, bytes := range held {
-		if signature, valid := quarantine.SignatureFrom(bytes); valid {
+		if signature, valid := quarantine.SignatureFromBytes(bytes); valid {
 			g.hold(signature)
 		}
 	}
@@ -84,7 +84,7 @@
 // hold holds a request that the leader has just said to be held; the list of all follows.
 func (g *Guard) hold(signature quarantine.Signature) {
 	if !g.isHeld(signature) {
-		g.options.Observer.RequestHeld(signature)
+		g.options.Observer.RequestQuarantined(signature)
 	}
 	if _, told := g.told[signature]; !told {
 		g.local.put(signature, g.options.Now()+localHold)
@@ -100,7 +100,7 @@
 		if err == nil {
 			continue
 		}
-		g.options.Observer.ReportFailed(err)
+		g.options.Observer.LeaderCallFailed(err)
 		g.mutex.Lock()
 		g.unreleased = append(released[index:], g.unreleased...)
 		g.mutex.Unlock()
--- a/internal/crashguard/sight.go
+++ b/internal/crashguard/sight.go
@@ -5,27 +5,27 @@
 	"syscall"
 )
 
-// Sight is what a look at a back end showed.
-type Sight int
+// ProbeResult is what a look at a back end showed.
+type ProbeResult int
 
 // Sights.
 const (
-	// Unclear: nothing answered in time; the way there may be cut.
-	Unclear Sight = iota
-	// Serves: the back end takes connections.
-	Serves
-	// Gone: its machine answers, and nothing serves at the address.
-	Gone
+	// ProbeUnclear: nothing answered in time; the way there may be cut.
+	ProbeUnclear ProbeResult = iota
+	// ProbeServing: the back end takes connections.
+	ProbeServing
+	// ProbeGone: its machine answers, and nothing serves at the address.
+	ProbeGone
 )
 
-// SightOf is what an attempt to connect to a back end showed by its error; nil is none.
-func SightOf(err error) Sight {
+// ProbeResultOf is what an attempt to connect to a back end showed by its error; nil is none.
+func ProbeResultOf(err error) ProbeResult {
 	switch {
 	case err == nil:
-		return Serves
+		return ProbeServing
 	case errors.Is(err, syscall.ECONNREFUSED), errors.Is(err, syscall.ECONNRESET):
-		return Gone
+		return ProbeGone
 	default:
-		return Unclear
+		return ProbeUnclear
 	}
 }
--- a/internal/crashguard/silence_test.go
+++ b/internal/crashguard/silence_test.go
@@ -17,23 +17,23 @@
 	guard := New(Options{Now: func() time.Duration { return now }, Observer: silentObserver{}})
 	signature := quarantine.SignatureOf("", "", "", []byte("held"))
 	held := []*v1.HeldRequest{{Signature: signature[:]}}
-	guard.Take(7, held)
+	guard.ApplyQuarantine(7, held)
 	for ; now < localHold; now += time.Second {
-		guard.TakeSilence()
-		require.True(t, guard.Held(signature))
+		guard.MarkQuarantineUnsupported()
+		require.True(t, guard.IsQuarantined(signature))
 	}
-	require.False(t, guard.Held(signature))
-	require.Equal(t, uint64(7), guard.Version())
-	guard.Take(7, nil)
-	require.True(t, guard.Held(signature), "the same version is told without its content")
-	guard.TakeSilence()
-	require.True(t, guard.Held(signature))
-	guard.Take(0, nil)
-	require.False(t, guard.Held(signature))
+	require.False(t, guard.IsQuarantined(signature))
+	require.Equal(t, uint64(7), guard.QuarantineVersion())
+	guard.ApplyQuarantine(7, nil)
+	require.True(t, guard.IsQuarantined(signature), "the same version is told without its content")
+	guard.MarkQuarantineUnsupported()
+	require.True(t, guard.IsQuarantined(signature))
+	guard.ApplyQuarantine(0, nil)
+	require.False(t, guard.IsQuarantined(signature))
 }
 
 type silentObserver struct{}
 
-func (silentObserver) ReplicaEnded(string, int)         {}
-func (silentObserver) RequestHeld(quarantine.Signature) {}
-func (silentObserver) ReportFailed(error)               {}
+func (silentObserver) ReplicaCrashed(string, int)              {}
+func (silentObserver) RequestQuarantined(quarantine.Signature) {}
+func (silentObserver) LeaderCallFailed(error)                  {}
--- a/internal/experiment/exchange.go
+++ b/internal/experiment/exchange.go
@@ -146,7 +146,7 @@
 		return
 	}
 	own := time.Duration(float64(asked.estimatedPrompt) / slowPromptTokensPerSecond * float64(time.Second))
-	g.services[asked.kind.Service].FirstToken(g.world.now, uint64(asked.Number), max(g.world.now-asked.began-own, 0))
+	g.services[asked.kind.Service].RecordFirstToken(g.world.now, uint64(asked.Number), max(g.world.now-asked.began-own, 0))
 }
 
 // answered passes on what an answer's headers say of the engine.
@@ -175,7 +175,7 @@
 	g.answered(current.output)
 	asked := current.request
 	asked.ended = true
-	g.estimator.Learn(g.shape(asked), admission.Estimate{PromptTokens: asked.PromptTokens, OutputTokens: asked.OutputTokens})
+	g.estimator.RecordUsage(g.shape(asked), admission.Estimate{PromptTokens: asked.PromptTokens, OutputTokens: asked.OutputTokens})
 	g.record(asked, gatewaystate.Outcome{Completed: true})
 	g.world.recorder.completed(asked, g.world.now)
 	result := admission.Result{PromptTokens: asked.PromptTokens, OutputTokens: asked.OutputTokens, Overloaded: asked.overload}
@@ -205,7 +205,7 @@
 	}
 	g.record(asked, gatewaystate.Outcome{MissedDeadline: true})
 	g.world.recorder.missed(asked)
-	g.finish(asked, admission.Result{PromptTokens: asked.estimatedPrompt, Failed: true, Missed: true, Overloaded: asked.overload})
+	g.finish(asked, admission.Result{PromptTokens: asked.estimatedPrompt, Failed: true, DeadlineMissed: true, Overloaded: asked.overload})
 }
 
 func (g *gateway) finish(asked *request, result admission.Result) {
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -103,11 +103,11 @@
 	g.start(service)
 }
 
-func (g *gateway) shape(asked *request) admission.Shape {
+func (g *gateway) shape(asked *request) admission.RequestShape {
 	declared := g.world.declared[asked.Kind]
-	return admission.Shape{
+	return admission.RequestShape{
 		Tenant: asked.tenant, Kind: asked.kind.Name, PromptBytes: asked.PromptTokens * bytesPerToken,
-		Declared: admission.Declared{PromptTokens: declared.prompt, OutputTokens: declared.output},
+		DeclaredTokens: admission.DeclaredTokens{PromptTokens: declared.prompt, OutputTokens: declared.output},
 	}
 }
 
@@ -140,9 +140,9 @@
 
 func (g *gateway) start(service *admission.Core) {
 	for {
-		next, found := service.Next(g.world.now)
+		next, found := service.StartNext(g.world.now)
 		if !found {
-			g.refuse(service.Refused())
+			g.refuse(service.DrainRefusals())
 			return
 		}
 		asked := g.waiting[next.ID]
--- a/internal/fleetlimit/harness_test.go
+++ b/internal/fleetlimit/harness_test.go
@@ -74,7 +74,7 @@
 const undisturbed = -time.Hour
 
 func newTestFleet(seed uint64, count int, perSecond float64) *testFleet {
-	fleet := &testFleet{random: rand.New(rand.NewPCG(seed, 2)), busy: count, limit: backpressure.Limit{Named: true, PerSecond: perSecond}}
+	fleet := &testFleet{random: rand.New(rand.NewPCG(seed, 2)), busy: count, limit: backpressure.Limit{IsSet: true, PerSecond: perSecond}}
 	for number := range count {
 		process := &testProcess{address: fmt.Sprintf("10.0.%d.%d:1", number/250, number%250), disturbedAt: undisturbed}
 		fleet.processes = append(fleet.processes, process)
@@ -118,7 +118,7 @@
 
 // permitted asks the keepers in their order.
 func (f *testFleet) permitted(process *testProcess) bool {
-	if !process.limit.Named || f.way == unheeded {
+	if !process.limit.IsSet || f.way == unheeded {
 		return true
 	}
 	if f.way == equalShares {
@@ -132,10 +132,10 @@
 	if f.now < process.waitsTil {
 		return false
 	}
-	for _, address := range process.member.KeepersOf(backEnd) {
+	for _, address := range process.member.OwnersOf(backEnd) {
 		keeper := f.find(address)
 		if keeper == process {
-			if answer, keeps := process.member.Ask(f.now, f.ask(process), process.fresh, f.random.Float64()); keeps {
+			if answer, keeps := process.member.HandleRequest(f.now, f.ask(process), process.fresh, f.random.Float64()); keeps {
 				return f.take(process, answer)
 			}
 			continue
@@ -147,7 +147,7 @@
 			process.doubted[address] = f.now + 400*time.Millisecond
 			continue
 		}
-		answer, keeps := keeper.member.Ask(f.now, f.ask(process), keeper.fresh, f.random.Float64())
+		answer, keeps := keeper.member.HandleRequest(f.now, f.ask(process), keeper.fresh, f.random.Float64())
 		if !keeps {
 			continue
 		}
@@ -161,18 +161,18 @@
 	return false
 }
 
-func (f *testFleet) ask(process *testProcess) Ask {
-	return Ask{BackEnd: backEnd, Limit: process.limit, Asker: cell.HashEngine(process.address), Rank: f.random.IntN(3)}
+func (f *testFleet) ask(process *testProcess) PermitRequest {
+	return PermitRequest{BackEnd: backEnd, Limit: process.limit, RequesterID: cell.HashEngine(process.address), Rank: f.random.IntN(3)}
 }
 
-func (f *testFleet) take(process *testProcess, answer Answer) bool {
+func (f *testFleet) take(process *testProcess, answer PermitResponse) bool {
 	process.limit, process.waitsTil = answer.Limit, f.now+answer.Wait
 	return answer.Granted
 }
 
 // send lets a process send one request, if it may.
 func (f *testFleet) send(process *testProcess) {
-	told := process.limit.Named
+	told := process.limit.IsSet
 	if !f.permitted(process) {
 		f.denied++
 		return
@@ -183,9 +183,9 @@
 	}
 	if process.limit != f.limit { // the answer names it
 		process.limit = f.limit
-		for _, address := range process.member.KeepersOf(backEnd) {
+		for _, address := range process.member.OwnersOf(backEnd) {
 			if keeper := f.find(address); keeper == process || f.reaches(process, keeper) {
-				keeper.member.Name(f.now, Named{BackEnd: backEnd, Limit: f.limit})
+				keeper.member.SetLimit(f.now, BackEndLimit{BackEnd: backEnd, Limit: f.limit})
 				break
 			}
 		}
@@ -202,7 +202,7 @@
 			for _, other := range f.processes {
 				if other != process && f.reaches(process, other) {
 					other.limit = named.Limit
-					other.member.Hear(f.now, process.address, named)
+					other.member.ApplyNotice(f.now, process.address, named)
 				}
 			}
 		}
@@ -287,7 +287,7 @@
 
 // firstOf is the first keeper of a back end; empty for none.
 func (m *Member) firstOf(backEnd uint64) string {
-	if keepers := m.KeepersOf(backEnd); len(keepers) > 0 {
+	if keepers := m.OwnersOf(backEnd); len(keepers) > 0 {
 		return keepers[0]
 	}
 	return ""
--- a/internal/fleetlimit/keeper.go
+++ b/internal/fleetlimit/keeper.go
@@ -36,8 +36,8 @@
 	mostAskers = 4096
 )
 
-// Keeper keeps the counts of back ends that name limits, and grants permits. It is not safe for concurrent use.
-type Keeper struct {
+// LimitCounters keeps the counts of back ends that name limits, and grants permits. It is not safe for concurrent use.
+type LimitCounters struct {
 	counts map[uint64]*count
 }
 
@@ -53,47 +53,47 @@
 	askers map[uint64]time.Duration
 }
 
-// NewKeeper returns a Keeper that knows of no limit.
-func NewKeeper() *Keeper { return &Keeper{counts: map[uint64]*count{}} }
+// NewLimitCounters returns a Keeper that knows of no limit.
+func NewLimitCounters() *LimitCounters { return &LimitCounters{counts: map[uint64]*count{}} }
 
-// Name takes the limit that a back end names, the zero value for none. It reports whether that is news.
-func (k *Keeper) Name(now time.Duration, backEnd uint64, limit backpressure.Limit) (news bool) {
+// SetLimit takes the limit that a back end names, the zero value for none. It reports whether that is news.
+func (k *LimitCounters) SetLimit(now time.Duration, backEnd uint64, limit backpressure.Limit) (news bool) {
 	known := k.counts[backEnd]
-	if known == nil && !limit.Named || known != nil && known.limit == limit {
+	if known == nil && !limit.IsSet || known != nil && known.limit == limit {
 		return false
 	}
 	if known == nil {
 		known = &count{askers: map[uint64]time.Duration{}, askedAt: now, askedSince: now}
 		k.counts[backEnd] = known
 	}
-	if !known.limit.Named { // what it got without a limit is not known
+	if !known.limit.IsSet { // what it got without a limit is not known
 		known.bucket = bucket{at: now}
 	}
 	known.limit, known.changedAt = limit, now
 	return true
 }
 
-// Ask grants a permit or denies it, for a process that grants a part of the limit. The draw in [0, 1) spreads the times
+// HandleRequest grants a permit or denies it, for a process that grants a part of the limit. The draw in [0, 1) spreads the times
 // at which processes ask again.
-func (k *Keeper) Ask(now time.Duration, ask Ask, part, draw float64) Answer {
-	if k.counts[ask.BackEnd] == nil || ask.Heard {
-		k.Name(now, ask.BackEnd, ask.Limit)
+func (k *LimitCounters) HandleRequest(now time.Duration, ask PermitRequest, part, draw float64) PermitResponse {
+	if k.counts[ask.BackEnd] == nil || ask.LimitFromBackEnd {
+		k.SetLimit(now, ask.BackEnd, ask.Limit)
 	}
 	known := k.counts[ask.BackEnd]
-	if known == nil || !known.limit.Named {
-		return Answer{Granted: true}
+	if known == nil || !known.limit.IsSet {
+		return PermitResponse{Granted: true}
 	}
-	known.note(now, ask.Asker)
+	known.note(now, ask.RequesterID)
 	known.fit(now, part)
-	rank := min(max(ask.Rank, 0), Ranks-1)
-	if wait := known.until(now, rank, ask.Owed); wait > 0 {
+	rank := min(max(ask.Rank, 0), RankCount-1)
+	if wait := known.until(now, rank, ask.MustResume); wait > 0 {
 		known.order.denied(now, rank)
-		return Answer{Wait: known.spread(now, wait, draw), Limit: known.limit}
+		return PermitResponse{Wait: known.spread(now, wait, draw), Limit: known.limit}
 	}
 	known.bucket.tokens--
 	known.window.add()
 	known.order.granted(now, rank)
-	return Answer{Granted: true, Limit: known.limit}
+	return PermitResponse{Granted: true, Limit: known.limit}
 }
 
 // note notes that a process asks.
@@ -118,7 +118,7 @@
 // fit brings bucket and window to the present time, limit and part of it.
 func (c *count) fit(now time.Duration, part float64) {
 	capacity := float64(standInSpare)
-	if part == Whole {
+	if part == FullFraction {
 		capacity = spare + min(spareSeconds*c.rate(), mostSpare)
 	}
 	c.bucket.set(now, c.rate()*part, capacity)
@@ -144,7 +144,7 @@
 }
 
 // askedFor is how long processes have been asking for a back end without a long pause.
-func (k *Keeper) askedFor(now time.Duration, backEnd uint64) time.Duration {
+func (k *LimitCounters) askedFor(now time.Duration, backEnd uint64) time.Duration {
 	if known := k.counts[backEnd]; known != nil {
 		return now - known.askedSince
 	}
@@ -152,20 +152,20 @@
 }
 
 // Limits returns the limits that are kept, and those that back ends have lately ceased to name, by their hashes.
-func (k *Keeper) Limits(now time.Duration) []Named {
+func (k *LimitCounters) Limits(now time.Duration) []BackEndLimit {
 	k.forget(now)
-	limits := make([]Named, 0, len(k.counts))
+	limits := make([]BackEndLimit, 0, len(k.counts))
 	for backEnd, known := range k.counts {
-		limits = append(limits, Named{BackEnd: backEnd, Limit: known.limit})
+		limits = append(limits, BackEndLimit{BackEnd: backEnd, Limit: known.limit})
 	}
-	slices.SortFunc(limits, func(a, b Named) int { return cmp.Compare(a.BackEnd, b.BackEnd) })
+	slices.SortFunc(limits, func(a, b BackEndLimit) int { return cmp.Compare(a.BackEnd, b.BackEnd) })
 	return limits
 }
 
 // forget drops limits that are not named any more, and those for which nobody asks.
-func (k *Keeper) forget(now time.Duration) {
+func (k *LimitCounters) forget(now time.Duration) {
 	for backEnd, known := range k.counts {
-		lifted := !known.limit.Named && now-known.changedAt >= liftedMemory
+		lifted := !known.limit.IsSet && now-known.changedAt >= liftedMemory
 		if lifted || now-max(known.askedAt, known.changedAt) >= forgottenAfter {
 			delete(k.counts, backEnd)
 		}
--- a/internal/fleetlimit/keeper_test.go
+++ b/internal/fleetlimit/keeper_test.go
@@ -15,13 +15,13 @@
 const middle = 0.5
 
 func named(perSecond float64) backpressure.Limit {
-	return backpressure.Limit{Named: true, PerSecond: perSecond}
+	return backpressure.Limit{IsSet: true, PerSecond: perSecond}
 }
 
 // grants asks every few milliseconds for a while and returns when permits were granted.
-func (k *Keeper) grants(from, until time.Duration, ask Ask) (granted []time.Duration) {
+func (k *LimitCounters) grants(from, until time.Duration, ask PermitRequest) (granted []time.Duration) {
 	for now := from; now < until; now += 5 * time.Millisecond {
-		if k.Ask(now, ask, Whole, middle).Granted {
+		if k.HandleRequest(now, ask, FullFraction, middle).Granted {
 			granted = append(granted, now)
 		}
 	}
@@ -30,32 +30,32 @@
 
 // What was granted under a larger limit counts against a smaller one that takes its place.
 func TestASmallerLimitHoldsAtOnce(t *testing.T) {
-	keeper := NewKeeper()
-	ask := Ask{BackEnd: backEnd, Limit: named(40), Asker: 1}
+	keeper := NewLimitCounters()
+	ask := PermitRequest{BackEnd: backEnd, Limit: named(40), RequesterID: 1}
 	require.NotEmpty(t, keeper.grants(0, 10*time.Second, ask))
-	require.True(t, keeper.Name(10*time.Second, backEnd, named(1)))
+	require.True(t, keeper.SetLimit(10*time.Second, backEnd, named(1)))
 	ask.Limit = named(1)
 	require.Empty(t, keeper.grants(10*time.Second, 13*time.Second, ask), "the last four seconds have had more than it allows")
 	granted := keeper.grants(13*time.Second, 30*time.Second, ask)
 	require.GreaterOrEqual(t, len(granted), 12)
 	count, _ := most(granted)
 	require.LessOrEqual(t, float64(count), tolerated(1))
-	require.True(t, keeper.Name(30*time.Second, backEnd, named(40)))
+	require.True(t, keeper.SetLimit(30*time.Second, backEnd, named(40)))
 	require.GreaterOrEqual(t, len(keeper.grants(30*time.Second, 32*time.Second, ask)), 70, "a larger one is used at once")
 }
 
 // Whatever limits are named one after another, no window gets more than the largest of them tolerates.
 func TestLimitsHoldHoweverTheyChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		keeper := NewKeeper()
+		keeper := NewLimitCounters()
 		largest, now := 0.0, time.Duration(0)
 		var granted []time.Duration
 		for range rapid.IntRange(1, 8).Draw(t, "changes") {
 			perSecond := rapid.Float64Range(0, 30).Draw(t, "limit")
 			largest = max(largest, perSecond)
 			length := time.Duration(rapid.Int64Range(0, int64(6*time.Second)).Draw(t, "length"))
-			keeper.Name(now, backEnd, named(perSecond))
-			granted = append(granted, keeper.grants(now, now+length, Ask{BackEnd: backEnd, Limit: named(perSecond), Asker: 1})...)
+			keeper.SetLimit(now, backEnd, named(perSecond))
+			granted = append(granted, keeper.grants(now, now+length, PermitRequest{BackEnd: backEnd, Limit: named(perSecond), RequesterID: 1})...)
 			now += length
 		}
 		count, at := most(granted)
@@ -67,23 +67,23 @@
 
 // A limit of nothing still lets a request through now and then: without one nobody would hear of its end.
 func TestTheEndOfALimitIsFoundOut(t *testing.T) {
-	keeper := NewKeeper()
-	granted := keeper.grants(0, 40*time.Second, Ask{BackEnd: backEnd, Limit: named(0), Asker: 1})
+	keeper := NewLimitCounters()
+	granted := keeper.grants(0, 40*time.Second, PermitRequest{BackEnd: backEnd, Limit: named(0), RequesterID: 1})
 	require.InDelta(t, 10, len(granted), 1)
 	count, _ := most(granted)
 	require.LessOrEqual(t, float64(count), tolerated(0))
-	require.True(t, keeper.Name(40*time.Second, backEnd, backpressure.Limit{}))
-	require.True(t, keeper.Ask(40*time.Second, Ask{BackEnd: backEnd, Limit: named(0)}, Whole, middle).Granted, "the end is remembered")
-	require.False(t, keeper.Ask(40*time.Second, Ask{BackEnd: backEnd, Limit: named(0), Heard: true}, Whole, middle).Granted, "until it is named again")
+	require.True(t, keeper.SetLimit(40*time.Second, backEnd, backpressure.Limit{}))
+	require.True(t, keeper.HandleRequest(40*time.Second, PermitRequest{BackEnd: backEnd, Limit: named(0)}, FullFraction, middle).Granted, "the end is remembered")
+	require.False(t, keeper.HandleRequest(40*time.Second, PermitRequest{BackEnd: backEnd, Limit: named(0), LimitFromBackEnd: true}, FullFraction, middle).Granted, "until it is named again")
 }
 
 // When more is asked for than the limit allows, urgent requests go first and the others still get a part.
 func TestUrgentRequestsGoFirst(t *testing.T) {
-	keeper := NewKeeper()
-	counts := [Ranks]int{}
+	keeper := NewLimitCounters()
+	counts := [RankCount]int{}
 	for now := time.Duration(0); now < time.Minute; now += 5 * time.Millisecond {
 		rank := []int{5, 0, 9}[int(now/(5*time.Millisecond))%3]
-		if keeper.Ask(now, Ask{BackEnd: backEnd, Limit: named(4), Asker: uint64(rank), Rank: rank}, Whole, middle).Granted {
+		if keeper.HandleRequest(now, PermitRequest{BackEnd: backEnd, Limit: named(4), RequesterID: uint64(rank), Rank: rank}, FullFraction, middle).Granted {
 			counts[rank]++
 		}
 	}
@@ -96,23 +96,23 @@
 
 // A run that must go on where its memory is does so a little before its turn.
 func TestAnOwedRequestGoesOn(t *testing.T) {
-	keeper := NewKeeper()
-	ask := Ask{BackEnd: backEnd, Limit: named(1)}
+	keeper := NewLimitCounters()
+	ask := PermitRequest{BackEnd: backEnd, Limit: named(1)}
 	const later = 5500 * time.Millisecond // half a token after the last permit
 	keeper.grants(0, later, ask)
-	require.False(t, keeper.Ask(later, ask, Whole, middle).Granted)
-	ask.Owed = true
-	require.True(t, keeper.Ask(later, ask, Whole, middle).Granted)
-	require.False(t, keeper.Ask(later, ask, Whole, middle).Granted, "one of them")
+	require.False(t, keeper.HandleRequest(later, ask, FullFraction, middle).Granted)
+	ask.MustResume = true
+	require.True(t, keeper.HandleRequest(later, ask, FullFraction, middle).Granted)
+	require.False(t, keeper.HandleRequest(later, ask, FullFraction, middle).Granted, "one of them")
 }
 
 // Many processes are told to ask seldom, a few often enough to use the limit; not all at once.
 func TestWaitsFollowTheNumberOfAskers(t *testing.T) {
 	waitWith := func(askers uint64, draw float64) time.Duration {
-		keeper := NewKeeper()
+		keeper := NewLimitCounters()
 		wait := time.Duration(0)
 		for asker := range askers {
-			wait = keeper.Ask(time.Second, Ask{BackEnd: backEnd, Limit: named(10), Asker: asker}, Whole, draw).Wait
+			wait = keeper.HandleRequest(time.Second, PermitRequest{BackEnd: backEnd, Limit: named(10), RequesterID: asker}, FullFraction, draw).Wait
 		}
 		return wait
 	}
@@ -123,11 +123,11 @@
 
 // Nothing is kept for good of back ends for which nobody asks.
 func TestLimitsAreForgotten(t *testing.T) {
-	keeper := NewKeeper()
-	keeper.Name(0, 1, named(1))
-	keeper.Name(0, 2, named(1))
-	keeper.Name(time.Second, 2, backpressure.Limit{})
-	require.Equal(t, []Named{{BackEnd: 1, Limit: named(1)}, {BackEnd: 2}}, keeper.Limits(2*time.Second), "the end is told for a while")
+	keeper := NewLimitCounters()
+	keeper.SetLimit(0, 1, named(1))
+	keeper.SetLimit(0, 2, named(1))
+	keeper.SetLimit(time.Second, 2, backpressure.Limit{})
+	require.Equal(t, []BackEndLimit{{BackEnd: 1, Limit: named(1)}, {BackEnd: 2}}, keeper.Limits(2*time.Second), "the end is told for a while")
 	require.Len(t, keeper.Limits(time.Minute), 1)
 	require.Empty(t, keeper.Limits(time.Hour))
 }
@@ -143,30 +143,30 @@
 		member.SetProcesses(0, both)
 	}
 	require.Equal(t, newPart, first.part(time.Second, backEnd, true), "the one before may still grant")
-	require.Equal(t, Whole, first.part(settling, backEnd, true))
+	require.Equal(t, FullFraction, first.part(settling, backEnd, true))
 	require.Equal(t, cutOffPart, first.part(settling, backEnd, false), "a newer list may name another one")
 	require.Equal(t, newPart, second.part(settling, backEnd, true))
 
-	ask := Ask{BackEnd: backEnd, Limit: named(1)}
+	ask := PermitRequest{BackEnd: backEnd, Limit: named(1)}
 	for now := settling; now <= 2*settling; now += time.Second {
-		_, keeps := second.Ask(now, ask, true, middle)
+		_, keeps := second.HandleRequest(now, ask, true, middle)
 		require.True(t, keeps)
 	}
 	require.Equal(t, cutOffPart, second.part(2*settling, backEnd, true), "the first one is silent")
-	second.Hear(2*settling, first.tenure.self, Named{BackEnd: backEnd, Limit: named(1)})
+	second.ApplyNotice(2*settling, first.tenure.self, BackEndLimit{BackEnd: backEnd, Limit: named(1)})
 	require.Equal(t, newPart, second.part(2*settling, backEnd, true))
 
 	second.SetProcesses(2*settling, []string{second.tenure.self})
 	require.Equal(t, newPart, second.part(3*settling-time.Second, backEnd, true), "it hears of the former first one, which is not listed")
-	require.Equal(t, Whole, second.part(3*settling, backEnd, true))
+	require.Equal(t, FullFraction, second.part(3*settling, backEnd, true))
 	stranger := NewMember("c")
 	require.Zero(t, stranger.part(settling, backEnd, true))
-	_, keeps := stranger.Ask(settling, ask, true, middle)
+	_, keeps := stranger.HandleRequest(settling, ask, true, middle)
 	require.False(t, keeps)
 }
 
 func TestLimitsOnTheWire(t *testing.T) {
-	for _, each := range []Named{{BackEnd: 1, Limit: named(0.5)}, {BackEnd: 2}, {BackEnd: 3, Limit: named(0)}} {
+	for _, each := range []BackEndLimit{{BackEnd: 1, Limit: named(0.5)}, {BackEnd: 2}, {BackEnd: 3, Limit: named(0)}} {
 		read, valid := FromWire(ToWire(each))
 		require.True(t, valid)
 		require.Equal(t, each, read)
--- a/internal/fleetlimit/member.go
+++ b/internal/fleetlimit/member.go
@@ -11,15 +11,15 @@
 
 // Member is one of the processes among which the counts of back ends are spread. It is not safe for concurrent use.
 type Member struct {
-	tenure *Tenure
-	keeper *Keeper
+	tenure *Ownership
+	keeper *LimitCounters
 	// firstHeardAt is when a process that ranks before this one was heard last, by the back end whose count it keeps.
 	firstHeardAt map[uint64]time.Duration
 }
 
 // NewMember returns the member with an address.
 func NewMember(self string) *Member {
-	return &Member{tenure: NewTenure(self), keeper: NewKeeper(), firstHeardAt: map[uint64]time.Duration{}}
+	return &Member{tenure: NewOwnership(self), keeper: NewLimitCounters(), firstHeardAt: map[uint64]time.Duration{}}
 }
 
 // SetProcesses takes another list of the processes' addresses.
@@ -27,22 +27,22 @@
 	m.tenure.SetProcesses(now, processes)
 }
 
-// KeepersOf returns the addresses of those that keep the count of a back end, in the order in which they are asked.
-func (m *Member) KeepersOf(backEnd uint64) []string { return m.tenure.KeepersOf(backEnd) }
+// OwnersOf returns the addresses of those that keep the count of a back end, in the order in which they are asked.
+func (m *Member) OwnersOf(backEnd uint64) []string { return m.tenure.OwnersOf(backEnd) }
 
-// Ask answers a process that asks for a permit; fresh tells that the list of processes is not old. It reports false
+// HandleRequest answers a process that asks for a permit; fresh tells that the list of processes is not old. It reports false
 // where this process does not keep the back end's count: another one must be asked.
-func (m *Member) Ask(now time.Duration, ask Ask, fresh bool, draw float64) (Answer, bool) {
+func (m *Member) HandleRequest(now time.Duration, ask PermitRequest, fresh bool, draw float64) (PermitResponse, bool) {
 	part := m.part(now, ask.BackEnd, fresh)
 	if part == 0 {
-		return Answer{}, false
+		return PermitResponse{}, false
 	}
-	return m.keeper.Ask(now, ask, part, draw), true
+	return m.keeper.HandleRequest(now, ask, part, draw), true
 }
 
 // part is the part of the limit that this process grants.
 func (m *Member) part(now time.Duration, backEnd uint64, fresh bool) float64 {
-	return m.tenure.Part(now, backEnd, Circumstances{Fresh: fresh, FirstSilent: m.firstSilent(now, backEnd)})
+	return m.tenure.Fraction(now, backEnd, MembershipView{ListIsFresh: fresh, FirstOwnerSilence: m.firstSilent(now, backEnd)})
 }
 
 // firstSilent is how long nothing was heard of a process that ranks before this one. One that was never heard counts as
@@ -63,27 +63,27 @@
 	}
 }
 
-// Hear takes the limit of a back end as it is known to another process; sender is its address.
-func (m *Member) Hear(now time.Duration, sender string, told Named) {
+// ApplyNotice takes the limit of a back end as it is known to another process; sender is its address.
+func (m *Member) ApplyNotice(now time.Duration, sender string, told BackEndLimit) {
 	if m.tenure.Outranks(told.BackEnd, sender) {
 		m.firstHeardAt[told.BackEnd] = now
 	}
-	m.Name(now, told)
+	m.SetLimit(now, told)
 }
 
-// Name takes the limit that a back end has named to this process or another one. It reports whether that is news here,
+// SetLimit takes the limit that a back end has named to this process or another one. It reports whether that is news here,
 // where the back end's count is kept.
-func (m *Member) Name(now time.Duration, named Named) (news bool) {
+func (m *Member) SetLimit(now time.Duration, named BackEndLimit) (news bool) {
 	if m.tenure.Rank(named.BackEnd) < 0 {
 		return false
 	}
-	return m.keeper.Name(now, named.BackEnd, named.Limit)
+	return m.keeper.SetLimit(now, named.BackEnd, named.Limit)
 }
 
 // Notices returns what the other processes should know: the limits whose counts are this process's to keep.
-func (m *Member) Notices(now time.Duration) []Named {
+func (m *Member) Notices(now time.Duration) []BackEndLimit {
 	m.forget(now)
-	return slices.DeleteFunc(m.keeper.Limits(now), func(named Named) bool {
+	return slices.DeleteFunc(m.keeper.Limits(now), func(named BackEndLimit) bool {
 		rank := m.tenure.Rank(named.BackEnd)
 		return rank < 0 || rank > 0 && m.firstSilent(now, named.BackEnd) < settling
 	})
--- a/internal/fleetlimit/order.go
+++ b/internal/fleetlimit/order.go
@@ -16,7 +16,7 @@
 // order lets urgent requests go first when not all can be served. The zero value has seen none.
 type order struct {
 	// deniedAt is when a request of each rank was denied last; 0 is never.
-	deniedAt [Ranks]time.Duration
+	deniedAt [RankCount]time.Duration
 	// inARow counts the permits for pressing requests since a less urgent one had its turn.
 	inARow int
 }
--- a/internal/fleetlimit/tenure.go
+++ b/internal/fleetlimit/tenure.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// Keepers is how many processes are ranked for a back end: the one that keeps its count, and those that stand in
+	// MaxOwners is how many processes are ranked for a back end: the one that keeps its count, and those that stand in
 	// for it in their order.
-	Keepers = 3
+	MaxOwners = 3
 	// settling is how long a process must have ranked first before it grants a whole limit. Within it the one before has
 	// heard of the change, and what that one granted leaves the window of the back end.
 	settling = windowSpan
@@ -20,8 +20,8 @@
 // limit and five requests more. The first one and the one that stands in for it are never above that together:
 // one stale and one new first process, or a settled one and a stand-in that does not hear of it.
 const (
-	// Whole is granted by a process that has ranked first for a while, or that alone can keep counts.
-	Whole = 1.0
+	// FullFraction is granted by a process that has ranked first for a while, or that alone can keep counts.
+	FullFraction = 1.0
 	// cutOffPart is granted where it may have missed a newer list, or where a stand-in has heard nothing of the first
 	// process for a while: the first one is then most likely gone.
 	cutOffPart = 0.5
@@ -47,8 +47,8 @@
 	firstSince time.Duration
 }
 
-// Tenure tells what part of a back end's limit this process may grant. It is not safe for concurrent use.
-type Tenure struct {
+// Ownership tells what part of a back end's limit this process may grant. It is not safe for concurrent use.
+type Ownership struct {
 	self string
 	// rankings are the lists that were in force in the last settling time, the oldest first, and the one before.
 	rankings []ranking
@@ -59,11 +59,13 @@
 // mostStandings bounds the standings that are kept; they are worked out again at need.
 const mostStandings = 4096
 
-// NewTenure returns the tenure of a process that knows of no list.
-func NewTenure(self string) *Tenure { return &Tenure{self: self, standings: map[uint64]standing{}} }
+// NewOwnership returns the tenure of a process that knows of no list.
+func NewOwnership(self string) *Ownership {
+	return &Ownership{self: self, standings: map[uint64]standing{}}
+}
 
 // SetProcesses takes another list of processes.
-func (t *Tenure) SetProcesses(now time.Duration, processes []string) {
+func (t *Ownership) SetProcesses(now time.Duration, processes []string) {
 	t.rankings = append(t.rankings, ranking{from: now, processes: slices.Clone(processes)})
 	for len(t.rankings) > 1 && now-t.rankings[1].from >= settling {
 		t.rankings = t.rankings[1:]
@@ -71,14 +73,14 @@
 	clear(t.standings)
 }
 
-// KeepersOf returns the processes that keep the count of a back end, the first one before its stand-ins.
-func (t *Tenure) KeepersOf(backEnd uint64) []string { return t.standing(backEnd).keepers }
+// OwnersOf returns the processes that keep the count of a back end, the first one before its stand-ins.
+func (t *Ownership) OwnersOf(backEnd uint64) []string { return t.standing(backEnd).keepers }
 
 // Rank is this process's rank among the keepers of a back end, 0 for the first; -1 for none.
-func (t *Tenure) Rank(backEnd uint64) int { return t.standing(backEnd).rank }
+func (t *Ownership) Rank(backEnd uint64) int { return t.standing(backEnd).rank }
 
 // standing returns how this process stands for a back end.
-func (t *Tenure) standing(backEnd uint64) standing {
+func (t *Ownership) standing(backEnd uint64) standing {
 	if len(t.rankings) == 0 {
 		return standing{rank: -1}
 	}
@@ -89,7 +91,7 @@
 		clear(t.standings)
 	}
 	newest := t.rankings[len(t.rankings)-1]
-	known := standing{keepers: cell.Owners(backEnd, newest.processes, Keepers), firstSince: newest.from}
+	known := standing{keepers: cell.Owners(backEnd, newest.processes, MaxOwners), firstSince: newest.from}
 	known.rank = slices.Index(known.keepers, t.self)
 	for index := len(t.rankings) - 1; index >= 0; index-- {
 		if first := cell.Owners(backEnd, t.rankings[index].processes, 1); len(first) == 0 || first[0] != t.self {
@@ -102,23 +104,23 @@
 }
 
 // Outranks reports whether another process ranks before this one for a back end, whatever their lists say.
-func (t *Tenure) Outranks(backEnd uint64, other string) bool {
+func (t *Ownership) Outranks(backEnd uint64, other string) bool {
 	return cell.Owners(backEnd, []string{t.self, other}, 1)[0] == other && other != t.self
 }
 
-// Circumstances are what a process knows of its own standing.
-type Circumstances struct {
-	// Fresh tells that its list of processes is not old.
-	Fresh bool
-	// FirstSilent is how long it has heard nothing of a process that ranks before it while it was asked for permits.
-	FirstSilent time.Duration
+// MembershipView are what a process knows of its own standing.
+type MembershipView struct {
+	// ListIsFresh tells that its list of processes is not old.
+	ListIsFresh bool
+	// FirstOwnerSilence is how long it has heard nothing of a process that ranks before it while it was asked for permits.
+	FirstOwnerSilence time.Duration
 }
 
-// Part is the part of a back end's limit that this process may grant now; 0 for a process that does not keep its
+// Fraction is the part of a back end's limit that this process may grant now; 0 for a process that does not keep its
 // count.
-func (t *Tenure) Part(now time.Duration, backEnd uint64, known Circumstances) float64 {
+func (t *Ownership) Fraction(now time.Duration, backEnd uint64, known MembershipView) float64 {
 	stands := t.standing(backEnd)
-	heardOfFirst := known.FirstSilent < settling
+	heardOfFirst := known.FirstOwnerSilence < settling
 	switch {
 	case stands.rank < 0:
 		return 0
@@ -128,9 +130,9 @@
 		return cutOffPart
 	case stands.rank == 1 || heardOfFirst || now-stands.firstSince < settling:
 		return newPart
-	case !known.Fresh:
+	case !known.ListIsFresh:
 		return cutOffPart
 	default:
-		return Whole
+		return FullFraction
 	}
 }
--- a/internal/fleetlimit/wire.go
+++ b/internal/fleetlimit/wire.go
@@ -8,25 +8,25 @@
 )
 
 // ToWire is what processes tell each other of a limit.
-func ToWire(named Named) *v1.NamedLimit {
-	return &v1.NamedLimit{BackEnd: named.BackEnd, Named: named.Limit.Named, PerSecond: named.Limit.PerSecond}
+func ToWire(named BackEndLimit) *v1.NamedLimit {
+	return &v1.NamedLimit{BackEnd: named.BackEnd, Named: named.Limit.IsSet, PerSecond: named.Limit.PerSecond}
 }
 
 // FromWire reads what another process tells of a limit; false for one that no back end can have named.
-func FromWire(told *v1.NamedLimit) (named Named, valid bool) {
+func FromWire(told *v1.NamedLimit) (named BackEndLimit, valid bool) {
 	perSecond := told.GetPerSecond()
 	if math.IsNaN(perSecond) || math.IsInf(perSecond, 0) || perSecond < 0 {
-		return Named{}, false
+		return BackEndLimit{}, false
 	}
-	named = Named{BackEnd: told.GetBackEnd()}
+	named = BackEndLimit{BackEnd: told.GetBackEnd()}
 	if told.GetNamed() {
-		named.Limit = backpressure.Limit{Named: true, PerSecond: perSecond}
+		named.Limit = backpressure.Limit{IsSet: true, PerSecond: perSecond}
 	}
 	return named, true
 }
 
-// AllToWire is ToWire of several.
-func AllToWire(limits []Named) []*v1.NamedLimit {
+// LimitsToWire is ToWire of several.
+func LimitsToWire(limits []BackEndLimit) []*v1.NamedLimit {
 	told := make([]*v1.NamedLimit, 0, len(limits))
 	for _, named := range limits {
 		told = append(told, ToWire(named))
--- a/internal/gateway/accounting.go
+++ b/internal/gateway/accounting.go
@@ -67,11 +67,11 @@
 // settle gives the request's place in admission back with what was learned.
 func (c *completion) settle() {
 	result := admission.Result{
-		PromptTokens: c.usage.promptTokens,
-		OutputTokens: c.sequence.Delivered(),
-		Overloaded:   c.overloaded,
-		Failed:       !c.sequence.Finished(),
-		Missed:       !c.sequence.Finished() && c.gateway.clock.now() >= c.deadline,
+		PromptTokens:   c.usage.promptTokens,
+		OutputTokens:   c.sequence.Delivered(),
+		Overloaded:     c.overloaded,
+		Failed:         !c.sequence.Finished(),
+		DeadlineMissed: !c.sequence.Finished() && c.gateway.clock.now() >= c.deadline,
 	}
 	if c.mayHaveRun && result.PromptTokens == 0 {
 		result.PromptTokens = c.routing.PromptTokens // the engine did not live to count them
--- a/internal/gateway/admitter.go
+++ b/internal/gateway/admitter.go
@@ -55,7 +55,7 @@
 	}
 	return &admitter{
 		clock:     clock,
-		config:    admission.Config{QueueLength: bounds.QueueLength, InFlight: bounds.InFlight},
+		config:    admission.Config{QueueLength: bounds.QueueLength, MaxInFlight: bounds.InFlight},
 		limits:    limiter,
 		estimator: estimator,
 		services:  map[string]*admission.Core{},
@@ -69,7 +69,7 @@
 // admissionRequest is what the admitter needs to know of a request.
 type admissionRequest struct {
 	service string
-	shape   admission.Shape
+	shape   admission.RequestShape
 	limit   limits.Limit
 	request admission.Request
 }
@@ -80,12 +80,12 @@
 	service  *admission.Core
 	id       uint64
 	charge   limits.Charge
-	shape    admission.Shape
+	shape    admission.RequestShape
 	once     sync.Once
 }
 
 // estimate returns the tokens that a request is expected to take.
-func (a *admitter) estimate(shape admission.Shape) admission.Estimate {
+func (a *admitter) estimate(shape admission.RequestShape) admission.Estimate {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.estimator.Estimate(shape)
@@ -150,7 +150,7 @@
 func (a *admitter) withdraw(place *ticket, started <-chan *refusal, cause error) *refusal {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if a.limits.Forget(place.id) || place.service.Remove(place.id) {
+	if a.limits.CancelWait(place.id) || place.service.Remove(place.id) {
 		delete(a.asking, place.id)
 		delete(a.waiting, place.id)
 		return refuseInterrupted(cause)
@@ -179,9 +179,9 @@
 // start starts every request whose turn it is; the mutex is held.
 func (a *admitter) start(service *admission.Core, now time.Duration) {
 	for {
-		next, ok := service.Next(now)
+		next, ok := service.StartNext(now)
 		if !ok {
-			a.tell(service.Refused())
+			a.tell(service.DrainRefusals())
 			return
 		}
 		a.waiting[next.ID] <- nil
@@ -209,7 +209,7 @@
 func (t *ticket) firstToken(wait time.Duration) {
 	t.admitter.mutex.Lock()
 	defer t.admitter.mutex.Unlock()
-	t.service.FirstToken(t.admitter.clock.now(), t.id, wait)
+	t.service.RecordFirstToken(t.admitter.clock.now(), t.id, wait)
 }
 
 // finish gives a started request's place back. Only the first call counts.
@@ -221,7 +221,7 @@
 		now := a.clock.now()
 		a.limits.Settle(now, t.charge, result.PromptTokens+result.OutputTokens)
 		if !result.Failed && result.PromptTokens > 0 {
-			a.estimator.Learn(t.shape, admission.Estimate{PromptTokens: result.PromptTokens, OutputTokens: result.OutputTokens})
+			a.estimator.RecordUsage(t.shape, admission.Estimate{PromptTokens: result.PromptTokens, OutputTokens: result.OutputTokens})
 		}
 		t.service.Finish(now, t.id, result)
 		a.start(t.service, now)
@@ -254,10 +254,10 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for _, service := range a.services {
-		inFlight += service.InFlight()
-		waiting += service.Waiting()
+		inFlight += service.InFlightCount()
+		waiting += service.WaitingCount()
 	}
-	return inFlight, waiting + a.limits.Waiting()
+	return inFlight, waiting + a.limits.WaitingCount()
 }
 
 // refuseLimit translates a tenant's own limit.
@@ -266,7 +266,7 @@
 	if !errors.As(err, &known) {
 		return refuseInternal()
 	}
-	if errors.Is(known.Reason, limits.ErrTenants) {
+	if errors.Is(known.Reason, limits.ErrTooManyTenants) {
 		return refuse(http.StatusServiceUnavailable, typeRateLimit, codeOverloaded, "the gateway has too many tenants at once").after(known.RetryAfter)
 	}
 	return refuse(http.StatusTooManyRequests, typeRateLimit, codeRateLimit, known.Reason.Error()).after(known.RetryAfter)
--- a/internal/gateway/admitter_shares.go
+++ b/internal/gateway/admitter_shares.go
@@ -71,6 +71,6 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	now := a.clock.now()
-	a.limits.Apply(now, demandedAt, shares)
+	a.limits.ApplyShares(now, demandedAt, shares)
 	a.resolve(now)
 }
--- a/internal/gateway/cancel.go
+++ b/internal/gateway/cancel.go
@@ -47,7 +47,7 @@
 // cancel ends an exchange at its engine. One that has asked to be left alone, or whose limit leaves no room, ends it by
 // itself, since nobody reads it; nothing is known of it then.
 func (g *Gateway) cancel(ended cancellation, patience time.Duration) verdict.Verdict {
-	if g.dispatcher.rests(ended.backEnd) || !g.dispatcher.mayCall(ended.backEnd, fleetlimit.Ranks-1, false) {
+	if g.dispatcher.rests(ended.backEnd) || !g.dispatcher.mayCall(ended.backEnd, fleetlimit.RankCount-1, false) {
 		return verdict.MayHaveRun
 	}
 	return g.upstream.Cancel(ended.backEnd.Address, ended.exchange, time.Now().Add(patience))
--- a/internal/gateway/claimed_chat.go
+++ b/internal/gateway/claimed_chat.go
@@ -14,7 +14,7 @@
 // claimRun asks for the right to run a request that may run at most once. It returns nil
 // when the request runs now, under a claim or because it needs none.
 func (c *completion) claimRun(identity stream.Identity, watch *callerWatch) *claims.Decision {
-	if c.target.kind.Spec.GetRepeatable() || c.key == "" || !c.gateway.safeguards.On(ClaimBeforeRun) {
+	if c.target.kind.Spec.GetRepeatable() || c.key == "" || !c.gateway.safeguards.IsEnabled(ClaimBeforeRun) {
 		return nil
 	}
 	claimer := c.gateway.claimer
--- a/internal/gateway/claimer.go
+++ b/internal/gateway/claimer.go
@@ -65,7 +65,7 @@
 // begin asks for the right to run a request, until it is decided, the deadline is too near
 // or the caller goes away.
 func (c *claimer) begin(claim *v1.BeginClaim, deadline time.Duration, interrupter *upstream.Interrupter) claims.Decision {
-	begin := claims.NewBegin(c.config, c.clock.now(), deadline, claim, c.controllers.inOrder(true))
+	begin := claims.NewBeginOperation(c.config, c.clock.now(), deadline, claim, c.controllers.inOrder(true))
 	for {
 		step := begin.Next(c.clock.now())
 		switch {
@@ -76,7 +76,7 @@
 			return *begin.Decision()
 		case interrupter.Interrupted():
 			c.finish(claim, verdict.NotRun, claims.Outcome{})
-			return claims.Abandoned()
+			return claims.AbandonedDecision()
 		case step.Call != "":
 			c.callBegin(begin, step)
 		default:
@@ -85,21 +85,21 @@
 	}
 }
 
-func (c *claimer) callBegin(begin *claims.Begin, step claims.Step) {
+func (c *claimer) callBegin(begin *claims.BeginOperation, step claims.Step) {
 	limited, cancel := context.WithTimeout(context.Background(), step.Timeout)
 	defer cancel()
 	response, err := c.controllers.client(step.Call).BeginClaim(limited, connect.NewRequest(begin.Request()))
 	if err != nil {
-		begin.Failed(c.clock.now(), c.failure(err))
+		begin.HandleFailure(c.clock.now(), c.failure(err))
 		return
 	}
 	c.controllers.setLeader(step.Call)
-	begin.Answered(response.Msg)
+	begin.HandleResponse(response.Msg)
 }
 
 // finish records how a claimed request ended, without holding up its answer.
 func (c *claimer) finish(claim *v1.BeginClaim, ended verdict.Verdict, outcome claims.Outcome) {
-	finish := claims.NewFinish(c.config, c.clock.now(), claim, ended, outcome, c.controllers.inOrder(true))
+	finish := claims.NewFinishOperation(c.config, c.clock.now(), claim, ended, outcome, c.controllers.inOrder(true))
 	timer := time.NewTimer(finishSlotTimeout)
 	defer timer.Stop()
 	select {
@@ -113,7 +113,7 @@
 	})
 }
 
-func (c *claimer) record(finish *claims.Finish) {
+func (c *claimer) record(finish *claims.FinishOperation) {
 	for {
 		step := finish.Next(c.clock.now())
 		switch {
@@ -127,14 +127,14 @@
 	}
 }
 
-func (c *claimer) callFinish(finish *claims.Finish, step claims.Step) {
+func (c *claimer) callFinish(finish *claims.FinishOperation, step claims.Step) {
 	limited, cancel := context.WithTimeout(context.Background(), step.Timeout)
 	defer cancel()
 	if _, err := c.controllers.client(step.Call).FinishClaim(limited, connect.NewRequest(finish.Request())); err != nil {
-		finish.Failed(c.clock.now(), c.failure(err))
+		finish.HandleFailure(c.clock.now(), c.failure(err))
 		return
 	}
-	finish.Answered()
+	finish.MarkRecorded()
 }
 
 // failure reads what a failed call says of the leader and of trying again.
@@ -151,7 +151,7 @@
 	case connect.CodeInvalidArgument, connect.CodePermissionDenied, connect.CodeUnimplemented:
 		return claims.Failure{Leader: leader, Permanent: true}
 	case connect.CodeResourceExhausted:
-		return claims.Failure{Leader: leader, Full: true}
+		return claims.Failure{Leader: leader, OverCapacity: true}
 	default:
 		return claims.Failure{Leader: leader}
 	}
--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -36,7 +36,7 @@
 	target   target
 	request  *chatRequest
 	routing  routing.Request
-	shape    admission.Shape
+	shape    admission.RequestShape
 	deadline time.Duration
 	sequence *stream.Sequence
 	// interrupter breaks the exchange off when the caller goes away.
--- a/internal/gateway/completion_connect.go
+++ b/internal/gateway/completion_connect.go
@@ -23,7 +23,7 @@
 			}
 			continue
 		}
-		if c.open && !c.target.kind.Spec.GetRepeatable() && c.gateway.safeguards.On(RetryOnlyNotRun) {
+		if c.open && !c.target.kind.Spec.GetRepeatable() && c.gateway.safeguards.IsEnabled(RetryOnlyNotRun) {
 			c.noteBroken(c.backEnd, 0)
 			return c.giveUp(refuseBackEnd())
 		}
@@ -74,7 +74,7 @@
 // begin picks engines and sends the request there. Without a refusal and without an
 // answer the caller tries again.
 func (c *completion) begin() *refusal {
-	if c.held = c.held || !c.trial && c.gateway.guard.Held(c.signature); c.held {
+	if c.held = c.held || !c.trial && c.gateway.guard.IsQuarantined(c.signature); c.held {
 		return c.refusal(refuseHeld())
 	}
 	if c.trial && c.tried.begun > 0 || !c.gateway.mayBegin(c.tried) {
--- a/internal/gateway/completion_end.go
+++ b/internal/gateway/completion_end.go
@@ -28,7 +28,7 @@
 // noteBroken lets the guard find out whether an engine has ended that broke the request off, and waits
 // for that.
 func (c *completion) noteBroken(engine routing.BackEnd, wait time.Duration) {
-	c.held = c.gateway.guard.Broke(c.signature, replicaOf(engine), min(wait, c.deadline-c.gateway.clock.now()))
+	c.held = c.gateway.guard.RecordBrokenRun(c.signature, replicaOf(engine), min(wait, c.deadline-c.gateway.clock.now()))
 }
 
 // giveUp ends an open exchange at its engine and returns the refusal with the verdict that
@@ -59,7 +59,7 @@
 // finish ends the exchange after a whole answer.
 func (c *completion) finish() {
 	c.done, c.whole = true, true
-	c.gateway.guard.RanWell(c.signature)
+	c.gateway.guard.RecordSuccess(c.signature)
 	c.open = false
 	// The end of the body follows [DONE]; reading it lets the connection be used again.
 	if _, err := c.scanner.Next(); errors.Is(err, io.EOF) {
--- a/internal/gateway/completion_message.go
+++ b/internal/gateway/completion_message.go
@@ -37,7 +37,7 @@
 
 // cacheSalt keeps the tenant's cached prompts and exported caches from other tenants.
 func (c *completion) cacheSalt() string {
-	if !c.gateway.safeguards.On(SaltPerTenant) {
+	if !c.gateway.safeguards.IsEnabled(SaltPerTenant) {
 		return ""
 	}
 	return c.tenant.Spec.GetCacheSalt()
--- a/internal/gateway/controller_test.go
+++ b/internal/gateway/controller_test.go
@@ -38,7 +38,7 @@
 	behind atomic.Bool
 	synced func()
 	// limits keeps the counts of back ends that name limits, as a leader does.
-	limits *fleetlimit.Keeper
+	limits *fleetlimit.LimitCounters
 	// report answers reports; nil answers without shares.
 	report func(*v1.ReportRequest) (*v1.ReportResponse, error)
 }
@@ -100,10 +100,10 @@
 		return nil, connect.NewError(connect.CodeUnavailable, http.ErrServerClosed)
 	}
 	named, _ := fleetlimit.FromWire(request.Msg.GetLimit())
-	ask := fleetlimit.Ask{BackEnd: named.BackEnd, Limit: named.Limit, Heard: request.Msg.GetHeard(), Rank: int(request.Msg.GetRank()), Owed: request.Msg.GetOwed()}
-	answer := c.limits.Ask(time.Since(began), ask, fleetlimit.Whole, 0)
+	ask := fleetlimit.PermitRequest{BackEnd: named.BackEnd, Limit: named.Limit, LimitFromBackEnd: request.Msg.GetHeard(), Rank: int(request.Msg.GetRank()), MustResume: request.Msg.GetOwed()}
+	answer := c.limits.HandleRequest(time.Since(began), ask, fleetlimit.FullFraction, 0)
 	return connect.NewResponse(&v1.TakePermitResponse{
-		Granted: answer.Granted, WaitUs: uint64(answer.Wait.Microseconds()), Limit: fleetlimit.ToWire(fleetlimit.Named{BackEnd: named.BackEnd, Limit: answer.Limit}),
+		Granted: answer.Granted, WaitUs: uint64(answer.Wait.Microseconds()), Limit: fleetlimit.ToWire(fleetlimit.BackEndLimit{BackEnd: named.BackEnd, Limit: answer.Limit}),
 	}), nil
 }
 
@@ -186,7 +186,7 @@
 func startController(t testing.TB, backEnds ...*v1.BackEnd) *testController {
 	controller := &testController{
 		revision: 1, objects: testObjects(), claims: map[string]*heldClaim{},
-		directory: &v1.Directory{Version: 1, BackEnds: backEnds}, limits: fleetlimit.NewKeeper(),
+		directory: &v1.Directory{Version: 1, BackEnds: backEnds}, limits: fleetlimit.NewLimitCounters(),
 	}
 	controller.serveAs(t, controller)
 	return controller
--- a/internal/gateway/encryption.go
+++ b/internal/gateway/encryption.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	factory.CertificateExpiry(credentials.Expires)
+	factory.CertificateExpiry(credentials.ExpiresAt)
 	return credentials.ClientConfig(config.Fleet, keys.RoleController), nil
 }
 
--- a/internal/gateway/page_claim.go
+++ b/internal/gateway/page_claim.go
@@ -9,7 +9,7 @@
 // runClaimed runs the request; one that may run at most once and carries a key runs only
 // under a claim. Without a key it is sent once, and only a true "not run" is sent again.
 func (p *pageRequest) runClaimed() (*pageAnswer, *refusal) {
-	if p.kind.Spec.GetRepeatable() || p.key == "" || !p.gateway.safeguards.On(ClaimBeforeRun) {
+	if p.kind.Spec.GetRepeatable() || p.key == "" || !p.gateway.safeguards.IsEnabled(ClaimBeforeRun) {
 		return p.run()
 	}
 	claimer := p.gateway.claimer
--- a/internal/gateway/page_exchange.go
+++ b/internal/gateway/page_exchange.go
@@ -14,7 +14,7 @@
 		if fault := p.gateway.over(p.interrupter, p.deadline); fault != nil {
 			return nil, p.refusal(fault)
 		}
-		if !p.trial && p.gateway.guard.Held(p.signature) {
+		if !p.trial && p.gateway.guard.IsQuarantined(p.signature) {
 			return nil, p.refusal(refuseHeld())
 		}
 		if p.trial && p.tried.begun > 0 || !p.gateway.mayBegin(p.tried) {
@@ -28,7 +28,7 @@
 		}
 		answer, failure := p.exchange(choice.BackEnd)
 		if failure == nil {
-			p.gateway.guard.RanWell(p.signature)
+			p.gateway.guard.RecordSuccess(p.signature)
 			return answer, nil
 		}
 		p.gateway.log.Info().Err(failure).Str("back_end", choice.BackEnd.Name).Msg("exchange failed")
@@ -39,7 +39,7 @@
 		}
 		p.mayHaveRun = true
 		p.noteBroken(choice.BackEnd, failure)
-		if p.gateway.clock.now() < p.deadline && !p.kind.Spec.GetRepeatable() && p.gateway.safeguards.On(RetryOnlyNotRun) {
+		if p.gateway.clock.now() < p.deadline && !p.kind.Spec.GetRepeatable() && p.gateway.safeguards.IsEnabled(RetryOnlyNotRun) {
 			return nil, p.refusal(refuseBackEnd())
 		}
 	}
@@ -55,7 +55,7 @@
 	if !p.kind.Spec.GetRepeatable() {
 		wait = 0
 	}
-	p.gateway.guard.Broke(p.signature, replicaOf(backEnd), min(wait, p.deadline-p.gateway.clock.now()))
+	p.gateway.guard.RecordBrokenRun(p.signature, replicaOf(backEnd), min(wait, p.deadline-p.gateway.clock.now()))
 }
 
 // exchange sends the request to one back end and reads its whole answer.
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -40,17 +40,17 @@
 }
 
 // take asks for one permit; it reports false where no leader answers.
-func (p *permits) take(ask fleetlimit.Ask) (fleetlimit.Answer, bool) {
+func (p *permits) take(ask fleetlimit.PermitRequest) (fleetlimit.PermitResponse, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), permitTimeout)
 	defer cancel()
 	request := &v1.TakePermitRequest{
-		Node: p.identity, Limit: fleetlimit.ToWire(fleetlimit.Named{BackEnd: ask.BackEnd, Limit: ask.Limit}), Heard: ask.Heard,
-		Rank: uint32(ask.Rank), Owed: ask.Owed,
+		Node: p.identity, Limit: fleetlimit.ToWire(fleetlimit.BackEndLimit{BackEnd: ask.BackEnd, Limit: ask.Limit}), Heard: ask.LimitFromBackEnd,
+		Rank: uint32(ask.Rank), Owed: ask.MustResume,
 	}
 	response, err := p.controllers.takePermit(ctx, request)
 	if err != nil {
 		p.outcomes.WithLabelValues(permitUnanswered).Inc()
-		return fleetlimit.Answer{Wait: noLeaderWait/2 + rand.N(noLeaderWait)}, false
+		return fleetlimit.PermitResponse{Wait: noLeaderWait/2 + rand.N(noLeaderWait)}, false
 	}
 	outcome := permitDenied
 	if response.GetGranted() {
@@ -61,7 +61,7 @@
 	if !valid {
 		named.Limit = ask.Limit
 	}
-	return fleetlimit.Answer{
+	return fleetlimit.PermitResponse{
 		Granted: response.GetGranted(), Wait: time.Duration(response.GetWaitUs()) * time.Microsecond, Limit: named.Limit,
 	}, true
 }
@@ -78,7 +78,7 @@
 
 // rankOfPriority is the rank of a kind of request, 0 the most urgent; of priorities the larger goes first.
 func rankOfPriority(priority int32) int {
-	return min(max(fleetlimit.Ranks-1-int(priority), 0), fleetlimit.Ranks-1)
+	return min(max(fleetlimit.RankCount-1-int(priority), 0), fleetlimit.RankCount-1)
 }
 
 // pick chooses where to send a request, among back ends that name no limit or permit it.
@@ -109,7 +109,7 @@
 	if !needed {
 		return true
 	}
-	ask.Rank, ask.Owed = rank, owed
+	ask.Rank, ask.MustResume = rank, owed
 	answer, answered := d.permits.take(ask)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -118,15 +118,15 @@
 }
 
 // heardLimits returns what back ends have named to this gateway that the leader has not been told.
-func (d *dispatcher) heardLimits() []fleetlimit.Named {
+func (d *dispatcher) heardLimits() []fleetlimit.BackEndLimit {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.router.HeardLimits()
 }
 
 // limitsReported takes what the leader said of limits to a report that told it some.
-func (d *dispatcher) limitsReported(told []fleetlimit.Named, response *v1.ReportResponse) {
-	var known []fleetlimit.Named
+func (d *dispatcher) limitsReported(told []fleetlimit.BackEndLimit, response *v1.ReportResponse) {
+	var known []fleetlimit.BackEndLimit
 	for _, limit := range response.GetLimits() {
 		if named, valid := fleetlimit.FromWire(limit); valid {
 			known = append(known, named)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -25,7 +25,7 @@
 // incarnations that others took the place of, the guard asks it before it looks who serves there.
 func newGuardedDispatcher(clock clock, config settings.Gateway, options ControlOptions, permits *permits, counts *gatewayMetrics) (*crashguard.Guard, *dispatcher, error) {
 	var guard *crashguard.Guard
-	dispatcher, err := newDispatcher(clock, config, permits, func(former routing.BackEnd) { guard.Ended(replicaOf(former).ID) })
+	dispatcher, err := newDispatcher(clock, config, permits, func(former routing.BackEnd) { guard.RecordCrash(replicaOf(former).ID) })
 	if err != nil {
 		return nil, nil, trace.Wrap(err)
 	}
@@ -45,18 +45,18 @@
 	}
 	return crashguard.New(crashguard.Options{
 		Now: clock.now,
-		Leader: crashguard.Calls{Client: func() hazelpitchv1connect.NodeServiceClient {
+		Leader: crashguard.LeaderClient{Client: func() hazelpitchv1connect.NodeServiceClient {
 			return controllers.client(controllers.inOrder(true)[0])
 		}},
-		Probe: func(ctx context.Context, replica crashguard.Replica) crashguard.Sight {
+		Probe: func(ctx context.Context, replica crashguard.Replica) crashguard.ProbeResult {
 			if dispatcher.hasRestarted(backEndOf(replica)) {
-				return crashguard.Gone // whoever serves there now
+				return crashguard.ProbeGone // whoever serves there now
 			}
 			connection, err := dial(ctx, "tcp", replica.Address)
 			if err == nil {
 				_ = connection.Close() // it was opened to look only
 			}
-			return crashguard.SightOf(err)
+			return crashguard.ProbeResultOf(err)
 		},
 		Observer: guardObserver{log: options.Log, metrics: counts},
 	})
@@ -65,7 +65,7 @@
 // admitHeld refuses a request that must not run, and tells whether it is a trial.
 func (g *Gateway) admitHeld(signature quarantine.Signature) (trial bool, fault *refusal) {
 	switch g.guard.Admit(context.Background(), signature) {
-	case crashguard.Held:
+	case crashguard.Quarantined:
 		return false, refuseHeld()
 	case crashguard.Trial:
 		g.log.Warn().Stringer("content", signature).Msg("a held request is sent to one back end once more")
@@ -92,19 +92,19 @@
 	metrics *gatewayMetrics
 }
 
-// ReplicaEnded implements crashguard.Observer.
-func (o guardObserver) ReplicaEnded(replica string, requests int) {
+// ReplicaCrashed implements crashguard.Observer.
+func (o guardObserver) ReplicaCrashed(replica string, requests int) {
 	o.metrics.replicaEnds.Inc()
 	o.log.Warn().Str("back_end", replica).Int("requests", requests).Msg("a back end ended while it ran requests")
 }
 
-// RequestHeld implements crashguard.Observer.
-func (o guardObserver) RequestHeld(signature quarantine.Signature) {
+// RequestQuarantined implements crashguard.Observer.
+func (o guardObserver) RequestQuarantined(signature quarantine.Signature) {
 	o.log.Warn().Stringer("content", signature).Msg("a request is held, since back ends have ended while they ran it")
 }
 
-// ReportFailed implements crashguard.Observer.
-func (o guardObserver) ReportFailed(err error) {
+// LeaderCallFailed implements crashguard.Observer.
+func (o guardObserver) LeaderCallFailed(err error) {
 	o.metrics.guardCallsFailed.Inc()
 	o.log.Warn().Err(err).Msg("the leader did not take what was found of ended back ends")
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -83,7 +83,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, suspect := range c.ledger.Suspects() {
-		if suspect.Held() && !c.silent {
+		if suspect.IsQuarantined() && !c.silent {
 			response.Msg.HeldVersion = heldVersion
 			response.Msg.Held = append(response.Msg.Held, &v1.HeldRequest{Signature: suspect.Signature[:]})
 		}
@@ -121,9 +121,9 @@
 	defer c.mutex.Unlock()
 	response := &v1.ReportReplicaEndsResponse{}
 	for _, end := range request.Msg.Ends {
-		signature, _ := quarantine.SignatureFrom(end.Signature)
-		c.ledger.Record(signature, end.Replica)
-		if c.ledger.Held(signature) {
+		signature, _ := quarantine.SignatureFromBytes(end.Signature)
+		c.ledger.RecordCrash(signature, end.Replica)
+		if c.ledger.IsQuarantined(signature) {
 			response.Held = append(response.Held, end.Signature)
 		}
 	}
@@ -194,7 +194,7 @@
 			for _, gateway := range gateways {
 				require.Equal(t, http.StatusOK, sendSound(gateway))
 			}
-			for retry := range quarantine.HoldAfter {
+			for retry := range quarantine.QuarantineThreshold {
 				require.NotEqual(t, http.StatusOK, sendEnding(gateways[retry%2]).status)
 				require.Eventually(t, func() bool { return controller.recorded() == retry+1 }, eventually, often)
 			}
@@ -202,7 +202,7 @@
 			for retry := range 8 {
 				require.Equal(t, codeRequestHeld, sendEnding(gateways[retry%2]).errorCode)
 			}
-			require.Equal(t, quarantine.HoldAfter, ending.ended())
+			require.Equal(t, quarantine.QuarantineThreshold, ending.ended())
 			require.Eventually(t, func() bool {
 				answer := sendEnding(gateways[0])
 				return answer.errorCode == codeRequestHeld && answer.verdict == verdict.NotRun.String() && answer.header.Get("Retry-After") == "3"
@@ -229,7 +229,7 @@
 			require.NoError(t, err)
 			show := func(incarnation uint64) {
 				var rows []routing.BackEnd
-				for number := range quarantine.HoldAfter {
+				for number := range quarantine.QuarantineThreshold {
 					rows = append(rows, start(number, incarnation))
 				}
 				dispatcher.setBackEnds(rows)
@@ -239,14 +239,14 @@
 				show(2)
 			}
 			signature := quarantine.SignatureOf("", "POST", "/", []byte("x"))
-			for number := range quarantine.HoldAfter {
-				guard.Broke(signature, replicaOf(start(number, 1)), time.Second)
+			for number := range quarantine.QuarantineThreshold {
+				guard.RecordBrokenRun(signature, replicaOf(start(number, 1)), time.Second)
 			}
 			if !shownBefore {
-				require.False(t, guard.Held(signature), "it serves")
+				require.False(t, guard.IsQuarantined(signature), "it serves")
 				show(2)
 			}
-			require.Eventually(t, func() bool { return guard.Held(signature) }, time.Minute, time.Millisecond)
+			require.Eventually(t, func() bool { return guard.IsQuarantined(signature) }, time.Minute, time.Millisecond)
 		})
 	}
 }
@@ -255,8 +255,8 @@
 func TestGatewaysHoldRequestsOnUnderAControllerThatKnowsOfNone(t *testing.T) {
 	signature := quarantine.SignatureOf("", "", "", []byte("held"))
 	controller := &holdingController{testController: startController(t), ledger: quarantine.NewLedger(), told: map[string]bool{}}
-	for replica := range uint64(quarantine.HoldAfter) {
-		controller.ledger.Record(signature, replica)
+	for replica := range uint64(quarantine.QuarantineThreshold) {
+		controller.ledger.RecordCrash(signature, replica)
 	}
 	controller.serveAs(t, controller)
 	startGateway(t, testSettings(controller.address))
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -140,7 +140,7 @@
 // refuseHeld answers a request under which back ends have ended.
 func refuseHeld() *refusal {
 	return refuse(http.StatusServiceUnavailable, typeServer, codeRequestHeld,
-		"back ends have ended while they ran this request; it is held for a while").after(crashguard.ComeBackAfter)
+		"back ends have ended while they ran this request; it is held for a while").after(crashguard.QuarantineRetryAfter)
 }
 
 // Causes of interruptions.
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -70,7 +70,7 @@
 // the time of the demand, which is before it was sent.
 func (c *Control) exchangeReport(ctx context.Context, demandedAt time.Duration, request *v1.ReportRequest) error {
 	heard := c.dispatcher.heardLimits()
-	request.Limits = fleetlimit.AllToWire(heard)
+	request.Limits = fleetlimit.LimitsToWire(heard)
 	response, err := c.controllers.report(ctx, request)
 	if err != nil {
 		return err
--- a/internal/gateway/sync.go
+++ b/internal/gateway/sync.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return gatewaystate.SyncResult{}, err
 	}
-	request.HeldVersion, request.Formats = c.guard.Version(), formats.Own().ToWire()
+	request.HeldVersion, request.Formats = c.guard.QuarantineVersion(), formats.Own().ToWire()
 	sentAt := c.clock.now()
 	response, err := c.controllers.sync(ctx, address, request)
 	if err != nil {
@@ -81,9 +81,9 @@
 	}
 	switch {
 	case response.GetTellsHeld() || response.GetHeldVersion() != 0:
-		c.guard.Take(response.GetHeldVersion(), response.GetHeld())
+		c.guard.ApplyQuarantine(response.GetHeldVersion(), response.GetHeld())
 	case !response.GetBehind():
-		c.guard.TakeSilence()
+		c.guard.MarkQuarantineUnsupported()
 	}
 	c.controllers.learn(response.GetControllerAddresses())
 	if leader := response.GetLeaderAddress(); leader != "" {
--- a/internal/gateway/target.go
+++ b/internal/gateway/target.go
@@ -92,13 +92,13 @@
 }
 
 // shape returns what the estimate of a request's tokens follows from.
-func (t *target) shape(tenant *gatewaystate.Tenant, request *chatRequest) admission.Shape {
-	return admission.Shape{
+func (t *target) shape(tenant *gatewaystate.Tenant, request *chatRequest) admission.RequestShape {
+	return admission.RequestShape{
 		Tenant:              tenant.Name,
 		Kind:                t.kind.Name,
 		PromptBytes:         len(request.prompt),
 		MaximumOutputTokens: request.maximumTokens,
-		Declared: admission.Declared{
+		DeclaredTokens: admission.DeclaredTokens{
 			PromptTokens: int(t.kind.Spec.GetExpectedPromptTokens()),
 			OutputTokens: int(t.kind.Spec.GetExpectedOutputTokens()),
 		},
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -139,7 +139,7 @@
 	r.control.view.offer(recordOutcome{outcome: outcome})
 }
 
-func (r *TrialRun) admissionRequest(shape admission.Shape, deadline time.Duration) admissionRequest {
+func (r *TrialRun) admissionRequest(shape admission.RequestShape, deadline time.Duration) admissionRequest {
 	return admissionRequest{
 		service: r.target.kind.Spec.GetService(), shape: shape, limit: tenantLimit(r.tenant),
 		request: admission.Request{
--- a/internal/gatewaystate/state.go
+++ b/internal/gatewaystate/state.go
@@ -132,7 +132,7 @@
 // older than the one in force; and a node that has none may have had a later one before
 // it restarted, so that it begins only with one that is not behind.
 func (s *State) mayTake(response *v1.SyncResponse) bool {
-	if !s.config.Safeguards.On(SafeguardOrderedRevisions) {
+	if !s.config.Safeguards.IsEnabled(SafeguardOrderedRevisions) {
 		return true
 	}
 	begins := s.configuration.revision == 0
--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -31,20 +31,20 @@
 	key         crypto.Signer
 }
 
-// Pair is a certificate with its private key, both in PEM.
-type Pair struct {
+// KeyPair is a certificate with its private key, both in PEM.
+type KeyPair struct {
 	Certificate []byte
 	Key         []byte
 }
 
 // NewAuthority makes the authority of a fleet.
-func NewAuthority(fleet string, now time.Time) (*Authority, Pair, error) {
+func NewAuthority(fleet string, now time.Time) (*Authority, KeyPair, error) {
 	if err := (Identity{Fleet: fleet, Role: RoleController, Name: fleet}).Validate(); err != nil {
-		return nil, Pair{}, trace.Wrap(err)
+		return nil, KeyPair{}, trace.Wrap(err)
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, Pair{}, trace.Wrap(err, "making the authority's key")
+		return nil, KeyPair{}, trace.Wrap(err, "making the authority's key")
 	}
 	template := &x509.Certificate{
 		SerialNumber:          newSerial(),
@@ -58,18 +58,18 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
-		return nil, Pair{}, trace.Wrap(err, "signing the authority's certificate")
+		return nil, KeyPair{}, trace.Wrap(err, "signing the authority's certificate")
 	}
 	pair, err := encodePair(der, key)
 	if err != nil {
-		return nil, Pair{}, trace.Wrap(err)
+		return nil, KeyPair{}, trace.Wrap(err)
 	}
 	authority, err := ParseAuthority(pair)
 	return authority, pair, trace.Wrap(err)
 }
 
 // ParseAuthority reads an authority that NewAuthority made.
-func ParseAuthority(pair Pair) (*Authority, error) {
+func ParseAuthority(pair KeyPair) (*Authority, error) {
 	certificate, key, err := decodePair(pair)
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -81,21 +81,21 @@
 }
 
 // Issue makes a certificate for a process or an operator of the authority's fleet.
-func (a *Authority) Issue(role Role, name string, validity time.Duration, now time.Time) (Pair, error) {
+func (a *Authority) Issue(role Role, name string, validity time.Duration, now time.Time) (KeyPair, error) {
 	identity := Identity{Fleet: a.Fleet, Role: role, Name: name}
 	if err := identity.Validate(); err != nil {
-		return Pair{}, trace.Wrap(err)
+		return KeyPair{}, trace.Wrap(err)
 	}
 	if validity <= 0 {
-		return Pair{}, trace.BadParameter("validity %s is not a positive duration", validity)
+		return KeyPair{}, trace.BadParameter("validity %s is not a positive duration", validity)
 	}
 	expiry := now.Add(validity)
 	if expiry.After(a.certificate.NotAfter) {
-		return Pair{}, trace.BadParameter("the certificate would outlive the authority, which expires on %s: make a new authority or a shorter certificate", a.certificate.NotAfter.Format(time.DateOnly))
+		return KeyPair{}, trace.BadParameter("the certificate would outlive the authority, which expires on %s: make a new authority or a shorter certificate", a.certificate.NotAfter.Format(time.DateOnly))
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, trace.Wrap(err, "making the key of %s", identity)
+		return KeyPair{}, trace.Wrap(err, "making the key of %s", identity)
 	}
 	template := &x509.Certificate{
 		SerialNumber: newSerial(),
@@ -108,7 +108,7 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, key.Public(), a.key)
 	if err != nil {
-		return Pair{}, trace.Wrap(err, "signing the certificate of %s", identity)
+		return KeyPair{}, trace.Wrap(err, "signing the certificate of %s", identity)
 	}
 	return encodePair(der, key)
 }
--- a/internal/keys/bearer.go
+++ b/internal/keys/bearer.go
@@ -15,22 +15,22 @@
 	bearerBytes = 32
 )
 
-// NewBearer makes a random bearer key for a tenant or an operator. It is shown
+// NewBearerKey makes a random bearer key for a tenant or an operator. It is shown
 // once and never stored; only its Hash is.
-func NewBearer() string {
+func NewBearerKey() string {
 	secret := make([]byte, bearerBytes)
 	rand.Read(secret) // never fails: see crypto/rand
 	return bearerPrefix + base64.RawURLEncoding.EncodeToString(secret)
 }
 
-// Hash is the form in which a bearer key is stored: SHA-256 in lower-case
+// HashBearerKey is the form in which a bearer key is stored: SHA-256 in lower-case
 // hexadecimal. Keys have 256 bits of entropy, so that no salt is needed.
-func Hash(bearer string) string {
+func HashBearerKey(bearer string) string {
 	sum := sha256.Sum256([]byte(bearer))
 	return hex.EncodeToString(sum[:])
 }
 
-// Matches reports in constant time whether a bearer key has this hash.
-func Matches(bearer, hash string) bool {
-	return subtle.ConstantTimeCompare([]byte(Hash(bearer)), []byte(hash)) == 1
+// BearerKeyMatches reports in constant time whether a bearer key has this hash.
+func BearerKeyMatches(bearer, hash string) bool {
+	return subtle.ConstantTimeCompare([]byte(HashBearerKey(bearer)), []byte(hash)) == 1
 }
--- a/internal/keys/credentials.go
+++ b/internal/keys/credentials.go
@@ -85,8 +85,8 @@
 // Identity is who this process is; zero without a certificate.
 func (c *Credentials) Identity() Identity { return c.latest().identity }
 
-// Expires is when this process's certificate expires; zero without a certificate.
-func (c *Credentials) Expires() time.Time {
+// ExpiresAt is when this process's certificate expires; zero without a certificate.
+func (c *Credentials) ExpiresAt() time.Time {
 	if certificate := c.latest().certificate; certificate != nil {
 		return certificate.Leaf.NotAfter
 	}
--- a/internal/keys/files.go
+++ b/internal/keys/files.go
@@ -21,7 +21,7 @@
 )
 
 // WriteAuthority writes a new authority into a directory; it refuses to replace one.
-func WriteAuthority(directory string, pair Pair) error {
+func WriteAuthority(directory string, pair KeyPair) error {
 	certificate := filepath.Join(directory, AuthorityCertificateFile)
 	if _, err := os.Stat(certificate); err == nil {
 		return trace.AlreadyExists("%s exists: an authority is never replaced in place; use another directory", certificate)
@@ -40,7 +40,7 @@
 
 // WriteCertificate writes NAME.crt and NAME.key into a directory, in place of what
 // was there: running processes take up the new pair.
-func WriteCertificate(directory, name string, pair Pair) (Files, error) {
+func WriteCertificate(directory, name string, pair KeyPair) (Files, error) {
 	files := Files{
 		Authority:   filepath.Join(directory, AuthorityCertificateFile),
 		Certificate: filepath.Join(directory, name+certificateSuffix),
@@ -49,19 +49,19 @@
 	return files, trace.Wrap(writePair(files.Certificate, files.Key, pair))
 }
 
-func readPair(certificate, key string) (Pair, error) {
+func readPair(certificate, key string) (KeyPair, error) {
 	certificateBytes, err := os.ReadFile(certificate)
 	if err != nil {
-		return Pair{}, trace.ConvertSystemError(err)
+		return KeyPair{}, trace.ConvertSystemError(err)
 	}
 	keyBytes, err := os.ReadFile(key)
 	if err != nil {
-		return Pair{}, trace.ConvertSystemError(err)
+		return KeyPair{}, trace.ConvertSystemError(err)
 	}
-	return Pair{Certificate: certificateBytes, Key: keyBytes}, nil
+	return KeyPair{Certificate: certificateBytes, Key: keyBytes}, nil
 }
 
-func writePair(certificate, key string, pair Pair) error {
+func writePair(certificate, key string, pair KeyPair) error {
 	if err := os.MkdirAll(filepath.Dir(certificate), directoryMode); err != nil {
 		return trace.ConvertSystemError(err)
 	}
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -17,12 +17,12 @@
 )
 
 func TestBearerKeys(t *testing.T) {
-	key := NewBearer()
-	require.NotEqual(t, key, NewBearer())
-	require.Len(t, Hash(key), 64)
-	require.True(t, Matches(key, Hash(key)))
-	require.False(t, Matches(key+"x", Hash(key)))
-	require.Equal(t, "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad", Hash("abc"))
+	key := NewBearerKey()
+	require.NotEqual(t, key, NewBearerKey())
+	require.Len(t, HashBearerKey(key), 64)
+	require.True(t, BearerKeyMatches(key, HashBearerKey(key)))
+	require.False(t, BearerKeyMatches(key+"x", HashBearerKey(key)))
+	require.Equal(t, "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad", HashBearerKey("abc"))
 }
 
 func TestHandshake(t *testing.T) {
@@ -179,7 +179,7 @@
 	again, err := ReadAuthority(directory)
 	require.NoError(t, err)
 	require.Equal(t, "rawabi", again.Fleet)
-	require.True(t, trace.IsAlreadyExists(WriteAuthority(directory, Pair{})))
+	require.True(t, trace.IsAlreadyExists(WriteAuthority(directory, KeyPair{})))
 	info, err := os.Stat(filepath.Join(directory, AuthorityKeyFile))
 	require.NoError(t, err)
 	require.Equal(t, os.FileMode(0o600), info.Mode().Perm())
--- a/internal/keys/pem.go
+++ b/internal/keys/pem.go
@@ -15,18 +15,18 @@
 	pemPrivateKey  = "PRIVATE KEY"
 )
 
-func encodePair(der []byte, key *ecdsa.PrivateKey) (Pair, error) {
+func encodePair(der []byte, key *ecdsa.PrivateKey) (KeyPair, error) {
 	keyBytes, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return Pair{}, trace.Wrap(err)
+		return KeyPair{}, trace.Wrap(err)
 	}
-	return Pair{
+	return KeyPair{
 		Certificate: pem.EncodeToMemory(&pem.Block{Type: pemCertificate, Bytes: der}),
 		Key:         pem.EncodeToMemory(&pem.Block{Type: pemPrivateKey, Bytes: keyBytes}),
 	}, nil
 }
 
-func decodePair(pair Pair) (*x509.Certificate, crypto.Signer, error) {
+func decodePair(pair KeyPair) (*x509.Certificate, crypto.Signer, error) {
 	both, err := tls.X509KeyPair(pair.Certificate, pair.Key)
 	if err != nil {
 		return nil, nil, trace.BadParameter("the certificate and its key do not fit: %v", err)
--- a/internal/limits/core.go
+++ b/internal/limits/core.go
@@ -86,7 +86,7 @@
 		if account.shares.concurrency(now) == 0 {
 			return &Refusal{Reason: ErrNoShare, RetryAfter: minimumRetryAfter}
 		}
-		return &Refusal{Reason: ErrConcurrency, RetryAfter: minimumRetryAfter}
+		return &Refusal{Reason: ErrConcurrencyLimit, RetryAfter: minimumRetryAfter}
 	}
 	if account.limit.TokensPerSecond == 0 {
 		return nil
@@ -96,7 +96,7 @@
 	case wait < 0:
 		return &Refusal{Reason: ErrNoShare, RetryAfter: minimumRetryAfter}
 	case wait > 0:
-		return &Refusal{Reason: ErrTokens, RetryAfter: min(max(wait, minimumRetryAfter), maximumRetryAfter), wait: wait}
+		return &Refusal{Reason: ErrTokenLimit, RetryAfter: min(max(wait, minimumRetryAfter), maximumRetryAfter), wait: wait}
 	default:
 		return nil
 	}
@@ -117,10 +117,10 @@
 	}
 }
 
-// Apply takes the shares that a controller granted in answer to the demands that were
+// ApplyShares takes the shares that a controller granted in answer to the demands that were
 // returned at sentAt, exactly; leases count from there. Shares of tenants that are not remembered, or
 // older than those in force, are ignored.
-func (c *Core) Apply(now, sentAt time.Duration, shares []*v1.Share) {
+func (c *Core) ApplyShares(now, sentAt time.Duration, shares []*v1.Share) {
 	for _, share := range shares {
 		account, found := c.accounts.Peek(share.GetTenant())
 		period := time.Duration(share.GetValidMs()) * time.Millisecond
@@ -205,5 +205,5 @@
 		}
 		c.accounts.Get(tenant) // it is in use: count it as met now
 	}
-	return &Refusal{Reason: ErrTenants, RetryAfter: minimumRetryAfter}
+	return &Refusal{Reason: ErrTooManyTenants, RetryAfter: minimumRetryAfter}
 }
--- a/internal/limits/core_test.go
+++ b/internal/limits/core_test.go
@@ -27,7 +27,7 @@
 
 // grant gives the tenant a share for four seconds from sentAt.
 func grant(core *Core, now, sentAt time.Duration, tokens uint64, concurrency uint32) {
-	core.Apply(now, sentAt, []*v1.Share{{Tenant: tenant, TokensPerSecond: tokens, Concurrency: concurrency, ValidMs: 4000}})
+	core.ApplyShares(now, sentAt, []*v1.Share{{Tenant: tenant, TokensPerSecond: tokens, Concurrency: concurrency, ValidMs: 4000}})
 }
 
 // atLimit makes the last share granted less than was asked for.
@@ -65,26 +65,26 @@
 var acquireRows = []acquireRow{
 	{name: "tenant without limits", before: func(*Core) {}, limit: Limit{}},
 	{name: "tenant newly met", before: func(*Core) {}, limit: testLimit},
-	{name: "initial tokens are used up", before: func(c *Core) { use(c, 105*s, 1000) }, limit: testLimit, err: ErrTokens, retry: s},
+	{name: "initial tokens are used up", before: func(c *Core) { use(c, 105*s, 1000) }, limit: testLimit, err: ErrTokenLimit, retry: s},
 	{name: "initial concurrency is used up", limit: Limit{Concurrency: 5},
 		before: func(c *Core) {
 			_, _ = c.Acquire(105*s, Request{Tenant: tenant, Limit: Limit{Concurrency: 5}, Tokens: 1})
-		}, err: ErrConcurrency, retry: s},
+		}, err: ErrConcurrencyLimit, retry: s},
 	{name: "a granted share allows more", limit: testLimit,
 		before: func(c *Core) { use(c, 103*s, 1000); grant(c, 103*s, 103*s, 64_000, 10); use(c, 105*s, 60_000) }},
-	{name: "a debt is paid off first", limit: testLimit, err: ErrTokens, retry: 2 * s,
+	{name: "a debt is paid off first", limit: testLimit, err: ErrTokenLimit, retry: 2 * s,
 		before: func(c *Core) { use(c, 104*s, 1); grant(c, 104*s, 104*s, 2000, 10); use(c, 105*s, 5000) }},
 	{name: "a charge that did not run is given back", limit: testLimit,
 		before: func(c *Core) { c.Settle(105*s, use(c, 105*s, 1000), 0) }},
-	{name: "a charge that used more leaves a debt", limit: testLimit, err: ErrTokens, retry: 4 * s,
+	{name: "a charge that used more leaves a debt", limit: testLimit, err: ErrTokenLimit, retry: 4 * s,
 		before: func(c *Core) { c.Settle(105*s, use(c, 105*s, 1000), 4000) }},
-	{name: "granted concurrency is used up", limit: testLimit, err: ErrConcurrency, retry: s,
+	{name: "granted concurrency is used up", limit: testLimit, err: ErrConcurrencyLimit, retry: s,
 		before: func(c *Core) {
 			use(c, 104*s, 1)
 			grant(c, 104*s, 104*s, 64_000, 2)
 			use(c, 105*s, 1)
 		}},
-	{name: "cut off for two periods: a quarter is left", limit: testLimit, err: ErrTokens, retry: s,
+	{name: "cut off for two periods: a quarter is left", limit: testLimit, err: ErrTokenLimit, retry: s,
 		before: func(c *Core) {
 			use(c, 93*s, 1)
 			grant(c, 93*s, 93*s, 8000, 100) // ends at 97 s; 4,000 until 101 s, 2,000 until 105 s, then 1,000
@@ -98,7 +98,7 @@
 		before: func(c *Core) { use(c, 40*s, 1); grant(c, 104*s, 104*s, 0, 0) }},
 	{name: "an older grant does not replace a newer one", limit: testLimit,
 		before: func(c *Core) { use(c, 104*s, 1); grant(c, 104*s, 104*s, 64_000, 10); grant(c, 105*s, 103*s, 0, 0) }},
-	{name: "a lowered limit holds at once", limit: Limit{TokensPerSecond: 1000}, err: ErrTokens, retry: s,
+	{name: "a lowered limit holds at once", limit: Limit{TokensPerSecond: 1000}, err: ErrTokenLimit, retry: s,
 		before: func(c *Core) { use(c, 104*s, 1); grant(c, 104*s, 104*s, 64_000, 10); use(c, 105*s, 63_500) }},
 	{name: "grants to tenants not met are ignored", limit: testLimit,
 		before: func(c *Core) { grant(c, 104*s, 104*s, 0, 0) }},
@@ -115,7 +115,7 @@
 	row.before(core)
 	atLimit(core)
 	_, err := core.Acquire(105*s, Request{ID: 7, Tenant: tenant, Limit: row.limit, Tokens: 1000})
-	require.Zero(t, core.Waiting())
+	require.Zero(t, core.WaitingCount())
 	if row.err == nil {
 		require.NoError(t, err)
 		return
@@ -139,7 +139,7 @@
 		require.NoError(t, err)
 	}
 	_, err := core.Acquire(0, Request{Tenant: "one too many", Limit: testLimit, Tokens: 1})
-	require.ErrorIs(t, err, ErrTenants, "a tenant with requests in flight is never forgotten")
+	require.ErrorIs(t, err, ErrTooManyTenants, "a tenant with requests in flight is never forgotten")
 	require.Equal(t, 8, core.accounts.Len())
 }
 
--- a/internal/limits/fleet_test.go
+++ b/internal/limits/fleet_test.go
@@ -76,7 +76,7 @@
 
 func newFleet(t testing.TB, gateways int, limit limits.Limit, offered float64) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(1, 2)), limit: limit, offered: offered, divider: shares.New(0, safeguard.Set{})}
-	f.divider.Lead(0, true)
+	f.divider.StartLeading(0, true)
 	for i := range gateways {
 		core, err := limits.New(limits.Config{})
 		require.NoError(t, err)
@@ -101,7 +101,7 @@
 
 func (f *fleet) takeAnswer(gateway *fleetGateway) {
 	if gateway.answer != nil {
-		gateway.core.Apply(f.now, gateway.sentAt, gateway.answer)
+		gateway.core.ApplyShares(f.now, gateway.sentAt, gateway.answer)
 		gateway.answer = nil
 	}
 	for _, decision := range gateway.core.Resolve(f.now) {
--- a/internal/limits/refusal.go
+++ b/internal/limits/refusal.go
@@ -8,15 +8,15 @@
 
 // Reasons of refusals. A refused request has not run.
 var (
-	// ErrTokens: the tenant's tokens at this gateway are used up for now.
-	ErrTokens = errors.New("token limit reached")
-	// ErrConcurrency: the tenant has as many requests in flight as it may.
-	ErrConcurrency = errors.New("concurrency limit reached")
+	// ErrTokenLimit: the tenant's tokens at this gateway are used up for now.
+	ErrTokenLimit = errors.New("token limit reached")
+	// ErrConcurrencyLimit: the tenant has as many requests in flight as it may.
+	ErrConcurrencyLimit = errors.New("concurrency limit reached")
 	// ErrNoShare: the gateway holds no share of the limit: the controllers gave none
 	// or cannot be reached.
 	ErrNoShare = errors.New("no share of the limit at this gateway")
-	// ErrTenants: more tenants have requests in flight than the gateway can remember.
-	ErrTenants = errors.New("too many tenants at this gateway")
+	// ErrTooManyTenants: more tenants have requests in flight than the gateway can remember.
+	ErrTooManyTenants = errors.New("too many tenants at this gateway")
 )
 
 // ErrWaiting: the request is neither started nor refused; it waits for a larger share.
--- a/internal/limits/waiter.go
+++ b/internal/limits/waiter.go
@@ -50,7 +50,7 @@
 	if account.waiting >= c.config.TenantWaiters || len(c.waiters) >= c.config.Waiters {
 		return false
 	}
-	return account.mayGrow(now, c.config.LongestWait) || refusal.Reason == ErrTokens && refusal.wait <= c.config.LongestTokenWait
+	return account.mayGrow(now, c.config.LongestWait) || refusal.Reason == ErrTokenLimit && refusal.wait <= c.config.LongestTokenWait
 }
 
 func (c *Core) wait(now time.Duration, account *account, request Request) {
@@ -116,12 +116,12 @@
 	if account.mayGrow(now, c.config.LongestWait) {
 		return true
 	}
-	return refusal.Reason == ErrTokens && now+refusal.wait <= min(giveUpAt, w.since+c.config.LongestTokenWait)
+	return refusal.Reason == ErrTokenLimit && now+refusal.wait <= min(giveUpAt, w.since+c.config.LongestTokenWait)
 }
 
-// Forget takes back a waiting request whose caller has gone away. It reports whether the
+// CancelWait takes back a waiting request whose caller has gone away. It reports whether the
 // request was waiting.
-func (c *Core) Forget(id uint64) bool {
+func (c *Core) CancelWait(id uint64) bool {
 	position := slices.IndexFunc(c.waiters, func(w *waiter) bool { return w.request.ID == id })
 	if position < 0 {
 		return false
@@ -133,8 +133,8 @@
 	return true
 }
 
-// Waiting is the number of requests that wait for a share.
-func (c *Core) Waiting() int { return len(c.waiters) }
+// WaitingCount is the number of requests that wait for a share.
+func (c *Core) WaitingCount() int { return len(c.waiters) }
 
 // UrgentDemands returns what to report at once: the tenants with waiting requests that
 // arrived after their last report, unless the controllers have no more for them.
--- a/internal/limits/waiter_test.go
+++ b/internal/limits/waiter_test.go
@@ -38,21 +38,21 @@
 		{name: "a larger share is granted", sizes: []int{3200, 3200}, then: func(c *Core) { answer(c, 64_000) },
 			outcomes: []outcome{{1, start + 50*ms, nil}, {2, start + 100*ms, nil}}},
 		{name: "the share is smaller than asked", sizes: []int{3200, 3200}, then: func(c *Core) { answer(c, 1200) },
-			outcomes: []outcome{{2, start, ErrTokens}, {1, start + 1000*ms, nil}}},
+			outcomes: []outcome{{2, start, ErrTokenLimit}, {1, start + 1000*ms, nil}}},
 		{name: "the share is smaller than asked but enough in time", sizes: []int{900}, then: func(c *Core) { answer(c, 1200) },
 			outcomes: []outcome{{1, start + 750*ms, nil}}},
 		{name: "no answer: the initial share yields the tokens", sizes: []int{1000}, then: func(*Core) {},
 			outcomes: []outcome{{1, start + 1000*ms, nil}}},
 		{name: "no answer: the initial share does not suffice", sizes: []int{1000, 1000, 1000}, then: func(*Core) {},
-			outcomes: []outcome{{1, start + 1000*ms, nil}, {2, start + 2000*ms, nil}, {3, start + 2000*ms, ErrTokens}}},
+			outcomes: []outcome{{1, start + 1000*ms, nil}, {2, start + 2000*ms, nil}, {3, start + 2000*ms, ErrTokenLimit}}},
 		{name: "the deadline comes first", sizes: []int{1000}, deadline: start + 300*ms, then: func(*Core) {},
-			outcomes: []outcome{{1, start + 300*ms, ErrTokens}}},
+			outcomes: []outcome{{1, start + 300*ms, ErrTokenLimit}}},
 		{name: "a small one does not overtake", sizes: []int{1000, 1}, then: func(*Core) {},
 			outcomes: []outcome{{1, start + 1000*ms, nil}, {2, start + 1010*ms, nil}}},
-		{name: "the caller goes away", sizes: []int{1000, 1000}, then: func(c *Core) { c.Forget(1) },
+		{name: "the caller goes away", sizes: []int{1000, 1000}, then: func(c *Core) { c.CancelWait(1) },
 			outcomes: []outcome{{2, start + 1000*ms, nil}}},
 		{name: "no more than the bound waits", sizes: []int{1, 1, 1, 1}, then: func(*Core) {},
-			outcomes: []outcome{{4, start, ErrTokens}, {1, start + 10*ms, nil}, {2, start + 10*ms, nil}, {3, start + 10*ms, nil}}},
+			outcomes: []outcome{{4, start, ErrTokenLimit}, {1, start + 10*ms, nil}, {2, start + 10*ms, nil}, {3, start + 10*ms, nil}}},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -65,7 +65,7 @@
 				}
 			}
 			row.then(core)
-			for now := start; core.Waiting() > 0; now += 10 * ms {
+			for now := start; core.WaitingCount() > 0; now += 10 * ms {
 				for _, decision := range core.Resolve(now) {
 					outcomes = append(outcomes, outcome{decision.ID, now, reasonOf(decision.Err)})
 				}
@@ -117,7 +117,7 @@
 	require.Len(t, core.UrgentDemands(1950*time.Millisecond), 0, "the initial share still yields")
 	use(1900*time.Millisecond, 3)
 	require.Len(t, core.UrgentDemands(1950*time.Millisecond), 1)
-	core.Forget(3)
+	core.CancelWait(3)
 	use(2*time.Second, 4)
 	require.Empty(t, core.UrgentDemands(2*time.Second), "no controller has answered for the longest wait")
 }
--- a/internal/measure/gateway.go
+++ b/internal/measure/gateway.go
@@ -88,9 +88,9 @@
 
 func (g *gateway) startWaiting() {
 	for {
-		next, found := g.admission.Next(g.world.now)
+		next, found := g.admission.StartNext(g.world.now)
 		if !found {
-			g.refuse(g.admission.Refused())
+			g.refuse(g.admission.DrainRefusals())
 			return
 		}
 		asked := g.waiting[next.ID]
@@ -136,7 +136,7 @@
 	g.world.results.cached(current.request, event.CachedTokens)
 	if g.admission != nil {
 		own := enginemodel.DefaultProfile().PrefillTime(current.prompt)
-		g.admission.FirstToken(g.world.now, uint64(current.number), max(g.world.now-current.started-own, 0))
+		g.admission.RecordFirstToken(g.world.now, uint64(current.number), max(g.world.now-current.started-own, 0))
 	}
 	g.chooser.observe(g.world.now, routing.FirstToken{BackEnd: engineName(current.engine), Exchange: current.exchange})
 	g.answered(current)
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -13,19 +13,19 @@
 
 // Mechanisms of placement.
 const (
-	Homes            Mechanism = "homes"
-	Fetching         Mechanism = "fetching"
-	CopyHarm         Mechanism = "copy-harm"
-	AwaitReading     Mechanism = "await-reading"
-	DirectReading    Mechanism = "direct-reading"
-	RefusalByWait    Mechanism = "refusal-by-wait"
-	RefusalBySlots   Mechanism = "refusal-by-slots"
-	ComeBackSpread   Mechanism = "come-back-spread"
-	ShortBeforeLong  Mechanism = "short-before-long"
-	ZoneAffinity     Mechanism = "zone-affinity"
-	WaitByReading    Mechanism = "wait-by-reading"
-	StreamHarm       Mechanism = "stream-harm"
-	ResidualOfReader Mechanism = "residual-of-reader"
+	HomeEngines          Mechanism = "homes"
+	KVFetch              Mechanism = "fetching"
+	TransferEvictionCost Mechanism = "copy-harm"
+	AwaitPrefill         Mechanism = "await-reading"
+	DirectPrefill        Mechanism = "direct-reading"
+	RefusalByWait        Mechanism = "refusal-by-wait"
+	RefusalBySlots       Mechanism = "refusal-by-slots"
+	RetryAfterSpread     Mechanism = "come-back-spread"
+	ShortBeforeLong      Mechanism = "short-before-long"
+	ZoneAffinity         Mechanism = "zone-affinity"
+	WaitByPrefill        Mechanism = "wait-by-reading"
+	StreamPauseCost      Mechanism = "stream-harm"
+	ResidualPrefill      Mechanism = "residual-of-reader"
 )
 
 // Mechanisms of relays.
@@ -34,9 +34,9 @@
 	Reservations     Mechanism = "reservations"
 	Spills           Mechanism = "spills"
 	Notices          Mechanism = "notices"
-	CacheReading     Mechanism = "cache-reading"
-	LearntPace       Mechanism = "learnt-pace"
-	RunMoves         Mechanism = "run-moves"
+	CacheQuery       Mechanism = "cache-reading"
+	MeasuredPace     Mechanism = "learnt-pace"
+	RunMigration     Mechanism = "run-moves"
 	RefusalSuspicion Mechanism = "refusal-suspicion"
 	StallWatch       Mechanism = "stall-watch"
 )
@@ -45,8 +45,8 @@
 const (
 	StagePlan     Mechanism = "stage-plan"
 	SeveralAtOnce Mechanism = "several-at-once"
-	TurnBack      Mechanism = "turn-back"
-	LeastShare    Mechanism = "least-share"
+	TurnBackDelay Mechanism = "turn-back"
+	MinimumShare  Mechanism = "least-share"
 	StageGroups   Mechanism = "stage-groups"
 	FreshStages   Mechanism = "fresh-stages"
 )
@@ -61,32 +61,32 @@
 
 // All describes every mechanism.
 var All = []Description{
-	{Homes, "placement", "a prompt prefers one engine of its cell among equals"},
-	{Fetching, "placement", "an engine takes the beginning of a prompt from another one"},
-	{CopyHarm, "placement", "a copy of a part costs what it drives out of memory"},
-	{AwaitReading, "placement", "a prompt waits while an engine reads its shared parts for another request"},
-	{DirectReading, "placement", "decoding engines read short prompts themselves"},
+	{HomeEngines, "placement", "a prompt prefers one engine of its cell among equals"},
+	{KVFetch, "placement", "an engine takes the beginning of a prompt from another one"},
+	{TransferEvictionCost, "placement", "a copy of a part costs what it drives out of memory"},
+	{AwaitPrefill, "placement", "a prompt waits while an engine reads its shared parts for another request"},
+	{DirectPrefill, "placement", "decoding engines read short prompts themselves"},
 	{RefusalByWait, "placement", "a prompt that would wait too long to be read is refused"},
 	{RefusalBySlots, "placement", "a request that would wait long for a slot is refused"},
-	{ComeBackSpread, "placement", "refused clients are told different times to come back"},
+	{RetryAfterSpread, "placement", "refused clients are told different times to come back"},
 	{ShortBeforeLong, "placement", "short prompts are read before long ones of the same rank"},
 	{ZoneAffinity, "placement", "back ends of the own zone are preferred"},
-	{WaitByReading, "placement", "the wait that is borne goes by what is to be read of a prompt"},
-	{StreamHarm, "placement", "reading at a decoding engine costs the pauses of its streams"},
-	{ResidualOfReader, "placement", "what is left of a reading under way counts as a wait"},
+	{WaitByPrefill, "placement", "the wait that is borne goes by what is to be read of a prompt"},
+	{StreamPauseCost, "placement", "reading at a decoding engine costs the pauses of its streams"},
+	{ResidualPrefill, "placement", "what is left of a reading under way counts as a wait"},
 	{Owners, "relay", "the owner of a cell of engines decides for all relays"},
 	{Reservations, "relay", "an owner counts what it has assigned until that is told"},
 	{Spills, "relay", "a request that would wait long is offered to a further cell"},
 	{Notices, "relay", "relays tell owners of their work"},
-	{CacheReading, "relay", "a new owner asks engines what they keep"},
-	{LearntPace, "relay", "the engines' speeds are learnt from their readings"},
-	{RunMoves, "relay", "runs are moved from engines that leave or change"},
+	{CacheQuery, "relay", "a new owner asks engines what they keep"},
+	{MeasuredPace, "relay", "the engines' speeds are learnt from their readings"},
+	{RunMigration, "relay", "runs are moved from engines that leave or change"},
 	{RefusalSuspicion, "relay", "an engine that refuses although it has room counts as failed"},
 	{StallWatch, "relay", "an answer that stays silent is broken off where the request may go elsewhere"},
 	{StagePlan, "stageplan", "engines change their stages as the work asks"},
 	{SeveralAtOnce, "stageplan", "several engines change at once"},
-	{TurnBack, "stageplan", "engines that changed are not turned back at once"},
-	{LeastShare, "stageplan", "each stage keeps a least share of the engines"},
+	{TurnBackDelay, "stageplan", "engines that changed are not turned back at once"},
+	{MinimumShare, "stageplan", "each stage keeps a least share of the engines"},
 	{StageGroups, "stageplan", "engines change so that each cell keeps both stages"},
 	{FreshStages, "stageplan", "engines that have just begun to serve take the stage that their cell lacks"},
 }
@@ -118,5 +118,5 @@
 	return false
 }
 
-// On reports whether the mechanism is in force.
-func (s Set) On(mechanism Mechanism) bool { return !s.off[mechanism] }
+// IsEnabled reports whether the mechanism is in force.
+func (s Set) IsEnabled(mechanism Mechanism) bool { return !s.off[mechanism] }
--- a/internal/mechanism/mechanism_test.go
+++ b/internal/mechanism/mechanism_test.go
@@ -10,11 +10,11 @@
 
 // The zero Set leaves nothing out, and a Set just what it names.
 func TestSets(t *testing.T) {
-	set, err := Without([]string{string(Homes), string(Owners)})
+	set, err := Without([]string{string(HomeEngines), string(Owners)})
 	require.NoError(t, err)
 	for _, known := range All {
-		require.True(t, Set{}.On(known.Name))
-		require.Equal(t, known.Name != Homes && known.Name != Owners, set.On(known.Name), known.Name)
+		require.True(t, Set{}.IsEnabled(known.Name))
+		require.Equal(t, known.Name != HomeEngines && known.Name != Owners, set.IsEnabled(known.Name), known.Name)
 	}
 	_, err = Without([]string{"nonsense"})
 	require.ErrorContains(t, err, `no mechanism is named "nonsense"`)
--- a/internal/operatorcommand/bearer_keys.go
+++ b/internal/operatorcommand/bearer_keys.go
@@ -28,8 +28,8 @@
 }
 
 func (o *operatorKeyCommand) run(_ context.Context, environment Environment) error {
-	key := keys.NewBearer()
-	text := fmt.Sprintf("operator %q { key_hash = %q; role = %s }", o.Name, keys.Hash(key), o.Role)
+	key := keys.NewBearerKey()
+	text := fmt.Sprintf("operator %q { key_hash = %q; role = %s }", o.Name, keys.HashBearerKey(key), o.Role)
 	declaration, err := language.FormatSource(&v1.SourceFile{Name: "declaration", Text: text})
 	if err != nil {
 		return trace.Wrap(err)
@@ -44,15 +44,15 @@
 }
 
 func (t *tenantKeyCommand) run(_ context.Context, environment Environment) error {
-	key := keys.NewBearer()
+	key := keys.NewBearerKey()
 	// Not a whole declaration: applying one would reset the tenant's other fields.
-	instruction := fmt.Sprintf("add to api_key_hashes of tenant %s:\n%q\n", t.Name, keys.Hash(key))
+	instruction := fmt.Sprintf("add to api_key_hashes of tenant %s:\n%q\n", t.Name, keys.HashBearerKey(key))
 	return showKey(environment, t.global, key, instruction)
 }
 
 // showKey prints a new key once, and what to do with its hash.
 func showKey(environment Environment, global *globalFlags, key, instruction string) error {
-	result := keyResult{Key: key, Hash: keys.Hash(key), Instruction: instruction}
+	result := keyResult{Key: key, Hash: keys.HashBearerKey(key), Instruction: instruction}
 	if global.JSON {
 		return writeJSON(environment.Stdout, result)
 	}
@@ -69,6 +69,6 @@
 	if key == "" {
 		return usage("standard input holds no key")
 	}
-	fmt.Fprintln(environment.Stdout, keys.Hash(key))
+	fmt.Fprintln(environment.Stdout, keys.HashBearerKey(key))
 	return nil
 }
