--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -15,9 +15,9 @@
 	forgetHeld = 24 * time.Hour
 )
 
-// Keeper is what the leader keeps beside the ledger: since when each request is as it is. Its times are
+// TrialScheduler is what the leader keeps beside the ledger: since when each request is as it is. Its times are
 // durations since an origin that never go back. A new leader knows none of them, and waits anew.
-type Keeper struct {
+type TrialScheduler struct {
 	seen map[Signature]observed
 	// ledger is what was observed last, in its version.
 	ledger  *Ledger
@@ -31,11 +31,11 @@
 	since    time.Duration
 }
 
-// NewKeeper returns the keeper of a leader that begins.
-func NewKeeper() *Keeper { return &Keeper{seen: map[Signature]observed{}} }
+// NewTrialScheduler returns the keeper of a leader that begins.
+func NewTrialScheduler() *TrialScheduler { return &TrialScheduler{seen: map[Signature]observed{}} }
 
 // Observe takes what the ledger holds.
-func (k *Keeper) Observe(now time.Duration, ledger *Ledger) {
+func (k *TrialScheduler) Observe(now time.Duration, ledger *Ledger) {
 	if k.ledger == ledger && k.version == ledger.Version() && len(k.seen) == len(ledger.Suspects()) {
 		return
 	}
@@ -52,9 +52,9 @@
 }
 
 // TrialDue reports whether a held request may be tried once more.
-func (k *Keeper) TrialDue(now time.Duration, suspect *Suspect) bool {
+func (k *TrialScheduler) TrialDue(now time.Duration, suspect *Suspect) bool {
 	before, known := k.seen[suspect.Signature]
-	return known && suspect.Held() && now-before.since >= waitAfter(suspect.Trials)
+	return known && suspect.IsQuarantined() && now-before.since >= waitAfter(suspect.Trials)
 }
 
 // waitAfter is the time for which a request is held after so many trials.
@@ -62,12 +62,12 @@
 	return trialWaits[min(int(trials), len(trialWaits)-1)]
 }
 
-// Forgettable returns the requests that need not be remembered any longer.
-func (k *Keeper) Forgettable(now time.Duration, ledger *Ledger) []Signature {
+// ExpiredEntries returns the requests that need not be remembered any longer.
+func (k *TrialScheduler) ExpiredEntries(now time.Duration, ledger *Ledger) []Signature {
 	var forgettable []Signature
 	for _, suspect := range ledger.Suspects() {
 		limit := forgetSuspect
-		if suspect.Held() {
+		if suspect.IsQuarantined() {
 			limit = forgetHeld
 		}
 		if before, known := k.seen[suspect.Signature]; known && now-before.since >= limit {
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -10,15 +10,15 @@
 // held returns a ledger in which one request is held.
 func held() (*Ledger, *Suspect) {
 	ledger := NewLedger()
-	for replica := range uint64(HoldAfter) {
-		ledger.Record(numbered(1), replica)
+	for replica := range uint64(QuarantineThreshold) {
+		ledger.RecordCrash(numbered(1), replica)
 	}
 	return ledger, ledger.Suspects()[0]
 }
 
 func TestTrialsBecomeRarer(t *testing.T) {
 	ledger, suspect := held()
-	keeper := NewKeeper()
+	keeper := NewTrialScheduler()
 	require.False(t, keeper.TrialDue(time.Hour, suspect), "the leader has just begun")
 	now := 5 * time.Minute
 	for _, wait := range []time.Duration{3 * time.Second, 10 * time.Second, time.Minute, 10 * time.Minute, time.Hour, time.Hour} {
@@ -27,11 +27,11 @@
 		keeper.Observe(now+wait, ledger)
 		require.True(t, keeper.TrialDue(now+wait, suspect), "after %s", wait)
 		now += wait
-		require.True(t, ledger.Grant(suspect.Signature, suspect.Trials))
+		require.True(t, ledger.GrantTrial(suspect.Signature, suspect.Trials))
 		keeper.Observe(now, ledger)
 		require.False(t, keeper.TrialDue(now, suspect), "it was granted")
 		now += time.Second
-		ledger.Record(suspect.Signature, uint64(now)) // the trial ended its replica
+		ledger.RecordCrash(suspect.Signature, uint64(now)) // the trial ended its replica
 	}
 }
 
@@ -39,11 +39,11 @@
 // the third.
 func TestTrialsCostFewReplicas(t *testing.T) {
 	ledger, suspect := held()
-	keeper := NewKeeper()
+	keeper := NewTrialScheduler()
 	for now := time.Duration(0); now < 5*time.Minute; now += 50 * time.Millisecond {
 		keeper.Observe(now, ledger)
-		if keeper.TrialDue(now, suspect) && ledger.Grant(suspect.Signature, suspect.Trials) {
-			ledger.Record(suspect.Signature, uint64(now))
+		if keeper.TrialDue(now, suspect) && ledger.GrantTrial(suspect.Signature, suspect.Trials) {
+			ledger.RecordCrash(suspect.Signature, uint64(now))
 		}
 	}
 	require.Len(t, suspect.Replicas, 5)
@@ -51,10 +51,10 @@
 
 func TestANewLeaderWaitsAnew(t *testing.T) {
 	ledger, suspect := held()
-	first := NewKeeper()
+	first := NewTrialScheduler()
 	first.Observe(0, ledger)
 	require.True(t, first.TrialDue(time.Minute, suspect))
-	second := NewKeeper()
+	second := NewTrialScheduler()
 	second.Observe(time.Minute, ledger)
 	require.False(t, second.TrialDue(time.Minute, suspect))
 	require.True(t, second.TrialDue(time.Minute+3*time.Second, suspect))
@@ -62,14 +62,14 @@
 
 func TestRequestsThatDoNotComeAgainAreForgotten(t *testing.T) {
 	ledger, _ := held()
-	ledger.Record(numbered(2), 7)
-	keeper := NewKeeper()
+	ledger.RecordCrash(numbered(2), 7)
+	keeper := NewTrialScheduler()
 	keeper.Observe(0, ledger)
-	require.Empty(t, keeper.Forgettable(forgetSuspect-1, ledger))
-	require.Equal(t, []Signature{numbered(2)}, keeper.Forgettable(forgetSuspect, ledger))
-	ledger.Record(numbered(2), 8)
+	require.Empty(t, keeper.ExpiredEntries(forgetSuspect-1, ledger))
+	require.Equal(t, []Signature{numbered(2)}, keeper.ExpiredEntries(forgetSuspect, ledger))
+	ledger.RecordCrash(numbered(2), 8)
 	keeper.Observe(forgetSuspect, ledger)
-	require.Empty(t, keeper.Forgettable(forgetSuspect, ledger), "another replica has ended under it")
-	require.Equal(t, []Signature{numbered(1)}, keeper.Forgettable(forgetHeld, ledger))
-	require.Equal(t, []Signature{numbered(1), numbered(2)}, keeper.Forgettable(forgetSuspect+forgetHeld, ledger))
+	require.Empty(t, keeper.ExpiredEntries(forgetSuspect, ledger), "another replica has ended under it")
+	require.Equal(t, []Signature{numbered(1)}, keeper.ExpiredEntries(forgetHeld, ledger))
+	require.Equal(t, []Signature{numbered(1), numbered(2)}, keeper.ExpiredEntries(forgetSuspect+forgetHeld, ledger))
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// HoldAfter is how many replicas may end under a request before it is held: one may end by itself
+	// QuarantineThreshold is how many replicas may end under a request before it is held: one may end by itself
 	// while it runs. A third one is spared, and what else runs there (docs/SOAK.md has the figures); a
 	// request that two replicas broke off by bad luck waits for its first trial.
-	HoldAfter = 2
+	QuarantineThreshold = 2
 	// mostSuspects bounds the requests that are remembered.
 	mostSuspects = 4096
-	// MostHeld bounds the requests that are held, since every relay is told of them.
-	MostHeld = 1024
+	// MaxQuarantined bounds the requests that are held, since every relay is told of them.
+	MaxQuarantined = 1024
 	// mostReplicas bounds the replicas that are remembered of one request.
 	mostReplicas = 16
 )
@@ -28,8 +28,8 @@
 	Trials uint32
 }
 
-// Held reports whether no replica may be sent the request.
-func (s *Suspect) Held() bool { return len(s.Replicas) >= HoldAfter }
+// IsQuarantined reports whether no replica may be sent the request.
+func (s *Suspect) IsQuarantined() bool { return len(s.Replicas) >= QuarantineThreshold }
 
 // Ledger is what is agreed on of requests under which replicas have ended.
 type Ledger struct {
@@ -51,17 +51,17 @@
 // Version differs whenever what the ledger holds differs, within one process.
 func (l *Ledger) Version() uint64 { return l.version }
 
-// Held reports whether no replica may be sent the request.
-func (l *Ledger) Held(signature Signature) bool {
+// IsQuarantined reports whether no replica may be sent the request.
+func (l *Ledger) IsQuarantined(signature Signature) bool {
 	suspect := l.known[signature]
-	return suspect != nil && suspect.Held()
+	return suspect != nil && suspect.IsQuarantined()
 }
 
 // Suspect returns the request with a signature; nil where nothing is known of it. It must not be changed.
 func (l *Ledger) Suspect(signature Signature) *Suspect { return l.known[signature] }
 
-// Record notes that a replica ended while it ran a request, once however often it is told.
-func (l *Ledger) Record(signature Signature, replica uint64) {
+// RecordCrash notes that a replica ended while it ran a request, once however often it is told.
+func (l *Ledger) RecordCrash(signature Signature, replica uint64) {
 	suspect := l.known[signature]
 	if suspect == nil {
 		suspect = &Suspect{Signature: signature}
@@ -70,20 +70,20 @@
 	if slices.Contains(suspect.Replicas, replica) || len(suspect.Replicas) >= mostReplicas {
 		return
 	}
-	held := suspect.Held()
+	held := suspect.IsQuarantined()
 	suspect.Replicas = append(suspect.Replicas, replica)
-	if !held && suspect.Held() {
+	if !held && suspect.IsQuarantined() {
 		l.held++
 	}
 	l.version++
 	l.bound()
 }
 
-// Grant lets a held request run once more; false when it is not held, or another trial was granted
+// GrantTrial lets a held request run once more; false when it is not held, or another trial was granted
 // meanwhile.
-func (l *Ledger) Grant(signature Signature, grantedBefore uint32) bool {
+func (l *Ledger) GrantTrial(signature Signature, grantedBefore uint32) bool {
 	suspect := l.known[signature]
-	if suspect == nil || !suspect.Held() || suspect.Trials != grantedBefore {
+	if suspect == nil || !suspect.IsQuarantined() || suspect.Trials != grantedBefore {
 		return false
 	}
 	suspect.Trials++
@@ -97,7 +97,7 @@
 	if suspect == nil {
 		return
 	}
-	if suspect.Held() {
+	if suspect.IsQuarantined() {
 		l.held--
 	}
 	delete(l.known, signature)
@@ -108,7 +108,7 @@
 func (l *Ledger) add(suspect *Suspect) {
 	l.known[suspect.Signature] = suspect
 	l.suspects = append(l.suspects, suspect)
-	if suspect.Held() {
+	if suspect.IsQuarantined() {
 		l.held++
 	}
 	l.version++
@@ -116,7 +116,7 @@
 
 // bound forgets the oldest requests beyond the bounds, those that are not held first.
 func (l *Ledger) bound() {
-	if l.held > MostHeld {
+	if l.held > MaxQuarantined {
 		l.forgetOldest(true)
 	}
 	if len(l.suspects) > mostSuspects {
@@ -127,7 +127,7 @@
 // forgetOldest forgets the oldest request that is held or not.
 func (l *Ledger) forgetOldest(held bool) {
 	for _, suspect := range l.suspects {
-		if suspect.Held() == held {
+		if suspect.IsQuarantined() == held {
 			l.Release(suspect.Signature)
 			return
 		}
@@ -149,7 +149,7 @@
 func Restore(records []*v1.SuspectRequest) *Ledger {
 	ledger := NewLedger()
 	for _, record := range records {
-		signature, valid := SignatureFrom(record.GetSignature())
+		signature, valid := SignatureFromBytes(record.GetSignature())
 		if !valid {
 			continue
 		}
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -20,55 +20,55 @@
 func TestARequestIsHeldOnceEnoughReplicasEndedUnderIt(t *testing.T) {
 	ledger := NewLedger()
 	signature := numbered(1)
-	for replica := range uint64(HoldAfter) {
-		require.False(t, ledger.Held(signature), "after %d ends", replica)
+	for replica := range uint64(QuarantineThreshold) {
+		require.False(t, ledger.IsQuarantined(signature), "after %d ends", replica)
 		for range 3 { // relays tell what others have told, and tell again what got no answer
-			ledger.Record(signature, replica)
+			ledger.RecordCrash(signature, replica)
 		}
 	}
-	require.True(t, ledger.Held(signature))
-	require.False(t, ledger.Held(numbered(2)))
+	require.True(t, ledger.IsQuarantined(signature))
+	require.False(t, ledger.IsQuarantined(numbered(2)))
 	ledger.Release(signature)
-	require.False(t, ledger.Held(signature))
+	require.False(t, ledger.IsQuarantined(signature))
 	require.Empty(t, ledger.Suspects())
 }
 
 func TestATrialIsGrantedOnce(t *testing.T) {
 	ledger := NewLedger()
 	signature := numbered(1)
-	require.False(t, ledger.Grant(signature, 0), "it is not known")
-	ledger.Record(signature, 1)
-	require.False(t, ledger.Grant(signature, 0), "it is not held")
-	ledger.Record(signature, 2)
-	require.True(t, ledger.Grant(signature, 0))
-	require.False(t, ledger.Grant(signature, 0), "another asked at the same time")
-	require.True(t, ledger.Grant(signature, 1))
+	require.False(t, ledger.GrantTrial(signature, 0), "it is not known")
+	ledger.RecordCrash(signature, 1)
+	require.False(t, ledger.GrantTrial(signature, 0), "it is not held")
+	ledger.RecordCrash(signature, 2)
+	require.True(t, ledger.GrantTrial(signature, 0))
+	require.False(t, ledger.GrantTrial(signature, 0), "another asked at the same time")
+	require.True(t, ledger.GrantTrial(signature, 1))
 }
 
 func TestTheLedgerIsBounded(t *testing.T) {
 	ledger := NewLedger()
 	for number := range 2 * mostSuspects {
-		ledger.Record(numbered(number), 1)
+		ledger.RecordCrash(numbered(number), 1)
 	}
 	require.Len(t, ledger.Suspects(), mostSuspects)
 	require.Equal(t, numbered(mostSuspects), ledger.Suspects()[0].Signature, "the oldest give way")
-	for number := range MostHeld + 10 {
+	for number := range MaxQuarantined + 10 {
 		for replica := range uint64(4 * mostReplicas) {
-			ledger.Record(numbered(-number-1), replica)
+			ledger.RecordCrash(numbered(-number-1), replica)
 		}
 	}
 	held := 0
 	for _, suspect := range ledger.Suspects() {
 		require.LessOrEqual(t, len(suspect.Replicas), mostReplicas)
-		if suspect.Held() {
+		if suspect.IsQuarantined() {
 			held++
 		}
 	}
-	require.Equal(t, MostHeld, held)
+	require.Equal(t, MaxQuarantined, held)
 	require.Equal(t, held, ledger.held)
 	require.Len(t, ledger.Suspects(), len(ledger.known))
-	require.False(t, ledger.Held(numbered(-1)), "the first one held gave way")
-	require.True(t, ledger.Held(numbered(-MostHeld-10)))
+	require.False(t, ledger.IsQuarantined(numbered(-1)), "the first one held gave way")
+	require.True(t, ledger.IsQuarantined(numbered(-MaxQuarantined-10)))
 }
 
 func TestSnapshotsHoldTheLedger(t *testing.T) {
@@ -76,10 +76,10 @@
 	ledger := NewLedger()
 	for number := range 20 {
 		for replica := range uint64(1 + number%5) {
-			ledger.Record(numbered(number), replica)
+			ledger.RecordCrash(numbered(number), replica)
 		}
 	}
-	require.True(t, ledger.Grant(numbered(4), 0))
+	require.True(t, ledger.GrantTrial(numbered(4), 0))
 	records := ledger.Snapshot()
 	restored := Restore(append(records, &v1.SuspectRequest{Signature: []byte("short")}))
 	again := restored.Snapshot()
@@ -88,6 +88,6 @@
 		require.True(t, proto.Equal(records[index], again[index]))
 	}
 	require.Equal(t, ledger.held, restored.held)
-	require.True(t, restored.Held(numbered(4)))
-	require.False(t, restored.Grant(numbered(4), 0), "a trial was granted before")
+	require.True(t, restored.IsQuarantined(numbered(4)))
+	require.False(t, restored.GrantTrial(numbered(4), 0), "a trial was granted before")
 }
--- a/internal/quarantine/signature.go
+++ b/internal/quarantine/signature.go
@@ -30,8 +30,8 @@
 	return signature
 }
 
-// SignatureFrom returns the signature with the bytes of a message; false when they are none.
-func SignatureFrom(bytes []byte) (signature Signature, valid bool) {
+// SignatureFromBytes returns the signature with the bytes of a message; false when they are none.
+func SignatureFromBytes(bytes []byte) (signature Signature, valid bool) {
 	if len(bytes) != SignatureBytes {
 		return Signature{}, false
 	}
@@ -44,7 +44,7 @@
 	if err != nil {
 		return Signature{}, false
 	}
-	return SignatureFrom(bytes)
+	return SignatureFromBytes(bytes)
 }
 
 // String returns the signature in hexadecimal digits, as logs name it.
--- a/internal/quarantine/signature_test.go
+++ b/internal/quarantine/signature_test.go
@@ -24,7 +24,7 @@
 
 func TestSignaturesTravelAsBytes(t *testing.T) {
 	signature := SignatureOf("", "GET", "/", nil)
-	again, valid := SignatureFrom(signature[:])
+	again, valid := SignatureFromBytes(signature[:])
 	require.True(t, valid)
 	require.Equal(t, signature, again)
 	require.Len(t, signature.String(), 2*SignatureBytes)
@@ -35,7 +35,7 @@
 		_, valid = ParseSignature(text)
 		require.False(t, valid, text)
 	}
-	_, valid = SignatureFrom(signature[1:])
+	_, valid = SignatureFromBytes(signature[1:])
 	require.False(t, valid)
 }
 
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -63,7 +63,7 @@
 // noteRanWell notes that the back end has run the request to its end.
 func (a *answer) noteRanWell() {
 	if !a.message.reading {
-		a.exchanger.guard.RanWell(a.message.request.signature)
+		a.exchanger.guard.RecordSuccess(a.message.request.signature)
 	}
 }
 
--- a/internal/relay/attempts.go
+++ b/internal/relay/attempts.go
@@ -67,7 +67,7 @@
 	if a.request.trial {
 		return a.sent == 0
 	}
-	if a.held = a.relay.guard.Held(a.request.signature); a.held {
+	if a.held = a.relay.guard.IsQuarantined(a.request.signature); a.held {
 		return false
 	}
 	if a.sent == 0 {
@@ -124,7 +124,7 @@
 	case a.mayHaveRun:
 		return refusal{status: fasthttp.StatusBadGateway, reason: "the back end failed"}
 	case a.held:
-		return refusal{status: fasthttp.StatusServiceUnavailable, reason: reasonHeld, retryAfter: crashguard.ComeBackAfter}
+		return refusal{status: fasthttp.StatusServiceUnavailable, reason: reasonHeld, retryAfter: crashguard.QuarantineRetryAfter}
 	case late:
 		return refusal{status: fasthttp.StatusServiceUnavailable, reason: "no back end took the request in time", retryAfter: retryAfterBusy}
 	case comeBack.limited:
--- a/internal/relay/back_end_limits.go
+++ b/internal/relay/back_end_limits.go
@@ -25,17 +25,17 @@
 
 // noteLimit takes the limit in an answer of a back end to what was sent at a time, and tells those that keep its count.
 func (r *Relay) noteLimit(backEnd *backEnd, limit backpressure.Limit, sentAt time.Duration) {
-	if !backEnd.signals.HearLimit(r.clock.now(), sentAt, limit) {
+	if !backEnd.signals.RecordBackEndLimit(r.clock.now(), sentAt, limit) {
 		return
 	}
 	r.limitEvent(backEnd, limit, "")
-	r.permits.Heard(fleetlimit.Named{BackEnd: backEnd.startHash, Limit: limit})
+	r.permits.Heard(fleetlimit.BackEndLimit{BackEnd: backEnd.startHash, Limit: limit})
 }
 
 // limitEvent writes a line on a limit that has changed; teller is the relay or controller that told it, empty for the
 // back end itself.
 func (r *Relay) limitEvent(backEnd *backEnd, limit backpressure.Limit, teller string) {
-	r.event(events.BackEndLimits).Str("back_end", backEnd.ID).Bool("named", limit.Named).Float64("per_second", limit.PerSecond).Str("teller", teller).Send()
+	r.event(events.BackEndLimits).Str("back_end", backEnd.ID).Bool("named", limit.IsSet).Float64("per_second", limit.PerSecond).Str("teller", teller).Send()
 }
 
 // tellers of limits, as lines name them.
@@ -45,22 +45,22 @@
 )
 
 // takeLimit takes the limit of a back end as another relay knows it.
-func (r *Relay) takeLimit(told fleetlimit.Named) {
-	if backEnd := r.view.Load().byStart[told.BackEnd]; backEnd != nil && backEnd.signals.TellLimit(r.clock.now(), told.Limit) {
+func (r *Relay) takeLimit(told fleetlimit.BackEndLimit) {
+	if backEnd := r.view.Load().byStart[told.BackEnd]; backEnd != nil && backEnd.signals.RecordPeerLimit(r.clock.now(), told.Limit) {
 		r.limitEvent(backEnd, told.Limit, tellerRelay)
 	}
 }
 
 // takeLeadersLimit takes a limit as the leader knows it, where nothing else is known of it.
-func (r *Relay) takeLeadersLimit(told fleetlimit.Named) {
+func (r *Relay) takeLeadersLimit(told fleetlimit.BackEndLimit) {
 	backEnd, now := r.view.Load().byStart[told.BackEnd], r.clock.now()
-	if backEnd == nil || !told.Limit.Named || backEnd.limited() {
+	if backEnd == nil || !told.Limit.IsSet || backEnd.limited() {
 		return
 	}
-	if known, heard := backEnd.signals.LimitKnownFor(now); heard && known < leaderWordAfter {
+	if known, heard := backEnd.signals.LimitAge(now); heard && known < leaderWordAfter {
 		return
 	}
-	if backEnd.signals.TellLimit(now, told.Limit) {
+	if backEnd.signals.RecordPeerLimit(now, told.Limit) {
 		r.limitEvent(backEnd, told.Limit, tellerLeader)
 	}
 }
@@ -69,19 +69,19 @@
 // count permit it. One that is owed must go on there: it is asked for also while others wait.
 func (r *Relay) permitted(backEnd *backEnd, rank int, owed bool) bool {
 	limit, own := backEnd.signals.Limit()
-	if !limit.Named {
+	if !limit.IsSet {
 		return true
 	}
 	if !owed && backEnd.signals.PermitWait(r.clock.now()) > 0 {
 		return false
 	}
-	answer, answered := r.permits.Take(fleetlimit.Ask{BackEnd: backEnd.startHash, Limit: limit, Heard: own, Rank: rank, Owed: owed})
+	answer, answered := r.permits.Take(fleetlimit.PermitRequest{BackEnd: backEnd.startHash, Limit: limit, LimitFromBackEnd: own, Rank: rank, MustResume: owed})
 	now := r.clock.now()
-	if answered && backEnd.signals.TellLimit(now, answer.Limit) {
+	if answered && backEnd.signals.RecordPeerLimit(now, answer.Limit) {
 		r.limitEvent(backEnd, answer.Limit, tellerRelay)
 	}
 	if !answer.Granted {
-		backEnd.signals.AwaitPermit(now + answer.Wait)
+		backEnd.signals.DelayPermits(now + answer.Wait)
 		r.metrics.permits.WithLabelValues(permitDenied).Inc()
 		return false
 	}
@@ -90,7 +90,7 @@
 }
 
 // ownCallRank is the rank of calls of a relay's own: no request waits for them.
-const ownCallRank = fleetlimit.Ranks - 1
+const ownCallRank = fleetlimit.RankCount - 1
 
 // permitPlace takes a permit for a place that was picked; it reports false where there is none.
 func (r *Relay) permitPlace(chosen *place, rank placement.Rank) bool {
--- a/internal/relay/back_end_limits_test.go
+++ b/internal/relay/back_end_limits_test.go
@@ -15,7 +15,7 @@
 
 // small is a limit that permits nothing while a test runs: a relay that has just begun to keep a count grants its first
 // permit after sixteen seconds.
-var small = backpressure.Limit{Named: true, PerSecond: 0.001}
+var small = backpressure.Limit{IsSet: true, PerSecond: 0.001}
 
 const namingSmall = "T-Limit: 0.001"
 
@@ -54,7 +54,7 @@
 				if test.holds {
 					require.Equal(t, 503, answer.status)
 					require.Empty(t, answer.head.Peek("T-Seal"))
-					require.Positive(t, backpressure.RetryAfter(answer.head.Peek("Retry-After")), "when to come back")
+					require.Positive(t, backpressure.ParseRetryAfter(answer.head.Peek("Retry-After")), "when to come back")
 				}
 			}
 			if test.holds {
@@ -70,7 +70,7 @@
 func TestAnUnreadableLimitLiftsNone(t *testing.T) {
 	names := startBackEnd(t, "names", serving.StageWhole, answering(200, "served", "T-Limit: many"))
 	relay := newTestRelay(t, route(nil), names)
-	engine := relay.limit("names", backpressure.Limit{Named: true, PerSecond: 10_000})
+	engine := relay.limit("names", backpressure.Limit{IsSet: true, PerSecond: 10_000})
 	require.Eventually(t, func() bool { return relay.client(t).do("POST", "/path/", "x").status == 200 }, time.Minute, time.Millisecond)
 	require.True(t, engine.limited())
 }
@@ -78,7 +78,7 @@
 // A success that names no limit lifts it, a failure does not: a limit is used to find out, and then the back end is used
 // as before.
 func TestASuccessWithoutALimitLiftsIt(t *testing.T) {
-	generous := backpressure.Limit{Named: true, PerSecond: 10_000}
+	generous := backpressure.Limit{IsSet: true, PerSecond: 10_000}
 	serves := startBackEnd(t, "serves", serving.StageWhole, answering(200, "served"))
 	relay := newTestRelay(t, route(nil), serves)
 	engine := relay.limit("serves", generous)
@@ -144,9 +144,9 @@
 	t.Run("a word of a call's own", func(t *testing.T) {
 		engine := startBackEnd(t, "engine", serving.StagePrefill, answering(200, "handle"))
 		relay := newTestRelay(t, route(stream(false)), engine)
-		relay.noteAsked(relay.engineOf("engine"), backpressure.Asked{Limit: small}, noRequest)
+		relay.noteAsked(relay.engineOf("engine"), backpressure.Directives{Limit: small}, noRequest)
 		require.True(t, relay.engineOf("engine").limited())
-		relay.noteAsked(relay.engineOf("engine"), backpressure.Asked{Unlimited: true}, noRequest)
+		relay.noteAsked(relay.engineOf("engine"), backpressure.Directives{Unlimited: true}, noRequest)
 		require.True(t, relay.engineOf("engine").limited(), "an answer to a call says nothing by its silence")
 	})
 }
@@ -159,7 +159,7 @@
 	relay.limit("decoder", small)
 	answer := relay.client(t).do("POST", "/path/", "x", longPrompt...)
 	require.Equal(t, 503, answer.status)
-	require.Positive(t, backpressure.RetryAfter(answer.head.Peek("Retry-After")))
+	require.Positive(t, backpressure.ParseRetryAfter(answer.head.Peek("Retry-After")))
 	require.Empty(t, reader.seen())
 	require.Empty(t, decoder.seen())
 }
@@ -169,7 +169,7 @@
 	reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 	decoder := startBackEnd(t, "decoder", serving.StageDecode, streaming("decoder", eventOne))
 	relay := newTestRelay(t, route(stream(false)), reader, decoder)
-	relay.limit("decoder", backpressure.Limit{Named: true, PerSecond: 10_000})
+	relay.limit("decoder", backpressure.Limit{IsSet: true, PerSecond: 10_000})
 	require.Eventually(t, func() bool {
 		return relay.client(t).do("POST", "/path/", "x", longPrompt...).body == eventOne
 	}, time.Minute, time.Millisecond)
@@ -194,9 +194,9 @@
 	names := startBackEnd(t, "names", serving.StageWhole, answering(200, "served"))
 	relay := newTestRelay(t, route(nil), names)
 	engine := relay.engineOf("names")
-	relay.takeLeadersLimit(fleetlimit.Named{BackEnd: engine.hash, Limit: small})
+	relay.takeLeadersLimit(fleetlimit.BackEndLimit{BackEnd: engine.hash, Limit: small})
 	require.True(t, engine.limited(), "a relay that knows nothing takes it")
-	relay.takeLimit(fleetlimit.Named{BackEnd: engine.hash})
-	relay.takeLeadersLimit(fleetlimit.Named{BackEnd: engine.hash, Limit: small})
+	relay.takeLimit(fleetlimit.BackEndLimit{BackEnd: engine.hash})
+	relay.takeLeadersLimit(fleetlimit.BackEndLimit{BackEnd: engine.hash, Limit: small})
 	require.False(t, engine.limited(), "one that has heard of its end does not")
 }
--- a/internal/relay/back_end_signals.go
+++ b/internal/relay/back_end_signals.go
@@ -13,20 +13,20 @@
 
 // leaving reports whether the back end leaves, by the list or by its own word: the list lags, and is not read
 // while nobody leads and the platform is silent.
-func (b *backEnd) leaving() bool { return b.Leaving || b.signals.Leaving() }
+func (b *backEnd) leaving() bool { return b.Leaving || b.signals.IsLeaving() }
 
 // resting reports whether the back end has asked to be sent nothing for now.
-func (b *backEnd) resting(now time.Duration) bool { return b.signals.Rest(now) > 0 }
+func (b *backEnd) resting(now time.Duration) bool { return b.signals.RemainingBackoff(now) > 0 }
 
 // wait is how much longer nothing may be sent to the back end: it has asked for rest, or its limit leaves no room.
 func (b *backEnd) wait(now time.Duration) time.Duration {
-	return max(b.signals.Rest(now), b.signals.PermitWait(now))
+	return max(b.signals.RemainingBackoff(now), b.signals.PermitWait(now))
 }
 
 // limited reports whether the back end names a limit for all relays together.
 func (b *backEnd) limited() bool {
 	limit, _ := b.signals.Limit()
-	return limit.Named
+	return limit.IsSet
 }
 
 // closed reports whether new requests must not be sent to the back end now.
@@ -42,28 +42,28 @@
 // of the relay's own (noRequest).
 func (r *Relay) noteAnswer(backEnd *backEnd, head *fasthttp.ResponseHeader, sentAt time.Duration) {
 	names := r.dialect.Headers
-	r.noteAsked(backEnd, backpressure.AskedIn(head.StatusCode(), backpressure.Words{
+	r.noteAsked(backEnd, backpressure.ParseDirectives(head.StatusCode(), backpressure.Headers{
 		RetryAfter: head.Peek(fasthttp.HeaderRetryAfter), Leaving: head.Peek(names.Leaving), Limit: head.PeekAll(names.Limit),
 	}), sentAt)
 }
 
 // noteAsked takes what a back end has asked for in an answer to what was sent at a time.
-func (r *Relay) noteAsked(backEnd *backEnd, asked backpressure.Asked, sentAt time.Duration) {
+func (r *Relay) noteAsked(backEnd *backEnd, asked backpressure.Directives, sentAt time.Duration) {
 	now := r.clock.now()
-	if asked.Rest > 0 {
+	if asked.Backoff > 0 {
 		if !backEnd.resting(now) {
 			r.metrics.rests.Inc()
-			r.event(events.BackEndRests).Str("back_end", backEnd.ID).Int64("rest_ms", asked.Rest.Milliseconds()).Send()
+			r.event(events.BackEndRests).Str("back_end", backEnd.ID).Int64("rest_ms", asked.Backoff.Milliseconds()).Send()
 		}
-		backEnd.signals.AskRest(now, asked.Rest)
+		backEnd.signals.ExtendBackoff(now, asked.Backoff)
 	}
-	if asked.Leaving && backEnd.signals.SayLeaving(now) {
+	if asked.Leaving && backEnd.signals.MarkLeaving(now) {
 		r.event(events.BackEndLeaves).Str("back_end", backEnd.ID).Bool("listed", backEnd.Leaving).Send()
-		if !backEnd.Leaving && r.without.On(mechanism.RunMoves) {
+		if !backEnd.Leaving && r.without.IsEnabled(mechanism.RunMigration) {
 			go backEnd.moveRuns()
 		}
 	}
-	if asked.SpeaksOfLimit() {
+	if asked.StatesLimit() {
 		r.noteLimit(backEnd, asked.Limit, sentAt)
 	}
 }
@@ -93,7 +93,7 @@
 			return comeBack{}
 		}
 		if shortest.after == 0 || wait < shortest.after {
-			shortest = comeBack{after: wait, limited: backEnd.signals.Rest(now) < wait}
+			shortest = comeBack{after: wait, limited: backEnd.signals.RemainingBackoff(now) < wait}
 		}
 	}
 	if shortest.after > 0 {
--- a/internal/relay/back_end_signals_test.go
+++ b/internal/relay/back_end_signals_test.go
@@ -61,7 +61,7 @@
 	relay := newTestRelay(t, route(nil), long, short)
 	answer := relay.client(t).do("POST", "/path/", "x")
 	require.Equal(t, 503, answer.status)
-	comeBack := backpressure.RetryAfter(answer.head.Peek("Retry-After"))
+	comeBack := backpressure.ParseRetryAfter(answer.head.Peek("Retry-After"))
 	require.Greater(t, comeBack, 500*time.Second)
 	require.LessOrEqual(t, comeBack, 600*time.Second+comeBackSpread)
 	require.Len(t, long.seen(), 1)
@@ -74,10 +74,10 @@
 	reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 	rests := startBackEnd(t, "rests", serving.StageDecode, streaming("rests", eventOne))
 	relay := newTestRelay(t, route(stream(false)), reader, rests)
-	relay.engineOf("rests").signals.AskRest(relay.clock.now(), 600*time.Second)
+	relay.engineOf("rests").signals.ExtendBackoff(relay.clock.now(), 600*time.Second)
 	answer := relay.client(t).do("POST", "/path/", "x", shortPrompt...)
 	require.Equal(t, 503, answer.status)
-	comeBack := backpressure.RetryAfter(answer.head.Peek("Retry-After"))
+	comeBack := backpressure.ParseRetryAfter(answer.head.Peek("Retry-After"))
 	require.Greater(t, comeBack, 500*time.Second)
 	require.LessOrEqual(t, comeBack, 600*time.Second+comeBackSpread)
 	require.Empty(t, rests.seen())
@@ -125,7 +125,7 @@
 	t.Run("release", func(t *testing.T) {
 		reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 		relay := newTestRelay(t, route(stream(false)), reader)
-		relay.engineOf("reader").signals.AskRest(relay.clock.now(), time.Hour)
+		relay.engineOf("reader").signals.ExtendBackoff(relay.clock.now(), time.Hour)
 		relay.exchanger.release(&heldPrompt{engine: relay.engineOf("reader"), handle: "handle"}, "/handle/handle")
 		require.Empty(t, reader.seen())
 	})
@@ -145,7 +145,7 @@
 		reader := &cacheReader{relay: relay.Relay, readAt: map[*promptCache]time.Duration{}}
 		reader.read = func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReading, error) {
 			asked++
-			return serving.CacheReading{Asked: backpressure.Asked{Rest: time.Hour}}, nil
+			return serving.CacheReading{Asked: backpressure.Directives{Backoff: time.Hour}}, nil
 		}
 		for range 3 {
 			reader.readNew(t.Context())
@@ -157,7 +157,7 @@
 	t.Run("picked before it asked", func(t *testing.T) {
 		engine := startBackEnd(t, "engine", serving.StageWhole, answering(200, "ok"))
 		relay := newTestRelay(t, route(nil), engine)
-		relay.engineOf("engine").signals.AskRest(relay.clock.now(), time.Hour)
+		relay.engineOf("engine").signals.ExtendBackoff(relay.clock.now(), time.Hour)
 		_, fault := relay.exchanger.connect(&message{
 			request: &request{}, backEnd: relay.engineOf("engine"), deadline: relay.clock.now() + time.Minute,
 		})
@@ -172,7 +172,7 @@
 	rests := startBackEnd(t, "rests", serving.StageDecode, streaming("rests", eventOne))
 	relay := newTestRelay(t, route(stream(false)), rests)
 	engine := relay.engineOf("rests")
-	engine.signals.AskRest(relay.clock.now(), time.Hour)
+	engine.signals.ExtendBackoff(relay.clock.now(), time.Hour)
 	engines := relay.view.Load().byService["service"]
 	asked := &engineQuery{purpose: toGenerate, service: "service", request: placement.Request{Stage: serving.StageDecode}}
 	require.NotNil(t, relay.owner.decide(asked, engines, &placement.Asker{Relay: 7, Number: 1}).chosen)
--- a/internal/relay/cache_reader_test.go
+++ b/internal/relay/cache_reader_test.go
@@ -82,7 +82,7 @@
 	engine := startBackEnd(t, "engine", serving.StagePrefill, answering(200, "handle"))
 	relay := newTestRelay(t, route(stream(false)), engine)
 	away := relay.suspendable()
-	relay.engineOf("engine").signals.AskRest(relay.clock.now(), time.Minute)
+	relay.engineOf("engine").signals.ExtendBackoff(relay.clock.now(), time.Minute)
 	asked := 0
 	reader := &cacheReader{relay: relay.Relay, readAt: map[*promptCache]time.Duration{}}
 	reader.read = func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReading, error) {
--- a/internal/relay/engine_query.go
+++ b/internal/relay/engine_query.go
@@ -59,7 +59,7 @@
 		if len(query.excluded) >= mostExcluded {
 			break // the answer is looked at again: one that rests is not taken
 		}
-		if engine.signals.Leaving() && !engine.Leaving || engine.wait(wanted.Now) > 0 {
+		if engine.signals.IsLeaving() && !engine.Leaving || engine.wait(wanted.Now) > 0 {
 			query.excluded = append(query.excluded, engine.hash)
 		}
 	}
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -288,7 +288,7 @@
 	if len(answer.head.Peek(e.names.NotExecuted)) > 0 {
 		return &failure{
 			verdict: verdict.NotRun, arrived: true, cause: fmt.Errorf("%w: status %d", errNotExecuted, answer.status),
-			retryAfter: answer.message.backEnd.signals.Rest(e.clock.now()),
+			retryAfter: answer.message.backEnd.signals.RemainingBackoff(e.clock.now()),
 		}
 	}
 	if len(answer.head.ContentEncoding()) > 0 {
--- a/internal/relay/exchange_notes.go
+++ b/internal/relay/exchange_notes.go
@@ -72,7 +72,7 @@
 func (e *exchanger) noteRefusal(message *message) {
 	engine := message.backEnd
 	alone := message.work.PromptTokens() == 0 && engine.look(e.clock.now()).refusals == 0
-	if alone || !e.hasRoom(message) || !e.without.On(mechanism.RefusalSuspicion) {
+	if alone || !e.hasRoom(message) || !e.without.IsEnabled(mechanism.RefusalSuspicion) {
 		engine.busy(e.clock.now())
 		return
 	}
--- a/internal/relay/former_leader_test.go
+++ b/internal/relay/former_leader_test.go
@@ -23,20 +23,20 @@
 		Wanted:        []*v1.WantedBackEnds{{Service: "service", Count: 300}},
 		ListingChange: &v1.ListingChange{Changed: []*v1.ListedBackEnd{{Id: "i-1", Service: "service", Address: "10.0.0.1:1", Slots: 1}}},
 	})
-	relay.usage.Began(relay.clock.now(), "tenant")
-	require.Equal(t, uint64(1), relay.usage.Unreported())
+	relay.usage.CountRequest(relay.clock.now(), "tenant")
+	require.Equal(t, uint64(1), relay.usage.UnreportedCount())
 
 	former := &v1.WatchResponse{ListingVersion: 2, ListingChange: &v1.ListingChange{FromVersion: 1, Gone: []string{"i-1"}}}
 	relay.knowledge.Take(former)
-	require.True(t, relay.guard.Held(signature))
-	require.Equal(t, uint64(1), relay.usage.Unreported())
+	require.True(t, relay.guard.IsQuarantined(signature))
+	require.Equal(t, uint64(1), relay.usage.UnreportedCount())
 	require.Equal(t, 25, relay.knowledge.listingCalls)
 	request := relay.knowledge.Request(time.Second)
 	require.Len(t, request.GetWanted(), 1)
 	require.Equal(t, uint64(2), request.GetListingVersion())
 
 	relay.knowledge.Take(&v1.WatchResponse{Formats: own, TellsHeld: true, ListingVersion: 2})
-	require.False(t, relay.guard.Held(signature), "a leader that knows says that none is held")
+	require.False(t, relay.guard.IsQuarantined(signature), "a leader that knows says that none is held")
 }
 
 // Counts of limits are kept by relays that know how.
--- a/internal/relay/knowledge.go
+++ b/internal/relay/knowledge.go
@@ -31,7 +31,7 @@
 	// known are the back ends by identity, so that their state outlives a reading.
 	known map[string]*backEnd
 	// signals are what back ends have asked of this relay; they outlive known.
-	signals *backpressure.Ledger
+	signals *backpressure.Registry
 	// closed are those of them that take no more work since the last list.
 	closed []*backEnd
 	// lost tells that no controller led when this was last looked at.
@@ -63,7 +63,7 @@
 		readListing: options.ReadListing,
 		incarnation: rand.Uint64(),
 		known:       map[string]*backEnd{},
-		signals:     backpressure.NewLedger(),
+		signals:     backpressure.NewRegistry(),
 	}
 }
 
@@ -93,10 +93,10 @@
 		Leaving:        k.relay.stopping.Load(),
 		NoticeAddress:  k.relay.datagrams.Address,
 		RelayList:      k.relayList,
-		HeldVersion:    k.relay.guard.Version(),
+		HeldVersion:    k.relay.guard.QuarantineVersion(),
 		Demands:        k.relay.work.Report(k.relay.clock.now()),
 	}
-	request.Limits = fleetlimit.AllToWire(k.relay.permits.Limits())
+	request.Limits = fleetlimit.LimitsToWire(k.relay.permits.Limits())
 	request.Formats = formats.Own().ToWire()
 	request.DocumentNumber = k.held.GetNumber()
 	request.Wanted = k.wanted
@@ -123,9 +123,9 @@
 		}
 	}
 	if response.GetTellsHeld() || response.GetHeldVersion() != 0 {
-		k.relay.guard.Take(response.GetHeldVersion(), response.GetHeld())
+		k.relay.guard.ApplyQuarantine(response.GetHeldVersion(), response.GetHeld())
 	} else {
-		k.relay.guard.TakeSilence()
+		k.relay.guard.MarkQuarantineUnsupported()
 	}
 	k.takeRelays(response)
 	k.takeRelayCount(response)
@@ -148,7 +148,7 @@
 	if window == 0 && !formats.FromWire(response.GetFormats()).Knows(formats.UsageWindows) {
 		return
 	}
-	k.relay.usage.Hear(k.relay.clock.now(), response.GetTrueTimeMs(), window)
+	k.relay.usage.UpdateTime(k.relay.clock.now(), response.GetTrueTimeMs(), window)
 }
 
 // takeLimits takes the limits that the leader knows of, for back ends of which other relays have not told yet.
--- a/internal/relay/known_back_ends.go
+++ b/internal/relay/known_back_ends.go
@@ -43,7 +43,7 @@
 	k.relay.noteReplaced(gone, known)
 	k.closed = closedSince(k.known, known)
 	k.known = known
-	k.signals.Keep(k.relay.clock.now(), func(identity string) bool { return known[identity] != nil })
+	k.signals.RemoveUnlisted(k.relay.clock.now(), func(identity string) bool { return known[identity] != nil })
 	k.relay.event(events.ListingInForce).Uint64("version", next.listingVersion).Int("back_ends", len(listed)).Send()
 	k.relay.notices.table.keep(next.byHash)
 	k.relay.pace.keep(next.byHash)
@@ -64,7 +64,7 @@
 
 // moveRuns moves the runs at back ends that were closed, now that the view shows where to.
 func (k *knowledge) moveRuns() {
-	if k.relay.without.On(mechanism.RunMoves) {
+	if k.relay.without.IsEnabled(mechanism.RunMigration) {
 		for _, closed := range k.closed {
 			closed.moveRuns()
 		}
@@ -75,7 +75,7 @@
 // replace makes the record of a back end whose entry is new or has changed.
 func (k *knowledge) replace(former *backEnd, entry serving.BackEnd, view *view) *backEnd {
 	replaced := newBackEnd(entry, cacheTokens(view, entry.Service))
-	replaced.signals = k.signals.Of(entry.ID)
+	replaced.signals = k.signals.SignalsOf(entry.ID)
 	if former == nil {
 		return replaced
 	}
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -103,7 +103,7 @@
 
 // sendPending tells what has changed to those whom it concerns.
 func (n *notices) sendPending() {
-	if !n.relay.without.On(mechanism.Notices) {
+	if !n.relay.without.IsEnabled(mechanism.Notices) {
 		return
 	}
 	for receiver, told := range n.takePending() {
--- a/internal/relay/offer.go
+++ b/internal/relay/offer.go
@@ -15,7 +15,7 @@
 // decideIn has the owner of a cell decide, or its stand-in, or this relay where neither answers.
 func (a *asker) decideIn(known *cells, index int, query *engineQuery, stop <-chan struct{}) engineAnswer {
 	id := known.division.Cells()[index].ID
-	if !a.relay.without.On(mechanism.Owners) {
+	if !a.relay.without.IsEnabled(mechanism.Owners) {
 		return a.relay.owner.decide(query, known.members[index], nil)
 	}
 	for _, owner := range a.trusted(a.relay.clock.now(), known.owners[index], ownersAsked) {
--- a/internal/relay/permits/datagram_fuzz_test.go
+++ b/internal/relay/permits/datagram_fuzz_test.go
@@ -34,7 +34,7 @@
 		member.SetProcesses(0, []string{self})
 		if ask, valid := askFromWire(told.GetLimitAsk()); valid {
 			for now := time.Minute; now < 2*time.Minute; now += time.Second {
-				answer, kept := member.Ask(now, ask, true, 0.5)
+				answer, kept := member.HandleRequest(now, ask, true, 0.5)
 				require.True(t, kept)
 				require.GreaterOrEqual(t, answer.Wait, time.Duration(0))
 				require.LessOrEqual(t, answer.Wait, longestWait)
@@ -43,7 +43,7 @@
 		for _, limit := range told.GetLimitNotice().GetLimits() {
 			if named, valid := fleetlimit.FromWire(limit); valid {
 				require.GreaterOrEqual(t, named.Limit.PerSecond, 0.0)
-				member.Hear(time.Minute, "10.0.0.2:1", named)
+				member.ApplyNotice(time.Minute, "10.0.0.2:1", named)
 			}
 		}
 		answer, _ := answerFromWire(told.GetLimitAnswer())
--- a/internal/relay/permits/notices.go
+++ b/internal/relay/permits/notices.go
@@ -28,7 +28,7 @@
 
 // tell tells all relays once, so many at a time.
 func (p *Permits) tell(ctx context.Context) {
-	limits := fleetlimit.AllToWire(p.Limits())
+	limits := fleetlimit.LimitsToWire(p.Limits())
 	if len(limits) == 0 {
 		return
 	}
--- a/internal/relay/permits/permits.go
+++ b/internal/relay/permits/permits.go
@@ -36,7 +36,7 @@
 	// Fresh reports whether the list of relays is not old.
 	Fresh func() bool
 	// Told is called with a limit as another relay knows it.
-	Told func(fleetlimit.Named)
+	Told func(fleetlimit.BackEndLimit)
 	// Peers is which relays answer.
 	Peers *peerhealth.Table
 }
@@ -76,31 +76,31 @@
 
 // Take asks those that keep a back end's count for a permit, one after another until one answers. Where it reports that
 // none does there is no permit: what relays send by themselves would add up.
-func (p *Permits) Take(ask fleetlimit.Ask) (answer fleetlimit.Answer, answered bool) {
-	ask.Asker = p.config.Self
+func (p *Permits) Take(ask fleetlimit.PermitRequest) (answer fleetlimit.PermitResponse, answered bool) {
+	ask.RequesterID = p.config.Self
 	for _, keeper := range p.KeepersOf(ask.BackEnd) {
 		if answer, answered = p.askKeeper(keeper, ask); answered {
 			return answer, true
 		}
 	}
-	return fleetlimit.Answer{Wait: time.Duration((0.5 + p.config.Draw()) * float64(unkeptWait))}, false
+	return fleetlimit.PermitResponse{Wait: time.Duration((0.5 + p.config.Draw()) * float64(unkeptWait))}, false
 }
 
 // KeepersOf returns the addresses of the relays that keep the count of a back end, in the order in which they are asked.
 func (p *Permits) KeepersOf(backEnd uint64) []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.member.KeepersOf(backEnd)
+	return p.member.OwnersOf(backEnd)
 }
 
 // askKeeper asks one relay, which may be this one; false when it does not answer or does not keep the count.
-func (p *Permits) askKeeper(keeper string, ask fleetlimit.Ask) (fleetlimit.Answer, bool) {
+func (p *Permits) askKeeper(keeper string, ask fleetlimit.PermitRequest) (fleetlimit.PermitResponse, bool) {
 	if keeper == p.config.Socket.Address {
 		return p.grant(ask)
 	}
 	asked := p.config.Now()
 	if !p.config.Peers.Trusted(asked, keeper) {
-		return fleetlimit.Answer{}, false
+		return fleetlimit.PermitResponse{}, false
 	}
 	number, answers := p.questions.Begin()
 	defer p.questions.End(number)
@@ -113,16 +113,16 @@
 		return answerFromWire(told)
 	case <-timer.C:
 		p.config.Peers.Judge(p.config.Now(), keeper, false, p.config.Now()-asked)
-		return fleetlimit.Answer{}, false
+		return fleetlimit.PermitResponse{}, false
 	}
 }
 
 // grant answers a question where this relay keeps the count.
-func (p *Permits) grant(ask fleetlimit.Ask) (fleetlimit.Answer, bool) {
+func (p *Permits) grant(ask fleetlimit.PermitRequest) (fleetlimit.PermitResponse, bool) {
 	fresh, draw := p.config.Fresh(), p.config.Draw()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.member.Ask(p.config.Now(), ask, fresh, draw)
+	return p.member.HandleRequest(p.config.Now(), ask, fresh, draw)
 }
 
 // Answer answers another relay's question.
@@ -145,7 +145,7 @@
 }
 
 // Heard takes what a back end has named to this relay, and tells those that keep its count.
-func (p *Permits) Heard(named fleetlimit.Named) {
+func (p *Permits) Heard(named fleetlimit.BackEndLimit) {
 	notice := &v1.RelayDatagram{Content: &v1.RelayDatagram_LimitNotice{LimitNotice: &v1.LimitNotice{
 		Limits: []*v1.NamedLimit{fleetlimit.ToWire(named)}, Heard: true,
 	}}}
@@ -159,9 +159,9 @@
 }
 
 // name takes a limit whose count may be this relay's to keep.
-func (p *Permits) name(named fleetlimit.Named) {
+func (p *Permits) name(named fleetlimit.BackEndLimit) {
 	p.mutex.Lock()
-	news := p.member.Name(p.config.Now(), named)
+	news := p.member.SetLimit(p.config.Now(), named)
 	p.mutex.Unlock()
 	if news {
 		select {
@@ -182,7 +182,7 @@
 			p.name(named)
 		default:
 			p.mutex.Lock()
-			p.member.Hear(p.config.Now(), from, named)
+			p.member.ApplyNotice(p.config.Now(), from, named)
 			p.mutex.Unlock()
 			p.config.Told(named)
 		}
@@ -190,7 +190,7 @@
 }
 
 // Limits returns the limits whose counts are this relay's to keep, and those that were lifted lately.
-func (p *Permits) Limits() []fleetlimit.Named {
+func (p *Permits) Limits() []fleetlimit.BackEndLimit {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.member.Notices(p.config.Now())
--- a/internal/relay/permits/permits_test.go
+++ b/internal/relay/permits/permits_test.go
@@ -19,7 +19,7 @@
 
 const backEnd = uint64(4711)
 
-var generous = backpressure.Limit{Named: true, PerSecond: 50_000}
+var generous = backpressure.Limit{IsSet: true, PerSecond: 50_000}
 
 // testMember is one relay's permits at a socket of its own.
 type testMember struct {
@@ -27,7 +27,7 @@
 	address string
 
 	mutex sync.Mutex
-	told  []fleetlimit.Named
+	told  []fleetlimit.BackEndLimit
 	// ahead is how far the clock is ahead, so that settling needs no wait.
 	ahead time.Duration
 }
@@ -49,7 +49,7 @@
 			return time.Since(began) + member.ahead
 		},
 		Draw: func() float64 { return 0.5 }, Fresh: func() bool { return true },
-		Told: func(named fleetlimit.Named) {
+		Told: func(named fleetlimit.BackEndLimit) {
 			member.mutex.Lock()
 			defer member.mutex.Unlock()
 			member.told = append(member.told, named)
@@ -69,7 +69,7 @@
 	return member
 }
 
-func (m *testMember) heard() []fleetlimit.Named {
+func (m *testMember) heard() []fleetlimit.BackEndLimit {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return slices.Clone(m.told)
@@ -105,28 +105,28 @@
 }
 
 func (m *testMember) granted() bool {
-	answer, _ := m.Take(fleetlimit.Ask{BackEnd: backEnd, Limit: generous})
+	answer, _ := m.Take(fleetlimit.PermitRequest{BackEnd: backEnd, Limit: generous})
 	return answer.Granted
 }
 
 // Each member gets its permits from the one that keeps the count, which tells all of the limit, and of its end.
 func TestOneMemberKeepsTheCount(t *testing.T) {
 	members := startMembers(t, 5)
-	members[4].Heard(fleetlimit.Named{BackEnd: backEnd, Limit: generous})
+	members[4].Heard(fleetlimit.BackEndLimit{BackEnd: backEnd, Limit: generous})
 	for _, member := range members[1:] {
 		require.Eventually(t, func() bool {
-			return slices.Contains(member.heard(), fleetlimit.Named{BackEnd: backEnd, Limit: generous})
+			return slices.Contains(member.heard(), fleetlimit.BackEndLimit{BackEnd: backEnd, Limit: generous})
 		}, time.Minute, time.Millisecond)
 		require.Eventually(t, member.granted, time.Minute, time.Millisecond)
 	}
 	require.Len(t, members[0].Limits(), 1)
-	members[3].Heard(fleetlimit.Named{BackEnd: backEnd})
+	members[3].Heard(fleetlimit.BackEndLimit{BackEnd: backEnd})
 	require.Eventually(t, func() bool {
-		return slices.Contains(members[4].heard(), fleetlimit.Named{BackEnd: backEnd})
+		return slices.Contains(members[4].heard(), fleetlimit.BackEndLimit{BackEnd: backEnd})
 	}, time.Minute, time.Millisecond)
-	answer, answered := members[4].Take(fleetlimit.Ask{BackEnd: backEnd, Limit: generous})
+	answer, answered := members[4].Take(fleetlimit.PermitRequest{BackEnd: backEnd, Limit: generous})
 	require.True(t, answered)
-	require.Equal(t, fleetlimit.Answer{Granted: true}, answer, "there is no limit any more")
+	require.Equal(t, fleetlimit.PermitResponse{Granted: true}, answer, "there is no limit any more")
 }
 
 // Where the one that keeps the count is gone others stand in; where none answers there is no permit.
@@ -137,7 +137,7 @@
 		require.Eventually(t, members[4].granted, time.Minute, time.Millisecond)
 	}
 	_ = members[2].config.Socket.Close()
-	answer, answered := members[4].Take(fleetlimit.Ask{BackEnd: backEnd, Limit: generous})
+	answer, answered := members[4].Take(fleetlimit.PermitRequest{BackEnd: backEnd, Limit: generous})
 	require.False(t, answered)
 	require.False(t, answer.Granted)
 	require.Positive(t, answer.Wait)
@@ -145,7 +145,7 @@
 
 // A relay that knows of no others sends nothing: what relays send by themselves would add up.
 func TestARelayThatKnowsNobodyGetsNoPermit(t *testing.T) {
-	answer, answered := startMember(t, 1).Take(fleetlimit.Ask{BackEnd: backEnd, Limit: generous})
+	answer, answered := startMember(t, 1).Take(fleetlimit.PermitRequest{BackEnd: backEnd, Limit: generous})
 	require.False(t, answered)
 	require.False(t, answer.Granted)
 }
--- a/internal/relay/permits/wire.go
+++ b/internal/relay/permits/wire.go
@@ -8,28 +8,28 @@
 )
 
 // askToWire writes a question.
-func askToWire(ask fleetlimit.Ask, number uint64) *v1.LimitAsk {
+func askToWire(ask fleetlimit.PermitRequest, number uint64) *v1.LimitAsk {
 	return &v1.LimitAsk{
-		Relay: ask.Asker, Number: number, Limit: fleetlimit.ToWire(fleetlimit.Named{BackEnd: ask.BackEnd, Limit: ask.Limit}),
-		Heard: ask.Heard, Rank: uint32(ask.Rank), Owed: ask.Owed,
+		Relay: ask.RequesterID, Number: number, Limit: fleetlimit.ToWire(fleetlimit.BackEndLimit{BackEnd: ask.BackEnd, Limit: ask.Limit}),
+		Heard: ask.LimitFromBackEnd, Rank: uint32(ask.Rank), Owed: ask.MustResume,
 	}
 }
 
 // askFromWire reads a question; false for one that is none.
-func askFromWire(told *v1.LimitAsk) (fleetlimit.Ask, bool) {
+func askFromWire(told *v1.LimitAsk) (fleetlimit.PermitRequest, bool) {
 	named, valid := fleetlimit.FromWire(told.GetLimit())
-	ask := fleetlimit.Ask{
-		BackEnd: named.BackEnd, Limit: named.Limit, Heard: told.GetHeard(), Asker: told.GetRelay(),
-		Rank: int(min(told.GetRank(), fleetlimit.Ranks-1)), Owed: told.GetOwed(),
+	ask := fleetlimit.PermitRequest{
+		BackEnd: named.BackEnd, Limit: named.Limit, LimitFromBackEnd: told.GetHeard(), RequesterID: told.GetRelay(),
+		Rank: int(min(told.GetRank(), fleetlimit.RankCount-1)), MustResume: told.GetOwed(),
 	}
 	return ask, valid
 }
 
 // answerToWire writes the answer to a question.
-func answerToWire(asked *v1.LimitAsk, answer fleetlimit.Answer, kept bool) *v1.LimitAnswer {
+func answerToWire(asked *v1.LimitAsk, answer fleetlimit.PermitResponse, kept bool) *v1.LimitAnswer {
 	return &v1.LimitAnswer{
 		Number: asked.GetNumber(), Relay: asked.GetRelay(), Granted: answer.Granted, WaitUs: uint64(max(answer.Wait.Microseconds(), 0)),
-		Limit: fleetlimit.ToWire(fleetlimit.Named{BackEnd: asked.GetLimit().GetBackEnd(), Limit: answer.Limit}), NotKept: !kept,
+		Limit: fleetlimit.ToWire(fleetlimit.BackEndLimit{BackEnd: asked.GetLimit().GetBackEnd(), Limit: answer.Limit}), NotKept: !kept,
 	}
 }
 
@@ -37,8 +37,8 @@
 const longestWait = 10 * time.Second
 
 // answerFromWire reads an answer; false for one that is none.
-func answerFromWire(told *v1.LimitAnswer) (fleetlimit.Answer, bool) {
+func answerFromWire(told *v1.LimitAnswer) (fleetlimit.PermitResponse, bool) {
 	named, valid := fleetlimit.FromWire(told.GetLimit())
 	wait := time.Duration(min(told.GetWaitUs(), uint64(longestWait.Microseconds()))) * time.Microsecond
-	return fleetlimit.Answer{Granted: told.GetGranted(), Wait: wait, Limit: named.Limit}, valid && !told.GetNotKept()
+	return fleetlimit.PermitResponse{Granted: told.GetGranted(), Wait: wait, Limit: named.Limit}, valid && !told.GetNotKept()
 }
--- a/internal/relay/placement_owner.go
+++ b/internal/relay/placement_owner.go
@@ -50,7 +50,7 @@
 	if answer.decision.Action == placement.ReadApart && query.purpose == toBegin {
 		o.relay.pace.observeShare(query.request.Tokens, answer.decision.Engine.ToRead)
 	}
-	if asker != nil && o.relay.without.On(mechanism.Reservations) {
+	if asker != nil && o.relay.without.IsEnabled(mechanism.Reservations) {
 		o.reserve(now, *asker, query, answer)
 	}
 	return answer
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -21,7 +21,7 @@
 
 // newGuard makes the guard of a relay.
 func newGuard(relay *Relay) *crashguard.Guard {
-	leader := crashguard.Calls{Client: relay.watcher.Leader}
+	leader := crashguard.LeaderClient{Client: relay.watcher.Leader}
 	return crashguard.New(crashguard.Options{
 		Leader: leader, Now: relay.clock.now, Probe: relay.probe, Observer: guardObserver{relay},
 	})
@@ -32,7 +32,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	switch r.guard.Admit(ctx, request.signature) {
-	case crashguard.Held:
+	case crashguard.Quarantined:
 		r.finishRefused(&attempts{relay: r, request: request, held: true}, reply)
 		return false
 	case crashguard.Trial:
@@ -50,7 +50,7 @@
 		return
 	}
 	if errors.Is(fault, errStalled) || errors.Is(fault, errSilent) {
-		relay.guard.WentSilent(request.signature, backEnd.ID)
+		relay.guard.RecordSilentRun(request.signature, backEnd.ID)
 		return
 	}
 	if !errors.Is(fault, errBroken) {
@@ -58,26 +58,26 @@
 	}
 	replica := crashguard.Replica{ID: backEnd.ID, Name: backEnd.Expected(), Address: backEnd.Address}
 	if !request.route.Repeatable() || a.sent >= request.route.MaxAttempts {
-		go relay.guard.Broke(request.signature, replica, 0)
+		go relay.guard.RecordBrokenRun(request.signature, replica, 0)
 		return
 	}
-	a.held = relay.guard.Broke(request.signature, replica, min(endWait, request.deadline-relay.clock.now()))
+	a.held = relay.guard.RecordBrokenRun(request.signature, replica, min(endWait, request.deadline-relay.clock.now()))
 }
 
 // noteEnded tells the guard that nothing serves at a back end's address, or another one.
 func (r *Relay) noteEnded(backEnd *backEnd, fault *failure) {
 	refused := errors.Is(fault, errDial) && errors.Is(fault, syscall.ECONNREFUSED)
 	if refused || errors.Is(fault, errMisdirected) {
-		r.guard.Ended(backEnd.ID)
+		r.guard.RecordCrash(backEnd.ID)
 	}
 }
 
 // probe looks whether a back end takes connections; one that was opened is used later. A start in whose place the
 // list shows another one has ended, whoever serves there: the list may show that before the connections break.
-func (r *Relay) probe(_ context.Context, replica crashguard.Replica) crashguard.Sight {
+func (r *Relay) probe(_ context.Context, replica crashguard.Replica) crashguard.ProbeResult {
 	known := r.backEndOf(replica.ID)
 	if known == nil && r.isReplaced(replica) {
-		return crashguard.Gone
+		return crashguard.ProbeGone
 	}
 	if known == nil { // the list does not show it any more: its pool is closed
 		known = newBackEnd(serving.BackEnd{ID: replica.ID, Address: replica.Address}, 0)
@@ -87,7 +87,7 @@
 	if err == nil {
 		known.pool.Give(connection, r.clock.now())
 	}
-	return crashguard.SightOf(err)
+	return crashguard.ProbeResultOf(err)
 }
 
 // isReplaced reports whether the list shows another start at a back end's address, or under its identity.
@@ -114,7 +114,7 @@
 	}
 	for _, backEnd := range gone {
 		if taken[backEnd.Address] || started[backEnd.Expected()] {
-			r.guard.Ended(backEnd.ID)
+			r.guard.RecordCrash(backEnd.ID)
 		}
 	}
 }
@@ -134,19 +134,19 @@
 // guardObserver writes lines and counts of what the guard finds.
 type guardObserver struct{ relay *Relay }
 
-// ReplicaEnded implements crashguard.Observer.
-func (o guardObserver) ReplicaEnded(replica string, requests int) {
+// ReplicaCrashed implements crashguard.Observer.
+func (o guardObserver) ReplicaCrashed(replica string, requests int) {
 	o.relay.metrics.replicaEnds.Inc()
 	o.relay.event(events.BackEndEnded).Str("back_end", replica).Int("requests", requests).Send()
 }
 
-// RequestHeld implements crashguard.Observer.
-func (o guardObserver) RequestHeld(signature quarantine.Signature) {
+// RequestQuarantined implements crashguard.Observer.
+func (o guardObserver) RequestQuarantined(signature quarantine.Signature) {
 	o.relay.event(events.RequestHeld).Stringer("content", signature).Send()
 }
 
-// ReportFailed implements crashguard.Observer.
-func (o guardObserver) ReportFailed(err error) {
+// LeaderCallFailed implements crashguard.Observer.
+func (o guardObserver) LeaderCallFailed(err error) {
 	o.relay.metrics.guardCallsFailed.Inc()
 	o.relay.event(events.GuardCallFailed).Err(err).Send()
 }
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -59,7 +59,7 @@
 // holding has the relay told that a request is held.
 func (r *testRelay) holding(trialDue bool, method, target, body string) quarantine.Signature {
 	signature := quarantine.SignatureOf("", method, target, []byte(body))
-	r.guard.Take(1, []*v1.HeldRequest{{Signature: signature[:], TrialDue: trialDue}})
+	r.guard.ApplyQuarantine(1, []*v1.HeldRequest{{Signature: signature[:], TrialDue: trialDue}})
 	return signature
 }
 
@@ -73,7 +73,7 @@
 				backEnds = append(backEnds, startEndingBackEnd(t, fmt.Sprint(number), serving.StageWhole, answering(200, "ok")))
 			}
 			relay := newTestRelay(t, route(func(made *serving.Route) { kind(made); made.MaxAttempts = 1 }), backEnds...)
-			for ended := range quarantine.HoldAfter {
+			for ended := range quarantine.QuarantineThreshold {
 				require.Equal(t, 502, relay.client(t).do("POST", "/path/", endingBody).status, "it has run")
 				seen := fmt.Sprintf("hazelpitch_relay_back_ends_ended_total{%s} %d\n", metricLabels, ended+1)
 				require.Eventually(t, func() bool { return strings.Contains(relay.scrape(t), seen) }, time.Minute, time.Millisecond)
@@ -92,7 +92,7 @@
 					}
 				}
 			}
-			require.Equal(t, quarantine.HoldAfter, arrived)
+			require.Equal(t, quarantine.QuarantineThreshold, arrived)
 		})
 	}
 }
@@ -105,7 +105,7 @@
 	}
 	relay := newTestRelay(t, route(func(made *serving.Route) { safe(made); made.MaxAttempts = 6 }), backEnds...)
 	require.Equal(t, 502, relay.client(t).do("POST", "/path/", "sound").status)
-	require.False(t, relay.guard.Held(quarantine.SignatureOf("", "POST", "/path/", []byte("sound"))))
+	require.False(t, relay.guard.IsQuarantined(quarantine.SignatureOf("", "POST", "/path/", []byte("sound"))))
 	for _, backEnd := range backEnds {
 		require.Len(t, backEnd.seen(), 1)
 	}
@@ -140,7 +140,7 @@
 			require.Len(t, append(engines[0].seen(), engines[1].seen()...), 1)
 			if name == "breaks" {
 				require.Equal(t, 502, got.status)
-				require.True(t, relay.guard.Held(signature))
+				require.True(t, relay.guard.IsQuarantined(signature))
 				return
 			}
 			require.Equal(t, eventOne, got.body)
@@ -169,7 +169,7 @@
 	tenants := []serving.Tenant{{Name: "a", Keys: []string{"ka"}}, {Name: "b", Keys: []string{"kb"}}}
 	relay := newKeyedRelay(t, route(safe), tenants, backEnd)
 	signature := quarantine.SignatureOf("a", "POST", "/path/", []byte("x"))
-	relay.guard.Take(1, []*v1.HeldRequest{{Signature: signature[:]}})
+	relay.guard.ApplyQuarantine(1, []*v1.HeldRequest{{Signature: signature[:]}})
 	require.Equal(t, 503, relay.client(t).do("POST", "/path/", "x", "T-Key: key ka").status)
 	require.Equal(t, 200, relay.client(t).do("POST", "/path/", "x", "T-Key: key kb").status)
 }
@@ -184,7 +184,7 @@
 	relay := newTestRelay(t, route(func(made *serving.Route) { safe(made); made.MaxAttempts = 3 }), backEnds...)
 	signature := quarantine.SignatureOf("", "POST", "/path/", []byte("x"))
 	require.Equal(t, 502, relay.client(t).do("POST", "/path/", "x").status)
-	require.False(t, relay.guard.Held(signature))
+	require.False(t, relay.guard.IsQuarantined(signature))
 	var entries []serving.BackEnd
 	for _, backEnd := range backEnds {
 		entry := backEnd.entry
@@ -193,7 +193,7 @@
 	}
 	next := *relay.view.Load()
 	relay.knowledge.takeBackEnds(entries, &next)
-	require.True(t, relay.guard.Held(signature))
+	require.True(t, relay.guard.IsQuarantined(signature))
 }
 
 // A back end that the list has dropped by the time its end is noticed is looked at all the same.
@@ -202,9 +202,9 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	replica := crashguard.Replica{ID: "gone", Address: listener.Addr().String()}
-	require.Equal(t, crashguard.Serves, relay.probe(t.Context(), replica))
+	require.Equal(t, crashguard.ProbeServing, relay.probe(t.Context(), replica))
 	require.NoError(t, listener.Close())
-	require.Equal(t, crashguard.Gone, relay.probe(t.Context(), replica))
+	require.Equal(t, crashguard.ProbeGone, relay.probe(t.Context(), replica))
 }
 
 // The list may show the next start, at the same address and under the same identity or another, before the connections
@@ -218,19 +218,19 @@
 	t.Cleanup(func() { _ = elsewhere.Close() })
 	for name, test := range map[string]struct {
 		replica crashguard.Replica
-		sight   crashguard.Sight
+		sight   crashguard.ProbeResult
 	}{
-		"its own former start":        {crashguard.Replica{ID: "one/1", Name: "one", Address: elsewhere.Addr().String()}, crashguard.Gone},
-		"another's at its address":    {crashguard.Replica{ID: "two/1", Name: "two", Address: serves.entry.Address}, crashguard.Gone},
-		"the listed start":            {crashguard.Replica{ID: "one/2", Name: "one", Address: serves.entry.Address}, crashguard.Serves},
-		"one that is listed no more":  {crashguard.Replica{ID: "two/1", Name: "two", Address: elsewhere.Addr().String()}, crashguard.Serves},
-		"one whose name is not known": {crashguard.Replica{ID: "two/1", Address: elsewhere.Addr().String()}, crashguard.Serves},
+		"its own former start":        {crashguard.Replica{ID: "one/1", Name: "one", Address: elsewhere.Addr().String()}, crashguard.ProbeGone},
+		"another's at its address":    {crashguard.Replica{ID: "two/1", Name: "two", Address: serves.entry.Address}, crashguard.ProbeGone},
+		"the listed start":            {crashguard.Replica{ID: "one/2", Name: "one", Address: serves.entry.Address}, crashguard.ProbeServing},
+		"one that is listed no more":  {crashguard.Replica{ID: "two/1", Name: "two", Address: elsewhere.Addr().String()}, crashguard.ProbeServing},
+		"one whose name is not known": {crashguard.Replica{ID: "two/1", Address: elsewhere.Addr().String()}, crashguard.ProbeServing},
 	} {
 		require.Equal(t, test.sight, relay.probe(t.Context(), test.replica), name)
 	}
 	signature := quarantine.SignatureOf("", "POST", "/path/", []byte("x"))
-	for born := range quarantine.HoldAfter {
-		relay.guard.Broke(signature, crashguard.Replica{ID: fmt.Sprint("one/0", born), Name: "one", Address: serves.entry.Address}, 0)
+	for born := range quarantine.QuarantineThreshold {
+		relay.guard.RecordBrokenRun(signature, crashguard.Replica{ID: fmt.Sprint("one/0", born), Name: "one", Address: serves.entry.Address}, 0)
 	}
-	require.Eventually(t, func() bool { return relay.guard.Held(signature) }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return relay.guard.IsQuarantined(signature) }, time.Minute, time.Millisecond)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -132,7 +132,7 @@
 	}
 	relay.meetOthers(socket)
 	go relay.takeSettings(ctx, options.Reloaded)
-	if options.ReadCache != nil && options.Without.On(mechanism.CacheReading) {
+	if options.ReadCache != nil && options.Without.IsEnabled(mechanism.CacheQuery) {
 		client := &http.Client{Transport: &http.Transport{DialContext: options.Dial, DisableKeepAlives: true}, Timeout: cacheReadTimeout}
 		reader := &cacheReader{relay: relay, read: options.ReadCache, client: client, readAt: map[*promptCache]time.Duration{}}
 		go reader.run(ctx)
@@ -169,7 +169,7 @@
 		names: options.Dialect.Headers, writer: newRequestWriter(options.Dialect.Headers), clock: steady, dial: options.Dial,
 		without: options.Without,
 	}
-	relay.pace.fixed = !options.Without.On(mechanism.LearntPace)
+	relay.pace.fixed = !options.Without.IsEnabled(mechanism.MeasuredPace)
 	relay.view.Store(&view{byService: map[string][]*backEnd{}})
 	relay.knowledge = newKnowledge(relay, options)
 	relay.watcher = leaderwatch.New(leaderwatch.Config{
--- a/internal/relay/relay_metrics.go
+++ b/internal/relay/relay_metrics.go
@@ -127,10 +127,10 @@
 		return relay.budget.Least(relay.clock.now())
 	})
 	factory.GaugeFunc("requests_held", "Requests that are kept away from back ends, since some have ended under them.", func() float64 {
-		return float64(relay.guard.HeldCount())
+		return float64(relay.guard.QuarantinedCount())
 	})
 	factory.GaugeFunc("usage_unreported", "Requests that began to run and that no leader has been told of yet.", func() float64 {
-		return float64(relay.usage.Unreported())
+		return float64(relay.usage.UnreportedCount())
 	})
 	for _, state := range backEndStates {
 		factory.GaugeFunc("back_ends_"+string(state), "Back ends of the list in this state.", func() float64 {
--- a/internal/relay/stall.go
+++ b/internal/relay/stall.go
@@ -49,7 +49,7 @@
 
 // watchStall begins to look. mayBreak says whether the answer may be broken off.
 func (e *exchanger) watchStall(connection *connpool.Connection, backEnd *backEnd, limit time.Duration, mayBreak bool) *stallWatch {
-	mayBreak = mayBreak && e.without.On(mechanism.StallWatch)
+	mayBreak = mayBreak && e.without.IsEnabled(mechanism.StallWatch)
 	watch := &stallWatch{exchanger: e, connection: connection, backEnd: backEnd, mayBreak: mayBreak, limit: limit}
 	watch.mutex.Lock()
 	defer watch.mutex.Unlock()
--- a/internal/relay/started_again.go
+++ b/internal/relay/started_again.go
@@ -15,5 +15,5 @@
 	r.event(events.BackEndStartedAgain).Str("back_end", backEnd.ID).Int64("born", born).Send()
 	backEnd.cache.clear(placement.CacheCapacity(backEnd.Stage, cacheTokens(r.view.Load(), backEnd.Service)))
 	backEnd.pool.Drop()
-	r.guard.Ended(backEnd.ID)
+	r.guard.RecordCrash(backEnd.ID)
 }
--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -23,20 +23,20 @@
 		return
 	}
 	request.counted = true
-	r.usage.Began(moment, request.tenant.Name)
+	r.usage.CountRequest(moment, request.tenant.Name)
 }
 
 // usageReporter tells the leader what tenants use.
 func (r *Relay) usageReporter() *usagereport.Reporter {
 	return &usagereport.Reporter{
-		Meter: r.usage, Send: r.reportUsage, Failed: r.metrics.usageSentAgain.Inc,
-		Relays: func() int { return int(r.relayCount.Load()) },
+		Meter: r.usage, Send: r.reportUsage, OnFailure: r.metrics.usageSentAgain.Inc,
+		RelayCount: func() int { return int(r.relayCount.Load()) },
 	}
 }
 
 // awaitUsageReported lets a stopping relay tell what it has counted.
 func (r *Relay) awaitUsageReported() {
-	for limit := r.clock.now() + lastUsageWait; r.usage.Unreported() > 0 && r.clock.now() < limit; {
+	for limit := r.clock.now() + lastUsageWait; r.usage.UnreportedCount() > 0 && r.clock.now() < limit; {
 		time.Sleep(lastUsagePoll)
 	}
 }
--- a/internal/relay/usage_test.go
+++ b/internal/relay/usage_test.go
@@ -12,10 +12,10 @@
 // counted returns how many requests of tenants have begun to run since the last call.
 func (r *testRelay) counted() map[string]uint64 {
 	counts := map[string]uint64{}
-	for _, count := range r.usage.Next().GetCounts() {
+	for _, count := range r.usage.NextReport().GetCounts() {
 		counts[count.GetTenant()] += count.GetCount()
 	}
-	r.usage.Taken()
+	r.usage.AcknowledgeReport()
 	return counts
 }
 
@@ -40,7 +40,7 @@
 				backEnds = append(backEnds, startBackEnd(t, string(rune('a'+index)), serving.StageWhole, answer))
 			}
 			relay := newKeyedRelay(t, route(row.route), twoTenants(), backEnds...)
-			relay.usage.Hear(relay.clock.now(), 1_790_000_000_000, 5*time.Second)
+			relay.usage.UpdateTime(relay.clock.now(), 1_790_000_000_000, 5*time.Second)
 			relay.client(t).do("GET", "/path/", "", "T-Key: key k2")
 			require.Equal(t, row.want, relay.counted()["two"])
 			require.Zero(t, relay.counted()["one"])
@@ -53,14 +53,14 @@
 	first := startBackEnd(t, "a", serving.StageWhole, streaming("seal", eventOne, "cut"))
 	second := startBackEnd(t, "b", serving.StageWhole, streaming("seal", eventOne, "cut"))
 	relay := newKeyedRelay(t, route(stream(true)), twoTenants(), first, second)
-	relay.usage.Hear(relay.clock.now(), 1_790_000_000_000, 5*time.Second)
+	relay.usage.UpdateTime(relay.clock.now(), 1_790_000_000_000, 5*time.Second)
 	relay.client(t).do("GET", "/path/", "", "T-Key: key k1")
 	require.NotEmpty(t, first.seen())
 	require.NotEmpty(t, second.seen())
 	require.Equal(t, map[string]uint64{"one": 1}, relay.counted())
 
 	silent := newKeyedRelay(t, route(stream(true)), twoTenants(), startBackEnd(t, "c", serving.StageWhole, streaming("seal", "cut")))
-	silent.usage.Hear(silent.clock.now(), 1_790_000_000_000, 5*time.Second)
+	silent.usage.UpdateTime(silent.clock.now(), 1_790_000_000_000, 5*time.Second)
 	silent.client(t).do("GET", "/path/", "", "T-Key: key k1")
 	require.Empty(t, silent.counted(), "no event came")
 }
--- a/internal/routing/candidate.go
+++ b/internal/routing/candidate.go
@@ -98,7 +98,7 @@
 
 // serving reports whether both the directory and the back end itself say so.
 func (c *Candidate) serving() bool {
-	return c.State == enginecontract.StateServing && c.heldState == "" && !c.signals.Leaving()
+	return c.State == enginecontract.StateServing && c.heldState == "" && !c.signals.IsLeaving()
 }
 
 // restart forgets what is true of one incarnation only.
--- a/internal/routing/filter_rest.go
+++ b/internal/routing/filter_rest.go
@@ -7,5 +7,5 @@
 func (restFilter) Reason() error { return ErrAllResting }
 
 func (restFilter) Keep(decision *Decision, candidate *Candidate) bool {
-	return candidate.signals.Rest(decision.Now) == 0
+	return candidate.signals.RemainingBackoff(decision.Now) == 0
 }
--- a/internal/routing/limits.go
+++ b/internal/routing/limits.go
@@ -12,23 +12,23 @@
 
 // observeLimit takes the limit in an answer of a back end to what was sent at a time.
 func (r *Router) observeLimit(now, sentAt time.Duration, candidate *Candidate, limit backpressure.Limit) {
-	if candidate.signals.HearLimit(now, sentAt, limit) {
+	if candidate.signals.RecordBackEndLimit(now, sentAt, limit) {
 		r.limits[limitHash(candidate.BackEnd)] = limit
 	}
 }
 
 // HeardLimits returns the limits that back ends have named to this gateway, or ceased to name, and that the leader has
 // not been told.
-func (r *Router) HeardLimits() []fleetlimit.Named {
-	heard := make([]fleetlimit.Named, 0, len(r.limits))
+func (r *Router) HeardLimits() []fleetlimit.BackEndLimit {
+	heard := make([]fleetlimit.BackEndLimit, 0, len(r.limits))
 	for backEnd, limit := range r.limits {
-		heard = append(heard, fleetlimit.Named{BackEnd: backEnd, Limit: limit})
+		heard = append(heard, fleetlimit.BackEndLimit{BackEnd: backEnd, Limit: limit})
 	}
 	return heard
 }
 
 // LimitsTold notes that the leader has been told what back ends had named.
-func (r *Router) LimitsTold(told []fleetlimit.Named) {
+func (r *Router) LimitsTold(told []fleetlimit.BackEndLimit) {
 	for _, named := range told {
 		if r.limits[named.BackEnd] == named.Limit {
 			delete(r.limits, named.BackEnd)
@@ -37,7 +37,7 @@
 }
 
 // TakeLimits takes limits as the leader knows them.
-func (r *Router) TakeLimits(now time.Duration, told []fleetlimit.Named) {
+func (r *Router) TakeLimits(now time.Duration, told []fleetlimit.BackEndLimit) {
 	if len(told) == 0 {
 		return
 	}
@@ -49,32 +49,32 @@
 		hash := limitHash(candidate.BackEnd)
 		limit, known := limits[hash]
 		if _, untold := r.limits[hash]; known && !untold {
-			candidate.signals.TellLimit(now, limit)
+			candidate.signals.RecordPeerLimit(now, limit)
 		}
 	}
 }
 
 // PermitAsk returns what to ask the leader before a request goes to a back end; it reports false where that needs no
 // permit. A wait for permits is not looked at: picks have done so.
-func (r *Router) PermitAsk(backEnd BackEnd) (ask fleetlimit.Ask, needed bool) {
+func (r *Router) PermitAsk(backEnd BackEnd) (ask fleetlimit.PermitRequest, needed bool) {
 	candidate, known := r.candidates[backEnd.Name]
 	if !known || candidate.Incarnation != backEnd.Incarnation {
-		return fleetlimit.Ask{}, false
+		return fleetlimit.PermitRequest{}, false
 	}
 	limit, own := candidate.signals.Limit()
-	return fleetlimit.Ask{BackEnd: limitHash(backEnd), Limit: limit, Heard: own}, limit.Named
+	return fleetlimit.PermitRequest{BackEnd: limitHash(backEnd), Limit: limit, LimitFromBackEnd: own}, limit.IsSet
 }
 
 // PermitAnswered takes the answer to a PermitAsk; answered is false where no leader gave one.
-func (r *Router) PermitAnswered(now time.Duration, backEnd BackEnd, answer fleetlimit.Answer, answered bool) {
+func (r *Router) PermitAnswered(now time.Duration, backEnd BackEnd, answer fleetlimit.PermitResponse, answered bool) {
 	candidate, known := r.candidates[backEnd.Name]
 	if !known || candidate.Incarnation != backEnd.Incarnation {
 		return
 	}
 	if answered {
-		candidate.signals.TellLimit(now, answer.Limit)
+		candidate.signals.RecordPeerLimit(now, answer.Limit)
 	}
 	if !answer.Granted {
-		candidate.signals.AwaitPermit(now + answer.Wait)
+		candidate.signals.DelayPermits(now + answer.Wait)
 	}
 }
--- a/internal/routing/limits_test.go
+++ b/internal/routing/limits_test.go
@@ -10,7 +10,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/fleetlimit"
 )
 
-var oneASecond = backpressure.Limit{Named: true, PerSecond: 1}
+var oneASecond = backpressure.Limit{IsSet: true, PerSecond: 1}
 
 // A back end whose limit leaves no room is not picked until it is asked for again, also where it is the only one left.
 func TestABackEndWithoutRoomIsNotPicked(t *testing.T) {
@@ -22,8 +22,8 @@
 	ask, needed := router.PermitAsk(limited)
 	require.True(t, needed)
 	require.Equal(t, oneASecond, ask.Limit)
-	require.True(t, ask.Heard)
-	router.PermitAnswered(0, limited, fleetlimit.Answer{Wait: 3 * second, Limit: oneASecond}, true)
+	require.True(t, ask.LimitFromBackEnd)
+	router.PermitAnswered(0, limited, fleetlimit.PermitResponse{Wait: 3 * second, Limit: oneASecond}, true)
 	for range 50 {
 		choice, err := router.Pick(2*second, request(), nil)
 		require.NoError(t, err)
@@ -46,12 +46,12 @@
 	router.Observe(0, Answered{BackEnd: "m1", Incarnation: 1, Limit: &oneASecond})
 	heard := router.HeardLimits()
 	require.Len(t, heard, 1)
-	router.TakeLimits(second, []fleetlimit.Named{{BackEnd: heard[0].BackEnd}})
+	router.TakeLimits(second, []fleetlimit.BackEndLimit{{BackEnd: heard[0].BackEnd}})
 	_, needed := router.PermitAsk(row)
 	require.True(t, needed)
 	router.LimitsTold(heard)
 	require.Empty(t, router.HeardLimits())
-	router.TakeLimits(second, []fleetlimit.Named{{BackEnd: heard[0].BackEnd}})
+	router.TakeLimits(second, []fleetlimit.BackEndLimit{{BackEnd: heard[0].BackEnd}})
 	_, needed = router.PermitAsk(row)
 	require.False(t, needed)
 }
--- a/internal/routing/observe.go
+++ b/internal/routing/observe.go
@@ -47,12 +47,12 @@
 	if seen.Incarnation > candidate.Incarnation {
 		r.restart(candidate, seen.Incarnation)
 	}
-	candidate.signals.AskRest(now, seen.Rest)
+	candidate.signals.ExtendBackoff(now, seen.Rest)
 	if seen.Limit != nil {
 		r.observeLimit(now, sentAt, candidate, *seen.Limit)
 	}
 	if seen.State == enginecontract.StateLeaving {
-		candidate.signals.SayLeaving(now)
+		candidate.signals.MarkLeaving(now)
 	}
 	if seen.Role != "" && seen.Role != candidate.Role {
 		r.changeRole(candidate, seen.Role)
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -17,7 +17,7 @@
 	prefixes   *prefixMemory
 	readings   map[readingKey]*readingMean
 	// signals are what back ends have asked of this gateway; they outlive candidates.
-	signals *backpressure.Ledger
+	signals *backpressure.Registry
 	// limits are those that back ends have named, or ceased to name, since the leader was told last.
 	limits map[uint64]backpressure.Limit
 	// kept and scored are scratch space of one decision.
@@ -49,7 +49,7 @@
 		pools:      make(map[poolKey]*pool),
 		prefixes:   prefixes,
 		readings:   make(map[readingKey]*readingMean),
-		signals:    backpressure.NewLedger(),
+		signals:    backpressure.NewRegistry(),
 		limits:     make(map[uint64]backpressure.Limit),
 	}, nil
 }
@@ -105,7 +105,7 @@
 
 // signalsOf returns what an incarnation of a back end has asked of this gateway.
 func (r *Router) signalsOf(backEnd BackEnd) *backpressure.Signals {
-	return r.signals.Of(identityOf(backEnd))
+	return r.signals.SignalsOf(identityOf(backEnd))
 }
 
 // identityOf names one incarnation of a back end.
@@ -118,7 +118,7 @@
 func (r *Router) shortestWait(now time.Duration, service string) time.Duration {
 	shortest := time.Duration(0)
 	for _, candidate := range r.candidates {
-		wait := max(candidate.signals.Rest(now), candidate.signals.PermitWait(now))
+		wait := max(candidate.signals.RemainingBackoff(now), candidate.signals.PermitWait(now))
 		if candidate.Service == service && wait > 0 && (shortest == 0 || wait < shortest) {
 			shortest = wait
 		}
@@ -132,7 +132,7 @@
 	if !known || candidate.Incarnation != backEnd.Incarnation {
 		return 0
 	}
-	return candidate.signals.Rest(now)
+	return candidate.signals.RemainingBackoff(now)
 }
 
 func (r *Router) sortPools() {
@@ -174,7 +174,7 @@
 	for _, candidate := range r.candidates {
 		listed[identityOf(candidate.BackEnd)] = true
 	}
-	r.signals.Keep(now, func(identity string) bool { return listed[identity] })
+	r.signals.RemoveUnlisted(now, func(identity string) bool { return listed[identity] })
 }
 
 func (r *Router) zoneLatency(zone string) time.Duration {
--- a/internal/safeguard/safeguard.go
+++ b/internal/safeguard/safeguard.go
@@ -21,7 +21,7 @@
 	return Set{off: off}
 }
 
-// On reports whether the safeguard is in force.
-func (s Set) On(safeguard Safeguard) bool {
+// IsEnabled reports whether the safeguard is in force.
+func (s Set) IsEnabled(safeguard Safeguard) bool {
 	return !s.off[safeguard]
 }
--- a/internal/serving/prompt.go
+++ b/internal/serving/prompt.go
@@ -37,7 +37,7 @@
 	// Born is when the start that answered began, in Unix milliseconds; 0 where it does not tell.
 	Born int64
 	// Asked is what the engine asked for in its answer, also in one that brought no parts.
-	Asked backpressure.Asked
+	Asked backpressure.Directives
 }
 
 // ParsePrompt reads the declarations: "PROMPT,OUTPUT" and "ID:TOKENS,ID:TOKENS". What
--- a/internal/shares/divider.go
+++ b/internal/shares/divider.go
@@ -47,9 +47,9 @@
 	return &Divider{lifetime: lifetime, safeguards: safeguards, tenants: map[string]*tenant{}}
 }
 
-// Lead starts the time of a new leader that knows nothing of shares granted before;
+// StartLeading starts the time of a new leader that knows nothing of shares granted before;
 // first tells that no leader has ever granted any.
-func (d *Divider) Lead(now time.Duration, first bool) {
+func (d *Divider) StartLeading(now time.Duration, first bool) {
 	d.tenants = map[string]*tenant{}
 	d.leases = 0
 	d.settledAt = now
@@ -97,7 +97,7 @@
 			uint32(withRoom(lease.wantedConcurrency, availableConcurrency))),
 		expiresAt: now + d.lifetime,
 	}
-	if now < d.settledAt && d.safeguards.On(SafeguardSettle) {
+	if now < d.settledAt && d.safeguards.IsEnabled(SafeguardSettle) {
 		// What the predecessor granted sums up to the limit at most: renew that, and no
 		// more. Nor less for want of demand in this moment: it could not grow back
 		// before the predecessor's shares have run out.
@@ -123,22 +123,22 @@
 	return wanted + min(room, wanted+1)
 }
 
-// Granted lists the shares that may be in use, by tenant and gateway.
-func (d *Divider) Granted(now time.Duration) []Granted {
-	var list []Granted
+// ActiveGrants lists the shares that may be in use, by tenant and gateway.
+func (d *Divider) ActiveGrants(now time.Duration) []ActiveGrant {
+	var list []ActiveGrant
 	for _, name := range sortedKeys(d.tenants) {
 		for _, gateway := range sortedKeys(d.tenants[name].leases) {
 			tokens, concurrency := d.tenants[name].leases[gateway].held(now)
 			if tokens > 0 || concurrency > 0 {
-				list = append(list, Granted{Tenant: name, Gateway: gateway, TokensPerSecond: tokens, Concurrency: concurrency})
+				list = append(list, ActiveGrant{Tenant: name, Gateway: gateway, TokensPerSecond: tokens, Concurrency: concurrency})
 			}
 		}
 	}
 	return list
 }
 
-// Granted is a share that may be in use at a gateway.
-type Granted struct {
+// ActiveGrant is a share that may be in use at a gateway.
+type ActiveGrant struct {
 	Tenant          string
 	Gateway         string
 	TokensPerSecond uint64
--- a/internal/shares/divider_test.go
+++ b/internal/shares/divider_test.go
@@ -87,7 +87,7 @@
 func drawHistory(r *rapid.T, off ...safeguard.Safeguard) error {
 	limits := Limits{TokensPerSecond: rapid.Uint64Range(1, 1000).Draw(r, "tokens"), Concurrency: rapid.Uint32Range(1, 10).Draw(r, "concurrency")}
 	divider := New(0, safeguard.Without(off...))
-	divider.Lead(0, true)
+	divider.StartLeading(0, true)
 	gateways := make([]*testGateway, rapid.IntRange(1, 16).Draw(r, "gateways"))
 	for i := range gateways {
 		gateways[i] = &testGateway{name: fmt.Sprint("gateway-", i)}
@@ -97,7 +97,7 @@
 		now += time.Duration(rapid.IntRange(0, 3000/len(gateways)).Draw(r, "pause")) * time.Millisecond
 		if rapid.IntRange(0, 14).Draw(r, "leader change") == 0 {
 			divider = New(0, safeguard.Without(off...))
-			divider.Lead(now, false)
+			divider.StartLeading(now, false)
 		}
 		gateway := gateways[rapid.IntRange(0, len(gateways)-1).Draw(r, "gateway")]
 		gateway.report(now, divider, rapid.Uint64Range(0, 1200).Draw(r, "want"), limits, rapid.IntRange(0, 4).Draw(r, "lost") == 0)
@@ -131,13 +131,13 @@
 func TestNewLeaderRenewsWhatGatewaysHold(t *testing.T) {
 	limits := Limits{TokensPerSecond: 100, Concurrency: 10}
 	divider := New(0, safeguard.Set{})
-	divider.Lead(0, true)
+	divider.StartLeading(0, true)
 	gateway := &testGateway{name: "gateway"}
 	gateway.report(0, divider, 500, limits, false)
 	require.Equal(t, uint64(100), gateway.share.TokensPerSecond)
 	granted := gateway.share
 	next := New(0, safeguard.Set{})
-	next.Lead(time.Second, false)
+	next.StartLeading(time.Second, false)
 	gateway.report(time.Second, next, 500, limits, false)
 	require.Equal(t, uint64(100), gateway.share.TokensPerSecond, "renewed without a gap")
 	gateway.report(1500*time.Millisecond, next, 0, limits, false)
@@ -155,7 +155,7 @@
 func TestNewcomersGetAShareAtOnce(t *testing.T) {
 	limits := Limits{TokensPerSecond: 20 * 601, Concurrency: 20 * 7}
 	divider := New(0, safeguard.Set{})
-	divider.Lead(0, true)
+	divider.StartLeading(0, true)
 	for i := range 20 {
 		newcomer := &testGateway{name: fmt.Sprint("gateway-", i)}
 		newcomer.report(time.Duration(i)*10*time.Millisecond, divider, 300, limits, false)
@@ -167,7 +167,7 @@
 func TestSharesFollowDemandWithinOneLifetime(t *testing.T) {
 	limits := Limits{TokensPerSecond: 1000}
 	divider := New(0, safeguard.Set{})
-	divider.Lead(0, true)
+	divider.StartLeading(0, true)
 	busy, quiet := &testGateway{name: "busy"}, &testGateway{name: "quiet"}
 	now := time.Duration(0)
 	for ; now < 10*time.Second; now += time.Second {
@@ -180,9 +180,9 @@
 		quiet.report(now, divider, 5000, limits, false)
 	}
 	require.Equal(t, uint64(990), quiet.share.TokensPerSecond, "three reports later, when each answer arrives")
-	require.Len(t, divider.Granted(now), 2)
+	require.Len(t, divider.ActiveGrants(now), 2)
 	divider.DropExpired(now + 2*DefaultLifetime)
-	require.Empty(t, divider.Granted(now+2*DefaultLifetime))
+	require.Empty(t, divider.ActiveGrants(now+2*DefaultLifetime))
 	require.Nil(t, divider.Divide(now, "busy", &v1.ShareDemand{Tenant: "free"}, Limits{}), "no limit, no share")
 }
 
@@ -191,7 +191,7 @@
 	for _, gateways := range []int{1, 10, 100, 390} {
 		b.Run(fmt.Sprintf("gateways=%d", gateways), func(b *testing.B) {
 			divider := New(0, safeguard.Set{})
-			divider.Lead(0, true)
+			divider.StartLeading(0, true)
 			demand := &v1.ShareDemand{Tenant: "tenant", WantedTokensPerSecond: 100, WantedConcurrency: 1}
 			names := make([]string, gateways)
 			for i := range names {
--- a/internal/shares/tenant_test.go
+++ b/internal/shares/tenant_test.go
@@ -17,7 +17,7 @@
 	const gateways = 390
 	limits := Limits{TokensPerSecond: 1_000_000, Concurrency: 10_000}
 	divider := New(0, safeguard.Set{})
-	divider.Lead(0, true)
+	divider.StartLeading(0, true)
 	now := time.Duration(0)
 	second := func() int {
 		before := 0
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -73,7 +73,7 @@
 	c.boot()
 	c.syncing, c.stalled, c.stallsBeforeOrder, c.unsaved = false, false, false, nil
 	c.calls = map[control.CallID]func(proto.Message, error){}
-	c.disk.IgnoreSync = !c.world.safeguards.On(SafeguardDiskSync)
+	c.disk.IgnoreSync = !c.world.safeguards.IsEnabled(SafeguardDiskSync)
 	opened, restored, err := storage.Open(storage.Options{
 		Directory: dataDirectory, Fleet: fleetName, Name: c.name, FileSystem: c.disk,
 		NewDiskID: c.newDiskID, SegmentBytes: segmentBytes,
@@ -108,7 +108,7 @@
 
 // newDiskID names a new disk.
 func (c *controller) newDiskID() string {
-	if !c.world.safeguards.On(SafeguardDiskIdentity) {
+	if !c.world.safeguards.IsEnabled(SafeguardDiskIdentity) {
 		return c.name + ".1"
 	}
 	return fmt.Sprintf("%s.%d", c.name, c.disks)
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -67,7 +67,7 @@
 
 // filters are the router's own; nil stands for the standard ones.
 func (g *gateway) filters() []routing.Filter {
-	if g.world.safeguards.On(SafeguardConfirmation) {
+	if g.world.safeguards.IsEnabled(SafeguardConfirmation) {
 		return nil
 	}
 	return slices.DeleteFunc(routing.StandardFilters(), func(filter routing.Filter) bool {
--- a/internal/stageplan/plan.go
+++ b/internal/stageplan/plan.go
@@ -100,11 +100,11 @@
 
 // Next returns the changes to order now, none most of the time. Call it at steady intervals.
 func (p *Plan) Next(now time.Duration, engines []Engine, work Work) []Change {
-	if len(engines) < 2*leastEngines || !p.config.Without.On(mechanism.StagePlan) {
+	if len(engines) < 2*leastEngines || !p.config.Without.IsEnabled(mechanism.StagePlan) {
 		return nil
 	}
 	p.observe(work)
-	if work.Known && p.config.Without.On(mechanism.FreshStages) {
+	if work.Known && p.config.Without.IsEnabled(mechanism.FreshStages) {
 		if changes := p.placeFresh(engines); len(changes) > 0 {
 			return changes // they cost nothing, so that no time has to pass after them
 		}
@@ -127,7 +127,7 @@
 // turnsBack reports whether changes would take back others that are not old enough for that: a
 // mix that swings within seconds is better borne than chased.
 func (p *Plan) turnsBack(now time.Duration, changes []Change) bool {
-	return len(changes) > 0 && p.changed && p.config.Without.On(mechanism.TurnBack) && changes[0].Stage != p.towards && now-p.changedAt < turnBackHolds*p.config.Hold
+	return len(changes) > 0 && p.changed && p.config.Without.IsEnabled(mechanism.TurnBackDelay) && changes[0].Stage != p.towards && now-p.changedAt < turnBackHolds*p.config.Hold
 }
 
 // observe smooths the work, which swings within seconds.
@@ -174,7 +174,7 @@
 		return nil
 	}
 	most := max(int(mostAtOnce*float64(len(engines))), 1)
-	if !p.config.Without.On(mechanism.SeveralAtOnce) {
+	if !p.config.Without.IsEnabled(mechanism.SeveralAtOnce) {
 		most = 1
 	}
 	return changeTo(engines, best, most)
@@ -199,7 +199,7 @@
 
 // least is the number of engines that each stage keeps.
 func (p *Plan) least(total int) int {
-	if !p.config.Without.On(mechanism.LeastShare) {
+	if !p.config.Without.IsEnabled(mechanism.MinimumShare) {
 		return leastEngines
 	}
 	return max(leastEngines, int(math.Round(leastShare*float64(total))))
--- a/internal/standin/engine/orders/machine.go
+++ b/internal/standin/engine/orders/machine.go
@@ -41,7 +41,7 @@
 // its last run, or role and model alone on its first start.
 func New(config Config, kept Durable) *Machine {
 	kept = kept.afterRestart()
-	if !config.Safeguards.On(DurableFence) {
+	if !config.Safeguards.IsEnabled(DurableFence) {
 		kept.HighestFence = enginecontract.Fence{}
 	}
 	return &Machine{config: config, durable: kept}
@@ -75,7 +75,7 @@
 		return "" // a resend of the order held
 	case order.Fence == m.durable.Refused && m.durable.Refused != none:
 		return m.durable.Refusal
-	case m.config.Safeguards.On(FenceCheck) && !m.durable.HighestFence.Less(order.Fence):
+	case m.config.Safeguards.IsEnabled(FenceCheck) && !m.durable.HighestFence.Less(order.Fence):
 		return enginecontract.RefusalStaleFence
 	}
 	if m.durable.HighestFence.Less(order.Fence) {
@@ -92,11 +92,11 @@
 	phase := m.durable.Phase
 	underWay := phase == enginecontract.PhaseDraining || phase == enginecontract.PhaseChanging
 	abortable := order.Action == enginecontract.ActionAbort && phase == enginecontract.PhaseDraining
-	if underWay && !abortable && m.config.Safeguards.On(OneOrder) {
+	if underWay && !abortable && m.config.Safeguards.IsEnabled(OneOrder) {
 		return enginecontract.RefusalBusy
 	}
 	other := order.ExpectedRole != "" && order.ExpectedRole != m.durable.Role
-	if (other && m.config.Safeguards.On(ExpectedStateCheck)) || m.leaving {
+	if (other && m.config.Safeguards.IsEnabled(ExpectedStateCheck)) || m.leaving {
 		return enginecontract.RefusalExpectedState
 	}
 	return ""
@@ -159,7 +159,7 @@
 func (m *Machine) Advance(now time.Duration, inFlight int) {
 	if m.durable.Phase == enginecontract.PhaseDraining {
 		switch {
-		case inFlight == 0 || !m.config.Safeguards.On(DrainFirst):
+		case inFlight == 0 || !m.config.Safeguards.IsEnabled(DrainFirst):
 			m.beginChange(now)
 		case now >= m.drainEnd:
 			m.durable.Phase = enginecontract.PhaseAborted
--- a/internal/stream/sequence.go
+++ b/internal/stream/sequence.go
@@ -60,12 +60,12 @@
 // Accept decides on one event and notes it when it is delivered.
 func (s *Sequence) Accept(event *Event) Step {
 	if event.Type == EventDone {
-		if s.finished && s.counted || !s.safeguards.On(WholeEnd) {
+		if s.finished && s.counted || !s.safeguards.IsEnabled(WholeEnd) {
 			return StepWhole
 		}
 		return StepResume
 	}
-	if event.Exchange != s.exchange && s.safeguards.On(EventEcho) {
+	if event.Exchange != s.exchange && s.safeguards.IsEnabled(EventEcho) {
 		return StepForeign
 	}
 	switch event.Type {
@@ -85,7 +85,7 @@
 
 func (s *Sequence) acceptToken(event *Event) Step {
 	switch {
-	case !s.safeguards.On(OffsetCheck):
+	case !s.safeguards.IsEnabled(OffsetCheck):
 	case event.Offset <= s.delivered:
 		return StepDrop
 	case s.finished:
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -106,7 +106,7 @@
 // sentVerdict is the verdict when there is no answer: only a request of which nothing was
 // sent has certainly not run.
 func (c *Client) sentVerdict(sent bool) verdict.Verdict {
-	if sent && c.safeguards.On(SentMayHaveRun) {
+	if sent && c.safeguards.IsEnabled(SentMayHaveRun) {
 		return verdict.MayHaveRun
 	}
 	return verdict.NotRun
@@ -126,16 +126,16 @@
 
 // readReport reads what a back end says of itself.
 func readReport(header *fasthttp.ResponseHeader) Report {
-	asked := backpressure.AskedIn(header.StatusCode(), backpressure.Words{
+	asked := backpressure.ParseDirectives(header.StatusCode(), backpressure.Headers{
 		RetryAfter: header.Peek(fasthttp.HeaderRetryAfter), Limit: header.PeekAll(enginecontract.HeaderRequestLimit),
 	})
 	report := Report{
 		State: enginecontract.ServiceState(header.Peek(enginecontract.HeaderEngineState)),
 		Role:  enginecontract.Role(header.Peek(enginecontract.HeaderEngineRole)),
 		Load:  string(header.Peek(enginecontract.HeaderEngineLoad)),
-		Rest:  asked.Rest,
+		Rest:  asked.Backoff,
 	}
-	if asked.SpeaksOfLimit() {
+	if asked.StatesLimit() {
 		report.Limit = &asked.Limit
 	}
 	return report
@@ -144,7 +144,7 @@
 // check decides whether the answer belongs to the exchange and may be used.
 func (c *Client) check(a *Answer, exchange string) *Failure {
 	header := &a.response.Header
-	if string(header.Peek(enginecontract.HeaderExchange)) != exchange && c.safeguards.On(EchoCheck) {
+	if string(header.Peek(enginecontract.HeaderExchange)) != exchange && c.safeguards.IsEnabled(EchoCheck) {
 		return &Failure{Verdict: verdict.MayHaveRun, Cause: trace.Wrap(ErrForeignAnswer)}
 	}
 	runState := string(header.Peek(enginecontract.HeaderRunState))
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -21,8 +21,8 @@
 // Counts are requests by tenant.
 type Counts map[string]uint64
 
-// Closed is a window whose counts never change.
-type Closed struct {
+// ClosedWindow is a window whose counts never change.
+type ClosedWindow struct {
 	Window Window
 	Counts Counts
 }
@@ -32,7 +32,7 @@
 	// next is the first open window; 0 before the first.
 	next   Window
 	open   map[Window]Counts
-	closed []Closed
+	closed []ClosedWindow
 	relays map[uint64]relayMark
 }
 
@@ -49,22 +49,22 @@
 	return &Ledger{open: map[Window]Counts{}, relays: map[uint64]relayMark{}}
 }
 
-// Next returns the first open window; 0 before the first.
-func (l *Ledger) Next() Window { return l.next }
+// NextOpenWindow returns the first open window; 0 before the first.
+func (l *Ledger) NextOpenWindow() Window { return l.next }
 
-// Unsettled returns the closed windows that have not been settled, oldest first. They must not be
+// UnsettledWindows returns the closed windows that have not been settled, oldest first. They must not be
 // changed.
-func (l *Ledger) Unsettled() []Closed { return l.closed }
+func (l *Ledger) UnsettledWindows() []ClosedWindow { return l.closed }
 
-// Taken reports whether a relay's report was taken already.
-func (l *Ledger) Taken(report *v1.UsageReport) bool {
+// HasReport reports whether a relay's report was taken already.
+func (l *Ledger) HasReport(report *v1.UsageReport) bool {
 	return report.GetSequence() <= l.relays[report.GetRelay()].sequence
 }
 
-// Record adds a report to the open windows, once however often it comes. What it counts in windows
+// RecordReport adds a report to the open windows, once however often it comes. What it counts in windows
 // that are closed comes too late.
-func (l *Ledger) Record(report *v1.UsageReport) {
-	if l.Taken(report) {
+func (l *Ledger) RecordReport(report *v1.UsageReport) {
+	if l.HasReport(report) {
 		return
 	}
 	l.relays[report.GetRelay()] = relayMark{sequence: report.GetSequence(), heardIn: l.next}
@@ -98,7 +98,7 @@
 		if counts == nil {
 			counts = Counts{}
 		}
-		l.closed = append(l.closed, Closed{Window: window, Counts: counts})
+		l.closed = append(l.closed, ClosedWindow{Window: window, Counts: counts})
 	}
 	l.closed = l.closed[max(len(l.closed)-windowsKept, 0):]
 	l.next = through + 1
@@ -113,5 +113,5 @@
 
 // Settle ends the work on a closed window.
 func (l *Ledger) Settle(window Window) {
-	l.closed = slices.DeleteFunc(l.closed, func(closed Closed) bool { return closed.Window == window })
+	l.closed = slices.DeleteFunc(l.closed, func(closed ClosedWindow) bool { return closed.Window == window })
 }
--- a/internal/usage/ledger_test.go
+++ b/internal/usage/ledger_test.go
@@ -23,50 +23,50 @@
 	ledger := NewLedger()
 	ledger.CloseThrough(9)
 	for range 3 {
-		ledger.Record(report(1, 1, count(10, "a", 2), count(10, "b", 1)))
+		ledger.RecordReport(report(1, 1, count(10, "a", 2), count(10, "b", 1)))
 	}
-	ledger.Record(report(2, 1, count(10, "a", 5)))
-	ledger.Record(report(1, 2, count(10, "a", 1)))
-	ledger.Record(report(1, 1, count(10, "a", 100)))
-	require.True(t, ledger.Taken(report(1, 2)))
-	require.False(t, ledger.Taken(report(1, 3)))
-	require.False(t, ledger.Taken(report(3, 1)))
+	ledger.RecordReport(report(2, 1, count(10, "a", 5)))
+	ledger.RecordReport(report(1, 2, count(10, "a", 1)))
+	ledger.RecordReport(report(1, 1, count(10, "a", 100)))
+	require.True(t, ledger.HasReport(report(1, 2)))
+	require.False(t, ledger.HasReport(report(1, 3)))
+	require.False(t, ledger.HasReport(report(3, 1)))
 	ledger.CloseThrough(10)
-	require.Equal(t, []Closed{{Window: 10, Counts: Counts{"a": 8, "b": 1}}}, ledger.Unsettled())
+	require.Equal(t, []ClosedWindow{{Window: 10, Counts: Counts{"a": 8, "b": 1}}}, ledger.UnsettledWindows())
 }
 
 func TestClosedWindowsNeverChange(t *testing.T) {
 	ledger := NewLedger()
 	ledger.CloseThrough(9)
-	ledger.Record(report(1, 1, count(10, "a", 2), count(11, "a", 7)))
+	ledger.RecordReport(report(1, 1, count(10, "a", 2), count(11, "a", 7)))
 	ledger.CloseThrough(10)
-	ledger.Record(report(1, 2, count(10, "a", 5), count(9, "a", 5), count(11, "a", 1)))
+	ledger.RecordReport(report(1, 2, count(10, "a", 5), count(9, "a", 5), count(11, "a", 1)))
 	ledger.CloseThrough(10)
 	ledger.CloseThrough(4)
-	require.Equal(t, Window(11), ledger.Next())
+	require.Equal(t, Window(11), ledger.NextOpenWindow())
 	ledger.CloseThrough(12)
-	require.Equal(t, []Closed{{10, Counts{"a": 2}}, {11, Counts{"a": 8}}, {12, Counts{}}}, ledger.Unsettled())
+	require.Equal(t, []ClosedWindow{{10, Counts{"a": 2}}, {11, Counts{"a": 8}}, {12, Counts{}}}, ledger.UnsettledWindows())
 	ledger.Settle(11)
 	ledger.Settle(11)
-	require.Equal(t, []Closed{{10, Counts{"a": 2}}, {12, Counts{}}}, ledger.Unsettled())
+	require.Equal(t, []ClosedWindow{{10, Counts{"a": 2}}, {12, Counts{}}}, ledger.UnsettledWindows())
 }
 
 // The first closing only tells where windows begin: nothing was counted before.
 func TestTheFirstClosingBegins(t *testing.T) {
 	ledger := NewLedger()
 	ledger.CloseThrough(1000)
-	require.Equal(t, Window(1001), ledger.Next())
-	require.Empty(t, ledger.Unsettled())
+	require.Equal(t, Window(1001), ledger.NextOpenWindow())
+	require.Empty(t, ledger.UnsettledWindows())
 }
 
 // Neither a long time without a leader nor a report out of reason makes the ledger grow.
 func TestTheLedgerIsBounded(t *testing.T) {
 	ledger := NewLedger()
 	ledger.CloseThrough(9)
-	ledger.Record(report(1, 1, count(10, "a", 2), count(1<<40, "a", 1), count(-1, "a", 1), count(10, "", 1)))
+	ledger.RecordReport(report(1, 1, count(10, "a", 2), count(1<<40, "a", 1), count(-1, "a", 1), count(10, "", 1)))
 	ledger.CloseThrough(1 << 30)
-	require.Len(t, ledger.Unsettled(), windowsKept)
-	require.Equal(t, Window(1<<30), ledger.Unsettled()[windowsKept-1].Window)
+	require.Len(t, ledger.UnsettledWindows(), windowsKept)
+	require.Equal(t, Window(1<<30), ledger.UnsettledWindows()[windowsKept-1].Window)
 	require.Empty(t, ledger.open)
 	require.Empty(t, ledger.relays, "a relay that was silent for so long is forgotten")
 }
@@ -76,12 +76,12 @@
 	ledger := NewLedger()
 	ledger.CloseThrough(9)
 	for relay := uint64(1); relay < 20; relay++ {
-		ledger.Record(report(relay, relay, count(10, fmt.Sprint("t", relay%7), relay), count(11, "a", 1)))
+		ledger.RecordReport(report(relay, relay, count(10, fmt.Sprint("t", relay%7), relay), count(11, "a", 1)))
 	}
 	ledger.CloseThrough(10)
 	record := ledger.Snapshot()
 	restored := Restore(proto.CloneOf(record))
 	require.Equal(t, ledger, restored)
 	require.True(t, proto.Equal(record, restored.Snapshot()))
-	require.True(t, restored.Taken(report(19, 19)))
+	require.True(t, restored.HasReport(report(19, 19)))
 }
--- a/internal/usage/record.go
+++ b/internal/usage/record.go
@@ -43,7 +43,7 @@
 		for _, count := range closed.GetCounts() {
 			counts[count.GetTenant()] = count.GetCount()
 		}
-		ledger.closed = append(ledger.closed, Closed{Window: Window(closed.GetWindow()), Counts: counts})
+		ledger.closed = append(ledger.closed, ClosedWindow{Window: Window(closed.GetWindow()), Counts: counts})
 	}
 	for _, relay := range record.GetRelays() {
 		ledger.relays[relay.GetRelay()] = relayMark{sequence: relay.GetSequence(), heardIn: Window(relay.GetHeardIn())}
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -34,33 +34,33 @@
 	return &Reporter{config: config, delivered: map[Window]bool{}}
 }
 
-// Closing returns the window up to which closing is to be proposed now; false for none.
-func (r *Reporter) Closing(now time.Duration, trueTimeMs int64, ledger *Ledger) (through Window, due bool) {
+// NextClosing returns the window up to which closing is to be proposed now; false for none.
+func (r *Reporter) NextClosing(now time.Duration, trueTimeMs int64, ledger *Ledger) (through Window, due bool) {
 	if r.config.Window <= 0 {
 		return 0, false
 	}
 	wait := time.Duration(settleShare * float64(r.config.Due))
 	through = WindowAt(trueTimeMs-wait.Milliseconds(), r.config.Window) - 1
-	if ledger.Next() == 0 {
+	if ledger.NextOpenWindow() == 0 {
 		through = WindowAt(trueTimeMs, r.config.Window) - 1
 	}
-	if through < ledger.Next() || through <= r.proposed && now-r.proposedAt < closeRetry {
+	if through < ledger.NextOpenWindow() || through <= r.proposed && now-r.proposedAt < closeRetry {
 		return 0, false
 	}
 	r.proposed, r.proposedAt = through, now
 	return through, true
 }
 
-// Next returns the window that is to be reported next; false for none. Windows that can still be in
+// NextReport returns the window that is to be reported next; false for none. Windows that can still be in
 // time go first, then the newest.
-func (r *Reporter) Next(trueTimeMs int64, ledger *Ledger) (closed Closed, due bool) {
-	var late Closed
+func (r *Reporter) NextReport(trueTimeMs int64, ledger *Ledger) (closed ClosedWindow, due bool) {
+	var late ClosedWindow
 	found := false
-	for _, closed := range ledger.Unsettled() {
+	for _, closed := range ledger.UnsettledWindows() {
 		if r.delivered[closed.Window] {
 			continue
 		}
-		if !r.Late(closed.Window, trueTimeMs) {
+		if !r.IsOverdue(closed.Window, trueTimeMs) {
 			return closed, true
 		}
 		late, found = closed, true
@@ -68,10 +68,10 @@
 	return late, found
 }
 
-// Late reports whether a window was due before a time.
-func (r *Reporter) Late(window Window, trueTimeMs int64) bool {
+// IsOverdue reports whether a window was due before a time.
+func (r *Reporter) IsOverdue(window Window, trueTimeMs int64) bool {
 	return trueTimeMs > window.EndMs(r.config.Window)+r.config.Due.Milliseconds()
 }
 
-// Delivered notes that the platform has taken a window's counts.
-func (r *Reporter) Delivered(window Window) { r.delivered[window] = true }
+// MarkDelivered notes that the platform has taken a window's counts.
+func (r *Reporter) MarkDelivered(window Window) { r.delivered[window] = true }
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -15,21 +15,21 @@
 
 func TestWindowsCloseOnceLateReportsHaveHadTime(t *testing.T) {
 	reporter, ledger := NewReporter(perWindow), NewLedger()
-	through, due := reporter.Closing(0, endOf(100)-1, ledger)
+	through, due := reporter.NextClosing(0, endOf(100)-1, ledger)
 	require.True(t, due, "the first closing tells where windows begin")
 	require.Equal(t, Window(99), through)
 	ledger.CloseThrough(through)
-	_, due = reporter.Closing(time.Second, endOf(100)+2999, ledger)
+	_, due = reporter.NextClosing(time.Second, endOf(100)+2999, ledger)
 	require.False(t, due, "late reports may come")
-	through, due = reporter.Closing(2*time.Second, endOf(100)+3000, ledger)
+	through, due = reporter.NextClosing(2*time.Second, endOf(100)+3000, ledger)
 	require.True(t, due)
 	require.Equal(t, Window(100), through)
-	_, due = reporter.Closing(2*time.Second+closeRetry-1, endOf(100)+3500, ledger)
+	_, due = reporter.NextClosing(2*time.Second+closeRetry-1, endOf(100)+3500, ledger)
 	require.False(t, due, "it was proposed just now")
-	_, due = reporter.Closing(2*time.Second+closeRetry, endOf(100)+4000, ledger)
+	_, due = reporter.NextClosing(2*time.Second+closeRetry, endOf(100)+4000, ledger)
 	require.True(t, due, "it may have been lost")
 	ledger.CloseThrough(100)
-	_, due = reporter.Closing(9*time.Second, endOf(100)+4500, ledger)
+	_, due = reporter.NextClosing(9*time.Second, endOf(100)+4500, ledger)
 	require.False(t, due)
 }
 
@@ -37,7 +37,7 @@
 func TestATimeThatGoesBackClosesNothing(t *testing.T) {
 	reporter, ledger := NewReporter(perWindow), NewLedger()
 	ledger.CloseThrough(100)
-	_, due := reporter.Closing(0, endOf(90), ledger)
+	_, due := reporter.NextClosing(0, endOf(90), ledger)
 	require.False(t, due)
 }
 
@@ -47,20 +47,20 @@
 	ledger.CloseThrough(104)
 	now := endOf(101) + perWindow.Due.Milliseconds() + 1 // 100 and 101 are late
 	for _, want := range []Window{102, 103, 104, 101, 100} {
-		closed, due := reporter.Next(now, ledger)
+		closed, due := reporter.NextReport(now, ledger)
 		require.True(t, due)
 		require.Equal(t, want, closed.Window)
-		require.Equal(t, want <= 101, reporter.Late(want, now))
-		reporter.Delivered(want)
+		require.Equal(t, want <= 101, reporter.IsOverdue(want, now))
+		reporter.MarkDelivered(want)
 	}
-	_, due := reporter.Next(now, ledger)
+	_, due := reporter.NextReport(now, ledger)
 	require.False(t, due, "told windows wait to be settled")
-	require.Len(t, ledger.Unsettled(), 5)
-	_, due = NewReporter(perWindow).Next(now, ledger)
+	require.Len(t, ledger.UnsettledWindows(), 5)
+	_, due = NewReporter(perWindow).NextReport(now, ledger)
 	require.True(t, due, "a new leader tells again what is not settled")
 }
 
 func TestNobodyWantsToKnow(t *testing.T) {
-	_, due := NewReporter(Config{}).Closing(0, 1<<40, NewLedger())
+	_, due := NewReporter(Config{}).NextClosing(0, 1<<40, NewLedger())
 	require.False(t, due)
 }
--- a/internal/usagereport/meter.go
+++ b/internal/usagereport/meter.go
@@ -56,8 +56,8 @@
 	return &Meter{relay: relay, wake: make(chan struct{}, 1), counts: map[countKey]uint64{}}
 }
 
-// Began counts a request of a tenant that began to run at a moment.
-func (m *Meter) Began(moment time.Duration, tenant string) {
+// CountRequest counts a request of a tenant that began to run at a moment.
+func (m *Meter) CountRequest(moment time.Duration, tenant string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.window == 0 || !m.time.known {
@@ -95,9 +95,9 @@
 	}
 }
 
-// Hear takes the leader's word, just received: the true time, 0 while it knows none, and the length of
+// UpdateTime takes the leader's word, just received: the true time, 0 while it knows none, and the length of
 // the windows, 0 when nobody wants to know.
-func (m *Meter) Hear(now time.Duration, trueTimeMs int64, window time.Duration) {
+func (m *Meter) UpdateTime(now time.Duration, trueTimeMs int64, window time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.time.hear(now, trueTimeMs)
@@ -118,8 +118,8 @@
 	m.unplaced = nil
 }
 
-// Next returns the report that is to be sent: the last one until it was taken; nil for none.
-func (m *Meter) Next() *v1.UsageReport {
+// NextReport returns the report that is to be sent: the last one until it was taken; nil for none.
+func (m *Meter) NextReport() *v1.UsageReport {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.underWay != nil || len(m.counts) == 0 {
@@ -138,15 +138,15 @@
 	return report
 }
 
-// Taken notes that the report under way was taken.
-func (m *Meter) Taken() {
+// AcknowledgeReport notes that the report under way was taken.
+func (m *Meter) AcknowledgeReport() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.underWay = nil
 }
 
-// Unreported returns how many requests have not been reported yet.
-func (m *Meter) Unreported() uint64 {
+// UnreportedCount returns how many requests have not been reported yet.
+func (m *Meter) UnreportedCount() uint64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	unreported := uint64(len(m.unplaced))
--- a/internal/usagereport/meter_test.go
+++ b/internal/usagereport/meter_test.go
@@ -34,12 +34,12 @@
 
 func TestRequestsCountInTheWindowInWhichTheyBegan(t *testing.T) {
 	meter := NewMeter(7)
-	meter.Began(time.Second, "early")
-	meter.Hear(2*time.Second, start+2000, window)
-	meter.Began(window-time.Millisecond, "a")
-	meter.Began(window, "a")
-	meter.Began(window, "b")
-	report := meter.Next()
+	meter.CountRequest(time.Second, "early")
+	meter.UpdateTime(2*time.Second, start+2000, window)
+	meter.CountRequest(window-time.Millisecond, "a")
+	meter.CountRequest(window, "a")
+	meter.CountRequest(window, "b")
+	report := meter.NextReport()
 	require.Equal(t, map[int64]map[string]uint64{0: {"early": 1, "a": 1}, 1: {"a": 1, "b": 1}}, counts(report))
 	require.Equal(t, uint64(7), report.GetRelay())
 	require.Equal(t, uint64(1), report.GetSequence())
@@ -48,18 +48,18 @@
 // A report that was not taken is sent again as it was; what began since goes into the next one.
 func TestAReportIsTheSameUntilItIsTaken(t *testing.T) {
 	meter := NewMeter(7)
-	meter.Hear(0, start, window)
-	require.Nil(t, meter.Next())
-	meter.Began(0, "a")
-	report := proto.CloneOf(meter.Next())
-	meter.Began(0, "a")
-	require.True(t, proto.Equal(report, meter.Next()))
-	require.Equal(t, uint64(2), meter.Unreported())
-	meter.Taken()
-	require.Equal(t, uint64(2), meter.Next().GetSequence())
-	meter.Taken()
-	require.Nil(t, meter.Next())
-	require.Zero(t, meter.Unreported())
+	meter.UpdateTime(0, start, window)
+	require.Nil(t, meter.NextReport())
+	meter.CountRequest(0, "a")
+	report := proto.CloneOf(meter.NextReport())
+	meter.CountRequest(0, "a")
+	require.True(t, proto.Equal(report, meter.NextReport()))
+	require.Equal(t, uint64(2), meter.UnreportedCount())
+	meter.AcknowledgeReport()
+	require.Equal(t, uint64(2), meter.NextReport().GetSequence())
+	meter.AcknowledgeReport()
+	require.Nil(t, meter.NextReport())
+	require.Zero(t, meter.UnreportedCount())
 }
 
 // The leader's word is late by as long as it was under way: the fastest one holds, until it is old.
@@ -77,12 +77,12 @@
 
 func TestNobodyWantsToKnow(t *testing.T) {
 	meter := NewMeter(7)
-	meter.Began(0, "a")
-	meter.Hear(0, start, 0)
-	meter.Began(0, "a")
-	meter.Hear(0, start, 0)
-	require.Zero(t, meter.Unreported())
-	require.Nil(t, meter.Next())
+	meter.CountRequest(0, "a")
+	meter.UpdateTime(0, start, 0)
+	meter.CountRequest(0, "a")
+	meter.UpdateTime(0, start, 0)
+	require.Zero(t, meter.UnreportedCount())
+	require.Nil(t, meter.NextReport())
 }
 
 // What is counted while nobody can be reached is reported once, whole, when somebody can.
@@ -91,12 +91,12 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		meter := NewMeter(7)
-		meter.Hear(0, start, window)
+		meter.UpdateTime(0, start, window)
 		reachable, failed := false, 0
 		taken := map[uint64]bool{}
 		sum := uint64(0)
 		reporter := &Reporter{
-			Meter: meter, Relays: func() int { return 60 }, Failed: func() { failed++ },
+			Meter: meter, RelayCount: func() int { return 60 }, OnFailure: func() { failed++ },
 			Send: func(_ context.Context, report *v1.UsageReport) error {
 				lost := len(taken)%2 == 0 && !taken[report.GetSequence()] // the answer to every other report is lost
 				if !reachable {
@@ -116,12 +116,12 @@
 		}
 		go reporter.Run(ctx)
 		for index := range 100 {
-			meter.Began(time.Duration(index), "a")
+			meter.CountRequest(time.Duration(index), "a")
 			time.Sleep(10 * time.Millisecond)
 		}
 		reachable = true
 		time.Sleep(time.Second)
-		require.Zero(t, meter.Unreported())
+		require.Zero(t, meter.UnreportedCount())
 		require.Equal(t, uint64(100), sum)
 		require.Positive(t, failed)
 		require.LessOrEqual(t, len(taken), 3, "what is counted meanwhile goes together")
--- a/internal/usagereport/reporter.go
+++ b/internal/usagereport/reporter.go
@@ -21,17 +21,17 @@
 	longestRetryPause = 400 * time.Millisecond
 )
 
-// Send sends a report to the leader and returns nil once it was taken.
-type Send func(ctx context.Context, report *v1.UsageReport) error
+// SendFunc sends a report to the leader and returns nil once it was taken.
+type SendFunc func(ctx context.Context, report *v1.UsageReport) error
 
 // Reporter sends what a meter counts to the leader.
 type Reporter struct {
 	Meter *Meter
-	Send  Send
-	// Relays returns how many relays there are, as far as is known.
-	Relays func() int
-	// Failed counts reports that have to be sent again.
-	Failed func()
+	Send  SendFunc
+	// RelayCount returns how many relays there are, as far as is known.
+	RelayCount func() int
+	// OnFailure counts reports that have to be sent again.
+	OnFailure func()
 }
 
 // Run reports until the context ends.
@@ -50,16 +50,16 @@
 // Flush reports everything that is counted, until it was taken or the context ends.
 func (r *Reporter) Flush(ctx context.Context) {
 	wait := retryPause
-	for report := r.Meter.Next(); report != nil && ctx.Err() == nil; report = r.Meter.Next() {
+	for report := r.Meter.NextReport(); report != nil && ctx.Err() == nil; report = r.Meter.NextReport() {
 		limited, cancel := context.WithTimeout(ctx, sendTimeout)
 		err := r.Send(limited, report)
 		cancel()
 		if err == nil {
-			r.Meter.Taken()
+			r.Meter.AcknowledgeReport()
 			wait = retryPause
 			continue
 		}
-		r.Failed()
+		r.OnFailure()
 		pause.For(ctx, wait)
 		wait = min(2*wait, max(longestRetryPause, r.gap()))
 	}
@@ -67,5 +67,5 @@
 
 // gap is the time between two reports of one relay.
 func (r *Reporter) gap() time.Duration {
-	return max(time.Duration(r.Relays())*time.Second/reportsPerSecond, leastGap)
+	return max(time.Duration(r.RelayCount())*time.Second/reportsPerSecond, leastGap)
 }
