--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -18,34 +18,34 @@
 	defaultPredictionSlack = 1.5
 )
 
-// Config holds the fixed parameters of a Core.
+// Config holds the parameters of a Core. They are fixed once the Core is created.
 type Config struct {
-	// QueueLength and QueueBytes bound the waiting requests; defaults 1024 and 64 MiB.
+	// QueueLength and QueueBytes limit the waiting requests; defaults 1024 and 64 MiB.
 	QueueLength int
 	QueueBytes  int64
-	// MaxInFlight bounds the started requests; default 4096.
+	// MaxInFlight limits the requests in flight; default 4096.
 	MaxInFlight int
-	// OutputWeight is the cost of one output token in prompt tokens; default 8.
+	// OutputWeight is the cost of one output token, in prompt tokens; default 8.
 	OutputWeight float64
-	// WaitTarget is the wait at back ends above which the window shrinks; default 1 s.
+	// WaitTarget is the queueing time at back ends above which the window shrinks; default 1 s.
 	WaitTarget time.Duration
-	// InitialWindow and MinimumWindow bound the cost in flight, in prompt tokens;
-	// defaults 256,000 and 16,000. One request may always be in flight.
+	// InitialWindow and MinimumWindow are the initial and the smallest limit on the cost in flight,
+	// in prompt tokens; defaults 256,000 and 16,000. One request may always be in flight.
 	InitialWindow float64
 	MinimumWindow float64
-	// WorthBound is the most by which worth per token may raise or lower a tenant's
-	// part; default 2, and 1 shares by weight alone.
+	// WorthBound is the largest factor by which worth per token raises or lowers a tenant's
+	// weight; default 2. With 1, only the configured weights count.
 	WorthBound float64
-	// PredictionSlack is how far beyond its latest start a request's predicted start
-	// must lie before it is refused early, as a factor of the predicted wait; default 1.5.
+	// PredictionSlack is the factor by which the predicted wait must exceed the time left until
+	// the latest start before a request is refused early; default 1.5.
 	PredictionSlack float64
-	// FirstInFirstOut switches fair queueing and worth off, for comparison only.
+	// FirstInFirstOut disables fair queueing and worth. It exists for comparison only.
 	FirstInFirstOut bool
 }
 
 func (c *Config) checkAndSetDefaults() error {
 	if c.QueueLength < 0 || c.QueueBytes < 0 || c.MaxInFlight < 0 {
-		return trace.BadParameter("admission: QueueLength, QueueBytes and InFlight must not be negative")
+		return trace.BadParameter("admission: QueueLength, QueueBytes and MaxInFlight must not be negative")
 	}
 	if c.WorthBound != 0 && c.WorthBound < 1 {
 		return trace.BadParameter("admission: WorthBound is %v; it must be at least 1", c.WorthBound)
--- a/internal/admission/core.go
+++ b/internal/admission/core.go
@@ -7,31 +7,31 @@
 	"github.com/gravitational/trace"
 )
 
-// Core is the admission of one service at one gateway. See the package comment for
+// Core is the admission queue of one service at one gateway. The package comment describes
 // its concurrency contract.
 type Core struct {
-	config   Config
-	window   window
-	rate     serviceRate
-	paces    paces
-	reading  reading
-	sequence uint64
+	config    Config
+	window    window
+	rate      serviceRate
+	latencies latencyTracker
+	prefill   prefillBacklog
+	sequence  uint64
 
 	tenants map[string]*tenantQueue
-	// waiting holds the tenants with waiting requests in the order of service.
+	// waiting holds the tenants with waiting requests, by start tag.
 	waiting *btree.BTreeG[*tenantQueue]
-	// weightSum is the sum of weights over waiting.
+	// weightSum is the sum of the weights of the tenants in waiting.
 	weightSum   float64
 	virtualTime float64
-	// byStart holds every waiting request by its latest start.
-	byStart     *btree.BTreeG[*entry]
-	entries     map[uint64]*entry
-	started     map[uint64]*entry
-	queuedBytes int64
-	// refused are the requests that Next gave up on.
-	refused    []Refusal
+	// byLatestStart holds every waiting request, by its latest start.
+	byLatestStart *btree.BTreeG[*entry]
+	entries       map[uint64]*entry
+	inFlight      map[uint64]*entry
+	queuedBytes   int64
+	// refusals are the requests that StartNext refused and DrainRefusals has not returned yet.
+	refusals   []Refusal
 	queuedCost float64
-	// worthLevel is the running mean of worthClass over offered requests.
+	// worthLevel is the running mean of the worth classes of offered requests.
 	worthLevel float64
 }
 
@@ -40,34 +40,34 @@
 	if err := config.checkAndSetDefaults(); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	paces, err := newPaces()
+	latencies, err := newLatencyTracker()
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	return &Core{
-		config:  config,
-		paces:   paces,
-		reading: newReading(),
-		window:  window{size: config.InitialWindow, minimum: config.MinimumWindow, target: config.WaitTarget},
-		tenants: make(map[string]*tenantQueue),
-		waiting: btree.NewG(treeDegree, fairOrder),
-		byStart: btree.NewG(treeDegree, startsBefore),
-		entries: make(map[uint64]*entry),
-		started: make(map[uint64]*entry),
+		config:        config,
+		latencies:     latencies,
+		prefill:       newPrefillBacklog(),
+		window:        window{size: config.InitialWindow, minimum: config.MinimumWindow, target: config.WaitTarget},
+		tenants:       make(map[string]*tenantQueue),
+		waiting:       btree.NewG(treeDegree, fairOrder),
+		byLatestStart: btree.NewG(treeDegree, latestStartOrder),
+		entries:       make(map[uint64]*entry),
+		inFlight:      make(map[uint64]*entry),
 	}, nil
 }
 
-func startsBefore(a, b *entry) bool {
-	if a.start != b.start {
-		return a.start < b.start
+func latestStartOrder(a, b *entry) bool {
+	if a.startDeadline != b.startDeadline {
+		return a.startDeadline < b.startDeadline
 	}
 	return a.sequence < b.sequence
 }
 
-// Offer takes a request in. It returns the requests that are given up on for it,
-// among which may be the request itself; all other requests wait for Next.
+// Offer adds a request to the queue. It returns the requests that are refused as a result,
+// which may include the request itself. All other requests wait for StartNext.
 func (c *Core) Offer(now time.Duration, request Request) []Refusal {
-	if c.known(request.ID) {
+	if c.hasRequest(request.ID) {
 		return []Refusal{{ID: request.ID, Reason: ErrDuplicate}}
 	}
 	if request.Bytes > c.config.QueueBytes {
@@ -75,39 +75,39 @@
 	}
 	queue := c.tenantQueue(request.Tenant, request.Weight)
 	added := c.newEntry(request, queue)
-	c.noteWorth(added)
+	c.updateWorthLevel(added)
 	if late := c.lateness(now, added, queue.costBefore(added)); late > 0 {
-		c.forgetIdle(queue)
+		c.removeIfIdle(queue)
 		return []Refusal{{ID: request.ID, Reason: ErrDeadline, RetryAfter: retryAfter(late)}}
 	}
 	c.enqueue(added)
 	return c.shed()
 }
 
-// StartNext returns the request to start now, if there is one and the window has room. The
-// caller must end it with Finish. Requests that could not end in time any more are given
-// up on instead; Refused returns them.
+// StartNext returns the next request to start if one is waiting and the window has room. The
+// caller must complete it with Finish. Waiting requests that can no longer meet their deadline
+// are refused; DrainRefusals returns them.
 func (c *Core) StartNext(now time.Duration) (Request, bool) {
 	next, found := c.nextInTime(now)
-	if !found || c.window.count >= c.config.MaxInFlight || !c.window.admits(next.cost) {
+	if !found || c.window.requestsInFlight >= c.config.MaxInFlight || !c.window.admits(next.cost) {
 		return Request{}, false
 	}
 	queue := next.queue
 	c.dequeue(next)
 	c.window.start(next.cost)
 	next.startedAt = now
-	c.paces.started(now, &next.Request)
-	c.reading.started(now, next)
+	c.latencies.recordStart(now, &next.Request)
+	c.prefill.add(now, next)
 	c.virtualTime = max(c.virtualTime, queue.startTag)
 	queue.inFlight++
-	queue.finishTag = queue.startTag + next.cost/c.part(next)
-	c.started[next.ID] = next
+	queue.finishTag = queue.startTag + next.cost/c.effectiveWeight(next)
+	c.inFlight[next.ID] = next
 	c.rank(queue)
 	return next.Request, true
 }
 
-// nextInTime returns the request whose turn it is, after giving up on those before it
-// whose start is too late.
+// nextInTime returns the next request in service order. It refuses the requests before it whose
+// latest start has passed.
 func (c *Core) nextInTime(now time.Duration) (*entry, bool) {
 	for {
 		queue, found := c.waiting.Min()
@@ -119,76 +119,77 @@
 		if late <= 0 {
 			return next, true
 		}
-		c.refused = append(c.refused, c.giveUp(next, ErrDeadline, retryAfter(late)))
+		c.refusals = append(c.refusals, c.refuse(next, ErrDeadline, retryAfter(late)))
 	}
 }
 
-// DrainRefusals returns, once, the requests that Next has given up on.
+// DrainRefusals returns the requests that StartNext has refused since the last call.
 func (c *Core) DrainRefusals() []Refusal {
-	refused := c.refused
-	c.refused = nil
+	refused := c.refusals
+	c.refusals = nil
 	return refused
 }
 
-// RecordFirstToken notes that a started request has brought its first token, wait later than
-// its own work explains. The pace of its class follows at once.
+// RecordFirstToken records that a request in flight has produced its first token. wait is the part
+// of the time to first token that the request's own work does not explain. The latency of the
+// request's class is updated immediately.
 func (c *Core) RecordFirstToken(now time.Duration, id uint64, wait time.Duration) {
-	writing, found := c.started[id]
-	if !found || writing.firstToken > 0 {
+	decoding, found := c.inFlight[id]
+	if !found || decoding.firstToken > 0 {
 		return
 	}
-	writing.firstToken = max(now-writing.startedAt, 1)
-	c.paces.firstToken(now, writing.Class, writing.firstToken)
-	writing.wait = wait
-	c.reading.ended(now, writing, true)
+	decoding.firstToken = max(now-decoding.startedAt, 1)
+	c.latencies.recordFirstToken(now, decoding.Class, decoding.firstToken)
+	decoding.wait = wait
+	c.prefill.remove(now, decoding, true)
 }
 
-// Finish ends a started request and corrects the tenant's part by what was used.
+// Finish completes a request in flight and charges its tenant the tokens actually used.
 func (c *Core) Finish(now time.Duration, id uint64, result Result) {
-	ended, found := c.started[id]
+	ended, found := c.inFlight[id]
 	if !found {
 		return
 	}
-	delete(c.started, id)
+	delete(c.inFlight, id)
 	if ended.firstToken == 0 {
-		c.reading.ended(now, ended, false)
+		c.prefill.remove(now, ended, false)
 	}
 	c.window.finish(now, ended, result)
-	c.paces.finished(now, ended, result)
+	c.latencies.recordFinish(now, ended, result)
 	used := ended.cost
 	if result.PromptTokens+result.OutputTokens > 0 {
 		used = c.cost(result.PromptTokens, result.OutputTokens)
 	}
-	c.rate.finish(now, used, len(c.entries) > 0)
+	c.rate.record(now, used, len(c.entries) > 0)
 	queue := ended.queue
 	c.unrank(queue)
 	queue.inFlight--
-	queue.finishTag += (used - ended.cost) / c.part(ended)
+	queue.finishTag += (used - ended.cost) / c.effectiveWeight(ended)
 	c.rank(queue)
-	c.forgetIdle(queue)
+	c.removeIfIdle(queue)
 }
 
-// Remove takes back a waiting request whose caller has gone away. It reports
-// whether the request was waiting.
+// Remove cancels a waiting request whose caller has disconnected. It reports whether the
+// request was waiting.
 func (c *Core) Remove(id uint64) bool {
-	gone, found := c.entries[id]
+	removed, found := c.entries[id]
 	if !found {
 		return false
 	}
-	c.dequeue(gone)
-	c.rank(gone.queue)
-	c.forgetIdle(gone.queue)
+	c.dequeue(removed)
+	c.rank(removed.queue)
+	c.removeIfIdle(removed.queue)
 	return true
 }
 
-// InFlightCount is the number of started requests.
-func (c *Core) InFlightCount() int { return len(c.started) }
+// InFlightCount returns the number of requests in flight.
+func (c *Core) InFlightCount() int { return len(c.inFlight) }
 
-// WaitingCount is the number of waiting requests.
+// WaitingCount returns the number of waiting requests.
 func (c *Core) WaitingCount() int { return len(c.entries) }
 
-func (c *Core) known(id uint64) bool {
+func (c *Core) hasRequest(id uint64) bool {
 	_, waits := c.entries[id]
-	_, runs := c.started[id]
+	_, runs := c.inFlight[id]
 	return waits || runs
 }
--- a/internal/admission/core_test.go
+++ b/internal/admission/core_test.go
@@ -19,12 +19,12 @@
 	return core
 }
 
-// oneAtATime lets one request be in flight.
+// oneAtATime limits the core to one request in flight.
 func oneAtATime(c *Config) { c.MaxInFlight = 1 }
 
 func queueLength(length int) func(*Config) { return func(c *Config) { c.QueueLength = length } }
 
-func offered(id uint64, tenant string, change ...func(*Request)) Request {
+func newRequest(id uint64, tenant string, change ...func(*Request)) Request {
 	request := Request{ID: id, Tenant: tenant, Worth: 1, PromptTokens: 1000}
 	for _, apply := range change {
 		apply(&request)
@@ -58,15 +58,15 @@
 		started []uint64
 	}{
 		{"worth per token first within a tenant",
-			[]Request{offered(1, "a", worth(1)), offered(2, "a", worth(8)), offered(3, "a", worth(4))}, []uint64{2, 3, 1}},
+			[]Request{newRequest(1, "a", worth(1)), newRequest(2, "a", worth(8)), newRequest(3, "a", worth(4))}, []uint64{2, 3, 1}},
 		{"earliest start first among equals",
-			[]Request{offered(1, "a", deadline(30*time.Second, 0)), offered(2, "a", deadline(9*time.Second, 0))}, []uint64{2, 1}},
-		{"tenants take turns",
-			[]Request{offered(1, "a"), offered(2, "a"), offered(3, "a"), offered(4, "b")}, []uint64{1, 4, 2, 3}},
-		{"weight gives a larger part",
-			[]Request{offered(1, "a"), offered(2, "a"), offered(3, "a"),
-				offered(4, "b", func(r *Request) { r.Weight = 3 }), offered(5, "b", func(r *Request) { r.Weight = 3 }),
-				offered(6, "b", func(r *Request) { r.Weight = 3 })}, []uint64{1, 4, 5, 6, 2, 3}},
+			[]Request{newRequest(1, "a", deadline(30*time.Second, 0)), newRequest(2, "a", deadline(9*time.Second, 0))}, []uint64{2, 1}},
+		{"tenants alternate",
+			[]Request{newRequest(1, "a"), newRequest(2, "a"), newRequest(3, "a"), newRequest(4, "b")}, []uint64{1, 4, 2, 3}},
+		{"a larger weight gets a larger share",
+			[]Request{newRequest(1, "a"), newRequest(2, "a"), newRequest(3, "a"),
+				newRequest(4, "b", func(r *Request) { r.Weight = 3 }), newRequest(5, "b", func(r *Request) { r.Weight = 3 }),
+				newRequest(6, "b", func(r *Request) { r.Weight = 3 })}, []uint64{1, 4, 5, 6, 2, 3}},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -87,19 +87,19 @@
 		want   []Refusal // of the last offer
 	}{
 		{"deadline has passed", nil,
-			[]Request{offered(1, "a", deadline(time.Second, 2*time.Second))}, []Refusal{{1, ErrDeadline, 3 * time.Second}}},
-		{"same identity twice", nil, []Request{offered(1, "a"), offered(1, "a")}, []Refusal{{1, ErrDuplicate, 0}}},
+			[]Request{newRequest(1, "a", deadline(time.Second, 2*time.Second))}, []Refusal{{1, ErrDeadline, 3 * time.Second}}},
+		{"same identity twice", nil, []Request{newRequest(1, "a"), newRequest(1, "a")}, []Refusal{{1, ErrDuplicate, 0}}},
 		{"larger than the queue's memory", []func(*Config){func(c *Config) { c.QueueBytes = 10 }},
-			[]Request{offered(1, "a", func(r *Request) { r.Bytes = 11 })}, []Refusal{{1, ErrTooLarge, 0}}},
+			[]Request{newRequest(1, "a", func(r *Request) { r.Bytes = 11 })}, []Refusal{{1, ErrTooLarge, 0}}},
 		{"least worth is shed", []func(*Config){queueLength(2)},
-			[]Request{offered(1, "a", worth(8)), offered(2, "a", worth(1)), offered(3, "a", worth(4))}, []Refusal{{2, ErrQueueFull, time.Second}}},
+			[]Request{newRequest(1, "a", worth(8)), newRequest(2, "a", worth(1)), newRequest(3, "a", worth(4))}, []Refusal{{2, ErrQueueFull, time.Second}}},
 		{"the newcomer is shed when it is worth least", []func(*Config){queueLength(1)},
-			[]Request{offered(1, "a", worth(8)), offered(2, "a", worth(1))}, []Refusal{{2, ErrQueueFull, time.Second}}},
-		{"a tenant within its part is not shed for a flooding one that is worth more", []func(*Config){queueLength(3)},
-			[]Request{offered(1, "small", worth(1)), offered(2, "flood", worth(8)), offered(3, "flood", worth(8)), offered(4, "flood", worth(8))},
+			[]Request{newRequest(1, "a", worth(8)), newRequest(2, "a", worth(1))}, []Refusal{{2, ErrQueueFull, time.Second}}},
+		{"a tenant within its share is not shed for a flooding one that is worth more", []func(*Config){queueLength(3)},
+			[]Request{newRequest(1, "small", worth(1)), newRequest(2, "flood", worth(8)), newRequest(3, "flood", worth(8)), newRequest(4, "flood", worth(8))},
 			[]Refusal{{4, ErrQueueFull, time.Second}}},
-		{"memory of the queue is bounded", []func(*Config){func(c *Config) { c.QueueBytes = 10 }},
-			[]Request{offered(1, "a", func(r *Request) { r.Bytes = 6 }), offered(2, "a", func(r *Request) { r.Bytes = 6 })},
+		{"the queue's memory is bounded", []func(*Config){func(c *Config) { c.QueueBytes = 10 }},
+			[]Request{newRequest(1, "a", func(r *Request) { r.Bytes = 6 }), newRequest(2, "a", func(r *Request) { r.Bytes = 6 })},
 			[]Refusal{{2, ErrQueueFull, time.Second}}},
 	}
 	for _, row := range rows {
@@ -114,22 +114,22 @@
 	}
 }
 
-func TestExpireGivesUpAtOnce(t *testing.T) {
+func TestExpireRefusesLateRequests(t *testing.T) {
 	core := newTestCore(t, oneAtATime)
-	require.Empty(t, core.Offer(0, offered(1, "a")))
+	require.Empty(t, core.Offer(0, newRequest(1, "a")))
 	_, found := core.StartNext(0)
 	require.True(t, found)
-	require.Empty(t, core.Offer(0, offered(2, "a", deadline(5*time.Second, 3*time.Second))))
-	require.Empty(t, core.Expire(2*time.Second), "it can still start now")
+	require.Empty(t, core.Offer(0, newRequest(2, "a", deadline(5*time.Second, 3*time.Second))))
+	require.Empty(t, core.Expire(2*time.Second), "the latest start has not passed")
 	require.Equal(t, []Refusal{{2, ErrDeadline, time.Second}}, core.Expire(2*time.Second+1))
 }
 
-// TestPredictedMissIsRefusedEarly lets 1,000 tokens finish each second: with ten
-// seconds of queue a deadline of three cannot be met.
-func TestPredictedMissIsRefusedEarly(t *testing.T) {
+// TestPredictedDeadlineMissIsRefusedEarly completes 1,000 tokens per second. With ten seconds of
+// queue, a deadline in three seconds cannot be met and must be refused on arrival.
+func TestPredictedDeadlineMissIsRefusedEarly(t *testing.T) {
 	core := newTestCore(t, oneAtATime)
 	for id := range uint64(14) {
-		require.Empty(t, core.Offer(0, offered(id, "a")))
+		require.Empty(t, core.Offer(0, newRequest(id, "a")))
 	}
 	var now time.Duration
 	for range 4 {
@@ -138,22 +138,22 @@
 		now += time.Second
 		core.Finish(now, next.ID, Result{})
 	}
-	refused := core.Offer(now, offered(100, "a", deadline(now+3*time.Second, 0), worth(0.5)))
+	refused := core.Offer(now, newRequest(100, "a", deadline(now+3*time.Second, 0), worth(0.5)))
 	require.Len(t, refused, 1)
 	require.ErrorIs(t, refused[0].Reason, ErrDeadline)
 	require.InDelta(t, 7*time.Second, refused[0].RetryAfter, float64(time.Second))
-	require.Empty(t, core.Offer(now, offered(101, "a", deadline(now+3*time.Second, 0), worth(8))),
-		"one that goes before the queue can make it")
-	require.Empty(t, core.Offer(now, offered(102, "b", deadline(now+3*time.Second, 0), worth(0.5))),
-		"another tenant does not wait behind the queue")
+	require.Empty(t, core.Offer(now, newRequest(101, "a", deadline(now+3*time.Second, 0), worth(8))),
+		"a request served before the queue meets its deadline")
+	require.Empty(t, core.Offer(now, newRequest(102, "b", deadline(now+3*time.Second, 0), worth(0.5))),
+		"another tenant does not wait behind the queue of the first")
 }
 
 func TestWindowFollowsTheBackEnds(t *testing.T) {
 	core := newTestCore(t, func(c *Config) { c.InitialWindow, c.MinimumWindow = 2000, 1000 })
 	for id := range uint64(100) {
-		core.Offer(0, offered(id, "a"))
+		core.Offer(0, newRequest(id, "a"))
 	}
-	inFlight := func() []uint64 {
+	startAll := func() []uint64 {
 		var ids []uint64
 		for {
 			next, found := core.StartNext(0)
@@ -163,23 +163,23 @@
 			ids = append(ids, next.ID)
 		}
 	}
-	require.Len(t, inFlight(), 2)
+	require.Len(t, startAll(), 2)
 	core.Finish(0, 0, Result{Overloaded: true})
-	require.Empty(t, inFlight(), "the window has shrunk below two requests")
+	require.Empty(t, startAll(), "the window has shrunk below two requests")
 	core.Finish(0, 1, Result{Failed: true})
-	require.Len(t, inFlight(), 1)
+	require.Len(t, startAll(), 1)
 	for range 8 {
-		for id := range core.started {
+		for id := range core.inFlight {
 			core.Finish(time.Second, id, Result{})
 		}
-		inFlight()
+		startAll()
 	}
-	require.Greater(t, core.InFlightCount(), 2, "the window grows while nothing waits")
+	require.Greater(t, core.InFlightCount(), 2, "the window grows while no request waits at back ends")
 }
 
-// TestBoundsHold offers, starts, finishes and expires at random: the queue and the
-// requests in flight stay within their bounds, and each request ends exactly once.
-func TestBoundsHold(t *testing.T) {
+// TestQueueAndInFlightStayWithinBounds offers, starts, finishes and expires requests at random.
+// The queue and the requests in flight stay within their bounds, and each request ends exactly once.
+func TestQueueAndInFlightStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length, bytes, inFlight = 10, 100, 3
 		core := newTestCore(t, func(c *Config) { c.QueueLength, c.QueueBytes, c.MaxInFlight = length, bytes, inFlight })
@@ -221,13 +221,13 @@
 			require.LessOrEqual(t, core.InFlightCount(), inFlight)
 			require.Equal(t, len(open), core.WaitingCount()+core.InFlightCount())
 			require.LessOrEqual(t, len(core.tenants), core.WaitingCount()+core.InFlightCount())
-			require.Equal(t, core.WaitingCount(), core.byStart.Len())
+			require.Equal(t, core.WaitingCount(), core.byLatestStart.Len())
 		}
 	})
 }
 
-// TestSharesFollowWeights keeps every tenant's queue full: the tokens started go
-// by weight, to within one request each.
+// TestSharesFollowWeights keeps every tenant's queue full. The started tokens are proportional
+// to the weights, within one request per tenant.
 func TestSharesFollowWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		core := newTestCore(t, oneAtATime)
--- a/internal/admission/deadline.go
+++ b/internal/admission/deadline.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Bounds of Retry-After.
+// Bounds of the Retry-After of a refusal.
 const (
 	minimumRetryAfter = time.Second
 	maximumRetryAfter = 30 * time.Second
 )
 
-// Expire gives up on every waiting request that can no longer meet its deadline,
-// or is predicted not to. The owner calls it often (every 50 ms) and answers the
-// callers at once.
+// Expire refuses every waiting request that can no longer meet its deadline or is predicted to
+// miss it. The result includes the refusals of DrainRefusals. Call it often (every 50 ms) and
+// answer the callers immediately.
 func (c *Core) Expire(now time.Duration) []Refusal {
-	given := c.DrainRefusals()
+	refusals := c.DrainRefusals()
 	for {
-		first, found := c.byStart.Min()
-		if !found || first.start >= now {
+		first, found := c.byLatestStart.Min()
+		if !found || first.startDeadline >= now {
 			break
 		}
-		given = append(given, c.giveUp(first, ErrDeadline, minimumRetryAfter))
+		refusals = append(refusals, c.refuse(first, ErrDeadline, minimumRetryAfter))
 	}
-	return append(given, c.expirePredicted(now)...)
+	return append(refusals, c.expirePredicted(now)...)
 }
 
-// expirePredicted gives up on requests that will start too late at the present
-// rate. Giving up on one lets those behind it start earlier.
+// expirePredicted refuses requests that would start too late at the current service rate.
+// Refusing one request brings the start of those behind it forward.
 func (c *Core) expirePredicted(now time.Duration) []Refusal {
 	type lateEntry struct {
 		entry    *entry
@@ -43,21 +43,21 @@
 		})
 		return true
 	})
-	given := make([]Refusal, 0, len(late))
+	refusals := make([]Refusal, 0, len(late))
 	for _, each := range late {
-		given = append(given, c.giveUp(each.entry, ErrDeadline, retryAfter(each.lateness)))
+		refusals = append(refusals, c.refuse(each.entry, ErrDeadline, retryAfter(each.lateness)))
 	}
-	return given
+	return refusals
 }
 
-// lateness is by how much the predicted start of e misses the latest start that lets it
-// end in time, with slack; 0 or less when it is in time. ahead is the cost of the tenant's requests
-// that go before it.
+// lateness returns how far the predicted start of e lies past the latest start that meets its
+// deadline, with slack applied; 0 or less when e is in time. ahead is the cost of the tenant's
+// requests that are served before e.
 func (c *Core) lateness(now time.Duration, e *entry, ahead float64) time.Duration {
-	if e.start == noDeadline {
+	if e.startDeadline == noDeadline {
 		return 0
 	}
-	start := e.Deadline - c.paces.serviceTime(now, &e.Request, c.reading.wait(e.Priority))
+	start := e.Deadline - c.latencies.serviceTime(now, &e.Request, c.prefill.wait(e.Priority))
 	if start < now {
 		return now - start
 	}
@@ -72,7 +72,7 @@
 	return now + wait - start
 }
 
-// waitingWeight is the sum of weights of the tenants that wait, with this one.
+// waitingWeight returns the sum of the weights of the waiting tenants, including the given one.
 func (c *Core) waitingWeight(with *tenantQueue) float64 {
 	sum := c.weightSum
 	if with.entries.Len() == 0 {
@@ -81,10 +81,10 @@
 	return max(sum, with.weight)
 }
 
-func (c *Core) giveUp(e *entry, reason error, after time.Duration) Refusal {
+func (c *Core) refuse(e *entry, reason error, after time.Duration) Refusal {
 	c.dequeue(e)
 	c.rank(e.queue)
-	c.forgetIdle(e.queue)
+	c.removeIfIdle(e.queue)
 	return Refusal{ID: e.ID, Reason: reason, RetryAfter: after}
 }
 
--- a/internal/admission/entry.go
+++ b/internal/admission/entry.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// entry is one waiting request.
+// entry is a waiting request or one in flight.
 type entry struct {
 	Request
 	queue *tenantQueue
-	// cost in prompt tokens.
+	// cost is in prompt tokens.
 	cost float64
-	// worthClass is the binary logarithm of worth per cost, rounded: requests whose
-	// worth per token differs by less than a factor of about 2 count as equal.
-	worthClass int
-	start      time.Duration // latest start
-	sequence   uint64        // order of arrival
-	startedAt  time.Duration // set when the request starts
-	// firstToken is the time from the start to the first token; 0 before it.
+	// worthClass is the rounded binary logarithm of worth per cost. Requests whose worth
+	// per token differs by less than a factor of about 2 are in the same class.
+	worthClass    int
+	startDeadline time.Duration // latest start
+	sequence      uint64        // order of arrival
+	startedAt     time.Duration // set when the request starts
+	// firstToken is the time from the start to the first token; 0 until it arrives.
 	firstToken time.Duration
-	// wait is the part of firstToken that its own work does not explain.
+	// wait is the part of firstToken that the request's own work does not explain.
 	wait time.Duration
 }
 
-// lowestWorthClass is the class of a request that is worth nothing.
+// lowestWorthClass is the class of a request without worth.
 const lowestWorthClass = -64
 
 func (c *Core) newEntry(request Request, queue *tenantQueue) *entry {
 	c.sequence++
 	cost := c.cost(request.PromptTokens, request.OutputTokens)
 	return &entry{
-		Request:    request,
-		queue:      queue,
-		cost:       cost,
-		worthClass: worthClass(request.Worth, cost),
-		start:      request.latestStart(),
-		sequence:   c.sequence,
+		Request:       request,
+		queue:         queue,
+		cost:          cost,
+		worthClass:    worthClass(request.Worth, cost),
+		startDeadline: request.latestStart(),
+		sequence:      c.sequence,
 	}
 }
 
@@ -51,13 +51,13 @@
 	return int(min(max(class, lowestWorthClass+1), -lowestWorthClass))
 }
 
-// before orders a tenant's queue: worth class, then latest start, then arrival.
+// before is the service order within a tenant: worth class, then latest start, then arrival.
 func (e *entry) before(other *entry) bool {
 	if e.worthClass != other.worthClass {
 		return e.worthClass > other.worthClass
 	}
-	if e.start != other.start {
-		return e.start < other.start
+	if e.startDeadline != other.startDeadline {
+		return e.startDeadline < other.startDeadline
 	}
 	return e.sequence < other.sequence
 }
--- a/internal/admission/estimator.go
+++ b/internal/admission/estimator.go
@@ -7,27 +7,28 @@
 
 const (
 	defaultBytesPerToken = 4.0
-	// priorSamples is the number of samples that the kind's figures, and before
-	// them the declared ones, count for beside a tenant's own.
+	// priorSamples is the number of samples with which a prior counts against the measured
+	// mean: first the declared tokens, then the means of the kind.
 	priorSamples = 8
-	// memorySamples bounds how many samples a mean remembers, so that it follows
-	// changes of the traffic.
-	memorySamples = 100
+	// maximumSamples limits the number of samples in a running mean so that the mean follows
+	// changes in traffic.
+	maximumSamples = 100
 )
 
-// DeclaredTokens is what operators expect of a kind before anything has been measured.
+// DeclaredTokens are the token counts that operators expect of a kind. They apply until
+// requests have been measured.
 type DeclaredTokens struct {
 	PromptTokens int
 	OutputTokens int
 }
 
-// RequestShape is what is known of a request before it runs.
+// RequestShape describes a request before it runs.
 type RequestShape struct {
 	Tenant string
 	Kind   string
-	// PromptBytes is the length of the prompt's text; 0 when unknown.
+	// PromptBytes is the length of the prompt text; 0 if unknown.
 	PromptBytes int
-	// MaximumOutputTokens is the caller's own bound; 0 for none.
+	// MaximumOutputTokens is the limit set by the caller; 0 for none.
 	MaximumOutputTokens int
 	DeclaredTokens      DeclaredTokens
 }
@@ -38,9 +39,9 @@
 	OutputTokens int
 }
 
-// Estimator learns how many tokens requests take, per tenant and kind. It
-// remembers a bounded number of tenant-kind pairs and of kinds, and forgets those
-// used least lately. It is not safe for concurrent use.
+// Estimator estimates the token counts of requests from earlier requests of the same tenant
+// and kind. It stores a bounded number of tenant-kind pairs and of kinds and evicts the least
+// recently used. It is not safe for concurrent use.
 type Estimator struct {
 	pairs *simplelru.LRU[pairKey, *tokenMeans]
 	kinds *simplelru.LRU[string, *tokenMeans]
@@ -51,11 +52,11 @@
 	kind   string
 }
 
-// NewEstimator returns an Estimator that remembers up to pairs tenant-kind pairs,
+// NewEstimator returns an Estimator that stores up to the given number of tenant-kind pairs
 // and as many kinds.
 func NewEstimator(pairs int) (*Estimator, error) {
 	if pairs <= 0 {
-		return nil, trace.BadParameter("admission: an Estimator must remember at least 1 pair, not %d", pairs)
+		return nil, trace.BadParameter("admission: an Estimator must store at least 1 pair, not %d", pairs)
 	}
 	byPair, err := simplelru.NewLRU[pairKey, *tokenMeans](pairs, nil)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return &Estimator{pairs: byPair, kinds: byKind}, nil
 }
 
-// Estimate returns the expected tokens of a request.
+// Estimate returns the expected token counts of a request.
 func (e *Estimator) Estimate(shape RequestShape) Estimate {
 	means := tokenMeans{
 		bytesPerToken: mean{value: defaultBytesPerToken},
@@ -95,7 +96,7 @@
 	return Estimate{PromptTokens: int(prompt + 0.5), OutputTokens: int(output + 0.5)}
 }
 
-// RecordUsage takes in what a request has used.
+// RecordUsage records the token counts that a request has used.
 func (e *Estimator) RecordUsage(shape RequestShape, used Estimate) {
 	key := pairKey{shape.Tenant, shape.Kind}
 	pair, found := e.pairs.Get(key)
@@ -108,8 +109,8 @@
 		kind = &tokenMeans{}
 		e.kinds.Add(shape.Kind, kind)
 	}
-	pair.learn(shape, used)
-	kind.learn(shape, used)
+	pair.record(shape, used)
+	kind.record(shape, used)
 }
 
 // tokenMeans are the running means of one pair or kind.
@@ -119,7 +120,7 @@
 	output        mean
 }
 
-func (m *tokenMeans) learn(shape RequestShape, used Estimate) {
+func (m *tokenMeans) record(shape RequestShape, used Estimate) {
 	if shape.PromptBytes > 0 && used.PromptTokens > 0 {
 		m.bytesPerToken.add(float64(shape.PromptBytes) / float64(used.PromptTokens))
 	}
@@ -127,31 +128,31 @@
 	m.output.add(float64(used.OutputTokens))
 }
 
-// blend moves the means towards better ones, as far as those rest on samples.
-func (m *tokenMeans) blend(better *tokenMeans) {
-	m.bytesPerToken.blend(better.bytesPerToken)
-	m.prompt.blend(better.prompt)
-	m.output.blend(better.output)
+// blend moves the means towards the preferred ones, weighted by the number of samples in those.
+func (m *tokenMeans) blend(preferred *tokenMeans) {
+	m.bytesPerToken.blend(preferred.bytesPerToken)
+	m.prompt.blend(preferred.prompt)
+	m.output.blend(preferred.output)
 }
 
-// mean is a running mean that forgets samples older than about memorySamples.
+// mean is a running mean over about the last maximumSamples samples.
 type mean struct {
 	value   float64
 	samples int
 }
 
 func (m *mean) add(sample float64) {
-	m.samples = min(m.samples+1, memorySamples)
+	m.samples = min(m.samples+1, maximumSamples)
 	m.value += (sample - m.value) / float64(m.samples)
 }
 
-func (m *mean) blend(better mean) {
-	if better.samples == 0 {
+func (m *mean) blend(preferred mean) {
+	if preferred.samples == 0 {
 		return
 	}
-	part := float64(better.samples) / float64(better.samples+priorSamples)
+	weight := float64(preferred.samples) / float64(preferred.samples+priorSamples)
 	if m.value == 0 {
-		part = 1
+		weight = 1
 	}
-	m.value += part * (better.value - m.value)
+	m.value += weight * (preferred.value - m.value)
 }
--- a/internal/admission/estimator_test.go
+++ b/internal/admission/estimator_test.go
@@ -9,38 +9,38 @@
 
 func TestEstimates(t *testing.T) {
 	declared := DeclaredTokens{PromptTokens: 600, OutputTokens: 40}
-	own := RequestShape{Tenant: "a", Kind: "matching", DeclaredTokens: declared}
-	learn := func(e *Estimator, shape RequestShape, used Estimate) {
+	defaultShape := RequestShape{Tenant: "a", Kind: "matching", DeclaredTokens: declared}
+	record := func(e *Estimator, shape RequestShape, used Estimate) {
 		for range 200 {
 			e.RecordUsage(shape, used)
 		}
 	}
 	rows := []struct {
 		name   string
-		learn  func(*Estimator)
+		record func(*Estimator)
 		change func(*RequestShape)
 		want   Estimate
 	}{
-		{"declared before anything is measured", nil, nil, Estimate{600, 40}},
-		{"four bytes a token before anything is measured", nil, func(s *RequestShape) { s.PromptBytes = 4000 }, Estimate{1000, 40}},
-		{"the caller's own bound", nil, func(s *RequestShape) { s.MaximumOutputTokens = 8 }, Estimate{600, 8}},
-		{"nothing known but the caller's bound", nil,
+		{"declared tokens before any measurement", nil, nil, Estimate{600, 40}},
+		{"four bytes per token before any measurement", nil, func(s *RequestShape) { s.PromptBytes = 4000 }, Estimate{1000, 40}},
+		{"the caller's output limit", nil, func(s *RequestShape) { s.MaximumOutputTokens = 8 }, Estimate{600, 8}},
+		{"only the caller's output limit is known", nil,
 			func(s *RequestShape) { s.DeclaredTokens, s.MaximumOutputTokens = DeclaredTokens{}, 8 }, Estimate{0, 8}},
-		{"other tenants of the kind", func(e *Estimator) { learn(e, RequestShape{Tenant: "b", Kind: "matching"}, Estimate{6000, 100}) },
+		{"other tenants of the kind", func(e *Estimator) { record(e, RequestShape{Tenant: "b", Kind: "matching"}, Estimate{6000, 100}) },
 			nil, Estimate{5600, 96}},
-		{"the tenant itself above others", func(e *Estimator) {
-			learn(e, RequestShape{Tenant: "a", Kind: "matching", PromptBytes: 3000}, Estimate{1000, 10})
-			learn(e, RequestShape{Tenant: "b", Kind: "matching"}, Estimate{6000, 100})
+		{"the tenant's own usage outweighs that of others", func(e *Estimator) {
+			record(e, RequestShape{Tenant: "a", Kind: "matching", PromptBytes: 3000}, Estimate{1000, 10})
+			record(e, RequestShape{Tenant: "b", Kind: "matching"}, Estimate{6000, 100})
 		}, func(s *RequestShape) { s.PromptBytes = 6000 }, Estimate{1996, 16}},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			estimator, err := NewEstimator(16)
 			require.NoError(t, err)
-			if row.learn != nil {
-				row.learn(estimator)
+			if row.record != nil {
+				row.record(estimator)
 			}
-			shape := own
+			shape := defaultShape
 			if row.change != nil {
 				row.change(&shape)
 			}
--- a/internal/admission/pace_test.go
+++ b/internal/admission/latency_test.go
@@ -7,44 +7,44 @@
 	"github.com/stretchr/testify/require"
 )
 
-// seen is one request that has ended, by class.
-type seen struct {
+// finishedRequest is the class and the outcome of one request that has ended.
+type finishedRequest struct {
 	class  string
 	result Result
 	// firstToken is the time from its start to the first token; 0 for none.
 	firstToken time.Duration
-	// took is the time from its start to its end; the next one starts then.
+	// took is the time from its start to its end. The next request starts then.
 	took time.Duration
 }
 
-func completed(class string, firstToken, interval time.Duration) seen {
+func completed(class string, firstToken, interval time.Duration) finishedRequest {
 	const tokens = 101
-	return seen{class: class, took: firstToken + (tokens-1)*interval,
+	return finishedRequest{class: class, took: firstToken + (tokens-1)*interval,
 		firstToken: firstToken, result: Result{PromptTokens: 1000, OutputTokens: tokens}}
 }
 
-// TestEarlyRefusalFollowsThePace lets requests end one after the other and then offers one
-// of class "slow" with 100 tokens of output that says itself to take half a second.
-func TestEarlyRefusalFollowsThePace(t *testing.T) {
+// TestEarlyRefusalUsesClassLatency runs requests one after the other and then offers one of class
+// "slow" with 100 output tokens and a declared minimum of half a second.
+func TestEarlyRefusalUsesClassLatency(t *testing.T) {
 	slow := completed("slow", 2*time.Second, 20*time.Millisecond)
 	rows := []struct {
 		name     string
-		before   []seen
+		before   []finishedRequest
 		pause    time.Duration
 		deadline time.Duration // from the offer on
 		want     error
 	}{
-		{"nothing is known", nil, 0, time.Second, nil},
-		{"its own minimum holds when nothing is known", nil, 0, 400 * time.Millisecond, ErrDeadline},
-		{"the pace leaves no time", []seen{slow, slow}, 0, 3900 * time.Millisecond, ErrDeadline},
-		{"the pace leaves just enough time", []seen{slow, slow}, 0, 4100 * time.Millisecond, nil},
-		{"another class is slow", []seen{completed("other", 2*time.Second, 20*time.Millisecond)}, 0, time.Second, nil},
-		{"the pace is old", []seen{slow, slow}, paceLifetime + 1, time.Second, nil},
-		{"requests that varied need a margin",
-			[]seen{completed("slow", time.Second, 0), completed("slow", 4*time.Second, 0)}, 0, 1500 * time.Millisecond, ErrDeadline},
-		{"one gave up without a token", []seen{completed("slow", 100*time.Millisecond, 0),
+		{"no latency is known", nil, 0, time.Second, nil},
+		{"without a known latency the request's own minimum applies", nil, 0, 400 * time.Millisecond, ErrDeadline},
+		{"the class latency leaves too little time", []finishedRequest{slow, slow}, 0, 3900 * time.Millisecond, ErrDeadline},
+		{"the class latency leaves just enough time", []finishedRequest{slow, slow}, 0, 4100 * time.Millisecond, nil},
+		{"another class is slow", []finishedRequest{completed("other", 2*time.Second, 20*time.Millisecond)}, 0, time.Second, nil},
+		{"the class latency is stale", []finishedRequest{slow, slow}, latencyLifetime + 1, time.Second, nil},
+		{"varying latencies need a margin",
+			[]finishedRequest{completed("slow", time.Second, 0), completed("slow", 4*time.Second, 0)}, 0, 1500 * time.Millisecond, ErrDeadline},
+		{"a request was cancelled without a token", []finishedRequest{completed("slow", 100*time.Millisecond, 0),
 			{class: "slow", took: 30 * time.Second, result: Result{Failed: true, DeadlineMissed: true}}}, 0, 2 * time.Second, ErrDeadline},
-		{"one failed for a reason of its own", []seen{completed("slow", 100*time.Millisecond, 0),
+		{"a request failed for another reason", []finishedRequest{completed("slow", 100*time.Millisecond, 0),
 			{class: "slow", took: time.Second, result: Result{Failed: true}}}, 0, 2 * time.Second, nil},
 	}
 	for _, row := range rows {
@@ -52,7 +52,7 @@
 			core := newTestCore(t)
 			var now time.Duration
 			for number, each := range row.before {
-				require.Empty(t, core.Offer(now, offered(uint64(number), "a", func(r *Request) { r.Class = each.class })))
+				require.Empty(t, core.Offer(now, newRequest(uint64(number), "a", func(r *Request) { r.Class = each.class })))
 				_, found := core.StartNext(now)
 				require.True(t, found)
 				if each.firstToken > 0 {
@@ -62,7 +62,7 @@
 				core.Finish(now, uint64(number), each.result)
 			}
 			now += row.pause
-			refused := core.Offer(now, offered(100, "a", deadline(now+row.deadline, 500*time.Millisecond),
+			refused := core.Offer(now, newRequest(100, "a", deadline(now+row.deadline, 500*time.Millisecond),
 				func(r *Request) { r.Class, r.OutputTokens = "slow", 100 }))
 			if row.want == nil {
 				require.Empty(t, refused)
@@ -75,45 +75,45 @@
 	}
 }
 
-// TestOneRequestConfirmsAnOldPace offers ten requests that an old pace would refuse: one
-// is let through, and the others are refused until it has shown a better pace.
-func TestOneRequestConfirmsAnOldPace(t *testing.T) {
+// TestOneRequestProbesStaleLatency offers ten requests that a stale latency would refuse. One is
+// admitted as a probe, and the others are refused until the probe has measured a lower latency.
+func TestOneRequestProbesStaleLatency(t *testing.T) {
 	core := newTestCore(t)
-	ask := func(now time.Duration, id uint64) []Refusal {
-		return core.Offer(now, offered(id, "a", deadline(now+time.Second, 0), func(r *Request) { r.Class = "slow" }))
+	offer := func(now time.Duration, id uint64) []Refusal {
+		return core.Offer(now, newRequest(id, "a", deadline(now+time.Second, 0), func(r *Request) { r.Class = "slow" }))
 	}
-	require.Empty(t, ask(0, 0))
+	require.Empty(t, offer(0, 0))
 	_, found := core.StartNext(0)
 	require.True(t, found)
 	core.RecordFirstToken(3*time.Second, 0, 0)
 	core.Finish(3*time.Second, 0, Result{PromptTokens: 1000})
-	now := 3*time.Second + paceLifetime + 1
-	require.Empty(t, ask(now, 1))
+	now := 3*time.Second + latencyLifetime + 1
+	require.Empty(t, offer(now, 1))
 	_, found = core.StartNext(now)
-	require.True(t, found, "the first one tries")
+	require.True(t, found, "the first request is the probe")
 	for id := range uint64(9) {
-		require.Len(t, ask(now, 10+id), 1, "the others do not")
+		require.Len(t, offer(now, 10+id), 1, "the others are refused")
 	}
 	for id := uint64(1); id < 6; id++ {
 		core.RecordFirstToken(now+10*time.Millisecond, id, 0)
 		core.Finish(now+10*time.Millisecond, id, Result{PromptTokens: 1000})
-		now += paceLifetime + 20*time.Millisecond
-		require.Empty(t, ask(now, id+1))
+		now += latencyLifetime + 20*time.Millisecond
+		require.Empty(t, offer(now, id+1))
 		_, found = core.StartNext(now)
 		require.True(t, found)
 	}
-	require.Empty(t, ask(now, 100), "the pace is good again")
+	require.Empty(t, offer(now, 100), "the latency is low again")
 }
 
-// TestNextGivesUpOnTheLate lets two requests wait until one of them is late: Next starts
-// the other and hands the late one back at once.
-func TestNextGivesUpOnTheLate(t *testing.T) {
+// TestStartNextRefusesLateRequests queues two requests and waits until one of them is late.
+// StartNext starts the other one and refuses the late one immediately.
+func TestStartNextRefusesLateRequests(t *testing.T) {
 	core := newTestCore(t, oneAtATime)
-	require.Empty(t, core.Offer(0, offered(1, "a")))
+	require.Empty(t, core.Offer(0, newRequest(1, "a")))
 	_, found := core.StartNext(0)
 	require.True(t, found)
-	require.Empty(t, core.Offer(0, offered(2, "a", deadline(time.Second, 0))))
-	require.Empty(t, core.Offer(0, offered(3, "a", deadline(time.Minute, 0))))
+	require.Empty(t, core.Offer(0, newRequest(2, "a", deadline(time.Second, 0))))
+	require.Empty(t, core.Offer(0, newRequest(3, "a", deadline(time.Minute, 0))))
 	core.Finish(2*time.Second, 1, Result{})
 	next, found := core.StartNext(2 * time.Second)
 	require.True(t, found)
@@ -123,7 +123,7 @@
 	require.False(t, core.Remove(2))
 }
 
-// TestMissedDeadlinesShrinkTheWindow tells misses from failures that say nothing of load.
+// TestMissedDeadlinesShrinkTheWindow separates missed deadlines from failures unrelated to load.
 func TestMissedDeadlinesShrinkTheWindow(t *testing.T) {
 	rows := []struct {
 		name    string
@@ -137,14 +137,14 @@
 		{"failed after a long wait for its first token", Result{Failed: true}, time.Minute, time.Minute, true},
 		{"completed without waiting", Result{}, time.Millisecond, 0, false},
 		{"completed after long waits", Result{}, time.Minute, time.Minute, true},
-		{"completed after long waits, of which the end tells", Result{Wait: time.Minute}, 0, 0, true},
+		{"completed after long waits, reported at the end", Result{Wait: time.Minute}, 0, 0, true},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			core := newTestCore(t)
 			before := core.window.size
 			for id := range uint64(20) {
-				require.Empty(t, core.Offer(0, offered(id, "a")))
+				require.Empty(t, core.Offer(0, newRequest(id, "a")))
 				_, found := core.StartNext(0)
 				require.True(t, found)
 				if row.tokenAt > 0 {
--- /dev/null
+++ b/internal/admission/prefill_backlog.go
@@ -0,0 +1,49 @@
+package admission
+
+import "time"
+
+// prefillBacklog tracks the prompts of this gateway that await prefill at back ends: those of
+// requests in flight without a first token.
+type prefillBacklog struct {
+	// pendingTokens counts prompt tokens by priority. A priority without pending tokens has no entry.
+	pendingTokens map[int32]int64
+	rate          serviceRate
+}
+
+func newPrefillBacklog() prefillBacklog { return prefillBacklog{pendingTokens: map[int32]int64{}} }
+
+// add adds a prompt. Time without pending prompts is excluded from the rate.
+func (r *prefillBacklog) add(now time.Duration, e *entry) {
+	if len(r.pendingTokens) == 0 {
+		r.rate.restart(now)
+	}
+	r.pendingTokens[e.Priority] += int64(max(e.PromptTokens, 1))
+}
+
+// remove removes a prompt; prefilled reports that its first token arrived.
+func (r *prefillBacklog) remove(now time.Duration, e *entry, prefilled bool) {
+	tokens := int64(max(e.PromptTokens, 1))
+	r.pendingTokens[e.Priority] -= tokens
+	if r.pendingTokens[e.Priority] <= 0 {
+		delete(r.pendingTokens, e.Priority)
+	}
+	if prefilled {
+		r.rate.record(now, float64(tokens), len(r.pendingTokens) > 0)
+	}
+}
+
+// wait returns how long back ends need at the recent prefill rate for the pending prompts of this
+// priority and above. This is the expected time to first token of a request that starts now.
+// It returns 0 while the rate is unknown.
+func (r *prefillBacklog) wait(priority int32) time.Duration {
+	if r.rate.perSecond == 0 {
+		return 0
+	}
+	before := int64(0)
+	for other, tokens := range r.pendingTokens {
+		if other >= priority {
+			before += tokens
+		}
+	}
+	return time.Duration(float64(before) / r.rate.perSecond * float64(time.Second))
+}
--- a/internal/admission/queueing.go
+++ b/internal/admission/queueing.go
@@ -5,22 +5,22 @@
 // worthSmoothing is the weight of one request in the running mean of worth classes.
 const worthSmoothing = 0.01
 
-// noteWorth keeps the mean worth class, the level against which a request is
-// called worth more or less.
-func (c *Core) noteWorth(e *entry) {
+// updateWorthLevel updates the mean worth class, the reference against which the worth of a
+// request is high or low.
+func (c *Core) updateWorthLevel(e *entry) {
 	if c.sequence == 1 {
 		c.worthLevel = float64(e.worthClass)
 	}
 	c.worthLevel += worthSmoothing * (float64(e.worthClass) - c.worthLevel)
 }
 
-// part is the tenant's weight, bent by what the request is worth per token.
-func (c *Core) part(e *entry) float64 {
+// effectiveWeight returns the tenant's weight, adjusted by the worth per token of the request.
+func (c *Core) effectiveWeight(e *entry) float64 {
 	if c.config.FirstInFirstOut {
 		return 1
 	}
-	bend := math.Exp2((float64(e.worthClass) - c.worthLevel) / 2)
-	return e.queue.weight * min(max(bend, 1/c.config.WorthBound), c.config.WorthBound)
+	factor := math.Exp2((float64(e.worthClass) - c.worthLevel) / 2)
+	return e.queue.weight * min(max(factor, 1/c.config.WorthBound), c.config.WorthBound)
 }
 
 func (c *Core) tenantQueue(tenant string, weight uint32) *tenantQueue {
@@ -45,27 +45,27 @@
 	c.unrank(queue)
 	queue.add(e)
 	c.entries[e.ID] = e
-	c.byStart.ReplaceOrInsert(e)
+	c.byLatestStart.ReplaceOrInsert(e)
 	c.queuedBytes += e.Bytes
 	c.queuedCost += e.cost
 	c.rank(queue)
 }
 
-// dequeue takes a request out; the caller ranks the tenant afterwards.
+// dequeue removes a request from the queue. The caller must rank the tenant afterwards.
 func (c *Core) dequeue(e *entry) {
 	queue := e.queue
 	c.unrank(queue)
 	queue.remove(e)
 	delete(c.entries, e.ID)
-	c.byStart.Delete(e)
+	c.byLatestStart.Delete(e)
 	c.queuedBytes -= e.Bytes
 	c.queuedCost -= e.cost
 	if len(c.entries) == 0 {
-		c.queuedCost = 0 // no rounding left over
+		c.queuedCost = 0 // discard rounding errors
 	}
 }
 
-// rank puts a tenant that is not in the fair order into it, if it has work.
+// rank inserts a tenant with waiting requests into the service order. The tenant must not be in it.
 func (c *Core) rank(queue *tenantQueue) {
 	if queue.entries.Len() == 0 {
 		return
@@ -75,20 +75,20 @@
 	c.weightSum += queue.weight
 }
 
-// unrank takes a tenant out of the fair order, before its tag or weight changes.
+// unrank removes a tenant from the service order. Call it before its tag or weight changes.
 func (c *Core) unrank(queue *tenantQueue) {
 	if _, found := c.waiting.Delete(queue); !found {
 		return
 	}
 	c.weightSum -= queue.weight
 	if c.waiting.Len() == 0 {
-		c.weightSum = 0 // no rounding left over
+		c.weightSum = 0 // discard rounding errors
 	}
 }
 
-// forgetIdle drops a tenant that has nothing here. The tokens it has used ahead of
-// others are forgotten with it; they are at most those of its last request.
-func (c *Core) forgetIdle(queue *tenantQueue) {
+// removeIfIdle deletes a tenant without waiting requests and without requests in flight. This
+// discards the tokens that it used in advance, which are at most those of its last request.
+func (c *Core) removeIfIdle(queue *tenantQueue) {
 	if queue.entries.Len() == 0 && queue.inFlight == 0 {
 		delete(c.tenants, queue.tenant)
 	}
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Request is what admission needs to know about one request.
+// Request describes one request to the admission.
 type Request struct {
-	// ID is unique among the requests offered to a Core and not yet finished or refused.
+	// ID is unique among the requests of a Core that are waiting or in flight.
 	ID     uint64
 	Tenant string
-	// Class names requests that take alike long at back ends: their kind.
+	// Class groups requests with similar latency at back ends; it is their kind.
 	Class string
-	// Priority is the order in which back ends read prompts, higher first.
+	// Priority is the order in which back ends prefill prompts, higher first.
 	Priority int32
-	// Weight is the tenant's part under contention; 0 counts as 1.
+	// Weight is the tenant's weight under contention; 0 counts as 1.
 	Weight uint32
-	// Worth of the request when it completes in time.
+	// Worth is the value of the request when it completes in time.
 	Worth float64
 	// PromptTokens and OutputTokens are estimates; both 0 counts as one token.
 	PromptTokens int
 	OutputTokens int
-	// Bytes of memory that the request holds while it waits.
+	// Bytes is the memory that the request occupies while it waits.
 	Bytes int64
-	// Deadline is the time of the last byte; 0 for none.
+	// Deadline is the time by which the last byte must be sent; 0 for none.
 	Deadline time.Duration
-	// MinimumTime is the shortest time the request takes once it has been started.
+	// MinimumTime is the shortest duration of the request after its start.
 	MinimumTime time.Duration
 }
 
-// latestStart is the last time at which starting the request makes sense.
+// latestStart returns the latest time at which the request can start and meet its deadline.
 func (r *Request) latestStart() time.Duration {
 	if r.Deadline == 0 {
 		return noDeadline
--- a/internal/admission/result.go
+++ b/internal/admission/result.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Result is how a started request ended.
+// Result describes how a request in flight ended.
 type Result struct {
-	// PromptTokens and OutputTokens were used; both 0 when unknown.
+	// PromptTokens and OutputTokens are the tokens used; both 0 if unknown.
 	PromptTokens int
 	OutputTokens int
-	// Wait is how much longer than its own work the request took; it counts when
-	// FirstToken was not told.
+	// Wait is the time that the request took beyond its own work. It applies only if
+	// RecordFirstToken was not called.
 	Wait time.Duration
-	// DeadlineMissed tells that it was given up because its deadline had passed.
+	// DeadlineMissed reports that the request was cancelled because its deadline had passed.
 	DeadlineMissed bool
-	// Overloaded tells that a back end refused it for too much load.
+	// Overloaded reports that a back end refused the request because of overload.
 	Overloaded bool
-	// Failed tells that it did not complete. Unless it Missed or was Overloaded, that says
-	// nothing about load.
+	// Failed reports that the request did not complete. Without DeadlineMissed or Overloaded,
+	// a failure says nothing about load.
 	Failed bool
 }
--- a/internal/admission/service_rate.go
+++ b/internal/admission/service_rate.go
@@ -7,32 +7,32 @@
 	rateWeight = 0.3
 )
 
-// serviceRate measures how much cost is finished per second while there is a
-// queue. Without a queue it only grows, since demand and not capacity limits then.
+// serviceRate measures the cost completed per second while requests are queued. Without a
+// queue the rate only grows, since demand rather than capacity limits it then.
 type serviceRate struct {
-	perSecond float64
-	since     time.Duration
-	finished  float64
-	started   bool
+	perSecond    float64
+	windowStart  time.Duration
+	finishedCost float64
+	isStarted    bool
 }
 
-// restart leaves the time up to now out of the measurement.
+// restart excludes the time before now from the measurement.
 func (s *serviceRate) restart(now time.Duration) {
-	s.started, s.since, s.finished = true, now, 0
+	s.isStarted, s.windowStart, s.finishedCost = true, now, 0
 }
 
-func (s *serviceRate) finish(now time.Duration, cost float64, queued bool) {
-	if !s.started {
-		s.started, s.since = true, now
+func (s *serviceRate) record(now time.Duration, cost float64, queued bool) {
+	if !s.isStarted {
+		s.isStarted, s.windowStart = true, now
 		return
 	}
-	s.finished += cost
-	elapsed := now - s.since
+	s.finishedCost += cost
+	elapsed := now - s.windowStart
 	if elapsed < rateWindow {
 		return
 	}
-	sample := s.finished / elapsed.Seconds()
-	s.since, s.finished = now, 0
+	sample := s.finishedCost / elapsed.Seconds()
+	s.windowStart, s.finishedCost = now, 0
 	switch {
 	case s.perSecond == 0:
 		if queued {
--- a/internal/admission/shed.go
+++ b/internal/admission/shed.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// shed gives up on requests until the queue is within its bounds.
+// shed refuses requests until the queue is within its bounds.
 func (c *Core) shed() []Refusal {
 	var shed []Refusal
 	for len(c.entries) > c.config.QueueLength || c.queuedBytes > c.config.QueueBytes {
-		shed = append(shed, c.giveUp(c.leastWorth(), ErrQueueFull, c.drainTime()))
+		shed = append(shed, c.refuse(c.leastWorthEntry(), ErrQueueFull, c.drainTime()))
 	}
 	return shed
 }
 
-// leastWorth finds the request worth least per token among the tenants that hold
-// more than their fair part of the queue; the newest among equals.
-func (c *Core) leastWorth() *entry {
+// leastWorthEntry returns the request worth least per token among the tenants that hold more
+// than their fair share of the queue; the newest among equals.
+func (c *Core) leastWorthEntry() *entry {
 	fair := c.queuedCost / max(c.weightSum, 1)
 	var least *entry
 	c.waiting.Ascend(func(queue *tenantQueue) bool {
-		if queue.cost/queue.weight < fair*overShare {
+		if queue.cost/queue.weight < fair*fairShareTolerance {
 			return true
 		}
 		last, _ := queue.entries.Max()
-		if least == nil || shedBefore(last, least) {
+		if least == nil || shedOrder(last, least) {
 			least = last
 		}
 		return true
 	})
-	if least == nil { // rounding left nobody over the fair part
+	if least == nil { // rounding errors left no tenant above its fair share
 		queue, _ := c.waiting.Max()
 		least, _ = queue.entries.Max()
 	}
 	return least
 }
 
-// overShare forgives rounding when a tenant holds just its fair part.
-const overShare = 0.999
+// fairShareTolerance absorbs rounding errors of a tenant that holds exactly its fair share.
+const fairShareTolerance = 0.999
 
-func shedBefore(a, b *entry) bool {
+func shedOrder(a, b *entry) bool {
 	if a.worthClass != b.worthClass {
 		return a.worthClass < b.worthClass
 	}
 	return a.sequence > b.sequence
 }
 
-// drainTime is how long the present queue takes at the present rate.
+// drainTime returns how long the current queue takes at the current service rate.
 func (c *Core) drainTime() time.Duration {
 	if c.rate.perSecond == 0 {
 		return minimumRetryAfter
--- a/internal/admission/tenant_queue.go
+++ b/internal/admission/tenant_queue.go
@@ -2,18 +2,18 @@
 
 import "github.com/google/btree"
 
-// treeDegree is the usual node size of small trees.
+// treeDegree is a usual node size for small B-trees.
 const treeDegree = 8
 
-// tenantQueue holds one tenant's waiting requests and its place in the fair order.
+// tenantQueue holds one tenant's waiting requests and its position in the service order.
 type tenantQueue struct {
 	tenant  string
 	weight  float64
 	entries *btree.BTreeG[*entry]
-	// cost is the sum over entries.
+	// cost is the sum of the costs of entries.
 	cost float64
-	// startTag is the virtual time at which the next request starts, finishTag the
-	// one at which the last started request ends.
+	// startTag is the virtual start time of the next request; finishTag is the virtual finish
+	// time of the last request started.
 	startTag  float64
 	finishTag float64
 	inFlight  int
@@ -37,11 +37,11 @@
 		q.cost -= e.cost
 	}
 	if q.entries.Len() == 0 {
-		q.cost = 0 // no rounding left over
+		q.cost = 0 // discard rounding errors
 	}
 }
 
-// costBefore is the cost of the entries that go before e.
+// costBefore returns the cost of the entries served before e.
 func (q *tenantQueue) costBefore(e *entry) float64 {
 	var cost float64
 	q.entries.AscendLessThan(e, func(ahead *entry) bool {
@@ -51,7 +51,7 @@
 	return cost
 }
 
-// fairOrder serves the smallest start tag first.
+// fairOrder orders tenants by start tag, smallest first.
 func fairOrder(a, b *tenantQueue) bool {
 	if a.startTag != b.startTag {
 		return a.startTag < b.startTag
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -3,65 +3,65 @@
 import "time"
 
 const (
-	windowDecrease = 0.85
-	// windowPatience is the least time between two decreases. It is longer when
-	// requests take longer: the effect of the first one shows after a round trip.
-	windowPatience = 500 * time.Millisecond
-	// windowGrowth is the least growth for each window of requests that came back
-	// without waiting, as a share of the window.
-	windowGrowth = 0.1
-	// waitShare is the share of a request's own time that it may wait at back ends
-	// before the window shrinks, when that is more than the target.
-	waitShare = 0.3
-	// waitSmoothing is the weight of one request in the mean wait: one outlier
-	// tells little where the work of requests varies.
+	windowShrinkFactor = 0.85
+	// minimumShrinkInterval is the minimum time between two decreases. With longer requests the
+	// round trip applies instead, since a decrease takes effect only after one.
+	minimumShrinkInterval = 500 * time.Millisecond
+	// windowGrowthShare is the minimum growth per full window of requests that completed without
+	// queueing, as a fraction of the window.
+	windowGrowthShare = 0.1
+	// allowedWaitShare is the fraction of a request's own duration that it may queue at back ends
+	// before the window shrinks, if that is more than the target.
+	allowedWaitShare = 0.3
+	// waitSmoothing is the weight of one request in the mean wait. It is small because the work
+	// of requests varies and a single outlier means little.
 	waitSmoothing = 0.1
-	// missedWait is what a request that missed its deadline counts for in the mean wait at
-	// least, whatever it waited for.
-	missedWait = 2
+	// missedDeadlineWait is the sample that a request with a missed deadline adds to the mean
+	// wait, regardless of its actual wait. Waits are relative to the allowed wait.
+	missedDeadlineWait = 2
 	// roundTripSmoothing is the weight of one request in the mean round trip.
 	roundTripSmoothing = 0.05
 )
 
-// window bounds the cost in flight. Until requests first wait too long it doubles
-// with each window of them; then it grows by a tenth, or by one request, with each,
-// and shrinks by a factor, once a round trip, when they waited too long or were
-// refused.
+// window limits the cost in flight. Until the first decrease it doubles with each full window of
+// requests (slow start). After that it grows by a tenth, or by one request, per window. It shrinks
+// by a constant factor, at most once per round trip, when requests queued too long or back ends
+// refused them.
 type window struct {
-	size       float64
-	minimum    float64
-	target     time.Duration
-	decreased  time.Duration
-	everShrunk bool
-	used       float64 // cost in flight
-	count      int     // requests in flight
-	roundTrip  time.Duration
-	// meanWait is the running mean of waits, each as a share of what it may be.
+	size             float64
+	minimum          float64
+	target           time.Duration
+	shrunkAt         time.Duration
+	hasShrunk        bool
+	costInFlight     float64 // cost in flight
+	requestsInFlight int     // requests in flight
+	roundTrip        time.Duration
+	// meanWait is the running mean of waits, each relative to its allowed wait.
 	meanWait float64
 }
 
-// admits reports whether one more request of this cost may start.
+// admits reports whether a request of this cost may start.
 func (w *window) admits(cost float64) bool {
-	return w.count == 0 || w.used+cost <= w.size
+	return w.requestsInFlight == 0 || w.costInFlight+cost <= w.size
 }
 
 func (w *window) start(cost float64) {
-	w.used += cost
-	w.count++
+	w.costInFlight += cost
+	w.requestsInFlight++
 }
 
-// finish takes in how a started request ended.
+// finish records how a request in flight ended.
 func (w *window) finish(now time.Duration, ended *entry, result Result) {
-	full := w.used+ended.cost > w.size
-	w.used = max(w.used-ended.cost, 0)
-	w.count--
-	if w.count == 0 {
-		w.used = 0
+	full := w.costInFlight+ended.cost > w.size
+	w.costInFlight = max(w.costInFlight-ended.cost, 0)
+	w.requestsInFlight--
+	if w.requestsInFlight == 0 {
+		w.costInFlight = 0
 	}
 	w.measureRoundTrip(now - ended.startedAt)
 	switch {
 	case result.DeadlineMissed:
-		w.measureWait(missedWait)
+		w.measureWait(missedDeadlineWait)
 	case ended.firstToken > 0:
 		w.measureWait(float64(ended.wait) / float64(w.allowedWait(ended)))
 	case !result.Failed:
@@ -76,9 +76,9 @@
 	}
 }
 
-// allowedWait is how long a request may have waited at back ends.
+// allowedWait returns how long a request may queue at back ends.
 func (w *window) allowedWait(ended *entry) time.Duration {
-	return max(w.target, time.Duration(waitShare*float64(ended.MinimumTime)))
+	return max(w.target, time.Duration(allowedWaitShare*float64(ended.MinimumTime)))
 }
 
 func (w *window) measureRoundTrip(took time.Duration) {
@@ -93,17 +93,17 @@
 }
 
 func (w *window) grow(cost float64) {
-	if !w.everShrunk {
+	if !w.hasShrunk {
 		w.size += cost
 		return
 	}
-	w.size += max(cost*cost/w.size, windowGrowth*cost)
+	w.size += max(cost*cost/w.size, windowGrowthShare*cost)
 }
 
 func (w *window) shrink(now time.Duration) {
-	if w.everShrunk && now < w.decreased+max(windowPatience, w.roundTrip) {
+	if w.hasShrunk && now < w.shrunkAt+max(minimumShrinkInterval, w.roundTrip) {
 		return
 	}
-	w.everShrunk, w.decreased = true, now
-	w.size = max(w.size*windowDecrease, w.minimum)
+	w.hasShrunk, w.shrunkAt = true, now
+	w.size = max(w.size*windowShrinkFactor, w.minimum)
 }
--- a/internal/limits/account.go
+++ b/internal/limits/account.go
@@ -5,8 +5,8 @@
 const (
 	// demandWindow is the time over which demand is measured.
 	demandWindow = time.Second
-	// shortestWindow is the least time over which a window that is not over yet counts.
-	shortestWindow = 250 * time.Millisecond
+	// minimumWindow is the least time over which a window that is not over yet counts.
+	minimumWindow = 250 * time.Millisecond
 	// demandWeight is the weight of the newest window in the measured demand.
 	demandWeight = 0.5
 	// idleAfter is how long a tenant without requests is still reported.
@@ -16,7 +16,7 @@
 // account is one tenant at this gateway.
 type account struct {
 	limit  Limit
-	shares holdings
+	shares leasedShares
 	// level of the token bucket; negative is a debt.
 	level    float64
 	filledAt time.Duration
@@ -26,7 +26,7 @@
 	// waitingTokens are their tokens.
 	waitingTokens float64
 	demand        demand
-	asked         askedShare
+	requested     requestedShare
 }
 
 // capacity of the token bucket under the share in force.
@@ -56,44 +56,44 @@
 
 // demand is what a tenant has asked for at this gateway.
 type demand struct {
-	// used counts tokens since the last report.
-	used float64
-	// asked counts the tokens of all requests, refused ones too, in this window.
-	asked     float64
-	windowAt  time.Duration
-	perSecond float64
-	// peak is the largest number of requests wanted at once since the last report.
-	peak   int
-	lastAt time.Duration
+	// usedTokens counts tokens since the last report.
+	usedTokens float64
+	// requestedTokens counts the tokens of all requests, refused ones too, in this window.
+	requestedTokens float64
+	windowStart     time.Duration
+	perSecond       float64
+	// peakConcurrency is the largest number of requests wanted at once since the last report.
+	peakConcurrency int
+	lastRequestAt   time.Duration
 }
 
-func (d *demand) ask(now time.Duration, tokens float64, wanted int) {
-	d.turn(now)
-	d.asked += tokens
-	d.peak = max(d.peak, wanted)
-	d.lastAt = now
+func (d *demand) recordRequest(now time.Duration, tokens float64, wanted int) {
+	d.rollWindow(now)
+	d.requestedTokens += tokens
+	d.peakConcurrency = max(d.peakConcurrency, wanted)
+	d.lastRequestAt = now
 }
 
-// turn ends the window when it is over.
-func (d *demand) turn(now time.Duration) {
-	elapsed := now - d.windowAt
+// rollWindow ends the window when it is over.
+func (d *demand) rollWindow(now time.Duration) {
+	elapsed := now - d.windowStart
 	if elapsed < demandWindow {
 		return
 	}
-	sample := d.asked / elapsed.Seconds()
+	sample := d.requestedTokens / elapsed.Seconds()
 	d.perSecond += demandWeight * (sample - d.perSecond)
 	if sample > d.perSecond {
 		d.perSecond = sample // follow growth at once, decline slowly
 	}
-	d.asked, d.windowAt = 0, now
+	d.requestedTokens, d.windowStart = 0, now
 }
 
-// wanted is the token rate to ask the controllers for.
-func (d *demand) wanted(now time.Duration) float64 {
-	d.turn(now)
-	elapsed := min(max(now-d.windowAt, shortestWindow), demandWindow)
+// wantedRate is the token rate to ask the controllers for.
+func (d *demand) wantedRate(now time.Duration) float64 {
+	d.rollWindow(now)
+	elapsed := min(max(now-d.windowStart, minimumWindow), demandWindow)
 	if d.perSecond > 0 {
 		elapsed = demandWindow // the window began with requests
 	}
-	return max(d.perSecond, d.asked/elapsed.Seconds())
+	return max(d.perSecond, d.requestedTokens/elapsed.Seconds())
 }
--- a/internal/limits/core.go
+++ b/internal/limits/core.go
@@ -20,9 +20,9 @@
 type Core struct {
 	config   Config
 	accounts *simplelru.LRU[string, *account]
-	// reportFrom is where the next report starts when there are more tenants than
+	// nextReportStart is where the next report starts when there are more tenants than
 	// one report holds.
-	reportFrom string
+	nextReportStart string
 	// waiters are the requests that wait for a share, in the order of arrival.
 	waiters []*waiter
 }
@@ -50,21 +50,21 @@
 // *Refusal, and nothing is charged then; or ErrWaiting: the request waits for a larger
 // share, and Resolve decides it. Each Charge is given back with one Settle.
 func (c *Core) Acquire(now time.Duration, request Request) (Charge, error) {
-	if request.Limit.unlimited() {
+	if request.Limit.isUnlimited() {
 		return Charge{}, nil
 	}
-	account, err := c.account(now, request.Tenant, request.Limit)
+	account, err := c.accountFor(now, request.Tenant, request.Limit)
 	if err != nil {
 		return Charge{}, err
 	}
 	account.fill(now, c.config.Burst)
-	size := request.size()
-	account.demand.ask(now, size, account.inFlight+account.waiting+1)
-	if refusal := c.check(now, account, size, account.waitingTokens); refusal != nil {
+	size := request.chargedTokens()
+	account.demand.recordRequest(now, size, account.inFlight+account.waiting+1)
+	if refusal := c.checkLimits(now, account, size, account.waitingTokens); refusal != nil {
 		if !c.mayWait(now, account, refusal) {
 			return Charge{}, refusal
 		}
-		c.wait(now, account, request)
+		c.enqueueWaiter(now, account, request)
 		return Charge{}, ErrWaiting
 	}
 	return c.charge(account, request.Tenant, size), nil
@@ -75,13 +75,13 @@
 	if account.limit.TokensPerSecond != 0 {
 		account.level -= size
 	}
-	account.demand.used += size
+	account.demand.usedTokens += size
 	return Charge{tenant: tenant, tokens: size}
 }
 
-// check returns why a request of this size, behind others that wait with so many tokens,
+// checkLimits returns why a request of this size, behind others that wait with so many tokens,
 // may not start now; nil when it may.
-func (c *Core) check(now time.Duration, account *account, size, ahead float64) *Refusal {
+func (c *Core) checkLimits(now time.Duration, account *account, size, ahead float64) *Refusal {
 	if account.limit.Concurrency != 0 && account.inFlight >= account.shares.concurrency(now) {
 		if account.shares.concurrency(now) == 0 {
 			return &Refusal{Reason: ErrNoShare, RetryAfter: minimumRetryAfter}
@@ -111,7 +111,7 @@
 	account.fill(now, c.config.Burst)
 	account.inFlight = max(account.inFlight-1, 0)
 	difference := float64(used) - charge.tokens
-	account.demand.used = max(account.demand.used+difference, 0)
+	account.demand.usedTokens = max(account.demand.usedTokens+difference, 0)
 	if account.limit.TokensPerSecond != 0 {
 		account.level = min(account.level-difference, account.capacity(now, c.config.Burst))
 	}
@@ -131,7 +131,7 @@
 			continue
 		}
 		account.fill(now, c.config.Burst)
-		account.asked.answer(sentAt)
+		account.requested.recordAnswer(sentAt)
 		account.shares.granted = lease{
 			tokensPerSecond: float64(share.GetTokensPerSecond()),
 			concurrency:     share.GetConcurrency(),
@@ -142,27 +142,27 @@
 	}
 }
 
-// account finds or makes the account of a tenant and takes over its limit.
-func (c *Core) account(now time.Duration, tenant string, limit Limit) (*account, error) {
-	found, known := c.accounts.Get(tenant)
+// accountFor finds or makes the accountFor of a tenant and takes over its limit.
+func (c *Core) accountFor(now time.Duration, tenant string, limit Limit) (*account, error) {
+	tenantAccount, known := c.accounts.Get(tenant)
 	if !known {
-		if err := c.makeRoom(); err != nil {
+		if err := c.evictIdleTenants(); err != nil {
 			return nil, err
 		}
-		found = c.newAccount(now, limit)
-		c.accounts.Add(tenant, found)
+		tenantAccount = c.newAccount(now, limit)
+		c.accounts.Add(tenant, tenantAccount)
 	}
-	if found.limit != limit {
-		c.changeLimit(now, found, limit)
+	if tenantAccount.limit != limit {
+		c.applyLimit(now, tenantAccount, limit)
 	}
-	return found, nil
+	return tenantAccount, nil
 }
 
 func (c *Core) newAccount(now time.Duration, limit Limit) *account {
 	created := &account{limit: limit, filledAt: now}
 	created.shares.initial = c.initialLease(now, limit)
 	created.level = created.capacity(now, c.config.Burst)
-	created.demand.windowAt = now
+	created.demand.windowStart = now
 	return created
 }
 
@@ -180,9 +180,9 @@
 	return initial
 }
 
-// changeLimit takes over a changed limit: the tenant gets a new initial share, and
+// applyLimit takes over a changed limit: the tenant gets a new initial share, and
 // its granted share never exceeds the whole limit.
-func (c *Core) changeLimit(now time.Duration, account *account, limit Limit) {
+func (c *Core) applyLimit(now time.Duration, account *account, limit Limit) {
 	account.fill(now, c.config.Burst)
 	account.limit = limit
 	account.shares.initial = c.initialLease(now, limit)
@@ -192,8 +192,8 @@
 	account.level = min(account.level, account.capacity(now, c.config.Burst))
 }
 
-// makeRoom forgets the tenant without requests in flight or waiting that was met least lately.
-func (c *Core) makeRoom() error {
+// evictIdleTenants forgets the tenant without requests in flight or waiting that was met least lately.
+func (c *Core) evictIdleTenants() error {
 	for range evictionProbes {
 		if c.accounts.Len() < c.config.Tenants {
 			return nil
--- a/internal/limits/core_test.go
+++ b/internal/limits/core_test.go
@@ -30,13 +30,13 @@
 	core.ApplyShares(now, sentAt, []*v1.Share{{Tenant: tenant, TokensPerSecond: tokens, Concurrency: concurrency, ValidMs: 4000}})
 }
 
-// atLimit makes the last share granted less than was asked for.
-func atLimit(core *Core) {
+// setAtLimit makes the last share granted less than was asked for.
+func setAtLimit(core *Core) {
 	if account, met := core.accounts.Peek(tenant); met {
-		account.asked.report(0, 1_000_000, 1_000)
-		account.asked.answer(0)
+		account.requested.recordReport(0, 1_000_000, 1_000)
+		account.requested.recordAnswer(0)
 		if account.shares.granted.expiresAt < 105*time.Second {
-			account.asked.report(0, 1_000_000, 1_000) // no controller answers
+			account.requested.recordReport(0, 1_000_000, 1_000) // no controller answers
 		}
 	}
 }
@@ -47,8 +47,8 @@
 // s is one second, for tables of times.
 const s = time.Second
 
-// use acquires tokens for the test's tenant, whatever comes of it.
-func use(core *Core, now time.Duration, tokens int) Charge {
+// acquireTokens acquires tokens for the test's tenant, whatever comes of it.
+func acquireTokens(core *Core, now time.Duration, tokens int) Charge {
 	charge, _ := core.Acquire(now, Request{Tenant: tenant, Limit: testLimit, Tokens: tokens})
 	return charge
 }
@@ -65,41 +65,57 @@
 var acquireRows = []acquireRow{
 	{name: "tenant without limits", before: func(*Core) {}, limit: Limit{}},
 	{name: "tenant newly met", before: func(*Core) {}, limit: testLimit},
-	{name: "initial tokens are used up", before: func(c *Core) { use(c, 105*s, 1000) }, limit: testLimit, err: ErrTokenLimit, retry: s},
+	{name: "initial tokens are used up", before: func(c *Core) { acquireTokens(c, 105*s, 1000) }, limit: testLimit, err: ErrTokenLimit, retry: s},
 	{name: "initial concurrency is used up", limit: Limit{Concurrency: 5},
 		before: func(c *Core) {
 			_, _ = c.Acquire(105*s, Request{Tenant: tenant, Limit: Limit{Concurrency: 5}, Tokens: 1})
 		}, err: ErrConcurrencyLimit, retry: s},
 	{name: "a granted share allows more", limit: testLimit,
-		before: func(c *Core) { use(c, 103*s, 1000); grant(c, 103*s, 103*s, 64_000, 10); use(c, 105*s, 60_000) }},
+		before: func(c *Core) {
+			acquireTokens(c, 103*s, 1000)
+			grant(c, 103*s, 103*s, 64_000, 10)
+			acquireTokens(c, 105*s, 60_000)
+		}},
 	{name: "a debt is paid off first", limit: testLimit, err: ErrTokenLimit, retry: 2 * s,
-		before: func(c *Core) { use(c, 104*s, 1); grant(c, 104*s, 104*s, 2000, 10); use(c, 105*s, 5000) }},
+		before: func(c *Core) {
+			acquireTokens(c, 104*s, 1)
+			grant(c, 104*s, 104*s, 2000, 10)
+			acquireTokens(c, 105*s, 5000)
+		}},
 	{name: "a charge that did not run is given back", limit: testLimit,
-		before: func(c *Core) { c.Settle(105*s, use(c, 105*s, 1000), 0) }},
+		before: func(c *Core) { c.Settle(105*s, acquireTokens(c, 105*s, 1000), 0) }},
 	{name: "a charge that used more leaves a debt", limit: testLimit, err: ErrTokenLimit, retry: 4 * s,
-		before: func(c *Core) { c.Settle(105*s, use(c, 105*s, 1000), 4000) }},
+		before: func(c *Core) { c.Settle(105*s, acquireTokens(c, 105*s, 1000), 4000) }},
 	{name: "granted concurrency is used up", limit: testLimit, err: ErrConcurrencyLimit, retry: s,
 		before: func(c *Core) {
-			use(c, 104*s, 1)
+			acquireTokens(c, 104*s, 1)
 			grant(c, 104*s, 104*s, 64_000, 2)
-			use(c, 105*s, 1)
+			acquireTokens(c, 105*s, 1)
 		}},
 	{name: "cut off for two periods: a quarter is left", limit: testLimit, err: ErrTokenLimit, retry: s,
 		before: func(c *Core) {
-			use(c, 93*s, 1)
+			acquireTokens(c, 93*s, 1)
 			grant(c, 93*s, 93*s, 8000, 100) // ends at 97 s; 4,000 until 101 s, 2,000 until 105 s, then 1,000
-			use(c, 105*s, 1000)
+			acquireTokens(c, 105*s, 1000)
 		}},
 	{name: "cut off for long: nothing is left", limit: testLimit, err: ErrNoShare, retry: s,
-		before: func(c *Core) { use(c, 40*s, 1); grant(c, 40*s, 40*s, 64_000, 100) }},
+		before: func(c *Core) { acquireTokens(c, 40*s, 1); grant(c, 40*s, 40*s, 64_000, 100) }},
 	{name: "nothing granted while the initial share lasts", limit: testLimit,
-		before: func(c *Core) { use(c, 103*s, 1); grant(c, 104*s, 104*s, 0, 0) }},
+		before: func(c *Core) { acquireTokens(c, 103*s, 1); grant(c, 104*s, 104*s, 0, 0) }},
 	{name: "nothing granted after the initial share", limit: testLimit, err: ErrNoShare, retry: s,
-		before: func(c *Core) { use(c, 40*s, 1); grant(c, 104*s, 104*s, 0, 0) }},
+		before: func(c *Core) { acquireTokens(c, 40*s, 1); grant(c, 104*s, 104*s, 0, 0) }},
 	{name: "an older grant does not replace a newer one", limit: testLimit,
-		before: func(c *Core) { use(c, 104*s, 1); grant(c, 104*s, 104*s, 64_000, 10); grant(c, 105*s, 103*s, 0, 0) }},
+		before: func(c *Core) {
+			acquireTokens(c, 104*s, 1)
+			grant(c, 104*s, 104*s, 64_000, 10)
+			grant(c, 105*s, 103*s, 0, 0)
+		}},
 	{name: "a lowered limit holds at once", limit: Limit{TokensPerSecond: 1000}, err: ErrTokenLimit, retry: s,
-		before: func(c *Core) { use(c, 104*s, 1); grant(c, 104*s, 104*s, 64_000, 10); use(c, 105*s, 63_500) }},
+		before: func(c *Core) {
+			acquireTokens(c, 104*s, 1)
+			grant(c, 104*s, 104*s, 64_000, 10)
+			acquireTokens(c, 105*s, 63_500)
+		}},
 	{name: "grants to tenants not met are ignored", limit: testLimit,
 		before: func(c *Core) { grant(c, 104*s, 104*s, 0, 0) }},
 }
@@ -113,7 +129,7 @@
 func (row acquireRow) check(t *testing.T) {
 	core := newTestCore(t, func(c *Config) { c.LongestTokenWait = 1 })
 	row.before(core)
-	atLimit(core)
+	setAtLimit(core)
 	_, err := core.Acquire(105*s, Request{ID: 7, Tenant: tenant, Limit: row.limit, Tokens: 1000})
 	require.Zero(t, core.WaitingCount())
 	if row.err == nil {
--- a/internal/limits/demands.go
+++ b/internal/limits/demands.go
@@ -12,24 +12,24 @@
 // asked for something lately, sorted by name, at most Config.Demands of them. When
 // there are more, successive reports take turns.
 func (c *Core) Demands(now time.Duration) []*v1.ShareDemand {
-	return c.reports(now, c.demandingTenants(now))
+	return c.buildReports(now, c.tenantsToReport(now))
 }
 
-func (c *Core) reports(now time.Duration, tenants []string) []*v1.ShareDemand {
+func (c *Core) buildReports(now time.Duration, tenants []string) []*v1.ShareDemand {
 	demands := make([]*v1.ShareDemand, 0, len(tenants))
 	for _, tenant := range tenants {
 		account, _ := c.accounts.Peek(tenant)
-		demands = append(demands, account.report(now, tenant))
+		demands = append(demands, account.buildReport(now, tenant))
 	}
 	return demands
 }
 
-// demandingTenants picks the tenants of the next report.
-func (c *Core) demandingTenants(now time.Duration) []string {
+// tenantsToReport picks the tenants of the next report.
+func (c *Core) tenantsToReport(now time.Duration) []string {
 	var tenants []string
 	for _, tenant := range c.accounts.Keys() {
 		account, _ := c.accounts.Peek(tenant)
-		if account.inFlight > 0 || account.waiting > 0 || now-account.demand.lastAt < idleAfter {
+		if account.inFlight > 0 || account.waiting > 0 || now-account.demand.lastRequestAt < idleAfter {
 			tenants = append(tenants, tenant)
 		}
 	}
@@ -37,28 +37,28 @@
 	if len(tenants) <= c.config.Demands {
 		return tenants
 	}
-	start, _ := slices.BinarySearch(tenants, c.reportFrom)
-	turned := slices.Concat(tenants[start:], tenants[:start])
-	c.reportFrom = turned[c.config.Demands]
-	turned = turned[:c.config.Demands]
-	slices.Sort(turned)
-	return turned
+	start, _ := slices.BinarySearch(tenants, c.nextReportStart)
+	rotated := slices.Concat(tenants[start:], tenants[:start])
+	c.nextReportStart = rotated[c.config.Demands]
+	rotated = rotated[:c.config.Demands]
+	slices.Sort(rotated)
+	return rotated
 }
 
-// report tells one tenant's demand and starts the next report.
-func (a *account) report(now time.Duration, tenant string) *v1.ShareDemand {
+// buildReport tells one tenant's demand and starts the next buildReport.
+func (a *account) buildReport(now time.Duration, tenant string) *v1.ShareDemand {
 	message := &v1.ShareDemand{
 		Tenant:                tenant,
-		UsedTokens:            uint64(math.Round(a.demand.used)),
-		WantedTokensPerSecond: uint64(math.Ceil(a.demand.wanted(now))),
+		UsedTokens:            uint64(math.Round(a.demand.usedTokens)),
+		WantedTokensPerSecond: uint64(math.Ceil(a.demand.wantedRate(now))),
 		InFlight:              uint32(a.inFlight),
-		WantedConcurrency:     uint32(max(a.demand.peak, a.inFlight+a.waiting)),
+		WantedConcurrency:     uint32(max(a.demand.peakConcurrency, a.inFlight+a.waiting)),
 	}
 	if granted := &a.shares.granted; now < granted.expiresAt {
 		message.HeldTokensPerSecond = uint64(granted.tokensPerSecond)
 		message.HeldConcurrency = granted.concurrency
 	}
-	a.demand.used, a.demand.peak = 0, 0
-	a.asked.report(now, message.WantedTokensPerSecond, message.WantedConcurrency)
+	a.demand.usedTokens, a.demand.peakConcurrency = 0, 0
+	a.requested.recordReport(now, message.WantedTokensPerSecond, message.WantedConcurrency)
 	return message
 }
--- a/internal/limits/fleet_bound_test.go
+++ b/internal/limits/fleet_bound_test.go
@@ -20,7 +20,7 @@
 	allowed := perSecond * (window + time.Second).Seconds()
 	initial := perSecond / 128 * (time.Second + 2*3*time.Second).Seconds()
 	allowed += float64(len(f.gateways)) * (initial + 1.5*meanTokens)
-	if slices.ContainsFunc(f.gateways, func(gateway *fleetGateway) bool { return gateway.cut }) {
+	if slices.ContainsFunc(f.gateways, func(gateway *fleetGateway) bool { return gateway.isCutOff }) {
 		allowed += perSecond * shares.DefaultLifetime.Seconds()
 	}
 	return allowed / (perSecond * window.Seconds())
@@ -30,12 +30,12 @@
 // that it can be broken. Below its limit a tenant is not refused.
 func TestFleetStaysWithinBound(t *testing.T) {
 	rows := []struct {
-		name     string
-		gateways int
-		offered  float64
-		cut      int
-		undivide bool
-		breaks   bool
+		name         string
+		gateways     int
+		offered      float64
+		cut          int
+		undivided    bool
+		exceedsBound bool
 	}{
 		{name: "one gateway below the limit", gateways: 1, offered: 0.5},
 		{name: "one gateway above the limit", gateways: 1, offered: 2},
@@ -43,12 +43,12 @@
 		{name: "eight gateways above the limit", gateways: 8, offered: 2},
 		{name: "half of the gateways are cut off", gateways: 8, offered: 3, cut: 4},
 		{name: "all gateways are cut off", gateways: 8, offered: 3, cut: 8},
-		{name: "each gateway holds the whole limit", gateways: 8, offered: 3, undivide: true, breaks: true},
+		{name: "each gateway holds the whole limit", gateways: 8, offered: 3, undivided: true, exceedsBound: true},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			f := newFleet(t, row.gateways, limits.Limit{TokensPerSecond: 1_000_000, Concurrency: 4000}, row.offered*1_000_000)
-			f.undivided = row.undivide
+			f.undivided = row.undivided
 			f.run(10 * time.Second)
 			f.cutOff(row.cut)
 			f.run(25 * time.Second)
@@ -59,7 +59,7 @@
 			for _, window := range []time.Duration{time.Second, 5 * time.Second, 10 * time.Second} {
 				exceeded = exceeded || f.peak(window) > f.bound(window)
 			}
-			require.Equal(t, row.breaks, exceeded)
+			require.Equal(t, row.exceedsBound, exceeded)
 			require.LessOrEqual(t, f.count.longestWait, 2*time.Second+fleetStep)
 			if row.offered < 1 {
 				require.Zero(t, f.count.refused)
@@ -80,7 +80,7 @@
 // cutOff cuts the first gateways off from the controllers.
 func (f *fleet) cutOff(gateways int) {
 	for _, gateway := range f.gateways[:gateways] {
-		gateway.cut = true
+		gateway.isCutOff = true
 	}
 }
 
@@ -110,7 +110,7 @@
 	b.ReportMetric(f.peak(time.Second), "peak-1s")
 	b.ReportMetric(f.peak(10*time.Second), "peak-10s")
 	b.ReportMetric(f.bound(10*time.Second), "bound-10s")
-	b.ReportMetric(100*f.use(), "use-%")
+	b.ReportMetric(100*f.meanUse(), "use-%")
 	b.ReportMetric(float64(f.count.refused-f.count.refusedSettled), "refused-start")
 	b.ReportMetric(float64(f.count.refusedSettled), "refused-after")
 	b.ReportMetric(float64(f.count.offered), "offered")
--- a/internal/limits/fleet_test.go
+++ b/internal/limits/fleet_test.go
@@ -56,7 +56,7 @@
 	name     string
 	core     *limits.Core
 	reportAt time.Duration
-	cut      bool
+	isCutOff bool
 	answer   []*v1.Share
 	sentAt   time.Duration
 	running  []runningCharge
@@ -64,8 +64,8 @@
 }
 
 type waitingRequest struct {
-	tokens int
-	since  time.Duration
+	tokens       int
+	waitingSince time.Duration
 }
 
 type runningCharge struct {
@@ -90,7 +90,7 @@
 	for f.now < until {
 		f.perStep = append(f.perStep, 0)
 		for _, gateway := range f.gateways {
-			f.takeAnswer(gateway)
+			f.applyAnswer(gateway)
 			f.settle(gateway)
 			f.report(gateway)
 		}
@@ -99,7 +99,7 @@
 	}
 }
 
-func (f *fleet) takeAnswer(gateway *fleetGateway) {
+func (f *fleet) applyAnswer(gateway *fleetGateway) {
 	if gateway.answer != nil {
 		gateway.core.ApplyShares(f.now, gateway.sentAt, gateway.answer)
 		gateway.answer = nil
@@ -107,7 +107,7 @@
 	for _, decision := range gateway.core.Resolve(f.now) {
 		waited := gateway.waiting[decision.ID]
 		delete(gateway.waiting, decision.ID)
-		f.count.longestWait = max(f.count.longestWait, f.now-waited.since)
+		f.count.longestWait = max(f.count.longestWait, f.now-waited.waitingSince)
 		if decision.Err != nil {
 			f.refuse()
 			continue
@@ -128,19 +128,19 @@
 func (f *fleet) report(gateway *fleetGateway) {
 	if f.now >= gateway.reportAt {
 		gateway.reportAt += reportInterval
-		f.ask(gateway, gateway.core.Demands(f.now))
+		f.sendDemands(gateway, gateway.core.Demands(f.now))
 		return
 	}
 	if f.now < gateway.sentAt+urgentInterval {
 		return
 	}
 	if urgent := gateway.core.UrgentDemands(f.now); len(urgent) > 0 {
-		f.ask(gateway, urgent)
+		f.sendDemands(gateway, urgent)
 	}
 }
 
-func (f *fleet) ask(gateway *fleetGateway, demands []*v1.ShareDemand) {
-	if gateway.cut {
+func (f *fleet) sendDemands(gateway *fleetGateway, demands []*v1.ShareDemand) {
+	if gateway.isCutOff {
 		return
 	}
 	f.count.reports++
@@ -209,8 +209,8 @@
 	return most / (float64(f.limit.TokensPerSecond) * window.Seconds())
 }
 
-// use is the mean use of the limit after the start, as a share of it.
-func (f *fleet) use() float64 {
+// meanUse is the mean meanUse of the limit after the start, as a share of it.
+func (f *fleet) meanUse() float64 {
 	var sum float64
 	from := int(settledAfter / fleetStep)
 	for _, tokens := range f.perStep[from:] {
--- a/internal/limits/lease.go
+++ b/internal/limits/lease.go
@@ -46,28 +46,28 @@
 	return l.expiresAt + time.Duration(halvings)*l.period
 }
 
-// holdings are a tenant's shares at this gateway: the one that controllers granted
+// leasedShares are a tenant's shares at this gateway: the one that controllers granted
 // and the initial one. The larger counts, so that a tenant newly met goes on with
 // the initial share while others still hold the whole limit.
-type holdings struct {
+type leasedShares struct {
 	granted lease
 	initial lease
 }
 
 // rate is the token rate in force at the given time.
-func (h *holdings) rate(at time.Duration) float64 {
+func (h *leasedShares) rate(at time.Duration) float64 {
 	return max(h.granted.tokensPerSecond*h.granted.factor(at), h.initial.tokensPerSecond*h.initial.factor(at))
 }
 
 // concurrency is the number of requests that may be in flight at the given time.
-func (h *holdings) concurrency(at time.Duration) int {
+func (h *leasedShares) concurrency(at time.Duration) int {
 	granted := float64(h.granted.concurrency) * h.granted.factor(at)
 	initial := float64(h.initial.concurrency) * h.initial.factor(at)
 	return int(max(granted, initial))
 }
 
 // tokens is what the shares yield from one time to another.
-func (h *holdings) tokens(from, to time.Duration) float64 {
+func (h *leasedShares) tokens(from, to time.Duration) float64 {
 	var sum float64
 	for from < to {
 		end := min(to, h.granted.nextChange(from), h.initial.nextChange(from))
--- a/internal/limits/lease_test.go
+++ b/internal/limits/lease_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestShareShrinks is the documented way of a share that is not renewed.
-func TestShareShrinks(t *testing.T) {
-	shares := holdings{
+// TestUnrenewedShareHalves is the documented way of a share that is not renewed.
+func TestUnrenewedShareHalves(t *testing.T) {
+	shares := leasedShares{
 		granted: lease{tokensPerSecond: 1024, concurrency: 8, expiresAt: 10 * time.Second, period: 4 * time.Second},
 		initial: lease{tokensPerSecond: 100, concurrency: 1, expiresAt: 3 * time.Second, period: 3 * time.Second},
 	}
--- a/internal/limits/limit.go
+++ b/internal/limits/limit.go
@@ -8,5 +8,5 @@
 	Concurrency uint32
 }
 
-// unlimited reports whether there is nothing to hold.
-func (l Limit) unlimited() bool { return l.TokensPerSecond == 0 && l.Concurrency == 0 }
+// isUnlimited reports whether there is nothing to hold.
+func (l Limit) isUnlimited() bool { return l.TokensPerSecond == 0 && l.Concurrency == 0 }
--- a/internal/limits/waiter.go
+++ b/internal/limits/waiter.go
@@ -19,8 +19,8 @@
 	Deadline time.Duration
 }
 
-// size is what the request is charged.
-func (r *Request) size() float64 { return float64(max(r.Tokens, 1)) }
+// chargedTokens is what the request is charged.
+func (r *Request) chargedTokens() float64 { return float64(max(r.Tokens, 1)) }
 
 // Decision ends the wait of a request: Err is nil or a *Refusal.
 type Decision struct {
@@ -32,16 +32,16 @@
 // waiter is a request that waits for the answer to a report, and then for the tokens
 // that the share yields.
 type waiter struct {
-	request Request
-	since   time.Duration
+	request      Request
+	waitingSince time.Duration
 }
 
-// giveUpAt is when the wait ends at the latest.
-func (w *waiter) giveUpAt(longest time.Duration) time.Duration {
+// waitDeadline is when the wait ends at the latest.
+func (w *waiter) waitDeadline(longest time.Duration) time.Duration {
 	if w.request.Deadline == 0 {
-		return w.since + longest
+		return w.waitingSince + longest
 	}
-	return min(w.since+longest, w.request.Deadline)
+	return min(w.waitingSince+longest, w.request.Deadline)
 }
 
 // mayWait reports whether a request that may not start now may wait: there is room, and
@@ -50,19 +50,19 @@
 	if account.waiting >= c.config.TenantWaiters || len(c.waiters) >= c.config.Waiters {
 		return false
 	}
-	return account.mayGrow(now, c.config.LongestWait) || refusal.Reason == ErrTokenLimit && refusal.wait <= c.config.LongestTokenWait
+	return account.shareMayGrow(now, c.config.LongestWait) || refusal.Reason == ErrTokenLimit && refusal.wait <= c.config.LongestTokenWait
 }
 
-func (c *Core) wait(now time.Duration, account *account, request Request) {
+func (c *Core) enqueueWaiter(now time.Duration, account *account, request Request) {
 	account.waiting++
-	account.waitingTokens += request.size()
-	c.waiters = append(c.waiters, &waiter{request: request, since: now})
+	account.waitingTokens += request.chargedTokens()
+	c.waiters = append(c.waiters, &waiter{request: request, waitingSince: now})
 }
 
-// leave takes a request out of the count of those that wait.
-func (a *account) leave(w *waiter) {
+// removeWaiter takes a request out of the count of those that wait.
+func (a *account) removeWaiter(w *waiter) {
 	a.waiting--
-	a.waitingTokens -= w.request.size()
+	a.waitingTokens -= w.request.chargedTokens()
 }
 
 // Resolve decides the requests whose wait is over, in the order of their arrival. Call
@@ -72,7 +72,7 @@
 	// ahead are the tokens of those that wait on, by tenant.
 	ahead := map[string]float64{}
 	c.waiters = slices.DeleteFunc(c.waiters, func(w *waiter) bool {
-		decision, over := c.resolve(now, w, ahead)
+		decision, over := c.resolveWaiter(now, w, ahead)
 		if over {
 			decisions = append(decisions, decision)
 		}
@@ -81,8 +81,8 @@
 	return decisions
 }
 
-// resolve decides one waiting request, if its wait is over.
-func (c *Core) resolve(now time.Duration, w *waiter, ahead map[string]float64) (Decision, bool) {
+// resolveWaiter decides one waiting request, if its wait is over.
+func (c *Core) resolveWaiter(now time.Duration, w *waiter, ahead map[string]float64) (Decision, bool) {
 	decision := Decision{ID: w.request.ID}
 	account, found := c.accounts.Peek(w.request.Tenant)
 	if !found { // an account with waiting requests is never forgotten
@@ -90,33 +90,33 @@
 		return decision, true
 	}
 	account.fill(now, c.config.Burst)
-	size := w.request.size()
-	refusal := c.check(now, account, size, ahead[w.request.Tenant])
+	size := w.request.chargedTokens()
+	refusal := c.checkLimits(now, account, size, ahead[w.request.Tenant])
 	if refusal == nil {
-		account.leave(w)
+		account.removeWaiter(w)
 		decision.Charge = c.charge(account, w.request.Tenant, size)
 		return decision, true
 	}
-	if c.mayGoOn(now, account, w, refusal) {
+	if c.mayKeepWaiting(now, account, w, refusal) {
 		ahead[w.request.Tenant] += size
 		return Decision{}, false
 	}
-	account.leave(w)
+	account.removeWaiter(w)
 	decision.Err = refusal
 	return decision, true
 }
 
-// mayGoOn reports whether a request waits on: the controllers may still give more, or the
+// mayKeepWaiting reports whether a request waits on: the controllers may still give more, or the
 // present share yields the missing tokens in time.
-func (c *Core) mayGoOn(now time.Duration, account *account, w *waiter, refusal *Refusal) bool {
-	giveUpAt := w.giveUpAt(c.config.LongestWait)
-	if now >= giveUpAt {
+func (c *Core) mayKeepWaiting(now time.Duration, account *account, w *waiter, refusal *Refusal) bool {
+	deadline := w.waitDeadline(c.config.LongestWait)
+	if now >= deadline {
 		return false
 	}
-	if account.mayGrow(now, c.config.LongestWait) {
+	if account.shareMayGrow(now, c.config.LongestWait) {
 		return true
 	}
-	return refusal.Reason == ErrTokenLimit && now+refusal.wait <= min(giveUpAt, w.since+c.config.LongestTokenWait)
+	return refusal.Reason == ErrTokenLimit && now+refusal.wait <= min(deadline, w.waitingSince+c.config.LongestTokenWait)
 }
 
 // CancelWait takes back a waiting request whose caller has gone away. It reports whether the
@@ -127,7 +127,7 @@
 		return false
 	}
 	if account, found := c.accounts.Peek(c.waiters[position].request.Tenant); found {
-		account.leave(c.waiters[position])
+		account.removeWaiter(c.waiters[position])
 	}
 	c.waiters = slices.Delete(c.waiters, position, position+1)
 	return true
@@ -142,11 +142,11 @@
 	var tenants []string
 	for _, w := range c.waiters {
 		account, found := c.accounts.Peek(w.request.Tenant)
-		if found && account.asked.reportedAt <= w.since && account.mayGrow(now, c.config.LongestWait) {
+		if found && account.requested.reportedAt <= w.waitingSince && account.shareMayGrow(now, c.config.LongestWait) {
 			tenants = append(tenants, w.request.Tenant)
 		}
 	}
 	slices.Sort(tenants)
 	tenants = slices.Compact(tenants)
-	return c.reports(now, tenants[:min(len(tenants), c.config.Demands)])
+	return c.buildReports(now, tenants[:min(len(tenants), c.config.Demands)])
 }
--- a/internal/limits/waiter_test.go
+++ b/internal/limits/waiter_test.go
@@ -15,9 +15,9 @@
 	err error
 }
 
-// TestWaiting is the contract of requests that wait: at 10 s a request takes all that the
+// TestWaitingRequests is the contract of requests that wait: at 10 s a request takes all that the
 // initial share of 1,000 tokens a second holds, and others follow.
-func TestWaiting(t *testing.T) {
+func TestWaitingRequests(t *testing.T) {
 	const ms, start = time.Millisecond, 10 * time.Second
 	offer := func(core *Core, id uint64, tokens int, deadline time.Duration) error {
 		_, err := core.Acquire(start, Request{ID: id, Tenant: tenant, Limit: Limit{TokensPerSecond: testLimit.TokensPerSecond}, Tokens: tokens, Deadline: deadline})
