--- a/internal/placement/without.go
+++ b/internal/placement/without.go
@@ -13,22 +13,22 @@
 // Without returns the parameters with the mechanisms disabled that are switched off.
 func (p Parameters) Without(off mechanism.Set) Parameters {
 	for name, leaveOut := range map[mechanism.Mechanism]func(){
-		mechanism.Homes:            func() { p.HomePreference = 0 },
-		mechanism.Fetching:         func() { p.MinTransferTokens = math.MaxInt },
-		mechanism.CopyHarm:         func() { p.TransferEvictionCost = 0 },
-		mechanism.AwaitReading:     func() { p.MinPendingTokens, p.MaxPrefillWaits = math.MaxInt, 0 },
-		mechanism.DirectReading:    func() { p.MaxDecodePrefill = -1 },
-		mechanism.RefusalByWait:    func() { p.MaxPrefillDelayShare = unlimitedShare },
-		mechanism.RefusalBySlots:   func() { p.MaxSlotDelayShare = unlimitedShare },
-		mechanism.ComeBackSpread:   func() { p.RetrySpread = 0 },
-		mechanism.ShortBeforeLong:  func() { p.ShortPrefill, p.LongPrefill = math.MaxInt, math.MaxInt },
-		mechanism.ZoneAffinity:     func() { p.ZonePenalty, p.ZoneCost = 0, 0 },
-		mechanism.WaitByReading:    func() { p.MinDelayScale, p.MaxDelayScale = 1, 1 },
-		mechanism.StreamHarm:       func() { p.StreamSlowdown, p.StreamPauseCost, p.StreamCost = 0, 0, time.Nanosecond },
-		mechanism.ResidualOfReader: func() { p.ResidualShare = 0 },
-		mechanism.Spills:           func() { p.SpillShare = unlimitedShare },
+		mechanism.HomeEngines:          func() { p.HomePreference = 0 },
+		mechanism.KVFetch:              func() { p.MinTransferTokens = math.MaxInt },
+		mechanism.TransferEvictionCost: func() { p.TransferEvictionCost = 0 },
+		mechanism.AwaitPrefill:         func() { p.MinPendingTokens, p.MaxPrefillWaits = math.MaxInt, 0 },
+		mechanism.DirectPrefill:        func() { p.MaxDecodePrefill = -1 },
+		mechanism.RefusalByWait:        func() { p.MaxPrefillDelayShare = unlimitedShare },
+		mechanism.RefusalBySlots:       func() { p.MaxSlotDelayShare = unlimitedShare },
+		mechanism.RetryAfterSpread:     func() { p.RetrySpread = 0 },
+		mechanism.ShortBeforeLong:      func() { p.ShortPrefill, p.LongPrefill = math.MaxInt, math.MaxInt },
+		mechanism.ZoneAffinity:         func() { p.ZonePenalty, p.ZoneCost = 0, 0 },
+		mechanism.WaitByPrefill:        func() { p.MinDelayScale, p.MaxDelayScale = 1, 1 },
+		mechanism.StreamPauseCost:      func() { p.StreamSlowdown, p.StreamPauseCost, p.StreamCost = 0, 0, time.Nanosecond },
+		mechanism.ResidualPrefill:      func() { p.ResidualShare = 0 },
+		mechanism.Spills:               func() { p.SpillShare = unlimitedShare },
 	} {
-		if !off.On(name) {
+		if !off.IsEnabled(name) {
 			leaveOut()
 		}
 	}
--- a/internal/serving/prompt.go
+++ b/internal/serving/prompt.go
@@ -37,7 +37,7 @@
 	// StartedAtMs is when the start that answered began, in Unix milliseconds; 0 where it does not tell.
 	StartedAtMs int64
 	// Signals is what the engine asked for in its answer, also in one that brought no parts.
-	Signals backpressure.Asked
+	Signals backpressure.Directives
 }
 
 // ParsePrompt reads the declarations: "PROMPT,OUTPUT" and "ID:TOKENS,ID:TOKENS". What
