--- a/internal/control/agreement.go
+++ b/internal/control/agreement.go
@@ -38,10 +38,10 @@
 // ownFormats is what this controller tells of itself. One that missed what was agreed on tells the first format alone:
 // the leader then ends the agreement, and proposes the next one, with which all hold the same again.
 func (c *Core) ownFormats() formats.Range {
-	if c.state.MissedAgreement() {
+	if c.state.IsMissingAgreedState() {
 		return formats.Range{}
 	}
-	return formats.Own()
+	return formats.Supported()
 }
 
 // commonFormat is the highest format that all members know as far as they were heard of. It is certain once all were.
@@ -69,7 +69,7 @@
 	}
 	var names []string
 	for _, member := range c.otherMembers() {
-		if told, heard := c.formats.told[member.GetId()]; !heard || !told.Knows(formats.Newest) {
+		if told, heard := c.formats.told[member.GetId()]; !heard || !told.Supports(formats.Newest) {
 			names = append(names, member.GetName())
 		}
 	}
@@ -112,14 +112,14 @@
 	if _, isAgreement := command.GetBody().(*v1.Command_AgreeFormat); isAgreement {
 		return true
 	}
-	number, known := formats.OfCommand(command)
+	number, known := formats.CommandFormat(command)
 	return known && c.isAgreed(number)
 }
 
 // suspects is what is known of requests under which replicas have ended: what is agreed on, or, while that cannot be,
 // what this controller has heard by itself and was agreed on before.
 func (c *Core) suspects() *quarantine.Ledger {
-	if c.isAgreed(formats.HeldRequests) {
+	if c.isAgreed(formats.QuarantinedRequests) {
 		return c.state.Suspects()
 	}
 	return c.ownSuspects
@@ -127,33 +127,33 @@
 
 // knowsHeld reports whether this controller knows which requests are held: while that is not agreed on only the leader
 // does.
-func (c *Core) knowsHeld() bool { return c.leading || c.isAgreed(formats.HeldRequests) }
+func (c *Core) knowsHeld() bool { return c.leading || c.isAgreed(formats.QuarantinedRequests) }
 
 // changeSuspects carries out a command on the suspects: by the log where it is agreed that all members know it.
 func (c *Core) changeSuspects(command *v1.Command, call CallID, finish func(*Core, controlstate.Result)) {
-	if c.isAgreed(formats.HeldRequests) {
+	if c.isAgreed(formats.QuarantinedRequests) {
 		c.proposeForCall(command, call, finish)
 		return
 	}
 	result := controlstate.Result{}
 	if c.config.Safeguards.On(controlstate.Quarantine) {
-		result = controlstate.ApplyToSuspects(c.ownSuspects, command)
+		result = controlstate.ApplySuspectCommand(c.ownSuspects, command)
 	}
 	finish(c, result)
 }
 
 // forgetSuspects carries out a command for which no call waits.
 func (c *Core) forgetSuspects(command *v1.Command) {
-	if c.isAgreed(formats.HeldRequests) {
+	if c.isAgreed(formats.QuarantinedRequests) {
 		c.proposeQuietly(command)
 		return
 	}
-	controlstate.ApplyToSuspects(c.ownSuspects, command)
+	controlstate.ApplySuspectCommand(c.ownSuspects, command)
 }
 
 // keepSuspects keeps what was agreed on of the suspects once that is agreed on no longer.
 func (c *Core) keepSuspects(agreed *quarantine.Ledger) {
-	if !c.isAgreed(formats.HeldRequests) && c.state.Suspects() != agreed {
+	if !c.isAgreed(formats.QuarantinedRequests) && c.state.Suspects() != agreed {
 		c.ownSuspects = agreed
 	}
 }
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -50,10 +50,10 @@
 	Without mechanism.Set
 	// OrderWait is how long a new leader waits before its first order to a listed engine.
 	OrderWait time.Duration
-	// OrderLife is how long after its emission an order may reach a listed engine. A successor
+	// OrderLifetime is how long after its emission an order may reach a listed engine. A successor
 	// begins to lead after the emission, so its first order comes OrderWait later: OrderWait
-	// less OrderLife is the least time between the orders of two leaders.
-	OrderLife time.Duration
+	// less OrderLifetime is the least time between the orders of two leaders.
+	OrderLifetime time.Duration
 	// Usage tells how tenants' usage is counted and told; the zero value leaves it.
 	Usage usage.Config
 	// ReadConfiguration reads the operator's document where the number of replicas is ours to order;
@@ -69,7 +69,7 @@
 	// how long after its emission one may reach the platform. A new leader calls OrderWait after it
 	// begins to lead.
 	DutyInterval time.Duration
-	DutyLife     time.Duration
+	DutyLifetime time.Duration
 	// WallOrigin is the wall-clock time at time 0 of Step, in milliseconds since
 	// the Unix epoch.
 	WallOrigin        int64
--- a/internal/control/configuration_faults_test.go
+++ b/internal/control/configuration_faults_test.go
@@ -199,9 +199,9 @@
 func TestALeaderThatWasSuspendedAnswersNothing(t *testing.T) {
 	w := newWorld(t, 3, nil)
 	old, _ := suspended(w)
-	require.False(t, old.core.MayLead(w.now))
+	require.False(t, old.core.HoldsLease(w.now))
 	require.True(t, w.sync(old, gatewaySync(1)).Behind)
-	answer := w.call(old, func(id CallID) Input { return TrialAsked{Call: id, Signature: endingSignature[:]} })
+	answer := w.call(old, func(id CallID) Input { return TrialRequested{Call: id, Signature: endingSignature[:]} })
 	var notLeader *NotLeaderError
 	require.ErrorAs(t, answer.Err, &notLeader)
 }
@@ -212,7 +212,7 @@
 	w := newWorld(t, 3, nil)
 	old, away := suspended(w)
 	old.uncounted = away
-	require.True(t, old.core.MayLead(w.now-away), "it takes its lease for valid")
+	require.True(t, old.core.HoldsLease(w.now-away), "it takes its lease for valid")
 	require.NotNil(t, w.leader())
 	answer := w.sync(old, gatewaySync(1))
 	require.False(t, answer.Behind)
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -205,21 +205,21 @@
 		c.takeWatch(received)
 	case ListingReceived:
 		c.takeListing(received)
-	case StageOrdered:
+	case StageChangeFinished:
 		c.takeStageOrdered(received)
 	case UsageReceived:
 		c.takeUsage(received)
 	case UsageDelivered:
 		c.takeUsageDelivered(received)
-	case ReplicaEndsReceived:
+	case ReplicaCrashesReceived:
 		c.takeReplicaEnds(received)
-	case TrialAsked:
+	case TrialRequested:
 		c.takeTrialAsked(received)
-	case PermitAsked:
+	case PermitRequested:
 		c.takePermitAsked(received)
 	case RequestReleased:
 		c.takeRequestReleased(received)
-	case ReplicasOrdered:
+	case ReplicaOrderFinished:
 		c.takeReplicasOrdered(received)
 	case SeedsChanged:
 		c.consensus.SetSeeds(received.Seeds)
@@ -260,9 +260,9 @@
 // Status is what a controller tells about itself, for health and metrics.
 type Status struct {
 	Consensus consensus.Status
-	// Ordering tells that this controller leads with a valid lease.
-	Ordering bool
-	Revision uint64
+	// LeadsWithLease tells that this controller leads with a valid lease.
+	LeadsWithLease bool
+	Revision       uint64
 	// AppliedIndex is the log index of the last applied entry.
 	AppliedIndex uint64
 	Gateways     int
@@ -270,27 +270,27 @@
 	PendingCalls int
 	// AgreedFormat is the highest format whose commands take effect here, HeldBackBy the names of the members that know
 	// less than this build or have not been heard of, as far as a leader knows.
-	AgreedFormat formats.Number
-	HeldBackBy   []string
-	Site         SiteStatus
+	AgreedFormat      formats.Number
+	AgreementBlockers []string
+	Site              SiteStatus
 }
 
 // Status returns what this controller knows about itself.
 func (c *Core) Status() Status {
 	return Status{
-		Consensus: c.consensus.Status(), Ordering: c.leading && c.consensus.LeaseValid(c.now),
+		Consensus: c.consensus.Status(), LeadsWithLease: c.leading && c.consensus.LeaseValid(c.now),
 		Revision: c.state.Revision(), AppliedIndex: c.applied,
 		Gateways: len(c.tracker.Gateways()), Machines: len(c.tracker.Machines()), PendingCalls: len(c.pending),
-		AgreedFormat: c.state.AgreedFormat(), HeldBackBy: c.heldBackBy(), Site: c.siteStatus(),
+		AgreedFormat: c.state.AgreedFormat(), AgreementBlockers: c.heldBackBy(), Site: c.siteStatus(),
 	}
 }
 
 // Consensus returns what this controller knows of the replicated log.
 func (c *Core) Consensus() consensus.Status { return c.consensus.Status() }
 
-// MayLead reports whether this controller, as far as it knows, may act as the leader at
+// HoldsLease reports whether this controller, as far as it knows, may act as the leader at
 // a time: at most one controller may at any moment.
-func (c *Core) MayLead(now time.Duration) bool { return c.consensus.LeaseValid(now) }
+func (c *Core) HoldsLease(now time.Duration) bool { return c.consensus.LeaseValid(now) }
 
 // State is the replicated state as applied here. It must not be changed, and not be
 // read while Step runs.
--- a/internal/control/fleet_size_test.go
+++ b/internal/control/fleet_size_test.go
@@ -67,7 +67,7 @@
 
 func newFleetRelay(index int) *fleetRelay {
 	return &fleetRelay{listed: map[string]*v1.ListedBackEnd{}, request: &v1.WatchRequest{
-		Formats: formats.Own().ToWire(),
+		Formats: formats.Supported().ToWire(),
 		Node:    &v1.NodeIdentity{Name: fmt.Sprint("relay-", index)}, NoticeAddress: fmt.Sprintf("10.1.%d.%d:7380", index>>8, index&255),
 	}}
 }
@@ -218,7 +218,7 @@
 		require.LessOrEqual(t, told, 640)
 		status := w.leader().core.Status().Site
 		require.Equal(t, SiteStatus{
-			Relays: 1, BackEnds: engines, Told: told, Pages: status.Pages, NewsPerSecond: firstNews, QuorumSilence: status.QuorumSilence,
+			Relays: 1, BackEnds: engines, PublishedBackEnds: told, Pages: status.Pages, UpdatesPerSecond: firstNews, QuorumSilence: status.QuorumSilence,
 		}, status)
 		require.Equal(t, engines > 1_000, status.Pages > 0)
 	}
--- a/internal/control/former_build_test.go
+++ b/internal/control/former_build_test.go
@@ -98,7 +98,7 @@
 	newFormerRelay("another").ask(w, leader) // the leader keeps what it has told
 	require.NoError(t, w.putDocument(leader, 2, "two").Err)
 	w.run(2 * time.Second)
-	request := &v1.WatchRequest{Node: &v1.NodeIdentity{Name: "relay", Incarnation: 7}, WaitMs: 400, DocumentNumber: 1, Formats: formats.Own().ToWire()}
+	request := &v1.WatchRequest{Node: &v1.NodeIdentity{Name: "relay", Incarnation: 7}, WaitMs: 400, DocumentNumber: 1, Formats: formats.Supported().ToWire()}
 	answers, patches := 0, 0
 	for end := w.now + 8*time.Second; w.now < end; answers++ {
 		answer := w.call(leader, func(id CallID) Input { return WatchReceived{Call: id, Request: proto.CloneOf(request)} })
@@ -124,7 +124,7 @@
 	site.shown = []*v1.ListedBackEnd{{Id: "i-1", Service: "s", Zone: "z", Slots: 4}}
 	leader := w.waitLeader()
 	w.run(2 * time.Second)
-	request := &v1.WatchRequest{Node: &v1.NodeIdentity{Name: "relay", Incarnation: 7}, WaitMs: 400, Formats: formats.Own().ToWire()}
+	request := &v1.WatchRequest{Node: &v1.NodeIdentity{Name: "relay", Incarnation: 7}, WaitMs: 400, Formats: formats.Supported().ToWire()}
 	for range 5 {
 		request.ListingVersion = 0
 		asked := w.now
@@ -169,7 +169,7 @@
 	}
 	leader := w.waitLeaderOtherThan(former)
 	ends := []*v1.ReplicaEnd{{Signature: make([]byte, 16), Replica: 1}, {Signature: make([]byte, 16), Replica: 2}}
-	w.call(leader, func(id CallID) Input { return ReplicaEndsReceived{Call: id, Ends: ends} })
+	w.call(leader, func(id CallID) Input { return ReplicaCrashesReceived{Call: id, Crashes: ends} })
 	w.run(10 * time.Second)
 	require.Zero(t, unknown, "entries that the voter of the former build passed over")
 }
--- a/internal/control/harness_former_test.go
+++ b/internal/control/harness_former_test.go
@@ -14,7 +14,7 @@
 // asFormer returns a message as a process of the first format reads it.
 func asFormer[Message proto.Message](t *testing.T, message Message) Message {
 	t.Helper()
-	read, err := formerbuild.Read(message)
+	read, err := formerbuild.Downgrade(message)
 	require.NoError(t, err)
 	return read
 }
--- a/internal/control/harness_replicas_test.go
+++ b/internal/control/harness_replicas_test.go
@@ -72,7 +72,7 @@
 // call takes an order that the runtime sends, if it is in time.
 func (p *replicaPlatform) call(controller *testController, life int, order OrderReplicas) {
 	answer := func(outcome duty.Outcome) {
-		p.world.deliver("platform", controller, life, ReplicasOrdered{Order: order, Outcome: outcome})
+		p.world.deliver("platform", controller, life, ReplicaOrderFinished{Order: order, Outcome: outcome})
 	}
 	if controller.cut {
 		answer(duty.Lost)
@@ -94,7 +94,7 @@
 			answer(duty.Lost)
 			return
 		}
-		answer(duty.Taken)
+		answer(duty.Accepted)
 	})
 }
 
@@ -105,7 +105,7 @@
 		if controller.core == nil {
 			continue
 		}
-		for _, agreed := range controller.core.State().Replicas("s").GetCounts() {
+		for _, agreed := range controller.core.State().ReplicaTarget("s").GetCounts() {
 			if agreed.GetZone() == order.Group.Zone && agreed.GetSpot() == order.Group.Spot {
 				count++
 				break
--- a/internal/control/harness_site_test.go
+++ b/internal/control/harness_site_test.go
@@ -100,7 +100,7 @@
 // read reads so many pages of the list, or all for 0.
 func (s *siteEngines) read(pages int) ListingReceived {
 	list := s.list()
-	received := ListingReceived{BackEnds: list, Calls: 1, Whole: true}
+	received := ListingReceived{BackEnds: list, Calls: 1, Complete: true}
 	if s.pageSize > 0 {
 		received.Calls = (len(list) + s.pageSize - 1) / s.pageSize
 		if pages > 0 && pages < received.Calls {
@@ -112,25 +112,25 @@
 }
 
 // take carries out an order.
-func (s *siteEngines) take(order ChangeStage) StageOrdered {
+func (s *siteEngines) take(order ChangeStage) StageChangeFinished {
 	s.asked++
 	s.arrivals = append(s.arrivals, arrivedOrder{at: s.world.now, order: order})
 	if s.fenced {
-		return StageOrdered{ID: order.BackEnd.GetId(), Outcome: StageFenced}
+		return StageChangeFinished{ID: order.BackEnd.GetId(), Outcome: StageFenced}
 	}
 	s.roles[order.BackEnd.GetId()] = order.Role
 	s.orders++
 	s.note()
 	if s.lose {
-		return StageOrdered{ID: order.BackEnd.GetId(), Outcome: StageLost}
+		return StageChangeFinished{ID: order.BackEnd.GetId(), Outcome: StageLost}
 	}
-	return StageOrdered{ID: order.BackEnd.GetId(), Outcome: StageTaken}
+	return StageChangeFinished{ID: order.BackEnd.GetId(), Outcome: StageAccepted}
 }
 
 // arrive carries out an order that the runtime sends in time, and no other.
-func (s *siteEngines) arrive(order ChangeStage) StageOrdered {
+func (s *siteEngines) arrive(order ChangeStage) StageChangeFinished {
 	if s.world.now > order.NotAfter {
-		return StageOrdered{ID: order.BackEnd.GetId(), Outcome: StageRefused}
+		return StageChangeFinished{ID: order.BackEnd.GetId(), Outcome: StageRefused}
 	}
 	return s.take(order)
 }
@@ -154,7 +154,7 @@
 	config.ListingInterval = 500 * time.Millisecond
 	config.PriorPrefillShare = 0.67
 	config.OrderWait = testTurn + testOrderLife
-	config.OrderLife = testOrderLife
+	config.OrderLifetime = testOrderLife
 }
 
 // carryOutSite carries out the outputs of a site's controller.
@@ -164,7 +164,7 @@
 		w.replicas.call(controller, life, wanted)
 	case ReadListing:
 		if w.replicas != nil {
-			w.deliver("list", controller, life, ListingReceived{BackEnds: w.replicas.list(), Calls: 1, Whole: true})
+			w.deliver("list", controller, life, ListingReceived{BackEnds: w.replicas.list(), Calls: 1, Complete: true})
 			return
 		}
 		w.deliver("list", controller, life, w.site.read(wanted.Pages))
--- a/internal/control/harness_test.go
+++ b/internal/control/harness_test.go
@@ -73,7 +73,7 @@
 	uncounted time.Duration
 	// former: the controller stands for one of the first format, by its translator.
 	former     bool
-	translator *formerbuild.Controller
+	translator *formerbuild.Translator
 }
 
 func newWorld(t *testing.T, voters int, configure func(*Config)) *world {
--- a/internal/control/harness_usage_test.go
+++ b/internal/control/harness_usage_test.go
@@ -18,7 +18,7 @@
 func counting(config *Config) {
 	seeded(config)
 	config.Usage = testUsage
-	config.DutyLife = testOrderLife
+	config.DutyLifetime = testOrderLife
 	config.DutyInterval = 40 * time.Millisecond
 }
 
@@ -80,19 +80,19 @@
 // carryOut takes a call as it stands now. No window may ever be accepted with two contents.
 func (p *usagePlatform) carryOut(call DeliverUsage) duty.Outcome {
 	if p.looks && call.Fence < p.highest {
-		return duty.Overtaken
+		return duty.Superseded
 	}
 	p.highest = max(p.highest, call.Fence)
 	if known, is := p.accepted[call.Window]; is {
 		require.Equal(p.world.t, known, call.Counts, "window %d has two contents", call.Window)
-		return duty.Taken
+		return duty.Accepted
 	}
 	counts := usage.Counts{}
 	for tenant, count := range call.Counts {
 		counts[tenant] = count
 	}
 	p.accepted[call.Window] = counts
-	return duty.Taken
+	return duty.Accepted
 }
 
 // testRelays report usage, each one report after another until it is taken.
--- a/internal/control/limits.go
+++ b/internal/control/limits.go
@@ -19,14 +19,14 @@
 	mostLimits = 256
 )
 
-// PermitAsked is a gateway's question whether it may send a request to a back end that names a limit for all gateways
+// PermitRequested is a gateway's question whether it may send a request to a back end that names a limit for all gateways
 // together. The answer is a TakePermitResponse.
-type PermitAsked struct {
+type PermitRequested struct {
 	Call    CallID
 	Request *v1.TakePermitRequest
 }
 
-func (PermitAsked) isInput() {}
+func (PermitRequested) isInput() {}
 
 // namedLimits is what the leader knows of limits that back ends name. None of it is agreed on: a new leader begins with
 // nothing, and its permits begin when the lease of the one before has run out.
@@ -48,7 +48,7 @@
 }
 
 // takePermitAsked grants a permit or denies it.
-func (c *Core) takePermitAsked(received PermitAsked) {
+func (c *Core) takePermitAsked(received PermitRequested) {
 	if !c.demandLeader(received.Call) {
 		return
 	}
--- a/internal/control/limits_test.go
+++ b/internal/control/limits_test.go
@@ -24,7 +24,7 @@
 func (w *world) askPermit(controller *testController, gateway string) *v1.TakePermitResponse {
 	w.t.Helper()
 	answer := w.call(controller, func(id CallID) Input {
-		return PermitAsked{Call: id, Request: &v1.TakePermitRequest{Node: &v1.NodeIdentity{Name: gateway}, Limit: namedLimit(limitPerSecond)}}
+		return PermitRequested{Call: id, Request: &v1.TakePermitRequest{Node: &v1.NodeIdentity{Name: gateway}, Limit: namedLimit(limitPerSecond)}}
 	})
 	if answer.Err != nil {
 		return nil
@@ -92,7 +92,7 @@
 	require.Len(t, told, 1, "the end is told for a while")
 	require.False(t, told[0].Named)
 	answer := w.call(w.waitLeader(), func(id CallID) Input {
-		return PermitAsked{Call: id, Request: &v1.TakePermitRequest{Node: &v1.NodeIdentity{Name: "two"}, Limit: namedLimit(-1)}}
+		return PermitRequested{Call: id, Request: &v1.TakePermitRequest{Node: &v1.NodeIdentity{Name: "two"}, Limit: namedLimit(-1)}}
 	})
 	require.Error(t, answer.Err)
 }
--- a/internal/control/listing.go
+++ b/internal/control/listing.go
@@ -23,8 +23,8 @@
 	Failed   bool
 	// Calls is how many calls the reading took.
 	Calls int
-	// Whole tells that the whole list was read.
-	Whole bool
+	// Complete tells that the whole list was read.
+	Complete bool
 }
 
 func (ReadListing) isOutput()    {}
@@ -100,7 +100,7 @@
 	received.BackEnds = c.ofNamedServices(received.BackEnds)
 	c.listing.raw = received.BackEnds
 	wanted := c.wantedBackEnds(received.BackEnds)
-	if received.Whole {
+	if received.Complete {
 		c.listing.total = len(received.BackEnds)
 		c.listing.raw = c.listing.plan.tookWhole(c.now, received.BackEnds, received.Calls, wanted)
 	} else {
--- a/internal/control/listing_forms.go
+++ b/internal/control/listing_forms.go
@@ -29,7 +29,7 @@
 
 // listingFor returns the version of the list, and its history, in the form that a relay knows; version 0 is none yet.
 func (c *Core) listingFor(request *v1.WatchRequest) (version uint64, history *listing.History) {
-	if c.listing.version == 0 || formats.FromWire(request.GetFormats()).Knows(formats.StartsOfReplicas) {
+	if c.listing.version == 0 || formats.FromWire(request.GetFormats()).Supports(formats.ReplicaIncarnations) {
 		return c.listing.version, &c.listing.history
 	}
 	return c.listing.former.of(c.listing.version, c.listing.backEnds)
--- a/internal/control/mixed_builds_test.go
+++ b/internal/control/mixed_builds_test.go
@@ -78,7 +78,7 @@
 		m.ends++
 		signature := quarantine.SignatureOf("", "", "", []byte{byte(m.ends / 3)})
 		ends := []*v1.ReplicaEnd{{Signature: signature[:], Replica: m.ends}}
-		m.send(controller, func(id CallID) Input { return ReplicaEndsReceived{Call: id, Ends: ends} })
+		m.send(controller, func(id CallID) Input { return ReplicaCrashesReceived{Call: id, Crashes: ends} })
 		return
 	}
 	m.number++
@@ -115,8 +115,8 @@
 		former, err := formerbuild.StripState(whole)
 		require.NoError(m.t, err)
 		m.compare(controller.name, appliedBy{index: state.AppliedIndex()}, former)
-		if !state.MissedAgreement() {
-			m.compare(controller.name, appliedBy{index: state.AppliedIndex(), agreedAt: state.AgreedAt()}, whole)
+		if !state.IsMissingAgreedState() {
+			m.compare(controller.name, appliedBy{index: state.AppliedIndex(), agreedAt: state.AgreementIndex()}, whole)
 		}
 	}
 	if leader := m.leader(); leader != nil && leader.core.mayAnswerAsLeader() {
@@ -174,7 +174,7 @@
 	if lacking == leader {
 		lacking = w.controllers[w.names[1]]
 	}
-	agreedAt := leader.core.State().AgreedAt()
+	agreedAt := leader.core.State().AgreementIndex()
 	w.crash(lacking.name)
 	lacking.disk.Snapshot, _ = formerbuild.StripSnapshot(leader.disk.Snapshot)
 	lacking.disk.Entries = slices.Clone(leader.disk.Entries)
@@ -183,7 +183,7 @@
 	require.NoError(t, w.putDocument(leader, 31, "content").Err)
 	w.until("another agreement", func() bool {
 		state := lacking.core.State()
-		return !state.MissedAgreement() && state.AgreedFormat() == formats.Newest && state.AgreedAt() > agreedAt
+		return !state.IsMissingAgreedState() && state.AgreedFormat() == formats.Newest && state.AgreementIndex() > agreedAt
 	})
 	w.run(time.Second)
 	theirs, err := leader.core.State().Snapshot()
--- a/internal/control/nodes.go
+++ b/internal/control/nodes.go
@@ -29,7 +29,7 @@
 	for _, member := range c.consensus.Membership().GetMembers() {
 		response.ControllerAddresses = append(response.ControllerAddresses, member.Address)
 	}
-	response.Formats = formats.Own().ToWire()
+	response.Formats = formats.Supported().ToWire()
 	response.TellsHeld = !behind && c.knowsHeld()
 	if response.TellsHeld {
 		held, version := c.heldRequests()
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -31,7 +31,7 @@
 	}
 	command.ProposedAtMs = c.wallMs()
 	if c.state.AgreedFormat() > formats.First {
-		command.AgreedAt = c.state.AgreedAt()
+		command.AgreedAt = c.state.AgreementIndex()
 	}
 	data, err := proto.Marshal(command)
 	if err != nil {
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -9,15 +9,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/quarantine"
 )
 
-// ReplicaEndsReceived tells under which requests replicas have ended. The answer is a
+// ReplicaCrashesReceived tells under which requests replicas have ended. The answer is a
 // ReportReplicaEndsResponse once that is agreed on.
-type ReplicaEndsReceived struct {
-	Call CallID
-	Ends []*v1.ReplicaEnd
+type ReplicaCrashesReceived struct {
+	Call    CallID
+	Crashes []*v1.ReplicaEnd
 }
 
-// TrialAsked asks for the right to run a held request once more; the answer is a BeginTrialResponse.
-type TrialAsked struct {
+// TrialRequested asks for the right to run a held request once more; the answer is a BeginTrialResponse.
+type TrialRequested struct {
 	Call      CallID
 	Signature []byte
 }
@@ -29,9 +29,9 @@
 	Signature []byte
 }
 
-func (ReplicaEndsReceived) isInput() {}
-func (TrialAsked) isInput()          {}
-func (RequestReleased) isInput()     {}
+func (ReplicaCrashesReceived) isInput() {}
+func (TrialRequested) isInput()         {}
+func (RequestReleased) isInput()        {}
 
 // mostEndsReported bounds the ends in one report; the rest is ignored, and told again.
 const mostEndsReported = 4096
@@ -52,11 +52,11 @@
 }
 
 // takeReplicaEnds takes a node's word on ends of replicas.
-func (c *Core) takeReplicaEnds(received ReplicaEndsReceived) {
+func (c *Core) takeReplicaEnds(received ReplicaCrashesReceived) {
 	if !c.demandLeader(received.Call) {
 		return
 	}
-	ends := received.Ends[:min(len(received.Ends), mostEndsReported)]
+	ends := received.Crashes[:min(len(received.Crashes), mostEndsReported)]
 	command := &v1.Command{Body: &v1.Command_RecordReplicaEnds{RecordReplicaEnds: &v1.RecordReplicaEnds{Ends: ends}}}
 	c.changeSuspects(command, received.Call, func(core *Core, _ controlstate.Result) {
 		core.answer(Answer{Call: received.Call, Response: core.replicaEndsResponse(ends)})
@@ -76,7 +76,7 @@
 
 // takeTrialAsked grants a trial that is due. It is agreed on before it is granted, so that another
 // leader knows of it.
-func (c *Core) takeTrialAsked(received TrialAsked) {
+func (c *Core) takeTrialAsked(received TrialRequested) {
 	if !c.demandLeader(received.Call) {
 		return
 	}
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -19,7 +19,7 @@
 func (w *world) tellEnd(signature quarantine.Signature, replica uint64) [][]byte {
 	w.t.Helper()
 	answer := w.call(w.waitLeader(), func(id CallID) Input {
-		return ReplicaEndsReceived{Call: id, Ends: []*v1.ReplicaEnd{{Signature: signature[:], Replica: replica}}}
+		return ReplicaCrashesReceived{Call: id, Crashes: []*v1.ReplicaEnd{{Signature: signature[:], Replica: replica}}}
 	})
 	require.NoError(w.t, answer.Err)
 	return answer.Response.(*v1.ReportReplicaEndsResponse).Held
@@ -39,7 +39,7 @@
 // askTrial asks the leader for a trial.
 func (w *world) askTrial() bool {
 	w.t.Helper()
-	answer := w.call(w.waitLeader(), func(id CallID) Input { return TrialAsked{Call: id, Signature: endingSignature[:]} })
+	answer := w.call(w.waitLeader(), func(id CallID) Input { return TrialRequested{Call: id, Signature: endingSignature[:]} })
 	require.NoError(w.t, answer.Err)
 	return answer.Response.(*v1.BeginTrialResponse).Granted
 }
@@ -152,12 +152,12 @@
 	for _, signature := range [][]byte{nil, []byte("short"), make([]byte, 64)} {
 		for replica := range uint64(5) {
 			answer := w.call(w.leader(), func(id CallID) Input {
-				return ReplicaEndsReceived{Call: id, Ends: []*v1.ReplicaEnd{{Signature: signature, Replica: replica}, nil}}
+				return ReplicaCrashesReceived{Call: id, Crashes: []*v1.ReplicaEnd{{Signature: signature, Replica: replica}, nil}}
 			})
 			require.NoError(t, answer.Err)
 		}
 		for _, input := range []func(CallID) Input{
-			func(id CallID) Input { return TrialAsked{Call: id, Signature: signature} },
+			func(id CallID) Input { return TrialRequested{Call: id, Signature: signature} },
 			func(id CallID) Input { return RequestReleased{Call: id, Signature: signature} },
 		} {
 			require.NoError(t, w.call(w.leader(), input).Err)
--- a/internal/control/relay_list.go
+++ b/internal/control/relay_list.go
@@ -76,7 +76,7 @@
 func (c *Core) formerAmong(addresses []string) []string {
 	former := map[string]bool{}
 	for _, record := range c.relays {
-		if !record.formats.Knows(formats.PermitsOfRelays) {
+		if !record.formats.Supports(formats.RelayPermits) {
 			former[record.noticeAddress] = true
 		}
 	}
--- a/internal/control/replicas.go
+++ b/internal/control/replicas.go
@@ -20,14 +20,14 @@
 	Work   float64
 }
 
-// ReplicasOrdered is what became of an order.
-type ReplicasOrdered struct {
+// ReplicaOrderFinished is what became of an order.
+type ReplicaOrderFinished struct {
 	Order   OrderReplicas
 	Outcome duty.Outcome
 }
 
-func (OrderReplicas) isOutput()  {}
-func (ReplicasOrdered) isInput() {}
+func (OrderReplicas) isOutput()       {}
+func (ReplicaOrderFinished) isInput() {}
 
 const (
 	// replicaInterval is the time between two looks at what is wanted.
@@ -64,7 +64,7 @@
 // tickReplicas decides how many replicas are desired, and orders what is agreed on. A leader that knows
 // too little keeps what is there.
 func (c *Core) tickReplicas() {
-	if c.config.ReadConfiguration == nil || c.config.OnDemandShare >= 1 && !c.state.OrdersReplicas() {
+	if c.config.ReadConfiguration == nil || c.config.OnDemandShare >= 1 && !c.state.HasReplicaTargets() {
 		return
 	}
 	if c.listing.version == 0 || c.now-c.listing.readAt > staleListing {
@@ -77,7 +77,7 @@
 			c.planReplicas(service)
 		}
 		if work := c.replicas.services[service]; work != nil {
-			c.orderReplicas(work, desiredOf(c.state.Replicas(service)), c.listedGroups(service))
+			c.orderReplicas(work, desiredOf(c.state.ReplicaTarget(service)), c.listedGroups(service))
 		}
 	}
 }
@@ -118,11 +118,11 @@
 		c.replicas.services[service] = work
 	}
 	work.plan.SetScaling(c.replicas.scalings[service])
-	work.first = work.first || c.state.Replicas(service) == nil
+	work.first = work.first || c.state.ReplicaTarget(service) == nil
 	if !work.first && c.now-c.leadingSince < c.config.OrderWait {
 		return // little is known yet
 	}
-	agreed := desiredOf(c.state.Replicas(service))
+	agreed := desiredOf(c.state.ReplicaTarget(service))
 	listed := c.listedGroups(service)
 	reported := c.serviceWork(service)
 	wanted := work.plan.Next(c.now, replicaplan.Seen{Listed: listed, Agreed: agreed, Work: reported.Prefill + reported.Decode})
@@ -136,7 +136,7 @@
 func (c *Core) orderReplicas(work *serviceReplicas, agreed replicaplan.Desired, listed map[replicaplan.Group]replicaplan.Listed) {
 	for _, order := range work.orders.Due(c.now, work.plan.Boot(), agreed, listed) {
 		subject := duty.Subject("replicas of " + order.Group.Service + " in " + order.Group.Zone)
-		if !c.dutyCalls.May(c.now, subject) || !work.first && c.now-c.leadingSince < c.config.OrderWait {
+		if !c.dutyCalls.MayCall(c.now, subject) || !work.first && c.now-c.leadingSince < c.config.OrderWait {
 			continue
 		}
 		work.orders.Began(c.now, order)
@@ -148,13 +148,13 @@
 
 // takeReplicasOrdered takes what became of an order. One that was declined although it asks for no
 // more than there are was overtaken; otherwise there are none to be had.
-func (c *Core) takeReplicasOrdered(received ReplicasOrdered) {
+func (c *Core) takeReplicasOrdered(received ReplicaOrderFinished) {
 	order, outcome := received.Order, received.Outcome
 	if !c.leading || order.Fence != c.leadingTerm {
 		return
 	}
 	if outcome == duty.Declined && order.Desired <= order.Listed {
-		outcome = duty.Overtaken
+		outcome = duty.Superseded
 	}
 	c.endCall(order.DutyCall, outcome)
 	if work := c.replicas.services[order.Group.Service]; work != nil {
@@ -168,7 +168,7 @@
 	outgoing := map[string]bool{}
 	for name, work := range c.replicas.services {
 		listed := c.listedGroups(name)
-		agreed := desiredOf(c.state.Replicas(name))
+		agreed := desiredOf(c.state.ReplicaTarget(name))
 		outgoing[name] = work.plan.OnDemandLast(agreed.Base) == 0 && work.orders.OnTheWay(agreed, listed)
 	}
 	return outgoing
--- a/internal/control/site_news.go
+++ b/internal/control/site_news.go
@@ -65,7 +65,7 @@
 // readsPatch reports whether a relay can be told what has changed: it has said that it knows patches, and has not been
 // told the same before in vain.
 func (c *Core) readsPatch(request *v1.WatchRequest, newest uint64) bool {
-	if !formats.FromWire(request.GetFormats()).Knows(formats.DocumentPatches) {
+	if !formats.FromWire(request.GetFormats()).Supports(formats.DocumentPatches) {
 		return false
 	}
 	record := c.relays[request.GetNode().GetName()]
--- a/internal/control/site_status.go
+++ b/internal/control/site_status.go
@@ -12,13 +12,13 @@
 	Relays, WaitingWatches int
 	// FormerRelays is how many of them do not know the newest format.
 	FormerRelays int
-	// ToldAgain counts the news that relays were told again, since they did not hold it after an answer.
-	ToldAgain uint64
-	// BackEnds is how many the outside list held when it was read whole last, Told how many of them relays
+	// RepeatedUpdates counts the news that relays were told again, since they did not hold it after an answer.
+	RepeatedUpdates uint64
+	// BackEnds is how many the outside list held when it was read whole last, PublishedBackEnds how many of them relays
 	// know, and Pages how many pages of the list are read most of the time; 0 is all.
-	BackEnds, Told, Pages int
-	// NewsPerSecond is the pace at which news is told to relays.
-	NewsPerSecond float64
+	BackEnds, PublishedBackEnds, Pages int
+	// UpdatesPerSecond is the pace at which news is told to relays.
+	UpdatesPerSecond float64
 	// QuorumSilence is how long ago a quorum was heard of.
 	QuorumSilence time.Duration
 }
@@ -26,12 +26,12 @@
 // siteStatus returns what this leader knows of its site.
 func (c *Core) siteStatus() SiteStatus {
 	if !c.leading {
-		return SiteStatus{ToldAgain: c.toldAgain}
+		return SiteStatus{RepeatedUpdates: c.toldAgain}
 	}
 	status := SiteStatus{
 		Relays: len(c.relays), WaitingWatches: len(c.watches.byDue) + len(c.watches.untold),
-		FormerRelays: c.formerRelays(), ToldAgain: c.toldAgain,
-		BackEnds: c.listing.total, Told: len(c.listing.told), NewsPerSecond: c.newsPace.perSecond, QuorumSilence: c.consensus.QuorumSilence(),
+		FormerRelays: c.formerRelays(), RepeatedUpdates: c.toldAgain,
+		BackEnds: c.listing.total, PublishedBackEnds: len(c.listing.told), UpdatesPerSecond: c.newsPace.perSecond, QuorumSilence: c.consensus.QuorumSilence(),
 	}
 	if c.listing.plan.readsPart() {
 		status.Pages = c.listing.plan.pages
@@ -43,7 +43,7 @@
 func (c *Core) formerRelays() int {
 	former := 0
 	for _, record := range c.relays {
-		if !record.formats.Knows(formats.Newest) {
+		if !record.formats.Supports(formats.Newest) {
 			former++
 		}
 	}
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -26,8 +26,8 @@
 	NotAfter time.Duration
 }
 
-// StageOrdered is what became of ChangeStage.
-type StageOrdered struct {
+// StageChangeFinished is what became of ChangeStage.
+type StageChangeFinished struct {
 	ID      string
 	Outcome StageOutcome
 }
@@ -39,16 +39,16 @@
 const (
 	// StageLost orders may be carried out now, later or never.
 	StageLost StageOutcome = iota
-	// StageTaken orders are being carried out, or the engine holds the role already.
-	StageTaken
+	// StageAccepted orders are being carried out, or the engine holds the role already.
+	StageAccepted
 	// StageRefused orders were not sent or not taken and never will be.
 	StageRefused
 	// StageFenced orders were refused since the engine has seen a later leader's fence.
 	StageFenced
 )
 
-func (ChangeStage) isOutput() {}
-func (StageOrdered) isInput() {}
+func (ChangeStage) isOutput()        {}
+func (StageChangeFinished) isInput() {}
 
 const (
 	// stageInterval is the time between two looks at the engines' stages.
@@ -234,7 +234,7 @@
 		}
 		c.stages.orders[change.Engine] = stageOrder{role: role, until: c.now + stageOrderLimit}
 		c.emit(ChangeStage{
-			BackEnd: backEnd, Role: role, Holder: c.config.Name, Fence: c.leadingTerm, NotAfter: c.now + c.config.OrderLife,
+			BackEnd: backEnd, Role: role, Holder: c.config.Name, Fence: c.leadingTerm, NotAfter: c.now + c.config.OrderLifetime,
 		})
 	}
 	c.refreshListing()
@@ -243,7 +243,7 @@
 // takeStageOrdered takes the outcome of an order. One that was refused gives the engine
 // back to the relays and lets it be ordered again after a pause; one that was lost counts
 // as taken until the list shows what became of it.
-func (c *Core) takeStageOrdered(received StageOrdered) {
+func (c *Core) takeStageOrdered(received StageChangeFinished) {
 	order, ordered := c.stages.orders[received.ID]
 	if !ordered {
 		return
--- a/internal/control/telling.go
+++ b/internal/control/telling.go
@@ -5,25 +5,25 @@
 	"github.com/hazelpitch/hazelpitch/internal/formats"
 )
 
-// NewsNotTaken tells the runtime that a relay asks again for what it was told: it could not use the answer, or did not
+// UpdateNotApplied tells the runtime that a relay asks again for what it was told: it could not use the answer, or did not
 // get it.
-type NewsNotTaken struct {
+type UpdateNotApplied struct {
 	Relay   string
 	Formats formats.Range
-	// News is what was told, Held the number or version that the relay still holds, and Told that which it was told.
-	News       News
-	Held, Told uint64
+	// Kind is what was told, Held the number or version that the relay still holds, and Told that which it was told.
+	Kind                     UpdateKind
+	HeldVersion, SentVersion uint64
 }
 
-func (NewsNotTaken) isOutput() {}
+func (UpdateNotApplied) isOutput() {}
 
-// News is a kind of what relays are told.
-type News string
+// UpdateKind is a kind of what relays are told.
+type UpdateKind string
 
 // What relays are told.
 const (
-	NewsDocument News = "document"
-	NewsListing  News = "listing"
+	UpdateDocument UpdateKind = "document"
+	UpdateListing  UpdateKind = "listing"
 )
 
 // telling is what a relay was told last of one kind of news.
@@ -77,15 +77,15 @@
 		return
 	}
 	if len(response.GetDocumentPatch()) > 0 || len(response.GetPackedDocument()) > 0 {
-		c.noteTelling(record, NewsDocument, &record.document, request.GetDocumentNumber(), c.news.documents.newest().GetNumber())
+		c.noteTelling(record, UpdateDocument, &record.document, request.GetDocumentNumber(), c.news.documents.newest().GetNumber())
 	}
 	if response.GetListingChange() != nil || len(response.GetPackedListing()) > 0 {
-		c.noteTelling(record, NewsListing, &record.listing, request.GetListingVersion(), response.GetListingVersion())
+		c.noteTelling(record, UpdateListing, &record.listing, request.GetListingVersion(), response.GetListingVersion())
 	}
 }
 
 // noteTelling counts what is told again, and says so once for each relay and news.
-func (c *Core) noteTelling(record *relayRecord, news News, told *telling, held, newest uint64) {
+func (c *Core) noteTelling(record *relayRecord, news UpdateKind, told *telling, held, newest uint64) {
 	again := told.inVain(held, newest)
 	told.note(held, newest)
 	if again == 0 {
@@ -93,6 +93,6 @@
 	}
 	c.toldAgain++
 	if again == 1 {
-		c.emit(NewsNotTaken{Relay: record.name, Formats: record.formats, News: news, Held: held, Told: newest})
+		c.emit(UpdateNotApplied{Relay: record.name, Formats: record.formats, Kind: news, HeldVersion: held, SentVersion: newest})
 	}
 }
--- a/internal/control/told_documents_test.go
+++ b/internal/control/told_documents_test.go
@@ -85,7 +85,7 @@
 	watch := func(number uint64) *v1.WatchResponse {
 		answer := w.call(leader, func(id CallID) Input {
 			return WatchReceived{Call: id, Request: &v1.WatchRequest{
-				Node: &v1.NodeIdentity{Name: "relay"}, WaitMs: 100, DocumentNumber: number, Formats: formats.Own().ToWire(),
+				Node: &v1.NodeIdentity{Name: "relay"}, WaitMs: 100, DocumentNumber: number, Formats: formats.Supported().ToWire(),
 			}}
 		})
 		return answer.Response.(*v1.WatchResponse)
--- a/internal/control/usage.go
+++ b/internal/control/usage.go
@@ -133,7 +133,7 @@
 		return
 	}
 	c.endCall(received.Call.DutyCall, received.Outcome)
-	if received.Outcome != duty.Taken {
+	if received.Outcome != duty.Accepted {
 		return
 	}
 	window := received.Call.Window
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -100,7 +100,7 @@
 // watchResponse tells a relay what it does not hold. A controller that does not lead
 // tells only whom to ask.
 func (c *Core) watchResponse(request *v1.WatchRequest, behind bool) *v1.WatchResponse {
-	response := &v1.WatchResponse{LeaderAddress: c.consensus.LeaderAddress(), Behind: behind, Formats: formats.Own().ToWire()}
+	response := &v1.WatchResponse{LeaderAddress: c.consensus.LeaderAddress(), Behind: behind, Formats: formats.Supported().ToWire()}
 	for _, member := range c.consensus.Membership().GetMembers() {
 		response.ControllerAddresses = append(response.ControllerAddresses, member.GetAddress())
 	}
--- a/internal/controller/duty_calls.go
+++ b/internal/controller/duty_calls.go
@@ -96,7 +96,7 @@
 	d.log.Info().Str(events.FieldEvent, string(events.ReplicasOrdered)).Str("service", call.Group.Service).Str("zone", call.Group.Zone).
 		Bool("spot", call.Group.Spot).Int("desired", call.Desired).Int("listed", call.Listed).Float64("work", math.Round(call.Work)).Uint64("fence", call.Fence).
 		Stringer("outcome", outcome).Err(err).Send()
-	return control.ReplicasOrdered{Order: call, Outcome: outcome}
+	return control.ReplicaOrderFinished{Order: call, Outcome: outcome}
 }
 
 // send makes a call within its time, on a connection of its own.
--- a/internal/controller/input_names.go
+++ b/internal/controller/input_names.go
@@ -23,15 +23,15 @@
 		return "watch"
 	case control.PutDocumentReceived, control.ReadDocumentReceived:
 		return "document"
-	case control.StageOrdered:
+	case control.StageChangeFinished:
 		return "orders"
 	case control.UsageReceived, control.UsageDelivered:
 		return "usage"
-	case control.ReplicaEndsReceived, control.TrialAsked, control.RequestReleased:
+	case control.ReplicaCrashesReceived, control.TrialRequested, control.RequestReleased:
 		return "quarantine"
-	case control.PermitAsked:
+	case control.PermitRequested:
 		return "limits"
-	case control.ReplicasOrdered:
+	case control.ReplicaOrderFinished:
 		return "replicas"
 	case control.ListingReceived:
 		return "listing"
--- a/internal/controller/node_service.go
+++ b/internal/controller/node_service.go
@@ -53,7 +53,7 @@
 func (n nodeService) ReportReplicaEnds(ctx context.Context, request *connect.Request[v1.ReportReplicaEndsRequest]) (*connect.Response[v1.ReportReplicaEndsResponse], error) {
 	return serve(ctx, n.service, request,
 		func(call control.CallID) control.Input {
-			return control.ReplicaEndsReceived{Call: call, Ends: request.Msg.GetEnds()}
+			return control.ReplicaCrashesReceived{Call: call, Crashes: request.Msg.GetEnds()}
 		},
 		forwardToNode(hazelpitchv1connect.NodeServiceClient.ReportReplicaEnds))
 }
@@ -62,7 +62,7 @@
 func (n nodeService) BeginTrial(ctx context.Context, request *connect.Request[v1.BeginTrialRequest]) (*connect.Response[v1.BeginTrialResponse], error) {
 	return serve(ctx, n.service, request,
 		func(call control.CallID) control.Input {
-			return control.TrialAsked{Call: call, Signature: request.Msg.GetSignature()}
+			return control.TrialRequested{Call: call, Signature: request.Msg.GetSignature()}
 		},
 		forwardToNode(hazelpitchv1connect.NodeServiceClient.BeginTrial))
 }
@@ -71,7 +71,7 @@
 func (n nodeService) TakePermit(ctx context.Context, request *connect.Request[v1.TakePermitRequest]) (*connect.Response[v1.TakePermitResponse], error) {
 	return serve(ctx, n.service, request,
 		func(call control.CallID) control.Input {
-			return control.PermitAsked{Call: call, Request: request.Msg}
+			return control.PermitRequested{Call: call, Request: request.Msg}
 		},
 		forwardToNode(hazelpitchv1connect.NodeServiceClient.TakePermit))
 }
--- a/internal/controller/outputs.go
+++ b/internal/controller/outputs.go
@@ -55,7 +55,7 @@
 		c.listing.request(output.Pages)
 	case control.ChangeStage:
 		if !c.stageOrders.accept(output) {
-			c.loop.addLost(control.StageOrdered{ID: output.BackEnd.GetId(), Outcome: control.StageRefused})
+			c.loop.addLost(control.StageChangeFinished{ID: output.BackEnd.GetId(), Outcome: control.StageRefused})
 		}
 	case control.DeliverUsage:
 		if !c.duties.accept(output) {
@@ -63,11 +63,11 @@
 		}
 	case control.OrderReplicas:
 		if !c.duties.accept(output) {
-			c.loop.addLost(control.ReplicasOrdered{Order: output, Outcome: duty.Refused})
+			c.loop.addLost(control.ReplicaOrderFinished{Order: output, Outcome: duty.Refused})
 		}
 	case control.Halt:
 		c.halted <- output.Err
-	case control.NewsNotTaken:
+	case control.UpdateNotApplied:
 		logNewsNotTaken(c.log.Logger, output)
 	case control.DumpLogs:
 		c.log.Info().Str("operator", output.Operator).Msg("an operator asked for the log ring")
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -72,18 +72,18 @@
 			c.log.Info().Str("leader", leader).Uint64("term", term).Str("role", told.Role.String()).
 				Str("member", told.ID).Uint64("revision", status.Revision).Msg("the leader has changed; empty means that none is known")
 		}
-		if told := fmt.Sprint(status.AgreedFormat, status.HeldBackBy); told != agreement {
+		if told := fmt.Sprint(status.AgreedFormat, status.AgreementBlockers); told != agreement {
 			agreement = told
 			c.log.Info().Str(events.FieldEvent, string(events.FormatAgreed)).Uint("format", uint(status.AgreedFormat)).
-				Uint("own_format", uint(formats.Newest)).Strs("held_back_by", status.HeldBackBy).Send()
+				Uint("own_format", uint(formats.Newest)).Strs("held_back_by", status.AgreementBlockers).Send()
 		}
 		c.instruments.agreedFormat.Set(float64(status.AgreedFormat))
-		c.instruments.heldBack.Set(float64(len(status.HeldBackBy)))
+		c.instruments.heldBack.Set(float64(len(status.AgreementBlockers)))
 		c.instruments.term.Set(float64(status.Consensus.Term))
 		c.instruments.commitIndex.Set(float64(status.Consensus.Commit))
 		c.instruments.appliedIndex.Set(float64(status.AppliedIndex))
 		c.instruments.revision.Set(float64(status.Revision))
-		c.instruments.leader.Set(boolean(status.Ordering))
+		c.instruments.leader.Set(boolean(status.LeadsWithLease))
 		c.instruments.gateways.Set(float64(status.Gateways))
 		c.instruments.machines.Set(float64(status.Machines))
 		c.instruments.site.set(status.Site)
--- a/internal/controller/site.go
+++ b/internal/controller/site.go
@@ -37,23 +37,23 @@
 	ReadListing func(ctx context.Context, client *http.Client, pages int) (serving.Listing, error)
 	// Without are mechanisms that are left out; none for users.
 	Without mechanism.Set
-	// PriorPrefillShare, OrderWait and OrderLife: see control.Config.
+	// PriorPrefillShare, OrderWait and OrderLifetime (OrderLife here): see control.Config.
 	PriorPrefillShare float64
 	OrderWait         time.Duration
 	OrderLife         time.Duration
 	// OrderStage orders an engine into a role. The error tells why the outcome is not
-	// control.StageTaken.
+	// control.StageAccepted.
 	OrderStage func(ctx context.Context, client *http.Client, order StageOrder) (StageAnswer, error)
-	// Usage, DutyInterval and DutyLife: see control.Config.
+	// Usage, DutyInterval and DutyLifetime (DutyLife here): see control.Config.
 	Usage        usage.Config
 	DutyInterval time.Duration
 	DutyLife     time.Duration
 	// ReportUsage tells the platform the counts of a window; nil where nobody wants them. The error
-	// tells why the outcome is not duty.Taken.
+	// tells why the outcome is not duty.Accepted.
 	ReportUsage func(ctx context.Context, client *http.Client, report UsageReport) (duty.Outcome, error)
 	// ReadConfiguration and OrderReplicas are set where the number of replicas is ours to order: one
 	// reads the operator's document, the other orders replicas. The error tells why the outcome is
-	// not duty.Taken.
+	// not duty.Accepted.
 	ReadConfiguration func(content []byte) (serving.Configuration, error)
 	// NamedServices and OnDemandShare: see control.Config.
 	NamedServices func(content []byte) []string
@@ -201,7 +201,7 @@
 		if fault, isNews := l.faults.Next(read, err); isNews {
 			l.log.Warn().Str(events.FieldEvent, string(events.ListingFault)).Str("fault", fault).Send()
 		}
-		received := control.ListingReceived{Failed: err != nil, Calls: read.Calls, Whole: read.Whole}
+		received := control.ListingReceived{Failed: err != nil, Calls: read.Calls, Complete: read.Whole}
 		for _, backEnd := range read.BackEnds {
 			received.BackEnds = append(received.BackEnds, backEnd.Listed())
 		}
--- a/internal/controller/site_metrics.go
+++ b/internal/controller/site_metrics.go
@@ -33,11 +33,11 @@
 func (s siteInstruments) set(site control.SiteStatus) {
 	s.relays.Set(float64(site.Relays))
 	s.formerRelays.Set(float64(site.FormerRelays))
-	s.toldAgain.Set(float64(site.ToldAgain))
+	s.toldAgain.Set(float64(site.RepeatedUpdates))
 	s.waitingWatches.Set(float64(site.WaitingWatches))
 	s.backEnds.Set(float64(site.BackEnds))
-	s.told.Set(float64(site.Told))
+	s.told.Set(float64(site.PublishedBackEnds))
 	s.pages.Set(float64(site.Pages))
-	s.newsPerSecond.Set(site.NewsPerSecond)
+	s.newsPerSecond.Set(site.UpdatesPerSecond)
 	s.quorumHeard.Set(site.QuorumSilence.Seconds())
 }
--- a/internal/controller/stage_orders.go
+++ b/internal/controller/stage_orders.go
@@ -78,8 +78,8 @@
 	}
 	outcome, err := s.send(ctx, order, change.NotAfter)
 	s.log.Info().Str(events.FieldEvent, string(events.StageOrdered)).Str("engine", order.Engine.ID).Stringer("role", change.Role).
-		Uint64("fence", order.Fence).Bool("taken", outcome == control.StageTaken).Bool("lost", outcome == control.StageLost).Err(err).Send()
-	_ = s.deliver(ctx, control.StageOrdered{ID: order.Engine.ID, Outcome: outcome}) // fails only when the process stops
+		Uint64("fence", order.Fence).Bool("taken", outcome == control.StageAccepted).Bool("lost", outcome == control.StageLost).Err(err).Send()
+	_ = s.deliver(ctx, control.StageChangeFinished{ID: order.Engine.ID, Outcome: outcome}) // fails only when the process stops
 }
 
 // errEngineRests tells that an engine has asked not to be called for now.
--- a/internal/controller/stage_orders_test.go
+++ b/internal/controller/stage_orders_test.go
@@ -28,7 +28,7 @@
 		sent int
 		want control.StageOutcome
 	}{
-		"in time":        {now: 9 * time.Second, sent: 1, want: control.StageTaken},
+		"in time":        {now: 9 * time.Second, sent: 1, want: control.StageAccepted},
 		"at its end":     {now: 10 * time.Second, want: control.StageRefused},
 		"long after it":  {now: time.Hour, want: control.StageRefused},
 		"woken too late": {now: 10*time.Second + 1, want: control.StageRefused},
@@ -40,11 +40,11 @@
 					sent++
 					_, bounded := ctx.Deadline()
 					require.True(t, bounded)
-					return StageAnswer{Outcome: control.StageTaken}, nil
+					return StageAnswer{Outcome: control.StageAccepted}, nil
 				})
 			orderer.carryOut(t.Context(), control.ChangeStage{BackEnd: &v1.ListedBackEnd{Id: "engine"}, NotAfter: 10 * time.Second})
 			require.Equal(t, row.sent, sent)
-			require.Equal(t, control.StageOrdered{ID: "engine", Outcome: row.want}, <-delivered)
+			require.Equal(t, control.StageChangeFinished{ID: "engine", Outcome: row.want}, <-delivered)
 		})
 	}
 }
@@ -59,7 +59,7 @@
 		})
 	order := func(engine string) {
 		orderer.carryOut(t.Context(), control.ChangeStage{BackEnd: &v1.ListedBackEnd{Id: engine}, NotAfter: time.Hour})
-		require.Equal(t, control.StageOrdered{ID: engine, Outcome: control.StageRefused}, <-delivered)
+		require.Equal(t, control.StageChangeFinished{ID: engine, Outcome: control.StageRefused}, <-delivered)
 	}
 	order("rests")
 	require.Equal(t, 1, sent)
@@ -80,7 +80,7 @@
 	orderer, delivered := newTestOrderer(func() time.Duration { return now },
 		func(context.Context, *http.Client, StageOrder) (StageAnswer, error) {
 			sent++
-			return StageAnswer{Outcome: control.StageTaken, Asked: backpressure.Asked{Limit: backpressure.Limit{Named: true, PerSecond: 1}}}, nil
+			return StageAnswer{Outcome: control.StageAccepted, Asked: backpressure.Asked{Limit: backpressure.Limit{Named: true, PerSecond: 1}}}, nil
 		})
 	order := func() {
 		orderer.carryOut(t.Context(), control.ChangeStage{BackEnd: &v1.ListedBackEnd{Id: "limited"}, NotAfter: time.Hour})
--- a/internal/controlstate/agreement.go
+++ b/internal/controlstate/agreement.go
@@ -24,11 +24,11 @@
 // AgreedFormat is the highest format whose commands take effect.
 func (s *State) AgreedFormat() formats.Number { return s.agreed.format }
 
-// AgreedAt is the log index of the agreement in force; 0 before the first.
-func (s *State) AgreedAt() uint64 { return s.agreed.index }
+// AgreementIndex is the log index of the agreement in force; 0 before the first.
+func (s *State) AgreementIndex() uint64 { return s.agreed.index }
 
-// MissedAgreement reports whether others hold what was agreed on and this state does not. The next agreement ends it.
-func (s *State) MissedAgreement() bool { return s.agreed.missed }
+// IsMissingAgreedState reports whether others hold what was agreed on and this state does not. The next agreement ends it.
+func (s *State) IsMissingAgreedState() bool { return s.agreed.missed }
 
 // agree puts another agreement in force.
 func (s *State) agree(index uint64, body *v1.AgreeFormat) Result {
@@ -37,7 +37,7 @@
 		return Result{Err: trace.Wrap(ErrUnknownCommand, "log index %d agrees on format %d, this build knows %d; run the build that proposed it", index, number, formats.Newest)}
 	}
 	s.beginAgreement(index, number)
-	if number >= formats.HeldRequests {
+	if number >= formats.QuarantinedRequests {
 		s.suspects = quarantine.Restore(body.GetSuspects())
 	}
 	if first := body.GetFirstWindow(); number >= formats.UsageWindows && first > 0 {
@@ -57,7 +57,7 @@
 // checkFormat returns why a command must not be applied; nil where it may. A command that builds on an agreement which
 // this state does not have shows that the state was written by a controller of the first format, or taken from one.
 func (s *State) checkFormat(index uint64, command *v1.Command) error {
-	number, known := formats.OfCommand(command)
+	number, known := formats.CommandFormat(command)
 	if !known && len(command.ProtoReflect().GetUnknown()) > 0 {
 		return trace.Wrap(ErrUnknownCommand, "log index %d holds a command of another build; run the build that proposed it", index)
 	}
@@ -71,5 +71,5 @@
 	if _, isAgreement := command.GetBody().(*v1.Command_AgreeFormat); isAgreement || number <= s.agreed.format {
 		return nil
 	}
-	return trace.Wrap(ErrNotAgreed, "log index %d is of format %d, format %d is agreed on", index, number, s.agreed.format)
+	return trace.Wrap(ErrFormatNotAgreed, "log index %d is of format %d, format %d is agreed on", index, number, s.agreed.format)
 }
--- a/internal/controlstate/catalogue.go
+++ b/internal/controlstate/catalogue.go
@@ -98,7 +98,7 @@
 
 // forgetTombstones drops the oldest tombstones above the bound.
 func (c *catalogue) forgetTombstones() {
-	for c.tombstones.Len() > RememberedTombstones {
+	for c.tombstones.Len() > MaximumTombstones {
 		oldest, _ := c.tombstones.Min()
 		c.tombstoneFloor = max(c.tombstoneFloor, oldest.Revision)
 		c.remove(KeyOf(oldest.Key))
--- a/internal/controlstate/changes.go
+++ b/internal/controlstate/changes.go
@@ -15,7 +15,7 @@
 
 func newChangeNumbers() *changeNumbers {
 	return &changeNumbers{
-		records:  newRecent[*v1.ChangeRecord](RememberedChanges),
+		records:  newRecent[*v1.ChangeRecord](MaximumChangeRecords),
 		byNumber: map[uint64]*v1.ChangeRecord{},
 	}
 }
--- a/internal/controlstate/claim_use.go
+++ b/internal/controlstate/claim_use.go
@@ -25,7 +25,7 @@
 
 // fits reports whether a body of a tenant's outcome may be kept.
 func (u *claimUses) fits(tenant string, bytes int) bool {
-	return bytes <= MaximumOutcomeBytes && u.all.outcomeBytes+bytes <= MaximumAllOutcomeBytes &&
+	return bytes <= MaximumOutcomeBytes && u.all.outcomeBytes+bytes <= MaximumTotalOutcomeBytes &&
 		u.tenants[tenant].outcomeBytes+bytes <= MaximumTenantOutcomeBytes
 }
 
--- a/internal/controlstate/claims.go
+++ b/internal/controlstate/claims.go
@@ -44,7 +44,7 @@
 	record := s.claims.records[key]
 	switch {
 	case record == nil && s.claims.uses.full(begin.Tenant):
-		return Result{Err: trace.Wrap(ErrClaimsFull, "%d claims, of this tenant %d", s.claims.uses.all.claims, s.claims.uses.tenants[begin.Tenant].claims)}
+		return Result{Err: trace.Wrap(ErrTooManyClaims, "%d claims, of this tenant %d", s.claims.uses.all.claims, s.claims.uses.tenants[begin.Tenant].claims)}
 	case record == nil || !s.safeguards.On(ClaimCheck):
 		s.claims.put(key, newClaim(begin, expires, nil))
 		return Result{Claim: claimAnswer(v1.ClaimState_CLAIM_STATE_GRANTED)}
--- a/internal/controlstate/claims_test.go
+++ b/internal/controlstate/claims_test.go
@@ -131,7 +131,7 @@
 	for number := range MaximumTenantClaims {
 		require.NoError(t, begin("flooding", number))
 	}
-	require.ErrorIs(t, begin("flooding", MaximumTenantClaims), ErrClaimsFull)
+	require.ErrorIs(t, begin("flooding", MaximumTenantClaims), ErrTooManyClaims)
 	require.NoError(t, begin("flooding", 0), "a resend of a claim that is held")
 	require.NoError(t, begin("neighbour", 0))
 
--- a/internal/controlstate/declaration.go
+++ b/internal/controlstate/declaration.go
@@ -55,10 +55,10 @@
 	if winner, taken := s.changes.taken(number); number != 0 && taken && s.safeguards.On(ChangeNumberCheck) {
 		return s.numberTaken(number, winner)
 	}
-	if number > s.changes.highest+MaximumNumberStep {
+	if number > s.changes.highest+MaximumChangeNumberStep {
 		return s.refusal(v1.ApplyOutcome_APPLY_OUTCOME_INVALID, fmt.Sprintf(
 			"change number %d is too far above the highest one, %d; choose one up to %d",
-			number, s.changes.highest, s.changes.highest+MaximumNumberStep))
+			number, s.changes.highest, s.changes.highest+MaximumChangeNumberStep))
 	}
 	base := declaration.BaseRevision
 	if base != 0 && base != s.revision && s.safeguards.On(BaseRevisionCheck) {
--- a/internal/controlstate/declaration_test.go
+++ b/internal/controlstate/declaration_test.go
@@ -35,7 +35,7 @@
 
 func TestForgottenChangeNumbersStayTaken(t *testing.T) {
 	s := newTestState(t)
-	for i := range RememberedChanges + 10 {
+	for i := range MaximumChangeRecords + 10 {
 		require.Equal(t, accepted, s.declare("", uint64(2*i+2), modelObject("base", fmt.Sprint(i))).Outcome)
 	}
 	for _, number := range []uint64{1, 2, 3, 20} {
--- a/internal/controlstate/delta_test.go
+++ b/internal/controlstate/delta_test.go
@@ -69,7 +69,7 @@
 func TestNodeBehindForgottenTombstonesGetsAll(t *testing.T) {
 	s := newTestState(t)
 	s.accept(baseObjects()...)
-	for i := range RememberedTombstones + 1 {
+	for i := range MaximumTombstones + 1 {
 		s.accept(modelObject(fmt.Sprint("m", i), "1"))
 		s.accept(deleted(v1.ObjectType_OBJECT_TYPE_MODEL, fmt.Sprint("m", i)))
 	}
--- a/internal/controlstate/errors.go
+++ b/internal/controlstate/errors.go
@@ -14,16 +14,16 @@
 	ErrUnknownEngine = errors.New("the engine is not known")
 	// ErrRequestReused: a request identity was used with another content.
 	ErrRequestReused = errors.New("the request identity was used for another submission")
-	// ErrClaimsFull: the bound on remembered claims is reached.
-	ErrClaimsFull = errors.New("too many claims are remembered; wait until some expire")
+	// ErrTooManyClaims: the bound on remembered claims is reached.
+	ErrTooManyClaims = errors.New("too many claims are remembered; wait until some expire")
 	// ErrClaimExpired: the claim's time to live has passed.
 	ErrClaimExpired = errors.New("the claim has expired")
 	// ErrClaimNotHeld: the attempt does not hold the claim.
 	ErrClaimNotHeld = errors.New("the attempt does not hold the claim")
-	// ErrNoTrial: the request may not be tried.
-	ErrNoTrial = errors.New("no trial is granted")
-	// ErrNotAgreed: the command has no effect, since not all voters are known to know it.
-	ErrNotAgreed = errors.New("the command is of a format that is not agreed on")
+	// ErrTrialDenied: the request may not be tried.
+	ErrTrialDenied = errors.New("no trial is granted")
+	// ErrFormatNotAgreed: the command has no effect, since not all voters are known to know it.
+	ErrFormatNotAgreed = errors.New("the command is of a format that is not agreed on")
 	// ErrUnknownCommand: this build cannot apply the command, which others can. The controller must stop.
 	ErrUnknownCommand = errors.New("the command is of a newer build")
 	// ErrInvalidCommand: the command is malformed.
--- a/internal/controlstate/requests.go
+++ b/internal/controlstate/requests.go
@@ -21,7 +21,7 @@
 
 func newRequestMemory() *requestMemory {
 	return &requestMemory{
-		records: newRecent[*v1.RequestRecord](RememberedRequests),
+		records: newRecent[*v1.RequestRecord](MaximumRequestRecords),
 		byKey:   map[requestKey]*v1.RequestRecord{},
 	}
 }
--- a/internal/controlstate/state.go
+++ b/internal/controlstate/state.go
@@ -49,12 +49,12 @@
 	return &State{
 		safeguards: safeguards,
 		catalogue:  newCatalogue(),
-		history:    newRecent[*v1.Object](RememberedVersions),
+		history:    newRecent[*v1.Object](MaximumObjectVersions),
 		changes:    newChangeNumbers(),
 		requests:   newRequestMemory(),
-		audit:      newRecent[*v1.AuditRecord](RememberedAudit),
+		audit:      newRecent[*v1.AuditRecord](MaximumAuditRecords),
 		engines:    map[string]*v1.EngineRecord{},
-		orders:     newRecent[*v1.OrderRecord](RememberedOrders),
+		orders:     newRecent[*v1.OrderRecord](MaximumOrderRecords),
 		claims:     newClaimTable(),
 		usage:      usage.NewLedger(),
 		replicas:   map[string]*v1.SetReplicas{},
@@ -140,11 +140,11 @@
 // AppliedIndex is the log index of the last command.
 func (s *State) AppliedIndex() uint64 { return s.appliedIndex }
 
-// OrdersReplicas reports whether numbers of replicas were ever agreed on.
-func (s *State) OrdersReplicas() bool { return len(s.replicas) > 0 }
+// HasReplicaTargets reports whether numbers of replicas were ever agreed on.
+func (s *State) HasReplicaTargets() bool { return len(s.replicas) > 0 }
 
-// Replicas is what is wanted of a service's replicas; nil before anything is. It must not be changed.
-func (s *State) Replicas(service string) *v1.SetReplicas { return s.replicas[service] }
+// ReplicaTarget is what is wanted of a service's replicas; nil before anything is. It must not be changed.
+func (s *State) ReplicaTarget(service string) *v1.SetReplicas { return s.replicas[service] }
 
 // Usage is what is agreed on of the tenants' usage. It must not be changed.
 func (s *State) Usage() *usage.Ledger { return s.usage }
--- a/internal/controlstate/suspects.go
+++ b/internal/controlstate/suspects.go
@@ -15,12 +15,12 @@
 	if !s.safeguards.On(Quarantine) {
 		return Result{}
 	}
-	return ApplyToSuspects(s.suspects, command)
+	return ApplySuspectCommand(s.suspects, command)
 }
 
-// ApplyToSuspects carries out a command on what is known of requests under which replicas have ended. The leader also
+// ApplySuspectCommand carries out a command on what is known of requests under which replicas have ended. The leader also
 // does so by itself, on what it keeps while such commands are not agreed on.
-func ApplyToSuspects(suspects *quarantine.Ledger, command *v1.Command) Result {
+func ApplySuspectCommand(suspects *quarantine.Ledger, command *v1.Command) Result {
 	switch body := command.GetBody().(type) {
 	case *v1.Command_RecordReplicaEnds:
 		recordReplicaEnds(suspects, body.RecordReplicaEnds)
@@ -48,7 +48,7 @@
 func grantTrial(suspects *quarantine.Ledger, grant *v1.GrantTrial) Result {
 	signature, valid := quarantine.SignatureFrom(grant.GetSignature())
 	if !valid || !suspects.Grant(signature, grant.GetGrantedBefore()) {
-		return Result{Err: trace.Wrap(ErrNoTrial, "the request is not held, or another trial was granted meanwhile")}
+		return Result{Err: trace.Wrap(ErrTrialDenied, "the request is not held, or another trial was granted meanwhile")}
 	}
 	return Result{}
 }
--- a/internal/duty/outcome.go
+++ b/internal/duty/outcome.go
@@ -7,12 +7,12 @@
 const (
 	// Lost calls may be carried out now, later or never.
 	Lost Outcome = iota
-	// Taken calls are done.
-	Taken
+	// Accepted calls are done.
+	Accepted
 	// Refused calls were not sent or not taken, and never will be.
 	Refused
-	// Overtaken calls were refused since the platform has seen a later holder's fencing token.
-	Overtaken
+	// Superseded calls were refused since the platform has seen a later holder's fencing token.
+	Superseded
 	// Declined calls were refused for a later holder's fencing token, or since there is nothing of
 	// what they ask for: the platform does not tell which.
 	Declined
--- a/internal/duty/schedule.go
+++ b/internal/duty/schedule.go
@@ -9,12 +9,12 @@
 type Config struct {
 	// Interval is the least time between two calls; 0 for any.
 	Interval time.Duration
-	// Pause is the wait before a call that was not taken is made again.
-	Pause time.Duration
+	// RetryDelay is the wait before a call that was not taken is made again.
+	RetryDelay time.Duration
 }
 
-// DefaultPause suits a platform that is slow or busy: a call takes some ten milliseconds otherwise.
-const DefaultPause = 400 * time.Millisecond
+// DefaultRetryDelay suits a platform that is slow or busy: a call takes some ten milliseconds otherwise.
+const DefaultRetryDelay = 400 * time.Millisecond
 
 // Schedule keeps the calls of one holder. Times are durations since an origin that never go back.
 type Schedule struct {
@@ -32,40 +32,40 @@
 
 // NewSchedule returns the schedule of a holder that begins.
 func NewSchedule(config Config) *Schedule {
-	if config.Pause == 0 {
-		config.Pause = DefaultPause
+	if config.RetryDelay == 0 {
+		config.RetryDelay = DefaultRetryDelay
 	}
 	return &Schedule{config: config, subjects: map[Subject]*calls{}}
 }
 
-// May reports whether a call on a subject may be made now.
-func (s *Schedule) May(now time.Duration, on Subject) bool {
+// MayCall reports whether a call on a subject may be made now.
+func (s *Schedule) MayCall(now time.Duration, on Subject) bool {
 	of := s.of(on)
 	return !of.underWay && !of.overtaken && now >= of.nextAt && now >= s.nextAt
 }
 
-// Began notes that a call was made. Answered must follow.
-func (s *Schedule) Began(now time.Duration, on Subject) {
+// RecordStart notes that a call was made. Answered must follow.
+func (s *Schedule) RecordStart(now time.Duration, on Subject) {
 	s.of(on).underWay = true
 	s.nextAt = now + s.config.Interval
 }
 
-// Answered notes what became of the call on a subject.
-func (s *Schedule) Answered(now time.Duration, on Subject, outcome Outcome) {
+// RecordOutcome notes what became of the call on a subject.
+func (s *Schedule) RecordOutcome(now time.Duration, on Subject, outcome Outcome) {
 	of := s.of(on)
 	of.underWay = false
 	switch outcome {
-	case Taken:
+	case Accepted:
 		of.nextAt = now
-	case Overtaken:
+	case Superseded:
 		of.overtaken = true
 	default:
-		of.nextAt = now + s.config.Pause
+		of.nextAt = now + s.config.RetryDelay
 	}
 }
 
-// Overtaken reports whether a later holder was seen on a subject.
-func (s *Schedule) Overtaken(on Subject) bool { return s.of(on).overtaken }
+// Superseded reports whether a later holder was seen on a subject.
+func (s *Schedule) Superseded(on Subject) bool { return s.of(on).overtaken }
 
 func (s *Schedule) of(on Subject) *calls {
 	if s.subjects[on] == nil {
--- a/internal/formats/command.go
+++ b/internal/formats/command.go
@@ -2,9 +2,9 @@
 
 import v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 
-// OfCommand returns the format from which on processes know an entry of the log; false for one that this build does
+// CommandFormat returns the format from which on processes know an entry of the log; false for one that this build does
 // not know.
-func OfCommand(command *v1.Command) (Number, bool) {
+func CommandFormat(command *v1.Command) (Number, bool) {
 	switch command.GetBody().(type) {
 	case *v1.Command_ApplyDeclaration, *v1.Command_BeginAuthority, *v1.Command_IssueOrder, *v1.Command_FinishOrder,
 		*v1.Command_RecordEngine, *v1.Command_BeginClaim, *v1.Command_FinishClaim, *v1.Command_ExpireClaims,
--- a/internal/formats/formerbuild/controller.go
+++ b/internal/formats/formerbuild/controller.go
@@ -9,23 +9,23 @@
 	"github.com/hazelpitch/hazelpitch/internal/formats/released"
 )
 
-// Controller translates for one controller that stands for one of the first format. Commands that such a controller does
+// Translator translates for one controller that stands for one of the first format. Commands that such a controller does
 // not know have no effect there, and it keeps and passes on their entries as they came.
-type Controller struct {
+type Translator struct {
 	// came are the entries that came from elsewhere, by their log indexes.
 	came map[uint64]*v1.Entry
 }
 
 // New returns the translator of a controller that starts.
-func New() *Controller { return &Controller{came: map[uint64]*v1.Entry{}} }
+func New() *Translator { return &Translator{came: map[uint64]*v1.Entry{}} }
 
-// Read returns a message as a process of the first format reads it.
-func Read[Message proto.Message](message Message) (Message, error) {
+// Downgrade returns a message as a process of the first format reads it.
+func Downgrade[Message proto.Message](message Message) (Message, error) {
 	former, err := released.Load(formats.First)
 	if err != nil {
 		return message, trace.Wrap(err)
 	}
-	read, err := former.Read(message)
+	read, err := former.Downgrade(message)
 	if err != nil {
 		return message, trace.Wrap(err)
 	}
@@ -33,7 +33,7 @@
 }
 
 // ReadEntries returns entries, from a message or a disk, as the controller applies them.
-func (c *Controller) ReadEntries(entries []*v1.Entry) ([]*v1.Entry, error) {
+func (c *Translator) ReadEntries(entries []*v1.Entry) ([]*v1.Entry, error) {
 	read := make([]*v1.Entry, len(entries))
 	for index, entry := range entries {
 		c.came[entry.GetIndex()] = proto.CloneOf(entry)
@@ -48,7 +48,7 @@
 
 // WriteEntries returns entries as the controller writes them: those that came as they came, its own without what the
 // format does not have.
-func (c *Controller) WriteEntries(entries []*v1.Entry) ([]*v1.Entry, error) {
+func (c *Translator) WriteEntries(entries []*v1.Entry) ([]*v1.Entry, error) {
 	written := make([]*v1.Entry, len(entries))
 	for index, entry := range entries {
 		stripped, err := stripEntry(entry)
@@ -64,17 +64,17 @@
 }
 
 // ReadMessage returns a message of another controller as this one reads it.
-func (c *Controller) ReadMessage(message *v1.ConsensusMessage) (*v1.ConsensusMessage, error) {
+func (c *Translator) ReadMessage(message *v1.ConsensusMessage) (*v1.ConsensusMessage, error) {
 	return translate(message, c.ReadEntries)
 }
 
 // WriteMessage returns a message as this controller writes it.
-func (c *Controller) WriteMessage(message *v1.ConsensusMessage) (*v1.ConsensusMessage, error) {
+func (c *Translator) WriteMessage(message *v1.ConsensusMessage) (*v1.ConsensusMessage, error) {
 	return translate(message, c.WriteEntries)
 }
 
 func translate(message *v1.ConsensusMessage, entriesAs func([]*v1.Entry) ([]*v1.Entry, error)) (*v1.ConsensusMessage, error) {
-	read, err := Read(message)
+	read, err := Downgrade(message)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -95,7 +95,7 @@
 	if err := proto.Unmarshal(entry.GetData(), command); err != nil {
 		return stripped, nil // every build passes over it
 	}
-	former, err := Read(command)
+	former, err := Downgrade(command)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -123,7 +123,7 @@
 	if err := proto.Unmarshal(content, state); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	former, err := Read(state)
+	former, err := Downgrade(state)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
--- a/internal/formats/number.go
+++ b/internal/formats/number.go
@@ -16,12 +16,12 @@
 const (
 	// DocumentPatches: a relay is told what has changed in the configuration document.
 	DocumentPatches = Second
-	// StartsOfReplicas: listed back ends have identities of their starts, with the replicas' and the times beside them.
-	StartsOfReplicas = Second
-	// HeldRequests: controllers tell nodes which requests are held, and take ends of replicas.
-	HeldRequests = Second
+	// ReplicaIncarnations: listed back ends have identities of their starts, with the replicas' and the times beside them.
+	ReplicaIncarnations = Second
+	// QuarantinedRequests: controllers tell nodes which requests are held, and take ends of replicas.
+	QuarantinedRequests = Second
 	// UsageWindows: controllers tell relays in which windows tenants' usage is counted, and take their counts.
 	UsageWindows = Second
-	// PermitsOfRelays: relays keep counts of limits for each other.
-	PermitsOfRelays = Second
+	// RelayPermits: relays keep counts of limits for each other.
+	RelayPermits = Second
 )
--- a/internal/formats/range.go
+++ b/internal/formats/range.go
@@ -5,11 +5,11 @@
 // Range is the formats that a process knows. Its zero value is that of a process that tells none.
 type Range struct{ Lowest, Highest Number }
 
-// Own is the range of this build.
-func Own() Range { return Range{Lowest: First, Highest: Newest} }
+// Supported is the range of this build.
+func Supported() Range { return Range{Lowest: First, Highest: Newest} }
 
-// Knows reports whether a format is in the range.
-func (r Range) Knows(number Number) bool { return r.Lowest <= number && number <= r.Highest }
+// Supports reports whether a format is in the range.
+func (r Range) Supports(number Number) bool { return r.Lowest <= number && number <= r.Highest }
 
 // ToWire writes a range; nil for that of a process that tells none.
 func (r Range) ToWire() *v1.FormatRange {
--- a/internal/formats/released/changed_test.go
+++ b/internal/formats/released/changed_test.go
@@ -22,7 +22,7 @@
 func changed(t *testing.T, kept *Descriptors, change func(*changedFile)) *protoregistry.Files {
 	t.Helper()
 	file := &changedFile{t: t, set: &descriptorpb.FileDescriptorSet{}}
-	kept.Files(func(each protoreflect.FileDescriptor) {
+	kept.ForEachFile(func(each protoreflect.FileDescriptor) {
 		file.set.File = append(file.set.File, protodesc.ToFileDescriptorProto(each))
 	})
 	change(file)
--- a/internal/formats/released/descriptors.go
+++ b/internal/formats/released/descriptors.go
@@ -53,9 +53,9 @@
 	return &Descriptors{files: files}, nil
 }
 
-// Read returns a message as a process of the format reads it: what that does not know is gone. A message that the
+// Downgrade returns a message as a process of the format reads it: what that does not know is gone. A message that the
 // format does not have is empty.
-func (d *Descriptors) Read(message proto.Message) (proto.Message, error) {
+func (d *Descriptors) Downgrade(message proto.Message) (proto.Message, error) {
 	read := message.ProtoReflect().New().Interface()
 	found, err := d.files.FindDescriptorByName(message.ProtoReflect().Descriptor().FullName())
 	if err != nil {
@@ -79,8 +79,8 @@
 	return read, trace.Wrap(proto.Unmarshal(content, read))
 }
 
-// Files calls a function with the descriptors of each file.
-func (d *Descriptors) Files(each func(protoreflect.FileDescriptor)) {
+// ForEachFile calls a function with the descriptors of each file.
+func (d *Descriptors) ForEachFile(each func(protoreflect.FileDescriptor)) {
 	d.files.RangeFiles(func(file protoreflect.FileDescriptor) bool {
 		each(file)
 		return true
--- a/internal/formats/released/released_test.go
+++ b/internal/formats/released/released_test.go
@@ -28,7 +28,7 @@
 // is not understood by them.
 func differences(released *Descriptors, build *protoregistry.Files) []string {
 	var found []string
-	released.Files(func(file protoreflect.FileDescriptor) {
+	released.ForEachFile(func(file protoreflect.FileDescriptor) {
 		for index := range file.Messages().Len() {
 			found = append(found, ofMessage(file.Messages().Get(index), build)...)
 		}
@@ -137,7 +137,7 @@
 func TestTheNewestFormatIsKept(t *testing.T) {
 	kept, err := Load(formats.Newest)
 	require.NoError(t, err)
-	kept.Files(func(file protoreflect.FileDescriptor) {
+	kept.ForEachFile(func(file protoreflect.FileDescriptor) {
 		present, err := own().FindFileByPath(file.Path())
 		require.NoError(t, err)
 		require.True(t, proto.Equal(protodesc.ToFileDescriptorProto(file), protodesc.ToFileDescriptorProto(present)), file.Path())
@@ -156,12 +156,12 @@
 		command := &v1.Command{}
 		field := bodies.Get(index)
 		command.ProtoReflect().Set(field, command.ProtoReflect().NewField(field))
-		number, known := formats.OfCommand(command)
+		number, known := formats.CommandFormat(command)
 		require.True(t, known, "%s has no format in internal/formats", field.Name())
 		for each := formats.First; each <= formats.Newest; each++ {
 			kept, err := Load(each)
 			require.NoError(t, err)
-			read, err := kept.Read(command)
+			read, err := kept.Downgrade(command)
 			require.NoError(t, err)
 			require.Equal(t, each >= number, read.(*v1.Command).GetBody() != nil, "%s in format %d", field.Name(), each)
 		}
--- a/internal/gateway/sync.go
+++ b/internal/gateway/sync.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return gatewaystate.SyncResult{}, err
 	}
-	request.HeldVersion, request.Formats = c.guard.Version(), formats.Own().ToWire()
+	request.HeldVersion, request.Formats = c.guard.Version(), formats.Supported().ToWire()
 	sentAt := c.clock.now()
 	response, err := c.controllers.sync(ctx, address, request)
 	if err != nil {
--- a/internal/relay/asker_test.go
+++ b/internal/relay/asker_test.go
@@ -166,8 +166,8 @@
 	engine := startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne))
 	_, owner := newPair(t, engine)
 	for name, asked := range map[string]*v1.PlacementRequest{
-		"another cell":    {Service: "service", Cell: 1, Relay: 1, Number: 3, Formats: formats.Own().ToWire()},
-		"another service": {Service: "other", Relay: 1, Number: 3, Formats: formats.Own().ToWire()},
+		"another cell":    {Service: "service", Cell: 1, Relay: 1, Number: 3, Formats: formats.Supported().ToWire()},
+		"another service": {Service: "other", Relay: 1, Number: 3, Formats: formats.Supported().ToWire()},
 	} {
 		former := proto.CloneOf(asked)
 		former.Formats = nil
--- a/internal/relay/former_leader_test.go
+++ b/internal/relay/former_leader_test.go
@@ -16,7 +16,7 @@
 func TestWhatALeaderDoesNotKnowHoldsOn(t *testing.T) {
 	relay := newTestRelay(t, route(nil))
 	signature := quarantine.SignatureOf("", "", "", []byte("ending"))
-	own := formats.Own().ToWire()
+	own := formats.Supported().ToWire()
 	relay.knowledge.Take(&v1.WatchResponse{
 		Formats: own, TellsHeld: true, HeldVersion: 7, Held: []*v1.HeldRequest{{Signature: signature[:]}},
 		TrueTimeMs: 1_790_000_000_000, UsageWindowMs: 1000, ListingVersion: 1, ListingCalls: 25,
@@ -44,9 +44,9 @@
 	relay := newTestRelay(t, route(nil))
 	others := []string{"127.0.0.1:1", "127.0.0.1:2", relay.datagrams.Address}
 	relay.knowledge.Take(&v1.WatchResponse{
-		Formats: formats.Own().ToWire(), RelayAddresses: others, RelayList: 5, Relays: 3, FormerRelays: others[:2],
+		Formats: formats.Supported().ToWire(), RelayAddresses: others, RelayList: 5, Relays: 3, FormerRelays: others[:2],
 	})
 	require.Equal(t, []string{relay.datagrams.Address}, relay.permits.KeepersOf(4711))
-	relay.knowledge.Take(&v1.WatchResponse{Formats: formats.Own().ToWire(), RelayAddresses: others, RelayList: 6, Relays: 3})
+	relay.knowledge.Take(&v1.WatchResponse{Formats: formats.Supported().ToWire(), RelayAddresses: others, RelayList: 6, Relays: 3})
 	require.Len(t, relay.permits.KeepersOf(4711), 3)
 }
--- a/internal/relay/knowledge.go
+++ b/internal/relay/knowledge.go
@@ -97,7 +97,7 @@
 		Demands:        k.relay.work.Report(k.relay.clock.now()),
 	}
 	request.Limits = fleetlimit.AllToWire(k.relay.permits.Limits())
-	request.Formats = formats.Own().ToWire()
+	request.Formats = formats.Supported().ToWire()
 	request.DocumentNumber = k.held.GetNumber()
 	request.Wanted = k.wanted
 	return request
@@ -118,7 +118,7 @@
 			if wanted := response.GetWanted(); len(wanted) > 0 {
 				k.wanted = wanted // a leader of the first format tells none: the next one is told what is known
 			}
-			former := !formats.FromWire(response.GetFormats()).Knows(formats.StartsOfReplicas)
+			former := !formats.FromWire(response.GetFormats()).Supports(formats.ReplicaIncarnations)
 			k.takeBackEnds(k.identified(translate(listed), former), &next)
 		}
 	}
@@ -145,7 +145,7 @@
 // counted waits for one that does.
 func (k *knowledge) takeUsageWindow(response *v1.WatchResponse) {
 	window := time.Duration(response.GetUsageWindowMs()) * time.Millisecond
-	if window == 0 && !formats.FromWire(response.GetFormats()).Knows(formats.UsageWindows) {
+	if window == 0 && !formats.FromWire(response.GetFormats()).Supports(formats.UsageWindows) {
 		return
 	}
 	k.relay.usage.Hear(k.relay.clock.now(), response.GetTrueTimeMs(), window)
--- a/internal/relay/placement_wire.go
+++ b/internal/relay/placement_wire.go
@@ -60,7 +60,7 @@
 		Tokens: uint32(max(wanted.Tokens, 0)), TokenMoveNs: uint64(max(wanted.TokenMove, 0)), ResidenceUs: microseconds(wanted.Residence),
 		TimeLeftUs: microseconds(wanted.TimeLeft), MayHaveRun: wanted.MayHaveRun, Excluded: query.excluded,
 	}
-	asked.Formats = formats.Own().ToWire()
+	asked.Formats = formats.Supported().ToWire()
 	asked.Parts, asked.PartTokens = wireParts(wanted.Prompt[:min(len(wanted.Prompt), maximumParts)])
 	if query.holder != nil {
 		asked.Holder, asked.HolderTokens = query.holder.engine.hash, uint32(max(query.holder.tokens, 0))
@@ -73,7 +73,7 @@
 func queryFromWire(asked *v1.PlacementRequest, view *view) *engineQuery {
 	query := &engineQuery{
 		purpose: purposeFromWire(asked.GetPurpose()), service: asked.GetService(), excluded: asked.GetExcluded(),
-		withoutPermits: !formats.FromWire(asked.GetFormats()).Knows(formats.PermitsOfRelays),
+		withoutPermits: !formats.FromWire(asked.GetFormats()).Supports(formats.RelayPermits),
 		request: placement.Request{
 			Stage: serving.StageDecode, Zone: asked.GetZone(), Rank: rankFromWire(asked),
 			Target: fromMicroseconds(asked.GetTargetUs()), Gap: fromMicroseconds(asked.GetGapUs()), Stride: tokensOf(asked.GetStride()),
--- a/internal/replicaplan/orders.go
+++ b/internal/replicaplan/orders.go
@@ -69,7 +69,7 @@
 // Answered notes what became of it.
 func (o *Orders) Answered(now time.Duration, order Order, outcome duty.Outcome) {
 	made := o.made[order.Group]
-	made.taken = outcome == duty.Taken || outcome == duty.Lost // lost ones show, or not, in the list
+	made.taken = outcome == duty.Accepted || outcome == duty.Lost // lost ones show, or not, in the list
 	if outcome == duty.Declined {
 		made.retryAt = now + shortagePause
 	}
--- a/internal/replicaplan/plan_test.go
+++ b/internal/replicaplan/plan_test.go
@@ -81,7 +81,7 @@
 	if p.lost() {
 		return duty.Lost
 	}
-	return duty.Taken
+	return duty.Accepted
 }
 
 func (p *platform) carryOut(order Order) {
--- a/internal/simulation/checks_leases.go
+++ b/internal/simulation/checks_leases.go
@@ -46,11 +46,11 @@
 
 // oneLease checks that no other controller may lead while this one may.
 func (l *leaseChecks) oneLease(c *controller) {
-	if !c.core.MayLead(c.local()) {
+	if !c.core.HoldsLease(c.local()) {
 		return
 	}
 	for _, other := range l.checks.world.controllers {
-		if other != c && other.core != nil && other.core.MayLead(other.local()) {
+		if other != c && other.core != nil && other.core.HoldsLease(other.local()) {
 			l.checks.fail("one leader at a time", "%s and %s hold a lease at once", c.name, other.name)
 		}
 	}
--- a/internal/simulation/controller_build.go
+++ b/internal/simulation/controller_build.go
@@ -14,7 +14,7 @@
 // build is which build a controller's process is of: this one, or one of the first format.
 type build struct {
 	former     bool
-	translator *formerbuild.Controller
+	translator *formerbuild.Translator
 }
 
 // mixesBuilds reports whether controllers are replaced by those of another build in this run.
--- a/internal/simulation/quorum.go
+++ b/internal/simulation/quorum.go
@@ -9,7 +9,7 @@
 			continue
 		}
 		status := c.core.Status()
-		if status.Ordering && status.Consensus.MembershipCommitted {
+		if status.LeadsWithLease && status.Consensus.MembershipCommitted {
 			return status.Consensus.Membership
 		}
 	}
