--- a/internal/control/adapters.go
+++ b/internal/control/adapters.go
@@ -19,8 +19,8 @@
 			continue
 		}
 		declared[object.Key.Name] = true
-		version, told := engine.AdapterVersions[object.Key.Name]
-		if !slices.Contains(engine.Adapters, object.Key.Name) || (told && version != adapter.Version) {
+		version, reported := engine.AdapterVersions[object.Key.Name]
+		if !slices.Contains(engine.Adapters, object.Key.Name) || (reported && version != adapter.Version) {
 			return &v1.Order{Engine: engine.Engine, Action: v1.OrderAction_ORDER_ACTION_LOAD_ADAPTER,
 				Model: adapter.Model, Version: adapter.Version, Adapter: object.Key.Name,
 				Reason: "this version of the adapter is declared for the engine's model"}
--- a/internal/control/agreement.go
+++ b/internal/control/agreement.go
@@ -19,25 +19,25 @@
 
 func (Halt) isOutput() {}
 
-// errHeldBack answers a call whose command not all members know.
-var errHeldBack = trace.ConnectionProblem(nil, "a controller that is a member does not know this yet; finish the upgrade, or send it again later")
+// errFormatNotAgreed answers a call whose command not all members know.
+var errFormatNotAgreed = trace.ConnectionProblem(nil, "a controller that is a member does not know this yet; finish the upgrade, or send it again later")
 
 // memberFormats is what a controller knows of the formats of the others, and what it does about them as the leader.
 type memberFormats struct {
-	// told are the formats that members have told, by their identities.
-	told map[string]formats.Range
-	// proposed is the log index of the last agreement that this leader has proposed.
-	proposed uint64
+	// byMember are the formats that members have byMember, by their identities.
+	byMember map[string]formats.Range
+	// proposedIndex is the log index of the last agreement that this leader has proposedIndex.
+	proposedIndex uint64
 }
 
-// hearFormats takes which formats another controller knows.
-func (c *Core) hearFormats(message *v1.ConsensusMessage) {
-	c.formats.told[message.GetFrom()] = formats.FromWire(message.GetFormats())
+// recordFormats takes which formats another controller knows.
+func (c *Core) recordFormats(message *v1.ConsensusMessage) {
+	c.formats.byMember[message.GetFrom()] = formats.FromWire(message.GetFormats())
 }
 
-// ownFormats is what this controller tells of itself. One that missed what was agreed on tells the first format alone:
+// advertisedFormats is what this controller tells of itself. One that missed what was agreed on tells the first format alone:
 // the leader then ends the agreement, and proposes the next one, with which all hold the same again.
-func (c *Core) ownFormats() formats.Range {
+func (c *Core) advertisedFormats() formats.Range {
 	if c.state.IsMissingAgreedState() {
 		return formats.Range{}
 	}
@@ -48,8 +48,8 @@
 func (c *Core) commonFormat() (common formats.Number, certain bool) {
 	common, certain = formats.Newest, true
 	for _, member := range c.otherMembers() {
-		if told, heard := c.formats.told[member.GetId()]; heard {
-			common = min(common, told.Highest)
+		if supported, known := c.formats.byMember[member.GetId()]; known {
+			common = min(common, supported.Highest)
 		} else {
 			certain = false
 		}
@@ -62,14 +62,14 @@
 	return slices.DeleteFunc(slices.Clone(c.consensus.Membership().GetMembers()), func(member *v1.Member) bool { return member.GetId() == c.consensus.ID() })
 }
 
-// heldBackBy returns the names of the members that keep this leader from an agreement on its own format.
-func (c *Core) heldBackBy() []string {
+// agreementBlockers returns the names of the members that keep this leader from an agreement on its own format.
+func (c *Core) agreementBlockers() []string {
 	if !c.leading {
 		return nil
 	}
 	var names []string
 	for _, member := range c.otherMembers() {
-		if told, heard := c.formats.told[member.GetId()]; !heard || !told.Supports(formats.Newest) {
+		if supported, known := c.formats.byMember[member.GetId()]; !known || !supported.Supports(formats.Newest) {
 			names = append(names, member.GetName())
 		}
 	}
@@ -81,8 +81,8 @@
 func (c *Core) tickAgreement() {
 	common, certain := c.commonFormat()
 	agreed := c.state.AgreedFormat()
-	underWay := c.formats.proposed > c.applied
-	if !underWay && (common < agreed || certain && common > agreed) {
+	pending := c.formats.proposedIndex > c.applied
+	if !pending && (common < agreed || certain && common > agreed) {
 		c.proposeAgreement(common)
 	}
 }
@@ -91,7 +91,7 @@
 	agreement := &v1.AgreeFormat{Format: uint32(number), Suspects: c.suspects().Snapshot(), FirstWindow: c.currentWindow()}
 	index, err := c.propose(&v1.Command{Body: &v1.Command_AgreeFormat{AgreeFormat: agreement}}, 0, nil)
 	if err == nil {
-		c.formats.proposed = index
+		c.formats.proposedIndex = index
 	}
 }
 
@@ -107,8 +107,8 @@
 // isAgreed reports whether commands of a format take effect.
 func (c *Core) isAgreed(number formats.Number) bool { return number <= c.state.AgreedFormat() }
 
-// mayPropose reports whether all members know a command.
-func (c *Core) mayPropose(command *v1.Command) bool {
+// canPropose reports whether all members know a command.
+func (c *Core) canPropose(command *v1.Command) bool {
 	if _, isAgreement := command.GetBody().(*v1.Command_AgreeFormat); isAgreement {
 		return true
 	}
@@ -122,39 +122,39 @@
 	if c.isAgreed(formats.QuarantinedRequests) {
 		return c.state.Suspects()
 	}
-	return c.ownSuspects
+	return c.localSuspects
 }
 
-// knowsHeld reports whether this controller knows which requests are held: while that is not agreed on only the leader
+// knowsQuarantined reports whether this controller knows which requests are held: while that is not agreed on only the leader
 // does.
-func (c *Core) knowsHeld() bool { return c.leading || c.isAgreed(formats.QuarantinedRequests) }
+func (c *Core) knowsQuarantined() bool { return c.leading || c.isAgreed(formats.QuarantinedRequests) }
 
-// changeSuspects carries out a command on the suspects: by the log where it is agreed that all members know it.
-func (c *Core) changeSuspects(command *v1.Command, call CallID, finish func(*Core, controlstate.Result)) {
+// applySuspectChange carries out a command on the suspects: by the log where it is agreed that all members know it.
+func (c *Core) applySuspectChange(command *v1.Command, call CallID, finish func(*Core, controlstate.Result)) {
 	if c.isAgreed(formats.QuarantinedRequests) {
 		c.proposeForCall(command, call, finish)
 		return
 	}
 	result := controlstate.Result{}
 	if c.config.Safeguards.On(controlstate.Quarantine) {
-		result = controlstate.ApplySuspectCommand(c.ownSuspects, command)
+		result = controlstate.ApplySuspectCommand(c.localSuspects, command)
 	}
 	finish(c, result)
 }
 
-// forgetSuspects carries out a command for which no call waits.
-func (c *Core) forgetSuspects(command *v1.Command) {
+// applySuspectChangeWithoutCall carries out a command for which no call waits.
+func (c *Core) applySuspectChangeWithoutCall(command *v1.Command) {
 	if c.isAgreed(formats.QuarantinedRequests) {
-		c.proposeQuietly(command)
+		c.proposeWithoutCall(command)
 		return
 	}
-	controlstate.ApplySuspectCommand(c.ownSuspects, command)
+	controlstate.ApplySuspectCommand(c.localSuspects, command)
 }
 
-// keepSuspects keeps what was agreed on of the suspects once that is agreed on no longer.
-func (c *Core) keepSuspects(agreed *quarantine.Ledger) {
+// retainSuspects keeps what was agreed on of the suspects once that is agreed on no longer.
+func (c *Core) retainSuspects(agreed *quarantine.Ledger) {
 	if !c.isAgreed(formats.QuarantinedRequests) && c.state.Suspects() != agreed {
-		c.ownSuspects = agreed
+		c.localSuspects = agreed
 	}
 }
 
--- a/internal/control/clock.go
+++ b/internal/control/clock.go
@@ -2,8 +2,8 @@
 
 import v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 
-// readClock takes this machine's reading of the time of day.
-func (c *Core) readClock(tick Tick) {
+// recordLocalClock takes this machine's reading of the time of day.
+func (c *Core) recordLocalClock(tick Tick) {
 	reading := tick.TimeOfDayMs
 	if reading == 0 {
 		reading = c.wallMs()
@@ -11,8 +11,8 @@
 	c.clock.Read(c.now, reading)
 }
 
-// hearClock takes another controller's word of the time of day.
-func (c *Core) hearClock(message *v1.ConsensusMessage) {
+// recordPeerClock takes another controller's word of the time of day.
+func (c *Core) recordPeerClock(message *v1.ConsensusMessage) {
 	if message.GetTimeOfDayMs() != 0 {
 		c.clock.Hear(c.now, message.GetFrom(), message.GetTimeOfDayMs())
 	}
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -43,8 +43,8 @@
 	// applied is the log index of the last applied entry, snapshotAt of the last snapshot.
 	applied    uint64
 	snapshotAt uint64
-	// pagesRevision is the revision that the tracker's page services are from.
-	pagesRevision uint64
+	// pageServicesRevision is the revision that the tracker's page services are from.
+	pageServicesRevision uint64
 
 	// pending are the calls that wait for their log entry.
 	pending map[uint64]pendingCall
@@ -53,22 +53,22 @@
 	leadingTerm  uint64
 	leadingSince time.Duration
 	duties       duties
-	// heldBack says, by engine, which declared change could not be ordered and why.
-	heldBack map[string]string
+	// deferredOrders says, by engine, which declared change could not be ordered and why.
+	deferredOrders map[string]string
 	// revisions are the log indexes of the last applied revisions.
 	revisions revisionIndex
 
 	// listing, watches and relays serve the relays of opaque requests.
 	listing siteListing
 	watches waitingWatches
-	// newsPace spreads the telling of news.
-	newsPace newsPace
-	relays   map[string]*relayRecord
-	news     siteNews
-	// toldAgain counts the news that relays were told in vain.
-	toldAgain uint64
-	stages    stages
-	usage     siteUsage
+	// updatePace spreads the telling of news.
+	updatePace updatePace
+	relays     map[string]*relayRecord
+	updates    siteUpdates
+	// repeatedUpdates counts the news that relays were told in vain.
+	repeatedUpdates uint64
+	stages          stages
+	usage           siteUsage
 	// dutyCalls keeps the leader's calls of duties.
 	dutyCalls *duty.Schedule
 	replicas  siteReplicas
@@ -78,8 +78,8 @@
 	limits namedLimits
 	// formats are those that other controllers know.
 	formats memberFormats
-	// ownSuspects are requests under which replicas have ended, as far as this controller knows by itself.
-	ownSuspects *quarantine.Ledger
+	// localSuspects are requests under which replicas have ended, as far as this controller knows by itself.
+	localSuspects *quarantine.Ledger
 	// halted: this controller takes no further part.
 	halted bool
 	// clock is what this controller knows of the time of day.
@@ -103,27 +103,27 @@
 		return nil, trace.Wrap(err)
 	}
 	return &Core{
-		config:    config,
-		consensus: replicated,
-		state:     controlstate.New(config.Safeguards),
-		commander: authority.New(authority.Config{Leader: config.Name, Safeguards: config.Safeguards}),
-		tracker:   membership.New(membership.Config{}),
-		divider:   shares.New(0, config.Safeguards),
-		demands:   demand.NewTable(),
-		planning:  newPlanning(),
-		random:    random,
-		pending:   map[uint64]pendingCall{},
-		newsPace:  newNewsPace(),
-		relays:    map[string]*relayRecord{},
-		stages:    newStages(),
-		usage:     newSiteUsage(config),
-		dutyCalls: newDutySchedule(config),
-		clock:     truetime.New(),
+		config:     config,
+		consensus:  replicated,
+		state:      controlstate.New(config.Safeguards),
+		commander:  authority.New(authority.Config{Leader: config.Name, Safeguards: config.Safeguards}),
+		tracker:    membership.New(membership.Config{}),
+		divider:    shares.New(0, config.Safeguards),
+		demands:    demand.NewTable(),
+		planning:   newPlanning(),
+		random:     random,
+		pending:    map[uint64]pendingCall{},
+		updatePace: newUpdatePace(),
+		relays:     map[string]*relayRecord{},
+		stages:     newStages(),
+		usage:      newSiteUsage(config),
+		dutyCalls:  newDutySchedule(config),
+		clock:      truetime.New(),
 
-		formats:     memberFormats{told: map[string]formats.Range{}},
-		ownSuspects: quarantine.NewLedger(),
-		quarantine:  newRequestQuarantine(),
-		limits:      newNamedLimits(),
+		formats:       memberFormats{byMember: map[string]formats.Range{}},
+		localSuspects: quarantine.NewLedger(),
+		quarantine:    newRequestQuarantine(),
+		limits:        newNamedLimits(),
 	}, nil
 }
 
@@ -136,7 +136,7 @@
 		return nil
 	}
 	c.catchUp()
-	c.take(input)
+	c.dispatch(input)
 	c.drive()
 	c.checkLeadership()
 	if _, tick := input.(Tick); tick {
@@ -160,73 +160,73 @@
 	c.consensus.Tick(c.now)
 }
 
-// take dispatches one input.
-func (c *Core) take(input Input) {
+// dispatch dispatches one input.
+func (c *Core) dispatch(input Input) {
 	switch received := input.(type) {
 	case Tick:
-		c.readClock(received)
+		c.recordLocalClock(received)
 		c.tickConsensus()
-		c.newsPace.tick(c.consensus.QuorumIsLate())
+		c.updatePace.tick(c.consensus.QuorumIsLate())
 	case PeerMessage:
-		c.hearClock(received.Message)
-		c.hearFormats(received.Message)
+		c.recordPeerClock(received.Message)
+		c.recordFormats(received.Message)
 		// An error tells why the message was dropped; the sender repeats what matters.
 		_ = c.consensus.Step(c.now, received.Message)
 	case Persisted:
 		c.consensus.Persisted(c.now, received.Batch)
 	case ApplyReceived:
-		c.takeApply(received)
+		c.handleApply(received)
 	case PlanReceived:
-		c.takePlan(received)
+		c.handlePlan(received)
 	case ExecuteReceived:
-		c.takeExecute(received)
+		c.handleExecute(received)
 	case RefusalReceived:
-		c.takeRefusal(received)
+		c.handleRefusal(received)
 	case SyncReceived:
-		c.takeSync(received)
+		c.handleSync(received)
 	case ReportReceived:
-		c.takeReport(received)
+		c.handleReport(received)
 	case BeginClaimReceived:
-		c.takeBeginClaim(received)
+		c.handleBeginClaim(received)
 	case FinishClaimReceived:
-		c.takeFinishClaim(received)
+		c.handleFinishClaim(received)
 	case MachineListReceived:
-		c.takeMachineList(received)
+		c.handleMachineList(received)
 	case OrderAnswered:
 		c.commander.OrderAnswered(c.now, received.Engine, received.Fence, received.Answer)
-		c.tracker.HurryPoll(c.now, received.Engine, hurriedPoll)
+		c.tracker.HurryPoll(c.now, received.Engine, orderPollInterval)
 	case FenceAnswered:
 		c.commander.FenceAnswered(c.now, received.Engine, received.Epoch, received.Answer)
 	case PutDocumentReceived:
-		c.takePutDocument(received)
+		c.handlePutDocument(received)
 	case ReadDocumentReceived:
-		c.takeReadDocument(received)
+		c.handleReadDocument(received)
 	case WatchReceived:
-		c.takeWatch(received)
+		c.handleWatch(received)
 	case ListingReceived:
-		c.takeListing(received)
+		c.handleListing(received)
 	case StageChangeFinished:
-		c.takeStageOrdered(received)
+		c.handleStageChangeFinished(received)
 	case UsageReceived:
-		c.takeUsage(received)
+		c.handleUsage(received)
 	case UsageDelivered:
-		c.takeUsageDelivered(received)
+		c.handleUsageDelivered(received)
 	case ReplicaCrashesReceived:
-		c.takeReplicaEnds(received)
+		c.handleReplicaCrashes(received)
 	case TrialRequested:
-		c.takeTrialAsked(received)
+		c.handleTrialRequested(received)
 	case PermitRequested:
-		c.takePermitAsked(received)
+		c.handlePermitRequested(received)
 	case RequestReleased:
-		c.takeRequestReleased(received)
+		c.handleRequestReleased(received)
 	case ReplicaOrderFinished:
-		c.takeReplicasOrdered(received)
+		c.handleReplicaOrderFinished(received)
 	case SeedsChanged:
 		c.consensus.SetSeeds(received.Seeds)
 	case StopRequested:
-		c.takeStop()
+		c.handleStop()
 	case EngineStateReceived:
-		c.takeEngineState(received)
+		c.handleEngineState(received)
 	}
 }
 
@@ -281,7 +281,7 @@
 		Consensus: c.consensus.Status(), LeadsWithLease: c.leading && c.consensus.LeaseValid(c.now),
 		Revision: c.state.Revision(), AppliedIndex: c.applied,
 		Gateways: len(c.tracker.Gateways()), Machines: len(c.tracker.Machines()), PendingCalls: len(c.pending),
-		AgreedFormat: c.state.AgreedFormat(), AgreementBlockers: c.heldBackBy(), Site: c.siteStatus(),
+		AgreedFormat: c.state.AgreedFormat(), AgreementBlockers: c.agreementBlockers(), Site: c.siteStatus(),
 	}
 }
 
--- a/internal/control/declare.go
+++ b/internal/control/declare.go
@@ -11,8 +11,8 @@
 // saltSeedBytes is the size of the random bytes in a declaration's command.
 const saltSeedBytes = 32
 
-// takeApply proposes a declaration; the answer follows once it is applied.
-func (c *Core) takeApply(received ApplyReceived) {
+// handleApply proposes a declaration; the answer follows once it is applied.
+func (c *Core) handleApply(received ApplyReceived) {
 	request := received.Request
 	declaration := &v1.ApplyDeclaration{
 		Operator: received.Operator, RequestId: request.RequestId, ChangeNumber: request.ChangeNumber,
@@ -41,9 +41,9 @@
 	return bytes
 }
 
-// takePlan tells what a declaration would change.
-func (c *Core) takePlan(received PlanReceived) {
-	if !c.demandLeader(received.Call) {
+// handlePlan tells what a declaration would change.
+func (c *Core) handlePlan(received PlanReceived) {
+	if !c.requireLeader(received.Call) {
 		return
 	}
 	if err := c.state.CheckDeclaration(received.Objects, received.Request.Prune); err != nil {
--- a/internal/control/document.go
+++ b/internal/control/document.go
@@ -20,10 +20,10 @@
 func (PutDocumentReceived) isInput()  {}
 func (ReadDocumentReceived) isInput() {}
 
-// takePutDocument commits a document. One whose number is not above the number in force
+// handlePutDocument commits a document. One whose number is not above the number in force
 // changes nothing and is acknowledged at once.
-func (c *Core) takePutDocument(received PutDocumentReceived) {
-	if !c.demandLeader(received.Call) {
+func (c *Core) handlePutDocument(received PutDocumentReceived) {
+	if !c.requireLeader(received.Call) {
 		return
 	}
 	done := Answer{Call: received.Call, Response: &v1.Document{}}
@@ -41,10 +41,10 @@
 	})
 }
 
-// takeReadDocument answers with the document in force: only a leader with a valid lease
+// handleReadDocument answers with the document in force: only a leader with a valid lease
 // knows that no later one has been acknowledged.
-func (c *Core) takeReadDocument(received ReadDocumentReceived) {
-	if !c.demandLeader(received.Call) {
+func (c *Core) handleReadDocument(received ReadDocumentReceived) {
+	if !c.requireLeader(received.Call) {
 		return
 	}
 	document := c.state.Document()
--- a/internal/control/drive.go
+++ b/internal/control/drive.go
@@ -17,18 +17,18 @@
 		if !some || c.halted {
 			return
 		}
-		c.carryOut(ready)
+		c.processReady(ready)
 	}
 }
 
-func (c *Core) carryOut(ready consensus.Ready) {
+func (c *Core) processReady(ready consensus.Ready) {
 	if ready.Batch != 0 {
 		c.emit(Persist{Batch: ready.Batch, HardState: ready.HardState, Entries: ready.Entries, Snapshot: ready.Snapshot})
 	}
 	for _, message := range ready.Messages {
 		message.Message.TimeOfDayMs = c.clock.Own(c.now)
 		if message.Message.GetFrom() == c.consensus.ID() { // others' probes are passed on as they are
-			message.Message.Formats = c.ownFormats().ToWire()
+			message.Message.Formats = c.advertisedFormats().ToWire()
 		}
 		c.emit(SendPeer{Address: message.Address, Message: message.Message})
 	}
@@ -41,7 +41,7 @@
 		}
 		c.applyEntry(entry)
 	}
-	c.snapshotWhenDue()
+	c.snapshotIfDue()
 }
 
 // restore replaces the state by a snapshot.
@@ -58,11 +58,11 @@
 	}
 	agreed := c.suspects()
 	c.state = state
-	c.keepSuspects(agreed)
+	c.retainSuspects(agreed)
 	c.applied = snapshot.GetMetadata().GetIndex()
 	c.snapshotAt = c.applied
 	c.revisions.add(c.applied, c.state.Revision())
-	c.refreshPages()
+	c.refreshPageServices()
 }
 
 // applyEntry applies one committed entry and answers the call that waits for it.
@@ -71,7 +71,7 @@
 	call, waiting := c.pending[entry.Index]
 	delete(c.pending, entry.Index)
 	if waiting && call.term != entry.Term {
-		c.refusePending(call)
+		c.failPendingCall(call)
 		waiting = false
 	}
 	if entry.Type != v1.EntryType_ENTRY_TYPE_COMMAND {
@@ -88,19 +88,19 @@
 	agreed := c.suspects()
 	result := c.state.Apply(entry.Index, command)
 	c.halt(result.Err)
-	c.keepSuspects(agreed)
-	c.noteApplied(command)
+	c.retainSuspects(agreed)
+	c.notifyApplied(command)
 	c.revisions.add(entry.Index, c.state.Revision())
 	if waiting {
 		call.finish(c, result)
 	}
 }
 
-// noteApplied tells the soft state what the log has done.
-func (c *Core) noteApplied(command *v1.Command) {
+// notifyApplied tells the soft state what the log has done.
+func (c *Core) notifyApplied(command *v1.Command) {
 	switch body := command.GetBody().(type) {
 	case *v1.Command_ApplyDeclaration:
-		c.refreshPages()
+		c.refreshPageServices()
 	case *v1.Command_RecordEngine:
 		c.commander.Applied(body.RecordEngine.GetEngine().GetEngine())
 	case *v1.Command_FinishOrder:
@@ -110,12 +110,12 @@
 	}
 }
 
-// refreshPages tells the tracker which services are page services.
-func (c *Core) refreshPages() {
-	if c.pagesRevision == c.state.Revision() && c.pagesRevision != 0 {
+// refreshPageServices tells the tracker which services are page services.
+func (c *Core) refreshPageServices() {
+	if c.pageServicesRevision == c.state.Revision() && c.pageServicesRevision != 0 {
 		return
 	}
-	c.pagesRevision = c.state.Revision()
+	c.pageServicesRevision = c.state.Revision()
 	pages := map[string]bool{}
 	for _, object := range c.state.ObjectsOfType(v1.ObjectType_OBJECT_TYPE_SERVICE) {
 		if object.GetService().Type == v1.ServiceType_SERVICE_TYPE_PAGE {
@@ -125,8 +125,8 @@
 	c.tracker.SetPages(pages)
 }
 
-// snapshotWhenDue writes the state out and cuts the log.
-func (c *Core) snapshotWhenDue() {
+// snapshotIfDue writes the state out and cuts the log.
+func (c *Core) snapshotIfDue() {
 	if c.applied-c.snapshotAt < c.config.SnapshotEntries {
 		return
 	}
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -36,10 +36,10 @@
 	if !c.leading || !c.consensus.LeaseValid(c.now) {
 		return
 	}
-	if c.giveWay() {
+	if c.raiseTermIfFenced() {
 		return
 	}
-	c.command()
+	c.runCommander()
 	c.tickAgreement()
 	c.tickListing()
 	c.tickStages()
@@ -47,7 +47,7 @@
 	c.tickReplicas()
 	c.tickQuarantine()
 	if due(c.now, &c.duties.claims, claimInterval) {
-		c.loseGateways()
+		c.markLostGateways()
 		c.expireClaims()
 	}
 	if due(c.now, &c.duties.reconcile, reconcileInterval) {
@@ -59,25 +59,25 @@
 	if due(c.now, &c.duties.housekeeping, housekeepInterval) {
 		c.divider.DropExpired(c.now)
 		c.demands.DropOld(c.now)
-		c.forgetRelays()
+		c.dropSilentRelays()
 	}
 	if due(c.now, &c.duties.engines, engineGoneInterval) {
 		c.removeGoneEngines()
 	}
 }
 
-// giveWay gives up this term when most engines hold fences of later ones: the quorum
+// raiseTermIfFenced gives up this term when most engines hold fences of later ones: the quorum
 // was formed anew, and authority has to begin above what the engines remember.
-func (c *Core) giveWay() bool {
+func (c *Core) raiseTermIfFenced() bool {
 	epoch, overtaken := c.commander.Overtaken()
 	return overtaken && c.consensus.RaiseTerm(c.now, epoch) == nil
 }
 
-// loseGateways makes the claims of gateways that are gone unknown.
-func (c *Core) loseGateways() {
+// markLostGateways makes the claims of gateways that are gone unknown.
+func (c *Core) markLostGateways() {
 	for _, holder := range c.state.ClaimHolders() {
 		if c.tracker.GatewayGone(c.now, c.leadingSince, holder.Gateway, holder.Incarnation) {
-			c.proposeQuietly(&v1.Command{Body: &v1.Command_LoseGateway{
+			c.proposeWithoutCall(&v1.Command{Body: &v1.Command_LoseGateway{
 				LoseGateway: &v1.LoseGateway{Gateway: holder.Gateway, Incarnation: holder.Incarnation},
 			}})
 		}
@@ -88,7 +88,7 @@
 func (c *Core) expireClaims() {
 	now := c.wallMs()
 	if c.state.HasExpiredClaims(now) {
-		c.proposeQuietly(&v1.Command{Body: &v1.Command_ExpireClaims{ExpireClaims: &v1.ExpireClaims{BeforeMs: now}}})
+		c.proposeWithoutCall(&v1.Command{Body: &v1.Command_ExpireClaims{ExpireClaims: &v1.ExpireClaims{BeforeMs: now}}})
 	}
 }
 
@@ -99,7 +99,7 @@
 	}
 	for _, record := range c.state.Engines() {
 		if record.Outstanding == nil && c.tracker.Machine(record.State.Engine) == nil {
-			c.proposeQuietly(&v1.Command{Body: &v1.Command_RecordEngine{
+			c.proposeWithoutCall(&v1.Command{Body: &v1.Command_RecordEngine{
 				RecordEngine: &v1.RecordEngine{Engine: &v1.EngineState{Engine: record.State.Engine}, Removed: true},
 			}})
 		}
@@ -109,10 +109,10 @@
 // reconcileDeclared orders engines to be what is declared: pinned roles, the models'
 // versions in force, and adapters. What may not be ordered now is tried again.
 func (c *Core) reconcileDeclared() {
-	c.heldBack = map[string]string{}
+	c.deferredOrders = map[string]string{}
 	for _, order := range declaredOrders(c.state) {
 		if err := c.issueOrder(order); err != nil {
-			c.heldBack[order.Engine] = language.OrderText(order) + ": " + oneLine(err)
+			c.deferredOrders[order.Engine] = language.OrderText(order) + ": " + oneLine(err)
 		}
 	}
 }
--- a/internal/control/duty_call.go
+++ b/internal/control/duty_call.go
@@ -16,20 +16,20 @@
 	NotAfter time.Duration
 }
 
-// mayCall reports whether a call on a subject may be made now. A new leader first lets the time of its
+// mayCallPlatform reports whether a call on a subject may be made now. A new leader first lets the time of its
 // predecessor's calls pass.
-func (c *Core) mayCall(subject duty.Subject) bool {
+func (c *Core) mayCallPlatform(subject duty.Subject) bool {
 	return c.now-c.leadingSince >= c.config.OrderWait && c.dutyCalls.MayCall(c.now, subject)
 }
 
-// beginCall begins a call on a subject; endCall must follow.
-func (c *Core) beginCall(subject duty.Subject) DutyCall {
+// startDutyCall begins a call on a subject; endCall must follow.
+func (c *Core) startDutyCall(subject duty.Subject) DutyCall {
 	c.dutyCalls.RecordStart(c.now, subject)
 	return DutyCall{Subject: subject, Holder: c.config.Name, Fence: c.leadingTerm, NotAfter: c.now + c.config.DutyLifetime}
 }
 
-// endCall notes what became of a call. That of an earlier term tells nothing of this one's.
-func (c *Core) endCall(call DutyCall, outcome duty.Outcome) {
+// finishDutyCall notes what became of a call. That of an earlier term tells nothing of this one's.
+func (c *Core) finishDutyCall(call DutyCall, outcome duty.Outcome) {
 	if call.Fence == c.leadingTerm {
 		c.dutyCalls.RecordOutcome(c.now, call.Subject, outcome)
 	}
--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -7,40 +7,40 @@
 	"github.com/hazelpitch/hazelpitch/internal/authority"
 )
 
-// hurriedPoll is the time to the next poll of an engine that carries out an order.
-const hurriedPoll = 200 * time.Millisecond
+// orderPollInterval is the time to the next poll of an engine that carries out an order.
+const orderPollInterval = 200 * time.Millisecond
 
-// takeMachineList takes a reading of the platform's list.
-func (c *Core) takeMachineList(received MachineListReceived) {
+// handleMachineList takes a reading of the platform's list.
+func (c *Core) handleMachineList(received MachineListReceived) {
 	if !c.tracker.ListRead(c.now, received.List) {
 		return
 	}
-	c.listEngines()
+	c.updateEngineAddresses()
 }
 
-// listEngines tells the commander where the engines are.
-func (c *Core) listEngines() {
+// updateEngineAddresses tells the commander where the engines are.
+func (c *Core) updateEngineAddresses() {
 	for _, machine := range c.tracker.Machines() {
-		if !c.isPage(machine.Row.Service) {
+		if !c.isPageService(machine.Row.Service) {
 			c.commander.List(machine.Row.Name, machine.Row.Address, machine.Listed)
 		}
 	}
 }
 
-func (c *Core) isPage(service string) bool {
+func (c *Core) isPageService(service string) bool {
 	declared := c.state.Object(v1.ObjectType_OBJECT_TYPE_SERVICE, service).GetService()
 	return declared.GetType() == v1.ServiceType_SERVICE_TYPE_PAGE
 }
 
-// takeEngineState takes the answer to a poll.
-func (c *Core) takeEngineState(received EngineStateReceived) {
-	sentAt, counts := c.tracker.PollAnswered(c.now, received.Engine, received.State, received.Load)
-	if !counts {
+// handleEngineState takes the answer to a poll.
+func (c *Core) handleEngineState(received EngineStateReceived) {
+	sentAt, accepted := c.tracker.PollAnswered(c.now, received.Engine, received.State, received.Load)
+	if !accepted {
 		return
 	}
 	c.commander.Observed(sentAt, received.Engine, *received.State)
 	if c.state.Engine(received.Engine).GetOutstanding() != nil {
-		c.tracker.HurryPoll(c.now, received.Engine, hurriedPoll)
+		c.tracker.HurryPoll(c.now, received.Engine, orderPollInterval)
 	}
 }
 
@@ -57,18 +57,18 @@
 	}
 }
 
-// command carries out what the commander wants.
-func (c *Core) command() {
+// runCommander carries out what the commander wants.
+func (c *Core) runCommander() {
 	for _, action := range c.commander.Step(c.now, c.state) {
-		c.carryOutAction(action)
+		c.executeAction(action)
 	}
 }
 
-// carryOutAction does what one action asks for.
-func (c *Core) carryOutAction(action authority.Action) {
+// executeAction does what one action asks for.
+func (c *Core) executeAction(action authority.Action) {
 	switch wanted := action.(type) {
 	case authority.Propose:
-		c.proposeQuietly(wanted.Command)
+		c.proposeWithoutCall(wanted.Command)
 	case authority.SendOrder:
 		c.emit(SendOrder{Engine: wanted.Engine, Address: wanted.Address, Order: wanted.Order})
 	case authority.SendFence:
@@ -89,7 +89,7 @@
 		return err
 	}
 	for _, action := range c.commander.Proposed(issue, index) {
-		c.carryOutAction(action)
+		c.executeAction(action)
 	}
 	return nil
 }
--- a/internal/control/execute.go
+++ b/internal/control/execute.go
@@ -8,8 +8,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/language"
 )
 
-// takeExecute answers a query or carries out a command.
-func (c *Core) takeExecute(received ExecuteReceived) {
+// handleExecute answers a query or carries out a command.
+func (c *Core) handleExecute(received ExecuteReceived) {
 	statement, err := language.ParseStatement(received.Request.GetText())
 	if err != nil {
 		c.refuse(received.Call, err)
@@ -20,7 +20,7 @@
 		c.dumpLogs(received)
 		return
 	}
-	if !c.demandLeader(received.Call) {
+	if !c.requireLeader(received.Call) {
 		return
 	}
 	command, isCommand := statement.(language.Command)
@@ -51,10 +51,10 @@
 	c.refuse(received.Call, err)
 }
 
-// takeRefusal refuses a call that the runtime has found not to be allowed; the audit
+// handleRefusal refuses a call that the runtime has found not to be allowed; the audit
 // trail tells why.
-func (c *Core) takeRefusal(received RefusalReceived) {
-	if !c.demandLeader(received.Call) {
+func (c *Core) handleRefusal(received RefusalReceived) {
+	if !c.requireLeader(received.Call) {
 		return
 	}
 	c.auditRefusal(received.Operator, received.RequestID, received.Text, received.Err)
@@ -63,7 +63,7 @@
 
 // auditRefusal writes a refused command into the audit trail.
 func (c *Core) auditRefusal(operator, requestID, text string, err error) {
-	c.proposeQuietly(&v1.Command{Body: &v1.Command_RecordRequest{RecordRequest: &v1.RecordRequest{
+	c.proposeWithoutCall(&v1.Command{Body: &v1.Command_RecordRequest{RecordRequest: &v1.RecordRequest{
 		Operator: operator, RequestId: requestID, Text: text, Refusal: oneLine(err),
 	}}})
 }
@@ -84,8 +84,8 @@
 func (c *Core) dumpLogs(received ExecuteReceived) {
 	answer := "controller " + c.config.Name + " writes out its log ring"
 	c.emit(DumpLogs{Operator: received.Operator})
-	if c.mayAnswerAsLeader() {
-		c.rememberCommand(received, answer)
+	if c.canAnswerAsLeader() {
+		c.recordCommand(received, answer)
 	}
 	c.answerMessage(received.Call, answer)
 }
--- /dev/null
+++ b/internal/control/first_format_listing.go
@@ -0,0 +1,36 @@
+package control
+
+import (
+	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
+	"github.com/hazelpitch/hazelpitch/internal/formats"
+	"github.com/hazelpitch/hazelpitch/internal/listing"
+)
+
+// firstFormatListing is the list of back ends in the form for relays of the first format, made while there are any.
+type firstFormatListing struct {
+	// sourceVersion is the version of the list that it was made of, version its own.
+	sourceVersion, version uint64
+	history                listing.History
+}
+
+// convert returns the form convert a list.
+func (f *firstFormatListing) convert(version uint64, backEnds []*v1.ListedBackEnd) (uint64, *listing.History) {
+	if f.sourceVersion == version {
+		return f.version, &f.history
+	}
+	f.sourceVersion = version
+	converted := listing.AsFirstFormat(backEnds)
+	if next := listing.VersionOf(converted); next != f.version {
+		f.version = next
+		f.history.Add(next, converted)
+	}
+	return f.version, &f.history
+}
+
+// listingFor returns the version of the list, and its history, in the form that a relay knows; version 0 is none yet.
+func (c *Core) listingFor(request *v1.WatchRequest) (version uint64, history *listing.History) {
+	if c.listing.version == 0 || formats.FromWire(request.GetFormats()).Supports(formats.ReplicaIncarnations) {
+		return c.listing.version, &c.listing.history
+	}
+	return c.listing.firstFormat.convert(c.listing.version, c.listing.backEnds)
+}
--- a/internal/control/fleet_size_test.go
+++ b/internal/control/fleet_size_test.go
@@ -109,7 +109,7 @@
 // settle lets relays ask until the leader knows how many they are.
 func (w *fleetWorld) settle(busy float64) {
 	w.watchAll(busy)
-	w.run(relayCountAfter)
+	w.run(relayCountDelay)
 	w.watchAll(busy)
 }
 
@@ -218,7 +218,7 @@
 		require.LessOrEqual(t, told, 640)
 		status := w.leader().core.Status().Site
 		require.Equal(t, SiteStatus{
-			Relays: 1, BackEnds: engines, PublishedBackEnds: told, Pages: status.Pages, UpdatesPerSecond: firstNews, QuorumSilence: status.QuorumSilence,
+			Relays: 1, BackEnds: engines, PublishedBackEnds: told, Pages: status.Pages, UpdatesPerSecond: initialUpdatesPerSecond, QuorumSilence: status.QuorumSilence,
 		}, status)
 		require.Equal(t, engines > 1_000, status.Pages > 0)
 	}
--- a/internal/control/former_build_test.go
+++ b/internal/control/former_build_test.go
@@ -108,7 +108,7 @@
 		}
 	}
 	require.Equal(t, 1, patches)
-	require.LessOrEqual(t, answers, 8*1000/400+2*tellingsAtOnce)
+	require.LessOrEqual(t, answers, 8*1000/400+2*maximumImmediateAttempts)
 
 	require.NoError(t, w.putDocument(leader, 3, "three").Err)
 	waiting := w.send(leader, func(id CallID) Input { return WatchReceived{Call: id, Request: proto.CloneOf(request)} })
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -30,23 +30,23 @@
 	c.divider.Lead(c.now, epoch == 0)
 	c.demands = demand.NewTable()
 	c.planning = newPlanning()
-	c.heldBack = nil
+	c.deferredOrders = nil
 	c.listing = siteListing{}
 	c.stages = newStages()
 	c.relays = map[string]*relayRecord{}
-	c.news = siteNews{}
+	c.updates = siteUpdates{}
 	c.usage = newSiteUsage(c.config)
 	c.dutyCalls = newDutySchedule(c.config)
 	c.replicas = newSiteReplicas()
 	c.quarantine = newRequestQuarantine()
 	c.limits = newNamedLimits()
-	c.formats.proposed = 0
+	c.formats.proposedIndex = 0
 }
 
 func (c *Core) stopLeading() {
 	c.leading = false
 	c.commander.Stop()
-	c.refuseUsage()
+	c.refuseWaitingUsage()
 }
 
 // failPending answers the calls whose entries may or may not be committed by the
@@ -56,7 +56,7 @@
 		return
 	}
 	for _, index := range sortedKeys(c.pending) {
-		c.refusePending(c.pending[index])
+		c.failPendingCall(c.pending[index])
 	}
 	c.pending = map[uint64]pendingCall{}
 }
--- a/internal/control/limits.go
+++ b/internal/control/limits.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// toldLimitMemory is how long the leader tells of a limit that no relay has told of again: relays that keep counts
+	// relayLimitTTL is how long the leader tells of a limit that no relay has told of again: relays that keep counts
 	// tell with each watch, 5 s apart at most.
-	toldLimitMemory = 15 * time.Second
-	// mostLimits bounds the limits that one message tells of.
-	mostLimits = 256
+	relayLimitTTL = 15 * time.Second
+	// maximumLimits bounds the limits that one message tells of.
+	maximumLimits = 256
 )
 
 // PermitRequested is a gateway's question whether it may send a request to a back end that names a limit for all gateways
@@ -31,25 +31,25 @@
 // namedLimits is what the leader knows of limits that back ends name. None of it is agreed on: a new leader begins with
 // nothing, and its permits begin when the lease of the one before has run out.
 type namedLimits struct {
-	// keeper keeps the counts of gateways.
-	keeper *fleetlimit.Keeper
-	// told are the limits whose counts relays keep, with when a relay told of them last.
-	told map[uint64]toldLimit
+	// gatewayCounts keeps the counts of gateways.
+	gatewayCounts *fleetlimit.Keeper
+	// relayLimits are the limits whose counts relays keep, with when a relay relayLimits of them last.
+	relayLimits map[uint64]relayLimit
 }
 
-// toldLimit is a limit that a relay has told of.
-type toldLimit struct {
-	limit *v1.NamedLimit
-	at    time.Duration
+// relayLimit is a limit that a relay has told of.
+type relayLimit struct {
+	limit      *v1.NamedLimit
+	receivedAt time.Duration
 }
 
 func newNamedLimits() namedLimits {
-	return namedLimits{keeper: fleetlimit.NewKeeper(), told: map[uint64]toldLimit{}}
+	return namedLimits{gatewayCounts: fleetlimit.NewKeeper(), relayLimits: map[uint64]relayLimit{}}
 }
 
-// takePermitAsked grants a permit or denies it.
-func (c *Core) takePermitAsked(received PermitRequested) {
-	if !c.demandLeader(received.Call) {
+// handlePermitRequested grants a permit or denies it.
+func (c *Core) handlePermitRequested(received PermitRequested) {
+	if !c.requireLeader(received.Call) {
 		return
 	}
 	request := received.Request
@@ -62,53 +62,53 @@
 		BackEnd: named.BackEnd, Limit: named.Limit, Heard: request.GetHeard(),
 		Asker: xxhash.Sum64String(request.GetNode().GetName()), Rank: int(min(request.GetRank(), fleetlimit.Ranks-1)), Owed: request.GetOwed(),
 	}
-	answer := c.limits.keeper.Ask(c.now, ask, fleetlimit.Whole, drawOf(ask.Asker, c.now))
+	answer := c.limits.gatewayCounts.Ask(c.now, ask, fleetlimit.Whole, retryJitter(ask.Asker, c.now))
 	c.answer(Answer{Call: received.Call, Response: &v1.TakePermitResponse{
 		Granted: answer.Granted, WaitUs: uint64(answer.Wait.Microseconds()), Limit: fleetlimit.ToWire(fleetlimit.Named{BackEnd: ask.BackEnd, Limit: answer.Limit}),
 	}})
 }
 
-// drawOf spreads the times at which gateways ask again.
-func drawOf(asker uint64, now time.Duration) float64 {
+// retryJitter spreads the times at which gateways ask again.
+func retryJitter(asker uint64, now time.Duration) float64 {
 	const steps = 1 << 16
 	content := binary.BigEndian.AppendUint64(nil, asker)
 	return float64(xxhash.Sum64(binary.BigEndian.AppendUint64(content, uint64(now)))%steps) / steps
 }
 
-// takeGatewaysLimits takes what back ends have named to a gateway.
-func (c *Core) takeGatewaysLimits(told []*v1.NamedLimit) {
-	for _, limit := range told[:min(len(told), mostLimits)] {
+// recordGatewayLimits takes what back ends have named to a gateway.
+func (c *Core) recordGatewayLimits(reported []*v1.NamedLimit) {
+	for _, limit := range reported[:min(len(reported), maximumLimits)] {
 		if named, valid := fleetlimit.FromWire(limit); valid {
-			c.limits.keeper.Name(c.now, named.BackEnd, named.Limit)
+			c.limits.gatewayCounts.Name(c.now, named.BackEnd, named.Limit)
 		}
 	}
 }
 
-// gatewaysLimits is what gateways are told of limits.
-func (c *Core) gatewaysLimits() []*v1.NamedLimit {
-	limits := c.limits.keeper.Limits(c.now)
-	return fleetlimit.AllToWire(limits[:min(len(limits), mostLimits)])
+// limitsForGateways is what gateways are told of limits.
+func (c *Core) limitsForGateways() []*v1.NamedLimit {
+	limits := c.limits.gatewayCounts.Limits(c.now)
+	return fleetlimit.AllToWire(limits[:min(len(limits), maximumLimits)])
 }
 
-// takeRelaysLimits takes the limits whose counts a relay keeps.
-func (c *Core) takeRelaysLimits(told []*v1.NamedLimit) {
-	for _, limit := range told[:min(len(told), mostLimits)] {
+// recordRelayLimits takes the limits whose counts a relay keeps.
+func (c *Core) recordRelayLimits(reported []*v1.NamedLimit) {
+	for _, limit := range reported[:min(len(reported), maximumLimits)] {
 		if limit.GetNamed() {
-			c.limits.told[limit.GetBackEnd()] = toldLimit{limit: limit, at: c.now}
+			c.limits.relayLimits[limit.GetBackEnd()] = relayLimit{limit: limit, receivedAt: c.now}
 		} else {
-			delete(c.limits.told, limit.GetBackEnd())
+			delete(c.limits.relayLimits, limit.GetBackEnd())
 		}
 	}
 }
 
-// relaysLimits is what relays are told of limits: those that other relays have told of lately.
-func (c *Core) relaysLimits() []*v1.NamedLimit {
+// limitsForRelays is what relays are told of limits: those that other relays have told of lately.
+func (c *Core) limitsForRelays() []*v1.NamedLimit {
 	var limits []*v1.NamedLimit
-	for _, backEnd := range sortedKeys(c.limits.told) {
-		known := c.limits.told[backEnd]
-		if c.now-known.at >= toldLimitMemory {
-			delete(c.limits.told, backEnd)
-		} else if len(limits) < mostLimits {
+	for _, backEnd := range sortedKeys(c.limits.relayLimits) {
+		known := c.limits.relayLimits[backEnd]
+		if c.now-known.receivedAt >= relayLimitTTL {
+			delete(c.limits.relayLimits, backEnd)
+		} else if len(limits) < maximumLimits {
 			limits = append(limits, known.limit)
 		}
 	}
--- a/internal/control/limits_test.go
+++ b/internal/control/limits_test.go
@@ -113,6 +113,6 @@
 	watch("keeper", &v1.NamedLimit{BackEnd: limitedBackEnd})
 	require.Empty(t, watch("late"))
 	watch("keeper", namedLimit(2))
-	w.run(toldLimitMemory)
+	w.run(relayLimitTTL)
 	require.Empty(t, watch("late"), "nobody keeps it any more")
 }
--- a/internal/control/listing.go
+++ b/internal/control/listing.go
@@ -39,30 +39,30 @@
 	// 0 is none yet.
 	version uint64
 	history listing.History
-	// former is the list for relays of the first format.
-	former formerListing
+	// firstFormat is the list for relays of the first format.
+	firstFormat firstFormatListing
 	// plan says how much of the list is read.
 	plan listingPlan
-	// raw is the list as far as it counts, told the part of it that relays are told of, and backEnds the
+	// considered is the list as far as it counts, told the part of it that relays are told of, and backEnds the
 	// same with changes of roles marked.
-	raw      []*v1.ListedBackEnd
-	told     []*v1.ListedBackEnd
-	backEnds []*v1.ListedBackEnd
-	named    namedServices
+	considered    []*v1.ListedBackEnd
+	published     []*v1.ListedBackEnd
+	backEnds      []*v1.ListedBackEnd
+	namedServices namedServices
 	// demands say how many back ends of each service relays are to know.
 	demands map[string]*backEndDemand
 	// readAt is when the reading behind the list began.
-	readAt   time.Duration
-	askedAt  time.Duration
-	dueAt    time.Duration
-	underWay bool
-	read     bool
+	readAt       time.Duration
+	requestedAt  time.Duration
+	dueAt        time.Duration
+	readInFlight bool
+	hasBeenRead  bool
 	// total is how many back ends the whole list held.
 	total int
 }
 
 // partial reports whether relays are told of a part of the back ends.
-func (l *siteListing) partial() bool { return len(l.told) < l.total }
+func (l *siteListing) partial() bool { return len(l.published) < l.total }
 
 // tickListing asks for a reading when one is due.
 func (c *Core) tickListing() {
@@ -70,14 +70,14 @@
 		return
 	}
 	c.readNamedServices()
-	if c.listing.underWay && c.now-c.listing.askedAt < listingTimeout {
+	if c.listing.readInFlight && c.now-c.listing.requestedAt < listingTimeout {
 		return
 	}
-	if !c.listing.underWay && c.now < c.listing.dueAt {
+	if !c.listing.readInFlight && c.now < c.listing.dueAt {
 		return
 	}
-	c.listing.underWay = true
-	c.listing.askedAt = c.now
+	c.listing.readInFlight = true
+	c.listing.requestedAt = c.now
 	c.listing.dueAt = c.now + c.listing.plan.interval(c.config.ListingInterval)
 	c.emit(ReadListing{Pages: c.pagesToRead()})
 }
@@ -90,33 +90,33 @@
 	return c.listing.plan.nextPages(c.now)
 }
 
-// takeListing takes a reading; a new version begins when it differs from the last.
-func (c *Core) takeListing(received ListingReceived) {
-	c.listing.underWay = false
+// handleListing takes a reading; a new version begins when it differs from the last.
+func (c *Core) handleListing(received ListingReceived) {
+	c.listing.readInFlight = false
 	if received.Failed || !c.leading {
 		return
 	}
-	c.listing.readAt = c.listing.askedAt
-	received.BackEnds = c.ofNamedServices(received.BackEnds)
-	c.listing.raw = received.BackEnds
-	wanted := c.wantedBackEnds(received.BackEnds)
+	c.listing.readAt = c.listing.requestedAt
+	received.BackEnds = c.filterNamedServices(received.BackEnds)
+	c.listing.considered = received.BackEnds
+	required := c.requiredBackEnds(received.BackEnds)
 	if received.Complete {
 		c.listing.total = len(received.BackEnds)
-		c.listing.raw = c.listing.plan.tookWhole(c.now, received.BackEnds, received.Calls, wanted)
+		c.listing.considered = c.listing.plan.recordFullRead(c.now, received.BackEnds, received.Calls, required)
 	} else {
-		c.listing.plan.tookPart(received.BackEnds, wanted)
+		c.listing.plan.recordPartialRead(received.BackEnds, required)
 	}
-	c.chooseTold()
-	c.listing.read = true
+	c.choosePublished()
+	c.listing.hasBeenRead = true
 	c.refreshListing()
 }
 
 // refreshListing begins a new version when what relays get has changed.
 func (c *Core) refreshListing() {
-	if !c.listing.read {
+	if !c.listing.hasBeenRead {
 		return
 	}
-	current := c.marked(c.listing.told)
+	current := c.markChangingRoles(c.listing.published)
 	if c.listing.version != 0 && slices.EqualFunc(current, c.listing.backEnds, listing.Same) {
 		return
 	}
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -26,16 +26,16 @@
 		c.refuseAudited(received, c.proposalError(err))
 		return
 	}
-	c.wait(index, term, received.Call, func(core *Core, _ controlstate.Result) {
-		core.rememberCommand(received, message)
+	c.awaitEntry(index, term, received.Call, func(core *Core, _ controlstate.Result) {
+		core.recordCommand(received, message)
 		core.answerMessage(received.Call, message)
 	})
 }
 
-// rememberCommand puts a command that the state machine has not seen into the audit
+// recordCommand puts a command that the state machine has not seen into the audit
 // trail and the memory of first answers.
-func (c *Core) rememberCommand(received ExecuteReceived, answer string) {
-	c.proposeQuietly(&v1.Command{Body: &v1.Command_RecordRequest{RecordRequest: &v1.RecordRequest{
+func (c *Core) recordCommand(received ExecuteReceived, answer string) {
+	c.proposeWithoutCall(&v1.Command{Body: &v1.Command_RecordRequest{RecordRequest: &v1.RecordRequest{
 		Operator: received.Operator, RequestId: received.Request.RequestId, Text: received.Request.Text, Answer: answer,
 	}}})
 }
--- a/internal/control/mixed_builds_test.go
+++ b/internal/control/mixed_builds_test.go
@@ -119,7 +119,7 @@
 			m.compare(controller.name, appliedBy{index: state.AppliedIndex(), agreedAt: state.AgreementIndex()}, whole)
 		}
 	}
-	if leader := m.leader(); leader != nil && leader.core.mayAnswerAsLeader() {
+	if leader := m.leader(); leader != nil && leader.core.canAnswerAsLeader() {
 		require.GreaterOrEqual(m.t, leader.core.State().Document().GetNumber(), m.acknowledged, "what was acknowledged is in force")
 	}
 }
--- a/internal/control/named_services.go
+++ b/internal/control/named_services.go
@@ -18,23 +18,23 @@
 // already: it is read again at once.
 func (c *Core) readNamedServices() {
 	document := c.state.Document()
-	if c.config.NamedServices == nil || document.GetNumber() == c.listing.named.number {
+	if c.config.NamedServices == nil || document.GetNumber() == c.listing.namedServices.number {
 		return
 	}
-	former := c.listing.named.names
-	c.listing.named = namedServices{number: document.GetNumber(), names: map[string]bool{}}
+	former := c.listing.namedServices.names
+	c.listing.namedServices = namedServices{number: document.GetNumber(), names: map[string]bool{}}
 	for _, name := range c.config.NamedServices(document.GetContent()) {
-		c.listing.named.names[name] = true
+		c.listing.namedServices.names[name] = true
 		if !former[name] && former != nil {
 			c.listing.dueAt = c.now
 		}
 	}
 }
 
-// ofNamedServices returns the back ends whose services the configuration names; all where it names none, or is not
+// filterNamedServices returns the back ends whose services the configuration names; all where it names none, or is not
 // known.
-func (c *Core) ofNamedServices(listed []*v1.ListedBackEnd) []*v1.ListedBackEnd {
-	names := c.listing.named.names
+func (c *Core) filterNamedServices(listed []*v1.ListedBackEnd) []*v1.ListedBackEnd {
+	names := c.listing.namedServices.names
 	if len(names) == 0 {
 		return listed
 	}
--- a/internal/control/nodes.go
+++ b/internal/control/nodes.go
@@ -13,12 +13,12 @@
 // maximumShareDemands bounds the tenants in one report; the rest is ignored.
 const maximumShareDemands = 4096
 
-// takeSync answers a gateway's heartbeat from what is applied here.
-func (c *Core) takeSync(received SyncReceived) {
+// handleSync answers a gateway's heartbeat from what is applied here.
+func (c *Core) handleSync(received SyncReceived) {
 	request := received.Request
 	c.tracker.GatewayHeard(c.now, request.GetNode(), request.GetRevision(), request.GetLeaving())
 	delta := c.state.Delta(c.deltaRequest(request))
-	behind := c.consensus.Leader() == "" || request.GetRevision() > c.state.Revision() || !c.mayBegin(request)
+	behind := c.consensus.Leader() == "" || request.GetRevision() > c.state.Revision() || !c.canInitialize(request)
 	if behind {
 		delta.RejectedKeyHashes = nil // a newer configuration may know them
 	}
@@ -30,9 +30,9 @@
 		response.ControllerAddresses = append(response.ControllerAddresses, member.Address)
 	}
 	response.Formats = formats.Supported().ToWire()
-	response.TellsHeld = !behind && c.knowsHeld()
+	response.TellsHeld = !behind && c.knowsQuarantined()
 	if response.TellsHeld {
-		held, version := c.heldRequests()
+		held, version := c.quarantinedRequests()
 		if response.HeldVersion = version; version != request.GetHeldVersion() {
 			response.Held = held
 		}
@@ -41,21 +41,21 @@
 	c.answer(Answer{Call: received.Call, Response: response})
 }
 
-// mayBegin reports whether a node may begin with this controller's revision. A node
+// canInitialize reports whether a node may begin with this controller's revision. A node
 // that has none may have had a later one in force before it restarted: only the
 // leader's is surely no older.
-func (c *Core) mayBegin(request *v1.SyncRequest) bool {
-	return request.GetRevision() != 0 || c.mayAnswerAsLeader()
+func (c *Core) canInitialize(request *v1.SyncRequest) bool {
+	return request.GetRevision() != 0 || c.canAnswerAsLeader()
 }
 
 func (c *Core) deltaRequest(request *v1.SyncRequest) controlstate.DeltaRequest {
-	asked := controlstate.DeltaRequest{
+	query := controlstate.DeltaRequest{
 		Revision: request.Revision, HeldTenants: request.HeldTenants, UnknownKeyHashes: request.UnknownKeyHashes,
 	}
 	if !c.config.Safeguards.On(SafeguardRevisionOrder) && request.Revision > c.state.Revision() {
-		asked.Revision = 0
+		query.Revision = 0
 	}
-	return asked
+	return query
 }
 
 // addDirectory adds the directory when the gateway holds another one.
@@ -81,9 +81,9 @@
 	return uint32(min(int64(rounded), math.MaxUint32))
 }
 
-// takeReport takes a gateway's demand and answers with its shares.
-func (c *Core) takeReport(received ReportReceived) {
-	if !c.demandLeader(received.Call) {
+// handleReport takes a gateway's demand and answers with its shares.
+func (c *Core) handleReport(received ReportReceived) {
+	if !c.requireLeader(received.Call) {
 		return
 	}
 	request := received.Request
@@ -92,8 +92,8 @@
 	if request.WindowMs > 0 || len(request.Demands) > 0 { // else it asks for shares only
 		c.demands.Take(c.now, node, request)
 	}
-	c.takeGatewaysLimits(request.GetLimits())
-	response := &v1.ReportResponse{Limits: c.gatewaysLimits()}
+	c.recordGatewayLimits(request.GetLimits())
+	response := &v1.ReportResponse{Limits: c.limitsForGateways()}
 	for _, demand := range c.shareDemands(request) {
 		tenant := c.state.Object(v1.ObjectType_OBJECT_TYPE_TENANT, demand.Tenant).GetTenant()
 		limits := shares.Limits{TokensPerSecond: tenant.GetTokensPerSecond(), Concurrency: tenant.GetConcurrency()}
@@ -113,8 +113,8 @@
 	return request.ShareDemands[:min(len(request.ShareDemands), maximumShareDemands)]
 }
 
-// takeBeginClaim proposes a claim; it is granted once that is applied.
-func (c *Core) takeBeginClaim(received BeginClaimReceived) {
+// handleBeginClaim proposes a claim; it is granted once that is applied.
+func (c *Core) handleBeginClaim(received BeginClaimReceived) {
 	command := &v1.Command{Body: &v1.Command_BeginClaim{BeginClaim: received.Request.GetClaim()}}
 	c.proposeForCall(command, received.Call, func(core *Core, result controlstate.Result) {
 		if result.Err != nil {
@@ -125,8 +125,8 @@
 	})
 }
 
-// takeFinishClaim proposes the outcome of a claimed request.
-func (c *Core) takeFinishClaim(received FinishClaimReceived) {
+// handleFinishClaim proposes the outcome of a claimed request.
+func (c *Core) handleFinishClaim(received FinishClaimReceived) {
 	command := &v1.Command{Body: &v1.Command_FinishClaim{FinishClaim: received.Request.GetClaim()}}
 	c.proposeForCall(command, received.Call, func(core *Core, result controlstate.Result) {
 		if result.Err != nil {
--- a/internal/control/planning.go
+++ b/internal/control/planning.go
@@ -41,15 +41,15 @@
 			decider = c.config.NewPlanner(service)
 			c.planning.planners[service] = decider
 		}
-		decision := decider.Plan(c.observe(service, object.GetService()))
-		c.carryOutDecision(service, decision)
+		decision := decider.Plan(c.observeService(service, object.GetService()))
+		c.applyDecision(service, decision)
 	}
 }
 
-// carryOutDecision turns changes into orders. A change that may not be ordered now is
+// applyDecision turns changes into orders. A change that may not be ordered now is
 // dropped: the planner decides anew next time.
-func (c *Core) carryOutDecision(service string, decision planner.Decision) {
-	made, reason := 0, decision.Reason
+func (c *Core) applyDecision(service string, decision planner.Decision) {
+	issued, reason := 0, decision.Reason
 	for _, change := range decision.Changes {
 		err := c.issueOrder(&v1.Order{
 			Engine: change.Engine, Action: v1.OrderAction_ORDER_ACTION_SET_ROLE,
@@ -59,13 +59,13 @@
 			reason += "; held back: " + err.Error()
 			continue
 		}
-		made++
+		issued++
 	}
-	c.planning.reasons[service] = plannerReason{at: c.now, changes: made, reason: reason}
+	c.planning.reasons[service] = plannerReason{at: c.now, changes: issued, reason: reason}
 }
 
-// observe gathers all that the planner may know about one service.
-func (c *Core) observe(service string, declared *v1.Service) planner.Observation {
+// observeService gathers all that the planner may know about one service.
+func (c *Core) observeService(service string, declared *v1.Service) planner.Observation {
 	model := c.state.Object(v1.ObjectType_OBJECT_TYPE_MODEL, declared.Model).GetModel()
 	observation := planner.Observation{
 		Now: c.now, Service: service,
@@ -112,18 +112,18 @@
 func (c *Core) observeEngines(service string) []planner.EngineObservation {
 	var engines []planner.EngineObservation
 	for _, machine := range c.tracker.Machines() {
-		own := machine.State
-		if machine.Row.Service != service || own == nil {
+		reported := machine.State
+		if machine.Row.Service != service || reported == nil {
 			continue
 		}
 		engine := planner.EngineObservation{
-			Name: own.Engine, Zone: own.Zone, Role: own.Role, State: own.State,
+			Name: reported.Engine, Zone: reported.Zone, Role: reported.Role, State: reported.State,
 			Load: machine.Load, LoadAge: machine.LoadAge(c.now),
 		}
 		if machine.Row.State == enginecontract.StateLeaving || !machine.Listed {
 			engine.State = enginecontract.StateLeaving
 		}
-		if record := c.state.Engine(own.Engine); record != nil {
+		if record := c.state.Engine(reported.Engine); record != nil {
 			engine.RoleSince = c.sinceOrigin(record.RoleSinceMs)
 			if order := record.Outstanding; order != nil {
 				engine.OrderOutstanding = true
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -17,8 +17,8 @@
 type pendingCall struct {
 	id   CallID
 	term uint64
-	// also are further calls that wait for the same entry; finish answers them as well.
-	also []CallID
+	// otherCalls are further calls that wait for the same entry; finish answers them as well.
+	otherCalls []CallID
 	// finish answers the call with the entry's result.
 	finish func(*Core, controlstate.Result)
 }
@@ -26,8 +26,8 @@
 // propose appends a command to the log. Call finish, when not nil, answers the call
 // once the entry is applied.
 func (c *Core) propose(command *v1.Command, call CallID, finish func(*Core, controlstate.Result)) (uint64, error) {
-	if !c.mayPropose(command) {
-		return 0, errHeldBack
+	if !c.canPropose(command) {
+		return 0, errFormatNotAgreed
 	}
 	command.ProposedAtMs = c.wallMs()
 	if c.state.AgreedFormat() > formats.First {
@@ -44,21 +44,21 @@
 	if err != nil {
 		return 0, c.proposalError(err)
 	}
-	c.wait(index, term, call, finish)
+	c.awaitEntry(index, term, call, finish)
 	return index, nil
 }
 
-// wait registers a call that waits for the entry at index.
-func (c *Core) wait(index, term uint64, call CallID, finish func(*Core, controlstate.Result)) {
+// awaitEntry registers a call that waits for the entry at index.
+func (c *Core) awaitEntry(index, term uint64, call CallID, finish func(*Core, controlstate.Result)) {
 	if finish != nil {
 		c.pending[index] = pendingCall{id: call, term: term, finish: finish}
 	}
 }
 
-// refusePending answers the calls that wait for an entry which may or may not be applied.
-func (c *Core) refusePending(call pendingCall) {
+// failPendingCall answers the calls that wait for an entry which may or may not be applied.
+func (c *Core) failPendingCall(call pendingCall) {
 	c.refuse(call.id, errLostLeadership)
-	for _, other := range call.also {
+	for _, other := range call.otherCalls {
 		c.refuse(other, errLostLeadership)
 	}
 }
@@ -80,27 +80,27 @@
 		return
 	}
 	waiting := c.pending[index]
-	waiting.also = calls[1:]
+	waiting.otherCalls = calls[1:]
 	c.pending[index] = waiting
 }
 
-// proposeQuietly proposes a command that no call waits for; what it was to achieve
+// proposeWithoutCall proposes a command that no call waits for; what it was to achieve
 // is tried again by whoever asked.
-func (c *Core) proposeQuietly(command *v1.Command) {
+func (c *Core) proposeWithoutCall(command *v1.Command) {
 	_, _ = c.propose(command, 0, nil)
 }
 
-// demandLeader refuses a call unless this controller leads with a valid lease.
-func (c *Core) demandLeader(call CallID) bool {
-	if c.mayAnswerAsLeader() {
+// requireLeader refuses a call unless this controller leads with a valid lease.
+func (c *Core) requireLeader(call CallID) bool {
+	if c.canAnswerAsLeader() {
 		return true
 	}
 	c.refuse(call, c.notLeader())
 	return false
 }
 
-// mayAnswerAsLeader reports whether what this controller has applied is all there is.
-func (c *Core) mayAnswerAsLeader() bool {
+// canAnswerAsLeader reports whether what this controller has applied is all there is.
+func (c *Core) canAnswerAsLeader() bool {
 	if !c.config.Safeguards.On(SafeguardLeaseRead) {
 		return c.consensus.Leading()
 	}
--- a/internal/control/told_part.go
+++ b/internal/control/published_back_ends.go
@@ -9,11 +9,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/subsetting"
 )
 
-// toldPart chooses the back ends that relays are told of. Those that are left out get no work, so that
+// publishedPart chooses the back ends that relays are told of. Those that are left out get no work, so that
 // what relays hold and are sent follows the work and not the number of back ends.
-func (c *Core) toldPart(listed []*v1.ListedBackEnd) []*v1.ListedBackEnd {
+func (c *Core) publishedPart(listed []*v1.ListedBackEnd) []*v1.ListedBackEnd {
 	parts := map[string]subsetting.Part{}
-	for service, count := range openCounts(listed) {
+	for service, count := range countOpenBackEnds(listed) {
 		parts[service] = c.demandFor(service).part.Next(count, c.demandFor(service).Wanted())
 	}
 	return slices.DeleteFunc(slices.Clone(listed), func(backEnd *v1.ListedBackEnd) bool {
@@ -40,55 +40,55 @@
 	return demand
 }
 
-// wantedBackEnds is how many back ends of each listed service relays are to know for the work of now.
-func (c *Core) wantedBackEnds(listed []*v1.ListedBackEnd) map[string]int {
-	least := map[string]int{}
+// requiredBackEnds is how many back ends of each listed service relays are to know for the work of now.
+func (c *Core) requiredBackEnds(listed []*v1.ListedBackEnd) map[string]int {
+	minimum := map[string]int{}
 	for _, backEnd := range listed {
 		service := backEnd.GetService()
-		if _, known := least[service]; known {
+		if _, known := minimum[service]; known {
 			continue
 		}
-		least[service] = subsetting.LeastWhole
+		minimum[service] = subsetting.LeastWhole
 		if _, isEngine := stageOf(backEnd.GetRole()); isEngine {
-			least[service] = subsetting.LeastEngines
+			minimum[service] = subsetting.LeastEngines
 		}
 	}
-	wanted := make(map[string]int, len(least))
+	required := make(map[string]int, len(minimum))
 	for service, demand := range c.listing.demands {
-		wanted[service] = demand.Wanted() // one that is not listed now is looked for
+		required[service] = demand.Wanted() // one that is not listed now is looked for
 	}
-	for service, count := range least {
-		wanted[service] = c.demandFor(service).Next(c.now, count, c.serviceWork(service).busy())
+	for service, count := range minimum {
+		required[service] = c.demandFor(service).Next(c.now, count, c.serviceWork(service).busy())
 	}
-	return wanted
+	return required
 }
 
 // adoptDemand takes what this leader's predecessor wanted, which knew the work, as a relay was told.
 func (c *Core) adoptDemand(request *v1.WatchRequest) {
-	if c.now-c.leadingSince >= relayCountAfter {
+	if c.now-c.leadingSince >= relayCountDelay {
 		return
 	}
 	grown := false
-	for _, told := range request.GetWanted() {
-		grown = c.demandFor(told.GetService()).Adopt(int(told.GetCount())) || grown
+	for _, wanted := range request.GetWanted() {
+		grown = c.demandFor(wanted.GetService()).Adopt(int(wanted.GetCount())) || grown
 	}
-	if grown && c.listing.read {
-		c.listing.plan.lacking = true
-		c.chooseTold()
+	if grown && c.listing.hasBeenRead {
+		c.listing.plan.insufficient = true
+		c.choosePublished()
 		c.refreshListing()
 	}
 }
 
-// chooseTold chooses what of the list relays are told.
-func (c *Core) chooseTold() {
-	former := len(c.listing.told)
-	c.listing.told = c.toldPart(c.listing.raw)
-	slices.SortFunc(c.listing.told, func(a, b *v1.ListedBackEnd) int { return strings.Compare(a.GetId(), b.GetId()) })
-	c.news.fresh = c.news.fresh && len(c.listing.told) == former
+// choosePublished chooses what of the list relays are told.
+func (c *Core) choosePublished() {
+	former := len(c.listing.published)
+	c.listing.published = c.publishedPart(c.listing.considered)
+	slices.SortFunc(c.listing.published, func(a, b *v1.ListedBackEnd) int { return strings.Compare(a.GetId(), b.GetId()) })
+	c.updates.relayListFresh = c.updates.relayListFresh && len(c.listing.published) == former
 }
 
-// wantedRecords are what is wanted as relays are told of it, sorted by service.
-func (c *Core) wantedRecords() []*v1.WantedBackEnds {
+// requiredBackEndRecords are what is wanted as relays are told of it, sorted by service.
+func (c *Core) requiredBackEndRecords() []*v1.WantedBackEnds {
 	services := slices.Sorted(maps.Keys(c.listing.demands))
 	records := make([]*v1.WantedBackEnds, len(services))
 	for index, service := range services {
--- a/internal/control/told_documents.go
+++ b/internal/control/published_documents.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// toldKept is how many documents that relays were told of are kept, to tell what has changed since.
-	toldKept = 4
-	// toldBytesPerSecond is the rate at which contents of documents are told: a relay reads some
+	// maximumPublishedDocuments is how many documents that relays were told of are kept, to tell what has changed since.
+	maximumPublishedDocuments = 4
+	// documentBytesPerSecond is the rate at which contents of documents are told: a relay reads some
 	// megabytes of them a second, and only a part of its time may go to that.
-	toldBytesPerSecond = 2 << 20
+	documentBytesPerSecond = 2 << 20
 )
 
-// toldDocuments are the documents that the leader tells relays of. Those that follow one another fast
+// publishedDocuments are the documents that the leader tells relays of. Those that follow one another fast
 // are skipped where reading each would cost relays too much.
-type toldDocuments struct {
+type publishedDocuments struct {
 	// documents are the last ones, the newest last.
 	documents []*v1.Document
 	// nextAt is when a newer one may be told.
@@ -28,21 +28,21 @@
 
 // advance takes the document in force, if it may be told yet, and returns the newest that is told; nil
 // before the first.
-func (t *toldDocuments) advance(now time.Duration, inForce *v1.Document) *v1.Document {
+func (t *publishedDocuments) advance(now time.Duration, inForce *v1.Document) *v1.Document {
 	newest := t.newest()
 	if inForce.GetNumber() <= newest.GetNumber() || now < t.nextAt {
 		return newest
 	}
 	t.documents = append(t.documents, inForce)
-	if len(t.documents) > toldKept {
+	if len(t.documents) > maximumPublishedDocuments {
 		t.documents = t.documents[1:]
 	}
-	t.nextAt = now + time.Duration(len(inForce.GetContent()))*time.Second/toldBytesPerSecond
+	t.nextAt = now + time.Duration(len(inForce.GetContent()))*time.Second/documentBytesPerSecond
 	t.patches = map[uint64][]byte{}
 	return inForce
 }
 
-func (t *toldDocuments) newest() *v1.Document {
+func (t *publishedDocuments) newest() *v1.Document {
 	if len(t.documents) == 0 {
 		return nil
 	}
@@ -51,15 +51,15 @@
 
 // patchFrom returns what makes the newest document of the one with a number; nil where that is not
 // kept.
-func (t *toldDocuments) patchFrom(number uint64) []byte {
+func (t *publishedDocuments) patchFrom(number uint64) []byte {
 	if patch, made := t.patches[number]; made {
 		return patch
 	}
-	for _, held := range t.documents[:max(len(t.documents)-1, 0)] {
-		if held.GetNumber() != number {
+	for _, former := range t.documents[:max(len(t.documents)-1, 0)] {
+		if former.GetNumber() != number {
 			continue
 		}
-		patch, err := packed.Patch(held.GetContent(), t.newest().GetContent())
+		patch, err := packed.Patch(former.GetContent(), t.newest().GetContent())
 		if err != nil {
 			return nil // the whole document is told instead
 		}
--- a/internal/control/told_documents_test.go
+++ b/internal/control/published_documents_test.go
@@ -31,7 +31,7 @@
 // A change of one key among 33,000 tenants each 60 ms: relays are told of some of the documents, as what
 // has changed, never later than the operator's bound, and of the last one.
 func TestAStormOfLargeDocumentsIsToldInParts(t *testing.T) {
-	told := toldDocuments{}
+	told := publishedDocuments{}
 	held := told.advance(0, manyTenants(1))
 	require.Equal(t, uint64(1), held.GetNumber())
 	wholes, bytesTold, count := 0, 0, 0
@@ -65,7 +65,7 @@
 
 // Small documents are told at once, however fast they come.
 func TestSmallDocumentsAreToldAtOnce(t *testing.T) {
-	told := toldDocuments{}
+	told := publishedDocuments{}
 	for number := uint64(1); number <= 20; number++ {
 		document := &v1.Document{Number: number, Content: bytes.Repeat([]byte{byte(number)}, 20_000)}
 		require.Equal(t, number, told.advance(time.Duration(number)*60*time.Millisecond, document).GetNumber())
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -33,15 +33,15 @@
 func (TrialRequested) isInput()         {}
 func (RequestReleased) isInput()        {}
 
-// mostEndsReported bounds the ends in one report; the rest is ignored, and told again.
-const mostEndsReported = 4096
+// maximumCrashesPerReport bounds the ends in one report; the rest is ignored, and told again.
+const maximumCrashesPerReport = 4096
 
 // requestQuarantine is what a controller keeps for the requests that are held.
 type requestQuarantine struct {
 	keeper *quarantine.Keeper
-	// held is what nodes are told, version its hash, 0 for nothing.
-	held    []*v1.HeldRequest
-	version uint64
+	// quarantined is what nodes are told, version its hash, 0 for nothing.
+	quarantined []*v1.HeldRequest
+	version     uint64
 	// ledger and ledgerVersion are what held was made of.
 	ledger        *quarantine.Ledger
 	ledgerVersion uint64
@@ -51,48 +51,48 @@
 	return requestQuarantine{keeper: quarantine.NewKeeper()}
 }
 
-// takeReplicaEnds takes a node's word on ends of replicas.
-func (c *Core) takeReplicaEnds(received ReplicaCrashesReceived) {
-	if !c.demandLeader(received.Call) {
+// handleReplicaCrashes takes a node's word on ends of replicas.
+func (c *Core) handleReplicaCrashes(received ReplicaCrashesReceived) {
+	if !c.requireLeader(received.Call) {
 		return
 	}
-	ends := received.Crashes[:min(len(received.Crashes), mostEndsReported)]
-	command := &v1.Command{Body: &v1.Command_RecordReplicaEnds{RecordReplicaEnds: &v1.RecordReplicaEnds{Ends: ends}}}
-	c.changeSuspects(command, received.Call, func(core *Core, _ controlstate.Result) {
-		core.answer(Answer{Call: received.Call, Response: core.replicaEndsResponse(ends)})
+	crashes := received.Crashes[:min(len(received.Crashes), maximumCrashesPerReport)]
+	command := &v1.Command{Body: &v1.Command_RecordReplicaEnds{RecordReplicaEnds: &v1.RecordReplicaEnds{Ends: crashes}}}
+	c.applySuspectChange(command, received.Call, func(core *Core, _ controlstate.Result) {
+		core.answer(Answer{Call: received.Call, Response: core.replicaCrashesResponse(crashes)})
 	})
 }
 
-// replicaEndsResponse tells which of the requests are held now.
-func (c *Core) replicaEndsResponse(ends []*v1.ReplicaEnd) *v1.ReportReplicaEndsResponse {
+// replicaCrashesResponse tells which of the requests are held now.
+func (c *Core) replicaCrashesResponse(crashes []*v1.ReplicaEnd) *v1.ReportReplicaEndsResponse {
 	response := &v1.ReportReplicaEndsResponse{}
-	for _, end := range ends {
-		if signature, valid := quarantine.SignatureFrom(end.GetSignature()); valid && c.suspects().Held(signature) {
-			response.Held = append(response.Held, end.GetSignature())
+	for _, crash := range crashes {
+		if signature, valid := quarantine.SignatureFrom(crash.GetSignature()); valid && c.suspects().Held(signature) {
+			response.Held = append(response.Held, crash.GetSignature())
 		}
 	}
 	return response
 }
 
-// takeTrialAsked grants a trial that is due. It is agreed on before it is granted, so that another
+// handleTrialRequested grants a trial that is due. It is agreed on before it is granted, so that another
 // leader knows of it.
-func (c *Core) takeTrialAsked(received TrialRequested) {
-	if !c.demandLeader(received.Call) {
+func (c *Core) handleTrialRequested(received TrialRequested) {
+	if !c.requireLeader(received.Call) {
 		return
 	}
-	suspect := c.trialDue(received.Signature)
+	suspect := c.findDueTrial(received.Signature)
 	if suspect == nil {
 		c.answer(Answer{Call: received.Call, Response: &v1.BeginTrialResponse{}})
 		return
 	}
 	grant := &v1.GrantTrial{Signature: received.Signature, GrantedBefore: suspect.Trials}
-	c.changeSuspects(&v1.Command{Body: &v1.Command_GrantTrial{GrantTrial: grant}}, received.Call, func(core *Core, result controlstate.Result) {
+	c.applySuspectChange(&v1.Command{Body: &v1.Command_GrantTrial{GrantTrial: grant}}, received.Call, func(core *Core, result controlstate.Result) {
 		core.answer(Answer{Call: received.Call, Response: &v1.BeginTrialResponse{Granted: result.Err == nil}})
 	})
 }
 
-// trialDue returns the held request with a signature if it may be tried now; nil otherwise.
-func (c *Core) trialDue(bytes []byte) *quarantine.Suspect {
+// findDueTrial returns the held request with a signature if it may be tried now; nil otherwise.
+func (c *Core) findDueTrial(bytes []byte) *quarantine.Suspect {
 	signature, valid := quarantine.SignatureFrom(bytes)
 	if !valid {
 		return nil
@@ -105,12 +105,12 @@
 	return suspect
 }
 
-// takeRequestReleased forgets a request that has run to a good end.
-func (c *Core) takeRequestReleased(received RequestReleased) {
-	if !c.demandLeader(received.Call) {
+// handleRequestReleased forgets a request that has run to a good end.
+func (c *Core) handleRequestReleased(received RequestReleased) {
+	if !c.requireLeader(received.Call) {
 		return
 	}
-	c.changeSuspects(releaseCommand(received.Signature), received.Call, func(core *Core, _ controlstate.Result) {
+	c.applySuspectChange(releaseCommand(received.Signature), received.Call, func(core *Core, _ controlstate.Result) {
 		core.answer(Answer{Call: received.Call, Response: &v1.ReleaseRequestResponse{}})
 	})
 }
@@ -126,9 +126,9 @@
 		c.refuseAudited(received, trace.NotFound("no replica has ended under request %q; see `show suspects`", content))
 		return
 	}
-	c.changeSuspects(releaseCommand(signature[:]), received.Call, func(core *Core, _ controlstate.Result) {
+	c.applySuspectChange(releaseCommand(signature[:]), received.Call, func(core *Core, _ controlstate.Result) {
 		answer := "request " + content + " may run again"
-		core.rememberCommand(received, answer)
+		core.recordCommand(received, answer)
 		core.answerMessage(received.Call, answer)
 	})
 }
@@ -137,7 +137,7 @@
 func (c *Core) tickQuarantine() {
 	ledger := c.suspects()
 	c.quarantine.keeper.Observe(c.now, ledger)
-	c.quarantine.tell(c, ledger)
+	c.quarantine.rebuild(c, ledger)
 	if !due(c.now, &c.duties.suspects, housekeepInterval) {
 		return
 	}
@@ -146,36 +146,36 @@
 		forgotten = append(forgotten, signature[:])
 	}
 	if len(forgotten) > 0 {
-		c.forgetSuspects(releaseCommand(forgotten...))
+		c.applySuspectChangeWithoutCall(releaseCommand(forgotten...))
 	}
 }
 
-// heldRequests returns what nodes are told of held requests, and its version.
-func (c *Core) heldRequests() (held []*v1.HeldRequest, version uint64) {
+// quarantinedRequests returns what nodes are told of held requests, and its version.
+func (c *Core) quarantinedRequests() (quarantined []*v1.HeldRequest, version uint64) {
 	ledger := c.suspects()
 	if c.quarantine.ledger != ledger || c.quarantine.ledgerVersion != ledger.Version() {
-		c.quarantine.tell(c, ledger)
+		c.quarantine.rebuild(c, ledger)
 	}
-	return c.quarantine.held, c.quarantine.version
+	return c.quarantine.quarantined, c.quarantine.version
 }
 
-// tell makes what nodes are told.
-func (q *requestQuarantine) tell(core *Core, ledger *quarantine.Ledger) {
+// rebuild makes what nodes are told.
+func (q *requestQuarantine) rebuild(core *Core, ledger *quarantine.Ledger) {
 	q.ledger, q.ledgerVersion = ledger, ledger.Version()
-	q.held = nil
+	q.quarantined = nil
 	sum := xxhash.New()
 	for _, suspect := range ledger.Suspects() {
 		if !suspect.Held() {
 			continue
 		}
-		told := &v1.HeldRequest{Signature: suspect.Signature[:], TrialDue: core.leading && q.keeper.TrialDue(core.now, suspect)}
-		q.held = append(q.held, told)
-		_, _ = sum.Write(told.Signature) // a hash takes everything
-		if told.TrialDue {
+		request := &v1.HeldRequest{Signature: suspect.Signature[:], TrialDue: core.leading && q.keeper.TrialDue(core.now, suspect)}
+		q.quarantined = append(q.quarantined, request)
+		_, _ = sum.Write(request.Signature) // a hash takes everything
+		if request.TrialDue {
 			_, _ = sum.Write([]byte{1})
 		}
 	}
-	if q.version = 0; len(q.held) > 0 {
+	if q.version = 0; len(q.quarantined) > 0 {
 		q.version = max(sum.Sum64(), 1)
 	}
 }
--- a/internal/control/relay_list.go
+++ b/internal/control/relay_list.go
@@ -13,67 +13,67 @@
 )
 
 const (
-	// relayMemory is how long a relay counts after it was last heard.
-	relayMemory = 15 * time.Second
-	// relayCountAfter is how long a new leader listens before it tells how many relays
+	// relayTimeout is how long a relay counts after it was last heard.
+	relayTimeout = 15 * time.Second
+	// relayCountDelay is how long a new leader listens before it tells how many relays
 	// there are.
-	relayCountAfter = 3 * time.Second
+	relayCountDelay = 3 * time.Second
 )
 
 // relayRecord is what the leader remembers of a relay.
 type relayRecord struct {
 	name string
-	// start is the random identity of its start.
-	start         uint64
-	heardAt       time.Duration
+	// incarnation is the random identity of its incarnation.
+	incarnation   uint64
+	receivedAt    time.Duration
 	noticeAddress string
 	// formats are those that it knows.
 	formats formats.Range
 	// document and listing are what it was told last.
-	document, listing telling
+	document, listing sentUpdate
 }
 
-// noteRelay counts the relay, or forgets it when it leaves.
-func (c *Core) noteRelay(request *v1.WatchRequest) {
+// recordRelay counts the relay, or forgets it when it leaves.
+func (c *Core) recordRelay(request *v1.WatchRequest) {
 	name := request.GetNode().GetName()
 	if request.GetLeaving() {
 		delete(c.relays, name)
-		c.news.fresh = false
+		c.updates.relayListFresh = false
 		return
 	}
 	record := c.relays[name]
-	if record == nil || record.start != request.GetNode().GetIncarnation() {
-		record = &relayRecord{name: name, start: request.GetNode().GetIncarnation()}
+	if record == nil || record.incarnation != request.GetNode().GetIncarnation() {
+		record = &relayRecord{name: name, incarnation: request.GetNode().GetIncarnation()}
 		c.relays[name] = record
-		c.news.fresh = false
+		c.updates.relayListFresh = false
 	}
 	if record.noticeAddress != request.GetNoticeAddress() {
-		c.news.fresh = false
+		c.updates.relayListFresh = false
 	}
-	if told := formats.FromWire(request.GetFormats()); told != record.formats {
-		record.formats = told
-		c.news.fresh = false
+	if supported := formats.FromWire(request.GetFormats()); supported != record.formats {
+		record.formats = supported
+		c.updates.relayListFresh = false
 	}
-	record.document.holds(request.GetDocumentNumber())
-	record.listing.holds(request.GetListingVersion())
-	record.heardAt, record.noticeAddress = c.now, request.GetNoticeAddress()
-	c.noteWork(request)
+	record.document.observeHeld(request.GetDocumentNumber())
+	record.listing.observeHeld(request.GetListingVersion())
+	record.receivedAt, record.noticeAddress = c.now, request.GetNoticeAddress()
+	c.recordWork(request)
 	c.adoptDemand(request)
 }
 
 // refreshRelayList makes the list of relays that may own cells anew when relays or engines are others.
 func (c *Core) refreshRelayList() {
-	if c.news.fresh {
+	if c.updates.relayListFresh {
 		return
 	}
-	c.news.relayList = subsetting.Candidates(c.noticeAddresses(), len(c.listing.told))
-	c.news.formerRelays = c.formerAmong(c.news.relayList)
-	c.news.relayHash = hashOfList(slices.Concat(c.news.relayList, c.news.formerRelays))
-	c.news.fresh = true
+	c.updates.relayList = subsetting.Candidates(c.noticeAddresses(), len(c.listing.published))
+	c.updates.formerRelays = c.firstFormatAmong(c.updates.relayList)
+	c.updates.relayListHash = hashAddresses(slices.Concat(c.updates.relayList, c.updates.formerRelays))
+	c.updates.relayListFresh = true
 }
 
-// formerAmong returns the addresses of a list at which relays keep no counts for others.
-func (c *Core) formerAmong(addresses []string) []string {
+// firstFormatAmong returns the addresses of a list at which relays keep no counts for others.
+func (c *Core) firstFormatAmong(addresses []string) []string {
 	former := map[string]bool{}
 	for _, record := range c.relays {
 		if !record.formats.Supports(formats.RelayPermits) {
@@ -83,8 +83,8 @@
 	return slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return !former[address] })
 }
 
-// hashOfList identifies a list of addresses; 0 for an empty one.
-func hashOfList(addresses []string) uint64 {
+// hashAddresses identifies a list of addresses; 0 for an empty one.
+func hashAddresses(addresses []string) uint64 {
 	if len(addresses) == 0 {
 		return 0
 	}
@@ -93,18 +93,18 @@
 
 // relayCount returns how many relays were heard of lately; 0 while it is not known.
 func (c *Core) relayCount() uint32 {
-	if c.now-c.leadingSince < relayCountAfter {
+	if c.now-c.leadingSince < relayCountDelay {
 		return 0
 	}
 	return uint32(len(c.relays))
 }
 
-// forgetRelays forgets relays that have not been heard of for long. Call it now and then.
-func (c *Core) forgetRelays() {
+// dropSilentRelays forgets relays that have not been heard of for long. Call it now and then.
+func (c *Core) dropSilentRelays() {
 	for name, record := range c.relays {
-		if c.now-record.heardAt > relayMemory {
+		if c.now-record.receivedAt > relayTimeout {
 			delete(c.relays, name)
-			c.news.fresh = false
+			c.updates.relayListFresh = false
 		}
 	}
 }
--- a/internal/control/replicas.go
+++ b/internal/control/replicas.go
@@ -32,10 +32,10 @@
 const (
 	// replicaInterval is the time between two looks at what is wanted.
 	replicaInterval = 250 * time.Millisecond
-	// staleListing is the age of a list by which nothing is decided any more.
-	staleListing = 1500 * time.Millisecond
-	// proposalRetry is the wait before desired numbers that are not agreed on yet are proposed again.
-	proposalRetry = time.Second
+	// maximumListingAge is the age of a list by which nothing is decided any more.
+	maximumListingAge = 1500 * time.Millisecond
+	// proposalRetryInterval is the wait before desired numbers that are not agreed on yet are proposed again.
+	proposalRetryInterval = time.Second
 )
 
 // siteReplicas is what the leader does for the number of replicas.
@@ -53,8 +53,8 @@
 	orders     *replicaplan.Orders
 	proposed   replicaplan.Desired
 	proposedAt time.Duration
-	// first tells that this leader was the first to propose desired numbers: nobody has ordered before it.
-	first bool
+	// firstProposer tells that this leader was the firstProposer to propose desired numbers: nobody has ordered before it.
+	firstProposer bool
 }
 
 func newSiteReplicas() siteReplicas {
@@ -67,7 +67,7 @@
 	if c.config.ReadConfiguration == nil || c.config.OnDemandShare >= 1 && !c.state.HasReplicaTargets() {
 		return
 	}
-	if c.listing.version == 0 || c.now-c.listing.readAt > staleListing {
+	if c.listing.version == 0 || c.now-c.listing.readAt > maximumListingAge {
 		return
 	}
 	c.readScalings()
@@ -118,17 +118,17 @@
 		c.replicas.services[service] = work
 	}
 	work.plan.SetScaling(c.replicas.scalings[service])
-	work.first = work.first || c.state.ReplicaTarget(service) == nil
-	if !work.first && c.now-c.leadingSince < c.config.OrderWait {
+	work.firstProposer = work.firstProposer || c.state.ReplicaTarget(service) == nil
+	if !work.firstProposer && c.now-c.leadingSince < c.config.OrderWait {
 		return // little is known yet
 	}
 	agreed := desiredOf(c.state.ReplicaTarget(service))
 	listed := c.listedGroups(service)
 	reported := c.serviceWork(service)
 	wanted := work.plan.Next(c.now, replicaplan.Seen{Listed: listed, Agreed: agreed, Work: reported.Prefill + reported.Decode})
-	if !wanted.Equal(agreed) && (!wanted.Equal(work.proposed) || c.now-work.proposedAt >= proposalRetry) {
+	if !wanted.Equal(agreed) && (!wanted.Equal(work.proposed) || c.now-work.proposedAt >= proposalRetryInterval) {
 		work.proposed, work.proposedAt = wanted, c.now
-		c.proposeQuietly(&v1.Command{Body: &v1.Command_SetReplicas{SetReplicas: desiredRecord(service, wanted)}})
+		c.proposeWithoutCall(&v1.Command{Body: &v1.Command_SetReplicas{SetReplicas: desiredRecord(service, wanted)}})
 	}
 }
 
@@ -136,19 +136,19 @@
 func (c *Core) orderReplicas(work *serviceReplicas, agreed replicaplan.Desired, listed map[replicaplan.Group]replicaplan.Listed) {
 	for _, order := range work.orders.Due(c.now, work.plan.Boot(), agreed, listed) {
 		subject := duty.Subject("replicas of " + order.Group.Service + " in " + order.Group.Zone)
-		if !c.dutyCalls.MayCall(c.now, subject) || !work.first && c.now-c.leadingSince < c.config.OrderWait {
+		if !c.dutyCalls.MayCall(c.now, subject) || !work.firstProposer && c.now-c.leadingSince < c.config.OrderWait {
 			continue
 		}
 		work.orders.Began(c.now, order)
 		c.emit(OrderReplicas{
-			DutyCall: c.beginCall(subject), Group: order.Group, Desired: order.Desired, Listed: listed[order.Group].Ready + listed[order.Group].Changing, Work: work.plan.Work(),
+			DutyCall: c.startDutyCall(subject), Group: order.Group, Desired: order.Desired, Listed: listed[order.Group].Ready + listed[order.Group].Changing, Work: work.plan.Work(),
 		})
 	}
 }
 
-// takeReplicasOrdered takes what became of an order. One that was declined although it asks for no
+// handleReplicaOrderFinished takes what became of an order. One that was declined although it asks for no
 // more than there are was overtaken; otherwise there are none to be had.
-func (c *Core) takeReplicasOrdered(received ReplicaOrderFinished) {
+func (c *Core) handleReplicaOrderFinished(received ReplicaOrderFinished) {
 	order, outcome := received.Order, received.Outcome
 	if !c.leading || order.Fence != c.leadingTerm {
 		return
@@ -156,7 +156,7 @@
 	if outcome == duty.Declined && order.Desired <= order.Listed {
 		outcome = duty.Superseded
 	}
-	c.endCall(order.DutyCall, outcome)
+	c.finishDutyCall(order.DutyCall, outcome)
 	if work := c.replicas.services[order.Group.Service]; work != nil {
 		work.orders.Answered(c.now, replicaplan.Order{Group: order.Group, Desired: order.Desired}, outcome)
 	}
@@ -177,7 +177,7 @@
 // listedGroups counts the listed replicas of a service.
 func (c *Core) listedGroups(service string) map[replicaplan.Group]replicaplan.Listed {
 	listed := map[replicaplan.Group]replicaplan.Listed{}
-	for _, backEnd := range c.listing.raw {
+	for _, backEnd := range c.listing.considered {
 		if backEnd.GetService() != service {
 			continue
 		}
--- a/internal/control/revision_index.go
+++ b/internal/control/revision_index.go
@@ -2,8 +2,8 @@
 
 import "sort"
 
-// rememberedIndexes bounds a revisionIndex.
-const rememberedIndexes = 4096
+// maximumIndexedRevisions bounds a revisionIndex.
+const maximumIndexedRevisions = 4096
 
 // revisionIndex tells which revision a log holds up to an index, for the last
 // revisions that were applied here.
@@ -17,15 +17,15 @@
 	if count := len(r.entries); count > 0 && r.entries[count-1].revision == revision {
 		return
 	}
-	if len(r.entries) == rememberedIndexes {
-		r.entries = append(r.entries[:0], r.entries[rememberedIndexes/2:]...)
+	if len(r.entries) == maximumIndexedRevisions {
+		r.entries = append(r.entries[:0], r.entries[maximumIndexedRevisions/2:]...)
 	}
 	r.entries = append(r.entries, indexedRevision{index: index, revision: revision})
 }
 
-// at returns the revision of a log that ends at index; false when it is older than
+// revisionAt returns the revision of a log that ends revisionAt index; false when it is older than
 // what is remembered.
-func (r *revisionIndex) at(index uint64) (uint64, bool) {
+func (r *revisionIndex) revisionAt(index uint64) (uint64, bool) {
 	after := sort.Search(len(r.entries), func(i int) bool { return r.entries[i].index > index })
 	if after == 0 {
 		return 0, false
--- a/internal/control/revision_index_test.go
+++ b/internal/control/revision_index_test.go
@@ -8,13 +8,13 @@
 
 func TestRevisionIndex(t *testing.T) {
 	var index revisionIndex
-	_, known := index.at(5)
+	_, known := index.revisionAt(5)
 	require.False(t, known)
-	for revision := range uint64(rememberedIndexes + 1) {
+	for revision := range uint64(maximumIndexedRevisions + 1) {
 		index.add(10*(revision+1), revision+1)
 		index.add(10*(revision+1)+3, revision+1) // an entry that changes no revision
 	}
-	last := uint64(rememberedIndexes + 1)
+	last := uint64(maximumIndexedRevisions + 1)
 	tests := []struct {
 		index, revision uint64
 		known           bool
@@ -27,7 +27,7 @@
 		{0, 0, false},
 	}
 	for _, test := range tests {
-		revision, known := index.at(test.index)
+		revision, known := index.revisionAt(test.index)
 		require.Equal(t, test.known, known, test.index)
 		require.Equal(t, test.revision, revision, test.index)
 	}
--- a/internal/control/site_status.go
+++ b/internal/control/site_status.go
@@ -26,14 +26,14 @@
 // siteStatus returns what this leader knows of its site.
 func (c *Core) siteStatus() SiteStatus {
 	if !c.leading {
-		return SiteStatus{RepeatedUpdates: c.toldAgain}
+		return SiteStatus{RepeatedUpdates: c.repeatedUpdates}
 	}
 	status := SiteStatus{
-		Relays: len(c.relays), WaitingWatches: len(c.watches.byDue) + len(c.watches.untold),
-		FormerRelays: c.formerRelays(), RepeatedUpdates: c.toldAgain,
-		BackEnds: c.listing.total, PublishedBackEnds: len(c.listing.told), UpdatesPerSecond: c.newsPace.perSecond, QuorumSilence: c.consensus.QuorumSilence(),
+		Relays: len(c.relays), WaitingWatches: len(c.watches.byDue) + len(c.watches.ready),
+		FormerRelays: c.formerRelays(), RepeatedUpdates: c.repeatedUpdates,
+		BackEnds: c.listing.total, PublishedBackEnds: len(c.listing.published), UpdatesPerSecond: c.updatePace.perSecond, QuorumSilence: c.consensus.QuorumSilence(),
 	}
-	if c.listing.plan.readsPart() {
+	if c.listing.plan.readsPartially() {
 		status.Pages = c.listing.plan.pages
 	}
 	return status
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -53,19 +53,19 @@
 const (
 	// stageInterval is the time between two looks at the engines' stages.
 	stageInterval = 500 * time.Millisecond
-	// stageOrderLimit is how long an order may take to show in the list before the engine
+	// stageOrderTimeout is how long an order may take to show in the list before the engine
 	// may be ordered again.
-	stageOrderLimit = 8 * time.Second
-	// stageRefusedPause is the wait after an order that was not taken.
-	stageRefusedPause = 2 * time.Second
-	// stageHold is the time between two changes under load.
-	stageHold = 3 * time.Second
-	// freshFor is how long after an engine was first listed it counts as one that keeps nothing yet.
-	freshFor = 2 * time.Second
+	stageOrderTimeout = 8 * time.Second
+	// stageRefusedDelay is the wait after an order that was not taken.
+	stageRefusedDelay = 2 * time.Second
+	// stageChangeInterval is the time between two changes under load.
+	stageChangeInterval = 3 * time.Second
+	// freshEngineWindow is how long after an engine was first listed it counts as one that keeps nothing yet.
+	freshEngineWindow = 2 * time.Second
 	// never is later than any time.
 	never = time.Duration(math.MaxInt64)
-	// workMemory is how long a relay's report of its work counts.
-	workMemory = 4 * time.Second
+	// workReportTTL is how long a relay's report of its work counts.
+	workReportTTL = 4 * time.Second
 )
 
 // stageOrder is an order that does not show in the list yet.
@@ -78,29 +78,29 @@
 
 // relayWork is what one relay reported last, by service.
 type relayWork struct {
-	at      time.Duration
-	demands []*v1.RoleDemand
+	receivedAt time.Duration
+	demands    []*v1.RoleDemand
 }
 
 // stages is the leader's view of the roles of listed engines.
 type stages struct {
-	// seenAt is when each engine was listed first, as far as this leader saw it; those of its first
+	// firstListedAt is when each engine was listed first, as far as this leader saw it; those of its first
 	// list have served before.
-	seenAt map[string]time.Duration
-	plans  map[string]*stageplan.Plan
-	orders map[string]stageOrder
-	work   map[string]relayWork
-	dueAt  time.Duration
+	firstListedAt map[string]time.Duration
+	plans         map[string]*stageplan.Plan
+	orders        map[string]stageOrder
+	work          map[string]relayWork
+	dueAt         time.Duration
 }
 
 func newStages() stages {
 	return stages{plans: map[string]*stageplan.Plan{}, orders: map[string]stageOrder{}, work: map[string]relayWork{}}
 }
 
-// noteWork takes a relay's report of its work.
-func (c *Core) noteWork(request *v1.WatchRequest) {
+// recordWork takes a relay's report of its work.
+func (c *Core) recordWork(request *v1.WatchRequest) {
 	if len(request.GetDemands()) > 0 {
-		c.stages.work[request.GetNode().GetName()] = relayWork{at: c.now, demands: request.GetDemands()}
+		c.stages.work[request.GetNode().GetName()] = relayWork{receivedAt: c.now, demands: request.GetDemands()}
 	}
 }
 
@@ -114,10 +114,10 @@
 		return
 	}
 	c.dropStageOrders()
-	c.noteSeen()
+	c.recordFirstListed()
 	outgoing := c.outgoingServices()
 	engines, members := map[string][]stageplan.Engine{}, map[string][]cell.Member{}
-	for _, backEnd := range c.listing.told {
+	for _, backEnd := range c.listing.published {
 		order, ordered := c.stages.orders[backEnd.GetId()]
 		role := backEnd.GetRole()
 		if ordered && !order.refused {
@@ -129,7 +129,7 @@
 		if stage, is := stageOf(role); is && !backEnd.GetLeaving() {
 			engines[backEnd.GetService()] = append(engines[backEnd.GetService()], stageplan.Engine{
 				ID: backEnd.GetId(), Group: backEnd.GetZone(), Stage: stage, Busy: ordered,
-				Fresh: c.now-c.stages.seenAt[backEnd.GetId()] < freshFor,
+				Fresh: c.now-c.stages.firstListedAt[backEnd.GetId()] < freshEngineWindow,
 			})
 			members[backEnd.GetService()] = append(members[backEnd.GetService()], memberOf(backEnd))
 		}
@@ -142,21 +142,21 @@
 	}
 }
 
-// noteSeen remembers when engines were listed first.
-func (c *Core) noteSeen() {
-	first := c.stages.seenAt == nil
-	seenAt := make(map[string]time.Duration, len(c.listing.told))
-	for _, backEnd := range c.listing.told {
-		at, seen := c.stages.seenAt[backEnd.GetId()]
+// recordFirstListed remembers when engines were listed first.
+func (c *Core) recordFirstListed() {
+	first := c.stages.firstListedAt == nil
+	seenAt := make(map[string]time.Duration, len(c.listing.published))
+	for _, backEnd := range c.listing.published {
+		at, seen := c.stages.firstListedAt[backEnd.GetId()]
 		switch {
 		case !seen && first:
-			at = -freshFor
+			at = -freshEngineWindow
 		case !seen:
 			at = c.now
 		}
 		seenAt[backEnd.GetId()] = at
 	}
-	c.stages.seenAt = seenAt
+	c.stages.firstListedAt = seenAt
 }
 
 // memberOf is an engine as relays divide engines into cells.
@@ -182,7 +182,7 @@
 	}
 	plan := c.stages.plans[service]
 	if plan == nil {
-		plan = stageplan.New(stageplan.Config{PriorPrefillShare: c.config.PriorPrefillShare, Hold: stageHold, Without: c.config.Without})
+		plan = stageplan.New(stageplan.Config{PriorPrefillShare: c.config.PriorPrefillShare, Hold: stageChangeInterval, Without: c.config.Without})
 		c.stages.plans[service] = plan
 	}
 	for _, change := range plan.Next(c.now, engines, work) {
@@ -193,19 +193,19 @@
 // reportedWork is how many back ends of a service the work that relays report would keep busy.
 type reportedWork struct {
 	stageplan.Work
-	// whole is the same for requests that are answered whole.
-	whole float64
+	// unstaged is the same for requests that are answered unstaged.
+	unstaged float64
 }
 
 // busy is how many back ends the work would keep busy.
-func (w reportedWork) busy() float64 { return w.Prefill + w.Decode + w.whole }
+func (w reportedWork) busy() float64 { return w.Prefill + w.Decode + w.unstaged }
 
 // serviceWork sums what relays reported of a service lately.
 func (c *Core) serviceWork(service string) reportedWork {
 	work := reportedWork{}
 	for _, name := range sortedKeys(c.stages.work) {
 		reported := c.stages.work[name]
-		if c.now-reported.at > workMemory {
+		if c.now-reported.receivedAt > workReportTTL {
 			delete(c.stages.work, name)
 			continue
 		}
@@ -216,7 +216,7 @@
 			work.Known = true
 			work.Prefill += float64(demand.GetPrefillMs()) / float64(demand.GetWindowMs())
 			work.Decode += float64(demand.GetDecodeMs()) / float64(demand.GetWindowMs())
-			work.whole += float64(demand.GetWholeMs()) / float64(demand.GetWindowMs())
+			work.unstaged += float64(demand.GetWholeMs()) / float64(demand.GetWindowMs())
 		}
 	}
 	return work
@@ -228,11 +228,11 @@
 	if change.Stage == stageplan.StagePrefill {
 		role = v1.Role_ROLE_PREFILL
 	}
-	for _, backEnd := range c.listing.told {
+	for _, backEnd := range c.listing.published {
 		if backEnd.GetId() != change.Engine {
 			continue
 		}
-		c.stages.orders[change.Engine] = stageOrder{role: role, until: c.now + stageOrderLimit}
+		c.stages.orders[change.Engine] = stageOrder{role: role, until: c.now + stageOrderTimeout}
 		c.emit(ChangeStage{
 			BackEnd: backEnd, Role: role, Holder: c.config.Name, Fence: c.leadingTerm, NotAfter: c.now + c.config.OrderLifetime,
 		})
@@ -240,17 +240,17 @@
 	c.refreshListing()
 }
 
-// takeStageOrdered takes the outcome of an order. One that was refused gives the engine
+// handleStageChangeFinished takes the outcome of an order. One that was refused gives the engine
 // back to the relays and lets it be ordered again after a pause; one that was lost counts
 // as taken until the list shows what became of it.
-func (c *Core) takeStageOrdered(received StageChangeFinished) {
+func (c *Core) handleStageChangeFinished(received StageChangeFinished) {
 	order, ordered := c.stages.orders[received.ID]
 	if !ordered {
 		return
 	}
 	switch received.Outcome {
 	case StageRefused:
-		order.refused, order.until = true, c.now+stageRefusedPause
+		order.refused, order.until = true, c.now+stageRefusedDelay
 	case StageFenced:
 		order.refused, order.until = true, never // this leader's fence will not rise
 	default:
@@ -266,7 +266,7 @@
 		return
 	}
 	listed := map[string]v1.Role{}
-	for _, backEnd := range c.listing.told {
+	for _, backEnd := range c.listing.published {
 		listed[backEnd.GetId()] = backEnd.GetRole()
 	}
 	for id, order := range c.stages.orders {
@@ -278,8 +278,8 @@
 	c.refreshListing()
 }
 
-// marked returns the back ends with those marked whose role is being changed.
-func (c *Core) marked(backEnds []*v1.ListedBackEnd) []*v1.ListedBackEnd {
+// markChangingRoles returns the back ends with those markChangingRoles whose role is being changed.
+func (c *Core) markChangingRoles(backEnds []*v1.ListedBackEnd) []*v1.ListedBackEnd {
 	if len(c.stages.orders) == 0 {
 		return backEnds
 	}
--- a/internal/control/stop.go
+++ b/internal/control/stop.go
@@ -13,9 +13,9 @@
 
 func (StopRequested) isInput() {}
 
-// takeStop hands leadership to the voter that has the most of the log; of equal ones
+// handleStop hands leadership to the voter that has the most of the log; of equal ones
 // to the one heard of last. Without another voter nothing changes.
-func (c *Core) takeStop() {
+func (c *Core) handleStop() {
 	status := c.consensus.Status()
 	voters := slices.DeleteFunc(status.Members, func(member consensus.MemberStatus) bool {
 		return member.Member.GetLearner() || member.Member.GetId() == status.ID
--- a/internal/control/news_pace_test.go
+++ b/internal/control/update_pace_test.go
@@ -11,7 +11,7 @@
 )
 
 // mostAtOnce is the most that may be told at one moment at a pace.
-func mostAtOnce(perSecond float64) int { return int(perSecond * newsBurst.Seconds()) }
+func mostAtOnce(perSecond float64) int { return int(perSecond * updateBurstWindow.Seconds()) }
 
 // A thousand relays that wait are told of a change over a second or less, never many at once, so that the
 // leader has time for its peers; a small fleet is told at once.
@@ -45,7 +45,7 @@
 			before = answered()
 		}
 		require.Equal(t, relays, answered(), "within a second")
-		require.LessOrEqual(t, most, mostAtOnce(mostNews)*6/5)
+		require.LessOrEqual(t, most, mostAtOnce(maximumUpdatesPerSecond)*6/5)
 		if spread {
 			require.Greater(t, relays, 4*most)
 		}
@@ -55,33 +55,33 @@
 // A leader whose peers' answers come late tells fewer at a time. It tells more again when they come in time
 // and somebody waits, and does not learn from quiet times.
 func TestNewsGoesByTheQuorum(t *testing.T) {
-	pace := newNewsPace()
+	pace := newUpdatePace()
 	for range 20 {
 		pace.tick(true)
 	}
-	require.InDelta(t, leastNews, pace.perSecond, 1)
+	require.InDelta(t, minimumUpdatesPerSecond, pace.perSecond, 1)
 	for range 1000 {
 		pace.tick(false)
 	}
-	require.InDelta(t, leastNews, pace.perSecond, 1, "nobody waits")
+	require.InDelta(t, minimumUpdatesPerSecond, pace.perSecond, 1, "nobody waits")
 	now := time.Duration(0)
 	for range 400 {
 		now += TickInterval
-		for pace.take(now) {
+		for pace.allow(now) {
 			continue
 		}
 		pace.tick(false)
 	}
-	require.InDelta(t, mostNews, pace.perSecond, 1)
+	require.InDelta(t, maximumUpdatesPerSecond, pace.perSecond, 1)
 }
 
 // The pace falls before the leader would step down for want of its peers.
 func TestNewsSlowsDownBeforeTheLeaderFalls(t *testing.T) {
 	w := newFleetWorld(t, 300, 1)
 	leader := w.leader()
-	before := leader.core.newsPace.perSecond
+	before := leader.core.updatePace.perSecond
 	leader.cut = true
 	w.run(consensus.DefaultElectionTimeout * 3 / 4)
 	require.True(t, leader.core.Consensus().Role == consensus.RoleLeader)
-	require.Less(t, leader.core.newsPace.perSecond, before)
+	require.Less(t, leader.core.updatePace.perSecond, before)
 }
--- a/internal/control/usage.go
+++ b/internal/control/usage.go
@@ -58,9 +58,9 @@
 	return siteUsage{reporter: usage.NewReporter(config.Usage)}
 }
 
-// takeUsage takes a relay's report. Those of one tick go into one command.
-func (c *Core) takeUsage(received UsageReceived) {
-	if !c.demandLeader(received.Call) {
+// handleUsage takes a relay's report. Those of one tick go into one command.
+func (c *Core) handleUsage(received UsageReceived) {
+	if !c.requireLeader(received.Call) {
 		return
 	}
 	if c.config.Usage.Window <= 0 || c.state.Usage().Next() == 0 {
@@ -85,7 +85,7 @@
 		return
 	}
 	if through, due := c.usage.reporter.Closing(c.now, now, c.state.Usage()); due {
-		c.proposeQuietly(&v1.Command{Body: &v1.Command_CloseUsage{CloseUsage: &v1.CloseUsage{Through: int64(through)}}})
+		c.proposeWithoutCall(&v1.Command{Body: &v1.Command_CloseUsage{CloseUsage: &v1.CloseUsage{Through: int64(through)}}})
 	}
 	c.deliverUsage(now)
 }
@@ -114,7 +114,7 @@
 // deliverUsage tells the platform the window that is next. A new leader first lets the time of its
 // predecessor's calls pass.
 func (c *Core) deliverUsage(trueTimeMs int64) {
-	if !c.mayCall(SubjectUsage) {
+	if !c.mayCallPlatform(SubjectUsage) {
 		return
 	}
 	closed, due := c.usage.reporter.Next(trueTimeMs, c.state.Usage())
@@ -122,27 +122,27 @@
 		return
 	}
 	c.emit(DeliverUsage{
-		DutyCall: c.beginCall(SubjectUsage), Window: closed.Window, Counts: closed.Counts,
+		DutyCall: c.startDutyCall(SubjectUsage), Window: closed.Window, Counts: closed.Counts,
 		Late: c.usage.reporter.Late(closed.Window, trueTimeMs),
 	})
 }
 
-// takeUsageDelivered takes what became of a call, which may be that of an earlier term.
-func (c *Core) takeUsageDelivered(received UsageDelivered) {
+// handleUsageDelivered takes what became of a call, which may be that of an earlier term.
+func (c *Core) handleUsageDelivered(received UsageDelivered) {
 	if !c.leading {
 		return
 	}
-	c.endCall(received.Call.DutyCall, received.Outcome)
+	c.finishDutyCall(received.Call.DutyCall, received.Outcome)
 	if received.Outcome != duty.Accepted {
 		return
 	}
 	window := received.Call.Window
 	c.usage.reporter.Delivered(window)
-	c.proposeQuietly(&v1.Command{Body: &v1.Command_SettleUsage{SettleUsage: &v1.SettleUsage{Window: int64(window)}}})
+	c.proposeWithoutCall(&v1.Command{Body: &v1.Command_SettleUsage{SettleUsage: &v1.SettleUsage{Window: int64(window)}}})
 }
 
-// refuseUsage answers the reports that were not proposed.
-func (c *Core) refuseUsage() {
+// refuseWaitingUsage answers the reports that were not proposed.
+func (c *Core) refuseWaitingUsage() {
 	for _, call := range c.usage.waiting {
 		c.refuse(call.id, c.notLeader())
 	}
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -49,7 +49,7 @@
 			State: record.State, RoleSinceMs: record.RoleSinceMs, Outstanding: record.Outstanding,
 			Serving:  v.core.tracker.BackEndState(v.core.now, name),
 			Pinned:   v.core.pinOf(name).GetPin().GetRole(),
-			HeldBack: v.core.heldBack[name],
+			HeldBack: v.core.deferredOrders[name],
 		}
 		if machine := v.core.tracker.Machine(name); machine != nil && machine.Load != nil {
 			engine.Load = machine.BackEndLoad()
@@ -75,7 +75,7 @@
 			Name: member.Member.Name, Program: "controller", Zone: member.Member.Zone,
 			Address: member.Member.Address, HeardAtMs: member.HeardAtMs,
 		}
-		revision, known := v.core.revisions.at(member.MatchIndex)
+		revision, known := v.core.revisions.revisionAt(member.MatchIndex)
 		node.Revision, node.RevisionUnknown = revision, !known
 		nodes = append(nodes, node)
 	}
--- a/internal/control/waiting_watches.go
+++ b/internal/control/waiting_watches.go
@@ -23,77 +23,77 @@
 type waitingWatches struct {
 	// byDue are those for which there was nothing new.
 	byDue watchHeap
-	// untold are those for which there may be news, the first due first.
-	untold []*waitingWatch
-	// newest is the newest question of each start of a relay.
-	newest map[uint64]*waitingWatch
+	// ready are those for which there may be news, the first due first.
+	ready []*waitingWatch
+	// latest is the latest question of each start of a relay.
+	latest map[uint64]*waitingWatch
 }
 
-// ask takes a question. An earlier one of the same start of the same relay was given up: to answer it would
+// register takes a question. An earlier one of the same start of the same relay was given up: to answer it would
 // cost as much and reach nobody.
-func (w *waitingWatches) ask(waiting *waitingWatch) {
+func (w *waitingWatches) register(waiting *waitingWatch) {
 	start := waiting.request.GetNode().GetIncarnation()
 	if start == 0 {
 		return
 	}
-	if w.newest == nil {
-		w.newest = map[uint64]*waitingWatch{}
+	if w.latest == nil {
+		w.latest = map[uint64]*waitingWatch{}
 	}
-	if former := w.newest[start]; former != nil {
+	if former := w.latest[start]; former != nil {
 		former.superseded = true
 	}
-	w.newest[start] = waiting
+	w.latest[start] = waiting
 }
 
-// end forgets a question that is answered.
-func (w *waitingWatches) end(waiting *waitingWatch) {
+// unregister forgets a question that is answered.
+func (w *waitingWatches) unregister(waiting *waitingWatch) {
 	start := waiting.request.GetNode().GetIncarnation()
-	if w.newest[start] == waiting {
-		delete(w.newest, start)
+	if w.latest[start] == waiting {
+		delete(w.latest, start)
 	}
 }
 
-// add lets a question wait for something new.
-func (w *waitingWatches) add(waiting *waitingWatch) { heap.Push(&w.byDue, waiting) }
+// addWaiting lets a question wait for something new.
+func (w *waitingWatches) addWaiting(waiting *waitingWatch) { heap.Push(&w.byDue, waiting) }
 
-// addUntold lets a question wait until it can be answered.
-func (w *waitingWatches) addUntold(waiting *waitingWatch) { w.untold = append(w.untold, waiting) }
+// addReady lets a question wait until it can be answered.
+func (w *waitingWatches) addReady(waiting *waitingWatch) { w.ready = append(w.ready, waiting) }
 
-// news says that there may be something new for all that wait.
-func (w *waitingWatches) news() {
+// markAllReady says that there may be something new for all that wait.
+func (w *waitingWatches) markAllReady() {
 	slices.SortFunc(w.byDue, w.byDue.compare)
-	w.untold = append(w.untold, w.byDue...)
+	w.ready = append(w.ready, w.byDue...)
 	w.byDue = nil
 }
 
-// takeUntold takes questions for which there is news, as long as more may be answered, and those of them
+// popReady takes questions for which there is news, as long as more may be answered, and those of them
 // that have waited long enough all the same. Others wait on.
-func (w *waitingWatches) takeUntold(now time.Duration, hasNews func(*v1.WatchRequest) bool, more func() bool) []*waitingWatch {
+func (w *waitingWatches) popReady(now time.Duration, hasUpdate func(*v1.WatchRequest) bool, mayAnswer func() bool) []*waitingWatch {
 	var taken []*waitingWatch
-	for len(w.untold) > 0 {
-		first := w.untold[0]
+	for len(w.ready) > 0 {
+		first := w.ready[0]
 		if first.superseded {
-			w.end(first)
-		} else if !hasNews(first.request) {
-			w.add(first)
-		} else if now >= first.dueAt || more() {
-			w.end(first)
+			w.unregister(first)
+		} else if !hasUpdate(first.request) {
+			w.addWaiting(first)
+		} else if now >= first.dueAt || mayAnswer() {
+			w.unregister(first)
 			taken = append(taken, first)
 		} else {
 			break
 		}
-		w.untold[0] = nil
-		w.untold = w.untold[1:]
+		w.ready[0] = nil
+		w.ready = w.ready[1:]
 	}
 	return taken
 }
 
-// takeDue takes the questions that have waited long enough for something new, the first due first.
-func (w *waitingWatches) takeDue(now time.Duration) []*waitingWatch {
+// popDue takes the questions that have waited long enough for something new, the first due first.
+func (w *waitingWatches) popDue(now time.Duration) []*waitingWatch {
 	var due []*waitingWatch
 	for len(w.byDue) > 0 && now >= w.byDue[0].dueAt {
 		waited := heap.Pop(&w.byDue).(*waitingWatch)
-		w.end(waited)
+		w.unregister(waited)
 		if !waited.superseded {
 			due = append(due, waited)
 		}
--- a/internal/control/waiting_watches_test.go
+++ b/internal/control/waiting_watches_test.go
@@ -27,12 +27,12 @@
 	for number := range count {
 		at := time.Duration(random.IntN(1000)) * time.Millisecond
 		due = append(due, at)
-		waiting.add(&waitingWatch{call: CallID(number), request: &v1.WatchRequest{}, dueAt: at})
+		waiting.addWaiting(&waitingWatch{call: CallID(number), request: &v1.WatchRequest{}, dueAt: at})
 	}
 	slices.Sort(due)
 	var taken []time.Duration
 	for now := time.Duration(0); now < time.Second; now += 7 * time.Millisecond {
-		for _, waited := range waiting.takeDue(now) {
+		for _, waited := range waiting.popDue(now) {
 			require.LessOrEqual(t, waited.dueAt, now)
 			require.Greater(t, waited.dueAt, now-7*time.Millisecond)
 			taken = append(taken, waited.dueAt)
@@ -46,18 +46,18 @@
 func TestWaitingWatchesThatHaveNews(t *testing.T) {
 	waiting := waitingWatches{}
 	for number := range 9 {
-		waiting.add(&waitingWatch{call: CallID(number), request: &v1.WatchRequest{DocumentNumber: uint64(number % 3)}, dueAt: time.Duration(9-number) * time.Second})
+		waiting.addWaiting(&waitingWatch{call: CallID(number), request: &v1.WatchRequest{DocumentNumber: uint64(number % 3)}, dueAt: time.Duration(9-number) * time.Second})
 	}
 	old := func(request *v1.WatchRequest) bool { return request.GetDocumentNumber() < 2 }
 	allowed := 2
 	more := func() bool { allowed--; return allowed >= 0 }
-	waiting.news()
-	require.Equal(t, []CallID{7, 6}, callsOf(waiting.takeUntold(0, old, more)), "those that have waited longest are told first")
-	require.Equal(t, []CallID{4}, callsOf(waiting.takeUntold(5*time.Second, old, more)), "one whose time has passed is told all the same")
+	waiting.markAllReady()
+	require.Equal(t, []CallID{7, 6}, callsOf(waiting.popReady(0, old, more)), "those that have waited longest are told first")
+	require.Equal(t, []CallID{4}, callsOf(waiting.popReady(5*time.Second, old, more)), "one whose time has passed is told all the same")
 	allowed = 100
-	require.Equal(t, []CallID{3, 1, 0}, callsOf(waiting.takeUntold(0, old, more)))
-	require.Empty(t, waiting.untold)
-	require.Equal(t, []CallID{8, 5, 2}, callsOf(waiting.takeDue(time.Minute)))
+	require.Equal(t, []CallID{3, 1, 0}, callsOf(waiting.popReady(0, old, more)))
+	require.Empty(t, waiting.ready)
+	require.Equal(t, []CallID{8, 5, 2}, callsOf(waiting.popDue(time.Minute)))
 }
 
 // A relay that has given up a question and asks again is answered once, and before others have had to wait for
@@ -66,8 +66,8 @@
 	waiting := waitingWatches{}
 	ask := func(call CallID, start uint64) {
 		watch := &waitingWatch{call: call, request: &v1.WatchRequest{Node: &v1.NodeIdentity{Incarnation: start}}, dueAt: time.Second}
-		waiting.ask(watch)
-		waiting.addUntold(watch)
+		waiting.register(watch)
+		waiting.addReady(watch)
 	}
 	for number := range 10 {
 		ask(CallID(number), uint64(number%2+1))
@@ -76,14 +76,14 @@
 	told := 0
 	more := func() bool { told++; return true }
 	always := func(*v1.WatchRequest) bool { return true }
-	require.Equal(t, []CallID{8, 9, 10}, callsOf(waiting.takeUntold(0, always, more)))
+	require.Equal(t, []CallID{8, 9, 10}, callsOf(waiting.popReady(0, always, more)))
 	require.Equal(t, 3, told)
-	require.Empty(t, waiting.newest)
+	require.Empty(t, waiting.latest)
 
 	ask(11, 1)
-	waiting.takeUntold(0, func(*v1.WatchRequest) bool { return false }, more)
+	waiting.popReady(0, func(*v1.WatchRequest) bool { return false }, more)
 	ask(12, 1)
-	require.Equal(t, []CallID{12}, callsOf(waiting.takeUntold(0, always, more)))
-	require.Empty(t, waiting.takeDue(time.Minute))
-	require.Empty(t, waiting.newest)
+	require.Equal(t, []CallID{12}, callsOf(waiting.popReady(0, always, more)))
+	require.Empty(t, waiting.popDue(time.Minute))
+	require.Empty(t, waiting.latest)
 }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -25,75 +25,75 @@
 	leaderlessWait = 150 * time.Millisecond
 )
 
-// takeWatch lets a relay wait: until the pace of news allows an answer where there is something new, and for
+// handleWatch lets a relay wait: until the pace of news allows an answer where there is something new, and for
 // something new elsewhere.
-func (c *Core) takeWatch(received WatchReceived) {
+func (c *Core) handleWatch(received WatchReceived) {
 	request := received.Request
 	state := c.siteState()
 	if state.leads {
-		c.noteRelay(request)
-		c.takeRelaysLimits(request.GetLimits())
+		c.recordRelay(request)
+		c.recordRelayLimits(request.GetLimits())
 	}
 	wait := min(time.Duration(request.GetWaitMs())*time.Millisecond, maximumWatchWait)
 	if !state.leads {
 		wait = min(wait, leaderlessWait)
 	}
 	waiting := &waitingWatch{call: received.Call, request: request, dueAt: c.now + wait}
-	c.watches.ask(waiting)
-	if c.isAnswered(state, request) {
-		c.watches.addUntold(waiting) // it is answered in this step where the pace allows it
+	c.watches.register(waiting)
+	if c.canAnswerNow(state, request) {
+		c.watches.addReady(waiting) // it is answered in this step where the pace allows it
 		return
 	}
-	c.watches.add(waiting)
+	c.watches.addWaiting(waiting)
 }
 
-// isAnswered reports whether a relay is answered at once: the leader has something new for it, or
+// canAnswerNow reports whether a relay is answered at once: the leader has something new for it, or
 // another controller leads. Where none is known to lead, relays wait a little: they would only
 // ask again.
-func (c *Core) isAnswered(state siteState, request *v1.WatchRequest) bool {
+func (c *Core) canAnswerNow(state siteState, request *v1.WatchRequest) bool {
 	if state.leads {
-		return c.hasNews(request)
+		return c.hasUpdate(request)
 	}
 	return state.leader != ""
 }
 
 // answerWatches answers the watches that have something new or have waited long enough.
 func (c *Core) answerWatches() {
-	if len(c.watches.byDue) == 0 && len(c.watches.untold) == 0 {
+	if len(c.watches.byDue) == 0 && len(c.watches.ready) == 0 {
 		return
 	}
 	state := c.siteState()
-	if state != c.news.told {
-		c.news.told = state
-		c.watches.news()
+	if state != c.updates.lastState {
+		c.updates.lastState = state
+		c.watches.markAllReady()
 	}
-	hasNews := func(request *v1.WatchRequest) bool { return c.isAnswered(state, request) }
-	mayTell := func() bool { return c.newsPace.take(c.now) }
-	c.answerEach(state, c.watches.takeUntold(c.now, hasNews, mayTell))
-	c.answerEach(state, c.watches.takeDue(c.now))
+	hasUpdate := func(request *v1.WatchRequest) bool { return c.canAnswerNow(state, request) }
+	mayAnswer := func() bool { return c.updatePace.allow(c.now) }
+	c.answerAll(state, c.watches.popReady(c.now, hasUpdate, mayAnswer))
+	c.answerAll(state, c.watches.popDue(c.now))
 }
 
-// answerEach answers watches that do not wait any more.
-func (c *Core) answerEach(state siteState, watches []*waitingWatch) {
+// answerAll answers watches that do not wait any more.
+func (c *Core) answerAll(state siteState, watches []*waitingWatch) {
 	for _, waited := range watches {
 		c.answer(Answer{Call: waited.call, Response: c.watchResponse(waited.request, !state.leads)})
 	}
 }
 
-// hasNews reports whether a relay does not hold what is in force. What it was told twice and still does not hold is no
+// hasUpdate reports whether a relay does not hold what is in force. What it was told twice and still does not hold is no
 // news: it is told again with the answer that is due.
-func (c *Core) hasNews(request *v1.WatchRequest) bool {
-	document, listing := c.tellings(request)
-	newest, held := c.news.documents.newest().GetNumber(), request.GetDocumentNumber()
-	if newest > held && document.inVain(held, newest) < tellingsAtOnce {
+func (c *Core) hasUpdate(request *v1.WatchRequest) bool {
+	document, listing := c.lastSent(request)
+	newest, held := c.updates.documents.newest().GetNumber(), request.GetDocumentNumber()
+	if newest > held && document.failedAttempts(held, newest) < maximumImmediateAttempts {
 		return true
 	}
 	version, _ := c.listingFor(request)
 	listed := request.GetListingVersion()
-	if version != 0 && version != listed && listing.inVain(listed, version) < tellingsAtOnce {
+	if version != 0 && version != listed && listing.failedAttempts(listed, version) < maximumImmediateAttempts {
 		return true
 	}
-	_, suspects := c.heldRequests()
+	_, suspects := c.quarantinedRequests()
 	return suspects != request.GetHeldVersion()
 }
 
@@ -108,33 +108,33 @@
 	if behind {
 		return response
 	}
-	c.tellDocument(request, response)
+	c.addDocument(request, response)
 	version, history := c.listingFor(request)
 	response.ListingVersion = version
 	if version != 0 && version != request.GetListingVersion() {
 		history.Tell(response, request.GetListingVersion())
-		response.Wanted = c.wantedRecords()
+		response.Wanted = c.requiredBackEndRecords()
 	}
 	if version != 0 {
 		response.ListingAgeMs = milliseconds(c.now - c.listing.readAt)
-		response.ListingCalls = uint32(c.listing.plan.calls)
+		response.ListingCalls = uint32(c.listing.plan.fullReadCalls)
 		response.ListingPartial = c.listing.partial()
 	}
-	held, heldVersion := c.heldRequests()
+	held, heldVersion := c.quarantinedRequests()
 	response.TellsHeld = true
 	if response.HeldVersion = heldVersion; heldVersion != request.GetHeldVersion() {
 		response.Held = held
 	}
-	response.Limits = c.relaysLimits()
+	response.Limits = c.limitsForRelays()
 	response.TrueTimeMs, _ = c.trueTime()
 	response.UsageWindowMs = milliseconds(c.config.Usage.Window)
 	response.Relays = c.relayCount()
 	c.refreshRelayList()
-	response.RelayList = c.news.relayHash
+	response.RelayList = c.updates.relayListHash
 	if response.RelayList != request.GetRelayList() && (response.Relays > 0 || request.GetRelayList() == 0) {
-		response.FormerRelays = c.news.formerRelays
-		response.RelayAddresses = c.news.relayList // a new leader knows few: those who hold a list keep it
+		response.FormerRelays = c.updates.formerRelays
+		response.RelayAddresses = c.updates.relayList // a new leader knows few: those who hold a list keep it
 	}
-	c.noteTold(request, response)
+	c.recordSent(request, response)
 	return response
 }
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -37,7 +37,7 @@
 	w := newWorld(t, 3, seeded)
 	newSite(w, 4, 2)
 	leader := w.waitLeader()
-	w.run(relayCountAfter + time.Second)
+	w.run(relayCountDelay + time.Second)
 	watch := func(name string, held uint64) *v1.WatchResponse {
 		answer := w.call(leader, func(id CallID) Input {
 			return WatchReceived{Call: id, Request: &v1.WatchRequest{Node: &v1.NodeIdentity{Name: name}, NoticeAddress: name + ":1", RelayList: held}}
@@ -55,7 +55,7 @@
 	leader = w.leader()
 	require.Empty(t, watch("two", told.GetRelayList()).GetRelayAddresses(), "a new leader knows few relays yet")
 	require.Len(t, watch("two", 0).GetRelayAddresses(), 1)
-	w.run(relayCountAfter)
+	w.run(relayCountDelay)
 	require.Len(t, watch("two", told.GetRelayList()).GetRelayAddresses(), 1)
 }
 
--- a/internal/controlstate/agreement.go
+++ b/internal/controlstate/agreement.go
@@ -16,9 +16,9 @@
 	// format is the highest format whose commands take effect, index the log index of the agreement on it.
 	format formats.Number
 	index  uint64
-	// missed tells that others hold what was agreed on and this state does not: its controller was of the first format
+	// stateMissing tells that others hold what was agreed on and this state does not: its controller was of the first format
 	// meanwhile. It is whole again with the next agreement.
-	missed bool
+	stateMissing bool
 }
 
 // AgreedFormat is the highest format whose commands take effect.
@@ -28,7 +28,7 @@
 func (s *State) AgreementIndex() uint64 { return s.agreed.index }
 
 // IsMissingAgreedState reports whether others hold what was agreed on and this state does not. The next agreement ends it.
-func (s *State) IsMissingAgreedState() bool { return s.agreed.missed }
+func (s *State) IsMissingAgreedState() bool { return s.agreed.stateMissing }
 
 // agree puts another agreement in force.
 func (s *State) agree(index uint64, body *v1.AgreeFormat) Result {
@@ -63,10 +63,10 @@
 	}
 	switch {
 	case command.GetAgreedAt() == 0:
-		s.agreed.missed = false // nothing is agreed on where it was proposed
+		s.agreed.stateMissing = false // nothing is agreed on where it was proposed
 	case command.GetAgreedAt() > s.agreed.index:
 		s.beginAgreement(s.agreed.index, formats.First)
-		s.agreed.missed = true
+		s.agreed.stateMissing = true
 	}
 	if _, isAgreement := command.GetBody().(*v1.Command_AgreeFormat); isAgreement || number <= s.agreed.format {
 		return nil
--- a/internal/controlstate/catalogue.go
+++ b/internal/controlstate/catalogue.go
@@ -60,7 +60,7 @@
 	c.byRevision.ReplaceOrInsert(object)
 	if object.Deleted {
 		c.tombstones.ReplaceOrInsert(object)
-		c.forgetTombstones()
+		c.trimTombstones()
 		return
 	}
 	c.inForce++
@@ -96,8 +96,8 @@
 	}
 }
 
-// forgetTombstones drops the oldest tombstones above the bound.
-func (c *catalogue) forgetTombstones() {
+// trimTombstones drops the oldest tombstones above the bound.
+func (c *catalogue) trimTombstones() {
 	for c.tombstones.Len() > MaximumTombstones {
 		oldest, _ := c.tombstones.Min()
 		c.tombstoneFloor = max(c.tombstoneFloor, oldest.Revision)
--- a/internal/controlstate/changes.go
+++ b/internal/controlstate/changes.go
@@ -33,10 +33,10 @@
 func (c *changeNumbers) add(record *v1.ChangeRecord) {
 	c.byNumber[record.ChangeNumber] = record
 	c.highest = max(c.highest, record.ChangeNumber)
-	for _, forgotten := range c.records.add(record) {
-		if c.byNumber[forgotten.ChangeNumber] == forgotten {
-			delete(c.byNumber, forgotten.ChangeNumber)
+	for _, evicted := range c.records.add(record) {
+		if c.byNumber[evicted.ChangeNumber] == evicted {
+			delete(c.byNumber, evicted.ChangeNumber)
 		}
-		c.floor = max(c.floor, forgotten.ChangeNumber)
+		c.floor = max(c.floor, evicted.ChangeNumber)
 	}
 }
--- a/internal/controlstate/claim_use.go
+++ b/internal/controlstate/claim_use.go
@@ -18,13 +18,13 @@
 
 func newClaimUses() claimUses { return claimUses{tenants: map[string]claimUse{}} }
 
-// full reports whether one more claim of a tenant is beyond a bound.
-func (u *claimUses) full(tenant string) bool {
+// isFull reports whether one more claim of a tenant is beyond a bound.
+func (u *claimUses) isFull(tenant string) bool {
 	return u.all.claims >= MaximumClaims || u.tenants[tenant].claims >= MaximumTenantClaims
 }
 
-// fits reports whether a body of a tenant's outcome may be kept.
-func (u *claimUses) fits(tenant string, bytes int) bool {
+// fitsBody reports whether a body of a tenant's outcome may be kept.
+func (u *claimUses) fitsBody(tenant string, bytes int) bool {
 	return bytes <= MaximumOutcomeBytes && u.all.outcomeBytes+bytes <= MaximumTotalOutcomeBytes &&
 		u.tenants[tenant].outcomeBytes+bytes <= MaximumTenantOutcomeBytes
 }
--- a/internal/controlstate/claims.go
+++ b/internal/controlstate/claims.go
@@ -43,7 +43,7 @@
 	key := claimKey{begin.Tenant, begin.Kind, begin.Key}
 	record := s.claims.records[key]
 	switch {
-	case record == nil && s.claims.uses.full(begin.Tenant):
+	case record == nil && s.claims.uses.isFull(begin.Tenant):
 		return Result{Err: trace.Wrap(ErrTooManyClaims, "%d claims, of this tenant %d", s.claims.uses.all.claims, s.claims.uses.tenants[begin.Tenant].claims)}
 	case record == nil || !s.safeguards.On(ClaimCheck):
 		s.claims.put(key, newClaim(begin, expires, nil))
@@ -54,7 +54,7 @@
 		s.claims.put(key, newClaim(begin, max(expires, record.ExpiresAtMs), record.ReleasedAttempts))
 		return Result{Claim: claimAnswer(v1.ClaimState_CLAIM_STATE_GRANTED)}
 	}
-	return Result{Claim: answerHeld(record, begin.Attempt)}
+	return Result{Claim: answerExisting(record, begin.Attempt)}
 }
 
 // put replaces the record of a key.
@@ -95,8 +95,8 @@
 	return &v1.BeginClaimResponse{State: state}
 }
 
-// answerHeld tells an attempt about a claim that is held or ended.
-func answerHeld(record *v1.ClaimRecord, attempt string) *v1.BeginClaimResponse {
+// answerExisting tells an attempt about a claim that is held or ended.
+func answerExisting(record *v1.ClaimRecord, attempt string) *v1.BeginClaimResponse {
 	switch {
 	case record.State == v1.ClaimState_CLAIM_STATE_FINISHED:
 		return &v1.BeginClaimResponse{
@@ -137,7 +137,7 @@
 	case finish.NotRun:
 		release(updated)
 	default:
-		recordOutcome(updated, finish, t.uses.fits(finish.Tenant, len(finish.Body)))
+		recordOutcome(updated, finish, t.uses.fitsBody(finish.Tenant, len(finish.Body)))
 	}
 	t.put(key, updated)
 	return nil
@@ -152,8 +152,8 @@
 	}
 }
 
-// claimRunning reports whether an attempt holds the claim and has no outcome.
-func claimRunning(record *v1.ClaimRecord) bool {
+// isClaimRunning reports whether an attempt holds the claim and has no outcome.
+func isClaimRunning(record *v1.ClaimRecord) bool {
 	return record.State == v1.ClaimState_CLAIM_STATE_GRANTED && !record.Released
 }
 
@@ -181,7 +181,7 @@
 // loseGateway makes the claims of a lost gateway process unknown.
 func (t *claimTable) loseGateway(gateway string, incarnation uint64) {
 	for key, record := range t.records {
-		if !claimRunning(record) || record.Gateway != gateway || record.GatewayIncarnation > incarnation {
+		if !isClaimRunning(record) || record.Gateway != gateway || record.GatewayIncarnation > incarnation {
 			continue
 		}
 		updated := proto.CloneOf(record)
@@ -216,7 +216,7 @@
 func (s *State) ClaimHolders() []ClaimHolder {
 	holders := map[ClaimHolder]bool{}
 	for _, record := range s.claims.records {
-		if claimRunning(record) {
+		if isClaimRunning(record) {
 			holders[ClaimHolder{record.Gateway, record.GatewayIncarnation}] = true
 		}
 	}
--- a/internal/controlstate/declaration.go
+++ b/internal/controlstate/declaration.go
@@ -157,7 +157,7 @@
 	planned := &change{base: s.catalogue, objects: map[Key]*v1.Object{}}
 	named := make(map[Key]bool, len(objects))
 	for _, declared := range objects {
-		if err := checkShape(declared); err != nil {
+		if err := checkObject(declared); err != nil {
 			return nil, trace.Wrap(err)
 		}
 		key := KeyOf(declared.Key)
--- a/internal/controlstate/engines.go
+++ b/internal/controlstate/engines.go
@@ -32,7 +32,7 @@
 			observed.Engine, observed.Incarnation, current.State.GetIncarnation())}
 	}
 	updated := &v1.EngineRecord{Outstanding: current.Outstanding, Drained: current.Drained}
-	updated.State, updated.RoleSinceMs = observe(current, observed, at)
+	updated.State, updated.RoleSinceMs = mergeObservation(current, observed, at)
 	if observed.Incarnation > current.State.GetIncarnation() {
 		// A new process serves; the drain ended with the old one.
 		updated.Drained = false
@@ -41,8 +41,8 @@
 	return Result{}
 }
 
-// observe returns the state to record and the time since when its role holds.
-func observe(current *v1.EngineRecord, observed *v1.EngineState, at int64) (*v1.EngineState, int64) {
+// mergeObservation returns the state to record and the time since when its role holds.
+func mergeObservation(current *v1.EngineRecord, observed *v1.EngineState, at int64) (*v1.EngineState, int64) {
 	if current.State.GetRole() == observed.Role {
 		return observed, current.RoleSinceMs
 	}
--- a/internal/controlstate/orders.go
+++ b/internal/controlstate/orders.go
@@ -27,7 +27,7 @@
 		return Result{Err: err}
 	}
 	if first != nil {
-		return Result{Answer: first.Answer, Err: rememberedError(first)}
+		return Result{Answer: first.Answer, Err: recordedError(first)}
 	}
 	result := s.decideOrder(index, at, issue.Order)
 	if result.Err == nil {
@@ -69,7 +69,7 @@
 		return Result{Err: err}
 	}
 	if first != nil {
-		return Result{Answer: first.Answer, Err: rememberedError(first)}
+		return Result{Answer: first.Answer, Err: recordedError(first)}
 	}
 	result := s.decideAbort(index, abort)
 	s.recordOperatorCommand(at, operatorCommand{
@@ -115,7 +115,7 @@
 		ended.Drained = order.Action == v1.OrderAction_ORDER_ACTION_DRAIN
 	}
 	if finish.Observed != nil {
-		ended.State, ended.RoleSinceMs = observe(record, finish.Observed, at)
+		ended.State, ended.RoleSinceMs = mergeObservation(record, finish.Observed, at)
 	}
 	s.putEngine(ended)
 	return Result{Order: order}
@@ -130,7 +130,7 @@
 	if command.operator == "" {
 		return
 	}
-	s.rememberAnswer(command.operator, command.requestID, command.text, result.Answer, result.Err)
+	s.recordAnswer(command.operator, command.requestID, command.text, result.Answer, result.Err)
 	outcome := "accepted"
 	if result.Err != nil {
 		outcome = "refused: " + trace.UserMessage(result.Err)
--- a/internal/controlstate/references.go
+++ b/internal/controlstate/references.go
@@ -35,38 +35,38 @@
 func (c *change) checkReferences(key Key, object *v1.Object) error {
 	switch spec := object.Spec.(type) {
 	case *v1.Object_Tenant:
-		return c.demandAll(key, v1.ObjectType_OBJECT_TYPE_MODEL, spec.Tenant.Models)
+		return c.requireAllDeclared(key, v1.ObjectType_OBJECT_TYPE_MODEL, spec.Tenant.Models)
 	case *v1.Object_Kind:
-		return c.demand(key, v1.ObjectType_OBJECT_TYPE_SERVICE, spec.Kind.Service)
+		return c.requireDeclared(key, v1.ObjectType_OBJECT_TYPE_SERVICE, spec.Kind.Service)
 	case *v1.Object_Adapter:
-		if err := c.demand(key, v1.ObjectType_OBJECT_TYPE_MODEL, spec.Adapter.Model); err != nil {
+		if err := c.requireDeclared(key, v1.ObjectType_OBJECT_TYPE_MODEL, spec.Adapter.Model); err != nil {
 			return err
 		}
-		return c.demandAll(key, v1.ObjectType_OBJECT_TYPE_TENANT, spec.Adapter.Tenants)
+		return c.requireAllDeclared(key, v1.ObjectType_OBJECT_TYPE_TENANT, spec.Adapter.Tenants)
 	case *v1.Object_Service:
 		if spec.Service.Type != v1.ServiceType_SERVICE_TYPE_ENGINE {
 			return nil
 		}
-		return c.demand(key, v1.ObjectType_OBJECT_TYPE_MODEL, spec.Service.Model)
+		return c.requireDeclared(key, v1.ObjectType_OBJECT_TYPE_MODEL, spec.Service.Model)
 	case *v1.Object_Bound:
-		return c.demand(key, v1.ObjectType_OBJECT_TYPE_SERVICE, spec.Bound.Service)
+		return c.requireDeclared(key, v1.ObjectType_OBJECT_TYPE_SERVICE, spec.Bound.Service)
 	case *v1.Object_Policy:
-		return c.demand(key, v1.ObjectType_OBJECT_TYPE_SERVICE, spec.Policy.Service)
+		return c.requireDeclared(key, v1.ObjectType_OBJECT_TYPE_SERVICE, spec.Policy.Service)
 	default:
 		return nil
 	}
 }
 
-func (c *change) demandAll(key Key, objectType v1.ObjectType, names []string) error {
+func (c *change) requireAllDeclared(key Key, objectType v1.ObjectType, names []string) error {
 	for _, name := range names {
-		if err := c.demand(key, objectType, name); err != nil {
+		if err := c.requireDeclared(key, objectType, name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *change) demand(key Key, objectType v1.ObjectType, name string) error {
+func (c *change) requireDeclared(key Key, objectType v1.ObjectType, name string) error {
 	if c.has(objectType, name) {
 		return nil
 	}
@@ -87,14 +87,14 @@
 
 // checkReferrers demands that nothing refers to a deleted object.
 func (c *change) checkReferrers() error {
-	var suspects []v1.ObjectType
+	var affectedTypes []v1.ObjectType
 	for _, key := range c.keys {
 		if c.objects[key].Deleted {
-			suspects = append(suspects, referrers[key.Type]...)
+			affectedTypes = append(affectedTypes, referrers[key.Type]...)
 		}
 	}
-	slices.Sort(suspects)
-	for _, objectType := range slices.Compact(suspects) {
+	slices.Sort(affectedTypes)
+	for _, objectType := range slices.Compact(affectedTypes) {
 		for _, object := range c.ofType(objectType) {
 			if err := c.checkReferences(KeyOf(object.Key), object); err != nil {
 				return trace.BadParameter("%s; delete both or neither", trace.UserMessage(err))
@@ -132,7 +132,7 @@
 func (c *change) checkUniqueness() error {
 	rules := []struct {
 		objectType v1.ObjectType
-		claim      func(*v1.Object) string
+		attribute  func(*v1.Object) string
 	}{
 		{v1.ObjectType_OBJECT_TYPE_OPERATOR, func(o *v1.Object) string { return "key hash " + o.GetOperator().KeyHash }},
 		{v1.ObjectType_OBJECT_TYPE_PIN, func(o *v1.Object) string { return "engine " + o.GetPin().Engine }},
@@ -144,16 +144,16 @@
 		}},
 	}
 	for _, rule := range rules {
-		if !c.touches(rule.objectType) {
+		if !c.changesType(rule.objectType) {
 			continue
 		}
-		claimed := map[string]Key{}
+		declaredBy := map[string]Key{}
 		for _, object := range c.ofType(rule.objectType) {
-			claim, key := rule.claim(object), KeyOf(object.Key)
-			if other, taken := claimed[claim]; claim != "" && taken {
-				return trace.BadParameter("%s and %s both declare %s; keep one", other, key, claim)
+			attribute, key := rule.attribute(object), KeyOf(object.Key)
+			if other, taken := declaredBy[attribute]; attribute != "" && taken {
+				return trace.BadParameter("%s and %s both declare %s; keep one", other, key, attribute)
 			}
-			claimed[claim] = key
+			declaredBy[attribute] = key
 		}
 	}
 	return nil
@@ -166,6 +166,6 @@
 	return ""
 }
 
-func (c *change) touches(objectType v1.ObjectType) bool {
+func (c *change) changesType(objectType v1.ObjectType) bool {
 	return slices.ContainsFunc(c.keys, func(key Key) bool { return key.Type == objectType })
 }
--- a/internal/controlstate/requests.go
+++ b/internal/controlstate/requests.go
@@ -13,14 +13,14 @@
 // requestKey identifies a submission: operators cannot collide with one another.
 type requestKey struct{ operator, requestID string }
 
-// requestMemory remembers the first answers of operators' submissions.
-type requestMemory struct {
+// requestRecords remembers the first answers of operators' submissions.
+type requestRecords struct {
 	records recent[*v1.RequestRecord]
 	byKey   map[requestKey]*v1.RequestRecord
 }
 
-func newRequestMemory() *requestMemory {
-	return &requestMemory{
+func newRequestRecords() *requestRecords {
+	return &requestRecords{
 		records: newRecent[*v1.RequestRecord](MaximumRequestRecords),
 		byKey:   map[requestKey]*v1.RequestRecord{},
 	}
@@ -28,7 +28,7 @@
 
 // find returns the first answer to a resend, or nil for a new submission. It fails
 // when the identity was used with another content.
-func (m *requestMemory) find(operator, requestID string, contentHash []byte) (*v1.RequestRecord, error) {
+func (m *requestRecords) find(operator, requestID string, contentHash []byte) (*v1.RequestRecord, error) {
 	record := m.byKey[requestKey{operator, requestID}]
 	if requestID == "" || record == nil {
 		return nil, nil
@@ -40,14 +40,14 @@
 }
 
 // add remembers the first answer to a submission that has an identity.
-func (m *requestMemory) add(record *v1.RequestRecord) {
+func (m *requestRecords) add(record *v1.RequestRecord) {
 	if record.RequestId == "" {
 		return
 	}
 	m.byKey[requestKey{record.Operator, record.RequestId}] = record
-	for _, forgotten := range m.records.add(record) {
-		key := requestKey{forgotten.Operator, forgotten.RequestId}
-		if m.byKey[key] == forgotten {
+	for _, evicted := range m.records.add(record) {
+		key := requestKey{evicted.Operator, evicted.RequestId}
+		if m.byKey[key] == evicted {
 			delete(m.byKey, key)
 		}
 	}
@@ -99,16 +99,16 @@
 		return Result{Err: err}
 	}
 	if first != nil {
-		return Result{Answer: first.Answer, Err: rememberedError(first)}
+		return Result{Answer: first.Answer, Err: recordedError(first)}
 	}
-	s.rememberAnswer(request.Operator, request.RequestId, request.Text, request.Answer, nil)
+	s.recordAnswer(request.Operator, request.RequestId, request.Text, request.Answer, nil)
 	s.addAudit(at, &v1.AuditRecord{
 		Operator: request.Operator, RequestId: request.RequestId, Text: request.Text, Outcome: "done",
 	})
 	return Result{Answer: request.Answer}
 }
 
-func (s *State) rememberAnswer(operator, requestID, text, answer string, err error) {
+func (s *State) recordAnswer(operator, requestID, text, answer string, err error) {
 	record := &v1.RequestRecord{
 		Operator: operator, RequestId: requestID, ContentHash: textHash(text), Answer: answer,
 	}
@@ -118,8 +118,8 @@
 	s.requests.add(record)
 }
 
-// rememberedError restores the error of a first answer; its kind is not remembered.
-func rememberedError(record *v1.RequestRecord) error {
+// recordedError restores the error of a first answer; its kind is not remembered.
+func recordedError(record *v1.RequestRecord) error {
 	if record.Error == "" {
 		return nil
 	}
--- a/internal/controlstate/state.go
+++ b/internal/controlstate/state.go
@@ -20,7 +20,7 @@
 	catalogue *catalogue
 	history   recent[*v1.Object]
 	changes   *changeNumbers
-	requests  *requestMemory
+	requests  *requestRecords
 
 	audit         recent[*v1.AuditRecord]
 	auditSequence uint64
@@ -51,7 +51,7 @@
 		catalogue:  newCatalogue(),
 		history:    newRecent[*v1.Object](MaximumObjectVersions),
 		changes:    newChangeNumbers(),
-		requests:   newRequestMemory(),
+		requests:   newRequestRecords(),
 		audit:      newRecent[*v1.AuditRecord](MaximumAuditRecords),
 		engines:    map[string]*v1.EngineRecord{},
 		orders:     newRecent[*v1.OrderRecord](MaximumOrderRecords),
--- a/internal/controlstate/shape.go
+++ b/internal/controlstate/validation.go
@@ -20,9 +20,9 @@
 
 // CheckObject checks what one declared object says by itself, without the objects
 // it refers to. Errors name the object and the cure.
-func CheckObject(object *v1.Object) error { return trace.Wrap(checkShape(object)) }
+func CheckObject(object *v1.Object) error { return trace.Wrap(checkObject(object)) }
 
-func checkShape(object *v1.Object) error {
+func checkObject(object *v1.Object) error {
 	key := KeyOf(object.GetKey())
 	if err := checkName(key.Name); err != nil {
 		return trace.BadParameter("%s: %s", key, trace.UserMessage(err))
@@ -117,14 +117,14 @@
 	return nil
 }
 
-func checkNames(what string, names []string) error {
+func checkNames(field string, names []string) error {
 	if len(names) > MaximumListEntries {
-		return trace.BadParameter("%d %s; at most %d", len(names), what, MaximumListEntries)
+		return trace.BadParameter("%d %s; at most %d", len(names), field, MaximumListEntries)
 	}
 	seen := make(map[string]bool, len(names))
 	for _, name := range names {
 		if seen[name] {
-			return trace.BadParameter("%s names %q twice", what, name)
+			return trace.BadParameter("%s names %q twice", field, name)
 		}
 		seen[name] = true
 	}
--- a/internal/formats/formerbuild/controller.go
+++ b/internal/formats/formerbuild/controller.go
@@ -12,12 +12,12 @@
 // Translator translates for one controller that stands for one of the first format. Commands that such a controller does
 // not know have no effect there, and it keeps and passes on their entries as they came.
 type Translator struct {
-	// came are the entries that came from elsewhere, by their log indexes.
-	came map[uint64]*v1.Entry
+	// received are the entries that received from elsewhere, by their log indexes.
+	received map[uint64]*v1.Entry
 }
 
 // New returns the translator of a controller that starts.
-func New() *Translator { return &Translator{came: map[uint64]*v1.Entry{}} }
+func New() *Translator { return &Translator{received: map[uint64]*v1.Entry{}} }
 
 // Downgrade returns a message as a process of the first format reads it.
 func Downgrade[Message proto.Message](message Message) (Message, error) {
@@ -36,7 +36,7 @@
 func (c *Translator) ReadEntries(entries []*v1.Entry) ([]*v1.Entry, error) {
 	read := make([]*v1.Entry, len(entries))
 	for index, entry := range entries {
-		c.came[entry.GetIndex()] = proto.CloneOf(entry)
+		c.received[entry.GetIndex()] = proto.CloneOf(entry)
 		stripped, err := stripEntry(entry)
 		if err != nil {
 			return nil, trace.Wrap(err)
@@ -55,7 +55,7 @@
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		if came := c.came[entry.GetIndex()]; came != nil && came.GetTerm() == entry.GetTerm() {
+		if came := c.received[entry.GetIndex()]; came != nil && came.GetTerm() == entry.GetTerm() {
 			stripped = proto.CloneOf(came)
 		}
 		written[index] = stripped
--- a/internal/formats/released/descriptors.go
+++ b/internal/formats/released/descriptors.go
@@ -17,28 +17,28 @@
 )
 
 //go:embed format-*.binpb
-var sets embed.FS
+var descriptorSets embed.FS
 
 // Descriptors are the messages and calls of one released format.
 type Descriptors struct{ files *protoregistry.Files }
 
-// loaded are the descriptors that were loaded already.
-var loaded sync.Map
+// cache are the descriptors that were cache already.
+var cache sync.Map
 
 // Load returns the descriptors of a format. An error means that the build keeps none of it, or that the file is damaged.
 func Load(number formats.Number) (*Descriptors, error) {
-	if known, is := loaded.Load(number); is {
+	if known, is := cache.Load(number); is {
 		return known.(*Descriptors), nil
 	}
 	read, err := load(number)
 	if err == nil {
-		loaded.Store(number, read)
+		cache.Store(number, read)
 	}
 	return read, err
 }
 
 func load(number formats.Number) (*Descriptors, error) {
-	content, err := sets.ReadFile(fmt.Sprintf("format-%d.binpb", number))
+	content, err := descriptorSets.ReadFile(fmt.Sprintf("format-%d.binpb", number))
 	if err != nil {
 		return nil, trace.NotFound("no descriptors of format %d are kept: %v", number, err)
 	}
@@ -57,13 +57,13 @@
 // format does not have is empty.
 func (d *Descriptors) Downgrade(message proto.Message) (proto.Message, error) {
 	read := message.ProtoReflect().New().Interface()
-	found, err := d.files.FindDescriptorByName(message.ProtoReflect().Descriptor().FullName())
+	candidate, err := d.files.FindDescriptorByName(message.ProtoReflect().Descriptor().FullName())
 	if err != nil {
 		return read, nil
 	}
-	descriptor, is := found.(protoreflect.MessageDescriptor)
+	descriptor, is := candidate.(protoreflect.MessageDescriptor)
 	if !is {
-		return nil, trace.BadParameter("%s is no message in the format", found.FullName())
+		return nil, trace.BadParameter("%s is no message in the format", candidate.FullName())
 	}
 	content, err := proto.Marshal(message)
 	if err != nil {
