--- a/internal/duty/doc.go
+++ b/internal/duty/doc.go
@@ -1,4 +1,4 @@
-// Package duty decides when the one holder of the platform's singleton duties may call. It is pure.
-// Calls on one subject go one after another, all of them no faster than the platform allows, and
-// none follows once the platform has seen a later holder.
+// Package duty decides when the leader, as the holder of the platform's singleton duties, may call the platform. It is
+// pure: it does no I/O and reads no clock. Calls on one subject are made one at a time, all calls keep the platform's
+// minimum interval, and calls on a subject end once the platform has seen a later holder there.
 package duty
--- a/internal/duty/outcome.go
+++ b/internal/duty/outcome.go
@@ -1,24 +1,24 @@
 package duty
 
-// Outcome is what is known of a call.
+// Outcome is the known result of a call.
 type Outcome int
 
-// Outcomes of calls.
+// Results of calls.
 const (
-	// Lost calls may be carried out now, later or never.
+	// Lost means that no answer came: the platform may carry out the call now, later or never.
 	Lost Outcome = iota
-	// Accepted calls are done.
+	// Accepted means that the platform has carried out the call.
 	Accepted
-	// Refused calls were not sent or not taken, and never will be.
+	// Refused means that the call was not sent or was rejected, and will never be carried out.
 	Refused
-	// Superseded calls were refused since the platform has seen a later holder's fencing token.
+	// Superseded means that the call was rejected because the platform has seen a later holder's fencing token.
 	Superseded
-	// Declined calls were refused for a later holder's fencing token, or since there is nothing of
-	// what they ask for: the platform does not tell which.
+	// Declined means that the call was rejected either because of a later holder's fencing token or because
+	// the platform cannot provide what the call requests. The platform does not report which.
 	Declined
 )
 
-// String names the outcome in logs and metrics.
+// String returns the name of the outcome in logs and metrics.
 func (o Outcome) String() string {
 	return [...]string{"lost", "taken", "refused", "overtaken", "declined"}[o]
 }
--- a/internal/duty/schedule.go
+++ b/internal/duty/schedule.go
@@ -2,74 +2,74 @@
 
 import "time"
 
-// Subject is what calls are about: the platform judges the holders of each subject by itself.
+// Subject identifies what calls are about. The platform checks fencing tokens separately for each subject.
 type Subject string
 
-// Config bounds the calls of one holder.
+// Config limits the rate of the calls of one holder.
 type Config struct {
-	// Interval is the least time between two calls; 0 for any.
+	// Interval is the minimum time between two calls on any subjects; 0 means no minimum.
 	Interval time.Duration
-	// RetryDelay is the wait before a call that was not taken is made again.
+	// RetryDelay is the wait before a call that was not accepted is repeated; 0 means DefaultRetryDelay.
 	RetryDelay time.Duration
 }
 
-// DefaultRetryDelay suits a platform that is slow or busy: a call takes some ten milliseconds otherwise.
+// DefaultRetryDelay spares a platform that is slow or busy; a call usually takes about ten milliseconds.
 const DefaultRetryDelay = 400 * time.Millisecond
 
-// Schedule keeps the calls of one holder. Times are durations since an origin that never go back.
+// Schedule tracks the calls of one holder. Times are durations since a fixed origin and must not decrease.
 type Schedule struct {
-	config   Config
-	subjects map[Subject]*calls
-	nextAt   time.Duration
+	config    Config
+	subjects  map[Subject]*subjectState
+	notBefore time.Duration
 }
 
-// calls is what is known of the calls on one subject.
-type calls struct {
-	underWay  bool
-	overtaken bool
-	nextAt    time.Duration
+// subjectState is the state of the calls on one subject.
+type subjectState struct {
+	inFlight   bool
+	superseded bool
+	notBefore  time.Duration
 }
 
-// NewSchedule returns the schedule of a holder that begins.
+// NewSchedule returns the schedule of a new holder, without any calls.
 func NewSchedule(config Config) *Schedule {
 	if config.RetryDelay == 0 {
 		config.RetryDelay = DefaultRetryDelay
 	}
-	return &Schedule{config: config, subjects: map[Subject]*calls{}}
+	return &Schedule{config: config, subjects: map[Subject]*subjectState{}}
 }
 
-// MayCall reports whether a call on a subject may be made now.
-func (s *Schedule) MayCall(now time.Duration, on Subject) bool {
-	of := s.of(on)
-	return !of.underWay && !of.overtaken && now >= of.nextAt && now >= s.nextAt
+// MayCall reports whether a call on the subject may be made now.
+func (s *Schedule) MayCall(now time.Duration, subject Subject) bool {
+	state := s.stateOf(subject)
+	return !state.inFlight && !state.superseded && now >= state.notBefore && now >= s.notBefore
 }
 
-// RecordStart notes that a call was made. Answered must follow.
-func (s *Schedule) RecordStart(now time.Duration, on Subject) {
-	s.of(on).underWay = true
-	s.nextAt = now + s.config.Interval
+// RecordStart records that a call on the subject was made. RecordOutcome must follow.
+func (s *Schedule) RecordStart(now time.Duration, subject Subject) {
+	s.stateOf(subject).inFlight = true
+	s.notBefore = now + s.config.Interval
 }
 
-// RecordOutcome notes what became of the call on a subject.
-func (s *Schedule) RecordOutcome(now time.Duration, on Subject, outcome Outcome) {
-	of := s.of(on)
-	of.underWay = false
+// RecordOutcome records the result of the call on the subject.
+func (s *Schedule) RecordOutcome(now time.Duration, subject Subject, outcome Outcome) {
+	state := s.stateOf(subject)
+	state.inFlight = false
 	switch outcome {
 	case Accepted:
-		of.nextAt = now
+		state.notBefore = now
 	case Superseded:
-		of.overtaken = true
+		state.superseded = true
 	default:
-		of.nextAt = now + s.config.RetryDelay
+		state.notBefore = now + s.config.RetryDelay
 	}
 }
 
-// Superseded reports whether a later holder was seen on a subject.
-func (s *Schedule) Superseded(on Subject) bool { return s.of(on).overtaken }
+// Superseded reports whether the platform has seen a later holder on the subject.
+func (s *Schedule) Superseded(subject Subject) bool { return s.stateOf(subject).superseded }
 
-func (s *Schedule) of(on Subject) *calls {
-	if s.subjects[on] == nil {
-		s.subjects[on] = &calls{}
+func (s *Schedule) stateOf(subject Subject) *subjectState {
+	if s.subjects[subject] == nil {
+		s.subjects[subject] = &subjectState{}
 	}
-	return s.subjects[on]
+	return s.subjects[subject]
 }
--- a/internal/duty/schedule_test.go
+++ b/internal/duty/schedule_test.go
@@ -7,18 +7,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestCallsOnOneSubjectGoOneAfterAnother(t *testing.T) {
+func TestCallsOnOneSubjectAreSerialized(t *testing.T) {
 	schedule := NewSchedule(Config{Interval: 100 * time.Millisecond, RetryDelay: time.Second})
 	require.True(t, schedule.MayCall(0, "usage"))
 	schedule.RecordStart(0, "usage")
-	require.False(t, schedule.MayCall(time.Hour, "usage"), "its answer may still come")
-	require.False(t, schedule.MayCall(99*time.Millisecond, "scale"), "the platform takes so many calls")
-	require.True(t, schedule.MayCall(100*time.Millisecond, "scale"), "another subject waits for no answer")
+	require.False(t, schedule.MayCall(time.Hour, "usage"), "the call on this subject is still in flight")
+	require.False(t, schedule.MayCall(99*time.Millisecond, "scale"), "the minimum interval holds across subjects")
+	require.True(t, schedule.MayCall(100*time.Millisecond, "scale"), "another subject does not wait for that answer")
 	schedule.RecordOutcome(time.Second, "usage", Accepted)
 	require.True(t, schedule.MayCall(time.Second, "usage"))
 }
 
-func TestWhatWasNotTakenIsCalledAgainAfterAPause(t *testing.T) {
+func TestUnacceptedCallIsRetriedAfterTheDelay(t *testing.T) {
 	for _, outcome := range []Outcome{Lost, Refused} {
 		schedule := NewSchedule(Config{RetryDelay: time.Second})
 		schedule.RecordStart(0, "usage")
@@ -28,7 +28,7 @@
 	}
 }
 
-// A holder that was overtaken on a subject never calls on it again; others are another thing.
+// A holder that was superseded on one subject never calls on it again, but still calls on other subjects.
 func TestAnOvertakenHolderStops(t *testing.T) {
 	schedule := NewSchedule(Config{})
 	schedule.RecordStart(0, "usage")
