--- a/internal/controlstate/agreement.go
+++ b/internal/controlstate/agreement.go
@@ -9,28 +9,30 @@
 	"github.com/hazelpitch/hazelpitch/internal/usage"
 )
 
-// agreement says which commands take effect. Controllers of the first format pass over commands that they do not know,
-// so that commands of later formats count only while all voters know them, from an agreement on, and what they made
-// begins anew with each agreement: no replica can hold anything of it that another one has missed.
+// agreement is the format agreement in force: the highest format whose commands take effect. Controllers of the first
+// format skip commands that they do not know. Commands of later formats therefore take effect only while all voters
+// know them, from the log index of an agreement on. The state that such commands build is reset with each agreement, so
+// that no replica holds a part of it that another replica has skipped.
 type agreement struct {
-	// format is the highest format whose commands take effect, index the log index of the agreement on it.
+	// format is the highest format whose commands take effect; index is the log index of the agreement on it.
 	format formats.Number
 	index  uint64
-	// stateMissing tells that others hold what was agreed on and this state does not: its controller was of the first format
-	// meanwhile. It is whole again with the next agreement.
+	// stateMissing is set when other replicas hold agreed state that this one does not hold, because its controller ran
+	// a build of the first format in the meantime. The next agreement resets that state everywhere and clears the flag.
 	stateMissing bool
 }
 
-// AgreedFormat is the highest format whose commands take effect.
+// AgreedFormat returns the highest format whose commands take effect.
 func (s *State) AgreedFormat() formats.Number { return s.agreed.format }
 
-// AgreementIndex is the log index of the agreement in force; 0 before the first.
+// AgreementIndex returns the log index of the agreement in force; 0 before the first agreement.
 func (s *State) AgreementIndex() uint64 { return s.agreed.index }
 
-// IsMissingAgreedState reports whether others hold what was agreed on and this state does not. The next agreement ends it.
+// IsMissingAgreedState reports whether other replicas hold agreed state that this one does not hold. The next agreement
+// clears it.
 func (s *State) IsMissingAgreedState() bool { return s.agreed.stateMissing }
 
-// agree puts another agreement in force.
+// agree applies a new agreement.
 func (s *State) agree(index uint64, body *v1.AgreeFormat) Result {
 	number := formats.Number(body.GetFormat())
 	if number > formats.Newest {
@@ -46,7 +48,7 @@
 	return Result{}
 }
 
-// beginAgreement lets what commands above the first format have made begin anew.
+// beginAgreement starts an agreement and resets the state that commands above the first format have built.
 func (s *State) beginAgreement(index uint64, number formats.Number) {
 	s.agreed = agreement{format: number, index: index}
 	s.usage = usage.NewLedger()
@@ -54,8 +56,8 @@
 	s.suspects = quarantine.NewLedger()
 }
 
-// checkFormat returns why a command must not be applied; nil where it may. A command that builds on an agreement which
-// this state does not have shows that the state was written by a controller of the first format, or taken from one.
+// checkFormat returns why a command must not be applied; nil if it may be applied. A command that refers to an agreement
+// which this state does not hold shows that a controller of the first format wrote the state, or the snapshot it came from.
 func (s *State) checkFormat(index uint64, command *v1.Command) error {
 	number, known := formats.CommandFormat(command)
 	if !known && len(command.ProtoReflect().GetUnknown()) > 0 {
@@ -63,7 +65,7 @@
 	}
 	switch {
 	case command.GetAgreedAt() == 0:
-		s.agreed.stateMissing = false // nothing is agreed on where it was proposed
+		s.agreed.stateMissing = false // no agreement was in force where the command was proposed
 	case command.GetAgreedAt() > s.agreed.index:
 		s.beginAgreement(s.agreed.index, formats.First)
 		s.agreed.stateMissing = true
--- a/internal/controlstate/audit.go
+++ b/internal/controlstate/audit.go
@@ -6,7 +6,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// addAudit appends a record to the audit trail and cuts its texts to the bound.
+// addAudit appends a record to the audit trail and truncates its texts to MaximumTextBytes.
 func (s *State) addAudit(at int64, record *v1.AuditRecord) {
 	s.auditSequence++
 	record.Sequence = s.auditSequence
@@ -16,7 +16,7 @@
 	s.audit.add(record)
 }
 
-// cutText cuts a text to the bound.
+// cutText truncates a text to MaximumTextBytes and drops a character that the cut leaves incomplete.
 func cutText(text string) string {
 	if len(text) <= MaximumTextBytes {
 		return text
@@ -24,5 +24,5 @@
 	return strings.ToValidUTF8(text[:MaximumTextBytes], "")
 }
 
-// Audit lists the remembered submissions of operators, oldest first.
+// Audit lists the retained audit records of operators' submissions, oldest first.
 func (s *State) Audit() []*v1.AuditRecord { return s.audit.all() }
--- a/internal/controlstate/bounds.go
+++ b/internal/controlstate/bounds.go
@@ -2,55 +2,55 @@
 
 import "time"
 
-// Bounds of the replicated state's memory. Reaching one never blocks a declaration;
-// what is forgotten, or refused, is said with each.
+// Limits on the records that the replicated state retains. A declaration is accepted also when one of
+// them is reached; each constant says what is then dropped or refused.
 const (
-	// MaximumRequestRecords is the number of first answers kept for resends. A resend
+	// MaximumRequestRecords is the number of first answers retained for resends. A resend
 	// that comes after as many later submissions is treated as a new submission;
-	// its change number still protects it from being accepted twice.
+	// its change number still prevents that it is accepted twice.
 	MaximumRequestRecords = 4096
 	// MaximumChangeRecords is the number of accepted revisions whose change numbers
-	// are kept one by one. Unused numbers below the oldest of them count as taken.
+	// are retained one by one. Unused numbers below the oldest of them count as taken.
 	MaximumChangeRecords = 4096
-	// MaximumTombstones is the number of deletions kept for deltas. A node that
-	// is behind the oldest forgotten one gets the full configuration.
+	// MaximumTombstones is the number of deletions retained for deltas. A node that
+	// is behind the oldest dropped one gets the full configuration.
 	MaximumTombstones = 4096
-	// MaximumObjectVersions is the number of earlier object versions kept for queries.
+	// MaximumObjectVersions is the number of earlier object versions retained for queries.
 	MaximumObjectVersions = 4096
-	// MaximumAuditRecords is the number of audit records kept; the oldest are forgotten.
+	// MaximumAuditRecords is the number of audit records retained; the oldest are dropped.
 	MaximumAuditRecords = 8192
-	// MaximumOrderRecords is the number of ended orders kept over all engines.
+	// MaximumOrderRecords is the number of finished orders retained for all engines together.
 	MaximumOrderRecords = 8192
-	// MaximumClaims is the number of claims kept; more are refused until some expire.
+	// MaximumClaims is the number of claims retained; further claims are refused until some expire.
 	MaximumClaims = 200_000
-	// MaximumTenantClaims is the part of them that one tenant may hold.
+	// MaximumTenantClaims is the number of claims that one tenant may hold.
 	MaximumTenantClaims = MaximumClaims / 8
-	// MaximumTotalOutcomeBytes bounds the bodies kept as outcomes of claims, and
-	// MaximumTenantOutcomeBytes those of one tenant; beyond, bodies are left out.
+	// MaximumTotalOutcomeBytes limits the bodies stored as outcomes of claims, and
+	// MaximumTenantOutcomeBytes those of one tenant; bodies beyond them are not stored.
 	MaximumTotalOutcomeBytes  = 128 << 20
 	MaximumTenantOutcomeBytes = MaximumTotalOutcomeBytes / 8
-	// MaximumReleasedAttempts is the number of attempts that are remembered to have
-	// given one claim back; the oldest is forgotten.
+	// MaximumReleasedAttempts is the number of attempts per claim that are recorded as
+	// having released it; the oldest is dropped.
 	MaximumReleasedAttempts = 16
-	// MaximumEngines is the number of engines recorded; more are refused.
+	// MaximumEngines is the number of recorded engines; further engines are refused.
 	MaximumEngines = 10_000
 )
 
-// Bounds of what one command may hold.
+// Limits on the contents of one command.
 const (
 	MaximumObjects        = 100_000 // objects in force
 	MaximumNameBytes      = 128     // names of objects, tenants and engines
 	MaximumAPIKeys        = 64      // of one tenant
 	MaximumListEntries    = 1024    // of one list field of an object
-	MaximumTextBytes      = 1024    // remembered of a command's text
+	MaximumTextBytes      = 1024    // recorded of a command's text
 	MaximumRequestIDBytes = 128
 	MaximumClaimKeyBytes  = 256
 	MaximumOutcomeBytes   = 32 << 10 // of a claimed request's body
-	// MaximumChangeNumberStep is how far a change number may lie above the highest one.
+	// MaximumChangeNumberStep is how far a change number may exceed the highest one.
 	MaximumChangeNumberStep = 1_000_000
-	// MinimumSaltSeedBytes is the size of the random bytes behind new cache salts.
+	// MinimumSaltSeedBytes is the minimum number of random bytes from which new cache salts are derived.
 	MinimumSaltSeedBytes = 16
 )
 
-// MaximumClaimLifetime is the longest time a claim is remembered.
+// MaximumClaimLifetime is the longest time for which a claim is retained.
 const MaximumClaimLifetime = 24 * time.Hour
--- a/internal/controlstate/catalogue.go
+++ b/internal/controlstate/catalogue.go
@@ -12,16 +12,16 @@
 // catalogueDegree is the degree of the B-tree that orders objects by revision.
 const catalogueDegree = 32
 
-// catalogue holds the declared objects and remembered tombstones, by key and by
+// catalogue holds the declared objects and the retained tombstones, indexed by key and by
 // the revision that last changed them.
 type catalogue struct {
 	objects    map[Key]*v1.Object
 	byType     map[v1.ObjectType]map[string]*v1.Object // in force only
 	byRevision *btree.BTreeG[*v1.Object]
-	// tenantOfKey finds the tenant of an API key's hash.
+	// tenantOfKey maps the hash of an API key to its tenant's name.
 	tenantOfKey map[string]string
 	tombstones  *btree.BTreeG[*v1.Object]
-	// tombstoneFloor: every tombstone after this revision is remembered.
+	// tombstoneFloor is the highest revision of a dropped tombstone; all later tombstones are retained.
 	tombstoneFloor uint64
 	inForce        int
 }
@@ -52,7 +52,7 @@
 	return object
 }
 
-// put replaces the object or tombstone of its key.
+// put stores the object or tombstone and replaces what its key held.
 func (c *catalogue) put(object *v1.Object) {
 	key := KeyOf(object.Key)
 	c.remove(key)
@@ -75,7 +75,7 @@
 	}
 }
 
-// remove takes out whatever is held for the key.
+// remove deletes the object or tombstone of the key, if any.
 func (c *catalogue) remove(key Key) {
 	old := c.objects[key]
 	if old == nil {
@@ -96,7 +96,7 @@
 	}
 }
 
-// trimTombstones drops the oldest tombstones above the bound.
+// trimTombstones drops the oldest tombstones beyond MaximumTombstones.
 func (c *catalogue) trimTombstones() {
 	for c.tombstones.Len() > MaximumTombstones {
 		oldest, _ := c.tombstones.Min()
@@ -105,12 +105,12 @@
 	}
 }
 
-// ofType lists the objects in force of one type, by name.
+// ofType lists the objects in force of one type, sorted by name.
 func (c *catalogue) ofType(objectType v1.ObjectType) []*v1.Object {
 	return sortedValues(c.byType[objectType])
 }
 
-// sortedValues lists the values of a map by its keys.
+// sortedValues returns the values of a map in the order of their keys.
 func sortedValues[K cmp.Ordered, V any](values map[K]V) []V {
 	keys := make([]K, 0, len(values))
 	for key := range values {
--- a/internal/controlstate/change.go
+++ b/internal/controlstate/change.go
@@ -8,14 +8,14 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// change is a declaration laid over the objects in force: only what differs.
+// change holds the objects that differ between a declaration and the objects in force.
 type change struct {
 	base    *catalogue
 	objects map[Key]*v1.Object // tombstones among them
 	keys    []Key              // of objects, sorted before use
 }
 
-// add lays a declared object over the one in force, when they differ.
+// add records a declared object if it differs from the one in force.
 func (c *change) add(key Key, declared *v1.Object) {
 	if declared.Deleted {
 		c.remove(key)
@@ -34,7 +34,7 @@
 	c.put(key, object)
 }
 
-// remove lays a tombstone over an object in force.
+// remove records a tombstone for an object in force.
 func (c *change) remove(key Key) {
 	if c.base.get(key) == nil {
 		return
@@ -63,7 +63,7 @@
 	return c.get(Key{objectType, name}) != nil
 }
 
-// ofType lists the objects of one type after the change, by name.
+// ofType lists the objects of one type after the change, sorted by name.
 func (c *change) ofType(objectType v1.ObjectType) []*v1.Object {
 	merged := map[string]*v1.Object{}
 	for name, object := range c.base.byType[objectType] {
@@ -82,7 +82,7 @@
 	return sortedValues(merged)
 }
 
-// checkSeed demands random bytes when a new tenant needs a cache salt.
+// checkSeed returns an error when a new tenant needs a cache salt and the seed is too short.
 func (c *change) checkSeed(seed []byte) error {
 	if len(seed) >= MinimumSaltSeedBytes {
 		return nil
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// normalise returns a copy of a declared object with everything that only an
-// accepted object has cleared, and with defaults filled in.
+// normalise returns a copy of a declared object with default values filled in and without
+// the fields that are set on acceptance.
 func normalise(declared *v1.Object) *v1.Object {
 	object := proto.CloneOf(declared)
 	object.Revision = 0
@@ -112,7 +112,7 @@
 	return object
 }
 
-// sameSpec reports whether two objects of one key declare the same.
+// sameSpec reports whether two objects of one key have equal specs.
 func sameSpec(a, b *v1.Object) bool {
 	left, right := specOf(a), specOf(b)
 	return left != nil && right != nil && proto.Equal(left, right)
--- a/internal/controlstate/changes.go
+++ b/internal/controlstate/changes.go
@@ -4,11 +4,11 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// changeNumbers remembers which submission won which change number.
+// changeNumbers records which accepted change used which change number.
 type changeNumbers struct {
 	records  recent[*v1.ChangeRecord]
 	byNumber map[uint64]*v1.ChangeRecord
-	// floor: numbers up to this one count as taken.
+	// floor is the highest change number of a dropped record; numbers up to it count as taken.
 	floor   uint64
 	highest uint64
 }
@@ -20,8 +20,8 @@
 	}
 }
 
-// taken reports whether a number has been won, and by which change when that is
-// still remembered.
+// taken reports whether a change number has been used, and returns the record of the change that used it
+// while that record is retained.
 func (c *changeNumbers) taken(number uint64) (winner *v1.ChangeRecord, taken bool) {
 	if record := c.byNumber[number]; record != nil {
 		return record, true
--- a/internal/controlstate/claim_use.go
+++ b/internal/controlstate/claim_use.go
@@ -2,15 +2,15 @@
 
 import v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 
-// claimUse is what claims take up.
+// claimUse counts claims and the memory of their outcomes.
 type claimUse struct {
 	claims int
-	// outcomeBytes are the bodies of recorded outcomes.
+	// outcomeBytes is the size of the bodies of recorded outcomes.
 	outcomeBytes int
 }
 
-// claimUses counts what claims take up, by tenant and in all, so that no tenant can take
-// the room of the others.
+// claimUses counts the use by claims per tenant and in total, so that no tenant can exhaust
+// the capacity of the others.
 type claimUses struct {
 	all     claimUse
 	tenants map[string]claimUse
@@ -18,18 +18,18 @@
 
 func newClaimUses() claimUses { return claimUses{tenants: map[string]claimUse{}} }
 
-// isFull reports whether one more claim of a tenant is beyond a bound.
+// isFull reports whether one more claim of the tenant would exceed a limit.
 func (u *claimUses) isFull(tenant string) bool {
 	return u.all.claims >= MaximumClaims || u.tenants[tenant].claims >= MaximumTenantClaims
 }
 
-// fitsBody reports whether a body of a tenant's outcome may be kept.
+// fitsBody reports whether a body of an outcome of the tenant may be stored.
 func (u *claimUses) fitsBody(tenant string, bytes int) bool {
 	return bytes <= MaximumOutcomeBytes && u.all.outcomeBytes+bytes <= MaximumTotalOutcomeBytes &&
 		u.tenants[tenant].outcomeBytes+bytes <= MaximumTenantOutcomeBytes
 }
 
-// add counts a claim in or, with sign -1, out.
+// add adds a claim to the counts or, with sign -1, subtracts it.
 func (u *claimUses) add(record *v1.ClaimRecord, sign int) {
 	u.change(record.Tenant, claimUse{claims: sign, outcomeBytes: sign * len(record.Body)})
 }
--- a/internal/controlstate/claims.go
+++ b/internal/controlstate/claims.go
@@ -11,7 +11,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// claimKey identifies a request that runs at most once.
+// claimKey identifies a claim: the right to run a request that must run at most once.
 type claimKey struct{ tenant, kind, key string }
 
 func (k claimKey) compare(other claimKey) int {
@@ -21,7 +21,7 @@
 // claimTable holds the claims that have not expired.
 type claimTable struct {
 	records map[claimKey]*v1.ClaimRecord
-	// expiredBefore: claims that expire up to this time are forgotten, and late
+	// expiredBefore is the time up to which claims have expired. They are dropped, and late
 	// copies of their commands are refused.
 	expiredBefore int64
 	uses          claimUses
@@ -31,7 +31,7 @@
 	return &claimTable{records: map[claimKey]*v1.ClaimRecord{}, uses: newClaimUses()}
 }
 
-// beginClaim grants a claim to one attempt, or tells how far another has come.
+// beginClaim grants a claim to one attempt, or returns the state of the claim of another attempt.
 func (s *State) beginClaim(at int64, begin *v1.BeginClaim) Result {
 	if err := checkClaim(begin); err != nil {
 		return Result{Err: trace.Wrap(err)}
@@ -95,7 +95,7 @@
 	return &v1.BeginClaimResponse{State: state}
 }
 
-// answerExisting tells an attempt about a claim that is held or ended.
+// answerExisting returns the answer to an attempt whose claim is granted or finished already.
 func answerExisting(record *v1.ClaimRecord, attempt string) *v1.BeginClaimResponse {
 	switch {
 	case record.State == v1.ClaimState_CLAIM_STATE_FINISHED:
@@ -112,7 +112,7 @@
 	}
 }
 
-// finish records the outcome of a claimed request. The first outcome stands.
+// finish records the outcome of a claimed request. Later outcomes do not replace a recorded one.
 func (t *claimTable) finish(finish *v1.FinishClaim) error {
 	key := claimKey{finish.Tenant, finish.Kind, finish.Key}
 	record := t.records[key]
@@ -133,7 +133,7 @@
 	case finish.MayHaveRun:
 		updated.State = v1.ClaimState_CLAIM_STATE_UNKNOWN
 	case finish.NotRun && record.State == v1.ClaimState_CLAIM_STATE_UNKNOWN:
-		return nil // unknown stays unknown: it is the cautious answer
+		return nil // the state stays unknown: the request may have run
 	case finish.NotRun:
 		release(updated)
 	default:
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// release gives a claim back: the request did not run.
+// release frees a claim whose request did not run, so that another attempt may claim it.
 func release(record *v1.ClaimRecord) {
 	record.Released = true
 	record.ReleasedAttempts = append(slices.Clone(record.ReleasedAttempts), record.Attempt)
@@ -152,7 +152,7 @@
 	}
 }
 
-// isClaimRunning reports whether an attempt holds the claim and has no outcome.
+// isClaimRunning reports whether an attempt holds the claim and has not reported an outcome.
 func isClaimRunning(record *v1.ClaimRecord) bool {
 	return record.State == v1.ClaimState_CLAIM_STATE_GRANTED && !record.Released
 }
@@ -168,7 +168,7 @@
 	}
 }
 
-// expire forgets the claims that expire up to a time.
+// expire drops the claims that expire up to a time, in milliseconds since the Unix epoch.
 func (t *claimTable) expire(before int64) {
 	t.expiredBefore = max(t.expiredBefore, before)
 	for key, record := range t.records {
@@ -178,7 +178,7 @@
 	}
 }
 
-// loseGateway makes the claims of a lost gateway process unknown.
+// loseGateway sets the claims of a lost gateway process and of its earlier incarnations to unknown.
 func (t *claimTable) loseGateway(gateway string, incarnation uint64) {
 	for key, record := range t.records {
 		if !isClaimRunning(record) || record.Gateway != gateway || record.GatewayIncarnation > incarnation {
@@ -190,7 +190,7 @@
 	}
 }
 
-// sorted lists the claims by tenant, kind and key.
+// sorted lists the claims ordered by tenant, kind and key.
 func (t *claimTable) sorted() []*v1.ClaimRecord {
 	records := make([]*v1.ClaimRecord, 0, len(t.records))
 	for _, record := range t.records {
@@ -202,16 +202,16 @@
 	return records
 }
 
-// Claims lists the claims by tenant, kind and key.
+// Claims lists the claims ordered by tenant, kind and key.
 func (s *State) Claims() []*v1.ClaimRecord { return s.claims.sorted() }
 
-// ClaimHolder is one gateway process that holds claims without an outcome.
+// ClaimHolder identifies a gateway process that holds claims without an outcome.
 type ClaimHolder struct {
 	Gateway     string
 	Incarnation uint64
 }
 
-// ClaimHolders lists the gateway processes that hold claims without an outcome, by
+// ClaimHolders lists the gateway processes that hold claims without an outcome, ordered by
 // name and incarnation.
 func (s *State) ClaimHolders() []ClaimHolder {
 	holders := map[ClaimHolder]bool{}
@@ -230,7 +230,7 @@
 	return sorted
 }
 
-// HasExpiredClaims reports whether ExpireClaims up to a time would forget any.
+// HasExpiredClaims reports whether ExpireClaims with this time would drop a claim.
 func (s *State) HasExpiredClaims(before int64) bool {
 	for _, record := range s.claims.records {
 		if record.ExpiresAtMs <= before {
--- a/internal/controlstate/claims_test.go
+++ b/internal/controlstate/claims_test.go
@@ -26,9 +26,9 @@
 		s.run(&v1.Command{Body: &v1.Command_LoseGateway{LoseGateway: &v1.LoseGateway{Gateway: "g", Incarnation: incarnation}}})
 	}
 	cases := []struct {
-		name    string
-		happens func(*testState)
-		// holder and other are what the first and a second attempt are told then.
+		name   string
+		change func(*testState)
+		// holder and other are the answers that the first and a second attempt get afterwards.
 		holder, other v1.ClaimState
 	}{
 		{"still running", func(*testState) {}, granted, running},
@@ -67,8 +67,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			s := newTestState(t)
 			require.Equal(t, granted, s.claim("k", "first", 1, "g", 1).Claim.State)
-			test.happens(s)
-			require.Equal(t, conflict, s.claim("k", "third", 2, "g", 1).Claim.State, "one key, another body")
+			test.change(s)
+			require.Equal(t, conflict, s.claim("k", "third", 2, "g", 1).Claim.State, "the same key with another body")
 			require.Equal(t, test.holder, s.claim("k", "first", 1, "g", 1).Claim.State, "the first attempt")
 			answer := s.claim("k", "second", 1, "g", 1).Claim
 			require.Equal(t, test.other, answer.State, "a second attempt")
@@ -91,7 +91,7 @@
 	require.Empty(t, s.Claims())
 	late := s.run(&v1.Command{Body: &v1.Command_BeginClaim{BeginClaim: &v1.BeginClaim{
 		Tenant: "tenant", Kind: "alert", Key: "k", Attempt: "first", ExpiresAtMs: expiry}}})
-	require.ErrorIs(t, late.Err, ErrClaimExpired, "a late copy does not bring the claim back")
+	require.ErrorIs(t, late.Err, ErrClaimExpired, "a late copy of the command does not restore the claim")
 	far := s.run(&v1.Command{Body: &v1.Command_BeginClaim{BeginClaim: &v1.BeginClaim{
 		Tenant: "tenant", Kind: "alert", Key: "far", Attempt: "a", ExpiresAtMs: s.now + 10*MaximumClaimLifetime.Milliseconds()}}})
 	require.NoError(t, far.Err)
@@ -116,8 +116,8 @@
 	require.True(t, answer.BodyOmitted)
 }
 
-// TestOneTenantLeavesRoomForOthers fills a tenant's claims, and then its outcomes.
-func TestOneTenantLeavesRoomForOthers(t *testing.T) {
+// TestClaimLimitsPerTenant fills the claims of one tenant, and then its stored outcomes; other tenants keep their capacity.
+func TestClaimLimitsPerTenant(t *testing.T) {
 	s := newTestState(t)
 	begin := func(tenant string, number int) error {
 		return s.run(&v1.Command{Body: &v1.Command_BeginClaim{BeginClaim: &v1.BeginClaim{
@@ -132,14 +132,14 @@
 		require.NoError(t, begin("flooding", number))
 	}
 	require.ErrorIs(t, begin("flooding", MaximumTenantClaims), ErrTooManyClaims)
-	require.NoError(t, begin("flooding", 0), "a resend of a claim that is held")
+	require.NoError(t, begin("flooding", 0), "a resend of a claim that is granted already")
 	require.NoError(t, begin("neighbour", 0))
 
-	const kept = MaximumTenantOutcomeBytes / MaximumOutcomeBytes
-	for number := range kept {
+	const maximumStored = MaximumTenantOutcomeBytes / MaximumOutcomeBytes
+	for number := range maximumStored {
 		require.True(t, finish("flooding", number, MaximumOutcomeBytes))
 	}
-	require.False(t, finish("flooding", kept, 1), "its part is full")
+	require.False(t, finish("flooding", maximumStored, 1), "the tenant's limit is reached")
 	require.True(t, finish("neighbour", 0, MaximumOutcomeBytes))
 
 	data, err := s.Snapshot()
--- a/internal/controlstate/declaration.go
+++ b/internal/controlstate/declaration.go
@@ -10,9 +10,9 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// applyDeclaration accepts a declaration as one revision, or refuses it whole. The
-// order of the checks is part of the promise: a resend gets its first answer before
-// anything else is looked at, and a taken change number is told before any fault.
+// applyDeclaration accepts a declaration as one revision, or refuses all of it. The order
+// of the checks is guaranteed: a resend gets its first answer before any other check, and
+// a taken change number is reported before any other fault.
 func (s *State) applyDeclaration(at int64, declaration *v1.ApplyDeclaration) *v1.ApplyResponse {
 	hash := declarationHash(declaration)
 	if s.safeguards.On(ResendDeduplication) {
@@ -49,7 +49,7 @@
 	return s.accept(at, declaration, change)
 }
 
-// checkSubmission checks everything but the objects.
+// checkSubmission checks the declaration apart from its objects; nil means that it passes.
 func (s *State) checkSubmission(declaration *v1.ApplyDeclaration) *v1.ApplyResponse {
 	number := declaration.ChangeNumber
 	if winner, taken := s.changes.taken(number); number != 0 && taken && s.safeguards.On(ChangeNumberCheck) {
@@ -87,12 +87,12 @@
 	return response
 }
 
-// refusal is an answer that changes nothing.
+// refusal returns an answer to a declaration that changes nothing.
 func (s *State) refusal(outcome v1.ApplyOutcome, detail string) *v1.ApplyResponse {
 	return &v1.ApplyResponse{Outcome: outcome, Revision: s.revision, Detail: detail}
 }
 
-// accept puts a planned change in force.
+// accept applies a planned change as the next revision.
 func (s *State) accept(at int64, declaration *v1.ApplyDeclaration, change *change) *v1.ApplyResponse {
 	s.revision++
 	number := declaration.ChangeNumber
@@ -145,14 +145,14 @@
 	}
 }
 
-// CheckDeclaration tells whether a declaration would be accepted, numbers and base
-// revision apart. It changes nothing.
+// CheckDeclaration returns why a declaration would be refused; nil if it would be accepted. It does not
+// check change number and base revision, and changes nothing.
 func (s *State) CheckDeclaration(objects []*v1.Object, prune bool) error {
 	_, err := s.planChange(objects, prune)
 	return trace.Wrap(err)
 }
 
-// planChange works out the objects a declaration changes and checks the result.
+// planChange returns the objects that a declaration changes, after checking the resulting configuration.
 func (s *State) planChange(objects []*v1.Object, prune bool) (*change, error) {
 	planned := &change{base: s.catalogue, objects: map[Key]*v1.Object{}}
 	named := make(map[Key]bool, len(objects))
--- a/internal/controlstate/declaration_test.go
+++ b/internal/controlstate/declaration_test.go
@@ -19,7 +19,7 @@
 	invalid     = v1.ApplyOutcome_APPLY_OUTCOME_INVALID
 )
 
-func TestOfTwoEqualChangeNumbersOneWins(t *testing.T) {
+func TestOnlyOneOfTwoEqualChangeNumbersIsAccepted(t *testing.T) {
 	s := newTestState(t)
 	first := s.submit(&v1.ApplyDeclaration{Operator: "alice", RequestId: "a", ChangeNumber: 7, Objects: baseObjects()})
 	require.Equal(t, accepted, first.Outcome, first.Detail)
@@ -30,10 +30,10 @@
 		require.Equal(t, first.Revision, second.WinnerRevision)
 	}
 	require.Equal(t, uint64(1), s.Revision())
-	require.Equal(t, uint64(8), s.declare("", 0, modelObject("other", "2")).ChangeNumber, "the next free number")
+	require.Equal(t, uint64(8), s.declare("", 0, modelObject("other", "2")).ChangeNumber, "the next unused number")
 }
 
-func TestForgottenChangeNumbersStayTaken(t *testing.T) {
+func TestDroppedChangeNumbersStayTaken(t *testing.T) {
 	s := newTestState(t)
 	for i := range MaximumChangeRecords + 10 {
 		require.Equal(t, accepted, s.declare("", uint64(2*i+2), modelObject("base", fmt.Sprint(i))).Outcome)
@@ -43,7 +43,7 @@
 		require.Equal(t, numberTaken, answer.Outcome, "number %d", number)
 		require.Empty(t, answer.Winner)
 	}
-	require.Equal(t, accepted, s.declare("", 23, modelObject("base", "late")).Outcome, "an unused number that is remembered")
+	require.Equal(t, accepted, s.declare("", 23, modelObject("base", "late")).Outcome, "an unused number above the dropped ones")
 }
 
 func TestResendGetsTheFirstAnswer(t *testing.T) {
@@ -75,17 +75,17 @@
 			require.NoError(t, err)
 			s.State = restored
 			revision := s.Revision()
-			require.Equal(t, first.String(), s.submit(test.first).String(), "over a restart too")
+			require.Equal(t, first.String(), s.submit(test.first).String(), "also after a restart")
 			require.Equal(t, revision, s.Revision())
 			other := s.submit(&v1.ApplyDeclaration{Operator: "alice", RequestId: "request", Objects: []*v1.Object{modelObject("x", "1")}})
-			require.Equal(t, invalid, other.Outcome, "one identity, two contents")
+			require.Equal(t, invalid, other.Outcome, "one request identity with two contents")
 			require.Equal(t, accepted, s.submit(&v1.ApplyDeclaration{
 				Operator: "bob", RequestId: "request", Objects: []*v1.Object{modelObject("x", "1")}}).Outcome, "another operator")
 		})
 	}
 }
 
-func TestDeclarationIsCheckedAsAWhole(t *testing.T) {
+func TestDeclarationValidation(t *testing.T) {
 	policy := func(price float64) *v1.Object {
 		return &v1.Object{Key: objectKey(v1.ObjectType_OBJECT_TYPE_POLICY, "p"),
 			Spec: &v1.Object_Policy{Policy: &v1.Policy{Service: "assessor", ChangePrice: price}}}
@@ -101,7 +101,7 @@
 	cases := []struct {
 		name    string
 		objects []*v1.Object
-		detail  string // part of the refusal; empty when accepted
+		detail  string // part of the refusal's text; empty when accepted
 	}{
 		{"missing model", []*v1.Object{serviceObject("s", "none")}, "service s refers to model none"},
 		{"missing service", []*v1.Object{kindObject("k", "none", 1)}, "kind k refers to service none"},
@@ -143,12 +143,12 @@
 			require.Equal(t, invalid, response.Outcome)
 			require.Contains(t, response.Detail, test.detail)
 			require.Equal(t, uint64(1), s.Revision())
-			require.Len(t, s.Objects(), 4, "nothing of a refused declaration is in force")
+			require.Len(t, s.Objects(), 4, "no object of a refused declaration is in force")
 		})
 	}
 }
 
-func TestCacheSaltIsMadeOnceAndSecret(t *testing.T) {
+func TestCacheSaltIsStableAndUnpredictable(t *testing.T) {
 	s := newTestState(t)
 	s.accept(tenantObject("a", keyHash(1)), tenantObject("b", keyHash(2)))
 	salt := func(name string) string {
@@ -160,16 +160,16 @@
 	guess := tenantObject("a", keyHash(1), keyHash(3))
 	guess.GetTenant().CacheSalt = "chosen"
 	s.accept(guess)
-	require.Equal(t, first, salt("a"), "an operator cannot choose it, a change keeps it")
+	require.Equal(t, first, salt("a"), "an operator cannot choose the salt, and a change of the tenant keeps it")
 	s.accept(deleted(v1.ObjectType_OBJECT_TYPE_TENANT, "a"))
 	s.accept(tenantObject("a", keyHash(1)))
-	require.NotEqual(t, first, salt("a"), "a new tenant under an old name starts anew")
+	require.NotEqual(t, first, salt("a"), "a new tenant under an old name gets a new salt")
 	unseeded := s.run(&v1.Command{Body: &v1.Command_ApplyDeclaration{ApplyDeclaration: &v1.ApplyDeclaration{
 		Objects: []*v1.Object{tenantObject("c")}}}}).Apply
 	require.Equal(t, invalid, unseeded.Outcome, "no salt without random bytes")
 }
 
-func TestPruneDeletesWhatIsNotNamed(t *testing.T) {
+func TestPruneDeletesUndeclaredObjects(t *testing.T) {
 	s := newTestState(t)
 	s.accept(append(baseObjects(), tenantObject("t", keyHash(1)))...)
 	response := s.submit(&v1.ApplyDeclaration{Prune: true, Objects: baseObjects()})
@@ -184,19 +184,19 @@
 	t.Run("change number check", func(t *testing.T) {
 		s := newTestState(t, ChangeNumberCheck)
 		s.declare("", 7, modelObject("a", "1"))
-		require.Equal(t, accepted, s.declare("", 7, modelObject("a", "2")).Outcome, "both win")
+		require.Equal(t, accepted, s.declare("", 7, modelObject("a", "2")).Outcome, "both changes are accepted")
 	})
 	t.Run("resend deduplication", func(t *testing.T) {
 		s := newTestState(t, ResendDeduplication)
 		s.declare("request", 0, modelObject("a", "1"))
 		s.declare("", 0, modelObject("a", "2"))
-		require.Equal(t, accepted, s.declare("request", 0, modelObject("a", "1")).Outcome, "the resend undoes what came later")
+		require.Equal(t, accepted, s.declare("request", 0, modelObject("a", "1")).Outcome, "the resend reverts the later change")
 	})
 	t.Run("base revision check", func(t *testing.T) {
 		s := newTestState(t, BaseRevisionCheck)
 		s.accept(modelObject("a", "1"))
 		s.accept(modelObject("a", "2"))
 		require.Equal(t, accepted, s.submit(&v1.ApplyDeclaration{
-			BaseRevision: 1, Objects: []*v1.Object{modelObject("a", "3")}}).Outcome, "a plan of an old revision wins")
+			BaseRevision: 1, Objects: []*v1.Object{modelObject("a", "3")}}).Outcome, "a plan against an old revision is accepted")
 	})
 }
--- a/internal/controlstate/delta.go
+++ b/internal/controlstate/delta.go
@@ -6,33 +6,33 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// MaximumTenantsInDelta bounds the tenants that a delta holds for a node that does
-// not name those it holds; a larger change is answered with the full configuration.
+// MaximumTenantsInDelta limits the tenants in a delta for a node that does not name the
+// tenants it holds; a node that would need more gets the full configuration.
 const MaximumTenantsInDelta = 1024
 
-// DeltaRequest is a node's question for what changed.
+// DeltaRequest is a node's request for the changes since its revision.
 type DeltaRequest struct {
-	// Revision in force at the node; 0 when it has none.
+	// Revision is the revision in force at the node; 0 when it has none.
 	Revision uint64
 	// HeldTenants are the tenants the node holds.
 	HeldTenants []string
-	// UnknownKeyHashes are API keys the node has met and does not know.
+	// UnknownKeyHashes are hashes of API keys that the node has received and does not know.
 	UnknownKeyHashes []string
 }
 
-// Delta is what a node needs to be at Revision. Its size is bounded by what the node
-// holds and by the remembered tombstones, not by the number of tenants.
+// Delta is what a node needs to reach Revision. Its size is limited by what the node holds
+// and by the retained tombstones; it does not grow with the number of tenants.
 type Delta struct {
 	Revision uint64
-	// Full: Objects replace everything the node has.
+	// Full means that Objects replace everything the node has.
 	Full    bool
 	Objects []*v1.Object
-	// RejectedKeyHashes belong to no tenant at Revision.
+	// RejectedKeyHashes belong to no tenant at this Revision.
 	RejectedKeyHashes []string
 }
 
-// Delta answers a node. A node that is ahead of this state gets an answer at its own
-// revision with nothing in it: a revision is never taken back.
+// Delta returns the changes for a node. A node ahead of this state gets an empty delta at its own
+// revision: a node never returns to an earlier revision.
 func (s *State) Delta(request DeltaRequest) Delta {
 	if request.Revision > s.revision {
 		return Delta{Revision: request.Revision}
@@ -47,8 +47,8 @@
 	return delta
 }
 
-// addChanges adds what changed after the request's revision. It reports false when
-// that is too much, so that the full configuration is the shorter answer.
+// addChanges adds the changes after the request's revision. It returns false when there are so many
+// that the full configuration is shorter.
 func (s *State) addChanges(delta *Delta, request DeltaRequest, held map[string]bool) bool {
 	after := &v1.Object{Revision: request.Revision + 1, Key: &v1.ObjectKey{}}
 	tenants := 0
@@ -72,7 +72,7 @@
 	return true
 }
 
-// fullConfiguration lists everything in force that a node needs.
+// fullConfiguration lists all objects in force that a node needs.
 func (s *State) fullConfiguration(held map[string]bool) []*v1.Object {
 	var objects []*v1.Object
 	for _, objectType := range objectTypes {
@@ -89,7 +89,7 @@
 	return objects
 }
 
-// addUnknownKeys adds the tenants of unknown API keys, or says that there is none.
+// addUnknownKeys adds the tenants of unknown API keys, and rejects the keys that belong to no tenant.
 func (s *State) addUnknownKeys(delta *Delta, hashes []string) {
 	added := map[string]bool{}
 	for _, object := range delta.Objects {
@@ -110,8 +110,8 @@
 	}
 }
 
-// nodeNeeds reports whether gateways use a type of object. Operators' keys and the
-// planner's bounds, pins and policies stay with the controllers.
+// nodeNeeds reports whether gateways use objects of a type. Operators' keys and the planner's
+// bounds, pins and policies are used by controllers only.
 func nodeNeeds(objectType v1.ObjectType) bool {
 	switch objectType {
 	case v1.ObjectType_OBJECT_TYPE_OPERATOR, v1.ObjectType_OBJECT_TYPE_BOUND,
@@ -122,7 +122,7 @@
 	}
 }
 
-// TenantOfKey returns the tenant that an API key's hash belongs to, or nil.
+// TenantOfKey returns the tenant that owns the API key with the hash, or nil.
 func (s *State) TenantOfKey(hash string) *v1.Object {
 	name, known := s.catalogue.tenantOfKey[hash]
 	if !known {
--- a/internal/controlstate/delta_test.go
+++ b/internal/controlstate/delta_test.go
@@ -9,13 +9,13 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// node is a gateway's configuration, changed by deltas only.
+// node is the configuration of a gateway, which is changed by deltas only.
 type node struct {
 	revision uint64
 	objects  map[Key]*v1.Object
 }
 
-func (n *node) take(delta Delta) {
+func (n *node) apply(delta Delta) {
 	if delta.Full || n.objects == nil {
 		n.objects = map[Key]*v1.Object{}
 	}
@@ -43,30 +43,30 @@
 	s := newTestState(t)
 	s.accept(append(baseObjects(), tenantObject("a", keyHash(1)), tenantObject("b", keyHash(2)))...)
 	n := &node{}
-	n.take(s.Delta(DeltaRequest{UnknownKeyHashes: []string{keyHash(1), keyHash(9)}}))
-	require.ElementsMatch(t, []string{"a"}, n.tenants(), "only the tenant it has met")
+	n.apply(s.Delta(DeltaRequest{UnknownKeyHashes: []string{keyHash(1), keyHash(9)}}))
+	require.ElementsMatch(t, []string{"a"}, n.tenants(), "only the tenant whose key it has received")
 	for i := range 1000 {
 		s.accept(modelObject("base", fmt.Sprint(i+2)))
 	}
 	s.accept(deleted(v1.ObjectType_OBJECT_TYPE_KIND, "matching"), tenantObject("b", keyHash(3)))
 	delta := s.Delta(DeltaRequest{Revision: n.revision, HeldTenants: n.tenants()})
 	require.False(t, delta.Full)
-	require.Len(t, delta.Objects, 2, "1,001 changes, two objects of this node changed")
-	n.take(delta)
+	require.Len(t, delta.Objects, 2, "1,001 revisions changed two objects that this node holds")
+	n.apply(delta)
 	require.Equal(t, s.Revision(), n.revision)
 	require.Equal(t, "1001", n.objects[Key{v1.ObjectType_OBJECT_TYPE_MODEL, "base"}].GetModel().Version)
 	require.Nil(t, n.objects[Key{v1.ObjectType_OBJECT_TYPE_KIND, "matching"}])
 	require.Empty(t, s.Delta(DeltaRequest{Revision: n.revision}).Objects)
 }
 
-func TestNodeAheadIsNeverTakenBack(t *testing.T) {
+func TestNodeAheadKeepsItsRevision(t *testing.T) {
 	s := newTestState(t)
 	s.accept(baseObjects()...)
 	delta := s.Delta(DeltaRequest{Revision: 5, UnknownKeyHashes: []string{keyHash(1)}})
-	require.Equal(t, Delta{Revision: 5}, delta, "nothing is sent and no key is rejected")
+	require.Equal(t, Delta{Revision: 5}, delta, "the delta is empty and rejects no key")
 }
 
-func TestNodeBehindForgottenTombstonesGetsAll(t *testing.T) {
+func TestNodeBehindDroppedTombstonesGetsFullConfiguration(t *testing.T) {
 	s := newTestState(t)
 	s.accept(baseObjects()...)
 	for i := range MaximumTombstones + 1 {
@@ -78,7 +78,7 @@
 	require.False(t, s.Delta(DeltaRequest{Revision: s.Revision() - 2}).Full)
 }
 
-func TestDeltaIsBoundedByWhatTheNodeHolds(t *testing.T) {
+func TestDeltaSizeIsLimitedByWhatTheNodeHolds(t *testing.T) {
 	s := newTestState(t)
 	s.accept(baseObjects()...)
 	var tenants []*v1.Object
@@ -92,10 +92,10 @@
 	require.True(t, delta.Full, "too many tenants changed to send them all")
 	require.Len(t, delta.Objects, 3)
 	s.accept(tenantObject("t7", keyHash(8), keyHash(9999)))
-	require.Len(t, s.Delta(DeltaRequest{Revision: 2}).Objects, 1, "a node that names no tenants gets the few that changed")
+	require.Len(t, s.Delta(DeltaRequest{Revision: 2}).Objects, 1, "a node that names no tenants gets the few changed ones")
 }
 
-func TestControllersKeepToThemselvesWhatNodesDoNotNeed(t *testing.T) {
+func TestDeltaOmitsObjectsThatNodesDoNotNeed(t *testing.T) {
 	s := newTestState(t)
 	s.accept(append(baseObjects(), &v1.Object{Key: objectKey(v1.ObjectType_OBJECT_TYPE_OPERATOR, "alice"),
 		Spec: &v1.Object_Operator{Operator: &v1.Operator{KeyHash: keyHash(1), Role: v1.OperatorRole_OPERATOR_ROLE_VIEWER}}})...)
--- a/internal/controlstate/document.go
+++ b/internal/controlstate/document.go
@@ -7,15 +7,15 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// MaximumDocumentBytes bounds the configuration document.
+// MaximumDocumentBytes limits the content of the configuration document.
 const MaximumDocumentBytes = 8 << 20
 
-// Document returns the configuration document in force; nil before the first. It must
-// not be changed.
+// Document returns the configuration document in force, or nil before the first one. Callers must
+// not change it.
 func (s *State) Document() *v1.Document { return s.document }
 
-// putDocument puts a document in force if its number is above the one held. A number at or
-// below it has no effect and is no error: what it would have put in force was overtaken.
+// putDocument applies a document if its number is higher than the current one. A document with a lower or
+// equal number has been superseded: it is ignored without an error.
 func (s *State) putDocument(body *v1.PutDocument) Result {
 	document := body.GetDocument()
 	if document.GetNumber() == 0 || len(document.GetContent()) > MaximumDocumentBytes {
--- a/internal/controlstate/engines.go
+++ b/internal/controlstate/engines.go
@@ -6,8 +6,8 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// recordEngine records what an engine is, or that it is gone for good. An engine
-// that may hold an order is kept until the order has ended.
+// recordEngine records the observed state of an engine, or its removal. An engine with
+// an outstanding order is retained until the order has finished.
 func (s *State) recordEngine(at int64, record *v1.RecordEngine) Result {
 	observed := record.GetEngine()
 	if err := checkName(observed.GetEngine()); err != nil {
@@ -34,14 +34,14 @@
 	updated := &v1.EngineRecord{Outstanding: current.Outstanding, Drained: current.Drained}
 	updated.State, updated.RoleSinceMs = mergeObservation(current, observed, at)
 	if observed.Incarnation > current.State.GetIncarnation() {
-		// A new process serves; the drain ended with the old one.
+		// The drain applied to the previous incarnation of the engine.
 		updated.Drained = false
 	}
 	s.putEngine(updated)
 	return Result{}
 }
 
-// mergeObservation returns the state to record and the time since when its role holds.
+// mergeObservation returns the state to record and the time since which the engine has had its role.
 func mergeObservation(current *v1.EngineRecord, observed *v1.EngineState, at int64) (*v1.EngineState, int64) {
 	if current.State.GetRole() == observed.Role {
 		return observed, current.RoleSinceMs
@@ -53,8 +53,8 @@
 	s.engines[record.State.Engine] = record
 }
 
-// Engine returns what the log says of an engine, or nil.
+// Engine returns the record of an engine, or nil.
 func (s *State) Engine(name string) *v1.EngineRecord { return s.engines[name] }
 
-// Engines lists the recorded engines by name.
+// Engines lists the recorded engines, sorted by name.
 func (s *State) Engines() []*v1.EngineRecord { return sortedValues(s.engines) }
--- a/internal/controlstate/helpers_test.go
+++ b/internal/controlstate/helpers_test.go
@@ -13,7 +13,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// TestMain fixes the seed of the property tests, so that each run gives the same verdict.
+// TestMain fixes the seed of the property tests, so that every run gives the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -25,7 +25,7 @@
 // testStart is the wall-clock time of the first command.
 const testStart = 1_700_000_000_000
 
-// testState applies commands one log entry after the other.
+// testState applies commands as consecutive log entries.
 type testState struct {
 	*State
 	t     testing.TB
@@ -88,7 +88,7 @@
 	return &v1.Object{Key: objectKey(objectType, name), Deleted: true}
 }
 
-// keyHash is the hash of a made-up API key.
+// keyHash returns the hash of a fictitious API key.
 func keyHash(number int) string { return fmt.Sprintf("%064x", number) }
 
 func baseObjects() []*v1.Object {
--- a/internal/controlstate/key.go
+++ b/internal/controlstate/key.go
@@ -6,13 +6,13 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// Key identifies a declared object; it is comparable.
+// Key identifies a declared object and can be used as a map key.
 type Key struct {
 	Type v1.ObjectType
 	Name string
 }
 
-// KeyOf returns the Key of a declared object's key.
+// KeyOf converts a declared object's key to a Key.
 func KeyOf(key *v1.ObjectKey) Key { return Key{Type: key.GetType(), Name: key.GetName()} }
 
 // Compare orders keys by type and then by name.
@@ -23,10 +23,10 @@
 	return cmp.Compare(k.Name, other.Name)
 }
 
-// String returns "type name" as operators write it.
+// String returns the type and the name, as in operators' commands.
 func (k Key) String() string { return TypeName(k.Type) + " " + k.Name }
 
-// TypeName is the operators' name of an object type.
+// TypeName returns the name of an object type in the operators' language.
 func TypeName(objectType v1.ObjectType) string {
 	switch objectType {
 	case v1.ObjectType_OBJECT_TYPE_TENANT:
--- a/internal/controlstate/orders.go
+++ b/internal/controlstate/orders.go
@@ -9,7 +9,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// beginAuthority starts the authority of a new leader. Epochs only rise.
+// beginAuthority starts the authority of a new leader. Its epoch must be higher than the one in force.
 func (s *State) beginAuthority(begin *v1.BeginAuthority) Result {
 	if begin.Epoch <= s.epoch && s.safeguards.On(EpochCheck) {
 		return Result{Err: trace.Wrap(ErrStaleEpoch, "epoch %d asked for, epoch %d in force", begin.Epoch, s.epoch)}
@@ -19,8 +19,8 @@
 	return Result{}
 }
 
-// issueOrder makes an order outstanding. Its sequence is the log index, so that no
-// two orders ever share a fence.
+// issueOrder makes an order outstanding. The log index becomes its sequence number, so that no
+// two orders have the same fence.
 func (s *State) issueOrder(index uint64, at int64, issue *v1.IssueOrder) Result {
 	first, err := s.FirstAnswer(issue.GetOrder().GetOperator(), issue.RequestId, issue.Text)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return Result{Order: order}
 }
 
-// abortOrder asks to abort the outstanding order of an engine.
+// abortOrder marks the outstanding order of an engine for abortion.
 func (s *State) abortOrder(index uint64, at int64, abort *v1.AbortOrder) Result {
 	first, err := s.FirstAnswer(abort.Operator, abort.RequestId, abort.Text)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return Result{Order: order, Answer: answer}
 }
 
-// finishOrder ends the outstanding order of an engine and records what was observed.
+// finishOrder ends the outstanding order of an engine and records the engine's observed state.
 func (s *State) finishOrder(at int64, finish *v1.FinishOrder) Result {
 	record := s.engines[finish.Engine]
 	if record == nil || record.Outstanding == nil ||
@@ -121,11 +121,11 @@
 	return Result{Order: order}
 }
 
-// operatorCommand identifies an operator's command; it is empty when the controller
-// itself asked.
+// operatorCommand identifies an operator's command; it is empty for an order of the
+// controller itself.
 type operatorCommand struct{ operator, requestID, text string }
 
-// recordOperatorCommand remembers the answer to an operator's command and audits it.
+// recordOperatorCommand stores the answer to an operator's command for resends, and audits the command.
 func (s *State) recordOperatorCommand(at int64, command operatorCommand, result Result) {
 	if command.operator == "" {
 		return
@@ -140,8 +140,8 @@
 	})
 }
 
-// Orders lists the remembered orders that have ended, oldest first, of one engine
-// or (empty) of all.
+// Orders lists the retained finished orders, oldest first, of one engine or, when engine is
+// empty, of all engines.
 func (s *State) Orders(engine string) []*v1.OrderRecord {
 	if engine == "" {
 		return s.orders.all()
--- a/internal/controlstate/orders_test.go
+++ b/internal/controlstate/orders_test.go
@@ -21,9 +21,9 @@
 	require.Equal(t, s.index, first.Order.Sequence)
 	require.ErrorIs(t, s.issue(3, "engine").Err, ErrOrderOutstanding)
 	require.NoError(t, s.begin(4).Err)
-	require.ErrorIs(t, s.issue(4, "engine").Err, ErrOrderOutstanding, "a new leader has to reconcile first")
+	require.ErrorIs(t, s.issue(4, "engine").Err, ErrOrderOutstanding, "a new leader has to finish the outstanding order first")
 	require.NoError(t, s.finish(first.Order, v1.OrderOutcome_ORDER_OUTCOME_DONE, engineState("engine", v1.Role_ROLE_DECODE, 1)).Err)
-	require.ErrorIs(t, s.finish(first.Order, v1.OrderOutcome_ORDER_OUTCOME_ABORTED, nil).Err, ErrNoSuchOrder, "the first end stands")
+	require.ErrorIs(t, s.finish(first.Order, v1.OrderOutcome_ORDER_OUTCOME_ABORTED, nil).Err, ErrNoSuchOrder, "the first outcome stands")
 	second := s.issue(4, "engine")
 	require.NoError(t, second.Err)
 	require.Greater(t, second.Order.Sequence, first.Order.Sequence)
@@ -36,10 +36,10 @@
 	s.record(engineState("engine", v1.Role_ROLE_MIXED, 1))
 	s.begin(3)
 	require.NoError(t, s.issue(3, "engine").Err)
-	require.NoError(t, s.issue(2, "engine").Err, "two orders, one of a leader without authority")
+	require.NoError(t, s.issue(2, "engine").Err, "a second order, of a leader without authority")
 }
 
-func TestOperatorsOrderIsRememberedAndAudited(t *testing.T) {
+func TestOperatorOrderIsRecordedAndAudited(t *testing.T) {
 	s := newTestState(t)
 	s.record(engineState("engine", v1.Role_ROLE_MIXED, 1))
 	s.begin(1)
@@ -56,13 +56,13 @@
 	again := issue("drain engine engine")
 	require.NoError(t, again.Err)
 	require.Equal(t, first.Answer, again.Answer)
-	require.Nil(t, s.Engine("engine").Outstanding, "a resend orders nothing")
+	require.Nil(t, s.Engine("engine").Outstanding, "a resend issues no order")
 	require.ErrorIs(t, issue("resume engine engine").Err, ErrRequestReused)
 	require.Len(t, s.Audit(), 1)
 	require.Equal(t, "alice", s.Audit()[0].Operator)
 }
 
-func TestAbortIsKeptWithItsOrder(t *testing.T) {
+func TestAbortIsRecordedWithItsOrder(t *testing.T) {
 	s := newTestState(t)
 	s.record(engineState("engine", v1.Role_ROLE_MIXED, 1))
 	s.begin(1)
@@ -74,10 +74,10 @@
 	require.ErrorIs(t, abort(order.Sequence+1, 1).Err, ErrNoSuchOrder)
 	require.ErrorIs(t, abort(order.Sequence, 9).Err, ErrStaleEpoch)
 	require.NoError(t, abort(order.Sequence, 1).Err)
-	asked := s.Engine("engine").Outstanding.AbortSequence
-	require.Equal(t, s.index, asked)
+	abortSequence := s.Engine("engine").Outstanding.AbortSequence
+	require.Equal(t, s.index, abortSequence)
 	require.NoError(t, abort(order.Sequence, 1).Err)
-	require.Equal(t, asked, s.Engine("engine").Outstanding.AbortSequence, "the first abort stands")
+	require.Equal(t, abortSequence, s.Engine("engine").Outstanding.AbortSequence, "the first abort stands")
 }
 
 func TestEngineRecords(t *testing.T) {
@@ -86,7 +86,7 @@
 	since := s.Engine("engine").RoleSinceMs
 	s.record(engineState("engine", v1.Role_ROLE_MIXED, 3))
 	require.Equal(t, since, s.Engine("engine").RoleSinceMs, "a restart in the same role")
-	require.ErrorIs(t, s.record(engineState("engine", v1.Role_ROLE_DECODE, 2)).Err, ErrInvalidCommand, "a late word of an older process")
+	require.ErrorIs(t, s.record(engineState("engine", v1.Role_ROLE_DECODE, 2)).Err, ErrInvalidCommand, "a late report of an earlier incarnation")
 	s.begin(1)
 	order := s.issue(1, "engine").Order
 	remove := func() {
@@ -94,7 +94,7 @@
 			Engine: &v1.EngineState{Engine: "engine"}, Removed: true}}})
 	}
 	remove()
-	require.NotNil(t, s.Engine("engine"), "an engine that may hold an order is kept")
+	require.NotNil(t, s.Engine("engine"), "an engine that may hold an order is retained")
 	s.finish(order, v1.OrderOutcome_ORDER_OUTCOME_ENGINE_LOST, nil)
 	remove()
 	require.Nil(t, s.Engine("engine"))
--- a/internal/controlstate/property_test.go
+++ b/internal/controlstate/property_test.go
@@ -12,8 +12,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// drawObject draws a declared object from a small world, so that references,
-// collisions and deletions are met often.
+// drawObject draws a declared object from a few names, so that references, collisions and
+// deletions are frequent.
 func drawObject(t *rapid.T) *v1.Object {
 	name := fmt.Sprint("n", rapid.IntRange(0, 3).Draw(t, "name"))
 	other := fmt.Sprint("n", rapid.IntRange(0, 3).Draw(t, "other"))
@@ -34,7 +34,7 @@
 	}
 }
 
-// drawCommand draws any command, sound or not.
+// drawCommand draws any command, valid or not.
 func drawCommand(t *rapid.T) *v1.Command {
 	engine := fmt.Sprint("engine-", rapid.IntRange(0, 2).Draw(t, "engine"))
 	epoch := rapid.Uint64Range(0, 4).Draw(t, "epoch")
@@ -75,75 +75,75 @@
 	}
 }
 
-// TestStateMachineKeepsItsPromises applies drawn commands and checks after each one
-// what must hold whatever was asked.
-func TestStateMachineKeepsItsPromises(t *testing.T) {
+// TestStateMachineInvariants applies drawn commands and checks after each of them the invariants that hold for any
+// sequence of commands.
+func TestStateMachineInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		s, twin := newTestState(t), New(safeguard.Set{})
+		s, replica := newTestState(t), New(safeguard.Set{})
 		n := &node{}
-		watch := newPromiseWatch()
+		checker := newInvariantChecker()
 		for range rapid.IntRange(1, 60).Draw(r, "commands") {
 			command := drawCommand(r)
 			before := s.Revision()
 			result := s.run(command)
-			twin.Apply(s.index, proto.CloneOf(command))
-			watch.check(r, s, command, result, before)
+			replica.Apply(s.index, proto.CloneOf(command))
+			checker.check(r, s, command, result, before)
 			if rapid.IntRange(0, 4).Draw(r, "sync") == 0 {
-				n.take(s.Delta(DeltaRequest{Revision: n.revision, HeldTenants: allTenants(s)}))
+				n.apply(s.Delta(DeltaRequest{Revision: n.revision, HeldTenants: allTenants(s)}))
 				requireSameConfiguration(r, s, n)
 			}
 			if rapid.IntRange(0, 9).Draw(r, "restart") == 0 {
 				s.State = restart(r, s.State)
 			}
 		}
-		require.Equal(r, snapshotOf(r, twin), snapshotOf(r, s.State), "every controller has the same state, restarted or not")
+		require.Equal(r, snapshotOf(r, replica), snapshotOf(r, s.State), "all replicas have the same state, restarted or not")
 	})
 }
 
-// promiseWatch remembers what was promised.
-type promiseWatch struct {
-	winners map[uint64]uint64 // change number to revision
-	fence   map[string]uint64 // engine to last sequence
-	holds   map[string]bool   // engines with an order that has not ended
-	// mayRun is the attempt that may run each claimed key, with its outcome open.
+// invariantChecker records the results of earlier commands that later results must agree with.
+type invariantChecker struct {
+	winners      map[uint64]uint64 // change number to revision
+	lastSequence map[string]uint64 // by engine
+	outstanding  map[string]bool   // engines whose order has not finished
+	// mayRun is, by claimed key, the attempt that may run and has reported no outcome.
 	mayRun map[string]string
-	ended  map[string]bool // keys that ran or may have run: nothing may run them again
+	ended  map[string]bool // keys whose request ran or may have run, and must not run again
 }
 
-func newPromiseWatch() *promiseWatch {
-	return &promiseWatch{winners: map[uint64]uint64{}, fence: map[string]uint64{}, holds: map[string]bool{}, mayRun: map[string]string{}, ended: map[string]bool{}}
+func newInvariantChecker() *invariantChecker {
+	return &invariantChecker{winners: map[uint64]uint64{}, lastSequence: map[string]uint64{}, outstanding: map[string]bool{}, mayRun: map[string]string{}, ended: map[string]bool{}}
 }
 
-func (w *promiseWatch) check(t *rapid.T, s *testState, command *v1.Command, result Result, before uint64) {
+func (w *invariantChecker) check(t *rapid.T, s *testState, command *v1.Command, result Result, before uint64) {
 	if s.Revision() != before {
-		require.Equal(t, before+1, s.Revision(), "one declaration, one revision")
+		require.Equal(t, before+1, s.Revision(), "one declaration makes one revision")
 		require.NotNil(t, result.Apply)
 		number := result.Apply.ChangeNumber
-		require.NotContains(t, w.winners, number, "a change number wins once")
+		require.NotContains(t, w.winners, number, "a change number is accepted once")
 		w.winners[number] = s.Revision()
 	}
 	if apply := result.Apply; apply != nil && apply.Outcome == numberTaken && apply.Winner != "" {
-		require.Equal(t, w.winners[apply.ChangeNumber], apply.WinnerRevision, "the loser learns who won")
+		require.Equal(t, w.winners[apply.ChangeNumber], apply.WinnerRevision, "the refusal names the accepted change")
 	}
 	if issue := command.GetIssueOrder(); issue != nil && result.Err == nil {
 		epoch, _ := s.Authority()
 		require.Equal(t, epoch, result.Order.Epoch)
-		require.Greater(t, result.Order.Sequence, w.fence[result.Order.Engine])
-		w.fence[result.Order.Engine] = result.Order.Sequence
-		require.False(t, w.holds[result.Order.Engine], "an engine holds one order at a time")
-		w.holds[result.Order.Engine] = true
+		require.Greater(t, result.Order.Sequence, w.lastSequence[result.Order.Engine])
+		w.lastSequence[result.Order.Engine] = result.Order.Sequence
+		require.False(t, w.outstanding[result.Order.Engine], "an engine holds one order at a time")
+		w.outstanding[result.Order.Engine] = true
 	}
 	if finish := command.GetFinishOrder(); finish != nil && result.Err == nil {
-		delete(w.holds, finish.Engine)
+		delete(w.outstanding, finish.Engine)
 	}
 	w.checkClaim(t, command, result)
 }
 
-func (w *promiseWatch) checkClaim(t *rapid.T, command *v1.Command, result Result) {
+func (w *invariantChecker) checkClaim(t *rapid.T, command *v1.Command, result Result) {
 	if begin := command.GetBeginClaim(); begin != nil && result.Claim.GetState() == granted {
-		require.False(t, w.ended[begin.Key], "a request that ran, or may have run, is not granted again")
+		require.False(t, w.ended[begin.Key], "a request that ran or may have run is not granted again")
 		if holder := w.mayRun[begin.Key]; holder != "" {
-			require.Equal(t, holder, begin.Attempt, "one attempt at a time may run")
+			require.Equal(t, holder, begin.Attempt, "only one attempt at a time may run")
 		}
 		w.mayRun[begin.Key] = begin.Attempt
 	}
@@ -171,14 +171,14 @@
 
 func requireSameConfiguration(t *rapid.T, s *testState, n *node) {
 	require.Equal(t, s.Revision(), n.revision)
-	wanted := 0
+	count := 0
 	for _, object := range s.Objects() {
 		if nodeNeeds(object.Key.Type) {
-			wanted++
+			count++
 			require.True(t, proto.Equal(object, n.objects[KeyOf(object.Key)]), "%s at revision %d", KeyOf(object.Key), n.revision)
 		}
 	}
-	require.Len(t, n.objects, wanted)
+	require.Len(t, n.objects, count)
 }
 
 func snapshotOf(t require.TestingT, s *State) []byte {
@@ -193,8 +193,8 @@
 	return restored
 }
 
-// FuzzApply applies whatever bytes decode as a command: no input may panic, and equal
-// inputs make equal states.
+// FuzzApply applies any bytes that decode as a command: no input may panic, and equal
+// inputs must make equal states.
 func FuzzApply(f *testing.F) {
 	for _, command := range []*v1.Command{
 		{},
@@ -221,7 +221,7 @@
 	})
 }
 
-// FuzzRestore reads whatever bytes are given as a snapshot: no input may panic.
+// FuzzRestore restores a snapshot from any bytes: no input may panic.
 func FuzzRestore(f *testing.F) {
 	s := newTestState(f)
 	s.accept(baseObjects()...)
--- a/internal/controlstate/read.go
+++ b/internal/controlstate/read.go
@@ -16,12 +16,12 @@
 	return s.catalogue.get(Key{objectType, name})
 }
 
-// ObjectsOfType lists the declared objects in force of one type, by name.
+// ObjectsOfType lists the declared objects in force of one type, sorted by name.
 func (s *State) ObjectsOfType(objectType v1.ObjectType) []*v1.Object {
 	return s.catalogue.ofType(objectType)
 }
 
-// Objects lists the declared objects in force, by type and name.
+// Objects lists the declared objects in force, sorted by type and name.
 func (s *State) Objects() []*v1.Object {
 	var objects []*v1.Object
 	for _, objectType := range objectTypes {
@@ -30,11 +30,11 @@
 	return objects
 }
 
-// Changes lists the remembered accepted revisions, oldest first.
+// Changes lists the retained records of accepted revisions, oldest first.
 func (s *State) Changes() []*v1.ChangeRecord { return s.changes.records.all() }
 
-// ObjectHistory lists the remembered versions of one object, oldest first,
-// tombstones among them.
+// ObjectHistory lists the retained versions of one object, oldest first, including
+// tombstones.
 func (s *State) ObjectHistory(key Key) []*v1.Object {
 	var versions []*v1.Object
 	for _, version := range s.history.all() {
--- a/internal/controlstate/recent.go
+++ b/internal/controlstate/recent.go
@@ -1,16 +1,16 @@
 package controlstate
 
-// recent keeps the latest items up to a bound, oldest first.
+// recent retains the most recently added items, up to a limit.
 type recent[T any] struct {
 	limit int
 	items []T
-	// oldest is the position of the oldest item that is kept.
+	// oldest is the index of the oldest retained item.
 	oldest int
 }
 
 func newRecent[T any](limit int) recent[T] { return recent[T]{limit: limit} }
 
-// add appends an item and returns the items forgotten for it: none or one.
+// add appends an item and returns the item evicted for it, if any.
 func (r *recent[T]) add(item T) (evicted []T) {
 	r.items = append(r.items, item)
 	if len(r.items)-r.oldest <= r.limit {
@@ -27,5 +27,5 @@
 	return evicted
 }
 
-// all returns the items, oldest first. The slice must not be changed.
+// all returns the items, oldest first. Callers must not change the slice.
 func (r *recent[T]) all() []T { return r.items[r.oldest:] }
--- a/internal/controlstate/references.go
+++ b/internal/controlstate/references.go
@@ -8,9 +8,9 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// check demands that everything in force after the change fits together. It looks
-// at the changed objects and at those that refer to deleted ones, so that its cost
-// follows the size of the change, not of the configuration.
+// check returns an error unless the configuration after the change is consistent. It examines
+// the changed objects and those that refer to deleted ones, so that its cost grows with the
+// size of the change and not with that of the configuration.
 func (c *change) check() error {
 	if total := c.base.inForce + len(c.keys); total > MaximumObjects {
 		return trace.BadParameter("up to %d objects would be in force; at most %d", total, MaximumObjects)
@@ -31,7 +31,7 @@
 	return trace.Wrap(c.checkUniqueness())
 }
 
-// checkReferences demands that what an object names is in force.
+// checkReferences checks that all objects that an object names are in force after the change.
 func (c *change) checkReferences(key Key, object *v1.Object) error {
 	switch spec := object.Spec.(type) {
 	case *v1.Object_Tenant:
@@ -74,7 +74,7 @@
 		key, Key{objectType, name})
 }
 
-// referrers lists which types of object may refer to a type.
+// referrers maps an object type to the types of objects that may refer to it.
 var referrers = map[v1.ObjectType][]v1.ObjectType{
 	v1.ObjectType_OBJECT_TYPE_MODEL: {
 		v1.ObjectType_OBJECT_TYPE_SERVICE, v1.ObjectType_OBJECT_TYPE_ADAPTER, v1.ObjectType_OBJECT_TYPE_TENANT,
@@ -85,7 +85,7 @@
 	v1.ObjectType_OBJECT_TYPE_TENANT: {v1.ObjectType_OBJECT_TYPE_ADAPTER},
 }
 
-// checkReferrers demands that nothing refers to a deleted object.
+// checkReferrers checks that no object refers to a deleted one.
 func (c *change) checkReferrers() error {
 	var affectedTypes []v1.ObjectType
 	for _, key := range c.keys {
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// checkKeyHashes demands that an API key belongs to one tenant.
+// checkKeyHashes checks that no API key belongs to two tenants.
 func (c *change) checkKeyHashes() error {
 	owners := map[string]Key{}
 	for _, key := range c.keys {
@@ -118,7 +118,7 @@
 			if !held || ownerKey == key {
 				continue
 			}
-			// The change may take the key away from its present owner.
+			// The change may remove the key from its current owner.
 			if after := c.get(ownerKey); after != nil && slices.Contains(after.GetTenant().ApiKeyHashes, hash) {
 				return trace.BadParameter("%s and %s have the same API key hash %.8s…; make a new key for one", ownerKey, key, hash)
 			}
@@ -127,8 +127,8 @@
 	return nil
 }
 
-// checkUniqueness demands that no two objects claim the same operator key, path,
-// pinned engine or policy, and that bounds of one role agree.
+// checkUniqueness checks that no two objects declare the same operator key, path, pinned engine
+// or policy, and that no role of a service has two bounds in one zone.
 func (c *change) checkUniqueness() error {
 	rules := []struct {
 		objectType v1.ObjectType
--- a/internal/controlstate/requests.go
+++ b/internal/controlstate/requests.go
@@ -10,10 +10,10 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// requestKey identifies a submission: operators cannot collide with one another.
+// requestKey identifies a submission. Request identities are separate for each operator.
 type requestKey struct{ operator, requestID string }
 
-// requestRecords remembers the first answers of operators' submissions.
+// requestRecords retains the first answers to operators' submissions for resends.
 type requestRecords struct {
 	records recent[*v1.RequestRecord]
 	byKey   map[requestKey]*v1.RequestRecord
@@ -26,8 +26,8 @@
 	}
 }
 
-// find returns the first answer to a resend, or nil for a new submission. It fails
-// when the identity was used with another content.
+// find returns the first answer to a resend, or nil for a new submission. It returns an error
+// when the request identity was used with other content.
 func (m *requestRecords) find(operator, requestID string, contentHash []byte) (*v1.RequestRecord, error) {
 	record := m.byKey[requestKey{operator, requestID}]
 	if requestID == "" || record == nil {
@@ -39,7 +39,7 @@
 	return record, nil
 }
 
-// add remembers the first answer to a submission that has an identity.
+// add records the first answer to a submission, if the submission has a request identity.
 func (m *requestRecords) add(record *v1.RequestRecord) {
 	if record.RequestId == "" {
 		return
@@ -53,8 +53,8 @@
 	}
 }
 
-// declarationHash is the hash of what a declaration asks for, apart from what the
-// proposer adds to it.
+// declarationHash returns the hash of a declaration as its sender submitted it, without the
+// salt seed that the proposer adds.
 func declarationHash(declaration *v1.ApplyDeclaration) []byte {
 	content := proto.CloneOf(declaration)
 	content.SaltSeed = nil
@@ -64,7 +64,7 @@
 func messageHash(message proto.Message) []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
-		// Only invalid UTF-8 fails; such a message never equals a valid one.
+		// Marshal fails only for invalid UTF-8; such a message never equals a valid one.
 		data = []byte(err.Error())
 	}
 	sum := sha256.Sum256(data)
@@ -76,8 +76,8 @@
 	return sum[:]
 }
 
-// FirstAnswer returns the remembered answer to an operator's command that is not a
-// declaration. It is nil for a command not seen before and fails when the request
+// FirstAnswer returns the recorded answer to an operator's command that is not a
+// declaration, or nil for a new command. It returns an error when the request
 // identity was used with another text.
 func (s *State) FirstAnswer(operator, requestID, text string) (*v1.RequestRecord, error) {
 	if !s.safeguards.On(ResendDeduplication) {
@@ -86,7 +86,7 @@
 	return s.requests.find(operator, requestID, textHash(text))
 }
 
-// recordRequest remembers an operator's command that changed nothing in the log itself.
+// recordRequest records and audits an operator's command that has no other effect on the replicated state.
 func (s *State) recordRequest(at int64, request *v1.RecordRequest) Result {
 	if request.Refusal != "" {
 		s.addAudit(at, &v1.AuditRecord{
@@ -118,7 +118,7 @@
 	s.requests.add(record)
 }
 
-// recordedError restores the error of a first answer; its kind is not remembered.
+// recordedError restores the error of a first answer. The kind of the error is not recorded.
 func recordedError(record *v1.RequestRecord) error {
 	if record.Error == "" {
 		return nil
--- a/internal/controlstate/requests_test.go
+++ b/internal/controlstate/requests_test.go
@@ -9,9 +9,9 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// TestRefusedCommandIsAuditedAndTriedAgain records a refusal, a long one, and then the
-// command carried out under the same identity.
-func TestRefusedCommandIsAuditedAndTriedAgain(t *testing.T) {
+// TestRefusedCommandIsAuditedAndMayBeRetried records a refusal, a long one, and then the same command under the same
+// request identity when it succeeds.
+func TestRefusedCommandIsAuditedAndMayBeRetried(t *testing.T) {
 	state := newTestState(t)
 	record := func(answer, refusal string) Result {
 		return state.run(&v1.Command{Body: &v1.Command_RecordRequest{RecordRequest: &v1.RecordRequest{
@@ -22,7 +22,7 @@
 	require.NoError(t, record("", strings.Repeat("x", 2*MaximumTextBytes)).Err)
 	first, err := state.FirstAnswer("ana", "r", "drain engine e")
 	require.NoError(t, err)
-	require.Nil(t, first, "a refusal is not the answer to a later try")
+	require.Nil(t, first, "a refusal is not stored as the answer to a later retry")
 	require.Equal(t, "drained", record("drained", "").Answer)
 
 	var outcomes []string
--- a/internal/controlstate/salt.go
+++ b/internal/controlstate/salt.go
@@ -7,9 +7,9 @@
 	"encoding/hex"
 )
 
-// cacheSalt derives the salt of a tenant's prefix cache from the random bytes of
-// the command. Every controller derives the same one; who does not know the bytes
-// cannot guess it, and two tenants of one command get different ones.
+// cacheSalt derives the salt of a tenant's prefix cache from the random bytes of the command.
+// Every controller derives the same salt, it cannot be guessed without the random bytes, and
+// two tenants of one command get different salts.
 func cacheSalt(seed []byte, tenant string, revision uint64) string {
 	mac := hmac.New(sha256.New, seed)
 	mac.Write([]byte("cache salt"))
--- a/internal/controlstate/snapshot.go
+++ b/internal/controlstate/snapshot.go
@@ -13,7 +13,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/usage"
 )
 
-// Snapshot returns the state as bytes. Equal states give equal bytes.
+// Snapshot encodes the state. Equal states have equal encodings.
 func (s *State) Snapshot() ([]byte, error) {
 	record := &v1.ReplicatedState{
 		AppliedIndex: s.appliedIndex, Revision: s.revision,
@@ -39,8 +39,8 @@
 	return data, trace.Wrap(err, "writing a snapshot of the replicated state")
 }
 
-// Restore returns the state that Snapshot wrote. Empty data is the state before the
-// first command.
+// Restore decodes the state that Snapshot encoded. Empty data yields the state before the first
+// command.
 func Restore(data []byte, safeguards safeguard.Set) (*State, error) {
 	record := &v1.ReplicatedState{}
 	if err := proto.Unmarshal(data, record); err != nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-// checkSnapshot refuses a snapshot that no controller can have written.
+// checkSnapshot returns an error for a snapshot that this build cannot restore or no controller can have written.
 func checkSnapshot(record *v1.ReplicatedState) error {
 	for _, object := range append(slices.Clone(record.Objects), record.History...) {
 		if err := checkTypeKnown(KeyOf(object.GetKey())); err != nil {
--- a/internal/controlstate/state.go
+++ b/internal/controlstate/state.go
@@ -37,10 +37,10 @@
 
 	usage *usage.Ledger
 
-	// replicas are the replicas that are wanted, by service.
+	// replicas are the agreed numbers of replicas, by service.
 	replicas map[string]*v1.SetReplicas
 
-	// suspects are the requests under which replicas have ended.
+	// suspects are the requests that were running when replicas crashed.
 	suspects *quarantine.Ledger
 }
 
@@ -62,22 +62,22 @@
 	}
 }
 
-// Result is what became of one command. Which field is set depends on the command;
-// Err is set when the command had no effect.
+// Result is the result of one command. Which field is set depends on the command; Err is
+// set when the command had no effect.
 type Result struct {
-	// Apply answers ApplyDeclaration.
+	// Apply is the answer to ApplyDeclaration.
 	Apply *v1.ApplyResponse
-	// Claim answers BeginClaim.
+	// Claim is the answer to BeginClaim.
 	Claim *v1.BeginClaimResponse
-	// Order is the order as issued.
+	// Order is the order as issued, aborted or finished.
 	Order *v1.Order
-	// Answer answers an operator's command that is not a declaration.
+	// Answer is the answer to an operator's command that is not a declaration.
 	Answer string
 	Err    error
 }
 
-// Apply carries out the command at the log index. Indexes must rise; a command at
-// or below the applied index has no effect.
+// Apply applies the command at the log index. Indexes must increase; a command at or below
+// the applied index has no effect.
 func (s *State) Apply(index uint64, command *v1.Command) Result {
 	if index <= s.appliedIndex {
 		return Result{Err: trace.Wrap(ErrInvalidCommand, "log index %d was applied before", index)}
@@ -137,19 +137,19 @@
 	}
 }
 
-// AppliedIndex is the log index of the last command.
+// AppliedIndex returns the log index of the last applied command.
 func (s *State) AppliedIndex() uint64 { return s.appliedIndex }
 
-// HasReplicaTargets reports whether numbers of replicas were ever agreed on.
+// HasReplicaTargets reports whether a number of replicas has been agreed for any service.
 func (s *State) HasReplicaTargets() bool { return len(s.replicas) > 0 }
 
-// ReplicaTarget is what is wanted of a service's replicas; nil before anything is. It must not be changed.
+// ReplicaTarget returns the agreed numbers of replicas of a service, or nil before the first. Callers must not change it.
 func (s *State) ReplicaTarget(service string) *v1.SetReplicas { return s.replicas[service] }
 
-// Usage is what is agreed on of the tenants' usage. It must not be changed.
+// Usage returns the ledger of the tenants' usage. Callers must not change it.
 func (s *State) Usage() *usage.Ledger { return s.usage }
 
-// Revision is the revision of the configuration in force.
+// Revision returns the revision of the configuration in force.
 func (s *State) Revision() uint64 { return s.revision }
 
 // Authority returns the authority epoch in force and the leader that began it.
--- a/internal/controlstate/suspects.go
+++ b/internal/controlstate/suspects.go
@@ -7,10 +7,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/quarantine"
 )
 
-// Suspects is what is agreed on of requests under which replicas have ended. It must not be changed.
+// Suspects returns the ledger of suspects: requests that were running when replicas crashed. Callers must not change it.
 func (s *State) Suspects() *quarantine.Ledger { return s.suspects }
 
-// applyToSuspects carries out a command on the requests under which replicas have ended.
+// applyToSuspects applies a command to the replicated ledger of suspects.
 func (s *State) applyToSuspects(command *v1.Command) Result {
 	if !s.safeguards.On(Quarantine) {
 		return Result{}
@@ -18,8 +18,8 @@
 	return ApplySuspectCommand(s.suspects, command)
 }
 
-// ApplySuspectCommand carries out a command on what is known of requests under which replicas have ended. The leader also
-// does so by itself, on what it keeps while such commands are not agreed on.
+// ApplySuspectCommand applies a command to a ledger of suspects. While such commands are not agreed on, the leader applies
+// them to a ledger of its own.
 func ApplySuspectCommand(suspects *quarantine.Ledger, command *v1.Command) Result {
 	switch body := command.GetBody().(type) {
 	case *v1.Command_RecordReplicaEnds:
@@ -35,7 +35,7 @@
 	}
 }
 
-// recordReplicaEnds notes under which requests replicas have ended.
+// recordReplicaEnds records which requests were running when replicas crashed.
 func recordReplicaEnds(suspects *quarantine.Ledger, record *v1.RecordReplicaEnds) {
 	for _, end := range record.GetEnds() {
 		if signature, valid := quarantine.SignatureFrom(end.GetSignature()); valid {
@@ -44,7 +44,7 @@
 	}
 }
 
-// grantTrial lets a held request run once more.
+// grantTrial permits one more run of a quarantined request.
 func grantTrial(suspects *quarantine.Ledger, grant *v1.GrantTrial) Result {
 	signature, valid := quarantine.SignatureFrom(grant.GetSignature())
 	if !valid || !suspects.Grant(signature, grant.GetGrantedBefore()) {
@@ -53,7 +53,7 @@
 	return Result{}
 }
 
-// releaseRequests forgets requests.
+// releaseRequests removes requests from the ledger.
 func releaseRequests(suspects *quarantine.Ledger, release *v1.ReleaseRequests) {
 	for _, bytes := range release.GetSignatures() {
 		if signature, valid := quarantine.SignatureFrom(bytes); valid {
--- a/internal/controlstate/validation.go
+++ b/internal/controlstate/validation.go
@@ -15,11 +15,11 @@
 // keyHashBytes is the size of the SHA-256 hash of an API key.
 const keyHashBytes = 32
 
-// maximumWorth keeps sums of worth exact enough to compare.
+// maximumWorth limits the worth of a request kind, so that sums of worth stay exact enough to compare.
 const maximumWorth = 1e9
 
-// CheckObject checks what one declared object says by itself, without the objects
-// it refers to. Errors name the object and the cure.
+// CheckObject checks one declared object without the objects it refers to. Errors name the
+// object and the remedy.
 func CheckObject(object *v1.Object) error { return trace.Wrap(checkObject(object)) }
 
 func checkObject(object *v1.Object) error {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// specFields names the field of Object.spec that belongs to each object type.
+// specFields maps each object type to the name of its field in Object.spec.
 var specFields = map[v1.ObjectType]string{
 	v1.ObjectType_OBJECT_TYPE_TENANT:   "tenant",
 	v1.ObjectType_OBJECT_TYPE_KIND:     "kind",
@@ -93,7 +93,7 @@
 	v1.ObjectType_OBJECT_TYPE_OPERATOR: "operator",
 }
 
-// checkSpecType demands that the object's type and its content agree.
+// checkSpecType checks that the object's spec belongs to its type.
 func checkSpecType(key Key, object *v1.Object) error {
 	if err := checkTypeKnown(key); err != nil {
 		return err
