--- a/internal/controlstate/requests.go
+++ b/internal/controlstate/requests.go
@@ -10,25 +10,25 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// requestKey identifies a submission: operators cannot collide with one another.
+// requestKey identifies a submission. Request identities are separate for each operator.
 type requestKey struct{ operator, requestID string }
 
-// requestMemory remembers the first answers of operators' submissions.
-type requestMemory struct {
+// requestRecords retains the first answers to operators' submissions for resends.
+type requestRecords struct {
 	records recent[*v1.RequestRecord]
 	byKey   map[requestKey]*v1.RequestRecord
 }
 
-func newRequestMemory() *requestMemory {
-	return &requestMemory{
-		records: newRecent[*v1.RequestRecord](RememberedRequests),
+func newRequestRecords() *requestRecords {
+	return &requestRecords{
+		records: newRecent[*v1.RequestRecord](MaximumRequestRecords),
 		byKey:   map[requestKey]*v1.RequestRecord{},
 	}
 }
 
-// find returns the first answer to a resend, or nil for a new submission. It fails
-// when the identity was used with another content.
-func (m *requestMemory) find(operator, requestID string, contentHash []byte) (*v1.RequestRecord, error) {
+// find returns the first answer to a resend, or nil for a new submission. It returns an error
+// when the request identity was used with other content.
+func (m *requestRecords) find(operator, requestID string, contentHash []byte) (*v1.RequestRecord, error) {
 	record := m.byKey[requestKey{operator, requestID}]
 	if requestID == "" || record == nil {
 		return nil, nil
@@ -39,22 +39,22 @@
 	return record, nil
 }
 
-// add remembers the first answer to a submission that has an identity.
-func (m *requestMemory) add(record *v1.RequestRecord) {
+// add records the first answer to a submission, if the submission has a request identity.
+func (m *requestRecords) add(record *v1.RequestRecord) {
 	if record.RequestId == "" {
 		return
 	}
 	m.byKey[requestKey{record.Operator, record.RequestId}] = record
-	for _, forgotten := range m.records.add(record) {
-		key := requestKey{forgotten.Operator, forgotten.RequestId}
-		if m.byKey[key] == forgotten {
+	for _, evicted := range m.records.add(record) {
+		key := requestKey{evicted.Operator, evicted.RequestId}
+		if m.byKey[key] == evicted {
 			delete(m.byKey, key)
 		}
 	}
 }
 
-// declarationHash is the hash of what a declaration asks for, apart from what the
-// proposer adds to it.
+// declarationHash returns the hash of a declaration as its sender submitted it, without the
+// salt seed that the proposer adds.
 func declarationHash(declaration *v1.ApplyDeclaration) []byte {
 	content := proto.CloneOf(declaration)
 	content.SaltSeed = nil
@@ -64,7 +64,7 @@
 func messageHash(message proto.Message) []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
-		// Only invalid UTF-8 fails; such a message never equals a valid one.
+		// Marshal fails only for invalid UTF-8; such a message never equals a valid one.
 		data = []byte(err.Error())
 	}
 	sum := sha256.Sum256(data)
@@ -76,8 +76,8 @@
 	return sum[:]
 }
 
-// FirstAnswer returns the remembered answer to an operator's command that is not a
-// declaration. It is nil for a command not seen before and fails when the request
+// FirstAnswer returns the recorded answer to an operator's command that is not a
+// declaration, or nil for a new command. It returns an error when the request
 // identity was used with another text.
 func (s *State) FirstAnswer(operator, requestID, text string) (*v1.RequestRecord, error) {
 	if !s.safeguards.IsEnabled(ResendDeduplication) {
@@ -86,7 +86,7 @@
 	return s.requests.find(operator, requestID, textHash(text))
 }
 
-// recordRequest remembers an operator's command that changed nothing in the log itself.
+// recordRequest records and audits an operator's command that has no other effect on the replicated state.
 func (s *State) recordRequest(at int64, request *v1.RecordRequest) Result {
 	if request.Refusal != "" {
 		s.addAudit(at, &v1.AuditRecord{
@@ -99,16 +99,16 @@
 		return Result{Err: err}
 	}
 	if first != nil {
-		return Result{Answer: first.Answer, Err: rememberedError(first)}
+		return Result{Answer: first.Answer, Err: recordedError(first)}
 	}
-	s.rememberAnswer(request.Operator, request.RequestId, request.Text, request.Answer, nil)
+	s.recordAnswer(request.Operator, request.RequestId, request.Text, request.Answer, nil)
 	s.addAudit(at, &v1.AuditRecord{
 		Operator: request.Operator, RequestId: request.RequestId, Text: request.Text, Outcome: "done",
 	})
 	return Result{Answer: request.Answer}
 }
 
-func (s *State) rememberAnswer(operator, requestID, text, answer string, err error) {
+func (s *State) recordAnswer(operator, requestID, text, answer string, err error) {
 	record := &v1.RequestRecord{
 		Operator: operator, RequestId: requestID, ContentHash: textHash(text), Answer: answer,
 	}
@@ -118,8 +118,8 @@
 	s.requests.add(record)
 }
 
-// rememberedError restores the error of a first answer; its kind is not remembered.
-func rememberedError(record *v1.RequestRecord) error {
+// recordedError restores the error of a first answer. The kind of the error is not recorded.
+func recordedError(record *v1.RequestRecord) error {
 	if record.Error == "" {
 		return nil
 	}
--- a/internal/controlstate/suspects.go
+++ b/internal/controlstate/suspects.go
@@ -7,20 +7,20 @@
 	"github.com/hazelpitch/hazelpitch/internal/quarantine"
 )
 
-// Suspects is what is agreed on of requests under which replicas have ended. It must not be changed.
+// Suspects returns the ledger of suspects: requests that were running when replicas crashed. Callers must not change it.
 func (s *State) Suspects() *quarantine.Ledger { return s.suspects }
 
-// applyToSuspects carries out a command on the requests under which replicas have ended.
+// applyToSuspects applies a command to the replicated ledger of suspects.
 func (s *State) applyToSuspects(command *v1.Command) Result {
 	if !s.safeguards.IsEnabled(Quarantine) {
 		return Result{}
 	}
-	return ApplyToSuspects(s.suspects, command)
+	return ApplySuspectCommand(s.suspects, command)
 }
 
-// ApplyToSuspects carries out a command on what is known of requests under which replicas have ended. The leader also
-// does so by itself, on what it keeps while such commands are not agreed on.
-func ApplyToSuspects(suspects *quarantine.Ledger, command *v1.Command) Result {
+// ApplySuspectCommand applies a command to a ledger of suspects. While such commands are not agreed on, the leader applies
+// them to a ledger of its own.
+func ApplySuspectCommand(suspects *quarantine.Ledger, command *v1.Command) Result {
 	switch body := command.GetBody().(type) {
 	case *v1.Command_RecordReplicaEnds:
 		recordReplicaEnds(suspects, body.RecordReplicaEnds)
@@ -35,7 +35,7 @@
 	}
 }
 
-// recordReplicaEnds notes under which requests replicas have ended.
+// recordReplicaEnds records which requests were running when replicas crashed.
 func recordReplicaEnds(suspects *quarantine.Ledger, record *v1.RecordReplicaEnds) {
 	for _, end := range record.GetEnds() {
 		if signature, valid := quarantine.SignatureFromBytes(end.GetSignature()); valid {
@@ -44,16 +44,16 @@
 	}
 }
 
-// grantTrial lets a held request run once more.
+// grantTrial permits one more run of a quarantined request.
 func grantTrial(suspects *quarantine.Ledger, grant *v1.GrantTrial) Result {
 	signature, valid := quarantine.SignatureFromBytes(grant.GetSignature())
 	if !valid || !suspects.GrantTrial(signature, grant.GetGrantedBefore()) {
-		return Result{Err: trace.Wrap(ErrNoTrial, "the request is not held, or another trial was granted meanwhile")}
+		return Result{Err: trace.Wrap(ErrTrialDenied, "the request is not held, or another trial was granted meanwhile")}
 	}
 	return Result{}
 }
 
-// releaseRequests forgets requests.
+// releaseRequests removes requests from the ledger.
 func releaseRequests(suspects *quarantine.Ledger, release *v1.ReleaseRequests) {
 	for _, bytes := range release.GetSignatures() {
 		if signature, valid := quarantine.SignatureFromBytes(bytes); valid {
