--- a/internal/authority/answers_test.go
+++ b/internal/authority/answers_test.go
@@ -39,13 +39,13 @@
 		}, done, enginecontract.RoleDecode},
 		{"order lost", func(b *bench) {
 			b.step()
-			b.commander.OrderAnswered(b.now, "engine", b.sent[0].(SendOrder).Order.Fence, nil)
+			b.commander.RecordOrderAnswer(b.now, "engine", b.sent[0].(SendOrder).Order.Fence, nil)
 			b.sent = nil
 		}, done, enginecontract.RoleDecode},
 		{"answer lost", func(b *bench) {
 			b.step()
 			b.exchange(b.sent[0])
-			b.commander.OrderAnswered(b.now, "engine", b.sent[0].(SendOrder).Order.Fence, nil)
+			b.commander.RecordOrderAnswer(b.now, "engine", b.sent[0].(SendOrder).Order.Fence, nil)
 			b.sent = nil
 		}, done, enginecontract.RoleDecode},
 		{"poll from before the order arrives after its answer", func(b *bench) {
@@ -54,7 +54,7 @@
 			b.step()
 			b.answer(b.exchange(b.sent[0]))
 			b.sent = nil
-			b.commander.Observed(sentAt, "engine", before)
+			b.commander.RecordPollAnswer(sentAt, "engine", before)
 		}, done, enginecontract.RoleDecode},
 	}
 }
@@ -73,7 +73,7 @@
 			b.inFlight["engine"] = 1
 			b.step()
 			b.deliverAll()
-			b.run(DefaultDrainTime)
+			b.run(DefaultDrainTimeout)
 		}, aborted, enginecontract.RoleMixed},
 		{"engine holds another role", func(b *bench) {
 			kept := b.engines["engine"].Durable()
@@ -85,7 +85,7 @@
 		}, refused, enginecontract.RoleMixed},
 		{"engine is gone", func(b *bench) {
 			delete(b.engines, "engine")
-			b.commander.List("engine", "127.0.0.1:1", false)
+			b.commander.SetListing("engine", "127.0.0.1:1", false)
 			b.deliver = false
 			b.run(DefaultLostAfter + time.Second)
 		}, engineLost, ""},
--- a/internal/authority/commander.go
+++ b/internal/authority/commander.go
@@ -28,9 +28,9 @@
 	return &Commander{config: config.withDefaults(), engines: map[string]*engine{}}
 }
 
-// Lead starts the authority of a term. What was known of the engines' own words is
+// BeginTerm starts the authority of a term. What was known of the engines' own words is
 // kept; fences have to be raised again.
-func (c *Commander) Lead(now time.Duration, term uint64) {
+func (c *Commander) BeginTerm(now time.Duration, term uint64) {
 	c.epoch = term
 	c.ledAt = now
 	c.begun = false
@@ -44,21 +44,21 @@
 	}
 }
 
-// Stop ends the authority: this controller does not lead any more.
-func (c *Commander) Stop() { c.epoch = 0 }
+// EndTerm ends the authority: this controller does not lead any more.
+func (c *Commander) EndTerm() { c.epoch = 0 }
 
 // Epoch is the term this controller leads, or 0.
 func (c *Commander) Epoch() uint64 { return c.epoch }
 
-// List tells where an engine is reached and whether the platform still lists it.
-func (c *Commander) List(name, address string, listed bool) {
+// SetListing tells where an engine is reached and whether the platform still lists it.
+func (c *Commander) SetListing(name, address string, listed bool) {
 	engine := c.engine(name)
 	engine.address = address
 	engine.listed = listed
 }
 
-// Forget drops an engine that is gone for good.
-func (c *Commander) Forget(name string) {
+// RemoveEngine drops an engine that is gone for good.
+func (c *Commander) RemoveEngine(name string) {
 	if _, known := c.engines[name]; !known {
 		return
 	}
@@ -77,8 +77,8 @@
 	return created
 }
 
-// Observed takes an engine's answer to a poll that was sent at sentAt.
-func (c *Commander) Observed(sentAt time.Duration, name string, state enginecontract.EngineState) {
+// RecordPollAnswer takes an engine's answer to a poll that was sent at sentAt.
+func (c *Commander) RecordPollAnswer(sentAt time.Duration, name string, state enginecontract.EngineState) {
 	engine := c.engines[name]
 	if engine == nil || sentAt < engine.answeredAt {
 		return
@@ -86,8 +86,8 @@
 	engine.take(sentAt, state)
 }
 
-// FenceAnswered takes an engine's answer to a fence; answer is nil when it was lost.
-func (c *Commander) FenceAnswered(now time.Duration, name string, epoch uint64, answer *enginecontract.OrderAnswer) {
+// RecordFenceAnswer takes an engine's answer to a fence; answer is nil when it was lost.
+func (c *Commander) RecordFenceAnswer(now time.Duration, name string, epoch uint64, answer *enginecontract.OrderAnswer) {
 	engine := c.engines[name]
 	if engine == nil || epoch != c.epoch {
 		return
@@ -104,9 +104,9 @@
 	}
 }
 
-// OrderAnswered takes an engine's answer to an order or an abort; answer is nil when
+// RecordOrderAnswer takes an engine's answer to an order or an abort; answer is nil when
 // it was lost.
-func (c *Commander) OrderAnswered(now time.Duration, name string, fence enginecontract.Fence, answer *enginecontract.OrderAnswer) {
+func (c *Commander) RecordOrderAnswer(now time.Duration, name string, fence enginecontract.Fence, answer *enginecontract.OrderAnswer) {
 	engine := c.engines[name]
 	if engine == nil {
 		return
@@ -151,7 +151,7 @@
 func (c *Commander) adoptUnlisted(state *controlstate.State) {
 	for _, record := range state.Engines() {
 		if record.Outstanding != nil && c.engines[record.State.Engine] == nil {
-			c.List(record.State.Engine, record.State.Address, false)
+			c.SetListing(record.State.Engine, record.State.Address, false)
 		}
 	}
 }
@@ -215,9 +215,9 @@
 	return []Action{propose(command)}
 }
 
-// Applied tells that a command about an engine has been applied, so that the next
+// ClearPendingProposal tells that a command about an engine has been applied, so that the next
 // one need not wait.
-func (c *Commander) Applied(name string) {
+func (c *Commander) ClearPendingProposal(name string) {
 	if engine := c.engines[name]; engine != nil {
 		engine.proposalPending = false
 	}
--- a/internal/authority/commander_test.go
+++ b/internal/authority/commander_test.go
@@ -48,7 +48,7 @@
 	order.DeadlineMs = testStart + (b.now + time.Hour).Milliseconds()
 	b.mustOrder(order)
 	b.step()
-	b.commander.List("engine", "127.0.0.1:1", false)
+	b.commander.SetListing("engine", "127.0.0.1:1", false)
 	for end := b.now + DefaultLostAfter + time.Second; b.now < end; b.now += 100 * time.Millisecond {
 		b.deliver = false
 		b.step() // silent: no polls
@@ -74,13 +74,13 @@
 		wanted *v1.Order
 		err    error
 	}{
-		{"one out without a bound", nil, []*v1.Order{setRole("a1", decode)}, setRole("b1", decode), ErrTooManyOut},
+		{"one out without a bound", nil, []*v1.Order{setRole("a1", decode)}, setRole("b1", decode), ErrTooManyOutOfService},
 		{"two out with a bound", []*v1.Bound{{Role: decode, MaximumOut: 2}}, []*v1.Order{setRole("a1", decode)}, setRole("b1", decode), nil},
 		{"the zone's own bound", []*v1.Bound{{Role: decode, MaximumOut: 3}, {Role: decode, Zone: "zone-a", MaximumOut: 1}},
-			[]*v1.Order{setRole("a1", decode)}, setRole("a2", decode), ErrTooManyOut},
+			[]*v1.Order{setRole("a1", decode)}, setRole("a2", decode), ErrTooManyOutOfService},
 		{"another zone's bound", []*v1.Bound{{Role: decode, MaximumOut: 3}, {Role: decode, Zone: "zone-a", MaximumOut: 1}},
 			[]*v1.Order{setRole("a1", decode)}, setRole("b1", decode), nil},
-		{"a drained engine is out", nil, []*v1.Order{action("a1", v1.OrderAction_ORDER_ACTION_DRAIN)}, setRole("b1", decode), ErrTooManyOut},
+		{"a drained engine is out", nil, []*v1.Order{action("a1", v1.OrderAction_ORDER_ACTION_DRAIN)}, setRole("b1", decode), ErrTooManyOutOfService},
 		{"an adapter takes no one out", nil, []*v1.Order{loadAdapter("a1")}, setRole("b1", decode), nil},
 		{"minimum of a role", []*v1.Bound{{Role: v1.Role_ROLE_MIXED, Minimum: 3}}, nil, setRole("a1", decode), ErrRoleBound},
 		{"minimum of a role in one zone", []*v1.Bound{{Role: v1.Role_ROLE_MIXED, Zone: "zone-a", Minimum: 2}}, nil, setRole("a1", decode), ErrRoleBound},
@@ -131,7 +131,7 @@
 	b := newBench(t, 5)
 	b.addEngine("engine", "zone-a", enginecontract.RoleMixed)
 	b.run(time.Second)
-	b.now += DefaultFreshness + time.Second
+	b.now += DefaultMaximumStateAge + time.Second
 	require.ErrorIs(t, b.order(setRole("engine", decode)), ErrEngineSilent)
 }
 
@@ -146,9 +146,9 @@
 	b.step()
 	delete(b.engines, "silent")
 	b.takeOver(6)
-	b.commander.List("silent", "", true)
+	b.commander.SetListing("silent", "", true)
 	b.run(time.Second)
-	require.ErrorIs(t, b.order(setRole("other", decode)), ErrTooManyOut)
+	require.ErrorIs(t, b.order(setRole("other", decode)), ErrTooManyOutOfService)
 }
 
 func TestSafeguardsOfAuthority(t *testing.T) {
@@ -166,7 +166,7 @@
 		require.True(t, b.exchange(late).answer.Accepted, "the old leader's order takes effect although the log says aborted")
 	})
 	t.Run("engines out bound", func(t *testing.T) {
-		b := newBench(t, 5, SafeguardOutBound)
+		b := newBench(t, 5, SafeguardOutOfServiceBound)
 		b.addEngine("a", "zone-a", enginecontract.RoleMixed)
 		b.addEngine("b", "zone-a", enginecontract.RoleMixed)
 		b.run(time.Second)
@@ -174,7 +174,7 @@
 		b.mustOrder(setRole("b", decode))
 	})
 	t.Run("one order at a time", func(t *testing.T) {
-		b := newBench(t, 5, controlstate.OneOrderAtATime, SafeguardOutBound)
+		b := newBench(t, 5, controlstate.OneOrderAtATime, SafeguardOutOfServiceBound)
 		b.addEngine("a", "zone-a", enginecontract.RoleMixed)
 		b.run(time.Second)
 		b.mustOrder(setRole("a", decode))
--- a/internal/authority/config.go
+++ b/internal/authority/config.go
@@ -10,9 +10,9 @@
 const (
 	DefaultResendInterval  = 500 * time.Millisecond
 	DefaultProposalTimeout = 3 * time.Second
-	DefaultFreshness       = 5 * time.Second
+	DefaultMaximumStateAge = 5 * time.Second
 	DefaultLostAfter       = 15 * time.Second
-	DefaultDrainTime       = 60 * time.Second
+	DefaultDrainTimeout    = 60 * time.Second
 	DefaultMaximumLoads    = 2
 )
 
@@ -25,13 +25,13 @@
 	// ProposalTimeout is the time after which a proposal that has shown no effect
 	// is made again.
 	ProposalTimeout time.Duration
-	// Freshness is the greatest age of an engine's own word by which a new order
+	// MaximumStateAge is the greatest age of an engine's own word by which a new order
 	// may be decided.
-	Freshness time.Duration
+	MaximumStateAge time.Duration
 	// LostAfter is the silence after which an engine's order is given up.
 	LostAfter time.Duration
-	// DrainTime is how long an engine may drain before it aborts the order.
-	DrainTime time.Duration
+	// DrainTimeout is how long an engine may drain before it aborts the order.
+	DrainTimeout time.Duration
 	// MaximumLoads bounds the orders that draw weights from the store at once; with
 	// the store's rate shared by so many, each load keeps its share of the rate.
 	MaximumLoads int
@@ -41,9 +41,9 @@
 func (c Config) withDefaults() Config {
 	setDefault(&c.ResendInterval, DefaultResendInterval)
 	setDefault(&c.ProposalTimeout, DefaultProposalTimeout)
-	setDefault(&c.Freshness, DefaultFreshness)
+	setDefault(&c.MaximumStateAge, DefaultMaximumStateAge)
 	setDefault(&c.LostAfter, DefaultLostAfter)
-	setDefault(&c.DrainTime, DefaultDrainTime)
+	setDefault(&c.DrainTimeout, DefaultDrainTimeout)
 	setDefault(&c.MaximumLoads, DefaultMaximumLoads)
 	return c
 }
@@ -62,6 +62,6 @@
 	SafeguardFence safeguard.Safeguard = "authority fence"
 	// SafeguardCommitBeforeSend sends an order only once it is committed.
 	SafeguardCommitBeforeSend safeguard.Safeguard = "commit before send"
-	// SafeguardOutBound bounds the engines that are out at once.
-	SafeguardOutBound safeguard.Safeguard = "engines out bound"
+	// SafeguardOutOfServiceBound bounds the engines that are out at once.
+	SafeguardOutOfServiceBound safeguard.Safeguard = "engines out bound"
 )
--- a/internal/authority/decide.go
+++ b/internal/authority/decide.go
@@ -12,10 +12,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/engineroles"
 )
 
-// Prepare checks that an order may be given now and fills in the rest of it: epoch,
+// PrepareOrder checks that an order may be given now and fills in the rest of it: epoch,
 // expected role, incarnation and deadline. The caller proposes the returned command;
 // the engine counts as busy until it is applied or the proposal times out.
-func (c *Commander) Prepare(now time.Duration, nowMs int64, state *controlstate.State, wanted *v1.Order) (*v1.IssueOrder, error) {
+func (c *Commander) PrepareOrder(now time.Duration, nowMs int64, state *controlstate.State, wanted *v1.Order) (*v1.IssueOrder, error) {
 	engine := c.engines[wanted.Engine]
 	if err := c.mayOrder(now, state, engine, wanted); err != nil {
 		return nil, trace.Wrap(err)
@@ -26,7 +26,7 @@
 	order.EngineIncarnation = engine.last.Incarnation
 	order.IssuedAtMs = nowMs
 	if order.DeadlineMs == 0 {
-		order.DeadlineMs = nowMs + c.config.DrainTime.Milliseconds()
+		order.DeadlineMs = nowMs + c.config.DrainTimeout.Milliseconds()
 	}
 	engine.ordering = &pendingOrder{
 		at: now, out: takesOut(order.Action), loads: drawsWeights(order.Action), target: engineroles.ToContract(order.Role),
@@ -34,9 +34,9 @@
 	return &v1.IssueOrder{Order: order}, nil
 }
 
-// Proposed tells that a prepared order was proposed as the log's entry at index. The
+// OrderProposed tells that a prepared order was proposed as the log's entry at index. The
 // order is sent by Step once it is committed, and never from here.
-func (c *Commander) Proposed(issue *v1.IssueOrder, index uint64) []Action {
+func (c *Commander) OrderProposed(issue *v1.IssueOrder, index uint64) []Action {
 	if c.config.Safeguards.On(SafeguardCommitBeforeSend) {
 		return nil
 	}
@@ -46,8 +46,8 @@
 	return []Action{SendOrder{Engine: engine.name, Address: engine.address, Order: contractOrder(order)}}
 }
 
-// Withdraw tells that a prepared order was not proposed.
-func (c *Commander) Withdraw(name string) {
+// WithdrawOrder tells that a prepared order was not proposed.
+func (c *Commander) WithdrawOrder(name string) {
 	if engine := c.engines[name]; engine != nil {
 		engine.ordering = nil
 	}
@@ -60,7 +60,7 @@
 		return trace.Wrap(ErrNoAuthority, "this controller has not begun its authority; try again in a second")
 	case engine == nil:
 		return trace.Wrap(ErrEngineUnknown, "engine %q; see `show engines`", wanted.Engine)
-	case !engine.heard || now-engine.heardAt > c.config.Freshness:
+	case !engine.heard || now-engine.heardAt > c.config.MaximumStateAge:
 		return trace.Wrap(ErrEngineSilent, "engine %q", wanted.Engine)
 	case !engine.fenced(c.epoch) && c.config.Safeguards.On(SafeguardFence):
 		return trace.Wrap(ErrNoAuthority, "engine %q has not confirmed the fence; try again in a second", wanted.Engine)
--- a/internal/authority/errors.go
+++ b/internal/authority/errors.go
@@ -14,8 +14,8 @@
 	ErrEngineBusy = errors.New("the engine is busy with an order")
 	// ErrEngineState: the engine is not in a state that allows the order.
 	ErrEngineState = errors.New("the engine's state does not allow the order")
-	// ErrTooManyOut: the bound on engines out of service at once is reached.
-	ErrTooManyOut = errors.New("too many engines are out of service at once")
+	// ErrTooManyOutOfService: the bound on engines out of service at once is reached.
+	ErrTooManyOutOfService = errors.New("too many engines are out of service at once")
 	// ErrRoleBound: the declared bounds of a role forbid the change.
 	ErrRoleBound = errors.New("the declared bounds forbid the change")
 	// ErrTooManyLoads: the weight store's budget of loads at once is spent.
--- a/internal/authority/harness_test.go
+++ b/internal/authority/harness_test.go
@@ -37,14 +37,14 @@
 		commander: New(Config{Leader: "leader", Safeguards: safeguard.Without(off...)}),
 		engines:   map[string]*orders.Machine{}, inFlight: map[string]int{}, deliver: true,
 	}
-	b.commander.Lead(b.now, epoch)
+	b.commander.BeginTerm(b.now, epoch)
 	return b
 }
 
 // addEngine adds an engine and lets the commander hear it.
 func (b *bench) addEngine(name, zone string, role enginecontract.Role) {
 	b.engines[name] = b.machine(name, zone, 1, orders.Durable{Role: role, Model: "base", Version: "1"})
-	b.commander.List(name, "127.0.0.1:1", true)
+	b.commander.SetListing(name, "127.0.0.1:1", true)
 	b.poll(name)
 }
 
@@ -65,7 +65,7 @@
 	return b.engines[name].State(b.inFlight[name])
 }
 
-func (b *bench) poll(name string) { b.commander.Observed(b.now, name, b.engineState(name)) }
+func (b *bench) poll(name string) { b.commander.RecordPollAnswer(b.now, name, b.engineState(name)) }
 
 // apply applies a command as if committed.
 func (b *bench) apply(command *v1.Command) controlstate.Result {
@@ -74,11 +74,11 @@
 	result := b.state.Apply(b.index, command)
 	switch body := command.Body.(type) {
 	case *v1.Command_RecordEngine:
-		b.commander.Applied(body.RecordEngine.Engine.Engine)
+		b.commander.ClearPendingProposal(body.RecordEngine.Engine.Engine)
 	case *v1.Command_FinishOrder:
-		b.commander.Applied(body.FinishOrder.Engine)
+		b.commander.ClearPendingProposal(body.FinishOrder.Engine)
 	case *v1.Command_IssueOrder:
-		b.commander.Withdraw(body.IssueOrder.Order.Engine)
+		b.commander.WithdrawOrder(body.IssueOrder.Order.Engine)
 	}
 	return result
 }
@@ -137,15 +137,15 @@
 func (b *bench) answer(answered answered) {
 	switch message := answered.action.(type) {
 	case SendFence:
-		b.commander.FenceAnswered(b.now, message.Engine, message.Epoch, &answered.answer)
+		b.commander.RecordFenceAnswer(b.now, message.Engine, message.Epoch, &answered.answer)
 	case SendOrder:
-		b.commander.OrderAnswered(b.now, message.Engine, message.Order.Fence, &answered.answer)
+		b.commander.RecordOrderAnswer(b.now, message.Engine, message.Order.Fence, &answered.answer)
 	}
 }
 
 // order prepares and commits an order.
 func (b *bench) order(order *v1.Order) error {
-	issue, err := b.commander.Prepare(b.now, testStart+b.now.Milliseconds(), b.state, order)
+	issue, err := b.commander.PrepareOrder(b.now, testStart+b.now.Milliseconds(), b.state, order)
 	if err != nil {
 		return err
 	}
@@ -196,8 +196,8 @@
 // takeOver replaces the commander by that of a new leader, which knows only the log.
 func (b *bench) takeOver(epoch uint64) {
 	b.commander = New(Config{Leader: "next", Safeguards: b.commander.config.Safeguards})
-	b.commander.Lead(b.now, epoch)
+	b.commander.BeginTerm(b.now, epoch)
 	for name := range b.engines {
-		b.commander.List(name, "127.0.0.1:1", true)
+		b.commander.SetListing(name, "127.0.0.1:1", true)
 	}
 }
--- a/internal/authority/limits.go
+++ b/internal/authority/limits.go
@@ -25,7 +25,7 @@
 		return nil
 	}
 	bounds := boundsOf(state, engine.last.Service)
-	if c.config.Safeguards.On(SafeguardOutBound) {
+	if c.config.Safeguards.On(SafeguardOutOfServiceBound) {
 		if err := c.checkOut(state, engine, bounds); err != nil {
 			return err
 		}
@@ -66,7 +66,7 @@
 	for _, scope := range scopes {
 		out := c.countOut(state, service, scope.zone)
 		if scope.limited && out >= scope.limit {
-			return trace.Wrap(ErrTooManyOut, "%d of %d of service %q in zone %q are out; wait, or declare a larger maximum_out",
+			return trace.Wrap(ErrTooManyOutOfService, "%d of %d of service %q in zone %q are out; wait, or declare a larger maximum_out",
 				out, scope.limit, service, scope.zone)
 		}
 	}
--- a/internal/authority/overtaken.go
+++ b/internal/authority/overtaken.go
@@ -1,11 +1,11 @@
 package authority
 
-// Overtaken reports whether most engines that were heard hold the fence of a later
+// NewerFenceEpoch reports whether most engines that were heard hold the fence of a later
 // epoch than this leader's, and the highest such epoch. No leader of the same quorum
 // can be behind its engines; one of a quorum that was formed anew, after the old one
 // was lost with its disks, is. A minority of engines is not believed: one that tells
 // nonsense must not take authority from a leader.
-func (c *Commander) Overtaken() (epoch uint64, overtaken bool) {
+func (c *Commander) NewerFenceEpoch() (epoch uint64, overtaken bool) {
 	if c.epoch == 0 {
 		return 0, false
 	}
--- a/internal/authority/overtaken_test.go
+++ b/internal/authority/overtaken_test.go
@@ -32,7 +32,7 @@
 				b.engines[name].Fence(b.now, enginecontract.Fence{Epoch: epoch}, 0)
 				b.poll(name)
 			}
-			epoch, overtaken := b.commander.Overtaken()
+			epoch, overtaken := b.commander.NewerFenceEpoch()
 			require.Equal(t, test.overtaken, overtaken)
 			require.Equal(t, test.epoch, epoch)
 		})
--- a/internal/benchcommand/soak.go
+++ b/internal/benchcommand/soak.go
@@ -32,7 +32,7 @@
 	}()
 	return servercommand.Run(ctx, arguments, servercommand.Environment{
 		Program: environment.Program + " " + serveSiteName, Stdout: environment.Stdout, Stderr: environment.Stderr, Site: platform.Site(),
-		Dial: dialing.Dial(way.Dial(zonedelay.DialFunc(dialing.Watched()), soak.PeerPort)),
+		Dial: dialing.Dial(way.Dial(zonedelay.DialFunc(dialing.WithDeadPeerDetection()), soak.PeerPort)),
 		ListenPacket: func(network, address string) (net.PacketConn, error) {
 			connection, err := net.ListenPacket(network, address)
 			if err != nil {
--- a/internal/bootclock/clock.go
+++ b/internal/bootclock/clock.go
@@ -24,16 +24,16 @@
 // moment, and what lies between them must not count.
 const leastSuspension = 20 * time.Millisecond
 
-// RequestLook is the time between two looks of processes that serve requests: nothing that they decide
+// RequestCheckInterval is the time between two looks of processes that serve requests: nothing that they decide
 // within it hangs on a lease.
-const RequestLook = time.Millisecond
+const RequestCheckInterval = time.Millisecond
 
 // New returns a Clock whose origin is now. A suspension counts once the process has run for lookEvery
 // after it: a look costs two calls of the system. With 0 each reading looks, as leases need it.
-func New(lookEvery time.Duration) *Clock { return NewSuspendable(lookEvery, suspended) }
+func New(lookEvery time.Duration) *Clock { return NewWithSuspension(lookEvery, suspended) }
 
-// NewSuspendable returns a Clock for tests, of a machine that was suspended for as long as told.
-func NewSuspendable(lookEvery time.Duration, suspended func() time.Duration) *Clock {
+// NewWithSuspension returns a Clock for tests, of a machine that was suspended for as long as told.
+func NewWithSuspension(lookEvery time.Duration, suspended func() time.Duration) *Clock {
 	return &Clock{origin: time.Now(), suspended: suspended, before: atLeast(suspended), lookEvery: lookEvery}
 }
 
@@ -56,11 +56,11 @@
 		return running + time.Duration(c.counted.Load())
 	}
 	c.lookedAt.Store(int64(running))
-	return running + c.Suspended()
+	return running + c.SuspendedTime()
 }
 
-// Suspended looks for how long the machine was suspended since the origin.
-func (c *Clock) Suspended() time.Duration {
+// SuspendedTime looks for how long the machine was suspended since the origin.
+func (c *Clock) SuspendedTime() time.Duration {
 	now := int64(c.suspended() - c.before)
 	for {
 		counted := c.counted.Load()
@@ -73,8 +73,8 @@
 	}
 }
 
-// At returns the moment for timers and for deadlines of connections, which do not count suspensions:
+// TimerDeadline returns the moment for timers and for deadlines of connections, which do not count suspensions:
 // they are right until the next one.
-func (c *Clock) At(moment time.Duration) time.Time {
+func (c *Clock) TimerDeadline(moment time.Duration) time.Time {
 	return c.origin.Add(moment - time.Duration(c.counted.Load()))
 }
--- a/internal/bootclock/clock_test.go
+++ b/internal/bootclock/clock_test.go
@@ -15,16 +15,16 @@
 func TestSuspensionsCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		away := 7 * time.Hour // before the process began
-		clock := NewSuspendable(0, func() time.Duration { return away })
+		clock := NewWithSuspension(0, func() time.Duration { return away })
 		require.Zero(t, clock.Now())
 		time.Sleep(time.Second)
 		require.Equal(t, time.Second, clock.Now())
 		away += 5 * time.Second
 		require.Equal(t, 6*time.Second, clock.Now())
-		require.Equal(t, 5*time.Second, clock.Suspended())
+		require.Equal(t, 5*time.Second, clock.SuspendedTime())
 		time.Sleep(time.Second)
 		require.Equal(t, 7*time.Second, clock.Now())
-		require.Equal(t, 3*time.Second, time.Until(clock.At(10*time.Second)), "timers count from now on")
+		require.Equal(t, 3*time.Second, time.Until(clock.TimerDeadline(10*time.Second)), "timers count from now on")
 	})
 }
 
@@ -33,7 +33,7 @@
 func TestJitterIsNoSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var away atomic.Int64
-		clock := NewSuspendable(0, func() time.Duration { return time.Duration(away.Load()) })
+		clock := NewWithSuspension(0, func() time.Duration { return time.Duration(away.Load()) })
 		for _, jitter := range []time.Duration{time.Microsecond, leastSuspension - 1, 0, -time.Millisecond, -time.Hour} {
 			away.Store(int64(jitter))
 			require.Zero(t, clock.Now())
@@ -43,7 +43,7 @@
 
 func TestTimeNeverGoesBack(t *testing.T) {
 	var away atomic.Int64
-	clock := NewSuspendable(0, func() time.Duration { return time.Duration(away.Load()) })
+	clock := NewWithSuspension(0, func() time.Duration { return time.Duration(away.Load()) })
 	var running sync.WaitGroup
 	for range 4 {
 		running.Go(func() {
@@ -70,7 +70,7 @@
 func TestASuspensionCountsWithTheNextLook(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		away, looks := time.Duration(0), 0
-		clock := NewSuspendable(time.Millisecond, func() time.Duration { looks++; return away })
+		clock := NewWithSuspension(time.Millisecond, func() time.Duration { looks++; return away })
 		time.Sleep(time.Second)
 		require.Equal(t, time.Second, clock.Now())
 		away = 5 * time.Second
@@ -91,7 +91,7 @@
 func TestWatchTellsOfEachSuspensionOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var away atomic.Int64
-		clock := NewSuspendable(0, func() time.Duration { return time.Duration(away.Load()) })
+		clock := NewWithSuspension(0, func() time.Duration { return time.Duration(away.Load()) })
 		var told []time.Duration
 		ctx, cancel := context.WithCancel(t.Context())
 		go clock.Watch(ctx, func(suspended time.Duration) { told = append(told, suspended) })
@@ -117,7 +117,7 @@
 			return nil
 		}
 		readings := 0
-		clock := NewSuspendable(0, func() time.Duration {
+		clock := NewWithSuspension(0, func() time.Duration {
 			pause = 0
 			if readings++; readings%2 == 1 {
 				pause = 90 * time.Millisecond
--- a/internal/closing/connection_test.go
+++ b/internal/closing/connection_test.go
@@ -48,7 +48,7 @@
 		client, server := pair(t, set)
 		server.SetState(state)
 		go echo(server)
-		require.True(t, set.End(t.Context(), time.Now().Add(-time.Hour), time.Millisecond))
+		require.True(t, set.CloseIdle(t.Context(), time.Now().Add(-time.Hour), time.Millisecond))
 		_, err := client.Read(make([]byte, 1))
 		require.ErrorIs(t, err, io.EOF)
 	}
@@ -71,7 +71,7 @@
 	require.Equal(t, "rest", string(read[:n]))
 	limited, cancel := context.WithTimeout(t.Context(), 3*endPoll)
 	defer cancel()
-	require.False(t, set.End(limited, time.Now().Add(-time.Hour), 0))
+	require.False(t, set.CloseIdle(limited, time.Now().Add(-time.Hour), 0))
 	require.Equal(t, 1, set.Len())
 }
 
--- a/internal/closing/set.go
+++ b/internal/closing/set.go
@@ -41,10 +41,10 @@
 	return len(s.open)
 }
 
-// End ends the connections that rest, each once nothing has come on it for the quiet time, counted from
+// CloseIdle ends the connections that rest, each once nothing has come on it for the quiet time, counted from
 // the beginning of the stop at the earliest. It returns true once no connection is open, false when the
 // context ends first.
-func (s *Set) End(ctx context.Context, began time.Time, quiet time.Duration) bool {
+func (s *Set) CloseIdle(ctx context.Context, began time.Time, quiet time.Duration) bool {
 	ticker := time.NewTicker(endPoll)
 	defer ticker.Stop()
 	for s.Len() > 0 {
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -130,7 +130,7 @@
 		}
 		last := disk.pending[len(disk.pending)-1].Batch
 		disk.pending = nil
-		core.Persisted(c.now, last)
+		core.ReportPersisted(c.now, last)
 	}
 	for ready, some := core.Ready(); some; ready, some = core.Ready() {
 		if ready.Batch != 0 {
@@ -143,7 +143,7 @@
 		}
 		c.apply(name, ready)
 	}
-	if core.Leading() {
+	if core.IsLeader() {
 		if other, known := c.leaders[core.Term()]; known && other != core.id {
 			c.t.Fatalf("two leaders in term %d: %s and %s", core.Term(), other, core.id)
 		}
@@ -183,7 +183,7 @@
 // leader returns the name of the leader with a valid lease, or "".
 func (c *testCluster) leader() string {
 	for _, name := range c.names {
-		if core := c.cores[name]; core != nil && core.LeaseValid(c.now) {
+		if core := c.cores[name]; core != nil && core.HasValidLease(c.now) {
 			return name
 		}
 	}
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -248,8 +248,8 @@
 	}
 }
 
-// Persisted tells that the batch and every one before it are written and synced.
-func (c *Core) Persisted(now time.Duration, batch uint64) {
+// ReportPersisted tells that the batch and every one before it are written and synced.
+func (c *Core) ReportPersisted(now time.Duration, batch uint64) {
 	c.observe(now)
 	if batch <= c.out.synced || batch > c.out.lastBatch {
 		return
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -49,8 +49,8 @@
 	first := cluster.leader()
 	cluster.cut[first] = true
 	cluster.until("another leader", func() bool { return cluster.leader() != "" && cluster.leader() != first })
-	require.False(t, cluster.cores[first].LeaseValid(cluster.now))
-	cluster.until("old leader to step down", func() bool { return !cluster.cores[first].Leading() })
+	require.False(t, cluster.cores[first].HasValidLease(cluster.now))
+	cluster.until("old leader to step down", func() bool { return !cluster.cores[first].IsLeader() })
 }
 
 func TestEmptiedDiskJoinsAsNewMember(t *testing.T) {
@@ -109,7 +109,7 @@
 	}
 	before := cluster.now
 	require.NoError(t, leader.TransferLeadership(cluster.now, cluster.cores[target].id))
-	require.False(t, leader.LeaseValid(cluster.now), "the lease is given up before votes bypass it")
+	require.False(t, leader.HasValidLease(cluster.now), "the lease is given up before votes bypass it")
 	_, _, err := leader.Propose(cluster.now, []byte("x"))
 	require.ErrorIs(t, err, ErrTransferring)
 	cluster.until("transfer", func() bool { return cluster.leader() == target })
@@ -125,15 +125,15 @@
 	require.NoError(t, err)
 	cluster.until("commit", func() bool { return len(cluster.applied[cluster.leader()]) == 2 })
 	require.Error(t, leader.RaiseTerm(cluster.now, maximumRaisedTerm+1))
-	require.True(t, leader.Leading())
+	require.True(t, leader.IsLeader())
 	require.NoError(t, leader.RaiseTerm(cluster.now, 500))
-	require.False(t, leader.Leading())
-	require.False(t, leader.LeaseValid(cluster.now))
+	require.False(t, leader.IsLeader())
+	require.False(t, leader.HasValidLease(cluster.now))
 	require.ErrorIs(t, leader.RaiseTerm(cluster.now, 600), ErrNotLeader)
 	next := cluster.waitLeader()
 	require.Greater(t, next.Term(), uint64(500))
 	require.NoError(t, next.RaiseTerm(cluster.now, 400))
-	require.True(t, next.Leading(), "a lower term changes nothing")
+	require.True(t, next.IsLeader(), "a lower term changes nothing")
 	_, _, err = next.Propose(cluster.now, []byte("y"))
 	require.NoError(t, err)
 	cluster.until("commit", func() bool { return len(cluster.applied[cluster.leader()]) == 3 })
@@ -186,7 +186,7 @@
 			case 2, 3, 4:
 				cluster.cut[name] = false
 			}
-			if core := cluster.cores[name]; core.Leading() && cluster.random.IntN(20) == 0 {
+			if core := cluster.cores[name]; core.IsLeader() && cluster.random.IntN(20) == 0 {
 				if _, _, err := core.Propose(cluster.now, []byte(fmt.Sprint(proposed))); err == nil {
 					proposed++
 				}
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// LeaseValid reports whether this member is the only leader at the given time and
+// HasValidLease reports whether this member is the only leader at the given time and
 // its applied state holds everything committed before: a read then needs no round
 // trip. The owner must have drained Ready.
-func (c *Core) LeaseValid(now time.Duration) bool {
+func (c *Core) HasValidLease(now time.Duration) bool {
 	return c.role == RoleLeader && c.log.commit >= c.leaderStart && now < c.leaseEnd(now)
 }
 
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -70,9 +70,9 @@
 	return c.now - max(heard, c.leaderSince)
 }
 
-// QuorumIsLate reports whether a leader has not heard of a quorum for so long that it is halfway to
+// IsQuorumLate reports whether a leader has not heard of a quorum for so long that it is halfway to
 // stepping down.
-func (c *Core) QuorumIsLate() bool { return c.QuorumSilence() >= c.config.ElectionTimeout/2 }
+func (c *Core) IsQuorumLate() bool { return c.QuorumSilence() >= c.config.ElectionTimeout/2 }
 
 // broadcastHeartbeat starts a new round with every member.
 func (c *Core) broadcastHeartbeat() {
--- a/internal/consensus/restart_test.go
+++ b/internal/consensus/restart_test.go
@@ -120,7 +120,7 @@
 		cluster.step()
 		leases := 0
 		for _, name := range cluster.names {
-			if cluster.cores[name].LeaseValid(cluster.now) {
+			if cluster.cores[name].HasValidLease(cluster.now) {
 				leases++
 			}
 		}
@@ -159,7 +159,7 @@
 			}
 			leases := 0
 			for _, each := range cluster.names {
-				if cluster.cores[each].LeaseValid(cluster.now) {
+				if cluster.cores[each].HasValidLease(cluster.now) {
 					leases++
 				}
 			}
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -74,8 +74,8 @@
 // Membership is the quorum in force here. It must not be changed.
 func (c *Core) Membership() *v1.Membership { return c.members.membership }
 
-// Leading reports whether this member is the leader of its term, as far as it knows.
-func (c *Core) Leading() bool { return c.role == RoleLeader }
+// IsLeader reports whether this member is the leader of its term, as far as it knows.
+func (c *Core) IsLeader() bool { return c.role == RoleLeader }
 
 // Term returns the current term.
 func (c *Core) Term() uint64 { return c.term }
--- a/internal/consensus/step_fuzz_test.go
+++ b/internal/consensus/step_fuzz_test.go
@@ -77,7 +77,7 @@
 		if !some {
 			break
 		}
-		core.Persisted(now, ready.Batch)
+		core.ReportPersisted(now, ready.Batch)
 	}
 	after := core.Status()
 	require.GreaterOrEqual(t, after.Term, before.Term)
--- a/internal/control/clock.go
+++ b/internal/control/clock.go
@@ -8,18 +8,18 @@
 	if reading == 0 {
 		reading = c.wallMs()
 	}
-	c.clock.Read(c.now, reading)
+	c.clock.AddReading(c.now, reading)
 }
 
 // hearClock takes another controller's word of the time of day.
 func (c *Core) hearClock(message *v1.ConsensusMessage) {
 	if message.GetTimeOfDayMs() != 0 {
-		c.clock.Hear(c.now, message.GetFrom(), message.GetTimeOfDayMs())
+		c.clock.AddPeerReading(c.now, message.GetFrom(), message.GetTimeOfDayMs())
 	}
 }
 
 // trueTime returns the time of day on which the controllers agree, in milliseconds since the start of
 // 1970; false while they do not.
 func (c *Core) trueTime() (timeOfDayMs int64, agreed bool) {
-	return c.clock.Agreed(c.now, len(c.consensus.Membership().GetMembers()))
+	return c.clock.AgreedTime(c.now, len(c.consensus.Membership().GetMembers()))
 }
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -15,7 +15,7 @@
 func (c *Core) orderForOperator(received ExecuteReceived, order *v1.Order) {
 	order.Operator = received.Operator
 	order.Reason = fmt.Sprintf("operator %s: %s", received.Operator, received.Request.Text)
-	issue, err := c.commander.Prepare(c.now, c.wallMs(), c.state, order)
+	issue, err := c.commander.PrepareOrder(c.now, c.wallMs(), c.state, order)
 	if err != nil {
 		c.refuseAudited(received, err)
 		return
@@ -25,7 +25,7 @@
 	_, err = c.propose(&v1.Command{Body: &v1.Command_IssueOrder{IssueOrder: issue}}, received.Call,
 		func(core *Core, result controlstate.Result) { core.answerResult(received.Call, result) })
 	if err != nil {
-		c.commander.Withdraw(order.Engine)
+		c.commander.WithdrawOrder(order.Engine)
 		c.refuse(received.Call, err)
 	}
 }
--- a/internal/control/configuration_faults_test.go
+++ b/internal/control/configuration_faults_test.go
@@ -173,7 +173,7 @@
 	old.life++ // no ticks reach it any more
 	w.until("next leader", func() bool { return w.leader() != nil && w.leader() != old })
 	w.apply("two", modelVersion(2))
-	require.True(t, old.core.consensus.Leading(), "it does not know yet")
+	require.True(t, old.core.consensus.IsLeader(), "it does not know yet")
 	answer := w.call(old, func(id CallID) Input {
 		return PlanReceived{Call: id, Request: &v1.PlanRequest{}, Objects: []*v1.Object{modelVersion(2)}}
 	})
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -166,14 +166,14 @@
 	case Tick:
 		c.readClock(received)
 		c.tickConsensus()
-		c.newsPace.tick(c.consensus.QuorumIsLate())
+		c.newsPace.tick(c.consensus.IsQuorumLate())
 	case PeerMessage:
 		c.hearClock(received.Message)
 		c.hearFormats(received.Message)
 		// An error tells why the message was dropped; the sender repeats what matters.
 		_ = c.consensus.Step(c.now, received.Message)
 	case Persisted:
-		c.consensus.Persisted(c.now, received.Batch)
+		c.consensus.ReportPersisted(c.now, received.Batch)
 	case ApplyReceived:
 		c.takeApply(received)
 	case PlanReceived:
@@ -193,10 +193,10 @@
 	case MachineListReceived:
 		c.takeMachineList(received)
 	case OrderAnswered:
-		c.commander.OrderAnswered(c.now, received.Engine, received.Fence, received.Answer)
-		c.tracker.HurryPoll(c.now, received.Engine, hurriedPoll)
+		c.commander.RecordOrderAnswer(c.now, received.Engine, received.Fence, received.Answer)
+		c.tracker.ExpeditePoll(c.now, received.Engine, hurriedPoll)
 	case FenceAnswered:
-		c.commander.FenceAnswered(c.now, received.Engine, received.Epoch, received.Answer)
+		c.commander.RecordFenceAnswer(c.now, received.Engine, received.Epoch, received.Answer)
 	case PutDocumentReceived:
 		c.takePutDocument(received)
 	case ReadDocumentReceived:
@@ -278,7 +278,7 @@
 // Status returns what this controller knows about itself.
 func (c *Core) Status() Status {
 	return Status{
-		Consensus: c.consensus.Status(), Ordering: c.leading && c.consensus.LeaseValid(c.now),
+		Consensus: c.consensus.Status(), Ordering: c.leading && c.consensus.HasValidLease(c.now),
 		Revision: c.state.Revision(), AppliedIndex: c.applied,
 		Gateways: len(c.tracker.Gateways()), Machines: len(c.tracker.Machines()), PendingCalls: len(c.pending),
 		AgreedFormat: c.state.AgreedFormat(), HeldBackBy: c.heldBackBy(), Site: c.siteStatus(),
@@ -290,7 +290,7 @@
 
 // MayLead reports whether this controller, as far as it knows, may act as the leader at
 // a time: at most one controller may at any moment.
-func (c *Core) MayLead(now time.Duration) bool { return c.consensus.LeaseValid(now) }
+func (c *Core) MayLead(now time.Duration) bool { return c.consensus.HasValidLease(now) }
 
 // State is the replicated state as applied here. It must not be changed, and not be
 // read while Step runs.
--- a/internal/control/drive.go
+++ b/internal/control/drive.go
@@ -26,7 +26,7 @@
 		c.emit(Persist{Batch: ready.Batch, HardState: ready.HardState, Entries: ready.Entries, Snapshot: ready.Snapshot})
 	}
 	for _, message := range ready.Messages {
-		message.Message.TimeOfDayMs = c.clock.Own(c.now)
+		message.Message.TimeOfDayMs = c.clock.LocalTime(c.now)
 		if message.Message.GetFrom() == c.consensus.ID() { // others' probes are passed on as they are
 			message.Message.Formats = c.ownFormats().ToWire()
 		}
@@ -102,11 +102,11 @@
 	case *v1.Command_ApplyDeclaration:
 		c.refreshPages()
 	case *v1.Command_RecordEngine:
-		c.commander.Applied(body.RecordEngine.GetEngine().GetEngine())
+		c.commander.ClearPendingProposal(body.RecordEngine.GetEngine().GetEngine())
 	case *v1.Command_FinishOrder:
-		c.commander.Applied(body.FinishOrder.GetEngine())
+		c.commander.ClearPendingProposal(body.FinishOrder.GetEngine())
 	case *v1.Command_IssueOrder:
-		c.commander.Withdraw(body.IssueOrder.GetOrder().GetEngine())
+		c.commander.WithdrawOrder(body.IssueOrder.GetOrder().GetEngine())
 	}
 }
 
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -33,7 +33,7 @@
 // tick does what is due by time alone.
 func (c *Core) tick() {
 	c.pollEngines()
-	if !c.leading || !c.consensus.LeaseValid(c.now) {
+	if !c.leading || !c.consensus.HasValidLease(c.now) {
 		return
 	}
 	if c.giveWay() {
@@ -69,14 +69,14 @@
 // giveWay gives up this term when most engines hold fences of later ones: the quorum
 // was formed anew, and authority has to begin above what the engines remember.
 func (c *Core) giveWay() bool {
-	epoch, overtaken := c.commander.Overtaken()
+	epoch, overtaken := c.commander.NewerFenceEpoch()
 	return overtaken && c.consensus.RaiseTerm(c.now, epoch) == nil
 }
 
 // loseGateways makes the claims of gateways that are gone unknown.
 func (c *Core) loseGateways() {
 	for _, holder := range c.state.ClaimHolders() {
-		if c.tracker.GatewayGone(c.now, c.leadingSince, holder.Gateway, holder.Incarnation) {
+		if c.tracker.IsGatewayGone(c.now, c.leadingSince, holder.Gateway, holder.Incarnation) {
 			c.proposeQuietly(&v1.Command{Body: &v1.Command_LoseGateway{
 				LoseGateway: &v1.LoseGateway{Gateway: holder.Gateway, Incarnation: holder.Incarnation},
 			}})
@@ -94,7 +94,7 @@
 
 // removeGoneEngines takes engines that are neither listed nor answering out of the log.
 func (c *Core) removeGoneEngines() {
-	if c.now-c.leadingSince < engineGoneInterval || !c.tracker.Listed() {
+	if c.now-c.leadingSince < engineGoneInterval || !c.tracker.HasList() {
 		return
 	}
 	for _, record := range c.state.Engines() {
--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -12,7 +12,7 @@
 
 // takeMachineList takes a reading of the platform's list.
 func (c *Core) takeMachineList(received MachineListReceived) {
-	if !c.tracker.ListRead(c.now, received.List) {
+	if !c.tracker.ApplyList(c.now, received.List) {
 		return
 	}
 	c.listEngines()
@@ -22,7 +22,7 @@
 func (c *Core) listEngines() {
 	for _, machine := range c.tracker.Machines() {
 		if !c.isPage(machine.Row.Service) {
-			c.commander.List(machine.Row.Name, machine.Row.Address, machine.Listed)
+			c.commander.SetListing(machine.Row.Name, machine.Row.Address, machine.Listed)
 		}
 	}
 }
@@ -34,13 +34,13 @@
 
 // takeEngineState takes the answer to a poll.
 func (c *Core) takeEngineState(received EngineStateReceived) {
-	sentAt, counts := c.tracker.PollAnswered(c.now, received.Engine, received.State, received.Load)
+	sentAt, counts := c.tracker.RecordPollAnswer(c.now, received.Engine, received.State, received.Load)
 	if !counts {
 		return
 	}
-	c.commander.Observed(sentAt, received.Engine, *received.State)
+	c.commander.RecordPollAnswer(sentAt, received.Engine, *received.State)
 	if c.state.Engine(received.Engine).GetOutstanding() != nil {
-		c.tracker.HurryPoll(c.now, received.Engine, hurriedPoll)
+		c.tracker.ExpeditePoll(c.now, received.Engine, hurriedPoll)
 	}
 }
 
@@ -49,10 +49,10 @@
 	for _, poll := range c.tracker.DuePolls(c.now) {
 		c.emit(PollEngine{Engine: poll.Name, Address: poll.Address})
 	}
-	for _, name := range c.tracker.DropGone(c.now) {
-		c.commander.List(name, "", false)
+	for _, name := range c.tracker.RemoveGone(c.now) {
+		c.commander.SetListing(name, "", false)
 		if c.state.Engine(name).GetOutstanding() == nil {
-			c.commander.Forget(name)
+			c.commander.RemoveEngine(name)
 		}
 	}
 }
@@ -79,16 +79,16 @@
 // issueOrder commits an order of the controller's own; the commander sends it once it
 // is applied. It reports why it may not be given now.
 func (c *Core) issueOrder(order *v1.Order) error {
-	issue, err := c.commander.Prepare(c.now, c.wallMs(), c.state, order)
+	issue, err := c.commander.PrepareOrder(c.now, c.wallMs(), c.state, order)
 	if err != nil {
 		return err
 	}
 	index, err := c.propose(&v1.Command{Body: &v1.Command_IssueOrder{IssueOrder: issue}}, 0, nil)
 	if err != nil {
-		c.commander.Withdraw(order.Engine)
+		c.commander.WithdrawOrder(order.Engine)
 		return err
 	}
-	for _, action := range c.commander.Proposed(issue, index) {
+	for _, action := range c.commander.OrderProposed(issue, index) {
 		c.carryOutAction(action)
 	}
 	return nil
--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -62,7 +62,7 @@
 	case isAny(err, controlstate.ErrUnknownEngine, authority.ErrEngineUnknown, controlstate.ErrNoSuchOrder,
 		consensus.ErrUnknownMember):
 		return trace.NotFound("%s", message)
-	case isAny(err, controlstate.ErrClaimsFull, authority.ErrTooManyOut, authority.ErrTooManyLoads):
+	case isAny(err, controlstate.ErrClaimsFull, authority.ErrTooManyOutOfService, authority.ErrTooManyLoads):
 		return trace.LimitExceeded("%s", message)
 	case isAny(err, controlstate.ErrInvalidCommand, controlstate.ErrRequestReused, controlstate.ErrClaimExpired,
 		controlstate.ErrClaimNotHeld):
--- a/internal/control/harness_calls_test.go
+++ b/internal/control/harness_calls_test.go
@@ -10,7 +10,7 @@
 func (w *world) leader() *testController {
 	for _, name := range w.names {
 		if controller := w.controllers[name]; controller.core != nil && !controller.cut && controller.core.leading &&
-			controller.core.consensus.LeaseValid(w.now) {
+			controller.core.consensus.HasValidLease(w.now) {
 			return controller
 		}
 	}
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -4,7 +4,7 @@
 
 // checkLeadership follows the replicated log's view of who leads.
 func (c *Core) checkLeadership() {
-	leads := c.consensus.Leading()
+	leads := c.consensus.IsLeader()
 	term := c.consensus.Term()
 	if c.leading && (!leads || term != c.leadingTerm) {
 		c.stopLeading()
@@ -14,7 +14,7 @@
 		return
 	}
 	// The lease is valid once the first entry of the term is committed.
-	if !c.leading && c.consensus.LeaseValid(c.now) {
+	if !c.leading && c.consensus.HasValidLease(c.now) {
 		c.startLeading(term)
 	}
 }
@@ -24,7 +24,7 @@
 	c.leadingTerm = term
 	c.leadingSince = c.now
 	c.duties = duties{}
-	c.commander.Lead(c.now, term)
+	c.commander.BeginTerm(c.now, term)
 	// Shares are granted under an authority only, so that without one there are none.
 	epoch, _ := c.state.Authority()
 	c.divider.Lead(c.now, epoch == 0)
@@ -45,7 +45,7 @@
 
 func (c *Core) stopLeading() {
 	c.leading = false
-	c.commander.Stop()
+	c.commander.EndTerm()
 	c.refuseUsage()
 }
 
--- a/internal/control/listing.go
+++ b/internal/control/listing.go
@@ -117,7 +117,7 @@
 		return
 	}
 	current := c.marked(c.listing.told)
-	if c.listing.version != 0 && slices.EqualFunc(current, c.listing.backEnds, listing.Same) {
+	if c.listing.version != 0 && slices.EqualFunc(current, c.listing.backEnds, listing.EqualEntries) {
 		return
 	}
 	c.listing.version = listing.VersionOf(current)
--- a/internal/control/listing_forms.go
+++ b/internal/control/listing_forms.go
@@ -19,7 +19,7 @@
 		return f.version, &f.history
 	}
 	f.madeOf = version
-	former := listing.AsFirstFormat(backEnds)
+	former := listing.ToFirstFormat(backEnds)
 	if next := listing.VersionOf(former); next != f.version {
 		f.version = next
 		f.history.Add(next, former)
--- a/internal/control/nodes.go
+++ b/internal/control/nodes.go
@@ -16,7 +16,7 @@
 // takeSync answers a gateway's heartbeat from what is applied here.
 func (c *Core) takeSync(received SyncReceived) {
 	request := received.Request
-	c.tracker.GatewayHeard(c.now, request.GetNode(), request.GetRevision(), request.GetLeaving())
+	c.tracker.RecordHeartbeat(c.now, request.GetNode(), request.GetRevision(), request.GetLeaving())
 	delta := c.state.Delta(c.deltaRequest(request))
 	behind := c.consensus.Leader() == "" || request.GetRevision() > c.state.Revision() || !c.mayBegin(request)
 	if behind {
@@ -88,7 +88,7 @@
 	}
 	request := received.Request
 	node := request.GetNode()
-	c.tracker.GatewayHeard(c.now, node, request.Revision, false)
+	c.tracker.RecordHeartbeat(c.now, node, request.Revision, false)
 	if request.WindowMs > 0 || len(request.Demands) > 0 { // else it asks for shares only
 		c.demands.Take(c.now, node, request)
 	}
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -102,9 +102,9 @@
 // mayAnswerAsLeader reports whether what this controller has applied is all there is.
 func (c *Core) mayAnswerAsLeader() bool {
 	if !c.config.Safeguards.On(SafeguardLeaseRead) {
-		return c.consensus.Leading()
+		return c.consensus.IsLeader()
 	}
-	return c.consensus.LeaseValid(c.now)
+	return c.consensus.HasValidLease(c.now)
 }
 
 // notLeader names the leader as far as it is known.
--- a/internal/control/told_documents.go
+++ b/internal/control/told_documents.go
@@ -59,7 +59,7 @@
 		if held.GetNumber() != number {
 			continue
 		}
-		patch, err := packed.Patch(held.GetContent(), t.newest().GetContent())
+		patch, err := packed.MakePatch(held.GetContent(), t.newest().GetContent())
 		if err != nil {
 			return nil // the whole document is told instead
 		}
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -67,7 +67,7 @@
 		nodes = append(nodes, language.NodeView{
 			Name: gateway.Name, Program: "gateway", Zone: gateway.Zone, Address: gateway.Address,
 			Revision: gateway.Revision, Leaving: gateway.Leaving, Incarnation: gateway.Incarnation,
-			HeardAtMs: v.core.config.WallOrigin + gateway.HeardAt.Milliseconds(),
+			HeardAtMs: v.core.config.WallOrigin + gateway.LastHeartbeatAt.Milliseconds(),
 		})
 	}
 	for _, member := range v.Members() {
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -112,7 +112,7 @@
 	version, history := c.listingFor(request)
 	response.ListingVersion = version
 	if version != 0 && version != request.GetListingVersion() {
-		history.Tell(response, request.GetListingVersion())
+		history.FillResponse(response, request.GetListingVersion())
 		response.Wanted = c.wantedRecords()
 	}
 	if version != 0 {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -37,7 +37,7 @@
 		options.Listen = net.Listen
 	}
 	if options.Dial == nil {
-		dial, err := dialing.From(config.SourceAddress, dialTimeout)
+		dial, err := dialing.FromSource(config.SourceAddress, dialTimeout)
 		if err != nil {
 			return trace.Wrap(err)
 		}
--- a/internal/controller/duty_calls.go
+++ b/internal/controller/duty_calls.go
@@ -112,5 +112,5 @@
 
 // expiringClient is a client for one call that must not arrive late.
 func expiringClient(dial dialing.Dial, remaining func() time.Duration) *http.Client {
-	return &http.Client{Transport: &http.Transport{DialContext: dialing.Expiring(dial, remaining), DisableKeepAlives: true}}
+	return &http.Client{Transport: &http.Transport{DialContext: dialing.WithExpiry(dial, remaining), DisableKeepAlives: true}}
 }
--- a/internal/controller/site.go
+++ b/internal/controller/site.go
@@ -198,7 +198,7 @@
 		case pages = <-l.wanted:
 		}
 		read, err := l.read(ctx, l.client, pages)
-		if fault, isNews := l.faults.Next(read, err); isNews {
+		if fault, isNews := l.faults.Update(read, err); isNews {
 			l.log.Warn().Str(events.FieldEvent, string(events.ListingFault)).Str("fault", fault).Send()
 		}
 		received := control.ListingReceived{Failed: err != nil, Calls: read.Calls, Whole: read.Whole}
--- a/internal/controller/transport.go
+++ b/internal/controller/transport.go
@@ -45,7 +45,7 @@
 // newPeerClient returns the HTTP client towards other controllers.
 func newPeerClient(dial dialing.Dial, encryption *tls.Config) *http.Client {
 	transport := &http.Transport{
-		DialContext:     dialing.Within(dial, dialing.PeerTimeout),
+		DialContext:     dialing.WithTimeout(dial, dialing.PeerTimeout),
 		TLSClientConfig: encryption,
 		IdleConnTimeout: idleTimeout,
 		Protocols:       new(http.Protocols),
--- a/internal/dialing/expiring.go
+++ b/internal/dialing/expiring.go
@@ -13,18 +13,18 @@
 // ErrExpired is the error of a write that was not begun, since its time was over.
 var ErrExpired = errors.New("the time for sending is over")
 
-// Expiring returns a Dial for bytes that must not arrive late. Its connections look at the
+// WithExpiry returns a Dial for bytes that must not arrive late. Its connections look at the
 // time that remains right before each write, so that a process that stood still between its
 // decision and the write sends nothing; the kernel gives up what the peer has not confirmed
 // within the rest of the time; and a connection that is closed while the peer may not have
 // everything is reset, which drops what is still held on the way.
-func Expiring(dial Dial, remaining func() time.Duration) Dial {
+func WithExpiry(dial Dial, remaining func() time.Duration) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		left := remaining()
 		if left <= 0 {
 			return nil, ErrExpired
 		}
-		connection, err := Within(dial, left)(ctx, network, address)
+		connection, err := WithTimeout(dial, left)(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/dialing/from.go
+++ b/internal/dialing/from.go
@@ -7,9 +7,9 @@
 	"github.com/gravitational/trace"
 )
 
-// From returns a Dial whose connections leave from a source IP and open within the limit. An
+// FromSource returns a Dial whose connections leave from a source IP and open within the limit. An
 // empty source is any, a limit of 0 none.
-func From(source string, limit time.Duration) (Dial, error) {
+func FromSource(source string, limit time.Duration) (Dial, error) {
 	dialer := net.Dialer{Timeout: limit}
 	if source != "" {
 		ip := net.ParseIP(source)
--- a/internal/dialing/from_test.go
+++ b/internal/dialing/from_test.go
@@ -13,7 +13,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
-	dial, err := From("127.0.0.5", 0)
+	dial, err := FromSource("127.0.0.5", 0)
 	require.NoError(t, err)
 	connection, err := dial(t.Context(), "tcp", listener.Addr().String())
 	require.NoError(t, err)
@@ -24,7 +24,7 @@
 }
 
 func TestFromRefusesASourceThatIsNoAddress(t *testing.T) {
-	_, err := From("front", 0)
+	_, err := FromSource("front", 0)
 	require.True(t, trace.IsBadParameter(err), err)
 	require.ErrorContains(t, err, `"front"`)
 }
--- a/internal/dialing/watched.go
+++ b/internal/dialing/watched.go
@@ -18,9 +18,9 @@
 	probeCount    = 2
 )
 
-// Watched returns a Dial whose connections end by themselves when their peer has gone silent, without
+// WithDeadPeerDetection returns a Dial whose connections end by themselves when their peer has gone silent, without
 // a reset: reading from them and writing to them then fails with syscall.ETIMEDOUT.
-func Watched() Dial {
+func WithDeadPeerDetection() Dial {
 	dialer := &net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount},
 		Control: func(_, _ string, raw syscall.RawConn) error {
--- a/internal/dialing/watched_test.go
+++ b/internal/dialing/watched_test.go
@@ -14,7 +14,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
-	connection, err := Watched()(t.Context(), "tcp", listener.Addr().String())
+	connection, err := WithDeadPeerDetection()(t.Context(), "tcp", listener.Addr().String())
 	require.NoError(t, err)
 	defer connection.Close()
 	raw, err := connection.(*net.TCPConn).SyscallConn()
--- a/internal/dialing/within.go
+++ b/internal/dialing/within.go
@@ -15,8 +15,8 @@
 // Dial opens a connection.
 type Dial = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Within returns a Dial that fails when the connection is not open within the limit.
-func Within(dial Dial, limit time.Duration) Dial {
+// WithTimeout returns a Dial that fails when the connection is not open within the limit.
+func WithTimeout(dial Dial, limit time.Duration) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		limited, cancel := context.WithTimeout(ctx, limit)
 		defer cancel()
--- a/internal/dialing/within_test.go
+++ b/internal/dialing/within_test.go
@@ -18,7 +18,7 @@
 			return nil, ctx.Err()
 		}
 		began := time.Now()
-		_, err := Within(hangs, PeerTimeout)(t.Context(), "tcp", "address")
+		_, err := WithTimeout(hangs, PeerTimeout)(t.Context(), "tcp", "address")
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 		require.Equal(t, PeerTimeout, time.Since(began))
 	})
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		here, there := net.Pipe()
 		defer there.Close()
-		opened, err := Within(func(context.Context, string, string) (net.Conn, error) { return here, nil }, PeerTimeout)(t.Context(), "tcp", "address")
+		opened, err := WithTimeout(func(context.Context, string, string) (net.Conn, error) { return here, nil }, PeerTimeout)(t.Context(), "tcp", "address")
 		require.NoError(t, err)
 		time.Sleep(2 * PeerTimeout)
 		go func() { _, _ = there.Read(make([]byte, 1)) }()
--- a/internal/gateway/claimed_chat.go
+++ b/internal/gateway/claimed_chat.go
@@ -76,5 +76,5 @@
 		ID: answerID(completion.request.format), Created: time.Now().Unix(), Model: completion.name(), Format: completion.request.format,
 	}
 	response.Header.SetContentType(contentTypeEvents)
-	response.SetBody(stream.NewWriter(identity, completion.request.includeUsage).AppendWhole(nil, outcome.Body))
+	response.SetBody(stream.NewWriter(identity, completion.request.includeUsage).AppendComplete(nil, outcome.Body))
 }
--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -110,7 +110,7 @@
 			return event, nil
 		case stream.StepDrop:
 			c.gateway.metrics.eventsDropped.Inc()
-		case stream.StepWhole:
+		case stream.StepComplete:
 			c.finish()
 			return stream.Event{}, errWhole
 		case stream.StepForeign:
@@ -118,7 +118,7 @@
 			c.cut(trace.Wrap(upstream.ErrForeignAnswer))
 		case stream.StepResume:
 			c.cut(trace.Wrap(upstream.ErrTruncated))
-		case stream.StepFailed:
+		case stream.StepFail:
 			c.cut(trace.Wrap(errEngineFailed))
 			c.resumes = maximumResumes
 		}
--- a/internal/gateway/dispatcher.go
+++ b/internal/gateway/dispatcher.go
@@ -50,11 +50,11 @@
 
 // observeReport tells the router what a back end said of itself in the answer to an exchange.
 func (d *dispatcher) observeReport(backEnd, exchange string, report upstream.Report) {
-	if report.State == "" && report.Load == "" && report.Rest == 0 && report.Limit == nil {
+	if report.State == "" && report.Load == "" && report.Backoff == 0 && report.Limit == nil {
 		return
 	}
 	d.observe(routing.Answered{
-		BackEnd: backEnd, Exchange: exchange, State: report.State, Role: report.Role, Load: parseLoad(report.Load), Rest: report.Rest, Limit: report.Limit,
+		BackEnd: backEnd, Exchange: exchange, State: report.State, Role: report.Role, Load: parseLoad(report.Load), Rest: report.Backoff, Limit: report.Limit,
 	})
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -143,7 +143,7 @@
 		g.log.Warn().Err(err).Msg("the callers' port did not close as it should")
 	}
 	portClosed := time.Since(began)
-	clean := g.connections.End(limited, began, quietTime)
+	clean := g.connections.CloseIdle(limited, began, quietTime)
 	if !clean {
 		g.callers.interruptAll(errStopping)
 	}
--- a/internal/leaderwatch/rate.go
+++ b/internal/leaderwatch/rate.go
@@ -6,7 +6,7 @@
 	// shortestWait is how long a controller lets a watch wait for something new at least, LongestWait at
 	// most: the leader answers about watchesPerSecond watches a second, however many nodes there are.
 	shortestWait     = 400 * time.Millisecond
-	LongestWait      = time.Second
+	MaximumWait      = time.Second
 	watchesPerSecond = 300
 	// slack is what a watch may take beyond its wait before another controller is asked.
 	slack = 300 * time.Millisecond
@@ -20,8 +20,8 @@
 
 // WaitFor is how long a controller lets a watch wait where there are so many nodes.
 func WaitFor(nodes int) time.Duration {
-	return min(max(time.Duration(nodes)*time.Second/watchesPerSecond, shortestWait), LongestWait)
+	return min(max(time.Duration(nodes)*time.Second/watchesPerSecond, shortestWait), MaximumWait)
 }
 
-// SpareWait is how much longer watches wait than where there are few nodes.
-func SpareWait(nodes int) time.Duration { return WaitFor(nodes) - shortestWait }
+// ExtraWait is how much longer watches wait than where there are few nodes.
+func ExtraWait(nodes int) time.Duration { return WaitFor(nodes) - shortestWait }
--- a/internal/leaderwatch/watcher.go
+++ b/internal/leaderwatch/watcher.go
@@ -22,16 +22,16 @@
 	unusedPause = 400 * time.Millisecond
 )
 
-// Holder is the node that watches. Its methods are called by one goroutine.
-type Holder interface {
-	// Asks is called before each question, with the controllers that are known.
-	Asks(controllers []string)
-	// Request tells what the node holds.
-	Request(wait time.Duration) *v1.WatchRequest
-	// Take takes what the leader told; false where something of it could not be used.
-	Take(told *v1.WatchResponse) bool
-	// NoneLeads is called after a question that no leader answered.
-	NoneLeads(ctx context.Context)
+// Node is the node that watches. Its methods are called by one goroutine.
+type Node interface {
+	// BeforeWatch is called before each question, with the controllers that are known.
+	BeforeWatch(controllers []string)
+	// WatchRequest tells what the node holds.
+	WatchRequest(wait time.Duration) *v1.WatchRequest
+	// ApplyUpdate takes what the leader told; false where something of it could not be used.
+	ApplyUpdate(told *v1.WatchResponse) bool
+	// HandleNoLeader is called after a question that no leader answered.
+	HandleNoLeader(ctx context.Context)
 }
 
 // Config is what a Watcher needs; all fields are required.
@@ -41,11 +41,11 @@
 	Dial  dialing.Dial
 	// Now is the steady time since an origin, in which suspensions count.
 	Now func() time.Duration
-	// Nodes is how many nodes watch, as far as that is known.
-	Nodes func() int
+	// NodeCount is how many nodes watch, as far as that is known.
+	NodeCount func() int
 	// Draw returns a random number in [0, 1).
-	Draw   func() float64
-	Holder Holder
+	Draw func() float64
+	Node Node
 }
 
 // Watcher follows the leader.
@@ -61,7 +61,7 @@
 
 // New returns a Watcher that has asked nobody yet.
 func New(config Config) *Watcher {
-	transport := &http.Transport{DialContext: dialing.Within(config.Dial, dialing.PeerTimeout), Protocols: new(http.Protocols)}
+	transport := &http.Transport{DialContext: dialing.WithTimeout(config.Dial, dialing.PeerTimeout), Protocols: new(http.Protocols)}
 	transport.Protocols.SetUnencryptedHTTP2(true)
 	watcher := &Watcher{config: config, http: &http.Client{Transport: transport}, controllers: newControllers(config.Seeds)}
 	watcher.asked.Store(watcher.client("")) // until the first question
@@ -71,8 +71,8 @@
 // SetSeeds takes the controllers that the settings name now.
 func (w *Watcher) SetSeeds(seeds []string) { w.controllers.seeds.Store(&seeds) }
 
-// Leader calls the controller that led last, as far as is known here.
-func (w *Watcher) Leader() hazelpitchv1connect.NodeServiceClient { return w.asked.Load() }
+// LeaderClient calls the controller that led last, as far as is known here.
+func (w *Watcher) LeaderClient() hazelpitchv1connect.NodeServiceClient { return w.asked.Load() }
 
 // controllerClient calls one controller.
 type controllerClient struct {
@@ -89,16 +89,16 @@
 }
 
 // Wait is how long a controller lets a watch wait now.
-func (w *Watcher) Wait() time.Duration { return WaitFor(w.config.Nodes()) }
+func (w *Watcher) Wait() time.Duration { return WaitFor(w.config.NodeCount()) }
 
 // Run watches until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.config.Holder.Asks(w.controllers.known)
+		w.config.Node.BeforeWatch(w.controllers.known)
 		if w.watchOnce(ctx) {
 			continue
 		}
-		w.config.Holder.NoneLeads(ctx)
+		w.config.Node.HandleNoLeader(ctx)
 		pause.For(ctx, searchPause)
 	}
 }
@@ -107,7 +107,7 @@
 func (w *Watcher) watchOnce(ctx context.Context) bool {
 	address := w.controllers.next()
 	if w.turnsToNewLeader(address) {
-		pause.For(ctx, time.Duration(w.config.Draw()*float64(spreadFor(w.config.Nodes()))))
+		pause.For(ctx, time.Duration(w.config.Draw()*float64(spreadFor(w.config.NodeCount()))))
 	}
 	controller := w.client(address)
 	w.asked.Store(controller)
@@ -115,7 +115,7 @@
 	limited, cancel := context.WithTimeout(ctx, wait+slack)
 	defer cancel()
 	asked := w.config.Now()
-	response, err := controller.Watch(limited, connect.NewRequest(w.config.Holder.Request(wait)))
+	response, err := controller.Watch(limited, connect.NewRequest(w.config.Node.WatchRequest(wait)))
 	if err != nil {
 		w.controllers.failed()
 		return false
@@ -125,7 +125,7 @@
 		return false
 	}
 	w.led = address
-	if !w.IsLate(asked) && !w.config.Holder.Take(response.Msg) {
+	if !w.IsResponseStale(asked) && !w.config.Node.ApplyUpdate(response.Msg) {
 		pause.For(ctx, unusedPause)
 	}
 	return true // where it was late the leader is asked again at once
@@ -137,6 +137,8 @@
 	return w.led != "" && address != w.led && address == w.controllers.leader
 }
 
-// IsLate reports whether the answer to a question can have lain at this machine while it stood still: what
+// IsResponseStale reports whether the answer to a question can have lain at this machine while it stood still: what
 // it says may be old by now.
-func (w *Watcher) IsLate(asked time.Duration) bool { return w.config.Now()-asked > w.Wait()+slack }
+func (w *Watcher) IsResponseStale(asked time.Duration) bool {
+	return w.config.Now()-asked > w.Wait()+slack
+}
--- a/internal/leaderwatch/watcher_test.go
+++ b/internal/leaderwatch/watcher_test.go
@@ -47,18 +47,18 @@
 	unusable bool
 }
 
-func (*recordingHolder) Asks([]string) {}
+func (*recordingHolder) BeforeWatch([]string) {}
 
-func (*recordingHolder) Request(wait time.Duration) *v1.WatchRequest {
+func (*recordingHolder) WatchRequest(wait time.Duration) *v1.WatchRequest {
 	return &v1.WatchRequest{WaitMs: uint32(wait.Milliseconds())}
 }
 
-func (r *recordingHolder) Take(told *v1.WatchResponse) bool {
+func (r *recordingHolder) ApplyUpdate(told *v1.WatchResponse) bool {
 	r.taken <- told
 	return !r.unusable
 }
 
-func (r *recordingHolder) NoneLeads(context.Context) { r.noneLeads.Add(1) }
+func (r *recordingHolder) HandleNoLeader(context.Context) { r.noneLeads.Add(1) }
 
 // A watcher goes from a seed that is dead and one that does not lead to the leader, and asks it again.
 func TestWatcherFindsTheLeader(t *testing.T) {
@@ -73,7 +73,7 @@
 	holder := &recordingHolder{taken: make(chan *v1.WatchResponse)}
 	watcher := New(Config{
 		Seeds: []string{"127.0.0.1:1", follower}, Dial: (&net.Dialer{}).DialContext,
-		Now: func() time.Duration { return 0 }, Nodes: func() int { return 1 }, Draw: func() float64 { return 0 }, Holder: holder,
+		Now: func() time.Duration { return 0 }, NodeCount: func() int { return 1 }, Draw: func() float64 { return 0 }, Node: holder,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -102,7 +102,7 @@
 	holder := &recordingHolder{taken: make(chan *v1.WatchResponse, 1)}
 	watcher := New(Config{
 		Seeds: []string{leader}, Dial: (&net.Dialer{}).DialContext,
-		Now: func() time.Duration { return time.Duration(now.Load()) }, Nodes: func() int { return 1 }, Draw: func() float64 { return 0 }, Holder: holder,
+		Now: func() time.Duration { return time.Duration(now.Load()) }, NodeCount: func() int { return 1 }, Draw: func() float64 { return 0 }, Node: holder,
 	})
 	require.True(t, watcher.watchOnce(t.Context()), "the leader is asked again at once")
 	require.Empty(t, holder.taken)
@@ -130,7 +130,7 @@
 	holder := &recordingHolder{taken: make(chan *v1.WatchResponse), unusable: true}
 	watcher := New(Config{
 		Seeds: []string{leader}, Dial: (&net.Dialer{}).DialContext,
-		Now: func() time.Duration { return 0 }, Nodes: func() int { return 1 }, Draw: func() float64 { return 0 }, Holder: holder,
+		Now: func() time.Duration { return 0 }, NodeCount: func() int { return 1 }, Draw: func() float64 { return 0 }, Node: holder,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -37,8 +37,8 @@
 	action Action
 }
 
-// Take takes the signals of this process from now on, and never gives them back: their default is to end it.
-func Take() *Signals {
+// HandleSignals takes the signals of this process from now on, and never gives them back: their default is to end it.
+func HandleSignals() *Signals {
 	stopping, stop := context.WithCancel(context.Background())
 	made := &Signals{
 		origin: time.Now(), reloads: make(chan struct{}, 1), stopping: stopping, stop: stop, interrupted: make(chan struct{}),
@@ -53,8 +53,8 @@
 	return made
 }
 
-// Until returns a context that ends with the parent or when the process is asked to stop.
-func (s *Signals) Until(parent context.Context) (context.Context, context.CancelFunc) {
+// WithStop returns a context that ends with the parent or when the process is asked to stop.
+func (s *Signals) WithStop(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
 	unhook := context.AfterFunc(s.stopping, cancel)
 	return ctx, func() { unhook(); cancel() }
--- a/internal/listing/faults.go
+++ b/internal/listing/faults.go
@@ -10,9 +10,9 @@
 // with each reading. The zero value has seen nothing wrong.
 type Faults struct{ told string }
 
-// Next takes a reading or why it failed, and returns what is to be told: a text, and whether it is news. An empty
+// Update takes a reading or why it failed, and returns what is to be told: a text, and whether it is news. An empty
 // text that is news says that nothing is wrong any more.
-func (f *Faults) Next(read serving.Listing, err error) (text string, isNews bool) {
+func (f *Faults) Update(read serving.Listing, err error) (text string, isNews bool) {
 	switch {
 	case err != nil:
 		text = err.Error()
--- a/internal/listing/faults_test.go
+++ b/internal/listing/faults_test.go
@@ -13,7 +13,7 @@
 	faults := &Faults{}
 	next := func(read serving.Listing, err error, expected string, expectNews bool) {
 		t.Helper()
-		text, isNews := faults.Next(read, err)
+		text, isNews := faults.Update(read, err)
 		require.Equal(t, expected, text)
 		require.Equal(t, expectNews, isNews)
 	}
--- a/internal/listing/first_format.go
+++ b/internal/listing/first_format.go
@@ -9,10 +9,10 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// AsFirstFormat returns a list as relays of the first format know it: by the identities of replicas, which requests name
+// ToFirstFormat returns a list as relays of the first format know it: by the identities of replicas, which requests name
 // there, and without what such relays do not read, so that its version is that of such a controller. A list that has
 // nothing else is returned as it is.
-func AsFirstFormat(list []*v1.ListedBackEnd) []*v1.ListedBackEnd {
+func ToFirstFormat(list []*v1.ListedBackEnd) []*v1.ListedBackEnd {
 	if !slices.ContainsFunc(list, tellsMore) {
 		return list
 	}
--- a/internal/listing/held.go
+++ b/internal/listing/held.go
@@ -5,15 +5,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/packed"
 )
 
-// Held is the list of back ends as the leader told it, to which changes are applied.
-type Held struct {
+// ReceivedList is the list of back ends as the leader told it, to which changes are applied.
+type ReceivedList struct {
 	version uint64
 	entries []*v1.ListedBackEnd
 }
 
-// Take takes the list of a response to a watch that told the version held. It reports false when the
+// Apply takes the list of a response to a watch that told the version held. It reports false when the
 // list cannot be made out: it is asked for again then.
-func (h *Held) Take(held uint64, response *v1.WatchResponse) ([]*v1.ListedBackEnd, bool) {
+func (h *ReceivedList) Apply(held uint64, response *v1.WatchResponse) ([]*v1.ListedBackEnd, bool) {
 	if change := response.GetListingChange(); change != nil {
 		if held != h.version || change.GetFromVersion() != h.version {
 			return nil, false
--- a/internal/listing/history.go
+++ b/internal/listing/history.go
@@ -41,8 +41,8 @@
 	h.changes, h.whole = map[uint64]*v1.ListingChange{}, nil
 }
 
-// Tell adds to a response what a relay needs that holds a version of the list.
-func (h *History) Tell(response *v1.WatchResponse, held uint64) {
+// FillResponse adds to a response what a relay needs that holds a version of the list.
+func (h *History) FillResponse(response *v1.WatchResponse, held uint64) {
 	current := h.versions[len(h.versions)-1]
 	former, kept := h.lists[held]
 	if kept {
@@ -66,7 +66,7 @@
 		former[entry.GetId()] = entry
 	}
 	for _, entry := range to {
-		if known := former[entry.GetId()]; known == nil || !Same(known, entry) {
+		if known := former[entry.GetId()]; known == nil || !EqualEntries(known, entry) {
 			change.Changed = append(change.Changed, entry)
 		}
 		delete(former, entry.GetId())
@@ -91,8 +91,8 @@
 	return max(digest.Sum64(), 1)
 }
 
-// Same compares two entries but for the time that a cold one needs, which runs on.
-func Same(a, b *v1.ListedBackEnd) bool {
+// EqualEntries compares two entries but for the time that a cold one needs, which runs on.
+func EqualEntries(a, b *v1.ListedBackEnd) bool {
 	if (a.GetColdMs() == 0) != (b.GetColdMs() == 0) {
 		return false
 	}
--- a/internal/listing/history_test.go
+++ b/internal/listing/history_test.go
@@ -29,8 +29,8 @@
 	history.Add(2, second)
 
 	told, again := &v1.WatchResponse{}, &v1.WatchResponse{}
-	history.Tell(told, 1)
-	history.Tell(again, 1)
+	history.FillResponse(told, 1)
+	history.FillResponse(again, 1)
 	change := told.GetListingChange()
 	require.Same(t, change, again.GetListingChange())
 	require.Equal(t, uint64(1), change.GetFromVersion())
@@ -39,7 +39,7 @@
 	require.Empty(t, told.GetPackedListing())
 
 	stranger := &v1.WatchResponse{}
-	history.Tell(stranger, 99)
+	history.FillResponse(stranger, 99)
 	require.Nil(t, stranger.GetListingChange())
 	require.Len(t, wholeListing(t, stranger), 200)
 
@@ -47,7 +47,7 @@
 		history.Add(10+version, first)
 	}
 	late := &v1.WatchResponse{}
-	history.Tell(late, 1)
+	history.FillResponse(late, 1)
 	require.Len(t, wholeListing(t, late), 200, "an old version is forgotten")
 	require.Len(t, history.lists, keptVersions)
 }
--- a/internal/listing/own_reading.go
+++ b/internal/listing/own_reading.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// OwnReadingAfter is how long no controller has led when a relay of few reads the list itself.
-	OwnReadingAfter = time.Second
+	// DirectReadAfter is how long no controller has led when a relay of few reads the list itself.
+	DirectReadAfter = time.Second
 	// ownInterval is the least time between readings of the list by this relay itself,
 	// while no controller leads.
 	ownInterval = 800 * time.Millisecond
@@ -13,8 +13,8 @@
 	ownCallsPerSecond = 80
 )
 
-// OwnReading tells when this relay reads the list of back ends itself.
-type OwnReading struct {
+// DirectRead tells when this relay reads the list of back ends itself.
+type DirectRead struct {
 	// planned tells that no controller leads and that dueAt holds.
 	planned bool
 	dueAt   time.Duration
@@ -23,7 +23,7 @@
 // IsDue reports whether the relay reads the list now. lostAt is when a leader would have been heard
 // of; calls is how many calls it takes all relays to read the list once, as far as that is known. The
 // first readings of those that hold a list are spread.
-func (o *OwnReading) IsDue(now, lostAt time.Duration, holdsList bool, calls int, draw func() float64) bool {
+func (o *DirectRead) IsDue(now, lostAt time.Duration, holdsList bool, calls int, draw func() float64) bool {
 	if now < lostAt {
 		o.planned = false
 		return false
--- a/internal/listing/own_reading_test.go
+++ b/internal/listing/own_reading_test.go
@@ -11,7 +11,7 @@
 func readings(relays, calls int, holdsList bool, span time.Duration) int {
 	count := 0
 	for relay := range relays {
-		own := OwnReading{}
+		own := DirectRead{}
 		draw := func() float64 { return float64(relay) / float64(relays) }
 		for now := time.Duration(0); now < span; now += 40 * time.Millisecond {
 			if own.IsDue(now, 0, holdsList, relays*calls, draw) {
@@ -35,16 +35,16 @@
 
 // A relay that starts gives the controllers time to tell it the list, and reads it then at once.
 func TestOwnReadingAtTheStart(t *testing.T) {
-	own := OwnReading{}
+	own := DirectRead{}
 	never := func() float64 { t.Fatal("one without a list is not kept waiting"); return 0 }
-	require.False(t, own.IsDue(OwnReadingAfter-1, OwnReadingAfter, false, 300, never))
-	require.True(t, own.IsDue(OwnReadingAfter, OwnReadingAfter, false, 300, never))
-	require.False(t, own.IsDue(OwnReadingAfter+ownInterval, OwnReadingAfter, false, 300, never))
+	require.False(t, own.IsDue(DirectReadAfter-1, DirectReadAfter, false, 300, never))
+	require.True(t, own.IsDue(DirectReadAfter, DirectReadAfter, false, 300, never))
+	require.False(t, own.IsDue(DirectReadAfter+ownInterval, DirectReadAfter, false, 300, never))
 }
 
 // A leader that is heard again ends the relay's own readings.
 func TestLeaderEndsOwnReadings(t *testing.T) {
-	own := OwnReading{}
+	own := DirectRead{}
 	half := func() float64 { return 0.5 }
 	require.True(t, own.IsDue(2*time.Second, 0, true, 7, half))
 	require.False(t, own.IsDue(4*time.Second, 4500*time.Millisecond, true, 7, half))
--- a/internal/membership/description_test.go
+++ b/internal/membership/description_test.go
@@ -28,25 +28,25 @@
 		"machine list": func(tracker *Tracker, now time.Duration, _ *enginecontract.EngineState) {
 			leaving := engineRow("x", "s", "z")
 			leaving.State = enginecontract.StateLeaving
-			tracker.ListRead(now, enginecontract.MachineList{Version: 2, Machines: []enginecontract.Machine{leaving}})
+			tracker.ApplyList(now, enginecontract.MachineList{Version: 2, Machines: []enginecontract.Machine{leaving}})
 		},
 		"new machine": func(tracker *Tracker, now time.Duration, _ *enginecontract.EngineState) {
-			tracker.ListRead(now, enginecontract.MachineList{Version: 2, Machines: []enginecontract.Machine{engineRow("x", "s", "z"), engineRow("y", "s", "z")}})
+			tracker.ApplyList(now, enginecontract.MachineList{Version: 2, Machines: []enginecontract.Machine{engineRow("x", "s", "z"), engineRow("y", "s", "z")}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tracker := New(Config{})
-			tracker.ListRead(0, enginecontract.MachineList{Version: 1, Machines: []enginecontract.Machine{engineRow("x", "s", "z")}})
+			tracker.ApplyList(0, enginecontract.MachineList{Version: 1, Machines: []enginecontract.Machine{engineRow("x", "s", "z")}})
 			first := serving
 			now := 3 * time.Second
-			require.True(t, tracker.Heard("x", now, &first))
+			require.True(t, tracker.RecordState("x", now, &first))
 			before, credible := tracker.Directory(now, "z")
 			require.True(t, credible)
 			require.Equal(t, v1.BackEndState_BACK_END_STATE_SERVING, before.BackEnds(now)[0].State)
 
 			same := serving
 			now += time.Second
-			require.True(t, tracker.Heard("x", now, &same))
+			require.True(t, tracker.RecordState("x", now, &same))
 			kept, _ := tracker.Directory(now, "z")
 			require.Equal(t, before.Version, kept.Version, "the same content read again")
 			require.Zero(t, kept.Age, "but fresher")
@@ -54,7 +54,7 @@
 			next := serving
 			now += time.Second
 			change(tracker, now, &next)
-			require.True(t, tracker.Heard("x", now, &next))
+			require.True(t, tracker.RecordState("x", now, &next))
 			after, _ := tracker.Directory(now, "z")
 			require.NotEqual(t, before.Version, after.Version)
 		})
--- a/internal/membership/directory.go
+++ b/internal/membership/directory.go
@@ -47,7 +47,7 @@
 		cached = &zoneDirectory{directory: Directory{tracker: t, machines: t.chosen(zone)}, shape: t.shape}
 		t.directories[zone] = cached
 		t.describe(now, cached)
-	} else if now-cached.madeAt > t.config.DirectoryLife || now < cached.madeAt {
+	} else if now-cached.madeAt > t.config.DirectoryCacheTime || now < cached.madeAt {
 		t.describe(now, cached)
 	}
 	directory := cached.directory
@@ -81,7 +81,7 @@
 			continue
 		}
 		engines++
-		if !machine.silent(now, t.config.Freshness) {
+		if !machine.silent(now, t.config.MaximumStateAge) {
 			answering++
 		}
 	}
@@ -105,8 +105,8 @@
 	var buffer [8]byte
 	hearsFew := t.hearsFew(now)
 	for _, machine := range directory.machines {
-		state, age := machine.backEndState(now, t.listAt, t.config.Freshness)
-		if hearsFew && state == v1.BackEndState_BACK_END_STATE_CHANGING && machine.silent(now, t.config.Freshness) {
+		state, age := machine.backEndState(now, t.listAt, t.config.MaximumStateAge)
+		if hearsFew && state == v1.BackEndState_BACK_END_STATE_CHANGING && machine.silent(now, t.config.MaximumStateAge) {
 			state = v1.BackEndState_BACK_END_STATE_UNSPECIFIED
 		}
 		binary.BigEndian.PutUint64(buffer[:], machine.describe(state))
@@ -141,7 +141,7 @@
 // other zones as rendezvous hashing spreads them, each role in proportion. The result
 // has at most PerService machines, or a few more so that each role has PerRole.
 func (t *Tracker) subset(machines []*Machine, zone string) []*Machine {
-	if len(machines) <= t.config.PerService {
+	if len(machines) <= t.config.MaximumPerService {
 		return machines
 	}
 	byRole := map[enginecontract.Role][]*Machine{}
@@ -152,7 +152,7 @@
 	var chosen []*Machine
 	for _, role := range []enginecontract.Role{"", enginecontract.RolePrefill, enginecontract.RoleDecode, enginecontract.RoleMixed} {
 		ranked := rank(byRole[role], zone)
-		quota := max(len(ranked)*t.config.PerService/len(machines), t.config.PerRole)
+		quota := max(len(ranked)*t.config.MaximumPerService/len(machines), t.config.MinimumPerRole)
 		chosen = append(chosen, ranked[:min(quota, len(ranked))]...)
 	}
 	slices.SortFunc(chosen, func(a, b *Machine) int { return cmp.Compare(a.Row.Name, b.Row.Name) })
@@ -203,7 +203,7 @@
 	if machine == nil {
 		return v1.BackEndState_BACK_END_STATE_UNSPECIFIED
 	}
-	state, _ := machine.backEndState(now, t.listAt, t.config.Freshness)
+	state, _ := machine.backEndState(now, t.listAt, t.config.MaximumStateAge)
 	return state
 }
 
--- a/internal/membership/gateway.go
+++ b/internal/membership/gateway.go
@@ -9,17 +9,17 @@
 
 // Gateway is one gateway as its heartbeats tell.
 type Gateway struct {
-	Name        string
-	Zone        string
-	Address     string
-	Incarnation uint64
-	Revision    uint64
-	Leaving     bool
-	HeardAt     time.Duration
+	Name            string
+	Zone            string
+	Address         string
+	Incarnation     uint64
+	Revision        uint64
+	Leaving         bool
+	LastHeartbeatAt time.Duration
 }
 
-// GatewayHeard takes a gateway's heartbeat. One of an older incarnation is ignored.
-func (t *Tracker) GatewayHeard(now time.Duration, identity *v1.NodeIdentity, revision uint64, leaving bool) {
+// RecordHeartbeat takes a gateway's heartbeat. One of an older incarnation is ignored.
+func (t *Tracker) RecordHeartbeat(now time.Duration, identity *v1.NodeIdentity, revision uint64, leaving bool) {
 	name := identity.GetName()
 	if name == "" {
 		return
@@ -33,14 +33,14 @@
 	}
 	t.gateways[name] = &Gateway{
 		Name: name, Zone: identity.Zone, Address: identity.Address, Incarnation: identity.Incarnation,
-		Revision: revision, Leaving: leaving, HeardAt: now,
+		Revision: revision, Leaving: leaving, LastHeartbeatAt: now,
 	}
 }
 
 func (t *Tracker) forgetOldestGateway() {
 	var oldest *Gateway
 	for _, gateway := range t.Gateways() {
-		if oldest == nil || gateway.HeardAt < oldest.HeardAt {
+		if oldest == nil || gateway.LastHeartbeatAt < oldest.LastHeartbeatAt {
 			oldest = gateway
 		}
 	}
@@ -62,16 +62,16 @@
 	return gateways
 }
 
-// GatewayGone reports whether the gateway process is known to be gone, or has been
+// IsGatewayGone reports whether the gateway process is known to be gone, or has been
 // silent for long, counted from since when it was never heard of. A later process
 // under its name means that it is gone.
-func (t *Tracker) GatewayGone(now, since time.Duration, name string, incarnation uint64) bool {
+func (t *Tracker) IsGatewayGone(now, since time.Duration, name string, incarnation uint64) bool {
 	gateway := t.gateways[name]
 	if gateway == nil {
-		return now-since > t.config.GatewayLost
+		return now-since > t.config.GatewayTimeout
 	}
 	if gateway.Incarnation > incarnation {
 		return true
 	}
-	return now-max(since, gateway.HeardAt) > t.config.GatewayLost
+	return now-max(since, gateway.LastHeartbeatAt) > t.config.GatewayTimeout
 }
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -11,11 +11,11 @@
 type Machine struct {
 	Row enginecontract.Machine
 	// Listed: the newest list has the machine; SeenAt is when a list last had it.
-	Listed bool
-	SeenAt time.Duration
+	Listed       bool
+	LastListedAt time.Duration
 	// State is the machine's own last word, read no earlier than AnsweredAt.
-	State      *enginecontract.EngineState
-	AnsweredAt time.Duration
+	State   *enginecontract.EngineState
+	StateAt time.Duration
 	// Load is its last load report, received at LoadAt.
 	Load   *enginecontract.LoadReport
 	LoadAt time.Duration
@@ -53,7 +53,7 @@
 	}
 	switch m.State.State {
 	case enginecontract.StateServing:
-		return v1.BackEndState_BACK_END_STATE_SERVING, now - m.AnsweredAt
+		return v1.BackEndState_BACK_END_STATE_SERVING, now - m.StateAt
 	case enginecontract.StateLeaving:
 		return v1.BackEndState_BACK_END_STATE_LEAVING, 0
 	default:
@@ -63,5 +63,5 @@
 
 // silent reports whether an engine has not answered lately. Page services are not asked.
 func (m *Machine) silent(now, freshness time.Duration) bool {
-	return !m.page && (m.State == nil || now-m.AnsweredAt > freshness)
+	return !m.page && (m.State == nil || now-m.StateAt > freshness)
 }
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -44,11 +44,11 @@
 	}
 }
 
-// ListRead takes a reading of the platform's machine list. A list with a lower version
+// ApplyList takes a reading of the platform's machine list. A list with a lower version
 // than the last one is a late copy, unless the list has not moved on for long: then
 // the platform has started to count anew. It reports whether the list was taken.
-func (t *Tracker) ListRead(now time.Duration, list enginecontract.MachineList) bool {
-	if t.listed && list.Version < t.listVersion && now-t.listAt < t.config.ListReset {
+func (t *Tracker) ApplyList(now time.Duration, list enginecontract.MachineList) bool {
+	if t.listed && list.Version < t.listVersion && now-t.listAt < t.config.ListResetAfter {
 		return false
 	}
 	if !t.listed {
@@ -82,7 +82,7 @@
 	}
 	machine.Row = row
 	machine.Listed = true
-	machine.SeenAt = now
+	machine.LastListedAt = now
 	machine.page = t.pages[row.Service]
 }
 
@@ -113,16 +113,16 @@
 	return polls
 }
 
-// HurryPoll makes the next poll of a machine due soon: an order is under way there.
-func (t *Tracker) HurryPoll(now time.Duration, name string, within time.Duration) {
+// ExpeditePoll makes the next poll of a machine due soon: an order is under way there.
+func (t *Tracker) ExpeditePoll(now time.Duration, name string, within time.Duration) {
 	if machine := t.machines[name]; machine != nil {
 		machine.nextPollAt = min(machine.nextPollAt, now+within)
 	}
 }
 
-// PollAnswered takes the answer to a poll; state is nil when it was lost. It returns
+// RecordPollAnswer takes the answer to a poll; state is nil when it was lost. It returns
 // when the poll was sent, and whether the answer counts.
-func (t *Tracker) PollAnswered(now time.Duration, name string, state *enginecontract.EngineState, load *enginecontract.LoadReport) (sentAt time.Duration, counts bool) {
+func (t *Tracker) RecordPollAnswer(now time.Duration, name string, state *enginecontract.EngineState, load *enginecontract.LoadReport) (sentAt time.Duration, counts bool) {
 	machine := t.machines[name]
 	if machine == nil || !machine.pollInFlight {
 		return 0, false
@@ -132,7 +132,7 @@
 	if state == nil {
 		return sentAt, false
 	}
-	if !t.Heard(name, sentAt, state) {
+	if !t.RecordState(name, sentAt, state) {
 		return sentAt, false
 	}
 	if load != nil && load.Incarnation == state.Incarnation {
@@ -141,15 +141,15 @@
 	return sentAt, true
 }
 
-// Heard takes a machine's own word, read at the machine no earlier than at. It
+// RecordState takes a machine's own word, read at the machine no earlier than at. It
 // reports whether the word counts: an older incarnation's does not.
-func (t *Tracker) Heard(name string, at time.Duration, state *enginecontract.EngineState) bool {
+func (t *Tracker) RecordState(name string, at time.Duration, state *enginecontract.EngineState) bool {
 	machine := t.machines[name]
 	if machine == nil || state.Engine != name {
 		return false
 	}
 	if known := machine.State; known != nil {
-		if state.Incarnation < known.Incarnation || (state.Incarnation == known.Incarnation && at < machine.AnsweredAt) {
+		if state.Incarnation < known.Incarnation || (state.Incarnation == known.Incarnation && at < machine.StateAt) {
 			return false
 		}
 		if state.Incarnation > known.Incarnation {
@@ -160,7 +160,7 @@
 		t.shape++
 	}
 	machine.State = state
-	machine.AnsweredAt = at
+	machine.StateAt = at
 	return true
 }
 
@@ -176,14 +176,14 @@
 // Machine returns one machine, or nil.
 func (t *Tracker) Machine(name string) *Machine { return t.machines[name] }
 
-// DropGone forgets the machines that are neither listed nor answering and returns
+// RemoveGone forgets the machines that are neither listed nor answering and returns
 // their names.
-func (t *Tracker) DropGone(now time.Duration) []string {
+func (t *Tracker) RemoveGone(now time.Duration) []string {
 	var gone []string
 	for _, name := range t.names {
 		machine := t.machines[name]
-		if !machine.Listed && now-machine.SeenAt > t.config.GoneAfter &&
-			(machine.State == nil || now-machine.AnsweredAt > t.config.GoneAfter) {
+		if !machine.Listed && now-machine.LastListedAt > t.config.RemoveAfter &&
+			(machine.State == nil || now-machine.StateAt > t.config.RemoveAfter) {
 			gone = append(gone, name)
 		}
 	}
@@ -197,5 +197,5 @@
 	return gone
 }
 
-// Listed reports whether a machine list has been read.
-func (t *Tracker) Listed() bool { return t.listed }
+// HasList reports whether a machine list has been read.
+func (t *Tracker) HasList() bool { return t.listed }
--- a/internal/membership/tracker_test.go
+++ b/internal/membership/tracker_test.go
@@ -47,7 +47,7 @@
 func (p *platform) run(span time.Duration) {
 	for end := p.now + span; p.now < end; p.now += 50 * time.Millisecond {
 		if p.listing && p.now%time.Second == 0 {
-			p.tracker.ListRead(p.now, p.list)
+			p.tracker.ApplyList(p.now, p.list)
 		}
 		for _, poll := range p.tracker.DuePolls(p.now) {
 			var answer *enginecontract.EngineState
@@ -57,9 +57,9 @@
 				answer = &copied
 				load = &enginecontract.LoadReport{Engine: poll.Name, Incarnation: copied.Incarnation, AgeMs: 100}
 			}
-			p.tracker.PollAnswered(p.now, poll.Name, answer, load)
+			p.tracker.RecordPollAnswer(p.now, poll.Name, answer, load)
 		}
-		p.tracker.DropGone(p.now)
+		p.tracker.RemoveGone(p.now)
 	}
 }
 
@@ -81,17 +81,17 @@
 			p.list.Version++
 			p.list.Machines[0].State = enginecontract.StateLeaving
 		}, time.Second, leaving},
-		{"falls silent while listed as serving", "engines", func(p *platform) { p.states["x"] = nil }, DefaultFreshness, changing},
+		{"falls silent while listed as serving", "engines", func(p *platform) { p.states["x"] = nil }, DefaultMaximumStateAge, changing},
 		{"page service by the list", "pages", func(p *platform) {
 			p.list.Version++
 			p.list.Machines[0].State = enginecontract.StateLeaving
 		}, time.Second, leaving},
-		{"page service when the list is gone", "pages", func(p *platform) { p.listing = false }, DefaultFreshness, changing},
+		{"page service when the list is gone", "pages", func(p *platform) { p.listing = false }, DefaultMaximumStateAge, changing},
 		{"unlisted and silent", "engines", func(p *platform) {
 			p.states["x"] = nil
 			p.list.Version++
 			p.list.Machines = p.list.Machines[1:]
-		}, DefaultGoneAfter, gone},
+		}, DefaultRemoveAfter, gone},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -113,9 +113,9 @@
 	p.states["x"].Incarnation = 2
 	p.run(2 * time.Second)
 	require.Equal(t, uint64(2), p.tracker.Machine("x").State.Incarnation)
-	require.False(t, p.tracker.Heard("x", p.now, &enginecontract.EngineState{
+	require.False(t, p.tracker.RecordState("x", p.now, &enginecontract.EngineState{
 		Engine: "x", Incarnation: 1, State: enginecontract.StateServing}), "a late word of the older process")
-	require.False(t, p.tracker.Heard("x", p.now, &enginecontract.EngineState{Engine: "y", Incarnation: 9}), "a crossed answer")
+	require.False(t, p.tracker.RecordState("x", p.now, &enginecontract.EngineState{Engine: "y", Incarnation: 9}), "a crossed answer")
 	p.states["x"] = nil
 	p.list.Version++
 	p.list.Machines[0].Address = "127.0.0.2:1"
@@ -129,10 +129,10 @@
 	list := func(version uint64) enginecontract.MachineList {
 		return enginecontract.MachineList{Version: version, Machines: []enginecontract.Machine{engineRow("x", "s", "z")}}
 	}
-	require.True(t, tracker.ListRead(0, list(5)))
-	require.False(t, tracker.ListRead(time.Second, list(4)), "a late copy")
-	require.True(t, tracker.ListRead(2*time.Second, list(5)))
-	require.True(t, tracker.ListRead(2*time.Second+DefaultListReset, list(1)), "the platform counts anew")
+	require.True(t, tracker.ApplyList(0, list(5)))
+	require.False(t, tracker.ApplyList(time.Second, list(4)), "a late copy")
+	require.True(t, tracker.ApplyList(2*time.Second, list(5)))
+	require.True(t, tracker.ApplyList(2*time.Second+DefaultListResetAfter, list(1)), "the platform counts anew")
 }
 
 // TestControllerThatHearsTooFew shows that the controller says nothing of engines that are
@@ -191,7 +191,7 @@
 			machines = append(machines, engineRow(fmt.Sprintf("engine-%d-%d", zone, i), "s", fmt.Sprint("zone-", zone)))
 		}
 	}
-	p := newPlatform(Config{PerService: 60}, machines...)
+	p := newPlatform(Config{MaximumPerService: 60}, machines...)
 	for i, machine := range machines {
 		if i%4 == 0 {
 			p.states[machine.Name].Role = enginecontract.RolePrefill
@@ -231,16 +231,16 @@
 	identity := func(name string, incarnation uint64) *v1.NodeIdentity {
 		return &v1.NodeIdentity{Name: name, Zone: "z", Incarnation: incarnation}
 	}
-	tracker.GatewayHeard(0, identity("a", 2), 7, false)
-	tracker.GatewayHeard(time.Second, identity("a", 1), 9, false)
+	tracker.RecordHeartbeat(0, identity("a", 2), 7, false)
+	tracker.RecordHeartbeat(time.Second, identity("a", 1), 9, false)
 	require.Equal(t, uint64(7), tracker.Gateways()[0].Revision, "a late heartbeat of an older process")
-	require.True(t, tracker.GatewayGone(time.Second, 0, "a", 1), "a later process serves under the name")
-	require.False(t, tracker.GatewayGone(time.Second, 0, "a", 2))
-	require.True(t, tracker.GatewayGone(DefaultGatewayLost+time.Second, 0, "a", 2))
-	require.False(t, tracker.GatewayGone(DefaultGatewayLost+time.Second, 5*time.Second, "a", 2), "a new leader waits")
-	require.True(t, tracker.GatewayGone(DefaultGatewayLost+time.Second, 0, "never heard of", 1))
+	require.True(t, tracker.IsGatewayGone(time.Second, 0, "a", 1), "a later process serves under the name")
+	require.False(t, tracker.IsGatewayGone(time.Second, 0, "a", 2))
+	require.True(t, tracker.IsGatewayGone(DefaultGatewayTimeout+time.Second, 0, "a", 2))
+	require.False(t, tracker.IsGatewayGone(DefaultGatewayTimeout+time.Second, 5*time.Second, "a", 2), "a new leader waits")
+	require.True(t, tracker.IsGatewayGone(DefaultGatewayTimeout+time.Second, 0, "never heard of", 1))
 	for i := range MaximumGateways + 5 {
-		tracker.GatewayHeard(time.Duration(i)*time.Millisecond, identity(fmt.Sprint("g", i), 1), 1, false)
+		tracker.RecordHeartbeat(time.Duration(i)*time.Millisecond, identity(fmt.Sprint("g", i), 1), 1, false)
 	}
 	require.Len(t, tracker.Gateways(), MaximumGateways)
 }
@@ -259,7 +259,7 @@
 			b.ResetTimer()
 			for i := range b.N {
 				// Each call is too late for the directory made before.
-				now := p.now + time.Duration(i%2)*2*DefaultDirectoryLife
+				now := p.now + time.Duration(i%2)*2*DefaultDirectoryCacheTime
 				p.tracker.Directory(now, "zone-1")
 			}
 		})
--- a/internal/packed/patch.go
+++ b/internal/packed/patch.go
@@ -15,9 +15,9 @@
 	mostWindow  = 32 << 20
 )
 
-// Patch returns what makes one content of another, in compressed form. It is small where they differ
+// MakePatch returns what makes one content of another, in compressed form. It is small where they differ
 // little.
-func Patch(from, to []byte) ([]byte, error) {
+func MakePatch(from, to []byte) ([]byte, error) {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderDictRaw(patchDictionary, from), zstd.WithEncoderConcurrency(1),
 		zstd.WithEncoderLevel(zstd.SpeedBetterCompression), zstd.WithWindowSize(window(len(from)+len(to))), zstd.WithEncoderCRC(true))
 	if err != nil {
--- a/internal/packed/patch_test.go
+++ b/internal/packed/patch_test.go
@@ -28,7 +28,7 @@
 	to := bytes.Replace(from, []byte(`"Version":7`), []byte(`"Version":19`), 1)
 	at := bytes.Index(to, []byte(`tenant-20000`)) + len(`tenant-20000","ApiKeys":["`)
 	copy(to[at:], "abcdefghijklmnopqrst")
-	patch, err := Patch(from, to)
+	patch, err := MakePatch(from, to)
 	require.NoError(t, err)
 	t.Logf("%d bytes of %d", len(patch), len(to))
 	require.Less(t, len(patch), 2_000)
@@ -39,7 +39,7 @@
 
 func TestPatchesOfAnyContents(t *testing.T) {
 	for _, row := range [][2]string{{"", ""}, {"", "new"}, {"old", ""}, {"same", "same"}, {"one and two", "two and one"}} {
-		patch, err := Patch([]byte(row[0]), []byte(row[1]))
+		patch, err := MakePatch([]byte(row[0]), []byte(row[1]))
 		require.NoError(t, err)
 		made, err := ApplyPatch([]byte(row[0]), patch)
 		require.NoError(t, err)
@@ -50,7 +50,7 @@
 func TestPatchesThatDoNotFitAreRefused(t *testing.T) {
 	from := tenantsDocument(100)
 	to := bytes.Replace(from, []byte(`"Version":7`), []byte(`"Version":8`), 1)
-	patch, err := Patch(from, to)
+	patch, err := MakePatch(from, to)
 	require.NoError(t, err)
 	other := bytes.ReplaceAll(from, []byte("tenant"), []byte("nobody"))
 	for name, row := range map[string][2][]byte{
--- a/internal/property/safeguards_test.go
+++ b/internal/property/safeguards_test.go
@@ -29,9 +29,9 @@
 	}{
 		{upstream.EchoCheck, Mixed, fault.WrongEcho, ""},
 		{upstream.SentMayHaveRun, RunTwice, fault.LoseAnswer, ""},
-		{stream.EventEcho, Mixed, fault.Crossed, ""},
+		{stream.EventEchoCheck, Mixed, fault.Crossed, ""},
 		{stream.OffsetCheck, Mixed, fault.Duplicate, ""},
-		{stream.WholeEnd, Short, fault.EarlyDone, ""},
+		{stream.CompletionCheck, Short, fault.EarlyDone, ""},
 		{claims.GrantRequired, RunTwice, fault.LoseAnswer, controlLost},
 		{claims.ReleaseOnlyNotRun, RunTwice, fault.LoseAnswer, ""},
 		{controlstate.ClaimCheck, RunTwice, "", ""},
--- a/internal/relay/clock.go
+++ b/internal/relay/clock.go
@@ -9,9 +9,9 @@
 // clock gives the steady time since the process's origin, in which suspensions count.
 type clock struct{ steady *bootclock.Clock }
 
-func newClock() clock { return clock{steady: bootclock.New(bootclock.RequestLook)} }
+func newClock() clock { return clock{steady: bootclock.New(bootclock.RequestCheckInterval)} }
 
 func (c clock) now() time.Duration { return c.steady.Now() }
 
 // at is the moment on the system's clock, for deadlines of connections.
-func (c clock) at(moment time.Duration) time.Time { return c.steady.At(moment) }
+func (c clock) at(moment time.Duration) time.Time { return c.steady.TimerDeadline(moment) }
--- a/internal/relay/connpool/connection.go
+++ b/internal/relay/connpool/connection.go
@@ -58,5 +58,5 @@
 // quiet reports whether the connection is open and nothing has arrived on it. It reads
 // without waiting.
 func (c *Connection) quiet() bool {
-	return c.Reader.Buffered() == 0 && wirecheck.Idle(c.Conn) == nil
+	return c.Reader.Buffered() == 0 && wirecheck.CheckIdle(c.Conn) == nil
 }
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -56,7 +56,7 @@
 	if err := closing.CloseWhenEmpty(listener, share(lastShare-leaveShare)); err != nil {
 		r.log.logger.Warn().Err(err).Msg("the clients' port did not close as it should")
 	}
-	clean := r.connections.tracked.End(limited, began, share(quietShare))
+	clean := r.connections.tracked.CloseIdle(limited, began, share(quietShare))
 	r.event(events.RelayStopped).Bool("clean", clean).Int("serving", r.connections.serving()).Int("connections", r.connections.tracked.Len()).
 		Dur("took_ms", r.clock.now()-beganAt).Send()
 }
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -214,7 +214,7 @@
 		Dial: (&net.Dialer{}).DialContext,
 	})
 	away := &atomic.Int64{}
-	relay.clock.steady = bootclock.NewSuspendable(0, func() time.Duration { return time.Duration(away.Load()) })
+	relay.clock.steady = bootclock.NewWithSuspension(0, func() time.Duration { return time.Duration(away.Load()) })
 	relay.exchanger.clock = relay.clock
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/relay/held_document_test.go
+++ b/internal/relay/held_document_test.go
@@ -21,20 +21,20 @@
 	}
 	knowledge := relay.knowledge
 	first := &v1.Document{Number: 2, Content: []byte{2, 'a'}}
-	knowledge.Take(&v1.WatchResponse{PackedDocument: packed.Pack(first)})
-	require.Equal(t, uint64(2), knowledge.Request(time.Second).GetDocumentNumber())
-	patch, err := packed.Patch(first.GetContent(), []byte{3, 'b'})
+	knowledge.ApplyUpdate(&v1.WatchResponse{PackedDocument: packed.Pack(first)})
+	require.Equal(t, uint64(2), knowledge.WatchRequest(time.Second).GetDocumentNumber())
+	patch, err := packed.MakePatch(first.GetContent(), []byte{3, 'b'})
 	require.NoError(t, err)
-	knowledge.Take(&v1.WatchResponse{DocumentPatch: patch, PatchedNumber: 3})
+	knowledge.ApplyUpdate(&v1.WatchResponse{DocumentPatch: patch, PatchedNumber: 3})
 	require.Equal(t, uint64(3), relay.view.Load().table.Configuration.Number)
-	require.Equal(t, uint64(3), knowledge.Request(time.Second).GetDocumentNumber())
+	require.Equal(t, uint64(3), knowledge.WatchRequest(time.Second).GetDocumentNumber())
 
-	knowledge.Take(&v1.WatchResponse{DocumentPatch: []byte("garbled"), PatchedNumber: 4})
+	knowledge.ApplyUpdate(&v1.WatchResponse{DocumentPatch: []byte("garbled"), PatchedNumber: 4})
 	require.Equal(t, uint64(3), relay.view.Load().table.Configuration.Number)
-	require.Zero(t, knowledge.Request(time.Second).GetDocumentNumber(), "the whole is asked for")
-	knowledge.Take(&v1.WatchResponse{PackedDocument: packed.Pack(&v1.Document{Number: 3, Content: []byte{3, 'b'}})})
-	require.Equal(t, uint64(3), knowledge.Request(time.Second).GetDocumentNumber(), "and held, though it is in force already")
-	knowledge.Take(&v1.WatchResponse{PackedDocument: packed.Pack(&v1.Document{Number: 4, Content: []byte{4}})})
+	require.Zero(t, knowledge.WatchRequest(time.Second).GetDocumentNumber(), "the whole is asked for")
+	knowledge.ApplyUpdate(&v1.WatchResponse{PackedDocument: packed.Pack(&v1.Document{Number: 3, Content: []byte{3, 'b'}})})
+	require.Equal(t, uint64(3), knowledge.WatchRequest(time.Second).GetDocumentNumber(), "and held, though it is in force already")
+	knowledge.ApplyUpdate(&v1.WatchResponse{PackedDocument: packed.Pack(&v1.Document{Number: 4, Content: []byte{4}})})
 	require.Equal(t, uint64(4), relay.view.Load().table.Configuration.Number)
 }
 
@@ -50,13 +50,13 @@
 	}
 	knowledge := relay.knowledge
 	tell := func(number byte, content byte) bool {
-		return knowledge.Take(&v1.WatchResponse{PackedDocument: packed.Pack(&v1.Document{Number: uint64(number), Content: []byte{number, content}})})
+		return knowledge.ApplyUpdate(&v1.WatchResponse{PackedDocument: packed.Pack(&v1.Document{Number: uint64(number), Content: []byte{number, content}})})
 	}
 	require.True(t, tell(2, 'a'))
 	require.False(t, tell(3, '?'))
-	require.Equal(t, uint64(2), knowledge.Request(time.Second).GetDocumentNumber())
-	patch, err := packed.Patch([]byte{2, 'a'}, []byte{4, 'b'})
+	require.Equal(t, uint64(2), knowledge.WatchRequest(time.Second).GetDocumentNumber())
+	patch, err := packed.MakePatch([]byte{2, 'a'}, []byte{4, 'b'})
 	require.NoError(t, err)
-	require.True(t, knowledge.Take(&v1.WatchResponse{DocumentPatch: patch, PatchedNumber: 4}))
+	require.True(t, knowledge.ApplyUpdate(&v1.WatchResponse{DocumentPatch: patch, PatchedNumber: 4}))
 	require.Equal(t, uint64(4), relay.view.Load().table.Configuration.Number)
 }
--- a/internal/relay/knowledge.go
+++ b/internal/relay/knowledge.go
@@ -45,12 +45,12 @@
 	// formerListed: a leader of the first format, which does not tell starts apart, has told the last list.
 	formerListed bool
 	// listing is the list of back ends as the leader told it last.
-	listing listing.Held
+	listing listing.ReceivedList
 	// wanted is how many back ends of each service the leader wanted last, and partial whether it told of a
 	// part of them.
 	wanted  []*v1.WantedBackEnds
 	partial bool
-	own     listing.OwnReading
+	own     listing.DirectRead
 	faults  listing.Faults
 	// listingCalls is how many calls a reading of the outside list takes, 0 while it is not known.
 	listingCalls int
@@ -67,8 +67,8 @@
 	}
 }
 
-// Asks implements leaderwatch.Holder: it writes a line when a leader is lost or found again.
-func (k *knowledge) Asks(controllers []string) {
+// BeforeWatch implements leaderwatch.Node: it writes a line when a leader is lost or found again.
+func (k *knowledge) BeforeWatch(controllers []string) {
 	lost := k.relay.clock.now()-k.relay.lastContact() > k.relay.contactLimit()
 	if lost == k.lost {
 		return
@@ -81,8 +81,8 @@
 	k.relay.event(event).Strs("controllers", controllers).Send()
 }
 
-// Request implements leaderwatch.Holder.
-func (k *knowledge) Request(wait time.Duration) *v1.WatchRequest {
+// WatchRequest implements leaderwatch.Node.
+func (k *knowledge) WatchRequest(wait time.Duration) *v1.WatchRequest {
 	view := k.relay.view.Load()
 	request := &v1.WatchRequest{
 		Node: &v1.NodeIdentity{
@@ -103,8 +103,8 @@
 	return request
 }
 
-// Take implements leaderwatch.Holder: it puts in force what the leader told.
-func (k *knowledge) Take(response *v1.WatchResponse) bool {
+// ApplyUpdate implements leaderwatch.Node: it puts in force what the leader told.
+func (k *knowledge) ApplyUpdate(response *v1.WatchResponse) bool {
 	current := k.relay.view.Load()
 	next := *current
 	used := true
@@ -113,7 +113,7 @@
 	}
 	if version := response.GetListingVersion(); version != 0 && version != current.listingVersion {
 		next.listingVersion = 0 // the whole list is asked for unless this one can be read
-		if listed, read := k.listing.Take(current.listingVersion, response); read {
+		if listed, read := k.listing.Apply(current.listingVersion, response); read {
 			next.listingVersion = version
 			if wanted := response.GetWanted(); len(wanted) > 0 {
 				k.wanted = wanted // a leader of the first format tells none: the next one is told what is known
@@ -239,14 +239,14 @@
 	return true
 }
 
-// NoneLeads implements leaderwatch.Holder: it reads the list here once no controller has led for a while, so that
+// HandleNoLeader implements leaderwatch.Node: it reads the list here once no controller has led for a while, so that
 // back ends that leave are known without one.
-func (k *knowledge) NoneLeads(ctx context.Context) {
+func (k *knowledge) HandleNoLeader(ctx context.Context) {
 	relays := int(k.relay.relayCount.Load())
 	if relays == 0 {
 		return // it cannot tell how many others would read it as well
 	}
-	lead := listing.OwnReadingAfter + leaderwatch.SpareWait(relays)
+	lead := listing.DirectReadAfter + leaderwatch.ExtraWait(relays)
 	held := k.relay.view.Load()
 	if held.table == nil {
 		return // a list serves nobody without a configuration, which only controllers tell
@@ -256,7 +256,7 @@
 		return
 	}
 	read, err := k.readListing(ctx, k.platform, 0)
-	if fault, isNews := k.faults.Next(read, err); isNews {
+	if fault, isNews := k.faults.Update(read, err); isNews {
 		k.relay.event(events.ListingFault).Str("fault", fault).Send()
 	}
 	if err != nil {
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -21,7 +21,7 @@
 
 // newGuard makes the guard of a relay.
 func newGuard(relay *Relay) *crashguard.Guard {
-	leader := crashguard.Calls{Client: relay.watcher.Leader}
+	leader := crashguard.Calls{Client: relay.watcher.LeaderClient}
 	return crashguard.New(crashguard.Options{
 		Leader: leader, Now: relay.clock.now, Probe: relay.probe, Observer: guardObserver{relay},
 	})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -106,7 +106,7 @@
 		options.ListenPacket = net.ListenPacket
 	}
 	if options.Dial == nil {
-		options.Dial = dialing.Watched()
+		options.Dial = dialing.WithDeadPeerDetection()
 	}
 	relay := newRelay(config, options)
 	listener, err := options.Listen("tcp", config.Listen)
@@ -163,7 +163,7 @@
 	relay.splits = splitdraw.New(relay.draw)
 	relay.metrics = newRelayMetrics(relay, options.Log)
 	relay.connections = connections{open: map[*clientConnection]bool{}, requests: map[*clientConnection]*request{}, tracked: closing.NewSet()}
-	relay.contactAt.Store(int64(-leaderwatch.LongestWait - contactSlack))
+	relay.contactAt.Store(int64(-leaderwatch.MaximumWait - contactSlack))
 	relay.exchanger = &exchanger{
 		noteAnswer: relay.noteAnswer, permitted: relay.permitted, limitedSendings: relay.metrics.limitedSendings,
 		names: options.Dialect.Headers, writer: newRequestWriter(options.Dialect.Headers), clock: steady, dial: options.Dial,
@@ -174,7 +174,7 @@
 	relay.knowledge = newKnowledge(relay, options)
 	relay.watcher = leaderwatch.New(leaderwatch.Config{
 		Seeds: config.ControllerAddresses(), Dial: options.Dial, Now: func() time.Duration { return relay.clock.now() },
-		Nodes: func() int { return int(relay.relayCount.Load()) }, Draw: relay.draw, Holder: relay.knowledge,
+		NodeCount: func() int { return int(relay.relayCount.Load()) }, Draw: relay.draw, Node: relay.knowledge,
 	})
 	relay.guard = newGuard(relay)
 	relay.exchanger.guard = relay.guard
--- a/internal/relay/suspension_test.go
+++ b/internal/relay/suspension_test.go
@@ -76,9 +76,9 @@
 	relay := newTestRelay(t, route(nil))
 	away := relay.suspendable()
 	asked := relay.clock.now()
-	require.False(t, relay.watcher.IsLate(asked))
+	require.False(t, relay.watcher.IsResponseStale(asked))
 	away.Add(int64(5 * time.Second))
-	require.True(t, relay.watcher.IsLate(asked))
-	relay.knowledge.Take(&v1.WatchResponse{})
+	require.True(t, relay.watcher.IsResponseStale(asked))
+	relay.knowledge.ApplyUpdate(&v1.WatchResponse{})
 	require.Less(t, relay.clock.now()-relay.lastContact(), relay.contactLimit(), "one that is asked for anew counts")
 }
--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -44,6 +44,6 @@
 // reportUsage sends a report to the controller that led last, as far as is known here. One that does not
 // lead passes it on.
 func (r *Relay) reportUsage(ctx context.Context, report *v1.UsageReport) error {
-	_, err := r.watcher.Leader().ReportUsage(ctx, connect.NewRequest(&v1.ReportUsageRequest{Report: report}))
+	_, err := r.watcher.LeaderClient().ReportUsage(ctx, connect.NewRequest(&v1.ReportUsageRequest{Report: report}))
 	return err
 }
--- a/internal/servercommand/command.go
+++ b/internal/servercommand/command.go
@@ -55,7 +55,7 @@
 // signals follow, but for a second SIGINT: then Run returns though the server still stops.
 func Run(ctx context.Context, arguments []string, environment Environment) int {
 	if environment.Signals == nil {
-		environment.Signals = lifecycle.Take()
+		environment.Signals = lifecycle.HandleSignals()
 	}
 	parser := flags.NewNamedParser(environment.Program, flags.HelpFlag|flags.PassDoubleDash)
 	parser.LongDescription = "The servers of a hazelpitch fleet. Each reads one settings file; flags override it."
@@ -97,7 +97,7 @@
 }
 
 func runUntilSignal(ctx context.Context, name string, server subcommand, environment Environment) int {
-	ctx, cancel := environment.Signals.Until(ctx)
+	ctx, cancel := environment.Signals.WithStop(ctx)
 	defer cancel()
 	ended := make(chan error, 1)
 	go func() { ended <- server.run(ctx, environment) }()
--- a/internal/servercommand/reload_test.go
+++ b/internal/servercommand/reload_test.go
@@ -22,7 +22,7 @@
 func TestSettingsAreReadAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	require.NoError(t, os.WriteFile(path, []byte("a"), 0o600))
-	signals := lifecycle.Take()
+	signals := lifecycle.HandleSignals()
 	loads := make(chan time.Time, 1024)
 	ctx, cancel := context.WithCancel(t.Context())
 	var watching sync.WaitGroup
--- a/internal/simulation/safeguards_test.go
+++ b/internal/simulation/safeguards_test.go
@@ -43,13 +43,13 @@
 	// Authority over engines.
 	{off: off(authority.SafeguardCommitBeforeSend), check: "committed before sent"},
 	{off: off(authority.SafeguardFence), check: "ended orders stay ended", emphasis: kinds(FaultStallOrder)},
-	{off: off(authority.SafeguardOutBound), check: "bounded engines out"},
+	{off: off(authority.SafeguardOutOfServiceBound), check: "bounded engines out"},
 	{off: off(orders.FenceCheck), check: "no order of the deposed", emphasis: kinds(FaultStallOrder)},
 	{off: off(orders.DurableFence), check: "no order of the deposed", emphasis: kinds(FaultStallOrder, FaultCrashEngine)},
 	{off: off(orders.DrainFirst), check: "no request is cut"},
 	// The bound on engines out would keep a second order back as well.
-	{off: off(controlstate.OneOrderAtATime, authority.SafeguardOutBound), check: "one order at a time", emphasis: kinds(FaultPauseEngine)},
-	{off: off(controlstate.OneOrderAtATime, authority.SafeguardOutBound, orders.OneOrder), check: "no conflicting orders", emphasis: kinds(FaultPauseEngine)},
+	{off: off(controlstate.OneOrderAtATime, authority.SafeguardOutOfServiceBound), check: "one order at a time", emphasis: kinds(FaultPauseEngine)},
+	{off: off(controlstate.OneOrderAtATime, authority.SafeguardOutOfServiceBound, orders.OneOrder), check: "no conflicting orders", emphasis: kinds(FaultPauseEngine)},
 
 	// Configuration and membership at the nodes.
 	// Controllers never send what is older, and nodes never take it.
--- a/internal/stream/sequence.go
+++ b/internal/stream/sequence.go
@@ -20,10 +20,10 @@
 	StepForeign
 	// StepResume: tokens are missing before the event; resume at Delivered.
 	StepResume
-	// StepFailed: the engine reports an error; the answer cannot become whole here.
-	StepFailed
-	// StepWhole: the answer is whole.
-	StepWhole
+	// StepFail: the engine reports an error; the answer cannot become whole here.
+	StepFail
+	// StepComplete: the answer is whole.
+	StepComplete
 )
 
 // Sequence accepts the events of one answer, over any number of connections and
@@ -60,12 +60,12 @@
 // Accept decides on one event and notes it when it is delivered.
 func (s *Sequence) Accept(event *Event) Step {
 	if event.Type == EventDone {
-		if s.finished && s.counted || !s.safeguards.On(WholeEnd) {
-			return StepWhole
+		if s.finished && s.counted || !s.safeguards.On(CompletionCheck) {
+			return StepComplete
 		}
 		return StepResume
 	}
-	if event.Exchange != s.exchange && s.safeguards.On(EventEcho) {
+	if event.Exchange != s.exchange && s.safeguards.On(EventEchoCheck) {
 		return StepForeign
 	}
 	switch event.Type {
@@ -79,7 +79,7 @@
 		}
 		return s.acceptOnce(event, &s.counted)
 	default:
-		return StepFailed
+		return StepFail
 	}
 }
 
@@ -89,7 +89,7 @@
 	case event.Offset <= s.delivered:
 		return StepDrop
 	case s.finished:
-		return StepFailed // a token after the end
+		return StepFail // a token after the end
 	case event.Offset-event.Tokens != s.delivered:
 		return StepResume
 	}
--- a/internal/stream/sequence_test.go
+++ b/internal/stream/sequence_test.go
@@ -31,7 +31,7 @@
 		want   []Step
 	}{
 		{"whole", []Event{token(own, 1, 1), token(own, 3, 2), finish(3), usageOf(3), done},
-			[]Step{StepDeliver, StepDeliver, StepDeliver, StepDeliver, StepWhole}},
+			[]Step{StepDeliver, StepDeliver, StepDeliver, StepDeliver, StepComplete}},
 		{"a token twice", []Event{token(own, 1, 1), token(own, 1, 1)}, []Step{StepDeliver, StepDrop}},
 		{"an older token", []Event{token(own, 1, 1), token(own, 2, 1), token(own, 1, 1)}, []Step{StepDeliver, StepDeliver, StepDrop}},
 		{"a hole", []Event{token(own, 1, 1), token(own, 3, 1)}, []Step{StepDeliver, StepResume}},
@@ -43,8 +43,8 @@
 		{"done without usage", []Event{token(own, 1, 1), finish(1), done}, []Step{StepDeliver, StepDeliver, StepResume}},
 		{"finish too early", []Event{token(own, 1, 1), finish(2)}, []Step{StepDeliver, StepResume}},
 		{"finish twice", []Event{token(own, 1, 1), finish(1), finish(1)}, []Step{StepDeliver, StepDeliver, StepDrop}},
-		{"a token after the finish", []Event{token(own, 1, 1), finish(1), token(own, 2, 1)}, []Step{StepDeliver, StepDeliver, StepFailed}},
-		{"an error", []Event{token(own, 1, 1), {Type: EventError, Exchange: own}}, []Step{StepDeliver, StepFailed}},
+		{"a token after the finish", []Event{token(own, 1, 1), finish(1), token(own, 2, 1)}, []Step{StepDeliver, StepDeliver, StepFail}},
+		{"an error", []Event{token(own, 1, 1), {Type: EventError, Exchange: own}}, []Step{StepDeliver, StepFail}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -76,7 +76,7 @@
 				sequence.Begin(exchange)
 			}
 			event := drawEvent(t, exchange, length)
-			if sequence.Accept(&event) == StepWhole && sequence.Text() != answer {
+			if sequence.Accept(&event) == StepComplete && sequence.Text() != answer {
 				t.Fatalf("whole with %q of %q", sequence.Text(), answer)
 			}
 			if !strings.HasPrefix(answer, sequence.Text()) {
--- a/internal/stream/writer.go
+++ b/internal/stream/writer.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// AppendWhole appends a whole answer, as Answer.JSON returned it, as a stream of its own:
+// AppendComplete appends a whole answer, as Answer.JSON returned it, as a stream of its own:
 // one event with all of the text, the finish event, the usage event and the end.
-func (w *Writer) AppendWhole(buffer, whole []byte) []byte {
+func (w *Writer) AppendComplete(buffer, whole []byte) []byte {
 	choice := gjson.GetBytes(whole, "choices.0")
 	reason, _ := json.Marshal(choice.Get("finish_reason").String()) // a string always marshals
 	text, end := `"text":`+choice.Get("text").Raw, `"text":""`
--- a/internal/truetime/clock.go
+++ b/internal/truetime/clock.go
@@ -32,8 +32,8 @@
 // New returns a clock that has read nothing yet.
 func New() *Clock { return &Clock{peers: map[string]peerOffset{}} }
 
-// Read takes a reading of the own clock.
-func (c *Clock) Read(now time.Duration, timeOfDayMs int64) {
+// AddReading takes a reading of the own clock.
+func (c *Clock) AddReading(now time.Duration, timeOfDayMs int64) {
 	if len(c.offsets) > 0 && now-c.readAt < readingInterval {
 		return
 	}
@@ -44,23 +44,23 @@
 	}
 }
 
-// Hear takes another controller's word, just received.
-func (c *Clock) Hear(now time.Duration, peer string, timeOfDayMs int64) {
+// AddPeerReading takes another controller's word, just received.
+func (c *Clock) AddPeerReading(now time.Duration, peer string, timeOfDayMs int64) {
 	c.peers[peer] = peerOffset{offset: offsetOf(now, timeOfDayMs), heardAt: now}
 }
 
-// Own returns what this controller alone takes the time of day to be: the median of its readings. It is
+// LocalTime returns what this controller alone takes the time of day to be: the median of its readings. It is
 // 0 before the first.
-func (c *Clock) Own(now time.Duration) int64 {
+func (c *Clock) LocalTime(now time.Duration) int64 {
 	if len(c.offsets) == 0 {
 		return 0
 	}
 	return (median(c.offsets) + now).Milliseconds()
 }
 
-// Agreed returns the median of what the controllers take the time of day to be; false unless a
+// AgreedTime returns the median of what the controllers take the time of day to be; false unless a
 // majority of so many has been heard of lately, this one among them.
-func (c *Clock) Agreed(now time.Duration, controllers int) (timeOfDayMs int64, agreed bool) {
+func (c *Clock) AgreedTime(now time.Duration, controllers int) (timeOfDayMs int64, agreed bool) {
 	if len(c.offsets) == 0 {
 		return 0, false
 	}
--- a/internal/truetime/clock_test.go
+++ b/internal/truetime/clock_test.go
@@ -15,18 +15,18 @@
 
 func TestNothingIsAgreedWithoutAMajority(t *testing.T) {
 	clock := New()
-	_, agreed := clock.Agreed(0, 1)
+	_, agreed := clock.AgreedTime(0, 1)
 	require.False(t, agreed, "nothing was read")
-	clock.Read(0, start)
-	got, agreed := clock.Agreed(time.Second, 1)
+	clock.AddReading(0, start)
+	got, agreed := clock.AgreedTime(time.Second, 1)
 	require.True(t, agreed)
 	require.Equal(t, trueAt(time.Second), got)
-	_, agreed = clock.Agreed(time.Second, 3)
+	_, agreed = clock.AgreedTime(time.Second, 3)
 	require.False(t, agreed)
-	clock.Hear(time.Second, "b", trueAt(time.Second))
-	_, agreed = clock.Agreed(time.Second, 3)
+	clock.AddPeerReading(time.Second, "b", trueAt(time.Second))
+	_, agreed = clock.AgreedTime(time.Second, 3)
 	require.True(t, agreed)
-	_, agreed = clock.Agreed(time.Minute, 3)
+	_, agreed = clock.AgreedTime(time.Minute, 3)
 	require.False(t, agreed, "the other's word is old")
 }
 
@@ -48,11 +48,11 @@
 				}
 				return trueAt(now)
 			}
-			clock.Read(now, jump(row.own))
+			clock.AddReading(now, jump(row.own))
 			for index, by := range row.peers {
-				clock.Hear(now, string(rune('a'+index)), jump(by))
+				clock.AddPeerReading(now, string(rune('a'+index)), jump(by))
 			}
-			got, agreed := clock.Agreed(now, 5)
+			got, agreed := clock.AgreedTime(now, 5)
 			require.True(t, agreed, name)
 			require.InDelta(t, trueAt(now), got, 1, "%s at %v", name, now)
 		}
@@ -68,15 +68,15 @@
 			if index < 2 && now >= 30*time.Second && now < 40*time.Second {
 				reading += 4000
 			}
-			clock.Read(now, reading)
+			clock.AddReading(now, reading)
 		}
 		for index, clock := range clocks {
 			for other, peer := range clocks {
 				if other != index {
-					clock.Hear(now, string(rune('a'+other)), peer.Own(now))
+					clock.AddPeerReading(now, string(rune('a'+other)), peer.LocalTime(now))
 				}
 			}
-			got, agreed := clock.Agreed(now, len(clocks))
+			got, agreed := clock.AgreedTime(now, len(clocks))
 			require.True(t, agreed)
 			require.Equal(t, trueAt(now), got)
 		}
@@ -86,10 +86,10 @@
 // A process that starts while its clock is wrong does not mislead the others.
 func TestAWrongClockAtTheStartIsOutvoted(t *testing.T) {
 	clock := New()
-	clock.Read(0, start+9000)
-	clock.Hear(0, "b", start)
-	clock.Hear(0, "c", start+3)
-	got, agreed := clock.Agreed(0, 3)
+	clock.AddReading(0, start+9000)
+	clock.AddPeerReading(0, "b", start)
+	clock.AddPeerReading(0, "c", start+3)
+	got, agreed := clock.AgreedTime(0, 3)
 	require.True(t, agreed)
 	require.Equal(t, start+3, got)
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -43,7 +43,7 @@
 	dial := options.Dial
 	if dial == nil {
 		var err error
-		if dial, err = dialing.From(options.SourceAddress, 0); err != nil {
+		if dial, err = dialing.FromSource(options.SourceAddress, 0); err != nil {
 			return nil, trace.Wrap(err)
 		}
 	}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -20,4 +20,4 @@
 }
 
 // checkIdle returns an error when an idle connection cannot carry a request.
-func (c *trackedConnection) checkIdle() error { return wirecheck.Idle(c.Conn) }
+func (c *trackedConnection) checkIdle() error { return wirecheck.CheckIdle(c.Conn) }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -51,8 +51,8 @@
 	State enginecontract.ServiceState
 	Role  enginecontract.Role
 	Load  string
-	// Rest is how long the back end wants nothing from this gateway; 0 when it did not ask.
-	Rest time.Duration
+	// Backoff is how long the back end wants nothing from this gateway; 0 when it did not ask.
+	Backoff time.Duration
 	// Limit is how many requests a second the back end takes of all gateways together, the zero value for no limit; nil
 	// where the answer said nothing of that: only a success says by its silence that there is none.
 	Limit *backpressure.Limit
@@ -130,10 +130,10 @@
 		RetryAfter: header.Peek(fasthttp.HeaderRetryAfter), Limit: header.PeekAll(enginecontract.HeaderRequestLimit),
 	})
 	report := Report{
-		State: enginecontract.ServiceState(header.Peek(enginecontract.HeaderEngineState)),
-		Role:  enginecontract.Role(header.Peek(enginecontract.HeaderEngineRole)),
-		Load:  string(header.Peek(enginecontract.HeaderEngineLoad)),
-		Rest:  asked.Rest,
+		State:   enginecontract.ServiceState(header.Peek(enginecontract.HeaderEngineState)),
+		Role:    enginecontract.Role(header.Peek(enginecontract.HeaderEngineRole)),
+		Load:    string(header.Peek(enginecontract.HeaderEngineLoad)),
+		Backoff: asked.Rest,
 	}
 	if asked.SpeaksOfLimit() {
 		report.Limit = &asked.Limit
--- a/internal/wirecheck/idle.go
+++ b/internal/wirecheck/idle.go
@@ -14,10 +14,10 @@
 	ErrUnexpectedBytes = errors.New("bytes on an idle connection")
 )
 
-// Idle returns an error when a resting connection cannot carry a request: the peer has
+// CheckIdle returns an error when a resting connection cannot carry a request: the peer has
 // closed it, or has sent bytes that nobody asked for. It reads without waiting; a
 // connection that is not the system's own counts as sound.
-func Idle(connection net.Conn) error {
+func CheckIdle(connection net.Conn) error {
 	system, ok := connection.(syscall.Conn)
 	if !ok {
 		return nil
