--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -13,13 +13,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// testDisk is what a member has synced.
+// testDisk is the synced state of a member.
 type testDisk struct {
 	restored Restored
 	pending  []Ready
 }
 
-// write puts a batch on the disk.
+// write persists a batch.
 func (d *testDisk) write(ready Ready) {
 	if ready.HardState != nil {
 		d.restored.HardState = ready.HardState
@@ -46,31 +46,31 @@
 	}
 }
 
-// testCluster drives members over a network in memory, one millisecond a step.
+// testCluster runs members over an in-memory network, in steps of one millisecond.
 type testCluster struct {
-	t         *testing.T
-	now       time.Duration
-	random    *rand.Rand
-	names     []string
-	cores     map[string]*Core
-	disks     map[string]*testDisk
-	inbox     []Message
-	cut       map[string]bool
-	lossRate  float64
-	syncDelay bool
-	applied   map[string][]string
-	settled   map[uint64]string
-	leaders   map[uint64]string
-	off       safeguard.Set
-	retained  uint64
-	// seeds, when set, replace the peers; bootstrap is what settings say at the moment.
+	t                  *testing.T
+	now                time.Duration
+	random             *rand.Rand
+	names              []string
+	cores              map[string]*Core
+	disks              map[string]*testDisk
+	inbox              []Message
+	isolated           map[string]bool
+	lossRate           float64
+	syncDelay          bool
+	applied            map[string][]string
+	committed          map[uint64]string
+	leaders            map[uint64]string
+	disabledSafeguards safeguard.Set
+	retainedEntries    uint64
+	// seeds, if set, replace the peers; bootstrap is the current setting of Config.Bootstrap.
 	seeds     []string
 	bootstrap bool
 }
 
 func newTestCluster(t *testing.T, size int, seed uint64) *testCluster {
 	c := &testCluster{t: t, random: rand.New(rand.NewPCG(seed, 1)), cores: map[string]*Core{}, disks: map[string]*testDisk{},
-		cut: map[string]bool{}, applied: map[string][]string{}, settled: map[uint64]string{}, leaders: map[uint64]string{}}
+		isolated: map[string]bool{}, applied: map[string][]string{}, committed: map[uint64]string{}, leaders: map[uint64]string{}}
 	for i := range size {
 		name := fmt.Sprintf("controller-%d", i+1)
 		c.names = append(c.names, name)
@@ -82,9 +82,9 @@
 	return c
 }
 
-// start starts a member with what its disk holds.
+// start starts a member with the state of its disk.
 func (c *testCluster) start(name string) {
-	config := Config{Fleet: "test", Name: name, Address: name, Zone: "zone", Seed: 7, Safeguards: c.off, RetainedEntries: c.retained}
+	config := Config{Fleet: "test", Name: name, Address: name, Zone: "zone", Seed: 7, Safeguards: c.disabledSafeguards, RetainedEntries: c.retainedEntries}
 	if len(c.seeds) > 0 {
 		config.Seeds, config.Bootstrap, config.FormationSize = c.seeds, c.bootstrap, 3
 	} else {
@@ -100,13 +100,13 @@
 	c.applied[name] = nil
 }
 
-// step lets a millisecond pass for everyone.
+// step advances all members by one millisecond.
 func (c *testCluster) step() {
 	c.now += time.Millisecond
 	inbox := c.inbox
 	c.inbox = nil
 	for _, message := range inbox {
-		if core := c.cores[message.Address]; core != nil && !c.cut[message.Address] {
+		if core := c.cores[message.Address]; core != nil && !c.isolated[message.Address] {
 			_ = core.Step(c.now, proto.CloneOf(message.Message))
 		}
 	}
@@ -117,12 +117,12 @@
 		if c.now%(10*time.Millisecond) == 0 {
 			c.cores[name].Tick(c.now)
 		}
-		c.drain(name)
+		c.processReady(name)
 	}
 }
 
-// drain carries out what a member asks for and checks what it applies.
-func (c *testCluster) drain(name string) {
+// processReady performs the work that a member returns, and checks what it applies.
+func (c *testCluster) processReady(name string) {
 	core, disk := c.cores[name], c.disks[name]
 	if len(disk.pending) > 0 && (!c.syncDelay || c.random.IntN(5) == 0) {
 		for _, ready := range disk.pending {
@@ -137,7 +137,7 @@
 			disk.pending = append(disk.pending, ready)
 		}
 		for _, message := range ready.Messages {
-			if !c.cut[name] && c.random.Float64() >= c.lossRate {
+			if !c.isolated[name] && c.random.Float64() >= c.lossRate {
 				c.inbox = append(c.inbox, message)
 			}
 		}
@@ -151,25 +151,25 @@
 	}
 }
 
-// apply records committed entries and compares them with every other member's.
+// apply records committed entries and compares them with those of every other member.
 func (c *testCluster) apply(name string, ready Ready) {
 	if ready.Restore != nil {
 		c.applied[name] = []string{fmt.Sprintf("snapshot %d", ready.Restore.GetMetadata().GetIndex())}
 	}
 	for _, entry := range ready.Committed {
 		text := fmt.Sprintf("%d/%v/%s", entry.GetTerm(), entry.GetType(), entry.GetData())
-		if known, settled := c.settled[entry.GetIndex()]; settled && known != text {
+		if known, isCommitted := c.committed[entry.GetIndex()]; isCommitted && known != text {
 			c.t.Fatalf("%s applies %q at %d where %q was committed", name, text, entry.GetIndex(), known)
 		}
-		c.settled[entry.GetIndex()] = text
+		c.committed[entry.GetIndex()] = text
 		if entry.GetType() == v1.EntryType_ENTRY_TYPE_COMMAND {
 			c.applied[name] = append(c.applied[name], string(entry.GetData()))
 		}
 	}
 }
 
-// until steps until the condition holds, for at most a minute of virtual time.
-func (c *testCluster) until(what string, condition func() bool) {
+// stepUntil runs steps until the condition holds, for at most a minute of virtual time.
+func (c *testCluster) stepUntil(what string, condition func() bool) {
 	c.t.Helper()
 	for range 60_000 {
 		if condition() {
@@ -192,6 +192,6 @@
 
 func (c *testCluster) waitLeader() *Core {
 	c.t.Helper()
-	c.until("leader", func() bool { return c.leader() != "" })
+	c.stepUntil("leader", func() bool { return c.leader() != "" })
 	return c.cores[c.leader()]
 }
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -20,68 +20,68 @@
 	DefaultRetainedEntries         = 4096
 )
 
-// leaseShare is the part of the election timeout that a leader lease lasts before
-// clock drift is taken off.
+// leaseShare is the fraction of the election timeout for which a leader lease lasts, before
+// the allowance for clock drift is subtracted.
 const leaseShare = 0.8
 
-// Peer is one controller of the initial quorum, as the settings name it.
+// Peer is one controller of the initial quorum, as named in the settings.
 type Peer struct {
 	Name    string
 	Address string
 	Zone    string
 }
 
-// Config configures a Core. Zero values of the tuning fields mean the defaults.
+// Config configures a Core. Zero values of the tuning fields select the defaults.
 type Config struct {
 	// Fleet, Name and Address are required; Name is unique in the fleet.
 	Fleet   string
 	Name    string
 	Address string
 	Zone    string
-	// Peers are the initial voters, this controller among them, or, for a controller
-	// that joins later, the controllers to ask for admission.
+	// Peers are the initial voters, including this controller. For a controller that joins
+	// later, they are the controllers that it asks for admission.
 	Peers []Peer
-	// Seeds, when not empty, take the place of Peers: addresses of some controllers, which
-	// need not be all and may be down. Every controller then becomes a voter; see
-	// formation_seeds.go.
+	// Seeds, when not empty, replaces Peers. It lists the addresses of some of the controllers,
+	// any of which may be down. Every controller becomes a voter; see formation_seeds.go.
 	Seeds []string
-	// Bootstrap says that the fleet starts for the first time, on empty disks. Only then
-	// may the first seed form the quorum.
+	// Bootstrap states that the fleet starts for the first time, on empty disks. The first seed
+	// may form the quorum only then.
 	Bootstrap bool
-	// FormationSize is how many controllers at least must have reported before the first
-	// seed forms the quorum.
+	// FormationSize is the minimum number of controllers that must have reported before the
+	// first seed forms the quorum.
 	FormationSize int
-	// ElectionTimeout is the shortest silence after which a follower campaigns.
+	// ElectionTimeout is the shortest time without a message of the leader after which a
+	// follower campaigns.
 	ElectionTimeout   time.Duration
 	HeartbeatInterval time.Duration
-	// ClockDrift bounds how far the rate of any two controllers' clocks is off real
-	// time, as a share of it.
+	// ClockDrift bounds how far the rate of any controller's clock deviates from real time, as
+	// a fraction of real time.
 	ClockDrift float64
-	// MaximumAppendBytes bounds the entries of one message.
+	// MaximumAppendBytes limits the entries in one message.
 	MaximumAppendBytes int
-	// MaximumInFlightEntries bounds the entries sent to one member and not answered.
+	// MaximumInFlightEntries limits the entries sent to one member and not yet acknowledged.
 	MaximumInFlightEntries uint64
-	// MaximumUncommittedBytes bounds the proposals that wait for their commit.
+	// MaximumUncommittedBytes limits the proposals that are not yet committed.
 	MaximumUncommittedBytes int
-	// RetainedEntries is how many entries before a snapshot stay in memory for
-	// members that lag a little.
+	// RetainedEntries is the number of entries before a snapshot that stay in memory, so that
+	// members that lag slightly do not need the snapshot.
 	RetainedEntries uint64
-	// Seed seeds the random part of election timeouts.
+	// Seed seeds the random part of the election timeout.
 	Seed       uint64
 	Safeguards safeguard.Set
 }
 
-// Restored is what a controller's disk held when the process started.
+// Restored is the content of a controller's disk when its process started.
 type Restored struct {
-	// DiskID is the identity of the disk, made when the disk was first used. Required.
+	// DiskID is the identity of the disk, created when the disk was first used. Required.
 	DiskID    string
 	HardState *v1.HardState
 	Snapshot  *v1.Snapshot
-	// Entries follow the snapshot without a hole.
+	// Entries follow the snapshot without a gap.
 	Entries []*v1.Entry
 }
 
-// withDefaults fills in the defaults.
+// withDefaults returns the configuration with zero tuning fields set to their defaults.
 func (c Config) withDefaults() Config {
 	if c.ElectionTimeout == 0 {
 		c.ElectionTimeout = DefaultElectionTimeout
@@ -107,8 +107,8 @@
 	return c
 }
 
-// check reports the first setting that cannot work.
-func (c Config) check() error {
+// validate returns an error for the first invalid setting.
+func (c Config) validate() error {
 	switch {
 	case c.Fleet == "":
 		return trace.BadParameter("consensus: fleet is empty; set the fleet's name")
@@ -138,8 +138,9 @@
 	return nil
 }
 
-// leaseDuration is how long after the sending of a heartbeat round, on the leader's
-// clock, a quorum's answers to it keep every other candidate from winning.
+// leaseDuration returns the length of a leader lease. It starts when a heartbeat round is sent,
+// on the leader's clock: once a quorum has acknowledged that round, no other candidate can win
+// an election before the lease ends.
 func (c Config) leaseDuration() time.Duration {
 	share := leaseShare * (1 - c.ClockDrift) / (1 + c.ClockDrift)
 	return time.Duration(float64(c.ElectionTimeout) * share)
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -10,7 +10,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// Role is what a member is at the moment.
+// Role is the current Raft role of a member.
 type Role int
 
 // Roles of a member.
@@ -21,17 +21,17 @@
 	RoleLeader
 )
 
-// String names the role.
+// String returns the name of the role.
 func (r Role) String() string {
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Core is one member of the quorum.
+// Core is one member of the consensus group. See the package documentation for its use.
 type Core struct {
 	config Config
 	id     string
 	random *rand.Rand
-	out    outbox
+	outbox outbox
 
 	term     uint64
 	votedFor string
@@ -39,36 +39,36 @@
 	members  memberSet
 	role     Role
 	leader   string
-	// now is the time of the call being served.
+	// now is the time of the current call.
 	now     time.Duration
 	started bool
 
-	// Follower and candidate.
-	leaderHeardAt   time.Duration
+	// State of followers and candidates.
+	leaderContactAt time.Duration
 	electionDueAt   time.Duration
 	votes           map[string]bool
 	probeDueAt      time.Duration
 	probeAnswers    map[string]*v1.Member
 	reports         formationReports
-	laterSeeds      []string
+	updatedSeeds    []string
 	addresses       map[string]string
 	transferElected bool
 	restart         restart
 
-	// Leader.
-	progress       map[string]*progress
-	heartbeatDueAt time.Duration
-	leaderSince    time.Duration
-	leaderStart    uint64 // index of the leader's first entry
-	pendingMember  uint64 // index of the membership entry not committed yet
-	uncommitted    int    // bytes proposed and not committed
-	transfer       transfer
+	// State of the leader.
+	progress               map[string]*progress
+	heartbeatDueAt         time.Duration
+	leaderSince            time.Duration
+	leaderStartIndex       uint64 // index of the leader's first entry
+	pendingMembershipIndex uint64 // index of the membership entry not committed yet
+	uncommittedBytes       int    // bytes proposed and not committed
+	transfer               transfer
 }
 
-// New returns a member that starts as a follower with what its disk held.
+// New returns a member that starts as a follower with the state restored from its disk.
 func New(config Config, restored Restored) (*Core, error) {
 	config = config.withDefaults()
-	if err := config.check(); err != nil {
+	if err := config.validate(); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	if restored.DiskID == "" {
@@ -87,9 +87,9 @@
 		log:       log,
 		addresses: make(map[string]string),
 	}
-	core.out.hardState = core.hardState()
+	core.outbox.hardState = core.hardState()
 	if restored.Snapshot != nil {
-		core.out.restore = restored.Snapshot
+		core.outbox.restore = restored.Snapshot
 	}
 	if err := core.reloadMembers(); err != nil {
 		return nil, trace.Wrap(err)
@@ -97,42 +97,42 @@
 	return core, nil
 }
 
-// hash spreads an identity over 64 bits.
+// hash maps an identity to 64 bits, to seed the random numbers differently for each member.
 func hash(text string) uint64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(text))
 	return sum.Sum64()
 }
 
-// observe takes the time of a call. The first call starts the clocks: this member
-// may have answered a leader just before it stopped, so it waits a whole election
-// timeout before it votes.
-func (c *Core) observe(now time.Duration) {
+// advanceClock sets the time of the current call. The first call also starts the timers: this
+// member may have acknowledged a leader's heartbeat just before its process stopped, so it waits
+// for a whole election timeout before it votes.
+func (c *Core) advanceClock(now time.Duration) {
 	c.now = max(c.now, now)
 	if !c.started {
 		c.started = true
 		c.now = now
-		c.leaderHeardAt = now
+		c.leaderContactAt = now
 		c.resetElection()
-		c.startRestart()
+		c.beginRestart()
 	}
 }
 
-// resetElection draws the next election timeout.
+// resetElection sets a random election timeout.
 func (c *Core) resetElection() {
 	spread := time.Duration(c.random.Int64N(int64(c.config.ElectionTimeout)))
 	c.electionDueAt = c.now + c.config.ElectionTimeout + spread
 }
 
-// Tick tells that time has passed. Call it at least every half heartbeat interval.
+// Tick processes the passage of time. Call it at least every half heartbeat interval.
 func (c *Core) Tick(now time.Duration) {
-	c.observe(now)
+	c.advanceClock(now)
 	if c.role == RoleLeader {
 		c.tickLeader()
 		return
 	}
 	if c.members.empty() {
-		if c.seeded() {
+		if c.isSeeded() {
 			c.tickSeededFormation()
 		} else {
 			c.tickFormation()
@@ -140,22 +140,22 @@
 		return
 	}
 	c.tickLearner()
-	c.tickOutsider()
+	c.tickRejoin()
 	c.tickRestart()
 	if c.now < c.electionDueAt {
 		return
 	}
-	if c.members.votes(c.id) {
+	if c.members.isVoter(c.id) {
 		c.campaign(c.config.Safeguards.On(SafeguardPreVote))
 		return
 	}
-	c.leader = "" // it can't elect another one, but must not be taken to hear this one
+	c.leader = "" // this member has no vote and cannot elect another leader, but must not report a silent one
 }
 
-// Step takes a message of another member. The error tells why a message was
-// dropped; it is for logs and tests only.
+// Step processes a message from another member. The error states why a message was dropped; it
+// is for logs and tests only.
 func (c *Core) Step(now time.Duration, message *v1.ConsensusMessage) error {
-	c.observe(now)
+	c.advanceClock(now)
 	if err := c.checkMessage(message); err != nil {
 		return trace.Wrap(err)
 	}
@@ -164,7 +164,7 @@
 	}
 	switch message.GetType() {
 	case v1.MessageType_MESSAGE_TYPE_PROBE, v1.MessageType_MESSAGE_TYPE_PROBE_ANSWER:
-		c.stepFormation(message)
+		c.handleFormationMessage(message)
 		return nil
 	}
 	if message.GetTo() != c.id {
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// checkMessage refuses messages that cannot come from a sound controller of the fleet.
+// checkMessage rejects messages that a correct controller of this fleet does not send.
 func (c *Core) checkMessage(message *v1.ConsensusMessage) error {
 	if message.GetFleet() != c.config.Fleet {
 		return trace.Wrap(ErrOtherFleet, "from %q of fleet %q", message.GetFrom(), message.GetFleet())
@@ -192,24 +192,24 @@
 	return nil
 }
 
-// step dispatches a message after the rules on terms.
+// step dispatches a message by its type, after the checks of its term.
 func (c *Core) step(message *v1.ConsensusMessage) {
 	switch message.GetType() {
 	case v1.MessageType_MESSAGE_TYPE_PRE_VOTE:
-		c.answerPreVote(message)
+		c.handlePreVote(message)
 		return
 	case v1.MessageType_MESSAGE_TYPE_VOTE:
-		c.answerVote(message)
+		c.handleVote(message)
 		return
 	case v1.MessageType_MESSAGE_TYPE_PRE_VOTE_ANSWER:
-		c.takePreVote(message)
+		c.handlePreVoteAnswer(message)
 		return
 	case v1.MessageType_MESSAGE_TYPE_RESTART_PROBE:
-		c.answerRestartProbe(message)
+		c.handleRestartProbe(message)
 		return
 	}
 	if message.GetTerm() < c.term {
-		c.correctStale(message)
+		c.rejectStaleTerm(message)
 		return
 	}
 	if message.GetTerm() > c.term {
@@ -217,22 +217,22 @@
 	}
 	switch message.GetType() {
 	case v1.MessageType_MESSAGE_TYPE_VOTE_ANSWER:
-		c.takeVote(message)
+		c.handleVoteAnswer(message)
 	case v1.MessageType_MESSAGE_TYPE_APPEND:
-		c.answerAppend(message)
+		c.handleAppend(message)
 	case v1.MessageType_MESSAGE_TYPE_SNAPSHOT:
-		c.answerSnapshot(message)
+		c.handleSnapshot(message)
 	case v1.MessageType_MESSAGE_TYPE_APPEND_ANSWER, v1.MessageType_MESSAGE_TYPE_SNAPSHOT_ANSWER:
-		c.takeAppendAnswer(message)
+		c.handleAppendAnswer(message)
 	case v1.MessageType_MESSAGE_TYPE_TIMEOUT_NOW:
-		c.takeTimeoutNow(message)
+		c.handleTimeoutNow(message)
 	case v1.MessageType_MESSAGE_TYPE_RESTART_ANSWER:
-		c.takeRestartAnswer(message)
+		c.handleRestartAnswer(message)
 	}
 }
 
-// correctStale tells a deposed leader the current term, so that it steps down.
-func (c *Core) correctStale(message *v1.ConsensusMessage) {
+// rejectStaleTerm sends the current term to a deposed leader, so that it steps down.
+func (c *Core) rejectStaleTerm(message *v1.ConsensusMessage) {
 	switch message.GetType() {
 	case v1.MessageType_MESSAGE_TYPE_APPEND, v1.MessageType_MESSAGE_TYPE_SNAPSHOT:
 		c.sendSynced(message.GetFrom(), &v1.ConsensusMessage{
@@ -241,52 +241,52 @@
 	}
 }
 
-// stepOwn takes a message of this member to itself, once what it promises is synced.
-func (c *Core) stepOwn(message *v1.ConsensusMessage) {
+// stepLocal processes a message from this member to itself, after the state it depends on is synced.
+func (c *Core) stepLocal(message *v1.ConsensusMessage) {
 	if message.GetTerm() == c.term && message.GetType() == v1.MessageType_MESSAGE_TYPE_VOTE_ANSWER {
-		c.takeVote(message)
+		c.handleVoteAnswer(message)
 	}
 }
 
-// ReportPersisted tells that the batch and every one before it are written and synced.
+// ReportPersisted records that the batch and all batches before it are written and synced.
 func (c *Core) ReportPersisted(now time.Duration, batch uint64) {
-	c.observe(now)
-	if batch <= c.out.synced || batch > c.out.lastBatch {
+	c.advanceClock(now)
+	if batch <= c.outbox.synced || batch > c.outbox.lastBatch {
 		return
 	}
-	c.out.synced = batch
-	done := 0
-	for _, end := range c.out.ends {
+	c.outbox.synced = batch
+	synced := 0
+	for _, end := range c.outbox.batchEnds {
 		if end.batch > batch {
 			break
 		}
-		done++
+		synced++
 		if c.log.matches(end.last) {
-			c.log.stable = max(c.log.stable, min(end.last.index, c.log.handed))
+			c.log.stable = max(c.log.stable, min(end.last.index, c.log.handedOut))
 		}
 	}
-	c.out.ends = c.out.ends[done:]
-	c.releaseHeld(batch)
+	c.outbox.batchEnds = c.outbox.batchEnds[synced:]
+	c.releaseDelayed(batch)
 	if c.role == RoleLeader {
-		c.ownProgress()
+		c.updateLocalProgress()
 		c.advanceCommit()
 	}
 }
 
-// releaseHeld sends the messages that waited for the batch.
-func (c *Core) releaseHeld(batch uint64) {
-	held := c.out.held
-	c.out.held = nil
-	for i, waiting := range held {
+// releaseDelayed sends the messages that were delayed until the batch was synced.
+func (c *Core) releaseDelayed(batch uint64) {
+	delayed := c.outbox.delayed
+	c.outbox.delayed = nil
+	for i, waiting := range delayed {
 		if waiting.batch > batch {
-			c.out.held = append(c.out.held, held[i:]...)
+			c.outbox.delayed = append(c.outbox.delayed, delayed[i:]...)
 			return
 		}
 		c.release(waiting.message)
 	}
 }
 
-// becomeFollower follows the leader of the term; an empty leader is unknown.
+// becomeFollower makes this member a follower of the term's leader; leader is empty if unknown.
 func (c *Core) becomeFollower(term uint64, leader string) {
 	if term > c.term {
 		c.term = term
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -20,7 +20,7 @@
 				_, _, err := leader.Propose(cluster.now, []byte(fmt.Sprint(i)))
 				require.NoError(t, err)
 			}
-			cluster.until("replication", func() bool {
+			cluster.stepUntil("replication", func() bool {
 				for _, name := range cluster.names {
 					if len(cluster.applied[name]) != 21 { // the empty first snapshot and 20 commands
 						return false
@@ -43,14 +43,14 @@
 	}
 }
 
-func TestLeaderLossElectsAnother(t *testing.T) {
+func TestLeaderLossElectsNewLeader(t *testing.T) {
 	cluster := newTestCluster(t, 3, 2)
 	cluster.waitLeader()
 	first := cluster.leader()
-	cluster.cut[first] = true
-	cluster.until("another leader", func() bool { return cluster.leader() != "" && cluster.leader() != first })
+	cluster.isolated[first] = true
+	cluster.stepUntil("another leader", func() bool { return cluster.leader() != "" && cluster.leader() != first })
 	require.False(t, cluster.cores[first].HasValidLease(cluster.now))
-	cluster.until("old leader to step down", func() bool { return !cluster.cores[first].IsLeader() })
+	cluster.stepUntil("old leader to step down", func() bool { return !cluster.cores[first].IsLeader() })
 }
 
 func TestEmptiedDiskJoinsAsNewMember(t *testing.T) {
@@ -64,19 +64,19 @@
 	}
 	cluster.disks[victim] = &testDisk{restored: Restored{DiskID: victim + "/second"}}
 	cluster.start(victim)
-	learned := false
-	cluster.until("replacement", func() bool {
+	wasLearner := false
+	cluster.stepUntil("replacement", func() bool {
 		members := cluster.cores[victim].members
-		learned = learned || members.byID[victim+"/second"].GetLearner()
-		return members.votes(victim+"/second") && !members.votes(victim+"/first") && len(members.voters()) == 3
+		wasLearner = wasLearner || members.byID[victim+"/second"].GetLearner()
+		return members.isVoter(victim+"/second") && !members.isVoter(victim+"/first") && len(members.voters()) == 3
 	})
-	require.True(t, learned, "the new disk must be a learner first")
+	require.True(t, wasLearner, "the new disk must be a learner first")
 	require.Contains(t, cluster.applied[victim], "x")
 }
 
 func TestLaggingMemberGetsSnapshot(t *testing.T) {
 	cluster := newTestCluster(t, 3, 4)
-	cluster.retained = 5
+	cluster.retainedEntries = 5
 	for _, name := range cluster.names {
 		cluster.start(name)
 	}
@@ -85,16 +85,16 @@
 	if cluster.leader() == victim {
 		victim = cluster.names[1]
 	}
-	cluster.cut[victim] = true
+	cluster.isolated[victim] = true
 	for i := range 50 {
 		_, _, err := leader.Propose(cluster.now, []byte(fmt.Sprint(i)))
 		require.NoError(t, err)
 	}
-	cluster.until("commit", func() bool { return leader.log.applied >= 50 })
+	cluster.stepUntil("commit", func() bool { return leader.log.applied >= 50 })
 	require.NoError(t, leader.Compact(leader.log.applied, []byte("state")))
 	require.ErrorIs(t, leader.Compact(1, nil), ErrCompacted)
-	cluster.cut[victim] = false
-	cluster.until("snapshot", func() bool { return cluster.cores[victim].log.applied >= 50 })
+	cluster.isolated[victim] = false
+	cluster.stepUntil("snapshot", func() bool { return cluster.cores[victim].log.applied >= 50 })
 	require.Equal(t, "snapshot 52", cluster.applied[victim][0])
 }
 
@@ -109,21 +109,21 @@
 	}
 	before := cluster.now
 	require.NoError(t, leader.TransferLeadership(cluster.now, cluster.cores[target].id))
-	require.False(t, leader.HasValidLease(cluster.now), "the lease is given up before votes bypass it")
+	require.False(t, leader.HasValidLease(cluster.now), "the lease must end before votes bypass it")
 	_, _, err := leader.Propose(cluster.now, []byte("x"))
 	require.ErrorIs(t, err, ErrTransferring)
-	cluster.until("transfer", func() bool { return cluster.leader() == target })
+	cluster.stepUntil("transfer", func() bool { return cluster.leader() == target })
 	require.Less(t, cluster.now-before, DefaultElectionTimeout)
 }
 
-// TestRaiseTerm gives up a term for one far above: the same members elect a leader
-// there, and what was accepted stays.
+// TestRaiseTerm raises the term far above the current one: the same members elect a leader in a
+// higher term, and committed commands are kept.
 func TestRaiseTerm(t *testing.T) {
 	cluster := newTestCluster(t, 3, 5)
 	leader := cluster.waitLeader()
 	_, _, err := leader.Propose(cluster.now, []byte("x"))
 	require.NoError(t, err)
-	cluster.until("commit", func() bool { return len(cluster.applied[cluster.leader()]) == 2 })
+	cluster.stepUntil("commit", func() bool { return len(cluster.applied[cluster.leader()]) == 2 })
 	require.Error(t, leader.RaiseTerm(cluster.now, maximumRaisedTerm+1))
 	require.True(t, leader.IsLeader())
 	require.NoError(t, leader.RaiseTerm(cluster.now, 500))
@@ -133,10 +133,10 @@
 	next := cluster.waitLeader()
 	require.Greater(t, next.Term(), uint64(500))
 	require.NoError(t, next.RaiseTerm(cluster.now, 400))
-	require.True(t, next.IsLeader(), "a lower term changes nothing")
+	require.True(t, next.IsLeader(), "a lower term must change nothing")
 	_, _, err = next.Propose(cluster.now, []byte("y"))
 	require.NoError(t, err)
-	cluster.until("commit", func() bool { return len(cluster.applied[cluster.leader()]) == 3 })
+	cluster.stepUntil("commit", func() bool { return len(cluster.applied[cluster.leader()]) == 3 })
 }
 
 func TestMembershipRules(t *testing.T) {
@@ -158,7 +158,7 @@
 	require.ErrorIs(t, err, ErrMembershipPending)
 }
 
-func TestForeignMessagesAreRefused(t *testing.T) {
+func TestInvalidMessagesAreRejected(t *testing.T) {
 	cluster := newTestCluster(t, 3, 7)
 	core := cluster.waitLeader()
 	require.ErrorIs(t, core.Step(cluster.now, &v1.ConsensusMessage{Fleet: "other", From: "x", To: core.id}), ErrOtherFleet)
@@ -167,9 +167,9 @@
 	require.ErrorIs(t, core.Step(cluster.now, hole), ErrInvalidMessage)
 }
 
-// TestRandomFaults crashes, cuts and slows members while commands are proposed; the
-// cluster checks on each step that no two leaders share a term and that what was
-// committed stays.
+// TestRandomFaults restarts and isolates members, delays their syncs and loses messages while
+// commands are proposed. The cluster checks after each step that no two members lead in one term
+// and that committed entries never change.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(30) {
 		cluster := newTestCluster(t, 3, seed)
@@ -182,9 +182,9 @@
 			case 0:
 				cluster.start(name)
 			case 1:
-				cluster.cut[name] = true
+				cluster.isolated[name] = true
 			case 2, 3, 4:
-				cluster.cut[name] = false
+				cluster.isolated[name] = false
 			}
 			if core := cluster.cores[name]; core.IsLeader() && cluster.random.IntN(20) == 0 {
 				if _, _, err := core.Propose(cluster.now, []byte(fmt.Sprint(proposed))); err == nil {
@@ -192,8 +192,8 @@
 				}
 			}
 		}
-		clear(cluster.cut)
-		cluster.until("agreement", func() bool {
+		clear(cluster.isolated)
+		cluster.stepUntil("agreement", func() bool {
 			for _, name := range cluster.names {
 				if cluster.cores[name].log.applied != cluster.cores[cluster.names[0]].log.last().index {
 					return false
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -4,7 +4,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// campaign asks for votes; with preVote it only asks whether it could win.
+// campaign requests votes. With preVote it only asks whether the voters would vote for this member.
 func (c *Core) campaign(preVote bool) {
 	c.resetElection()
 	c.leader = ""
@@ -37,8 +37,8 @@
 	}
 }
 
-// leaderMayHoldLease reports whether a vote must wait because a leader, as far as
-// this member knows, may still hold its lease.
+// leaderMayHoldLease reports whether this member must withhold its vote because, as far as it
+// knows, a leader may still hold a lease.
 func (c *Core) leaderMayHoldLease() bool {
 	if !c.config.Safeguards.On(SafeguardLeaseWait) {
 		return false
@@ -46,19 +46,19 @@
 	if c.role == RoleLeader {
 		return true
 	}
-	return c.now < c.leaderHeardAt+c.config.ElectionTimeout
+	return c.now < c.leaderContactAt+c.config.ElectionTimeout
 }
 
-// logAllowsVote reports whether the candidate holds every entry that may be committed.
+// logAllowsVote reports whether the candidate's log contains every entry that may be committed.
 func (c *Core) logAllowsVote(message *v1.ConsensusMessage) bool {
 	if !c.config.Safeguards.On(SafeguardLogComparison) {
 		return true
 	}
-	return c.log.upToDate(position{index: message.GetLogIndex(), term: message.GetLogTerm()})
+	return c.log.isUpToDate(position{index: message.GetLogIndex(), term: message.GetLogTerm()})
 }
 
-// answerPreVote tells whether this member would vote; it changes nothing.
-func (c *Core) answerPreVote(message *v1.ConsensusMessage) {
+// handlePreVote answers whether this member would vote for the candidate. It changes no state.
+func (c *Core) handlePreVote(message *v1.ConsensusMessage) {
 	if c.leaderMayHoldLease() {
 		return
 	}
@@ -70,8 +70,8 @@
 	c.send(message.GetFrom(), answer)
 }
 
-// takePreVote counts an answer to a pre-vote.
-func (c *Core) takePreVote(message *v1.ConsensusMessage) {
+// handlePreVoteAnswer counts an answer to a pre-vote.
+func (c *Core) handlePreVoteAnswer(message *v1.ConsensusMessage) {
 	if message.GetReject() {
 		if message.GetTerm() > c.term {
 			c.becomeFollower(message.GetTerm(), "")
@@ -83,25 +83,25 @@
 	}
 }
 
-// countPreVote starts the real election once a quorum would vote for this member.
+// countPreVote starts the election once a quorum would vote for this member.
 func (c *Core) countPreVote(from string) {
 	c.votes[from] = true
-	if c.members.quorum(func(id string) bool { return c.votes[id] }) {
+	if c.members.hasQuorum(func(id string) bool { return c.votes[id] }) {
 		c.campaign(false)
 	}
 }
 
-// answerVote votes at most once a term, for a candidate whose log is not behind.
-func (c *Core) answerVote(message *v1.ConsensusMessage) {
-	mayWait := !message.GetTransfer() && !c.noLeaseLeft(message)
-	if mayWait && c.leaderMayHoldLease() && message.GetTerm() > c.term {
+// handleVote grants at most one vote per term, to a candidate whose log is up to date.
+func (c *Core) handleVote(message *v1.ConsensusMessage) {
+	leaseWaitApplies := !message.GetTransfer() && !c.provesNoLease(message)
+	if leaseWaitApplies && c.leaderMayHoldLease() && message.GetTerm() > c.term {
 		return
 	}
 	if message.GetTerm() > c.term {
 		c.becomeFollower(message.GetTerm(), "")
 	}
-	free := c.votedFor == "" || c.votedFor == message.GetFrom()
-	granted := message.GetTerm() == c.term && c.role != RoleLeader && c.leader == "" && free && c.logAllowsVote(message)
+	canVote := c.votedFor == "" || c.votedFor == message.GetFrom()
+	granted := message.GetTerm() == c.term && c.role != RoleLeader && c.leader == "" && canVote && c.logAllowsVote(message)
 	if granted {
 		c.votedFor = message.GetFrom()
 		c.resetElection()
@@ -109,19 +109,19 @@
 	c.sendSynced(message.GetFrom(), &v1.ConsensusMessage{Type: v1.MessageType_MESSAGE_TYPE_VOTE_ANSWER, Reject: !granted})
 }
 
-// takeVote counts a vote of this term.
-func (c *Core) takeVote(message *v1.ConsensusMessage) {
+// handleVoteAnswer counts a vote in the current term.
+func (c *Core) handleVoteAnswer(message *v1.ConsensusMessage) {
 	if c.role != RoleCandidate || message.GetReject() {
 		return
 	}
 	c.votes[message.GetFrom()] = true
-	if c.members.quorum(func(id string) bool { return c.votes[id] }) {
+	if c.members.hasQuorum(func(id string) bool { return c.votes[id] }) {
 		c.becomeLeader()
 	}
 }
 
-// becomeLeader starts the term with an entry of its own, whose commit commits all
-// entries before it.
+// becomeLeader starts leadership with an entry of the new term. Committing that entry commits
+// all entries before it.
 func (c *Core) becomeLeader() {
 	c.role = RoleLeader
 	c.leader = c.id
@@ -129,10 +129,10 @@
 	c.votes = nil
 	c.leaderSince = c.now
 	c.transfer = transfer{}
-	c.uncommitted = 0
+	c.uncommittedBytes = 0
 	c.progress = make(map[string]*progress)
 	c.refreshProgress()
-	c.pendingMember = c.lastMembershipAfter(c.log.commit)
-	c.leaderStart = c.append(v1.EntryType_ENTRY_TYPE_LEADER, nil)
+	c.pendingMembershipIndex = c.lastMembershipAfter(c.log.commit)
+	c.leaderStartIndex = c.append(v1.EntryType_ENTRY_TYPE_LEADER, nil)
 	c.broadcastHeartbeat()
 }
--- a/internal/consensus/envelope.go
+++ b/internal/consensus/envelope.go
@@ -4,17 +4,17 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// send queues a message that promises nothing and may leave at once.
+// send queues a message that depends on no sync and may leave at once.
 func (c *Core) send(to string, message *v1.ConsensusMessage) {
-	c.out.messages = append(c.out.messages, c.envelope(to, message))
+	c.outbox.messages = append(c.outbox.messages, c.envelope(to, message))
 }
 
-// sendSynced queues a message that may leave once everything so far is synced.
+// sendSynced queues a message that may leave once the current state is synced to disk.
 func (c *Core) sendSynced(to string, message *v1.ConsensusMessage) {
-	c.out.unsynced = append(c.out.unsynced, c.envelope(to, message))
+	c.outbox.unsynced = append(c.outbox.unsynced, c.envelope(to, message))
 }
 
-// envelope fills in who sends to whom.
+// envelope fills in the fleet, sender, receiver and term of a message.
 func (c *Core) envelope(to string, message *v1.ConsensusMessage) Message {
 	message.Fleet = c.config.Fleet
 	message.From = c.id
@@ -26,8 +26,8 @@
 	return Message{Address: c.address(to), Message: message}
 }
 
-// address returns where a member is reached: where it last spoke from, else where
-// the membership places it.
+// address returns the address of a member: the one that it last sent from, or else the one in
+// the membership.
 func (c *Core) address(id string) string {
 	if address, known := c.addresses[id]; known {
 		return address
--- a/internal/consensus/formation_seeds.go
+++ b/internal/consensus/formation_seeds.go
@@ -7,57 +7,58 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// A fleet whose settings name only some of its controllers forms its quorum from their
-// reports: every member on an empty disk probes the seeds. The first seed alone may form
-// the quorum, only in the fleet's first start, once FormationSize members have reported
-// and no further one has come for formationSettle. Everyone else, and everyone later, is
-// admitted by the leader as a learner and becomes a voter when it has caught up.
+// A fleet whose settings name only some of its controllers (seeds) forms its quorum from probes:
+// every member on an empty disk probes the seeds, which counts as its report. Only the first seed
+// may form the quorum, only when the fleet starts for the first time, and only after
+// FormationSize members have reported and no new report has arrived for formationSettle. All
+// other members, and all later ones, are admitted by the leader as learners and become voters
+// once they have caught up.
 //
-// A first seed whose disk is emptied later does not form a second quorum: its settings no
-// longer say that the fleet starts for the first time.
+// A first seed whose disk is emptied later forms no second quorum, because its settings no longer
+// state that the fleet starts for the first time.
 
 const (
-	// formationSettle is how many election timeouts must pass without another report.
+	// formationSettle is the number of election timeouts that must pass without a new report.
 	formationSettle = 1
-	// seededSilence is how many election timeouts a voter has been silent when a seeded
-	// quorum may go on without it.
-	seededSilence = 2.5
-	// learnerSilence is how many election timeouts a learner has been silent when a
-	// seeded quorum forgets it.
-	learnerSilence = 5
-	// outsiderSilence is how many election timeouts a member has heard no leader when it
-	// asks to be admitted again: it may have been removed while it was away.
-	outsiderSilence = 2
+	// seededVoterSilence is the number of election timeouts without an answer after which a
+	// seeded quorum may remove a voter.
+	seededVoterSilence = 2.5
+	// seededLearnerSilence is the number of election timeouts without an answer after which a
+	// seeded quorum removes a learner.
+	seededLearnerSilence = 5
+	// rejoinSilence is the number of election timeouts without contact with a leader after which
+	// a member requests admission again: it may have been removed while it was unreachable.
+	rejoinSilence = 2
 )
 
-// formationReports are the members on empty disks that have probed this one.
+// formationReports are the members on empty disks that have probed this member.
 type formationReports struct {
 	byID   map[string]*v1.Member
 	lastAt time.Duration
 }
 
-// seeded reports whether the settings name seeds in place of all peers.
-func (c *Core) seeded() bool { return len(c.config.Seeds) > 0 }
+// isSeeded reports whether the settings name seeds instead of all peers.
+func (c *Core) isSeeded() bool { return len(c.config.Seeds) > 0 }
 
-// SetSeeds takes the seeds that the settings name now, for a member that has yet to find the
-// quorum. Who may form it was settled at the start.
+// SetSeeds adds the seeds from updated settings, for a member that still has to find the quorum.
+// Which seed may form the quorum does not change after the start.
 func (c *Core) SetSeeds(seeds []string) {
-	if c.seeded() && len(seeds) > 0 {
-		c.laterSeeds = seeds
+	if c.isSeeded() && len(seeds) > 0 {
+		c.updatedSeeds = seeds
 	}
 }
 
-// formsQuorum reports whether this member may form the quorum from reports.
-func (c *Core) formsQuorum() bool {
-	return c.seeded() && c.config.Bootstrap && c.config.Seeds[0] == c.config.Address
+// mayFormQuorum reports whether this member is the one that may form the quorum from reports.
+func (c *Core) mayFormQuorum() bool {
+	return c.isSeeded() && c.config.Bootstrap && c.config.Seeds[0] == c.config.Address
 }
 
-// tickSeededFormation reports to the seeds, and forms the quorum when that is due.
+// tickSeededFormation probes the seeds, and forms the quorum when the conditions are met.
 func (c *Core) tickSeededFormation() {
 	if c.now >= c.probeDueAt {
 		c.probeSeeds()
 	}
-	if !c.formsQuorum() || len(c.reports.byID)+1 < c.config.FormationSize {
+	if !c.mayFormQuorum() || len(c.reports.byID)+1 < c.config.FormationSize {
 		return
 	}
 	if c.now-c.reports.lastAt < formationSettle*c.config.ElectionTimeout {
@@ -66,10 +67,10 @@
 	c.formFromReports()
 }
 
-// probeSeeds probes the seeds and every member known.
+// probeSeeds probes the seeds and all known members.
 func (c *Core) probeSeeds() {
 	c.probeDueAt = c.now + c.config.ElectionTimeout/4
-	addresses := append(slices.Clone(c.config.Seeds), c.laterSeeds...)
+	addresses := append(slices.Clone(c.config.Seeds), c.updatedSeeds...)
 	addresses = append(addresses, c.Addresses()...)
 	slices.Sort(addresses)
 	for _, address := range slices.Compact(addresses) {
@@ -79,10 +80,10 @@
 	}
 }
 
-// takeReport notes a member on an empty disk, for the quorum that is about to be formed.
-func (c *Core) takeReport(message *v1.ConsensusMessage) {
+// recordReport records a member on an empty disk for the quorum that is about to be formed.
+func (c *Core) recordReport(message *v1.ConsensusMessage) {
 	sender := message.GetSender()
-	if !c.formsQuorum() || !c.members.empty() || message.GetFormed() || sender.GetId() == "" {
+	if !c.mayFormQuorum() || !c.members.empty() || message.GetFormed() || sender.GetId() == "" {
 		return
 	}
 	if c.reports.byID == nil {
@@ -93,16 +94,16 @@
 	}
 	for id, other := range c.reports.byID {
 		if other.GetAddress() == sender.GetAddress() {
-			delete(c.reports.byID, id) // its disk was replaced meanwhile
+			delete(c.reports.byID, id) // that member's disk has been replaced since
 		}
 	}
 	c.reports.byID[sender.GetId()] = sender
 	c.reports.lastAt = c.now
 }
 
-// formFromReports writes the initial membership: this member and all that reported.
+// formFromReports writes the initial membership: this member and all members that reported.
 func (c *Core) formFromReports() {
-	membership := &v1.Membership{Members: []*v1.Member{c.self()}}
+	membership := &v1.Membership{Members: []*v1.Member{c.localMember()}}
 	for _, reported := range c.reports.byID {
 		membership.Members = append(membership.Members, &v1.Member{
 			Id: reported.GetId(), Address: reported.GetAddress(), Zone: reported.GetZone(), Name: reported.GetName()})
@@ -111,79 +112,80 @@
 	c.writeInitialMembership(membership)
 }
 
-// tickOutsider lets a member of a seeded quorum that hears no leader ask to be admitted:
-// it may have been removed while it was away, and nobody would tell it.
-func (c *Core) tickOutsider() {
-	silence := c.now - c.leaderHeardAt
-	if c.seeded() && silence >= outsiderSilence*c.config.ElectionTimeout && c.now >= c.probeDueAt {
+// tickRejoin makes a member of a seeded quorum that has lost contact with the leader request
+// admission: if it was removed while it was unreachable, no other member notifies it.
+func (c *Core) tickRejoin() {
+	silence := c.now - c.leaderContactAt
+	if c.isSeeded() && silence >= rejoinSilence*c.config.ElectionTimeout && c.now >= c.probeDueAt {
 		c.probeSeeds()
 	}
 }
 
-// nextSeededStep returns the membership after the step that the member calls for in a
-// seeded quorum, or nil. A learner that has caught up becomes a voter; before that a voter
-// that is surely gone leaves, so that the quorum does not grow by members that are dead.
-func (c *Core) nextSeededStep(member *v1.Member) *v1.Membership {
+// nextSeededMembership returns the membership of a seeded quorum after the next step that
+// concerns the member, or nil if there is none. A learner that has caught up becomes a voter. A
+// voter that appears to be dead is removed first, so that the quorum does not grow by dead members.
+func (c *Core) nextSeededMembership(member *v1.Member) *v1.Membership {
 	if !member.GetLearner() {
-		if c.mayDoWithout(member) {
+		if c.isExpendable(member) {
 			return c.members.without(member.GetId())
 		}
 		return nil
 	}
-	if c.silentFor(member.GetId(), learnerSilence) {
+	if c.isSilentFor(member.GetId(), seededLearnerSilence) {
 		return c.members.without(member.GetId())
 	}
-	if !c.caughtUp(member.GetId()) {
+	if !c.hasCaughtUp(member.GetId()) {
 		return nil
 	}
-	if gone := c.goneVoter(); gone != "" {
+	if gone := c.longestSilentVoter(); gone != "" {
 		return c.members.without(gone)
 	}
 	promoted := &v1.Member{Id: member.GetId(), Address: member.GetAddress(), Zone: member.GetZone(), Name: member.GetName()}
 	return c.members.with(promoted)
 }
 
-// mayDoWithout reports whether a silent voter weakens the quorum: another disk answers at
-// its address, or without it the quorum bears the same losses.
-func (c *Core) mayDoWithout(voter *v1.Member) bool {
+// isExpendable reports whether the quorum is better off without a silent voter: a member on
+// another disk answers at its address, or the quorum tolerates as many failures without it.
+func (c *Core) isExpendable(voter *v1.Member) bool {
 	if voter.GetId() == c.id {
 		return false
 	}
-	if c.replacedAt(voter) {
+	if c.hasReplacement(voter) {
 		return true
 	}
-	return len(c.members.voters())%2 == 0 && c.silentFor(voter.GetId(), seededSilence)
+	return len(c.members.voters())%2 == 0 && c.isSilentFor(voter.GetId(), seededVoterSilence)
 }
 
-// goneVoter returns the voter that has been silent for longest, if any is silent.
-func (c *Core) goneVoter() string {
+// longestSilentVoter returns the voter that has been silent for longest, or "" if none is silent.
+func (c *Core) longestSilentVoter() string {
 	gone, since := "", time.Duration(0)
 	for _, id := range c.members.voters() {
 		progress := c.progress[id]
-		if !c.silentFor(id, seededSilence) {
+		if !c.isSilentFor(id, seededVoterSilence) {
 			continue
 		}
-		if gone == "" || progress.heardAt < since {
-			gone, since = id, progress.heardAt
+		if gone == "" || progress.lastAnswerAt < since {
+			gone, since = id, progress.lastAnswerAt
 		}
 	}
 	return gone
 }
 
-// replacedAt reports whether a member on another disk answers at the voter's address.
-func (c *Core) replacedAt(voter *v1.Member) bool {
+// hasReplacement reports whether a learner on another disk has caught up at the voter's address
+// or under its name.
+func (c *Core) hasReplacement(voter *v1.Member) bool {
 	for _, other := range c.members.byID {
 		sameProcess := other.GetAddress() == voter.GetAddress() || other.GetName() == voter.GetName()
-		if other.GetId() != voter.GetId() && sameProcess && other.GetLearner() && c.caughtUp(other.GetId()) {
+		if other.GetId() != voter.GetId() && sameProcess && other.GetLearner() && c.hasCaughtUp(other.GetId()) {
 			return true
 		}
 	}
 	return false
 }
 
-// silentFor reports whether a member has not answered for so many election timeouts.
-func (c *Core) silentFor(id string, timeouts float64) bool {
+// isSilentFor reports whether a member has not answered for the given number of election timeouts.
+func (c *Core) isSilentFor(id string, timeouts float64) bool {
 	progress := c.progress[id]
 	limit := time.Duration(timeouts * float64(c.config.ElectionTimeout))
-	return id != c.id && progress != nil && c.now-progress.heardAt >= limit
+	return id != c.id && progress != nil && c.now-progress.lastAnswerAt >= limit
 }
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// HasValidLease reports whether this member is the only leader at the given time and
-// its applied state holds everything committed before: a read then needs no round
-// trip. The owner must have drained Ready.
+// HasValidLease reports whether this member is the only leader at the given time and its applied
+// state contains everything committed so far, so that it can serve a read without a round trip.
+// The owner must have processed all work from Ready.
 func (c *Core) HasValidLease(now time.Duration) bool {
-	return c.role == RoleLeader && c.log.commit >= c.leaderStart && now < c.leaseEnd(now)
+	return c.role == RoleLeader && c.log.commit >= c.leaderStartIndex && now < c.leaseEnd(now)
 }
 
 // leaseEnd returns the time until which no other member can have won an election.
 func (c *Core) leaseEnd(now time.Duration) time.Duration {
-	if c.transfer.sent {
-		return never
+	if c.transfer.timeoutNowSent {
+		return distantPast
 	}
-	return c.quorumTime(now, func(p *progress) time.Duration { return p.ackedAt }) + c.config.leaseDuration()
+	return c.quorumTime(now, func(p *progress) time.Duration { return p.ackedRoundAt }) + c.config.leaseDuration()
 }
 
-// quorumTime returns the newest time that a quorum has reached; this member itself
-// is always up to now.
-func (c *Core) quorumTime(now time.Duration, reached func(*progress) time.Duration) time.Duration {
+// quorumTime returns the latest time that a quorum of voters has reached, by timeOf. This member
+// itself has always reached now.
+func (c *Core) quorumTime(now time.Duration, timeOf func(*progress) time.Duration) time.Duration {
 	voters := c.members.voters()
 	times := make([]time.Duration, 0, len(voters))
 	for _, id := range voters {
@@ -30,13 +30,13 @@
 		case id == c.id:
 			times = append(times, now)
 		case progress == nil:
-			times = append(times, never)
+			times = append(times, distantPast)
 		default:
-			times = append(times, reached(progress))
+			times = append(times, timeOf(progress))
 		}
 	}
 	if len(times) == 0 {
-		return never
+		return distantPast
 	}
 	slices.Sort(times)
 	return times[(len(times)-1)/2]
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -13,22 +13,22 @@
 	term  uint64
 }
 
-// entryLog is the log in memory: the entries after base, the newest snapshot, and
-// how far the log is synced, committed and applied.
+// entryLog is the log in memory: the entries after base, the newest snapshot, and the indexes up
+// to which the log is synced, committed and applied.
 type entryLog struct {
-	// base is the last entry that is no longer held.
+	// base is the position of the last entry before the ones in entries.
 	base    position
 	entries []*v1.Entry
 	// snapshot is the newest snapshot; nil before the first.
 	snapshot *v1.Snapshot
-	// handed is the last index given out for persisting, stable the last one synced.
-	handed  uint64
-	stable  uint64
-	commit  uint64
-	applied uint64
+	// handedOut is the last index passed to the owner for persisting; stable is the last index synced.
+	handedOut uint64
+	stable    uint64
+	commit    uint64
+	applied   uint64
 }
 
-// newEntryLog builds the log from what the disk held.
+// newEntryLog builds the log from the state restored from disk.
 func newEntryLog(restored Restored) (*entryLog, error) {
 	log := &entryLog{snapshot: restored.Snapshot}
 	if metadata := restored.Snapshot.GetMetadata(); metadata != nil {
@@ -46,7 +46,7 @@
 		log.entries = append(log.entries, entry)
 		next++
 	}
-	log.stable, log.handed = log.last().index, log.last().index
+	log.stable, log.handedOut = log.last().index, log.last().index
 	log.commit, log.applied = log.base.index, log.base.index
 	if commit := restored.HardState.GetCommit(); commit > log.commit {
 		if commit > log.last().index {
@@ -67,11 +67,11 @@
 	return l.base
 }
 
-// term returns the term of the entry at the index.
-func (l *entryLog) term(index uint64) (uint64, error) {
-	term, held := l.heldTerm(index)
+// termAt returns the term of the entry at the index.
+func (l *entryLog) termAt(index uint64) (uint64, error) {
+	term, present := l.lookUpTerm(index)
 	switch {
-	case held:
+	case present:
 		return term, nil
 	case index < l.base.index:
 		return 0, trace.Wrap(ErrCompacted, "term of entry %d", index)
@@ -80,9 +80,9 @@
 	}
 }
 
-// heldTerm returns the term of the entry at the index and whether the log holds it.
-// It is asked for each entry that arrives, most of which are new.
-func (l *entryLog) heldTerm(index uint64) (uint64, bool) {
+// lookUpTerm returns the term of the entry at the index and whether the log contains the entry.
+// It is called for every entry that arrives, and most of those are new, so it creates no error value.
+func (l *entryLog) lookUpTerm(index uint64) (uint64, bool) {
 	switch {
 	case index == l.base.index:
 		return l.base.term, true
@@ -92,14 +92,14 @@
 	return l.entries[index-l.base.index-1].GetTerm(), true
 }
 
-// matches reports whether the entry at the position is in the log.
+// matches reports whether the log contains the entry at the position.
 func (l *entryLog) matches(at position) bool {
-	term, held := l.heldTerm(at.index)
-	return held && term == at.term
+	term, present := l.lookUpTerm(at.index)
+	return present && term == at.term
 }
 
-// from returns the entries from index on, up to maximumBytes but at least one.
-func (l *entryLog) from(index uint64, maximumBytes int) ([]*v1.Entry, error) {
+// entriesFrom returns entries from the index onwards, up to maximumBytes but at least one.
+func (l *entryLog) entriesFrom(index uint64, maximumBytes int) ([]*v1.Entry, error) {
 	if index <= l.base.index {
 		return nil, trace.Wrap(ErrCompacted, "entries from %d", index)
 	}
@@ -117,8 +117,8 @@
 	return entries[:len(entries):len(entries)], nil
 }
 
-// between returns the entries after low up to and including high.
-func (l *entryLog) between(low, high uint64) []*v1.Entry {
+// entriesBetween returns the entries after low, up to and including high.
+func (l *entryLog) entriesBetween(low, high uint64) []*v1.Entry {
 	low, high = max(low, l.base.index), min(high, l.last().index)
 	if low >= high {
 		return nil
@@ -126,13 +126,13 @@
 	return l.entries[low-l.base.index : high-l.base.index : high-l.base.index]
 }
 
-// add appends one entry of the leader itself.
-func (l *entryLog) add(entry *v1.Entry) {
+// appendEntry appends one entry that this leader proposed.
+func (l *entryLog) appendEntry(entry *v1.Entry) {
 	l.entries = append(l.entries, entry)
 }
 
-// merge adds a leader's entries that follow a matching position, and drops what
-// conflicts with them. It returns the index from which the log changed, or 0.
+// merge appends a leader's entries that follow a matching position, and removes the entries that
+// conflict with them. It returns the first index that changed, or 0 if none did.
 func (l *entryLog) merge(entries []*v1.Entry) uint64 {
 	for i, entry := range entries {
 		index := entry.GetIndex()
@@ -146,37 +146,37 @@
 	return 0
 }
 
-// truncate drops the entries from index on. The slice is copied because parts of
-// it may have been handed out.
+// truncate removes the entries from the index onwards. It copies the slice, because the owner may
+// still use parts of it.
 func (l *entryLog) truncate(index uint64) {
 	if index > l.last().index {
 		return
 	}
 	kept := l.entries[:index-l.base.index-1]
 	l.entries = append(make([]*v1.Entry, 0, len(kept)), kept...)
-	l.handed = min(l.handed, index-1)
+	l.handedOut = min(l.handedOut, index-1)
 	l.stable = min(l.stable, index-1)
 }
 
-// conflictHint returns the last position at or before index whose term is not above
-// the given one: the best guess for the last common entry.
+// conflictHint returns the last position at or before the index whose term is not above the given
+// term: the best estimate of the last entry that both logs share.
 func (l *entryLog) conflictHint(index, term uint64) position {
 	index = min(index, l.last().index)
 	for index > l.base.index {
-		have, err := l.term(index)
-		if err != nil || have <= term {
-			return position{index: index, term: have}
+		termHere, err := l.termAt(index)
+		if err != nil || termHere <= term {
+			return position{index: index, term: termHere}
 		}
 		index--
 	}
 	return l.base
 }
 
-// upToDate reports whether a candidate's log that ends at the position holds at
-// least what this log holds.
-func (l *entryLog) upToDate(candidate position) bool {
-	own := l.last()
-	return candidate.term > own.term || candidate.term == own.term && candidate.index >= own.index
+// isUpToDate reports whether a candidate's log that ends at the position contains at least every
+// entry of this log that may be committed (Raft's comparison of last term and last index).
+func (l *entryLog) isUpToDate(candidate position) bool {
+	local := l.last()
+	return candidate.term > local.term || candidate.term == local.term && candidate.index >= local.index
 }
 
 // restore replaces the log by a snapshot.
@@ -185,11 +185,11 @@
 	l.snapshot = snapshot
 	l.base = position{index: metadata.GetIndex(), term: metadata.GetTerm()}
 	l.entries = nil
-	l.handed, l.stable = l.base.index, 0
+	l.handedOut, l.stable = l.base.index, 0
 	l.commit = max(l.commit, l.base.index)
 }
 
-// compact keeps the snapshot and drops all but the retained entries before it.
+// compact stores the snapshot and removes all but the retained entries before it.
 func (l *entryLog) compact(snapshot *v1.Snapshot, retained uint64) {
 	l.snapshot = snapshot
 	index := snapshot.GetMetadata().GetIndex()
@@ -197,7 +197,7 @@
 		return
 	}
 	cut := index - retained
-	term, err := l.term(cut)
+	term, err := l.termAt(cut)
 	if err != nil {
 		return
 	}
--- a/internal/consensus/member_set.go
+++ b/internal/consensus/member_set.go
@@ -9,7 +9,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// memberSet is the membership in force: the last one in the log, committed or not.
+// memberSet is the effective membership: the last one in the log, committed or not.
 type memberSet struct {
 	membership *v1.Membership
 	byID       map[string]*v1.Member
@@ -29,20 +29,20 @@
 	return set
 }
 
-// empty reports whether no membership is known yet.
+// empty reports whether this member has no membership yet.
 func (s memberSet) empty() bool { return len(s.byID) == 0 }
 
 // voters returns the identities of the voters, sorted.
 func (s memberSet) voters() []string { return s.voterIDs }
 
-// votes reports whether the member is a voter.
-func (s memberSet) votes(id string) bool {
+// isVoter reports whether the member is a voter.
+func (s memberSet) isVoter(id string) bool {
 	member, known := s.byID[id]
 	return known && !member.GetLearner()
 }
 
-// quorum reports whether more than half of the voters satisfy the predicate.
-func (s memberSet) quorum(satisfied func(id string) bool) bool {
+// hasQuorum reports whether more than half of the voters satisfy the predicate.
+func (s memberSet) hasQuorum(satisfied func(id string) bool) bool {
 	count := 0
 	for _, id := range s.voterIDs {
 		if satisfied(id) {
@@ -80,7 +80,7 @@
 	return changed
 }
 
-// sortMembers orders members by name and identity, so that equal sets are equal records.
+// sortMembers sorts members by name and identity, so that equal sets have equal encodings.
 func sortMembers(membership *v1.Membership) {
 	slices.SortFunc(membership.Members, func(a, b *v1.Member) int {
 		if order := strings.Compare(a.GetName(), b.GetName()); order != 0 {
@@ -90,16 +90,16 @@
 	})
 }
 
-// voterChanges counts the voters that are in one set and not in the other.
+// voterChanges counts the voters that are in only one of the two sets.
 func (s memberSet) voterChanges(other memberSet) int {
 	changes := 0
 	for _, id := range s.voterIDs {
-		if !other.votes(id) {
+		if !other.isVoter(id) {
 			changes++
 		}
 	}
 	for _, id := range other.voterIDs {
-		if !s.votes(id) {
+		if !s.isVoter(id) {
 			changes++
 		}
 	}
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -9,13 +9,12 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// ProposeMembership appends a new membership. It may add, remove or promote at most
-// one voter and takes effect when it is appended; the next change has to wait until
-// it is committed. A learner is promoted only once it holds, synced, every entry
-// that is committed.
+// ProposeMembership appends a new membership. A change may add, remove or promote at most one
+// voter and takes effect when it is appended; the next change is refused until it is committed. A
+// learner can be promoted only once it has synced every committed entry.
 func (c *Core) ProposeMembership(now time.Duration, membership *v1.Membership) (index, term uint64, err error) {
-	c.observe(now)
-	if err := c.mayPropose(); err != nil {
+	c.advanceClock(now)
+	if err := c.checkMayPropose(); err != nil {
 		return 0, 0, trace.Wrap(err)
 	}
 	changed := newMemberSet(membership)
@@ -27,45 +26,45 @@
 		return 0, 0, trace.Wrap(err, "encode membership")
 	}
 	index = c.append(v1.EntryType_ENTRY_TYPE_MEMBERSHIP, data)
-	c.pendingMember = index
+	c.pendingMembershipIndex = index
 	c.setMembers(membership)
 	c.broadcastAppend()
 	return index, c.term, nil
 }
 
-// checkMembership refuses a change that could let two quorums miss each other.
+// checkMembership rejects a change after which two quorums might not overlap.
 func (c *Core) checkMembership(changed memberSet) error {
 	if len(changed.voters()) == 0 {
 		return trace.Wrap(ErrMembershipStep, "the change leaves no voter")
 	}
 	if c.config.Safeguards.On(SafeguardMembershipStep) {
-		if c.pendingMember > c.log.commit || c.log.commit < c.leaderStart {
-			return trace.Wrap(ErrMembershipPending, "entry %d is not committed", max(c.pendingMember, c.leaderStart))
+		if c.pendingMembershipIndex > c.log.commit || c.log.commit < c.leaderStartIndex {
+			return trace.Wrap(ErrMembershipPending, "entry %d is not committed", max(c.pendingMembershipIndex, c.leaderStartIndex))
 		}
 		if changes := c.members.voterChanges(changed); changes > 1 {
 			return trace.Wrap(ErrMembershipStep, "the change touches %d voters", changes)
 		}
 	}
 	for _, id := range changed.voters() {
-		if !c.members.votes(id) && !c.caughtUp(id) {
+		if !c.members.isVoter(id) && !c.hasCaughtUp(id) {
 			return trace.Wrap(ErrNotCaughtUp, "member %q", id)
 		}
 	}
 	return nil
 }
 
-// caughtUp reports whether the learner holds, synced, all that is committed and has
-// answered lately.
-func (c *Core) caughtUp(id string) bool {
+// hasCaughtUp reports whether the learner has synced every committed entry and has answered
+// within the last election timeout.
+func (c *Core) hasCaughtUp(id string) bool {
 	if !c.config.Safeguards.On(SafeguardLearnerCatchUp) {
 		return true
 	}
 	progress := c.progress[id]
 	return progress != nil && progress.state == progressReplicating && progress.match >= c.log.commit &&
-		c.now-progress.heardAt < c.config.ElectionTimeout
+		c.now-progress.lastAnswerAt < c.config.ElectionTimeout
 }
 
-// setMembers puts a membership in force.
+// setMembers makes a membership the effective one.
 func (c *Core) setMembers(membership *v1.Membership) {
 	c.members = newMemberSet(membership)
 	if c.role == RoleLeader {
@@ -73,11 +72,11 @@
 	}
 }
 
-// refreshProgress starts and ends the records of members that came and went.
+// refreshProgress creates progress records for new members and removes those of former members.
 func (c *Core) refreshProgress() {
 	for _, id := range c.members.ids() {
 		if c.progress[id] == nil {
-			c.progress[id] = &progress{next: c.log.last().index + 1, ackedAt: never, heardAt: c.now}
+			c.progress[id] = &progress{next: c.log.last().index + 1, ackedRoundAt: distantPast, lastAnswerAt: c.now}
 		}
 	}
 	for id := range c.progress {
@@ -85,13 +84,13 @@
 			delete(c.progress, id)
 		}
 	}
-	c.ownProgress()
+	c.updateLocalProgress()
 }
 
 // lastMembershipAfter returns the index of the last membership entry after index, or 0.
 func (c *Core) lastMembershipAfter(index uint64) uint64 {
 	found := uint64(0)
-	for _, entry := range c.log.between(index, c.log.last().index) {
+	for _, entry := range c.log.entriesBetween(index, c.log.last().index) {
 		if entry.GetType() == v1.EntryType_ENTRY_TYPE_MEMBERSHIP {
 			found = entry.GetIndex()
 		}
@@ -99,7 +98,7 @@
 	return found
 }
 
-// reloadMembers finds the membership in force after the log has changed.
+// reloadMembers reads the effective membership again after the log has changed.
 func (c *Core) reloadMembers() error {
 	membership, err := c.membershipAt(c.log.last().index)
 	if err != nil {
@@ -109,11 +108,11 @@
 	return nil
 }
 
-// membershipAt returns the membership in force at the index, which is not below the snapshot's.
+// membershipAt returns the effective membership at an index that is not below the snapshot's index.
 func (c *Core) membershipAt(index uint64) (*v1.Membership, error) {
 	membership := c.log.snapshot.GetMetadata().GetMembership()
 	start := max(c.log.base.index, c.log.snapshot.GetMetadata().GetIndex())
-	for _, entry := range c.log.between(start, index) {
+	for _, entry := range c.log.entriesBetween(start, index) {
 		if entry.GetType() != v1.EntryType_ENTRY_TYPE_MEMBERSHIP {
 			continue
 		}
--- a/internal/consensus/raise_term.go
+++ b/internal/consensus/raise_term.go
@@ -6,16 +6,15 @@
 	"github.com/gravitational/trace"
 )
 
-// maximumRaisedTerm bounds what RaiseTerm takes over from outside, so that terms
-// never come near their end.
+// maximumRaisedTerm is the highest term that RaiseTerm accepts, so that terms from outside cannot
+// come near overflow.
 const maximumRaisedTerm = 1 << 48
 
-// RaiseTerm makes a leader give up its term for one above the given term, as if it had
-// heard of another member there: the next leader's term is higher than that. It
-// serves a quorum that was formed anew, whose terms begin below those that the
-// world outside remembers.
+// RaiseTerm makes a leader abandon its term for one above the given term, as if it had received a
+// message with that term: the next leader's term is higher still. It is needed after a quorum was
+// formed anew, whose terms start below the terms that engines have already seen.
 func (c *Core) RaiseTerm(now time.Duration, above uint64) error {
-	c.observe(now)
+	c.advanceClock(now)
 	switch {
 	case c.role != RoleLeader:
 		return trace.Wrap(ErrNotLeader, "role is %v", c.role)
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -4,85 +4,84 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// Message is a consensus message and the address it goes to.
+// Message is a consensus message and the address to send it to.
 type Message struct {
 	Address string
 	Message *v1.ConsensusMessage
 }
 
-// Ready is work for the owner of the Core. Its slices and messages must not be changed.
+// Ready is work for the owner of the Core. Its slices and messages must not be modified.
 type Ready struct {
-	// Batch numbers what has to be persisted; zero when there is nothing. HardState,
-	// Snapshot and Entries are nil when unchanged. An entry replaces every entry at
-	// its index and after it.
+	// Batch numbers the state to persist; it is zero when there is none. Snapshot and Entries are
+	// nil when unchanged. Each entry replaces all persisted entries at and after its index.
 	Batch     uint64
 	HardState *v1.HardState
 	Snapshot  *v1.Snapshot
 	Entries   []*v1.Entry
-	// Messages may be sent at once; each may be lost.
+	// Messages may be sent at once. The algorithm tolerates the loss of any of them.
 	Messages []Message
-	// Restore, when set, replaces the state machine before Committed is applied; no
+	// Restore, if set, replaces the state machine before Committed is applied; a snapshot without
 	// data means the empty state.
 	Restore *v1.Snapshot
-	// Committed are the next entries to apply; all are synced on this disk.
+	// Committed are the next entries to apply; all of them are synced on this disk.
 	Committed []*v1.Entry
 }
 
-// heldMessage waits for a batch to be synced.
-type heldMessage struct {
+// delayedMessage is a message that waits until a batch is synced.
+type delayedMessage struct {
 	batch   uint64
 	message Message
 }
 
-// batchEnd is where the log ended when a batch was handed out.
+// batchEnd is the end of the log when a batch was passed to the owner.
 type batchEnd struct {
 	batch uint64
 	last  position
 }
 
-// outbox holds what waits to be handed out or to be synced.
+// outbox collects the work that waits for the owner, or for a sync.
 type outbox struct {
-	messages  []Message     // may leave now
-	unsynced  []Message     // wait for the next batch
-	held      []heldMessage // wait for a batch already handed out
-	ends      []batchEnd    // batches handed out and not synced
+	messages  []Message        // may be sent now
+	unsynced  []Message        // wait for the next batch
+	delayed   []delayedMessage // wait for a batch that the owner already has
+	batchEnds []batchEnd       // of the batches that the owner has and that are not synced
 	lastBatch uint64
 	synced    uint64
-	hardState *v1.HardState // last one handed out
+	hardState *v1.HardState // the last one passed to the owner
 	snapshot  *v1.Snapshot  // to persist
-	restore   *v1.Snapshot  // to give to the state machine once it is synced
+	restore   *v1.Snapshot  // to pass to the state machine once it is synced
 }
 
 // Ready returns the work that has come up since the last call, and whether there is any.
 func (c *Core) Ready() (Ready, bool) {
 	ready := Ready{}
 	c.collectBatch(&ready)
-	c.holdUnsynced()
-	ready.Messages, c.out.messages = c.out.messages, nil
+	c.delayUnsynced()
+	ready.Messages, c.outbox.messages = c.outbox.messages, nil
 	c.collectCommitted(&ready)
-	some := ready.Batch != 0 || len(ready.Messages) > 0 || ready.Restore != nil || len(ready.Committed) > 0
-	return ready, some
+	hasWork := ready.Batch != 0 || len(ready.Messages) > 0 || ready.Restore != nil || len(ready.Committed) > 0
+	return ready, hasWork
 }
 
-// collectBatch gathers what has to be persisted.
+// collectBatch collects the state that must be persisted.
 func (c *Core) collectBatch(ready *Ready) {
 	hardState := c.hardState()
-	if hardState.GetTerm() != c.out.hardState.GetTerm() || hardState.GetVotedFor() != c.out.hardState.GetVotedFor() {
+	if hardState.GetTerm() != c.outbox.hardState.GetTerm() || hardState.GetVotedFor() != c.outbox.hardState.GetVotedFor() {
 		ready.HardState = hardState
 	}
-	ready.Snapshot, c.out.snapshot = c.out.snapshot, nil
-	ready.Entries = c.log.between(c.log.handed, c.log.last().index)
+	ready.Snapshot, c.outbox.snapshot = c.outbox.snapshot, nil
+	ready.Entries = c.log.entriesBetween(c.log.handedOut, c.log.last().index)
 	if ready.HardState == nil && ready.Snapshot == nil && len(ready.Entries) == 0 {
 		return
 	}
 	if ready.HardState == nil {
 		ready.HardState = hardState
 	}
-	c.out.hardState = ready.HardState
-	c.out.lastBatch++
-	ready.Batch = c.out.lastBatch
-	c.log.handed = c.log.last().index
-	c.out.ends = append(c.out.ends, batchEnd{batch: ready.Batch, last: c.log.last()})
+	c.outbox.hardState = ready.HardState
+	c.outbox.lastBatch++
+	ready.Batch = c.outbox.lastBatch
+	c.log.handedOut = c.log.last().index
+	c.outbox.batchEnds = append(c.outbox.batchEnds, batchEnd{batch: ready.Batch, last: c.log.last()})
 }
 
 // hardState returns the state that must survive a restart.
@@ -94,39 +93,39 @@
 	return state
 }
 
-// holdUnsynced lets messages wait for the batches that are not synced yet.
-func (c *Core) holdUnsynced() {
-	waiting := c.out.unsynced
-	c.out.unsynced = nil
-	free := c.out.synced == c.out.lastBatch || !c.config.Safeguards.On(SafeguardSyncBeforeAnswer)
+// delayUnsynced delays messages until the batches that are not synced yet are synced.
+func (c *Core) delayUnsynced() {
+	waiting := c.outbox.unsynced
+	c.outbox.unsynced = nil
+	allSynced := c.outbox.synced == c.outbox.lastBatch || !c.config.Safeguards.On(SafeguardSyncBeforeAnswer)
 	for _, message := range waiting {
-		if free {
+		if allSynced {
 			c.release(message)
 		} else {
-			c.out.held = append(c.out.held, heldMessage{batch: c.out.lastBatch, message: message})
+			c.outbox.delayed = append(c.outbox.delayed, delayedMessage{batch: c.outbox.lastBatch, message: message})
 		}
 	}
 }
 
-// release sends a message; a message to this member itself is taken at once.
+// release queues a message for sending; a message to this member itself is processed at once.
 func (c *Core) release(message Message) {
 	if message.Message.GetTo() == c.id {
-		c.stepOwn(message.Message)
+		c.stepLocal(message.Message)
 		return
 	}
-	c.out.messages = append(c.out.messages, message)
+	c.outbox.messages = append(c.outbox.messages, message)
 }
 
-// collectCommitted gathers what the state machine has to take.
+// collectCommitted collects the snapshot and the entries that the state machine must apply.
 func (c *Core) collectCommitted(ready *Ready) {
-	if restore := c.out.restore; restore != nil {
+	if restore := c.outbox.restore; restore != nil {
 		if c.log.stable < restore.GetMetadata().GetIndex() {
 			return
 		}
-		ready.Restore, c.out.restore = restore, nil
+		ready.Restore, c.outbox.restore = restore, nil
 		c.log.applied = restore.GetMetadata().GetIndex()
 	}
 	limit := min(c.log.commit, c.log.stable)
-	ready.Committed = c.log.between(c.log.applied, limit)
+	ready.Committed = c.log.entriesBetween(c.log.applied, limit)
 	c.log.applied = max(c.log.applied, limit)
 }
--- a/internal/consensus/relay_test.go
+++ b/internal/consensus/relay_test.go
@@ -9,9 +9,9 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// TestProbeReachesAnUnknownLeader lets a new disk probe a member that does not lead:
-// the member passes the probe on once, so that a leader the new disk has no address
-// of can admit it.
+// TestProbeReachesAnUnknownLeader sends a probe of a new disk to a member that does not lead. The
+// member must forward it once, so that a leader whose address the new disk does not know can admit
+// it.
 func TestProbeReachesAnUnknownLeader(t *testing.T) {
 	rows := []struct {
 		name   string
@@ -51,10 +51,10 @@
 	}
 }
 
-// TestForgottenLearnerAsksAgain leaves a learner without any leader: its admission may
-// have been lost with the leader that proposed it, so it asks for another. A voter
-// does not.
-func TestForgottenLearnerAsksAgain(t *testing.T) {
+// TestLearnerWithoutLeaderProbesAgain checks that a learner without leader contact requests
+// admission again, because its first admission may have been lost with the leader that proposed
+// it. A voter must not.
+func TestLearnerWithoutLeaderProbesAgain(t *testing.T) {
 	for _, learner := range []bool{true, false} {
 		member := fuzzMember(t)
 		member.members.byID["a/1"].Learner = learner
@@ -80,9 +80,9 @@
 	}
 }
 
-// TestSilentLeaderIsForgotten cuts a member off: it knows no leader after the longest
-// election timeout, also when it has no vote, so that nodes ask other controllers.
-func TestSilentLeaderIsForgotten(t *testing.T) {
+// TestSilentLeaderBecomesUnknown isolates a member. After the longest election timeout it must
+// report no leader, even if it has no vote, so that nodes turn to other controllers.
+func TestSilentLeaderBecomesUnknown(t *testing.T) {
 	for _, learner := range []bool{true, false} {
 		member := fuzzMember(t)
 		member.members.byID["a/1"].Learner = learner
--- a/internal/consensus/restart_test.go
+++ b/internal/consensus/restart_test.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// restartAll stops every member at once; all start again a little apart.
+// restartAll stops all members at once and starts them again, each up to apart after the previous one.
 func (c *testCluster) restartAll(apart time.Duration) {
 	for _, name := range c.names {
 		delete(c.cores, name)
@@ -23,8 +23,9 @@
 	}
 }
 
-// A quorum that was stopped as a whole elects without waiting for a lease that nobody can hold.
-func TestWholeQuorumThatRestartsElectsAtOnce(t *testing.T) {
+// A quorum whose members have all restarted must elect a leader without waiting for a lease,
+// because none of them can hold one.
+func TestFullRestartElectsWithoutLeaseWait(t *testing.T) {
 	for _, size := range []int{1, 3, 5} {
 		for seed := range uint64(20) {
 			cluster := newTestCluster(t, size, seed)
@@ -37,8 +38,8 @@
 	}
 }
 
-// Members that start at the same moment and tick in step do not split their votes for long,
-// whatever the disks and the network do.
+// Members that start at the same moment and tick in step must not split their votes for long, even
+// with lost messages and slow disks.
 func TestRestartInStepElectsSoon(t *testing.T) {
 	slow := 0
 	for seed := range uint64(60) {
@@ -53,25 +54,25 @@
 			slow++
 		}
 	}
-	require.Less(t, slow, 6, "restarts that took longer than the election timeout")
+	require.Less(t, slow, 6, "number of restarts that took longer than the election timeout")
 }
 
-// A member whose log is behind leaves the election to one whose log is ahead, although its
+// A member whose log is behind must yield the election to one whose log is ahead, although its own
 // identity is smaller.
 func TestRestartWithOneLogBehind(t *testing.T) {
 	for seed := range uint64(20) {
 		cluster := newTestCluster(t, 3, seed)
 		cluster.waitLeader()
-		cluster.cut[cluster.names[0]] = true
-		leader := cluster.waitLeaderBut(cluster.names[0])
+		cluster.isolated[cluster.names[0]] = true
+		leader := cluster.waitLeaderExcept(cluster.names[0])
 		for range 5 {
 			_, _, err := leader.Propose(cluster.now, []byte("x"))
 			require.NoError(t, err)
 			cluster.step()
 		}
 		committed := leader.log.last().index
-		cluster.until("commit", func() bool { return leader.log.commit >= committed })
-		clear(cluster.cut)
+		cluster.stepUntil("commit", func() bool { return leader.log.commit >= committed })
+		clear(cluster.isolated)
 		cluster.restartAll(0)
 		restarted := cluster.now
 		leader = cluster.waitLeader()
@@ -80,13 +81,13 @@
 	}
 }
 
-// waitLeaderBut waits until another member than the named one holds the only lease.
-func (c *testCluster) waitLeaderBut(name string) *Core {
-	c.until("leader beside "+name, func() bool { return c.leader() != "" && c.leader() != name })
+// waitLeaderExcept waits until a member other than the named one holds a lease.
+func (c *testCluster) waitLeaderExcept(name string) *Core {
+	c.stepUntil("leader beside "+name, func() bool { return c.leader() != "" && c.leader() != name })
 	return c.cores[c.leader()]
 }
 
-// While one voter is missing it may lead; the others then wait for its lease to end.
+// A voter that has not restarted may be the leader, so the others must wait for its lease to end.
 func TestQuorumWithoutAVoterWaitsForItsLease(t *testing.T) {
 	for seed := range uint64(20) {
 		cluster := newTestCluster(t, 3, seed)
@@ -100,15 +101,15 @@
 	}
 }
 
-// mostLeases lets all but the leader restart beside it, cut off from it, and returns the most
-// leases that were valid at once.
-func mostLeases(t *testing.T, seed uint64, off ...safeguard.Safeguard) int {
+// maximumConcurrentLeases restarts all members except the leader, which is isolated from them, and
+// returns the maximum number of leases that were valid at the same time.
+func maximumConcurrentLeases(t *testing.T, seed uint64, off ...safeguard.Safeguard) int {
 	cluster := newTestCluster(t, 3, seed)
-	cluster.off = safeguard.Without(off...)
+	cluster.disabledSafeguards = safeguard.Without(off...)
 	cluster.restartAll(0)
 	cluster.waitLeader()
 	leader := cluster.leader()
-	cluster.cut[leader] = true
+	cluster.isolated[leader] = true
 	cluster.inbox = nil // its last messages are lost
 	for _, name := range cluster.names {
 		if name != leader {
@@ -129,17 +130,17 @@
 	return most
 }
 
-// A leader that goes on while all others restart keeps its lease to itself.
-func TestRestartOfAllOthersEndsNoLease(t *testing.T) {
-	found := 0
+// When all members but the leader restart, the leader's lease must stay the only one.
+func TestRestartOfFollowersKeepsSingleLease(t *testing.T) {
+	extraLeases := 0
 	for seed := range uint64(20) {
-		require.Equal(t, 1, mostLeases(t, seed), "seed %d", seed)
-		found += mostLeases(t, seed, SafeguardAllRestarted) - 1
+		require.Equal(t, 1, maximumConcurrentLeases(t, seed), "seed %d", seed)
+		extraLeases += maximumConcurrentLeases(t, seed, SafeguardAllRestarted) - 1
 	}
-	require.Positive(t, found, "without the safeguard two leases must be seen")
+	require.Positive(t, extraLeases, "without the safeguard two leases must be valid at once")
 }
 
-// Members that restart again and again, with messages lost and disks slow, never see two leases.
+// Random restarts, lost messages and slow disks must never lead to two valid leases.
 func TestRestartsUnderFaults(t *testing.T) {
 	for seed := range uint64(30) {
 		cluster := newTestCluster(t, 5, seed)
@@ -153,9 +154,9 @@
 			case 3:
 				cluster.restartAll(30 * time.Millisecond)
 			case 4:
-				cluster.cut[name] = true
+				cluster.isolated[name] = true
 			case 5, 6, 7:
-				cluster.cut[name] = false
+				cluster.isolated[name] = false
 			}
 			leases := 0
 			for _, each := range cluster.names {
@@ -168,8 +169,8 @@
 	}
 }
 
-// A voter that has heard a leader does not vote early, whoever the vote names.
-func TestVoterThatHeardALeaderWaits(t *testing.T) {
+// Contact with a leader ends the restart phase, in which a vote may skip the wait for a lease.
+func TestLeaderContactEndsRestartPhase(t *testing.T) {
 	cluster := newTestCluster(t, 3, 1)
 	leader := cluster.waitLeader()
 	for _, name := range cluster.names {
@@ -177,7 +178,7 @@
 		if core == leader {
 			continue
 		}
-		require.False(t, core.restart.recent)
+		require.False(t, core.restart.noLeaderSinceStart)
 	}
-	require.False(t, leader.restart.recent)
+	require.False(t, leader.restart.noLeaderSinceStart)
 }
--- a/internal/consensus/snapshots.go
+++ b/internal/consensus/snapshots.go
@@ -8,9 +8,9 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// Compact takes a snapshot of the state machine after the entry at index was
-// applied, and drops the entries it covers but for those retained for members that
-// lag a little. The snapshot is persisted with the next batch.
+// Compact stores a snapshot of the state machine as of the entry at index, and removes the entries
+// it covers, except those retained for members that lag slightly. The snapshot is persisted with
+// the next batch.
 func (c *Core) Compact(index uint64, data []byte) error {
 	if index > c.log.applied {
 		return trace.Wrap(ErrUnavailable, "snapshot at %d, applied %d", index, c.log.applied)
@@ -18,7 +18,7 @@
 	if index <= c.log.snapshot.GetMetadata().GetIndex() {
 		return trace.Wrap(ErrCompacted, "snapshot at %d", index)
 	}
-	term, err := c.log.term(index)
+	term, err := c.log.termAt(index)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -31,11 +31,11 @@
 		Data:     data,
 	}
 	c.log.compact(snapshot, c.config.RetainedEntries)
-	c.out.snapshot = snapshot
+	c.outbox.snapshot = snapshot
 	return nil
 }
 
-// sendSnapshot sends the newest snapshot to a member whose next entries are gone.
+// sendSnapshot sends the newest snapshot to a member whose next entries are compacted.
 func (c *Core) sendSnapshot(id string, progress *progress) {
 	snapshot := c.log.snapshot
 	if snapshot == nil {
@@ -50,8 +50,8 @@
 	})
 }
 
-// sendDuringSnapshot keeps a member that takes a snapshot alive, and sends the
-// snapshot again when no answer has come for an election timeout.
+// sendDuringSnapshot sends heartbeats to a member that is installing a snapshot, and sends the
+// snapshot again when no answer has arrived for an election timeout.
 func (c *Core) sendDuringSnapshot(id string, progress *progress, heartbeat bool) {
 	if c.now-progress.snapshotSentAt >= c.config.ElectionTimeout {
 		c.sendSnapshot(id, progress)
@@ -62,40 +62,39 @@
 	}
 }
 
-// answerSnapshot replaces log and state by the leader's snapshot unless this member
-// holds as much already.
-func (c *Core) answerSnapshot(message *v1.ConsensusMessage) {
+// handleSnapshot installs the leader's snapshot unless this member has as much committed already.
+func (c *Core) handleSnapshot(message *v1.ConsensusMessage) {
 	if c.role == RoleLeader {
 		return
 	}
 	c.followLeader(message)
-	c.takeSnapshot(message.GetSnapshot())
+	c.installSnapshot(message.GetSnapshot())
 	c.sendSynced(message.GetFrom(), &v1.ConsensusMessage{
 		Type: v1.MessageType_MESSAGE_TYPE_SNAPSHOT_ANSWER, LogIndex: c.log.commit, Round: message.GetRound(),
 	})
 }
 
-// takeSnapshot applies the snapshot when it is ahead of what is committed here.
-func (c *Core) takeSnapshot(snapshot *v1.Snapshot) {
+// installSnapshot replaces log and state by the snapshot when it is ahead of the commit index.
+func (c *Core) installSnapshot(snapshot *v1.Snapshot) {
 	metadata := snapshot.GetMetadata()
 	if metadata.GetIndex() <= c.log.commit {
 		return
 	}
 	if c.log.matches(position{index: metadata.GetIndex(), term: metadata.GetTerm()}) {
-		c.commitTo(metadata.GetIndex())
+		c.raiseCommit(metadata.GetIndex())
 		return
 	}
 	c.log.restore(snapshot)
-	c.out.snapshot = snapshot
-	c.out.restore = snapshot
+	c.outbox.snapshot = snapshot
+	c.outbox.restore = snapshot
 	c.setMembers(metadata.GetMembership())
 }
 
-// transfer is a handing over of leadership.
+// transfer is a transfer of leadership in progress.
 type transfer struct {
 	target    string
 	startedAt time.Duration
-	// sent tells that the target was told to campaign: this leader's lease is void
-	// for the rest of its term, since votes for the target do not wait for it.
-	sent bool
+	// timeoutNowSent is set once the target was requested to campaign. This leader's lease is then
+	// void for the rest of its term, because votes for the target do not wait for it.
+	timeoutNowSent bool
 }
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -6,7 +6,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// Status is what a member knows at the moment.
+// Status is a member's current view of the consensus group.
 type Status struct {
 	ID   string
 	Role Role
@@ -15,30 +15,29 @@
 	Leader        string
 	LeaderName    string
 	LeaderAddress string
-	// Commit and Applied are log indexes; Applied counts what Ready handed out.
+	// Commit and Applied are log indexes; Applied is the last entry returned by Ready.
 	Commit     uint64
 	Applied    uint64
 	LastIndex  uint64
 	Stable     uint64
 	Compacted  uint64
 	Membership *v1.Membership
-	// MembershipCommitted tells that no change of membership is under way, as far as
-	// this member knows.
+	// MembershipCommitted is set when this member knows of no uncommitted membership change.
 	MembershipCommitted bool
-	// Members is set at the leader only, sorted by identity.
+	// Members is set only at the leader, sorted by identity.
 	Members []MemberStatus
 }
 
-// MemberStatus is what the leader knows about one member.
+// MemberStatus is the leader's view of one member.
 type MemberStatus struct {
 	Member *v1.Member
 	// Match is the last log index known to be synced at the member.
 	Match uint64
-	// Silence is the time since its last answer.
+	// Silence is the time since the member's last answer.
 	Silence time.Duration
 }
 
-// Status returns what this member knows. The membership must not be changed.
+// Status returns this member's current view. The membership must not be modified.
 func (c *Core) Status() Status {
 	leader := c.members.byID[c.leader]
 	status := Status{
@@ -53,7 +52,7 @@
 	}
 	for _, id := range c.members.ids() {
 		progress := c.progress[id]
-		member := MemberStatus{Member: c.members.byID[id], Match: progress.match, Silence: c.now - progress.heardAt}
+		member := MemberStatus{Member: c.members.byID[id], Match: progress.match, Silence: c.now - progress.lastAnswerAt}
 		if id == c.id {
 			member.Silence = 0
 		}
@@ -62,19 +61,19 @@
 	return status
 }
 
-// ID is this member's identity.
+// ID returns this member's identity.
 func (c *Core) ID() string { return c.id }
 
-// Leader is the identity of the leader of this term; empty while none is known.
+// Leader returns the identity of the leader of the current term; empty if unknown.
 func (c *Core) Leader() string { return c.leader }
 
-// LeaderAddress is where the leader of this term answers; empty while none is known.
+// LeaderAddress returns the address of the leader of the current term; empty if unknown.
 func (c *Core) LeaderAddress() string { return c.members.byID[c.leader].GetAddress() }
 
-// Membership is the quorum in force here. It must not be changed.
+// Membership returns the effective membership. It must not be modified.
 func (c *Core) Membership() *v1.Membership { return c.members.membership }
 
-// IsLeader reports whether this member is the leader of its term, as far as it knows.
+// IsLeader reports whether this member considers itself the leader of its term.
 func (c *Core) IsLeader() bool { return c.role == RoleLeader }
 
 // Term returns the current term.
--- a/internal/consensus/step_fuzz_test.go
+++ b/internal/consensus/step_fuzz_test.go
@@ -11,7 +11,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// fuzzMember returns a member of three voters.
+// fuzzMember returns one of three voters.
 func fuzzMember(t *testing.T) *Core {
 	membership := &v1.Membership{}
 	var peers []Peer
@@ -26,9 +26,9 @@
 	return core
 }
 
-// FuzzStep hands a member messages with arbitrary contents, each preceded by its
-// length and the time since the last one: none stops the process, and neither its
-// term nor what it has committed ever goes back.
+// FuzzStep passes arbitrary messages to a member, each preceded by its length and the time since
+// the previous one. No message may crash the process, and neither the term nor the commit index
+// may ever decrease.
 func FuzzStep(f *testing.F) {
 	add := func(messages ...*v1.ConsensusMessage) {
 		var stream []byte
@@ -67,11 +67,11 @@
 	})
 }
 
-// fuzzStep hands over one message and all that follows from it.
+// fuzzStep passes one message to the member and processes the work that follows.
 func fuzzStep(t *testing.T, core *Core, now time.Duration, message *v1.ConsensusMessage) {
 	before := core.Status()
 	core.Tick(now)
-	_ = core.Step(now, message) // an error tells that it was dropped
+	_ = core.Step(now, message) // an error only states that the message was dropped
 	for {
 		ready, some := core.Ready()
 		if !some {
--- a/internal/consensus/transfer.go
+++ b/internal/consensus/transfer.go
@@ -8,15 +8,15 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// TransferLeadership hands leadership to a voter once that has caught up. Until
-// then proposals are refused; after an election timeout without success this leader
-// goes on, or steps down when its lease is already given up.
+// TransferLeadership transfers leadership to a voter once that voter has caught up. Proposals are
+// refused until then. If the transfer has not succeeded after an election timeout, this leader
+// continues, or steps down if it has already given up its lease.
 func (c *Core) TransferLeadership(now time.Duration, target string) error {
-	c.observe(now)
+	c.advanceClock(now)
 	if c.role != RoleLeader {
 		return trace.Wrap(ErrNotLeader, "role is %v", c.role)
 	}
-	if target == c.id || !c.members.votes(target) {
+	if target == c.id || !c.members.isVoter(target) {
 		return trace.Wrap(ErrUnknownMember, "%q is not another voter", target)
 	}
 	if c.transfer.target != "" {
@@ -27,22 +27,22 @@
 	return nil
 }
 
-// continueTransfer tells the target to campaign once it holds the whole log.
+// continueTransfer requests the target to campaign once it has the whole log.
 func (c *Core) continueTransfer(id string, progress *progress) {
-	if c.transfer.target != id || c.transfer.sent || progress.match != c.log.last().index {
+	if c.transfer.target != id || c.transfer.timeoutNowSent || progress.match != c.log.last().index {
 		return
 	}
-	c.transfer.sent = true
+	c.transfer.timeoutNowSent = true
 	c.send(id, &v1.ConsensusMessage{Type: v1.MessageType_MESSAGE_TYPE_TIMEOUT_NOW})
 }
 
-// transferOverdue ends a transfer that did not succeed, and reports whether this
-// leader stepped down over it.
-func (c *Core) transferOverdue() bool {
+// expireTransfer ends a transfer that did not succeed in time, and reports whether this leader
+// stepped down because of it.
+func (c *Core) expireTransfer() bool {
 	if c.transfer.target == "" || c.now-c.transfer.startedAt < c.config.ElectionTimeout {
 		return false
 	}
-	if c.transfer.sent {
+	if c.transfer.timeoutNowSent {
 		c.becomeFollower(c.term, "")
 		return true
 	}
@@ -50,9 +50,9 @@
 	return false
 }
 
-// takeTimeoutNow campaigns at once: the leader has given up its lease.
-func (c *Core) takeTimeoutNow(message *v1.ConsensusMessage) {
-	if c.role == RoleLeader || message.GetFrom() != c.leader || !c.members.votes(c.id) {
+// handleTimeoutNow campaigns at once: the leader has given up its lease.
+func (c *Core) handleTimeoutNow(message *v1.ConsensusMessage) {
+	if c.role == RoleLeader || message.GetFrom() != c.leader || !c.members.isVoter(c.id) {
 		return
 	}
 	c.transferElected = true
