--- a/internal/control/first_format_listing.go
+++ b/internal/control/first_format_listing.go
@@ -19,7 +19,7 @@
 		return f.version, &f.history
 	}
 	f.sourceVersion = version
-	converted := listing.AsFirstFormat(backEnds)
+	converted := listing.ToFirstFormat(backEnds)
 	if next := listing.VersionOf(converted); next != f.version {
 		f.version = next
 		f.history.Add(next, converted)
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -102,9 +102,9 @@
 // canAnswerAsLeader reports whether what this controller has applied is all there is.
 func (c *Core) canAnswerAsLeader() bool {
 	if !c.config.Safeguards.IsEnabled(SafeguardLeaseRead) {
-		return c.consensus.Leading()
+		return c.consensus.IsLeader()
 	}
-	return c.consensus.LeaseValid(c.now)
+	return c.consensus.HasValidLease(c.now)
 }
 
 // notLeader names the leader as far as it is known.
--- a/internal/control/published_documents.go
+++ b/internal/control/published_documents.go
@@ -59,7 +59,7 @@
 		if former.GetNumber() != number {
 			continue
 		}
-		patch, err := packed.Patch(former.GetContent(), t.newest().GetContent())
+		patch, err := packed.MakePatch(former.GetContent(), t.newest().GetContent())
 		if err != nil {
 			return nil // the whole document is told instead
 		}
