--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -70,7 +70,7 @@
 // discard ends an exchange whose answer is a failure. A short body is read, so that the
 // connection can be used again.
 func (a *answer) discard() {
-	if a.body.framing == framedByLength && a.body.left <= connpool.BufferSize {
+	if a.body.framing == framedByLength && a.body.left <= connpool.AnswerHeadBufferSize {
 		readPast(a.body)
 	}
 	a.release()
@@ -87,12 +87,12 @@
 		a.connection.Discard()
 		return
 	}
-	a.connection.Served++
+	a.connection.AnsweredRequests++
 	if limit := keepAlive(a.head); limit > 0 {
 		a.connection.IdleLimit = limit
 	}
 	_ = a.connection.SetDeadline(time.Time{}) // a closed connection fails its next request
-	a.message.backEnd.pool.Give(a.connection, a.exchanger.clock.now())
+	a.message.backEnd.pool.Put(a.connection, a.exchanger.clock.now())
 }
 
 func (a *answer) reusable() bool {
--- a/internal/relay/asker.go
+++ b/internal/relay/asker.go
@@ -27,11 +27,11 @@
 	datagrams *datagram.Socket
 	self      uint64
 	peers     *peerhealth.Table
-	questions *datagram.Questions[*v1.PlacementAnswer]
+	questions *datagram.Queries[*v1.PlacementAnswer]
 }
 
 func newAsker(relay *Relay, datagrams *datagram.Socket, self uint64, peers *peerhealth.Table) *asker {
-	return &asker{relay: relay, datagrams: datagrams, self: self, peers: peers, questions: datagram.NewQuestions[*v1.PlacementAnswer](datagrams)}
+	return &asker{relay: relay, datagrams: datagrams, self: self, peers: peers, questions: datagram.NewQueries[*v1.PlacementAnswer](datagrams)}
 }
 
 // owners are the other relays that are to know of the work at an engine.
@@ -57,14 +57,14 @@
 
 // take hands an answer to the question that waits for it.
 func (a *asker) take(answer *v1.PlacementAnswer) {
-	a.questions.Take(answer.GetNumber(), answer.GetRelay() == a.self, answer)
+	a.questions.Deliver(answer.GetNumber(), answer.GetRelay() == a.self, answer)
 }
 
 // ask asks one owner. It reports false when no answer came that can be followed. stop ends the
 // wait for it.
 func (a *asker) ask(owner string, id uint64, query *engineQuery, stop <-chan struct{}) (engineAnswer, bool) {
-	number, answers := a.questions.Begin()
-	defer a.questions.End(number)
+	number, answers := a.questions.Open()
+	defer a.questions.Close(number)
 	asked := a.relay.clock.now()
 	limit := a.peers.Timeout()
 	a.datagrams.Send(owner, &v1.RelayDatagram{Content: &v1.RelayDatagram_Request{Request: queryToWire(query, a.self, number, id)}})
@@ -73,7 +73,7 @@
 		a.cancel(assignment{owner: owner, number: number})
 		return engineAnswer{}, false
 	}
-	a.peers.Judge(a.relay.clock.now(), owner, told != nil, a.relay.clock.now()-asked)
+	a.peers.RecordQuery(a.relay.clock.now(), owner, told != nil, a.relay.clock.now()-asked)
 	for waits := 0; told != nil && told.GetAction() == v1.PlacementAction_PLACEMENT_ACTION_WAIT && waits <= a.relay.policy.MostWaits; waits++ {
 		a.relay.metrics.waits.Inc()
 		told = a.await(answers, fromMicroseconds(told.GetWaitingUs())+furtherAnswerSlack, stop)
--- a/internal/relay/asker_test.go
+++ b/internal/relay/asker_test.go
@@ -140,8 +140,8 @@
 	asking.ownedBy(silent, standIn.datagrams.Address, "127.0.0.1:1")
 	now := asking.clock.now()
 	require.Equal(t, []string{silent, standIn.datagrams.Address}, asking.asker.owners(now, asking.engineOf("engine")))
-	asking.peers.Judge(asking.clock.now(), silent, false, time.Millisecond)
-	asking.peers.Judge(asking.clock.now(), silent, false, time.Millisecond)
+	asking.peers.RecordQuery(asking.clock.now(), silent, false, time.Millisecond)
+	asking.peers.RecordQuery(asking.clock.now(), silent, false, time.Millisecond)
 	require.Equal(t, []string{standIn.datagrams.Address, "127.0.0.1:1"}, asking.asker.owners(asking.clock.now(), asking.engineOf("engine")))
 }
 
@@ -240,10 +240,10 @@
 	require.Nil(t, relay.datagrams.Parse(other))
 	relay.takeDatagram(&v1.RelayDatagram{}, "")
 	relay.asker.take(&v1.PlacementAnswer{Number: 99})
-	number, answers := relay.asker.questions.Begin()
+	number, answers := relay.asker.questions.Open()
 	relay.asker.take(&v1.PlacementAnswer{Number: number, Relay: relay.asker.self + 1})
 	require.Empty(t, answers, "an answer to an earlier start of this relay")
-	for reason, count := range map[datagram.DropReason]float64{datagram.Garbled: 1, datagram.OtherFormat: 1, datagram.NotExpected: 3} {
+	for reason, count := range map[datagram.DropReason]float64{datagram.Malformed: 1, datagram.UnsupportedFormat: 1, datagram.Unexpected: 3} {
 		require.Equal(t, count, testutil.ToFloat64(relay.metrics.datagramsDropped.WithLabelValues(string(reason))), reason)
 	}
 }
@@ -333,13 +333,13 @@
 	engine := startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne))
 	asking, _ := newPair(t, engine)
 	silent := silentRelay(t)
-	asking.peers.Judge(asking.clock.now(), silent, false, time.Millisecond)
+	asking.peers.RecordQuery(asking.clock.now(), silent, false, time.Millisecond)
 	gone := make(chan struct{})
 	close(gone)
 	_, answered := asking.asker.ask(silent, 1, &engineQuery{service: "service"}, gone)
 	require.False(t, answered)
 	now := asking.clock.now()
 	require.True(t, asking.peers.Trusted(now, silent), "no other miss counts")
-	asking.peers.Judge(now, silent, false, time.Millisecond)
+	asking.peers.RecordQuery(now, silent, false, time.Millisecond)
 	require.False(t, asking.peers.Trusted(now, silent), "the earlier miss still counts")
 }
--- a/internal/relay/attempts.go
+++ b/internal/relay/attempts.go
@@ -86,7 +86,7 @@
 
 // sendAgain reports whether the retry budget allows another sending, and takes it from there.
 func (r *Relay) sendAgain(request *request) bool {
-	if !r.budget.Take(r.clock.now(), request.service.Name) {
+	if !r.budget.TrySpend(r.clock.now(), request.service.Name) {
 		r.metrics.denied.Inc()
 		return false
 	}
--- a/internal/relay/back_end_limits.go
+++ b/internal/relay/back_end_limits.go
@@ -29,7 +29,7 @@
 		return
 	}
 	r.limitEvent(backEnd, limit, "")
-	r.permits.Heard(fleetlimit.Named{BackEnd: backEnd.startHash, Limit: limit})
+	r.permits.ReportLimit(fleetlimit.Named{BackEnd: backEnd.startHash, Limit: limit})
 }
 
 // limitEvent writes a line on a limit that has changed; teller is the relay or controller that told it, empty for the
@@ -75,7 +75,7 @@
 	if !owed && backEnd.signals.PermitWait(r.clock.now()) > 0 {
 		return false
 	}
-	answer, answered := r.permits.Take(fleetlimit.Ask{BackEnd: backEnd.startHash, Limit: limit, Heard: own, Rank: rank, Owed: owed})
+	answer, answered := r.permits.Request(fleetlimit.Ask{BackEnd: backEnd.startHash, Limit: limit, Heard: own, Rank: rank, Owed: owed})
 	now := r.clock.now()
 	if answered && backEnd.signals.TellLimit(now, answer.Limit) {
 		r.limitEvent(backEnd, answer.Limit, tellerRelay)
@@ -104,8 +104,8 @@
 // newPermits returns what gives this relay permits.
 func newPermits(relay *Relay) *permits.Permits {
 	return permits.New(permits.Config{
-		Socket: relay.datagrams, Self: relay.knowledge.incarnation, Now: func() time.Duration { return relay.clock.now() },
-		Draw: relay.draw, Peers: relay.peers, Told: relay.takeLimit,
-		Fresh: func() bool { return relay.clock.now()-relay.lastContact() <= relay.contactLimit() },
+		Socket: relay.datagrams, Incarnation: relay.knowledge.incarnation, Now: func() time.Duration { return relay.clock.now() },
+		Draw: relay.draw, Peers: relay.peers, OnLimit: relay.takeLimit,
+		IsRelayListFresh: func() bool { return relay.clock.now()-relay.lastContact() <= relay.contactLimit() },
 	})
 }
--- a/internal/relay/connpool/connection.go
+++ b/internal/relay/connpool/connection.go
@@ -11,52 +11,52 @@
 )
 
 const (
-	// BufferSize holds the whole head of a back end's answer.
-	BufferSize = 4 << 10
-	// DefaultIdleLimit is how long a connection may rest when the back end names no time.
+	// AnswerHeadBufferSize is the size in bytes of a connection's read buffer, which must hold the complete head of a
+	// back end's answer.
+	AnswerHeadBufferSize = 4 << 10
+	// DefaultIdleLimit is how long a connection may stay idle when the back end sends no keep-alive timeout.
 	DefaultIdleLimit = 4 * time.Second
 )
 
 // Connection is a connection to one back end. It carries one request at a time.
 type Connection struct {
 	net.Conn
-	// Reader reads answers; what it has buffered after one belongs to no request.
+	// Reader reads answers. Bytes that are still buffered after an answer belong to no request.
 	Reader *bufio.Reader
-	// Served counts the requests that were answered on it.
-	Served int
-	// idleSince is when it was put back, IdleLimit how long it may rest.
+	// AnsweredRequests counts the requests that were answered on this connection.
+	AnsweredRequests int
+	// idleSince is the time at which the connection was returned to the pool; IdleLimit is how long it may stay idle.
 	idleSince time.Duration
 	IdleLimit time.Duration
-	// WentSilent is called when the peer has not confirmed anything for too long; nil for nothing.
-	WentSilent func()
-	// Silent tells that it was.
-	Silent bool
+	// OnTimeout is called when the peer has acknowledged nothing until the kernel's timeout; nil means no call.
+	OnTimeout func()
+	// TimedOut reports whether that timeout has occurred on this connection.
+	TimedOut bool
 }
 
-// NewConnection returns an open connection on which nothing was sent yet.
+// NewConnection wraps an open connection on which no request was sent yet.
 func NewConnection(connection net.Conn) *Connection {
-	made := &Connection{Conn: connection, IdleLimit: DefaultIdleLimit}
-	made.Reader = bufio.NewReaderSize(made, BufferSize)
-	return made
+	pooled := &Connection{Conn: connection, IdleLimit: DefaultIdleLimit}
+	pooled.Reader = bufio.NewReaderSize(pooled, AnswerHeadBufferSize)
+	return pooled
 }
 
-// Read implements io.Reader.
+// Read implements io.Reader. It sets TimedOut and calls OnTimeout when the kernel's timeout has expired.
 func (c *Connection) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	if errors.Is(err, syscall.ETIMEDOUT) {
-		c.Silent = true
-		if c.WentSilent != nil {
-			c.WentSilent()
+		c.TimedOut = true
+		if c.OnTimeout != nil {
+			c.OnTimeout()
 		}
 	}
 	return n, err
 }
 
-// Discard closes the connection; what has failed on it is known already.
+// Discard closes the connection. It ignores the error, since the caller already handles what failed on the connection.
 func (c *Connection) Discard() { _ = c.Conn.Close() }
 
-// quiet reports whether the connection is open and nothing has arrived on it. It reads
-// without waiting.
-func (c *Connection) quiet() bool {
+// isIdle reports whether the connection is open and has received nothing since its last answer. It does not block.
+func (c *Connection) isIdle() bool {
 	return c.Reader.Buffered() == 0 && wirecheck.Idle(c.Conn) == nil
 }
--- a/internal/relay/connpool/pool.go
+++ b/internal/relay/connpool/pool.go
@@ -1,4 +1,4 @@
-// Package connpool keeps connections to back ends between requests.
+// Package connpool keeps idle connections to back ends for reuse between requests.
 package connpool
 
 import (
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// Pool holds the idle connections to one back end, the last used first.
+// Pool holds the idle connections to one back end and reuses the most recently used one first. It is safe for concurrent use.
 type Pool struct {
 	mutex  sync.Mutex
 	idle   []*Connection
 	closed bool
 }
 
-// Take returns an idle connection that can carry a request, or nil. Connections that have
-// rested for longer than the limit are closed, as are those on which something arrived.
-func (p *Pool) Take(now, limit time.Duration) *Connection {
+// Get removes an idle connection that can carry a request from the pool; it returns nil when there is none. It closes
+// connections that were idle for longer than the limit or their own IdleLimit, and those that received unexpected bytes.
+func (p *Pool) Get(now, limit time.Duration) *Connection {
 	for {
 		connection := p.pop()
 		if connection == nil {
 			return nil
 		}
-		rested := now - connection.idleSince
-		if rested < limit && rested < connection.IdleLimit && connection.quiet() {
+		idleTime := now - connection.idleSince
+		if idleTime < limit && idleTime < connection.IdleLimit && connection.isIdle() {
 			return connection
 		}
 		connection.Discard()
 	}
 }
 
-// Holds reports whether an idle connection may carry a request, as far as it is known without looking at
-// the connection.
-func (p *Pool) Holds(now, limit time.Duration) bool {
+// HasIdle reports whether an idle connection within its idle limits is available. It does not check whether that
+// connection is still open.
+func (p *Pool) HasIdle(now, limit time.Duration) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	last := len(p.idle) - 1
@@ -50,8 +50,8 @@
 	return connection
 }
 
-// Give puts a connection back, or closes it when the back end is gone.
-func (p *Pool) Give(connection *Connection, now time.Duration) {
+// Put returns a connection to the pool; it closes the connection when the pool is closed.
+func (p *Pool) Put(connection *Connection, now time.Duration) {
 	connection.idleSince = now
 	p.mutex.Lock()
 	closed := p.closed
@@ -64,17 +64,17 @@
 	}
 }
 
-// Close closes the idle connections; others are closed when they come back.
+// Close closes the idle connections. Connections in use are closed when they are returned.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	p.closed = true
 	p.mutex.Unlock()
-	p.Drop()
+	p.CloseIdle()
 }
 
-// Drop closes the idle connections: what has befallen one that was open as long as they were may have
-// befallen them.
-func (p *Pool) Drop() {
+// CloseIdle closes the idle connections. It is called after a failure of one connection, since the others to the same
+// back end may have failed in the same way.
+func (p *Pool) CloseIdle() {
 	p.mutex.Lock()
 	idle := p.idle
 	p.idle = nil
--- a/internal/relay/datagram/socket.go
+++ b/internal/relay/datagram/socket.go
@@ -1,4 +1,4 @@
-// Package datagram carries what relays tell and ask each other: one message a packet, which may be lost, doubled or late.
+// Package datagram sends messages between relays, one message per UDP packet. A message may be lost, duplicated or delayed.
 package datagram
 
 import (
@@ -14,59 +14,59 @@
 )
 
 const (
-	// Format is the version of what relays send each other.
+	// Format is the version of the datagrams' format.
 	Format = 1
-	// MaximumSize bounds a datagram, so that it fits into one packet.
-	MaximumSize = 1200
-	// receivePause is the wait after a failed reading of the socket.
-	receivePause = 3 * time.Millisecond
+	// MaxSize is the largest datagram in bytes, chosen so that it fits into one packet.
+	MaxSize = 1200
+	// receiveRetryDelay is the delay before the next read after a read of the socket failed.
+	receiveRetryDelay = 3 * time.Millisecond
 )
 
-// DropReason is why a datagram was not taken.
+// DropReason says why a datagram was dropped. It is a label value of the metric that counts them.
 type DropReason string
 
-// Reasons to drop datagrams.
+// Reasons for which datagrams are dropped.
 const (
-	Garbled     DropReason = "garbled"
-	OtherFormat DropReason = "other_format"
-	TooLarge    DropReason = "too_large"
-	NotExpected DropReason = "not_expected"
-	TooMany     DropReason = "too_many"
+	Malformed         DropReason = "garbled"
+	UnsupportedFormat DropReason = "other_format"
+	TooLarge          DropReason = "too_large"
+	Unexpected        DropReason = "not_expected"
+	BacklogFull       DropReason = "too_many"
 )
 
-// Socket sends and receives what relays tell and ask each other. Any datagram may be lost,
-// doubled or late.
+// Socket sends and receives the datagrams of a relay. Any datagram may be lost, duplicated or delayed. It is safe for
+// concurrent use.
 type Socket struct {
 	connection net.PacketConn
-	// Address is where this relay takes datagrams.
+	// Address is the local address on which this relay receives datagrams.
 	Address string
-	// dropped counts datagrams that were not taken, by reason.
+	// dropped counts dropped datagrams by reason.
 	dropped *prometheus.CounterVec
 
 	mutex     sync.Mutex
 	addresses map[string]net.Addr
 }
 
-// New returns a Socket that takes and sends on a packet connection. What is not taken is counted by its reason.
+// New returns a Socket on a packet connection. It counts dropped datagrams by reason.
 func New(connection net.PacketConn, dropped *prometheus.CounterVec) *Socket {
 	return &Socket{connection: connection, Address: connection.LocalAddr().String(), dropped: dropped, addresses: map[string]net.Addr{}}
 }
 
-// Send sends a datagram to a relay's address. One that is lost is made good for by those who
-// wait for it.
+// Send sends a datagram to a relay's address. It reports no errors: a lost datagram is handled by the timeouts of those
+// who wait for an answer.
 func (d *Socket) Send(to string, datagram *v1.RelayDatagram) {
 	datagram.Format = Format
 	content, err := proto.Marshal(datagram)
-	if err != nil || len(content) > MaximumSize {
-		d.Drop(TooLarge)
+	if err != nil || len(content) > MaxSize {
+		d.CountDrop(TooLarge)
 		return
 	}
 	if address := d.resolve(to); address != nil {
-		_, _ = d.connection.WriteTo(content, address) // like one that is lost on its way
+		_, _ = d.connection.WriteTo(content, address) // a failed send is treated like a lost datagram
 	}
 }
 
-// resolve returns the address of a relay; nil for none.
+// resolve returns the network address of a relay, from a cache where possible; nil when it cannot be resolved.
 func (d *Socket) resolve(address string) net.Addr {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -81,8 +81,8 @@
 	return resolved
 }
 
-// Keep forgets the addresses of relays that are not listed.
-func (d *Socket) Keep(listed map[string]bool) {
+// RetainAddresses removes the cached addresses of all relays that are not listed.
+func (d *Socket) RetainAddresses(listed map[string]bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for address := range d.addresses {
@@ -92,40 +92,40 @@
 	}
 }
 
-// Receive hands datagrams over until the socket is closed.
-func (d *Socket) Receive(take func(datagram *v1.RelayDatagram, from string)) {
-	buffer := make([]byte, 2*MaximumSize)
+// Receive calls handle for each valid datagram. It blocks until the socket is closed.
+func (d *Socket) Receive(handle func(datagram *v1.RelayDatagram, from string)) {
+	buffer := make([]byte, 2*MaxSize)
 	for {
 		length, from, err := d.connection.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(receivePause)
+			time.Sleep(receiveRetryDelay)
 			continue
 		}
 		if datagram := d.Parse(buffer[:length]); datagram != nil {
-			take(datagram, from.String())
+			handle(datagram, from.String())
 		}
 	}
 }
 
-// Parse reads a datagram; nil for one that is not taken.
+// Parse decodes a datagram. It returns nil for one that is malformed or of another format, and counts it as dropped.
 func (d *Socket) Parse(content []byte) *v1.RelayDatagram {
 	datagram := &v1.RelayDatagram{}
 	if proto.Unmarshal(content, datagram) != nil {
-		d.Drop(Garbled)
+		d.CountDrop(Malformed)
 		return nil
 	}
 	if datagram.GetFormat() != Format {
-		d.Drop(OtherFormat)
+		d.CountDrop(UnsupportedFormat)
 		return nil
 	}
 	return datagram
 }
 
-// Drop counts a datagram that was not taken.
-func (d *Socket) Drop(reason DropReason) { d.dropped.WithLabelValues(string(reason)).Inc() }
+// CountDrop counts a dropped datagram by its reason.
+func (d *Socket) CountDrop(reason DropReason) { d.dropped.WithLabelValues(string(reason)).Inc() }
 
-// Close ends Receive; nothing is sent any more.
+// Close closes the socket, which ends Receive. Later calls of Send have no effect.
 func (d *Socket) Close() error { return d.connection.Close() }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -117,7 +117,7 @@
 	}
 	now := e.clock.now()
 	message.sentAt = now
-	connection := message.backEnd.pool.Take(now, idleLimitOf(message.request.route))
+	connection := message.backEnd.pool.Get(now, idleLimitOf(message.request.route))
 	if connection == nil {
 		var err error
 		if connection, err = e.open(message.backEnd, min(dialTimeout, message.deadline-now)); err != nil {
@@ -149,7 +149,7 @@
 		return nil, err
 	}
 	opened := connpool.NewConnection(connection)
-	opened.WentSilent = backEnd.pool.Drop // others may have gone silent as well
+	opened.OnTimeout = backEnd.pool.CloseIdle // others may have gone silent as well
 	return opened, nil
 }
 
@@ -229,7 +229,7 @@
 		fault.cause = errDeadline
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		fault.cause = errStalled
-	case connection.Silent:
+	case connection.TimedOut:
 		fault.cause = errSilent
 	}
 	return fault
@@ -250,7 +250,7 @@
 		if string(head.Peek(e.names.RequestID)) == message.request.id {
 			return answer, nil
 		}
-		stale := connection.Served > 0 && answer.body.framing != framedByClose
+		stale := connection.AnsweredRequests > 0 && answer.body.framing != framedByClose
 		if !stale || !readPast(answer.body) {
 			break
 		}
--- a/internal/relay/former_leader_test.go
+++ b/internal/relay/former_leader_test.go
@@ -46,7 +46,7 @@
 	relay.knowledge.Take(&v1.WatchResponse{
 		Formats: formats.Own().ToWire(), RelayAddresses: others, RelayList: 5, Relays: 3, FormerRelays: others[:2],
 	})
-	require.Equal(t, []string{relay.datagrams.Address}, relay.permits.KeepersOf(4711))
+	require.Equal(t, []string{relay.datagrams.Address}, relay.permits.OwnersOf(4711))
 	relay.knowledge.Take(&v1.WatchResponse{Formats: formats.Own().ToWire(), RelayAddresses: others, RelayList: 6, Relays: 3})
-	require.Len(t, relay.permits.KeepersOf(4711), 3)
+	require.Len(t, relay.permits.OwnersOf(4711), 3)
 }
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -25,7 +25,7 @@
 	// failurePeers is how many relays hear of the failures of back ends that have no owner.
 	failurePeers = 16
 	// noticeRoom is the part of a datagram, in bytes, that a notice's engines may take.
-	noticeRoom = datagram.MaximumSize - 64
+	noticeRoom = datagram.MaxSize - 64
 )
 
 // notices tells the owners of engines what this relay has under way there, and takes what other
--- a/internal/relay/owner_faults_test.go
+++ b/internal/relay/owner_faults_test.go
@@ -34,7 +34,7 @@
 // read returns the next datagram and where it came from.
 func (o *scriptedOwner) read() (*v1.RelayDatagram, net.Addr) {
 	o.t.Helper()
-	buffer := make([]byte, 2*datagram.MaximumSize)
+	buffer := make([]byte, 2*datagram.MaxSize)
 	length, from, err := o.socket.ReadFrom(buffer)
 	require.NoError(o.t, err)
 	told := &v1.RelayDatagram{}
@@ -73,7 +73,7 @@
 		Action: v1.PlacementAction_PLACEMENT_ACTION_READ_DIRECTLY, Engine: relay.engineOf("far").hash,
 	}}})
 	require.Eventually(t, func() bool {
-		return testutil.ToFloat64(relay.metrics.datagramsDropped.WithLabelValues(string(datagram.NotExpected))) == 1
+		return testutil.ToFloat64(relay.metrics.datagramsDropped.WithLabelValues(string(datagram.Unexpected))) == 1
 	}, time.Minute, time.Millisecond)
 	require.Empty(t, far.seen())
 }
--- a/internal/relay/peerhealth/table.go
+++ b/internal/relay/peerhealth/table.go
@@ -1,4 +1,4 @@
-// Package peerhealth keeps which other relays answer what they are asked, and how long an answer takes.
+// Package peerhealth records which other relays answer queries, and how long their answers take.
 package peerhealth
 
 import (
@@ -8,50 +8,50 @@
 	"github.com/hazelpitch/hazelpitch/internal/cell"
 )
 
-// Table is how other relays answer. It is safe for concurrent use.
+// Table records the response behavior of other relays. It is safe for concurrent use.
 type Table struct {
 	mutex  sync.Mutex
 	health *cell.Health
-	// doubted is called when a relay is passed over from now on, with how long its answer was awaited.
-	doubted func(relay string, waited time.Duration)
+	// onDistrust is called when a relay becomes distrusted, with the time for which its answer was awaited.
+	onDistrust func(relay string, waited time.Duration)
 }
 
-// New returns a table that has seen nothing.
-func New(doubted func(relay string, waited time.Duration)) *Table {
-	return &Table{health: cell.NewHealth(), doubted: doubted}
+// New returns an empty table.
+func New(onDistrust func(relay string, waited time.Duration)) *Table {
+	return &Table{health: cell.NewHealth(), onDistrust: onDistrust}
 }
 
-// Trusted reports whether a relay is not passed over.
+// Trusted reports whether queries may be sent to a relay.
 func (t *Table) Trusted(now time.Duration, relay string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.health.Trusted(now, relay)
 }
 
-// Timeout is how long an answer is awaited now.
+// Timeout returns how long to wait for an answer of a relay.
 func (t *Table) Timeout() time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.health.Timeout()
 }
 
-// Judge notes whether a relay has answered in time.
-func (t *Table) Judge(now time.Duration, relay string, answered bool, took time.Duration) {
+// RecordQuery records whether a relay answered a query in time, and how long the answer took or was awaited.
+func (t *Table) RecordQuery(now time.Duration, relay string, answered bool, took time.Duration) {
 	t.mutex.Lock()
-	isDoubted := false
+	isDistrusted := false
 	if answered {
 		t.health.Answered(relay, took)
 	} else {
-		isDoubted = t.health.Missed(now, relay)
+		isDistrusted = t.health.Missed(now, relay)
 	}
 	t.mutex.Unlock()
-	if isDoubted {
-		t.doubted(relay, took)
+	if isDistrusted {
+		t.onDistrust(relay, took)
 	}
 }
 
-// Keep forgets the relays that are not listed.
-func (t *Table) Keep(listed map[string]bool) {
+// Retain removes the relays that are not listed.
+func (t *Table) Retain(listed map[string]bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.health.Keep(func(relay string) bool { return listed[relay] })
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -39,13 +39,13 @@
 	case *v1.RelayDatagram_Cancel:
 		r.owner.cancel(content.Cancel)
 	case *v1.RelayDatagram_LimitAsk:
-		r.permits.Answer(content.LimitAsk, from)
+		r.permits.HandleRequest(content.LimitAsk, from)
 	case *v1.RelayDatagram_LimitAnswer:
-		r.permits.TakeAnswer(content.LimitAnswer)
+		r.permits.HandleAnswer(content.LimitAnswer)
 	case *v1.RelayDatagram_LimitNotice:
-		r.permits.TakeNotice(content.LimitNotice, from)
+		r.permits.HandleNotice(content.LimitNotice, from)
 	default:
-		r.datagrams.Drop(datagram.NotExpected)
+		r.datagrams.CountDrop(datagram.Unexpected)
 	}
 }
 
@@ -61,6 +61,6 @@
 		listed[address] = true
 	}
 	r.notices.setPeers(addresses)
-	r.peers.Keep(listed)
-	r.datagrams.Keep(listed)
+	r.peers.Retain(listed)
+	r.datagrams.RetainAddresses(listed)
 }
--- a/internal/relay/permits/datagram_fuzz_test.go
+++ b/internal/relay/permits/datagram_fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/fleetlimit"
 )
 
-// FuzzDatagram takes any bytes from other relays: nothing of them may stop a relay, grant without a keeper's word or make
-// it wait for long.
+// FuzzDatagram feeds arbitrary datagrams of other relays to the decoder: none may crash a relay, grant a permit without an
+// owner's answer, or impose a long wait.
 func FuzzDatagram(f *testing.F) {
 	limit := &v1.NamedLimit{BackEnd: 1, Named: true, PerSecond: 1e308}
 	for _, seed := range []*v1.RelayDatagram{
@@ -25,29 +25,29 @@
 		f.Add(content)
 	}
 	f.Fuzz(func(t *testing.T, content []byte) {
-		told := &v1.RelayDatagram{}
-		if proto.Unmarshal(content, told) != nil {
+		received := &v1.RelayDatagram{}
+		if proto.Unmarshal(content, received) != nil {
 			return
 		}
 		const self = "10.0.0.1:1"
 		member := fleetlimit.NewMember(self)
 		member.SetProcesses(0, []string{self})
-		if ask, valid := askFromWire(told.GetLimitAsk()); valid {
+		if ask, valid := requestFromWire(received.GetLimitAsk()); valid {
 			for now := time.Minute; now < 2*time.Minute; now += time.Second {
-				answer, kept := member.Ask(now, ask, true, 0.5)
-				require.True(t, kept)
+				answer, isOwner := member.Ask(now, ask, true, 0.5)
+				require.True(t, isOwner)
 				require.GreaterOrEqual(t, answer.Wait, time.Duration(0))
-				require.LessOrEqual(t, answer.Wait, longestWait)
+				require.LessOrEqual(t, answer.Wait, maxWait)
 			}
 		}
-		for _, limit := range told.GetLimitNotice().GetLimits() {
+		for _, limit := range received.GetLimitNotice().GetLimits() {
 			if named, valid := fleetlimit.FromWire(limit); valid {
 				require.GreaterOrEqual(t, named.Limit.PerSecond, 0.0)
 				member.Hear(time.Minute, "10.0.0.2:1", named)
 			}
 		}
-		answer, _ := answerFromWire(told.GetLimitAnswer())
+		answer, _ := answerFromWire(received.GetLimitAnswer())
 		require.GreaterOrEqual(t, answer.Wait, time.Duration(0))
-		require.LessOrEqual(t, answer.Wait, longestWait)
+		require.LessOrEqual(t, answer.Wait, maxWait)
 	})
 }
--- a/internal/relay/permits/notices.go
+++ b/internal/relay/permits/notices.go
@@ -10,8 +10,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/pause"
 )
 
-// Run tells other relays of the limits whose counts are this relay's until the context ends: at once what has changed,
-// and all of it again and again, since datagrams are lost and relays come.
+// Run announces the limits that this relay owns to other relays until the context ends. It sends changes at once, and
+// repeats all limits every noticeInterval because datagrams may be lost and new relays may have started.
 func (p *Permits) Run(ctx context.Context) {
 	ticker := time.NewTicker(noticeInterval)
 	defer ticker.Stop()
@@ -20,41 +20,41 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-p.changed:
+		case <-p.limitsChanged:
 		}
-		p.tell(ctx)
+		p.sendNotices(ctx)
 	}
 }
 
-// tell tells all relays once, so many at a time.
-func (p *Permits) tell(ctx context.Context) {
+// sendNotices sends one round of notices to all relays, in batches with a pause after each full batch.
+func (p *Permits) sendNotices(ctx context.Context) {
 	limits := fleetlimit.AllToWire(p.Limits())
 	if len(limits) == 0 {
 		return
 	}
-	for receivers := range slices.Chunk(p.receivers(), noticePace) {
+	for receivers := range slices.Chunk(p.receivers(), noticeBatchRelays) {
 		for _, receiver := range receivers {
-			for told := range slices.Chunk(limits, noticeLimits) {
-				p.config.Socket.Send(receiver, &v1.RelayDatagram{Content: &v1.RelayDatagram_LimitNotice{LimitNotice: &v1.LimitNotice{Limits: told}}})
+			for batch := range slices.Chunk(limits, limitsPerNotice) {
+				p.config.Socket.Send(receiver, &v1.RelayDatagram{Content: &v1.RelayDatagram_LimitNotice{LimitNotice: &v1.LimitNotice{Limits: batch}}})
 			}
 		}
-		if len(receivers) == noticePace && !pause.For(ctx, noticePause) {
+		if len(receivers) == noticeBatchRelays && !pause.For(ctx, noticeBatchPause) {
 			return
 		}
 	}
 }
 
-// receivers are the other relays that are listed, and those that have asked this one lately.
+// receivers returns the addresses of the other listed relays and of unlisted relays that requested permits recently.
 func (p *Permits) receivers() []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := p.config.Now()
-	receivers := make([]string, 0, len(p.relays)+len(p.askers))
-	for asker, at := range p.askers {
-		if now-at >= askerMemory {
-			delete(p.askers, asker)
-		} else if !slices.Contains(p.relays, asker) {
-			receivers = append(receivers, asker)
+	receivers := make([]string, 0, len(p.relays)+len(p.requesters))
+	for requester, at := range p.requesters {
+		if now-at >= requesterRetention {
+			delete(p.requesters, requester)
+		} else if !slices.Contains(p.relays, requester) {
+			receivers = append(receivers, requester)
 		}
 	}
 	for _, relay := range p.relays {
--- a/internal/relay/permits/permits.go
+++ b/internal/relay/permits/permits.go
@@ -12,58 +12,59 @@
 )
 
 const (
-	// unkeptWait is how long a back end is not asked for again for which nobody who keeps its count answers.
-	unkeptWait = 250 * time.Millisecond
+	// noOwnerBackoff is the mean delay before the next permit request for a limit of which no owner answered.
+	noOwnerBackoff = 250 * time.Millisecond
 	// noticeInterval is the time between two notices of the same limits.
 	noticeInterval = time.Second
-	// noticePace is how many relays are told in noticePause at most: 25 kB a second of notices of one limit.
-	noticePace  = 100
-	noticePause = 250 * time.Millisecond
-	// noticeLimits is how many limits one datagram tells of; each takes 22 bytes at most.
-	noticeLimits = 48
-	// askerMemory is how long a relay that has asked is told of limits though it is not listed.
-	askerMemory = 30 * time.Second
+	// noticeBatchRelays is how many relays are sent notices per noticeBatchPause: 25 kB a second for notices of one limit.
+	noticeBatchRelays = 100
+	noticeBatchPause  = 250 * time.Millisecond
+	// limitsPerNotice is how many limits one datagram holds; each takes up to 22 bytes.
+	limitsPerNotice = 48
+	// requesterRetention is how long an unlisted relay is sent notices after its last permit request.
+	requesterRetention = 30 * time.Second
 )
 
-// Config is what permits depend on.
+// Config holds the dependencies of Permits.
 type Config struct {
 	Socket *datagram.Socket
-	// Self identifies this start of the relay.
-	Self uint64
-	// Now is the relay's clock, Draw returns a random number in [0, 1).
+	// Incarnation identifies this incarnation of the relay process.
+	Incarnation uint64
+	// Now returns the relay's clock; Draw returns a random number in [0, 1).
 	Now  func() time.Duration
 	Draw func() float64
-	// Fresh reports whether the list of relays is not old.
-	Fresh func() bool
-	// Told is called with a limit as another relay knows it.
-	Told func(fleetlimit.Named)
-	// Peers is which relays answer.
+	// IsRelayListFresh reports whether the list of relays is recent enough to grant permits by it.
+	IsRelayListFresh func() bool
+	// OnLimit is called with each limit that another relay announces.
+	OnLimit func(fleetlimit.Named)
+	// Peers records which relays answer.
 	Peers *peerhealth.Table
 }
 
-// Permits asks for permits, and grants them where this relay keeps the count. It is safe for concurrent use.
+// Permits requests permits from the owners of limits, and grants permits for the limits that this relay owns. It is safe
+// for concurrent use.
 type Permits struct {
-	config    Config
-	questions *datagram.Questions[*v1.LimitAnswer]
-	// changed tells that there is something new for other relays.
-	changed chan struct{}
+	config  Config
+	queries *datagram.Queries[*v1.LimitAnswer]
+	// limitsChanged holds a value when limits changed that are not announced to other relays yet.
+	limitsChanged chan struct{}
 
 	mutex  sync.Mutex
 	member *fleetlimit.Member
 	relays []string
-	// askers are relays that have asked this one, and when.
-	askers map[string]time.Duration
+	// requesters maps the addresses of relays that requested permits to the time of their last request.
+	requesters map[string]time.Duration
 }
 
-// New returns permits of a relay that knows of no others.
+// New returns the permits of a relay that has no list of relays yet.
 func New(config Config) *Permits {
 	return &Permits{
-		config: config, questions: datagram.NewQuestions[*v1.LimitAnswer](config.Socket), changed: make(chan struct{}, 1),
-		member: fleetlimit.NewMember(config.Socket.Address), askers: map[string]time.Duration{},
+		config: config, queries: datagram.NewQueries[*v1.LimitAnswer](config.Socket), limitsChanged: make(chan struct{}, 1),
+		member: fleetlimit.NewMember(config.Socket.Address), requesters: map[string]time.Duration{},
 	}
 }
 
-// SetRelays takes the addresses of the relays among which counts are spread.
+// SetRelays sets the addresses of the relays among which the limits are distributed.
 func (p *Permits) SetRelays(addresses []string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -74,122 +75,124 @@
 	p.member.SetProcesses(p.config.Now(), addresses)
 }
 
-// Take asks those that keep a back end's count for a permit, one after another until one answers. Where it reports that
-// none does there is no permit: what relays send by themselves would add up.
-func (p *Permits) Take(ask fleetlimit.Ask) (answer fleetlimit.Answer, answered bool) {
-	ask.Asker = p.config.Self
-	for _, keeper := range p.KeepersOf(ask.BackEnd) {
-		if answer, answered = p.askKeeper(keeper, ask); answered {
+// Request requests a permit from a limit's owner, and then from its deputies until one answers. answered is false when
+// none of them does; the permit is then not granted, because requests that relays send on their own would add up beyond
+// the limit. It blocks for up to one timeout per relay.
+func (p *Permits) Request(ask fleetlimit.Ask) (answer fleetlimit.Answer, answered bool) {
+	ask.Asker = p.config.Incarnation
+	for _, owner := range p.OwnersOf(ask.BackEnd) {
+		if answer, answered = p.requestFrom(owner, ask); answered {
 			return answer, true
 		}
 	}
-	return fleetlimit.Answer{Wait: time.Duration((0.5 + p.config.Draw()) * float64(unkeptWait))}, false
+	return fleetlimit.Answer{Wait: time.Duration((0.5 + p.config.Draw()) * float64(noOwnerBackoff))}, false
 }
 
-// KeepersOf returns the addresses of the relays that keep the count of a back end, in the order in which they are asked.
-func (p *Permits) KeepersOf(backEnd uint64) []string {
+// OwnersOf returns the addresses of the relays that count the requests to a back end: the owner, then its deputies.
+func (p *Permits) OwnersOf(backEnd uint64) []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.member.KeepersOf(backEnd)
 }
 
-// askKeeper asks one relay, which may be this one; false when it does not answer or does not keep the count.
-func (p *Permits) askKeeper(keeper string, ask fleetlimit.Ask) (fleetlimit.Answer, bool) {
-	if keeper == p.config.Socket.Address {
+// requestFrom requests a permit from one relay, which may be this one. It returns false when that relay does not answer
+// or does not own the limit.
+func (p *Permits) requestFrom(owner string, ask fleetlimit.Ask) (fleetlimit.Answer, bool) {
+	if owner == p.config.Socket.Address {
 		return p.grant(ask)
 	}
-	asked := p.config.Now()
-	if !p.config.Peers.Trusted(asked, keeper) {
+	sentAt := p.config.Now()
+	if !p.config.Peers.Trusted(sentAt, owner) {
 		return fleetlimit.Answer{}, false
 	}
-	number, answers := p.questions.Begin()
-	defer p.questions.End(number)
-	p.config.Socket.Send(keeper, &v1.RelayDatagram{Content: &v1.RelayDatagram_LimitAsk{LimitAsk: askToWire(ask, number)}})
+	number, answers := p.queries.Open()
+	defer p.queries.Close(number)
+	p.config.Socket.Send(owner, &v1.RelayDatagram{Content: &v1.RelayDatagram_LimitAsk{LimitAsk: requestToWire(ask, number)}})
 	timer := time.NewTimer(p.config.Peers.Timeout())
 	defer timer.Stop()
 	select {
-	case told := <-answers:
-		p.config.Peers.Judge(p.config.Now(), keeper, true, p.config.Now()-asked)
-		return answerFromWire(told)
+	case answer := <-answers:
+		p.config.Peers.RecordQuery(p.config.Now(), owner, true, p.config.Now()-sentAt)
+		return answerFromWire(answer)
 	case <-timer.C:
-		p.config.Peers.Judge(p.config.Now(), keeper, false, p.config.Now()-asked)
+		p.config.Peers.RecordQuery(p.config.Now(), owner, false, p.config.Now()-sentAt)
 		return fleetlimit.Answer{}, false
 	}
 }
 
-// grant answers a question where this relay keeps the count.
+// grant decides on a permit request for a limit that this relay owns. It returns false when another relay owns it.
 func (p *Permits) grant(ask fleetlimit.Ask) (fleetlimit.Answer, bool) {
-	fresh, draw := p.config.Fresh(), p.config.Draw()
+	fresh, draw := p.config.IsRelayListFresh(), p.config.Draw()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.member.Ask(p.config.Now(), ask, fresh, draw)
 }
 
-// Answer answers another relay's question.
-func (p *Permits) Answer(asked *v1.LimitAsk, from string) {
-	ask, valid := askFromWire(asked)
+// HandleRequest answers another relay's permit request.
+func (p *Permits) HandleRequest(request *v1.LimitAsk, from string) {
+	ask, valid := requestFromWire(request)
 	if !valid {
-		p.config.Socket.Drop(datagram.Garbled)
+		p.config.Socket.CountDrop(datagram.Malformed)
 		return
 	}
-	answer, kept := p.grant(ask)
+	answer, isOwner := p.grant(ask)
 	p.mutex.Lock()
-	p.askers[from] = p.config.Now()
+	p.requesters[from] = p.config.Now()
 	p.mutex.Unlock()
-	p.config.Socket.Send(from, &v1.RelayDatagram{Content: &v1.RelayDatagram_LimitAnswer{LimitAnswer: answerToWire(asked, answer, kept)}})
+	p.config.Socket.Send(from, &v1.RelayDatagram{Content: &v1.RelayDatagram_LimitAnswer{LimitAnswer: answerToWire(request, answer, isOwner)}})
 }
 
-// TakeAnswer hands an answer to the question that waits for it.
-func (p *Permits) TakeAnswer(told *v1.LimitAnswer) {
-	p.questions.Take(told.GetNumber(), told.GetRelay() == p.config.Self, told)
+// HandleAnswer delivers an answer to the permit request that waits for it.
+func (p *Permits) HandleAnswer(answer *v1.LimitAnswer) {
+	p.queries.Deliver(answer.GetNumber(), answer.GetRelay() == p.config.Incarnation, answer)
 }
 
-// Heard takes what a back end has named to this relay, and tells those that keep its count.
-func (p *Permits) Heard(named fleetlimit.Named) {
+// ReportLimit sends a limit that a back end declared to this relay to the owner and deputies of that limit.
+func (p *Permits) ReportLimit(named fleetlimit.Named) {
 	notice := &v1.RelayDatagram{Content: &v1.RelayDatagram_LimitNotice{LimitNotice: &v1.LimitNotice{
 		Limits: []*v1.NamedLimit{fleetlimit.ToWire(named)}, Heard: true,
 	}}}
-	for _, keeper := range p.KeepersOf(named.BackEnd) {
-		if keeper == p.config.Socket.Address {
-			p.name(named)
+	for _, owner := range p.OwnersOf(named.BackEnd) {
+		if owner == p.config.Socket.Address {
+			p.recordLimit(named)
 		} else {
-			p.config.Socket.Send(keeper, notice)
+			p.config.Socket.Send(owner, notice)
 		}
 	}
 }
 
-// name takes a limit whose count may be this relay's to keep.
-func (p *Permits) name(named fleetlimit.Named) {
+// recordLimit records a limit where this relay may be its owner.
+func (p *Permits) recordLimit(named fleetlimit.Named) {
 	p.mutex.Lock()
-	news := p.member.Name(p.config.Now(), named)
+	isChanged := p.member.Name(p.config.Now(), named)
 	p.mutex.Unlock()
-	if news {
+	if isChanged {
 		select {
-		case p.changed <- struct{}{}:
-		default: // it waits to be told already
+		case p.limitsChanged <- struct{}{}:
+		default: // an announcement is pending already
 		}
 	}
 }
 
-// TakeNotice takes another relay's word on limits.
-func (p *Permits) TakeNotice(notice *v1.LimitNotice, from string) {
-	for _, told := range notice.GetLimits() {
-		named, valid := fleetlimit.FromWire(told)
+// HandleNotice applies another relay's notice: limits that it received from back ends, or limits that it owns.
+func (p *Permits) HandleNotice(notice *v1.LimitNotice, from string) {
+	for _, wireLimit := range notice.GetLimits() {
+		named, valid := fleetlimit.FromWire(wireLimit)
 		switch {
 		case !valid:
-			p.config.Socket.Drop(datagram.Garbled)
+			p.config.Socket.CountDrop(datagram.Malformed)
 		case notice.GetHeard():
-			p.name(named)
+			p.recordLimit(named)
 		default:
 			p.mutex.Lock()
 			p.member.Hear(p.config.Now(), from, named)
 			p.mutex.Unlock()
-			p.config.Told(named)
+			p.config.OnLimit(named)
 		}
 	}
 }
 
-// Limits returns the limits whose counts are this relay's to keep, and those that were lifted lately.
+// Limits returns the limits that this relay owns, including those that were lifted recently.
 func (p *Permits) Limits() []fleetlimit.Named {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/relay/permits/permits_test.go
+++ b/internal/relay/permits/permits_test.go
@@ -21,15 +21,15 @@
 
 var generous = backpressure.Limit{Named: true, PerSecond: 50_000}
 
-// testMember is one relay's permits at a socket of its own.
+// testMember is one relay's Permits with its own socket.
 type testMember struct {
 	*Permits
 	address string
 
-	mutex sync.Mutex
-	told  []fleetlimit.Named
-	// ahead is how far the clock is ahead, so that settling needs no wait.
-	ahead time.Duration
+	mutex  sync.Mutex
+	limits []fleetlimit.Named
+	// clockOffset moves the clock forward, so that tests need not wait for a settling time.
+	clockOffset time.Duration
 }
 
 func startMember(t *testing.T, self uint64) *testMember {
@@ -42,46 +42,46 @@
 	member := &testMember{address: socket.Address}
 	began := time.Now()
 	member.Permits = New(Config{
-		Socket: socket, Self: self, Peers: peerhealth.New(func(string, time.Duration) {}),
+		Socket: socket, Incarnation: self, Peers: peerhealth.New(func(string, time.Duration) {}),
 		Now: func() time.Duration {
 			member.mutex.Lock()
 			defer member.mutex.Unlock()
-			return time.Since(began) + member.ahead
+			return time.Since(began) + member.clockOffset
 		},
-		Draw: func() float64 { return 0.5 }, Fresh: func() bool { return true },
-		Told: func(named fleetlimit.Named) {
+		Draw: func() float64 { return 0.5 }, IsRelayListFresh: func() bool { return true },
+		OnLimit: func(named fleetlimit.Named) {
 			member.mutex.Lock()
 			defer member.mutex.Unlock()
-			member.told = append(member.told, named)
+			member.limits = append(member.limits, named)
 		},
 	})
-	go socket.Receive(func(told *v1.RelayDatagram, from string) {
-		switch content := told.GetContent().(type) {
+	go socket.Receive(func(received *v1.RelayDatagram, from string) {
+		switch content := received.GetContent().(type) {
 		case *v1.RelayDatagram_LimitAsk:
-			member.Answer(content.LimitAsk, from)
+			member.HandleRequest(content.LimitAsk, from)
 		case *v1.RelayDatagram_LimitAnswer:
-			member.TakeAnswer(content.LimitAnswer)
+			member.HandleAnswer(content.LimitAnswer)
 		case *v1.RelayDatagram_LimitNotice:
-			member.TakeNotice(content.LimitNotice, from)
+			member.HandleNotice(content.LimitNotice, from)
 		}
 	})
 	go member.Run(t.Context())
 	return member
 }
 
-func (m *testMember) heard() []fleetlimit.Named {
+func (m *testMember) receivedLimits() []fleetlimit.Named {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return slices.Clone(m.told)
+	return slices.Clone(m.limits)
 }
 
 func (m *testMember) advance(length time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.ahead += length
+	m.clockOffset += length
 }
 
-// startMembers starts members that know of each other, the keepers of the back end first and in their order.
+// startMembers starts relays that list each other, sorted so that the back end's owner and deputies come first.
 func startMembers(t *testing.T, count int) []*testMember {
 	members := make([]*testMember, count)
 	var addresses []string
@@ -93,59 +93,60 @@
 		member.SetRelays(addresses)
 		member.advance(10 * time.Second)
 	}
-	keepers := members[0].KeepersOf(backEnd)
+	owners := members[0].OwnersOf(backEnd)
 	rank := func(member *testMember) int {
-		if index := slices.Index(keepers, member.address); index >= 0 {
+		if index := slices.Index(owners, member.address); index >= 0 {
 			return index
 		}
-		return len(keepers)
+		return len(owners)
 	}
 	slices.SortStableFunc(members, func(a, b *testMember) int { return rank(a) - rank(b) })
 	return members
 }
 
-func (m *testMember) granted() bool {
-	answer, _ := m.Take(fleetlimit.Ask{BackEnd: backEnd, Limit: generous})
+func (m *testMember) getsPermit() bool {
+	answer, _ := m.Request(fleetlimit.Ask{BackEnd: backEnd, Limit: generous})
 	return answer.Granted
 }
 
-// Each member gets its permits from the one that keeps the count, which tells all of the limit, and of its end.
-func TestOneMemberKeepsTheCount(t *testing.T) {
+// Every relay gets its permits from the limit's owner, which announces the limit and its end to all relays.
+func TestLimitOwnerGrantsPermitsAndAnnouncesLimits(t *testing.T) {
 	members := startMembers(t, 5)
-	members[4].Heard(fleetlimit.Named{BackEnd: backEnd, Limit: generous})
+	members[4].ReportLimit(fleetlimit.Named{BackEnd: backEnd, Limit: generous})
 	for _, member := range members[1:] {
 		require.Eventually(t, func() bool {
-			return slices.Contains(member.heard(), fleetlimit.Named{BackEnd: backEnd, Limit: generous})
+			return slices.Contains(member.receivedLimits(), fleetlimit.Named{BackEnd: backEnd, Limit: generous})
 		}, time.Minute, time.Millisecond)
-		require.Eventually(t, member.granted, time.Minute, time.Millisecond)
+		require.Eventually(t, member.getsPermit, time.Minute, time.Millisecond)
 	}
 	require.Len(t, members[0].Limits(), 1)
-	members[3].Heard(fleetlimit.Named{BackEnd: backEnd})
+	members[3].ReportLimit(fleetlimit.Named{BackEnd: backEnd})
 	require.Eventually(t, func() bool {
-		return slices.Contains(members[4].heard(), fleetlimit.Named{BackEnd: backEnd})
+		return slices.Contains(members[4].receivedLimits(), fleetlimit.Named{BackEnd: backEnd})
 	}, time.Minute, time.Millisecond)
-	answer, answered := members[4].Take(fleetlimit.Ask{BackEnd: backEnd, Limit: generous})
+	answer, answered := members[4].Request(fleetlimit.Ask{BackEnd: backEnd, Limit: generous})
 	require.True(t, answered)
-	require.Equal(t, fleetlimit.Answer{Granted: true}, answer, "there is no limit any more")
+	require.Equal(t, fleetlimit.Answer{Granted: true}, answer, "the limit was lifted")
 }
 
-// Where the one that keeps the count is gone others stand in; where none answers there is no permit.
+// Deputies grant permits when the owner of a limit is gone; when no deputy answers either, no permit is granted.
 func TestOthersStandIn(t *testing.T) {
 	members := startMembers(t, 5)
 	for gone := range 2 {
 		_ = members[gone].config.Socket.Close()
-		require.Eventually(t, members[4].granted, time.Minute, time.Millisecond)
+		require.Eventually(t, members[4].getsPermit, time.Minute, time.Millisecond)
 	}
 	_ = members[2].config.Socket.Close()
-	answer, answered := members[4].Take(fleetlimit.Ask{BackEnd: backEnd, Limit: generous})
+	answer, answered := members[4].Request(fleetlimit.Ask{BackEnd: backEnd, Limit: generous})
 	require.False(t, answered)
 	require.False(t, answer.Granted)
 	require.Positive(t, answer.Wait)
 }
 
-// A relay that knows of no others sends nothing: what relays send by themselves would add up.
+// A relay without a list of relays sends nothing to a limited back end, because requests that relays send on their own
+// would add up beyond the limit.
 func TestARelayThatKnowsNobodyGetsNoPermit(t *testing.T) {
-	answer, answered := startMember(t, 1).Take(fleetlimit.Ask{BackEnd: backEnd, Limit: generous})
+	answer, answered := startMember(t, 1).Request(fleetlimit.Ask{BackEnd: backEnd, Limit: generous})
 	require.False(t, answered)
 	require.False(t, answer.Granted)
 }
--- a/internal/relay/permits/wire.go
+++ b/internal/relay/permits/wire.go
@@ -7,38 +7,39 @@
 	"github.com/hazelpitch/hazelpitch/internal/fleetlimit"
 )
 
-// askToWire writes a question.
-func askToWire(ask fleetlimit.Ask, number uint64) *v1.LimitAsk {
+// requestToWire encodes a permit request.
+func requestToWire(ask fleetlimit.Ask, number uint64) *v1.LimitAsk {
 	return &v1.LimitAsk{
 		Relay: ask.Asker, Number: number, Limit: fleetlimit.ToWire(fleetlimit.Named{BackEnd: ask.BackEnd, Limit: ask.Limit}),
 		Heard: ask.Heard, Rank: uint32(ask.Rank), Owed: ask.Owed,
 	}
 }
 
-// askFromWire reads a question; false for one that is none.
-func askFromWire(told *v1.LimitAsk) (fleetlimit.Ask, bool) {
-	named, valid := fleetlimit.FromWire(told.GetLimit())
+// requestFromWire decodes a permit request; it returns false for an invalid one.
+func requestFromWire(request *v1.LimitAsk) (fleetlimit.Ask, bool) {
+	named, valid := fleetlimit.FromWire(request.GetLimit())
 	ask := fleetlimit.Ask{
-		BackEnd: named.BackEnd, Limit: named.Limit, Heard: told.GetHeard(), Asker: told.GetRelay(),
-		Rank: int(min(told.GetRank(), fleetlimit.Ranks-1)), Owed: told.GetOwed(),
+		BackEnd: named.BackEnd, Limit: named.Limit, Heard: request.GetHeard(), Asker: request.GetRelay(),
+		Rank: int(min(request.GetRank(), fleetlimit.Ranks-1)), Owed: request.GetOwed(),
 	}
 	return ask, valid
 }
 
-// answerToWire writes the answer to a question.
-func answerToWire(asked *v1.LimitAsk, answer fleetlimit.Answer, kept bool) *v1.LimitAnswer {
+// answerToWire encodes the answer to a permit request.
+func answerToWire(request *v1.LimitAsk, answer fleetlimit.Answer, isOwner bool) *v1.LimitAnswer {
 	return &v1.LimitAnswer{
-		Number: asked.GetNumber(), Relay: asked.GetRelay(), Granted: answer.Granted, WaitUs: uint64(max(answer.Wait.Microseconds(), 0)),
-		Limit: fleetlimit.ToWire(fleetlimit.Named{BackEnd: asked.GetLimit().GetBackEnd(), Limit: answer.Limit}), NotKept: !kept,
+		Number: request.GetNumber(), Relay: request.GetRelay(), Granted: answer.Granted, WaitUs: uint64(max(answer.Wait.Microseconds(), 0)),
+		Limit: fleetlimit.ToWire(fleetlimit.Named{BackEnd: request.GetLimit().GetBackEnd(), Limit: answer.Limit}), NotKept: !isOwner,
 	}
 }
 
-// longestWait bounds the wait that another process can ask for.
-const longestWait = 10 * time.Second
+// maxWait bounds the wait that another process can impose with its answer.
+const maxWait = 10 * time.Second
 
-// answerFromWire reads an answer; false for one that is none.
-func answerFromWire(told *v1.LimitAnswer) (fleetlimit.Answer, bool) {
-	named, valid := fleetlimit.FromWire(told.GetLimit())
-	wait := time.Duration(min(told.GetWaitUs(), uint64(longestWait.Microseconds()))) * time.Microsecond
-	return fleetlimit.Answer{Granted: told.GetGranted(), Wait: wait, Limit: named.Limit}, valid && !told.GetNotKept()
+// answerFromWire decodes an answer; it returns false for one that is invalid or comes from a relay that does not own the
+// limit.
+func answerFromWire(wireAnswer *v1.LimitAnswer) (fleetlimit.Answer, bool) {
+	named, valid := fleetlimit.FromWire(wireAnswer.GetLimit())
+	wait := time.Duration(min(wireAnswer.GetWaitUs(), uint64(maxWait.Microseconds()))) * time.Microsecond
+	return fleetlimit.Answer{Granted: wireAnswer.GetGranted(), Wait: wait, Limit: named.Limit}, valid && !wireAnswer.GetNotKept()
 }
--- a/internal/relay/pick.go
+++ b/internal/relay/pick.go
@@ -95,7 +95,7 @@
 	seen := r.surveyOf(r.view.Load().byService[request.service.Name], nil, excluded, now)
 	limit := idleLimitOf(request.route)
 	for index, backEnd := range seen.backEnds {
-		seen.engines[index].Connected = backEnd.pool.Holds(now, limit)
+		seen.engines[index].Connected = backEnd.pool.HasIdle(now, limit)
 	}
 	wanted := placement.Request{Now: now, Stage: answeringStage(request.service), Zone: r.settings.Zone}
 	return seen.place(r.policy.Generator(wanted, seen.engines, r.draw))
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -85,7 +85,7 @@
 	}
 	connection, err := r.exchanger.open(known, dialTimeout)
 	if err == nil {
-		known.pool.Give(connection, r.clock.now())
+		known.pool.Put(connection, r.clock.now())
 	}
 	return crashguard.SightOf(err)
 }
--- a/internal/relay/relay_metrics.go
+++ b/internal/relay/relay_metrics.go
@@ -124,7 +124,7 @@
 		return float64(len(relay.owners.ownedEngines()))
 	})
 	factory.GaugeFunc("retry_budget_left", "Sendings beyond the first that the service with fewest left allows.", func() float64 {
-		return relay.budget.Least(relay.clock.now())
+		return relay.budget.MinimumLeft(relay.clock.now())
 	})
 	factory.GaugeFunc("requests_held", "Requests that are kept away from back ends, since some have ended under them.", func() float64 {
 		return float64(relay.guard.HeldCount())
--- a/internal/relay/release.go
+++ b/internal/relay/release.go
@@ -19,7 +19,7 @@
 	if held.engine.resting(now) || !e.permitted(held.engine, ownCallRank, false) {
 		return // the prompt lapses by itself
 	}
-	connection := held.engine.pool.Take(now, unsafeIdleLimit)
+	connection := held.engine.pool.Get(now, unsafeIdleLimit)
 	if connection == nil {
 		var err error
 		if connection, err = e.open(held.engine, releaseTimeout); err != nil {
--- a/internal/relay/retrybudget/budget.go
+++ b/internal/relay/retrybudget/budget.go
@@ -1,5 +1,4 @@
-// Package retrybudget bounds the sendings beyond the first of each request, of one relay's part of what the whole fleet
-// of relays may make.
+// Package retrybudget bounds the retries of one relay, so that all relays together stay within the fleet's retry budget.
 package retrybudget
 
 import (
@@ -8,21 +7,20 @@
 )
 
 const (
-	// buckets is how finely the window of a retry budget is divided.
-	buckets = 10
-	// SlackShare is the part of the fleet's slack that relays share out; the rest
-	// covers restarts, which forget what was spent, and counts of relays that lag.
+	// bucketCount is the number of buckets into which the window of a retry budget is divided.
+	bucketCount = 10
+	// SlackShare is the fraction of the fleet's slack that is divided among the relays. The remainder covers restarted
+	// relays, which lose their counts, and relays whose number of relays is out of date.
 	SlackShare = 0.7
-	// ratioShare is likewise the part of the ratio that is used.
+	// ratioShare is the fraction of the ratio that is used, for the same reasons.
 	ratioShare = 0.85
-	// relaysUnknown stands for the number of relays until a controller tells it.
-	relaysUnknown = 64
+	// assumedRelays is the number of relays to assume until a controller sends the actual number.
+	assumedRelays = 64
 )
 
-// Budget bounds how many sendings beyond the first of each request this relay makes
-// to each service within any window: a ratio of its own requests, and its share of a slack
-// that the whole fleet has. Since every relay keeps to its part, the fleet keeps to the
-// whole without asking anyone. It is safe for concurrent use.
+// Budget bounds how many retries this relay sends to each service within any window: a ratio of its own requests, plus its
+// share of a slack for the whole fleet. When every relay stays within its share, the fleet stays within the budget without
+// coordination. It is safe for concurrent use.
 type Budget struct {
 	mutex    sync.Mutex
 	ratio    float64
@@ -32,20 +30,20 @@
 	services map[string]*serviceWindow
 }
 
-// serviceWindow counts over one more bucket than the window has, so that every window that
-// ends now lies within.
+// serviceWindow holds the counts of one service. It has one bucket more than the window, so that it covers every window
+// that ends now.
 type serviceWindow struct {
 	firstBucket int64
-	requests    [buckets + 1]int
-	extras      [buckets + 1]int
+	requests    [bucketCount + 1]int
+	retries     [bucketCount + 1]int
 }
 
-// New returns a budget of a ratio and a slack within any window, for a fleet whose size is not known yet.
+// New returns a budget with a ratio and a slack within any window, for a fleet of unknown size.
 func New(ratio float64, window time.Duration, slack float64) *Budget {
-	return &Budget{ratio: ratio, window: window, slack: slack, relays: relaysUnknown, services: map[string]*serviceWindow{}}
+	return &Budget{ratio: ratio, window: window, slack: slack, relays: assumedRelays, services: map[string]*serviceWindow{}}
 }
 
-// SetBounds changes the bounds. A window of another length begins empty.
+// SetBounds changes the bounds. All counts are reset when the window's length changes.
 func (b *Budget) SetBounds(ratio float64, window time.Duration, slack float64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -55,7 +53,7 @@
 	b.ratio, b.window, b.slack = ratio, window, slack
 }
 
-// SetRelays tells how many relays share the slack.
+// SetRelays sets the number of relays that share the slack; it ignores 0.
 func (b *Budget) SetRelays(count int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -64,78 +62,78 @@
 	}
 }
 
-// NoteRequest notes a request for the service.
-func (b *Budget) NoteRequest(now time.Duration, service string) {
+// RecordRequest counts a request to the service.
+func (b *Budget) RecordRequest(now time.Duration, service string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	window := b.advance(now, service)
 	window.requests[len(window.requests)-1]++
 }
 
-// Take reports whether one more sending may be made, and counts it.
-func (b *Budget) Take(now time.Duration, service string) bool {
+// TrySpend reports whether one more retry may be sent, and counts it if so.
+func (b *Budget) TrySpend(now time.Duration, service string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	window := b.advance(now, service)
-	if !b.hasRoom(window) {
+	if !b.canSpend(window) {
 		return false
 	}
-	window.extras[len(window.extras)-1]++
+	window.retries[len(window.retries)-1]++
 	return true
 }
 
-// Allows reports whether Take would succeed.
-func (b *Budget) Allows(now time.Duration, service string) bool {
+// CanSpend reports whether TrySpend would succeed.
+func (b *Budget) CanSpend(now time.Duration, service string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.hasRoom(b.advance(now, service))
+	return b.canSpend(b.advance(now, service))
 }
 
-// Least is how many sendings may be made to the service that has fewest left.
-func (b *Budget) Least(now time.Duration) float64 {
+// MinimumLeft returns how many retries are left for the service that has the fewest left.
+func (b *Budget) MinimumLeft(now time.Duration) float64 {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	least := b.left(&serviceWindow{})
+	minimum := b.left(&serviceWindow{})
 	for service := range b.services {
-		least = min(least, b.left(b.advance(now, service)))
+		minimum = min(minimum, b.left(b.advance(now, service)))
 	}
-	return least
+	return minimum
 }
 
-// hasRoom reports whether one more sending may be made.
-func (b *Budget) hasRoom(window *serviceWindow) bool { return b.left(window) >= 1 }
+// canSpend reports whether one more retry may be sent.
+func (b *Budget) canSpend(window *serviceWindow) bool { return b.left(window) >= 1 }
 
-// left is what the requests in the window allow, its oldest bucket not counted, less what was
-// spent in it, its oldest bucket counted whole.
+// left returns the allowed retries minus the retries in the window. To stay within the bounds of any window, requests of
+// the oldest bucket are excluded and retries of the oldest bucket are included.
 func (b *Budget) left(window *serviceWindow) float64 {
-	requests, extras := 0, 0
-	for index := range window.extras {
-		extras += window.extras[index]
+	requests, retries := 0, 0
+	for index := range window.retries {
+		retries += window.retries[index]
 		if index > 0 {
 			requests += window.requests[index]
 		}
 	}
 	allowed := b.ratio*ratioShare*float64(requests) + b.slack*SlackShare/float64(b.relays)
-	return allowed - float64(extras)
+	return allowed - float64(retries)
 }
 
-// advance returns the service's window with its last bucket at now.
+// advance returns the service's window, shifted so that its last bucket contains now.
 func (b *Budget) advance(now time.Duration, service string) *serviceWindow {
 	window := b.services[service]
-	first := int64(now/(b.window/buckets)) - buckets
+	first := int64(now/(b.window/bucketCount)) - bucketCount
 	if window == nil {
 		window = &serviceWindow{firstBucket: first}
 		b.services[service] = window
 	}
-	passed := min(max(first-window.firstBucket, 0), int64(len(window.extras)))
+	passed := min(max(first-window.firstBucket, 0), int64(len(window.retries)))
 	window.firstBucket = max(window.firstBucket, first)
 	shift(&window.requests, int(passed))
-	shift(&window.extras, int(passed))
+	shift(&window.retries, int(passed))
 	return window
 }
 
-// shift drops the oldest buckets.
-func shift(counts *[buckets + 1]int, passed int) {
+// shift removes the oldest buckets and appends empty ones.
+func shift(counts *[bucketCount + 1]int, passed int) {
 	if passed == 0 {
 		return
 	}
--- a/internal/relay/retrybudget/budget_test.go
+++ b/internal/relay/retrybudget/budget_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// However requests and failures come, all relays together keep within the ratio and the slack in any
-// window, also while one of them restarts and forgets what it has spent.
+// For any sequence of requests and failures, all relays together stay within the ratio and the slack in any window, even
+// when one relay restarts and loses its counts.
 func TestRelaysKeepTheFleetsRetryBudget(t *testing.T) {
 	const (
 		ratio, slack = 0.2, 54.0
@@ -19,50 +19,50 @@
 	)
 	rapid.Check(t, func(t *rapid.T) {
 		relays := make([]*Budget, rapid.IntRange(1, 12).Draw(t, "relays"))
-		begin := func(index int) {
+		restart := func(index int) {
 			relays[index] = New(ratio, window, slack)
 			relays[index].SetRelays(len(relays))
 		}
 		for index := range relays {
-			begin(index)
+			restart(index)
 		}
 		restarted := false
-		var requests, extras []int // by step, of all relays
+		var requests, retries []int // sums over all relays, one entry per step
 		for number := range rapid.IntRange(50, 400).Draw(t, "steps") {
 			now := time.Duration(number) * step
 			arriving := rapid.IntRange(0, 20).Draw(t, "arriving")
 			failing := rapid.IntRange(0, 40).Draw(t, "failing")
-			taken := 0
+			granted := 0
 			for count := range arriving {
-				relays[(number+count)%len(relays)].NoteRequest(now, service)
+				relays[(number+count)%len(relays)].RecordRequest(now, service)
 			}
 			for count := range failing {
-				if relays[(number+count)%len(relays)].Take(now, service) {
-					taken++
+				if relays[(number+count)%len(relays)].TrySpend(now, service) {
+					granted++
 				}
 			}
-			requests, extras = append(requests, arriving), append(extras, taken)
+			requests, retries = append(requests, arriving), append(retries, granted)
 			if !restarted && number == 30 && len(relays) > 3 {
-				begin(0)
+				restart(0)
 				restarted = true
 			}
 			allowed, spent := slack, 0
 			for back := max(0, number-int(window/step)+1); back <= number; back++ {
 				allowed += ratio * float64(requests[back])
-				spent += extras[back]
+				spent += retries[back]
 			}
 			require.LessOrEqual(t, float64(spent), allowed, "at %s", now)
 		}
 	})
 }
 
-func TestABudgetWithoutWordOfTheOtherRelaysIsSmall(t *testing.T) {
+func TestBudgetAssumesManyRelaysUntilTheirCountIsKnown(t *testing.T) {
 	budget := New(0, 10*time.Second, 640)
-	taken := 0
-	for budget.Take(time.Second, "service") {
-		taken++
+	granted := 0
+	for budget.TrySpend(time.Second, "service") {
+		granted++
 	}
-	require.Equal(t, 7, taken, "a share of the slack as if there were 64 relays")
-	require.False(t, budget.Take(10*time.Second, "service"))
-	require.True(t, budget.Take(13*time.Second, "service"), "the window has passed")
+	require.Equal(t, 7, granted, "a share of the slack as if there were 64 relays")
+	require.False(t, budget.TrySpend(10*time.Second, "service"))
+	require.True(t, budget.TrySpend(13*time.Second, "service"), "the window has passed")
 }
--- a/internal/relay/serve_engine.go
+++ b/internal/relay/serve_engine.go
@@ -78,7 +78,7 @@
 func (r *Relay) noteRefusedWork(stream *streamReply, decision placement.Decision, chosen *place) {
 	service := stream.request.service.Name
 	if decision.Short == serving.StageDecode {
-		r.work.Generate(service, r.work.Residence(service)/time.Duration(max(chosen.backEnd.Slots, 1)))
+		r.work.AddDecode(service, r.work.Residence(service)/time.Duration(max(chosen.backEnd.Slots, 1)))
 		return
 	}
 	r.noteAskedReading(service, chosen.backEnd, chosen.Effort)
@@ -86,7 +86,7 @@
 
 // noteAskedReading counts a reading as work that prefill engines are asked for.
 func (r *Relay) noteAskedReading(service string, engine *backEnd, effort int) {
-	r.work.Read(service, placement.PrefillTime(r.pace.of(engine.hash), effort))
+	r.work.AddPrefill(service, placement.PrefillTime(r.pace.of(engine.hash), effort))
 }
 
 // placeReading decides where the prompt is read, after so many waits for others' readings.
--- a/internal/relay/serve_request.go
+++ b/internal/relay/serve_request.go
@@ -45,7 +45,7 @@
 	request.service = view.table.Service(r.chooseService(request.route))
 	request.prompt = serving.ParsePrompt(string(request.header.Peek(names.Model)),
 		string(request.header.Peek(names.Tokens)), string(request.header.Peek(names.PromptParts)))
-	r.budget.NoteRequest(r.clock.now(), request.service.Name)
+	r.budget.RecordRequest(r.clock.now(), request.service.Name)
 	defer r.noteAnswered(request, reply)
 	if !r.admitHeld(request, reply) {
 		return
@@ -103,7 +103,7 @@
 		request.trace.engine, request.trace.sentAt = backEnd.ID, r.clock.now()
 		answer, fault := r.exchanger.send(&message{request: request, backEnd: backEnd, deadline: request.deadline, work: placement.Work{Streams: 1}, chosen: chosen,
 			stall: stallLimit(request.route), mayBreak: tried.leaveAnother()})
-		r.work.Answer(request.service.Name, r.clock.now()-request.trace.sentAt, backEnd.Slots)
+		r.work.AddWholeAnswer(request.service.Name, r.clock.now()-request.trace.sentAt, backEnd.Slots)
 		if fault == nil || fault.verdict != verdict.NotRun {
 			r.noteRun(request, request.trace.sentAt)
 		}
@@ -163,7 +163,7 @@
 // answer. It takes nothing from the budget: mayContinue does.
 func (r *Relay) mayReplace(answer *answer, tried *attempts) bool {
 	return tried.leaveAnother() && !tried.over() && r.othersLeft(answer, tried) &&
-		r.budget.Allows(r.clock.now(), answer.message.request.service.Name)
+		r.budget.CanSpend(r.clock.now(), answer.message.request.service.Name)
 }
 
 // othersLeft reports whether a back end is left that has not been tried.
--- a/internal/relay/silent_test.go
+++ b/internal/relay/silent_test.go
@@ -50,10 +50,10 @@
 	for range 3 {
 		connection, err := relay.exchanger.open(known, time.Second)
 		require.NoError(t, err)
-		connection.Served = 1
-		known.pool.Give(connection, relay.clock.now())
+		connection.AnsweredRequests = 1
+		known.pool.Put(connection, relay.clock.now())
 	}
 	close(silent)
 	require.Equal(t, 200, relay.client(t).do("GET", "/path/", "").status, "it runs elsewhere")
-	require.False(t, known.pool.Holds(relay.clock.now(), connpool.DefaultIdleLimit), "none of them rests there")
+	require.False(t, known.pool.HasIdle(relay.clock.now(), connpool.DefaultIdleLimit), "none of them rests there")
 }
--- a/internal/relay/splitdraw/draws.go
+++ b/internal/relay/splitdraw/draws.go
@@ -1,5 +1,5 @@
-// Package splitdraw draws the service of a route that several services share, so that each gets its share of even a few
-// requests.
+// Package splitdraw selects a service for each request on a route that is split between services, so that each service
+// gets its share even of a small number of requests.
 package splitdraw
 
 import (
@@ -8,37 +8,36 @@
 )
 
 const (
-	// drawStep is the golden ratio's part: its multiples fill [0, 1) as evenly as any.
+	// drawStep is the fractional part of the golden ratio: its multiples modulo 1 fill [0, 1) evenly.
 	drawStep = 0.6180339887498949
-	// mostRoutes bounds the routes whose draws are remembered.
-	mostRoutes = 4096
+	// maxRoutes bounds the routes whose sequences are stored.
+	maxRoutes = 4096
 )
 
-// Draws draws numbers in [0, 1) for the choice between a route's services. Each route has
-// a sequence of its own that fills the range evenly, so that each service gets its weight's
-// share of even a few dozen requests, where independent draws are off by tenths. It is safe for
-// concurrent use.
+// Draws generates numbers in [0, 1) for the choice between a route's services. Each route has its own low-discrepancy
+// sequence, so that each service gets its weight's share of even a few dozen requests; with independent random draws, the
+// shares would be off by tenths. It is safe for concurrent use.
 type Draws struct {
 	mutex sync.Mutex
-	// last are the newest draws by the names of routes.
+	// last maps routes' names to the last number of their sequences.
 	last map[string]float64
-	// first draws where a sequence begins, so that relays differ.
+	// first returns the start of a new sequence; it is random, so that relays differ.
 	first func() float64
 }
 
-// New returns draws whose sequences begin where first draws.
+// New returns Draws whose sequences start at the numbers that first returns.
 func New(first func() float64) *Draws {
 	return &Draws{last: map[string]float64{}, first: first}
 }
 
-// Next returns the next number of a route.
+// Next returns the next number of a route's sequence.
 func (d *Draws) Next(route string) float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	last, known := d.last[route]
 	if !known {
-		if len(d.last) >= mostRoutes {
-			clear(d.last) // routes come and go; their sequences may begin anew
+		if len(d.last) >= maxRoutes {
+			clear(d.last) // removes routes that no longer exist; the sequences of the others restart
 		}
 		last = d.first()
 	}
--- a/internal/relay/splitdraw/draws_test.go
+++ b/internal/relay/splitdraw/draws_test.go
@@ -10,7 +10,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// Each service of a route gets its share of any few dozen requests, wherever they begin.
+// Each service of a route gets its share of any 40 consecutive requests, within 2 requests.
 func TestSplitsKeepToTheirWeights(t *testing.T) {
 	for _, weight := range []int{1, 10, 50, 75, 90} {
 		split := serving.Route{Splits: []serving.Split{{Service: "one", Weight: weight}, {Service: "two", Weight: 100 - weight}}}
@@ -33,12 +33,12 @@
 	}
 }
 
-// Routes that come and go do not fill the memory.
+// The number of stored sequences is bounded when routes come and go.
 func TestSplitDrawsAreBounded(t *testing.T) {
 	draws := New(func() float64 { return 0.5 })
-	for count := range 3 * mostRoutes {
+	for count := range 3 * maxRoutes {
 		draw := draws.Next(fmt.Sprint(count))
 		require.True(t, draw >= 0 && draw < 1)
-		require.LessOrEqual(t, len(draws.last), mostRoutes)
+		require.LessOrEqual(t, len(draws.last), maxRoutes)
 	}
 }
--- a/internal/relay/started_again.go
+++ b/internal/relay/started_again.go
@@ -14,6 +14,6 @@
 	}
 	r.event(events.BackEndStartedAgain).Str("back_end", backEnd.ID).Int64("born", born).Send()
 	backEnd.cache.clear(placement.CacheCapacity(backEnd.Stage, cacheTokens(r.view.Load(), backEnd.Service)))
-	backEnd.pool.Drop()
+	backEnd.pool.CloseIdle()
 	r.guard.Ended(backEnd.ID)
 }
--- a/internal/relay/stream_reply.go
+++ b/internal/relay/stream_reply.go
@@ -82,7 +82,7 @@
 	}
 	began := s.relay.clock.now()
 	if engine.isEngine() {
-		ended := s.relay.work.Run(began, s.request.service.Name, engine.Slots)
+		ended := s.relay.work.BeginRun(began, s.request.service.Name, engine.Slots)
 		defer func() { ended(s.relay.clock.now()) }()
 		if chosen.Effort > 0 { // prefill engines could read it as well, in the time that counts
 			s.relay.noteAskedReading(s.request.service.Name, engine, chosen.Effort)
--- a/internal/relay/suspension_test.go
+++ b/internal/relay/suspension_test.go
@@ -46,7 +46,7 @@
 	require.Equal(t, int64(1), connections.Load())
 	// The connection is put back after the client has its answer: it must rest before the machine does.
 	pool := &relay.view.Load().byService["service"][0].pool
-	require.Eventually(t, func() bool { return pool.Holds(relay.clock.now(), unsafeIdleLimit) }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return pool.HasIdle(relay.clock.now(), unsafeIdleLimit) }, time.Minute, time.Millisecond)
 	away.Add(int64(2 * time.Second))
 	require.Equal(t, 200, client.do("POST", "/path/", "x").status)
 	require.Equal(t, int64(2), connections.Load())
--- a/internal/relay/workmeter/meter.go
+++ b/internal/relay/workmeter/meter.go
@@ -1,4 +1,4 @@
-// Package workmeter sums the time for which requests keep back ends busy, as controllers plan stages and replicas by it.
+// Package workmeter sums up how long requests occupy back ends; controllers plan stages and replicas by these sums.
 package workmeter
 
 import (
@@ -10,103 +10,103 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// Meter sums the time that requests keep prefill and decoding engines busy, by
-// service, for the plan of the engines' stages. It is safe for concurrent use.
+// Meter sums up, per service, the time for which requests occupy prefill and decoding engines. Controllers plan the
+// engines' stages by it. It is safe for concurrent use.
 type Meter struct {
-	mutex    sync.Mutex
-	since    time.Duration
-	services map[string]*serviceWork
-	reported []*v1.RoleDemand
+	mutex       sync.Mutex
+	windowStart time.Duration
+	services    map[string]*serviceWork
+	lastReport  []*v1.RoleDemand
 }
 
-// serviceWork is the engine time of one service in the window that runs.
+// serviceWork is the engine time that one service used in the current window.
 type serviceWork struct {
 	prefill, decode time.Duration
-	// whole is the time for which requests that are answered whole would fill all slots of one back end.
-	whole time.Duration
-	// running is how many decoding engines the streams that run now would fill; decode counts
-	// them up to countedTo.
-	running   float64
-	countedTo time.Duration
-	// ran and ranSquared are sums over the runs that have ended, in seconds and their squares;
-	// older runs count less.
-	ran, ranSquared float64
+	// wholeAnswers is the time for which non-streaming requests would occupy all slots of one back end.
+	wholeAnswers time.Duration
+	// runningEngines is how many decoding engines the running streams would fill. decode includes their time up to
+	// accountedUntil.
+	runningEngines float64
+	accountedUntil time.Duration
+	// runSeconds and runSecondsSquared are the sums of the durations of ended runs, in seconds, and of their squares, with
+	// exponential decay.
+	runSeconds, runSecondsSquared float64
 }
 
-// runMemory is by how much each run that ends makes the older ones count less.
-const runMemory = 0.995
+// runDecay is the factor that each ended run applies to the sums of the earlier runs.
+const runDecay = 0.995
 
-// reportWindow is the time over which work is summed.
+// reportWindow is the length of the window over which work is summed up.
 const reportWindow = time.Second
 
-// New returns a meter that knows of no work.
+// New returns a Meter without any work.
 func New() *Meter { return &Meter{services: map[string]*serviceWork{}} }
 
-// Read notes time that a request of a service asks of prefill engines.
-func (m *Meter) Read(service string, took time.Duration) {
+// AddPrefill adds time that a request of a service needs on prefill engines.
+func (m *Meter) AddPrefill(service string, took time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.of(service).prefill += took
+	m.workOf(service).prefill += took
 }
 
-// Generate notes time that a request of a service asks of decoding engines.
-func (m *Meter) Generate(service string, took time.Duration) {
+// AddDecode adds time that a request of a service needs on decoding engines.
+func (m *Meter) AddDecode(service string, took time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.of(service).decode += took
+	m.workOf(service).decode += took
 }
 
-// Answer notes for how long a request that is answered whole has kept one of a back end's slots.
-func (m *Meter) Answer(service string, took time.Duration, slots int) {
+// AddWholeAnswer adds the time for which a non-streaming request occupied one of a back end's slots.
+func (m *Meter) AddWholeAnswer(service string, took time.Duration, slots int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.of(service).whole += took / time.Duration(max(slots, 1))
+	m.workOf(service).wholeAnswers += took / time.Duration(max(slots, 1))
 }
 
-// Run notes that a stream begins to fill a slot of a decoding engine with so many slots, or to
-// wait for one; the function that it returns notes its end.
-func (m *Meter) Run(now time.Duration, service string, slots int) (ended func(now time.Duration)) {
+// BeginRun records that a stream begins to occupy, or to wait for, one slot of a decoding engine with the given number of
+// slots. The caller must call the returned function once when the stream ends.
+func (m *Meter) BeginRun(now time.Duration, service string, slots int) (end func(now time.Duration)) {
 	share := 1 / float64(max(slots, 1))
-	m.change(now, service, share)
-	return func(ended time.Duration) {
-		m.change(ended, service, -share)
-		m.ended(service, ended-now)
+	m.addRunning(now, service, share)
+	return func(endedAt time.Duration) {
+		m.addRunning(endedAt, service, -share)
+		m.recordRun(service, endedAt-now)
 	}
 }
 
-// ended notes how long a run has kept its slot.
-func (m *Meter) ended(service string, took time.Duration) {
+// recordRun records for how long an ended run occupied its slot.
+func (m *Meter) recordRun(service string, took time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	work := m.of(service)
-	work.ran = runMemory*work.ran + took.Seconds()
-	work.ranSquared = runMemory*work.ranSquared + took.Seconds()*took.Seconds()
+	work := m.workOf(service)
+	work.runSeconds = runDecay*work.runSeconds + took.Seconds()
+	work.runSecondsSquared = runDecay*work.runSecondsSquared + took.Seconds()*took.Seconds()
 }
 
-// Residence is how long those that fill slots at a moment keep them, on average: long runs fill
-// slots for longer and so count for more. Half of that weighted mean is taken, which is the mean
-// where lengths spread as they do without memory. It is 0 before any run has ended.
+// Residence estimates for how long the runs that occupy slots at a given moment keep them. It returns half the
+// mean duration weighted by duration, because long runs are more likely to be found in a slot; for exponentially
+// distributed durations this equals their mean. It returns 0 before the first run has ended.
 func (m *Meter) Residence(service string) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	work := m.of(service)
-	if work.ran <= 0 {
+	work := m.workOf(service)
+	if work.runSeconds <= 0 {
 		return 0
 	}
-	return time.Duration(work.ranSquared / work.ran / 2 * float64(time.Second))
+	return time.Duration(work.runSecondsSquared / work.runSeconds / 2 * float64(time.Second))
 }
 
-// change changes how many decoding engines a service's streams fill.
-func (m *Meter) change(now time.Duration, service string, by float64) {
+// addRunning changes the number of decoding engines that a service's streams fill.
+func (m *Meter) addRunning(now time.Duration, service string, by float64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	work := m.of(service)
-	work.countTo(now)
-	work.running = max(work.running+by, 0)
+	work := m.workOf(service)
+	work.accountUntil(now)
+	work.runningEngines = max(work.runningEngines+by, 0)
 }
 
-// of returns the work of a service. The mutex is held.
-func (m *Meter) of(service string) *serviceWork {
+// workOf returns the work of a service. The mutex is held.
+func (m *Meter) workOf(service string) *serviceWork {
 	work := m.services[service]
 	if work == nil {
 		work = &serviceWork{}
@@ -115,30 +115,30 @@
 	return work
 }
 
-// countTo counts the streams that run up to a time.
-func (w *serviceWork) countTo(now time.Duration) {
-	w.decode += time.Duration(w.running * float64(now-w.countedTo))
-	w.countedTo = now
+// accountUntil adds the time of the running streams up to now.
+func (w *serviceWork) accountUntil(now time.Duration) {
+	w.decode += time.Duration(w.runningEngines * float64(now-w.accountedUntil))
+	w.accountedUntil = now
 }
 
-// Report returns the work of the last whole window.
+// Report returns the work of the last complete window.
 func (m *Meter) Report(now time.Duration) []*v1.RoleDemand {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	window := now - m.since
+	window := now - m.windowStart
 	if window < reportWindow {
-		return m.reported
+		return m.lastReport
 	}
-	m.reported = nil
+	m.lastReport = nil
 	for service, work := range m.services {
-		work.countTo(now)
-		m.reported = append(m.reported, &v1.RoleDemand{
+		work.accountUntil(now)
+		m.lastReport = append(m.lastReport, &v1.RoleDemand{
 			Service: service, WindowMs: uint32(window.Milliseconds()),
-			PrefillMs: uint64(work.prefill.Milliseconds()), DecodeMs: uint64(work.decode.Milliseconds()), WholeMs: uint64(work.whole.Milliseconds()),
+			PrefillMs: uint64(work.prefill.Milliseconds()), DecodeMs: uint64(work.decode.Milliseconds()), WholeMs: uint64(work.wholeAnswers.Milliseconds()),
 		})
-		work.prefill, work.decode, work.whole = 0, 0, 0
+		work.prefill, work.decode, work.wholeAnswers = 0, 0, 0
 	}
-	slices.SortFunc(m.reported, func(a, b *v1.RoleDemand) int { return strings.Compare(a.GetService(), b.GetService()) })
-	m.since = now
-	return m.reported
+	slices.SortFunc(m.lastReport, func(a, b *v1.RoleDemand) int { return strings.Compare(a.GetService(), b.GetService()) })
+	m.windowStart = now
+	return m.lastReport
 }
--- a/internal/relay/workmeter/meter_test.go
+++ b/internal/relay/workmeter/meter_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Streams count while they run, not only at their end: some run for many seconds.
+// Streams count as work while they run and not only at their end, since some run for many seconds.
 func TestStreamsCountAsWorkWhileTheyRun(t *testing.T) {
 	meter := New()
-	first := meter.Run(0, "service", 4)
-	second := meter.Run(500*time.Millisecond, "service", 4)
+	first := meter.BeginRun(0, "service", 4)
+	second := meter.BeginRun(500*time.Millisecond, "service", 4)
 	report := meter.Report(time.Second)
 	require.Len(t, report, 1)
 	require.EqualValues(t, 250+125, report[0].GetDecodeMs())
@@ -21,8 +21,8 @@
 	require.Zero(t, meter.Report(3 * time.Second)[0].GetDecodeMs())
 }
 
-// Slots are filled by the runs that last: short ones among them tell little.
-func TestResidenceGoesByTheRunsThatFillSlots(t *testing.T) {
+// Residence is dominated by the long runs that fill slots; many short runs among them hardly change it.
+func TestResidenceWeightsRunsByTheTimeTheyFillSlots(t *testing.T) {
 	meter := New()
 	require.Zero(t, meter.Residence("service"))
 	for index := range 400 {
@@ -30,7 +30,7 @@
 		if index%4 == 0 {
 			took = 4 * time.Second
 		}
-		meter.Run(0, "service", 4)(took)
+		meter.BeginRun(0, "service", 4)(took)
 	}
 	require.InDelta(t, 2, meter.Residence("service").Seconds(), 0.05)
 }
