--- a/internal/cell/division.go
+++ b/internal/cell/division.go
@@ -7,92 +7,92 @@
 )
 
 const (
-	// Size is the number of engines that a cell should have: enough that their loads even out
-	// and that both stages have several, few enough that a decision weighs them one by one.
+	// Size is the target number of engines in a cell: enough to even out their load and to have several
+	// engines of both stages, few enough that a decision can evaluate each of them.
 	Size = 16
-	// ownCellShare is the part of Size from which the engines of a zone are cells of their own;
-	// those of smaller zones share theirs, so that a prompt's engines do not become too few.
-	ownCellShare = 0.75
-	// keepSlack is by how much a zone may have fewer engines than its part and keep all prompts of
-	// its own.
-	keepSlack = 1.3
-	// keepSalt draws which of them it keeps.
-	keepSalt = 0x9e3779b97f4a7c15
+	// minZoneShare is the fraction of Size from which on a zone has cells of its own. Smaller zones share
+	// cells, so that a prompt has enough engines to choose from.
+	minZoneShare = 0.75
+	// localShareSlack is the factor by which a zone may have fewer engines than its fair share and still serve
+	// all of its prompts.
+	localShareSlack = 1.3
+	// localDrawSalt selects the prompts that it serves otherwise.
+	localDrawSalt = 0x9e3779b97f4a7c15
 )
 
-// Member is an engine that is divided.
+// Member is an engine to be assigned to a cell.
 type Member struct {
-	// Hash identifies the engine, the same at every relay.
+	// Hash identifies the engine; it is the same at every relay.
 	Hash uint64
 	Zone string
-	// Closed engines take no new work. They stay in their cell, which others can take from what they
-	// keep.
+	// Closed engines accept no new work. They stay in their cell, whose other engines can fetch from their
+	// prefix cache.
 	Closed bool
 }
 
-// Cell is a group of engines that one owner decides on.
+// Cell is a group of engines for which one owner decides.
 type Cell struct {
-	// ID identifies the cell, the same at every relay.
+	// ID identifies the cell; it is the same at every relay.
 	ID uint64
-	// Zone is that of all its engines; empty where zones share it.
+	// Zone is the zone of all its engines, or empty if zones share the cell.
 	Zone string
-	// Members are the indexes of its engines among those that were divided.
+	// Members are the indexes of its engines in the list that was passed to Divide.
 	Members []int
-	// Open is how many of them take new work.
+	// Open is the number of its engines that accept new work.
 	Open int
 }
 
-// Division is a service's engines in cells.
+// Division is the assignment of a service's engines to cells.
 type Division struct {
 	cells []Cell
-	// of is the cell of each engine, by the engine's hash.
-	of map[uint64]int
-	// open are the engines of each zone that take new work.
-	open map[string]int
+	// cellOf maps an engine's hash to the index of its cell.
+	cellOf map[uint64]int
+	// openPerZone counts the engines of each zone that accept new work.
+	openPerZone map[string]int
 }
 
-// Divide divides the engines of a service. Each engine draws its cell by its hash, so that one
-// that comes or goes leaves the others where they are.
+// Divide assigns the engines of a service to cells. Each engine's cell follows from its hash, so that an engine
+// that joins or leaves does not move the others.
 func Divide(service string, members []Member) *Division {
-	division := &Division{of: make(map[uint64]int, len(members)), open: map[string]int{}}
+	division := &Division{cellOf: make(map[uint64]int, len(members)), openPerZone: map[string]int{}}
 	perZone := map[string]int{}
 	for _, member := range members {
 		perZone[member.Zone]++
 	}
 	groups := map[string]int{}
 	for zone, count := range perZone {
-		groups[groupOf(zone, count)] += count
+		groups[zoneGroup(zone, count)] += count
 	}
-	first := map[string]int{}
+	firstCell := map[string]int{}
 	for _, group := range sortedGroups(groups) {
-		first[group] = len(division.cells)
+		firstCell[group] = len(division.cells)
 		for number := range cellCount(groups[group]) {
-			division.cells = append(division.cells, Cell{ID: hashOf(service, group, number), Zone: group})
+			division.cells = append(division.cells, Cell{ID: cellID(service, group, number), Zone: group})
 		}
 	}
 	for index, member := range members {
-		group := groupOf(member.Zone, perZone[member.Zone])
-		chosen := first[group] + chooseCell(division.cells[first[group]:first[group]+cellCount(groups[group])], member.Hash)
+		group := zoneGroup(member.Zone, perZone[member.Zone])
+		chosen := firstCell[group] + chooseCell(division.cells[firstCell[group]:firstCell[group]+cellCount(groups[group])], member.Hash)
 		division.cells[chosen].Members = append(division.cells[chosen].Members, index)
 		if !member.Closed {
 			division.cells[chosen].Open++
-			division.open[member.Zone]++
+			division.openPerZone[member.Zone]++
 		}
-		division.of[member.Hash] = chosen
+		division.cellOf[member.Hash] = chosen
 	}
 	return division
 }
 
-// groupOf is the zone itself where it has enough engines for cells of its own, or the group of
-// all smaller zones.
-func groupOf(zone string, count int) string {
-	if float64(count) >= ownCellShare*Size {
+// zoneGroup returns the zone if it has enough engines for cells of its own, or else the group of all smaller
+// zones.
+func zoneGroup(zone string, count int) string {
+	if float64(count) >= minZoneShare*Size {
 		return zone
 	}
 	return ""
 }
 
-// cellCount is how many cells so many engines make.
+// cellCount returns the number of cells for so many engines.
 func cellCount(engines int) int { return max(int(math.Round(float64(engines)/Size)), 1) }
 
 func sortedGroups(groups map[string]int) []string {
@@ -104,7 +104,7 @@
 	return names
 }
 
-// chooseCell draws an engine's cell among those of its group by rendezvous hashing.
+// chooseCell picks an engine's cell within its group by rendezvous hashing.
 func chooseCell(cells []Cell, engine uint64) int {
 	best := 0
 	for index := range cells {
@@ -115,83 +115,83 @@
 	return best
 }
 
-// Cells are all cells.
+// Cells returns all cells.
 func (d *Division) Cells() []Cell { return d.cells }
 
-// CellOf returns the index of an engine's cell; it reports false for an engine that was not divided.
+// CellOf returns the index of an engine's cell, or false if the engine is not in the division.
 func (d *Division) CellOf(engine uint64) (index int, known bool) {
-	index, known = d.of[engine]
+	index, known = d.cellOf[engine]
 	return index, known
 }
 
-// IndexByID returns the index of the cell with an identity; it reports false when there is none.
+// IndexByID returns the index of the cell with the given ID, or false if there is none.
 func (d *Division) IndexByID(id uint64) (index int, known bool) {
 	index = slices.IndexFunc(d.cells, func(cell Cell) bool { return cell.ID == id })
 	return index, index >= 0
 }
 
-// Homes returns the indexes of up to count cells in which a prompt with the key had better run,
-// the best first. Cells draw for it with the number of their engines that take work as weight, so
-// that the load follows the engines and a change of one cell moves little. A zone, if given, goes
-// first: it is for prompts of which so little is kept that their way weighs more. The last home is
-// then one of another zone, so that a zone which has lost its engines passes its work on.
+// Homes returns the indexes of up to count cells that a prompt with the key should run in, the best first. Cells
+// are chosen by rendezvous hashing, weighted by their engines that accept work, so that the load follows the
+// engines and a change of one cell moves few prompts. If a zone is given, its cells go first: this is for prompts
+// with so little cached that the network latency matters more. The last home is then in another zone, so that a
+// zone that has lost its engines passes on its work.
 func (d *Division) Homes(key uint64, zone string, count int) []int {
-	draws := d.draw(key)
-	if zone != "" && d.keeps(key, zone) {
-		draws = zoneFirst(draws, zone, count)
+	scored := d.scoreCells(key)
+	if zone != "" && d.keepsLocal(key, zone) {
+		scored = putZoneFirst(scored, zone, count)
 	}
 	homes := make([]int, 0, count)
-	for _, draw := range draws[:min(count, len(draws))] {
-		homes = append(homes, draw.index)
+	for _, entry := range scored[:min(count, len(scored))] {
+		homes = append(homes, entry.index)
 	}
 	return homes
 }
 
-// drawn is a cell with what it drew for a key.
-type drawn struct {
+// scoredCell is a cell with its rendezvous score for a key.
+type scoredCell struct {
 	index int
 	zone  string
 	score float64
 }
 
-// draw lets the cells that take work draw for a key, the best first. Where none takes any, all draw.
-func (d *Division) draw(key uint64) []drawn {
-	draws := make([]drawn, 0, len(d.cells))
+// scoreCells scores the cells that accept work for a key, the best first. If none accepts any, it scores all.
+func (d *Division) scoreCells(key uint64) []scoredCell {
+	scored := make([]scoredCell, 0, len(d.cells))
 	for index, cell := range d.cells {
 		weight := cell.Open
-		if len(d.open) == 0 {
+		if len(d.openPerZone) == 0 {
 			weight = len(cell.Members)
 		}
 		if weight > 0 {
-			draws = append(draws, drawn{index: index, zone: cell.Zone, score: float64(weight) / -math.Log(unit(mix(cell.ID, key)))})
+			scored = append(scored, scoredCell{index: index, zone: cell.Zone, score: float64(weight) / -math.Log(toUnit(mix(cell.ID, key)))})
 		}
 	}
-	slices.SortFunc(draws, func(a, b drawn) int { return cmp.Compare(b.score, a.score) })
-	return draws
+	slices.SortFunc(scored, func(a, b scoredCell) int { return cmp.Compare(b.score, a.score) })
+	return scored
 }
 
-// keeps reports whether a zone keeps a prompt of its own to itself: all of them while it has about its
-// part of the engines that take work, and fewer the fewer it has.
-func (d *Division) keeps(key uint64, zone string) bool {
+// keepsLocal reports whether a zone serves one of its prompts itself. It serves all of them while it has about its
+// fair share of the engines that accept work, and fewer in proportion below that.
+func (d *Division) keepsLocal(key uint64, zone string) bool {
 	all := 0
-	for _, count := range d.open {
+	for _, count := range d.openPerZone {
 		all += count
 	}
 	if all == 0 {
 		return true
 	}
-	part := float64(d.open[zone]*len(d.open)) / float64(all)
-	return unit(mix(key, keepSalt)) < part*keepSlack
+	fairShare := float64(d.openPerZone[zone]*len(d.openPerZone)) / float64(all)
+	return toUnit(mix(key, localDrawSalt)) < fairShare*localShareSlack
 }
 
-// zoneFirst puts the cells of a zone first, but for the last of so many homes.
-func zoneFirst(draws []drawn, zone string, count int) []drawn {
-	var inside, outside []drawn
-	for _, draw := range draws {
-		if draw.zone == zone {
-			inside = append(inside, draw)
+// putZoneFirst moves the cells of a zone to the front, except for the last of count homes.
+func putZoneFirst(scored []scoredCell, zone string, count int) []scoredCell {
+	var inside, outside []scoredCell
+	for _, entry := range scored {
+		if entry.zone == zone {
+			inside = append(inside, entry)
 		} else {
-			outside = append(outside, draw)
+			outside = append(outside, entry)
 		}
 	}
 	first := len(inside)
--- a/internal/cell/division_test.go
+++ b/internal/cell/division_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fleet returns engines spread over zones.
+// fleet returns engines in several zones.
 func fleet(zones, perZone int) []Member {
 	var members []Member
 	for zone := range zones {
@@ -20,7 +20,7 @@
 	return members
 }
 
-// Whatever the size of the fleet, cells have about the same size, and each engine one cell.
+// For any size of the fleet, cells have a similar size and each engine belongs to one cell.
 func TestCellsKeepTheirSize(t *testing.T) {
 	for name, row := range map[string]struct {
 		zones, perZone, cells int
@@ -37,7 +37,7 @@
 			members := fleet(row.zones, row.perZone)
 			division := Divide("service", members)
 			require.Len(t, division.Cells(), row.cells)
-			seen := 0
+			counted := 0
 			for index, cell := range division.Cells() {
 				require.Equal(t, row.ownZones, cell.Zone != "")
 				require.NotEmpty(t, cell.Members)
@@ -46,15 +46,15 @@
 					of, known := division.CellOf(members[member].Hash)
 					require.True(t, known)
 					require.Equal(t, index, of)
-					seen++
+					counted++
 				}
 			}
-			require.Equal(t, len(members), seen)
+			require.Equal(t, len(members), counted)
 		})
 	}
 }
 
-// Relays read lists in different orders and still divide alike.
+// Relays that list the engines in different orders get the same cells.
 func TestDivisionDoesNotDependOnTheOrder(t *testing.T) {
 	members := fleet(3, 20)
 	shuffled := slices.Clone(members)
@@ -67,8 +67,8 @@
 	}
 }
 
-// An engine that leaves takes no other one out of its cell, and few prompts out of their home.
-func TestOneEngineLessChangesLittle(t *testing.T) {
+// An engine that leaves moves no other engine to another cell, and few prompts to another home.
+func TestRemovingAnEngineMovesFewPrompts(t *testing.T) {
 	members := fleet(5, 32)
 	before, after := Divide("service", members), Divide("service", members[1:])
 	for _, member := range members[1:] {
@@ -86,8 +86,8 @@
 	require.Less(t, moved, prompts/50)
 }
 
-// Prompts are spread over cells as engines are, and every cell is some prompt's second choice.
-func TestHomesFollowTheEngines(t *testing.T) {
+// Prompts are spread over cells in proportion to their engines, and every cell is the second home of some prompt.
+func TestHomesAreProportionalToEngines(t *testing.T) {
 	division := Divide("service", fleet(5, 32))
 	const prompts = 20000
 	first, second := map[int]int{}, map[int]int{}
@@ -104,8 +104,8 @@
 	}
 }
 
-// A zone that is asked for goes first, and the others follow.
-func TestHomesOfAZone(t *testing.T) {
+// The cells of the requested zone are the first homes, followed by those of other zones.
+func TestHomesPreferTheRequestedZone(t *testing.T) {
 	division := Divide("service", fleet(5, 32))
 	for key := range uint64(100) {
 		homes := division.Homes(key, "zone-3", 4)
@@ -116,7 +116,7 @@
 	}
 	require.Empty(t, Divide("service", nil).Homes(1, "", 3))
 
-	division = Divide("service", fleet(3, 64)) // four cells in each zone: the last home is another zone's
+	division = Divide("service", fleet(3, 64)) // four cells in each zone: the last home is in another zone
 	for key := range uint64(100) {
 		homes := division.Homes(key, "zone-1", 3)
 		require.Equal(t, "zone-1", division.Cells()[homes[1]].Zone)
@@ -124,8 +124,8 @@
 	}
 }
 
-// A cell is found by its identity, and one of another fleet is not.
-func TestFind(t *testing.T) {
+// A cell is found by its ID; a cell of another service is not.
+func TestIndexByID(t *testing.T) {
 	division := Divide("service", fleet(2, 16))
 	index, known := division.IndexByID(division.Cells()[1].ID)
 	require.True(t, known)
@@ -134,8 +134,8 @@
 	require.False(t, known)
 }
 
-// A zone that has lost most of its engines passes on the prompts of its own that it cannot bear, and
-// cells without an engine that takes work are no homes.
+// A zone that has lost most of its engines passes on the prompts that exceed its capacity, and cells without an
+// engine that accepts work are not homes.
 func TestAZoneWithoutEnginesPassesItsWorkOn(t *testing.T) {
 	members := fleet(3, 32)
 	for index := range members {
@@ -150,21 +150,21 @@
 		}
 	}
 
-	for index := range members { // a quarter of them is back
+	for index := range members { // a quarter of its engines is back
 		members[index].Closed = members[index].Zone == "zone-1" && index%4 > 0
 	}
 	division = Divide("service", members)
-	kept := 0
+	local := 0
 	for key := range uint64(1000) {
 		if division.Cells()[division.Homes(key, "zone-1", 3)[0]].Zone == "zone-1" {
-			kept++
+			local++
 		}
 	}
-	require.Greater(t, kept, 100)
-	require.Less(t, kept, 600)
+	require.Greater(t, local, 100)
+	require.Less(t, local, 600)
 
 	for index := range members {
 		members[index].Closed = true
 	}
-	require.Len(t, Divide("service", members).Homes(1, "zone-1", 3), 3, "where none takes work, all are homes")
+	require.Len(t, Divide("service", members).Homes(1, "zone-1", 3), 3, "if no engine accepts work, all cells are homes")
 }
--- a/internal/cell/growth_test.go
+++ b/internal/cell/growth_test.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	// perToken is how long an engine reads one token of a prompt, partTokens and ownTokens are the
-	// lengths of a prompt's shared and own part.
-	perToken   = 27 * time.Microsecond
-	partTokens = 13_000
-	ownTokens  = 3_700
-	// engineMemory is what an engine keeps, in tokens.
+	// perToken is an engine's prefill time per token. sharedTokens and ownTokens are the lengths of a prompt's
+	// shared prefix block and of the rest.
+	perToken     = 27 * time.Microsecond
+	sharedTokens = 13_000
+	ownTokens    = 3_700
+	// engineMemory is the size of an engine's prefix cache, in tokens.
 	engineMemory = 400_000
-	// partsPerEngine and requestsPerEngine, a second, grow with the fleet.
-	partsPerEngine    = 6
+	// prefixesPerEngine and requestsPerEngine, per second, make prefixes and load grow with the fleet.
+	prefixesPerEngine = 6
 	requestsPerEngine = 2
-	played            = 20 * time.Second
+	simulatedTime     = 20 * time.Second
 )
 
-// simulatedFleet reads prompts in virtual time. Each cell is decided on by one owner that knows
-// all that it has assigned there, whichever relay asks.
+// simulatedFleet prefills prompts in virtual time. Each cell has one owner, which knows everything that it has
+// assigned there, whichever relay asks.
 type simulatedFleet struct {
 	division *cell.Division
 	engines  []*simulatedEngine
 	policy   placement.Parameters
 	random   *rand.Rand
 
-	// wholeParts are the tokens of shared parts that were read, again those of them that some
-	// engine had read before, offers how often owners were asked.
-	wholeParts, again, offers, requests int
-	read                                map[placement.BlockHash]bool
+	// sharedPrefillTokens counts the prefilled tokens of shared prefix blocks, repeatedTokens those that some
+	// engine had prefilled before, and queries the placement queries to owners.
+	sharedPrefillTokens, repeatedTokens, queries, requests int
+	prefilled                                              map[placement.BlockHash]bool
 }
 
-// simulatedEngine reads one prompt after another.
+// simulatedEngine prefills one prompt after another.
 type simulatedEngine struct {
 	hash   uint64
 	zone   string
@@ -51,7 +51,7 @@
 }
 
 func newSimulatedFleet(zones, perZone int) *simulatedFleet {
-	fleet := &simulatedFleet{policy: placement.DefaultParameters(), random: rand.New(rand.NewPCG(1, uint64(zones*perZone))), read: map[placement.BlockHash]bool{}}
+	fleet := &simulatedFleet{policy: placement.DefaultParameters(), random: rand.New(rand.NewPCG(1, uint64(zones*perZone))), prefilled: map[placement.BlockHash]bool{}}
 	var members []cell.Member
 	for zone := range zones {
 		for number := range perZone {
@@ -66,26 +66,26 @@
 	return fleet
 }
 
-// play lets requests arrive at steady times.
-func (f *simulatedFleet) play() {
-	requests := requestsPerEngine * len(f.engines) * int(played.Seconds())
+// run simulates requests that arrive at a constant rate.
+func (f *simulatedFleet) run() {
+	requests := requestsPerEngine * len(f.engines) * int(simulatedTime.Seconds())
 	for number := range requests {
-		f.serve(time.Duration(number)*played/time.Duration(requests), placement.BlockHash(f.random.IntN(partsPerEngine*len(f.engines))+1))
+		f.serve(time.Duration(number)*simulatedTime/time.Duration(requests), placement.BlockHash(f.random.IntN(prefixesPerEngine*len(f.engines))+1))
 	}
 }
 
-// serve has one prompt with a shared part read.
-func (f *simulatedFleet) serve(now time.Duration, part placement.BlockHash) {
+// serve places one prompt with a shared prefix block.
+func (f *simulatedFleet) serve(now time.Duration, shared placement.BlockHash) {
 	f.requests++
 	own := placement.BlockHash(f.random.Uint64())
 	request := placement.Request{
-		Now: now, Stage: serving.StageDecode, Target: time.Second, Tokens: partTokens + ownTokens, UncachedShare: 0.4, TimeLeft: 5 * time.Second,
-		Prompt: []placement.PrefixBlock{{Hash: part, Tokens: partTokens}, {Hash: own, Tokens: ownTokens}}, TokenTransferTime: 400 * time.Nanosecond,
+		Now: now, Stage: serving.StageDecode, Target: time.Second, Tokens: sharedTokens + ownTokens, UncachedShare: 0.4, TimeLeft: 5 * time.Second,
+		Prompt: []placement.PrefixBlock{{Hash: shared, Tokens: sharedTokens}, {Hash: own, Tokens: ownTokens}}, TokenTransferTime: 400 * time.Nanosecond,
 	}
 	var best placement.Decision
 	var chosen *simulatedEngine
-	for _, home := range f.division.Homes(uint64(part), "", 3) {
-		f.offers++
+	for _, home := range f.division.Homes(uint64(shared), "", 3) {
+		f.queries++
 		decision, engine := f.decide(request, f.division.Cells()[home].Members)
 		if chosen == nil || decision.IsBetter(best) {
 			best, chosen = decision, engine
@@ -100,7 +100,7 @@
 	f.begin(now, request, best, chosen)
 }
 
-// decide is what the owner of a cell answers.
+// decide returns the decision of a cell's owner.
 func (f *simulatedFleet) decide(request placement.Request, members []int) (placement.Decision, *simulatedEngine) {
 	engines := make([]placement.Engine, len(members))
 	for index, member := range members {
@@ -118,23 +118,23 @@
 	return decision, f.engines[members[decision.Engine.Index]]
 }
 
-// begin has the engine read what it does not have.
+// begin has the engine prefill what it has not cached.
 func (f *simulatedFleet) begin(now time.Duration, request placement.Request, decision placement.Decision, engine *simulatedEngine) {
 	took := time.Duration(decision.Engine.EffectiveTokens) * perToken
 	engine.freeAt = max(engine.freeAt, now) + took
 	engine.busy += took
-	part := request.Prompt[0].Hash
+	shared := request.Prompt[0].Hash
 	if decision.Engine.PrefillTokens > ownTokens {
-		f.wholeParts += partTokens
-		if f.read[part] {
-			f.again += partTokens
+		f.sharedPrefillTokens += sharedTokens
+		if f.prefilled[shared] {
+			f.repeatedTokens += sharedTokens
 		}
-		f.read[part] = true
+		f.prefilled[shared] = true
 	}
 	engine.cache.AddReady(now, request.Prompt)
 }
 
-// busiest is the work of the busiest engine over the mean.
+// busiest returns the work of the busiest engine as a multiple of the mean.
 func (f *simulatedFleet) busiest() float64 {
 	var most, sum time.Duration
 	for _, engine := range f.engines {
@@ -143,39 +143,39 @@
 	return float64(most) * float64(len(f.engines)) / float64(sum)
 }
 
-// As a fleet and its load grow together, decisions stay as good and ask as few: parts are hardly
-// read twice, no engine has much more to do than others, and a request costs its two messages.
-func TestDecisionsStayGoodAsTheFleetGrows(t *testing.T) {
+// As a fleet and its load grow together, placement stays as good and needs as few queries: shared prefix blocks are
+// rarely prefilled twice, no engine has much more work than the mean, and a request costs about one query.
+func TestPlacementQualityHoldsAsTheFleetGrows(t *testing.T) {
 	for _, size := range []struct{ zones, perZone int }{{1, 10}, {3, 10}, {5, 32}, {6, 50}, {10, 100}} {
 		t.Run(fmt.Sprint(size.zones*size.perZone, " engines"), func(t *testing.T) {
 			fleet := newSimulatedFleet(size.zones, size.perZone)
-			fleet.play()
-			prompts := fleet.requests * (partTokens + ownTokens)
-			again := float64(fleet.again) / float64(prompts)
-			offers := float64(fleet.offers) / float64(fleet.requests)
-			t.Logf("read again %.4f, busiest %.2f, offers a request %.3f", again, fleet.busiest(), offers)
-			require.Less(t, again, 0.02)
+			fleet.run()
+			prompts := fleet.requests * (sharedTokens + ownTokens)
+			repeated := float64(fleet.repeatedTokens) / float64(prompts)
+			queries := float64(fleet.queries) / float64(fleet.requests)
+			t.Logf("prefilled again %.4f, busiest %.2f, queries per request %.3f", repeated, fleet.busiest(), queries)
+			require.Less(t, repeated, 0.02)
 			require.Less(t, fleet.busiest(), 1.6)
-			require.Less(t, offers, 1.5)
+			require.Less(t, queries, 1.5)
 		})
 	}
 }
 
-// A part that every fifth prompt wants does not hold its cell up: the load beyond its engines goes to
-// the next cells, which read it once each.
-func TestHotPartSpreadsOverCells(t *testing.T) {
+// A prefix block that every fifth prompt shares does not overload its cell: load beyond the capacity of its engines
+// spills to the next cells, which prefill the block once each.
+func TestHotPrefixSpreadsOverCells(t *testing.T) {
 	fleet := newSimulatedFleet(5, 32)
 	const hot = placement.BlockHash(1 << 40)
-	requests := requestsPerEngine * len(fleet.engines) * int(played.Seconds())
+	requests := requestsPerEngine * len(fleet.engines) * int(simulatedTime.Seconds())
 	for number := range requests {
-		part := placement.BlockHash(fleet.random.IntN(partsPerEngine*len(fleet.engines)) + 1)
+		shared := placement.BlockHash(fleet.random.IntN(prefixesPerEngine*len(fleet.engines)) + 1)
 		if number%5 == 0 {
-			part = hot
+			shared = hot
 		}
-		fleet.serve(time.Duration(number)*played/time.Duration(requests), part)
+		fleet.serve(time.Duration(number)*simulatedTime/time.Duration(requests), shared)
 	}
-	prompts := fleet.requests * (partTokens + ownTokens)
-	require.Less(t, float64(fleet.again)/float64(prompts), 0.02)
-	require.Less(t, float64(fleet.offers)/float64(fleet.requests), 1.5)
-	require.Less(t, fleet.busiest(), 5.0, "all of it at its home would be 32 times the mean")
+	prompts := fleet.requests * (sharedTokens + ownTokens)
+	require.Less(t, float64(fleet.repeatedTokens)/float64(prompts), 0.02)
+	require.Less(t, float64(fleet.queries)/float64(fleet.requests), 1.5)
+	require.Less(t, fleet.busiest(), 5.0, "without spilling, the home would have 32 times the mean")
 }
--- a/internal/cell/hash.go
+++ b/internal/cell/hash.go
@@ -6,15 +6,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// HashEngine returns the hash that identifies an engine, or any other back end, at all processes.
+// HashEngine returns the hash that identifies an engine or any other back end in every process.
 func HashEngine(id string) uint64 { return xxhash.Sum64String(id) }
 
-// hashOf is the identity of a cell of a service's group.
-func hashOf(service, group string, number int) uint64 {
+// cellID returns the ID of a cell of a service's group.
+func cellID(service, group string, number int) uint64 {
 	return xxhash.Sum64String(service + "/" + group + "/" + strconv.Itoa(number))
 }
 
-// mix returns a hash of two, each bit of which depends on all bits of both: the finalizer of
+// mix returns a hash of two hashes, each bit of which depends on all bits of both. It uses the finalizer of
 // splitmix64.
 func mix(a, b uint64) uint64 {
 	mixed := a ^ b*0x9e3779b97f4a7c15
@@ -25,8 +25,8 @@
 	return mixed ^ mixed>>31
 }
 
-// unit maps a hash to (0, 1).
-func unit(hash uint64) float64 {
+// toUnit maps a hash to (0, 1).
+func toUnit(hash uint64) float64 {
 	const bits = 53
 	return (float64(hash>>(64-bits)) + 0.5) / (1 << bits)
 }
--- a/internal/cell/health.go
+++ b/internal/cell/health.go
@@ -3,81 +3,81 @@
 import "time"
 
 const (
-	// firstTimeout is how long an answer is awaited before any round trip is known.
-	firstTimeout = 40 * time.Millisecond
-	// leastTimeout and mostTimeout bound what follows from round trips: a shorter one would take a
-	// process that waits for its processor for a dead one, and a longer one costs requests more
-	// than a decision without the owner does.
-	leastTimeout = 15 * time.Millisecond
-	mostTimeout  = 120 * time.Millisecond
-	// tripWeight and deviationWeight are the weights of a new round trip, deviations how many mean
-	// deviations an answer may be late: the estimator of RFC 6298.
-	tripWeight      = 0.125
+	// initialTimeout is how long to wait for an answer before any round trip was measured.
+	initialTimeout = 40 * time.Millisecond
+	// minTimeout and maxTimeout bound the timeout that is derived from round trips. With a shorter one, a
+	// process that waits for a processor would look dead; a longer one costs requests more than a decision
+	// without the owner does.
+	minTimeout = 15 * time.Millisecond
+	maxTimeout = 120 * time.Millisecond
+	// rttWeight and deviationWeight are the weights of a new round trip, deviationFactor is the number of mean
+	// deviations in the timeout: the estimator of RFC 6298.
+	rttWeight       = 0.125
 	deviationWeight = 0.25
-	deviations      = 4
-	// missesBeforeDoubt is how many questions in a row go unanswered before an owner is passed
-	// over: one datagram may be lost on its way.
-	missesBeforeDoubt = 2
-	// firstDoubt is how long an owner is then passed over; it doubles up to longestDoubt.
-	firstDoubt   = 400 * time.Millisecond
-	longestDoubt = 5 * time.Second
+	deviationFactor = 4
+	// timeoutsBeforeSkip is the number of consecutive unanswered queries after which an owner is skipped: a
+	// single datagram may be lost.
+	timeoutsBeforeSkip = 2
+	// initialSkip is how long an owner is then skipped; it doubles up to maxSkip.
+	initialSkip = 400 * time.Millisecond
+	maxSkip     = 5 * time.Second
 )
 
-// Health is how relays answer that were asked as owners. It is not safe for concurrent use.
+// Health tracks how relays answer placement queries as cell owners. It is not safe for concurrent use.
 type Health struct {
-	trip, deviation time.Duration
-	relays          map[string]record
+	rtt, deviation time.Duration
+	relays         map[string]relayState
 }
 
-// record is what is known of one relay.
-type record struct {
-	// misses counts the questions in a row that were not answered in time.
-	misses       int
-	doubtedUntil time.Duration
+// relayState is the state of one relay.
+type relayState struct {
+	// timeouts counts the consecutive queries that were not answered in time.
+	timeouts     int
+	skippedUntil time.Duration
 }
 
-// NewHealth returns a Health that has seen nothing.
-func NewHealth() *Health { return &Health{relays: map[string]record{}} }
+// NewHealth returns a Health without observations.
+func NewHealth() *Health { return &Health{relays: map[string]relayState{}} }
 
-// Timeout is how long an answer is awaited now.
+// Timeout returns how long to wait for an answer.
 func (h *Health) Timeout() time.Duration {
-	if h.trip == 0 {
-		return firstTimeout
+	if h.rtt == 0 {
+		return initialTimeout
 	}
-	return min(max(h.trip+deviations*h.deviation, leastTimeout), mostTimeout)
+	return min(max(h.rtt+deviationFactor*h.deviation, minTimeout), maxTimeout)
 }
 
-// RecordAnswer notes that a relay has answered within its time.
+// RecordAnswer records that a relay has answered in time.
 func (h *Health) RecordAnswer(relay string, took time.Duration) {
 	delete(h.relays, relay)
-	if h.trip == 0 {
-		h.trip, h.deviation = took, took/2
+	if h.rtt == 0 {
+		h.rtt, h.deviation = took, took/2
 		return
 	}
-	off := max(took-h.trip, h.trip-took)
-	h.deviation += time.Duration(deviationWeight * float64(off-h.deviation))
-	h.trip += time.Duration(tripWeight * float64(took-h.trip))
+	difference := max(took-h.rtt, h.rtt-took)
+	h.deviation += time.Duration(deviationWeight * float64(difference-h.deviation))
+	h.rtt += time.Duration(rttWeight * float64(took-h.rtt))
 }
 
-// RecordTimeout notes that a relay has not answered in time. It reports whether the relay is passed over
-// from now on.
-func (h *Health) RecordTimeout(now time.Duration, relay string) (doubted bool) {
-	known := h.relays[relay]
-	known.misses++
-	if known.misses >= missesBeforeDoubt {
-		const mostDoublings = 8
-		known.doubtedUntil = now + min(firstDoubt<<min(known.misses-missesBeforeDoubt, mostDoublings), longestDoubt)
+// RecordTimeout records that a relay has not answered in time. It reports whether the relay is skipped from now
+// on.
+func (h *Health) RecordTimeout(now time.Duration, relay string) (skipped bool) {
+	state := h.relays[relay]
+	state.timeouts++
+	if state.timeouts >= timeoutsBeforeSkip {
+		const maxDoublings = 8
+		state.skippedUntil = now + min(initialSkip<<min(state.timeouts-timeoutsBeforeSkip, maxDoublings), maxSkip)
 	}
-	h.relays[relay] = known
-	return known.misses >= missesBeforeDoubt
+	h.relays[relay] = state
+	return state.timeouts >= timeoutsBeforeSkip
 }
 
-// IsTrusted reports whether a relay is not passed over.
+// IsTrusted reports whether a relay is not skipped at present.
 func (h *Health) IsTrusted(now time.Duration, relay string) bool {
-	return now >= h.relays[relay].doubtedUntil
+	return now >= h.relays[relay].skippedUntil
 }
 
-// Retain forgets the relays that are not listed.
+// Retain removes the relays that are not listed.
 func (h *Health) Retain(listed func(relay string) bool) {
 	for relay := range h.relays {
 		if !listed(relay) {
--- a/internal/cell/health_test.go
+++ b/internal/cell/health_test.go
@@ -7,27 +7,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// One lost datagram changes nothing; a relay that stays silent is passed over, longer each time,
-// and is asked again after that.
-func TestSilentOwnersArePassedOver(t *testing.T) {
+// One lost datagram has no effect. A relay that does not answer is skipped, for longer each time, and is queried
+// again after that.
+func TestSilentOwnersAreSkipped(t *testing.T) {
 	health := NewHealth()
 	require.False(t, health.RecordTimeout(0, "one"))
 	require.True(t, health.IsTrusted(0, "one"))
 	require.True(t, health.RecordTimeout(0, "one"))
-	require.False(t, health.IsTrusted(firstDoubt-1, "one"))
-	require.True(t, health.IsTrusted(firstDoubt, "one"))
+	require.False(t, health.IsTrusted(initialSkip-1, "one"))
+	require.True(t, health.IsTrusted(initialSkip, "one"))
 	require.True(t, health.IsTrusted(0, "other"))
 
-	require.True(t, health.RecordTimeout(firstDoubt, "one"))
-	require.False(t, health.IsTrusted(firstDoubt+2*firstDoubt-1, "one"))
+	require.True(t, health.RecordTimeout(initialSkip, "one"))
+	require.False(t, health.IsTrusted(initialSkip+2*initialSkip-1, "one"))
 	for range 20 {
 		health.RecordTimeout(0, "one")
 	}
-	require.True(t, health.IsTrusted(longestDoubt, "one"))
+	require.True(t, health.IsTrusted(maxSkip, "one"))
 }
 
-// An answer ends all doubt, and a relay that is gone is forgotten.
-func TestDoubtEnds(t *testing.T) {
+// An answer ends the skipping of a relay, and relays that are not listed are removed.
+func TestAnswerEndsSkipping(t *testing.T) {
 	health := NewHealth()
 	for _, relay := range []string{"one", "two"} {
 		health.RecordTimeout(0, relay)
@@ -35,27 +35,27 @@
 	}
 	health.RecordAnswer("one", time.Millisecond)
 	require.True(t, health.IsTrusted(0, "one"))
-	require.False(t, health.RecordTimeout(0, "one"), "misses in a row count")
+	require.False(t, health.RecordTimeout(0, "one"), "only consecutive timeouts count")
 	health.Retain(func(relay string) bool { return relay != "two" })
 	require.True(t, health.IsTrusted(0, "two"))
 }
 
-// The time that an answer may take follows the round trips within its bounds: owners in another
-// region are waited for, and one slow answer among fast ones is not.
+// The timeout follows the round trips within its bounds: it is long enough for owners in another region, and short
+// where answers are fast.
 func TestTimeoutFollowsRoundTrips(t *testing.T) {
 	for name, row := range map[string]struct {
-		trip        time.Duration
+		rtt         time.Duration
 		least, most time.Duration
 	}{
-		"one zone":       {trip: 500 * time.Microsecond, least: leastTimeout, most: leastTimeout},
-		"another region": {trip: 40 * time.Millisecond, least: 40 * time.Millisecond, most: 60 * time.Millisecond},
-		"far too slow":   {trip: time.Second, least: mostTimeout, most: mostTimeout},
+		"one zone":       {rtt: 500 * time.Microsecond, least: minTimeout, most: minTimeout},
+		"another region": {rtt: 40 * time.Millisecond, least: 40 * time.Millisecond, most: 60 * time.Millisecond},
+		"far too slow":   {rtt: time.Second, least: maxTimeout, most: maxTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			health := NewHealth()
-			require.Equal(t, firstTimeout, health.Timeout())
+			require.Equal(t, initialTimeout, health.Timeout())
 			for range 50 {
-				health.RecordAnswer("one", row.trip)
+				health.RecordAnswer("one", row.rtt)
 			}
 			require.GreaterOrEqual(t, health.Timeout(), row.least)
 			require.LessOrEqual(t, health.Timeout(), row.most)
--- a/internal/cell/owners.go
+++ b/internal/cell/owners.go
@@ -7,27 +7,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Owners returns up to count of the relays, by their addresses, that own a cell, the first one
-// before its stand-ins. Each relay draws by rendezvous hashing, so that one that comes or goes
-// changes the owners of few cells.
+// Owners returns the addresses of up to count relays that own a cell, the owner first and then its deputies. They
+// are chosen by rendezvous hashing, so that a relay that joins or leaves changes the owners of few cells.
 func Owners(cell uint64, relays []string, count int) []string {
-	type drawn struct {
+	type scoredRelay struct {
 		relay string
-		draw  uint64
+		score uint64
 	}
-	draws := make([]drawn, len(relays))
+	scored := make([]scoredRelay, len(relays))
 	for index, relay := range relays {
-		draws[index] = drawn{relay: relay, draw: mix(cell, xxhash.Sum64String(relay))}
+		scored[index] = scoredRelay{relay: relay, score: mix(cell, xxhash.Sum64String(relay))}
 	}
-	slices.SortFunc(draws, func(a, b drawn) int {
-		if order := cmp.Compare(b.draw, a.draw); order != 0 {
+	slices.SortFunc(scored, func(a, b scoredRelay) int {
+		if order := cmp.Compare(b.score, a.score); order != 0 {
 			return order
 		}
 		return cmp.Compare(a.relay, b.relay)
 	})
 	owners := make([]string, 0, count)
-	for _, first := range draws[:min(count, len(draws))] {
-		owners = append(owners, first.relay)
+	for _, entry := range scored[:min(count, len(scored))] {
+		owners = append(owners, entry.relay)
 	}
 	return owners
 }
--- a/internal/cell/owners_test.go
+++ b/internal/cell/owners_test.go
@@ -15,21 +15,21 @@
 	return addresses
 }
 
-// With one relay more or less few cells change their owner, and the stand-in follows the owner.
-func TestOwnersFollowWhoIsThere(t *testing.T) {
+// One relay more or less changes the owners of few cells, and the first deputy succeeds the owner.
+func TestOwnersChangeLittleWithTheRelays(t *testing.T) {
 	all := relays(300)
 	const cells = 1000
 	changed := 0
 	for id := range uint64(cells) {
 		before := Owners(id, all, 3)
 		require.Len(t, before, 3)
-		var left []string
+		var remaining []string
 		for _, relay := range all {
 			if relay != before[0] {
-				left = append(left, relay)
+				remaining = append(remaining, relay)
 			}
 		}
-		require.Equal(t, before[1:], Owners(id, left, 2), "the stand-in takes over")
+		require.Equal(t, before[1:], Owners(id, remaining, 2), "the deputy takes over")
 		if Owners(id, all[1:], 1)[0] != before[0] {
 			changed++
 		}
@@ -37,7 +37,7 @@
 	require.Less(t, changed, cells/50)
 }
 
-// No relay owns a large part of many cells.
+// No relay owns a large share of the cells.
 func TestOwnersAreSpread(t *testing.T) {
 	for _, count := range []int{10, 100, 1000} {
 		const cells = 2000
@@ -51,7 +51,7 @@
 	}
 }
 
-// A small site has fewer relays than are asked for.
+// Owners returns fewer relays than requested if a small site has fewer.
 func TestOwnersOfFewRelays(t *testing.T) {
 	require.Empty(t, Owners(1, nil, 2))
 	require.Equal(t, []string{"one"}, Owners(1, []string{"one"}, 2))
