--- a/internal/experiment/request.go
+++ b/internal/experiment/request.go
@@ -67,7 +67,7 @@
 			blockTokens = service.EngineProfile().BlockTokens
 		}
 	}
-	made.routingBlocks = prefixBlocks(arrival, routingBlockTokens, routing.MaximumPrefixBlocks)
+	made.routingBlocks = prefixBlocks(arrival, routingBlockTokens, routing.MaxPrefixBlocks)
 	made.engineBlocks = prefixBlocks(arrival, blockTokens, arrival.PromptTokens)
 	return made
 }
--- a/internal/routing/backend.go
+++ b/internal/routing/backend.go
@@ -6,13 +6,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// BackEnd is one back end as the gateway's directory knows it.
+// BackEnd is one back end as listed in the gateway's directory.
 type BackEnd struct {
 	Name    string
 	Service string
 	Zone    string
 	Address string // IP:port
-	// Incarnation grows each time the back end's process starts.
+	// Incarnation increases each time the back end's process starts.
 	Incarnation uint64
 	State       enginecontract.ServiceState
 	// Role is empty for a page service.
@@ -20,18 +20,18 @@
 	Model    string
 	Version  string
 	Adapters []string
-	// ConfirmedAt is the last time a fresh source said that State holds.
+	// ConfirmedAt is the last time at which a fresh source confirmed State.
 	ConfirmedAt time.Duration
-	// Unconfirmed tells that the directory says nothing of the state: what is known stays,
-	// and a directory that still says the same does not confirm it.
+	// Unconfirmed is true if the directory does not know the state. The last known state is kept, and an
+	// unchanged directory does not confirm it.
 	Unconfirmed bool
-	// Load is the load as it was at LoadAt; it counts only when HasLoad is set.
+	// Load is the load measured at LoadAt. It is valid only if HasLoad is set.
 	Load    Load
 	LoadAt  time.Duration
 	HasLoad bool
 }
 
-// Load is the work a back end has.
+// Load is the work at a back end.
 type Load struct {
 	Running             int
 	Waiting             int
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -6,16 +6,15 @@
 type Choice struct {
 	// BackEnd answers the caller: a mixed engine, a decode engine or a page service.
 	BackEnd BackEnd
-	// Prefill reads the prompt first and hands its KV cache to BackEnd; nil when
-	// BackEnd does everything.
+	// Prefill prefills the prompt and transfers its KV cache to BackEnd; it is nil if BackEnd does everything.
 	Prefill *BackEnd
-	// Expected is the time the whole request is expected to take.
+	// Expected is the expected time of the whole request.
 	Expected time.Duration
-	// ExpectedFirstToken is the time to the first output token.
+	// ExpectedFirstToken is the expected time to the first output token.
 	ExpectedFirstToken time.Duration
-	// CachedTokens is the part of the prompt expected in the prefix cache.
+	// CachedTokens is the number of prompt tokens expected in the prefix cache.
 	CachedTokens int
-	// CachedAtHome tells that the cache is expected only because the back end that reads the
-	// prompt is the home of its prefix; pass it on with Sent.
+	// CachedAtHome is true if the tokens are expected in the cache only because the back end that prefills the
+	// prompt is the home of its prefix. The caller passes it on in Dispatch.
 	CachedAtHome bool
 }
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -8,8 +8,8 @@
 
 // Defaults of Config.
 const (
-	// ConfirmationLimit is the age at which a confirmation no longer allows new
-	// work. It bounds the time that a leaving back end still gets requests.
+	// ConfirmationLimit is the age at which a back end's confirmation expires and it gets no new requests. It
+	// bounds the time for which a leaving back end still gets requests.
 	ConfirmationLimit = 4 * time.Second
 
 	// neverConfirmed is older than any limit.
@@ -17,41 +17,41 @@
 
 	defaultSubsetSize       = 32
 	defaultSampleSize       = 3
-	defaultPrefixMemory     = 16384
+	defaultPrefixIndexSize  = 16384
 	defaultCooldown         = 500 * time.Millisecond
 	defaultMaximumCooldown  = 8 * time.Second
 	defaultOtherZoneLatency = 2 * time.Millisecond
-	defaultHandOver         = 10 * time.Millisecond
+	defaultKVTransferCost   = 10 * time.Millisecond
 )
 
 // Config holds the fixed parameters of a Router.
 type Config struct {
 	// Zone of the gateway. Required.
 	Zone string
-	// ZoneLatency is the one-way latency to other zones; a zone that is missing
-	// counts as OtherZoneLatency (default 2 ms), the own zone as 0.
+	// ZoneLatency is the one-way latency to other zones. For a zone that is missing, OtherZoneLatency (default
+	// 2 ms) is used, for the local zone 0.
 	ZoneLatency      map[string]time.Duration
 	OtherZoneLatency time.Duration
 	// Seed of the picker's random source. Gateways need different seeds.
 	Seed uint64
-	// SubsetSize bounds the back ends looked at in one decision and stage; default 32.
+	// SubsetSize bounds the back ends considered per decision and stage; default 32.
 	SubsetSize int
 	// SampleSize is the number of candidates the picker compares; default 3.
 	SampleSize int
-	// PrefixIndexSize bounds the number of prefix blocks remembered; default 16384.
+	// PrefixIndexSize bounds the number of prefix blocks in the prefix index; default 16384.
 	PrefixIndexSize int
-	// Cooldown is how long a back end is avoided after a failure; it doubles with
-	// each further failure up to MaximumCooldown. Defaults 500 ms and 8 s.
+	// Cooldown is how long a back end is avoided after a failure. It doubles with each further failure up to
+	// MaximumCooldown. The defaults are 500 ms and 8 s.
 	Cooldown        time.Duration
 	MaximumCooldown time.Duration
-	// KVTransferCost is the fixed cost of handing a KV cache from engine to engine; default 10 ms.
+	// KVTransferCost is the fixed cost of a KV transfer between engines; default 10 ms.
 	KVTransferCost time.Duration
-	// TokenTimes is the engines' speed before anything has been measured.
+	// TokenTimes is the assumed speed of engines.
 	TokenTimes TokenTimes
-	// OnRestart is told of a former incarnation of a back end once a later one is known; nil for nobody. It must not call
-	// the Router.
+	// OnRestart is called with the previous incarnation of a back end once a later one is known; may be nil. It
+	// must not call the Router.
 	OnRestart func(former BackEnd)
-	// Filters, Scorers and Picker replace the standard pipeline when set.
+	// Filters, Scorers and Picker replace the standard pipeline if set.
 	Filters []Filter
 	Scorers []Scorer
 	Picker  Picker
@@ -67,10 +67,10 @@
 	setDefault(&c.OtherZoneLatency, defaultOtherZoneLatency)
 	setDefault(&c.SubsetSize, defaultSubsetSize)
 	setDefault(&c.SampleSize, defaultSampleSize)
-	setDefault(&c.PrefixIndexSize, defaultPrefixMemory)
+	setDefault(&c.PrefixIndexSize, defaultPrefixIndexSize)
 	setDefault(&c.Cooldown, defaultCooldown)
 	setDefault(&c.MaximumCooldown, defaultMaximumCooldown)
-	setDefault(&c.KVTransferCost, defaultHandOver)
+	setDefault(&c.KVTransferCost, defaultKVTransferCost)
 	c.TokenTimes.setDefaults()
 	return nil
 }
--- a/internal/routing/filter_confirmation.go
+++ b/internal/routing/filter_confirmation.go
@@ -1,11 +1,10 @@
 package routing
 
-// confirmationFilter keeps back ends that were confirmed to be serving within
-// ConfirmationLimit.
+// confirmationFilter keeps back ends that were confirmed to be serving within ConfirmationLimit.
 type confirmationFilter struct{}
 
 func (confirmationFilter) Reason() error { return ErrNoneConfirmed }
 
 func (confirmationFilter) Keep(decision *Decision, candidate *Candidate) bool {
-	return candidate.serving() && decision.Now-candidate.ConfirmedAt <= ConfirmationLimit
+	return candidate.isServing() && decision.Now-candidate.ConfirmedAt <= ConfirmationLimit
 }
--- a/internal/routing/filter_limit.go
+++ b/internal/routing/filter_limit.go
@@ -1,6 +1,6 @@
 package routing
 
-// limitFilter drops back ends whose limit for all gateways together leaves no room now, as far as is known here.
+// limitFilter drops back ends whose limit for all gateways together leaves no room, as far as this gateway knows.
 type limitFilter struct{}
 
 func (limitFilter) Reason() error { return ErrAllLimited }
--- a/internal/routing/limits.go
+++ b/internal/routing/limits.go
@@ -7,65 +7,65 @@
 	"github.com/hazelpitch/hazelpitch/internal/fleetlimit"
 )
 
-// limitHash names one incarnation of a back end where limits are counted, the same at every gateway.
-func limitHash(backEnd BackEnd) uint64 { return hashName(identityOf(backEnd)) }
+// limitKey identifies one incarnation of a back end in the limit counters; it is the same at every gateway.
+func limitKey(backEnd BackEnd) uint64 { return hashName(incarnationID(backEnd)) }
 
-// observeLimit takes the limit in an answer of a back end to what was sent at a time.
+// observeLimit applies the limit in a back end's answer to a request sent at sentAt.
 func (r *Router) observeLimit(now, sentAt time.Duration, candidate *Candidate, limit backpressure.Limit) {
 	if candidate.signals.RecordBackEndLimit(now, sentAt, limit) {
-		r.limits[limitHash(candidate.BackEnd)] = limit
+		r.unreportedLimits[limitKey(candidate.BackEnd)] = limit
 	}
 }
 
-// UnreportedLimits returns the limits that back ends have named to this gateway, or ceased to name, and that the leader has
-// not been told.
+// UnreportedLimits returns the limits that back ends have set or lifted in answers to this gateway and that have
+// not been reported to the leader.
 func (r *Router) UnreportedLimits() []fleetlimit.BackEndLimit {
-	heard := make([]fleetlimit.BackEndLimit, 0, len(r.limits))
-	for backEnd, limit := range r.limits {
-		heard = append(heard, fleetlimit.BackEndLimit{BackEnd: backEnd, Limit: limit})
+	unreported := make([]fleetlimit.BackEndLimit, 0, len(r.unreportedLimits))
+	for backEnd, limit := range r.unreportedLimits {
+		unreported = append(unreported, fleetlimit.BackEndLimit{BackEnd: backEnd, Limit: limit})
 	}
-	return heard
+	return unreported
 }
 
-// MarkLimitsReported notes that the leader has been told what back ends had named.
-func (r *Router) MarkLimitsReported(told []fleetlimit.BackEndLimit) {
-	for _, named := range told {
-		if r.limits[named.BackEnd] == named.Limit {
-			delete(r.limits, named.BackEnd)
+// MarkLimitsReported records that limits have been reported to the leader.
+func (r *Router) MarkLimitsReported(reported []fleetlimit.BackEndLimit) {
+	for _, named := range reported {
+		if r.unreportedLimits[named.BackEnd] == named.Limit {
+			delete(r.unreportedLimits, named.BackEnd)
 		}
 	}
 }
 
-// ApplyLimits takes limits as the leader knows them.
-func (r *Router) ApplyLimits(now time.Duration, told []fleetlimit.BackEndLimit) {
-	if len(told) == 0 {
+// ApplyLimits applies limits received from the leader, except where a newer one has not been reported to it.
+func (r *Router) ApplyLimits(now time.Duration, reported []fleetlimit.BackEndLimit) {
+	if len(reported) == 0 {
 		return
 	}
-	limits := make(map[uint64]backpressure.Limit, len(told))
-	for _, named := range told {
+	limits := make(map[uint64]backpressure.Limit, len(reported))
+	for _, named := range reported {
 		limits[named.BackEnd] = named.Limit
 	}
 	for _, candidate := range r.candidates {
-		hash := limitHash(candidate.BackEnd)
+		hash := limitKey(candidate.BackEnd)
 		limit, known := limits[hash]
-		if _, untold := r.limits[hash]; known && !untold {
+		if _, unreported := r.unreportedLimits[hash]; known && !unreported {
 			candidate.signals.RecordPeerLimit(now, limit)
 		}
 	}
 }
 
-// PermitRequest returns what to ask the leader before a request goes to a back end; it reports false where that needs no
-// permit. A wait for permits is not looked at: picks have done so.
+// PermitRequest returns the query to the leader that precedes a request to a back end, or false if no permit is
+// needed. It ignores a pending wait for permits, since Pick has checked it.
 func (r *Router) PermitRequest(backEnd BackEnd) (ask fleetlimit.PermitRequest, needed bool) {
 	candidate, known := r.candidates[backEnd.Name]
 	if !known || candidate.Incarnation != backEnd.Incarnation {
 		return fleetlimit.PermitRequest{}, false
 	}
-	limit, own := candidate.signals.Limit()
-	return fleetlimit.PermitRequest{BackEnd: limitHash(backEnd), Limit: limit, LimitFromBackEnd: own}, limit.IsSet
+	limit, isOwn := candidate.signals.Limit()
+	return fleetlimit.PermitRequest{BackEnd: limitKey(backEnd), Limit: limit, LimitFromBackEnd: isOwn}, limit.IsSet
 }
 
-// ApplyPermitAnswer takes the answer to a PermitAsk; answered is false where no leader gave one.
+// ApplyPermitAnswer applies the answer to a PermitRequest; answered is false if no leader answered.
 func (r *Router) ApplyPermitAnswer(now time.Duration, backEnd BackEnd, answer fleetlimit.PermitResponse, answered bool) {
 	candidate, known := r.candidates[backEnd.Name]
 	if !known || candidate.Incarnation != backEnd.Incarnation {
--- a/internal/routing/load_estimate_test.go
+++ b/internal/routing/load_estimate_test.go
@@ -10,28 +10,28 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-func TestLoadIsCorrectedByOwnWork(t *testing.T) {
+func TestLoadIncludesOwnRequests(t *testing.T) {
 	router := newTestRouter(t, engine("m1", enginecontract.RoleMixed, withLoad(Load{Running: 4})))
 	m1 := router.candidates["m1"]
 	load := func() loadEstimate { return m1.othersLoad().plus(m1.ownLoad()) }
 	for i := range 3 {
 		router.Observe(time.Second, Dispatch{BackEnd: "m1", Exchange: fmt.Sprint(i), PromptTokens: 100})
 	}
-	require.Equal(t, loadEstimate{requests: 7, unreadTokens: 300}, load())
+	require.Equal(t, loadEstimate{requests: 7, prefillTokens: 300}, load())
 
 	router.Observe(2*time.Second, AnswerHeaders{BackEnd: "m1", Load: &Load{Running: 7}, Age: 500 * time.Millisecond})
-	require.Equal(t, loadEstimate{requests: 7}, load(), "the report covers what was sent before it was measured")
+	require.Equal(t, loadEstimate{requests: 7}, load(), "the report covers requests sent before its measurement")
 
 	router.Observe(3*time.Second, Completion{BackEnd: "m1", Exchange: "1"})
-	require.Equal(t, loadEstimate{requests: 6}, load(), "the report still counts the finished one")
+	require.Equal(t, loadEstimate{requests: 6}, load(), "the report still counts the finished request")
 
 	router.Observe(4*time.Second, AnswerHeaders{BackEnd: "m1", Load: &Load{Running: 6}})
 	require.Equal(t, loadEstimate{requests: 6}, load())
 }
 
-// TestUnreadPromptsAreLearned: own requests are known to be read at their first
-// token, and others' are taken to be like them.
-func TestUnreadPromptsAreLearned(t *testing.T) {
+// A gateway's own prompts count as prefilled from their first token on; those of other gateways are estimated from
+// them.
+func TestPrefillTokensAreEstimated(t *testing.T) {
 	router := newTestRouter(t, engine("m1", enginecontract.RoleMixed, withLoad(Load{Running: 4})))
 	m1 := router.candidates["m1"]
 	load := func() loadEstimate { return m1.othersLoad().plus(m1.ownLoad()) }
@@ -41,32 +41,31 @@
 	send("a")
 	router.Observe(time.Second, FirstToken{BackEnd: "m1", Exchange: "a"})
 	router.Observe(4*time.Second, Completion{BackEnd: "m1", Exchange: "a"})
-	require.Equal(t, loadEstimate{requests: 4, unreadTokens: 4 * 250}, load(), "a quarter of its time a request is unread")
+	require.Equal(t, loadEstimate{requests: 4, prefillTokens: 4 * 250}, load(), "a request is in prefill for a quarter of its time")
 
 	send("b")
 	router.Observe(5*time.Second, AnswerHeaders{BackEnd: "m1", Load: &Load{Running: 5}})
-	require.Equal(t, loadEstimate{requests: 5, unreadTokens: 4*250 + 1000}, load())
+	require.Equal(t, loadEstimate{requests: 5, prefillTokens: 4*250 + 1000}, load())
 	router.Observe(6*time.Second, FirstToken{BackEnd: "m1", Exchange: "b"})
-	require.Equal(t, loadEstimate{requests: 5, unreadTokens: 4 * 250}, load(), "the own prompt is read")
+	require.Equal(t, loadEstimate{requests: 5, prefillTokens: 4 * 250}, load(), "this gateway's prompt is prefilled")
 }
 
-// TestOldReportsCountLess: of two back ends whose reports are old, the one that was
-// idle then is hardly preferred.
-func TestOldReportsCountLess(t *testing.T) {
+// If the reports of two back ends are old, the one that was idle then is only slightly preferred.
+func TestOldReportsWeighLess(t *testing.T) {
 	busy := engine("m1", enginecontract.RoleMixed, withLoad(Load{WaitingPromptTokens: 100_000}))
 	router := newTestRouter(t, busy, engine("m2", enginecontract.RoleMixed, withLoad(Load{})))
 	difference := func(now time.Duration) float64 {
 		_, err := router.Pick(now, request(), nil)
 		require.NoError(t, err)
-		return router.candidates["m1"].load.unreadTokens - router.candidates["m2"].load.unreadTokens
+		return router.candidates["m1"].load.prefillTokens - router.candidates["m2"].load.prefillTokens
 	}
 	require.InDelta(t, 100_000, difference(0), 1)
 	require.InDelta(t, 50_000, difference(loadHalfLife), 1)
 	require.InDelta(t, 100_000/256.0, difference(ConfirmationLimit), 1)
 }
 
-// TestHomeShareIsLearned from answers of requests that were sent to a home.
-func TestHomeShareIsLearned(t *testing.T) {
+// The hit rate at homes is learned only from requests that were sent to a home.
+func TestHomeHitRateIsLearned(t *testing.T) {
 	router := newTestRouter(t, engine("m1", enginecontract.RoleMixed))
 	run := func(home bool, cached int) {
 		router.Observe(0, Dispatch{BackEnd: "m1", Exchange: "x", PromptTokens: 1000, CachedAtHome: home})
@@ -76,5 +75,5 @@
 		run(false, 1000)
 		run(true, 100)
 	}
-	require.InDelta(t, 0.1, float64(router.prefixes.homeShare), 0.01)
+	require.InDelta(t, 0.1, float64(router.prefixIndex.homeHitRate), 0.01)
 }
--- a/internal/routing/observation.go
+++ b/internal/routing/observation.go
@@ -7,59 +7,57 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Observation is one thing that the gateway saw happen at a back end.
+// Observation is an event at a back end that the gateway reports to the Router.
 type Observation interface{ isObservation() }
 
-// Dispatch tells that a request was sent, before its first byte left. Every Dispatch is
-// followed by exactly one Finished or Failed with the same BackEnd and Exchange.
+// Dispatch reports that a request is sent, before its first byte. Every Dispatch is followed by exactly one
+// Completion or Failure with the same BackEnd and Exchange.
 type Dispatch struct {
 	BackEnd      string
 	Exchange     string
-	PromptTokens int // expected to be read, less those expected in the cache
+	PromptTokens int // expected prefill: without the tokens expected in the cache
 	PrefixBlocks []uint64
-	CachedAtHome bool // of the Choice; routing learns from it what a home is worth
+	CachedAtHome bool // from the Choice; its usage updates the estimated hit rate at homes
 }
 
-// AnswerHeaders tells what an answer's headers said about the back end.
+// AnswerHeaders reports what the headers of an answer said about the back end.
 type AnswerHeaders struct {
 	BackEnd     string
-	Incarnation uint64 // 0 when the answer did not tell
-	// Exchange is the request that was answered. The state may be as old as its
-	// sending, so a confirmation counts from then; empty counts from the arrival.
+	Incarnation uint64 // 0 if the answer did not contain it
+	// Exchange is the request that was answered. The state may be as old as its dispatch, so it confirms the
+	// back end as of then, or as of the arrival of the answer if Exchange is empty.
 	Exchange string
-	// State is empty when the answer did not tell.
+	// State is empty if the answer did not contain it.
 	State enginecontract.ServiceState
-	// Role is empty when the answer did not tell.
+	// Role is empty if the answer did not contain it.
 	Role enginecontract.Role
-	// Load is nil when the answer did not tell. It was measured Age ago.
+	// Load is nil if the answer did not contain it. It was measured Age ago.
 	Load *Load
 	Age  time.Duration
-	// Backoff is how long the back end wants nothing from this gateway, from now on; 0 when it did not ask.
+	// Backoff is how long, from now on, the back end wants no requests from this gateway; 0 if it did not ask.
 	Backoff time.Duration
-	// Limit is what the back end takes of all gateways together, the zero value for no limit; nil when the answer said
-	// nothing of that.
+	// Limit is the back end's limit for all gateways together; the zero value means no limit, and nil that the
+	// answer did not contain it.
 	Limit *backpressure.Limit
 }
 
-// FirstToken tells that the first token of an exchange has come. Routing learns
-// from it how much of the prompts at a back end is still unread.
+// FirstToken reports the first token of an exchange. It shows that the prompt has been prefilled.
 type FirstToken struct {
 	BackEnd  string
 	Exchange string
 }
 
-// Completion tells that an exchange has ended without a fault of the back end.
+// Completion reports that an exchange has ended without a fault of the back end.
 type Completion struct {
 	BackEnd  string
 	Exchange string
-	// PromptTokens and CachedTokens are what the answer's usage said; PromptTokens
-	// is 0 when it said nothing.
+	// PromptTokens and CachedTokens are from the usage in the answer; PromptTokens is 0 if there was none.
 	PromptTokens int
 	CachedTokens int
 }
 
-// Failure tells that an exchange has ended by a fault of the back end or of the
-// way there; the back end is avoided for a while.
+// Failure reports that an exchange has failed because of the back end or the network. The back end is avoided for
+// a while.
 type Failure struct {
 	BackEnd  string
 	Exchange string
--- a/internal/routing/observe.go
+++ b/internal/routing/observe.go
@@ -6,100 +6,98 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Observe takes in what the gateway saw. Observations of back ends that have left
-// the directory are ignored.
+// Observe applies an observation. It ignores observations of back ends that have left the directory.
 func (r *Router) Observe(now time.Duration, observation Observation) {
-	switch seen := observation.(type) {
+	switch observed := observation.(type) {
 	case Dispatch:
-		r.observeSent(now, seen)
+		r.observeSent(now, observed)
 	case AnswerHeaders:
-		r.observeAnswered(now, seen)
+		r.observeAnswered(now, observed)
 	case FirstToken:
-		if candidate, known := r.candidates[seen.BackEnd]; known {
-			candidate.work.firstToken(now, seen.Exchange)
+		if candidate, known := r.candidates[observed.BackEnd]; known {
+			candidate.ownRequests.recordFirstToken(now, observed.Exchange)
 		}
 	case Completion:
-		r.observeFinished(now, seen)
+		r.observeFinished(now, observed)
 	case Failure:
-		r.observeFailed(now, seen)
+		r.observeFailed(now, observed)
 	}
 }
 
-func (r *Router) observeSent(now time.Duration, seen Dispatch) {
-	candidate, known := r.candidates[seen.BackEnd]
+func (r *Router) observeSent(now time.Duration, dispatch Dispatch) {
+	candidate, known := r.candidates[dispatch.BackEnd]
 	if !known {
 		return
 	}
-	candidate.work.add(sentWork{exchange: seen.Exchange, at: now, promptTokens: seen.PromptTokens, asHome: seen.CachedAtHome})
-	r.prefixes.remember(seen.PrefixBlocks, candidate.node)
+	candidate.ownRequests.add(sentRequest{exchange: dispatch.Exchange, at: now, promptTokens: dispatch.PromptTokens, cachedAtHome: dispatch.CachedAtHome})
+	r.prefixIndex.record(dispatch.PrefixBlocks, candidate.cacheNode)
 }
 
-func (r *Router) observeAnswered(now time.Duration, seen AnswerHeaders) {
-	candidate, known := r.candidates[seen.BackEnd]
-	if !known || (seen.Incarnation != 0 && seen.Incarnation < candidate.Incarnation) {
+func (r *Router) observeAnswered(now time.Duration, headers AnswerHeaders) {
+	candidate, known := r.candidates[headers.BackEnd]
+	if !known || (headers.Incarnation != 0 && headers.Incarnation < candidate.Incarnation) {
 		return
 	}
-	at := now - r.zoneLatency(candidate.Zone) - seen.Age
+	at := now - r.zoneLatency(candidate.Zone) - headers.Age
 	sentAt := at
-	if seen.Exchange != "" {
-		sentAt = candidate.work.sentAt(seen.Exchange)
+	if headers.Exchange != "" {
+		sentAt = candidate.ownRequests.sentAt(headers.Exchange)
 	}
-	if seen.Incarnation > candidate.Incarnation {
-		r.restart(candidate, seen.Incarnation)
+	if headers.Incarnation > candidate.Incarnation {
+		r.restart(candidate, headers.Incarnation)
 	}
-	candidate.signals.ExtendBackoff(now, seen.Backoff)
-	if seen.Limit != nil {
-		r.observeLimit(now, sentAt, candidate, *seen.Limit)
+	candidate.signals.ExtendBackoff(now, headers.Backoff)
+	if headers.Limit != nil {
+		r.observeLimit(now, sentAt, candidate, *headers.Limit)
 	}
-	if seen.State == enginecontract.StateLeaving {
+	if headers.State == enginecontract.StateLeaving {
 		candidate.signals.MarkLeaving(now)
 	}
-	if seen.Role != "" && seen.Role != candidate.Role {
-		r.changeRole(candidate, seen.Role)
+	if headers.Role != "" && headers.Role != candidate.Role {
+		r.changeRole(candidate, headers.Role)
 	}
-	if seen.State != "" {
-		candidate.reportState(at, sentAt, seen.State)
+	if headers.State != "" {
+		candidate.reportState(at, sentAt, headers.State)
 	}
-	if seen.Load != nil {
-		candidate.reportLoad(at, *seen.Load)
+	if headers.Load != nil {
+		candidate.reportLoad(at, *headers.Load)
 	}
 }
 
-// changeRole moves a back end to the pools of its new role. Roles change seldom, so
-// all pools are built anew.
+// changeRole moves a back end to the pools of its new role. Roles rarely change, so it rebuilds all pools.
 func (r *Router) changeRole(candidate *Candidate, role enginecontract.Role) {
 	candidate.Role = role
 	r.pools = make(map[poolKey]*pool)
-	for _, each := range r.candidates {
-		r.addToPools(each)
+	for _, other := range r.candidates {
+		r.addToPools(other)
 	}
 	r.sortPools()
 }
 
-func (r *Router) observeFinished(now time.Duration, seen Completion) {
-	candidate, known := r.candidates[seen.BackEnd]
+func (r *Router) observeFinished(now time.Duration, completion Completion) {
+	candidate, known := r.candidates[completion.BackEnd]
 	if !known {
 		return
 	}
-	if ended, found := candidate.work.finish(now, seen.Exchange, candidate.HasLoad); found {
-		candidate.reading.learn(now, ended)
-		if ended.asHome && seen.PromptTokens > 0 {
-			r.prefixes.homeShare.learn(seen.PromptTokens, seen.CachedTokens)
+	if request, found := candidate.ownRequests.finish(now, completion.Exchange, candidate.HasLoad); found {
+		candidate.prefillMean.observe(now, request)
+		if request.cachedAtHome && completion.PromptTokens > 0 {
+			r.prefixIndex.homeHitRate.observe(completion.PromptTokens, completion.CachedTokens)
 		}
 	}
 	candidate.failures = 0
 }
 
-func (r *Router) observeFailed(now time.Duration, seen Failure) {
-	candidate, known := r.candidates[seen.BackEnd]
+func (r *Router) observeFailed(now time.Duration, failure Failure) {
+	candidate, known := r.candidates[failure.BackEnd]
 	if !known {
 		return
 	}
-	candidate.work.finish(now, seen.Exchange, candidate.HasLoad)
+	candidate.ownRequests.finish(now, failure.Exchange, candidate.HasLoad)
 	cooldown := r.config.MaximumCooldown
 	if shift := min(candidate.failures, 16); r.config.Cooldown<<shift < cooldown {
 		cooldown = r.config.Cooldown << shift
 	}
 	candidate.failures++
-	candidate.avoidUntil = now + cooldown
+	candidate.cooldownUntil = now + cooldown
 }
--- /dev/null
+++ b/internal/routing/own_requests.go
@@ -0,0 +1,101 @@
+package routing
+
+import "time"
+
+// sentRequest is a request that this gateway has sent to a back end.
+type sentRequest struct {
+	exchange     string
+	at           time.Duration
+	promptTokens int
+	// firstTokenAt is when the first token arrived; 0 before.
+	firstTokenAt time.Duration
+	// cachedAtHome is true if the prompt was expected in the cache only because the back end is its home.
+	cachedAtHome bool
+}
+
+// ownRequests are the requests that this gateway has sent to one back end, and those that have finished since the
+// last load report. Their number is bounded by the requests in flight and those between two reports.
+type ownRequests struct {
+	// requests holds the unfinished requests in the order of their dispatch.
+	requests []sentRequest
+	// unreported counts the last entries of requests that no load report covers yet.
+	unreported       int
+	unreportedTokens int64
+	// finished holds the end times of requests that the last report still counts.
+	finished []time.Duration
+}
+
+func (w *ownRequests) add(request sentRequest) {
+	w.requests = append(w.requests, request)
+	w.unreported++
+	w.unreportedTokens += int64(request.promptTokens)
+}
+
+// sentAt returns when an exchange was sent. It returns neverConfirmed for an unknown one, which is too old to confirm
+// anything.
+func (w *ownRequests) sentAt(exchange string) time.Duration {
+	for i := range w.requests {
+		if w.requests[i].exchange == exchange {
+			return w.requests[i].at
+		}
+	}
+	return neverConfirmed
+}
+
+// recordFirstToken records that the prompt of an exchange has been prefilled.
+func (w *ownRequests) recordFirstToken(now time.Duration, exchange string) {
+	for i := range w.requests {
+		if w.requests[i].exchange == exchange && w.requests[i].firstTokenAt == 0 {
+			w.requests[i].firstTokenAt = now
+			return
+		}
+	}
+}
+
+// finish removes the request and returns it.
+func (w *ownRequests) finish(now time.Duration, exchange string, hasReport bool) (sentRequest, bool) {
+	for i, request := range w.requests {
+		if request.exchange != exchange {
+			continue
+		}
+		if i >= len(w.requests)-w.unreported {
+			w.unreported--
+			w.unreportedTokens -= int64(request.promptTokens)
+		} else if hasReport {
+			w.finished = append(w.finished, now)
+		}
+		w.requests = append(w.requests[:i], w.requests[i+1:]...)
+		return request, true
+	}
+	return sentRequest{}, false
+}
+
+// applyReport drops the corrections that are covered by a load report measured at the given time.
+func (w *ownRequests) applyReport(at time.Duration) {
+	for w.unreported > 0 {
+		oldest := w.requests[len(w.requests)-w.unreported]
+		if oldest.at > at {
+			break
+		}
+		w.unreported--
+		w.unreportedTokens -= int64(oldest.promptTokens)
+	}
+	remaining := w.finished[:0]
+	for _, finishedAt := range w.finished {
+		if finishedAt > at {
+			remaining = append(remaining, finishedAt)
+		}
+	}
+	w.finished = remaining
+}
+
+// prefillTokens returns the prompt tokens of requests that a report covers and that have no first token yet.
+func (w *ownRequests) prefillTokens() float64 {
+	var sum float64
+	for i := range w.requests[:len(w.requests)-w.unreported] {
+		if w.requests[i].firstTokenAt == 0 {
+			sum += float64(w.requests[i].promptTokens)
+		}
+	}
+	return sum
+}
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -7,33 +7,31 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// retryAfterNoBackEnd is what a caller is told when only a change of the
-// directory can help.
+// retryAfterNoBackEnd is the retry time for callers if only a change of the directory can help.
 const retryAfterNoBackEnd = 2 * time.Second
 
-// wholeRoles are the roles made for whole requests: mixed engines and, with no
-// role, page services.
+// wholeRoles are the roles for whole requests: mixed engines and, without a role, page services.
 var wholeRoles = []enginecontract.Role{enginecontract.RoleMixed, ""}
 
-// fallbackRoles can run a whole request when nothing better is left: a decode
-// engine reads the prompt itself, slowly and at the cost of its streams.
+// fallbackRoles can run a whole request if nothing better is left: a decode engine can prefill the prompt itself,
+// but slowly and at the cost of its streams.
 var fallbackRoles = []enginecontract.Role{enginecontract.RoleDecode}
 
-// part is the choice for one stage.
-type part struct {
-	candidate *Candidate
-	cost      time.Duration
-	cached    float64
-	asHome    bool
+// stageChoice is the back end chosen for one stage.
+type stageChoice struct {
+	candidate    *Candidate
+	cost         time.Duration
+	cachedTokens float64
+	cachedAtHome bool
 }
 
-// Pick chooses where to send the request. excluded names back ends that have
-// already failed it. The error is a *PickError; nothing has been sent then.
+// Pick chooses where to send the request. excluded names back ends that have already failed it. The error is a
+// *PickError, in which case nothing has been sent.
 func (r *Router) Pick(now time.Duration, request Request, excluded []string) (Choice, error) {
 	decision := &Decision{Now: now, Request: &request, Excluded: excluded, router: r}
-	decision.prefix = r.prefixes.view(&request)
+	decision.prefix = r.prefixIndex.match(&request)
 
-	choice, err := r.choose(decision)
+	choice, err := r.chooseStages(decision)
 	if errors.Is(err, ErrAllInBackoff) || errors.Is(err, ErrAllLimited) {
 		return Choice{}, &PickError{Reason: err, Service: request.Service, RetryAfter: r.shortestWait(now, request.Service)}
 	}
@@ -47,108 +45,106 @@
 	return choice, nil
 }
 
-// choose takes the cheaper of one engine and a pair, and falls back to a decode
-// engine alone.
-func (r *Router) choose(decision *Decision) (Choice, error) {
+// chooseStages returns the cheaper of a whole back end and a pair of engines, or else a decode engine alone.
+func (r *Router) chooseStages(decision *Decision) (Choice, error) {
 	whole, wholeErr := r.pickWhole(decision, wholeRoles)
 	pairErr := ErrNoBackEnd
 	if !decision.Request.WholeOnly {
-		var prefill, output part
-		prefill, output, pairErr = r.pickPair(decision)
-		if pairErr == nil && (wholeErr != nil || prefill.cost+output.cost < whole.cost) {
-			return r.chosenPair(decision, prefill, output), nil
+		var prefill, decode stageChoice
+		prefill, decode, pairErr = r.pickPair(decision)
+		if pairErr == nil && (wholeErr != nil || prefill.cost+decode.cost < whole.cost) {
+			return r.pairChoice(decision, prefill, decode), nil
 		}
 	}
 	if wholeErr == nil {
-		return r.chosenWhole(decision, whole), nil
+		return r.wholeChoice(decision, whole), nil
 	}
 	fallback, fallbackErr := r.pickWhole(decision, fallbackRoles)
 	if fallbackErr == nil {
-		return r.chosenWhole(decision, fallback), nil
+		return r.wholeChoice(decision, fallback), nil
 	}
-	return Choice{}, moreTelling(wholeErr, moreTelling(pairErr, fallbackErr))
+	return Choice{}, laterReason(wholeErr, laterReason(pairErr, fallbackErr))
 }
 
-// pickWhole picks a back end for the whole request among the first of the roles
-// that has one.
-func (r *Router) pickWhole(decision *Decision, roles []enginecontract.Role) (part, error) {
+// pickWhole picks a back end for the whole request from the first of the roles that has one.
+func (r *Router) pickWhole(decision *Decision, roles []enginecontract.Role) (stageChoice, error) {
 	decision.Stage = StageWhole
 	err := ErrNoBackEnd
 	for _, role := range roles {
-		found, roleErr := r.pickRole(decision, role)
+		choice, roleErr := r.pickRole(decision, role)
 		if roleErr == nil {
-			return found, nil
+			return choice, nil
 		}
-		err = moreTelling(err, roleErr)
+		err = laterReason(err, roleErr)
 	}
-	return part{}, err
+	return stageChoice{}, err
 }
 
-func (r *Router) pickPair(decision *Decision) (prefill, output part, err error) {
+func (r *Router) pickPair(decision *Decision) (prefill, decode stageChoice, err error) {
 	decision.Stage = StagePrefill
 	prefill, err = r.pickRole(decision, enginecontract.RolePrefill)
 	if err != nil {
-		return part{}, part{}, err
+		return stageChoice{}, stageChoice{}, err
 	}
 	decision.Stage = StageDecode
 	decision.PrefillZone = prefill.candidate.Zone
-	output, err = r.pickRole(decision, enginecontract.RoleDecode)
-	return prefill, output, err
+	decode, err = r.pickRole(decision, enginecontract.RoleDecode)
+	return prefill, decode, err
 }
 
 // pickRole runs the pipeline over the pool of one role.
-func (r *Router) pickRole(decision *Decision, role enginecontract.Role) (part, error) {
+func (r *Router) pickRole(decision *Decision, role enginecontract.Role) (stageChoice, error) {
 	request := decision.Request
-	pool, found := r.pools[poolKey{service: request.Service, role: role, model: request.Model, adapter: request.Adapter}]
-	if !found {
-		return part{}, ErrNoBackEnd
+	pool, exists := r.pools[poolKey{service: request.Service, role: role, model: request.Model, adapter: request.Adapter}]
+	if !exists {
+		return stageChoice{}, ErrNoBackEnd
 	}
-	decision.allowCooling = false
+	decision.allowCooldown = false
 	err := r.filter(decision, pool)
 	if errors.Is(err, ErrAllExcluded) {
-		decision.allowCooling = true
+		decision.allowCooldown = true
 		err = r.filter(decision, pool)
 	}
 	if err != nil {
-		return part{}, err
+		return stageChoice{}, err
 	}
-	r.prefixes.chooseHome(&decision.prefix, request.PrefixBlocks, r.kept)
+	r.prefixIndex.chooseHome(&decision.prefix, request.PrefixBlocks, r.filtered)
 	r.estimateLoads(decision.Now)
 	r.score(decision)
 	chosen := r.scored[r.config.Picker.Pick(decision, r.scored)]
-	cached, asHome := decision.cachedTokens(chosen.Candidate)
-	return part{candidate: chosen.Candidate, cost: chosen.Cost, cached: cached, asHome: asHome}, nil
+	cachedTokens, cachedAtHome := decision.cachedTokens(chosen.Candidate)
+	return stageChoice{candidate: chosen.Candidate, cost: chosen.Cost, cachedTokens: cachedTokens, cachedAtHome: cachedAtHome}, nil
 }
 
-// filter fills kept with up to SubsetSize members that pass every filter, nearest
-// first. It looks beyond the subset only for members that were dropped. When none
-// is left, the error is the reason of the last filter that any member reached.
+// filter fills filtered with up to SubsetSize members that pass every filter, nearest first. It considers members
+// beyond the subset only to replace those that were dropped. If none is left, the error is the reason of the last
+// filter that any member reached.
 func (r *Router) filter(decision *Decision, pool *pool) error {
-	r.kept = r.kept[:0]
-	reached := 0
+	r.filtered = r.filtered[:0]
+	furthest := 0
 	for _, candidate := range pool.members {
 		passed := 0
 		for passed < len(r.config.Filters) && r.config.Filters[passed].Keep(decision, candidate) {
 			passed++
 		}
 		if passed < len(r.config.Filters) {
-			reached = max(reached, passed)
+			furthest = max(furthest, passed)
 			continue
 		}
-		r.kept = append(r.kept, candidate)
-		if len(r.kept) == r.config.SubsetSize {
+		r.filtered = append(r.filtered, candidate)
+		if len(r.filtered) == r.config.SubsetSize {
 			break
 		}
 	}
-	if len(r.kept) == 0 {
-		return r.config.Filters[reached].Reason()
+	if len(r.filtered) == 0 {
+		return r.config.Filters[furthest].Reason()
 	}
 	return nil
 }
 
 func (r *Router) score(decision *Decision) {
 	r.scored = r.scored[:0]
-	for _, candidate := range r.kept {
+	for _, candidate := range r.filtered {
 		var cost time.Duration
 		for _, scorer := range r.config.Scorers {
 			cost += scorer.Cost(decision, candidate)
@@ -157,37 +153,36 @@
 	}
 }
 
-func (r *Router) chosenWhole(decision *Decision, whole part) Choice {
-	output := r.outputTime(decision.Request, whole.candidate)
+func (r *Router) wholeChoice(decision *Decision, whole stageChoice) Choice {
+	decodeTime := r.decodeTime(decision.Request, whole.candidate)
 	return Choice{
 		BackEnd:            whole.candidate.BackEnd,
 		Expected:           max(whole.cost, 0),
-		ExpectedFirstToken: max(whole.cost-output, 0),
-		CachedTokens:       int(whole.cached),
-		CachedAtHome:       whole.asHome,
+		ExpectedFirstToken: max(whole.cost-decodeTime, 0),
+		CachedTokens:       int(whole.cachedTokens),
+		CachedAtHome:       whole.cachedAtHome,
 	}
 }
 
-func (r *Router) chosenPair(decision *Decision, prefill, output part) Choice {
+func (r *Router) pairChoice(decision *Decision, prefill, decode stageChoice) Choice {
 	prefillBackEnd := prefill.candidate.BackEnd
 	return Choice{
-		BackEnd:            output.candidate.BackEnd,
+		BackEnd:            decode.candidate.BackEnd,
 		Prefill:            &prefillBackEnd,
-		Expected:           max(prefill.cost+output.cost, 0),
-		ExpectedFirstToken: max(prefill.cost+output.cost-r.outputTime(decision.Request, output.candidate), 0),
-		CachedTokens:       int(prefill.cached),
-		CachedAtHome:       prefill.asHome,
+		Expected:           max(prefill.cost+decode.cost, 0),
+		ExpectedFirstToken: max(prefill.cost+decode.cost-r.decodeTime(decision.Request, decode.candidate), 0),
+		CachedTokens:       int(prefill.cachedTokens),
+		CachedAtHome:       prefill.cachedAtHome,
 	}
 }
 
-// outputTime is the expected time of writing the output beside what runs there.
-func (r *Router) outputTime(request *Request, candidate *Candidate) time.Duration {
-	return time.Duration(request.OutputTokens) * r.config.TokenTimes.interval(candidate.load.requests)
+// decodeTime returns the expected decode time given the load at the candidate.
+func (r *Router) decodeTime(request *Request, candidate *Candidate) time.Duration {
+	return time.Duration(request.OutputTokens) * r.config.TokenTimes.tokenInterval(candidate.load.requests)
 }
 
-// moreTelling returns the error of the later filter: it tells more about what
-// would help.
-func moreTelling(a, b error) error {
+// laterReason returns the error of the later filter, which says more about what would help.
+func laterReason(a, b error) error {
 	for _, reason := range []error{ErrAllExcluded, ErrAllLimited, ErrAllInBackoff, ErrNoneConfirmed} {
 		if errors.Is(a, reason) || errors.Is(b, reason) {
 			return reason
--- a/internal/routing/pick_bench_test.go
+++ b/internal/routing/pick_bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// fleet returns a directory of engines over ten zones. With pairs, a quarter reads
-// prompts, a quarter does both and the others write output.
+// fleet returns a directory of engines in ten zones. With pairs, a quarter are prefill engines, a quarter mixed
+// engines and the others decode engines.
 func fleet(size int, pairs bool) []BackEnd {
 	backEnds := make([]BackEnd, size)
 	for i := range backEnds {
@@ -24,8 +24,7 @@
 	return backEnds
 }
 
-// BenchmarkPick measures one decision with prefix blocks, and the Sent and Finished
-// that go with it.
+// BenchmarkPick measures one decision with prefix blocks, including its Dispatch and Completion.
 func BenchmarkPick(b *testing.B) {
 	for _, pairs := range []bool{false, true} {
 		for _, size := range []int{10, 100, 1000} {
@@ -35,15 +34,15 @@
 					b.Fatal(err)
 				}
 				router.SetBackEnds(fleet(size, pairs))
-				asked := request()
+				pickRequest := request()
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
-					asked.PrefixBlocks = prompt(i % 500)
-					choice, err := router.Pick(time.Second, asked, nil)
+					pickRequest.PrefixBlocks = promptBlocks(i % 500)
+					choice, err := router.Pick(time.Second, pickRequest, nil)
 					if err != nil {
 						b.Fatal(err)
 					}
-					router.Observe(time.Second, Dispatch{BackEnd: choice.BackEnd.Name, Exchange: "x", PromptTokens: 2000, PrefixBlocks: asked.PrefixBlocks})
+					router.Observe(time.Second, Dispatch{BackEnd: choice.BackEnd.Name, Exchange: "x", PromptTokens: 2000, PrefixBlocks: pickRequest.PrefixBlocks})
 					router.Observe(time.Second, Completion{BackEnd: choice.BackEnd.Name, Exchange: "x"})
 				}
 			})
@@ -51,8 +50,8 @@
 	}
 }
 
-// prompt returns the blocks of one of many prompts: 4 shared blocks and 28 of its own.
-func prompt(number int) []uint64 {
+// promptBlocks returns the blocks of one of many prompts: 4 shared blocks and 28 of its own.
+func promptBlocks(number int) []uint64 {
 	blocks := make([]uint64, 32)
 	for i := range blocks {
 		blocks[i] = rendezvousWeight(uint64(i), uint64(number/10))
@@ -63,7 +62,7 @@
 	return blocks
 }
 
-// BenchmarkSetBackEnds measures taking in a changed directory.
+// BenchmarkSetBackEnds measures replacing the directory.
 func BenchmarkSetBackEnds(b *testing.B) {
 	for _, size := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("replicas=%d", size), func(b *testing.B) {
--- a/internal/routing/pick_test.go
+++ b/internal/routing/pick_test.go
@@ -16,7 +16,7 @@
 
 func withAdapter(b *BackEnd) { b.Adapters = []string{"lima"} }
 
-// pickRow is one directory and request, and what Pick makes of them.
+// pickRow is a directory, a request and the expected result of Pick.
 type pickRow struct {
 	name     string
 	backEnds []BackEnd
@@ -58,17 +58,17 @@
 		engine("d2", enginecontract.RoleDecode, inZone("zone-b"))}, want: "d2", prefill: "p1"},
 	{name: "half a pair", backEnds: []BackEnd{engine("p1", enginecontract.RolePrefill)}, err: ErrNoBackEnd},
 	{name: "half a pair falls back to mixed", backEnds: []BackEnd{engine("p1", enginecontract.RolePrefill), engine("m1", mixed)}, want: "m1"},
-	{name: "after a failed hand-over the decode engine reads the prompt",
+	{name: "after a failed KV transfer the decode engine prefills the prompt",
 		backEnds: []BackEnd{engine("p1", enginecontract.RolePrefill), engine("d1", enginecontract.RoleDecode)},
 		change:   func(r *Request) { r.WholeOnly = true }, want: "d1"},
-	{name: "without prefill engines the decode engine reads the prompt",
+	{name: "without prefill engines the decode engine prefills the prompt",
 		backEnds: []BackEnd{engine("d1", enginecontract.RoleDecode)}, want: "d1"},
 	{name: "page service", backEnds: []BackEnd{engine("w1", "", func(b *BackEnd) { b.Model = "" })},
 		change: func(r *Request) { r.Model, r.PromptTokens, r.OutputTokens = "", 0, 0 }, want: "w1"},
 }
 
-// TestPickChoosesOrSaysWhyNot is the contract of Pick with its fault rows.
-func TestPickChoosesOrSaysWhyNot(t *testing.T) {
+// Pick returns a matching choice, or a PickError with the reason and a retry time.
+func TestPickReturnsChoiceOrReason(t *testing.T) {
 	for _, row := range pickRows {
 		t.Run(row.name, row.check)
 	}
@@ -97,7 +97,7 @@
 	require.Equal(t, row.prefill, prefill)
 }
 
-func TestFailedBackEndIsAvoidedWhileAnotherServes(t *testing.T) {
+func TestFailedBackEndIsAvoidedWhileOthersServe(t *testing.T) {
 	router := newTestRouter(t, engine("m1", enginecontract.RoleMixed), engine("m2", enginecontract.RoleMixed))
 	router.Observe(0, Failure{BackEnd: "m1", Exchange: "x"})
 	for range 50 {
@@ -106,7 +106,7 @@
 		require.Equal(t, "m2", choice.BackEnd.Name)
 	}
 	choice, err := router.Pick(0, request(), []string{"m2"})
-	require.NoError(t, err, "a back end that is cooling down is better than none")
+	require.NoError(t, err, "a back end in its cooldown is better than none")
 	require.Equal(t, "m1", choice.BackEnd.Name)
 }
 
--- a/internal/routing/picker_best.go
+++ b/internal/routing/picker_best.go
@@ -1,6 +1,6 @@
 package routing
 
-// LowestCost picks the candidate of least cost; of equal ones the first.
+// LowestCost picks the candidate with the lowest cost, the first one of a tie.
 type LowestCost struct{}
 
 // Pick implements Picker.
--- a/internal/routing/picker_sample.go
+++ b/internal/routing/picker_sample.go
@@ -5,12 +5,11 @@
 	"time"
 )
 
-// sampleSpread keeps the weights of near-equal candidates near-equal.
-const sampleSpread = 20 * time.Millisecond
+// sampleCostScale is the cost difference below which candidates have nearly equal weights.
+const sampleCostScale = 20 * time.Millisecond
 
-// WeightedSample draws candidates at random, cheaper ones more often, and picks
-// the cheapest drawn. Gateways that all see the same old load report therefore
-// spread over the good back ends and do not all rush to the best.
+// WeightedSample draws candidates at random, cheaper ones more often, and picks the cheapest of them. Gateways that
+// all use the same outdated load report therefore spread over the good back ends instead of all picking the best.
 type WeightedSample struct {
 	random *rand.Rand
 	size   int
@@ -26,11 +25,11 @@
 	least := scored[LowestCost{}.Pick(nil, scored)].Cost
 	total := 0.0
 	for i := range scored {
-		total += weight(scored[i].Cost - least)
+		total += sampleWeight(scored[i].Cost - least)
 	}
 	chosen := -1
 	for range w.size {
-		drawn := draw(scored, least, w.random.Float64()*total)
+		drawn := sampleIndex(scored, least, w.random.Float64()*total)
 		if chosen < 0 || scored[drawn].Cost < scored[chosen].Cost {
 			chosen = drawn
 		}
@@ -38,10 +37,10 @@
 	return chosen
 }
 
-// draw returns the index at which the running sum of weights passes target.
-func draw(scored []ScoredCandidate, least time.Duration, target float64) int {
+// sampleIndex returns the index at which the running sum of weights exceeds target.
+func sampleIndex(scored []ScoredCandidate, least time.Duration, target float64) int {
 	for i := range scored {
-		target -= weight(scored[i].Cost - least)
+		target -= sampleWeight(scored[i].Cost - least)
 		if target < 0 {
 			return i
 		}
@@ -49,8 +48,8 @@
 	return len(scored) - 1
 }
 
-// weight falls with the cost above the least cost.
-func weight(excess time.Duration) float64 {
-	ratio := 1 + float64(excess)/float64(sampleSpread)
+// sampleWeight decreases with the cost above the lowest cost.
+func sampleWeight(excess time.Duration) float64 {
+	ratio := 1 + float64(excess)/float64(sampleCostScale)
 	return 1 / (ratio * ratio)
 }
--- a/internal/routing/pipeline.go
+++ b/internal/routing/pipeline.go
@@ -2,34 +2,33 @@
 
 import "time"
 
-// Decision is what the plugins see of one stage of one decision. Plugins must not
-// keep it.
+// Decision is the input of the pipeline's plugins for one stage of a decision. Plugins must not keep it.
 type Decision struct {
 	Now     time.Duration
 	Request *Request
 	Stage   Stage
-	// PrefillZone is the zone of the chosen prefill engine in StageOutput.
+	// PrefillZone is the zone of the chosen prefill engine. It is set in StageDecode.
 	PrefillZone string
 	// Excluded names back ends that have failed this request.
 	Excluded []string
 
 	router *Router
-	prefix prefixView
-	// allowCooling lets back ends through that are cooling down.
-	allowCooling bool
+	prefix prefixMatch
+	// allowCooldown admits back ends in a cooldown.
+	allowCooldown bool
 }
 
 // Filter drops back ends that must not get the request.
 type Filter interface {
-	// Reason is the error that tells of a request for which this filter left nothing.
+	// Reason returns the error for a request for which this filter left no back end.
 	Reason() error
 	// Keep reports whether the candidate may get the request.
 	Keep(decision *Decision, candidate *Candidate) bool
 }
 
-// Scorer adds to the time that the request is expected to take at a candidate.
+// Scorer estimates a part of the time that the request takes at a candidate.
 type Scorer interface {
-	// Cost may be negative: a saving.
+	// Cost returns that time. It may be negative for a saving.
 	Cost(decision *Decision, candidate *Candidate) time.Duration
 }
 
@@ -45,13 +44,12 @@
 	Cost      time.Duration
 }
 
-// StandardFilters returns the filters in force unless Config replaces them, in
-// the order in which they run.
+// StandardFilters returns the default filters in the order in which they run.
 func StandardFilters() []Filter {
-	return []Filter{modelFilter{}, confirmationFilter{}, restFilter{}, limitFilter{}, exclusionFilter{}}
+	return []Filter{modelFilter{}, confirmationFilter{}, backoffFilter{}, limitFilter{}, exclusionFilter{}}
 }
 
-// StandardScorers returns the scorers in force unless Config replaces them.
+// StandardScorers returns the default scorers.
 func StandardScorers() []Scorer {
 	return []Scorer{distanceScorer{}, workScorer{}, loadScorer{}, prefixScorer{}}
 }
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -7,7 +7,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// poolKey is what the back ends of one pool have in common.
+// poolKey identifies a pool by what its back ends have in common.
 type poolKey struct {
 	service string
 	role    enginecontract.Role
@@ -15,14 +15,13 @@
 	adapter string
 }
 
-// pool holds the back ends that can play one part for one model, nearest zone
-// first and within a zone in an order that all gateways of the zone share. Its
-// first SubsetSize members are the subset that decisions look at.
+// pool holds the back ends with one role for one model, nearest zone first. Within a zone, all gateways of a zone
+// use the same order. The first SubsetSize members are the subset that decisions consider.
 type pool struct {
 	members []*Candidate
 }
 
-// sortMembers orders the pool for the zone of this gateway.
+// sortMembers sorts the pool by distance from this gateway's zone.
 func (p *pool) sortMembers(router *Router) {
 	zone := hashName(router.config.Zone)
 	slices.SortFunc(p.members, func(a, b *Candidate) int {
@@ -36,8 +35,8 @@
 	})
 }
 
-// poolKeys returns the pools a back end belongs to: one for its base model and
-// one for each adapter, each also under the empty model (any).
+// poolKeys returns the pools a back end belongs to: one for its base model and one for each adapter, each also
+// under the empty model, which stands for any model.
 func poolKeys(backEnd *BackEnd) []poolKey {
 	models := []string{backEnd.Model}
 	if backEnd.Model != "" {
--- a/internal/routing/prefix_blocks.go
+++ b/internal/routing/prefix_blocks.go
@@ -7,18 +7,17 @@
 )
 
 const (
-	// PrefixBlockBytes is the length of prompt text that one prefix block covers.
+	// PrefixBlockBytes is the length in bytes of the prompt text that one prefix block covers.
 	PrefixBlockBytes = 512
-	// MaximumPrefixBlocks bounds the blocks of one prompt.
-	MaximumPrefixBlocks = 64
+	// MaxPrefixBlocks bounds the prefix blocks of one prompt.
+	MaxPrefixBlocks = 64
 )
 
-// PrefixBlocks returns identities of the prompt's leading blocks. Each identity
-// covers everything before its end and the tenant's salt, so two tenants never
-// share one. An incomplete block at the end has none. At most
-// MaximumPrefixBlocks are returned.
+// PrefixBlocks returns identities of the prompt's leading blocks, at most MaxPrefixBlocks. Each identity covers
+// the whole prompt up to the end of the block and the tenant's salt, so that two tenants never share one. An
+// incomplete block at the end has none.
 func PrefixBlocks(salt string, prompt []byte) []uint64 {
-	count := min(len(prompt)/PrefixBlockBytes, MaximumPrefixBlocks)
+	count := min(len(prompt)/PrefixBlockBytes, MaxPrefixBlocks)
 	if count == 0 {
 		return nil
 	}
--- a/internal/routing/rendezvous.go
+++ b/internal/routing/rendezvous.go
@@ -2,9 +2,8 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// rendezvousWeight is the weight of a node for a key in rendezvous hashing: the
-// node of the greatest weight owns the key, and a node that leaves moves only the
-// keys it owned. Both hashes must be well mixed.
+// rendezvousWeight is the weight of a node for a key in rendezvous hashing. The node with the highest weight owns
+// the key, and a node that leaves moves only the keys it owned. Both hashes must be well mixed.
 func rendezvousWeight(key, node uint64) uint64 {
 	mixed := key ^ node
 	mixed ^= mixed >> 33
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Request is what routing needs to know about one request.
+// Request describes a request for routing.
 type Request struct {
 	Service string
-	// Model, Version and Adapter must be loaded; an empty field asks for nothing.
+	// Model, Version and Adapter must be loaded at the back end; an empty field requires nothing.
 	Model   string
 	Version string
 	Adapter string
 	// PromptTokens and OutputTokens are estimates; both are 0 for a page service.
 	PromptTokens int
 	OutputTokens int
-	// PrefixBlocks identify the prompt's prefix, from PrefixBlocks; may be empty.
+	// PrefixBlocks identify the prompt's prefix (see the function PrefixBlocks); may be empty.
 	PrefixBlocks []uint64
-	// Deadline is the time of the last byte, 0 for none.
+	// Deadline is the time by which the last byte is due; 0 means none.
 	Deadline time.Duration
-	// Rank orders requests where limits of back ends do not let all through, 0 the most urgent.
+	// Rank orders requests if the limits of back ends do not admit all; 0 is the most urgent.
 	Rank int
-	// WholeOnly asks for one engine that does everything, as after a failed hand-over.
+	// WholeOnly requires one back end that does everything, as after a failed KV transfer.
 	WholeOnly bool
 }
 
-// Stage is the part of a request that a back end is chosen for.
+// Stage is the part of a request for which a back end is chosen.
 type Stage uint8
 
 // Stages.
 const (
 	// StageWhole runs the whole request: a mixed engine or a page service.
 	StageWhole Stage = iota
-	// StagePrefill reads the prompt and exports the KV cache: a prefill engine.
+	// StagePrefill prefills the prompt and exports the KV cache: a prefill engine.
 	StagePrefill
-	// StageDecode imports the KV cache and writes the output: a decode engine.
+	// StageDecode imports the KV cache and decodes the output: a decode engine.
 	StageDecode
 )
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -11,18 +11,18 @@
 
 // Router chooses back ends. See the package comment for its concurrency contract.
 type Router struct {
-	config     Config
-	candidates map[string]*Candidate
-	pools      map[poolKey]*pool
-	prefixes   *prefixMemory
-	readings   map[readingKey]*readingMean
-	// signals are what back ends have asked of this gateway; they outlive candidates.
+	config       Config
+	candidates   map[string]*Candidate
+	pools        map[poolKey]*pool
+	prefixIndex  *prefixIndex
+	prefillMeans map[prefillKey]*prefillMean
+	// signals are the backoff, limits and leaving states that back ends have signalled; they outlive candidates.
 	signals *backpressure.Registry
-	// limits are those that back ends have named, or ceased to name, since the leader was told last.
-	limits map[uint64]backpressure.Limit
-	// kept and scored are scratch space of one decision.
-	kept   []*Candidate
-	scored []ScoredCandidate
+	// unreportedLimits are limits that back ends have set or lifted and that the leader has not received yet.
+	unreportedLimits map[uint64]backpressure.Limit
+	// filtered and scored are scratch space of one decision.
+	filtered []*Candidate
+	scored   []ScoredCandidate
 }
 
 // New returns a Router with an empty directory.
@@ -39,29 +39,28 @@
 	if config.Picker == nil {
 		config.Picker = NewWeightedSample(config.Seed, config.SampleSize)
 	}
-	prefixes, err := newPrefixMemory(config.PrefixIndexSize)
+	prefixes, err := newPrefixIndex(config.PrefixIndexSize)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	return &Router{
-		config:     config,
-		candidates: make(map[string]*Candidate),
-		pools:      make(map[poolKey]*pool),
-		prefixes:   prefixes,
-		readings:   make(map[readingKey]*readingMean),
-		signals:    backpressure.NewRegistry(),
-		limits:     make(map[uint64]backpressure.Limit),
+		config:           config,
+		candidates:       make(map[string]*Candidate),
+		pools:            make(map[poolKey]*pool),
+		prefixIndex:      prefixes,
+		prefillMeans:     make(map[prefillKey]*prefillMean),
+		signals:          backpressure.NewRegistry(),
+		unreportedLimits: make(map[uint64]backpressure.Limit),
 	}, nil
 }
 
-// SetBackEnds replaces the directory. Back ends that are still in it keep what the
-// gateway has learned about them. It costs time in proportion to the directory and
-// is meant to be called when the directory has changed.
+// SetBackEnds replaces the directory. Observations of back ends that remain in it are kept. The cost is proportional
+// to the size of the directory, so call it only when the directory has changed.
 func (r *Router) SetBackEnds(backEnds []BackEnd) {
 	candidates := make(map[string]*Candidate, len(backEnds))
 	r.pools = make(map[poolKey]*pool)
 	for _, row := range backEnds {
-		if _, doubled := candidates[row.Name]; doubled {
+		if _, duplicate := candidates[row.Name]; duplicate {
 			continue
 		}
 		candidate, known := r.candidates[row.Name]
@@ -70,7 +69,7 @@
 			candidate.update(row)
 			if candidate.Incarnation != former.Incarnation {
 				candidate.signals = r.signalsOf(candidate.BackEnd)
-				r.tellRestarted(former)
+				r.notifyRestart(former)
 			}
 		} else {
 			candidate = newCandidate(row, r.signalsOf(row))
@@ -80,18 +79,18 @@
 	}
 	r.candidates = candidates
 	r.sortPools()
-	r.forgetReadings()
+	r.dropPrefillMeans()
 }
 
-// restart forgets what is true of a back end's earlier incarnation only.
+// restart discards the state of a back end's previous incarnation.
 func (r *Router) restart(candidate *Candidate, incarnation uint64) {
 	former := candidate.BackEnd
 	candidate.restart(incarnation)
 	candidate.signals = r.signalsOf(candidate.BackEnd)
-	r.tellRestarted(former)
+	r.notifyRestart(former)
 }
 
-func (r *Router) tellRestarted(former BackEnd) {
+func (r *Router) notifyRestart(former BackEnd) {
 	if r.config.OnRestart != nil {
 		r.config.OnRestart(former)
 	}
@@ -103,18 +102,18 @@
 	return known && candidate.Incarnation > backEnd.Incarnation
 }
 
-// signalsOf returns what an incarnation of a back end has asked of this gateway.
+// signalsOf returns what an incarnation of a back end has signalled to this gateway.
 func (r *Router) signalsOf(backEnd BackEnd) *backpressure.Signals {
-	return r.signals.SignalsOf(identityOf(backEnd))
+	return r.signals.SignalsOf(incarnationID(backEnd))
 }
 
-// identityOf names one incarnation of a back end.
-func identityOf(backEnd BackEnd) string {
+// incarnationID identifies one incarnation of a back end.
+func incarnationID(backEnd BackEnd) string {
 	return backEnd.Name + "/" + strconv.FormatUint(backEnd.Incarnation, 10)
 }
 
-// shortestWait is when the first back end of a service that rests, or whose limit leaves no room, can be sent requests
-// again.
+// shortestWait returns the time until the first back end of a service that is in backoff or without room in its
+// limit can get requests again.
 func (r *Router) shortestWait(now time.Duration, service string) time.Duration {
 	shortest := time.Duration(0)
 	for _, candidate := range r.candidates {
@@ -126,7 +125,7 @@
 	return shortest
 }
 
-// Backoff is how much longer a back end wants nothing from this gateway; 0 when it can be sent requests.
+// Backoff returns the remaining backoff of a back end; 0 if it can get requests.
 func (r *Router) Backoff(now time.Duration, backEnd BackEnd) time.Duration {
 	candidate, known := r.candidates[backEnd.Name]
 	if !known || candidate.Incarnation != backEnd.Incarnation {
@@ -142,7 +141,7 @@
 }
 
 func (r *Router) addToPools(candidate *Candidate) {
-	candidate.reading = r.reading(candidate)
+	candidate.prefillMean = r.prefillMeanOf(candidate)
 	for _, key := range poolKeys(&candidate.BackEnd) {
 		if r.pools[key] == nil {
 			r.pools[key] = &pool{}
@@ -151,28 +150,28 @@
 	}
 }
 
-// Confirm tells that a fresh source still says what the directory says: the state
-// of every back end in it held at the given time, except where it says nothing.
+// Confirm records that a fresh source still matches the directory: the state of every back end in it held at the
+// given time, except for unknown states.
 func (r *Router) Confirm(at time.Duration) {
 	for _, candidate := range r.candidates {
 		if !candidate.Unconfirmed {
 			candidate.confirm(at)
 		}
 	}
-	if r.signals.Len() > 2*len(r.candidates)+sparedSignals {
-		r.forgetSignals(at)
+	if r.signals.Len() > 2*len(r.candidates)+spareSignals {
+		r.dropSignals(at)
 	}
 }
 
-// sparedSignals is how many former incarnations may stay in the ledger of signals before it is looked through,
-// which costs time in proportion to the directory.
-const sparedSignals = 64
+// spareSignals is the number of former incarnations that may stay in the ledger of signals before a cleanup, whose
+// cost is proportional to the directory.
+const spareSignals = 64
 
-// forgetSignals forgets what incarnations that are gone have asked, as far as it does not hold any more.
-func (r *Router) forgetSignals(now time.Duration) {
+// dropSignals drops the expired signals of incarnations that have left the directory.
+func (r *Router) dropSignals(now time.Duration) {
 	listed := make(map[string]bool, len(r.candidates))
 	for _, candidate := range r.candidates {
-		listed[identityOf(candidate.BackEnd)] = true
+		listed[incarnationID(candidate.BackEnd)] = true
 	}
 	r.signals.RemoveUnlisted(now, func(identity string) bool { return listed[identity] })
 }
--- a/internal/routing/scorer_distance.go
+++ b/internal/routing/scorer_distance.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// distanceScorer costs the round trip to the candidate's zone and, in StageOutput,
-// the way of the KV cache from the prefill engine's zone.
+// distanceScorer adds the round trip to the candidate's zone and, in StageDecode, the KV transfer from the prefill
+// engine's zone.
 type distanceScorer struct{}
 
 func (distanceScorer) Cost(decision *Decision, candidate *Candidate) time.Duration {
--- a/internal/routing/scorer_load.go
+++ b/internal/routing/scorer_load.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// loadScorer costs the wait behind unread prompts and the slower output beside
-// running requests. It uses the corrected load: the last report, plus what this
-// gateway has sent since, less what it has seen finish.
+// loadScorer adds the wait behind queued prefills and the slower decoding beside running requests. It uses the
+// corrected load: the last report, plus the requests that this gateway has sent since, less those that have
+// finished.
 type loadScorer struct{}
 
 func (loadScorer) Cost(decision *Decision, candidate *Candidate) time.Duration {
@@ -15,10 +15,10 @@
 	}
 	var cost time.Duration
 	if decision.Stage != StageDecode {
-		cost += times.promptTime(load.unreadTokens)
+		cost += times.promptTime(load.prefillTokens)
 	}
 	if decision.Stage != StagePrefill {
-		cost += time.Duration(request.OutputTokens) * (times.interval(load.requests) - times.TokenInterval)
+		cost += time.Duration(request.OutputTokens) * (times.tokenInterval(load.requests) - times.TokenInterval)
 	}
 	return cost
 }
--- a/internal/routing/scorer_prefix.go
+++ b/internal/routing/scorer_prefix.go
@@ -2,12 +2,11 @@
 
 import "time"
 
-// cacheValue is what a cached prompt token is worth in tokens that need not be read:
-// itself, and one that would have been dropped from a cache to make room.
-const cacheValue = 1.5
+// cachedTokenValue is the number of prefilled tokens that a cached prompt token saves: itself, and one that would
+// have been evicted from a cache to make room.
+const cachedTokenValue = 1.5
 
-// prefixScorer credits the prompt time saved by tokens expected in the candidate's
-// prefix cache.
+// prefixScorer subtracts the prefill time saved by tokens expected in the candidate's prefix cache.
 type prefixScorer struct{}
 
 func (prefixScorer) Cost(decision *Decision, candidate *Candidate) time.Duration {
@@ -15,5 +14,5 @@
 		return 0
 	}
 	saved, _ := decision.cachedTokens(candidate)
-	return -decision.router.config.TokenTimes.promptTime(saved * cacheValue)
+	return -decision.router.config.TokenTimes.promptTime(saved * cachedTokenValue)
 }
--- a/internal/routing/scorer_work.go
+++ b/internal/routing/scorer_work.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// workScorer costs the request's own work at an idle back end.
+// workScorer adds the time of the request itself at an idle back end.
 type workScorer struct{}
 
 func (workScorer) Cost(decision *Decision, _ *Candidate) time.Duration {
--- a/internal/routing/token_times.go
+++ b/internal/routing/token_times.go
@@ -9,13 +9,13 @@
 	defaultPageTime              = 5 * time.Millisecond
 )
 
-// TokenTimes is how fast a back end works.
+// TokenTimes is the speed of a back end.
 type TokenTimes struct {
-	// PromptTokensPerSecond is the rate at which one engine reads prompts.
+	// PromptTokensPerSecond is the prefill rate of one engine.
 	PromptTokensPerSecond float64
-	// TokenInterval is the time between output tokens of a request running alone.
+	// TokenInterval is the time between output tokens of a request that runs alone.
 	TokenInterval time.Duration
-	// IntervalPerRunning is what each further running request adds to it.
+	// IntervalPerRunning is by how much each other running request increases it.
 	IntervalPerRunning time.Duration
 	// PageTime is the time of one request at a page service.
 	PageTime time.Duration
@@ -28,12 +28,12 @@
 	setDefault(&t.PageTime, defaultPageTime)
 }
 
-// promptTime is the time to read tokens of prompt.
+// promptTime returns the prefill time of so many tokens.
 func (t *TokenTimes) promptTime(tokens float64) time.Duration {
 	return time.Duration(tokens / t.PromptTokensPerSecond * float64(time.Second))
 }
 
-// interval is the time between output tokens with running other requests.
-func (t *TokenTimes) interval(running float64) time.Duration {
+// tokenInterval returns the time between output tokens beside so many other running requests.
+func (t *TokenTimes) tokenInterval(running float64) time.Duration {
 	return t.TokenInterval + time.Duration(running*float64(t.IntervalPerRunning))
 }
