--- a/internal/serving/check.go
+++ b/internal/serving/check.go
@@ -6,8 +6,8 @@
 	"github.com/gravitational/trace"
 )
 
-// Check returns what makes the configuration invalid as a whole, with the place and the
-// cure, or nil. An invalid configuration must never be in force.
+// Check returns an error if the configuration is invalid as a whole, with the place and the remedy, or nil. An
+// invalid configuration must never be applied.
 func (c *Configuration) Check() error {
 	services, err := c.checkServices()
 	if err != nil {
@@ -16,18 +16,18 @@
 	if err := c.checkTenants(); err != nil {
 		return trace.Wrap(err)
 	}
-	type place struct{ host, prefix string }
-	places := map[place]string{}
+	type location struct{ host, prefix string }
+	places := map[location]string{}
 	for index := range c.Routes {
 		route := &c.Routes[index]
 		if err := route.check(services); err != nil {
 			return trace.Wrap(err)
 		}
-		at := place{host: strings.ToLower(route.Host), prefix: route.Prefix}
-		if other, taken := places[at]; taken {
-			return trace.BadParameter("routes %q and %q share host %q and prefix %q; give each its own", other, route.Name, route.Host, route.Prefix)
+		location := location{host: strings.ToLower(route.Host), prefix: route.Prefix}
+		if existing, taken := places[location]; taken {
+			return trace.BadParameter("routes %q and %q share host %q and prefix %q; give each its own", existing, route.Name, route.Host, route.Prefix)
 		}
-		places[at] = route.Name
+		places[location] = route.Name
 	}
 	return nil
 }
--- a/internal/serving/configuration_test.go
+++ b/internal/serving/configuration_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func sound() Configuration {
+func validConfiguration() Configuration {
 	return Configuration{
 		Number: 3,
 		Routes: []Route{
@@ -20,9 +20,9 @@
 }
 
 func TestCheckRefusesInvalidConfigurations(t *testing.T) {
-	configuration := sound()
+	configuration := validConfiguration()
 	require.NoError(t, configuration.Check())
-	for name, spoil := range map[string]func(*Configuration){
+	for name, invalidate := range map[string]func(*Configuration){
 		"names the service":   func(c *Configuration) { c.Routes[0].Splits[1].Service = "none" },
 		"share host":          func(c *Configuration) { c.Routes[1].Prefix = "/a/" },
 		"add up to 0":         func(c *Configuration) { c.Routes[1].Splits[0].Weight = 0 },
@@ -31,14 +31,14 @@
 		"begin and end":       func(c *Configuration) { c.Routes[0].Prefix = "/a" },
 		"set one of at least": func(c *Configuration) { c.Routes[0].Splits[0].Weight = -1 },
 	} {
-		configuration := sound()
-		spoil(&configuration)
+		configuration := validConfiguration()
+		invalidate(&configuration)
 		require.ErrorContains(t, configuration.Check(), name)
 	}
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
-	configuration := sound()
+func TestRouteHasTheLongestPrefixOfTheHost(t *testing.T) {
+	configuration := validConfiguration()
 	table := NewTable(&configuration)
 	for target, want := range map[[2]string]string{
 		{"example.test", "/a/x"}:      "a",
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestChooseFollowsWeights(t *testing.T) {
+func TestChooseServiceFollowsWeights(t *testing.T) {
 	route := Route{Splits: []Split{{"s", 90}, {"none", 0}, {"t", 10}}}
 	require.Equal(t, "s", route.ChooseService(0))
 	require.Equal(t, "s", route.ChooseService(0.899))
@@ -70,7 +70,7 @@
 	require.Equal(t, 80, prompt.OutputTokens)
 	require.Equal(t, "91bd3f06", prompt.SharedBlockID())
 	require.Len(t, prompt.Blocks, 3)
-	spoilt := ParsePrompt("", "x", "a,b:,:")
-	require.Empty(t, spoilt.Blocks)
-	require.Empty(t, spoilt.SharedBlockID())
+	invalid := ParsePrompt("", "x", "a,b:,:")
+	require.Empty(t, invalid.Blocks)
+	require.Empty(t, invalid.SharedBlockID())
 }
--- a/internal/serving/listing.go
+++ b/internal/serving/listing.go
@@ -1,12 +1,12 @@
 package serving
 
-// Listing is one reading of the outside list of back ends.
+// Listing is the result of one read of the external list of back ends.
 type Listing struct {
 	BackEnds []BackEnd
-	// SkippedEntries tells, for each entry that names no back end, why.
+	// SkippedEntries holds, for each entry that describes no back end, the reason.
 	SkippedEntries []string
-	// Calls is how many calls the reading took: the list takes a fixed rate of them from all who read it.
+	// Calls is the number of calls that the read took. The list limits the rate of calls of all its readers together.
 	Calls int
-	// Complete tells that it was read to its end.
+	// Complete is true if the list was read to its end.
 	Complete bool
 }
--- a/internal/serving/prompt.go
+++ b/internal/serving/prompt.go
@@ -7,41 +7,39 @@
 	"github.com/hazelpitch/hazelpitch/internal/backpressure"
 )
 
-// Prompt is what a request declares of its prompt.
+// Prompt is what a request declares about its prompt.
 type Prompt struct {
 	Model string
-	// PromptTokens and OutputTokens are the prompt's length and the most that is
-	// generated; 0 when not declared.
+	// PromptTokens is the length of the prompt and OutputTokens the maximum that is generated; 0 if not declared.
 	PromptTokens int
 	OutputTokens int
-	// Blocks are the parts of the prompt in order; the last belongs to this request or
-	// its session alone.
+	// Blocks are the prefix blocks of the prompt in order. The last one belongs only to this request or its session.
 	Blocks []PrefixBlock
 }
 
-// PrefixBlock is one part that requests may share.
+// PrefixBlock is a block of a prompt that requests may share.
 type PrefixBlock struct {
 	ID     string
 	Tokens int
 }
 
-// CachedBlock is a part of prompts that an engine has cached for a model.
+// CachedBlock is a prefix block that an engine has cached for a model.
 type CachedBlock struct {
 	Model string
 	Block PrefixBlock
 }
 
-// CacheReport is one engine's answer of what it has cached.
+// CacheReport is an engine's answer to a query for the contents of its prefix cache.
 type CacheReport struct {
 	Blocks []CachedBlock
-	// StartedAtMs is when the start that answered began, in Unix milliseconds; 0 where it does not tell.
+	// StartedAtMs is when the incarnation that answered started, in Unix milliseconds; 0 if unknown.
 	StartedAtMs int64
-	// Signals is what the engine asked for in its answer, also in one that brought no parts.
+	// Signals are the backoff and limit signals in the answer, also in one without blocks.
 	Signals backpressure.Directives
 }
 
-// ParsePrompt reads the declarations: "PROMPT,OUTPUT" and "ID:TOKENS,ID:TOKENS". What
-// cannot be read is left out, since the declarations only guide routing.
+// ParsePrompt parses the declarations "PROMPT,OUTPUT" and "ID:TOKENS,ID:TOKENS". It leaves out what it cannot parse,
+// since the declarations only guide routing.
 func ParsePrompt(model, tokens, parts string) Prompt {
 	prompt := Prompt{Model: model}
 	input, output, _ := strings.Cut(tokens, ",")
@@ -50,9 +48,9 @@
 	if parts == "" {
 		return prompt
 	}
-	for part := range strings.SplitSeq(parts, ",") {
-		id, count, found := strings.Cut(strings.TrimSpace(part), ":")
-		length, err := strconv.Atoi(count)
+	for declaration := range strings.SplitSeq(parts, ",") {
+		id, tokenCount, found := strings.Cut(strings.TrimSpace(declaration), ":")
+		length, err := strconv.Atoi(tokenCount)
 		if !found || err != nil {
 			continue
 		}
@@ -61,8 +59,7 @@
 	return prompt
 }
 
-// SharedBlockID identifies the longest part of the prompt that other requests share; empty
-// when there is none.
+// SharedBlockID returns the ID of the last block that other requests may share, or "" if there is none.
 func (p *Prompt) SharedBlockID() string {
 	if len(p.Blocks) < 2 {
 		return ""
--- a/internal/serving/table.go
+++ b/internal/serving/table.go
@@ -6,24 +6,24 @@
 	"strings"
 )
 
-// Table finds the route of a request. It is made from one configuration and never changes.
+// Table looks up the route of a request. It is built from one configuration and immutable.
 type Table struct {
 	Configuration *Configuration
 	byHost        map[string][]*Route
 	services      map[string]*Service
-	// byKey holds the tenants by each of their keys.
-	byKey map[string]*Tenant
-	ranks ranking
+	// byKey maps each key to its tenant.
+	byKey  map[string]*Tenant
+	levels priorityLevels
 }
 
-// NewTable indexes a configuration that has been checked.
+// NewTable indexes a valid configuration.
 func NewTable(configuration *Configuration) *Table {
 	table := &Table{
 		Configuration: configuration,
 		byHost:        map[string][]*Route{},
 		services:      map[string]*Service{},
 		byKey:         map[string]*Tenant{},
-		ranks:         newRanking(configuration),
+		levels:        newPriorityLevels(configuration),
 	}
 	for index := range configuration.Routes {
 		route := &configuration.Routes[index]
@@ -46,8 +46,7 @@
 	return table
 }
 
-// Route returns the route with the host and the longest prefix that begins the path, or
-// nil. A port in the host is ignored.
+// Route returns the route of the host with the longest prefix of the path, or nil. It ignores a port in the host.
 func (t *Table) Route(host, path string) *Route {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
 		host = host[:colon]
@@ -63,17 +62,17 @@
 // Service returns the service with the name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Tenant returns the tenant that holds the key, or nil.
+// Tenant returns the tenant of the key, or nil.
 func (t *Table) Tenant(key string) *Tenant { return t.byKey[key] }
 
-// PriorityLevel ranks a request of a tenant, nil for nobody, on a route: 0 goes first, and there are so many
-// levels in all.
+// PriorityLevel returns the priority level of a tenant's requests on a route and the number of levels. Level 0 goes
+// first. The tenant is nil for requests without one.
 func (t *Table) PriorityLevel(tenant *Tenant, route *Route) (level, levels int) {
-	pair := priorities{route: route.Priority}
+	pair := priorityPair{route: route.Priority}
 	if tenant != nil {
 		pair.tenant = tenant.Priority
 	}
-	return t.ranks.levels[pair], t.ranks.count
+	return t.levels.levels[pair], t.levels.count
 }
 
 // ChooseService returns the service for one request of the route. The draw is uniform in [0, 1).
@@ -85,10 +84,10 @@
 	for _, split := range r.Splits {
 		total += split.Weight
 	}
-	left := draw * float64(total)
+	remaining := draw * float64(total)
 	for _, split := range r.Splits {
-		left -= float64(split.Weight)
-		if left < 0 {
+		remaining -= float64(split.Weight)
+		if remaining < 0 {
 			return split.Service
 		}
 	}
