--- a/internal/planner/cache.go
+++ b/internal/planner/cache.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// mostCached bounds what caches are believed to save.
-const mostCached = 0.9
+// maxCachedShare bounds the assumed savings by prefix caches.
+const maxCachedShare = 0.9
 
-// cacheEstimate compares the prompt tokens that engines have read with those of the
-// requests that completed: the rest was found in prefix caches.
+// cacheEstimate estimates the savings by prefix caches: it compares the prompt tokens that engines have prefilled
+// with those of the completed requests.
 type cacheEstimate struct {
-	done   map[string]int64 // prompt tokens read by each engine, as last reported
-	read   float64          // tokens a second, smoothed
-	served float64
+	prefilledTokens map[string]int64 // by engine, from its last report
+	prefillRate     float64          // tokens per second, smoothed
+	promptRate      float64
 }
 
-func (c *cacheEstimate) observe(engines []EngineObservation, sums []estimate, elapsed time.Duration) {
-	if c.done == nil {
-		c.done = map[string]int64{}
+func (c *cacheEstimate) observe(engines []EngineObservation, sums []kindEstimate, elapsed time.Duration) {
+	if c.prefilledTokens == nil {
+		c.prefilledTokens = map[string]int64{}
 	}
-	var read int64
+	var prefilled int64
 	for _, engine := range engines {
 		if engine.Load == nil {
 			continue
 		}
-		before, known := c.done[engine.Name]
-		c.done[engine.Name] = engine.Load.PromptTokensDone
-		if known && engine.Load.PromptTokensDone > before {
-			read += engine.Load.PromptTokensDone - before
+		previous, known := c.prefilledTokens[engine.Name]
+		c.prefilledTokens[engine.Name] = engine.Load.PromptTokensDone
+		if known && engine.Load.PromptTokensDone > previous {
+			prefilled += engine.Load.PromptTokensDone - previous
 		}
 	}
 	if elapsed <= 0 {
 		return
 	}
-	served := 0.0
+	completedTokens := 0.0
 	for _, sum := range sums {
-		served += sum.completed * sum.prompt
+		completedTokens += sum.completed * sum.prompt
 	}
-	gain := gainOf(elapsed, cacheTimeConstant)
-	c.read += gain * (float64(read)/seconds(elapsed) - c.read)
-	c.served += gain * (served - c.served)
+	gain := smoothingGain(elapsed, cacheTimeConstant)
+	c.prefillRate += gain * (float64(prefilled)/seconds(elapsed) - c.prefillRate)
+	c.promptRate += gain * (completedTokens - c.promptRate)
 }
 
-// share is the part of prompt tokens that caches save.
-func (c *cacheEstimate) share() float64 {
-	if c.served <= 0 || c.read <= 0 {
+// cachedShare returns the share of prompt tokens that prefix caches save.
+func (c *cacheEstimate) cachedShare() float64 {
+	if c.promptRate <= 0 || c.prefillRate <= 0 {
 		return 0
 	}
-	return min(max(1-c.read/c.served, 0), mostCached)
+	return min(max(1-c.prefillRate/c.promptRate, 0), maxCachedShare)
 }
--- a/internal/planner/correction.go
+++ b/internal/planner/correction.go
@@ -4,31 +4,31 @@
 
 const (
 	correctionTimeConstant = 40 * time.Second
-	mostCorrection         = 2
-	// fullShare is the modelled share of the arriving worth from which on the model
-	// claims no loss, and the measured one tells nothing about it.
-	fullShare = 0.99
+	maxCorrection          = 2
+	// noLossShare is the modelled share of the arriving worth from which on the model predicts no loss. A
+	// measured loss then says nothing about the model's error.
+	noLossShare = 0.99
 )
 
-// correction learns the factor by which what is measurably served exceeds the model's
-// rate. It is at least 1: losses beyond the model's may be those of a change under way.
+// correction estimates the factor by which the measured rate of worth exceeds the model's. It is at least 1:
+// losses beyond the model's may be due to a change in progress.
 type correction struct {
-	factor  float64
-	seconds float64 // how long it has been learned for
+	factor          float64
+	observedSeconds float64 // total time of the observations
 }
 
-// observe compares the worth served with the model's rate of the present split.
+// observe updates the factor from the worth arriving and lost and the model's rate for the current split.
 func (c *correction) observe(arriving, lost, modelled float64, elapsed time.Duration) {
 	if modelled <= 0 || elapsed <= 0 {
 		return
 	}
 	ratio := 1.0
-	if modelled < fullShare*arriving {
-		ratio = min(max((arriving-lost)/modelled, 1), mostCorrection)
+	if modelled < noLossShare*arriving {
+		ratio = min(max((arriving-lost)/modelled, 1), maxCorrection)
 	}
-	// The first seconds count in full, so that a new planner learns fast.
-	c.seconds += seconds(elapsed)
-	gain := max(gainOf(elapsed, correctionTimeConstant), min(seconds(elapsed)/c.seconds, 1))
+	// The first seconds have a higher weight, so that a new planner converges fast.
+	c.observedSeconds += seconds(elapsed)
+	gain := max(smoothingGain(elapsed, correctionTimeConstant), min(seconds(elapsed)/c.observedSeconds, 1))
 	c.factor += gain * (ratio - c.factor)
 }
 
--- a/internal/planner/cost.go
+++ b/internal/planner/cost.go
@@ -2,19 +2,19 @@
 
 // Bounds of the assumed drain time, in seconds.
 const (
-	shortestDrain = 0.5
-	longestDrain  = 15.0
+	minDrainSeconds = 0.5
+	maxDrainSeconds = 15.0
 )
 
-// outage estimates for how many seconds an engine is out of its old role before it
-// works in the new one: it drains, loads weights if it must, and changes.
-func outage(observation Observation, demands []KindDemand) float64 {
-	return drainTime(observation.Profile, demands) + seconds(observation.Profile.RoleChange) + seconds(observation.Profile.WeightLoad)
+// estimateOutage estimates for how many seconds an engine is unavailable between its old and its new role: it
+// drains, loads weights if needed, and changes its role.
+func estimateOutage(observation Observation, demands []KindDemand) float64 {
+	return estimateDrain(observation.Profile, demands) + seconds(observation.Profile.RoleChange) + seconds(observation.Profile.WeightLoad)
 }
 
-// drainTime estimates how long an engine's own work takes to finish: the output of a
-// typical request, in a batch of half the largest size.
-func drainTime(profile EngineProfile, demands []KindDemand) float64 {
+// estimateDrain estimates in seconds how long an engine takes to finish its requests: the decode time of an average
+// request in a batch of half the largest size.
+func estimateDrain(profile EngineProfile, demands []KindDemand) float64 {
 	rate, output, context := 0.0, 0.0, 0.0
 	for _, demand := range demands {
 		rate += demand.ArrivalsPerSecond
@@ -22,9 +22,9 @@
 		context += demand.ArrivalsPerSecond * demand.ContextTokens
 	}
 	if rate <= 0 {
-		return shortestDrain
+		return minDrainSeconds
 	}
 	batch := float64(profile.MaxBatch) / 2
 	step := seconds(profile.StepBase) + batch*(seconds(profile.StepPerSequence)+context/rate*seconds(profile.StepPerContextToken))
-	return min(max(output/rate*step, shortestDrain), longestDrain)
+	return min(max(output/rate*step, minDrainSeconds), maxDrainSeconds)
 }
--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// estimate is one kind's demand at one time, summed over zones.
-type estimate struct {
+// kindEstimate is the demand of one kind at one time, summed over zones.
+type kindEstimate struct {
 	kind      string
 	arrivals  float64 // per second
 	completed float64 // per second
@@ -16,12 +16,12 @@
 }
 
 // sumZones adds the rates of each kind over zones and averages its tokens.
-func sumZones(demands []DemandObservation) []estimate {
-	byKind := map[string]*estimate{}
+func sumZones(demands []DemandObservation) []kindEstimate {
+	byKind := map[string]*kindEstimate{}
 	for _, demand := range demands {
 		sum := byKind[demand.Kind]
 		if sum == nil {
-			sum = &estimate{kind: demand.Kind}
+			sum = &kindEstimate{kind: demand.Kind}
 			byKind[demand.Kind] = sum
 		}
 		sum.prompt = weightedMean(sum.arrivals, sum.prompt, demand.ArrivalsPerSecond, demand.PromptTokens)
@@ -30,15 +30,15 @@
 		sum.completed += demand.CompletedPerSecond
 		sum.lost += demand.LostPerSecond
 	}
-	result := make([]estimate, 0, len(byKind))
+	result := make([]kindEstimate, 0, len(byKind))
 	for _, sum := range byKind {
 		result = append(result, *sum)
 	}
-	slices.SortFunc(result, func(a, b estimate) int { return cmp.Compare(a.kind, b.kind) })
+	slices.SortFunc(result, func(a, b kindEstimate) int { return cmp.Compare(a.kind, b.kind) })
 	return result
 }
 
-// weightedMean joins two means; a mean of no weight counts only when both have none.
+// weightedMean combines two means; a mean of weight 0 counts only if both have weight 0.
 func weightedMean(weight, mean, addedWeight, added float64) float64 {
 	switch {
 	case weight+addedWeight > 0:
--- a/internal/planner/guard.go
+++ b/internal/planner/guard.go
@@ -7,65 +7,65 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Limits on the age of what a decision rests on.
+// Limits on the age of a decision's inputs.
 const (
-	// maximumDemandAge is the age beyond which demand is too old to plan by.
-	maximumDemandAge = 15 * time.Second
-	// maximumLoadAge is the age beyond which an engine's state counts as unknown.
-	maximumLoadAge = 15 * time.Second
+	// maxDemandAge is the age beyond which demand is too old for planning.
+	maxDemandAge = 15 * time.Second
+	// maxLoadAge is the age beyond which an engine's state counts as unknown.
+	maxLoadAge = 15 * time.Second
 	// budgetWindow is the window of Policy.ChangesPerHour.
 	budgetWindow = time.Hour
 )
 
-// staleDemand reports whether every reading of demand is missing or too old.
-func staleDemand(observation Observation) bool {
+// isDemandStale reports whether all demand reports are missing or too old.
+func isDemandStale(observation Observation) bool {
 	for _, demand := range observation.Demands {
-		if demand.Age <= maximumDemandAge {
+		if demand.Age <= maxDemandAge {
 			return false
 		}
 	}
 	return true
 }
 
-// freshDemands returns the demands that are recent enough to plan by.
+// freshDemands returns the demands that are recent enough for planning.
 func freshDemands(observation Observation) []DemandObservation {
 	fresh := make([]DemandObservation, 0, len(observation.Demands))
 	for _, demand := range observation.Demands {
-		if demand.Age <= maximumDemandAge {
+		if demand.Age <= maxDemandAge {
 			fresh = append(fresh, demand)
 		}
 	}
 	return fresh
 }
 
-// isOut reports whether an engine is under a change or draws no work for another reason.
-func isOut(engine EngineObservation) bool {
+// isUnavailable reports whether an engine is changing its role or does not serve for another reason.
+func isUnavailable(engine EngineObservation) bool {
 	return engine.OrderOutstanding || engine.State != enginecontract.StateServing
 }
 
-// heardOf reports whether the engine's last report is recent enough to trust.
-func heardOf(engine EngineObservation) bool {
-	return engine.Load != nil && engine.LoadAge <= maximumLoadAge
+// hasFreshLoad reports whether the engine's last load report is recent enough to use.
+func hasFreshLoad(engine EngineObservation) bool {
+	return engine.Load != nil && engine.LoadAge <= maxLoadAge
 }
 
-// countSilent counts the engines that no recent report speaks of.
-func countSilent(engines []EngineObservation) int {
-	silent := 0
+// countStale counts the engines without a recent load report.
+func countStale(engines []EngineObservation) int {
+	stale := 0
 	for _, engine := range engines {
-		if !heardOf(engine) {
-			silent++
+		if !hasFreshLoad(engine) {
+			stale++
 		}
 	}
-	return silent
+	return stale
 }
 
-// committedSplit counts engines by the role they play or are changing to. Engines
-// that leave or have been silent for too long do not count.
+// committedSplit counts engines by the role they have or are changing to. It leaves out engines that are leaving or
+// have no recent report.
 func committedSplit(engines []EngineObservation) Split {
 	split := Split{}
 	for _, engine := range engines {
 		switch {
-		case engine.State == enginecontract.StateLeaving || !heardOf(engine):
+		case engine.State == enginecontract.StateLeaving || !hasFreshLoad(engine):
 		case engine.OrderOutstanding && engine.TargetRole != "":
 			split = split.Add(engine.TargetRole, 1)
 		default:
@@ -75,7 +75,7 @@
 	return split
 }
 
-// changesInBudgetWindow counts the changes that the budget remembers.
+// changesInBudgetWindow counts the recent changes that count against the budget.
 func changesInBudgetWindow(observation Observation) int {
 	count := 0
 	for _, at := range observation.RecentChanges {
@@ -86,9 +86,9 @@
 	return count
 }
 
-// candidates returns the engines that may be changed from a role now, best first:
-// those with the least work in flight, then by name. The reason tells why none may.
-func candidates(observation Observation, from, to enginecontract.Role) ([]EngineObservation, string) {
+// changeCandidates returns the engines that may change from a role now, best first: those with the fewest requests in
+// flight, then by name. The reason says why there are none.
+func changeCandidates(observation Observation, from, to enginecontract.Role) ([]EngineObservation, string) {
 	reason := "no engine plays " + string(from)
 	var result []EngineObservation
 	for _, engine := range observation.Engines {
@@ -99,9 +99,9 @@
 		switch {
 		case isPinned && pinned != to:
 			reason = "engines in " + string(from) + " are pinned"
-		case isOut(engine):
+		case isUnavailable(engine):
 			reason = "engines in " + string(from) + " are out of service or under a change"
-		case !heardOf(engine):
+		case !hasFreshLoad(engine):
 			reason = "reports of engines in " + string(from) + " are missing or stale"
 		case observation.Now-engine.RoleSince < observation.Policy.MinimumDwell:
 			reason = "engines in " + string(from) + " have not kept their role for the minimum dwell"
@@ -128,14 +128,13 @@
 	return engine.Load.Running + engine.Load.Waiting
 }
 
-// zoneAllows reports whether every bound that covers the engine's zone permits it
-// to go from its role to another.
+// zoneAllows reports whether every bound that covers the engine's zone permits the change to another role.
 func zoneAllows(observation Observation, engine EngineObservation, to enginecontract.Role) bool {
 	for _, bound := range observation.Bounds {
 		if bound.Zone != "" && bound.Zone != engine.Zone {
 			continue
 		}
-		covered := inZone(observation.Engines, bound.Zone)
+		covered := enginesInZone(observation.Engines, bound.Zone)
 		count := committedSplit(covered).Count(bound.Role)
 		if bound.Role == engine.Role && count-1 < bound.Minimum {
 			return false
@@ -143,15 +142,15 @@
 		if bound.Role == to && bound.Maximum > 0 && count+1 > bound.Maximum {
 			return false
 		}
-		if countOut(covered)+1 > max(bound.MaximumOut, 1) {
+		if countUnavailable(covered)+1 > max(bound.MaximumOut, 1) {
 			return false
 		}
 	}
 	return true
 }
 
-// maximumOut is the most engines of the service that may be out at once.
-func maximumOut(bounds []RoleBound) int {
+// maxUnavailable returns how many engines of the service may be unavailable at once.
+func maxUnavailable(bounds []RoleBound) int {
 	limit := 0
 	for _, bound := range bounds {
 		if bound.Zone == "" {
@@ -164,17 +163,17 @@
 	return max(limit, 1)
 }
 
-func countOut(engines []EngineObservation) int {
-	out := 0
+func countUnavailable(engines []EngineObservation) int {
+	unavailable := 0
 	for _, engine := range engines {
-		if isOut(engine) {
-			out++
+		if isUnavailable(engine) {
+			unavailable++
 		}
 	}
-	return out
+	return unavailable
 }
 
-func inZone(engines []EngineObservation, zone string) []EngineObservation {
+func enginesInZone(engines []EngineObservation, zone string) []EngineObservation {
 	if zone == "" {
 		return engines
 	}
--- a/internal/planner/history_test.go
+++ b/internal/planner/history_test.go
@@ -9,13 +9,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// follow shows a trend one rate a second.
-func follow(rates func(second int) float64, seconds int) *trend {
-	followed := &trend{}
+// trendOf returns a trend after one observation per second.
+func trendOf(rates func(second int) float64, seconds int) *trend {
+	observed := &trend{}
 	for second := range seconds {
-		followed.observe(rates(second), time.Second)
+		observed.observe(rates(second), time.Second)
 	}
-	return followed
+	return observed
 }
 
 func TestTrend(t *testing.T) {
@@ -25,7 +25,7 @@
 		least, most float64
 	}{
 		{"steady", func(int) float64 { return 30 }, 29.9, 30.1},
-		{"ramp of one a second", func(second int) float64 { return 20 + float64(second) }, 85, 98},
+		{"ramp of one per second", func(second int) float64 { return 20 + float64(second) }, 85, 98},
 		{"falls to nothing", func(second int) float64 { return max(60-2*float64(second), 0) }, 0, 2},
 		{"a jump is bounded", func(second int) float64 {
 			if second < 58 {
@@ -36,40 +36,40 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			forecast := follow(test.rates, 60).forecast()
+			forecast := trendOf(test.rates, 60).forecast()
 			require.GreaterOrEqual(t, forecast, test.least)
 			require.LessOrEqual(t, forecast, test.most)
 		})
 	}
 }
 
-func TestFirstReadingsHaveNoSlope(t *testing.T) {
-	followed := follow(func(second int) float64 { return float64(second) }, 10)
-	require.LessOrEqual(t, followed.forecast(), 10.0)
+func TestFirstObservationsHaveNoSlope(t *testing.T) {
+	observed := trendOf(func(second int) float64 { return float64(second) }, 10)
+	require.LessOrEqual(t, observed.forecast(), 10.0)
 }
 
-func TestCacheShareFollowsWhatEnginesRead(t *testing.T) {
+func TestCachedShareFollowsPrefilledTokens(t *testing.T) {
 	var cache cacheEstimate
 	engine := EngineObservation{Name: "e", Load: &enginecontract.LoadReport{}}
-	served := []estimate{{kind: "matching", completed: 10, prompt: 1000}}
+	completed := []kindEstimate{{kind: "matching", completed: 10, prompt: 1000}}
 	for range 120 {
-		engine.Load.PromptTokensDone += 6000 // of 10,000 that were served
-		cache.observe([]EngineObservation{engine}, served, time.Second)
+		engine.Load.PromptTokensDone += 6000 // of 10,000 that were completed
+		cache.observe([]EngineObservation{engine}, completed, time.Second)
 	}
-	require.InDelta(t, 0.4, cache.share(), 0.02)
+	require.InDelta(t, 0.4, cache.cachedShare(), 0.02)
 }
 
-func TestKindThatEndsCountsNoMore(t *testing.T) {
-	remembered := newHistory()
+func TestStoppedKindIsNotForecast(t *testing.T) {
+	observedHistory := newHistory()
 	policy := Policy{Horizon: time.Minute}
 	for second := range 120 {
 		demands := []DemandObservation{{Kind: "screening", ArrivalsPerSecond: 5, PromptTokens: 100, OutputTokens: 10}}
 		if second < 50 {
 			demands = append(demands, DemandObservation{Kind: "matching", ArrivalsPerSecond: 9, PromptTokens: 100, OutputTokens: 10})
 		}
-		remembered.observe(Observation{Now: time.Duration(second) * time.Second, Policy: policy}, demands)
+		observedHistory.observe(Observation{Now: time.Duration(second) * time.Second, Policy: policy}, demands)
 	}
-	weighted := remembered.demands(2*time.Minute, nil, policy.Horizon)
+	weighted := observedHistory.demands(2*time.Minute, nil, policy.Horizon)
 	total := 0.0
 	for _, each := range weighted {
 		total += each.weight
@@ -91,16 +91,16 @@
 		{"the model is right", 100, 20, 80, 1},
 		{"the model is too low", 100, 0, 80, 1.25},
 		{"losses beyond the model's", 100, 50, 80, 1},
-		{"the model claims no loss", 100, 30, 100, 1},
-		{"far too low is bounded", 100, 0, 10, mostCorrection},
+		{"the model predicts no loss", 100, 30, 100, 1},
+		{"the correction is bounded", 100, 0, 10, maxCorrection},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			var learned correction
+			var learnedCorrection correction
 			for range 100 {
-				learned.observe(test.arriving, test.lost, test.modelled, time.Second)
+				learnedCorrection.observe(test.arriving, test.lost, test.modelled, time.Second)
 			}
-			require.InDelta(t, test.factor, learned.factor, 0.01)
+			require.InDelta(t, test.factor, learnedCorrection.factor, 0.01)
 		})
 	}
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// warmUp is how long a planner that remembers nothing watches before it decides.
+	// warmUp is how long a planner without history observes before it decides.
 	warmUp = 20 * time.Second
-	// persistence is the part of the horizon for which changes must pay at every
-	// decision before the first is made: mixes that swing faster are not followed.
-	persistence = 1.0 / 40
+	// persistenceShare is the share of the horizon for which every decision must find a change that pays back before
+	// the first one is made, so that mixes that swing faster are not followed.
+	persistenceShare = 1.0 / 40
 )
 
-// defaultHorizon is how far ahead a change must pay back when no policy says so.
+// defaultHorizon is the time within which a change must pay back if the policy does not set one.
 const defaultHorizon = 60 * time.Second
 
-// FluidPlanner looks for the split of the engines that brings the most worth under the
-// demand of the recent past and of the horizon behind, and goes there when the worth it
-// adds over the horizon pays for the changes: the engines out, the cold caches, the
-// declared price. It remembers demand only. It is not safe for concurrent use.
+// FluidPlanner searches the split of the engines with the highest worth under the demand of the recent past, the past
+// horizon and the forecast. It changes to that split if the worth gained over the horizon exceeds the costs: the
+// unavailable engines, the cold caches and the declared price. It stores only demand. It is not safe for concurrent
+// use.
 type FluidPlanner struct {
 	history *history
-	// began is the time of the first observation; paysSince that from which on every
-	// decision has found a change that pays, while pays is set.
-	began     time.Duration
-	begun     bool
-	pays      bool
-	paysSince time.Duration
+	// firstAt is the time of the first observation. payingSince is the time since which every decision has found a
+	// change that pays back, while isPaying is set.
+	firstAt     time.Duration
+	hasFirst    bool
+	isPaying    bool
+	payingSince time.Duration
 }
 
 // New returns the planner of one service.
@@ -35,55 +35,55 @@
 
 var _ Planner = (*FluidPlanner)(nil)
 
-// Plan decides the role changes to make now.
+// Plan decides which role changes to make now.
 func (p *FluidPlanner) Plan(observation Observation) Decision {
-	if staleDemand(observation) {
-		return hold("demand reports are missing or older than %s", maximumDemandAge)
+	if isDemandStale(observation) {
+		return noChange("demand reports are missing or older than %s", maxDemandAge)
 	}
 	p.history.observe(observation, freshDemands(observation))
-	if !p.begun {
-		p.began, p.begun = observation.Now, true
+	if !p.hasFirst {
+		p.firstAt, p.hasFirst = observation.Now, true
 	}
-	if refusal := mayNotChange(observation); refusal != nil {
-		return *refusal
+	if blocked := reasonAgainstChange(observation); blocked != nil {
+		return *blocked
 	}
-	decision := newWeighing(observation, p.history).decide()
-	return p.settle(observation, decision)
+	decision := newEvaluation(observation, p.history).decide()
+	return p.requirePersistence(observation, decision)
 }
 
-// settle lets changes pass once they have paid for long enough.
-func (p *FluidPlanner) settle(observation Observation, decision Decision) Decision {
+// requirePersistence holds changes back until they have paid back in every decision for long enough.
+func (p *FluidPlanner) requirePersistence(observation Observation, decision Decision) Decision {
 	if len(decision.Changes) == 0 {
-		p.pays = false
+		p.isPaying = false
 		return decision
 	}
-	if !p.pays {
-		p.pays, p.paysSince = true, observation.Now
+	if !p.isPaying {
+		p.isPaying, p.payingSince = true, observation.Now
 	}
-	wait := time.Duration(persistence * float64(horizonOf(observation.Policy)))
+	wait := time.Duration(persistenceShare * float64(horizonOf(observation.Policy)))
 	switch {
-	case observation.Now-p.began < warmUp:
-		return hold("the planner has watched for less than %s; now it would say: %s", warmUp, decision.Reason)
-	case observation.Now-p.paysSince < wait:
-		return hold("it has paid for less than %s: %s", wait, decision.Reason)
+	case observation.Now-p.firstAt < warmUp:
+		return noChange("the planner has watched for less than %s; now it would say: %s", warmUp, decision.Reason)
+	case observation.Now-p.payingSince < wait:
+		return noChange("it has paid for less than %s: %s", wait, decision.Reason)
 	}
 	return decision
 }
 
-// mayNotChange tells why no change may be made now, or nil.
-func mayNotChange(observation Observation) *Decision {
+// reasonAgainstChange returns a decision with the reason why no change may be made now, or nil.
+func reasonAgainstChange(observation Observation) *Decision {
 	decision := Decision{}
 	budget := observation.Policy.ChangesPerHour
-	limit := maximumOut(observation.Bounds)
+	limit := maxUnavailable(observation.Bounds)
 	switch {
 	case len(observation.Engines) < 2:
-		decision = hold("fewer than two engines")
-	case 2*countSilent(observation.Engines) > len(observation.Engines):
-		decision = hold("reports of most engines are missing or stale")
+		decision = noChange("fewer than two engines")
+	case 2*countStale(observation.Engines) > len(observation.Engines):
+		decision = noChange("reports of most engines are missing or stale")
 	case budget > 0 && changesInBudgetWindow(observation) >= budget:
-		decision = hold("the budget of %d changes an hour is spent", budget)
-	case countOut(observation.Engines) >= limit:
-		decision = hold("%d engines are out of service already; the bound is %d", countOut(observation.Engines), limit)
+		decision = noChange("the budget of %d changes an hour is spent", budget)
+	case countUnavailable(observation.Engines) >= limit:
+		decision = noChange("%d engines are out of service already; the bound is %d", countUnavailable(observation.Engines), limit)
 	default:
 		return nil
 	}
@@ -97,8 +97,8 @@
 	return policy.Horizon
 }
 
-// hold is a decision to change nothing.
-func hold(format string, values ...any) Decision {
+// noChange returns a decision without changes.
+func noChange(format string, values ...any) Decision {
 	return Decision{Reason: fmt.Sprintf(format, values...)}
 }
 
--- a/internal/planner/planner_bench_test.go
+++ b/internal/planner/planner_bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/planner"
 )
 
-// BenchmarkPlan is one decision of a service of the largest size that loses requests.
+// BenchmarkPlan measures one decision for a service of the largest size that loses requests.
 func BenchmarkPlan(b *testing.B) {
 	observed := observation()
 	observed.Engines = engines(450, 450, 0)
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	readingHeavy = 24.0 // matching requests a second: about 9.6 engines of reading
-	lostRequests = 10.0 // of them, refused or late
-	decisionTime = 10 * time.Minute
+	prefillHeavyRate = 24.0 // matching requests per second: about 9.6 engines of prefill
+	lostRate         = 10.0 // of them, refused or late
+	decisionTime     = 10 * time.Minute
 )
 
 // engines returns a fleet of serving, idle engines in two zones.
@@ -37,14 +37,14 @@
 	return result
 }
 
-// observation is a fleet split evenly that meets a demand of long prompts.
+// observation returns an evenly split fleet under a demand of long prompts.
 func observation() planner.Observation {
 	return planner.Observation{
 		Now:     decisionTime,
 		Service: "motor-emparejo",
 		Engines: engines(6, 6, 0),
 		Demands: []planner.DemandObservation{
-			{Kind: "matching", Zone: "zone-0", ArrivalsPerSecond: readingHeavy, PromptTokens: 8000, OutputTokens: 60, CompletedPerSecond: readingHeavy - lostRequests, LostPerSecond: lostRequests},
+			{Kind: "matching", Zone: "zone-0", ArrivalsPerSecond: prefillHeavyRate, PromptTokens: 8000, OutputTokens: 60, CompletedPerSecond: prefillHeavyRate - lostRate, LostPerSecond: lostRate},
 		},
 		Kinds:   []planner.KindWorth{{Kind: "matching", Worth: 5, Deadline: 5 * time.Second}},
 		Policy:  planner.Policy{ChangePrice: 1, Horizon: time.Minute},
@@ -52,8 +52,8 @@
 	}
 }
 
-// decide shows a fresh planner the same observation for a minute, as a controller would.
-func decide(o planner.Observation) planner.Decision {
+// planForAMinute shows a new planner the same observation every second for a minute and returns its last decision.
+func planForAMinute(o planner.Observation) planner.Decision {
 	decider := planner.New()
 	var decision planner.Decision
 	end := o.Now
@@ -65,7 +65,7 @@
 }
 
 func TestChangesThatPayBack(t *testing.T) {
-	decision := decide(observation())
+	decision := planForAMinute(observation())
 	require.Len(t, decision.Changes, 1)
 	change := decision.Changes[0]
 	require.Equal(t, enginecontract.RoleDecode, change.From)
@@ -92,7 +92,7 @@
 			o.Policy.ChangesPerHour = 2
 			o.RecentChanges = []time.Duration{o.Now - time.Minute, o.Now - 9*time.Minute}
 		}, "budget"},
-		{"an engine is out already", func(o *planner.Observation) {
+		{"an engine is unavailable", func(o *planner.Observation) {
 			o.Engines[0].OrderOutstanding = true
 			o.Engines[0].TargetRole = enginecontract.RolePrefill
 		}, "out of service already"},
@@ -110,7 +110,7 @@
 		{"dwell", func(o *planner.Observation) {
 			o.Policy.MinimumDwell = time.Hour
 		}, "dwell"},
-		{"silent engines", func(o *planner.Observation) {
+		{"stale engine reports", func(o *planner.Observation) {
 			for i := range o.Engines {
 				o.Engines[i].LoadAge = time.Minute
 			}
@@ -121,7 +121,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			observed := observation()
 			test.change(&observed)
-			decision := decide(observed)
+			decision := planForAMinute(observed)
 			require.Empty(t, decision.Changes)
 			require.Contains(t, decision.Reason, test.reason)
 		})
@@ -141,7 +141,7 @@
 func TestBoundsStillAllowOtherChanges(t *testing.T) {
 	observed := observation()
 	observed.Bounds = []planner.RoleBound{{Zone: "zone-0", Role: enginecontract.RoleDecode, Minimum: 3}}
-	decision := decide(observed)
+	decision := planForAMinute(observed)
 	require.Len(t, decision.Changes, 1)
 	for _, engine := range observed.Engines {
 		if engine.Name == decision.Changes[0].Engine {
@@ -155,7 +155,7 @@
 	for i := range observed.Engines {
 		observed.Engines[i].Load.Running = 20 - i
 	}
-	decision := decide(observed)
+	decision := planForAMinute(observed)
 	require.Len(t, decision.Changes, 1)
 	require.Equal(t, "engine-11", decision.Changes[0].Engine)
 }
--- a/internal/planner/profiles.go
+++ b/internal/planner/profiles.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// profiles are the engine profiles that models may name; docs/ENGINE-PROFILE.md
-// derives the figures.
+// profiles are the engine profiles that models may name.
 var profiles = map[string]EngineProfile{
 	"dense-70b-8": {
 		PrefillTokensPerSecond: 20_000,
@@ -19,10 +18,10 @@
 	},
 }
 
-// DefaultProfileName is the profile of models that name none, or an unknown one.
+// DefaultProfileName is the profile of models that name none or an unknown one.
 const DefaultProfileName = "dense-70b-8"
 
-// ProfileOf returns what the planner assumes of engines with a declared profile.
+// ProfileOf returns the assumed performance of engines with a declared profile.
 func ProfileOf(name string) EngineProfile {
 	if profile, known := profiles[name]; known {
 		return profile
--- a/internal/planner/profiles_test.go
+++ b/internal/planner/profiles_test.go
@@ -10,8 +10,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/planner"
 )
 
-// TestProfileIsTheEngines holds the planner's figures to those of the engine model.
-func TestProfileIsTheEngines(t *testing.T) {
+// The planner's profile equals that of the engine model.
+func TestProfileMatchesEngineModel(t *testing.T) {
 	engine := enginemodel.DefaultProfile()
 	assumed := planner.ProfileOf(engine.Name)
 	require.Equal(t, engine.PrefillTokensPerSecond, assumed.PrefillTokensPerSecond)
--- a/internal/planner/split.go
+++ b/internal/planner/split.go
@@ -6,14 +6,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Split is how many engines of one service play each role.
+// Split is the number of engines of one service in each role.
 type Split struct {
 	Prefill int
 	Decode  int
 	Mixed   int
 }
 
-// roles in a fixed order, so that iteration is deterministic.
+// roles lists the roles in a fixed order, so that iteration is deterministic.
 var roles = []enginecontract.Role{
 	enginecontract.RolePrefill,
 	enginecontract.RoleDecode,
@@ -33,7 +33,7 @@
 	return 0
 }
 
-// Add returns the split with count more (or, negative, fewer) engines in a role.
+// Add returns the split with count more engines in a role, or fewer if count is negative.
 func (s Split) Add(role enginecontract.Role, count int) Split {
 	switch role {
 	case enginecontract.RolePrefill:
@@ -46,18 +46,18 @@
 	return s
 }
 
-// Total returns the number of engines in any role.
+// Total returns the number of engines in all roles.
 func (s Split) Total() int { return s.Prefill + s.Decode + s.Mixed }
 
-// String reads like "5 prefill, 7 decode, 0 mixed".
+// String returns text like "5 prefill, 7 decode, 0 mixed".
 func (s Split) String() string {
 	return fmt.Sprintf("%d prefill, %d decode, %d mixed", s.Prefill, s.Decode, s.Mixed)
 }
 
-// Roles returns the roles in the order in which decisions look at them.
+// Roles returns the roles in the order in which decisions consider them.
 func Roles() []enginecontract.Role { return append([]enginecontract.Role(nil), roles...) }
 
-// ChangesTo is the least number of engines that change between two splits.
+// ChangesTo returns the smallest number of role changes between two splits.
 func (s Split) ChangesTo(to Split) int {
 	moves := 0
 	for _, role := range roles {
@@ -66,33 +66,32 @@
 	return moves
 }
 
-// common is what two splits have in common.
-func (s Split) common(other Split) Split {
+// overlap returns the engines that have the same role in both splits.
+func (s Split) overlap(other Split) Split {
 	return Split{
 		Prefill: min(s.Prefill, other.Prefill), Decode: min(s.Decode, other.Decode), Mixed: min(s.Mixed, other.Mixed),
 	}
 }
 
-// firstMove names the role that has most engines too many for a target and the one
-// that has most too few.
-func (s Split) firstMove(to Split) (from, into enginecontract.Role, differs bool) {
-	surplus, lack := 0, 0
+// largestMismatch returns the roles with the largest surplus and the largest shortfall of engines compared to a target.
+func (s Split) largestMismatch(to Split) (from, into enginecontract.Role, differs bool) {
+	surplus, shortfall := 0, 0
 	for _, role := range roles {
 		difference := s.Count(role) - to.Count(role)
 		if difference > surplus {
 			surplus, from = difference, role
 		}
-		if -difference > lack {
-			lack, into = -difference, role
+		if -difference > shortfall {
+			shortfall, into = -difference, role
 		}
 	}
-	return from, into, surplus > 0 && lack > 0
+	return from, into, surplus > 0 && shortfall > 0
 }
 
-// towards is the split after some moves to a target.
+// towards returns the split after some changes towards a target.
 func (s Split) towards(to Split, moves int) Split {
 	for range moves {
-		from, into, differs := s.firstMove(to)
+		from, into, differs := s.largestMismatch(to)
 		if !differs {
 			return s
 		}
--- a/internal/planner/types.go
+++ b/internal/planner/types.go
@@ -1,6 +1,6 @@
-// Package planner decides which engine plays which role. It is pure: it reads an
-// Observation and returns a Decision, with no clock, no I/O and no goroutine, so
-// that the controller, the simulator and the experiment tool run the same code.
+// Package planner decides which engine has which role. It is pure: it reads an Observation and returns a Decision,
+// with no clock, no I/O and no goroutine, so that the controller, the simulator and the experiment tool run the same
+// code.
 package planner
 
 import (
@@ -9,8 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Observation is all the planner may know at one time. Every reading may be stale;
-// its age is given with it.
+// Observation is the planner's complete input at one time. Every report in it may be old and has its age.
 type Observation struct {
 	// Now is the time of the decision, since an origin of the caller's choice.
 	Now     time.Duration
@@ -22,38 +21,37 @@
 	Pins    map[string]enginecontract.Role // engine name to role
 	Policy  Policy
 	Profile EngineProfile
-	// RecentChanges are the times at which role changes of this service were
-	// ordered, from the replicated log, so that the change budget and the dwell
-	// survive a crash of the planner's process. Order does not matter.
+	// RecentChanges are the times, in any order, at which role changes of this service were ordered. They come from
+	// the replicated log, so that the change budget and the dwell survive a crash of the planner's process.
 	RecentChanges []time.Duration
 }
 
-// EngineObservation is one engine as last reported.
+// EngineObservation is the last reported state of an engine.
 type EngineObservation struct {
 	Name  string
 	Zone  string
 	Role  enginecontract.Role
 	State enginecontract.ServiceState
-	// RoleSince is the time the engine took its role.
+	// RoleSince is the time at which the engine assumed its role.
 	RoleSince time.Duration
-	// Load is nil when the engine has never reported.
+	// Load is nil if the engine has never reported.
 	Load    *enginecontract.LoadReport
 	LoadAge time.Duration
-	// OrderOutstanding tells that a change is under way at the engine.
+	// OrderOutstanding is true while the engine carries out a role change.
 	OrderOutstanding bool
-	// TargetRole is the role the outstanding order asks for.
+	// TargetRole is the role of the outstanding order.
 	TargetRole enginecontract.Role
 }
 
-// DemandObservation is one kind's demand over the last window, summed over gateways.
+// DemandObservation is the demand of one kind in one zone over the last window, summed over gateways.
 type DemandObservation struct {
 	Kind              string
 	Zone              string
 	ArrivalsPerSecond float64
-	// Mean tokens of one request.
+	// PromptTokens and OutputTokens are means per request.
 	PromptTokens float64
 	OutputTokens float64
-	// CompletedPerSecond is the rate of requests that completed; OutputTokens are theirs.
+	// CompletedPerSecond is the rate of completed requests; OutputTokens is their mean.
 	CompletedPerSecond float64
 	// LostPerSecond is the rate of requests that were refused or missed their deadline.
 	LostPerSecond float64
@@ -62,60 +60,58 @@
 	Age         time.Duration
 }
 
-// KindWorth is what one completed request of a kind is worth.
+// KindWorth is the worth of a completed request of a kind.
 type KindWorth struct {
 	Kind     string
 	Worth    float64
 	Deadline time.Duration
 }
 
-// RoleBound limits the number of engines in a role, per zone or (empty zone) overall.
+// RoleBound limits the number of engines in a role, in a zone or, if the zone is empty, in all zones together.
 type RoleBound struct {
 	Zone       string
 	Role       enginecontract.Role
 	Minimum    int
-	Maximum    int // 0 is no maximum
-	MaximumOut int // engines out for a change at once; 0 means 1
+	Maximum    int // 0 means no maximum
+	MaximumOut int // engines unavailable for a change at once; 0 means 1
 }
 
-// Policy is the declared trade between goodput and role changes.
+// Policy is the declared trade-off between goodput and role changes.
 type Policy struct {
 	ChangePrice    float64
-	ChangesPerHour int // 0 is no limit
+	ChangesPerHour int // 0 means no limit
 	MinimumDwell   time.Duration
 	Horizon        time.Duration
 }
 
-// EngineProfile is what the planner assumes an engine can do.
+// EngineProfile is the assumed performance of an engine.
 type EngineProfile struct {
 	PrefillTokensPerSecond float64
-	// DecodeTokensPerSecond is one engine's output rate at full batch. The fluid model
-	// derives it from the times below; the bench's baseline planner reads it.
+	// DecodeTokensPerSecond is one engine's decode rate at full batch. The baseline planner of the experiments uses
+	// it; the fluid model derives the rate from the times below.
 	DecodeTokensPerSecond float64
-	// MixedPenalty is the share of capacity lost when one engine does both, 0 to 1.
+	// MixedPenalty is the share of capacity lost in an engine that does both, 0 to 1.
 	MixedPenalty float64
-	// A step of a batch takes StepBase, StepPerSequence for each sequence that writes
-	// a token in it, StepPerContextToken for each token of context those hold, and the
-	// time to read its chunk of prompt.
+	// The time of a step of a batch is the sum of StepBase, of StepPerSequence for each sequence that decodes a token
+	// in it, of StepPerContextToken for each token of their contexts, and of the prefill time of its chunk.
 	StepBase            time.Duration
 	StepPerSequence     time.Duration
 	StepPerContextToken time.Duration
 	// MaxBatch is the largest number of sequences in a batch.
 	MaxBatch int
-	// PrefillChunk and MixedChunk are the prompt tokens that one step reads at engines
-	// of the roles.
+	// PrefillChunk and MixedChunk are the prompt tokens per step at prefill engines and at mixed engines.
 	PrefillChunk int
 	MixedChunk   int
 	RoleChange   time.Duration
-	// CacheWarmup is the time an engine that has just begun to read prompts needs
-	// to fill its prefix cache; zero when caches are of no use.
+	// CacheWarmup is how long an engine that starts to prefill takes to fill its prefix cache; 0 if caches are not
+	// used.
 	CacheWarmup time.Duration
-	// WeightLoad is the time the weight store needs to deliver the weights one role
-	// change loads; zero when a role change keeps the weights.
+	// WeightLoad is how long the weight store takes to deliver the weights for one role change; 0 if a role change
+	// keeps the weights.
 	WeightLoad time.Duration
 }
 
-// Change is one role change that the planner wants now.
+// Change is a role change that the planner requests now.
 type Change struct {
 	Engine string
 	From   enginecontract.Role
@@ -125,16 +121,15 @@
 	Reason string
 }
 
-// Decision is the planner's answer: changes to make now and why.
+// Decision is the planner's answer: changes to make now and the reason.
 type Decision struct {
 	Changes []Change
 	// Reason says why these changes, or none, were chosen.
 	Reason string
 }
 
-// Planner decides role changes for one service. Implementations may remember
-// earlier observations to forecast; losing that memory may delay a change but
-// must never repeat one.
+// Planner decides role changes for one service. Implementations may store earlier observations for forecasts. Losing
+// that state may delay a change but must never repeat one.
 type Planner interface {
 	Plan(Observation) Decision
 }
