--- a/internal/replicaplan/config.go
+++ b/internal/replicaplan/config.go
@@ -3,47 +3,45 @@
 import "time"
 
 const (
-	// goodUse is the part of their time for which replicas may be busy while requests are served in
-	// time.
-	goodUse = 0.5
-	// worstUse is the part for which they may be busy at all: so many are kept, some of them on
-	// demand, that a further loss leaves that.
-	worstUse = 0.85
-	// onDemandStep is the number by which replicas on demand are added at least: a need that grows slowly
-	// asks for few orders.
+	// targetUtilisation is the share of their time for which replicas may be busy while requests still meet their
+	// targets.
+	targetUtilisation = 0.5
+	// maxUtilisation is the highest share for which they may be busy. Enough replicas are kept, some of them on
+	// demand, to stay below it after a further loss.
+	maxUtilisation = 0.85
+	// onDemandStep is the smallest number of on-demand replicas added at once, so that a slowly growing need takes
+	// few orders.
 	onDemandStep = 6
-	// lowerAfter is how long fewer replicas on demand must have been wanted before they are given up, and
-	// lowerSpotsAfter how long fewer spot ones: those cost little, and what they keep is worth more.
-	lowerAfter      = time.Second
-	lowerSpotsAfter = 30 * time.Second
-	// orderSlack is added to the boot of replicas before an order counts as not carried out. Calls
-	// may be carried out seconds late.
-	orderSlack = 6 * time.Second
-	// shortagePause is the wait before replicas are asked for again where none were to be had.
-	shortagePause = 1500 * time.Millisecond
-	// listSettles is how long the list must not have changed before replicas are given up: at a start it
-	// fills by and by, and shows only then what is there.
-	listSettles = 1200 * time.Millisecond
-	// unknownShare is the part of all replicas, in percent, that must be left after a loss while the
-	// work is not known.
-	unknownShare = 66
-	// workRise and workMemory are the times over which work is smoothed as it rises and as it falls:
-	// bursts are shorter than a boot.
-	workRise   = 2 * time.Second
-	workMemory = 10 * time.Second
+	// onDemandLowerDelay is how long fewer on-demand replicas must have been wanted before they are released, and
+	// spotLowerDelay the same for spot replicas, which are cheap and whose caches are worth more than their price.
+	onDemandLowerDelay = time.Second
+	spotLowerDelay     = 30 * time.Second
+	// orderGrace is added to the boot time before an order counts as not carried out, since calls may be carried
+	// out seconds late.
+	orderGrace = 6 * time.Second
+	// shortageRetryDelay is the wait before another order after the platform had no replicas available.
+	shortageRetryDelay = 1500 * time.Millisecond
+	// listSettleTime is how long the list must be unchanged before replicas are released: at startup it fills
+	// gradually, and only a stable list is complete.
+	listSettleTime = 1200 * time.Millisecond
+	// unknownWorkPercent is the percentage of all replicas that must remain after a loss while the work is unknown.
+	unknownWorkPercent = 66
+	// workRiseTime and workFallTime are the time constants for smoothing rising and falling work: bursts are shorter
+	// than a boot.
+	workRiseTime = 2 * time.Second
+	workFallTime = 10 * time.Second
 )
 
-// Scaling is what the operator allows for a service.
+// Scaling is what the operator permits for a service.
 type Scaling struct {
 	Service string
 	// Min and Max bound the replicas of both kinds together in each zone.
 	Min, Max int
 	// BootTime is how long a new replica takes until it serves.
 	BootTime time.Duration
-	// SpotPrice is the price of a replica that may be taken away, as a part of that of one that
-	// stays; 0 where there are none.
+	// SpotPrice is the price of a spot replica relative to an on-demand one; 0 if there are none.
 	SpotPrice float64
-	// OnDemandShare is the part of the replicas that the operator began with which always stays.
+	// OnDemandShare is the share of the operator's initial replicas that always stays on demand.
 	OnDemandShare float64
 	// ZonePrices are the prices of a replica by zone.
 	ZonePrices map[string]float64
--- a/internal/replicaplan/group.go
+++ b/internal/replicaplan/group.go
@@ -2,11 +2,11 @@
 
 import "cmp"
 
-// Group is the replicas of one kind of a service in a zone.
+// Group identifies the replicas of one kind of a service in a zone.
 type Group struct {
 	Service string
 	Zone    string
-	// Spot replicas are cheap, and may be taken away by the platform.
+	// Spot replicas are cheaper, and the platform may reclaim them.
 	Spot bool
 }
 
--- a/internal/replicaplan/orders.go
+++ b/internal/replicaplan/orders.go
@@ -9,30 +9,30 @@
 	"github.com/hazelpitch/hazelpitch/internal/duty"
 )
 
-// Order asks the platform for so many replicas of a group.
+// Order asks the platform for a number of replicas of a group.
 type Order struct {
 	Group   Group
 	Desired int
 }
 
-// Orders follows what a leader has ordered. An order is no fact until the list shows it.
+// Orders tracks a leader's orders. An order has no effect until the list shows it.
 type Orders struct {
-	made map[Group]madeOrder
+	issued map[Group]issuedOrder
 }
 
-// madeOrder is the last order for a group.
-type madeOrder struct {
-	desired int
-	at      time.Duration
-	taken   bool
-	// retryAt is when an order that was not taken may be made again.
+// issuedOrder is the last order for a group.
+type issuedOrder struct {
+	desired  int
+	issuedAt time.Duration
+	accepted bool
+	// retryAt is when an order that was not accepted may be repeated.
 	retryAt time.Duration
 }
 
-// NewOrders returns those of a leader that begins: it has ordered nothing.
-func NewOrders() *Orders { return &Orders{made: map[Group]madeOrder{}} }
+// NewOrders returns the orders of a new leader, which has issued none.
+func NewOrders() *Orders { return &Orders{issued: map[Group]issuedOrder{}} }
 
-// DueOrders returns the orders that are to be made now, those for more replicas first.
+// DueOrders returns the orders to issue now, those for more replicas first.
 func (o *Orders) DueOrders(now, boot time.Duration, agreed Desired, listed map[Group]ListedCounts) []Order {
 	var due []Order
 	for _, group := range slices.SortedFunc(maps.Keys(agreed.Counts), Group.Compare) {
@@ -47,37 +47,37 @@
 	return due
 }
 
-func (o *Orders) isDue(now, boot time.Duration, group Group, desired, ready int) bool {
-	made, ordered := o.made[group]
+func (o *Orders) isDue(now, boot time.Duration, group Group, desired, listedCount int) bool {
+	last, exists := o.issued[group]
 	switch {
-	case !ordered:
-		return ready != desired
-	case now < made.retryAt:
+	case !exists:
+		return listedCount != desired
+	case now < last.retryAt:
 		return false
-	case made.desired != desired || !made.taken:
+	case last.desired != desired || !last.accepted:
 		return true
 	default:
-		return ready != desired && now-made.at >= boot+orderSlack
+		return listedCount != desired && now-last.issuedAt >= boot+orderGrace
 	}
 }
 
-// RecordStart notes that an order is made.
+// RecordStart records that an order is issued.
 func (o *Orders) RecordStart(now time.Duration, order Order) {
-	o.made[order.Group] = madeOrder{desired: order.Desired, at: now, taken: true}
+	o.issued[order.Group] = issuedOrder{desired: order.Desired, issuedAt: now, accepted: true}
 }
 
-// RecordOutcome notes what became of it.
+// RecordOutcome records the outcome of an order.
 func (o *Orders) RecordOutcome(now time.Duration, order Order, outcome duty.Outcome) {
-	made := o.made[order.Group]
-	made.taken = outcome == duty.Accepted || outcome == duty.Lost // lost ones show, or not, in the list
+	last := o.issued[order.Group]
+	last.accepted = outcome == duty.Accepted || outcome == duty.Lost // the list shows whether a lost one took effect
 	if outcome == duty.Declined {
-		made.retryAt = now + shortagePause
+		last.retryAt = now + shortageRetryDelay
 	}
-	o.made[order.Group] = made
+	o.issued[order.Group] = last
 }
 
-// SpotsPending reports whether spot replicas are wanted, and in each zone they are there or
-// were ordered and not declined.
+// SpotsPending reports whether spot replicas are wanted and, in each zone, are listed or have been ordered and not
+// declined.
 func (o *Orders) SpotsPending(agreed Desired, listed map[Group]ListedCounts) bool {
 	wanted := 0
 	for group, count := range agreed.Counts {
@@ -85,7 +85,7 @@
 			continue
 		}
 		wanted += count
-		if listed[group].staying() < count && !o.made[group].taken {
+		if listed[group].staying() < count && !o.issued[group].accepted {
 			return false
 		}
 	}
--- a/internal/replicaplan/plan.go
+++ b/internal/replicaplan/plan.go
@@ -8,57 +8,56 @@
 	"time"
 )
 
-// Input is what a plan goes by.
+// Input holds the inputs of a plan.
 type Input struct {
 	Listed map[Group]ListedCounts
 	Agreed Desired
-	// Work is how many replicas the requests keep busy; it counts once it is above 0.
+	// Work is the number of replicas that the requests keep busy; it is ignored until it is above 0.
 	Work float64
 }
 
-// Plan follows one service.
+// Plan plans the replicas of one service.
 type Plan struct {
 	scaling Scaling
-	// listed is how many replicas were listed last, and changedAt when that changed.
-	listed    map[Group]int
-	changedAt time.Duration
-	// work is the work of late, smoothed, as of workAt.
+	// listed is the last listed number of replicas per group, and listChangedAt when it last changed.
+	listed        map[Group]int
+	listChangedAt time.Duration
+	// work is the smoothed work as of workAt.
 	work   float64
 	workAt time.Duration
-	// surplusSince are the groups of which fewer are wanted than are agreed on, and since when.
+	// surplusSince holds the groups of which fewer replicas are wanted than agreed, and since when.
 	surplusSince map[Group]time.Duration
 }
 
-// New returns the plan of a leader that begins.
+// New returns the plan of a new leader.
 func New(scaling Scaling) *Plan {
 	return &Plan{scaling: scaling, surplusSince: map[Group]time.Duration{}}
 }
 
-// SetScaling takes what the operator allows now.
+// SetScaling sets what the operator permits.
 func (p *Plan) SetScaling(scaling Scaling) { p.scaling = scaling }
 
-// BootTime is how long a new replica takes until it serves.
+// BootTime returns how long a new replica takes until it serves.
 func (p *Plan) BootTime() time.Duration { return p.scaling.BootTime }
 
-// Work is how many replicas the requests of late kept busy.
+// Work returns the smoothed number of replicas that the requests keep busy.
 func (p *Plan) Work() float64 { return p.work }
 
-// Next returns the numbers desired, which are the agreed ones most of the time. Groups that need no
-// change are not named.
-func (p *Plan) Next(now time.Duration, seen Input) Desired {
-	p.observe(now, seen)
-	if len(seen.Agreed.Counts) == 0 && (!p.hasSpots() || p.scaling.OnDemandShare >= 1) {
-		return seen.Agreed // nothing is to be replaced, and what is there is the operator's choice
+// Next returns the desired numbers, which usually are the agreed ones. Groups that need no change have no entry.
+func (p *Plan) Next(now time.Duration, input Input) Desired {
+	p.observe(now, input)
+	if len(input.Agreed.Counts) == 0 && (!p.hasSpots() || p.scaling.OnDemandShare >= 1) {
+		return input.Agreed // nothing is replaced, and the present replicas are the operator's choice
 	}
-	wanted := p.wanted(seen)
+	wanted := p.wanted(input)
 	if wanted.Base == 0 {
-		return seen.Agreed // nothing is listed yet
+		return input.Agreed // the list is still empty
 	}
 	for group, count := range wanted.Counts {
-		agreed := seen.Agreed.of(group, seen.Listed[group])
-		count = p.settled(now, group, count, agreed)
-		if _, named := seen.Agreed.Counts[group]; !named && !group.Spot && (count == agreed || !p.listSettled(now)) {
-			delete(wanted.Counts, group) // it is left as it is
+		agreed := input.Agreed.countOf(group, input.Listed[group])
+		count = p.delayLowering(now, group, count, agreed)
+		if _, named := input.Agreed.Counts[group]; !named && !group.Spot && (count == agreed || !p.isListSettled(now)) {
+			delete(wanted.Counts, group) // it is left unchanged
 			continue
 		}
 		wanted.Counts[group] = count
@@ -66,124 +65,123 @@
 	return wanted
 }
 
-// listSettled reports whether the list has shown the same for a while.
-func (p *Plan) listSettled(now time.Duration) bool { return now-p.changedAt >= listSettles }
+// isListSettled reports whether the list has not changed for listSettleTime.
+func (p *Plan) isListSettled(now time.Duration) bool { return now-p.listChangedAt >= listSettleTime }
 
-// FinalOnDemand is how many replicas on demand are wanted beside spot replicas, once all of
-// those are there.
+// FinalOnDemand returns how many on-demand replicas are wanted beside spot replicas, once all of those are present.
 func (p *Plan) FinalOnDemand(base int) int {
 	zones := len(p.zones())
 	if zones == 0 || !p.hasSpots() {
 		return base
 	}
-	spots := p.total(base) - p.floor(base)
+	spots := p.targetTotal(base) - p.onDemandFloor(base)
 	largest := (spots + zones - 1) / zones
-	return max(p.needed(base)-(spots-largest), p.floor(base))
+	return max(p.neededAfterLoss(base)-(spots-largest), p.onDemandFloor(base))
 }
 
-// observe remembers what was listed last, and smooths the work.
-func (p *Plan) observe(now time.Duration, seen Input) {
+// observe stores the listed numbers and smooths the work.
+func (p *Plan) observe(now time.Duration, input Input) {
 	listed := map[Group]int{}
-	for group, counted := range seen.Listed {
+	for group, counted := range input.Listed {
 		listed[group] = counted.staying()
 	}
 	if p.listed == nil || !maps.Equal(p.listed, listed) {
-		p.listed, p.changedAt = listed, now
+		p.listed, p.listChangedAt = listed, now
 	}
-	memory := workMemory
-	if seen.Work > p.work {
-		memory = workRise
+	timeConstant := workFallTime
+	if input.Work > p.work {
+		timeConstant = workRiseTime
 	}
-	weight := 1 - math.Exp(-(now-p.workAt).Seconds()/memory.Seconds())
-	p.work += weight * (seen.Work - p.work)
+	weight := 1 - math.Exp(-(now-p.workAt).Seconds()/timeConstant.Seconds())
+	p.work += weight * (input.Work - p.work)
 	p.workAt = now
 }
 
-// wanted is how many replicas are wanted now, before any lowering is put off.
-func (p *Plan) wanted(seen Input) Desired {
-	desired := Desired{Base: max(seen.Agreed.Base, p.onDemandListed(seen)), Counts: map[Group]int{}}
-	total := p.total(desired.Base)
-	spots := p.spots(total-p.floor(desired.Base), seen)
+// wanted returns how many replicas are wanted now, before delayLowering.
+func (p *Plan) wanted(input Input) Desired {
+	desired := Desired{Base: max(input.Agreed.Base, p.onDemandListed(input)), Counts: map[Group]int{}}
+	total := p.targetTotal(desired.Base)
+	spots := p.spotCounts(total-p.onDemandFloor(desired.Base), input)
 	usable, largest := 0, 0
 	for zone, count := range spots {
-		group := p.group(zone, true)
+		group := p.groupOf(zone, true)
 		desired.Counts[group] = count
-		held := min(p.usable(seen.Listed[group]), count)
-		usable += held
-		largest = max(largest, held)
+		usableInZone := min(p.usableCount(input.Listed[group]), count)
+		usable += usableInZone
+		largest = max(largest, usableInZone)
 	}
-	agreed := p.onDemandAgreed(seen)
-	onDemand := max(p.needed(desired.Base)-(usable-largest), p.floor(desired.Base))
+	agreed := p.onDemandAgreed(input)
+	onDemand := max(p.neededAfterLoss(desired.Base)-(usable-largest), p.onDemandFloor(desired.Base))
 	if onDemand > agreed {
 		onDemand = min((onDemand/onDemandStep+1)*onDemandStep, total)
 	}
 	onDemand = max(onDemand, min(desired.Base-usable, agreed))
-	for zone, count := range p.spread(onDemand, spots, seen) {
-		desired.Counts[p.group(zone, false)] = count
+	for zone, count := range p.onDemandCounts(onDemand, spots, input) {
+		desired.Counts[p.groupOf(zone, false)] = count
 	}
 	return desired
 }
 
-// usable is how many replicas of a group count as able to work. Those that change their part are away
-// for seconds, which matters only once there is work.
-func (p *Plan) usable(listed ListedCounts) int {
+// usableCount returns how many replicas of a group count as able to work. Replicas that change their role are
+// unavailable for seconds, which matters only once there is work.
+func (p *Plan) usableCount(listed ListedCounts) int {
 	if p.work <= 0 {
 		return listed.staying()
 	}
 	return listed.Ready
 }
 
-// onDemandAgreed is how many replicas on demand are agreed on, or there where none were ordered.
-func (p *Plan) onDemandAgreed(seen Input) int {
+// onDemandAgreed returns the agreed number of on-demand replicas; without an agreement, those that are listed.
+func (p *Plan) onDemandAgreed(input Input) int {
 	sum := 0
 	for _, zone := range p.zones() {
-		group := p.group(zone, false)
-		sum += seen.Agreed.of(group, seen.Listed[group])
+		group := p.groupOf(zone, false)
+		sum += input.Agreed.countOf(group, input.Listed[group])
 	}
 	return sum
 }
 
-// onDemandListed is how many replicas on demand are listed. More than were agreed on are the operator's.
-func (p *Plan) onDemandListed(seen Input) int {
+// onDemandListed returns the number of listed on-demand replicas. More than agreed are the operator's.
+func (p *Plan) onDemandListed(input Input) int {
 	sum := 0
 	for _, zone := range p.zones() {
-		sum += seen.Listed[p.group(zone, false)].staying()
+		sum += input.Listed[p.groupOf(zone, false)].staying()
 	}
 	return sum
 }
 
-// floor is how many replicas on demand are always kept.
-func (p *Plan) floor(base int) int {
+// onDemandFloor returns how many on-demand replicas are always kept.
+func (p *Plan) onDemandFloor(base int) int {
 	if !p.hasSpots() {
 		return base
 	}
 	return min(int(math.Ceil(float64(base)*p.scaling.OnDemandShare)), base)
 }
 
-// total is how many replicas are wanted in all: those that the operator began with, or more for the
-// work, and as many more spot replicas as can be taken at once.
-func (p *Plan) total(base int) int {
-	left := max(base, int(math.Ceil(p.work/goodUse)))
-	floor := p.floor(base)
+// targetTotal returns how many replicas are wanted in all: the operator's initial number, or more if the work requires
+// it, plus as many spot replicas as can be reclaimed at once.
+func (p *Plan) targetTotal(base int) int {
+	remaining := max(base, int(math.Ceil(p.work/targetUtilisation)))
+	floor := p.onDemandFloor(base)
 	if zones := len(p.zones()); p.hasSpots() && zones > 1 {
-		return floor + ((left-floor)*zones+zones-2)/(zones-1)
+		return floor + ((remaining-floor)*zones+zones-2)/(zones-1)
 	}
-	return left
+	return remaining
 }
 
-// needed is how many replicas must be left after the largest part that can be taken at once is gone.
-func (p *Plan) needed(base int) int {
+// neededAfterLoss returns how many replicas must remain after the largest group that can be reclaimed at once is lost.
+func (p *Plan) neededAfterLoss(base int) int {
 	if p.work <= 0 {
-		return base * unknownShare / 100
+		return base * unknownWorkPercent / 100
 	}
-	return min(int(math.Ceil(p.work/worstUse)), p.total(base))
+	return min(int(math.Ceil(p.work/maxUtilisation)), p.targetTotal(base))
 }
 
-// hasSpots reports whether spot replicas are to be had: cheap ones that may be taken away.
+// hasSpots reports whether spot replicas are offered at a lower price.
 func (p *Plan) hasSpots() bool { return p.scaling.SpotPrice > 0 && p.scaling.SpotPrice < 1 }
 
-// spots spreads spot replicas evenly over the zones, as far as there is room beside those on demand.
-func (p *Plan) spots(total int, seen Input) map[string]int {
+// spotCounts spreads spot replicas evenly over the zones, as far as there is room beside the on-demand ones.
+func (p *Plan) spotCounts(total int, input Input) map[string]int {
 	counts := map[string]int{}
 	zones := p.zones()
 	for index, zone := range zones {
@@ -195,35 +193,35 @@
 		if index < total%len(zones) {
 			share++
 		}
-		onDemand := p.group(zone, false)
-		room := p.scaling.Max - max(seen.Agreed.of(onDemand, seen.Listed[onDemand]), seen.Listed[onDemand].staying())
-		counts[zone] = max(min(share, room), min(share, seen.Agreed.Counts[p.group(zone, true)]))
+		onDemand := p.groupOf(zone, false)
+		room := p.scaling.Max - max(input.Agreed.countOf(onDemand, input.Listed[onDemand]), input.Listed[onDemand].staying())
+		counts[zone] = max(min(share, room), min(share, input.Agreed.Counts[p.groupOf(zone, true)]))
 	}
 	return counts
 }
 
-// spread spreads replicas on demand over the zones. Those that are agreed on stay where they are, evenly
-// where they are too many; further ones go where they are cheapest, no more than half of
-// all into one zone while others have room. Zones without any keep the least that the operator allows.
-func (p *Plan) spread(count int, spots map[string]int, seen Input) map[string]int {
+// onDemandCounts spreads on-demand replicas over the zones. Agreed ones stay in their zone, and are reduced to an even
+// number per zone if there are too many. Further ones go to the cheapest zones, at most half of all into one zone while
+// others have room. Zones without spot replicas keep at least the operator's minimum.
+func (p *Plan) onDemandCounts(count int, spots map[string]int, input Input) map[string]int {
 	zones := p.zones()
 	slices.SortStableFunc(zones, func(a, b string) int { return cmp.Compare(p.scaling.ZonePrices[a], p.scaling.ZonePrices[b]) })
 	counts := map[string]int{}
-	left := count
+	remaining := count
 	even := (count + len(zones) - 1) / max(len(zones), 1)
 	for _, limit := range []int{even, p.scaling.Max} {
 		for _, zone := range zones {
-			group := p.group(zone, false)
-			kept := max(min(seen.Agreed.of(group, seen.Listed[group]), limit, counts[zone]+left), counts[zone])
-			left -= kept - counts[zone]
-			counts[zone] = kept
+			group := p.groupOf(zone, false)
+			assigned := max(min(input.Agreed.countOf(group, input.Listed[group]), limit, counts[zone]+remaining), counts[zone])
+			remaining -= assigned - counts[zone]
+			counts[zone] = assigned
 		}
 	}
 	for _, limit := range []int{(count + 1) / 2, p.scaling.Max} {
 		for _, zone := range zones {
-			added := max(min(left, limit-counts[zone], p.scaling.Max-spots[zone]-counts[zone]), 0)
+			added := max(min(remaining, limit-counts[zone], p.scaling.Max-spots[zone]-counts[zone]), 0)
 			counts[zone] += added
-			left -= added
+			remaining -= added
 		}
 	}
 	for _, zone := range zones {
@@ -234,8 +232,8 @@
 	return counts
 }
 
-// settled puts off lowering a group until it has been wanted for a while and the list has settled.
-func (p *Plan) settled(now time.Duration, group Group, wanted, agreed int) int {
+// delayLowering keeps a group's agreed number until fewer have been wanted for a while and the list has settled.
+func (p *Plan) delayLowering(now time.Duration, group Group, wanted, agreed int) int {
 	if wanted >= agreed {
 		delete(p.surplusSince, group)
 		return wanted
@@ -245,19 +243,19 @@
 		since = now
 		p.surplusSince[group] = now
 	}
-	patience := lowerAfter
+	delay := onDemandLowerDelay
 	if group.Spot {
-		patience = lowerSpotsAfter
+		delay = spotLowerDelay
 	}
-	if now-since < patience || !p.listSettled(now) {
+	if now-since < delay || !p.isListSettled(now) {
 		return agreed
 	}
 	return wanted
 }
 
-func (p *Plan) group(zone string, spot bool) Group {
+func (p *Plan) groupOf(zone string, spot bool) Group {
 	return Group{Service: p.scaling.Service, Zone: zone, Spot: spot}
 }
 
-// zones are those in which replicas may be, sorted.
+// zones returns the zones in which replicas may run, sorted.
 func (p *Plan) zones() []string { return slices.Sorted(maps.Keys(p.scaling.ZonePrices)) }
--- a/internal/replicaplan/plan_test.go
+++ b/internal/replicaplan/plan_test.go
@@ -18,25 +18,25 @@
 	}
 }
 
-// testZones are those of testScaling.
+// testZones are the zones of testScaling.
 var testZones = []string{"a", "b", "c"}
 
-// platform is a platform whose list is followed.
+// platform simulates the platform that runs and lists replicas.
 type platform struct {
 	scaling Scaling
 	now     time.Duration
-	// desired is what it was asked for, booting are replicas that serve from a time on.
+	// desired is the last order of each group; booting holds the times at which replicas start to serve.
 	desired map[Group]int
 	ready   map[Group]int
 	booting map[Group][]time.Duration
-	// dry tells that there are no cheap replicas to be had until a time.
-	dry time.Duration
-	// lost decides whether the answer to a call is lost, late for how long it is put off.
-	lost func() bool
-	late func() time.Duration
-	// delayed are calls that are carried out later.
+	// shortageUntil is the time until which no spot replicas are available.
+	shortageUntil time.Duration
+	// loseAnswer decides whether the answer to a call is lost, delay for how long the call is deferred.
+	loseAnswer func() bool
+	delay      func() time.Duration
+	// delayed are the calls to be carried out later.
 	delayed []delayedOrder
-	// low and high are the least and the most of all replicas seen serving.
+	// changes counts the changes of desired per group.
 	changes map[Group]int
 }
 
@@ -46,18 +46,18 @@
 }
 
 func newPlatform(scaling Scaling, onDemand int) *platform {
-	made := &platform{
+	p := &platform{
 		scaling: scaling, desired: map[Group]int{}, ready: map[Group]int{}, booting: map[Group][]time.Duration{}, changes: map[Group]int{},
-		lost: func() bool { return false }, late: func() time.Duration { return 0 },
+		loseAnswer: func() bool { return false }, delay: func() time.Duration { return 0 },
 	}
 	for _, zone := range testZones {
 		group := Group{Service: "s", Zone: zone}
-		made.desired[group], made.ready[group] = onDemand, onDemand
+		p.desired[group], p.ready[group] = onDemand, onDemand
 	}
-	return made
+	return p
 }
 
-// list is what the platform shows.
+// list returns the list of replicas that serve.
 func (p *platform) list() map[Group]ListedCounts {
 	listed := map[Group]ListedCounts{}
 	for group, count := range p.ready {
@@ -68,17 +68,17 @@
 	return listed
 }
 
-// order takes a call.
+// order receives a call.
 func (p *platform) order(order Order) duty.Outcome {
-	if order.Group.Spot && order.Desired > p.ready[order.Group]+len(p.booting[order.Group]) && p.now < p.dry {
+	if order.Group.Spot && order.Desired > p.ready[order.Group]+len(p.booting[order.Group]) && p.now < p.shortageUntil {
 		return duty.Declined
 	}
-	if delay := p.late(); delay > 0 {
+	if delay := p.delay(); delay > 0 {
 		p.delayed = append(p.delayed, delayedOrder{at: p.now + delay, order: order})
 		return duty.Lost
 	}
 	p.carryOut(order)
-	if p.lost() {
+	if p.loseAnswer() {
 		return duty.Lost
 	}
 	return duty.Accepted
@@ -97,21 +97,21 @@
 		p.booting[group] = append(p.booting[group], p.now+p.scaling.BootTime)
 	}
 	if surplus := p.ready[group] + len(p.booting[group]) - count; surplus > 0 {
-		cut := min(surplus, len(p.booting[group]))
-		p.booting[group] = p.booting[group][:len(p.booting[group])-cut]
-		p.ready[group] -= surplus - cut
+		cancelled := min(surplus, len(p.booting[group]))
+		p.booting[group] = p.booting[group][:len(p.booting[group])-cancelled]
+		p.ready[group] -= surplus - cancelled
 	}
 }
 
-// reclaim takes all cheap replicas of a zone away; none are to be had for a while.
-func (p *platform) reclaim(zone string, dry time.Duration) {
+// reclaim takes away all spot replicas of a zone; none are available for some time.
+func (p *platform) reclaim(zone string, shortage time.Duration) {
 	group := Group{Service: "s", Zone: zone, Spot: true}
 	p.ready[group], p.booting[group] = 0, nil
-	p.dry = p.now + dry
+	p.shortageUntil = p.now + shortage
 }
 
-// pass lets time pass at the platform.
-func (p *platform) pass(step time.Duration) {
+// advance advances the platform's time.
+func (p *platform) advance(step time.Duration) {
 	p.now += step
 	for group, booting := range p.booting {
 		for len(booting) > 0 && booting[0] <= p.now {
@@ -120,18 +120,18 @@
 		}
 		p.booting[group] = booting
 	}
-	kept := p.delayed[:0]
+	remaining := p.delayed[:0]
 	for _, delayed := range p.delayed {
 		if delayed.at <= p.now {
 			p.carryOut(delayed.order)
 			continue
 		}
-		kept = append(kept, delayed)
+		remaining = append(remaining, delayed)
 	}
-	p.delayed = kept
+	p.delayed = remaining
 }
 
-func (p *platform) all() (onDemand, spots int) {
+func (p *platform) counts() (onDemand, spots int) {
 	for group, count := range p.ready {
 		if group.Spot {
 			spots += count
@@ -142,7 +142,7 @@
 	return onDemand, spots
 }
 
-// leader follows a plan and its orders.
+// leader combines a plan with its orders.
 type leader struct {
 	plan   *Plan
 	orders *Orders
@@ -154,7 +154,7 @@
 	return &leader{plan: New(scaling), orders: NewOrders(), agreed: agreed}
 }
 
-// step plans and orders once.
+// step plans once and issues the due orders.
 func (l *leader) step(platform *platform) {
 	listed := platform.list()
 	*l.agreed = l.plan.Next(platform.now, Input{Listed: listed, Agreed: *l.agreed, Work: l.work})
@@ -166,30 +166,30 @@
 
 func (l *leader) run(platform *platform, span time.Duration) {
 	for end := platform.now + span; platform.now < end; {
-		platform.pass(250 * time.Millisecond)
+		platform.advance(250 * time.Millisecond)
 		l.step(platform)
 	}
 }
 
-func TestCheapReplicasTakeThePlaceOfThoseThatStay(t *testing.T) {
+func TestSpotReplicasReplaceOnDemandOnes(t *testing.T) {
 	platform := newPlatform(testScaling(), 40)
 	leader := newLeader(testScaling(), &Desired{})
 	leader.work = 20
 	for platform.now < 30*time.Second {
 		leader.run(platform, 250*time.Millisecond)
-		onDemand, spots := platform.all()
-		require.GreaterOrEqual(t, onDemand+spots, 120, "none is given up before another serves")
+		onDemand, spots := platform.counts()
+		require.GreaterOrEqual(t, onDemand+spots, 120, "no replica is released before another serves")
 	}
-	onDemand, spots := platform.all()
+	onDemand, spots := platform.counts()
 	require.Zero(t, onDemand)
-	require.Equal(t, 180, spots, "a zone's part can go and the operator's number is left")
+	require.Equal(t, 180, spots, "the operator's number remains after the loss of a zone")
 	for _, zone := range testZones {
 		require.Equal(t, 60, platform.ready[Group{Service: "s", Zone: zone, Spot: true}])
 	}
 }
 
-// Half of the replicas stay, evenly over the zones, and cheap ones take the place of the others.
-func TestAPartAlwaysStays(t *testing.T) {
+// Half of the replicas stay on demand, evenly over the zones, and spot replicas replace the others.
+func TestOnDemandShareIsKept(t *testing.T) {
 	scaling := testScaling()
 	scaling.OnDemandShare = 0.5
 	platform := newPlatform(scaling, 40)
@@ -204,20 +204,20 @@
 		platform.reclaim(zone, 30*time.Second)
 	}
 	leader.run(platform, 5*time.Second)
-	onDemand, spots := platform.all()
+	onDemand, spots := platform.counts()
 	require.Zero(t, spots)
 	require.GreaterOrEqual(t, onDemand, 60)
 }
 
-// Where all replicas stay nothing is ordered, whatever becomes of them.
-func TestWhatIsThereIsKeptWhereNoRiskIsTaken(t *testing.T) {
+// If all replicas stay on demand, nothing is ordered, even if some crash and come back.
+func TestNothingIsOrderedWithoutSpotReplicas(t *testing.T) {
 	scaling := testScaling()
 	scaling.OnDemandShare = 1
 	platform := newPlatform(scaling, 40)
 	leader := newLeader(scaling, &Desired{})
 	leader.work = 110
 	leader.run(platform, 10*time.Second)
-	platform.ready[Group{Service: "s", Zone: "a"}] = 10 // some have crashed and come back
+	platform.ready[Group{Service: "s", Zone: "a"}] = 10 // some have crashed and come back later
 	leader.run(platform, 10*time.Second)
 	platform.ready[Group{Service: "s", Zone: "a"}] = 40
 	leader.run(platform, 10*time.Second)
@@ -225,10 +225,10 @@
 	require.Empty(t, leader.agreed.Counts)
 }
 
-// A list that fills by and by never makes a leader give up what it does not show yet.
+// While a list fills gradually, the leader releases no replicas that it does not show yet.
 func TestAListThatFillsIsNotTakenForAll(t *testing.T) {
 	scaling := testScaling()
-	scaling.BootTime = 100 * time.Millisecond // others serve before the list has filled
+	scaling.BootTime = 100 * time.Millisecond // other replicas serve before the list has filled
 	platform := newPlatform(scaling, 1)
 	leader := newLeader(scaling, &Desired{})
 	for count := 1; count <= 40; count++ {
@@ -237,49 +237,49 @@
 			platform.ready[group], platform.desired[group] = count, count
 		}
 		leader.run(platform, 500*time.Millisecond)
-		onDemand, _ := platform.all()
+		onDemand, _ := platform.counts()
 		require.Equal(t, 3*count, onDemand)
 	}
 	leader.run(platform, 30*time.Second)
 	require.Equal(t, 120, leader.agreed.Base)
 }
 
-func TestALossIsMadeGood(t *testing.T) {
+func TestLostSpotReplicasAreReplaced(t *testing.T) {
 	platform := newPlatform(testScaling(), 40)
 	leader := newLeader(testScaling(), &Desired{})
 	leader.work = 60
 	leader.run(platform, 30*time.Second)
-	onDemand, spots := platform.all()
+	onDemand, spots := platform.counts()
 	require.Zero(t, onDemand)
 	platform.reclaim("b", 12*time.Second)
 	leader.run(platform, 10*time.Second)
-	onDemand, left := platform.all()
-	require.Equal(t, spots-60, left)
-	require.GreaterOrEqual(t, float64(onDemand+left-60)*worstUse, leader.work, "a further loss leaves enough")
+	onDemand, remainingSpots := platform.counts()
+	require.Equal(t, spots-60, remainingSpots)
+	require.GreaterOrEqual(t, float64(onDemand+remainingSpots-60)*maxUtilisation, leader.work, "enough replicas remain after a further loss")
 	leader.run(platform, 40*time.Second)
-	onDemand, again := platform.all()
-	require.Zero(t, onDemand, "those that stay are given up when the cheap ones are back")
-	require.Equal(t, spots, again)
+	onDemand, restoredSpots := platform.counts()
+	require.Zero(t, onDemand, "on-demand replicas are released when the spot ones are back")
+	require.Equal(t, spots, restoredSpots)
 }
 
-// faultsOfOrders are what may happen to calls.
-var faultsOfOrders = map[string]func(platform *platform, random *rand.Rand){
+// orderFaults are the possible faults of calls.
+var orderFaults = map[string]func(platform *platform, random *rand.Rand){
 	"none": func(*platform, *rand.Rand) {},
 	"answers are lost": func(platform *platform, random *rand.Rand) {
-		platform.lost = func() bool { return random.IntN(2) == 0 }
+		platform.loseAnswer = func() bool { return random.IntN(2) == 0 }
 	},
-	"calls are carried out late, after newer ones": func(platform *platform, random *rand.Rand) {
-		platform.late = func() time.Duration {
+	"calls are carried out late and out of order": func(platform *platform, random *rand.Rand) {
+		platform.delay = func() time.Duration {
 			return time.Duration(random.IntN(2)*random.IntN(8)) * time.Second
 		}
 	},
-	"none of the cheap kind are to be had": func(platform *platform, _ *rand.Rand) { platform.dry = time.Minute },
+	"no spot replicas are available": func(platform *platform, _ *rand.Rand) { platform.shortageUntil = time.Minute },
 }
 
-// Over random prices, work, losses and late or lost calls it never orders below the least, keeps
-// what the work needs, does not flap, and comes to rest.
+// Over random prices, work, losses and late or lost calls, a plan never orders below the minimum, keeps what the work
+// needs, does not flap and settles.
 func TestPlansAreSafeAndComeToRest(t *testing.T) {
-	for name, fault := range faultsOfOrders {
+	for name, fault := range orderFaults {
 		for seed := range uint64(20) {
 			random := rand.New(rand.NewPCG(seed, 7))
 			scaling := testScaling()
@@ -298,48 +298,48 @@
 					platform.reclaim(testZones[random.IntN(3)], time.Duration(random.IntN(15))*time.Second)
 				}
 				if random.IntN(3) == 0 {
-					leader = newLeader(scaling, leader.agreed) // another one leads
+					leader = newLeader(scaling, leader.agreed) // a new leader
 					leader.work = 20
 				}
 				leader.run(platform, 20*time.Second)
 			}
-			platform.dry = 0
-			platform.lost, platform.late = func() bool { return false }, func() time.Duration { return 0 }
+			platform.shortageUntil = 0
+			platform.loseAnswer, platform.delay = func() bool { return false }, func() time.Duration { return 0 }
 			leader.run(platform, 60*time.Second)
 			changes := 0
 			for _, count := range platform.changes {
 				changes += count
 			}
 			leader.run(platform, 60*time.Second)
-			onDemand, spots := platform.all()
+			onDemand, spots := platform.counts()
 			require.GreaterOrEqual(t, onDemand+spots, leader.agreed.Base, "%s, seed %d", name, seed)
 			require.GreaterOrEqual(t, float64(onDemand), scaling.OnDemandShare*float64(leader.agreed.Base), "%s, seed %d", name, seed)
 			for _, zone := range testZones {
 				group := Group{Service: "s", Zone: zone}
-				cheap := Group{Service: "s", Zone: zone, Spot: true}
-				require.GreaterOrEqual(t, platform.ready[group]+platform.ready[cheap], scaling.Min, "%s, seed %d", name, seed)
-				require.LessOrEqual(t, platform.ready[group]+platform.ready[cheap], scaling.Max, "%s, seed %d", name, seed)
+				spot := Group{Service: "s", Zone: zone, Spot: true}
+				require.GreaterOrEqual(t, platform.ready[group]+platform.ready[spot], scaling.Min, "%s, seed %d", name, seed)
+				require.LessOrEqual(t, platform.ready[group]+platform.ready[spot], scaling.Max, "%s, seed %d", name, seed)
 			}
-			again := 0
+			laterChanges := 0
 			for _, count := range platform.changes {
-				again += count
+				laterChanges += count
 			}
-			require.Equal(t, changes, again, "%s, seed %d: it comes to rest", name, seed)
-			require.Less(t, changes, 120, "%s, seed %d: it flaps", name, seed)
+			require.Equal(t, changes, laterChanges, "%s, seed %d: the plan settles", name, seed)
+			require.Less(t, changes, 120, "%s, seed %d: the plan flaps", name, seed)
 		}
 	}
 }
 
-// A new leader orders nothing of its own accord: what it finds is what was agreed on.
-func TestANewLeaderOrdersNothingByItself(t *testing.T) {
+// A new leader issues no orders while the list matches what was agreed.
+func TestNewLeaderRepeatsNoOrders(t *testing.T) {
 	platform := newPlatform(testScaling(), 40)
-	former := newLeader(testScaling(), &Desired{})
-	former.work = 30
-	former.run(platform, 40*time.Second)
-	next := newLeader(testScaling(), former.agreed)
+	previous := newLeader(testScaling(), &Desired{})
+	previous.work = 30
+	previous.run(platform, 40*time.Second)
+	next := newLeader(testScaling(), previous.agreed)
 	next.work = 30
-	before := *former.agreed
+	before := *previous.agreed
 	next.step(platform)
-	require.Empty(t, next.orders.made)
+	require.Empty(t, next.orders.issued)
 	require.True(t, before.Equal(*next.agreed))
 }
