--- a/internal/subsetting/chooser.go
+++ b/internal/subsetting/chooser.go
@@ -1,22 +1,22 @@
 package subsetting
 
-// spareHalvings is by how many halvings a part may be larger than it has to be, so that back ends that come
-// and go, or a zone that is lost and comes back, change nothing.
-const spareHalvings = 1
+// slackHalvings is by how many halvings a subset may be larger than needed, so that back ends that join or leave, or a
+// zone that fails and recovers, do not change it.
+const slackHalvings = 1
 
-// Chooser follows the part of one service's back ends that is enough. The zero value has not chosen yet.
+// Chooser selects the subset of one service's back ends. The zero value has selected none yet.
 type Chooser struct {
-	chosen bool
-	part   Subset
+	hasSubset bool
+	subset    Subset
 }
 
-// Next returns the part for so many back ends of which some are wanted.
+// Next returns the subset for a number of back ends and how many of them are wanted.
 func (c *Chooser) Next(backEnds, wanted int) Subset {
 	needed := SubsetFor(backEnds, wanted)
-	larger := needed.Halvings < c.part.Halvings
-	muchSmaller := needed.Halvings > c.part.Halvings+spareHalvings
-	if !c.chosen || larger || muchSmaller {
-		c.chosen, c.part = true, needed
+	larger := needed.Halvings < c.subset.Halvings
+	muchSmaller := needed.Halvings > c.subset.Halvings+slackHalvings
+	if !c.hasSubset || larger || muchSmaller {
+		c.hasSubset, c.subset = true, needed
 	}
-	return c.part
+	return c.subset
 }
--- a/internal/subsetting/chooser_test.go
+++ b/internal/subsetting/chooser_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The loss of a zone brings in others at once, and its return leaves them.
-func TestPartBearsTheLossOfAZone(t *testing.T) {
+// The loss of a zone adds other back ends at once, and its recovery does not remove them.
+func TestSubsetCoversTheLossOfAZone(t *testing.T) {
 	chooser := &Chooser{}
 	before := chooser.Next(10_000, MinEngines)
 	require.Equal(t, SubsetFor(10_000, MinEngines), before)
@@ -16,8 +16,8 @@
 	require.Equal(t, during, chooser.Next(10_000, MinEngines))
 }
 
-// A list that was not whole at first does not keep all back ends in the part.
-func TestPartFollowsAFleetThatIsMuchLargerThanItSeemed(t *testing.T) {
+// If the first list was incomplete, the subset shrinks once the list is complete.
+func TestSubsetShrinksOnceTheListIsComplete(t *testing.T) {
 	chooser := &Chooser{}
 	require.Equal(t, Subset{}, chooser.Next(300, MinEngines))
 	require.Equal(t, SubsetFor(10_000, MinEngines), chooser.Next(10_000, MinEngines))
--- a/internal/subsetting/demand.go
+++ b/internal/subsetting/demand.go
@@ -3,63 +3,62 @@
 import "time"
 
 const (
-	// MinEngines is the least number of a service's engines that relays are to know, where there are so
-	// many: 16 cells of 16 engines, three and more in each of five zones, so that the loss of a zone leaves
-	// every prompt several cells. A fleet of up to twice as many is known whole.
+	// MinEngines is the smallest number of a service's engines that relays know of, if there are as many: 16 cells
+	// of 16 engines, at least three cells in each of five zones, so that every prompt has several cells left after
+	// the loss of a zone. A fleet of up to twice as many is included whole.
 	MinEngines = 256
-	// MinWholeBackEnds is the same for back ends that answer requests whole, which keep nothing: six in each of
-	// five zones, of which a zone and one in six others may be lost.
+	// MinWholeBackEnds is the same for back ends that answer whole requests and cache nothing: six in each of five
+	// zones, of which one zone and one in six of the others may be lost.
 	MinWholeBackEnds = 32
-	// spare is how many back ends are to be known for each one that the observed work would keep busy.
-	// Reading one long prompt takes longer than half of its time to the first token, so a request must find
-	// an idle engine nearly always: with a quarter of the engines busy, all 16 of a cell are with a
-	// probability below one in a billion.
-	spare = 4
-	// shrinkAt is by how many times more may be wanted than the work needs, so that a load that swings by
-	// so much changes nothing: engines that are left out take with them what they keep.
-	shrinkAt = 4
-	// shrinkAfter is how long the work must have needed less than that before less is wanted.
-	shrinkAfter = 30 * time.Second
-	// mostWanted bounds what others tell.
-	mostWanted = 1 << 24
+	// backEndsPerBusy is how many back ends are wanted for each one that the observed work keeps busy. The prefill of
+	// a long prompt takes more than half of its target for the first token, so that a request must nearly always find
+	// an idle engine: with a quarter of the engines busy, all 16 of a cell are busy with a probability below one in a
+	// billion.
+	backEndsPerBusy = 4
+	// shrinkFactor is the factor by which the wanted number may exceed what the work needs. A load that swings by
+	// less changes nothing, since the prefix caches of removed engines are lost.
+	shrinkFactor = 4
+	// shrinkDelay is how long the work must have needed less than that before the wanted number is lowered.
+	shrinkDelay = 30 * time.Second
+	// maxWanted bounds the number adopted from other processes.
+	maxWanted = 1 << 24
 )
 
-// Demand is how many back ends of one service relays are to know. It follows the observed work in
-// doublings: up at once, down late. The zero value has seen nothing.
+// Demand computes how many back ends of one service relays should know of. It follows the observed work by doublings:
+// it grows at once and shrinks late. The zero value has observed nothing.
 type Demand struct {
-	wanted int
-	ample  bool
-	// ampleSince is when the work began to need much less than is wanted.
-	ampleSince time.Duration
+	wanted    int
+	oversized bool
+	// oversizedSince is when the work began to need much less than the wanted number.
+	oversizedSince time.Duration
 }
 
-// Next returns how many are wanted, at least the least, for work that would keep busy of them busy all the
-// time.
+// Next returns the wanted number, which is at least the least, for work that keeps the given number of back ends busy.
 func (d *Demand) Next(now time.Duration, least int, busy float64) int {
 	needed := least
-	for float64(needed) < busy*spare && needed < mostWanted {
+	for float64(needed) < busy*backEndsPerBusy && needed < maxWanted {
 		needed *= 2
 	}
-	ample := needed*shrinkAt <= d.wanted
-	if ample && !d.ample {
-		d.ampleSince = now
+	oversized := needed*shrinkFactor <= d.wanted
+	if oversized && !d.oversized {
+		d.oversizedSince = now
 	}
-	d.ample = ample
-	if ample && now-d.ampleSince >= shrinkAfter {
-		d.wanted, d.ample = needed, false
+	d.oversized = oversized
+	if oversized && now-d.oversizedSince >= shrinkDelay {
+		d.wanted, d.oversized = needed, false
 	}
 	d.wanted = max(d.wanted, needed)
 	return d.wanted
 }
 
-// Adopt takes what a predecessor wanted, which knew the work. It reports whether that is more.
-func (d *Demand) Adopt(told int) bool {
-	more := min(told, mostWanted) > d.wanted
+// Adopt adopts a predecessor's wanted number, which was based on known work. It reports whether that is higher.
+func (d *Demand) Adopt(previous int) bool {
+	more := min(previous, maxWanted) > d.wanted
 	if more {
-		d.wanted = min(told, mostWanted)
+		d.wanted = min(previous, maxWanted)
 	}
 	return more
 }
 
-// Wanted is what was wanted last.
+// Wanted returns the last wanted number.
 func (d *Demand) Wanted() int { return d.wanted }
--- a/internal/subsetting/doc.go
+++ b/internal/subsetting/doc.go
@@ -1,9 +1,8 @@
-// Package subsetting decides which part of a service's back ends relays are told of, and which relays
-// may own cells.
+// Package subsetting decides which of a service's back ends relays know of, and which relays may own cells.
 //
-// A fleet may have far more engines than its work needs. Were every relay to know all of them, what is
-// held and sent would grow as relays x back ends, and prompts would be spread over engines that keep
-// nothing yet. So relays are told a part that follows the work: a power of a half of all, drawn by a hash
-// of the address, so that parts nest, each zone gives its share, and a back end that restarts at its
-// address keeps its place. The package is pure.
+// A fleet may have far more engines than its work needs. If every relay knew all of them, memory and traffic would
+// grow with relays x back ends, and prompts would be spread over engines with cold caches. Relays therefore know a
+// subset that follows the work: half to the power of n of all back ends, selected by a hash of the address. Subsets
+// nest, each zone contributes its share, and a back end that restarts at its address stays in the subset. The package
+// is pure.
 package subsetting
--- a/internal/subsetting/owners.go
+++ b/internal/subsetting/owners.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// leastCandidates is the least number of relays that may own cells, where there are so many.
-	leastCandidates = 64
-	// enginesPerCandidate is how many engines there are for each further one: four relays for a cell of
-	// 16, of which one owns it and one stands in, so that few own more than one cell.
+	// minCandidates is the smallest number of relays that may own cells, if there are as many.
+	minCandidates = 64
+	// enginesPerCandidate is the number of engines per further candidate: four relays for a cell of 16 engines, of
+	// which one owns it and one is its deputy, so that few relays own more than one cell.
 	enginesPerCandidate = 4
 )
 
-// OwnerCandidates returns the relays, by their addresses, that may own the cells of so many engines, sorted.
-// All relays know these and no other, so that one of the others that comes or goes is no news to
-// anybody. One that goes is replaced by one, and all others stay; their number is a power of two, so
-// that an engine more or less changes none.
+// OwnerCandidates returns the sorted addresses of the relays that may own the cells of so many engines. All relays know
+// these and no others, so that no relay has to be informed when one of the others joins or leaves. A candidate that
+// leaves is replaced by one other, and the rest stay. Their number is a power of two, so that single engines do not
+// change it.
 func OwnerCandidates(relays []string, engines int) []string {
-	count := leastCandidates
+	count := minCandidates
 	for count*enginesPerCandidate < engines {
 		count *= 2
 	}
--- a/internal/subsetting/owners_test.go
+++ b/internal/subsetting/owners_test.go
@@ -7,18 +7,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Of a thousand relays each knows those few that may own cells.
+// Each of a thousand relays knows only the few that may own cells.
 func TestCandidatesDoNotGrowWithRelays(t *testing.T) {
 	require.Equal(t, addresses(7), OwnerCandidates(addresses(7), 9))
 	for _, relays := range []int{100, 1000, 10_000} {
 		require.Len(t, OwnerCandidates(addresses(relays), 320), min(relays, 128))
 	}
-	require.Len(t, OwnerCandidates(addresses(390), 930), 256, "four and more for each cell of 16 engines")
-	require.Equal(t, OwnerCandidates(addresses(1000), 300), OwnerCandidates(addresses(1000), 500), "engines come and go")
+	require.Len(t, OwnerCandidates(addresses(390), 930), 256, "at least four for each cell of 16 engines")
+	require.Equal(t, OwnerCandidates(addresses(1000), 300), OwnerCandidates(addresses(1000), 500), "a few more engines change nothing")
 }
 
-// Relays that come and go change the candidates by as many as belong to them.
-func TestFewRelaysThatRestartAreNews(t *testing.T) {
+// A relay that leaves changes the candidates only if it is one of them, and then by one.
+func TestFewRelaysChangeTheCandidates(t *testing.T) {
 	relays := addresses(1000)
 	before := OwnerCandidates(relays, 320)
 	changed := 0
--- a/internal/subsetting/prefix_length_test.go
+++ b/internal/subsetting/prefix_length_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// mixed lists engines, and one back end of another service in 30.
+// mixed returns a list of engines with one back end of another service in 30.
 func mixed(count int) []Entry {
 	list := make([]Entry, count)
 	for index := range list {
@@ -18,8 +18,8 @@
 	return list
 }
 
-// What must be read of a list follows what is wanted, not its length.
-func TestPrefixDoesNotGrowWithTheList(t *testing.T) {
+// How much of a list must be read depends on the wanted numbers, not on its length.
+func TestPrefixLengthIsIndependentOfTheList(t *testing.T) {
 	wanted := map[string]int{"engines": MinEngines, "pages": MinWholeBackEnds}
 	for _, count := range []int{2_000, 10_000, 20_000, 100_000} {
 		require.Equal(t, 30*MinWholeBackEnds, PrefixLength(mixed(count), wanted))
@@ -27,11 +27,11 @@
 	require.Equal(t, 30*MinWholeBackEnds, PrefixLength(mixed(30*MinWholeBackEnds), wanted))
 }
 
-// Where there are fewer than are wanted the list is read to the last of them.
-func TestPrefixHoldsAllWhereThereAreFew(t *testing.T) {
+// If there are fewer back ends than wanted, the list is read to the last of them.
+func TestPrefixIncludesAllIfThereAreFew(t *testing.T) {
 	list := append(mixed(300), Entry{Service: "rare", Open: true})
 	require.Equal(t, len(list), PrefixLength(list, map[string]int{"engines": 5, "rare": 3}))
 	require.Equal(t, 0, PrefixLength(list, nil))
 	closed := append(list, Entry{Service: "rare"})
-	require.Equal(t, len(list), PrefixLength(closed, map[string]int{"rare": 3}), "those that leave are not looked for")
+	require.Equal(t, len(list), PrefixLength(closed, map[string]int{"rare": 3}), "closed back ends are not searched for")
 }
