--- a/internal/stageplan/just_started.go
+++ b/internal/stageplan/just_started.go
@@ -7,21 +7,21 @@
 	"slices"
 )
 
-// leastLack is the part of a group's engines by which a stage must have too few before fresh ones are
-// changed for it: each is away for seconds, which costs more than a small lack.
-const leastLack = 0.3
+// minShortfallShare is the share of a group's engines by which a stage must be short before engines that have just
+// started are changed for it. A change makes an engine unavailable for seconds, which costs more than a small shortfall.
+const minShortfallShare = 0.3
 
 // groupStages counts the stages of the engines of one group.
 type groupStages struct {
 	name           string
 	total, prefill int
-	// fresh are the engines of each stage that may change at no cost, by identity.
-	fresh map[Stage][]string
+	// justStarted are the IDs of the engines of each stage that can change at no cost.
+	justStarted map[Stage][]string
 }
 
-// placeFresh gives engines that have just begun to serve the stage that their group lacks most, so that
-// each group has the part of both stages that all engines have.
-func (p *Plan) placeFresh(engines []Engine) []Change {
+// placeJustStarted assigns engines that have just started to serve to the stage of which their group is most short, so
+// that each group has the same shares of both stages as the whole fleet.
+func (p *Plan) placeJustStarted(engines []Engine) []Change {
 	share := p.prefillShare(engines)
 	var changes []Change
 	for _, group := range countStages(engines) {
@@ -29,38 +29,38 @@
 		if group.total > 1 {
 			wanted = min(max(wanted, 1), group.total-1)
 		}
-		lacks, stage := wanted-group.prefill, StagePrefill
-		if lacks < 0 {
-			lacks, stage = -lacks, StageDecode
+		shortfall, stage := wanted-group.prefill, StagePrefill
+		if shortfall < 0 {
+			shortfall, stage = -shortfall, StageDecode
 		}
-		if float64(lacks) < leastLack*float64(group.total) {
+		if float64(shortfall) < minShortfallShare*float64(group.total) {
 			continue
 		}
-		free := group.fresh[other(stage)]
-		for _, engine := range free[:min(lacks, len(free))] {
+		available := group.justStarted[otherStage(stage)]
+		for _, engine := range available[:min(shortfall, len(available))] {
 			changes = append(changes, Change{Engine: engine, Stage: stage})
 		}
 	}
 	return changes
 }
 
-// prefillShare is the part of the engines that serve for longer which read prompts, or the prior one
-// where there are none.
+// prefillShare returns the share of prefill engines among the engines that have served for longer. It returns the prior
+// share if there are too few of these.
 func (p *Plan) prefillShare(engines []Engine) float64 {
-	settled := slices.DeleteFunc(slices.Clone(engines), func(engine Engine) bool { return engine.JustStarted })
-	if len(settled) < 2*leastEngines {
+	established := slices.DeleteFunc(slices.Clone(engines), func(engine Engine) bool { return engine.JustStarted })
+	if len(established) < 2*minStageEngines {
 		return p.config.PriorPrefillShare
 	}
-	return float64(countPrefill(settled)) / float64(len(settled))
+	return float64(countPrefill(established)) / float64(len(established))
 }
 
-// countStages counts the stages of groups that have fresh engines, by name.
+// countStages counts the stages of the groups with engines that have just started, sorted by name.
 func countStages(engines []Engine) []*groupStages {
 	byName := map[string]*groupStages{}
 	for _, engine := range engines {
 		group := byName[engine.Group]
 		if group == nil {
-			group = &groupStages{name: engine.Group, fresh: map[Stage][]string{}}
+			group = &groupStages{name: engine.Group, justStarted: map[Stage][]string{}}
 			byName[engine.Group] = group
 		}
 		group.total++
@@ -68,20 +68,20 @@
 			group.prefill++
 		}
 		if engine.JustStarted && !engine.Busy {
-			group.fresh[engine.Stage] = append(group.fresh[engine.Stage], engine.ID)
+			group.justStarted[engine.Stage] = append(group.justStarted[engine.Stage], engine.ID)
 		}
 	}
-	maps.DeleteFunc(byName, func(_ string, group *groupStages) bool { return len(group.fresh) == 0 })
+	maps.DeleteFunc(byName, func(_ string, group *groupStages) bool { return len(group.justStarted) == 0 })
 	groups := slices.Collect(maps.Values(byName))
 	for _, group := range groups {
-		slices.Sort(group.fresh[StagePrefill])
-		slices.Sort(group.fresh[StageDecode])
+		slices.Sort(group.justStarted[StagePrefill])
+		slices.Sort(group.justStarted[StageDecode])
 	}
 	slices.SortFunc(groups, func(a, b *groupStages) int { return cmp.Compare(a.name, b.name) })
 	return groups
 }
 
-func other(stage Stage) Stage {
+func otherStage(stage Stage) Stage {
 	if stage == StagePrefill {
 		return StageDecode
 	}
--- a/internal/stageplan/just_started_test.go
+++ b/internal/stageplan/just_started_test.go
@@ -7,11 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Engines that have just begun to serve take the stages that their group lacks, at once and under
-// load, and none that serves for longer is moved for them.
-func TestFreshEnginesTakeWhatTheirGroupLacks(t *testing.T) {
+// Engines that have just started fill their group's shortfall at once and under load, and no other engine changes.
+func TestJustStartedEnginesFillTheShortfall(t *testing.T) {
 	plan := New(config())
-	engines := fleet(30, 18) // three groups, each with six that read and four that generate
+	engines := fleet(30, 18) // three groups, each with six prefill and four decode engines
 	work := Work{Prefill: 6, Decode: 4, Known: true}
 	require.Empty(t, plan.Next(0, engines, work))
 	for index := range engines {
@@ -29,8 +28,8 @@
 	require.Empty(t, plan.Next(2*time.Second, engines, work))
 }
 
-// A small lack is borne: an engine that changes is away for seconds.
-func TestASmallLackIsBorne(t *testing.T) {
+// A small shortfall causes no change, since an engine is unavailable for seconds during a change.
+func TestSmallShortfallCausesNoChange(t *testing.T) {
 	plan := New(config())
 	engines := fleet(30, 18)
 	for index := range engines {
@@ -38,25 +37,25 @@
 			engines[index].Stage, engines[index].JustStarted = StageDecode, true
 		}
 	}
-	require.Empty(t, plan.placeFresh(engines))
+	require.Empty(t, plan.placeJustStarted(engines))
 }
 
-func TestFreshEnginesThatAreOrderedAreLeft(t *testing.T) {
+func TestBusyJustStartedEnginesGetNoOrder(t *testing.T) {
 	plan := New(config())
 	engines := fleet(12, 6)
 	for index := range engines {
 		engines[index].JustStarted, engines[index].Busy = index >= 9, index >= 9
 	}
-	require.Empty(t, plan.placeFresh(engines))
+	require.Empty(t, plan.placeJustStarted(engines))
 }
 
-// Without engines that serve for longer the prior share holds.
-func TestAllFreshEnginesFollowThePrior(t *testing.T) {
+// If all engines have just started, the prior share applies.
+func TestJustStartedFleetFollowsThePriorShare(t *testing.T) {
 	plan := New(config())
 	engines := fleet(12, 0)
 	for index := range engines {
 		engines[index].JustStarted = true
 	}
-	apply(engines, plan.placeFresh(engines))
+	apply(engines, plan.placeJustStarted(engines))
 	require.Equal(t, 9, countPrefill(engines), "three of four in each group")
 }
--- a/internal/stageplan/plan.go
+++ b/internal/stageplan/plan.go
@@ -1,10 +1,9 @@
-// Package stageplan decides which engines of a site read prompts and which generate. It is
-// pure: the owner tells it the engines and the work, and orders what it answers.
+// Package stageplan decides which engines of a site prefill and which decode. It is pure: the owner passes the engines
+// and the work, and orders the result.
 //
-// The plan weighs both kinds of work by the engine time that they take. An engine changes
-// when one stage has more work than it can do in time and the other much less, since a change
-// takes the engine away for seconds and its cache from those that used it. Before any work
-// is known a prior share is used.
+// The plan compares both kinds of work by the engine time that they take. An engine changes its stage if one stage has
+// more work than it can do in time and the other much less, since a change makes the engine unavailable for seconds and
+// loses its cache for the requests that used it. Until the work is known, a prior share applies.
 package stageplan
 
 import (
@@ -17,7 +16,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/mechanism"
 )
 
-// Stage is what an engine does.
+// Stage is the stage of requests that an engine serves.
 type Stage int
 
 // Stages of an engine.
@@ -26,108 +25,107 @@
 	StageDecode
 )
 
-// Engine is one engine as the list shows it.
+// Engine is an engine as listed.
 type Engine struct {
 	ID string
-	// Group is the zone and the cell of the engine: each group keeps engines of both stages.
+	// Group is the zone and the cell of the engine; each group keeps engines of both stages.
 	Group string
 	Stage Stage
-	// Busy engines take no order: they leave, or one is under way.
+	// Busy engines take no order: they are leaving or carry one out.
 	Busy bool
-	// JustStarted engines have just begun to serve: they run and keep nothing that a change would cost.
+	// JustStarted engines have just started to serve: a change costs no running requests and no cache.
 	JustStarted bool
 }
 
-// Work is the engine time that a service's requests take per time: how many engines they
-// would keep busy.
+// Work is the engine time per unit of time that a service's requests take, that is, how many engines they keep busy.
 type Work struct {
 	Prefill float64
 	Decode  float64
-	// Known is false before anything was reported.
+	// Known is false before the first report.
 	Known bool
 }
 
-// Change orders one engine into a stage.
+// Change orders one engine to change to a stage.
 type Change struct {
 	Engine string
 	Stage  Stage
 }
 
-// Config tunes a plan. All fields are required.
+// Config configures a plan. All fields are required.
 type Config struct {
-	// PriorPrefillShare is the part of the engines that read prompts until work is known.
+	// PriorPrefillShare is the share of prefill engines until the work is known.
 	PriorPrefillShare float64
-	// MinChangeInterval is the time without changes after one under load.
+	// MinChangeInterval is the minimum time between changes under load.
 	MinChangeInterval time.Duration
-	// Without are mechanisms that are left out; none for users.
+	// Without holds mechanisms that are switched off; none in production.
 	Without mechanism.Set
 }
 
 const (
-	// prefillUse and decodeUse are the parts of their time for which engines may be busy
-	// before others have to help them.
-	prefillUse = 0.6
-	decodeUse  = 0.7
-	// improvement is how many times less busy, by these measures, a change must make the busier
-	// stage: engines are away meanwhile, and their caches are lost to their former stage.
-	improvement = 1.3
-	// turnBackHolds is how many holds must pass before engines are changed back.
-	turnBackHolds = 3
-	// mostAtOnce is the part of the engines that may change at once.
-	mostAtOnce = 0.25
-	// leastShare is the part of the engines that each stage keeps, and leastEngines their
-	// least number, so that a loss leaves others.
-	leastShare   = 0.3
-	leastEngines = 2
-	// leastWork is the work below which a part of the engines, by their number, is idle.
-	leastWork = 0.02
-	// smoothing is the weight of a new observation of the work.
-	smoothing = 0.2
+	// prefillUtilisation and decodeUtilisation are the shares of their time for which engines may be busy before
+	// other engines must join their stage.
+	prefillUtilisation = 0.6
+	decodeUtilisation  = 0.7
+	// minImprovement is the factor by which a change must lower the load of the busier stage, relative to these
+	// utilisations: engines are unavailable meanwhile, and their caches are lost for their former stage.
+	minImprovement = 1.3
+	// turnBackIntervals is the number of intervals that must pass before engines change back.
+	turnBackIntervals = 3
+	// maxChangeShare is the share of the engines that may change at once.
+	maxChangeShare = 0.25
+	// minStageShare is the share of the engines that each stage keeps, and minStageEngines their minimum number, so
+	// that a crash leaves other engines.
+	minStageShare   = 0.3
+	minStageEngines = 2
+	// minWorkShare is the work, as a share of the number of engines, below which they count as idle.
+	minWorkShare = 0.02
+	// workSmoothing is the weight of a new observation of the work.
+	workSmoothing = 0.2
 )
 
-// Plan follows one service's engines.
+// Plan plans the stages of one service's engines.
 type Plan struct {
-	config    Config
-	work      Work
-	changedAt time.Duration
-	changed   bool
-	// towards is the stage that engines were last changed into.
-	towards Stage
+	config       Config
+	work         Work
+	lastChangeAt time.Duration
+	hasChanged   bool
+	// lastStage is the stage of the last changes.
+	lastStage Stage
 }
 
-// New returns a plan.
+// New returns a plan without observations.
 func New(config Config) *Plan { return &Plan{config: config} }
 
-// Next returns the changes to order now, none most of the time. Call it at steady intervals.
+// Next returns the changes to order now, usually none. Call it at constant intervals.
 func (p *Plan) Next(now time.Duration, engines []Engine, work Work) []Change {
-	if len(engines) < 2*leastEngines || !p.config.Without.IsEnabled(mechanism.StagePlan) {
+	if len(engines) < 2*minStageEngines || !p.config.Without.IsEnabled(mechanism.StagePlan) {
 		return nil
 	}
 	p.observe(work)
 	if work.Known && p.config.Without.IsEnabled(mechanism.FreshStages) {
-		if changes := p.placeFresh(engines); len(changes) > 0 {
-			return changes // they cost nothing, so that no time has to pass after them
+		if changes := p.placeJustStarted(engines); len(changes) > 0 {
+			return changes // they cost nothing, so the next ones need not wait
 		}
 	}
 	var changes []Change
-	if !work.Known || p.work.Prefill+p.work.Decode < leastWork*float64(len(engines)) {
-		changes = p.towardsPrior(engines)
-	} else if !p.changed || now-p.changedAt >= p.config.MinChangeInterval {
-		changes = p.underLoad(engines)
-		if p.turnsBack(now, changes) {
+	if !work.Known || p.work.Prefill+p.work.Decode < minWorkShare*float64(len(engines)) {
+		changes = p.changesToPrior(engines)
+	} else if !p.hasChanged || now-p.lastChangeAt >= p.config.MinChangeInterval {
+		changes = p.changesUnderLoad(engines)
+		if p.reversesRecentChange(now, changes) {
 			return nil
 		}
 	}
 	if len(changes) > 0 {
-		p.changedAt, p.changed, p.towards = now, true, changes[0].Stage
+		p.lastChangeAt, p.hasChanged, p.lastStage = now, true, changes[0].Stage
 	}
 	return changes
 }
 
-// turnsBack reports whether changes would take back others that are not old enough for that: a
-// mix that swings within seconds is better borne than chased.
-func (p *Plan) turnsBack(now time.Duration, changes []Change) bool {
-	return len(changes) > 0 && p.changed && p.config.Without.IsEnabled(mechanism.TurnBackDelay) && changes[0].Stage != p.towards && now-p.changedAt < turnBackHolds*p.config.MinChangeInterval
+// reversesRecentChange reports whether changes would reverse others that are too recent. If the mix swings within
+// seconds, it is better not to follow it.
+func (p *Plan) reversesRecentChange(now time.Duration, changes []Change) bool {
+	return len(changes) > 0 && p.hasChanged && p.config.Without.IsEnabled(mechanism.TurnBackDelay) && changes[0].Stage != p.lastStage && now-p.lastChangeAt < turnBackIntervals*p.config.MinChangeInterval
 }
 
 // observe smooths the work, which swings within seconds.
@@ -139,73 +137,73 @@
 		p.work = work
 		return
 	}
-	p.work.Prefill += smoothing * (work.Prefill - p.work.Prefill)
-	p.work.Decode += smoothing * (work.Decode - p.work.Decode)
+	p.work.Prefill += workSmoothing * (work.Prefill - p.work.Prefill)
+	p.work.Decode += workSmoothing * (work.Decode - p.work.Decode)
 }
 
-// towardsPrior changes as many idle engines at once as the prior share asks for, but only
-// before any work was known: later, engines keep what they have cached.
-func (p *Plan) towardsPrior(engines []Engine) []Change {
+// changesToPrior changes as many idle engines at once as the prior share requires, but only before any work is known:
+// later, engines keep their caches.
+func (p *Plan) changesToPrior(engines []Engine) []Change {
 	if p.work.Known {
 		return nil
 	}
 	total := float64(len(engines))
-	least := float64(p.least(len(engines)))
-	wanted := math.Round(min(max(p.config.PriorPrefillShare*total, least), total-least))
-	return changeTo(engines, int(wanted), len(engines))
+	minimum := float64(p.minEngines(len(engines)))
+	wanted := math.Round(min(max(p.config.PriorPrefillShare*total, minimum), total-minimum))
+	return changesTo(engines, int(wanted), len(engines))
 }
 
-// changeTo picks the engines that change, at most so many, until the wanted number reads prompts.
-func changeTo(engines []Engine, prefill, most int) []Change {
+// changesTo returns the changes, at most limit, that lead to the wanted number of prefill engines.
+func changesTo(engines []Engine, prefill, limit int) []Change {
 	difference := prefill - countPrefill(engines)
-	return choose(engines, difference > 0, min(max(difference, -difference), most))
+	return chooseChanges(engines, difference > 0, min(max(difference, -difference), limit))
 }
 
-// underLoad changes as many engines as it takes to share the lack of time evenly between the
-// stages, but only when one of them has too little and a change eases that much.
-func (p *Plan) underLoad(engines []Engine) []Change {
+// changesUnderLoad changes as many engines as needed to balance the load of both stages, but only if one of them is
+// overloaded and a change improves that enough.
+func (p *Plan) changesUnderLoad(engines []Engine) []Change {
 	prefill := countPrefill(engines)
 	if prefill == 0 || prefill == len(engines) {
-		return choose(engines, prefill == 0, leastEngines)
+		return chooseChanges(engines, prefill == 0, minStageEngines)
 	}
-	now := p.need(prefill, len(engines))
+	current := p.overload(prefill, len(engines))
 	best := p.bestPrefill(len(engines))
-	if now <= 1 || now < improvement*p.need(best, len(engines)) {
+	if current <= 1 || current < minImprovement*p.overload(best, len(engines)) {
 		return nil
 	}
-	most := max(int(mostAtOnce*float64(len(engines))), 1)
+	limit := max(int(maxChangeShare*float64(len(engines))), 1)
 	if !p.config.Without.IsEnabled(mechanism.SeveralAtOnce) {
-		most = 1
+		limit = 1
 	}
-	return changeTo(engines, best, most)
+	return changesTo(engines, best, limit)
 }
 
-// need is how many times busier than it may be the busier stage is when so many engines of a
-// number read prompts.
-func (p *Plan) need(prefill, total int) float64 {
-	return max(p.work.Prefill/prefillUse/float64(prefill), p.work.Decode/decodeUse/float64(total-prefill))
+// overload returns the load of the busier stage as a multiple of the permitted one, for a number of prefill engines among
+// all engines.
+func (p *Plan) overload(prefill, total int) float64 {
+	return max(p.work.Prefill/prefillUtilisation/float64(prefill), p.work.Decode/decodeUtilisation/float64(total-prefill))
 }
 
-// bestPrefill is the number of engines that should read prompts.
+// bestPrefill returns the best number of prefill engines.
 func (p *Plan) bestPrefill(total int) int {
-	best := p.least(total)
-	for prefill := best + 1; prefill <= total-p.least(total); prefill++ {
-		if p.need(prefill, total) < p.need(best, total) {
+	best := p.minEngines(total)
+	for prefill := best + 1; prefill <= total-p.minEngines(total); prefill++ {
+		if p.overload(prefill, total) < p.overload(best, total) {
 			best = prefill
 		}
 	}
 	return best
 }
 
-// least is the number of engines that each stage keeps.
-func (p *Plan) least(total int) int {
+// minEngines returns the number of engines that each stage keeps.
+func (p *Plan) minEngines(total int) int {
 	if !p.config.Without.IsEnabled(mechanism.MinimumShare) {
-		return leastEngines
+		return minStageEngines
 	}
-	return max(leastEngines, int(math.Round(leastShare*float64(total))))
+	return max(minStageEngines, int(math.Round(minStageShare*float64(total))))
 }
 
-// countPrefill counts the engines that read prompts.
+// countPrefill returns the number of prefill engines.
 func countPrefill(engines []Engine) int {
 	count := 0
 	for _, engine := range engines {
@@ -216,9 +214,9 @@
 	return count
 }
 
-// choose picks the engines that change: from the group that has most of the stage they
-// leave, so that both stages stay spread.
-func choose(engines []Engine, toPrefill bool, count int) []Change {
+// chooseChanges picks the engines that change, each from the group with the most engines of the old stage, so that both
+// stages stay spread over the groups.
+func chooseChanges(engines []Engine, toPrefill bool, count int) []Change {
 	from, to := StagePrefill, StageDecode
 	if toPrefill {
 		from, to = StageDecode, StagePrefill
@@ -226,58 +224,58 @@
 	groups := groupsOf(engines, from)
 	var changes []Change
 	for len(changes) < count {
-		fullest := fullestGroup(groups)
-		if fullest == nil {
+		largest := largestGroup(groups)
+		if largest == nil {
 			break
 		}
-		changes = append(changes, Change{Engine: fullest.free[0], Stage: to})
-		fullest.free = fullest.free[1:]
-		fullest.count--
+		changes = append(changes, Change{Engine: largest.available[0], Stage: to})
+		largest.available = largest.available[1:]
+		largest.count--
 	}
 	return changes
 }
 
-// group counts the engines of one stage in one group.
-type group struct {
+// stageGroup counts the engines of one stage in one group.
+type stageGroup struct {
 	name  string
 	count int
-	// free are those of them that take an order, by identity.
-	free []string
+	// available are the IDs of those that can take an order.
+	available []string
 }
 
 // groupsOf counts the engines of a stage by group.
-func groupsOf(engines []Engine, stage Stage) []*group {
-	byName := map[string]*group{}
+func groupsOf(engines []Engine, stage Stage) []*stageGroup {
+	byName := map[string]*stageGroup{}
 	for _, engine := range engines {
 		if engine.Stage != stage {
 			continue
 		}
 		if byName[engine.Group] == nil {
-			byName[engine.Group] = &group{name: engine.Group}
+			byName[engine.Group] = &stageGroup{name: engine.Group}
 		}
 		byName[engine.Group].count++
 		if !engine.Busy {
-			byName[engine.Group].free = append(byName[engine.Group].free, engine.ID)
+			byName[engine.Group].available = append(byName[engine.Group].available, engine.ID)
 		}
 	}
 	groups := slices.Collect(maps.Values(byName))
-	for _, counted := range groups {
-		slices.Sort(counted.free)
+	for _, group := range groups {
+		slices.Sort(group.available)
 	}
-	slices.SortFunc(groups, func(a, b *group) int { return cmp.Compare(a.name, b.name) })
+	slices.SortFunc(groups, func(a, b *stageGroup) int { return cmp.Compare(a.name, b.name) })
 	return groups
 }
 
-// fullestGroup returns the group with most engines of those that have a free one, among equals
-// the one with the first engine; nil when there is none.
-func fullestGroup(groups []*group) *group {
-	var best *group
-	for _, counted := range groups {
-		if len(counted.free) == 0 {
+// largestGroup returns the group with the most engines among those with an available one, or nil. Of equal groups it
+// returns the one with the first available ID.
+func largestGroup(groups []*stageGroup) *stageGroup {
+	var best *stageGroup
+	for _, group := range groups {
+		if len(group.available) == 0 {
 			continue
 		}
-		if best == nil || counted.count > best.count || counted.count == best.count && counted.free[0] < best.free[0] {
-			best = counted
+		if best == nil || group.count > best.count || group.count == best.count && group.available[0] < best.available[0] {
+			best = group
 		}
 	}
 	return best
--- a/internal/stageplan/plan_test.go
+++ b/internal/stageplan/plan_test.go
@@ -12,7 +12,7 @@
 	return Config{PriorPrefillShare: 0.67, MinChangeInterval: 3 * time.Second}
 }
 
-// fleet returns engines in three zones, the first ones reading prompts.
+// fleet returns engines in three zones, the first of them prefill engines.
 func fleet(total, prefill int) []Engine {
 	var engines []Engine
 	for index := range total {
@@ -46,11 +46,10 @@
 			decodeZones[engine.Group]++
 		}
 	}
-	require.Len(t, decodeZones, 3, "each zone keeps an engine that generates")
+	require.Len(t, decodeZones, 3, "each zone keeps a decode engine")
 }
 
-// Under load a part of the engines changes at once, as many as it takes, and the next ones only
-// when it has shown what that did.
+// Under load only a share of the engines changes at once, and the next ones only after these have had an effect.
 func TestChangesUnderLoadAreBoundedAndApart(t *testing.T) {
 	plan := New(config())
 	engines := fleet(18, 7)
@@ -58,8 +57,8 @@
 	first := plan.Next(0, engines, work)
 	require.Len(t, first, 4, "a quarter of the engines")
 	apply(engines, first)
-	require.Empty(t, plan.Next(time.Second, engines, work), "the last changes have to show first")
-	require.Empty(t, plan.Next(3*time.Second, engines, work), "what is left to gain is not worth a change")
+	require.Empty(t, plan.Next(time.Second, engines, work), "the last changes must have an effect first")
+	require.Empty(t, plan.Next(3*time.Second, engines, work), "the remaining gain is not worth a change")
 	require.Equal(t, 11, countPrefill(engines))
 }
 
@@ -70,11 +69,11 @@
 		prefill int
 		changes int
 	}{
-		"both stages have time":    {12, Work{Prefill: 4, Decode: 2, Known: true}, 12, 0},
-		"prompts have too little":  {9, Work{Prefill: 10.5, Decode: 0.7, Known: true}, 13, 4},
-		"a little too little":      {12, Work{Prefill: 9, Decode: 0.7, Known: true}, 12, 0},
-		"streams have too little":  {12, Work{Prefill: 3, Decode: 5, Known: true}, 8, 4},
-		"neither stage has enough": {12, Work{Prefill: 12, Decode: 8, Known: true}, 12, 0},
+		"both stages have capacity":      {12, Work{Prefill: 4, Decode: 2, Known: true}, 12, 0},
+		"prefill is overloaded":          {9, Work{Prefill: 10.5, Decode: 0.7, Known: true}, 13, 4},
+		"prefill is slightly overloaded": {12, Work{Prefill: 9, Decode: 0.7, Known: true}, 12, 0},
+		"decode is overloaded":           {12, Work{Prefill: 3, Decode: 5, Known: true}, 8, 4},
+		"both stages are overloaded":     {12, Work{Prefill: 12, Decode: 8, Known: true}, 12, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			plan := New(config())
@@ -91,7 +90,7 @@
 	}
 }
 
-// A mix that swings every few seconds is not chased: each change costs engine time.
+// A mix that swings every few seconds is not followed, since each change costs engine time.
 func TestSwingsOfAFewSecondsAreNotChased(t *testing.T) {
 	plan := New(config())
 	engines := fleet(18, 11)
@@ -108,7 +107,7 @@
 	require.LessOrEqual(t, changes, 8, "in two minutes")
 }
 
-func TestQuietMomentKeepsTheStages(t *testing.T) {
+func TestIdleTimeKeepsTheStages(t *testing.T) {
 	plan := New(config())
 	engines := fleet(18, 9)
 	plan.Next(0, engines, Work{Prefill: 4, Decode: 3, Known: true})
@@ -117,7 +116,7 @@
 	}
 }
 
-func TestEachStageKeepsItsLeastEngines(t *testing.T) {
+func TestEachStageKeepsItsMinimum(t *testing.T) {
 	for _, work := range []Work{{Prefill: 100, Known: true}, {Decode: 100, Known: true}} {
 		plan := New(config())
 		engines := fleet(9, 4)
