--- a/internal/demand/table.go
+++ b/internal/demand/table.go
@@ -1,5 +1,5 @@
-// Package demand adds up the demand that gateways report, as the planner reads it. It
-// is pure, so that the controller and the experiment tool run the same code.
+// Package demand adds up the demand that gateways report, as input of the planner. It is pure, so that the controller
+// and the experiment tool run the same code.
 package demand
 
 import (
@@ -15,15 +15,15 @@
 const (
 	// reportLifetime is how long a gateway's report counts.
 	reportLifetime = 10 * time.Second
-	// defaultWindow is the window of a report that names none.
+	// defaultWindow is the window of a report that has none.
 	defaultWindow = time.Second
-	// maximumDemands bounds the kinds in one report; the rest is ignored.
-	maximumDemands = 256
-	// maximumReporters bounds the gateways whose reports are kept.
-	maximumReporters = 2000
+	// maxDemandsPerReport bounds the kinds in one report; the rest is ignored.
+	maxDemandsPerReport = 256
+	// maxReporters bounds the gateways whose reports are stored.
+	maxReporters = 2000
 )
 
-// Table holds each gateway's last report.
+// Table holds the last report of each gateway.
 type Table struct{ reports map[string]*report }
 
 type report struct {
@@ -36,22 +36,22 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{reports: map[string]*report{}} }
 
-// RecordReport replaces a gateway's report.
+// RecordReport replaces a gateway's report. It ignores new gateways beyond maxReporters.
 func (t *Table) RecordReport(now time.Duration, node *v1.NodeIdentity, request *v1.ReportRequest) {
 	window := time.Duration(request.WindowMs) * time.Millisecond
 	if window <= 0 {
 		window = defaultWindow
 	}
-	if t.reports[node.GetName()] == nil && len(t.reports) >= maximumReporters {
+	if t.reports[node.GetName()] == nil && len(t.reports) >= maxReporters {
 		return
 	}
 	demands := request.Demands
 	t.reports[node.GetName()] = &report{
-		zone: node.GetZone(), at: now, window: window, demands: demands[:min(len(demands), maximumDemands)],
+		zone: node.GetZone(), at: now, window: window, demands: demands[:min(len(demands), maxDemandsPerReport)],
 	}
 }
 
-// DropExpired forgets reports that no longer count.
+// DropExpired drops reports that no longer count.
 func (t *Table) DropExpired(now time.Duration) {
 	for name, report := range t.reports {
 		if now-report.at > reportLifetime {
@@ -63,19 +63,19 @@
 // rowKey identifies one row of the planner's demand.
 type rowKey struct{ kind, zone string }
 
-// rowSum adds up one row over the gateways.
+// rowSum sums one row over the gateways.
 type rowSum struct {
 	arrivalsPerSecond float64
 	arrivals          float64
-	// written counts the requests that wrote output.
-	written               float64
+	// withOutput counts the requests that generated output.
+	withOutput            float64
 	completedPerSecond    float64
 	lostPerSecond         float64
 	promptTokens, outputs float64
 	age                   time.Duration
 }
 
-// Rows sums the demand of one service by kind and zone, sorted.
+// Rows returns the demand of one service by kind and zone, sorted.
 func (t *Table) Rows(now time.Duration, service string) []planner.DemandObservation {
 	sums := map[rowKey]*rowSum{}
 	for _, name := range slices.Sorted(maps.Keys(t.reports)) {
@@ -103,7 +103,7 @@
 	sum.arrivalsPerSecond += float64(demand.Arrivals) / r.window.Seconds()
 	sum.completedPerSecond += float64(demand.Completed) / r.window.Seconds()
 	sum.lostPerSecond += float64(demand.Refused+demand.MissedDeadline) / r.window.Seconds()
-	sum.written += float64(demand.Completed + demand.MissedDeadline)
+	sum.withOutput += float64(demand.Completed + demand.MissedDeadline)
 	sum.promptTokens += float64(demand.PromptTokens)
 	sum.outputs += float64(demand.OutputTokens)
 	sum.age = max(sum.age, now-r.at)
@@ -130,8 +130,8 @@
 		if sum.arrivals > 0 {
 			row.PromptTokens = sum.promptTokens / sum.arrivals
 		}
-		if sum.written > 0 { // refused requests have written nothing
-			row.OutputTokens = sum.outputs / sum.written
+		if sum.withOutput > 0 { // refused requests have no output
+			row.OutputTokens = sum.outputs / sum.withOutput
 		}
 		rows = append(rows, row)
 	}
