--- a/internal/engineroles/roles.go
+++ b/internal/engineroles/roles.go
@@ -1,5 +1,5 @@
-// Package engineroles translates engine roles between the outside protocol
-// (internal/enginecontract) and the internal one (api/hazelpitch/v1).
+// Package engineroles converts engine roles between the external protocol (internal/enginecontract) and the internal
+// one (api/hazelpitch/v1).
 package engineroles
 
 import (
@@ -7,8 +7,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// FromContract translates a role that an engine or the machine list told; a word
-// that is no role becomes ROLE_UNSPECIFIED.
+// FromContract converts a role reported by an engine or the machine list. An unknown role becomes ROLE_UNSPECIFIED.
 func FromContract(role enginecontract.Role) v1.Role {
 	switch role {
 	case enginecontract.RolePrefill:
@@ -22,8 +21,7 @@
 	}
 }
 
-// ToContract translates a role for an engine; ROLE_UNSPECIFIED, which page services
-// have, becomes the empty role.
+// ToContract converts a role for an engine. ROLE_UNSPECIFIED, which page services have, becomes the empty role.
 func ToContract(role v1.Role) enginecontract.Role {
 	switch role {
 	case v1.Role_ROLE_PREFILL:
--- a/internal/engineroles/roles_test.go
+++ b/internal/engineroles/roles_test.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-func TestEveryRoleSurvivesBothWays(t *testing.T) {
+func TestRolesRoundTrip(t *testing.T) {
 	for number := range v1.Role_name {
 		role := v1.Role(number)
 		require.Equal(t, role, FromContract(ToContract(role)), role.String())
