--- a/internal/cell/division.go
+++ b/internal/cell/division.go
@@ -10,13 +10,13 @@
 	// Size is the target number of engines in a cell: enough to even out their load and to have several
 	// engines of both stages, few enough that a decision can evaluate each of them.
 	Size = 16
-	// minZoneShare is the fraction of Size from which on a zone has cells of its own. Smaller zones share
-	// cells, so that a prompt has enough engines to choose from.
+	// minZoneShare is a fraction of Size: a zone with at least that many engines has cells of its own. Smaller
+	// zones share cells, so that a prompt has enough engines to choose from.
 	minZoneShare = 0.75
 	// localShareSlack is the factor by which a zone may have fewer engines than its fair share and still serve
 	// all of its prompts.
 	localShareSlack = 1.3
-	// localDrawSalt selects the prompts that it serves otherwise.
+	// localDrawSalt is the hash salt that selects which prompts a zone with fewer engines still serves.
 	localDrawSalt = 0x9e3779b97f4a7c15
 )
 
--- a/internal/cell/health.go
+++ b/internal/cell/health.go
@@ -77,7 +77,7 @@
 	return now >= h.relays[relay].skippedUntil
 }
 
-// Retain removes the relays that are not listed.
+// Retain keeps the state of listed relays and removes all others.
 func (h *Health) Retain(listed func(relay string) bool) {
 	for relay := range h.relays {
 		if !listed(relay) {
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -8,7 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// setPlainCost sets the cost of a back end that answers whole requests: the number of requests running there.
+// setPlainCost sets the cost of a back end that answers whole requests: the number of requests running there, plus
+// penalties for another zone and for a missing connection.
 func (p Parameters) setPlainCost(request Request, candidate *Candidate, engine Engine) {
 	candidate.Cost = float64(engine.Running)
 	if engine.Zone != request.Zone {
@@ -19,10 +20,10 @@
 	}
 }
 
-// setPrefillCost sets the cost of a prefill engine: the time until it has prefilled the prompt, less the part
-// that it has cached or can fetch from another engine's cache. The prefill itself counts twice, since it keeps
-// the engine from other requests; exceeding the target weighs more than either. Each prompt has a home engine,
-// the same at every relay, which wins ties.
+// setPrefillCost sets the cost of a prefill engine: the time until it has prefilled the part of the prompt that
+// it neither has cached nor can fetch from another engine's cache. The prefill itself counts twice, since it keeps
+// the engine from other requests. Time beyond the target weighs more than either. Each prompt has a home engine, the
+// same at every relay, which wins ties.
 func (p Parameters) setPrefillCost(request Request, candidate *Candidate, engine Engine, source kvSource) {
 	transfer := p.planPrefill(request, candidate, engine, source)
 	prefill := PrefillTime(engine.PerToken, candidate.EffectiveTokens)
--- a/internal/placement/parameters.go
+++ b/internal/placement/parameters.go
@@ -7,14 +7,14 @@
 	// ZonePenalty is by how many running requests a back end of the preferred zone may exceed one of another
 	// zone and still be picked.
 	ZonePenalty float64
-	// ConnectionPenalty is the same for a back end with an open connection compared to one without. Below 1 it
-	// only breaks ties. A reused connection saves the request two round trips and saves the back end a
-	// handshake, which occupies one of its slots. Without it, each of a thousand relays picks any of three
-	// hundred back ends and never reaches the same one twice.
+	// ConnectionPenalty is by how many running requests a back end with an open connection may exceed one
+	// without and still be picked. Below 1 it only breaks ties. A reused connection saves the request two round
+	// trips and saves the back end a handshake, which occupies one of its slots. Without the penalty, each of a
+	// thousand relays would pick any of three hundred back ends and never reach the same one twice.
 	ConnectionPenalty float64
 	// ZoneCost is the cost of sending a prompt to another zone.
 	ZoneCost time.Duration
-	// HomePreference is the largest advantage of a prompt's home engine over others.
+	// HomePreference is the largest advantage, in time, of a prompt's home engine over others.
 	HomePreference time.Duration
 	// PrefillTargetShare is the share of a route's target that the prefill may take.
 	PrefillTargetShare float64
@@ -69,7 +69,7 @@
 	// another request. MaxPrefillWaits is how often one request waits.
 	MinPendingTokens, MaxPrefillWaits int
 	// ShortPrefill and LongPrefill divide the prompts of one priority, in tokens: short ones go first, since
-	// they delay others least.
+	// they should wait least and delay others least.
 	ShortPrefill, LongPrefill int
 }
 
--- a/internal/placement/prefill_speed.go
+++ b/internal/placement/prefill_speed.go
@@ -46,11 +46,11 @@
 
 // TimePerToken returns the time per effective token of a prefill that did not queue, or 0 if the prefill was too
 // short to tell.
-func TimePerToken(effort int, took time.Duration) time.Duration {
-	if effort < minObservedTokens || took <= prefillOverhead {
+func TimePerToken(effectiveTokens int, elapsed time.Duration) time.Duration {
+	if effectiveTokens < minObservedTokens || elapsed <= prefillOverhead {
 		return 0
 	}
-	return (took - prefillOverhead) / time.Duration(effort)
+	return (elapsed - prefillOverhead) / time.Duration(effectiveTokens)
 }
 
 // Observe updates the estimates with the time per token of a prefill at an engine.
@@ -100,7 +100,7 @@
 	return p.fleetAverage
 }
 
-// Retain removes the estimates of engines that are not listed.
+// Retain keeps the estimates of listed engines and removes all others.
 func (p *PrefillSpeed) Retain(listed func(engine uint64) bool) {
 	maps.DeleteFunc(p.perEngine, func(engine uint64, _ time.Duration) bool { return !listed(engine) })
 }
@@ -112,6 +112,6 @@
 }
 
 // PrefillTime returns how long a prefill engine takes for so many effective tokens.
-func PrefillTime(perToken time.Duration, effort int) time.Duration {
-	return prefillOverhead + time.Duration(effort)*perToken
+func PrefillTime(perToken time.Duration, effectiveTokens int) time.Duration {
+	return prefillOverhead + time.Duration(effectiveTokens)*perToken
 }
--- a/internal/placement/without.go
+++ b/internal/placement/without.go
@@ -10,7 +10,7 @@
 // unlimitedShare, as a multiple of a target, exceeds the lifetime of any request.
 const unlimitedShare = 1e6
 
-// Without returns the parameters with the mechanisms disabled that are switched off.
+// Without returns the parameters with the given mechanisms switched off.
 func (p Parameters) Without(off mechanism.Set) Parameters {
 	for name, leaveOut := range map[mechanism.Mechanism]func(){
 		mechanism.HomeEngines:          func() { p.HomePreference = 0 },
--- a/internal/planner/evaluation.go
+++ b/internal/planner/evaluation.go
@@ -58,14 +58,14 @@
 // updateCorrection compares what the current split served of the past demand with the model.
 func (e *evaluation) updateCorrection(history *history) {
 	arriving, lost, modelled := 0.0, 0.0, 0.0
-	for _, each := range e.weightedDemands {
-		if each.forecast {
+	for _, entry := range e.weightedDemands {
+		if entry.forecast {
 			continue
 		}
-		modelled += each.weight * e.model.Goodput(e.split, each.demands)
-		lost += each.weight * each.lost
-		for _, demand := range each.demands {
-			arriving += each.weight * demand.ArrivalsPerSecond * demand.Worth
+		modelled += entry.weight * e.model.Goodput(e.split, entry.demands)
+		lost += entry.weight * entry.lost
+		for _, demand := range entry.demands {
+			arriving += entry.weight * demand.ArrivalsPerSecond * demand.Worth
 		}
 	}
 	history.correction.observe(arriving, lost, modelled, history.elapsed)
@@ -78,8 +78,8 @@
 
 func (e *evaluation) modelRate(split Split) float64 {
 	total := 0.0
-	for _, each := range e.weightedDemands {
-		total += each.weight * e.model.Goodput(split, each.demands)
+	for _, entry := range e.weightedDemands {
+		total += entry.weight * e.model.Goodput(split, entry.demands)
 	}
 	return total
 }
--- a/internal/planner/history.go
+++ b/internal/planner/history.go
@@ -200,14 +200,14 @@
 // meanDemand combines weighted demands into one.
 func meanDemand(weighted []weightedDemand) []KindDemand {
 	byKind := map[string]*KindDemand{}
-	for _, each := range weighted {
-		for _, demand := range each.demands {
+	for _, entry := range weighted {
+		for _, demand := range entry.demands {
 			if byKind[demand.Kind] == nil {
 				merged := demand
 				merged.ArrivalsPerSecond = 0
 				byKind[demand.Kind] = &merged
 			}
-			byKind[demand.Kind].ArrivalsPerSecond += each.weight * demand.ArrivalsPerSecond
+			byKind[demand.Kind].ArrivalsPerSecond += entry.weight * demand.ArrivalsPerSecond
 		}
 	}
 	mean := make([]KindDemand, 0, len(byKind))
--- a/internal/planner/history_test.go
+++ b/internal/planner/history_test.go
@@ -71,9 +71,9 @@
 	}
 	weighted := observedHistory.demands(2*time.Minute, nil, policy.Horizon)
 	total := 0.0
-	for _, each := range weighted {
-		total += each.weight
-		for _, demand := range each.demands {
+	for _, entry := range weighted {
+		total += entry.weight
+		for _, demand := range entry.demands {
 			if demand.Kind == "matching" {
 				require.Less(t, demand.ArrivalsPerSecond, 0.01)
 			}
--- a/internal/replicaplan/plan.go
+++ b/internal/replicaplan/plan.go
@@ -82,8 +82,8 @@
 // observe stores the listed numbers and smooths the work.
 func (p *Plan) observe(now time.Duration, input Input) {
 	listed := map[Group]int{}
-	for group, counted := range input.Listed {
-		listed[group] = counted.staying()
+	for group, counts := range input.Listed {
+		listed[group] = counts.staying()
 	}
 	if p.listed == nil || !maps.Equal(p.listed, listed) {
 		p.listed, p.listChangedAt = listed, now
--- a/internal/routing/candidate.go
+++ b/internal/routing/candidate.go
@@ -24,8 +24,8 @@
 	prefillMean *prefillMean
 	// load is the load estimate of the current decision.
 	load loadEstimate
-	// ownState is the state other than serving that the back end itself reported at ownStateAt. It is empty if
-	// the last answer reported serving or none has reported a state.
+	// ownState is the state other than serving that the back end itself reported at ownStateAt. It is empty
+	// while the back end serves as far as this gateway knows.
 	ownState   enginecontract.ServiceState
 	ownStateAt time.Duration
 	// cooldownUntil is the end of the cooldown after consecutive failures.
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -50,7 +50,7 @@
 	TokenTimes TokenTimes
 	// OnRestart is called with the previous incarnation of a back end once a later one is known; may be nil. It
 	// must not call the Router.
-	OnRestart func(former BackEnd)
+	OnRestart func(previous BackEnd)
 	// Filters, Scorers and Picker replace the standard pipeline if set.
 	Filters []Filter
 	Scorers []Scorer
--- a/internal/routing/errors.go
+++ b/internal/routing/errors.go
@@ -14,7 +14,7 @@
 	ErrNoneConfirmed = errors.New("no back end is confirmed to be serving")
 	// ErrAllExcluded means that every serving back end has failed this request or is in its cooldown.
 	ErrAllExcluded = errors.New("every serving back end has failed lately")
-	// ErrAllInBackoff means that every serving back end is in backoff, for which it has asked.
+	// ErrAllInBackoff means that every serving back end has asked for backoff.
 	ErrAllInBackoff = errors.New("every serving back end has asked to be left alone for now")
 	// ErrAllLimited means that the limits that serving back ends set for all gateways together leave no room.
 	ErrAllLimited = errors.New("the limits of the serving back ends leave no room for now")
--- a/internal/routing/limits.go
+++ b/internal/routing/limits.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// ApplyLimits applies limits received from the leader, except where a newer one has not been reported to it.
+// ApplyLimits applies limits received from the leader, except for back ends whose newer limit has not been
+// reported to it.
 func (r *Router) ApplyLimits(now time.Duration, reported []fleetlimit.BackEndLimit) {
 	if len(reported) == 0 {
 		return
--- a/internal/routing/observation.go
+++ b/internal/routing/observation.go
@@ -17,7 +17,7 @@
 	Exchange     string
 	PromptTokens int // expected prefill: without the tokens expected in the cache
 	PrefixBlocks []uint64
-	CachedAtHome bool // from the Choice; its usage updates the estimated hit rate at homes
+	CachedAtHome bool // from the Choice; the usage in the answer then updates the hit rate at homes
 }
 
 // AnswerHeaders reports what the headers of an answer said about the back end.
--- a/internal/routing/observe.go
+++ b/internal/routing/observe.go
@@ -68,8 +68,8 @@
 func (r *Router) changeRole(candidate *Candidate, role enginecontract.Role) {
 	candidate.Role = role
 	r.pools = make(map[poolKey]*pool)
-	for _, other := range r.candidates {
-		r.addToPools(other)
+	for _, member := range r.candidates {
+		r.addToPools(member)
 	}
 	r.sortPools()
 }
--- a/internal/routing/own_requests.go
+++ b/internal/routing/own_requests.go
@@ -25,10 +25,10 @@
 	finished []time.Duration
 }
 
-func (w *ownRequests) add(request sentRequest) {
-	w.requests = append(w.requests, request)
-	w.unreported++
-	w.unreportedTokens += int64(request.promptTokens)
+func (o *ownRequests) add(request sentRequest) {
+	o.requests = append(o.requests, request)
+	o.unreported++
+	o.unreportedTokens += int64(request.promptTokens)
 }
 
 // sentAt returns when an exchange was sent. It returns neverConfirmed for an unknown one, which is too old to confirm
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -65,11 +65,11 @@
 		}
 		candidate, known := r.candidates[row.Name]
 		if known {
-			former := candidate.BackEnd
+			previous := candidate.BackEnd
 			candidate.update(row)
-			if candidate.Incarnation != former.Incarnation {
+			if candidate.Incarnation != previous.Incarnation {
 				candidate.signals = r.signalsOf(candidate.BackEnd)
-				r.notifyRestart(former)
+				r.notifyRestart(previous)
 			}
 		} else {
 			candidate = newCandidate(row, r.signalsOf(row))
@@ -84,15 +84,15 @@
 
 // restart discards the state of a back end's previous incarnation.
 func (r *Router) restart(candidate *Candidate, incarnation uint64) {
-	former := candidate.BackEnd
+	previous := candidate.BackEnd
 	candidate.restart(incarnation)
 	candidate.signals = r.signalsOf(candidate.BackEnd)
-	r.notifyRestart(former)
+	r.notifyRestart(previous)
 }
 
-func (r *Router) notifyRestart(former BackEnd) {
+func (r *Router) notifyRestart(previous BackEnd) {
 	if r.config.OnRestart != nil {
-		r.config.OnRestart(former)
+		r.config.OnRestart(previous)
 	}
 }
 
--- a/internal/routing/signals_test.go
+++ b/internal/routing/signals_test.go
@@ -76,7 +76,7 @@
 // A restart that appears in the directory or in an answer is reported once.
 func TestRestartIsReportedOnce(t *testing.T) {
 	var restarted []uint64
-	router, err := New(Config{Zone: testZone, OnRestart: func(former BackEnd) { restarted = append(restarted, former.Incarnation) }})
+	router, err := New(Config{Zone: testZone, OnRestart: func(previous BackEnd) { restarted = append(restarted, previous.Incarnation) }})
 	require.NoError(t, err)
 	row := func(incarnation uint64) BackEnd {
 		return engine("m1", enginecontract.RoleMixed, func(b *BackEnd) { b.Incarnation = incarnation })
--- a/internal/serving/check.go
+++ b/internal/serving/check.go
@@ -24,7 +24,7 @@
 			return trace.Wrap(err)
 		}
 		location := location{host: strings.ToLower(route.Host), prefix: route.Prefix}
-		if existing, taken := places[location]; taken {
+		if existing, exists := places[location]; exists {
 			return trace.BadParameter("routes %q and %q share host %q and prefix %q; give each its own", existing, route.Name, route.Host, route.Prefix)
 		}
 		places[location] = route.Name
--- a/internal/serving/tenant.go
+++ b/internal/serving/tenant.go
@@ -33,7 +33,7 @@
 			if key == "" {
 				return trace.BadParameter("key %d of tenant %q is empty; leave it out or fill it in", index+1, tenant.Name)
 			}
-			if existing, taken := keyLocations[key]; taken {
+			if existing, exists := keyLocations[key]; exists {
 				return trace.BadParameter("key %d of tenant %q is also key %d of tenant %q; take it from one of them",
 					index+1, tenant.Name, existing.index+1, existing.tenant)
 			}
--- a/internal/subsetting/demand.go
+++ b/internal/subsetting/demand.go
@@ -33,9 +33,10 @@
 	oversizedSince time.Duration
 }
 
-// Next returns the wanted number, which is at least the least, for work that keeps the given number of back ends busy.
-func (d *Demand) Next(now time.Duration, least int, busy float64) int {
-	needed := least
+// Next returns the wanted number, which is at least the given minimum. The parameter busy is the number of back ends that
+// the work would keep busy all the time.
+func (d *Demand) Next(now time.Duration, minimum int, busy float64) int {
+	needed := minimum
 	for float64(needed) < busy*backEndsPerBusy && needed < maxWanted {
 		needed *= 2
 	}
--- a/internal/subsetting/subset.go
+++ b/internal/subsetting/subset.go
@@ -22,6 +22,6 @@
 
 // Contains reports whether the back end at an address belongs to the subset. A larger subset contains all back ends of
 // a smaller one.
-func (p Subset) Contains(address string) bool {
-	return xxhash.Sum64String(address)>>(64-p.Halvings) == 0
+func (s Subset) Contains(address string) bool {
+	return xxhash.Sum64String(address)>>(64-s.Halvings) == 0
 }
