--- a/internal/cell/division.go
+++ b/internal/cell/division.go
@@ -92,7 +92,7 @@
 	return ""
 }
 
-// cellCount returns the number of cells for so many engines.
+// cellCount returns the number of cells for a number of engines.
 func cellCount(engines int) int { return max(int(math.Round(float64(engines)/Size)), 1) }
 
 func sortedGroups(groups map[string]int) []string {
--- a/internal/placement/prefill_speed.go
+++ b/internal/placement/prefill_speed.go
@@ -111,7 +111,7 @@
 	return tokens + int(attentionGrowth*float64(tokens)*(float64(before)+float64(tokens)/2))
 }
 
-// PrefillTime returns how long a prefill engine takes for so many effective tokens.
+// PrefillTime returns how long a prefill engine takes for the given number of effective tokens.
 func PrefillTime(perToken time.Duration, effectiveTokens int) time.Duration {
 	return prefillOverhead + time.Duration(effectiveTokens)*perToken
 }
--- a/internal/placement/rank.go
+++ b/internal/placement/rank.go
@@ -11,7 +11,7 @@
 // MaxRankSteps is the largest number of ranks over which prefills spread: short, medium and long ones.
 const MaxRankSteps = 3
 
-// RankOf returns the rank of one of so many priority levels; level 0 goes first. Engines have RankCount ranks:
+// RankOf returns the rank of a priority level among levels; level 0 goes first. Engines have RankCount ranks:
 // if there are more levels, adjacent ones share a rank.
 func RankOf(level, levels int) Rank {
 	levels = max(levels, 1)
--- a/internal/routing/token_times.go
+++ b/internal/routing/token_times.go
@@ -28,12 +28,12 @@
 	setDefault(&t.PageTime, defaultPageTime)
 }
 
-// promptTime returns the prefill time of so many tokens.
+// promptTime returns the prefill time of a number of tokens.
 func (t *TokenTimes) promptTime(tokens float64) time.Duration {
 	return time.Duration(tokens / t.PromptTokensPerSecond * float64(time.Second))
 }
 
-// tokenInterval returns the time between output tokens beside so many other running requests.
+// tokenInterval returns the time between output tokens beside a number of other running requests.
 func (t *TokenTimes) tokenInterval(running float64) time.Duration {
 	return t.TokenInterval + time.Duration(running*float64(t.IntervalPerRunning))
 }
--- a/internal/subsetting/owners.go
+++ b/internal/subsetting/owners.go
@@ -15,7 +15,7 @@
 	enginesPerCandidate = 4
 )
 
-// OwnerCandidates returns the sorted addresses of the relays that may own the cells of so many engines. All relays know
+// OwnerCandidates returns the sorted addresses of the relays that may own the cells of a number of engines. All relays know
 // these and no others, so that no relay has to be informed when one of the others joins or leaves. A candidate that
 // leaves is replaced by one other, and the rest stay. Their number is a power of two, so that single engines do not
 // change it.
