--- a/internal/limits/account.go
+++ b/internal/limits/account.go
@@ -3,45 +3,45 @@
 import "time"
 
 const (
-	// demandWindow is the time over which demand is measured.
+	// demandWindow is the length of the window over which demand is measured.
 	demandWindow = time.Second
-	// minimumWindow is the least time over which a window that is not over yet counts.
+	// minimumWindow is the minimum length that counts for a window that has not ended.
 	minimumWindow = 250 * time.Millisecond
-	// demandWeight is the weight of the newest window in the measured demand.
+	// demandWeight is the weight of the latest window in the measured demand.
 	demandWeight = 0.5
-	// idleAfter is how long a tenant without requests is still reported.
+	// idleAfter is how long a tenant is reported after its last request.
 	idleAfter = 10 * time.Second
 )
 
-// account is one tenant at this gateway.
+// account is the state of one tenant at this gateway.
 type account struct {
 	limit  Limit
 	shares leasedShares
-	// level of the token bucket; negative is a debt.
+	// level is the number of tokens in the bucket; a negative level is a debt.
 	level    float64
 	filledAt time.Duration
 	inFlight int
 	// waiting is the number of requests that wait for a share.
 	waiting int
-	// waitingTokens are their tokens.
+	// waitingTokens is the sum of the tokens of the waiting requests.
 	waitingTokens float64
 	demand        demand
 	requested     requestedShare
 }
 
-// capacity of the token bucket under the share in force.
+// capacity returns the size of the token bucket at the current rate.
 func (a *account) capacity(now, burst time.Duration) float64 {
 	return a.shares.rate(now) * burst.Seconds()
 }
 
-// fill brings the bucket up to now.
+// fill adds the tokens yielded up to now to the bucket.
 func (a *account) fill(now, burst time.Duration) {
 	a.level = min(a.level+a.shares.tokens(a.filledAt, now), a.capacity(now, burst))
 	a.filledAt = now
 }
 
-// tokenWait is the time until a request of this size passes behind others that wait with
-// so many tokens: 0 for at once, negative when it will not under the present lease.
+// tokenWait returns the time until a request of this size can start behind waiting requests with
+// ahead tokens; 0 for immediately, negative if the current lease never yields enough.
 func (a *account) tokenWait(now, burst time.Duration, size, ahead float64) time.Duration {
 	rate := a.shares.rate(now)
 	if rate <= 0 {
@@ -54,15 +54,15 @@
 	return time.Duration(missing / rate * float64(time.Second))
 }
 
-// demand is what a tenant has asked for at this gateway.
+// demand measures what a tenant has requested at this gateway.
 type demand struct {
 	// usedTokens counts tokens since the last report.
 	usedTokens float64
-	// requestedTokens counts the tokens of all requests, refused ones too, in this window.
+	// requestedTokens counts the tokens of all requests in this window, including refused ones.
 	requestedTokens float64
 	windowStart     time.Duration
 	perSecond       float64
-	// peakConcurrency is the largest number of requests wanted at once since the last report.
+	// peakConcurrency is the largest number of concurrent requests wanted since the last report.
 	peakConcurrency int
 	lastRequestAt   time.Duration
 }
@@ -74,7 +74,7 @@
 	d.lastRequestAt = now
 }
 
-// rollWindow ends the window when it is over.
+// rollWindow starts a new window if the current one has ended.
 func (d *demand) rollWindow(now time.Duration) {
 	elapsed := now - d.windowStart
 	if elapsed < demandWindow {
@@ -83,17 +83,17 @@
 	sample := d.requestedTokens / elapsed.Seconds()
 	d.perSecond += demandWeight * (sample - d.perSecond)
 	if sample > d.perSecond {
-		d.perSecond = sample // follow growth at once, decline slowly
+		d.perSecond = sample // follow increases immediately, decreases slowly
 	}
 	d.requestedTokens, d.windowStart = 0, now
 }
 
-// wantedRate is the token rate to ask the controllers for.
+// wantedRate returns the token rate to request from the controllers.
 func (d *demand) wantedRate(now time.Duration) float64 {
 	d.rollWindow(now)
 	elapsed := min(max(now-d.windowStart, minimumWindow), demandWindow)
 	if d.perSecond > 0 {
-		elapsed = demandWindow // the window began with requests
+		elapsed = demandWindow // the demand started before this window
 	}
 	return max(d.perSecond, d.requestedTokens/elapsed.Seconds())
 }
--- a/internal/limits/config.go
+++ b/internal/limits/config.go
@@ -18,25 +18,25 @@
 	defaultTokenWait      = time.Second
 )
 
-// Config holds the fixed parameters of a Core.
+// Config holds the parameters of a Core. They are fixed once the Core is created.
 type Config struct {
-	// Tenants bounds the tenants remembered; default 4096.
+	// Tenants limits the tenants with an account; default 4096.
 	Tenants int
-	// Burst is how much of its share a tenant may save up; default 1 s.
+	// Burst is the time over which a tenant may accumulate unused tokens of its share; default 1 s.
 	Burst time.Duration
-	// InitialDivisor sets the share of a tenant newly met: its limit divided by this;
+	// InitialDivisor sets the initial share of a new tenant: its limit divided by this value;
 	// default 128.
 	InitialDivisor int
-	// LeasePeriod is the lease of the initial share; default 3 s.
+	// LeasePeriod is the lease period of the initial share; default 3 s.
 	LeasePeriod time.Duration
-	// Demands bounds the tenants in one report; default 256.
+	// Demands limits the tenants in one report; default 256.
 	Demands int
-	// Waiters bounds the requests that wait for a share; default 1024. TenantWaiters
-	// bounds those of one tenant; default 256.
+	// Waiters limits the requests that wait for a share; default 1024. TenantWaiters
+	// limits those of one tenant; default 256.
 	Waiters       int
 	TenantWaiters int
-	// LongestWait bounds the wait for a larger share; default 2 s. LongestTokenWait
-	// bounds the wait for tokens at a share that will not grow; default 1 s.
+	// LongestWait limits the wait for a larger share; default 2 s. LongestTokenWait
+	// limits the wait for tokens of a share that will not grow; default 1 s.
 	LongestWait      time.Duration
 	LongestTokenWait time.Duration
 }
@@ -45,7 +45,7 @@
 	negative := c.Tenants < 0 || c.Burst < 0 || c.InitialDivisor < 0 || c.LeasePeriod < 0 || c.Demands < 0 ||
 		c.Waiters < 0 || c.TenantWaiters < 0 || c.LongestWait < 0 || c.LongestTokenWait < 0
 	if negative {
-		return trace.BadParameter("limits: no field of Config may be negative: %+v", *c)
+		return trace.BadParameter("limits: Config fields must not be negative: %+v", *c)
 	}
 	setDefault(&c.Tenants, defaultTenants)
 	setDefault(&c.Burst, defaultBurst)
--- a/internal/limits/core.go
+++ b/internal/limits/core.go
@@ -12,33 +12,32 @@
 const (
 	minimumRetryAfter = time.Second
 	maximumRetryAfter = 30 * time.Second
-	// evictionProbes bounds the search for a tenant that may be forgotten.
+	// evictionProbes limits the search for an idle tenant to evict.
 	evictionProbes = 16
 )
 
-// Core holds tenants to their limits. See the package comment for its contract.
+// Core enforces the tenants' limits at one gateway. The package comment describes its contract.
 type Core struct {
 	config   Config
 	accounts *simplelru.LRU[string, *account]
-	// nextReportStart is where the next report starts when there are more tenants than
-	// one report holds.
+	// nextReportStart is the first tenant of the next report if one report cannot hold all tenants.
 	nextReportStart string
-	// waiters are the requests that wait for a share, in the order of arrival.
+	// waiters are the requests that wait for a share, in order of arrival.
 	waiters []*waiter
 }
 
-// Charge is a request that was acquired. The zero Charge is of no tenant.
+// Charge is the charge of an acquired request. The zero Charge belongs to no tenant.
 type Charge struct {
 	tenant string
 	tokens float64
 }
 
-// New returns a Core that has met no tenant.
+// New returns a Core without tenants.
 func New(config Config) (*Core, error) {
 	if err := config.checkAndSetDefaults(); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	// One more than the bound, so that the LRU never evicts by itself.
+	// One more than the limit so that the LRU never evicts on its own.
 	accounts, err := simplelru.NewLRU[string, *account](config.Tenants+1, nil)
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -46,9 +45,9 @@
 	return &Core{config: config, accounts: accounts}, nil
 }
 
-// Acquire charges a request of a tenant with its estimated tokens. The error is a
-// *Refusal, and nothing is charged then; or ErrWaiting: the request waits for a larger
-// share, and Resolve decides it. Each Charge is given back with one Settle.
+// Acquire charges a tenant the estimated tokens of a request. It returns a *Refusal if the request
+// may not start, or ErrWaiting if the request waits for a larger share; Resolve then decides it. In
+// both cases nothing is charged. Each Charge must be settled once with Settle.
 func (c *Core) Acquire(now time.Duration, request Request) (Charge, error) {
 	if request.Limit.isUnlimited() {
 		return Charge{}, nil
@@ -79,8 +78,8 @@
 	return Charge{tenant: tenant, tokens: size}
 }
 
-// checkLimits returns why a request of this size, behind others that wait with so many tokens,
-// may not start now; nil when it may.
+// checkLimits returns why a request of this size, behind waiting requests with ahead tokens, may
+// not start now; nil if it may.
 func (c *Core) checkLimits(now time.Duration, account *account, size, ahead float64) *Refusal {
 	if account.limit.Concurrency != 0 && account.inFlight >= account.shares.concurrency(now) {
 		if account.shares.concurrency(now) == 0 {
@@ -102,7 +101,7 @@
 	}
 }
 
-// Settle ends a charge with the tokens used. A request that did not run used 0.
+// Settle corrects a charge to the tokens used and ends it. A request that did not run used 0.
 func (c *Core) Settle(now time.Duration, charge Charge, used int) {
 	account, found := c.accounts.Peek(charge.tenant)
 	if !found {
@@ -117,9 +116,9 @@
 	}
 }
 
-// ApplyShares takes the shares that a controller granted in answer to the demands that were
-// returned at sentAt, exactly; leases count from there. Shares of tenants that are not remembered, or
-// older than those in force, are ignored.
+// ApplyShares applies the shares that a controller granted in response to demands. sentAt must be
+// the exact time at which the demands were returned, since leases start then. Shares of unknown
+// tenants and shares older than those in use are ignored.
 func (c *Core) ApplyShares(now, sentAt time.Duration, shares []*v1.Share) {
 	for _, share := range shares {
 		account, found := c.accounts.Peek(share.GetTenant())
@@ -142,7 +141,7 @@
 	}
 }
 
-// accountFor finds or makes the accountFor of a tenant and takes over its limit.
+// accountFor returns the account of a tenant, creating it if needed, and applies the limit.
 func (c *Core) accountFor(now time.Duration, tenant string, limit Limit) (*account, error) {
 	tenantAccount, known := c.accounts.Get(tenant)
 	if !known {
@@ -180,8 +179,8 @@
 	return initial
 }
 
-// applyLimit takes over a changed limit: the tenant gets a new initial share, and
-// its granted share never exceeds the whole limit.
+// applyLimit applies a changed limit. The tenant gets a new initial share, and its granted share
+// is capped at the limit.
 func (c *Core) applyLimit(now time.Duration, account *account, limit Limit) {
 	account.fill(now, c.config.Burst)
 	account.limit = limit
@@ -192,7 +191,8 @@
 	account.level = min(account.level, account.capacity(now, c.config.Burst))
 }
 
-// evictIdleTenants forgets the tenant without requests in flight or waiting that was met least lately.
+// evictIdleTenants removes the least recently used tenants without requests in flight or waiting
+// until a new account fits.
 func (c *Core) evictIdleTenants() error {
 	for range evictionProbes {
 		if c.accounts.Len() < c.config.Tenants {
@@ -203,7 +203,7 @@
 			c.accounts.Remove(tenant)
 			continue
 		}
-		c.accounts.Get(tenant) // it is in use: count it as met now
+		c.accounts.Get(tenant) // in use: mark it as recently used
 	}
 	return &Refusal{Reason: ErrTooManyTenants, RetryAfter: minimumRetryAfter}
 }
--- a/internal/limits/core_test.go
+++ b/internal/limits/core_test.go
@@ -25,12 +25,12 @@
 	return core
 }
 
-// grant gives the tenant a share for four seconds from sentAt.
+// grant applies a share of four seconds that starts at sentAt.
 func grant(core *Core, now, sentAt time.Duration, tokens uint64, concurrency uint32) {
 	core.ApplyShares(now, sentAt, []*v1.Share{{Tenant: tenant, TokensPerSecond: tokens, Concurrency: concurrency, ValidMs: 4000}})
 }
 
-// setAtLimit makes the last share granted less than was asked for.
+// setAtLimit makes the last granted share smaller than requested, so that the tenant is at its limit.
 func setAtLimit(core *Core) {
 	if account, met := core.accounts.Peek(tenant); met {
 		account.requested.recordReport(0, 1_000_000, 1_000)
@@ -41,19 +41,18 @@
 	}
 }
 
-// TestAcquire is the contract of Acquire with its fault rows: what was done before,
-// and how a last request of 1,000 tokens at 105 s fares. The controllers have no more
-// for the tenant than it holds, and no request waits for tokens: a refusal comes at once.
-// s is one second, for tables of times.
+// s is one second, for the tables of times. In TestAcquire each row prepares a core, and the last
+// request of 1,000 tokens comes at 105 s. The controllers have no more to grant and no request waits
+// for tokens, so a refusal is immediate.
 const s = time.Second
 
-// acquireTokens acquires tokens for the test's tenant, whatever comes of it.
+// acquireTokens acquires tokens for the test's tenant and ignores errors.
 func acquireTokens(core *Core, now time.Duration, tokens int) Charge {
 	charge, _ := core.Acquire(now, Request{Tenant: tenant, Limit: testLimit, Tokens: tokens})
 	return charge
 }
 
-// acquireRow is what a core has seen when a request of 1,000 tokens comes at 105 s.
+// acquireRow prepares a core and states the expected result of a request of 1,000 tokens at 105 s.
 type acquireRow struct {
 	name   string
 	before func(*Core)
@@ -64,7 +63,7 @@
 
 var acquireRows = []acquireRow{
 	{name: "tenant without limits", before: func(*Core) {}, limit: Limit{}},
-	{name: "tenant newly met", before: func(*Core) {}, limit: testLimit},
+	{name: "new tenant", before: func(*Core) {}, limit: testLimit},
 	{name: "initial tokens are used up", before: func(c *Core) { acquireTokens(c, 105*s, 1000) }, limit: testLimit, err: ErrTokenLimit, retry: s},
 	{name: "initial concurrency is used up", limit: Limit{Concurrency: 5},
 		before: func(c *Core) {
@@ -116,7 +115,7 @@
 			grant(c, 104*s, 104*s, 64_000, 10)
 			acquireTokens(c, 105*s, 63_500)
 		}},
-	{name: "grants to tenants not met are ignored", limit: testLimit,
+	{name: "grants to unknown tenants are ignored", limit: testLimit,
 		before: func(c *Core) { grant(c, 104*s, 104*s, 0, 0) }},
 }
 
@@ -155,7 +154,7 @@
 		require.NoError(t, err)
 	}
 	_, err := core.Acquire(0, Request{Tenant: "one too many", Limit: testLimit, Tokens: 1})
-	require.ErrorIs(t, err, ErrTooManyTenants, "a tenant with requests in flight is never forgotten")
+	require.ErrorIs(t, err, ErrTooManyTenants, "a tenant with requests in flight is never evicted")
 	require.Equal(t, 8, core.accounts.Len())
 }
 
@@ -168,18 +167,18 @@
 	_, err := core.Acquire(0, Request{Tenant: "a", Limit: testLimit, Tokens: 5000})
 	require.Error(t, err)
 	first := core.Demands(time.Second)
-	require.Len(t, first, 2, "a report is bounded")
+	require.Len(t, first, 2, "the size of a report is limited")
 	require.Equal(t, "a", first[0].Tenant)
 	require.Equal(t, uint64(500), first[0].UsedTokens)
 	require.Equal(t, uint64(5500), first[0].WantedTokensPerSecond, "refused requests count as wanted")
 	require.Equal(t, uint32(2), first[0].WantedConcurrency)
-	require.Equal(t, "c", core.Demands(2 * time.Second)[1].Tenant, "reports take turns")
+	require.Equal(t, "c", core.Demands(2 * time.Second)[1].Tenant, "reports rotate through the tenants")
 	require.Zero(t, first[0].HeldTokensPerSecond, "the initial share was not granted")
 }
 
-// TestTokensStayWithinShares is the bound at one gateway: whatever is asked and
-// granted, the tokens acquired up to any time stay within what the shares in force
-// have yielded, one full bucket, and one request beyond it.
+// TestTokensStayWithinShares checks the bound at one gateway for random requests and grants: the
+// tokens acquired up to any time stay within what the shares have yielded, one full bucket and one
+// request.
 func TestTokensStayWithinShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		core := newTestCore(t)
--- a/internal/limits/demands.go
+++ b/internal/limits/demands.go
@@ -8,9 +8,8 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// Demands returns what to report to the controllers: tenants with limits that have
-// asked for something lately, sorted by name, at most Config.Demands of them. When
-// there are more, successive reports take turns.
+// Demands returns the report to the controllers: the recently active tenants with limits, sorted
+// by name, at most Config.Demands of them. If there are more, successive reports rotate through them.
 func (c *Core) Demands(now time.Duration) []*v1.ShareDemand {
 	return c.buildReports(now, c.tenantsToReport(now))
 }
@@ -24,7 +23,7 @@
 	return demands
 }
 
-// tenantsToReport picks the tenants of the next report.
+// tenantsToReport returns the tenants of the next report.
 func (c *Core) tenantsToReport(now time.Duration) []string {
 	var tenants []string
 	for _, tenant := range c.accounts.Keys() {
@@ -45,7 +44,7 @@
 	return rotated
 }
 
-// buildReport tells one tenant's demand and starts the next buildReport.
+// buildReport returns one tenant's demand and resets the counts for the next report.
 func (a *account) buildReport(now time.Duration, tenant string) *v1.ShareDemand {
 	message := &v1.ShareDemand{
 		Tenant:                tenant,
--- a/internal/limits/fleet_bound_test.go
+++ b/internal/limits/fleet_bound_test.go
@@ -12,9 +12,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/shares"
 )
 
-// bound is the stated bound of what a fleet may use of its limit within a window: the
-// limit, one full bucket, for each gateway that meets the tenant the initial share and one
-// request, and for gateways cut off one lease period's worth.
+// bound returns the documented bound on the tokens that a fleet uses within a window, relative to the
+// limit: the limit, one full bucket, the initial share and one request for each gateway that sees
+// the tenant, and one lease period's worth for gateways that are cut off.
 func (f *fleet) bound(window time.Duration) float64 {
 	perSecond := float64(f.limit.TokensPerSecond)
 	allowed := perSecond * (window + time.Second).Seconds()
@@ -26,8 +26,8 @@
 	return allowed / (perSecond * window.Seconds())
 }
 
-// TestFleetStaysWithinBound holds the stated overshoot bound over whole fleets, and shows
-// that it can be broken. Below its limit a tenant is not refused.
+// TestFleetStaysWithinBound checks the documented overshoot bound on whole fleets. The last row
+// shows that the check can fail. A tenant below its limit is never refused.
 func TestFleetStaysWithinBound(t *testing.T) {
 	rows := []struct {
 		name         string
@@ -68,8 +68,8 @@
 	}
 }
 
-// requireNothingLeft runs the gateways until their shares have ended, after which no
-// request passes.
+// requireNothingLeft runs the gateways until their shares have expired and checks that no request
+// passes afterwards.
 func (f *fleet) requireNothingLeft(t *testing.T) {
 	f.run(settledAfter + 11*shares.DefaultLifetime)
 	left := len(f.perStep)
@@ -77,15 +77,15 @@
 	require.Zero(t, slices.Max(f.perStep[left:]))
 }
 
-// cutOff cuts the first gateways off from the controllers.
+// cutOff disconnects the first gateways from the controllers.
 func (f *fleet) cutOff(gateways int) {
 	for _, gateway := range f.gateways[:gateways] {
 		gateway.isCutOff = true
 	}
 }
 
-// BenchmarkFleet holds one tenant to its limit of 1,000,000 tokens a second over
-// gateways that it meets all at once, for 30 s, at half and at twice its limit.
+// BenchmarkFleet enforces one tenant's limit of 1,000,000 tokens per second on gateways that all see
+// the tenant at the same time, for 30 s, at half and at twice the limit.
 func BenchmarkFleet(b *testing.B) {
 	for _, gateways := range []int{1, 8, 64, 390} {
 		for _, load := range []float64{0.5, 2} {
--- a/internal/limits/fleet_test.go
+++ b/internal/limits/fleet_test.go
@@ -18,21 +18,21 @@
 const (
 	fleetStep      = 10 * time.Millisecond
 	reportInterval = time.Second
-	// urgentInterval is the least time between a report and an urgent one.
+	// urgentInterval is the minimum time between a report and an urgent one.
 	urgentInterval = 100 * time.Millisecond
-	// settledAfter is when the start is over.
+	// settledAfter is when the start phase has ended.
 	settledAfter = 10 * time.Second
 	meanTokens   = 2000
 	holdTime     = time.Second
 	fleetTenant  = "tenant"
 )
 
-// fleet is one tenant's requests against gateways and the leader's divider, in
-// virtual time. A report is answered one step after it was sent.
+// fleet simulates one tenant's requests to gateways and the leader's divider in virtual time. A
+// report is answered one step after it was sent.
 type fleet struct {
 	random   *rand.Rand
 	limit    limits.Limit
-	offered  float64 // tokens a second
+	offered  float64 // tokens per second
 	divider  *shares.Divider
 	gateways []*fleetGateway
 	now      time.Duration
@@ -43,10 +43,10 @@
 	count     fleetCount
 }
 
-// fleetCount is what became of the requests.
+// fleetCount counts the requests by outcome.
 type fleetCount struct {
 	offered, refused int
-	// refusedSettled counts the refusals after the start.
+	// offeredSettled and refusedSettled count the requests after the start phase.
 	offeredSettled, refusedSettled int
 	reports, waited                int
 	longestWait                    time.Duration
@@ -155,7 +155,7 @@
 	}
 }
 
-// arrive offers this step's requests to gateways drawn evenly.
+// arrive offers this step's requests to gateways chosen uniformly at random.
 func (f *fleet) arrive() {
 	expected := f.offered / meanTokens * fleetStep.Seconds()
 	for wait := f.random.ExpFloat64(); wait < expected; wait += f.random.ExpFloat64() {
@@ -195,7 +195,7 @@
 	gateway.running = append(gateway.running, runningCharge{charge, tokens, f.now + holdTime})
 }
 
-// peak is the largest use of the limit over any window of this length, as a multiple.
+// peak returns the largest use of the limit over any window of this length, relative to the limit.
 func (f *fleet) peak(window time.Duration) float64 {
 	steps := int(window / fleetStep)
 	var sum, most float64
@@ -209,7 +209,7 @@
 	return most / (float64(f.limit.TokensPerSecond) * window.Seconds())
 }
 
-// meanUse is the mean meanUse of the limit after the start, as a share of it.
+// meanUse returns the mean use of the limit after the start phase, relative to the limit.
 func (f *fleet) meanUse() float64 {
 	var sum float64
 	from := int(settledAfter / fleetStep)
--- a/internal/limits/lease.go
+++ b/internal/limits/lease.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// maximumHalvings is the number of lease periods after which nothing is left of a
-// share that is not renewed.
+// maximumHalvings is the number of lease periods after which a share that is not renewed has
+// expired completely.
 const maximumHalvings = 10
 
 // forever is later than any time.
 const forever = time.Duration(math.MaxInt64)
 
-// lease is a share of a tenant's limit for a time. The zero lease yields nothing.
+// lease is a share of a tenant's limit for a limited time. The zero lease yields nothing.
 type lease struct {
 	tokensPerSecond float64
 	concurrency     uint32
@@ -20,7 +20,7 @@
 	period          time.Duration
 }
 
-// halvings is how often the share has been halved at the given time.
+// halvings returns how many times the share has been halved at the given time.
 func (l *lease) halvings(at time.Duration) int {
 	if at < l.expiresAt || l.period <= 0 {
 		return 0
@@ -28,7 +28,7 @@
 	return int(min((at-l.expiresAt)/l.period+1, maximumHalvings+1))
 }
 
-// factor is the part of the share in force at the given time.
+// factor returns the fraction of the share that is valid at the given time.
 func (l *lease) factor(at time.Duration) float64 {
 	halvings := l.halvings(at)
 	if halvings > maximumHalvings {
@@ -37,7 +37,7 @@
 	return math.Exp2(-float64(halvings))
 }
 
-// nextChange is the time after at when the factor changes next.
+// nextChange returns the next time after at when the factor changes.
 func (l *lease) nextChange(at time.Duration) time.Duration {
 	halvings := l.halvings(at)
 	if l.period <= 0 || halvings > maximumHalvings {
@@ -46,27 +46,27 @@
 	return l.expiresAt + time.Duration(halvings)*l.period
 }
 
-// leasedShares are a tenant's shares at this gateway: the one that controllers granted
-// and the initial one. The larger counts, so that a tenant newly met goes on with
-// the initial share while others still hold the whole limit.
+// leasedShares are a tenant's shares at this gateway: the one granted by the controllers and the
+// initial one. The larger one applies, so that a new tenant keeps the initial share while other
+// gateways still hold the whole limit.
 type leasedShares struct {
 	granted lease
 	initial lease
 }
 
-// rate is the token rate in force at the given time.
+// rate returns the token rate at the given time.
 func (h *leasedShares) rate(at time.Duration) float64 {
 	return max(h.granted.tokensPerSecond*h.granted.factor(at), h.initial.tokensPerSecond*h.initial.factor(at))
 }
 
-// concurrency is the number of requests that may be in flight at the given time.
+// concurrency returns the number of requests that may be in flight at the given time.
 func (h *leasedShares) concurrency(at time.Duration) int {
 	granted := float64(h.granted.concurrency) * h.granted.factor(at)
 	initial := float64(h.initial.concurrency) * h.initial.factor(at)
 	return int(max(granted, initial))
 }
 
-// tokens is what the shares yield from one time to another.
+// tokens returns the tokens that the shares yield between two times.
 func (h *leasedShares) tokens(from, to time.Duration) float64 {
 	var sum float64
 	for from < to {
--- a/internal/limits/lease_test.go
+++ b/internal/limits/lease_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestUnrenewedShareHalves is the documented way of a share that is not renewed.
+// TestUnrenewedShareHalves checks how a share that is not renewed shrinks.
 func TestUnrenewedShareHalves(t *testing.T) {
 	shares := leasedShares{
 		granted: lease{tokensPerSecond: 1024, concurrency: 8, expiresAt: 10 * time.Second, period: 4 * time.Second},
--- a/internal/limits/limit.go
+++ b/internal/limits/limit.go
@@ -1,12 +1,12 @@
 package limits
 
-// Limit is a tenant's limit over the whole fleet.
+// Limit is a tenant's limit for the whole fleet.
 type Limit struct {
-	// TokensPerSecond counts prompt and output tokens; 0 is no limit.
+	// TokensPerSecond limits prompt and output tokens; 0 is no limit.
 	TokensPerSecond uint64
-	// Concurrency counts requests in flight; 0 is no limit.
+	// Concurrency limits requests in flight; 0 is no limit.
 	Concurrency uint32
 }
 
-// isUnlimited reports whether there is nothing to hold.
+// isUnlimited reports whether no limit applies.
 func (l Limit) isUnlimited() bool { return l.TokensPerSecond == 0 && l.Concurrency == 0 }
--- a/internal/limits/requested_share.go
+++ b/internal/limits/requested_share.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// requestedShare is what the reports asked the controllers for, and what came of it.
+// requestedShare records what the reports requested from the controllers and whether they answered.
 type requestedShare struct {
 	// reportedAt is when the demand was last reported.
 	reportedAt      time.Duration
 	tokensPerSecond uint64
 	concurrency     uint32
-	// answeredAt is when the newest answered report was sent.
+	// answeredAt is when the latest answered report was sent.
 	answeredAt time.Duration
-	// hasUnanswered tells that reports were sent since then, the first at unansweredFrom.
+	// hasUnanswered reports that reports were sent since answeredAt, the first at unansweredSince.
 	hasUnanswered   bool
 	unansweredSince time.Duration
 }
 
-// recordReport notes a recordReport.
+// recordReport records that a report was sent.
 func (a *requestedShare) recordReport(now time.Duration, tokensPerSecond uint64, concurrency uint32) {
 	a.reportedAt = now
 	a.tokensPerSecond, a.concurrency = tokensPerSecond, concurrency
@@ -24,16 +24,16 @@
 	}
 }
 
-// recordAnswer notes the recordAnswer to a report that was sent at sentAt.
+// recordAnswer records the answer to a report that was sent at sentAt.
 func (a *requestedShare) recordAnswer(sentAt time.Duration) {
 	a.answeredAt = sentAt
 	a.hasUnanswered = a.reportedAt > sentAt
 	a.unansweredSince = a.reportedAt
 }
 
-// shareMayGrow reports whether the controllers may have more for the tenant than this gateway
-// holds. They have not when they lately granted less than was asked, for then the tenant
-// is at its limit; and nothing is to be expected of controllers that do not answer.
+// shareMayGrow reports whether the controllers may grant the tenant more than this gateway holds.
+// If they recently granted less than requested, the tenant is at its limit. Controllers that have
+// not answered for longestWait are not expected to grant anything.
 func (a *account) shareMayGrow(now, longestWait time.Duration) bool {
 	if a.requested.hasUnanswered {
 		return now-a.requested.unansweredSince < longestWait
--- a/internal/limits/waiter.go
+++ b/internal/limits/waiter.go
@@ -9,34 +9,33 @@
 
 // Request is a request of a tenant with a limit.
 type Request struct {
-	// ID names the request while it waits; it is unique in the Core.
+	// ID identifies the request while it waits. It must be unique within the Core.
 	ID     uint64
 	Tenant string
 	Limit  Limit
-	// Tokens is the estimate of prompt and output.
+	// Tokens is the estimated number of prompt and output tokens.
 	Tokens int
-	// Deadline is the latest time at which waiting makes sense; 0 is none.
+	// Deadline is the latest time at which the request may start; 0 for none.
 	Deadline time.Duration
 }
 
-// chargedTokens is what the request is charged.
+// chargedTokens returns the number of tokens that the request is charged.
 func (r *Request) chargedTokens() float64 { return float64(max(r.Tokens, 1)) }
 
-// Decision ends the wait of a request: Err is nil or a *Refusal.
+// Decision ends the wait of a request. Err is nil or a *Refusal.
 type Decision struct {
 	ID     uint64
 	Charge Charge
 	Err    error
 }
 
-// waiter is a request that waits for the answer to a report, and then for the tokens
-// that the share yields.
+// waiter is a request that waits for the answer to a report, or for the tokens that the share yields.
 type waiter struct {
 	request      Request
 	waitingSince time.Duration
 }
 
-// waitDeadline is when the wait ends at the latest.
+// waitDeadline returns the time at which the wait ends at the latest.
 func (w *waiter) waitDeadline(longest time.Duration) time.Duration {
 	if w.request.Deadline == 0 {
 		return w.waitingSince + longest
@@ -44,8 +43,8 @@
 	return min(w.waitingSince+longest, w.request.Deadline)
 }
 
-// mayWait reports whether a request that may not start now may wait: there is room, and
-// it may start in time by what the controllers can still give, or by the present share.
+// mayWait reports whether a request that may not start now may wait. There must be room, and a
+// larger share or the current share may let it start in time.
 func (c *Core) mayWait(now time.Duration, account *account, refusal *Refusal) bool {
 	if account.waiting >= c.config.TenantWaiters || len(c.waiters) >= c.config.Waiters {
 		return false
@@ -59,17 +58,17 @@
 	c.waiters = append(c.waiters, &waiter{request: request, waitingSince: now})
 }
 
-// removeWaiter takes a request out of the count of those that wait.
+// removeWaiter removes a request from the account's waiting counts.
 func (a *account) removeWaiter(w *waiter) {
 	a.waiting--
 	a.waitingTokens -= w.request.chargedTokens()
 }
 
-// Resolve decides the requests whose wait is over, in the order of their arrival. Call
-// it after each Apply and at short intervals.
+// Resolve decides the requests whose wait has ended, in order of arrival. Call it after each
+// ApplyShares and at short intervals.
 func (c *Core) Resolve(now time.Duration) []Decision {
 	var decisions []Decision
-	// ahead are the tokens of those that wait on, by tenant.
+	// ahead are the tokens of the requests that keep waiting, by tenant.
 	ahead := map[string]float64{}
 	c.waiters = slices.DeleteFunc(c.waiters, func(w *waiter) bool {
 		decision, over := c.resolveWaiter(now, w, ahead)
@@ -81,11 +80,11 @@
 	return decisions
 }
 
-// resolveWaiter decides one waiting request, if its wait is over.
+// resolveWaiter decides one waiting request if its wait has ended.
 func (c *Core) resolveWaiter(now time.Duration, w *waiter, ahead map[string]float64) (Decision, bool) {
 	decision := Decision{ID: w.request.ID}
 	account, found := c.accounts.Peek(w.request.Tenant)
-	if !found { // an account with waiting requests is never forgotten
+	if !found { // an account with waiting requests is never evicted
 		decision.Err = &Refusal{Reason: ErrNoShare, RetryAfter: minimumRetryAfter}
 		return decision, true
 	}
@@ -106,8 +105,8 @@
 	return decision, true
 }
 
-// mayKeepWaiting reports whether a request waits on: the controllers may still give more, or the
-// present share yields the missing tokens in time.
+// mayKeepWaiting reports whether a request keeps waiting: the controllers may still grant more, or
+// the current share yields the missing tokens in time.
 func (c *Core) mayKeepWaiting(now time.Duration, account *account, w *waiter, refusal *Refusal) bool {
 	deadline := w.waitDeadline(c.config.LongestWait)
 	if now >= deadline {
@@ -119,7 +118,7 @@
 	return refusal.Reason == ErrTokenLimit && now+refusal.wait <= min(deadline, w.waitingSince+c.config.LongestTokenWait)
 }
 
-// CancelWait takes back a waiting request whose caller has gone away. It reports whether the
+// CancelWait cancels a waiting request whose caller has disconnected. It reports whether the
 // request was waiting.
 func (c *Core) CancelWait(id uint64) bool {
 	position := slices.IndexFunc(c.waiters, func(w *waiter) bool { return w.request.ID == id })
@@ -133,11 +132,11 @@
 	return true
 }
 
-// WaitingCount is the number of requests that wait for a share.
+// WaitingCount returns the number of requests that wait for a share.
 func (c *Core) WaitingCount() int { return len(c.waiters) }
 
-// UrgentDemands returns what to report at once: the tenants with waiting requests that
-// arrived after their last report, unless the controllers have no more for them.
+// UrgentDemands returns what to report immediately: the tenants with waiting requests that arrived
+// after the tenant's last report, except tenants for which the controllers have no more to grant.
 func (c *Core) UrgentDemands(now time.Duration) []*v1.ShareDemand {
 	var tenants []string
 	for _, w := range c.waiters {
--- a/internal/limits/waiter_test.go
+++ b/internal/limits/waiter_test.go
@@ -8,15 +8,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// outcome is how a waiting request fared.
+// outcome is the result of a waiting request.
 type outcome struct {
 	id  uint64
 	at  time.Duration
 	err error
 }
 
-// TestWaitingRequests is the contract of requests that wait: at 10 s a request takes all that the
-// initial share of 1,000 tokens a second holds, and others follow.
+// TestWaitingRequests checks when waiting requests start or are refused. At 10 s a request uses up the
+// initial share of 1,000 tokens per second, and the others wait.
 func TestWaitingRequests(t *testing.T) {
 	const ms, start = time.Millisecond, 10 * time.Second
 	offer := func(core *Core, id uint64, tokens int, deadline time.Duration) error {
@@ -29,7 +29,7 @@
 	}
 	rows := []struct {
 		name string
-		// sizes are the tokens of the requests that wait, with identities from 1.
+		// sizes are the tokens of the waiting requests, with IDs from 1.
 		sizes    []int
 		deadline time.Duration
 		then     func(*Core)
@@ -47,11 +47,11 @@
 			outcomes: []outcome{{1, start + 1000*ms, nil}, {2, start + 2000*ms, nil}, {3, start + 2000*ms, ErrTokenLimit}}},
 		{name: "the deadline comes first", sizes: []int{1000}, deadline: start + 300*ms, then: func(*Core) {},
 			outcomes: []outcome{{1, start + 300*ms, ErrTokenLimit}}},
-		{name: "a small one does not overtake", sizes: []int{1000, 1}, then: func(*Core) {},
+		{name: "a small request does not overtake", sizes: []int{1000, 1}, then: func(*Core) {},
 			outcomes: []outcome{{1, start + 1000*ms, nil}, {2, start + 1010*ms, nil}}},
-		{name: "the caller goes away", sizes: []int{1000, 1000}, then: func(c *Core) { c.CancelWait(1) },
+		{name: "the caller disconnects", sizes: []int{1000, 1000}, then: func(c *Core) { c.CancelWait(1) },
 			outcomes: []outcome{{2, start + 1000*ms, nil}}},
-		{name: "no more than the bound waits", sizes: []int{1, 1, 1, 1}, then: func(*Core) {},
+		{name: "no more requests wait than the limit", sizes: []int{1, 1, 1, 1}, then: func(*Core) {},
 			outcomes: []outcome{{4, start, ErrTokenLimit}, {1, start + 10*ms, nil}, {2, start + 10*ms, nil}, {3, start + 10*ms, nil}}},
 	}
 	for _, row := range rows {
@@ -86,8 +86,8 @@
 	return err
 }
 
-// TestUrgentDemands asks for a tenant's share once for all that wait, and not at all
-// when the controllers have no more or do not answer.
+// TestUrgentDemands requests a tenant's share once for all waiting requests, and not at all when the
+// controllers have no more to grant or do not answer.
 func TestUrgentDemands(t *testing.T) {
 	core := newTestCore(t)
 	use := func(now time.Duration, id uint64) {
@@ -101,8 +101,8 @@
 	demands := core.UrgentDemands(time.Millisecond)
 	require.Len(t, demands, 1)
 	require.Equal(t, uint64(12_000), demands[0].WantedTokensPerSecond, "3,000 tokens in a quarter of a second")
-	require.Equal(t, uint32(3), demands[0].WantedConcurrency, "those that wait count")
-	require.Empty(t, core.UrgentDemands(2*time.Millisecond), "the answer is awaited")
+	require.Equal(t, uint32(3), demands[0].WantedConcurrency, "waiting requests count")
+	require.Empty(t, core.UrgentDemands(2*time.Millisecond), "the answer is pending")
 	use(3*time.Millisecond, 4)
 	require.Len(t, core.UrgentDemands(4*time.Millisecond), 1, "the demand has grown")
 	grant(core, 5*time.Millisecond, 4*time.Millisecond, 10, 1)
