--- a/internal/backpressure/asked.go
+++ b/internal/backpressure/directives.go
@@ -31,15 +31,15 @@
 
 // ParseDirectives reads an answer's status and words. Any value of the header that tells of leaving is a yes. Only a 503 asks
 // for rest; with other statuses Retry-After is about one request.
-func ParseDirectives(status int, words Headers) Directives {
-	asked := Directives{Leaving: len(words.Leaving) > 0}
-	limit, readable := ParseLimit(words.Limit)
+func ParseDirectives(status int, headers Headers) Directives {
+	directives := Directives{Leaving: len(headers.Leaving) > 0}
+	limit, readable := ParseLimit(headers.Limit)
 	isSuccess := status >= statusOK && status < statusMultipleChoices
-	asked.Limit, asked.Unlimited = limit, readable && !limit.IsSet && isSuccess
+	directives.Limit, directives.Unlimited = limit, readable && !limit.IsSet && isSuccess
 	if status == statusUnavailable {
-		asked.Backoff = ParseRetryAfter(words.RetryAfter)
+		directives.Backoff = ParseRetryAfter(headers.RetryAfter)
 	}
-	return asked
+	return directives
 }
 
 // StatesLimit reports whether the answer said anything of a limit.
--- a/internal/backpressure/limit.go
+++ b/internal/backpressure/limit.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// mostLimit is the largest limit that binds anything, in requests a second: no back end serves as many, so that a
+// maximumLimit is the largest limit that binds anything, in requests a second: no back end serves as many, so that a
 // larger one is none.
-const mostLimit = 100_000
+const maximumLimit = 100_000
 
 // limitCharacters are those of a decimal number.
 const limitCharacters = "0123456789.+-eE"
@@ -28,15 +28,15 @@
 		if !readable {
 			return Limit{}, false
 		}
-		if limit.below(smallest) {
+		if limit.isBelow(smallest) {
 			smallest = limit
 		}
 	}
 	return smallest, true
 }
 
-// below reports whether a limit allows less than another one.
-func (l Limit) below(other Limit) bool {
+// isBelow reports whether a limit allows less than another one.
+func (l Limit) isBelow(other Limit) bool {
 	return l.IsSet && (!other.IsSet || l.PerSecond < other.PerSecond)
 }
 
@@ -48,7 +48,7 @@
 	}
 	perSecond, err := strconv.ParseFloat(text, 64)
 	switch {
-	case perSecond > mostLimit: // also one that is out of range
+	case perSecond > maximumLimit: // also one that is out of range
 		return Limit{}, true
 	case err != nil, perSecond < 0:
 		return Limit{}, false
--- a/internal/backpressure/limit_state.go
+++ b/internal/backpressure/limit_state.go
@@ -5,16 +5,16 @@
 // limitState is what a process knows of the limit of one start of a back end. It is never changed.
 type limitState struct {
 	limit Limit
-	// at is when it became known; own tells that the back end has named it to this process since another process told
+	// learnedAt is when it became known; own tells that the back end has named it to this process since another process told
 	// anything of it.
-	at  time.Duration
-	own bool
+	learnedAt   time.Duration
+	fromBackEnd bool
 	// waitUntil is until when permits are not asked for.
 	waitUntil time.Duration
 }
 
-// limitMemory is how long a limit is remembered of a back end that is not listed.
-const limitMemory = 10 * time.Minute
+// limitRetention is how long a limit is remembered of a back end that is not listed.
+const limitRetention = 10 * time.Minute
 
 // RecordBackEndLimit takes the limit in an answer of the back end to a request that was sent at a time, the zero value for
 // none. An answer to a request that was sent before the present limit was known may be older than it: it is only
@@ -24,7 +24,7 @@
 		return false // the usual case
 	}
 	return s.updateLimit(func(former limitState) limitState {
-		if former.limit.below(limit) && sentAt < former.at {
+		if former.limit.isBelow(limit) && sentAt < former.learnedAt {
 			return former
 		}
 		return former.with(now, limit, true)
@@ -49,20 +49,20 @@
 // updateLimit replaces what is known of the limit. It reports whether the limit itself has changed.
 func (s *Signals) updateLimit(change func(former limitState) limitState) (changed bool) {
 	for {
-		held := s.limit.Load()
-		former := stateOf(held)
+		current := s.limit.Load()
+		former := stateOf(current)
 		next := change(former)
-		if next == former || s.limit.CompareAndSwap(held, &next) {
+		if next == former || s.limit.CompareAndSwap(current, &next) {
 			return next.limit != former.limit
 		}
 	}
 }
 
 // with is the state once a limit is known at a time. A wait for permits ends with the limit that it was for.
-func (s limitState) with(now time.Duration, limit Limit, own bool) limitState {
-	s.own = own
+func (s limitState) with(now time.Duration, limit Limit, fromBackEnd bool) limitState {
+	s.fromBackEnd = fromBackEnd
 	if s.limit != limit {
-		s.limit, s.at, s.waitUntil = limit, now, 0
+		s.limit, s.learnedAt, s.waitUntil = limit, now, 0
 	}
 	return s
 }
@@ -74,9 +74,9 @@
 
 // Limit is the limit as it is known, the zero value for none; own tells that the back end has named it to this process
 // since another one told anything of it.
-func (s *Signals) Limit() (limit Limit, own bool) {
+func (s *Signals) Limit() (limit Limit, fromBackEnd bool) {
 	known := stateOf(s.limit.Load())
-	return known.limit, known.own
+	return known.limit, known.fromBackEnd
 }
 
 // LimitAge is how long the present limit, or that there is none any more, has been known; false when nothing was
@@ -86,19 +86,19 @@
 	if known == nil {
 		return 0, false
 	}
-	return now - known.at, true
+	return now - known.learnedAt, true
 }
 
-// limitForgettable reports whether nothing depends on the limit of a back end that is not listed.
-func (s *Signals) limitForgettable(now time.Duration) bool {
+// isLimitStale reports whether nothing depends on the limit of a back end that is not listed.
+func (s *Signals) isLimitStale(now time.Duration) bool {
 	known := stateOf(s.limit.Load())
-	return !known.limit.IsSet || now-known.at > limitMemory
+	return !known.limit.IsSet || now-known.learnedAt > limitRetention
 }
 
 // stateOf returns the state, the zero value where nothing is known.
-func stateOf(held *limitState) limitState {
-	if held == nil {
+func stateOf(state *limitState) limitState {
+	if state == nil {
 		return limitState{}
 	}
-	return *held
+	return *state
 }
--- a/internal/backpressure/limit_test.go
+++ b/internal/backpressure/limit_test.go
@@ -45,6 +45,6 @@
 			return
 		}
 		require.GreaterOrEqual(t, limit.PerSecond, 0.0)
-		require.LessOrEqual(t, limit.PerSecond, float64(mostLimit))
+		require.LessOrEqual(t, limit.PerSecond, float64(maximumLimit))
 	})
 }
--- a/internal/backpressure/ledger.go
+++ b/internal/backpressure/registry.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// leavingMemory is how long it is remembered of a back end that is not listed that it said it leaves. A list
+// leavingRetention is how long it is remembered of a back end that is not listed that it said it leaves. A list
 // that lags may show it again for some seconds; those that leave end within seconds to minutes.
-const leavingMemory = 10 * time.Minute
+const leavingRetention = 10 * time.Minute
 
 // Registry holds the signals of back ends by the identities of their starts, so that they outlive a back end's
 // absence from the list, and what else is known of it. It is not safe for concurrent use; the Signals are.
@@ -29,7 +29,7 @@
 // RemoveUnlisted forgets the back ends that are not listed, once nothing that they asked for holds any more.
 func (l *Registry) RemoveUnlisted(now time.Duration, isListed func(identity string) bool) {
 	for identity, signals := range l.signals {
-		if !isListed(identity) && signals.forgettable(now) {
+		if !isListed(identity) && signals.isStale(now) {
 			delete(l.signals, identity)
 		}
 	}
--- a/internal/backpressure/retry_after_test.go
+++ b/internal/backpressure/retry_after_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRetryAfterIsReadInSeconds(t *testing.T) {
+func TestParseRetryAfterSeconds(t *testing.T) {
 	for value, expected := range map[string]time.Duration{
 		"3":                             3 * time.Second,
 		" 3 ":                           3 * time.Second,
@@ -17,8 +17,8 @@
 		"-1":                            0,
 		"soon":                          0,
 		"NaN":                           0,
-		"Inf":                           longestRest,
-		"1e300":                         longestRest,
+		"Inf":                           maximumBackoff,
+		"1e300":                         maximumBackoff,
 		"Wed, 21 Oct 2026 07:28:00 GMT": 0,
 	} {
 		require.Equal(t, expected, ParseRetryAfter([]byte(value)), value)
--- a/internal/backpressure/signals_test.go
+++ b/internal/backpressure/signals_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestRestEndsWhenItWasAskedToEnd(t *testing.T) {
+func TestBackoffEndsOnTime(t *testing.T) {
 	signals := &Signals{}
 	require.Zero(t, signals.RemainingBackoff(0))
 	signals.ExtendBackoff(time.Second, 3*time.Second)
@@ -24,9 +24,9 @@
 		now, latest := time.Duration(0), time.Duration(0)
 		for range rapid.IntRange(1, 20).Draw(t, "answers") {
 			now += time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "pause"))
-			rest := time.Duration(rapid.Int64Range(1, int64(4*time.Second)).Draw(t, "rest"))
-			signals.ExtendBackoff(now, rest)
-			latest = max(latest, now+rest)
+			backoff := time.Duration(rapid.Int64Range(1, int64(4*time.Second)).Draw(t, "rest"))
+			signals.ExtendBackoff(now, backoff)
+			latest = max(latest, now+backoff)
 			if signals.RemainingBackoff(now) != latest-now {
 				t.Fatalf("at %v: %v of rest are left, not %v", now, signals.RemainingBackoff(now), latest-now)
 			}
@@ -44,21 +44,21 @@
 
 // A back end that the list does not show for a while has the same signals when it is shown again; another
 // start, which has another identity, has none.
-func TestSignalsOutliveAnAbsenceFromTheList(t *testing.T) {
-	nobody := func(string) bool { return false }
-	ledger := NewRegistry()
-	ledger.SignalsOf("rests").ExtendBackoff(0, 10*time.Second)
-	ledger.SignalsOf("leaves").MarkLeaving(0)
-	ledger.SignalsOf("asked nothing")
-	ledger.RemoveUnlisted(9*time.Second, nobody)
-	require.Len(t, ledger.signals, 2)
-	require.Equal(t, time.Second, ledger.SignalsOf("rests").RemainingBackoff(9*time.Second))
-	require.True(t, ledger.SignalsOf("leaves").IsLeaving())
-	require.Zero(t, ledger.SignalsOf("rests, started again").RemainingBackoff(9*time.Second))
-	ledger.RemoveUnlisted(11*time.Second, nobody)
-	require.Len(t, ledger.signals, 1)
-	ledger.RemoveUnlisted(leavingMemory+time.Second, func(identity string) bool { return identity == "leaves" })
-	require.True(t, ledger.SignalsOf("leaves").IsLeaving(), "listed ones are never forgotten")
-	ledger.RemoveUnlisted(leavingMemory+time.Second, nobody)
-	require.Empty(t, ledger.signals)
+func TestSignalsAreRetainedWhileUnlisted(t *testing.T) {
+	noneListed := func(string) bool { return false }
+	registry := NewRegistry()
+	registry.SignalsOf("rests").ExtendBackoff(0, 10*time.Second)
+	registry.SignalsOf("leaves").MarkLeaving(0)
+	registry.SignalsOf("asked nothing")
+	registry.RemoveUnlisted(9*time.Second, noneListed)
+	require.Len(t, registry.signals, 2)
+	require.Equal(t, time.Second, registry.SignalsOf("rests").RemainingBackoff(9*time.Second))
+	require.True(t, registry.SignalsOf("leaves").IsLeaving())
+	require.Zero(t, registry.SignalsOf("rests, started again").RemainingBackoff(9*time.Second))
+	registry.RemoveUnlisted(11*time.Second, noneListed)
+	require.Len(t, registry.signals, 1)
+	registry.RemoveUnlisted(leavingRetention+time.Second, func(identity string) bool { return identity == "leaves" })
+	require.True(t, registry.SignalsOf("leaves").IsLeaving(), "listed ones are never forgotten")
+	registry.RemoveUnlisted(leavingRetention+time.Second, noneListed)
+	require.Empty(t, registry.signals)
 }
--- a/internal/fleetlimit/bucket.go
+++ b/internal/fleetlimit/bucket.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// bucket is a token bucket: it fills at a rate up to a capacity, and each permit takes one token.
+// bucket is a token bucket: it fills at a constant rate up to its capacity, and each permit consumes one token.
 type bucket struct {
-	// tokens is what was in it at a time; rate is tokens a second.
+	// tokens is the level at updatedAt; rate is in tokens per second.
 	tokens, rate, capacity float64
-	at                     time.Duration
+	updatedAt              time.Duration
 }
 
-// set changes rate and capacity from now on. What is in the bucket beyond the capacity is lost.
+// set changes rate and capacity from now on. Tokens beyond the capacity are discarded.
 func (b *bucket) set(now time.Duration, rate, capacity float64) {
 	b.advance(now)
 	b.rate, b.capacity = rate, capacity
@@ -18,14 +18,15 @@
 
 // advance fills the bucket up to now.
 func (b *bucket) advance(now time.Duration) {
-	if now > b.at {
-		b.tokens = min(b.tokens+b.rate*(now-b.at).Seconds(), b.capacity)
-		b.at = now
+	if now > b.updatedAt {
+		b.tokens = min(b.tokens+b.rate*(now-b.updatedAt).Seconds(), b.capacity)
+		b.updatedAt = now
 	}
 }
 
-// until is how long it takes until so many tokens are in the bucket; 0 when they are. The bucket must be advanced.
-func (b *bucket) until(tokens float64) time.Duration {
+// waitFor returns how long it takes until the bucket holds this many tokens; 0 if it does now. The bucket must have been
+// advanced to now.
+func (b *bucket) waitFor(tokens float64) time.Duration {
 	if b.tokens >= tokens {
 		return 0
 	}
--- a/internal/fleetlimit/harness_test.go
+++ b/internal/fleetlimit/harness_test.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// step is that of virtual time; asks and answers take less.
+	// step is the step of virtual time; permit requests and their responses take less.
 	step = 10 * time.Millisecond
-	// toleratedPart and toleratedRequests are what a back end tolerates in windowSpan: one and a half times its limit,
-	// and five requests.
-	toleratedPart     = 1.5
+	// toleratedFactor and toleratedRequests define what a back end tolerates in windowSpan: one and a half times its limit
+	// plus five requests.
+	toleratedFactor   = 1.5
 	toleratedRequests = 5
 	backEnd           = uint64(4711)
 )
@@ -24,59 +24,59 @@
 type testProcess struct {
 	address string
 	member  *Member
-	// limit is what it holds of the back end, told whether it knows of one.
+	// limit is the back end's limit as the process knows it.
 	limit backpressure.Limit
-	// downUntil is until when it is killed or frozen, disturbedAt when it was killed, frozen or cut off last.
+	// downUntil is the end of its last kill or freeze; disturbedAt is the time of its last kill, freeze or network cut.
 	downUntil, disturbedAt time.Duration
-	// group is its side of a cut.
+	// group is its side of a network partition.
 	group int
-	// listAt is when it takes the newest list of processes.
+	// listAt is when it applies the newest list of processes.
 	listAt time.Duration
-	// doubted are the processes that did not answer, until when they are passed over.
-	doubted  map[string]time.Duration
-	waitsTil time.Duration
-	fresh    bool
-	// share is its own part of the limit, for fleets that divide it.
+	// skippedUntil are the processes that did not answer, with the time until which they are skipped.
+	skippedUntil map[string]time.Duration
+	waitsUntil   time.Duration
+	listIsFresh  bool
+	// share is its bucket in fleets that divide the limit.
 	share bucket
 }
 
-// testFleet is a fleet in virtual time that sends to one back end.
+// testFleet is a fleet in virtual time that sends requests to one back end.
 type testFleet struct {
 	random    *rand.Rand
 	now       time.Duration
 	processes []*testProcess
 	listed    []string
 	limit     backpressure.Limit
-	// way is how processes decide whether they may send.
-	way way
-	// busy is how many of the processes send.
+	// strategy is how processes decide whether they may send a request.
+	strategy strategy
+	// busy is the number of processes that send requests.
 	busy int
-	// loss is the part of messages that is lost.
+	// loss is the fraction of messages that are lost.
 	loss float64
-	// counted are the times of arrivals of processes that were not disturbed, all those of any.
-	counted, all []time.Duration
-	denied       int
+	// undisturbedArrivals are the arrival times of requests from undisturbed processes, allArrivals those from any process.
+	undisturbedArrivals, allArrivals []time.Duration
+	denied                           int
 }
 
-// way is a way of keeping a limit.
-type way int
+// strategy is a strategy for enforcing a limit.
+type strategy int
 
-// Ways.
+// Strategies.
 const (
-	// oneKeeper is what runs.
-	oneKeeper way = iota
-	// equalShares gives each process its part of the limit, and one request in hand.
+	// oneOwner is the strategy of the product: one owner grants the permits.
+	oneOwner strategy = iota
+	// equalShares gives each process an equal share of the limit and a bucket of one request.
 	equalShares
-	// unheeded sends as if there were no limit.
-	unheeded
+	// unlimited sends requests as if there were no limit.
+	unlimited
 )
 
-const undisturbed = -time.Hour
+const neverDisturbed = -time.Hour
 
 func newTestFleet(seed uint64, count int, perSecond float64) *testFleet {
 	fleet := &testFleet{random: rand.New(rand.NewPCG(seed, 2)), busy: count, limit: backpressure.Limit{IsSet: true, PerSecond: perSecond}}
 	for number := range count {
-		process := &testProcess{address: fmt.Sprintf("10.0.%d.%d:1", number/250, number%250), disturbedAt: undisturbed}
+		process := &testProcess{address: fmt.Sprintf("10.0.%d.%d:1", number/250, number%250), disturbedAt: neverDisturbed}
 		fleet.processes = append(fleet.processes, process)
 		fleet.start(process)
 	}
@@ -84,13 +84,13 @@
 	return fleet
 }
 
-// start begins a process anew: it knows nothing.
+// start starts a process without any state.
 func (f *testFleet) start(process *testProcess) {
-	process.member, process.limit, process.doubted, process.fresh = NewMember(process.address), backpressure.Limit{}, map[string]time.Duration{}, true
+	process.member, process.limit, process.skippedUntil, process.listIsFresh = NewMember(process.address), backpressure.Limit{}, map[string]time.Duration{}, true
 	process.listAt = f.now + time.Duration(f.random.Int64N(int64(time.Second)))
 }
 
-// list makes the list of those that run; each process takes it a while later.
+// list creates a new list of the running processes; each process applies it a while later.
 func (f *testFleet) list() {
 	f.listed = nil
 	for _, process := range f.processes {
@@ -111,17 +111,17 @@
 	return f.processes[index]
 }
 
-// reaches reports whether a message gets through.
+// reaches reports whether a message is delivered.
 func (f *testFleet) reaches(from, to *testProcess) bool {
 	return to != nil && f.now >= to.downUntil && from.group == to.group && f.random.Float64() >= f.loss
 }
 
-// permitted asks the keepers in their order.
-func (f *testFleet) permitted(process *testProcess) bool {
-	if !process.limit.IsSet || f.way == unheeded {
+// requestPermit requests a permit from the owners in order.
+func (f *testFleet) requestPermit(process *testProcess) bool {
+	if !process.limit.IsSet || f.strategy == unlimited {
 		return true
 	}
-	if f.way == equalShares {
+	if f.strategy == equalShares {
 		process.share.set(f.now, process.limit.PerSecond/float64(len(f.processes)), 1)
 		if process.share.tokens < 1 {
 			return false
@@ -129,90 +129,90 @@
 		process.share.tokens--
 		return true
 	}
-	if f.now < process.waitsTil {
+	if f.now < process.waitsUntil {
 		return false
 	}
 	for _, address := range process.member.OwnersOf(backEnd) {
-		keeper := f.find(address)
-		if keeper == process {
-			if answer, keeps := process.member.HandleRequest(f.now, f.ask(process), process.fresh, f.random.Float64()); keeps {
-				return f.take(process, answer)
+		owner := f.find(address)
+		if owner == process {
+			if answer, isOwner := process.member.HandleRequest(f.now, f.permitRequest(process), process.listIsFresh, f.random.Float64()); isOwner {
+				return f.applyResponse(process, answer)
 			}
 			continue
 		}
-		if f.now < process.doubted[address] {
+		if f.now < process.skippedUntil[address] {
 			continue
 		}
-		if !f.reaches(process, keeper) {
-			process.doubted[address] = f.now + 400*time.Millisecond
+		if !f.reaches(process, owner) {
+			process.skippedUntil[address] = f.now + 400*time.Millisecond
 			continue
 		}
-		answer, keeps := keeper.member.HandleRequest(f.now, f.ask(process), keeper.fresh, f.random.Float64())
-		if !keeps {
+		answer, isOwner := owner.member.HandleRequest(f.now, f.permitRequest(process), owner.listIsFresh, f.random.Float64())
+		if !isOwner {
 			continue
 		}
-		if !f.reaches(keeper, process) { // the answer is lost: what was granted is not used
-			process.doubted[address] = f.now + 400*time.Millisecond
+		if !f.reaches(owner, process) { // the response is lost, so a granted permit is not used
+			process.skippedUntil[address] = f.now + 400*time.Millisecond
 			continue
 		}
-		return f.take(process, answer)
+		return f.applyResponse(process, answer)
 	}
-	process.waitsTil = f.now + 250*time.Millisecond
+	process.waitsUntil = f.now + 250*time.Millisecond
 	return false
 }
 
-func (f *testFleet) ask(process *testProcess) PermitRequest {
+func (f *testFleet) permitRequest(process *testProcess) PermitRequest {
 	return PermitRequest{BackEnd: backEnd, Limit: process.limit, RequesterID: cell.HashEngine(process.address), Rank: f.random.IntN(3)}
 }
 
-func (f *testFleet) take(process *testProcess, answer PermitResponse) bool {
-	process.limit, process.waitsTil = answer.Limit, f.now+answer.Wait
+func (f *testFleet) applyResponse(process *testProcess, answer PermitResponse) bool {
+	process.limit, process.waitsUntil = answer.Limit, f.now+answer.Wait
 	return answer.Granted
 }
 
-// send lets a process send one request, if it may.
+// send sends one request of a process if it gets a permit.
 func (f *testFleet) send(process *testProcess) {
-	told := process.limit.IsSet
-	if !f.permitted(process) {
+	knewLimit := process.limit.IsSet
+	if !f.requestPermit(process) {
 		f.denied++
 		return
 	}
-	f.all = append(f.all, f.now)
-	if told && f.now-process.disturbedAt > windowSpan {
-		f.counted = append(f.counted, f.now)
+	f.allArrivals = append(f.allArrivals, f.now)
+	if knewLimit && f.now-process.disturbedAt > windowSpan {
+		f.undisturbedArrivals = append(f.undisturbedArrivals, f.now)
 	}
-	if process.limit != f.limit { // the answer names it
+	if process.limit != f.limit { // the answer names the limit
 		process.limit = f.limit
 		for _, address := range process.member.OwnersOf(backEnd) {
-			if keeper := f.find(address); keeper == process || f.reaches(process, keeper) {
-				keeper.member.SetLimit(f.now, BackEndLimit{BackEnd: backEnd, Limit: f.limit})
+			if owner := f.find(address); owner == process || f.reaches(process, owner) {
+				owner.member.SetLimit(f.now, BackEndLimit{BackEnd: backEnd, Limit: f.limit})
 				break
 			}
 		}
 	}
 }
 
-// tell lets keepers tell the others.
-func (f *testFleet) tell() {
+// sendNotices delivers the owners' notices to the other processes.
+func (f *testFleet) sendNotices() {
 	for _, process := range f.processes {
 		if f.now < process.downUntil {
 			continue
 		}
-		for _, named := range process.member.Notices(f.now) {
+		for _, notice := range process.member.Notices(f.now) {
 			for _, other := range f.processes {
 				if other != process && f.reaches(process, other) {
-					other.limit = named.Limit
-					other.member.ApplyNotice(f.now, process.address, named)
+					other.limit = notice.Limit
+					other.member.ApplyNotice(f.now, process.address, notice)
 				}
 			}
 		}
 	}
 }
 
-// play lets a time pass in which so many requests a second come, and faults strike.
-func (f *testFleet) play(length time.Duration, perSecond float64, strike func()) {
+// run simulates a span of time with perSecond requests per second; injectFault is called at every step.
+func (f *testFleet) run(length time.Duration, perSecond float64, injectFault func()) {
 	for end := f.now + length; f.now < end; f.now += step {
-		strike()
+		injectFault()
 		for number, process := range f.processes {
 			if f.now >= process.listAt && f.now >= process.downUntil && f.listed != nil {
 				process.listAt = time.Duration(1<<62 - 1)
@@ -223,13 +223,13 @@
 			}
 		}
 		if f.now%time.Second == 0 {
-			f.tell()
+			f.sendNotices()
 		}
 	}
 }
 
-// most is the most arrivals in any window.
-func most(arrivals []time.Duration) (count int, at time.Duration) {
+// maximumInWindow returns the largest number of arrivals in any window, and the end of that window.
+func maximumInWindow(arrivals []time.Duration) (count int, at time.Duration) {
 	first := 0
 	for last := range arrivals {
 		for arrivals[last]-arrivals[first] > windowSpan {
@@ -243,40 +243,40 @@
 }
 
 func tolerated(perSecond float64) float64 {
-	return toleratedPart*perSecond*windowSpan.Seconds() + toleratedRequests
+	return toleratedFactor*perSecond*windowSpan.Seconds() + toleratedRequests
 }
 
-// faults strikes a fleet at random.
-func (f *testFleet) faults() func() {
+// randomFaults returns a function that injects random faults.
+func (f *testFleet) randomFaults() func() {
 	return func() {
 		if f.random.Float64() > 0.6*step.Seconds() {
 			return
 		}
-		struck := f.processes[f.random.IntN(len(f.processes))]
-		if f.random.IntN(2) == 0 { // most faults meet those that keep the count
-			if first := f.find(f.processes[0].member.firstOf(backEnd)); first != nil {
-				struck = first
+		target := f.processes[f.random.IntN(len(f.processes))]
+		if f.random.IntN(2) == 0 { // half of the faults hit the limit's owner
+			if first := f.find(f.processes[0].member.firstOwnerOf(backEnd)); first != nil {
+				target = first
 			}
 		}
 		length := time.Duration(f.random.Int64N(int64(6 * time.Second)))
 		switch f.random.IntN(5) {
-		case 0: // killed; it is listed no more after a while, and again when it is back
-			struck.downUntil, struck.disturbedAt = f.now+length, f.now+length
-			f.start(struck)
-			struck.listAt = f.now + length + time.Second
+		case 0: // killed; removed from the list a while later, and listed again after its restart
+			target.downUntil, target.disturbedAt = f.now+length, f.now+length
+			f.start(target)
+			target.listAt = f.now + length + time.Second
 			f.list()
 		case 1: // frozen
-			struck.downUntil, struck.disturbedAt = f.now+length, f.now+length
-		case 2: // the list that it holds gets old
-			struck.fresh = false
-			struck.listAt = max(struck.listAt, f.now+length)
-		case 3: // cut off
-			struck.group, struck.disturbedAt = 1-struck.group, f.now
+			target.downUntil, target.disturbedAt = f.now+length, f.now+length
+		case 2: // its process list becomes stale
+			target.listIsFresh = false
+			target.listAt = max(target.listAt, f.now+length)
+		case 3: // cut off from the others
+			target.group, target.disturbedAt = 1-target.group, f.now
 		case 4:
 			f.list()
 			f.loss = 0.1 * f.random.Float64()
 			for _, process := range f.processes {
-				process.fresh = true
+				process.listIsFresh = true
 				if process.group != 0 {
 					process.group, process.disturbedAt = 0, f.now
 				}
@@ -285,10 +285,10 @@
 	}
 }
 
-// firstOf is the first keeper of a back end; empty for none.
-func (m *Member) firstOf(backEnd uint64) string {
-	if keepers := m.OwnersOf(backEnd); len(keepers) > 0 {
-		return keepers[0]
+// firstOwnerOf returns the first owner of a back end's limit; empty for none.
+func (m *Member) firstOwnerOf(backEnd uint64) string {
+	if owners := m.OwnersOf(backEnd); len(owners) > 0 {
+		return owners[0]
 	}
 	return ""
 }
--- a/internal/fleetlimit/member.go
+++ b/internal/fleetlimit/member.go
@@ -6,94 +6,94 @@
 	"time"
 )
 
-// neverHeard stands for a process that has not been heard at all.
-const neverHeard = time.Duration(math.MaxInt64)
+// neverReceived is the silence of a process from which no notice was ever received.
+const neverReceived = time.Duration(math.MaxInt64)
 
-// Member is one of the processes among which the counts of back ends are spread. It is not safe for concurrent use.
+// Member is one of the processes that own the limits of back ends. It is not safe for concurrent use.
 type Member struct {
-	tenure *Ownership
-	keeper *LimitCounters
-	// firstHeardAt is when a process that ranks before this one was heard last, by the back end whose count it keeps.
-	firstHeardAt map[uint64]time.Duration
+	ownership *Ownership
+	counters  *LimitCounters
+	// lastNoticeAt is the time of the last notice from a process that ranks before this one, by back end.
+	lastNoticeAt map[uint64]time.Duration
 }
 
-// NewMember returns the member with an address.
+// NewMember returns the Member with this address.
 func NewMember(self string) *Member {
-	return &Member{tenure: NewOwnership(self), keeper: NewLimitCounters(), firstHeardAt: map[uint64]time.Duration{}}
+	return &Member{ownership: NewOwnership(self), counters: NewLimitCounters(), lastNoticeAt: map[uint64]time.Duration{}}
 }
 
-// SetProcesses takes another list of the processes' addresses.
+// SetProcesses applies a new list of the processes' addresses.
 func (m *Member) SetProcesses(now time.Duration, processes []string) {
-	m.tenure.SetProcesses(now, processes)
+	m.ownership.SetProcesses(now, processes)
 }
 
-// OwnersOf returns the addresses of those that keep the count of a back end, in the order in which they are asked.
-func (m *Member) OwnersOf(backEnd uint64) []string { return m.tenure.OwnersOf(backEnd) }
+// OwnersOf returns the addresses of the owner of a back end's limit and its deputies, in the order in which to query them.
+func (m *Member) OwnersOf(backEnd uint64) []string { return m.ownership.OwnersOf(backEnd) }
 
-// HandleRequest answers a process that asks for a permit; fresh tells that the list of processes is not old. It reports false
-// where this process does not keep the back end's count: another one must be asked.
-func (m *Member) HandleRequest(now time.Duration, ask PermitRequest, fresh bool, draw float64) (PermitResponse, bool) {
-	part := m.part(now, ask.BackEnd, fresh)
-	if part == 0 {
+// HandleRequest grants or denies a permit request of another process. listIsFresh reports that the process list is
+// recent. The result is false if this process is neither owner nor deputy: another one must be queried.
+func (m *Member) HandleRequest(now time.Duration, request PermitRequest, listIsFresh bool, draw float64) (PermitResponse, bool) {
+	fraction := m.fraction(now, request.BackEnd, listIsFresh)
+	if fraction == 0 {
 		return PermitResponse{}, false
 	}
-	return m.keeper.HandleRequest(now, ask, part, draw), true
+	return m.counters.HandleRequest(now, request, fraction, draw), true
 }
 
-// part is the part of the limit that this process grants.
-func (m *Member) part(now time.Duration, backEnd uint64, fresh bool) float64 {
-	return m.tenure.Fraction(now, backEnd, MembershipView{ListIsFresh: fresh, FirstOwnerSilence: m.firstSilent(now, backEnd)})
+// fraction returns the fraction of the limit that this process grants.
+func (m *Member) fraction(now time.Duration, backEnd uint64, listIsFresh bool) float64 {
+	return m.ownership.Fraction(now, backEnd, MembershipView{ListIsFresh: listIsFresh, FirstOwnerSilence: m.firstOwnerSilence(now, backEnd)})
 }
 
-// firstSilent is how long nothing was heard of a process that ranks before this one. One that was never heard counts as
-// silent since this process has been asked in its place.
-func (m *Member) firstSilent(now time.Duration, backEnd uint64) time.Duration {
-	heardAt, heard := m.firstHeardAt[backEnd]
+// firstOwnerSilence returns how long no notice was received from a process that ranks before this one. If none was ever
+// received, the silence starts with the first permit request to this process.
+func (m *Member) firstOwnerSilence(now time.Duration, backEnd uint64) time.Duration {
+	noticeAt, received := m.lastNoticeAt[backEnd]
 	switch {
-	case m.tenure.Rank(backEnd) > 0:
-		silent := m.keeper.askedFor(now, backEnd)
-		if heard {
-			silent = min(silent, now-heardAt)
+	case m.ownership.Rank(backEnd) > 0:
+		silence := m.counters.requestedFor(now, backEnd)
+		if received {
+			silence = min(silence, now-noticeAt)
 		}
-		return silent
-	case heard:
-		return now - heardAt
+		return silence
+	case received:
+		return now - noticeAt
 	default:
-		return neverHeard
+		return neverReceived
 	}
 }
 
-// ApplyNotice takes the limit of a back end as it is known to another process; sender is its address.
-func (m *Member) ApplyNotice(now time.Duration, sender string, told BackEndLimit) {
-	if m.tenure.Outranks(told.BackEnd, sender) {
-		m.firstHeardAt[told.BackEnd] = now
+// ApplyNotice applies the limit of a back end from a notice of another process; sender is its address.
+func (m *Member) ApplyNotice(now time.Duration, sender string, notice BackEndLimit) {
+	if m.ownership.Outranks(notice.BackEnd, sender) {
+		m.lastNoticeAt[notice.BackEnd] = now
 	}
-	m.SetLimit(now, told)
+	m.SetLimit(now, notice)
 }
 
-// SetLimit takes the limit that a back end has named to this process or another one. It reports whether that is news here,
-// where the back end's count is kept.
-func (m *Member) SetLimit(now time.Duration, named BackEndLimit) (news bool) {
-	if m.tenure.Rank(named.BackEnd) < 0 {
+// SetLimit records the limit that a back end has named to this process or to another one. It reports whether the limit
+// changed; always false if this process is neither owner nor deputy.
+func (m *Member) SetLimit(now time.Duration, limit BackEndLimit) (changed bool) {
+	if m.ownership.Rank(limit.BackEnd) < 0 {
 		return false
 	}
-	return m.keeper.SetLimit(now, named.BackEnd, named.Limit)
+	return m.counters.SetLimit(now, limit.BackEnd, limit.Limit)
 }
 
-// Notices returns what the other processes should know: the limits whose counts are this process's to keep.
+// Notices returns the limits to announce to the other processes: those for which this process is or acts as the owner.
 func (m *Member) Notices(now time.Duration) []BackEndLimit {
-	m.forget(now)
-	return slices.DeleteFunc(m.keeper.Limits(now), func(named BackEndLimit) bool {
-		rank := m.tenure.Rank(named.BackEnd)
-		return rank < 0 || rank > 0 && m.firstSilent(now, named.BackEnd) < settling
+	m.removeStale(now)
+	return slices.DeleteFunc(m.counters.Limits(now), func(limit BackEndLimit) bool {
+		rank := m.ownership.Rank(limit.BackEnd)
+		return rank < 0 || rank > 0 && m.firstOwnerSilence(now, limit.BackEnd) < settlingTime
 	})
 }
 
-// forget drops what was heard long ago.
-func (m *Member) forget(now time.Duration) {
-	for backEnd, heardAt := range m.firstHeardAt {
-		if now-heardAt >= forgottenAfter {
-			delete(m.firstHeardAt, backEnd)
+// removeStale deletes the times of old notices.
+func (m *Member) removeStale(now time.Duration) {
+	for backEnd, noticeAt := range m.lastNoticeAt {
+		if now-noticeAt >= idleRetention {
+			delete(m.lastNoticeAt, backEnd)
 		}
 	}
 }
--- a/internal/fleetlimit/window.go
+++ b/internal/fleetlimit/window.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// windowSpan is the span over which back ends look at what they get.
+	// windowSpan is the length of the window over which back ends measure their request rate.
 	windowSpan = 4 * time.Second
-	// slotSpan is how finely it is divided; the oldest slot counts whole.
+	// slotSpan is the resolution of the window; the oldest slot counts in full.
 	slotSpan    = 250 * time.Millisecond
 	windowSlots = int(windowSpan/slotSpan) + 1
 )
 
-// window counts the permits of the last windowSpan. It keeps a limit that has just become smaller from being met on top
-// of what the larger one allowed a moment before.
+// window counts the permits of the last windowSpan. After a limit is lowered, it prevents the permits of the new limit
+// from adding to those that were granted under the old one.
 type window struct {
 	counts [windowSlots]int
 	newest int64
 }
 
-// advance drops what is older than the span.
+// advance drops the slots older than the window.
 func (w *window) advance(now time.Duration) {
 	slot := int64(now / slotSpan)
 	for passed := min(slot-w.newest, int64(windowSlots)); passed > 0; passed-- {
@@ -26,10 +26,10 @@
 	w.newest = max(w.newest, slot)
 }
 
-// add counts one permit. The window must be advanced.
+// add counts one permit. The window must have been advanced to now.
 func (w *window) add() { w.counts[w.newest%int64(windowSlots)]++ }
 
-// sum is the number of permits in the window.
+// sum returns the number of permits in the window.
 func (w *window) sum() int {
 	sum := 0
 	for _, count := range w.counts {
@@ -38,11 +38,11 @@
 	return sum
 }
 
-// untilSum is how long it takes until at most so many permits of the present ones are left in the window.
-func (w *window) untilSum(most float64) time.Duration {
+// waitForSum returns how long it takes until at most limit of the current permits are left in the window.
+func (w *window) waitForSum(limit float64) time.Duration {
 	left := w.sum()
 	for passed := range windowSlots {
-		if float64(left) <= most {
+		if float64(left) <= limit {
 			return time.Duration(passed) * slotSpan
 		}
 		left -= w.counts[(w.newest+1+int64(passed))%int64(windowSlots)]
--- a/internal/fleetlimit/wire.go
+++ b/internal/fleetlimit/wire.go
@@ -7,29 +7,29 @@
 	"github.com/hazelpitch/hazelpitch/internal/backpressure"
 )
 
-// ToWire is what processes tell each other of a limit.
-func ToWire(named BackEndLimit) *v1.NamedLimit {
-	return &v1.NamedLimit{BackEnd: named.BackEnd, Named: named.Limit.IsSet, PerSecond: named.Limit.PerSecond}
+// ToWire returns the message that announces a limit to other processes.
+func ToWire(limit BackEndLimit) *v1.NamedLimit {
+	return &v1.NamedLimit{BackEnd: limit.BackEnd, Named: limit.Limit.IsSet, PerSecond: limit.Limit.PerSecond}
 }
 
-// FromWire reads what another process tells of a limit; false for one that no back end can have named.
-func FromWire(told *v1.NamedLimit) (named BackEndLimit, valid bool) {
-	perSecond := told.GetPerSecond()
+// FromWire returns the limit in a message of another process; false if no back end can have named it.
+func FromWire(message *v1.NamedLimit) (limit BackEndLimit, valid bool) {
+	perSecond := message.GetPerSecond()
 	if math.IsNaN(perSecond) || math.IsInf(perSecond, 0) || perSecond < 0 {
 		return BackEndLimit{}, false
 	}
-	named = BackEndLimit{BackEnd: told.GetBackEnd()}
-	if told.GetNamed() {
-		named.Limit = backpressure.Limit{IsSet: true, PerSecond: perSecond}
+	limit = BackEndLimit{BackEnd: message.GetBackEnd()}
+	if message.GetNamed() {
+		limit.Limit = backpressure.Limit{IsSet: true, PerSecond: perSecond}
 	}
-	return named, true
+	return limit, true
 }
 
-// LimitsToWire is ToWire of several.
+// LimitsToWire applies ToWire to all limits.
 func LimitsToWire(limits []BackEndLimit) []*v1.NamedLimit {
-	told := make([]*v1.NamedLimit, 0, len(limits))
-	for _, named := range limits {
-		told = append(told, ToWire(named))
+	messages := make([]*v1.NamedLimit, 0, len(limits))
+	for _, limit := range limits {
+		messages = append(messages, ToWire(limit))
 	}
-	return told
+	return messages
 }
--- a/internal/shares/divider.go
+++ b/internal/shares/divider.go
@@ -15,9 +15,9 @@
 // beyond it gets no share until others run out.
 const MaximumLeases = 500_000
 
-// roomDivisor sets the part of a tenant's limit that no one wants which one gateway
+// spareDivisor sets the part of a tenant's limit that no one wants which one gateway
 // gets: an eighth. The rest stays for gateways that meet the tenant next.
-const roomDivisor = 8
+const spareDivisor = 8
 
 // SafeguardSettle makes a new leader wait until its predecessor's shares have run
 // out before it grants more than gateways hold.
@@ -64,37 +64,37 @@
 	if limits == (Limits{}) {
 		return nil
 	}
-	owner := d.tenants[demand.Tenant]
-	if owner == nil {
-		owner = &tenant{leases: map[string]*lease{}}
-		d.tenants[demand.Tenant] = owner
+	account := d.tenants[demand.Tenant]
+	if account == nil {
+		account = &tenant{leases: map[string]*lease{}}
+		d.tenants[demand.Tenant] = account
 	}
-	lease := owner.leases[gateway]
+	lease := account.leases[gateway]
 	if lease == nil {
 		if d.leases >= MaximumLeases {
 			return &v1.Share{Tenant: demand.Tenant}
 		}
-		lease = owner.add(gateway)
+		lease = account.add(gateway)
 		d.leases++
 	}
-	lease.take(now, demand)
-	if owner.mustDivide(now, limits) {
-		d.leases -= owner.dropSilent(now, d.lifetime)
-		owner.divide(now, limits)
+	lease.applyDemand(now, demand)
+	if account.needsDivision(now, limits) {
+		d.leases -= account.dropInactive(now, d.lifetime)
+		account.divide(now, limits)
 	}
-	return d.grant(now, owner, lease, demand, limits)
+	return d.grant(now, account, lease, demand, limits)
 }
 
 // grant works out and records a new share.
 func (d *Divider) grant(now time.Duration, owner *tenant, lease *lease, demand *v1.ShareDemand, limits Limits) *v1.Share {
-	owner.count(now, lease)
-	fair := owner.fair(lease)
+	owner.updateSums(now, lease)
+	fair := owner.maximumShare(lease)
 	availableTokens := subtract(limits.TokensPerSecond, owner.heldTokens-lease.countedTokens)
 	availableConcurrency := subtract(uint64(limits.Concurrency), owner.heldConcurrency-lease.countedConcurrency)
 	share := grant{
-		tokens: min(fair.TokensPerSecond, withRoom(lease.wantedTokens, availableTokens)),
+		tokens: min(fair.TokensPerSecond, addSpare(lease.wantedTokens, availableTokens)),
 		concurrency: min(fair.Concurrency,
-			uint32(withRoom(lease.wantedConcurrency, availableConcurrency))),
+			uint32(addSpare(lease.wantedConcurrency, availableConcurrency))),
 		expiresAt: now + d.lifetime,
 	}
 	if now < d.settledAt && d.safeguards.IsEnabled(SafeguardSettle) {
@@ -105,22 +105,22 @@
 		share.concurrency = uint32(min(availableConcurrency, uint64(demand.HeldConcurrency)))
 	}
 	lease.granted = append(lease.granted, share)
-	owner.count(now, lease)
+	owner.updateSums(now, lease)
 	return &v1.Share{
 		Tenant: demand.Tenant, TokensPerSecond: share.tokens, Concurrency: share.concurrency,
 		ValidMs: uint32(d.lifetime.Milliseconds()),
 	}
 }
 
-// withRoom is what is wanted and a part of what is left beyond it, but no more than as
+// addSpare is what is wanted and a part of what is left beyond it, but no more than as
 // much again: room to grow for this gateway until it asks again, while most is left for
 // gateways that meet the tenant next.
-func withRoom(wanted, available uint64) uint64 {
+func addSpare(wanted, available uint64) uint64 {
 	if available <= wanted {
 		return available
 	}
-	room := (available - wanted + roomDivisor - 1) / roomDivisor
-	return wanted + min(room, wanted+1)
+	spare := (available - wanted + spareDivisor - 1) / spareDivisor
+	return wanted + min(spare, wanted+1)
 }
 
 // ActiveGrants lists the shares that may be in use, by tenant and gateway.
@@ -128,7 +128,7 @@
 	var list []ActiveGrant
 	for _, name := range sortedKeys(d.tenants) {
 		for _, gateway := range sortedKeys(d.tenants[name].leases) {
-			tokens, concurrency := d.tenants[name].leases[gateway].held(now)
+			tokens, concurrency := d.tenants[name].leases[gateway].maximumInUse(now)
 			if tokens > 0 || concurrency > 0 {
 				list = append(list, ActiveGrant{Tenant: name, Gateway: gateway, TokensPerSecond: tokens, Concurrency: concurrency})
 			}
@@ -148,7 +148,7 @@
 // DropExpired forgets the tenants whose shares have all run out. Call it now and then.
 func (d *Divider) DropExpired(now time.Duration) {
 	for name, owner := range d.tenants {
-		d.leases -= owner.dropSilent(now, d.lifetime)
+		d.leases -= owner.dropInactive(now, d.lifetime)
 		if len(owner.leases) == 0 {
 			delete(d.tenants, name)
 		}
--- a/internal/shares/divider_test.go
+++ b/internal/shares/divider_test.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// drawHistory runs gateways against one divider after the other and checks after
+// runRandomReports runs gateways against one divider after the other and checks after
 // each report that no more than the limit is in use.
-func drawHistory(r *rapid.T, off ...safeguard.Safeguard) error {
+func runRandomReports(r *rapid.T, off ...safeguard.Safeguard) error {
 	limits := Limits{TokensPerSecond: rapid.Uint64Range(1, 1000).Draw(r, "tokens"), Concurrency: rapid.Uint32Range(1, 10).Draw(r, "concurrency")}
 	divider := New(0, safeguard.Without(off...))
 	divider.StartLeading(0, true)
@@ -115,13 +115,13 @@
 }
 
 func TestSharesNeverExceedTheLimit(t *testing.T) {
-	rapid.Check(t, func(r *rapid.T) { require.NoError(r, drawHistory(r)) })
+	rapid.Check(t, func(r *rapid.T) { require.NoError(r, runRandomReports(r)) })
 }
 
 func TestSharesExceedTheLimitWithoutSettling(t *testing.T) {
 	exceeded := 0
 	rapid.Check(t, func(r *rapid.T) {
-		if drawHistory(r, SafeguardSettle) != nil {
+		if runRandomReports(r, SafeguardSettle) != nil {
 			exceeded++
 		}
 	})
@@ -145,22 +145,22 @@
 	require.Equal(t, granted.Concurrency, gateway.share.Concurrency)
 	gateway.report(2*time.Second, next, 500, limits, false)
 	require.Equal(t, uint64(100), gateway.share.TokensPerSecond)
-	stranger := &testGateway{name: "stranger"}
-	stranger.report(time.Second, next, 500, limits, false)
-	require.Zero(t, stranger.share.TokensPerSecond)
+	unknown := &testGateway{name: "stranger"}
+	unknown.report(time.Second, next, 500, limits, false)
+	require.Zero(t, unknown.share.TokensPerSecond)
 }
 
-// TestNewcomersGetAShareAtOnce shows that below half of the limit each gateway that meets
+// TestNewGatewaysGetAShareImmediately shows that below half of the limit each gateway that meets
 // the tenant gets what it wants with its first report, one after the other.
-func TestNewcomersGetAShareAtOnce(t *testing.T) {
+func TestNewGatewaysGetAShareImmediately(t *testing.T) {
 	limits := Limits{TokensPerSecond: 20 * 601, Concurrency: 20 * 7}
 	divider := New(0, safeguard.Set{})
 	divider.StartLeading(0, true)
 	for i := range 20 {
-		newcomer := &testGateway{name: fmt.Sprint("gateway-", i)}
-		newcomer.report(time.Duration(i)*10*time.Millisecond, divider, 300, limits, false)
-		require.GreaterOrEqual(t, newcomer.share.TokensPerSecond, uint64(300), newcomer.name)
-		require.GreaterOrEqual(t, newcomer.share.Concurrency, uint32(3), newcomer.name)
+		gateway := &testGateway{name: fmt.Sprint("gateway-", i)}
+		gateway.report(time.Duration(i)*10*time.Millisecond, divider, 300, limits, false)
+		require.GreaterOrEqual(t, gateway.share.TokensPerSecond, uint64(300), gateway.name)
+		require.GreaterOrEqual(t, gateway.share.Concurrency, uint32(3), gateway.name)
 	}
 }
 
--- a/internal/shares/lease.go
+++ b/internal/shares/lease.go
@@ -11,17 +11,17 @@
 type lease struct {
 	wantedTokens      uint64
 	wantedConcurrency uint64
-	// heardAt is when the gateway last asked.
-	heardAt time.Duration
+	// lastReportAt is when the gateway last asked.
+	lastReportAt time.Duration
 	// granted are the shares that may still be in use at the gateway, oldest first.
 	granted []grant
 	// countedTokens and countedConcurrency are its part of the tenant's sums.
 	countedTokens      uint64
 	countedConcurrency uint64
-	// part is what the last division gave it; divided is false when there was none since
+	// allocated is what the last division gave it; divided is false when there was none since
 	// the gateway first asked.
-	part    Limits
-	divided bool
+	allocated     Limits
+	hasAllocation bool
 }
 
 // grant is one share as granted.
@@ -31,11 +31,11 @@
 	expiresAt   time.Duration
 }
 
-// take takes over a gateway's demand.
-func (l *lease) take(now time.Duration, demand *v1.ShareDemand) {
+// applyDemand takes over a gateway's demand.
+func (l *lease) applyDemand(now time.Duration, demand *v1.ShareDemand) {
 	l.wantedTokens = demand.WantedTokensPerSecond
 	l.wantedConcurrency = uint64(max(demand.WantedConcurrency, demand.InFlight))
-	l.heardAt = now
+	l.lastReportAt = now
 	l.acknowledge(now, demand)
 }
 
@@ -52,8 +52,8 @@
 	}
 }
 
-// held is the most the gateway may still use.
-func (l *lease) held(now time.Duration) (tokens uint64, concurrency uint32) {
+// maximumInUse is the most the gateway may still use.
+func (l *lease) maximumInUse(now time.Duration) (tokens uint64, concurrency uint32) {
 	for _, granted := range l.granted {
 		if granted.expiresAt > now {
 			tokens = max(tokens, granted.tokens)
--- a/internal/shares/tenant.go
+++ b/internal/shares/tenant.go
@@ -12,8 +12,8 @@
 
 // tenant holds the leases of one tenant, by gateway.
 type tenant struct {
-	leases map[string]*lease
-	names  []string // of the gateways, sorted
+	leases   map[string]*lease
+	gateways []string // of the gateways, sorted
 	// heldTokens and heldConcurrency sum what the leases are counted with: never less
 	// than what the gateways may still use.
 	heldTokens      uint64
@@ -22,8 +22,8 @@
 	divided   bool
 	dividedAt time.Duration
 	limits    Limits
-	// largest is the largest part of the last division.
-	largest Limits
+	// largestAllocation is the largestAllocation part of the last division.
+	largestAllocation Limits
 	// divisions counts the divisions, each of which takes all gateways.
 	divisions int
 }
@@ -32,25 +32,25 @@
 func (t *tenant) add(gateway string) *lease {
 	created := &lease{}
 	t.leases[gateway] = created
-	position, _ := slices.BinarySearch(t.names, gateway)
-	t.names = slices.Insert(t.names, position, gateway)
+	position, _ := slices.BinarySearch(t.gateways, gateway)
+	t.gateways = slices.Insert(t.gateways, position, gateway)
 	return created
 }
 
-// count brings a lease's part of the sums up to now.
-func (t *tenant) count(now time.Duration, l *lease) {
-	tokens, concurrency := l.held(now)
+// updateSums brings a lease's part of the sums up to now.
+func (t *tenant) updateSums(now time.Duration, l *lease) {
+	tokens, concurrency := l.maximumInUse(now)
 	t.heldTokens += tokens - l.countedTokens
 	t.heldConcurrency += uint64(concurrency) - l.countedConcurrency
 	l.countedTokens, l.countedConcurrency = tokens, uint64(concurrency)
 }
 
-// dropSilent forgets the gateways that have not asked for a lifetime: all they held
+// dropInactive forgets the gateways that have not asked for a lifetime: all they held
 // has run out. It returns their number.
-func (t *tenant) dropSilent(now, lifetime time.Duration) int {
-	kept := slices.DeleteFunc(t.names, func(name string) bool {
+func (t *tenant) dropInactive(now, lifetime time.Duration) int {
+	kept := slices.DeleteFunc(t.gateways, func(name string) bool {
 		l := t.leases[name]
-		if now-l.heardAt < lifetime {
+		if now-l.lastReportAt < lifetime {
 			return false
 		}
 		t.heldTokens -= l.countedTokens
@@ -58,13 +58,13 @@
 		delete(t.leases, name)
 		return true
 	})
-	dropped := len(t.names) - len(kept)
-	t.names = kept
+	dropped := len(t.gateways) - len(kept)
+	t.gateways = kept
 	return dropped
 }
 
-// mustDivide reports whether the last division no longer holds.
-func (t *tenant) mustDivide(now time.Duration, limits Limits) bool {
+// needsDivision reports whether the last division no longer holds.
+func (t *tenant) needsDivision(now time.Duration, limits Limits) bool {
 	return !t.divided || t.limits != limits || now-t.dividedAt >= divideInterval
 }
 
@@ -72,31 +72,31 @@
 func (t *tenant) divide(now time.Duration, limits Limits) {
 	t.divided, t.dividedAt, t.limits = true, now, limits
 	t.divisions++
-	tokens := make([]uint64, len(t.names))
-	concurrency := make([]uint64, len(t.names))
-	for i, name := range t.names {
+	tokens := make([]uint64, len(t.gateways))
+	concurrency := make([]uint64, len(t.gateways))
+	for i, name := range t.gateways {
 		l := t.leases[name]
-		t.count(now, l)
+		t.updateSums(now, l)
 		tokens[i], concurrency[i] = l.wantedTokens, l.wantedConcurrency
 	}
 	tokens, concurrency = split(limits.TokensPerSecond, tokens), split(uint64(limits.Concurrency), concurrency)
-	t.largest = Limits{}
-	for i, name := range t.names {
+	t.largestAllocation = Limits{}
+	for i, name := range t.gateways {
 		part := Limits{TokensPerSecond: tokens[i], Concurrency: uint32(concurrency[i])}
-		t.leases[name].part, t.leases[name].divided = part, true
-		t.largest.TokensPerSecond = max(t.largest.TokensPerSecond, part.TokensPerSecond)
-		t.largest.Concurrency = max(t.largest.Concurrency, part.Concurrency)
+		t.leases[name].allocated, t.leases[name].hasAllocation = part, true
+		t.largestAllocation.TokensPerSecond = max(t.largestAllocation.TokensPerSecond, part.TokensPerSecond)
+		t.largestAllocation.Concurrency = max(t.largestAllocation.Concurrency, part.Concurrency)
 	}
 }
 
-// fair is a gateway's part. One that is new since the last division, or wants more than
+// maximumShare is a gateway's part. One that is new since the last division, or wants more than
 // it did then, may have as much as the best served until the next.
-func (t *tenant) fair(l *lease) Limits {
-	if !l.divided {
-		return t.largest
+func (t *tenant) maximumShare(l *lease) Limits {
+	if !l.hasAllocation {
+		return t.largestAllocation
 	}
 	return Limits{
-		TokensPerSecond: max(l.part.TokensPerSecond, min(l.wantedTokens, t.largest.TokensPerSecond)),
-		Concurrency:     max(l.part.Concurrency, uint32(min(l.wantedConcurrency, uint64(t.largest.Concurrency)))),
+		TokensPerSecond: max(l.allocated.TokensPerSecond, min(l.wantedTokens, t.largestAllocation.TokensPerSecond)),
+		Concurrency:     max(l.allocated.Concurrency, uint32(min(l.wantedConcurrency, uint64(t.largestAllocation.Concurrency)))),
 	}
 }
--- a/internal/shares/tenant_test.go
+++ b/internal/shares/tenant_test.go
@@ -11,15 +11,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// TestDivisionsFollowTimeNotReports: with the target's 390 gateways the work of a report
+// TestDivisionsDependOnTimeNotReports: with the target's 390 gateways the work of a report
 // must not grow with the gateways.
-func TestDivisionsFollowTimeNotReports(t *testing.T) {
+func TestDivisionsDependOnTimeNotReports(t *testing.T) {
 	const gateways = 390
 	limits := Limits{TokensPerSecond: 1_000_000, Concurrency: 10_000}
 	divider := New(0, safeguard.Set{})
 	divider.StartLeading(0, true)
 	now := time.Duration(0)
-	second := func() int {
+	divisionsInOneSecond := func() int {
 		before := 0
 		if owner := divider.tenants["tenant"]; owner != nil {
 			before = owner.divisions
@@ -31,8 +31,8 @@
 		}
 		return divider.tenants["tenant"].divisions - before
 	}
-	require.LessOrEqual(t, second(), int(time.Second/divideInterval)+1, "while all gateways are new")
-	require.LessOrEqual(t, second(), int(time.Second/divideInterval)+1)
+	require.LessOrEqual(t, divisionsInOneSecond(), int(time.Second/divideInterval)+1, "while all gateways are new")
+	require.LessOrEqual(t, divisionsInOneSecond(), int(time.Second/divideInterval)+1)
 	for name, lease := range divider.tenants["tenant"].leases {
 		require.Positive(t, lease.granted[len(lease.granted)-1].tokens, name)
 	}
@@ -40,7 +40,7 @@
 	owner := divider.tenants["tenant"]
 	var tokens, concurrency uint64
 	for _, lease := range owner.leases {
-		heldTokens, heldConcurrency := lease.held(now)
+		heldTokens, heldConcurrency := lease.maximumInUse(now)
 		tokens, concurrency = tokens+heldTokens, concurrency+uint64(heldConcurrency)
 	}
 	require.GreaterOrEqual(t, owner.heldTokens, tokens, "the sums never miss what may be in use")
