--- a/internal/shares/divider.go
+++ b/internal/shares/divider.go
@@ -8,22 +8,22 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// DefaultLifetime is how long a share holds.
+// DefaultLifetime is how long a share is valid.
 const DefaultLifetime = 4 * time.Second
 
-// MaximumLeases bounds the shares that are remembered over all tenants; a demand
-// beyond it gets no share until others run out.
+// MaximumLeases limits the leases over all tenants. Beyond it, demands get no share until other
+// leases expire.
 const MaximumLeases = 500_000
 
-// spareDivisor sets the part of a tenant's limit that no one wants which one gateway
-// gets: an eighth. The rest stays for gateways that meet the tenant next.
+// spareDivisor is the divisor of the spare part of a tenant's limit that one gateway gets beyond its
+// demand: an eighth. The rest remains for gateways that see the tenant next.
 const spareDivisor = 8
 
-// SafeguardSettle makes a new leader wait until its predecessor's shares have run
-// out before it grants more than gateways hold.
+// SafeguardSettle makes a new leader wait until the shares of its predecessor have expired
+// before it grants more than gateways hold.
 const SafeguardSettle safeguard.Safeguard = "share settling"
 
-// Limits are what a tenant may use over the whole fleet; 0 is no limit.
+// Limits are a tenant's limits for the whole fleet; 0 is no limit.
 type Limits struct {
 	TokensPerSecond uint64
 	Concurrency     uint32
@@ -38,8 +38,8 @@
 	leases     int
 }
 
-// New returns a Divider of a controller that does not lead. A lifetime of zero means
-// the default.
+// New returns the Divider of a controller that does not lead. A lifetime of zero selects the
+// default.
 func New(lifetime time.Duration, safeguards safeguard.Set) *Divider {
 	if lifetime == 0 {
 		lifetime = DefaultLifetime
@@ -47,8 +47,8 @@
 	return &Divider{lifetime: lifetime, safeguards: safeguards, tenants: map[string]*tenant{}}
 }
 
-// StartLeading starts the time of a new leader that knows nothing of shares granted before;
-// first tells that no leader has ever granted any.
+// StartLeading resets the Divider for a new leader, which does not know the shares granted before.
+// first reports that no leader has ever granted any.
 func (d *Divider) StartLeading(now time.Duration, first bool) {
 	d.tenants = map[string]*tenant{}
 	d.leases = 0
@@ -58,8 +58,8 @@
 	}
 }
 
-// Divide takes a gateway's demand for one tenant and returns the share it gets; nil
-// when the tenant has no limit.
+// Divide records a gateway's demand for one tenant and returns the gateway's share; nil if the
+// tenant has no limit.
 func (d *Divider) Divide(now time.Duration, gateway string, demand *v1.ShareDemand, limits Limits) *v1.Share {
 	if limits == (Limits{}) {
 		return nil
@@ -85,7 +85,7 @@
 	return d.grant(now, account, lease, demand, limits)
 }
 
-// grant works out and records a new share.
+// grant computes and records a new share.
 func (d *Divider) grant(now time.Duration, owner *tenant, lease *lease, demand *v1.ShareDemand, limits Limits) *v1.Share {
 	owner.updateSums(now, lease)
 	fair := owner.maximumShare(lease)
@@ -98,9 +98,9 @@
 		expiresAt: now + d.lifetime,
 	}
 	if now < d.settledAt && d.safeguards.IsEnabled(SafeguardSettle) {
-		// What the predecessor granted sums up to the limit at most: renew that, and no
-		// more. Nor less for want of demand in this moment: it could not grow back
-		// before the predecessor's shares have run out.
+		// The grants of the predecessor sum up to at most the limit: renew them, but grant no more. Do not
+		// reduce them for a momentary lack of demand either, since they could not grow back before the
+		// predecessor's shares have expired.
 		share.tokens = min(availableTokens, demand.HeldTokensPerSecond)
 		share.concurrency = uint32(min(availableConcurrency, uint64(demand.HeldConcurrency)))
 	}
@@ -112,9 +112,9 @@
 	}
 }
 
-// addSpare is what is wanted and a part of what is left beyond it, but no more than as
-// much again: room to grow for this gateway until it asks again, while most is left for
-// gateways that meet the tenant next.
+// addSpare returns the wanted amount plus a fraction of what is available beyond it, at most
+// doubling the amount. This lets the gateway grow until its next report and leaves most of the spare
+// amount for gateways that see the tenant next.
 func addSpare(wanted, available uint64) uint64 {
 	if available <= wanted {
 		return available
@@ -123,7 +123,7 @@
 	return wanted + min(spare, wanted+1)
 }
 
-// ActiveGrants lists the shares that may be in use, by tenant and gateway.
+// ActiveGrants returns the shares that may be in use, sorted by tenant and gateway.
 func (d *Divider) ActiveGrants(now time.Duration) []ActiveGrant {
 	var list []ActiveGrant
 	for _, name := range sortedKeys(d.tenants) {
@@ -145,7 +145,7 @@
 	Concurrency     uint32
 }
 
-// DropExpired forgets the tenants whose shares have all run out. Call it now and then.
+// DropExpired deletes the tenants whose shares have all expired. Call it periodically.
 func (d *Divider) DropExpired(now time.Duration) {
 	for name, owner := range d.tenants {
 		d.leases -= owner.dropInactive(now, d.lifetime)
--- a/internal/shares/divider_test.go
+++ b/internal/shares/divider_test.go
@@ -14,7 +14,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// TestMain fixes the seed of the property tests, so that each run gives the same verdict.
+// TestMain fixes the seed of the property tests so that every run gives the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -30,14 +30,14 @@
 		wants []uint64
 		parts []uint64
 	}{
-		{"no one", 10, nil, []uint64{}},
+		{"no gateways", 10, nil, []uint64{}},
 		{"no limit", 0, []uint64{5}, []uint64{0}},
-		{"one takes all", 10, []uint64{3}, []uint64{10}},
+		{"a single gateway gets everything", 10, []uint64{3}, []uint64{10}},
 		{"equal wants", 10, []uint64{9, 9}, []uint64{5, 5}},
-		{"the small want is met", 10, []uint64{2, 100}, []uint64{2, 8}},
-		{"room is left for all", 10, []uint64{1, 3}, []uint64{4, 6}},
-		{"fewer units than askers", 2, []uint64{1, 1, 1}, []uint64{0, 1, 1}},
-		{"idle askers", 9, []uint64{0, 0, 0}, []uint64{3, 3, 3}},
+		{"a small demand is met", 10, []uint64{2, 100}, []uint64{2, 8}},
+		{"the remainder is shared", 10, []uint64{1, 3}, []uint64{4, 6}},
+		{"fewer units than gateways", 2, []uint64{1, 1, 1}, []uint64{0, 1, 1}},
+		{"gateways without demand", 9, []uint64{0, 0, 0}, []uint64{3, 3, 3}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 	})
 }
 
-// testGateway is a gateway's side: it uses a share until that runs out.
+// testGateway simulates a gateway: it uses a share until the share expires.
 type testGateway struct {
 	name  string
 	share *v1.Share
@@ -70,7 +70,7 @@
 	return g.share.TokensPerSecond, g.share.Concurrency
 }
 
-// report asks for a share; the answer is lost or arrives.
+// report sends a demand and applies the returned share unless the answer is lost.
 func (g *testGateway) report(now time.Duration, divider *Divider, want uint64, limits Limits, lost bool) {
 	tokens, concurrency := g.holds(now)
 	share := divider.Divide(now, g.name, &v1.ShareDemand{
@@ -82,8 +82,8 @@
 	}
 }
 
-// runRandomReports runs gateways against one divider after the other and checks after
-// each report that no more than the limit is in use.
+// runRandomReports lets gateways report at random to a succession of leaders. It returns an error if
+// after any report more than the limit is in use.
 func runRandomReports(r *rapid.T, off ...safeguard.Safeguard) error {
 	limits := Limits{TokensPerSecond: rapid.Uint64Range(1, 1000).Draw(r, "tokens"), Concurrency: rapid.Uint32Range(1, 10).Draw(r, "concurrency")}
 	divider := New(0, safeguard.Without(off...))
@@ -150,8 +150,8 @@
 	require.Zero(t, unknown.share.TokensPerSecond)
 }
 
-// TestNewGatewaysGetAShareImmediately shows that below half of the limit each gateway that meets
-// the tenant gets what it wants with its first report, one after the other.
+// TestNewGatewaysGetAShareImmediately checks that below half of the limit each gateway that newly sees
+// the tenant gets its demand with its first report.
 func TestNewGatewaysGetAShareImmediately(t *testing.T) {
 	limits := Limits{TokensPerSecond: 20 * 601, Concurrency: 20 * 7}
 	divider := New(0, safeguard.Set{})
@@ -186,7 +186,7 @@
 	require.Nil(t, divider.Divide(now, "busy", &v1.ShareDemand{Tenant: "free"}, Limits{}), "no limit, no share")
 }
 
-// BenchmarkDivide shows the cost of one tenant's share against the gateways that use it.
+// BenchmarkDivide measures the cost of one tenant's share for different numbers of gateways.
 func BenchmarkDivide(b *testing.B) {
 	for _, gateways := range []int{1, 10, 100, 390} {
 		b.Run(fmt.Sprintf("gateways=%d", gateways), func(b *testing.B) {
--- a/internal/shares/lease.go
+++ b/internal/shares/lease.go
@@ -7,31 +7,31 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// lease is what one gateway wants and holds.
+// lease is the demand and the grants of one gateway.
 type lease struct {
 	wantedTokens      uint64
 	wantedConcurrency uint64
-	// lastReportAt is when the gateway last asked.
+	// lastReportAt is the time of the gateway's last report.
 	lastReportAt time.Duration
 	// granted are the shares that may still be in use at the gateway, oldest first.
 	granted []grant
-	// countedTokens and countedConcurrency are its part of the tenant's sums.
+	// countedTokens and countedConcurrency are included in the tenant's sums.
 	countedTokens      uint64
 	countedConcurrency uint64
-	// allocated is what the last division gave it; divided is false when there was none since
-	// the gateway first asked.
+	// allocated is the gateway's part in the last division; hasAllocation is false if there has been
+	// no division since the gateway's first report.
 	allocated     Limits
 	hasAllocation bool
 }
 
-// grant is one share as granted.
+// grant is one granted share.
 type grant struct {
 	tokens      uint64
 	concurrency uint32
 	expiresAt   time.Duration
 }
 
-// applyDemand takes over a gateway's demand.
+// applyDemand records a gateway's demand.
 func (l *lease) applyDemand(now time.Duration, demand *v1.ShareDemand) {
 	l.wantedTokens = demand.WantedTokensPerSecond
 	l.wantedConcurrency = uint64(max(demand.WantedConcurrency, demand.InFlight))
@@ -39,8 +39,8 @@
 	l.acknowledge(now, demand)
 }
 
-// acknowledge forgets the grants that the gateway no longer uses: the ones before
-// the newest that equals what it says it holds, and those that have run out.
+// acknowledge deletes the grants that the gateway no longer uses: the expired ones and those
+// older than the newest grant that equals what the gateway reports to hold.
 func (l *lease) acknowledge(now time.Duration, demand *v1.ShareDemand) {
 	l.granted = slices.DeleteFunc(l.granted, func(g grant) bool { return g.expiresAt <= now })
 	for i := len(l.granted) - 1; i > 0; i-- {
@@ -52,7 +52,7 @@
 	}
 }
 
-// maximumInUse is the most the gateway may still use.
+// maximumInUse returns the largest share that the gateway may still use.
 func (l *lease) maximumInUse(now time.Duration) (tokens uint64, concurrency uint32) {
 	for _, granted := range l.granted {
 		if granted.expiresAt > now {
--- a/internal/shares/tenant.go
+++ b/internal/shares/tenant.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// divideInterval is how long a division of a tenant's limits among its gateways is used
-// again. Dividing takes all of the tenant's gateways, a report only one; without the
-// interval the work grows with the square of the gateways.
+// divideInterval is how long a division of a tenant's limits among its gateways is reused. A division
+// visits all gateways of the tenant while a report concerns only one; without the interval the work
+// would grow with the square of the number of gateways.
 const divideInterval = 250 * time.Millisecond
 
-// tenant holds the leases of one tenant, by gateway.
+// tenant holds the leases of one tenant by gateway.
 type tenant struct {
 	leases   map[string]*lease
-	gateways []string // of the gateways, sorted
-	// heldTokens and heldConcurrency sum what the leases are counted with: never less
-	// than what the gateways may still use.
+	gateways []string // names, sorted
+	// heldTokens and heldConcurrency are the sums of the counted amounts of the leases. They are never
+	// less than what the gateways may still use.
 	heldTokens      uint64
 	heldConcurrency uint64
-	// divided tells that there has been a division.
+	// divided reports that there has been a division.
 	divided   bool
 	dividedAt time.Duration
 	limits    Limits
-	// largestAllocation is the largestAllocation part of the last division.
+	// largestAllocation is the largest part in the last division.
 	largestAllocation Limits
-	// divisions counts the divisions, each of which takes all gateways.
+	// divisions counts the divisions, each of which visits all gateways.
 	divisions int
 }
 
-// add makes the lease of a gateway that has not asked before.
+// add creates the lease of a gateway.
 func (t *tenant) add(gateway string) *lease {
 	created := &lease{}
 	t.leases[gateway] = created
@@ -37,7 +37,7 @@
 	return created
 }
 
-// updateSums brings a lease's part of the sums up to now.
+// updateSums updates the part of a lease in the sums.
 func (t *tenant) updateSums(now time.Duration, l *lease) {
 	tokens, concurrency := l.maximumInUse(now)
 	t.heldTokens += tokens - l.countedTokens
@@ -45,8 +45,8 @@
 	l.countedTokens, l.countedConcurrency = tokens, uint64(concurrency)
 }
 
-// dropInactive forgets the gateways that have not asked for a lifetime: all they held
-// has run out. It returns their number.
+// dropInactive deletes the gateways that have not reported for a lifetime, since everything that
+// they held has expired. It returns their number.
 func (t *tenant) dropInactive(now, lifetime time.Duration) int {
 	kept := slices.DeleteFunc(t.gateways, func(name string) bool {
 		l := t.leases[name]
@@ -63,12 +63,12 @@
 	return dropped
 }
 
-// needsDivision reports whether the last division no longer holds.
+// needsDivision reports whether the last division is no longer valid.
 func (t *tenant) needsDivision(now time.Duration, limits Limits) bool {
 	return !t.divided || t.limits != limits || now-t.dividedAt >= divideInterval
 }
 
-// divide works out every gateway's part when all that ask are served by demand.
+// divide computes the part of every gateway from its demand.
 func (t *tenant) divide(now time.Duration, limits Limits) {
 	t.divided, t.dividedAt, t.limits = true, now, limits
 	t.divisions++
@@ -89,8 +89,8 @@
 	}
 }
 
-// maximumShare is a gateway's part. One that is new since the last division, or wants more than
-// it did then, may have as much as the best served until the next.
+// maximumShare returns the most that a gateway may get until the next division. A gateway that is
+// new or wants more since the last division may get as much as the largest part.
 func (t *tenant) maximumShare(l *lease) Limits {
 	if !l.hasAllocation {
 		return t.largestAllocation
--- a/internal/shares/tenant_test.go
+++ b/internal/shares/tenant_test.go
@@ -11,8 +11,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// TestDivisionsDependOnTimeNotReports: with the target's 390 gateways the work of a report
-// must not grow with the gateways.
+// TestDivisionsDependOnTimeNotReports checks with 390 gateways, the target fleet size, that the work
+// per report does not grow with the number of gateways.
 func TestDivisionsDependOnTimeNotReports(t *testing.T) {
 	const gateways = 390
 	limits := Limits{TokensPerSecond: 1_000_000, Concurrency: 10_000}
