--- a/internal/backpressure/directives.go
+++ b/internal/backpressure/directives.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// HTTP's statuses: those of successes are from statusOK up to statusMultipleChoices, which is none.
+// HTTP status codes. Successes are from statusOK up to, but not including, statusMultipleChoices.
 const (
 	statusOK              = 200
 	statusMultipleChoices = 300
 	statusUnavailable     = 503
 )
 
-// Directives is what one answer of a back end asks for; the zero value asks for nothing.
+// Directives are what a back end requests in one response; the zero value requests nothing.
 type Directives struct {
-	// Backoff is how long the back end wants nothing from this process.
+	// Backoff is how long this process must not send requests to the back end.
 	Backoff time.Duration
-	// Leaving tells that the back end leaves.
+	// Leaving reports that the back end is leaving.
 	Leaving bool
-	// Limit is what the back end takes of all processes together. Unlimited tells that the answer says by its silence that
-	// there is no limit: only a success does. Neither is set where the header cannot be read.
+	// Limit is the back end's request limit for all processes together. Unlimited reports that there is no limit, because
+	// a successful response does not name one. Neither is set if the header is malformed.
 	Limit     Limit
 	Unlimited bool
 }
 
-// Headers are the headers of one answer with which a back end asks for something.
+// Headers are the header values of one response that carry directives.
 type Headers struct {
-	// RetryAfter is the value of Retry-After, Leaving that of the header that tells of leaving; empty where absent.
+	// RetryAfter is the value of Retry-After, Leaving that of the header that announces leaving; empty if absent.
 	RetryAfter, Leaving []byte
-	// Limit are the values of the header that names a limit.
+	// Limit are the values of the header that names the limit.
 	Limit [][]byte
 }
 
-// ParseDirectives reads an answer's status and words. Any value of the header that tells of leaving is a yes. Only a 503 asks
-// for rest; with other statuses Retry-After is about one request.
+// ParseDirectives returns the directives in a response's status and headers. Any value of the leaving header announces
+// leaving. Only a 503 requests a backoff; with other statuses Retry-After concerns a single request.
 func ParseDirectives(status int, headers Headers) Directives {
 	directives := Directives{Leaving: len(headers.Leaving) > 0}
 	limit, readable := ParseLimit(headers.Limit)
@@ -42,5 +42,5 @@
 	return directives
 }
 
-// StatesLimit reports whether the answer said anything of a limit.
+// StatesLimit reports whether the response stated a limit or its absence.
 func (a Directives) StatesLimit() bool { return a.Limit.IsSet || a.Unlimited }
--- a/internal/backpressure/doc.go
+++ b/internal/backpressure/doc.go
@@ -1,3 +1,3 @@
-// Package backpressure keeps what back ends have asked of this process: to be sent nothing for a while
-// (Retry-After), or nothing any more (they are leaving). It decides nothing else, and does no I/O.
+// Package backpressure records what back ends have requested of this process: a backoff (Retry-After), a request limit,
+// or no further requests because they are leaving. It makes no other decisions and does no I/O.
 package backpressure
--- a/internal/backpressure/limit.go
+++ b/internal/backpressure/limit.go
@@ -5,23 +5,23 @@
 	"strings"
 )
 
-// maximumLimit is the largest limit that binds anything, in requests a second: no back end serves as many, so that a
-// larger one is none.
+// maximumLimit is the largest effective limit, in requests per second. No back end serves more, so a larger value means
+// no limit.
 const maximumLimit = 100_000
 
-// limitCharacters are those of a decimal number.
+// limitCharacters are the characters of a decimal number.
 const limitCharacters = "0123456789.+-eE"
 
-// Limit is how many requests a second a back end takes of all processes together; the zero value is no limit.
+// Limit is a back end's limit on the requests of all processes together; the zero value is no limit.
 type Limit struct {
-	// IsSet tells that there is a limit.
+	// IsSet reports whether there is a limit.
 	IsSet bool
-	// PerSecond is 0 or more.
+	// PerSecond is the limit in requests per second, 0 or more.
 	PerSecond float64
 }
 
-// ParseLimit reads the values of the header that names a limit; none are no limit, and of several the smallest counts.
-// It reports false where one is no decimal number of 0 or more: that says nothing.
+// ParseLimit parses the values of the limit header. No value means no limit; of several values the smallest applies.
+// readable is false if a value is not a decimal number of 0 or more; the header then has no meaning.
 func ParseLimit(values [][]byte) (smallest Limit, readable bool) {
 	for _, value := range values {
 		limit, readable := parseLimit(string(value))
@@ -35,12 +35,12 @@
 	return smallest, true
 }
 
-// isBelow reports whether a limit allows less than another one.
+// isBelow reports whether a limit is stricter than another one.
 func (l Limit) isBelow(other Limit) bool {
 	return l.IsSet && (!other.IsSet || l.PerSecond < other.PerSecond)
 }
 
-// parseLimit reads one value. One beyond what any back end serves is no limit.
+// parseLimit parses one value. A value above maximumLimit means no limit.
 func parseLimit(value string) (limit Limit, readable bool) {
 	text := strings.TrimSpace(value)
 	if text == "" || strings.Trim(text, limitCharacters) != "" {
@@ -48,7 +48,7 @@
 	}
 	perSecond, err := strconv.ParseFloat(text, 64)
 	switch {
-	case perSecond > maximumLimit: // also one that is out of range
+	case perSecond > maximumLimit: // also for values out of range
 		return Limit{}, true
 	case err != nil, perSecond < 0:
 		return Limit{}, false
--- a/internal/backpressure/limit_state.go
+++ b/internal/backpressure/limit_state.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// limitState is what a process knows of the limit of one start of a back end. It is never changed.
+// limitState is what a process knows about the limit of one incarnation of a back end. It is immutable.
 type limitState struct {
 	limit Limit
-	// learnedAt is when it became known; own tells that the back end has named it to this process since another process told
-	// anything of it.
+	// learnedAt is when the limit became known. fromBackEnd reports that the back end itself named it to this process and
+	// that no other process has reported a limit since.
 	learnedAt   time.Duration
 	fromBackEnd bool
-	// waitUntil is until when permits are not asked for.
+	// waitUntil is the time before which no permits are requested.
 	waitUntil time.Duration
 }
 
-// limitRetention is how long a limit is remembered of a back end that is not listed.
+// limitRetention is how long the limit of an unlisted back end is stored.
 const limitRetention = 10 * time.Minute
 
-// RecordBackEndLimit takes the limit in an answer of the back end to a request that was sent at a time, the zero value for
-// none. An answer to a request that was sent before the present limit was known may be older than it: it is only
-// followed to a smaller one. It reports whether the limit has changed.
+// RecordBackEndLimit records the limit in a response of the back end, the zero value for none; sentAt is when the request
+// was sent. A response to a request from before the current limit became known may be older than that limit, so it can only
+// lower it. The result reports whether the limit changed.
 func (s *Signals) RecordBackEndLimit(now, sentAt time.Duration, limit Limit) (changed bool) {
 	if !limit.IsSet && s.limit.Load() == nil {
-		return false // the usual case
+		return false // the common case
 	}
 	return s.updateLimit(func(former limitState) limitState {
 		if former.limit.isBelow(limit) && sentAt < former.learnedAt {
@@ -31,12 +31,12 @@
 	})
 }
 
-// RecordPeerLimit takes the limit as another process knows it. It reports whether the limit has changed.
+// RecordPeerLimit records the limit that another process has reported. The result reports whether the limit changed.
 func (s *Signals) RecordPeerLimit(now time.Duration, limit Limit) (changed bool) {
 	return s.updateLimit(func(former limitState) limitState { return former.with(now, limit, false) })
 }
 
-// DelayPermits notes that no permit is to be had until a time, as long as the limit stays the same.
+// DelayPermits records that no permit is available before the given time, as long as the limit stays the same.
 func (s *Signals) DelayPermits(until time.Duration) {
 	s.updateLimit(func(former limitState) limitState {
 		if former.limit.IsSet {
@@ -46,7 +46,7 @@
 	})
 }
 
-// updateLimit replaces what is known of the limit. It reports whether the limit itself has changed.
+// updateLimit replaces the limit state atomically. It reports whether the limit itself changed.
 func (s *Signals) updateLimit(change func(former limitState) limitState) (changed bool) {
 	for {
 		current := s.limit.Load()
@@ -58,7 +58,7 @@
 	}
 }
 
-// with is the state once a limit is known at a time. A wait for permits ends with the limit that it was for.
+// with returns the state after a limit became known. A changed limit ends the wait for permits.
 func (s limitState) with(now time.Duration, limit Limit, fromBackEnd bool) limitState {
 	s.fromBackEnd = fromBackEnd
 	if s.limit != limit {
@@ -67,20 +67,20 @@
 	return s
 }
 
-// PermitWait is how much longer no permit is to be had; 0 when one can be asked for, or none is needed.
+// PermitWait returns how long no permit can be requested; 0 if one can be requested now, or if none is needed.
 func (s *Signals) PermitWait(now time.Duration) time.Duration {
 	return max(stateOf(s.limit.Load()).waitUntil-now, 0)
 }
 
-// Limit is the limit as it is known, the zero value for none; own tells that the back end has named it to this process
-// since another one told anything of it.
+// Limit returns the known limit, the zero value for none. fromBackEnd reports that the back end itself named it to this
+// process and that no other process has reported a limit since.
 func (s *Signals) Limit() (limit Limit, fromBackEnd bool) {
 	known := stateOf(s.limit.Load())
 	return known.limit, known.fromBackEnd
 }
 
-// LimitAge is how long the present limit, or that there is none any more, has been known; false when nothing was
-// ever heard of one.
+// LimitAge returns how long the current limit, or the absence of one, has been known; false if nothing is known about a
+// limit.
 func (s *Signals) LimitAge(now time.Duration) (time.Duration, bool) {
 	known := s.limit.Load()
 	if known == nil {
@@ -89,13 +89,13 @@
 	return now - known.learnedAt, true
 }
 
-// isLimitStale reports whether nothing depends on the limit of a back end that is not listed.
+// isLimitStale reports whether the limit of an unlisted back end can be deleted.
 func (s *Signals) isLimitStale(now time.Duration) bool {
 	known := stateOf(s.limit.Load())
 	return !known.limit.IsSet || now-known.learnedAt > limitRetention
 }
 
-// stateOf returns the state, the zero value where nothing is known.
+// stateOf returns the state, or the zero value if nothing is known.
 func stateOf(state *limitState) limitState {
 	if state == nil {
 		return limitState{}
--- a/internal/backpressure/limit_state_test.go
+++ b/internal/backpressure/limit_state_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Answers on different connections pass each other: one to a request that was sent before a limit was known lifts
-// nothing and raises nothing, a smaller limit holds at once.
+// Responses on different connections may arrive out of order. A response to a request that was sent before the current limit
+// was known must neither remove nor raise the limit, while a smaller limit applies immediately.
 func TestOlderAnswersDoNotRaiseLimit(t *testing.T) {
 	limit := func(perSecond float64) Limit { return Limit{IsSet: true, PerSecond: perSecond} }
 	signals := &Signals{}
-	require.False(t, signals.RecordBackEndLimit(0, 0, Limit{}), "no news")
+	require.False(t, signals.RecordBackEndLimit(0, 0, Limit{}), "no change")
 	require.True(t, signals.RecordBackEndLimit(10*time.Second, 9*time.Second, limit(5)))
 	require.False(t, signals.RecordBackEndLimit(11*time.Second, 9*time.Second, Limit{}))
 	require.False(t, signals.RecordBackEndLimit(11*time.Second, 9*time.Second, limit(7)))
@@ -25,7 +25,7 @@
 	require.Equal(t, Limit{}, current)
 }
 
-// A wait for permits ends with the limit, and what another process tells is not the back end's own word.
+// A permit wait ends when the limit changes, and a limit from another process does not count as named by the back end.
 func TestPermitWaitEndsWithTheLimit(t *testing.T) {
 	signals := &Signals{}
 	signals.DelayPermits(time.Minute)
@@ -43,7 +43,7 @@
 	require.Zero(t, signals.PermitWait(time.Second))
 }
 
-// A limit outlives an absence from the list for a while.
+// The limit of an unlisted back end is stored for limitRetention.
 func TestLimitIsRetainedWhileUnlisted(t *testing.T) {
 	noneListed := func(string) bool { return false }
 	registry := NewRegistry()
--- a/internal/backpressure/limit_test.go
+++ b/internal/backpressure/limit_test.go
@@ -33,7 +33,7 @@
 	require.Equal(t, Limit{IsSet: true, PerSecond: 2}, smallest)
 }
 
-// Whatever stands in the header, a limit is a number from 0 to the largest that binds.
+// For any header value, a limit lies between 0 and maximumLimit.
 func FuzzParseLimit(f *testing.F) {
 	for _, value := range []string{"1.5", "0", "-0", "1e-400", "1e400", "+.5", "99999.99", "e", ""} {
 		f.Add([]byte(value))
--- a/internal/backpressure/retry_after.go
+++ b/internal/backpressure/retry_after.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// maximumBackoff bounds the rest that one answer can ask for, so that a wrong value does not lose a back end
-// for days.
+// maximumBackoff limits the backoff that one response can request, so that a wrong value does not disable a back end for
+// days.
 const maximumBackoff = time.Hour
 
-// ParseRetryAfter reads the value of a header Retry-After: seconds, fractions included. It is 0 where the header
-// is missing, is a date or cannot be read, and longestRest at most.
+// ParseRetryAfter returns the duration in a Retry-After header, in seconds with optional fractions. It is 0 if the value is
+// missing, a date or malformed, and at most maximumBackoff.
 func ParseRetryAfter(value []byte) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(string(value)), 64)
 	if err != nil || math.IsNaN(seconds) || seconds <= 0 {
--- a/internal/backpressure/signals_test.go
+++ b/internal/backpressure/signals_test.go
@@ -17,7 +17,7 @@
 	require.Zero(t, signals.RemainingBackoff(4*time.Second))
 }
 
-// Each rest holds to its end, whatever is asked for before, during and after it.
+// Each backoff lasts until its end, regardless of earlier and later ones.
 func TestNoRestIsCutShort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		signals := &Signals{}
@@ -28,7 +28,7 @@
 			signals.ExtendBackoff(now, backoff)
 			latest = max(latest, now+backoff)
 			if signals.RemainingBackoff(now) != latest-now {
-				t.Fatalf("at %v: %v of rest are left, not %v", now, signals.RemainingBackoff(now), latest-now)
+				t.Fatalf("at %v: remaining backoff is %v, not %v", now, signals.RemainingBackoff(now), latest-now)
 			}
 		}
 	})
@@ -39,11 +39,10 @@
 	require.False(t, signals.IsLeaving())
 	require.True(t, signals.MarkLeaving(0))
 	require.True(t, signals.IsLeaving())
-	require.False(t, signals.MarkLeaving(time.Second), "no news")
+	require.False(t, signals.MarkLeaving(time.Second), "already leaving")
 }
 
-// A back end that the list does not show for a while has the same signals when it is shown again; another
-// start, which has another identity, has none.
+// A back end that is temporarily unlisted keeps its signals; another incarnation, which has another identity, has none.
 func TestSignalsAreRetainedWhileUnlisted(t *testing.T) {
 	noneListed := func(string) bool { return false }
 	registry := NewRegistry()
@@ -58,7 +57,7 @@
 	registry.RemoveUnlisted(11*time.Second, noneListed)
 	require.Len(t, registry.signals, 1)
 	registry.RemoveUnlisted(leavingRetention+time.Second, func(identity string) bool { return identity == "leaves" })
-	require.True(t, registry.SignalsOf("leaves").IsLeaving(), "listed ones are never forgotten")
+	require.True(t, registry.SignalsOf("leaves").IsLeaving(), "listed back ends are never removed")
 	registry.RemoveUnlisted(leavingRetention+time.Second, noneListed)
 	require.Empty(t, registry.signals)
 }
