--- a/internal/crashguard/admission.go
+++ b/internal/crashguard/admission.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Admission says whether a request may run.
+// Admission reports whether a request may run.
 type Admission int
 
-// Admissions.
+// Admission values.
 const (
-	// Allowed: the request is like any other.
+	// Allowed: the request may run.
 	Allowed Admission = iota
-	// Trial: the request is held, and this attempt alone may be sent to one back end, once.
+	// Trial: the request is quarantined, and only this attempt may be sent to one back end, once.
 	Trial
 	// Quarantined: the request must not be sent to any back end.
 	Quarantined
 )
 
-// QuarantineRetryAfter is when a held request may come back: about when the first trial is granted.
+// QuarantineRetryAfter is the Retry-After of a quarantined request: about the time until its first trial.
 const QuarantineRetryAfter = 3 * time.Second
--- a/internal/crashguard/doc.go
+++ b/internal/crashguard/doc.go
@@ -1,7 +1,7 @@
-// Package crashguard keeps requests away from back ends that they would end, at one node. It finds out
-// which back ends ended while they ran a request, tells the controllers, who agree on it for all nodes
-// (package quarantine), and holds back the requests that the controllers name. It decides nothing on
-// how many ends are too many, but for what this node has seen itself while no controller answers.
+// Package crashguard keeps requests away from back ends that they would crash, at one node. It detects back ends that
+// crashed while they ran a request and reports them to the controllers, which agree on quarantined requests for all nodes
+// (package quarantine). It blocks the requests that the controllers list. While no controller answers, it quarantines requests
+// on its own, based on the crashes that this node has detected.
 //
-// A Guard is safe for concurrent use; its Run is called once.
+// A Guard is safe for concurrent use; its Run must be called once.
 package crashguard
--- a/internal/crashguard/guard.go
+++ b/internal/crashguard/guard.go
@@ -9,171 +9,171 @@
 	"github.com/hazelpitch/hazelpitch/internal/quarantine"
 )
 
-// Leader makes calls to the controller that leads. Errors mean that the call may have had no effect.
+// Leader makes calls to the leader of the controllers. After an error the call may or may not have taken effect.
 type Leader interface {
-	// ReportReplicaEnds tells of ends, and returns the signatures among them that are held now.
+	// ReportReplicaEnds reports crashes and returns those of their signatures that are quarantined now.
 	ReportReplicaEnds(ctx context.Context, ends []*v1.ReplicaEnd) (held [][]byte, err error)
-	// BeginTrial asks for the right to run a held request once.
+	// BeginTrial requests the right to run a quarantined request once.
 	BeginTrial(ctx context.Context, signature []byte) (granted bool, err error)
-	// ReleaseRequest tells that a held request has run well.
+	// ReleaseRequest reports that a quarantined request has succeeded.
 	ReleaseRequest(ctx context.Context, signature []byte) error
 }
 
-// Replica is one start of a back end.
+// Replica is one incarnation of a back end.
 type Replica struct {
-	// ID is what only this start has, Name what all starts of the replica share; empty where that is ID.
+	// ID identifies the incarnation. Name is common to all incarnations of the replica; empty if equal to ID.
 	ID, Name string
 	// Address is IP:port.
 	Address string
 }
 
-// Options are what a Guard works with.
+// Options are the dependencies of a Guard.
 type Options struct {
 	Leader Leader
-	// Now is a steady clock.
+	// Now is a monotonic clock.
 	Now func() time.Duration
-	// Probe looks whether a back end takes connections.
+	// Probe checks whether a back end accepts connections.
 	Probe func(ctx context.Context, replica Replica) ProbeResult
-	// Observer is told what the guard finds.
+	// Observer is notified of the guard's events.
 	Observer Observer
 }
 
-// Observer is told what a Guard finds, for logs and metrics.
+// Observer is notified of the events of a Guard, for logs and metrics.
 type Observer interface {
-	// ReplicaCrashed: a back end ended while it ran so many requests of this node.
+	// ReplicaCrashed: a back end crashed while it ran this number of requests of this node.
 	ReplicaCrashed(replica string, requests int)
-	// RequestQuarantined: this node has learnt that a request is held.
+	// RequestQuarantined: a request became quarantined at this node.
 	RequestQuarantined(signature quarantine.Signature)
-	// LeaderCallFailed: a call to the leader has to be made again, or was given up.
+	// LeaderCallFailed: a call to the leader failed; it will be retried or was abandoned.
 	LeaderCallFailed(err error)
 }
 
 const (
-	// probeTimeout ends a look at whether a back end still serves.
+	// probeTimeout limits one probe of a back end.
 	probeTimeout = 300 * time.Millisecond
-	// aliveFor is how long a back end that was seen to serve is not looked at again.
-	aliveFor = 200 * time.Millisecond
-	// breakMemory is how long a broken run is remembered: that its back end has ended may be seen
-	// later than that the connection broke.
-	breakMemory = 5 * time.Second
-	// localHold is how long a request is held that this node, and no controller, holds back.
-	localHold = time.Minute
-	// wellMemory is how long a good run tells that a request does not end its back ends.
-	wellMemory = time.Minute
-	// mostRemembered bounds the requests that are remembered of each kind.
-	mostRemembered = 1024
+	// probeCacheTime is how long a back end that was found serving is not probed again.
+	probeCacheTime = 200 * time.Millisecond
+	// brokenRunRetention is how long a broken run is stored. The crash of its back end may be detected later than the broken
+	// connection.
+	brokenRunRetention = 5 * time.Second
+	// localQuarantineTime is how long this node quarantines a request that no controller lists.
+	localQuarantineTime = time.Minute
+	// successRetention is how long a success proves that a request does not crash back ends.
+	successRetention = time.Minute
+	// maximumEntries limits the number of requests stored for each purpose.
+	maximumEntries = 1024
 )
 
-// Guard holds back requests that end back ends.
+// Guard blocks quarantined requests and reports back-end crashes.
 type Guard struct {
 	options Options
-	// wake tells Run that there is something to tell the leader.
+	// wake signals Run that there is something to report to the leader.
 	wake chan struct{}
 
 	mutex sync.Mutex
-	// told are the requests that the controllers hold, with whether a trial is due.
-	told    map[quarantine.Signature]bool
-	version uint64
-	// silentSince is when a controller answered first, since these were told, that says nothing of held requests; it
-	// holds while silent is set.
-	silent      bool
-	silentSince time.Duration
-	// local are the requests that this node holds, with when that ends.
-	local *recent[time.Duration]
-	// ended are the back ends that this node saw end under a request.
-	ended *recent[map[uint64]bool]
-	// well are the requests that ran to a good end, with when.
-	well *recent[time.Duration]
-	// looks are the back ends at which runs broke lately, by identity.
-	looks map[string]*look
-	// unreported and unreleased wait to be told to the leader.
+	// quarantined are the requests that the controllers list; the value reports whether a trial is due.
+	quarantined map[quarantine.Signature]bool
+	version     uint64
+	// unsupportedSince is when a controller without support for quarantine first answered since the list was received; it
+	// is valid while isUnsupported is set.
+	isUnsupported    bool
+	unsupportedSince time.Duration
+	// localQuarantine are the requests quarantined by this node, with the end of their quarantine.
+	localQuarantine *boundedMap[time.Duration]
+	// crashes are the hashes of the back ends that this node saw crash, by request.
+	crashes *boundedMap[map[uint64]bool]
+	// successes are the requests that have succeeded, with the time of the last success.
+	successes *boundedMap[time.Duration]
+	// replicas are the back ends with recently broken runs, by incarnation.
+	replicas map[string]*replicaState
+	// unreported and unreleased are waiting to be sent to the leader.
 	unreported []*report
 	unreleased []quarantine.Signature
 }
 
-// New returns a Guard that knows of nothing.
+// New returns a Guard without quarantined requests.
 func New(options Options) *Guard {
 	return &Guard{
 		options: options, wake: make(chan struct{}, 1),
-		told: map[quarantine.Signature]bool{}, looks: map[string]*look{},
-		local: newRecent[time.Duration](mostRemembered), ended: newRecent[map[uint64]bool](mostRemembered),
-		well: newRecent[time.Duration](mostRemembered),
+		quarantined: map[quarantine.Signature]bool{}, replicas: map[string]*replicaState{},
+		localQuarantine: newBoundedMap[time.Duration](maximumEntries), crashes: newBoundedMap[map[uint64]bool](maximumEntries),
+		successes: newBoundedMap[time.Duration](maximumEntries),
 	}
 }
 
-// QuarantineVersion is the version of the held requests that the controllers told last.
+// QuarantineVersion returns the version of the list of quarantined requests last received from the controllers.
 func (g *Guard) QuarantineVersion() uint64 {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.version
 }
 
-// ApplyQuarantine takes the held requests as the controllers told them.
-func (g *Guard) ApplyQuarantine(version uint64, held []*v1.HeldRequest) {
+// ApplyQuarantine applies a list of quarantined requests received from the controllers.
+func (g *Guard) ApplyQuarantine(version uint64, requests []*v1.HeldRequest) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.silent = false
+	g.isUnsupported = false
 	if version == g.version {
 		return
 	}
-	told := make(map[quarantine.Signature]bool, len(held))
-	for _, request := range held {
+	updated := make(map[quarantine.Signature]bool, len(requests))
+	for _, request := range requests {
 		signature, valid := quarantine.SignatureFromBytes(request.GetSignature())
 		if !valid {
 			continue
 		}
-		if _, known := g.told[signature]; !known {
+		if _, known := g.quarantined[signature]; !known {
 			g.options.Observer.RequestQuarantined(signature)
 		}
-		told[signature] = request.GetTrialDue()
-		g.local.remove(signature) // from now on the controllers say when it ends
+		updated[signature] = request.GetTrialDue()
+		g.localQuarantine.remove(signature) // from now on the controllers decide when it ends
 	}
-	g.told, g.version = told, version
+	g.quarantined, g.version = updated, version
 }
 
-// MarkQuarantineUnsupported takes that the controllers say nothing of held requests: the leader's build knows of none. What was told
-// before holds for as long as what this node holds by itself, and nobody grants trials meanwhile.
+// MarkQuarantineUnsupported records that the controllers send no list of quarantined requests because the leader's version
+// does not support it. The last list remains valid for localQuarantineTime; no trials are granted during that time.
 func (g *Guard) MarkQuarantineUnsupported() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.silent {
+	if g.isUnsupported {
 		return
 	}
-	g.silent, g.silentSince = true, g.options.Now()
+	g.isUnsupported, g.unsupportedSince = true, g.options.Now()
 }
 
-// QuarantinedCount is how many requests the controllers hold.
+// QuarantinedCount returns the number of requests that the controllers list as quarantined.
 func (g *Guard) QuarantinedCount() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return len(g.told)
+	return len(g.quarantined)
 }
 
 // IsQuarantined reports whether a request must not be sent to any back end.
 func (g *Guard) IsQuarantined(signature quarantine.Signature) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.isHeld(signature)
+	return g.isQuarantinedLocked(signature)
 }
 
-func (g *Guard) isHeld(signature quarantine.Signature) bool {
-	if _, told := g.told[signature]; told && !(g.silent && g.options.Now()-g.silentSince >= localHold) {
+func (g *Guard) isQuarantinedLocked(signature quarantine.Signature) bool {
+	if _, isListed := g.quarantined[signature]; isListed && !(g.isUnsupported && g.options.Now()-g.unsupportedSince >= localQuarantineTime) {
 		return true
 	}
-	until, held := g.local.get(signature)
-	return held && g.options.Now() < until
+	until, isLocal := g.localQuarantine.get(signature)
+	return isLocal && g.options.Now() < until
 }
 
-// Admit says whether a request may run. It asks the leader where a trial may be granted.
+// Admit decides whether a request may run. If a trial is due, it blocks on a call to the leader for up to trialTimeout.
 func (g *Guard) Admit(ctx context.Context, signature quarantine.Signature) Admission {
 	g.mutex.Lock()
-	held, due := g.isHeld(signature), g.told[signature]
+	quarantined, due := g.isQuarantinedLocked(signature), g.quarantined[signature]
 	if due {
-		g.told[signature] = false // one question is enough: the controllers tell of the next trial
+		g.quarantined[signature] = false // request the trial only once; the controllers announce the next one
 	}
 	g.mutex.Unlock()
 	switch {
-	case !held:
+	case !quarantined:
 		return Allowed
 	case !due:
 		return Quarantined
@@ -190,28 +190,28 @@
 	return Trial
 }
 
-// trialTimeout ends the wait for a trial; it is asked for again once the controllers tell of it anew.
+// trialTimeout limits the wait for a trial. The trial is requested again after the controllers announce it again.
 const trialTimeout = 500 * time.Millisecond
 
-// RecordSuccess notes that a back end has run a request to a good end.
+// RecordSuccess records that a back end has completed a request.
 func (g *Guard) RecordSuccess(signature quarantine.Signature) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.well.put(signature, g.options.Now())
-	g.ended.remove(signature)
-	if !g.isHeld(signature) {
+	g.successes.set(signature, g.options.Now())
+	g.crashes.remove(signature)
+	if !g.isQuarantinedLocked(signature) {
 		return
 	}
-	g.local.remove(signature)
-	delete(g.told, signature)
+	g.localQuarantine.remove(signature)
+	delete(g.quarantined, signature)
 	g.unreleased = append(g.unreleased, signature)
 	g.wakeRun()
 }
 
-// ranWellLately reports whether a request is known to do back ends no harm.
-func (g *Guard) ranWellLately(signature quarantine.Signature) bool {
-	at, known := g.well.get(signature)
-	return known && g.options.Now()-at < wellMemory
+// hasRecentSuccess reports whether a request is known not to crash back ends.
+func (g *Guard) hasRecentSuccess(signature quarantine.Signature) bool {
+	at, known := g.successes.get(signature)
+	return known && g.options.Now()-at < successRetention
 }
 
 func (g *Guard) wakeRun() {
--- a/internal/crashguard/guard_test.go
+++ b/internal/crashguard/guard_test.go
@@ -16,7 +16,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/quarantine"
 )
 
-// testLeader holds requests as the controllers do, and answers when it is not silent.
+// testLeader quarantines requests as the controllers do. While silent it does not answer.
 type testLeader struct {
 	mutex    sync.Mutex
 	ledger   *quarantine.Ledger
@@ -28,8 +28,8 @@
 
 var errSilent = errors.New("no controller answers")
 
-// await stands for a call's way and work.
-func (l *testLeader) await(ctx context.Context) error {
+// simulateCall takes the time of a call. It fails when the context ends while the leader is silent.
+func (l *testLeader) simulateCall(ctx context.Context) error {
 	time.Sleep(10 * time.Millisecond)
 	l.mutex.Lock()
 	silent := l.silent
@@ -42,7 +42,7 @@
 }
 
 func (l *testLeader) ReportReplicaEnds(ctx context.Context, ends []*v1.ReplicaEnd) (held [][]byte, err error) {
-	if err := l.await(ctx); err != nil {
+	if err := l.simulateCall(ctx); err != nil {
 		return nil, err
 	}
 	l.mutex.Lock()
@@ -58,7 +58,7 @@
 }
 
 func (l *testLeader) BeginTrial(ctx context.Context, _ []byte) (granted bool, err error) {
-	if err := l.await(ctx); err != nil {
+	if err := l.simulateCall(ctx); err != nil {
 		return false, err
 	}
 	l.mutex.Lock()
@@ -68,7 +68,7 @@
 }
 
 func (l *testLeader) ReleaseRequest(ctx context.Context, bytes []byte) error {
-	if err := l.await(ctx); err != nil {
+	if err := l.simulateCall(ctx); err != nil {
 		return err
 	}
 	l.mutex.Lock()
@@ -84,8 +84,8 @@
 	l.silent = silent
 }
 
-// ends is how many replicas have ended under a request, as the leader was told.
-func (l *testLeader) ends(signature quarantine.Signature) int {
+// crashes returns how many replica crashes under a request were reported to the leader.
+func (l *testLeader) crashes(signature quarantine.Signature) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if suspect := l.ledger.Suspect(signature); suspect != nil {
@@ -94,234 +94,234 @@
 	return 0
 }
 
-// nobody observes nothing.
-type nobody struct{}
+// noObserver ignores all events.
+type noObserver struct{}
 
-func (nobody) ReplicaCrashed(string, int)              {}
-func (nobody) RequestQuarantined(quarantine.Signature) {}
-func (nobody) LeaderCallFailed(error)                  {}
+func (noObserver) ReplicaCrashed(string, int)              {}
+func (noObserver) RequestQuarantined(quarantine.Signature) {}
+func (noObserver) LeaderCallFailed(error)                  {}
 
-// testGuard is a Guard with its leader, and what looks at back ends show.
+// testGuard is a Guard with its leader and the configured probe results.
 type testGuard struct {
 	*Guard
-	leader *testLeader
-	mutex  sync.Mutex
-	sights map[string]ProbeResult
-	looks  int
+	leader       *testLeader
+	mutex        sync.Mutex
+	probeResults map[string]ProbeResult
+	probes       int
 }
 
-// inBubble runs a test with a Guard in virtual time.
-func inBubble(t *testing.T, test func(t *testing.T, guard *testGuard)) {
+// withGuard runs a test with a Guard in virtual time.
+func withGuard(t *testing.T, test func(t *testing.T, guard *testGuard)) {
 	synctest.Test(t, func(t *testing.T) {
-		made := &testGuard{leader: &testLeader{ledger: quarantine.NewLedger()}, sights: map[string]ProbeResult{}}
+		guard := &testGuard{leader: &testLeader{ledger: quarantine.NewLedger()}, probeResults: map[string]ProbeResult{}}
 		origin := time.Now()
-		made.Guard = New(Options{
-			Leader: made.leader, Observer: nobody{}, Now: func() time.Duration { return time.Since(origin) },
+		guard.Guard = New(Options{
+			Leader: guard.leader, Observer: noObserver{}, Now: func() time.Duration { return time.Since(origin) },
 			Probe: func(_ context.Context, replica Replica) ProbeResult {
 				time.Sleep(time.Millisecond)
-				made.mutex.Lock()
-				defer made.mutex.Unlock()
-				made.looks++
-				return made.sights[replica.ID]
+				guard.mutex.Lock()
+				defer guard.mutex.Unlock()
+				guard.probes++
+				return guard.probeResults[replica.ID]
 			},
 		})
 		ctx, cancel := context.WithCancel(t.Context())
-		go made.Run(ctx)
-		test(t, made)
-		time.Sleep(2 * time.Second) // lets calls under way end
+		go guard.Run(ctx)
+		test(t, guard)
+		time.Sleep(2 * time.Second) // lets pending calls end
 		cancel()
 		synctest.Wait()
 	})
 }
 
-func (g *testGuard) show(replica string, sight ProbeResult) Replica {
+func (g *testGuard) setProbeResult(replica string, result ProbeResult) Replica {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.sights[replica] = sight
+	g.probeResults[replica] = result
 	return Replica{ID: replica}
 }
 
 var (
-	ending  = quarantine.SignatureOf("", "POST", "/", []byte("ends its back end"))
-	another = quarantine.SignatureOf("", "POST", "/", []byte("is sound"))
+	crashing = quarantine.SignatureOf("", "POST", "/", []byte("ends its back end"))
+	sound    = quarantine.SignatureOf("", "POST", "/", []byte("is sound"))
 )
 
-func TestTheThirdEndHoldsARequestBeforeItGoesOn(t *testing.T) {
-	inBubble(t, func(t *testing.T, guard *testGuard) {
+func TestThresholdCrashQuarantinesRequest(t *testing.T) {
+	withGuard(t, func(t *testing.T, guard *testGuard) {
 		for number := 1; number < quarantine.QuarantineThreshold; number++ {
-			require.False(t, guard.RecordBrokenRun(ending, guard.show(fmt.Sprint(number), ProbeGone), time.Second))
+			require.False(t, guard.RecordBrokenRun(crashing, guard.setProbeResult(fmt.Sprint(number), ProbeGone), time.Second))
 		}
-		require.True(t, guard.RecordBrokenRun(ending, guard.show("last", ProbeGone), time.Second))
-		require.Equal(t, Quarantined, guard.Admit(t.Context(), ending))
-		require.Equal(t, Allowed, guard.Admit(t.Context(), another))
+		require.True(t, guard.RecordBrokenRun(crashing, guard.setProbeResult("last", ProbeGone), time.Second))
+		require.Equal(t, Quarantined, guard.Admit(t.Context(), crashing))
+		require.Equal(t, Allowed, guard.Admit(t.Context(), sound))
 	})
 }
 
-// What other nodes saw counts with what this one sees.
-func TestEndsOfOtherNodesCount(t *testing.T) {
-	inBubble(t, func(t *testing.T, guard *testGuard) {
+// Crashes reported by other nodes count together with those of this node.
+func TestCrashesOfOtherNodesCount(t *testing.T) {
+	withGuard(t, func(t *testing.T, guard *testGuard) {
 		for replica := range uint64(quarantine.QuarantineThreshold - 1) {
-			guard.leader.ledger.RecordCrash(ending, replica)
+			guard.leader.ledger.RecordCrash(crashing, replica)
 		}
-		require.True(t, guard.RecordBrokenRun(ending, guard.show("here", ProbeGone), time.Second))
+		require.True(t, guard.RecordBrokenRun(crashing, guard.setProbeResult("here", ProbeGone), time.Second))
 	})
 }
 
-// A connection that broke tells nothing of its back end: links are reset, answers lost.
+// A broken connection alone does not prove a crash: connections are reset and responses lost on working back ends.
 func TestBrokenConnectionsOfSoundBackEndsDoNotCount(t *testing.T) {
-	for name, sight := range map[string]ProbeResult{"it serves": ProbeServing, "the way there is cut": ProbeUnclear} {
+	for name, result := range map[string]ProbeResult{"it serves": ProbeServing, "the network path is cut": ProbeUnclear} {
 		t.Run(name, func(t *testing.T) {
-			inBubble(t, func(t *testing.T, guard *testGuard) {
+			withGuard(t, func(t *testing.T, guard *testGuard) {
 				for number := range 10 {
-					require.False(t, guard.RecordBrokenRun(ending, guard.show(fmt.Sprint(number), sight), time.Second))
+					require.False(t, guard.RecordBrokenRun(crashing, guard.setProbeResult(fmt.Sprint(number), result), time.Second))
 				}
-				require.Zero(t, guard.leader.ends(ending))
-				require.Equal(t, Allowed, guard.Admit(t.Context(), ending))
+				require.Zero(t, guard.leader.crashes(crashing))
+				require.Equal(t, Allowed, guard.Admit(t.Context(), crashing))
 			})
 		})
 	}
 }
 
-// A back end whose machine has gone silent, or that was back before anybody looked, is seen to have
-// ended once another start has its address.
-func TestAnEndIsSeenLater(t *testing.T) {
-	inBubble(t, func(t *testing.T, guard *testGuard) {
-		guard.RecordBrokenRun(ending, guard.show("one", ProbeUnclear), time.Second)
-		guard.RecordBrokenRun(ending, guard.show("two", ProbeServing), time.Second)
-		guard.RecordSilentRun(ending, "three")
-		guard.RecordSilentRun(ending, "four")
+// A crash is detected later if the machine does not answer, or if the back end restarted before the probe: another
+// incarnation then has its address.
+func TestCrashIsDetectedLater(t *testing.T) {
+	withGuard(t, func(t *testing.T, guard *testGuard) {
+		guard.RecordBrokenRun(crashing, guard.setProbeResult("one", ProbeUnclear), time.Second)
+		guard.RecordBrokenRun(crashing, guard.setProbeResult("two", ProbeServing), time.Second)
+		guard.RecordSilentRun(crashing, "three")
+		guard.RecordSilentRun(crashing, "four")
 		for _, replica := range []string{"one", "two", "three"} {
 			guard.RecordCrash(replica)
 			guard.RecordCrash(replica)
 		}
 		guard.RecordCrash("unknown")
 		time.Sleep(100 * time.Millisecond)
-		require.Equal(t, 3, guard.leader.ends(ending))
-		require.True(t, guard.IsQuarantined(ending))
-		guard.RecordSilentRun(another, "three")
+		require.Equal(t, 3, guard.leader.crashes(crashing))
+		require.True(t, guard.IsQuarantined(crashing))
+		guard.RecordSilentRun(sound, "three")
 		time.Sleep(100 * time.Millisecond)
-		require.Equal(t, 1, guard.leader.ends(another), "it ran there, and was slower to be noticed")
-		time.Sleep(breakMemory)
+		require.Equal(t, 1, guard.leader.crashes(sound), "it ran on a crashed back end and was detected later")
+		time.Sleep(brokenRunRetention)
 		guard.RecordCrash("four")
 		time.Sleep(100 * time.Millisecond)
-		require.Equal(t, 3, guard.leader.ends(ending), "the run broke long before")
+		require.Equal(t, 3, guard.leader.crashes(crashing), "the run broke too long ago")
 	})
 }
 
-// All runs that break at the end of one back end cost one look and count once each.
-func TestOneLookServesAllRunsThatBrokeThere(t *testing.T) {
-	inBubble(t, func(t *testing.T, guard *testGuard) {
-		replica := guard.show("one", ProbeGone)
+// All runs that break when one back end crashes share one probe and count once each.
+func TestOneProbeServesAllBrokenRuns(t *testing.T) {
+	withGuard(t, func(t *testing.T, guard *testGuard) {
+		replica := guard.setProbeResult("one", ProbeGone)
 		var running sync.WaitGroup
 		for range 20 {
-			running.Go(func() { guard.RecordBrokenRun(ending, replica, time.Second) })
-			running.Go(func() { guard.RecordBrokenRun(another, replica, time.Second) })
+			running.Go(func() { guard.RecordBrokenRun(crashing, replica, time.Second) })
+			running.Go(func() { guard.RecordBrokenRun(sound, replica, time.Second) })
 		}
 		running.Wait()
-		require.Equal(t, 1, guard.looks)
-		require.Equal(t, 1, guard.leader.ends(ending))
-		require.Equal(t, 1, guard.leader.ends(another))
-		require.False(t, guard.IsQuarantined(ending))
-		serving := guard.show("two", ProbeServing)
+		require.Equal(t, 1, guard.probes)
+		require.Equal(t, 1, guard.leader.crashes(crashing))
+		require.Equal(t, 1, guard.leader.crashes(sound))
+		require.False(t, guard.IsQuarantined(crashing))
+		serving := guard.setProbeResult("two", ProbeServing)
 		for range 20 {
-			guard.RecordBrokenRun(ending, serving, time.Second)
+			guard.RecordBrokenRun(crashing, serving, time.Second)
 		}
-		require.Equal(t, 2, guard.looks, "a back end that was seen to serve is not looked at again at once")
+		require.Equal(t, 2, guard.probes, "a back end that was found serving is not probed again immediately")
 	})
 }
 
-// While no controller answers, a node goes by what it has seen itself, and tells it later.
-func TestWithoutALeaderANodeHoldsByItself(t *testing.T) {
-	inBubble(t, func(t *testing.T, guard *testGuard) {
+// While no controller answers, a node quarantines based on its own observations and reports them later.
+func TestNodeQuarantinesWithoutLeader(t *testing.T) {
+	withGuard(t, func(t *testing.T, guard *testGuard) {
 		guard.leader.setSilent(true)
 		began := time.Now()
 		for number := range quarantine.QuarantineThreshold {
-			guard.RecordBrokenRun(ending, guard.show(fmt.Sprint(number), ProbeGone), 300*time.Millisecond)
+			guard.RecordBrokenRun(crashing, guard.setProbeResult(fmt.Sprint(number), ProbeGone), 300*time.Millisecond)
 		}
-		require.True(t, guard.IsQuarantined(ending))
-		require.LessOrEqual(t, time.Since(began), time.Duration(quarantine.QuarantineThreshold)*300*time.Millisecond, "nobody waits for long")
+		require.True(t, guard.IsQuarantined(crashing))
+		require.LessOrEqual(t, time.Since(began), time.Duration(quarantine.QuarantineThreshold)*300*time.Millisecond, "no caller waits long")
 		guard.leader.setSilent(false)
 		time.Sleep(2 * time.Second)
-		require.Equal(t, quarantine.QuarantineThreshold, guard.leader.ends(ending))
-		time.Sleep(localHold)
-		require.False(t, guard.IsQuarantined(ending), "no controller holds it")
+		require.Equal(t, quarantine.QuarantineThreshold, guard.leader.crashes(crashing))
+		time.Sleep(localQuarantineTime)
+		require.False(t, guard.IsQuarantined(crashing), "no controller quarantines it")
 	})
 }
 
-func TestATrialIsAskedForOnce(t *testing.T) {
-	inBubble(t, func(t *testing.T, guard *testGuard) {
+func TestTrialIsRequestedOnce(t *testing.T) {
+	withGuard(t, func(t *testing.T, guard *testGuard) {
 		guard.leader.granted = 1
-		guard.ApplyQuarantine(7, []*v1.HeldRequest{{Signature: ending[:]}, {Signature: []byte("short")}})
-		require.Equal(t, Quarantined, guard.Admit(t.Context(), ending))
+		guard.ApplyQuarantine(7, []*v1.HeldRequest{{Signature: crashing[:]}, {Signature: []byte("short")}})
+		require.Equal(t, Quarantined, guard.Admit(t.Context(), crashing))
 		require.Zero(t, guard.leader.trials, "none is due")
-		guard.ApplyQuarantine(8, []*v1.HeldRequest{{Signature: ending[:], TrialDue: true}})
-		require.Equal(t, Trial, guard.Admit(t.Context(), ending))
-		require.Equal(t, Quarantined, guard.Admit(t.Context(), ending))
+		guard.ApplyQuarantine(8, []*v1.HeldRequest{{Signature: crashing[:], TrialDue: true}})
+		require.Equal(t, Trial, guard.Admit(t.Context(), crashing))
+		require.Equal(t, Quarantined, guard.Admit(t.Context(), crashing))
 		require.Equal(t, 1, guard.leader.trials)
-		guard.ApplyQuarantine(9, []*v1.HeldRequest{{Signature: ending[:], TrialDue: true}})
-		require.Equal(t, Quarantined, guard.Admit(t.Context(), ending), "another node was granted it")
+		guard.ApplyQuarantine(9, []*v1.HeldRequest{{Signature: crashing[:], TrialDue: true}})
+		require.Equal(t, Quarantined, guard.Admit(t.Context(), crashing), "the trial was granted to another node")
 		guard.leader.setSilent(true)
-		guard.ApplyQuarantine(10, []*v1.HeldRequest{{Signature: ending[:], TrialDue: true}})
-		require.Equal(t, Quarantined, guard.Admit(t.Context(), ending), "nobody has granted it")
+		guard.ApplyQuarantine(10, []*v1.HeldRequest{{Signature: crashing[:], TrialDue: true}})
+		require.Equal(t, Quarantined, guard.Admit(t.Context(), crashing), "the leader did not answer")
 	})
 }
 
-func TestAGoodRunReleasesARequest(t *testing.T) {
-	inBubble(t, func(t *testing.T, guard *testGuard) {
-		guard.ApplyQuarantine(7, []*v1.HeldRequest{{Signature: ending[:]}})
+func TestSuccessfulRunReleasesRequest(t *testing.T) {
+	withGuard(t, func(t *testing.T, guard *testGuard) {
+		guard.ApplyQuarantine(7, []*v1.HeldRequest{{Signature: crashing[:]}})
 		guard.leader.setSilent(true)
-		guard.RecordSuccess(ending)
-		require.Equal(t, Allowed, guard.Admit(t.Context(), ending))
+		guard.RecordSuccess(crashing)
+		require.Equal(t, Allowed, guard.Admit(t.Context(), crashing))
 		time.Sleep(2 * time.Second)
 		guard.leader.setSilent(false)
 		time.Sleep(2 * time.Second)
-		require.Equal(t, []quarantine.Signature{ending}, guard.leader.released)
+		require.Equal(t, []quarantine.Signature{crashing}, guard.leader.released)
 		guard.ApplyQuarantine(9, nil)
 		require.Zero(t, guard.QuarantinedCount())
 	})
 }
 
-// A page that many ask for, and that was served a moment ago, is not held because a rack went.
+// A popular page that was served moments ago must not be quarantined because a whole rack failed.
 func TestRequestsThatRunWellAreNotSuspected(t *testing.T) {
-	inBubble(t, func(t *testing.T, guard *testGuard) {
-		guard.RecordSuccess(another)
+	withGuard(t, func(t *testing.T, guard *testGuard) {
+		guard.RecordSuccess(sound)
 		for number := range 5 {
-			require.False(t, guard.RecordBrokenRun(another, guard.show(fmt.Sprint(number), ProbeGone), time.Second))
+			require.False(t, guard.RecordBrokenRun(sound, guard.setProbeResult(fmt.Sprint(number), ProbeGone), time.Second))
 		}
-		require.Zero(t, guard.leader.ends(another))
-		time.Sleep(wellMemory)
-		guard.RecordBrokenRun(another, guard.show("late", ProbeGone), time.Second)
-		require.Equal(t, 1, guard.leader.ends(another), "it may do harm by now")
+		require.Zero(t, guard.leader.crashes(sound))
+		time.Sleep(successRetention)
+		guard.RecordBrokenRun(sound, guard.setProbeResult("late", ProbeGone), time.Second)
+		require.Equal(t, 1, guard.leader.crashes(sound), "the last success is too old")
 	})
 }
 
-func TestTheGuardIsBounded(t *testing.T) {
-	inBubble(t, func(t *testing.T, guard *testGuard) {
+func TestGuardMemoryIsBounded(t *testing.T) {
+	withGuard(t, func(t *testing.T, guard *testGuard) {
 		guard.leader.setSilent(true)
-		for number := range 3 * mostRemembered {
+		for number := range 3 * maximumEntries {
 			signature := quarantine.SignatureOf("", "", fmt.Sprint(number), nil)
 			guard.RecordSilentRun(signature, "one")
 			guard.RecordSilentRun(signature, fmt.Sprint("replica ", number))
 			guard.RecordCrash(fmt.Sprint("replica ", number))
 			guard.RecordSuccess(signature)
 		}
-		require.LessOrEqual(t, len(guard.remembered()["one"].broken), mostBroken)
-		require.LessOrEqual(t, len(guard.unreported), mostUnreported)
-		require.LessOrEqual(t, len(guard.well.values), mostRemembered)
-		require.LessOrEqual(t, len(guard.ended.values), mostRemembered)
-		time.Sleep(2 * breakMemory)
-		guard.RecordSilentRun(ending, "two")
-		require.Len(t, guard.remembered(), 1)
+		require.LessOrEqual(t, len(guard.replicaStates()["one"].brokenRuns), maximumBrokenRuns)
+		require.LessOrEqual(t, len(guard.unreported), maximumUnreported)
+		require.LessOrEqual(t, len(guard.successes.values), maximumEntries)
+		require.LessOrEqual(t, len(guard.crashes.values), maximumEntries)
+		time.Sleep(2 * brokenRunRetention)
+		guard.RecordSilentRun(crashing, "two")
+		require.Len(t, guard.replicaStates(), 1)
 		guard.leader.setSilent(false)
 	})
 }
 
-// remembered are the back ends that are remembered.
-func (g *testGuard) remembered() map[string]*look { return g.Guard.looks }
+// replicaStates returns the stored back ends.
+func (g *testGuard) replicaStates() map[string]*replicaState { return g.Guard.replicas }
 
-func TestReplicasAreNamedByTheirStart(t *testing.T) {
-	inBubble(t, func(t *testing.T, guard *testGuard) {
-		guard.RecordBrokenRun(ending, guard.show("one", ProbeGone), time.Second)
-		require.Equal(t, []uint64{xxhash.Sum64String("one")}, guard.leader.ledger.Suspect(ending).Replicas)
+func TestReplicasAreIdentifiedByIncarnation(t *testing.T) {
+	withGuard(t, func(t *testing.T, guard *testGuard) {
+		guard.RecordBrokenRun(crashing, guard.setProbeResult("one", ProbeGone), time.Second)
+		require.Equal(t, []uint64{xxhash.Sum64String("one")}, guard.leader.ledger.Suspect(crashing).Replicas)
 	})
 }
--- a/internal/crashguard/calls.go
+++ b/internal/crashguard/leader_client.go
@@ -9,9 +9,9 @@
 	"github.com/hazelpitch/hazelpitch/api/hazelpitch/v1/hazelpitchv1connect"
 )
 
-// LeaderClient is the Leader of a node that calls controllers. One that does not lead passes calls on.
+// LeaderClient is the Leader of a node that calls controllers. A controller that is not the leader forwards the calls.
 type LeaderClient struct {
-	// Client returns the client of the controller that is called next.
+	// Client returns the client of the controller to call next.
 	Client func() hazelpitchv1connect.NodeServiceClient
 }
 
--- a/internal/crashguard/sight.go
+++ b/internal/crashguard/probe_result.go
@@ -5,20 +5,20 @@
 	"syscall"
 )
 
-// ProbeResult is what a look at a back end showed.
+// ProbeResult is the result of probing a back end.
 type ProbeResult int
 
-// Sights.
+// Probe results.
 const (
-	// ProbeUnclear: nothing answered in time; the way there may be cut.
+	// ProbeUnclear: no answer in time; the network path may be cut.
 	ProbeUnclear ProbeResult = iota
-	// ProbeServing: the back end takes connections.
+	// ProbeServing: the back end accepts connections.
 	ProbeServing
-	// ProbeGone: its machine answers, and nothing serves at the address.
+	// ProbeGone: the machine answers, but nothing serves at the address.
 	ProbeGone
 )
 
-// ProbeResultOf is what an attempt to connect to a back end showed by its error; nil is none.
+// ProbeResultOf returns the result of an attempt to connect to a back end, given its error; nil is success.
 func ProbeResultOf(err error) ProbeResult {
 	switch {
 	case err == nil:
--- a/internal/crashguard/report.go
+++ b/internal/crashguard/report.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// reportTimeout ends a call to the leader, which is then made again.
+	// reportTimeout limits one call to the leader, which is then retried.
 	reportTimeout = 600 * time.Millisecond
-	// reportPause is the wait before a call is made again. It doubles up to longestReportPause: the leader's build may
-	// not know the call.
+	// reportPause is the wait before a call is retried. It doubles up to maximumReportPause, since the leader's version may
+	// not support the call.
 	reportPause        = 100 * time.Millisecond
-	longestReportPause = 2 * time.Second
-	// mostUnreported bounds the ends of back ends that wait to be told.
-	mostUnreported = 256
+	maximumReportPause = 2 * time.Second
+	// maximumUnreported limits the pending reports of back-end crashes.
+	maximumUnreported = 256
 )
 
-// report is what is told to the leader of one back end that has ended.
+// report is a report to the leader about one crashed back end.
 type report struct {
 	ends []*v1.ReplicaEnd
 	// done is closed once the leader has answered.
 	done chan struct{}
 }
 
-// Run tells the leader what was found until the context ends.
+// Run sends reports to the leader until the context ends.
 func (g *Guard) Run(ctx context.Context) {
 	for {
 		select {
@@ -35,13 +35,13 @@
 			return
 		case <-g.wake:
 		}
-		for wait := reportPause; ctx.Err() == nil && !g.flush(ctx); wait = min(2*wait, longestReportPause) {
+		for wait := reportPause; ctx.Err() == nil && !g.flush(ctx); wait = min(2*wait, maximumReportPause) {
 			pause.For(ctx, wait)
 		}
 	}
 }
 
-// flush tells what waits; it reports whether nothing is left.
+// flush sends everything that is pending. It reports whether all calls succeeded.
 func (g *Guard) flush(ctx context.Context) bool {
 	g.mutex.Lock()
 	reports, released := g.unreported, g.unreleased
@@ -51,7 +51,7 @@
 	return g.sendReleases(ctx, released) && sent
 }
 
-// sendReports tells of ended back ends, all in one call; false when that has to be done again.
+// sendReports reports crashed back ends, all in one call; false if the call must be retried.
 func (g *Guard) sendReports(ctx context.Context, reports []*report) bool {
 	if len(reports) == 0 {
 		return true
@@ -62,7 +62,7 @@
 	}
 	limited, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	held, err := g.options.Leader.ReportReplicaEnds(limited, ends)
+	quarantined, err := g.options.Leader.ReportReplicaEnds(limited, ends)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if err != nil {
@@ -70,9 +70,9 @@
 		g.unreported = append(reports, g.unreported...)
 		return false
 	}
-	for _, bytes := range held {
+	for _, bytes := range quarantined {
 		if signature, valid := quarantine.SignatureFromBytes(bytes); valid {
-			g.hold(signature)
+			g.quarantineLocally(signature)
 		}
 	}
 	for _, each := range reports {
@@ -81,17 +81,17 @@
 	return true
 }
 
-// hold holds a request that the leader has just said to be held; the list of all follows.
-func (g *Guard) hold(signature quarantine.Signature) {
-	if !g.isHeld(signature) {
+// quarantineLocally quarantines a request that the leader has just reported as quarantined, until the full list arrives.
+func (g *Guard) quarantineLocally(signature quarantine.Signature) {
+	if !g.isQuarantinedLocked(signature) {
 		g.options.Observer.RequestQuarantined(signature)
 	}
-	if _, told := g.told[signature]; !told {
-		g.local.put(signature, g.options.Now()+localHold)
+	if _, isListed := g.quarantined[signature]; !isListed {
+		g.localQuarantine.set(signature, g.options.Now()+localQuarantineTime)
 	}
 }
 
-// sendReleases tells of requests that ran well; false when that has to be done again.
+// sendReleases reports requests that have succeeded; false if a call must be retried.
 func (g *Guard) sendReleases(ctx context.Context, released []quarantine.Signature) bool {
 	for index, signature := range released {
 		limited, cancel := context.WithTimeout(ctx, reportTimeout)
--- a/internal/crashguard/silence_test.go
+++ b/internal/crashguard/silence_test.go
@@ -10,22 +10,22 @@
 	"github.com/hazelpitch/hazelpitch/internal/quarantine"
 )
 
-// What controllers told of held requests outlives the word of those that know of none, for as long as a node holds
-// requests by itself: nobody grants trials meanwhile, and one that was held by bad luck has to be served again.
+// When the leader no longer supports quarantine, the last list stays valid for localQuarantineTime and then expires: nobody
+// grants trials in that time, and a request that was quarantined by coincidence must be served again.
 func TestHeldRequestsOutliveASilentLeaderForAWhile(t *testing.T) {
 	now := time.Duration(0)
 	guard := New(Options{Now: func() time.Duration { return now }, Observer: silentObserver{}})
 	signature := quarantine.SignatureOf("", "", "", []byte("held"))
 	held := []*v1.HeldRequest{{Signature: signature[:]}}
 	guard.ApplyQuarantine(7, held)
-	for ; now < localHold; now += time.Second {
+	for ; now < localQuarantineTime; now += time.Second {
 		guard.MarkQuarantineUnsupported()
 		require.True(t, guard.IsQuarantined(signature))
 	}
 	require.False(t, guard.IsQuarantined(signature))
 	require.Equal(t, uint64(7), guard.QuarantineVersion())
 	guard.ApplyQuarantine(7, nil)
-	require.True(t, guard.IsQuarantined(signature), "the same version is told without its content")
+	require.True(t, guard.IsQuarantined(signature), "the same version is sent without its content")
 	guard.MarkQuarantineUnsupported()
 	require.True(t, guard.IsQuarantined(signature))
 	guard.ApplyQuarantine(0, nil)
