--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -7,82 +7,82 @@
 )
 
 const (
-	// QuarantineThreshold is how many replicas may end under a request before it is held: one may end by itself
-	// while it runs. A third one is spared, and what else runs there (docs/SOAK.md has the figures); a
-	// request that two replicas broke off by bad luck waits for its first trial.
+	// QuarantineThreshold is the number of replicas that must crash under a request before it is quarantined. One replica may
+	// crash by coincidence. A third replica, and everything else that runs there, is spared; a request that was running on two
+	// replicas when they crashed for another reason waits for its first trial.
 	QuarantineThreshold = 2
-	// mostSuspects bounds the requests that are remembered.
-	mostSuspects = 4096
-	// MaxQuarantined bounds the requests that are held, since every relay is told of them.
+	// maximumSuspects limits the stored requests.
+	maximumSuspects = 4096
+	// MaxQuarantined limits the quarantined requests, since the list is sent to every relay.
 	MaxQuarantined = 1024
-	// mostReplicas bounds the replicas that are remembered of one request.
-	mostReplicas = 16
+	// maximumReplicas limits the replicas stored per request.
+	maximumReplicas = 16
 )
 
-// Suspect is a request under which replicas have ended.
+// Suspect is a request under which replicas have crashed.
 type Suspect struct {
 	Signature Signature
-	// Replicas are hashes of the identities of the replicas' starts.
+	// Replicas are hashes of the identities of the replicas' incarnations.
 	Replicas []uint64
-	// Trials is how many trials were granted since it is held.
+	// Trials is the number of trials granted during the quarantine.
 	Trials uint32
 }
 
-// IsQuarantined reports whether no replica may be sent the request.
+// IsQuarantined reports whether the request must not be sent to any replica.
 func (s *Suspect) IsQuarantined() bool { return len(s.Replicas) >= QuarantineThreshold }
 
-// Ledger is what is agreed on of requests under which replicas have ended.
+// Ledger is the replicated record of requests under which replicas have crashed.
 type Ledger struct {
-	// suspects are in the order in which they were first told of.
-	suspects []*Suspect
-	known    map[Signature]*Suspect
-	held     int
-	// version rises with each change; it is not part of what is agreed on.
+	// suspects are in the order in which they were first reported.
+	suspects         []*Suspect
+	bySignature      map[Signature]*Suspect
+	quarantinedCount int
+	// version increases with each change; it is not part of the replicated state.
 	version uint64
 }
 
-// NewLedger returns the ledger that knows of nothing.
-func NewLedger() *Ledger { return &Ledger{known: map[Signature]*Suspect{}} }
+// NewLedger returns an empty Ledger.
+func NewLedger() *Ledger { return &Ledger{bySignature: map[Signature]*Suspect{}} }
 
-// Suspects returns the requests under which replicas have ended, oldest first. They must not be
-// changed.
+// Suspects returns the requests under which replicas have crashed, oldest first. The caller must not
+// modify them.
 func (l *Ledger) Suspects() []*Suspect { return l.suspects }
 
-// Version differs whenever what the ledger holds differs, within one process.
+// Version returns a number that changes with the content of the ledger, within one process.
 func (l *Ledger) Version() uint64 { return l.version }
 
-// IsQuarantined reports whether no replica may be sent the request.
+// IsQuarantined reports whether the request must not be sent to any replica.
 func (l *Ledger) IsQuarantined(signature Signature) bool {
-	suspect := l.known[signature]
+	suspect := l.bySignature[signature]
 	return suspect != nil && suspect.IsQuarantined()
 }
 
-// Suspect returns the request with a signature; nil where nothing is known of it. It must not be changed.
-func (l *Ledger) Suspect(signature Signature) *Suspect { return l.known[signature] }
+// Suspect returns the request with a signature, nil if it is unknown. The caller must not modify it.
+func (l *Ledger) Suspect(signature Signature) *Suspect { return l.bySignature[signature] }
 
-// RecordCrash notes that a replica ended while it ran a request, once however often it is told.
+// RecordCrash records that a replica crashed while it ran a request. Repeated reports count once.
 func (l *Ledger) RecordCrash(signature Signature, replica uint64) {
-	suspect := l.known[signature]
+	suspect := l.bySignature[signature]
 	if suspect == nil {
 		suspect = &Suspect{Signature: signature}
 		l.add(suspect)
 	}
-	if slices.Contains(suspect.Replicas, replica) || len(suspect.Replicas) >= mostReplicas {
+	if slices.Contains(suspect.Replicas, replica) || len(suspect.Replicas) >= maximumReplicas {
 		return
 	}
-	held := suspect.IsQuarantined()
+	wasQuarantined := suspect.IsQuarantined()
 	suspect.Replicas = append(suspect.Replicas, replica)
-	if !held && suspect.IsQuarantined() {
-		l.held++
+	if !wasQuarantined && suspect.IsQuarantined() {
+		l.quarantinedCount++
 	}
 	l.version++
-	l.bound()
+	l.enforceBounds()
 }
 
-// GrantTrial lets a held request run once more; false when it is not held, or another trial was granted
-// meanwhile.
+// GrantTrial grants one more run of a quarantined request. It returns false if the request is not
+// quarantined or if another trial has been granted in the meantime.
 func (l *Ledger) GrantTrial(signature Signature, grantedBefore uint32) bool {
-	suspect := l.known[signature]
+	suspect := l.bySignature[signature]
 	if suspect == nil || !suspect.IsQuarantined() || suspect.Trials != grantedBefore {
 		return false
 	}
@@ -91,50 +91,50 @@
 	return true
 }
 
-// Release forgets a request.
+// Release deletes a request.
 func (l *Ledger) Release(signature Signature) {
-	suspect := l.known[signature]
+	suspect := l.bySignature[signature]
 	if suspect == nil {
 		return
 	}
 	if suspect.IsQuarantined() {
-		l.held--
+		l.quarantinedCount--
 	}
-	delete(l.known, signature)
+	delete(l.bySignature, signature)
 	l.suspects = slices.DeleteFunc(l.suspects, func(each *Suspect) bool { return each == suspect })
 	l.version++
 }
 
 func (l *Ledger) add(suspect *Suspect) {
-	l.known[suspect.Signature] = suspect
+	l.bySignature[suspect.Signature] = suspect
 	l.suspects = append(l.suspects, suspect)
 	if suspect.IsQuarantined() {
-		l.held++
+		l.quarantinedCount++
 	}
 	l.version++
 }
 
-// bound forgets the oldest requests beyond the bounds, those that are not held first.
-func (l *Ledger) bound() {
-	if l.held > MaxQuarantined {
-		l.forgetOldest(true)
+// enforceBounds removes the oldest requests beyond the limits: first quarantined ones beyond MaxQuarantined, then others.
+func (l *Ledger) enforceBounds() {
+	if l.quarantinedCount > MaxQuarantined {
+		l.removeOldest(true)
 	}
-	if len(l.suspects) > mostSuspects {
-		l.forgetOldest(false)
+	if len(l.suspects) > maximumSuspects {
+		l.removeOldest(false)
 	}
 }
 
-// forgetOldest forgets the oldest request that is held or not.
-func (l *Ledger) forgetOldest(held bool) {
+// removeOldest removes the oldest request that is, or is not, quarantined.
+func (l *Ledger) removeOldest(quarantined bool) {
 	for _, suspect := range l.suspects {
-		if suspect.IsQuarantined() == held {
+		if suspect.IsQuarantined() == quarantined {
 			l.Release(suspect.Signature)
 			return
 		}
 	}
 }
 
-// Snapshot returns what is agreed on as records, oldest first.
+// Snapshot returns the replicated state as records, oldest first.
 func (l *Ledger) Snapshot() []*v1.SuspectRequest {
 	var records []*v1.SuspectRequest
 	for _, suspect := range l.suspects {
@@ -145,7 +145,7 @@
 	return records
 }
 
-// Restore returns the ledger that Snapshot wrote.
+// Restore returns the Ledger that was stored by Snapshot.
 func Restore(records []*v1.SuspectRequest) *Ledger {
 	ledger := NewLedger()
 	for _, record := range records {
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -10,76 +10,76 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// numbered returns a signature of its own for each number.
-func numbered(number int) Signature {
+// numberedSignature returns a distinct signature for each number.
+func numberedSignature(number int) Signature {
 	var signature Signature
 	binary.BigEndian.PutUint64(signature[:], uint64(number))
 	return signature
 }
 
-func TestARequestIsHeldOnceEnoughReplicasEndedUnderIt(t *testing.T) {
+func TestRequestIsQuarantinedAtThreshold(t *testing.T) {
 	ledger := NewLedger()
-	signature := numbered(1)
+	signature := numberedSignature(1)
 	for replica := range uint64(QuarantineThreshold) {
-		require.False(t, ledger.IsQuarantined(signature), "after %d ends", replica)
-		for range 3 { // relays tell what others have told, and tell again what got no answer
+		require.False(t, ledger.IsQuarantined(signature), "after %d crashes", replica)
+		for range 3 { // several relays may report the same crash, and retry unanswered reports
 			ledger.RecordCrash(signature, replica)
 		}
 	}
 	require.True(t, ledger.IsQuarantined(signature))
-	require.False(t, ledger.IsQuarantined(numbered(2)))
+	require.False(t, ledger.IsQuarantined(numberedSignature(2)))
 	ledger.Release(signature)
 	require.False(t, ledger.IsQuarantined(signature))
 	require.Empty(t, ledger.Suspects())
 }
 
-func TestATrialIsGrantedOnce(t *testing.T) {
+func TestTrialIsGrantedOnce(t *testing.T) {
 	ledger := NewLedger()
-	signature := numbered(1)
-	require.False(t, ledger.GrantTrial(signature, 0), "it is not known")
+	signature := numberedSignature(1)
+	require.False(t, ledger.GrantTrial(signature, 0), "it is unknown")
 	ledger.RecordCrash(signature, 1)
-	require.False(t, ledger.GrantTrial(signature, 0), "it is not held")
+	require.False(t, ledger.GrantTrial(signature, 0), "it is not quarantined")
 	ledger.RecordCrash(signature, 2)
 	require.True(t, ledger.GrantTrial(signature, 0))
-	require.False(t, ledger.GrantTrial(signature, 0), "another asked at the same time")
+	require.False(t, ledger.GrantTrial(signature, 0), "a concurrent request got the trial")
 	require.True(t, ledger.GrantTrial(signature, 1))
 }
 
-func TestTheLedgerIsBounded(t *testing.T) {
+func TestLedgerIsBounded(t *testing.T) {
 	ledger := NewLedger()
-	for number := range 2 * mostSuspects {
-		ledger.RecordCrash(numbered(number), 1)
+	for number := range 2 * maximumSuspects {
+		ledger.RecordCrash(numberedSignature(number), 1)
 	}
-	require.Len(t, ledger.Suspects(), mostSuspects)
-	require.Equal(t, numbered(mostSuspects), ledger.Suspects()[0].Signature, "the oldest give way")
+	require.Len(t, ledger.Suspects(), maximumSuspects)
+	require.Equal(t, numberedSignature(maximumSuspects), ledger.Suspects()[0].Signature, "the oldest ones are removed")
 	for number := range MaxQuarantined + 10 {
-		for replica := range uint64(4 * mostReplicas) {
-			ledger.RecordCrash(numbered(-number-1), replica)
+		for replica := range uint64(4 * maximumReplicas) {
+			ledger.RecordCrash(numberedSignature(-number-1), replica)
 		}
 	}
-	held := 0
+	quarantined := 0
 	for _, suspect := range ledger.Suspects() {
-		require.LessOrEqual(t, len(suspect.Replicas), mostReplicas)
+		require.LessOrEqual(t, len(suspect.Replicas), maximumReplicas)
 		if suspect.IsQuarantined() {
-			held++
+			quarantined++
 		}
 	}
-	require.Equal(t, MaxQuarantined, held)
-	require.Equal(t, held, ledger.held)
-	require.Len(t, ledger.Suspects(), len(ledger.known))
-	require.False(t, ledger.IsQuarantined(numbered(-1)), "the first one held gave way")
-	require.True(t, ledger.IsQuarantined(numbered(-MaxQuarantined-10)))
+	require.Equal(t, MaxQuarantined, quarantined)
+	require.Equal(t, quarantined, ledger.quarantinedCount)
+	require.Len(t, ledger.Suspects(), len(ledger.bySignature))
+	require.False(t, ledger.IsQuarantined(numberedSignature(-1)), "the first quarantined one is removed")
+	require.True(t, ledger.IsQuarantined(numberedSignature(-MaxQuarantined-10)))
 }
 
-func TestSnapshotsHoldTheLedger(t *testing.T) {
+func TestSnapshotRestoresLedger(t *testing.T) {
 	require.Nil(t, NewLedger().Snapshot())
 	ledger := NewLedger()
 	for number := range 20 {
 		for replica := range uint64(1 + number%5) {
-			ledger.RecordCrash(numbered(number), replica)
+			ledger.RecordCrash(numberedSignature(number), replica)
 		}
 	}
-	require.True(t, ledger.GrantTrial(numbered(4), 0))
+	require.True(t, ledger.GrantTrial(numberedSignature(4), 0))
 	records := ledger.Snapshot()
 	restored := Restore(append(records, &v1.SuspectRequest{Signature: []byte("short")}))
 	again := restored.Snapshot()
@@ -87,7 +87,7 @@
 	for index := range records {
 		require.True(t, proto.Equal(records[index], again[index]))
 	}
-	require.Equal(t, ledger.held, restored.held)
-	require.True(t, restored.IsQuarantined(numbered(4)))
-	require.False(t, restored.GrantTrial(numbered(4), 0), "a trial was granted before")
+	require.Equal(t, ledger.quarantinedCount, restored.quarantinedCount)
+	require.True(t, restored.IsQuarantined(numberedSignature(4)))
+	require.False(t, restored.GrantTrial(numberedSignature(4), 0), "a trial was granted before")
 }
--- a/internal/quarantine/signature.go
+++ b/internal/quarantine/signature.go
@@ -7,22 +7,22 @@
 	"io"
 )
 
-// SignatureBytes is the length of a signature. It is half of a SHA-256 sum: a tenant must not be able
-// to make a request that has another tenant's signature.
+// SignatureBytes is the length of a signature. It is half of a SHA-256 hash, so that a tenant cannot construct a
+// request with the signature of another tenant's request.
 const SignatureBytes = 16
 
-// Signature identifies requests that a replica cannot tell apart: the same caller, method, target and
-// body. Identity and headers of a request, which change with each retry, are no part of it.
+// Signature identifies requests that a replica cannot distinguish: those with the same caller, method, target and
+// body. The identity and the headers of a request change with each retry and are not included.
 type Signature [SignatureBytes]byte
 
-// SignatureOf returns the signature of a request. The caller is empty where callers are not known.
+// SignatureOf returns the signature of a request. caller is empty if callers are unknown.
 func SignatureOf(caller, method, target string, body []byte) Signature {
 	sum := sha256.New()
 	for _, part := range []string{caller, method, target} {
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 		sum.Write(length[:])
-		_, _ = io.WriteString(sum, part) // a hash takes everything
+		_, _ = io.WriteString(sum, part) // a hash never fails to write
 	}
 	sum.Write(body)
 	var signature Signature
@@ -30,7 +30,7 @@
 	return signature
 }
 
-// SignatureFromBytes returns the signature with the bytes of a message; false when they are none.
+// SignatureFromBytes returns the signature in a message; false if it has the wrong length.
 func SignatureFromBytes(bytes []byte) (signature Signature, valid bool) {
 	if len(bytes) != SignatureBytes {
 		return Signature{}, false
@@ -38,7 +38,7 @@
 	return Signature(bytes), true
 }
 
-// ParseSignature reads a signature as String writes it; false when it is none.
+// ParseSignature parses a signature in the format of String; false if it is malformed.
 func ParseSignature(text string) (signature Signature, valid bool) {
 	bytes, err := hex.DecodeString(text)
 	if err != nil {
@@ -47,5 +47,5 @@
 	return SignatureFromBytes(bytes)
 }
 
-// String returns the signature in hexadecimal digits, as logs name it.
+// String returns the signature in hexadecimal, as it appears in logs.
 func (s Signature) String() string { return hex.EncodeToString(s[:]) }
--- a/internal/quarantine/signature_test.go
+++ b/internal/quarantine/signature_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSignaturesTellRequestsApartByWhatAReplicaRuns(t *testing.T) {
+func TestSignatureDependsOnCallerMethodTargetAndBody(t *testing.T) {
 	base := SignatureOf("tenant", "POST", "/path/a?b", []byte("body"))
 	require.Equal(t, base, SignatureOf("tenant", "POST", "/path/a?b", []byte("body")))
 	for name, other := range map[string]Signature{
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestSignaturesTravelAsBytes(t *testing.T) {
+func TestSignatureEncoding(t *testing.T) {
 	signature := SignatureOf("", "GET", "/", nil)
 	again, valid := SignatureFromBytes(signature[:])
 	require.True(t, valid)
@@ -39,7 +39,7 @@
 	require.False(t, valid)
 }
 
-// BenchmarkSignature measures a long prompt of 17 KB.
+// BenchmarkSignature measures the signature of a long prompt of 17 KB.
 func BenchmarkSignature(b *testing.B) {
 	body := make([]byte, 17_000)
 	for b.Loop() {
