--- a/internal/claims/begin.go
+++ b/internal/claims/begin_operation.go
@@ -7,17 +7,17 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// BeginOperation asks for the right to run one request.
+// BeginOperation requests the right to run one request.
 type BeginOperation struct {
 	config   Config
 	claim    *v1.BeginClaim
-	resend   resend
+	schedule callSchedule
 	decision *Decision
 }
 
-// NewBeginOperation starts to ask. The claim carries an attempt identity that no other
-// claim has; controllers are addresses, the leader first when it is known. deadline
-// is the request's own, 0 for none.
+// NewBeginOperation returns a new BeginOperation. claim must have a unique attempt identity.
+// controllers are addresses, with the leader first if it is known. deadline is that of the
+// request, 0 for none.
 func NewBeginOperation(config Config, now, deadline time.Duration, claim *v1.BeginClaim, controllers []string) *BeginOperation {
 	config = config.WithDefaults()
 	limit := config.BeginTimeout
@@ -25,30 +25,30 @@
 		limit = min(limit, (deadline-now)/2)
 	}
 	return &BeginOperation{
-		config: config,
-		claim:  claim,
-		resend: newResend(controllers, config.CallTimeout, now+limit),
+		config:   config,
+		claim:    claim,
+		schedule: newCallSchedule(controllers, config.CallTimeout, now+limit),
 	}
 }
 
-// Next says what to do now. When it says Done, Decision holds the result.
+// Next returns the next step. After a step with Done, Decision returns the result.
 func (b *BeginOperation) Next(now time.Duration) Step {
-	if b.decision == nil && b.resend.over(now) {
+	if b.decision == nil && b.schedule.hasEnded(now) {
 		b.giveUp()
 	}
 	if b.decision != nil {
 		return Step{Done: true}
 	}
-	return b.resend.step(now)
+	return b.schedule.nextStep(now)
 }
 
-// Request is the message to send. It is the same for each call, so that a resend
-// of a claim that was granted is granted again.
+// Request returns the message to send. It is the same for every call, so that a resend of a claim
+// that was granted is granted again.
 func (b *BeginOperation) Request() *v1.BeginClaimRequest {
 	return &v1.BeginClaimRequest{Claim: b.claim}
 }
 
-// HandleResponse takes in the answer to a call. An answer after the decision changes nothing.
+// HandleResponse processes the response to a call. A response after the decision has no effect.
 func (b *BeginOperation) HandleResponse(response *v1.BeginClaimResponse) {
 	if b.decision == nil || !b.config.Safeguards.IsEnabled(NoLateRun) {
 		decision := decide(response)
@@ -56,7 +56,7 @@
 	}
 }
 
-// HandleFailure takes in that a call brought no answer. The claim may have been granted.
+// HandleFailure processes a failed call. The claim may nevertheless have been granted.
 func (b *BeginOperation) HandleFailure(now time.Duration, failure Failure) {
 	if b.decision != nil {
 		return
@@ -69,19 +69,19 @@
 		b.decision = &Decision{Reason: ErrFull, Verdict: verdict.NotRun, RetryAfter: retryAfterFull}
 		return
 	}
-	b.resend.failed(now, failure.Leader)
+	b.schedule.recordFailure(now, failure.Leader)
 }
 
-// Decision is the result; nil before Next has said Done.
+// Decision returns the result; nil until Next has returned Done.
 func (b *BeginOperation) Decision() *Decision { return b.decision }
 
-// MustRelease reports whether the claim may be held by this attempt although it
-// will not run: then a Finish with the verdict not run has to follow.
+// MustRelease reports whether this attempt may hold the claim although it will not run. A
+// FinishOperation with the verdict NotRun must then follow.
 func (b *BeginOperation) MustRelease() bool {
 	return b.decision != nil && b.decision.Reason == ErrUnreachable
 }
 
-// giveUp refuses the request. Its verdict is true: only this attempt could have run
+// giveUp refuses the request. The verdict NotRun is correct: only this attempt could have run
 // under the claim, and it never will.
 func (b *BeginOperation) giveUp() {
 	if !b.config.Safeguards.IsEnabled(GrantRequired) {
@@ -107,7 +107,7 @@
 		return Decision{Reason: ErrRunning, Verdict: verdict.MayHaveRun, RetryAfter: retryAfterRunning}
 	case v1.ClaimState_CLAIM_STATE_CONFLICT:
 		return Decision{Reason: ErrConflict, Verdict: verdict.NotRun}
-	default: // unknown, and states of a later release
+	default: // unknown states, including those of newer versions
 		return Decision{Reason: ErrUnknown, Verdict: verdict.MayHaveRun}
 	}
 }
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -20,7 +20,7 @@
 
 var testClaim = &v1.BeginClaim{Tenant: "t", Kind: "alert", Key: "k", Attempt: "a1"}
 
-// TestDecisions is what each answer of the controllers means for the request.
+// TestDecisions checks the decision for each response of the controllers.
 func TestDecisions(t *testing.T) {
 	rows := []struct {
 		name     string
@@ -32,12 +32,12 @@
 			Decision{Reason: ErrRunning, Verdict: verdict.MayHaveRun, RetryAfter: time.Second}},
 		{"finished", &v1.BeginClaimResponse{State: v1.ClaimState_CLAIM_STATE_FINISHED, Status: 201, ContentType: "text/plain", Body: []byte("done")},
 			Decision{Verdict: verdict.Ran, Replay: &Outcome{Status: 201, ContentType: "text/plain", Body: []byte("done")}}},
-		{"finished, body too large to keep", &v1.BeginClaimResponse{State: v1.ClaimState_CLAIM_STATE_FINISHED, Status: 200, BodyOmitted: true},
+		{"finished, body too large to store", &v1.BeginClaimResponse{State: v1.ClaimState_CLAIM_STATE_FINISHED, Status: 200, BodyOmitted: true},
 			Decision{Verdict: verdict.Ran, Replay: &Outcome{Status: 200, BodyOmitted: true}}},
 		{"unknown", &v1.BeginClaimResponse{State: v1.ClaimState_CLAIM_STATE_UNKNOWN}, Decision{Reason: ErrUnknown, Verdict: verdict.MayHaveRun}},
 		{"conflict", &v1.BeginClaimResponse{State: v1.ClaimState_CLAIM_STATE_CONFLICT}, Decision{Reason: ErrConflict, Verdict: verdict.NotRun}},
 		{"no state", &v1.BeginClaimResponse{}, Decision{Reason: ErrUnknown, Verdict: verdict.MayHaveRun}},
-		{"state of a later release", &v1.BeginClaimResponse{State: 99}, Decision{Reason: ErrUnknown, Verdict: verdict.MayHaveRun}},
+		{"state of a newer version", &v1.BeginClaimResponse{State: 99}, Decision{Reason: ErrUnknown, Verdict: verdict.MayHaveRun}},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -48,15 +48,15 @@
 			require.Equal(t, &row.want, begin.Decision())
 			begin.HandleResponse(&v1.BeginClaimResponse{State: v1.ClaimState_CLAIM_STATE_GRANTED})
 			begin.HandleFailure(0, Failure{Permanent: true})
-			require.Equal(t, &row.want, begin.Decision(), "the first decision stands")
+			require.Equal(t, &row.want, begin.Decision(), "the first decision is final")
 			require.False(t, begin.MustRelease())
 		})
 	}
 }
 
-// TestRefusalsDecideAtOnce: what no other controller or later call changes is not asked
-// again.
-func TestRefusalsDecideAtOnce(t *testing.T) {
+// TestRefusalsAreNotRetried checks that a refusal that no other controller and no later call would
+// change is final.
+func TestRefusalsAreNotRetried(t *testing.T) {
 	rows := []struct {
 		name    string
 		failure Failure
@@ -78,18 +78,18 @@
 	}
 }
 
-// TestResend is whom Begin asks after which failures.
-func TestResend(t *testing.T) {
+// TestCallOrder checks which controllers a BeginOperation calls after failures.
+func TestCallOrder(t *testing.T) {
 	rows := []struct {
 		name     string
 		failures []Failure
 		want     []string // addresses called; "" is a pause
 	}{
-		{"each in turn, then a pause", make([]Failure, 4), []string{first, second, third, "", first}},
-		{"the leader that was named", []Failure{{Leader: third}, {}}, []string{first, third, first}},
-		{"a leader not known before", []Failure{{Leader: "127.0.0.1:9"}}, []string{first, "127.0.0.1:9"}},
-		{"one that names itself is not trusted", []Failure{{Leader: first}}, []string{first, second}},
-		{"a refusal for good", []Failure{{Permanent: true}}, []string{first}},
+		{"each controller in turn, then a pause", make([]Failure, 4), []string{first, second, third, "", first}},
+		{"the leader named by a controller", []Failure{{Leader: third}, {}}, []string{first, third, first}},
+		{"a leader that was unknown before", []Failure{{Leader: "127.0.0.1:9"}}, []string{first, "127.0.0.1:9"}},
+		{"a controller that names itself is not trusted", []Failure{{Leader: first}}, []string{first, second}},
+		{"a permanent refusal", []Failure{{Permanent: true}}, []string{first}},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -121,19 +121,19 @@
 		name        string
 		deadline    time.Duration
 		controllers []string
-		giveUpAt    time.Duration
+		endsAt      time.Duration
 	}{
 		{"three seconds", 0, []string{first}, 3 * time.Second},
-		{"half of the time left", 2 * time.Second, []string{first}, time.Second},
+		{"half of the remaining time", 2 * time.Second, []string{first}, time.Second},
 		{"no controller is known", 0, nil, 0},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			begin := NewBeginOperation(Config{}, 0, row.deadline, testClaim, row.controllers)
-			if row.giveUpAt > 0 {
-				require.False(t, begin.Next(row.giveUpAt-1).Done)
+			if row.endsAt > 0 {
+				require.False(t, begin.Next(row.endsAt-1).Done)
 			}
-			require.True(t, begin.Next(row.giveUpAt).Done)
+			require.True(t, begin.Next(row.endsAt).Done)
 			require.Equal(t, refused, begin.Decision())
 			require.True(t, begin.MustRelease())
 			begin.HandleResponse(&v1.BeginClaimResponse{State: v1.ClaimState_CLAIM_STATE_GRANTED})
@@ -147,7 +147,7 @@
 	large := Outcome{Status: 200, Body: make([]byte, 10*MaximumOutcomeBytes)}
 	rows := []struct {
 		name    string
-		ended   verdict.Verdict
+		result  verdict.Verdict
 		outcome Outcome
 		want    *v1.FinishClaim
 	}{
@@ -159,7 +159,7 @@
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			row.want.Tenant, row.want.Kind, row.want.Key, row.want.Attempt = "t", "alert", "k", "a1"
-			finish := NewFinishOperation(Config{}, 0, testClaim, row.ended, row.outcome, []string{first, second})
+			finish := NewFinishOperation(Config{}, 0, testClaim, row.result, row.outcome, []string{first, second})
 			require.Equal(t, row.want, finish.Request().GetClaim())
 			require.Equal(t, first, finish.Next(0).Call)
 			finish.HandleFailure(0, Failure{})
