--- a/internal/claimclient/client.go
+++ b/internal/claimclient/client.go
@@ -1,8 +1,8 @@
-// Package claimclient carries out the claims of package claims over calls to the
-// controllers. It adds no decision of its own.
+// Package claimclient executes the operations of package claims with calls to the
+// controllers. It makes no decisions of its own.
 //
 // A Client is safe for concurrent use. A Recorder is safe for concurrent use; its
-// Run is called once.
+// Run must be called once.
 package claimclient
 
 import (
@@ -18,18 +18,18 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// HeaderLeaderAddress names the leader on errors of controllers that do not lead.
+// HeaderLeaderAddress is the error metadata in which controllers that do not lead name the leader.
 const HeaderLeaderAddress = "X-Leader-Address"
 
-// Controllers makes the calls. Errors are those of connect.
+// Controllers makes the calls. Its errors are connect errors.
 type Controllers interface {
-	// Addresses lists all controllers, the leader first when it is known.
+	// Addresses returns all controllers, with the leader first if it is known.
 	Addresses() []string
 	BeginClaim(ctx context.Context, address string, request *v1.BeginClaimRequest) (*v1.BeginClaimResponse, error)
 	FinishClaim(ctx context.Context, address string, request *v1.FinishClaimRequest) error
 }
 
-// Client makes claims and records their outcomes.
+// Client acquires claims and records their outcomes.
 type Client struct {
 	config      claims.Config
 	controllers Controllers
@@ -41,9 +41,9 @@
 	return &Client{config: config.WithDefaults(), controllers: controllers, now: now}
 }
 
-// Begin asks for the right to run a request; deadline is 0 for none. When the
-// context ends first the request is refused as not run. When release is true the
-// claim may be held, and Finish with verdict.NotRun has to follow.
+// Begin requests the right to run a request; deadline is 0 for none. It blocks until the claim is
+// decided or the context ends, in which case the request is refused as not run. If release is true,
+// the claim may be held, and Finish with verdict.NotRun must follow.
 func (c *Client) Begin(ctx context.Context, deadline time.Duration, claim *v1.BeginClaim) (decision claims.Decision, release bool) {
 	begin := claims.NewBeginOperation(c.config, c.now(), deadline, claim, c.controllers.Addresses())
 	for {
@@ -69,10 +69,11 @@
 	}
 }
 
-// Finish records how a claimed request ended, and reports whether a controller has
-// confirmed it. Not recording an outcome is safe; see claims.Finish.
-func (c *Client) Finish(ctx context.Context, claim *v1.BeginClaim, ended verdict.Verdict, outcome claims.Outcome) bool {
-	finish := claims.NewFinishOperation(c.config, c.now(), claim, ended, outcome, c.controllers.Addresses())
+// Finish records how a claimed request ended. It blocks until a controller has confirmed the outcome,
+// the time limit passes or the context ends, and reports whether the outcome was confirmed. An
+// unrecorded outcome is safe; see claims.FinishOperation.
+func (c *Client) Finish(ctx context.Context, claim *v1.BeginClaim, result verdict.Verdict, outcome claims.Outcome) bool {
+	finish := claims.NewFinishOperation(c.config, c.now(), claim, result, outcome, c.controllers.Addresses())
 	for {
 		step := finish.Next(c.now())
 		switch {
@@ -108,13 +109,13 @@
 	return c.controllers.FinishClaim(limited, step.Call, request)
 }
 
-// sleepUntil reports whether the time came before the context ended.
+// sleepUntil sleeps until the given time. It returns false if the context ends first.
 func (c *Client) sleepUntil(ctx context.Context, until time.Duration) bool {
 	return pause.For(ctx, until-c.now())
 }
 
-// failureOf reads what an error tells. An InvalidArgument stays one wherever it is
-// sent; everything else may go better at another controller or later.
+// failureOf converts the error of a call. InvalidArgument is permanent at every controller; all other
+// errors may not occur at another controller or later.
 func failureOf(err error) claims.Failure {
 	failure := claims.Failure{Permanent: connect.CodeOf(err) == connect.CodeInvalidArgument}
 	var coded *connect.Error
--- a/internal/claimclient/client_test.go
+++ b/internal/claimclient/client_test.go
@@ -15,14 +15,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// reply is what a controller does with one call.
+// reply is the result of one call to a controller.
 type reply struct {
-	state v1.ClaimState
-	err   error
-	lost  bool // no answer until the call's time-out
+	state  v1.ClaimState
+	err    error
+	isLost bool // no response until the call's timeout
 }
 
-// scriptedControllers answers calls one after the other.
+// scriptedControllers answers the calls in the order of its replies.
 type scriptedControllers struct {
 	replies  []reply
 	called   []string
@@ -31,13 +31,13 @@
 
 func (s *scriptedControllers) Addresses() []string { return []string{"one", "two"} }
 
-func (s *scriptedControllers) next(ctx context.Context, address string) reply {
+func (s *scriptedControllers) nextReply(ctx context.Context, address string) reply {
 	s.called = append(s.called, address)
 	next := s.replies[0]
 	if len(s.replies) > 1 {
 		s.replies = s.replies[1:]
 	}
-	if next.lost {
+	if next.isLost {
 		<-ctx.Done()
 		next.err = ctx.Err()
 	}
@@ -45,12 +45,12 @@
 }
 
 func (s *scriptedControllers) BeginClaim(ctx context.Context, address string, _ *v1.BeginClaimRequest) (*v1.BeginClaimResponse, error) {
-	next := s.next(ctx, address)
+	next := s.nextReply(ctx, address)
 	return &v1.BeginClaimResponse{State: next.state}, next.err
 }
 
 func (s *scriptedControllers) FinishClaim(ctx context.Context, address string, request *v1.FinishClaimRequest) error {
-	next := s.next(ctx, address)
+	next := s.nextReply(ctx, address)
 	if next.err == nil {
 		s.finished = append(s.finished, request.GetClaim())
 	}
@@ -68,7 +68,7 @@
 	return err
 }
 
-func TestBeginOverCalls(t *testing.T) {
+func TestBegin(t *testing.T) {
 	granted := reply{state: v1.ClaimState_CLAIM_STATE_GRANTED}
 	rows := []struct {
 		name    string
@@ -79,12 +79,12 @@
 		took    time.Duration
 	}{
 		{"granted", []reply{granted}, claims.Decision{Run: true}, false, []string{"one"}, 0},
-		{"lost, then granted", []reply{{lost: true}, granted}, claims.Decision{Run: true}, false, []string{"one", "two"}, 500 * time.Millisecond},
-		{"sent on to the leader", []reply{{err: notLeader("three")}, granted}, claims.Decision{Run: true}, false, []string{"one", "three"}, 0},
-		{"refused for good", []reply{{err: connect.NewError(connect.CodeInvalidArgument, errors.New("bad"))}},
+		{"lost, then granted", []reply{{isLost: true}, granted}, claims.Decision{Run: true}, false, []string{"one", "two"}, 500 * time.Millisecond},
+		{"redirected to the leader", []reply{{err: notLeader("three")}, granted}, claims.Decision{Run: true}, false, []string{"one", "three"}, 0},
+		{"refused permanently", []reply{{err: connect.NewError(connect.CodeInvalidArgument, errors.New("bad"))}},
 			claims.Decision{Reason: claims.ErrRefused}, false, []string{"one"}, 0},
-		{"every call lost", []reply{{lost: true}}, claims.AbandonedDecision(), true, nil, 3 * time.Second},
-		{"every call refused for now", []reply{{err: notLeader("")}}, claims.AbandonedDecision(), true, nil, 3 * time.Second},
+		{"every call lost", []reply{{isLost: true}}, claims.AbandonedDecision(), true, nil, 3 * time.Second},
+		{"every call fails temporarily", []reply{{err: notLeader("")}}, claims.AbandonedDecision(), true, nil, 3 * time.Second},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -107,12 +107,12 @@
 	}
 }
 
-func TestBeginEndsWithItsContext(t *testing.T) {
+func TestBeginStopsWhenContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
 		now := clock()
-		client := New(claims.Config{}, &scriptedControllers{replies: []reply{{lost: true}}}, now)
+		client := New(claims.Config{}, &scriptedControllers{replies: []reply{{isLost: true}}}, now)
 		decision, release := client.Begin(ctx, 0, &v1.BeginClaim{})
 		require.Equal(t, claims.AbandonedDecision(), decision)
 		require.True(t, release)
@@ -122,7 +122,7 @@
 
 func TestRecorderResendsAndDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		controllers := &scriptedControllers{replies: []reply{{lost: true}, {err: notLeader("")}, {}}}
+		controllers := &scriptedControllers{replies: []reply{{isLost: true}, {err: notLeader("")}, {}}}
 		recorder := NewRecorder(New(claims.Config{}, controllers, clock()))
 		require.True(t, recorder.Record(&v1.BeginClaim{Attempt: "a"}, verdict.Ran, claims.Outcome{Status: 200}))
 		recorder.Close()
@@ -134,7 +134,7 @@
 
 func TestRecorderIsBounded(t *testing.T) {
 	recorder := NewRecorder(New(claims.Config{}, &scriptedControllers{}, clock()))
-	for range recorderQueue {
+	for range recorderQueueLength {
 		require.True(t, recorder.Record(&v1.BeginClaim{}, verdict.NotRun, claims.Outcome{}))
 	}
 	require.False(t, recorder.Record(&v1.BeginClaim{}, verdict.NotRun, claims.Outcome{}))
--- a/internal/claimclient/recorder.go
+++ b/internal/claimclient/recorder.go
@@ -10,45 +10,45 @@
 )
 
 const (
-	recorderQueue   = 1024
-	recorderWorkers = 8
+	recorderQueueLength = 1024
+	recorderWorkers     = 8
 )
 
-// Recorder records outcomes in the background, so that no caller waits for it. Its
-// queue is bounded: what does not fit stays unrecorded, which is safe, and resends
-// are then told that the request may have run.
+// Recorder records outcomes in the background, so that callers do not wait for it. Its queue is
+// bounded: outcomes that do not fit remain unrecorded. This is safe: later attempts are answered that
+// the request may have run.
 type Recorder struct {
 	client *Client
-	queue  chan ended
+	queue  chan finishedRequest
 }
 
-// ended is how one claimed request ended.
-type ended struct {
+// finishedRequest is the result of one claimed request.
+type finishedRequest struct {
 	claim   *v1.BeginClaim
 	verdict verdict.Verdict
 	outcome claims.Outcome
 }
 
-// NewRecorder returns a Recorder; Run has to be called for it to work.
+// NewRecorder returns a Recorder. Run must be called to process its queue.
 func NewRecorder(client *Client) *Recorder {
-	return &Recorder{client: client, queue: make(chan ended, recorderQueue)}
+	return &Recorder{client: client, queue: make(chan finishedRequest, recorderQueueLength)}
 }
 
-// Record takes an outcome in. It never blocks, and reports whether it had room. It
-// must not be called after Close.
-func (r *Recorder) Record(claim *v1.BeginClaim, how verdict.Verdict, outcome claims.Outcome) bool {
+// Record queues an outcome. It never blocks and returns false if the queue is full. It must not be
+// called after Close.
+func (r *Recorder) Record(claim *v1.BeginClaim, result verdict.Verdict, outcome claims.Outcome) bool {
 	select {
-	case r.queue <- ended{claim: claim, verdict: how, outcome: outcome}:
+	case r.queue <- finishedRequest{claim: claim, verdict: result, outcome: outcome}:
 		return true
 	default:
 		return false
 	}
 }
 
-// Close tells Run to end once everything taken in has been tried.
+// Close makes Run return once all queued outcomes have been tried.
 func (r *Recorder) Close() { close(r.queue) }
 
-// Run records outcomes until Close or until the context ends.
+// Run records outcomes until Close is called or the context ends.
 func (r *Recorder) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	for range recorderWorkers {
