--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// AuthorityValidity is how long a new authority's certificate is valid.
+	// AuthorityValidity is the validity of a new authority's certificate.
 	AuthorityValidity = 10 * 365 * 24 * time.Hour
-	// CertificateValidity is how long a certificate is valid unless asked otherwise.
+	// CertificateValidity is the default validity of a certificate.
 	CertificateValidity = 90 * 24 * time.Hour
-	// clockTolerance dates certificates back, for machines whose clocks are behind.
+	// clockTolerance is how far certificates are backdated, for machines whose clocks are behind.
 	clockTolerance = 5 * time.Minute
 	serialBits     = 127
 )
@@ -31,20 +31,20 @@
 	key         crypto.Signer
 }
 
-// KeyPair is a certificate with its private key, both in PEM.
+// KeyPair is a certificate and its private key, both PEM-encoded.
 type KeyPair struct {
 	Certificate []byte
 	Key         []byte
 }
 
-// NewAuthority makes the authority of a fleet.
+// NewAuthority creates the authority of a fleet.
 func NewAuthority(fleet string, now time.Time) (*Authority, KeyPair, error) {
 	if err := (Identity{Fleet: fleet, Role: RoleController, Name: fleet}).Validate(); err != nil {
 		return nil, KeyPair{}, trace.Wrap(err)
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, KeyPair{}, trace.Wrap(err, "making the authority's key")
+		return nil, KeyPair{}, trace.Wrap(err, "generating the key of the authority")
 	}
 	template := &x509.Certificate{
 		SerialNumber:          newSerial(),
@@ -58,7 +58,7 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
-		return nil, KeyPair{}, trace.Wrap(err, "signing the authority's certificate")
+		return nil, KeyPair{}, trace.Wrap(err, "signing the certificate of the authority")
 	}
 	pair, err := encodePair(der, key)
 	if err != nil {
@@ -68,19 +68,19 @@
 	return authority, pair, trace.Wrap(err)
 }
 
-// ParseAuthority reads an authority that NewAuthority made.
+// ParseAuthority parses an authority created by NewAuthority.
 func ParseAuthority(pair KeyPair) (*Authority, error) {
 	certificate, key, err := decodePair(pair)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	if !certificate.IsCA {
-		return nil, trace.BadParameter("the certificate of %q is not an authority's", certificate.Subject.CommonName)
+		return nil, trace.BadParameter("the certificate of %q is not a CA certificate: use the certificate of a fleet authority", certificate.Subject.CommonName)
 	}
 	return &Authority{Fleet: certificate.Subject.CommonName, certificate: certificate, key: key}, nil
 }
 
-// Issue makes a certificate for a process or an operator of the authority's fleet.
+// Issue issues a certificate for a process or an operator of the authority's fleet.
 func (a *Authority) Issue(role Role, name string, validity time.Duration, now time.Time) (KeyPair, error) {
 	identity := Identity{Fleet: a.Fleet, Role: role, Name: name}
 	if err := identity.Validate(); err != nil {
@@ -95,7 +95,7 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return KeyPair{}, trace.Wrap(err, "making the key of %s", identity)
+		return KeyPair{}, trace.Wrap(err, "generating the key of %s", identity)
 	}
 	template := &x509.Certificate{
 		SerialNumber: newSerial(),
@@ -117,7 +117,7 @@
 	limit := new(big.Int).Lsh(big.NewInt(1), serialBits)
 	serial, err := rand.Int(rand.Reader, limit)
 	if err != nil {
-		panic("keys: no randomness: " + err.Error()) // never happens: see crypto/rand
+		panic("keys: reading random bytes: " + err.Error()) // never happens: see crypto/rand
 	}
 	return serial
 }
--- a/internal/keys/bearer.go
+++ b/internal/keys/bearer.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// bearerPrefix lets people and secret scanners recognise a key.
+	// bearerPrefix lets people and secret scanners recognize a key.
 	bearerPrefix = "hzp_"
-	// bearerBytes is the entropy of a key.
+	// bearerBytes is the entropy of a key in bytes.
 	bearerBytes = 32
 )
 
-// NewBearerKey makes a random bearer key for a tenant or an operator. It is shown
-// once and never stored; only its Hash is.
+// NewBearerKey generates a random bearer key for a tenant or an operator. The key is displayed
+// once and never stored; only its hash is.
 func NewBearerKey() string {
 	secret := make([]byte, bearerBytes)
 	rand.Read(secret) // never fails: see crypto/rand
 	return bearerPrefix + base64.RawURLEncoding.EncodeToString(secret)
 }
 
-// HashBearerKey is the form in which a bearer key is stored: SHA-256 in lower-case
-// hexadecimal. Keys have 256 bits of entropy, so that no salt is needed.
+// HashBearerKey returns the form in which a bearer key is stored: its SHA-256 hash in lower-case
+// hexadecimal. Keys have 256 bits of entropy, so no salt is needed.
 func HashBearerKey(bearer string) string {
 	sum := sha256.Sum256([]byte(bearer))
 	return hex.EncodeToString(sum[:])
 }
 
-// BearerKeyMatches reports in constant time whether a bearer key has this hash.
+// BearerKeyMatches reports whether a bearer key has this hash. The comparison takes constant time.
 func BearerKeyMatches(bearer, hash string) bool {
 	return subtle.ConstantTimeCompare([]byte(HashBearerKey(bearer)), []byte(hash)) == 1
 }
--- a/internal/keys/credentials.go
+++ b/internal/keys/credentials.go
@@ -10,38 +10,38 @@
 	"github.com/gravitational/trace"
 )
 
-// Files names the files a process proves itself with.
+// Files are the paths of the files with which a process authenticates itself.
 type Files struct {
-	// Authority holds the certificates of the authorities to trust; more than one
-	// while an authority is being replaced.
+	// Authority contains the certificates of the trusted authorities; more than one while an
+	// authority is being replaced.
 	Authority string
-	// Certificate and Key are this process's own; both empty for an operator who
-	// proves himself by bearer key alone.
+	// Certificate and Key are those of this process; both are empty for an operator who
+	// authenticates with a bearer key only.
 	Certificate string
 	Key         string
 }
 
-// Options are what tests and runtimes may set.
+// Options are optional dependencies of Credentials.
 type Options struct {
 	// Now is the clock; default time.Now.
 	Now func() time.Time
-	// OnReloadError is told why changed files were not taken up. The pair read
-	// before stays in use. Default: not told.
+	// OnReloadError is called with the reason when changed files cannot be loaded. The material
+	// loaded before remains in use. By default the error is ignored.
 	OnReloadError func(error)
 }
 
-// Credentials are read from Files and read again when the files change. They are
-// safe for concurrent use.
+// Credentials are loaded from Files and reloaded when the files change. They are safe for
+// concurrent use.
 type Credentials struct {
 	files   Files
 	options Options
 
-	mutex   sync.Mutex
-	stamps  [3]fileStamp
-	current material
+	mutex  sync.Mutex
+	stamps [3]fileStamp
+	loaded material
 }
 
-// material is what one reading of the files gave.
+// material is the parsed content of the files.
 type material struct {
 	pool        *x509.CertPool
 	certificate *tls.Certificate
@@ -50,15 +50,15 @@
 	authorityFleet string
 }
 
-// fileStamp tells two contents of a file apart without reading it.
+// fileStamp distinguishes versions of a file without reading it.
 type fileStamp struct {
 	modified time.Time
 	size     int64
 	info     os.FileInfo
 }
 
-// Load reads the files; it refuses a certificate that is expired, not yet valid,
-// not of the authority, or that does not fit its key, and says which.
+// Load loads the files. It returns an error that names the file if a certificate is expired, not yet
+// valid, not issued by the authority, or does not match its key.
 func Load(files Files, options Options) (*Credentials, error) {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -67,67 +67,67 @@
 		options.OnReloadError = func(error) {}
 	}
 	if files.Authority == "" {
-		return nil, trace.BadParameter("TLS needs the file of the fleet authority's certificate")
+		return nil, trace.BadParameter("TLS requires the file with the certificate of the fleet authority")
 	}
 	if (files.Certificate == "") != (files.Key == "") {
-		return nil, trace.BadParameter("a certificate and its key are given together or not at all")
+		return nil, trace.BadParameter("the certificate and the key must be set together or not at all")
 	}
 	credentials := &Credentials{files: files, options: options}
 	credentials.stamps = credentials.readStamps()
-	current, err := credentials.read()
+	loaded, err := credentials.readFiles()
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	credentials.current = current
+	credentials.loaded = loaded
 	return credentials, nil
 }
 
-// Identity is who this process is; zero without a certificate.
-func (c *Credentials) Identity() Identity { return c.latest().identity }
+// Identity returns the identity of this process; zero without a certificate.
+func (c *Credentials) Identity() Identity { return c.current().identity }
 
-// ExpiresAt is when this process's certificate expires; zero without a certificate.
+// ExpiresAt returns when this process's certificate expires; zero without a certificate.
 func (c *Credentials) ExpiresAt() time.Time {
-	if certificate := c.latest().certificate; certificate != nil {
+	if certificate := c.current().certificate; certificate != nil {
 		return certificate.Leaf.NotAfter
 	}
 	return time.Time{}
 }
 
-// AuthorityFleet is the fleet of the first authority that is trusted.
-func (c *Credentials) AuthorityFleet() string { return c.latest().authorityFleet }
+// AuthorityFleet returns the fleet of the first trusted authority.
+func (c *Credentials) AuthorityFleet() string { return c.current().authorityFleet }
 
-// latest returns the material in use, after reading changed files.
-func (c *Credentials) latest() material {
+// current returns the material in use. It reloads the files first if they have changed.
+func (c *Credentials) current() material {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	stamps := c.readStamps()
 	if sameStamps(stamps, c.stamps) {
-		return c.current
+		return c.loaded
 	}
-	changed, err := c.read()
+	changed, err := c.readFiles()
 	if err != nil {
-		// The files may be half replaced: the stamps are kept, so that the next
-		// handshake tries again.
+		// The files may be partly replaced: the stamps remain unchanged so that the next
+		// handshake retries.
 		c.options.OnReloadError(err)
-		return c.current
+		return c.loaded
 	}
-	c.stamps, c.current = stamps, changed
-	return c.current
+	c.stamps, c.loaded = stamps, changed
+	return c.loaded
 }
 
-func (c *Credentials) read() (material, error) {
+func (c *Credentials) readFiles() (material, error) {
 	authority, err := os.ReadFile(c.files.Authority)
 	if err != nil {
 		return material{}, trace.ConvertSystemError(err)
 	}
-	result := material{pool: x509.NewCertPool()}
-	first, err := firstCertificate(authority)
-	if err != nil || !result.pool.AppendCertsFromPEM(authority) {
+	loaded := material{pool: x509.NewCertPool()}
+	first, err := parseFirstCertificate(authority)
+	if err != nil || !loaded.pool.AppendCertsFromPEM(authority) {
 		return material{}, trace.BadParameter("%s holds no certificate in PEM", c.files.Authority)
 	}
-	result.authorityFleet = first.Subject.CommonName
+	loaded.authorityFleet = first.Subject.CommonName
 	if c.files.Certificate == "" {
-		return result, nil
+		return loaded, nil
 	}
 	pair, err := readPair(c.files.Certificate, c.files.Key)
 	if err != nil {
@@ -137,9 +137,9 @@
 	if err != nil {
 		return material{}, trace.BadParameter("%s and %s do not fit: %v", c.files.Certificate, c.files.Key, err)
 	}
-	result.certificate = &certificate
-	result.identity, err = verifyCertificate(certificate.Leaf, nil, result.pool, c.options.Now())
-	return result, trace.Wrap(err, "checking %s", c.files.Certificate)
+	loaded.certificate = &certificate
+	loaded.identity, err = verifyCertificate(certificate.Leaf, nil, loaded.pool, c.options.Now())
+	return loaded, trace.Wrap(err, "checking the certificate in %s", c.files.Certificate)
 }
 
 func (c *Credentials) readStamps() [3]fileStamp {
--- a/internal/keys/doc.go
+++ b/internal/keys/doc.go
@@ -1,4 +1,4 @@
-// Package keys makes and checks what processes, operators and tenants prove
-// themselves with: bearer keys, kept as hashes only, and the certificates of one
-// fleet's authority. It does the project's TLS configuration and nothing else.
+// Package keys creates and checks the credentials of processes, operators and tenants:
+// bearer keys, of which only hashes are stored, and the certificates of one fleet's
+// authority. It contains the project's TLS configuration.
 package keys
--- a/internal/keys/files.go
+++ b/internal/keys/files.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// AuthorityCertificateFile and AuthorityKeyFile are the files of an authority
-	// in its directory. Processes need the first one only.
+	// AuthorityCertificateFile and AuthorityKeyFile are the names of an authority's files
+	// in its directory. Processes need only the certificate.
 	AuthorityCertificateFile = "authority.crt"
 	AuthorityKeyFile         = "authority.key"
 	certificateSuffix        = ".crt"
@@ -20,16 +20,16 @@
 	directoryMode = 0o700
 )
 
-// WriteAuthority writes a new authority into a directory; it refuses to replace one.
+// WriteAuthority writes a new authority into a directory. It returns an error if one exists there.
 func WriteAuthority(directory string, pair KeyPair) error {
 	certificate := filepath.Join(directory, AuthorityCertificateFile)
 	if _, err := os.Stat(certificate); err == nil {
-		return trace.AlreadyExists("%s exists: an authority is never replaced in place; use another directory", certificate)
+		return trace.AlreadyExists("%s exists: an authority cannot be replaced in place; use another directory", certificate)
 	}
 	return writePair(certificate, filepath.Join(directory, AuthorityKeyFile), pair)
 }
 
-// ReadAuthority reads the authority in a directory.
+// ReadAuthority reads the authority from a directory.
 func ReadAuthority(directory string) (*Authority, error) {
 	pair, err := readPair(filepath.Join(directory, AuthorityCertificateFile), filepath.Join(directory, AuthorityKeyFile))
 	if err != nil {
@@ -38,8 +38,8 @@
 	return ParseAuthority(pair)
 }
 
-// WriteCertificate writes NAME.crt and NAME.key into a directory, in place of what
-// was there: running processes take up the new pair.
+// WriteCertificate writes NAME.crt and NAME.key into a directory and replaces existing files.
+// Running processes load the new pair.
 func WriteCertificate(directory, name string, pair KeyPair) (Files, error) {
 	files := Files{
 		Authority:   filepath.Join(directory, AuthorityCertificateFile),
@@ -71,8 +71,8 @@
 	return trace.Wrap(replaceFile(certificate, pair.Certificate, publicMode))
 }
 
-// replaceFile writes beside the file, syncs and renames, so that a reader finds
-// the old content or the new one.
+// replaceFile writes a temporary file in the same directory, syncs it and renames it, so that
+// a reader sees either the old content or the new one.
 func replaceFile(path string, content []byte, mode os.FileMode) error {
 	file, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
--- a/internal/keys/handler.go
+++ b/internal/keys/handler.go
@@ -8,10 +8,10 @@
 	"github.com/gravitational/trace"
 )
 
-// RequireRole lets requests through to a connect handler only from peers with one
-// of the roles in the certificate they showed, and answers others with the reason.
-// The handshake has checked the certificate itself. Requests on connections without
-// TLS pass: the settings file decides whether the fleet uses TLS.
+// RequireRole passes requests to a connect handler only from peers whose certificate has one
+// of the roles, and answers others with the reason. The handshake has already verified the
+// certificate. Requests on connections without TLS pass, since the settings file decides
+// whether the fleet uses TLS.
 func RequireRole(next http.Handler, fleet string, roles ...Role) http.Handler {
 	errorWriter := connect.NewErrorWriter()
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -35,5 +35,5 @@
 	if err != nil {
 		return trace.Wrap(&PeerError{Refusal: RefusalNoIdentity, Detail: err.Error()})
 	}
-	return identity.permit(fleet, roles)
+	return identity.checkAccess(fleet, roles)
 }
--- a/internal/keys/harness_test.go
+++ b/internal/keys/harness_test.go
@@ -9,18 +9,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-var start = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
 // clock is a settable clock.
 type clock struct{ now time.Time }
 
 func (c *clock) Now() time.Time { return c.now }
 
-// newFleet writes an authority and returns its directory.
+// newFleet writes an authority and returns it with its directory.
 func newFleet(t *testing.T, fleet string) (string, *Authority) {
 	t.Helper()
 	directory := t.TempDir()
-	authority, pair, err := NewAuthority(fleet, start)
+	authority, pair, err := NewAuthority(fleet, startTime)
 	require.NoError(t, err)
 	require.NoError(t, WriteAuthority(directory, pair))
 	return directory, authority
@@ -43,7 +43,7 @@
 	return credentials
 }
 
-// handshake joins a client and a server and returns the error of each side.
+// handshake connects a client and a server and returns the error of each side.
 func handshake(server, client *tls.Config) (serverErr, clientErr error) {
 	serverSide, clientSide := net.Pipe()
 	defer clientSide.Close()
@@ -60,7 +60,7 @@
 	connection := tls.Client(clientSide, client)
 	clientErr = connection.Handshake()
 	if clientErr == nil {
-		// A server's refusal of the client's certificate arrives with the first read.
+		// The client receives the server's refusal of its certificate with the first read.
 		_, clientErr = connection.Read(make([]byte, 1))
 	}
 	clientSide.Close()
--- a/internal/keys/identity.go
+++ b/internal/keys/identity.go
@@ -9,7 +9,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Role is what the holder of a certificate is.
+// Role is the role of the holder of a certificate.
 type Role string
 
 // Roles in certificates.
@@ -19,28 +19,28 @@
 	RoleOperator   Role = "operator"
 )
 
-// Roles lists every role.
+// Roles lists all roles.
 var Roles = []Role{RoleController, RoleGateway, RoleOperator}
 
-// identityScheme is the scheme of the URI that carries an Identity.
+// identityScheme is the scheme of the URI that encodes an Identity.
 const identityScheme = "hazelpitch"
 
 var identityPart = regexp.MustCompile(`^[A-Za-z0-9_][A-Za-z0-9_.-]{0,127}$`)
 
-// Identity is who a certificate was issued to. It is the certificate's only
-// subject alternative name, the URI hazelpitch://FLEET/ROLE/NAME.
+// Identity is the holder of a certificate. It is encoded in the certificate's only subject
+// alternative name, the URI hazelpitch://FLEET/ROLE/NAME.
 type Identity struct {
 	Fleet string
 	Role  Role
 	Name  string
 }
 
-// String gives the URI.
+// String returns the URI.
 func (i Identity) String() string {
 	return identityScheme + "://" + i.Fleet + "/" + string(i.Role) + "/" + i.Name
 }
 
-// Validate checks that the identity can be put into a certificate.
+// Validate returns an error if the identity cannot be encoded in a certificate.
 func (i Identity) Validate() error {
 	if !identityPart.MatchString(i.Fleet) {
 		return trace.BadParameter("fleet %q is not a name: use letters, digits, '.', '_' and '-'", i.Fleet)
@@ -60,7 +60,7 @@
 	return &url.URL{Scheme: identityScheme, Host: i.Fleet, Path: "/" + string(i.Role) + "/" + i.Name}
 }
 
-// IdentityOf reads the identity in a certificate.
+// IdentityOf returns the identity in a certificate.
 func IdentityOf(certificate *x509.Certificate) (Identity, error) {
 	for _, uri := range certificate.URIs {
 		if uri.Scheme != identityScheme {
@@ -70,5 +70,5 @@
 		identity := Identity{Fleet: uri.Host, Role: Role(role), Name: name}
 		return identity, trace.Wrap(identity.Validate())
 	}
-	return Identity{}, trace.BadParameter("the certificate of %q holds no hazelpitch identity: issue it with hazelctl certificate issue", certificate.Subject.CommonName)
+	return Identity{}, trace.BadParameter("the certificate of %q contains no hazelpitch identity: issue one with hazelctl certificate issue", certificate.Subject.CommonName)
 }
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -28,9 +28,9 @@
 func TestHandshake(t *testing.T) {
 	directory, authority := newFleet(t, "rawabi")
 	otherDirectory, otherAuthority := newFleet(t, "rawabi")
-	controller := issue(t, directory, authority, RoleController, "controller-a", start)
-	gateway := issue(t, directory, authority, RoleGateway, "gateway-a", start)
-	stranger := issue(t, otherDirectory, otherAuthority, RoleGateway, "gateway-b", start)
+	controller := issue(t, directory, authority, RoleController, "controller-a", startTime)
+	gateway := issue(t, directory, authority, RoleGateway, "gateway-a", startTime)
+	otherClient := issue(t, otherDirectory, otherAuthority, RoleGateway, "gateway-b", startTime)
 	anonymous := Files{Authority: gateway.Authority}
 
 	tests := map[string]struct {
@@ -49,7 +49,7 @@
 		"server's role not allowed":     {client: gateway, clientRoles: []Role{RoleGateway}, clientRefusal: RefusalWrongRole},
 		"server of another fleet":       {client: gateway, clientFleet: "empleandes", clientRefusal: RefusalWrongFleet},
 		"client of another fleet":       {client: gateway, serverFleet: "empleandes", serverRefusal: RefusalWrongFleet},
-		"another authority":             {client: stranger, clientRefusal: RefusalUnknownAuthority},
+		"another authority":             {client: otherClient, clientRefusal: RefusalUnknownAuthority},
 		"no certificate":                {client: anonymous, serverRefusal: "-"},
 		"no certificate, where allowed": {client: anonymous, allowAnonymous: true},
 		"certificate where optional":    {client: gateway, allowAnonymous: true, roles: []Role{RoleController}, serverRefusal: RefusalWrongRole},
@@ -57,11 +57,11 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			now := &clock{now: start}
+			now := &clock{now: startTime}
 			server := load(t, controller, now)
 			client := load(t, test.client, now)
-			now.now = start.Add(test.later)
-			or := func(fleet string) string {
+			now.now = startTime.Add(test.later)
+			orDefaultFleet := func(fleet string) string {
 				if fleet == "" {
 					return "rawabi"
 				}
@@ -75,15 +75,15 @@
 				clientRoles = []Role{RoleController}
 			}
 			serverErr, clientErr := handshake(
-				server.ServerConfig(or(test.serverFleet), test.allowAnonymous, roles...),
-				client.ClientConfig(or(test.clientFleet), clientRoles...))
+				server.ServerConfig(orDefaultFleet(test.serverFleet), test.allowAnonymous, roles...),
+				client.ClientConfig(orDefaultFleet(test.clientFleet), clientRoles...))
 			requireRefusal(t, test.serverRefusal, serverErr, test.clientRefusal == "")
 			requireRefusal(t, test.clientRefusal, clientErr, test.serverRefusal == "")
 		})
 	}
 }
 
-// requireRefusal checks one side; "-" stands for a refusal by the TLS library.
+// requireRefusal checks one side; "-" means a refusal by the TLS library.
 func requireRefusal(t *testing.T, want Refusal, err error, otherSideAccepts bool) {
 	t.Helper()
 	var refused *PeerError
@@ -100,28 +100,28 @@
 	}
 }
 
-func TestOwnCertificateThatExpiresIsNotShown(t *testing.T) {
+func TestExpiredProcessCertificateIsNotUsed(t *testing.T) {
 	directory, authority := newFleet(t, "rawabi")
-	files := issue(t, directory, authority, RoleGateway, "gateway-a", start)
-	now := &clock{now: start}
+	files := issue(t, directory, authority, RoleGateway, "gateway-a", startTime)
+	now := &clock{now: startTime}
 	gateway := load(t, files, now)
-	now.now = start.Add(25 * time.Hour)
+	now.now = startTime.Add(25 * time.Hour)
 	_, err := gateway.ClientConfig("rawabi", RoleController).GetClientCertificate(nil)
 	require.ErrorContains(t, err, "valid from 2026-03-01T11:55:00Z to 2026-03-02T12:00:00Z, and it is 2026-03-02T13:00:00Z")
 	_, err = Load(files, Options{Now: now.Now})
 	require.ErrorContains(t, err, "its certificate has expired")
 }
 
-func TestReplacedFilesAreTakenUpWithoutRestart(t *testing.T) {
+func TestReplacedFilesAreLoadedWithoutRestart(t *testing.T) {
 	directory, authority := newFleet(t, "rawabi")
-	controller := issue(t, directory, authority, RoleController, "controller-a", start)
-	gateway := issue(t, directory, authority, RoleGateway, "gateway-a", start)
-	now := &clock{now: start}
+	controller := issue(t, directory, authority, RoleController, "controller-a", startTime)
+	gateway := issue(t, directory, authority, RoleGateway, "gateway-a", startTime)
+	now := &clock{now: startTime}
 	server, client := load(t, controller, now), load(t, gateway, now)
 	serverConfig := server.ServerConfig("rawabi", false, RoleGateway)
 	clientConfig := client.ClientConfig("rawabi", RoleController)
 
-	now.now = start.Add(25 * time.Hour)
+	now.now = startTime.Add(25 * time.Hour)
 	serverErr, _ := handshake(serverConfig, clientConfig)
 	require.Error(t, serverErr)
 
@@ -132,33 +132,33 @@
 	require.NoError(t, clientErr)
 }
 
-func TestHalfReplacedFilesKeepThePairInUse(t *testing.T) {
+func TestPartlyReplacedFilesKeepCurrentPair(t *testing.T) {
 	directory, authority := newFleet(t, "rawabi")
-	files := issue(t, directory, authority, RoleGateway, "gateway-a", start)
-	now := &clock{now: start}
+	files := issue(t, directory, authority, RoleGateway, "gateway-a", startTime)
+	now := &clock{now: startTime}
 	var reloadErr error
 	credentials, err := Load(files, Options{Now: now.Now, OnReloadError: func(err error) { reloadErr = err }})
 	require.NoError(t, err)
-	other, err := authority.Issue(RoleGateway, "gateway-a", 48*time.Hour, start)
+	other, err := authority.Issue(RoleGateway, "gateway-a", 48*time.Hour, startTime)
 	require.NoError(t, err)
 
 	require.NoError(t, os.WriteFile(files.Key, other.Key, 0o600))
-	first, err := credentials.ownCertificate()
+	first, err := credentials.processCertificate()
 	require.NoError(t, err)
-	require.Equal(t, start.Add(24*time.Hour), first.Leaf.NotAfter)
+	require.Equal(t, startTime.Add(24*time.Hour), first.Leaf.NotAfter)
 	require.ErrorContains(t, reloadErr, "do not fit")
 
 	require.NoError(t, os.WriteFile(files.Certificate, other.Certificate, 0o644))
-	second, err := credentials.ownCertificate()
+	second, err := credentials.processCertificate()
 	require.NoError(t, err)
-	require.Equal(t, start.Add(48*time.Hour), second.Leaf.NotAfter)
+	require.Equal(t, startTime.Add(48*time.Hour), second.Leaf.NotAfter)
 }
 
 func TestTwoAuthoritiesAreTrustedWhileOneIsReplaced(t *testing.T) {
 	oldDirectory, oldAuthority := newFleet(t, "rawabi")
 	newDirectory, newAuthority := newFleet(t, "rawabi")
-	server := issue(t, oldDirectory, oldAuthority, RoleController, "controller-a", start)
-	client := issue(t, newDirectory, newAuthority, RoleGateway, "gateway-a", start)
+	server := issue(t, oldDirectory, oldAuthority, RoleController, "controller-a", startTime)
+	client := issue(t, newDirectory, newAuthority, RoleGateway, "gateway-a", startTime)
 	oldPEM, err := os.ReadFile(server.Authority)
 	require.NoError(t, err)
 	newPEM, err := os.ReadFile(client.Authority)
@@ -166,7 +166,7 @@
 	both := filepath.Join(t.TempDir(), AuthorityCertificateFile)
 	require.NoError(t, os.WriteFile(both, append(oldPEM, newPEM...), 0o644))
 	server.Authority, client.Authority = both, both
-	now := &clock{now: start}
+	now := &clock{now: startTime}
 	serverErr, clientErr := handshake(
 		load(t, server, now).ServerConfig("rawabi", false, RoleGateway),
 		load(t, client, now).ClientConfig("rawabi", RoleController))
@@ -198,7 +198,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			_, err := authority.Issue(test.role, test.name, test.validity, start)
+			_, err := authority.Issue(test.role, test.name, test.validity, startTime)
 			require.ErrorContains(t, err, test.want)
 			require.True(t, trace.IsBadParameter(err))
 		})
@@ -207,8 +207,8 @@
 
 func TestRequireRole(t *testing.T) {
 	directory, authority := newFleet(t, "rawabi")
-	files := issue(t, directory, authority, RoleGateway, "gateway-a", start)
-	certificate, err := load(t, files, &clock{now: start}).ownCertificate()
+	files := issue(t, directory, authority, RoleGateway, "gateway-a", startTime)
+	certificate, err := load(t, files, &clock{now: startTime}).processCertificate()
 	require.NoError(t, err)
 	tests := map[string]struct {
 		state *tls.ConnectionState
--- a/internal/keys/peer.go
+++ b/internal/keys/peer.go
@@ -11,10 +11,10 @@
 	"github.com/gravitational/trace"
 )
 
-// Refusal says why a peer was refused.
+// Refusal is the reason why a peer was refused.
 type Refusal string
 
-// Refusals.
+// Refusal reasons.
 const (
 	RefusalNoCertificate    Refusal = "it showed no certificate"
 	RefusalExpired          Refusal = "its certificate has expired or is not valid yet"
@@ -24,15 +24,15 @@
 	RefusalWrongRole        Refusal = "its role may not do this"
 )
 
-// PeerError tells that a peer was refused, and why.
+// PeerError reports that a peer was refused, and why.
 type PeerError struct {
 	Refusal Refusal
-	// Peer is zero when the certificate could not be trusted.
+	// Peer is zero if the certificate could not be trusted.
 	Peer   Identity
 	Detail string
 }
 
-// Error names peer, reason and detail.
+// Error returns peer, reason and detail.
 func (e *PeerError) Error() string {
 	peer := "peer"
 	if e.Peer != (Identity{}) {
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("%s refused: %s: %s", peer, e.Refusal, e.Detail)
 }
 
-// verifyCertificate checks chain and validity and returns the identity.
+// verifyCertificate verifies chain and validity period and returns the identity.
 func verifyCertificate(certificate *x509.Certificate, intermediates *x509.CertPool, pool *x509.CertPool, now time.Time) (Identity, error) {
 	if now.Before(certificate.NotBefore) || now.After(certificate.NotAfter) {
 		identity, _ := IdentityOf(certificate)
@@ -69,7 +69,7 @@
 	return identity, nil
 }
 
-// checkPeer checks the certificate a peer showed in a handshake.
+// checkPeer checks the certificate that a peer presented in a handshake.
 func checkPeer(state tls.ConnectionState, pool *x509.CertPool, fleet string, roles []Role, now time.Time) error {
 	if len(state.PeerCertificates) == 0 {
 		return trace.Wrap(&PeerError{Refusal: RefusalNoCertificate, Detail: "expected one of fleet " + fleet})
@@ -82,11 +82,11 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(identity.permit(fleet, roles))
+	return trace.Wrap(identity.checkAccess(fleet, roles))
 }
 
-// permit checks that an identity is of the fleet and has one of the roles.
-func (i Identity) permit(fleet string, roles []Role) error {
+// checkAccess checks that an identity belongs to the fleet and has one of the roles.
+func (i Identity) checkAccess(fleet string, roles []Role) error {
 	if i.Fleet != fleet {
 		return trace.Wrap(&PeerError{Refusal: RefusalWrongFleet, Peer: i, Detail: fmt.Sprintf("its fleet is %q and this one is %q", i.Fleet, fleet)})
 	}
--- a/internal/keys/pem.go
+++ b/internal/keys/pem.go
@@ -33,13 +33,13 @@
 	}
 	signer, canSign := both.PrivateKey.(crypto.Signer)
 	if !canSign {
-		return nil, nil, trace.BadParameter("the private key cannot sign")
+		return nil, nil, trace.BadParameter("the private key is of a type that cannot sign")
 	}
 	return both.Leaf, signer, nil
 }
 
-// firstCertificate reads the first certificate of a PEM file.
-func firstCertificate(text []byte) (*x509.Certificate, error) {
+// parseFirstCertificate parses the first certificate of a PEM file.
+func parseFirstCertificate(text []byte) (*x509.Certificate, error) {
 	block, _ := pem.Decode(text)
 	if block == nil || block.Type != pemCertificate {
 		return nil, trace.BadParameter("no certificate in PEM")
