--- a/internal/usage/doc.go
+++ b/internal/usage/doc.go
@@ -1,5 +1,5 @@
-// Package usage counts what tenants use in windows of true time, and fixes each window's counts
-// before anybody is told of them. It is pure. A Ledger is part of the replicated state: every
-// controller applies the same reports and closings in the same order. A Reporter is what the leader
-// alone keeps: what is to be closed and told next.
+// Package usage counts the tenants' requests in windows of true time, and fixes the counts of each window before they are
+// reported to the platform. It is pure. A Ledger is part of the replicated state: every controller applies the same reports
+// and closings in the same order. A Reporter exists only on the leader: it determines which windows to close and which one
+// to report next.
 package usage
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -8,69 +8,69 @@
 )
 
 const (
-	// windowsAhead is how far past the first open window a report may count: true time is the
-	// controllers' own, so that more can only be an error.
-	windowsAhead = 64
-	// windowsKept bounds the closed windows that have not been settled; the oldest give way.
-	windowsKept = 64
-	// relayMemory is for how many windows a relay that is silent is remembered. A report is sent
-	// again for less long.
-	relayMemory = 64
+	// maximumWindowsAhead is how many windows past the first open one a report may count. True time is the
+	// controllers' own time, so a larger value can only be an error.
+	maximumWindowsAhead = 64
+	// maximumUnsettled limits the closed windows that have not been settled. Beyond it the oldest are dropped.
+	maximumUnsettled = 64
+	// relayRetention is the number of windows for which an inactive relay is stored. Reports are retried for a
+	// shorter time.
+	relayRetention = 64
 )
 
-// Counts are requests by tenant.
+// Counts are the numbers of requests by tenant.
 type Counts map[string]uint64
 
-// ClosedWindow is a window whose counts never change.
+// ClosedWindow is a window whose counts no longer change.
 type ClosedWindow struct {
 	Window Window
 	Counts Counts
 }
 
-// Ledger is what is agreed on of the tenants' usage.
+// Ledger is the replicated record of the tenants' usage.
 type Ledger struct {
-	// next is the first open window; 0 before the first.
+	// next is the first open window; 0 before the first closing.
 	next   Window
 	open   map[Window]Counts
 	closed []ClosedWindow
-	relays map[uint64]relayMark
+	relays map[uint64]relayState
 }
 
-// relayMark is what is remembered of a relay's start.
-type relayMark struct {
-	// sequence is the number of its last report that was taken.
+// relayState is the stored state of one incarnation of a relay.
+type relayState struct {
+	// sequence is the number of its last recorded report.
 	sequence uint64
-	// heardIn is the first window that was open then.
-	heardIn Window
+	// lastReportWindow is the first window that was open at that time.
+	lastReportWindow Window
 }
 
-// NewLedger returns the ledger before the first window.
+// NewLedger returns an empty Ledger.
 func NewLedger() *Ledger {
-	return &Ledger{open: map[Window]Counts{}, relays: map[uint64]relayMark{}}
+	return &Ledger{open: map[Window]Counts{}, relays: map[uint64]relayState{}}
 }
 
-// NextOpenWindow returns the first open window; 0 before the first.
+// NextOpenWindow returns the first open window; 0 before the first closing.
 func (l *Ledger) NextOpenWindow() Window { return l.next }
 
-// UnsettledWindows returns the closed windows that have not been settled, oldest first. They must not be
-// changed.
+// UnsettledWindows returns the closed windows that have not been settled, oldest first. The caller must not
+// modify them.
 func (l *Ledger) UnsettledWindows() []ClosedWindow { return l.closed }
 
-// HasReport reports whether a relay's report was taken already.
+// HasReport reports whether a relay's report has already been recorded.
 func (l *Ledger) HasReport(report *v1.UsageReport) bool {
 	return report.GetSequence() <= l.relays[report.GetRelay()].sequence
 }
 
-// RecordReport adds a report to the open windows, once however often it comes. What it counts in windows
-// that are closed comes too late.
+// RecordReport adds a report to the open windows. Repeated reports count once. Counts for closed windows are
+// ignored because they are too late.
 func (l *Ledger) RecordReport(report *v1.UsageReport) {
 	if l.HasReport(report) {
 		return
 	}
-	l.relays[report.GetRelay()] = relayMark{sequence: report.GetSequence(), heardIn: l.next}
+	l.relays[report.GetRelay()] = relayState{sequence: report.GetSequence(), lastReportWindow: l.next}
 	for _, count := range report.GetCounts() {
 		window := Window(count.GetWindow())
-		if window < l.next || window > l.next+windowsAhead || count.GetTenant() == "" {
+		if window < l.next || window > l.next+maximumWindowsAhead || count.GetTenant() == "" {
 			continue
 		}
 		counts := l.open[window]
@@ -82,7 +82,7 @@
 	}
 }
 
-// CloseThrough fixes the counts of all open windows up to one. The first closing ever only tells
+// CloseThrough fixes the counts of all open windows up to the given one. The very first closing only sets
 // where the windows begin.
 func (l *Ledger) CloseThrough(through Window) {
 	if through < l.next {
@@ -93,25 +93,25 @@
 		l.dropBefore(l.next)
 		return
 	}
-	for window := max(l.next, through-windowsKept+1); window <= through; window++ {
+	for window := max(l.next, through-maximumUnsettled+1); window <= through; window++ {
 		counts := l.open[window]
 		if counts == nil {
 			counts = Counts{}
 		}
 		l.closed = append(l.closed, ClosedWindow{Window: window, Counts: counts})
 	}
-	l.closed = l.closed[max(len(l.closed)-windowsKept, 0):]
+	l.closed = l.closed[max(len(l.closed)-maximumUnsettled, 0):]
 	l.next = through + 1
 	l.dropBefore(l.next)
-	maps.DeleteFunc(l.relays, func(_ uint64, mark relayMark) bool { return mark.heardIn+relayMemory < l.next })
+	maps.DeleteFunc(l.relays, func(_ uint64, mark relayState) bool { return mark.lastReportWindow+relayRetention < l.next })
 }
 
-// dropBefore forgets the open counts of windows before one.
+// dropBefore deletes the open counts of windows before the given one.
 func (l *Ledger) dropBefore(next Window) {
 	maps.DeleteFunc(l.open, func(window Window, _ Counts) bool { return window < next })
 }
 
-// Settle ends the work on a closed window.
+// Settle removes a closed window after its counts have been delivered.
 func (l *Ledger) Settle(window Window) {
 	l.closed = slices.DeleteFunc(l.closed, func(closed ClosedWindow) bool { return closed.Window == window })
 }
--- a/internal/usage/ledger_test.go
+++ b/internal/usage/ledger_test.go
@@ -10,27 +10,27 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// report is one relay's report of counts by window and tenant.
-func report(relay, sequence uint64, counts ...*v1.UsageCount) *v1.UsageReport {
+// newReport returns a relay's report.
+func newReport(relay, sequence uint64, counts ...*v1.UsageCount) *v1.UsageReport {
 	return &v1.UsageReport{Relay: relay, Sequence: sequence, Counts: counts}
 }
 
-func count(window Window, tenant string, requests uint64) *v1.UsageCount {
+func newCount(window Window, tenant string, requests uint64) *v1.UsageCount {
 	return &v1.UsageCount{Window: int64(window), Tenant: tenant, Count: requests}
 }
 
-func TestReportsCountOnceHoweverOftenTheyCome(t *testing.T) {
+func TestRepeatedReportsCountOnce(t *testing.T) {
 	ledger := NewLedger()
 	ledger.CloseThrough(9)
 	for range 3 {
-		ledger.RecordReport(report(1, 1, count(10, "a", 2), count(10, "b", 1)))
+		ledger.RecordReport(newReport(1, 1, newCount(10, "a", 2), newCount(10, "b", 1)))
 	}
-	ledger.RecordReport(report(2, 1, count(10, "a", 5)))
-	ledger.RecordReport(report(1, 2, count(10, "a", 1)))
-	ledger.RecordReport(report(1, 1, count(10, "a", 100)))
-	require.True(t, ledger.HasReport(report(1, 2)))
-	require.False(t, ledger.HasReport(report(1, 3)))
-	require.False(t, ledger.HasReport(report(3, 1)))
+	ledger.RecordReport(newReport(2, 1, newCount(10, "a", 5)))
+	ledger.RecordReport(newReport(1, 2, newCount(10, "a", 1)))
+	ledger.RecordReport(newReport(1, 1, newCount(10, "a", 100)))
+	require.True(t, ledger.HasReport(newReport(1, 2)))
+	require.False(t, ledger.HasReport(newReport(1, 3)))
+	require.False(t, ledger.HasReport(newReport(3, 1)))
 	ledger.CloseThrough(10)
 	require.Equal(t, []ClosedWindow{{Window: 10, Counts: Counts{"a": 8, "b": 1}}}, ledger.UnsettledWindows())
 }
@@ -38,9 +38,9 @@
 func TestClosedWindowsNeverChange(t *testing.T) {
 	ledger := NewLedger()
 	ledger.CloseThrough(9)
-	ledger.RecordReport(report(1, 1, count(10, "a", 2), count(11, "a", 7)))
+	ledger.RecordReport(newReport(1, 1, newCount(10, "a", 2), newCount(11, "a", 7)))
 	ledger.CloseThrough(10)
-	ledger.RecordReport(report(1, 2, count(10, "a", 5), count(9, "a", 5), count(11, "a", 1)))
+	ledger.RecordReport(newReport(1, 2, newCount(10, "a", 5), newCount(9, "a", 5), newCount(11, "a", 1)))
 	ledger.CloseThrough(10)
 	ledger.CloseThrough(4)
 	require.Equal(t, Window(11), ledger.NextOpenWindow())
@@ -51,37 +51,37 @@
 	require.Equal(t, []ClosedWindow{{10, Counts{"a": 2}}, {12, Counts{}}}, ledger.UnsettledWindows())
 }
 
-// The first closing only tells where windows begin: nothing was counted before.
-func TestTheFirstClosingBegins(t *testing.T) {
+// The first closing only sets where windows begin: nothing was counted before.
+func TestFirstClosingOnlySetsTheStart(t *testing.T) {
 	ledger := NewLedger()
 	ledger.CloseThrough(1000)
 	require.Equal(t, Window(1001), ledger.NextOpenWindow())
 	require.Empty(t, ledger.UnsettledWindows())
 }
 
-// Neither a long time without a leader nor a report out of reason makes the ledger grow.
-func TestTheLedgerIsBounded(t *testing.T) {
+// Neither a long time without a leader nor a report with implausible windows makes the ledger grow.
+func TestLedgerIsBounded(t *testing.T) {
 	ledger := NewLedger()
 	ledger.CloseThrough(9)
-	ledger.RecordReport(report(1, 1, count(10, "a", 2), count(1<<40, "a", 1), count(-1, "a", 1), count(10, "", 1)))
+	ledger.RecordReport(newReport(1, 1, newCount(10, "a", 2), newCount(1<<40, "a", 1), newCount(-1, "a", 1), newCount(10, "", 1)))
 	ledger.CloseThrough(1 << 30)
-	require.Len(t, ledger.UnsettledWindows(), windowsKept)
-	require.Equal(t, Window(1<<30), ledger.UnsettledWindows()[windowsKept-1].Window)
+	require.Len(t, ledger.UnsettledWindows(), maximumUnsettled)
+	require.Equal(t, Window(1<<30), ledger.UnsettledWindows()[maximumUnsettled-1].Window)
 	require.Empty(t, ledger.open)
-	require.Empty(t, ledger.relays, "a relay that was silent for so long is forgotten")
+	require.Empty(t, ledger.relays, "a relay without reports for that long is removed")
 }
 
-func TestSnapshotsHoldTheLedger(t *testing.T) {
+func TestSnapshotRestoresLedger(t *testing.T) {
 	require.Nil(t, NewLedger().Snapshot())
 	ledger := NewLedger()
 	ledger.CloseThrough(9)
 	for relay := uint64(1); relay < 20; relay++ {
-		ledger.RecordReport(report(relay, relay, count(10, fmt.Sprint("t", relay%7), relay), count(11, "a", 1)))
+		ledger.RecordReport(newReport(relay, relay, newCount(10, fmt.Sprint("t", relay%7), relay), newCount(11, "a", 1)))
 	}
 	ledger.CloseThrough(10)
 	record := ledger.Snapshot()
 	restored := Restore(proto.CloneOf(record))
 	require.Equal(t, ledger, restored)
 	require.True(t, proto.Equal(record, restored.Snapshot()))
-	require.True(t, restored.HasReport(report(19, 19)))
+	require.True(t, restored.HasReport(newReport(19, 19)))
 }
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -7,45 +7,45 @@
 	"github.com/stretchr/testify/require"
 )
 
-// perWindow is a window of five seconds that is due ten seconds after its end.
-var perWindow = Config{Window: 5 * time.Second, Due: 10 * time.Second}
+// testConfig has windows of five seconds that are due ten seconds after their end.
+var testConfig = Config{Window: 5 * time.Second, Due: 10 * time.Second}
 
-// endOf is the time at which a window ends, in milliseconds.
-func endOf(window Window) int64 { return window.EndMs(perWindow.Window) }
+// endOf returns the end of a window in milliseconds.
+func endOf(window Window) int64 { return window.EndMs(testConfig.Window) }
 
-func TestWindowsCloseOnceLateReportsHaveHadTime(t *testing.T) {
-	reporter, ledger := NewReporter(perWindow), NewLedger()
+func TestWindowsCloseAfterGracePeriod(t *testing.T) {
+	reporter, ledger := NewReporter(testConfig), NewLedger()
 	through, due := reporter.NextClosing(0, endOf(100)-1, ledger)
-	require.True(t, due, "the first closing tells where windows begin")
+	require.True(t, due, "the first closing sets where windows begin")
 	require.Equal(t, Window(99), through)
 	ledger.CloseThrough(through)
 	_, due = reporter.NextClosing(time.Second, endOf(100)+2999, ledger)
-	require.False(t, due, "late reports may come")
+	require.False(t, due, "late reports may arrive")
 	through, due = reporter.NextClosing(2*time.Second, endOf(100)+3000, ledger)
 	require.True(t, due)
 	require.Equal(t, Window(100), through)
-	_, due = reporter.NextClosing(2*time.Second+closeRetry-1, endOf(100)+3500, ledger)
-	require.False(t, due, "it was proposed just now")
-	_, due = reporter.NextClosing(2*time.Second+closeRetry, endOf(100)+4000, ledger)
-	require.True(t, due, "it may have been lost")
+	_, due = reporter.NextClosing(2*time.Second+closeRetryInterval-1, endOf(100)+3500, ledger)
+	require.False(t, due, "the closing has just been proposed")
+	_, due = reporter.NextClosing(2*time.Second+closeRetryInterval, endOf(100)+4000, ledger)
+	require.True(t, due, "the proposal may have been lost")
 	ledger.CloseThrough(100)
 	_, due = reporter.NextClosing(9*time.Second, endOf(100)+4500, ledger)
 	require.False(t, due)
 }
 
-// A time that goes back, as a new leader may have it, closes nothing and opens nothing again.
-func TestATimeThatGoesBackClosesNothing(t *testing.T) {
-	reporter, ledger := NewReporter(perWindow), NewLedger()
+// When the time decreases, as it may with a new leader, no window is closed or reopened.
+func TestDecreasingTimeClosesNothing(t *testing.T) {
+	reporter, ledger := NewReporter(testConfig), NewLedger()
 	ledger.CloseThrough(100)
 	_, due := reporter.NextClosing(0, endOf(90), ledger)
 	require.False(t, due)
 }
 
-func TestWindowsInTimeAreToldBeforeLateOnes(t *testing.T) {
-	reporter, ledger := NewReporter(perWindow), NewLedger()
+func TestTimelyWindowsAreReportedFirst(t *testing.T) {
+	reporter, ledger := NewReporter(testConfig), NewLedger()
 	ledger.CloseThrough(99)
 	ledger.CloseThrough(104)
-	now := endOf(101) + perWindow.Due.Milliseconds() + 1 // 100 and 101 are late
+	now := endOf(101) + testConfig.Due.Milliseconds() + 1 // 100 and 101 are late
 	for _, want := range []Window{102, 103, 104, 101, 100} {
 		closed, due := reporter.NextReport(now, ledger)
 		require.True(t, due)
@@ -54,13 +54,13 @@
 		reporter.MarkDelivered(want)
 	}
 	_, due := reporter.NextReport(now, ledger)
-	require.False(t, due, "told windows wait to be settled")
+	require.False(t, due, "delivered windows wait to be settled")
 	require.Len(t, ledger.UnsettledWindows(), 5)
-	_, due = NewReporter(perWindow).NextReport(now, ledger)
-	require.True(t, due, "a new leader tells again what is not settled")
+	_, due = NewReporter(testConfig).NextReport(now, ledger)
+	require.True(t, due, "a new leader reports unsettled windows again")
 }
 
-func TestNobodyWantsToKnow(t *testing.T) {
+func TestDisabledUsageClosesNothing(t *testing.T) {
 	_, due := NewReporter(Config{}).NextClosing(0, 1<<40, NewLedger())
 	require.False(t, due)
 }
--- a/internal/usage/window.go
+++ b/internal/usage/window.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Window numbers the spans of true time in which usage is counted: window k begins k lengths after
-// the start of 1970.
+// Window is the number of a window of true time in which usage is counted. Window k begins k window
+// lengths after the Unix epoch.
 type Window int64
 
-// WindowAt returns the window of a time of day in milliseconds since the start of 1970.
+// WindowAt returns the window of a time in milliseconds since the Unix epoch.
 func WindowAt(timeOfDayMs int64, length time.Duration) Window {
 	return Window(timeOfDayMs / length.Milliseconds())
 }
 
-// EndMs returns the time of day at which the window ends, in milliseconds since the start of 1970.
+// EndMs returns the end of the window in milliseconds since the Unix epoch.
 func (w Window) EndMs(length time.Duration) int64 { return int64(w+1) * length.Milliseconds() }
