--- a/internal/usagereport/doc.go
+++ b/internal/usagereport/doc.go
@@ -1,5 +1,5 @@
-// Package usagereport counts at a relay which tenants' requests begin to run, and tells the leader
-// of the controllers. Counts are placed in windows of the time on which the controllers agree, by
-// this process's steady clock, so that a jump of the time of day moves none. A report is sent until
-// it is taken, always with the same number and counts, so that a lost answer counts nothing twice.
+// Package usagereport counts at a relay the requests that start to run, by tenant, and reports the counts to the leader of
+// the controllers. Counts are assigned to windows of the controllers' time using this process's monotonic clock, so that a
+// jump of the wall clock moves no count. A report is sent until it is acknowledged, always with the same number and counts,
+// so that a lost response does not cause double counting.
 package usagereport
--- a/internal/usagereport/meter.go
+++ b/internal/usagereport/meter.go
@@ -13,72 +13,72 @@
 )
 
 const (
-	// mostUnplaced bounds the requests that are remembered one by one until the true time is known.
-	mostUnplaced = 4096
-	// mostCounts bounds the counts that wait until they are taken, some 5 MB of them; those of the oldest window give
-	// way. That is two hours of windows of a minute for 500 tenants.
-	mostCounts = 1 << 16
+	// maximumUnplaced limits the requests stored individually until the true time is known.
+	maximumUnplaced = 4096
+	// maximumCounts limits the counts that await acknowledgement, about 5 MB. Beyond it the counts of the oldest window are
+	// dropped. That is two hours of one-minute windows for 500 tenants.
+	maximumCounts = 1 << 16
 )
 
-// Meter counts the requests that begin to run. It is safe for concurrent use. Moments are durations
-// since the origin of the process's steady clock.
+// Meter counts the requests that start to run. It is safe for concurrent use. Moments are durations since the origin of the
+// process's monotonic clock.
 type Meter struct {
-	// relay is the random identity of this process's start.
+	// relay is the random identity of this incarnation of the relay.
 	relay uint64
-	// wake gets an entry when there is something to tell.
+	// wake receives a value when there is something to report.
 	wake chan struct{}
 
 	mutex sync.Mutex
 	time  trueTime
-	// window is the length of the windows; 0 while nobody wants to know.
+	// window is the length of the windows; 0 while usage reporting is disabled.
 	window   time.Duration
 	counts   map[countKey]uint64
-	unplaced []begin
+	unplaced []requestStart
 	sequence uint64
-	// underWay is the report that is sent until it is taken; nil for none.
-	underWay *v1.UsageReport
+	// pendingReport is the report that is sent until it is acknowledged; nil without one.
+	pendingReport *v1.UsageReport
 }
 
-// countKey is what requests are counted by.
+// countKey is the key by which requests are counted.
 type countKey struct {
 	window usage.Window
 	tenant string
 }
 
-// begin is one request that began to run.
-type begin struct {
+// requestStart is the start of one request.
+type requestStart struct {
 	moment time.Duration
 	tenant string
 }
 
-// NewMeter returns the meter of a relay's start.
+// NewMeter returns the Meter of one incarnation of a relay.
 func NewMeter(relay uint64) *Meter {
 	return &Meter{relay: relay, wake: make(chan struct{}, 1), counts: map[countKey]uint64{}}
 }
 
-// CountRequest counts a request of a tenant that began to run at a moment.
+// CountRequest counts a request of a tenant that started to run at the given moment.
 func (m *Meter) CountRequest(moment time.Duration, tenant string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.window == 0 || !m.time.known {
-		if len(m.unplaced) < mostUnplaced {
-			m.unplaced = append(m.unplaced, begin{moment: moment, tenant: tenant})
+		if len(m.unplaced) < maximumUnplaced {
+			m.unplaced = append(m.unplaced, requestStart{moment: moment, tenant: tenant})
 		}
 		return
 	}
-	m.place(begin{moment: moment, tenant: tenant})
-	m.signal()
+	m.countInWindow(requestStart{moment: moment, tenant: tenant})
+	m.wakeReporter()
 }
 
-// place counts a request in its window.
-func (m *Meter) place(began begin) {
-	m.counts[countKey{usage.WindowAt(m.time.at(began.moment), m.window), began.tenant}]++
-	if len(m.counts) > mostCounts {
+// countInWindow counts a request in its window.
+func (m *Meter) countInWindow(request requestStart) {
+	m.counts[countKey{usage.WindowAt(m.time.at(request.moment), m.window), request.tenant}]++
+	if len(m.counts) > maximumCounts {
 		m.dropOldest()
 	}
 }
 
-// dropOldest forgets the counts of the oldest window.
+// dropOldest deletes the counts of the oldest window.
 func (m *Meter) dropOldest() {
 	oldest := usage.Window(math.MaxInt64)
 	for key := range m.counts {
@@ -87,20 +87,20 @@
 	maps.DeleteFunc(m.counts, func(key countKey, _ uint64) bool { return key.window == oldest })
 }
 
-// signal tells that there is something to tell.
-func (m *Meter) signal() {
+// wakeReporter signals the Reporter that there is something to report.
+func (m *Meter) wakeReporter() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
 	}
 }
 
-// UpdateTime takes the leader's word, just received: the true time, 0 while it knows none, and the length of
-// the windows, 0 when nobody wants to know.
+// UpdateTime applies a message of the leader received at now: the true time, 0 if the leader does not know it, and the length
+// of the windows, 0 to disable usage reporting.
 func (m *Meter) UpdateTime(now time.Duration, trueTimeMs int64, window time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.time.hear(now, trueTimeMs)
+	m.time.update(now, trueTimeMs)
 	m.window = window
 	if window == 0 {
 		m.unplaced = nil
@@ -109,21 +109,21 @@
 	if !m.time.known {
 		return
 	}
-	for _, began := range m.unplaced {
-		m.place(began)
+	for _, request := range m.unplaced {
+		m.countInWindow(request)
 	}
 	if len(m.unplaced) > 0 {
-		m.signal()
+		m.wakeReporter()
 	}
 	m.unplaced = nil
 }
 
-// NextReport returns the report that is to be sent: the last one until it was taken; nil for none.
+// NextReport returns the report to send: the last one until it is acknowledged, else a new one; nil if there are no counts.
 func (m *Meter) NextReport() *v1.UsageReport {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.underWay != nil || len(m.counts) == 0 {
-		return m.underWay
+	if m.pendingReport != nil || len(m.counts) == 0 {
+		return m.pendingReport
 	}
 	m.sequence++
 	report := &v1.UsageReport{Relay: m.relay, Sequence: m.sequence}
@@ -134,18 +134,18 @@
 		return cmp.Or(cmp.Compare(a.GetWindow(), b.GetWindow()), cmp.Compare(a.GetTenant(), b.GetTenant()))
 	})
 	clear(m.counts)
-	m.underWay = report
+	m.pendingReport = report
 	return report
 }
 
-// AcknowledgeReport notes that the report under way was taken.
+// AcknowledgeReport records that the leader has received the pending report.
 func (m *Meter) AcknowledgeReport() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.underWay = nil
+	m.pendingReport = nil
 }
 
-// UnreportedCount returns how many requests have not been reported yet.
+// UnreportedCount returns the number of requests that have not been reported and acknowledged.
 func (m *Meter) UnreportedCount() uint64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -153,7 +153,7 @@
 	for _, count := range m.counts {
 		unreported += count
 	}
-	for _, count := range m.underWay.GetCounts() {
+	for _, count := range m.pendingReport.GetCounts() {
 		unreported += count.GetCount()
 	}
 	return unreported
--- a/internal/usagereport/meter_test.go
+++ b/internal/usagereport/meter_test.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	// start is the true time at the origin of the steady clock, in milliseconds: a window begins.
-	start  = int64(1_790_000_000_000)
-	window = 5 * time.Second
-	first  = start / 5000
+	// startMs is the true time at the origin of the monotonic clock, in milliseconds. A window begins there.
+	startMs     = int64(1_790_000_000_000)
+	window      = 5 * time.Second
+	firstWindow = startMs / 5000
 )
 
-// counts are those of a report by window, from the first, and tenant.
+// counts returns the counts of a report by window, relative to the first one, and tenant.
 func counts(report *v1.UsageReport) map[int64]map[string]uint64 {
 	sums := map[int64]map[string]uint64{}
 	for _, count := range report.GetCounts() {
-		if sums[count.GetWindow()-first] == nil {
-			sums[count.GetWindow()-first] = map[string]uint64{}
+		if sums[count.GetWindow()-firstWindow] == nil {
+			sums[count.GetWindow()-firstWindow] = map[string]uint64{}
 		}
-		sums[count.GetWindow()-first][count.GetTenant()] += count.GetCount()
+		sums[count.GetWindow()-firstWindow][count.GetTenant()] += count.GetCount()
 	}
 	return sums
 }
 
-func TestRequestsCountInTheWindowInWhichTheyBegan(t *testing.T) {
+func TestRequestsCountInTheirStartWindow(t *testing.T) {
 	meter := NewMeter(7)
 	meter.CountRequest(time.Second, "early")
-	meter.UpdateTime(2*time.Second, start+2000, window)
+	meter.UpdateTime(2*time.Second, startMs+2000, window)
 	meter.CountRequest(window-time.Millisecond, "a")
 	meter.CountRequest(window, "a")
 	meter.CountRequest(window, "b")
@@ -45,10 +45,10 @@
 	require.Equal(t, uint64(1), report.GetSequence())
 }
 
-// A report that was not taken is sent again as it was; what began since goes into the next one.
-func TestAReportIsTheSameUntilItIsTaken(t *testing.T) {
+// An unacknowledged report is sent again unchanged; requests that started since go into the next one.
+func TestReportIsUnchangedUntilAcknowledged(t *testing.T) {
 	meter := NewMeter(7)
-	meter.UpdateTime(0, start, window)
+	meter.UpdateTime(0, startMs, window)
 	require.Nil(t, meter.NextReport())
 	meter.CountRequest(0, "a")
 	report := proto.CloneOf(meter.NextReport())
@@ -62,48 +62,48 @@
 	require.Zero(t, meter.UnreportedCount())
 }
 
-// The leader's word is late by as long as it was under way: the fastest one holds, until it is old.
-func TestTheFastestWordOfTheTimeHolds(t *testing.T) {
+// Time messages are late by their network latency: the fastest one applies until it is too old.
+func TestFastestTimeUpdateWins(t *testing.T) {
 	time := trueTime{}
-	time.hear(1000e6, start+400)
-	time.hear(2000e6, start+1990)
-	time.hear(3000e6, start+2500)
-	require.Equal(t, start+3990, time.at(4000e6))
-	time.hear(23000e6, start+22900)
-	require.Equal(t, start+23900, time.at(24000e6))
-	time.hear(24000e6, 0)
-	require.Equal(t, start+23900, time.at(24000e6), "a leader that knows none tells nothing")
+	time.update(1000e6, startMs+400)
+	time.update(2000e6, startMs+1990)
+	time.update(3000e6, startMs+2500)
+	require.Equal(t, startMs+3990, time.at(4000e6))
+	time.update(23000e6, startMs+22900)
+	require.Equal(t, startMs+23900, time.at(24000e6))
+	time.update(24000e6, 0)
+	require.Equal(t, startMs+23900, time.at(24000e6), "a leader without the time does not change it")
 }
 
-func TestNobodyWantsToKnow(t *testing.T) {
+func TestDisabledUsageCountsNothing(t *testing.T) {
 	meter := NewMeter(7)
 	meter.CountRequest(0, "a")
-	meter.UpdateTime(0, start, 0)
+	meter.UpdateTime(0, startMs, 0)
 	meter.CountRequest(0, "a")
-	meter.UpdateTime(0, start, 0)
+	meter.UpdateTime(0, startMs, 0)
 	require.Zero(t, meter.UnreportedCount())
 	require.Nil(t, meter.NextReport())
 }
 
-// What is counted while nobody can be reached is reported once, whole, when somebody can.
+// Requests counted while the leader is unreachable are reported completely and once when it is reachable again.
 func TestReporterSendsEverythingOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		meter := NewMeter(7)
-		meter.UpdateTime(0, start, window)
+		meter.UpdateTime(0, startMs, window)
 		reachable, failed := false, 0
-		taken := map[uint64]bool{}
+		received := map[uint64]bool{}
 		sum := uint64(0)
 		reporter := &Reporter{
 			Meter: meter, RelayCount: func() int { return 60 }, OnFailure: func() { failed++ },
 			Send: func(_ context.Context, report *v1.UsageReport) error {
-				lost := len(taken)%2 == 0 && !taken[report.GetSequence()] // the answer to every other report is lost
+				lost := len(received)%2 == 0 && !received[report.GetSequence()] // the response to every other report is lost
 				if !reachable {
 					return errors.New("no leader")
 				}
-				if !taken[report.GetSequence()] {
-					taken[report.GetSequence()] = true
+				if !received[report.GetSequence()] {
+					received[report.GetSequence()] = true
 					for _, count := range report.GetCounts() {
 						sum += count.GetCount()
 					}
@@ -124,6 +124,6 @@
 		require.Zero(t, meter.UnreportedCount())
 		require.Equal(t, uint64(100), sum)
 		require.Positive(t, failed)
-		require.LessOrEqual(t, len(taken), 3, "what is counted meanwhile goes together")
+		require.LessOrEqual(t, len(received), 3, "requests counted in the meantime are reported together")
 	})
 }
--- a/internal/usagereport/reporter.go
+++ b/internal/usagereport/reporter.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	// leastGap is the least time between two reports; what is counted meanwhile goes together.
-	leastGap = 20 * time.Millisecond
-	// reportsPerSecond is how many reports the leader gets about at most from all relays.
+	// minimumGap is the minimum time between two reports. Requests counted in the meantime are reported together.
+	minimumGap = 20 * time.Millisecond
+	// reportsPerSecond is the approximate maximum rate of reports to the leader from all relays.
 	reportsPerSecond = 600
-	// sendTimeout ends the wait for the answer to a report, which is then sent again.
+	// sendTimeout limits the wait for the response to a report, which is then sent again.
 	sendTimeout = 600 * time.Millisecond
-	// retryPause is the wait before a report is sent again. It doubles up to longestRetryPause, or to the gap between
-	// reports where there are many relays: a leader may take none for as long as an upgrade lasts.
+	// retryPause is the wait before a report is sent again. It doubles up to maximumRetryPause, or up to the gap between
+	// reports with many relays: during an upgrade the leader may accept no reports.
 	retryPause        = 100 * time.Millisecond
-	longestRetryPause = 400 * time.Millisecond
+	maximumRetryPause = 400 * time.Millisecond
 )
 
-// SendFunc sends a report to the leader and returns nil once it was taken.
+// SendFunc sends a report to the leader. It returns nil once the leader has acknowledged the report.
 type SendFunc func(ctx context.Context, report *v1.UsageReport) error
 
-// Reporter sends what a meter counts to the leader.
+// Reporter sends the counts of a Meter to the leader.
 type Reporter struct {
 	Meter *Meter
 	Send  SendFunc
-	// RelayCount returns how many relays there are, as far as is known.
+	// RelayCount returns the number of relays as far as known.
 	RelayCount func() int
-	// OnFailure counts reports that have to be sent again.
+	// OnFailure is called for each report that must be sent again.
 	OnFailure func()
 }
 
-// Run reports until the context ends.
+// Run sends reports until the context ends.
 func (r *Reporter) Run(ctx context.Context) {
 	for {
 		select {
@@ -47,7 +47,7 @@
 	}
 }
 
-// Flush reports everything that is counted, until it was taken or the context ends.
+// Flush sends all counts. It blocks until they are acknowledged or the context ends.
 func (r *Reporter) Flush(ctx context.Context) {
 	wait := retryPause
 	for report := r.Meter.NextReport(); report != nil && ctx.Err() == nil; report = r.Meter.NextReport() {
@@ -61,11 +61,11 @@
 		}
 		r.OnFailure()
 		pause.For(ctx, wait)
-		wait = min(2*wait, max(longestRetryPause, r.gap()))
+		wait = min(2*wait, max(maximumRetryPause, r.gap()))
 	}
 }
 
-// gap is the time between two reports of one relay.
+// gap returns the time between two reports of one relay.
 func (r *Reporter) gap() time.Duration {
-	return max(time.Duration(r.RelayCount())*time.Second/reportsPerSecond, leastGap)
+	return max(time.Duration(r.RelayCount())*time.Second/reportsPerSecond, minimumGap)
 }
--- a/internal/usagereport/true_time.go
+++ b/internal/usagereport/true_time.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// offsetMemory is how long the best word of the true time is kept before a later one takes its place:
-// steady clocks drift by less than a millisecond meanwhile.
-const offsetMemory = 20 * time.Second
+// offsetLifetime is how long the best offset is used before a later one replaces it. Monotonic clocks drift by less than a
+// millisecond in that time.
+const offsetLifetime = 20 * time.Second
 
-// trueTime estimates the time on which the controllers agree. Their word is old when it arrives, so
-// that it never tells too much: the word that tells the most has been under way for the least time.
+// trueTime estimates the controllers' time. Their time messages are outdated by their network latency, so they are never ahead
+// of the true time: the message with the largest offset had the lowest latency.
 type trueTime struct {
-	offset  time.Duration
-	heardAt time.Duration
-	known   bool
+	offset    time.Duration
+	updatedAt time.Duration
+	known     bool
 }
 
-// hear takes the leader's word, just received; 0 means that it knows none.
-func (t *trueTime) hear(now time.Duration, timeOfDayMs int64) {
+// update applies a time message received at now; 0 means that the leader does not know the time.
+func (t *trueTime) update(now time.Duration, timeOfDayMs int64) {
 	if timeOfDayMs == 0 {
 		return
 	}
 	offset := time.Duration(timeOfDayMs)*time.Millisecond - now
-	if t.known && offset < t.offset && now-t.heardAt < offsetMemory {
+	if t.known && offset < t.offset && now-t.updatedAt < offsetLifetime {
 		return
 	}
-	t.offset, t.heardAt, t.known = offset, now, true
+	t.offset, t.updatedAt, t.known = offset, now, true
 }
 
-// at returns the true time of a moment, in milliseconds since the start of 1970.
+// at returns the true time of a moment, in milliseconds since the Unix epoch.
 func (t *trueTime) at(moment time.Duration) int64 { return (t.offset + moment).Milliseconds() }
