--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,30 +1,30 @@
-// Package verdict says whether a request may have run at a back end. The verdict
-// is decided where the fact is known and carried to the caller; it is never a guess.
+// Package verdict defines whether a request may have run at a back end. The verdict is
+// determined where the fact is known and passed on to the caller; it is never guessed.
 package verdict
 
-// Verdict says whether a request may have run. The zero value is MayHaveRun, so
-// that a forgotten verdict never claims that a request did not run.
+// Verdict states whether a request may have run. The zero value is MayHaveRun, so that a missing
+// verdict never claims that a request did not run.
 type Verdict uint8
 
-// Verdicts, from least to most certain.
+// Verdicts, from the least to the most certain.
 const (
 	// MayHaveRun means that the request reached, or could have reached, a back end.
 	MayHaveRun Verdict = iota
-	// NotRun means that no back end has started the request, and none will.
+	// NotRun means that no back end has started the request and that none will.
 	NotRun
 	// Ran means that a back end ran the request and its outcome is known.
 	Ran
 )
 
 const (
-	// Header carries the verdict on every answer to a caller, as it was known when the
-	// head of the answer left. On a stream it is may-have-run until the end tells more.
+	// Header carries the verdict in every response to a caller, as known when the response
+	// headers were sent. For a stream it is may-have-run; Trailer carries the final verdict.
 	Header = "X-Run-Verdict"
-	// Trailer carries the verdict after the last byte of a stream.
+	// Trailer carries the final verdict after the last byte of a stream.
 	Trailer = "X-Run-Verdict-Final"
 )
 
-// String returns the wire form of the verdict.
+// String returns the verdict as it appears in headers and trailers.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
