--- a/internal/safeguard/safeguard.go
+++ b/internal/safeguard/safeguard.go
@@ -1,18 +1,17 @@
-// Package safeguard names the mechanisms that keep hazelpitch's promises, so that
-// tests can switch one off and show that the promise then breaks. Processes always
-// run with the zero Set, in which every safeguard is on; no setting reaches it.
+// Package safeguard names the mechanisms behind hazelpitch's guarantees, so that tests can
+// disable one and show that the guarantee then breaks. Processes always run with the zero Set,
+// which enables every safeguard; no setting can change it.
 package safeguard
 
-// Safeguard is one mechanism that a test may switch off.
+// Safeguard is the name of a mechanism that a test may disable.
 type Safeguard string
 
-// Set is the set of safeguards that are switched off. The zero Set switches none
-// off. A Set is not changed after it has been handed out.
+// Set is a set of disabled safeguards. The zero Set disables none. A Set is immutable.
 type Set struct {
 	off map[Safeguard]bool
 }
 
-// Without returns a Set in which the named safeguards are switched off.
+// Without returns a Set that disables the named safeguards.
 func Without(safeguards ...Safeguard) Set {
 	off := make(map[Safeguard]bool, len(safeguards))
 	for _, safeguard := range safeguards {
@@ -21,7 +20,7 @@
 	return Set{off: off}
 }
 
-// IsEnabled reports whether the safeguard is in force.
+// IsEnabled reports whether the safeguard is enabled.
 func (s Set) IsEnabled(safeguard Safeguard) bool {
 	return !s.off[safeguard]
 }
