--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -1,17 +1,17 @@
-// Package mechanism names the mechanisms of the decisions on requests and engines, so that plays
-// can leave one out and show what it is worth. None of them keeps a promise: what does is a
-// safeguard, which no setting reaches (package safeguard). Processes that serve users run with the
-// zero Set, in which every mechanism is on.
+// Package mechanism names the mechanisms that decide on requests and engines, so that experiments can disable one
+// and measure its effect. No guarantee depends on them: the mechanisms behind guarantees are safeguards, which no
+// setting can disable (package safeguard). Processes that serve users run with the zero Set, which enables every
+// mechanism.
 package mechanism
 
 import (
 	"github.com/gravitational/trace"
 )
 
-// Mechanism is one mechanism that a play may leave out.
+// Mechanism is the name of a mechanism that an experiment may disable.
 type Mechanism string
 
-// Mechanisms of placement.
+// Mechanisms of placement. All describes each of them.
 const (
 	HomeEngines          Mechanism = "homes"
 	KVFetch              Mechanism = "fetching"
@@ -35,7 +35,7 @@
 	Spills           Mechanism = "spills"
 	Notices          Mechanism = "notices"
 	CacheQuery       Mechanism = "cache-reading"
-	MeasuredPace     Mechanism = "learnt-pace"
+	MeasuredSpeeds   Mechanism = "learnt-pace"
 	RunMigration     Mechanism = "run-moves"
 	RefusalSuspicion Mechanism = "refusal-suspicion"
 	StallWatch       Mechanism = "stall-watch"
@@ -43,23 +43,23 @@
 
 // Mechanisms of the plan of stages.
 const (
-	StagePlan     Mechanism = "stage-plan"
-	SeveralAtOnce Mechanism = "several-at-once"
-	TurnBackDelay Mechanism = "turn-back"
-	MinimumShare  Mechanism = "least-share"
-	StageGroups   Mechanism = "stage-groups"
-	FreshStages   Mechanism = "fresh-stages"
+	StagePlan         Mechanism = "stage-plan"
+	ConcurrentChanges Mechanism = "several-at-once"
+	TurnBackDelay     Mechanism = "turn-back"
+	MinimumShare      Mechanism = "least-share"
+	StageGroups       Mechanism = "stage-groups"
+	NewEngineStages   Mechanism = "fresh-stages"
 )
 
-// Description says what a mechanism does.
+// Description describes a mechanism.
 type Description struct {
 	Name Mechanism
-	// Package is where it acts.
+	// Package is the package that implements it.
 	Package string
 	Meaning string
 }
 
-// All describes every mechanism.
+// All describes all mechanisms.
 var All = []Description{
 	{HomeEngines, "placement", "a prompt prefers one engine of its cell among equals"},
 	{KVFetch, "placement", "an engine takes the beginning of a prompt from another one"},
@@ -79,25 +79,24 @@
 	{Spills, "relay", "a request that would wait long is offered to a further cell"},
 	{Notices, "relay", "relays tell owners of their work"},
 	{CacheQuery, "relay", "a new owner asks engines what they keep"},
-	{MeasuredPace, "relay", "the engines' speeds are learnt from their readings"},
+	{MeasuredSpeeds, "relay", "the engines' speeds are learnt from their readings"},
 	{RunMigration, "relay", "runs are moved from engines that leave or change"},
 	{RefusalSuspicion, "relay", "an engine that refuses although it has room counts as failed"},
 	{StallWatch, "relay", "an answer that stays silent is broken off where the request may go elsewhere"},
 	{StagePlan, "stageplan", "engines change their stages as the work asks"},
-	{SeveralAtOnce, "stageplan", "several engines change at once"},
+	{ConcurrentChanges, "stageplan", "several engines change at once"},
 	{TurnBackDelay, "stageplan", "engines that changed are not turned back at once"},
 	{MinimumShare, "stageplan", "each stage keeps a least share of the engines"},
 	{StageGroups, "stageplan", "engines change so that each cell keeps both stages"},
-	{FreshStages, "stageplan", "engines that have just begun to serve take the stage that their cell lacks"},
+	{NewEngineStages, "stageplan", "engines that have just begun to serve take the stage that their cell lacks"},
 }
 
-// Set is the set of mechanisms that are left out. The zero Set leaves none out. A Set is not
-// changed after it was made.
+// Set is a set of disabled mechanisms. The zero Set disables none. A Set is immutable.
 type Set struct {
 	off map[Mechanism]bool
 }
 
-// Without returns the Set that leaves the named mechanisms out; an unknown name is an error.
+// Without returns the Set that disables the named mechanisms. An unknown name is an error.
 func Without(names []string) (Set, error) {
 	off := make(map[Mechanism]bool, len(names))
 	for _, name := range names {
@@ -118,5 +117,5 @@
 	return false
 }
 
-// IsEnabled reports whether the mechanism is in force.
+// IsEnabled reports whether the mechanism is enabled.
 func (s Set) IsEnabled(mechanism Mechanism) bool { return !s.off[mechanism] }
--- a/internal/mechanism/mechanism_test.go
+++ b/internal/mechanism/mechanism_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The zero Set leaves nothing out, and a Set just what it names.
+// The zero Set disables nothing, and any other Set exactly the named mechanisms.
 func TestSets(t *testing.T) {
 	set, err := Without([]string{string(HomeEngines), string(Owners)})
 	require.NoError(t, err)
@@ -20,7 +20,7 @@
 	require.ErrorContains(t, err, `no mechanism is named "nonsense"`)
 }
 
-// The page lists every mechanism, so that the table's rows can be read.
+// The page lists every mechanism, so that the rows of its table can be understood.
 func TestPageListsEveryMechanism(t *testing.T) {
 	page, err := os.ReadFile("../../docs/ABLATION.md")
 	require.NoError(t, err)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -169,7 +169,7 @@
 		names: options.Dialect.Headers, writer: newRequestWriter(options.Dialect.Headers), clock: steady, dial: options.Dial,
 		without: options.Without,
 	}
-	relay.pace.fixed = !options.Without.IsEnabled(mechanism.MeasuredPace)
+	relay.pace.fixed = !options.Without.IsEnabled(mechanism.MeasuredSpeeds)
 	relay.view.Store(&view{byService: map[string][]*backEnd{}})
 	relay.knowledge = newKnowledge(relay, options)
 	relay.watcher = leaderwatch.New(leaderwatch.Config{
--- a/internal/stageplan/plan.go
+++ b/internal/stageplan/plan.go
@@ -104,7 +104,7 @@
 		return nil
 	}
 	p.observe(work)
-	if work.Known && p.config.Without.IsEnabled(mechanism.FreshStages) {
+	if work.Known && p.config.Without.IsEnabled(mechanism.NewEngineStages) {
 		if changes := p.placeFresh(engines); len(changes) > 0 {
 			return changes // they cost nothing, so that no time has to pass after them
 		}
@@ -174,7 +174,7 @@
 		return nil
 	}
 	most := max(int(mostAtOnce*float64(len(engines))), 1)
-	if !p.config.Without.IsEnabled(mechanism.SeveralAtOnce) {
+	if !p.config.Without.IsEnabled(mechanism.ConcurrentChanges) {
 		most = 1
 	}
 	return changeTo(engines, best, most)
