--- a/internal/admission/latency.go
+++ b/internal/admission/latency.go
@@ -32,7 +32,7 @@
 	isProbing bool
 }
 
-func (p *classLatency) isStale(now time.Duration) bool { return now-p.updatedAt > latencyLifetime }
+func (l *classLatency) isStale(now time.Duration) bool { return now-l.updatedAt > latencyLifetime }
 
 // latencyTracker records the latency of each class.
 type latencyTracker struct {
@@ -45,37 +45,37 @@
 }
 
 // recordFirstToken records the time to first token of a request.
-func (p latencyTracker) recordFirstToken(now time.Duration, class string, took time.Duration) {
-	known, found := p.classes.Get(class)
+func (t latencyTracker) recordFirstToken(now time.Duration, class string, took time.Duration) {
+	latency, found := t.classes.Get(class)
 	if !found {
-		known = &classLatency{firstToken: took}
-		p.classes.Add(class, known)
+		latency = &classLatency{firstToken: took}
+		t.classes.Add(class, latency)
 	}
 	weight := latencySmoothing
-	if known.isProbing {
+	if latency.isProbing {
 		weight = probeSmoothing
 	}
-	known.updatedAt, known.isProbing = now, false
-	known.deviation += smoothed(weight, max(took-known.firstToken, known.firstToken-took)-known.deviation)
-	known.firstToken += smoothed(weight, took-known.firstToken)
+	latency.updatedAt, latency.isProbing = now, false
+	latency.deviation += smoothed(weight, max(took-latency.firstToken, latency.firstToken-took)-latency.deviation)
+	latency.firstToken += smoothed(weight, took-latency.firstToken)
 }
 
 // recordFinish records the end of a request.
-func (p latencyTracker) recordFinish(now time.Duration, ended *entry, result Result) {
+func (t latencyTracker) recordFinish(now time.Duration, ended *entry, result Result) {
 	took := now - ended.startedAt
-	known, found := p.classes.Get(ended.Class)
+	latency, found := t.classes.Get(ended.Class)
 	switch {
 	case ended.firstToken == 0 && result.DeadlineMissed:
 		// The request was cancelled before its first token, so the time to first token is longer than took.
-		if !found || took > known.firstToken {
-			p.recordFirstToken(now, ended.Class, took)
+		if !found || took > latency.firstToken {
+			t.recordFirstToken(now, ended.Class, took)
 		}
 	case ended.firstToken > 0 && found && result.OutputTokens > 1:
 		interval := (took - ended.firstToken) / time.Duration(result.OutputTokens-1)
-		if known.tokenInterval == 0 {
-			known.tokenInterval = interval
+		if latency.tokenInterval == 0 {
+			latency.tokenInterval = interval
 		}
-		known.tokenInterval += smoothed(latencySmoothing, interval-known.tokenInterval)
+		latency.tokenInterval += smoothed(latencySmoothing, interval-latency.tokenInterval)
 	}
 }
 
@@ -85,9 +85,9 @@
 
 // recordStart records the start of a request. The first request after the latency became stale
 // probes it on behalf of all.
-func (p latencyTracker) recordStart(now time.Duration, request *Request) {
-	if known, found := p.classes.Peek(request.Class); found && known.isStale(now) {
-		known.updatedAt, known.isProbing = now, true
+func (t latencyTracker) recordStart(now time.Duration, request *Request) {
+	if latency, found := t.classes.Peek(request.Class); found && latency.isStale(now) {
+		latency.updatedAt, latency.isProbing = now, true
 	}
 }
 
@@ -95,11 +95,11 @@
 // latency of its class with one deviation of the time to first token as a margin. prefillWait is
 // the time that back ends need for the prompts started before it. The result is at least the
 // request's own minimum, and exactly that without a recent measurement.
-func (p latencyTracker) serviceTime(now time.Duration, request *Request, prefillWait time.Duration) time.Duration {
-	known, found := p.classes.Peek(request.Class)
-	if !found || known.isStale(now) {
+func (t latencyTracker) serviceTime(now time.Duration, request *Request, prefillWait time.Duration) time.Duration {
+	latency, found := t.classes.Peek(request.Class)
+	if !found || latency.isStale(now) {
 		return request.MinimumTime
 	}
-	expected := max(known.firstToken+known.deviation, prefillWait) + time.Duration(request.OutputTokens)*known.tokenInterval
+	expected := max(latency.firstToken+latency.deviation, prefillWait) + time.Duration(request.OutputTokens)*latency.tokenInterval
 	return max(expected, request.MinimumTime)
 }
--- a/internal/admission/prefill_backlog.go
+++ b/internal/admission/prefill_backlog.go
@@ -13,37 +13,37 @@
 func newPrefillBacklog() prefillBacklog { return prefillBacklog{pendingTokens: map[int32]int64{}} }
 
 // add adds a prompt. Time without pending prompts is excluded from the rate.
-func (r *prefillBacklog) add(now time.Duration, e *entry) {
-	if len(r.pendingTokens) == 0 {
-		r.rate.restart(now)
+func (b *prefillBacklog) add(now time.Duration, e *entry) {
+	if len(b.pendingTokens) == 0 {
+		b.rate.restart(now)
 	}
-	r.pendingTokens[e.Priority] += int64(max(e.PromptTokens, 1))
+	b.pendingTokens[e.Priority] += int64(max(e.PromptTokens, 1))
 }
 
 // remove removes a prompt; prefilled reports that its first token arrived.
-func (r *prefillBacklog) remove(now time.Duration, e *entry, prefilled bool) {
+func (b *prefillBacklog) remove(now time.Duration, e *entry, prefilled bool) {
 	tokens := int64(max(e.PromptTokens, 1))
-	r.pendingTokens[e.Priority] -= tokens
-	if r.pendingTokens[e.Priority] <= 0 {
-		delete(r.pendingTokens, e.Priority)
+	b.pendingTokens[e.Priority] -= tokens
+	if b.pendingTokens[e.Priority] <= 0 {
+		delete(b.pendingTokens, e.Priority)
 	}
 	if prefilled {
-		r.rate.record(now, float64(tokens), len(r.pendingTokens) > 0)
+		b.rate.record(now, float64(tokens), len(b.pendingTokens) > 0)
 	}
 }
 
 // wait returns how long back ends need at the recent prefill rate for the pending prompts of this
 // priority and above. This is the expected time to first token of a request that starts now.
 // It returns 0 while the rate is unknown.
-func (r *prefillBacklog) wait(priority int32) time.Duration {
-	if r.rate.perSecond == 0 {
+func (b *prefillBacklog) wait(priority int32) time.Duration {
+	if b.rate.perSecond == 0 {
 		return 0
 	}
 	before := int64(0)
-	for other, tokens := range r.pendingTokens {
+	for other, tokens := range b.pendingTokens {
 		if other >= priority {
 			before += tokens
 		}
 	}
-	return time.Duration(float64(before) / r.rate.perSecond * float64(time.Second))
+	return time.Duration(float64(before) / b.rate.perSecond * float64(time.Second))
 }
--- a/internal/admission/prefill_backlog_test.go
+++ b/internal/admission/prefill_backlog_test.go
@@ -48,8 +48,8 @@
 			for range row.pending - 1 {
 				start()
 			}
-			for gone := range row.ended {
-				core.Finish(now, id-uint64(gone), Result{Failed: true})
+			for index := range row.ended {
+				core.Finish(now, id-uint64(index), Result{Failed: true})
 			}
 			refused := core.Offer(now, newRequest(1000, "a", deadline(now+row.deadline, 0), func(r *Request) { r.Class = "read" }))
 			if row.want == nil {
--- a/internal/admission/shed.go
+++ b/internal/admission/shed.go
@@ -15,22 +15,22 @@
 // than their fair share of the queue; the newest among equals.
 func (c *Core) leastWorthEntry() *entry {
 	fair := c.queuedCost / max(c.weightSum, 1)
-	var least *entry
+	var leastWorth *entry
 	c.waiting.Ascend(func(queue *tenantQueue) bool {
 		if queue.cost/queue.weight < fair*fairShareTolerance {
 			return true
 		}
 		last, _ := queue.entries.Max()
-		if least == nil || shedOrder(last, least) {
-			least = last
+		if leastWorth == nil || shedOrder(last, leastWorth) {
+			leastWorth = last
 		}
 		return true
 	})
-	if least == nil { // rounding errors left no tenant above its fair share
+	if leastWorth == nil { // rounding errors left no tenant above its fair share
 		queue, _ := c.waiting.Max()
-		least, _ = queue.entries.Max()
+		leastWorth, _ = queue.entries.Max()
 	}
-	return least
+	return leastWorth
 }
 
 // fairShareTolerance absorbs rounding errors of a tenant that holds exactly its fair share.
--- a/internal/backpressure/limit_state.go
+++ b/internal/backpressure/limit_state.go
@@ -75,24 +75,24 @@
 // Limit returns the known limit, the zero value for none. fromBackEnd reports that the back end itself named it to this
 // process and that no other process has reported a limit since.
 func (s *Signals) Limit() (limit Limit, fromBackEnd bool) {
-	known := stateOf(s.limit.Load())
-	return known.limit, known.fromBackEnd
+	state := stateOf(s.limit.Load())
+	return state.limit, state.fromBackEnd
 }
 
 // LimitAge returns how long the current limit, or the absence of one, has been known; false if nothing is known about a
 // limit.
 func (s *Signals) LimitAge(now time.Duration) (time.Duration, bool) {
-	known := s.limit.Load()
-	if known == nil {
+	state := s.limit.Load()
+	if state == nil {
 		return 0, false
 	}
-	return now - known.learnedAt, true
+	return now - state.learnedAt, true
 }
 
 // isLimitStale reports whether the limit of an unlisted back end can be deleted.
 func (s *Signals) isLimitStale(now time.Duration) bool {
-	known := stateOf(s.limit.Load())
-	return !known.limit.IsSet || now-known.learnedAt > limitRetention
+	state := stateOf(s.limit.Load())
+	return !state.limit.IsSet || now-state.learnedAt > limitRetention
 }
 
 // stateOf returns the state, or the zero value if nothing is known.
--- a/internal/backpressure/registry.go
+++ b/internal/backpressure/registry.go
@@ -14,23 +14,23 @@
 func NewRegistry() *Registry { return &Registry{signals: map[string]*Signals{}} }
 
 // SignalsOf returns the signals of one incarnation of a back end. It always returns the same Signals for an identity.
-func (l *Registry) SignalsOf(identity string) *Signals {
-	signals := l.signals[identity]
+func (r *Registry) SignalsOf(identity string) *Signals {
+	signals := r.signals[identity]
 	if signals == nil {
 		signals = &Signals{}
-		l.signals[identity] = signals
+		r.signals[identity] = signals
 	}
 	return signals
 }
 
 // Len returns the number of stored incarnations.
-func (l *Registry) Len() int { return len(l.signals) }
+func (r *Registry) Len() int { return len(r.signals) }
 
 // RemoveUnlisted deletes the back ends that are not listed and none of whose signals is still valid.
-func (l *Registry) RemoveUnlisted(now time.Duration, isListed func(identity string) bool) {
-	for identity, signals := range l.signals {
+func (r *Registry) RemoveUnlisted(now time.Duration, isListed func(identity string) bool) {
+	for identity, signals := range r.signals {
 		if !isListed(identity) && signals.isStale(now) {
-			delete(l.signals, identity)
+			delete(r.signals, identity)
 		}
 	}
 }
--- a/internal/crashguard/bounded_map.go
+++ b/internal/crashguard/bounded_map.go
@@ -18,27 +18,27 @@
 	return &boundedMap[Value]{values: map[quarantine.Signature]Value{}, limit: limit}
 }
 
-func (r *boundedMap[Value]) get(signature quarantine.Signature) (Value, bool) {
-	value, known := r.values[signature]
+func (m *boundedMap[Value]) get(signature quarantine.Signature) (Value, bool) {
+	value, known := m.values[signature]
 	return value, known
 }
 
 // set sets the value of a request. Beyond the limit the oldest request is evicted.
-func (r *boundedMap[Value]) set(signature quarantine.Signature, value Value) {
-	if _, known := r.values[signature]; !known {
-		r.order = append(r.order, signature)
+func (m *boundedMap[Value]) set(signature quarantine.Signature, value Value) {
+	if _, known := m.values[signature]; !known {
+		m.order = append(m.order, signature)
 	}
-	r.values[signature] = value
-	for len(r.order) > r.limit {
-		delete(r.values, r.order[0])
-		r.order = r.order[1:]
+	m.values[signature] = value
+	for len(m.order) > m.limit {
+		delete(m.values, m.order[0])
+		m.order = m.order[1:]
 	}
 }
 
-func (r *boundedMap[Value]) remove(signature quarantine.Signature) {
-	if _, known := r.values[signature]; !known {
+func (m *boundedMap[Value]) remove(signature quarantine.Signature) {
+	if _, known := m.values[signature]; !known {
 		return
 	}
-	delete(r.values, signature)
-	r.order = slices.DeleteFunc(r.order, func(each quarantine.Signature) bool { return each == signature })
+	delete(m.values, signature)
+	m.order = slices.DeleteFunc(m.order, func(each quarantine.Signature) bool { return each == signature })
 }
--- a/internal/crashguard/guard.go
+++ b/internal/crashguard/guard.go
@@ -12,7 +12,7 @@
 // Leader makes calls to the leader of the controllers. After an error the call may or may not have taken effect.
 type Leader interface {
 	// ReportReplicaEnds reports crashes and returns those of their signatures that are quarantined now.
-	ReportReplicaEnds(ctx context.Context, ends []*v1.ReplicaEnd) (held [][]byte, err error)
+	ReportReplicaEnds(ctx context.Context, ends []*v1.ReplicaEnd) (quarantined [][]byte, err error)
 	// BeginTrial requests the right to run a quarantined request once.
 	BeginTrial(ctx context.Context, signature []byte) (granted bool, err error)
 	// ReleaseRequest reports that a quarantined request has succeeded.
@@ -122,7 +122,7 @@
 		if !valid {
 			continue
 		}
-		if _, known := g.quarantined[signature]; !known {
+		if _, wasListed := g.quarantined[signature]; !wasListed {
 			g.options.Observer.RequestQuarantined(signature)
 		}
 		updated[signature] = request.GetTrialDue()
--- a/internal/crashguard/guard_test.go
+++ b/internal/crashguard/guard_test.go
@@ -41,7 +41,7 @@
 	return nil
 }
 
-func (l *testLeader) ReportReplicaEnds(ctx context.Context, ends []*v1.ReplicaEnd) (held [][]byte, err error) {
+func (l *testLeader) ReportReplicaEnds(ctx context.Context, ends []*v1.ReplicaEnd) (quarantined [][]byte, err error) {
 	if err := l.simulateCall(ctx); err != nil {
 		return nil, err
 	}
@@ -51,10 +51,10 @@
 		signature, _ := quarantine.SignatureFromBytes(end.Signature)
 		l.ledger.RecordCrash(signature, end.Replica)
 		if l.ledger.IsQuarantined(signature) {
-			held = append(held, end.Signature)
+			quarantined = append(quarantined, end.Signature)
 		}
 	}
-	return held, nil
+	return quarantined, nil
 }
 
 func (l *testLeader) BeginTrial(ctx context.Context, _ []byte) (granted bool, err error) {
--- a/internal/crashguard/replica_state.go
+++ b/internal/crashguard/replica_state.go
@@ -181,10 +181,10 @@
 }
 
 // lastUpdate returns the time of the last event of the back end.
-func (l *replicaState) lastUpdate() time.Duration {
-	last := max(l.servingAt, l.crashedAt)
-	if len(l.brokenRuns) > 0 {
-		last = max(last, l.brokenRuns[len(l.brokenRuns)-1].at)
+func (s *replicaState) lastUpdate() time.Duration {
+	last := max(s.servingAt, s.crashedAt)
+	if len(s.brokenRuns) > 0 {
+		last = max(last, s.brokenRuns[len(s.brokenRuns)-1].at)
 	}
 	return last
 }
--- a/internal/crashguard/silence_test.go
+++ b/internal/crashguard/silence_test.go
@@ -16,8 +16,8 @@
 	now := time.Duration(0)
 	guard := New(Options{Now: func() time.Duration { return now }, Observer: silentObserver{}})
 	signature := quarantine.SignatureOf("", "", "", []byte("held"))
-	held := []*v1.HeldRequest{{Signature: signature[:]}}
-	guard.ApplyQuarantine(7, held)
+	requests := []*v1.HeldRequest{{Signature: signature[:]}}
+	guard.ApplyQuarantine(7, requests)
 	for ; now < localQuarantineTime; now += time.Second {
 		guard.MarkQuarantineUnsupported()
 		require.True(t, guard.IsQuarantined(signature))
--- a/internal/fleetlimit/fleet_test.go
+++ b/internal/fleetlimit/fleet_test.go
@@ -45,9 +45,9 @@
 		perSecond float64
 		busy      int
 	}{{7, 1, 7}, {7, 10, 2}, {60, 1, 60}, {400, 1, 400}, {400, 10, 400}, {400, 60, 40}} {
-		run := func(way strategy) (window int, used float64) {
+		run := func(selected strategy) (window int, used float64) {
 			fleet := newTestFleet(5, row.processes, row.perSecond)
-			fleet.strategy, fleet.busy = way, row.busy
+			fleet.strategy, fleet.busy = selected, row.busy
 			fleet.run(60*time.Second, 100, func() {})
 			window, _ = maximumInWindow(fleet.undisturbedArrivals)
 			return window, float64(len(fleet.allArrivals)) / 60 / row.perSecond
@@ -56,8 +56,8 @@
 		t.Logf("%d processes, %d of them busy, %g per second, %g tolerated in 4 s: one owner %d and %.2f of the limit used", row.processes, row.busy, row.perSecond, tolerated(row.perSecond), window, used)
 		require.LessOrEqual(t, float64(window), tolerated(row.perSecond))
 		require.GreaterOrEqual(t, used, 0.8)
-		for name, way := range map[string]strategy{"equal shares": equalShares, "unheeded": unlimited} {
-			window, used := run(way)
+		for name, selected := range map[string]strategy{"equal shares": equalShares, "unheeded": unlimited} {
+			window, used := run(selected)
 			t.Logf("    %s: %d and %.2f", name, window, used)
 		}
 	}
--- a/internal/fleetlimit/limit_counters_test.go
+++ b/internal/fleetlimit/limit_counters_test.go
@@ -31,17 +31,17 @@
 // Permits granted under a larger limit count against a smaller limit that replaces it.
 func TestASmallerLimitHoldsAtOnce(t *testing.T) {
 	counters := NewLimitCounters()
-	ask := PermitRequest{BackEnd: backEnd, Limit: newLimit(40), RequesterID: 1}
-	require.NotEmpty(t, counters.grants(0, 10*time.Second, ask))
+	request := PermitRequest{BackEnd: backEnd, Limit: newLimit(40), RequesterID: 1}
+	require.NotEmpty(t, counters.grants(0, 10*time.Second, request))
 	require.True(t, counters.SetLimit(10*time.Second, backEnd, newLimit(1)))
-	ask.Limit = newLimit(1)
-	require.Empty(t, counters.grants(10*time.Second, 13*time.Second, ask), "the last four seconds exceed the new limit")
-	granted := counters.grants(13*time.Second, 30*time.Second, ask)
+	request.Limit = newLimit(1)
+	require.Empty(t, counters.grants(10*time.Second, 13*time.Second, request), "the last four seconds exceed the new limit")
+	granted := counters.grants(13*time.Second, 30*time.Second, request)
 	require.GreaterOrEqual(t, len(granted), 12)
 	count, _ := maximumInWindow(granted)
 	require.LessOrEqual(t, float64(count), tolerated(1))
 	require.True(t, counters.SetLimit(30*time.Second, backEnd, newLimit(40)))
-	require.GreaterOrEqual(t, len(counters.grants(30*time.Second, 32*time.Second, ask)), 70, "a larger limit applies immediately")
+	require.GreaterOrEqual(t, len(counters.grants(30*time.Second, 32*time.Second, request)), 70, "a larger limit applies immediately")
 }
 
 // No window exceeds what the largest of several successive limits tolerates.
@@ -97,13 +97,13 @@
 // A run that can only resume at the back end with its KV cache gets a permit slightly before a token is available.
 func TestResumingRequestIsGrantedEarly(t *testing.T) {
 	counters := NewLimitCounters()
-	ask := PermitRequest{BackEnd: backEnd, Limit: newLimit(1)}
+	request := PermitRequest{BackEnd: backEnd, Limit: newLimit(1)}
 	const later = 5500 * time.Millisecond // half a token after the last permit
-	counters.grants(0, later, ask)
-	require.False(t, counters.HandleRequest(later, ask, FullFraction, neutralDraw).Granted)
-	ask.MustResume = true
-	require.True(t, counters.HandleRequest(later, ask, FullFraction, neutralDraw).Granted)
-	require.False(t, counters.HandleRequest(later, ask, FullFraction, neutralDraw).Granted, "only one of them")
+	counters.grants(0, later, request)
+	require.False(t, counters.HandleRequest(later, request, FullFraction, neutralDraw).Granted)
+	request.MustResume = true
+	require.True(t, counters.HandleRequest(later, request, FullFraction, neutralDraw).Granted)
+	require.False(t, counters.HandleRequest(later, request, FullFraction, neutralDraw).Granted, "only one of them")
 }
 
 // With many requesters the waits are long; with a few they are short enough to use the limit. Waits are spread.
@@ -147,9 +147,9 @@
 	require.Equal(t, cutOffFraction, first.fraction(settlingTime, backEnd, false), "a newer list may name another owner")
 	require.Equal(t, newOwnerFraction, second.fraction(settlingTime, backEnd, true))
 
-	ask := PermitRequest{BackEnd: backEnd, Limit: newLimit(1)}
+	request := PermitRequest{BackEnd: backEnd, Limit: newLimit(1)}
 	for now := settlingTime; now <= 2*settlingTime; now += time.Second {
-		_, isOwner := second.HandleRequest(now, ask, true, neutralDraw)
+		_, isOwner := second.HandleRequest(now, request, true, neutralDraw)
 		require.True(t, isOwner)
 	}
 	require.Equal(t, cutOffFraction, second.fraction(2*settlingTime, backEnd, true), "the owner is silent")
@@ -161,7 +161,7 @@
 	require.Equal(t, FullFraction, second.fraction(3*settlingTime, backEnd, true))
 	stranger := NewMember("c")
 	require.Zero(t, stranger.fraction(settlingTime, backEnd, true))
-	_, isOwner := stranger.HandleRequest(settlingTime, ask, true, neutralDraw)
+	_, isOwner := stranger.HandleRequest(settlingTime, request, true, neutralDraw)
 	require.False(t, isOwner)
 }
 
--- a/internal/limits/core.go
+++ b/internal/limits/core.go
@@ -143,8 +143,8 @@
 
 // accountFor returns the account of a tenant, creating it if needed, and applies the limit.
 func (c *Core) accountFor(now time.Duration, tenant string, limit Limit) (*account, error) {
-	tenantAccount, known := c.accounts.Get(tenant)
-	if !known {
+	tenantAccount, exists := c.accounts.Get(tenant)
+	if !exists {
 		if err := c.evictIdleTenants(); err != nil {
 			return nil, err
 		}
--- a/internal/limits/lease.go
+++ b/internal/limits/lease.go
@@ -55,23 +55,23 @@
 }
 
 // rate returns the token rate at the given time.
-func (h *leasedShares) rate(at time.Duration) float64 {
-	return max(h.granted.tokensPerSecond*h.granted.factor(at), h.initial.tokensPerSecond*h.initial.factor(at))
+func (s *leasedShares) rate(at time.Duration) float64 {
+	return max(s.granted.tokensPerSecond*s.granted.factor(at), s.initial.tokensPerSecond*s.initial.factor(at))
 }
 
 // concurrency returns the number of requests that may be in flight at the given time.
-func (h *leasedShares) concurrency(at time.Duration) int {
-	granted := float64(h.granted.concurrency) * h.granted.factor(at)
-	initial := float64(h.initial.concurrency) * h.initial.factor(at)
+func (s *leasedShares) concurrency(at time.Duration) int {
+	granted := float64(s.granted.concurrency) * s.granted.factor(at)
+	initial := float64(s.initial.concurrency) * s.initial.factor(at)
 	return int(max(granted, initial))
 }
 
 // tokens returns the tokens that the shares yield between two times.
-func (h *leasedShares) tokens(from, to time.Duration) float64 {
+func (s *leasedShares) tokens(from, to time.Duration) float64 {
 	var sum float64
 	for from < to {
-		end := min(to, h.granted.nextChange(from), h.initial.nextChange(from))
-		sum += h.rate(from) * (end - from).Seconds()
+		end := min(to, s.granted.nextChange(from), s.initial.nextChange(from))
+		sum += s.rate(from) * (end - from).Seconds()
 		from = end
 	}
 	return sum
--- a/internal/limits/requested_share.go
+++ b/internal/limits/requested_share.go
@@ -16,19 +16,19 @@
 }
 
 // recordReport records that a report was sent.
-func (a *requestedShare) recordReport(now time.Duration, tokensPerSecond uint64, concurrency uint32) {
-	a.reportedAt = now
-	a.tokensPerSecond, a.concurrency = tokensPerSecond, concurrency
-	if !a.hasUnanswered {
-		a.hasUnanswered, a.unansweredSince = true, now
+func (r *requestedShare) recordReport(now time.Duration, tokensPerSecond uint64, concurrency uint32) {
+	r.reportedAt = now
+	r.tokensPerSecond, r.concurrency = tokensPerSecond, concurrency
+	if !r.hasUnanswered {
+		r.hasUnanswered, r.unansweredSince = true, now
 	}
 }
 
 // recordAnswer records the answer to a report that was sent at sentAt.
-func (a *requestedShare) recordAnswer(sentAt time.Duration) {
-	a.answeredAt = sentAt
-	a.hasUnanswered = a.reportedAt > sentAt
-	a.unansweredSince = a.reportedAt
+func (r *requestedShare) recordAnswer(sentAt time.Duration) {
+	r.answeredAt = sentAt
+	r.hasUnanswered = r.reportedAt > sentAt
+	r.unansweredSince = r.reportedAt
 }
 
 // shareMayGrow reports whether the controllers may grant the tenant more than this gateway holds.
--- a/internal/limits/waiter.go
+++ b/internal/limits/waiter.go
@@ -36,11 +36,11 @@
 }
 
 // waitDeadline returns the time at which the wait ends at the latest.
-func (w *waiter) waitDeadline(longest time.Duration) time.Duration {
+func (w *waiter) waitDeadline(longestWait time.Duration) time.Duration {
 	if w.request.Deadline == 0 {
-		return w.waitingSince + longest
+		return w.waitingSince + longestWait
 	}
-	return min(w.waitingSince+longest, w.request.Deadline)
+	return min(w.waitingSince+longestWait, w.request.Deadline)
 }
 
 // mayWait reports whether a request that may not start now may wait. There must be room, and a
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -93,19 +93,19 @@
 
 // Set is a set of disabled mechanisms. The zero Set disables none. A Set is immutable.
 type Set struct {
-	off map[Mechanism]bool
+	disabled map[Mechanism]bool
 }
 
 // Without returns the Set that disables the named mechanisms. An unknown name is an error.
 func Without(names []string) (Set, error) {
-	off := make(map[Mechanism]bool, len(names))
+	disabled := make(map[Mechanism]bool, len(names))
 	for _, name := range names {
 		if !isKnown(Mechanism(name)) {
 			return Set{}, trace.BadParameter("no mechanism is named %q; see the list in docs/ABLATION.md", name)
 		}
-		off[Mechanism(name)] = true
+		disabled[Mechanism(name)] = true
 	}
-	return Set{off: off}, nil
+	return Set{disabled: disabled}, nil
 }
 
 func isKnown(name Mechanism) bool {
@@ -118,4 +118,4 @@
 }
 
 // IsEnabled reports whether the mechanism is enabled.
-func (s Set) IsEnabled(mechanism Mechanism) bool { return !s.off[mechanism] }
+func (s Set) IsEnabled(mechanism Mechanism) bool { return !s.disabled[mechanism] }
--- a/internal/quarantine/signature.go
+++ b/internal/quarantine/signature.go
@@ -18,11 +18,11 @@
 // SignatureOf returns the signature of a request. caller is empty if callers are unknown.
 func SignatureOf(caller, method, target string, body []byte) Signature {
 	sum := sha256.New()
-	for _, part := range []string{caller, method, target} {
+	for _, field := range []string{caller, method, target} {
 		var length [8]byte
-		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
+		binary.BigEndian.PutUint64(length[:], uint64(len(field)))
 		sum.Write(length[:])
-		_, _ = io.WriteString(sum, part) // a hash never fails to write
+		_, _ = io.WriteString(sum, field) // a hash never fails to write
 	}
 	sum.Write(body)
 	var signature Signature
--- a/internal/safeguard/safeguard.go
+++ b/internal/safeguard/safeguard.go
@@ -8,19 +8,19 @@
 
 // Set is a set of disabled safeguards. The zero Set disables none. A Set is immutable.
 type Set struct {
-	off map[Safeguard]bool
+	disabled map[Safeguard]bool
 }
 
 // Without returns a Set that disables the named safeguards.
 func Without(safeguards ...Safeguard) Set {
-	off := make(map[Safeguard]bool, len(safeguards))
+	disabled := make(map[Safeguard]bool, len(safeguards))
 	for _, safeguard := range safeguards {
-		off[safeguard] = true
+		disabled[safeguard] = true
 	}
-	return Set{off: off}
+	return Set{disabled: disabled}
 }
 
 // IsEnabled reports whether the safeguard is enabled.
 func (s Set) IsEnabled(safeguard Safeguard) bool {
-	return !s.off[safeguard]
+	return !s.disabled[safeguard]
 }
--- a/internal/shares/lease.go
+++ b/internal/shares/lease.go
@@ -44,8 +44,8 @@
 func (l *lease) acknowledge(now time.Duration, demand *v1.ShareDemand) {
 	l.granted = slices.DeleteFunc(l.granted, func(g grant) bool { return g.expiresAt <= now })
 	for i := len(l.granted) - 1; i > 0; i-- {
-		held := l.granted[i]
-		if held.tokens == demand.HeldTokensPerSecond && held.concurrency == demand.HeldConcurrency {
+		candidate := l.granted[i]
+		if candidate.tokens == demand.HeldTokensPerSecond && candidate.concurrency == demand.HeldConcurrency {
 			l.granted = slices.Clone(l.granted[i:])
 			return
 		}
--- a/internal/shares/tenant.go
+++ b/internal/shares/tenant.go
@@ -48,7 +48,7 @@
 // dropInactive deletes the gateways that have not reported for a lifetime, since everything that
 // they held has expired. It returns their number.
 func (t *tenant) dropInactive(now, lifetime time.Duration) int {
-	kept := slices.DeleteFunc(t.gateways, func(name string) bool {
+	remaining := slices.DeleteFunc(t.gateways, func(name string) bool {
 		l := t.leases[name]
 		if now-l.lastReportAt < lifetime {
 			return false
@@ -58,8 +58,8 @@
 		delete(t.leases, name)
 		return true
 	})
-	dropped := len(t.gateways) - len(kept)
-	t.gateways = kept
+	dropped := len(t.gateways) - len(remaining)
+	t.gateways = remaining
 	return dropped
 }
 
