--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -34,4 +34,5 @@
 	return r.Deadline - r.MinimumTime
 }
 
+// noDeadline is the latest start of a request without a deadline.
 const noDeadline = time.Duration(1<<63 - 1)
--- a/internal/admission/service_rate.go
+++ b/internal/admission/service_rate.go
@@ -3,7 +3,9 @@
 import "time"
 
 const (
+	// rateWindow is the minimum length of one sample of the rate.
 	rateWindow = 500 * time.Millisecond
+	// rateWeight is the weight of the latest sample in the rate.
 	rateWeight = 0.3
 )
 
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -3,6 +3,7 @@
 import "time"
 
 const (
+	// windowShrinkFactor is the factor by which the window shrinks at each decrease.
 	windowShrinkFactor = 0.85
 	// minimumShrinkInterval is the minimum time between two decreases. With longer requests the
 	// round trip applies instead, since a decrease takes effect only after one.
@@ -33,8 +34,8 @@
 	target           time.Duration
 	shrunkAt         time.Duration
 	hasShrunk        bool
-	costInFlight     float64 // cost in flight
-	requestsInFlight int     // requests in flight
+	costInFlight     float64
+	requestsInFlight int
 	roundTrip        time.Duration
 	// meanWait is the running mean of waits, each relative to its allowed wait.
 	meanWait float64
--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -21,7 +21,8 @@
 	CertificateValidity = 90 * 24 * time.Hour
 	// clockTolerance is how far certificates are backdated, for machines whose clocks are behind.
 	clockTolerance = 5 * time.Minute
-	serialBits     = 127
+	// serialBits is the size of random certificate serial numbers, in bits.
+	serialBits = 127
 )
 
 // Authority issues the certificates of one fleet.
--- a/internal/limits/waiter_test.go
+++ b/internal/limits/waiter_test.go
@@ -37,9 +37,9 @@
 	}{
 		{name: "a larger share is granted", sizes: []int{3200, 3200}, then: func(c *Core) { answer(c, 64_000) },
 			outcomes: []outcome{{1, start + 50*ms, nil}, {2, start + 100*ms, nil}}},
-		{name: "the share is smaller than asked", sizes: []int{3200, 3200}, then: func(c *Core) { answer(c, 1200) },
+		{name: "the share is smaller than requested", sizes: []int{3200, 3200}, then: func(c *Core) { answer(c, 1200) },
 			outcomes: []outcome{{2, start, ErrTokenLimit}, {1, start + 1000*ms, nil}}},
-		{name: "the share is smaller than asked but enough in time", sizes: []int{900}, then: func(c *Core) { answer(c, 1200) },
+		{name: "the share is smaller than requested but yields enough in time", sizes: []int{900}, then: func(c *Core) { answer(c, 1200) },
 			outcomes: []outcome{{1, start + 750*ms, nil}}},
 		{name: "no answer: the initial share yields the tokens", sizes: []int{1000}, then: func(*Core) {},
 			outcomes: []outcome{{1, start + 1000*ms, nil}}},
