--- a/internal/keys/files.go
+++ b/internal/keys/files.go
@@ -24,7 +24,7 @@
 func WriteAuthority(directory string, pair KeyPair) error {
 	certificate := filepath.Join(directory, AuthorityCertificateFile)
 	if _, err := os.Stat(certificate); err == nil {
-		return trace.AlreadyExists("%s exists: an authority cannot be replaced in place; use another directory", certificate)
+		return trace.AlreadyExists("%s exists: an authority is never replaced in place; use another directory", certificate)
 	}
 	return writePair(certificate, filepath.Join(directory, AuthorityKeyFile), pair)
 }
