--- a/internal/shares/divider.go
+++ b/internal/shares/divider.go
@@ -8,22 +8,22 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// DefaultLifetime is how long a share holds.
+// DefaultLifetime is how long a share is valid.
 const DefaultLifetime = 4 * time.Second
 
-// MaximumLeases bounds the shares that are remembered over all tenants; a demand
-// beyond it gets no share until others run out.
+// MaximumLeases limits the leases over all tenants. Beyond it, demands get no share until other
+// leases expire.
 const MaximumLeases = 500_000
 
-// roomDivisor sets the part of a tenant's limit that no one wants which one gateway
-// gets: an eighth. The rest stays for gateways that meet the tenant next.
-const roomDivisor = 8
+// spareDivisor is the divisor of the spare part of a tenant's limit that one gateway gets beyond its
+// demand: an eighth. The rest remains for gateways that see the tenant next.
+const spareDivisor = 8
 
-// SafeguardSettle makes a new leader wait until its predecessor's shares have run
-// out before it grants more than gateways hold.
+// SafeguardSettle makes a new leader wait until the shares of its predecessor have expired
+// before it grants more than gateways hold.
 const SafeguardSettle safeguard.Safeguard = "share settling"
 
-// Limits are what a tenant may use over the whole fleet; 0 is no limit.
+// Limits are a tenant's limits for the whole fleet; 0 is no limit.
 type Limits struct {
 	TokensPerSecond uint64
 	Concurrency     uint32
@@ -38,8 +38,8 @@
 	leases     int
 }
 
-// New returns a Divider of a controller that does not lead. A lifetime of zero means
-// the default.
+// New returns the Divider of a controller that does not lead. A lifetime of zero selects the
+// default.
 func New(lifetime time.Duration, safeguards safeguard.Set) *Divider {
 	if lifetime == 0 {
 		lifetime = DefaultLifetime
@@ -47,8 +47,8 @@
 	return &Divider{lifetime: lifetime, safeguards: safeguards, tenants: map[string]*tenant{}}
 }
 
-// StartLeading starts the time of a new leader that knows nothing of shares granted before;
-// first tells that no leader has ever granted any.
+// StartLeading resets the Divider for a new leader, which does not know the shares granted before.
+// first reports that no leader has ever granted any.
 func (d *Divider) StartLeading(now time.Duration, first bool) {
 	d.tenants = map[string]*tenant{}
 	d.leases = 0
@@ -58,77 +58,77 @@
 	}
 }
 
-// Divide takes a gateway's demand for one tenant and returns the share it gets; nil
-// when the tenant has no limit.
+// Divide records a gateway's demand for one tenant and returns the gateway's share; nil if the
+// tenant has no limit.
 func (d *Divider) Divide(now time.Duration, gateway string, demand *v1.ShareDemand, limits Limits) *v1.Share {
 	if limits == (Limits{}) {
 		return nil
 	}
-	owner := d.tenants[demand.Tenant]
-	if owner == nil {
-		owner = &tenant{leases: map[string]*lease{}}
-		d.tenants[demand.Tenant] = owner
+	account := d.tenants[demand.Tenant]
+	if account == nil {
+		account = &tenant{leases: map[string]*lease{}}
+		d.tenants[demand.Tenant] = account
 	}
-	lease := owner.leases[gateway]
+	lease := account.leases[gateway]
 	if lease == nil {
 		if d.leases >= MaximumLeases {
 			return &v1.Share{Tenant: demand.Tenant}
 		}
-		lease = owner.add(gateway)
+		lease = account.add(gateway)
 		d.leases++
 	}
-	lease.take(now, demand)
-	if owner.mustDivide(now, limits) {
-		d.leases -= owner.dropSilent(now, d.lifetime)
-		owner.divide(now, limits)
+	lease.applyDemand(now, demand)
+	if account.needsDivision(now, limits) {
+		d.leases -= account.dropInactive(now, d.lifetime)
+		account.divide(now, limits)
 	}
-	return d.grant(now, owner, lease, demand, limits)
+	return d.grant(now, account, lease, demand, limits)
 }
 
-// grant works out and records a new share.
+// grant computes and records a new share.
 func (d *Divider) grant(now time.Duration, owner *tenant, lease *lease, demand *v1.ShareDemand, limits Limits) *v1.Share {
-	owner.count(now, lease)
-	fair := owner.fair(lease)
+	owner.updateSums(now, lease)
+	fair := owner.maximumShare(lease)
 	availableTokens := subtract(limits.TokensPerSecond, owner.heldTokens-lease.countedTokens)
 	availableConcurrency := subtract(uint64(limits.Concurrency), owner.heldConcurrency-lease.countedConcurrency)
 	share := grant{
-		tokens: min(fair.TokensPerSecond, withRoom(lease.wantedTokens, availableTokens)),
+		tokens: min(fair.TokensPerSecond, addSpare(lease.wantedTokens, availableTokens)),
 		concurrency: min(fair.Concurrency,
-			uint32(withRoom(lease.wantedConcurrency, availableConcurrency))),
+			uint32(addSpare(lease.wantedConcurrency, availableConcurrency))),
 		expiresAt: now + d.lifetime,
 	}
 	if now < d.settledAt && d.safeguards.IsEnabled(SafeguardSettle) {
-		// What the predecessor granted sums up to the limit at most: renew that, and no
-		// more. Nor less for want of demand in this moment: it could not grow back
-		// before the predecessor's shares have run out.
+		// The grants of the predecessor sum up to at most the limit: renew them, but grant no more. Do not
+		// reduce them for a momentary lack of demand either, since they could not grow back before the
+		// predecessor's shares have expired.
 		share.tokens = min(availableTokens, demand.HeldTokensPerSecond)
 		share.concurrency = uint32(min(availableConcurrency, uint64(demand.HeldConcurrency)))
 	}
 	lease.granted = append(lease.granted, share)
-	owner.count(now, lease)
+	owner.updateSums(now, lease)
 	return &v1.Share{
 		Tenant: demand.Tenant, TokensPerSecond: share.tokens, Concurrency: share.concurrency,
 		ValidMs: uint32(d.lifetime.Milliseconds()),
 	}
 }
 
-// withRoom is what is wanted and a part of what is left beyond it, but no more than as
-// much again: room to grow for this gateway until it asks again, while most is left for
-// gateways that meet the tenant next.
-func withRoom(wanted, available uint64) uint64 {
+// addSpare returns the wanted amount plus a fraction of what is available beyond it, at most
+// doubling the amount. This lets the gateway grow until its next report and leaves most of the spare
+// amount for gateways that see the tenant next.
+func addSpare(wanted, available uint64) uint64 {
 	if available <= wanted {
 		return available
 	}
-	room := (available - wanted + roomDivisor - 1) / roomDivisor
-	return wanted + min(room, wanted+1)
+	spare := (available - wanted + spareDivisor - 1) / spareDivisor
+	return wanted + min(spare, wanted+1)
 }
 
-// ActiveGrants lists the shares that may be in use, by tenant and gateway.
+// ActiveGrants returns the shares that may be in use, sorted by tenant and gateway.
 func (d *Divider) ActiveGrants(now time.Duration) []ActiveGrant {
 	var list []ActiveGrant
 	for _, name := range sortedKeys(d.tenants) {
 		for _, gateway := range sortedKeys(d.tenants[name].leases) {
-			tokens, concurrency := d.tenants[name].leases[gateway].held(now)
+			tokens, concurrency := d.tenants[name].leases[gateway].maximumInUse(now)
 			if tokens > 0 || concurrency > 0 {
 				list = append(list, ActiveGrant{Tenant: name, Gateway: gateway, TokensPerSecond: tokens, Concurrency: concurrency})
 			}
@@ -145,10 +145,10 @@
 	Concurrency     uint32
 }
 
-// DropExpired forgets the tenants whose shares have all run out. Call it now and then.
+// DropExpired deletes the tenants whose shares have all expired. Call it periodically.
 func (d *Divider) DropExpired(now time.Duration) {
 	for name, owner := range d.tenants {
-		d.leases -= owner.dropSilent(now, d.lifetime)
+		d.leases -= owner.dropInactive(now, d.lifetime)
 		if len(owner.leases) == 0 {
 			delete(d.tenants, name)
 		}
--- a/internal/stageplan/plan.go
+++ b/internal/stageplan/plan.go
@@ -102,7 +102,7 @@
 		return nil
 	}
 	p.observe(work)
-	if work.Known && p.config.Without.IsEnabled(mechanism.FreshStages) {
+	if work.Known && p.config.Without.IsEnabled(mechanism.NewEngineStages) {
 		if changes := p.placeJustStarted(engines); len(changes) > 0 {
 			return changes // they cost nothing, so the next ones need not wait
 		}
@@ -172,7 +172,7 @@
 		return nil
 	}
 	limit := max(int(maxChangeShare*float64(len(engines))), 1)
-	if !p.config.Without.IsEnabled(mechanism.SeveralAtOnce) {
+	if !p.config.Without.IsEnabled(mechanism.ConcurrentChanges) {
 		limit = 1
 	}
 	return changesTo(engines, best, limit)
