--- a/internal/control/adapters.go
+++ b/internal/control/adapters.go
@@ -7,10 +7,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/controlstate"
 )
 
-// adapterOrder returns the order that loads a declared adapter of the engine's model,
-// or another version of it, or unloads one that is not declared; nil when the engine
-// has what is declared. A new version takes the old one's place at the engine, which
-// serves the old one until then.
+// adapterOrder returns the order that loads a declared adapter of the engine's model, or
+// another version of it, or unloads an adapter that is not declared; nil when the engine
+// has the declared adapters. An engine serves the old version of an adapter until it has
+// loaded the new one, which then replaces it.
 func adapterOrder(state *controlstate.State, engine *v1.EngineState) *v1.Order {
 	declared := map[string]bool{}
 	for _, object := range state.ObjectsOfType(v1.ObjectType_OBJECT_TYPE_ADAPTER) {
--- a/internal/control/agreement.go
+++ b/internal/control/agreement.go
@@ -13,30 +13,31 @@
 	"github.com/hazelpitch/hazelpitch/internal/usage"
 )
 
-// Halt tells the runtime that this controller must not go on: it would hold another state than the others. Its disk
-// stays as it is.
+// Halt tells the runtime that this controller must stop: its state would diverge from the other replicas. Its disk
+// is left unchanged.
 type Halt struct{ Err error }
 
 func (Halt) isOutput() {}
 
-// errFormatNotAgreed answers a call whose command not all members know.
+// errFormatNotAgreed answers a call whose command is of a format that not all members are known to support.
 var errFormatNotAgreed = trace.ConnectionProblem(nil, "a controller that is a member does not know this yet; finish the upgrade, or send it again later")
 
-// memberFormats is what a controller knows of the formats of the others, and what it does about them as the leader.
+// memberFormats tracks the formats that the other members support, and this leader's agreement on a common format.
 type memberFormats struct {
-	// byMember are the formats that members have byMember, by their identities.
+	// byMember are the format ranges that members have reported, by member identity.
 	byMember map[string]formats.Range
-	// proposedIndex is the log index of the last agreement that this leader has proposedIndex.
+	// proposedIndex is the log index of the last agreement that this leader has proposed.
 	proposedIndex uint64
 }
 
-// recordFormats takes which formats another controller knows.
+// recordFormats records the format range that another controller reports.
 func (c *Core) recordFormats(message *v1.ConsensusMessage) {
 	c.formats.byMember[message.GetFrom()] = formats.FromWire(message.GetFormats())
 }
 
-// advertisedFormats is what this controller tells of itself. One that missed what was agreed on tells the first format alone:
-// the leader then ends the agreement, and proposes the next one, with which all hold the same again.
+// advertisedFormats returns the formats that this controller reports to the others. One that is missing agreed state
+// reports only the first format: the leader then ends the agreement and proposes a new one, with which all replicas
+// start from the same state.
 func (c *Core) advertisedFormats() formats.Range {
 	if c.state.IsMissingAgreedState() {
 		return formats.Range{}
@@ -44,7 +45,8 @@
 	return formats.Supported()
 }
 
-// commonFormat is the highest format that all members know as far as they were heard of. It is certain once all were.
+// commonFormat returns the highest format that is supported by all members that have reported their formats; certain is
+// set once all members have reported.
 func (c *Core) commonFormat() (common formats.Number, certain bool) {
 	common, certain = formats.Newest, true
 	for _, member := range c.otherMembers() {
@@ -57,12 +59,12 @@
 	return common, certain
 }
 
-// otherMembers are the members of the quorum, learners too, without this controller.
+// otherMembers returns the members of the quorum, including learners, without this controller.
 func (c *Core) otherMembers() []*v1.Member {
 	return slices.DeleteFunc(slices.Clone(c.consensus.Membership().GetMembers()), func(member *v1.Member) bool { return member.GetId() == c.consensus.ID() })
 }
 
-// agreementBlockers returns the names of the members that keep this leader from an agreement on its own format.
+// agreementBlockers returns the names of the members that prevent this leader from agreeing on its own newest format.
 func (c *Core) agreementBlockers() []string {
 	if !c.leading {
 		return nil
@@ -77,7 +79,7 @@
 	return names
 }
 
-// tickAgreement proposes another agreement when a member knows less than is agreed on, or all know more.
+// tickAgreement proposes a new agreement when a member supports less than is agreed on, or all members support more.
 func (c *Core) tickAgreement() {
 	common, certain := c.commonFormat()
 	agreed := c.state.AgreedFormat()
@@ -95,7 +97,7 @@
 	}
 }
 
-// currentWindow is the window of usage that is under way; 0 where none are counted, or the time of day is not known.
+// currentWindow returns the current usage window; 0 when usage is not counted or the time of day is not known.
 func (c *Core) currentWindow() int64 {
 	now, known := c.trueTime()
 	if !known || c.config.Usage.Window <= 0 {
@@ -107,7 +109,7 @@
 // isAgreed reports whether commands of a format take effect.
 func (c *Core) isAgreed(number formats.Number) bool { return number <= c.state.AgreedFormat() }
 
-// canPropose reports whether all members know a command.
+// canPropose reports whether all members are known to support a command.
 func (c *Core) canPropose(command *v1.Command) bool {
 	if _, isAgreement := command.GetBody().(*v1.Command_AgreeFormat); isAgreement {
 		return true
@@ -116,8 +118,8 @@
 	return known && c.isAgreed(number)
 }
 
-// suspects is what is known of requests under which replicas have ended: what is agreed on, or, while that cannot be,
-// what this controller has heard by itself and was agreed on before.
+// suspects returns the ledger of requests that were running when replicas crashed. It is the replicated ledger or, while
+// its format is not agreed on, a local one: the last agreed ledger, updated with the reports received here since then.
 func (c *Core) suspects() *quarantine.Ledger {
 	if c.isAgreed(formats.QuarantinedRequests) {
 		return c.state.Suspects()
@@ -125,11 +127,12 @@
 	return c.localSuspects
 }
 
-// knowsQuarantined reports whether this controller knows which requests are held: while that is not agreed on only the leader
-// does.
+// knowsQuarantined reports whether this controller knows which requests are quarantined. While the format of the ledger
+// is not agreed on, only the leader does.
 func (c *Core) knowsQuarantined() bool { return c.leading || c.isAgreed(formats.QuarantinedRequests) }
 
-// applySuspectChange carries out a command on the suspects: by the log where it is agreed that all members know it.
+// applySuspectChange applies a command to the ledger of suspects, through the log if its format is agreed on and locally
+// otherwise.
 func (c *Core) applySuspectChange(command *v1.Command, call CallID, finish func(*Core, controlstate.Result)) {
 	if c.isAgreed(formats.QuarantinedRequests) {
 		c.proposeForCall(command, call, finish)
@@ -142,7 +145,7 @@
 	finish(c, result)
 }
 
-// applySuspectChangeWithoutCall carries out a command for which no call waits.
+// applySuspectChangeWithoutCall applies a command to the ledger of suspects for which no call waits.
 func (c *Core) applySuspectChangeWithoutCall(command *v1.Command) {
 	if c.isAgreed(formats.QuarantinedRequests) {
 		c.proposeWithoutCall(command)
@@ -151,14 +154,14 @@
 	controlstate.ApplySuspectCommand(c.localSuspects, command)
 }
 
-// retainSuspects keeps what was agreed on of the suspects once that is agreed on no longer.
+// retainSuspects makes the agreed ledger the local one once its format is no longer agreed on.
 func (c *Core) retainSuspects(agreed *quarantine.Ledger) {
 	if !c.isAgreed(formats.QuarantinedRequests) && c.state.Suspects() != agreed {
 		c.localSuspects = agreed
 	}
 }
 
-// halt ends this controller's part if an entry could not be applied that others apply.
+// halt stops this controller if err says that it cannot apply an entry that other replicas apply.
 func (c *Core) halt(err error) {
 	if c.halted || !errors.Is(err, controlstate.ErrUnknownCommand) {
 		return
--- a/internal/control/clock.go
+++ b/internal/control/clock.go
@@ -2,7 +2,7 @@
 
 import v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 
-// recordLocalClock takes this machine's reading of the time of day.
+// recordLocalClock records this machine's time of day.
 func (c *Core) recordLocalClock(tick Tick) {
 	reading := tick.TimeOfDayMs
 	if reading == 0 {
@@ -11,15 +11,15 @@
 	c.clock.Read(c.now, reading)
 }
 
-// recordPeerClock takes another controller's word of the time of day.
+// recordPeerClock records the time of day that another controller reports.
 func (c *Core) recordPeerClock(message *v1.ConsensusMessage) {
 	if message.GetTimeOfDayMs() != 0 {
 		c.clock.Hear(c.now, message.GetFrom(), message.GetTimeOfDayMs())
 	}
 }
 
-// trueTime returns the time of day on which the controllers agree, in milliseconds since the start of
-// 1970; false while they do not.
+// trueTime returns the time of day on which the controllers agree, in milliseconds since the Unix epoch;
+// agreed is false while they do not agree.
 func (c *Core) trueTime() (timeOfDayMs int64, agreed bool) {
 	return c.clock.Agreed(c.now, len(c.consensus.Membership().GetMembers()))
 }
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -10,8 +10,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/language"
 )
 
-// orderForOperator commits an order that an operator asked for. An order that may
-// not be given now is refused at once; nothing is queued.
+// orderForOperator proposes an order that an operator requested. An order that may not be
+// issued now is refused at once; orders are not queued.
 func (c *Core) orderForOperator(received ExecuteReceived, order *v1.Order) {
 	order.Operator = received.Operator
 	order.Reason = fmt.Sprintf("operator %s: %s", received.Operator, received.Request.Text)
@@ -30,7 +30,7 @@
 	}
 }
 
-// abortForOperator asks to abort the outstanding order of an engine.
+// abortForOperator proposes to abort the outstanding order of an engine.
 func (c *Core) abortForOperator(received ExecuteReceived, engine string) {
 	record := c.state.Engine(engine)
 	switch {
@@ -50,7 +50,7 @@
 		func(core *Core, result controlstate.Result) { core.answerResult(received.Call, result) })
 }
 
-// declareForOperator submits objects that a command stands for.
+// declareForOperator submits a command's objects as a declaration.
 func (c *Core) declareForOperator(received ExecuteReceived, objects ...*v1.Object) {
 	declaration := &v1.ApplyDeclaration{
 		Operator: received.Operator, RequestId: received.Request.RequestId, Text: received.Request.Text, Objects: objects,
@@ -67,7 +67,7 @@
 	})
 }
 
-// pinObject is the pin that a command asks for: the engine's present one changed, or
+// pinObject returns the pin that a command requests: the engine's current pin with the new role, or
 // a new one named after the engine.
 func (c *Core) pinObject(wanted language.PinEngine) *v1.Object {
 	name := wanted.Engine
@@ -80,7 +80,7 @@
 	}
 }
 
-// pinOf returns the pin in force of an engine, or nil.
+// pinOf returns the pin in force for an engine, or nil.
 func (c *Core) pinOf(engine string) *v1.Object {
 	for _, object := range c.state.ObjectsOfType(v1.ObjectType_OBJECT_TYPE_PIN) {
 		if object.GetPin().Engine == engine {
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -19,10 +19,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/truetime"
 )
 
-// catchUpAfter is the time without a tick after which the process must have been paused.
+// catchUpAfter is the time without a tick after which the process is assumed to have been paused.
 const catchUpAfter = 4 * TickInterval
 
-// Core is one controller. It is owned by one goroutine.
+// Core is the state machine of one controller. It is owned by one goroutine.
 type Core struct {
 	config    Config
 	consensus *consensus.Core
@@ -32,61 +32,61 @@
 	divider   *shares.Divider
 	demands   *demand.Table
 	planning  *planning
-	// random is a cryptographically strong generator.
+	// random is a cryptographically secure generator.
 	random *rand.ChaCha8
 
 	now     time.Duration
 	outputs []Output
-	// tickedAt is when the replicated log last saw the time by itself.
+	// tickedAt is the time of the last tick of the replicated log.
 	tickedAt time.Duration
 
-	// applied is the log index of the last applied entry, snapshotAt of the last snapshot.
+	// applied is the log index of the last applied entry; snapshotAt is that of the last snapshot.
 	applied    uint64
 	snapshotAt uint64
-	// pageServicesRevision is the revision that the tracker's page services are from.
+	// pageServicesRevision is the revision from which the tracker's page services were read.
 	pageServicesRevision uint64
 
-	// pending are the calls that wait for their log entry.
+	// pending are the calls that wait for their log entry, by log index.
 	pending map[uint64]pendingCall
 
 	leading      bool
 	leadingTerm  uint64
 	leadingSince time.Duration
 	duties       duties
-	// deferredOrders says, by engine, which declared change could not be ordered and why.
+	// deferredOrders are, by engine, the declared change that may not be ordered now, and the reason.
 	deferredOrders map[string]string
-	// revisions are the log indexes of the last applied revisions.
+	// revisions maps log indexes to the last applied revisions.
 	revisions revisionIndex
 
-	// listing, watches and relays serve the relays of opaque requests.
+	// listing, watches, updatePace, relays, updates and stages serve the relays of opaque requests.
 	listing siteListing
 	watches waitingWatches
-	// updatePace spreads the telling of news.
+	// updatePace limits the rate of updates to relays.
 	updatePace updatePace
 	relays     map[string]*relayRecord
 	updates    siteUpdates
-	// repeatedUpdates counts the news that relays were told in vain.
+	// repeatedUpdates counts the updates that were sent again to a relay that had not applied them.
 	repeatedUpdates uint64
 	stages          stages
 	usage           siteUsage
-	// dutyCalls keeps the leader's calls of duties.
+	// dutyCalls schedules the leader's calls of the platform's singleton duties.
 	dutyCalls *duty.Schedule
 	replicas  siteReplicas
-	// quarantine keeps requests away from replicas that they would end.
+	// quarantine tracks requests that must not run because they crash replicas.
 	quarantine requestQuarantine
-	// limits are those that back ends name for all processes together.
+	// limits are the rate limits that back ends set for all processes together.
 	limits namedLimits
-	// formats are those that other controllers know.
+	// formats are the formats that the other controllers support.
 	formats memberFormats
-	// localSuspects are requests under which replicas have ended, as far as this controller knows by itself.
+	// localSuspects is the ledger of suspects that is used while its format is not agreed on.
 	localSuspects *quarantine.Ledger
-	// halted: this controller takes no further part.
+	// halted is set once this controller must not process further inputs.
 	halted bool
-	// clock is what this controller knows of the time of day.
+	// clock estimates the time of day on which the controllers agree.
 	clock *truetime.Clock
 }
 
-// New returns the Core of a controller that starts with what its disk held.
+// New returns the Core of a controller that starts with the restored content of its disk.
 func New(config Config, restored Restored) (*Core, error) {
 	config = config.withDefaults()
 	if err := config.check(); err != nil {
@@ -127,8 +127,8 @@
 	}, nil
 }
 
-// Step takes one input at a time that never goes back and returns what the owner has
-// to do, in order.
+// Step processes one input and returns the outputs, which the owner must carry out in order. The time must not
+// decrease between calls.
 func (c *Core) Step(now time.Duration, input Input) []Output {
 	c.now = max(c.now, now)
 	c.outputs = nil
@@ -147,8 +147,8 @@
 	return c.outputs
 }
 
-// catchUp lets the replicated log see the time after a pause before anything else, so
-// that no call is answered as if the leader had just been heard.
+// catchUp ticks the replicated log after a pause of the process before the input is processed, so that
+// no call is answered under a lease that expired during the pause.
 func (c *Core) catchUp() {
 	if c.now-c.tickedAt > catchUpAfter {
 		c.tickConsensus()
@@ -160,7 +160,7 @@
 	c.consensus.Tick(c.now)
 }
 
-// dispatch dispatches one input.
+// dispatch passes one input to its handler.
 func (c *Core) dispatch(input Input) {
 	switch received := input.(type) {
 	case Tick:
@@ -170,7 +170,7 @@
 	case PeerMessage:
 		c.recordPeerClock(received.Message)
 		c.recordFormats(received.Message)
-		// An error tells why the message was dropped; the sender repeats what matters.
+		// An error only says why the message was dropped; the sender repeats messages that matter.
 		_ = c.consensus.Step(c.now, received.Message)
 	case Persisted:
 		c.consensus.Persisted(c.now, received.Batch)
@@ -230,7 +230,7 @@
 	}
 }
 
-// emit adds an output.
+// emit appends an output.
 func (c *Core) emit(output Output) { c.outputs = append(c.outputs, output) }
 
 // answer answers a call.
@@ -239,15 +239,15 @@
 // refuse answers a call with an error.
 func (c *Core) refuse(call CallID, err error) { c.emit(Answer{Call: call, Err: classify(err)}) }
 
-// wallMs is the wall-clock time in milliseconds since the Unix epoch.
+// wallMs returns the wall-clock time in milliseconds since the Unix epoch.
 func (c *Core) wallMs() int64 { return c.config.WallOrigin + c.now.Milliseconds() }
 
-// sinceOrigin converts wall-clock milliseconds to the time of Step.
+// sinceOrigin converts a wall-clock time in milliseconds to the time of Step.
 func (c *Core) sinceOrigin(wallMs int64) time.Duration {
 	return time.Duration(wallMs-c.config.WallOrigin) * time.Millisecond
 }
 
-// Operator finds a declared operator by the SHA-256 (hex) of its key in the applied state.
+// Operator finds a declared operator in the applied state by the hex SHA-256 of its key.
 func (c *Core) Operator(keyHash string) (name string, role v1.OperatorRole, found bool) {
 	for _, object := range c.state.ObjectsOfType(v1.ObjectType_OBJECT_TYPE_OPERATOR) {
 		if operator := object.GetOperator(); operator.KeyHash == keyHash {
@@ -257,10 +257,10 @@
 	return "", v1.OperatorRole_OPERATOR_ROLE_UNSPECIFIED, false
 }
 
-// Status is what a controller tells about itself, for health and metrics.
+// Status is what a controller reports about itself for health checks and metrics.
 type Status struct {
 	Consensus consensus.Status
-	// LeadsWithLease tells that this controller leads with a valid lease.
+	// LeadsWithLease is set while this controller leads with a valid lease.
 	LeadsWithLease bool
 	Revision       uint64
 	// AppliedIndex is the log index of the last applied entry.
@@ -268,14 +268,14 @@
 	Gateways     int
 	Machines     int
 	PendingCalls int
-	// AgreedFormat is the highest format whose commands take effect here, HeldBackBy the names of the members that know
-	// less than this build or have not been heard of, as far as a leader knows.
+	// AgreedFormat is the highest format whose commands take effect here. AgreementBlockers are, at a leader, the names
+	// of the members that support less than this build or have not reported their formats.
 	AgreedFormat      formats.Number
 	AgreementBlockers []string
 	Site              SiteStatus
 }
 
-// Status returns what this controller knows about itself.
+// Status returns the status of this controller.
 func (c *Core) Status() Status {
 	return Status{
 		Consensus: c.consensus.Status(), LeadsWithLease: c.leading && c.consensus.LeaseValid(c.now),
@@ -285,13 +285,13 @@
 	}
 }
 
-// Consensus returns what this controller knows of the replicated log.
+// Consensus returns the status of the replicated log at this controller.
 func (c *Core) Consensus() consensus.Status { return c.consensus.Status() }
 
-// HoldsLease reports whether this controller, as far as it knows, may act as the leader at
-// a time: at most one controller may at any moment.
+// HoldsLease reports whether this controller may act as the leader at a time, as far as it knows. At most
+// one controller may at any moment.
 func (c *Core) HoldsLease(now time.Duration) bool { return c.consensus.LeaseValid(now) }
 
-// State is the replicated state as applied here. It must not be changed, and not be
-// read while Step runs.
+// State returns the replicated state as applied here. Callers must not change it, and must not
+// read it while Step runs.
 func (c *Core) State() *controlstate.State { return c.state }
--- a/internal/control/declare.go
+++ b/internal/control/declare.go
@@ -11,7 +11,7 @@
 // saltSeedBytes is the size of the random bytes in a declaration's command.
 const saltSeedBytes = 32
 
-// handleApply proposes a declaration; the answer follows once it is applied.
+// handleApply proposes a declaration. The call is answered once the declaration is applied.
 func (c *Core) handleApply(received ApplyReceived) {
 	request := received.Request
 	declaration := &v1.ApplyDeclaration{
@@ -25,7 +25,7 @@
 	})
 }
 
-// proposeDeclaration proposes a declaration and hands its answer to finish.
+// proposeDeclaration proposes a declaration and passes its answer to finish.
 func (c *Core) proposeDeclaration(declaration *v1.ApplyDeclaration, call CallID, finish func(*Core, *v1.ApplyResponse)) {
 	declaration.SaltSeed = c.randomBytes(saltSeedBytes)
 	command := &v1.Command{Body: &v1.Command_ApplyDeclaration{ApplyDeclaration: declaration}}
@@ -34,14 +34,14 @@
 	})
 }
 
-// randomBytes draws unguessable bytes.
+// randomBytes returns unpredictable bytes.
 func (c *Core) randomBytes(count int) []byte {
 	bytes := make([]byte, count)
 	_, _ = c.random.Read(bytes) // never fails
 	return bytes
 }
 
-// handlePlan tells what a declaration would change.
+// handlePlan answers with the changes that a declaration would make.
 func (c *Core) handlePlan(received PlanReceived) {
 	if !c.requireLeader(received.Call) {
 		return
--- a/internal/control/document.go
+++ b/internal/control/document.go
@@ -5,15 +5,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/controlstate"
 )
 
-// PutDocumentReceived asks to put a whole configuration document in force; the runtime has
-// checked its content. The answer is an empty Document once it, or a later one, is
-// committed.
+// PutDocumentReceived requests that a configuration document be put in force. The runtime has
+// checked its content. The answer is an empty Document once this document, or one with a higher
+// number, is committed.
 type PutDocumentReceived struct {
 	Call     CallID
 	Document *v1.Document
 }
 
-// ReadDocumentReceived asks for the document in force. The answer is a Document; number 0
+// ReadDocumentReceived requests the document in force. The answer is a Document; number 0
 // means that there is none.
 type ReadDocumentReceived struct{ Call CallID }
 
@@ -41,7 +41,7 @@
 	})
 }
 
-// handleReadDocument answers with the document in force: only a leader with a valid lease
+// handleReadDocument answers with the document in force. Only a leader with a valid lease
 // knows that no later one has been acknowledged.
 func (c *Core) handleReadDocument(received ReadDocumentReceived) {
 	if !c.requireLeader(received.Call) {
--- a/internal/control/drive.go
+++ b/internal/control/drive.go
@@ -10,7 +10,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/controlstate"
 )
 
-// drive carries out everything the replicated log asks for.
+// drive processes everything that the replicated log has ready.
 func (c *Core) drive() {
 	for {
 		ready, some := c.consensus.Ready()
@@ -27,7 +27,7 @@
 	}
 	for _, message := range ready.Messages {
 		message.Message.TimeOfDayMs = c.clock.Own(c.now)
-		if message.Message.GetFrom() == c.consensus.ID() { // others' probes are passed on as they are
+		if message.Message.GetFrom() == c.consensus.ID() { // probes of other members are forwarded unchanged
 			message.Message.Formats = c.advertisedFormats().ToWire()
 		}
 		c.emit(SendPeer{Address: message.Address, Message: message.Message})
@@ -52,8 +52,8 @@
 		return
 	}
 	if err != nil {
-		// The snapshot was checked when it was written and when it was read: going on
-		// with another state than the peers' would break every promise.
+		// The snapshot was checked when it was written and when it was read. With another state
+		// than its peers, this controller would break every guarantee of the replicated state.
 		panic("control: the replicated state cannot be restored: " + err.Error())
 	}
 	agreed := c.suspects()
@@ -82,7 +82,7 @@
 	}
 	command := &v1.Command{}
 	if err := proto.Unmarshal(entry.Data, command); err != nil {
-		// Every controller reads the same bytes and skips the same entry.
+		// All replicas read the same bytes and skip the same entry.
 		command = &v1.Command{}
 	}
 	agreed := c.suspects()
@@ -96,7 +96,7 @@
 	}
 }
 
-// notifyApplied tells the soft state what the log has done.
+// notifyApplied informs the commander and the tracker of an applied command.
 func (c *Core) notifyApplied(command *v1.Command) {
 	switch body := command.GetBody().(type) {
 	case *v1.Command_ApplyDeclaration:
@@ -125,14 +125,14 @@
 	c.tracker.SetPages(pages)
 }
 
-// snapshotIfDue writes the state out and cuts the log.
+// snapshotIfDue compacts the log with a snapshot of the state after SnapshotEntries applied entries.
 func (c *Core) snapshotIfDue() {
 	if c.applied-c.snapshotAt < c.config.SnapshotEntries {
 		return
 	}
 	data, err := c.state.Snapshot()
 	if err != nil {
-		return // tried again with the next entry; the log stays whole
+		return // retried with the next entry; the log is not truncated
 	}
 	if c.consensus.Compact(c.applied, data) == nil {
 		c.snapshotAt = c.applied
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -16,12 +16,12 @@
 	engineGoneInterval = 10 * time.Second
 )
 
-// duties are the times at which the leader's duties are due next.
+// duties are the times at which the leader's periodic tasks are due next.
 type duties struct {
 	claims, reconcile, housekeeping, engines, plan, suspects time.Duration
 }
 
-// due reports whether a duty is due and sets its next time.
+// due reports whether a task is due, and if so sets its next time.
 func due(now time.Duration, next *time.Duration, interval time.Duration) bool {
 	if now < *next {
 		return false
@@ -30,7 +30,7 @@
 	return true
 }
 
-// tick does what is due by time alone.
+// tick runs the tasks that depend only on time.
 func (c *Core) tick() {
 	c.pollEngines()
 	if !c.leading || !c.consensus.LeaseValid(c.now) {
@@ -66,14 +66,14 @@
 	}
 }
 
-// raiseTermIfFenced gives up this term when most engines hold fences of later ones: the quorum
-// was formed anew, and authority has to begin above what the engines remember.
+// raiseTermIfFenced gives up this term when most engines hold fences of later terms: the quorum was
+// formed anew, and its authority must start above the fences that the engines remember.
 func (c *Core) raiseTermIfFenced() bool {
 	epoch, overtaken := c.commander.Overtaken()
 	return overtaken && c.consensus.RaiseTerm(c.now, epoch) == nil
 }
 
-// markLostGateways makes the claims of gateways that are gone unknown.
+// markLostGateways sets the claims of gateways that are gone to unknown.
 func (c *Core) markLostGateways() {
 	for _, holder := range c.state.ClaimHolders() {
 		if c.tracker.GatewayGone(c.now, c.leadingSince, holder.Gateway, holder.Incarnation) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// expireClaims forgets the claims that have expired.
+// expireClaims drops the claims that have expired.
 func (c *Core) expireClaims() {
 	now := c.wallMs()
 	if c.state.HasExpiredClaims(now) {
@@ -92,7 +92,7 @@
 	}
 }
 
-// removeGoneEngines takes engines that are neither listed nor answering out of the log.
+// removeGoneEngines removes the records of engines that are neither listed nor answering.
 func (c *Core) removeGoneEngines() {
 	if c.now-c.leadingSince < engineGoneInterval || !c.tracker.Listed() {
 		return
@@ -106,8 +106,8 @@
 	}
 }
 
-// reconcileDeclared orders engines to be what is declared: pinned roles, the models'
-// versions in force, and adapters. What may not be ordered now is tried again.
+// reconcileDeclared orders engines into their declared state: pinned roles, the versions of
+// models in force, and adapters. Orders that may not be issued now are retried.
 func (c *Core) reconcileDeclared() {
 	c.deferredOrders = map[string]string{}
 	for _, order := range declaredOrders(c.state) {
@@ -117,8 +117,8 @@
 	}
 }
 
-// declaredOrders lists the orders that would make engines what is declared, at most
-// one for each engine, by engine.
+// declaredOrders lists the orders that would bring engines to their declared state, at most
+// one for each engine, sorted by engine.
 func declaredOrders(state *controlstate.State) []*v1.Order {
 	pins := map[string]*v1.Pin{}
 	for _, object := range state.ObjectsOfType(v1.ObjectType_OBJECT_TYPE_PIN) {
@@ -136,7 +136,7 @@
 	return orders
 }
 
-// declaredOrder returns the order that an engine needs first, or nil.
+// declaredOrder returns the next order that an engine needs, or nil.
 func declaredOrder(state *controlstate.State, engine *v1.EngineState, pin *v1.Pin) *v1.Order {
 	if pin != nil && pin.Role != engine.Role {
 		return &v1.Order{Engine: engine.Engine, Action: v1.OrderAction_ORDER_ACTION_SET_ROLE, Role: pin.Role,
--- a/internal/control/duty_call.go
+++ b/internal/control/duty_call.go
@@ -6,29 +6,29 @@
 	"github.com/hazelpitch/hazelpitch/internal/duty"
 )
 
-// DutyCall is what all calls of the platform's singleton duties have.
+// DutyCall holds the fields that all calls of the platform's singleton duties have in common.
 type DutyCall struct {
 	Subject duty.Subject
-	// Holder and Fence say who calls: fences of later leaders are higher.
+	// Holder and Fence identify the caller: later leaders have higher fences.
 	Holder string
 	Fence  uint64
-	// NotAfter is the time of Step after which the call must not reach the platform any more.
+	// NotAfter is the time of Step after which the call must no longer reach the platform.
 	NotAfter time.Duration
 }
 
-// mayCallPlatform reports whether a call on a subject may be made now. A new leader first lets the time of its
-// predecessor's calls pass.
+// mayCallPlatform reports whether a call on a subject may be made now. A new leader first waits until its
+// predecessor's calls can no longer arrive.
 func (c *Core) mayCallPlatform(subject duty.Subject) bool {
 	return c.now-c.leadingSince >= c.config.OrderWait && c.dutyCalls.MayCall(c.now, subject)
 }
 
-// startDutyCall begins a call on a subject; endCall must follow.
+// startDutyCall starts a call on a subject; finishDutyCall must follow.
 func (c *Core) startDutyCall(subject duty.Subject) DutyCall {
 	c.dutyCalls.RecordStart(c.now, subject)
 	return DutyCall{Subject: subject, Holder: c.config.Name, Fence: c.leadingTerm, NotAfter: c.now + c.config.DutyLifetime}
 }
 
-// finishDutyCall notes what became of a call. That of an earlier term tells nothing of this one's.
+// finishDutyCall records the result of a call. Results of an earlier term's calls are ignored.
 func (c *Core) finishDutyCall(call DutyCall, outcome duty.Outcome) {
 	if call.Fence == c.leadingTerm {
 		c.dutyCalls.RecordOutcome(c.now, call.Subject, outcome)
--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -10,7 +10,7 @@
 // orderPollInterval is the time to the next poll of an engine that carries out an order.
 const orderPollInterval = 200 * time.Millisecond
 
-// handleMachineList takes a reading of the platform's list.
+// handleMachineList processes a read of the platform's machine list.
 func (c *Core) handleMachineList(received MachineListReceived) {
 	if !c.tracker.ListRead(c.now, received.List) {
 		return
@@ -18,7 +18,7 @@
 	c.updateEngineAddresses()
 }
 
-// updateEngineAddresses tells the commander where the engines are.
+// updateEngineAddresses passes the engines' addresses to the commander.
 func (c *Core) updateEngineAddresses() {
 	for _, machine := range c.tracker.Machines() {
 		if !c.isPageService(machine.Row.Service) {
@@ -32,7 +32,7 @@
 	return declared.GetType() == v1.ServiceType_SERVICE_TYPE_PAGE
 }
 
-// handleEngineState takes the answer to a poll.
+// handleEngineState processes the answer to a poll.
 func (c *Core) handleEngineState(received EngineStateReceived) {
 	sentAt, accepted := c.tracker.PollAnswered(c.now, received.Engine, received.State, received.Load)
 	if !accepted {
@@ -44,7 +44,7 @@
 	}
 }
 
-// pollEngines sends the polls that are due.
+// pollEngines sends the polls that are due, and drops engines that are gone.
 func (c *Core) pollEngines() {
 	for _, poll := range c.tracker.DuePolls(c.now) {
 		c.emit(PollEngine{Engine: poll.Name, Address: poll.Address})
@@ -57,14 +57,14 @@
 	}
 }
 
-// runCommander carries out what the commander wants.
+// runCommander carries out the actions that the commander requests.
 func (c *Core) runCommander() {
 	for _, action := range c.commander.Step(c.now, c.state) {
 		c.executeAction(action)
 	}
 }
 
-// executeAction does what one action asks for.
+// executeAction carries out one action.
 func (c *Core) executeAction(action authority.Action) {
 	switch wanted := action.(type) {
 	case authority.Propose:
@@ -76,8 +76,8 @@
 	}
 }
 
-// issueOrder commits an order of the controller's own; the commander sends it once it
-// is applied. It reports why it may not be given now.
+// issueOrder proposes an order of the controller itself; the commander sends it once it is
+// applied. The error says why the order may not be issued now.
 func (c *Core) issueOrder(order *v1.Order) error {
 	issue, err := c.commander.Prepare(c.now, c.wallMs(), c.state, order)
 	if err != nil {
--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -14,11 +14,11 @@
 
 // NotLeaderError is the Err of an Answer to a call that only the leader can answer.
 type NotLeaderError struct {
-	// Leader is the IP:port of the leader as far as this controller knows, or "".
+	// Leader is the IP:port of the leader as far as this controller knows it, or "".
 	Leader string
 }
 
-// Error names the leader when it is known.
+// Error returns a message that names the leader if it is known.
 func (e *NotLeaderError) Error() string {
 	if e.Leader == "" {
 		return "this controller is not the leader and knows none; try another or try again later"
@@ -26,11 +26,11 @@
 	return fmt.Sprintf("this controller is not the leader; ask %s", e.Leader)
 }
 
-// errLostLeadership answers a call whose entry was proposed and not confirmed here.
+// errLostLeadership answers a call whose entry was proposed here and may or may not be committed.
 var errLostLeadership = trace.ConnectionProblem(nil,
 	"leadership was lost before the change was confirmed; send it again with the same identity")
 
-// proposalError turns a refusal of the log into one for the caller.
+// proposalError converts an error of the replicated log to one for the caller.
 func (c *Core) proposalError(err error) error {
 	switch {
 	case errors.Is(err, consensus.ErrNotLeader):
@@ -44,7 +44,7 @@
 	}
 }
 
-// oneLine is an error's message for a cell of a table: its parts, the outermost first.
+// oneLine formats an error's message for a table cell: its parts in one line, the outermost first.
 func oneLine(err error) string {
 	var parts []string
 	for _, part := range strings.Split(trace.UserMessage(err), "\n") {
@@ -53,7 +53,7 @@
 	return strings.Join(parts, ": ")
 }
 
-// classify gives an error the kind that tells a client what it may do.
+// classify returns an error of the kind that tells a client how to proceed.
 func classify(err error) error {
 	message := trace.UserMessage(err)
 	switch {
--- a/internal/control/execute.go
+++ b/internal/control/execute.go
@@ -35,7 +35,7 @@
 	c.executeCommand(received, command)
 }
 
-// checkRole demands the role that a statement needs.
+// checkRole returns an error unless the operator has the role that a statement requires.
 func (c *Core) checkRole(received ExecuteReceived, statement language.Statement) error {
 	required := statement.RequiredRole()
 	if language.Allowed(received.Role, required) {
@@ -45,14 +45,14 @@
 		received.Operator, language.OperatorRoleWord(received.Role), language.OperatorRoleWord(required))
 }
 
-// refuseAudited refuses a command at the leader; the audit trail tells why.
+// refuseAudited refuses a command at the leader and records the refusal in the audit trail.
 func (c *Core) refuseAudited(received ExecuteReceived, err error) {
 	c.auditRefusal(received.Operator, received.Request.RequestId, received.Request.Text, err)
 	c.refuse(received.Call, err)
 }
 
-// handleRefusal refuses a call that the runtime has found not to be allowed; the audit
-// trail tells why.
+// handleRefusal refuses a call that the runtime did not authorize, and records the refusal in the
+// audit trail.
 func (c *Core) handleRefusal(received RefusalReceived) {
 	if !c.requireLeader(received.Call) {
 		return
@@ -61,7 +61,7 @@
 	c.refuse(received.Call, received.Err)
 }
 
-// auditRefusal writes a refused command into the audit trail.
+// auditRefusal records a refused command in the audit trail.
 func (c *Core) auditRefusal(operator, requestID, text string, err error) {
 	c.proposeWithoutCall(&v1.Command{Body: &v1.Command_RecordRequest{RecordRequest: &v1.RecordRequest{
 		Operator: operator, RequestId: requestID, Text: text, Refusal: oneLine(err),
@@ -79,8 +79,8 @@
 	c.answer(Answer{Call: received.Call, Response: response})
 }
 
-// dumpLogs asks the runtime of this controller, leader or not, to write its log ring.
-// Only a leader can put that into the audit trail; others have it in the ring.
+// dumpLogs tells the runtime of this controller to write out its log ring, also when it does not lead.
+// Only a leader can record that in the audit trail; other controllers have it in their log ring.
 func (c *Core) dumpLogs(received ExecuteReceived) {
 	answer := "controller " + c.config.Name + " writes out its log ring"
 	c.emit(DumpLogs{Operator: received.Operator})
@@ -90,8 +90,8 @@
 	c.answerMessage(received.Call, answer)
 }
 
-// executeCommand carries out one command. A resend that is still remembered gets its
-// first answer, whatever the command would do now.
+// executeCommand carries out one command. A resend whose first answer is retained gets that
+// answer, whatever the command would do now.
 func (c *Core) executeCommand(received ExecuteReceived, command language.Command) {
 	if c.answeredBefore(received) {
 		return
@@ -122,7 +122,7 @@
 	}
 }
 
-// answeredBefore answers a resend with its first answer.
+// answeredBefore answers a resend with its first answer, and reports whether it did.
 func (c *Core) answeredBefore(received ExecuteReceived) bool {
 	request := received.Request
 	first, err := c.state.FirstAnswer(received.Operator, request.RequestId, request.Text)
@@ -143,7 +143,7 @@
 	c.answer(Answer{Call: call, Response: &v1.ExecuteResponse{Revision: c.state.Revision(), Message: message}})
 }
 
-// answerResult answers a call with what the log made of its command.
+// answerResult answers a call with the result of its command.
 func (c *Core) answerResult(call CallID, result controlstate.Result) {
 	if result.Err != nil {
 		c.refuse(call, result.Err)
--- a/internal/control/first_format_listing.go
+++ b/internal/control/first_format_listing.go
@@ -6,14 +6,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/listing"
 )
 
-// firstFormatListing is the list of back ends in the form for relays of the first format, made while there are any.
+// firstFormatListing is the list of back ends in the form for relays of the first format. It is made only while there
+// are such relays.
 type firstFormatListing struct {
-	// sourceVersion is the version of the list that it was made of, version its own.
+	// sourceVersion is the version of the list from which it was made; version is its own.
 	sourceVersion, version uint64
 	history                listing.History
 }
 
-// convert returns the form convert a list.
+// convert returns the version and the history of a list in the first format.
 func (f *firstFormatListing) convert(version uint64, backEnds []*v1.ListedBackEnd) (uint64, *listing.History) {
 	if f.sourceVersion == version {
 		return f.version, &f.history
@@ -27,7 +28,8 @@
 	return f.version, &f.history
 }
 
-// listingFor returns the version of the list, and its history, in the form that a relay knows; version 0 is none yet.
+// listingFor returns the version of the list and its history in the form that a relay supports; version 0 means that
+// there is no list yet.
 func (c *Core) listingFor(request *v1.WatchRequest) (version uint64, history *listing.History) {
 	if c.listing.version == 0 || formats.FromWire(request.GetFormats()).Supports(formats.ReplicaIncarnations) {
 		return c.listing.version, &c.listing.history
--- a/internal/control/input.go
+++ b/internal/control/input.go
@@ -1,7 +1,7 @@
-// Package control is the controller's decision logic as a pure state machine: it
-// takes inputs with the time they happened and returns outputs. It does no I/O,
-// reads no clock and starts no goroutine. The controller runtime drives it in
-// production, the simulator in tests; both see the same Core.
+// Package control implements the controller's decision logic as a pure state machine: it
+// processes inputs, each with its time, and returns outputs. It does no I/O, reads no clock
+// and starts no goroutine. The controller runtime drives it in production and the simulator
+// in tests; both use the same Core.
 package control
 
 import (
@@ -9,27 +9,27 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// CallID identifies one pending call of an operator or a node; the runtime picks
-// it and gets it back in the Answer.
+// CallID identifies one pending call of an operator or a node. The runtime chooses it and
+// gets it back in the Answer.
 type CallID uint64
 
-// Input is one thing that happened.
+// Input is one event that the Core processes.
 type Input interface{ isInput() }
 
-// Tick tells that time has passed. The runtime sends one every TickInterval.
+// Tick reports that time has passed. The runtime sends one every TickInterval.
 type Tick struct {
-	// TimeOfDayMs is this machine's reading of the time of day, in milliseconds since the start of
-	// 1970; it may be wrong, and jump. 0 means that Config.WallOrigin tells it.
+	// TimeOfDayMs is the time of day by this machine's clock, in milliseconds since the Unix epoch.
+	// It may be wrong and may jump. 0 means that it follows from Config.WallOrigin.
 	TimeOfDayMs int64
 }
 
 // PeerMessage is a consensus message from another controller.
 type PeerMessage struct{ Message *v1.ConsensusMessage }
 
-// Persisted tells that the Persist output with this number is written and synced.
+// Persisted reports that the Persist output with this batch number is written and synced.
 type Persisted struct{ Batch uint64 }
 
-// ApplyReceived is a submission of an authenticated operator; its files are parsed.
+// ApplyReceived is a declaration of an authenticated operator; its files are parsed.
 type ApplyReceived struct {
 	Call     CallID
 	Operator string
@@ -37,7 +37,7 @@
 	Objects  []*v1.Object
 }
 
-// PlanReceived asks what a declaration would change.
+// PlanReceived requests the changes that a declaration would make.
 type PlanReceived struct {
 	Call    CallID
 	Request *v1.PlanRequest
@@ -52,8 +52,8 @@
 	Request  *v1.ExecuteRequest
 }
 
-// RefusalReceived is a call of an authenticated operator that the runtime refuses;
-// the audit trail keeps why.
+// RefusalReceived is a call of an authenticated operator that the runtime refuses; the
+// reason is recorded in the audit trail.
 type RefusalReceived struct {
 	Call                      CallID
 	Operator, RequestID, Text string
@@ -72,19 +72,19 @@
 	Request *v1.ReportRequest
 }
 
-// BeginClaimReceived asks for the right to run a request that may run at most once.
+// BeginClaimReceived requests the claim of a request that may run at most once.
 type BeginClaimReceived struct {
 	Call    CallID
 	Request *v1.BeginClaimRequest
 }
 
-// FinishClaimReceived records the outcome of a claimed request.
+// FinishClaimReceived reports the outcome of a claimed request.
 type FinishClaimReceived struct {
 	Call    CallID
 	Request *v1.FinishClaimRequest
 }
 
-// MachineListReceived is a reading of the platform's machine list.
+// MachineListReceived is a read of the platform's machine list.
 type MachineListReceived struct{ List enginecontract.MachineList }
 
 // OrderAnswered is an engine's answer to SendOrder; Answer is nil when it was lost.
@@ -108,7 +108,7 @@
 	Load   *enginecontract.LoadReport
 }
 
-// SeedsChanged brings the seeds that the settings name now.
+// SeedsChanged replaces the seeds after a change of the settings.
 type SeedsChanged struct{ Seeds []string }
 
 func (SeedsChanged) isInput()        {}
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -2,7 +2,7 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/demand"
 
-// checkLeadership follows the replicated log's view of who leads.
+// checkLeadership starts and stops leading as the replicated log does.
 func (c *Core) checkLeadership() {
 	leads := c.consensus.Leading()
 	term := c.consensus.Term()
@@ -25,7 +25,7 @@
 	c.leadingSince = c.now
 	c.duties = duties{}
 	c.commander.Lead(c.now, term)
-	// Shares are granted under an authority only, so that without one there are none.
+	// Shares are granted only under an authority, so none exist before the first authority epoch.
 	epoch, _ := c.state.Authority()
 	c.divider.Lead(c.now, epoch == 0)
 	c.demands = demand.NewTable()
@@ -49,8 +49,8 @@
 	c.refuseWaitingUsage()
 }
 
-// failPending answers the calls whose entries may or may not be committed by the
-// next leader; their callers send them again with the same identity.
+// failPending answers the calls whose entries the next leader may or may not commit. Their
+// callers send them again with the same identity.
 func (c *Core) failPending() {
 	if len(c.pending) == 0 {
 		return
--- a/internal/control/limits.go
+++ b/internal/control/limits.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// relayLimitTTL is how long the leader tells of a limit that no relay has told of again: relays that keep counts
-	// tell with each watch, 5 s apart at most.
+	// relayLimitTTL is how long the leader announces a limit that no relay has reported again. Limit owners report
+	// with each watch, at most 5 s apart.
 	relayLimitTTL = 15 * time.Second
-	// maximumLimits bounds the limits that one message tells of.
+	// maximumLimits is the maximum number of limits in one message.
 	maximumLimits = 256
 )
 
-// PermitRequested is a gateway's question whether it may send a request to a back end that names a limit for all gateways
-// together. The answer is a TakePermitResponse.
+// PermitRequested is a gateway's request for a permit: the right to send one request to a back end that has set a rate
+// limit for all gateways together. The answer is a TakePermitResponse.
 type PermitRequested struct {
 	Call    CallID
 	Request *v1.TakePermitRequest
@@ -28,16 +28,16 @@
 
 func (PermitRequested) isInput() {}
 
-// namedLimits is what the leader knows of limits that back ends name. None of it is agreed on: a new leader begins with
-// nothing, and its permits begin when the lease of the one before has run out.
+// namedLimits tracks the rate limits that back ends have set. None of it is replicated: a new leader starts without
+// limits, and grants permits only once the lease of its predecessor has expired.
 type namedLimits struct {
-	// gatewayCounts keeps the counts of gateways.
+	// gatewayCounts counts the permits granted to gateways, for which the leader is the limit owner.
 	gatewayCounts *fleetlimit.Keeper
-	// relayLimits are the limits whose counts relays keep, with when a relay relayLimits of them last.
+	// relayLimits are the limits that are owned by relays, with the time of the last report of each.
 	relayLimits map[uint64]relayLimit
 }
 
-// relayLimit is a limit that a relay has told of.
+// relayLimit is a limit that a relay has reported.
 type relayLimit struct {
 	limit      *v1.NamedLimit
 	receivedAt time.Duration
@@ -47,7 +47,7 @@
 	return namedLimits{gatewayCounts: fleetlimit.NewKeeper(), relayLimits: map[uint64]relayLimit{}}
 }
 
-// handlePermitRequested grants a permit or denies it.
+// handlePermitRequested grants or denies a permit.
 func (c *Core) handlePermitRequested(received PermitRequested) {
 	if !c.requireLeader(received.Call) {
 		return
@@ -68,14 +68,14 @@
 	}})
 }
 
-// retryJitter spreads the times at which gateways ask again.
+// retryJitter returns a number in [0, 1) that spreads the times at which gateways retry.
 func retryJitter(asker uint64, now time.Duration) float64 {
 	const steps = 1 << 16
 	content := binary.BigEndian.AppendUint64(nil, asker)
 	return float64(xxhash.Sum64(binary.BigEndian.AppendUint64(content, uint64(now)))%steps) / steps
 }
 
-// recordGatewayLimits takes what back ends have named to a gateway.
+// recordGatewayLimits records the limits that back ends have set in answers to a gateway.
 func (c *Core) recordGatewayLimits(reported []*v1.NamedLimit) {
 	for _, limit := range reported[:min(len(reported), maximumLimits)] {
 		if named, valid := fleetlimit.FromWire(limit); valid {
@@ -84,13 +84,13 @@
 	}
 }
 
-// limitsForGateways is what gateways are told of limits.
+// limitsForGateways returns the limits that are sent to gateways.
 func (c *Core) limitsForGateways() []*v1.NamedLimit {
 	limits := c.limits.gatewayCounts.Limits(c.now)
 	return fleetlimit.AllToWire(limits[:min(len(limits), maximumLimits)])
 }
 
-// recordRelayLimits takes the limits whose counts a relay keeps.
+// recordRelayLimits records the limits that a relay owns, and removes those that no longer apply.
 func (c *Core) recordRelayLimits(reported []*v1.NamedLimit) {
 	for _, limit := range reported[:min(len(reported), maximumLimits)] {
 		if limit.GetNamed() {
@@ -101,7 +101,7 @@
 	}
 }
 
-// limitsForRelays is what relays are told of limits: those that other relays have told of lately.
+// limitsForRelays returns the limits that are sent to relays: those that a relay has reported within relayLimitTTL.
 func (c *Core) limitsForRelays() []*v1.NamedLimit {
 	var limits []*v1.NamedLimit
 	for _, backEnd := range sortedKeys(c.limits.relayLimits) {
--- a/internal/control/listing.go
+++ b/internal/control/listing.go
@@ -8,63 +8,63 @@
 	"github.com/hazelpitch/hazelpitch/internal/listing"
 )
 
-// ReadListing asks the runtime to read the outside list of back ends; ListingReceived
-// follows, or the loss of it. Only the leader asks, so that the calls do not grow with the
-// number of controllers.
+// ReadListing tells the runtime to read the external list of back ends; ListingReceived
+// follows, also when the read fails. Only the leader reads the list, so that the calls do
+// not grow with the number of controllers.
 type ReadListing struct {
-	// Pages is how many pages to read from the start; 0 is all.
+	// Pages is the number of pages to read from the start of the list; 0 means all.
 	Pages int
 }
 
-// ListingReceived is a reading of the list of back ends. BackEnds is ignored when the
-// reading failed.
+// ListingReceived is the result of ReadListing. BackEnds is ignored when the read
+// failed.
 type ListingReceived struct {
 	BackEnds []*v1.ListedBackEnd
 	Failed   bool
-	// Calls is how many calls the reading took.
+	// Calls is the number of calls that the read took.
 	Calls int
-	// Complete tells that the whole list was read.
+	// Complete means that all pages of the list were read.
 	Complete bool
 }
 
 func (ReadListing) isOutput()    {}
 func (ListingReceived) isInput() {}
 
-// listingTimeout is how long a reading may be under way before the next one begins.
+// listingTimeout is the time after which a read without an answer is given up and repeated.
 const listingTimeout = 2 * time.Second
 
-// siteListing is the leader's view of the outside list of back ends.
+// siteListing is the leader's view of the external list of back ends.
 type siteListing struct {
-	// version is a hash of the list, so that the same list has the same version under every leader;
-	// 0 is none yet.
+	// version is a hash of the published list, so that the same list has the same version under every
+	// leader; 0 before the first list.
 	version uint64
 	history listing.History
-	// firstFormat is the list for relays of the first format.
+	// firstFormat is the list as sent to relays of the first format.
 	firstFormat firstFormatListing
-	// plan says how much of the list is read.
+	// plan decides how much of the list is read.
 	plan listingPlan
-	// considered is the list as far as it counts, told the part of it that relays are told of, and backEnds the
-	// same with changes of roles marked.
+	// considered is the part of the list from which back ends are chosen, published the part that relays know, and
+	// backEnds is published with changing roles marked.
 	considered    []*v1.ListedBackEnd
 	published     []*v1.ListedBackEnd
 	backEnds      []*v1.ListedBackEnd
 	namedServices namedServices
-	// demands say how many back ends of each service relays are to know.
+	// demands are, by service, the numbers of back ends that relays need to know.
 	demands map[string]*backEndDemand
-	// readAt is when the reading behind the list began.
+	// readAt is the start time of the read that produced the list.
 	readAt       time.Duration
 	requestedAt  time.Duration
 	dueAt        time.Duration
 	readInFlight bool
 	hasBeenRead  bool
-	// total is how many back ends the whole list held.
+	// total is the number of back ends in the last complete read.
 	total int
 }
 
-// partial reports whether relays are told of a part of the back ends.
+// partial reports whether relays know only a part of the back ends.
 func (l *siteListing) partial() bool { return len(l.published) < l.total }
 
-// tickListing asks for a reading when one is due.
+// tickListing starts a read of the list when one is due.
 func (c *Core) tickListing() {
 	if c.config.ListingInterval <= 0 {
 		return
@@ -82,7 +82,8 @@
 	c.emit(ReadListing{Pages: c.pagesToRead()})
 }
 
-// pagesToRead is how many pages of the list are read next; 0 is all. Who orders replicas counts them all.
+// pagesToRead returns the number of pages of the next read; 0 means all. A leader that orders replicas reads
+// all pages, because it counts all replicas.
 func (c *Core) pagesToRead() int {
 	if len(c.replicas.scalings) > 0 {
 		return 0
@@ -90,7 +91,7 @@
 	return c.listing.plan.nextPages(c.now)
 }
 
-// handleListing takes a reading; a new version begins when it differs from the last.
+// handleListing processes a read of the list. A new version starts when the published list differs from the last one.
 func (c *Core) handleListing(received ListingReceived) {
 	c.listing.readInFlight = false
 	if received.Failed || !c.leading {
@@ -111,7 +112,7 @@
 	c.refreshListing()
 }
 
-// refreshListing begins a new version when what relays get has changed.
+// refreshListing starts a new version when the list that relays get has changed.
 func (c *Core) refreshListing() {
 	if !c.listing.hasBeenRead {
 		return
--- a/internal/control/listing_plan.go
+++ b/internal/control/listing_plan.go
@@ -8,46 +8,46 @@
 )
 
 const (
-	// maximumListingCallsPerSecond bounds the calls for the list, whose rate all share, where it has to be read
-	// whole each time: one of up to 25 pages is read each half second, one of 50 each second.
+	// maximumListingCallsPerSecond limits the calls for the list when every read is complete. The list's call rate
+	// is shared by all its readers. A list of up to 25 pages is read every half second, one of 50 every second.
 	maximumListingCallsPerSecond = 50
-	// fullListingInterval is the least time between readings of the whole list while a part of it is enough:
-	// a service that is new further behind is known after that. Readings of longer lists are spaced so that
-	// they take wholeCallsPerSecond.
+	// fullListingInterval is the minimum time between complete reads while a part of the list is sufficient.
+	// A new service further back in the list is found by the next complete read. Longer lists are read
+	// less often, so that complete reads take fullListingCallsPerSecond.
 	fullListingInterval       = 20 * time.Second
 	fullListingCallsPerSecond = 5
-	// partialListingMargin is how many more back ends than are wanted the part that is read is planned to hold, so
-	// that one that leaves does not call for the whole list.
+	// partialListingMargin is the factor by which the partial read exceeds the required number of back ends, so
+	// that one leaving back end does not cause a complete read.
 	partialListingMargin = 1.25
-	// minimumPartialGain is by how many times a part must be shorter than the list to be read in its place.
+	// minimumPartialGain is the factor by which a part must be shorter than the list to be read instead of it.
 	minimumPartialGain = 2
-	// minimumRetainedShare is the share of what the last reading of the part showed that the next one must show: where
-	// it shows less, the list does not keep its order, and no part of it will do.
+	// minimumRetainedShare is the share of the back ends of the last partial read that the next one must contain.
+	// If it contains fewer, the list does not keep its order and partial reads cannot be used.
 	minimumRetainedShare = 0.5
 )
 
-// listingPlan decides how much of the outside list the leader reads. A list that keeps its order is read as
-// far as it holds what is wanted, so that the calls follow the work and not the number of back ends.
+// listingPlan decides how much of the external list the leader reads. A list that keeps its order is read only as
+// far as needed for the required back ends, so that the calls grow with the work and not with the number of back ends.
 type listingPlan struct {
-	// pages is how many pages are read, entries how many back ends they hold; 0 is all.
+	// pages is the number of pages of a partial read, entries the number of back ends on them; 0 means all.
 	pages, entries int
-	// fullReadAt is when the whole list was read last, in so many calls; open is how many back ends of each
-	// service took work then.
+	// fullReadAt is the time of the last complete read, fullReadCalls the number of its calls, and openByService
+	// the number of back ends of each service that accepted work then.
 	fullReadAt    time.Duration
 	fullReadCalls int
 	openByService map[string]int
-	// insufficient tells that the part does not hold what is wanted any more.
+	// insufficient means that the part no longer holds the required back ends.
 	insufficient bool
-	// unordered tells that the list does not keep its order.
+	// unordered means that the list does not keep its order.
 	unordered bool
-	// shownIDs are the identities that the last reading of the part showed.
+	// shownIDs are the identities in the last partial read.
 	shownIDs map[string]bool
 }
 
-// readsPartially reports whether a part of the list is read most of the time.
+// readsPartially reports whether most reads are partial.
 func (p *listingPlan) readsPartially() bool { return p.pages > 0 && !p.unordered }
 
-// nextPages is how many pages to read now; 0 is all.
+// nextPages returns the number of pages to read now; 0 means all.
 func (p *listingPlan) nextPages(now time.Duration) int {
 	spacing := max(fullListingInterval, durationOfCalls(p.fullReadCalls, fullListingCallsPerSecond))
 	if p.insufficient {
@@ -59,7 +59,7 @@
 	return p.pages
 }
 
-// interval is the time between two readings, at least the base.
+// interval returns the time between two reads, which is at least base.
 func (p *listingPlan) interval(base time.Duration) time.Duration {
 	if p.readsPartially() {
 		return base
@@ -67,12 +67,12 @@
 	return max(base, durationOfCalls(p.fullReadCalls, maximumListingCallsPerSecond))
 }
 
-// durationOfCalls is how long so many calls take at a rate.
+// durationOfCalls returns the time that a number of calls takes at a rate.
 func durationOfCalls(calls, perSecond int) time.Duration {
 	return time.Duration(calls) * time.Second / time.Duration(perSecond)
 }
 
-// recordFullRead plans by a reading of the whole list, and returns the part of it that counts.
+// recordFullRead plans the next reads from a complete read, and returns the part of the list to use.
 func (p *listingPlan) recordFullRead(now time.Duration, list []*v1.ListedBackEnd, calls int, required map[string]int) []*v1.ListedBackEnd {
 	p.fullReadAt, p.fullReadCalls, p.insufficient, p.shownIDs = now, calls, false, nil
 	p.openByService = countOpenBackEnds(list)
@@ -93,7 +93,7 @@
 	return list[:p.entries]
 }
 
-// recordPartialRead judges a reading of a part: whether it holds what is wanted, and whether the list keeps its order.
+// recordPartialRead checks whether a partial read holds the required back ends and whether the list keeps its order.
 func (p *listingPlan) recordPartialRead(list []*v1.ListedBackEnd, required map[string]int) {
 	open := countOpenBackEnds(list)
 	for service, count := range required {
@@ -113,7 +113,7 @@
 	p.shownIDs = shown
 }
 
-// countOpenBackEnds is how many back ends of each service take new work.
+// countOpenBackEnds counts, by service, the back ends that accept new work.
 func countOpenBackEnds(list []*v1.ListedBackEnd) map[string]int {
 	open := map[string]int{}
 	for _, backEnd := range list {
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -13,8 +13,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/language"
 )
 
-// changeMembers changes the quorum by one step. The answer follows once the step is
-// committed by the old and the new members' quorum.
+// changeMembers changes the membership by one step. The call is answered once the quorums of
+// the old and of the new members have committed the step.
 func (c *Core) changeMembers(received ExecuteReceived, command language.Command) {
 	members, message, err := memberStep(c.consensus.Membership(), command)
 	if err != nil {
@@ -32,16 +32,16 @@
 	})
 }
 
-// recordCommand puts a command that the state machine has not seen into the audit
-// trail and the memory of first answers.
+// recordCommand records a command that the replicated state machine has not processed, for the
+// audit trail and for resends.
 func (c *Core) recordCommand(received ExecuteReceived, answer string) {
 	c.proposeWithoutCall(&v1.Command{Body: &v1.Command_RecordRequest{RecordRequest: &v1.RecordRequest{
 		Operator: received.Operator, RequestId: received.Request.RequestId, Text: received.Request.Text, Answer: answer,
 	}}})
 }
 
-// memberStep returns the membership after the step that a command asks for. A
-// replacement takes up to three: each time it is run, the command takes the next one.
+// memberStep returns the membership after the step that a command requests. A replacement
+// takes up to three steps; each run of the command takes the next one.
 func memberStep(present *v1.Membership, command language.Command) (*v1.Membership, string, error) {
 	changed := proto.CloneOf(present)
 	switch wanted := command.(type) {
@@ -68,9 +68,9 @@
 	}
 }
 
-// replaceStep takes the next step of a replacement: the new member becomes a learner,
-// gets its vote once it has caught up, and then the old one goes, so that the quorum
-// is never smaller than before.
+// replaceStep takes the next step of a replacement: the new member becomes a learner, gets
+// its vote once it has caught up, and then the old member is removed, so that the quorum is
+// never smaller than before.
 func replaceStep(changed *v1.Membership, wanted language.ReplaceMember) (*v1.Membership, string, error) {
 	old, replacement := memberIndex(changed, wanted.ID), memberIndex(changed, wanted.Replacement.GetId())
 	switch {
--- a/internal/control/named_services.go
+++ b/internal/control/named_services.go
@@ -6,16 +6,16 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// namedServices are the services that the configuration in force names. A list entry of any other service is not the
-// platform's, or of no use: nobody is told of it, and nothing is ordered there.
+// namedServices are the services that the configuration in force names. List entries of other services do not belong to
+// the platform or are of no use, so relays do not get them, and no orders are sent to them.
 type namedServices struct {
-	// number is the configuration's; 0 before the first.
+	// number is the number of the configuration document; 0 before the first.
 	number uint64
 	names  map[string]bool
 }
 
-// readNamedServices reads the services when the configuration has changed. A service that is new may be on the list
-// already: it is read again at once.
+// readNamedServices updates the named services when the configuration has changed. A new service may be on the list
+// already, so the list is read again at once.
 func (c *Core) readNamedServices() {
 	document := c.state.Document()
 	if c.config.NamedServices == nil || document.GetNumber() == c.listing.namedServices.number {
@@ -31,8 +31,8 @@
 	}
 }
 
-// filterNamedServices returns the back ends whose services the configuration names; all where it names none, or is not
-// known.
+// filterNamedServices returns the back ends whose services the configuration names; all of them when it names none
+// or is not known.
 func (c *Core) filterNamedServices(listed []*v1.ListedBackEnd) []*v1.ListedBackEnd {
 	names := c.listing.namedServices.names
 	if len(names) == 0 {
--- a/internal/control/nodes.go
+++ b/internal/control/nodes.go
@@ -10,10 +10,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/shares"
 )
 
-// maximumShareDemands bounds the tenants in one report; the rest is ignored.
+// maximumShareDemands is the maximum number of tenants in one report; further ones are ignored.
 const maximumShareDemands = 4096
 
-// handleSync answers a gateway's heartbeat from what is applied here.
+// handleSync answers a gateway's heartbeat from the state applied here.
 func (c *Core) handleSync(received SyncReceived) {
 	request := received.Request
 	c.tracker.GatewayHeard(c.now, request.GetNode(), request.GetRevision(), request.GetLeaving())
@@ -41,9 +41,9 @@
 	c.answer(Answer{Call: received.Call, Response: response})
 }
 
-// canInitialize reports whether a node may begin with this controller's revision. A node
-// that has none may have had a later one in force before it restarted: only the
-// leader's is surely no older.
+// canInitialize reports whether a node may start with this controller's revision. A node
+// without a revision may have had a later one before it restarted, and only the leader's
+// revision is certainly not older.
 func (c *Core) canInitialize(request *v1.SyncRequest) bool {
 	return request.GetRevision() != 0 || c.canAnswerAsLeader()
 }
@@ -58,7 +58,7 @@
 	return query
 }
 
-// addDirectory adds the directory when the gateway holds another one.
+// addDirectory adds the directory of back ends if the gateway holds another version.
 func (c *Core) addDirectory(response *v1.SyncResponse, request *v1.SyncRequest) {
 	directory, credible := c.tracker.Directory(c.now, request.GetNode().GetZone())
 	response.DirectoryAgeMs = milliseconds(directory.Age)
@@ -72,7 +72,7 @@
 	}
 }
 
-// milliseconds rounds up, so that an age is never told too small.
+// milliseconds converts an age to milliseconds and rounds up, so that an age is never understated.
 func milliseconds(age time.Duration) uint32 {
 	rounded := age / time.Millisecond
 	if age%time.Millisecond != 0 {
@@ -81,7 +81,7 @@
 	return uint32(min(int64(rounded), math.MaxUint32))
 }
 
-// handleReport takes a gateway's demand and answers with its shares.
+// handleReport records a gateway's demand and answers with its shares.
 func (c *Core) handleReport(received ReportReceived) {
 	if !c.requireLeader(received.Call) {
 		return
@@ -104,8 +104,8 @@
 	c.answer(Answer{Call: received.Call, Response: response})
 }
 
-// shareDemands are the demands that get a share now: none before this leader's
-// authority is in the log, and no more than the bound.
+// shareDemands returns the demands that get a share now: none before this leader's authority
+// is in the log, and at most maximumShareDemands.
 func (c *Core) shareDemands(request *v1.ReportRequest) []*v1.ShareDemand {
 	if epoch, _ := c.state.Authority(); epoch != c.leadingTerm {
 		return nil
@@ -113,7 +113,7 @@
 	return request.ShareDemands[:min(len(request.ShareDemands), maximumShareDemands)]
 }
 
-// handleBeginClaim proposes a claim; it is granted once that is applied.
+// handleBeginClaim proposes a claim, which is granted once the command is applied.
 func (c *Core) handleBeginClaim(received BeginClaimReceived) {
 	command := &v1.Command{Body: &v1.Command_BeginClaim{BeginClaim: received.Request.GetClaim()}}
 	c.proposeForCall(command, received.Call, func(core *Core, result controlstate.Result) {
--- a/internal/control/output.go
+++ b/internal/control/output.go
@@ -7,11 +7,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Output is one thing the runtime has to do. Outputs are carried out in order.
+// Output is one action for the runtime. Outputs must be carried out in order.
 type Output interface{ isOutput() }
 
-// Persist asks to write and sync hard state, entries and snapshot, in that order
-// of appearance in the log, and then to send Persisted with the same number.
+// Persist requests that the hard state, snapshot and entries be written and synced, with the
+// snapshot before the entries as in the log. Persisted with the same batch number must follow.
 // Batches are persisted in order; several may be synced together.
 type Persist struct {
 	Batch     uint64
@@ -21,8 +21,8 @@
 	Snapshot *v1.Snapshot
 }
 
-// SendPeer sends a consensus message; it may be lost. The Core holds back every
-// message that must not leave before a Persist, so it may be sent at once.
+// SendPeer sends a consensus message, which may be lost. The Core holds back messages that
+// must not leave before a Persist, so this one may be sent at once.
 type SendPeer struct {
 	Address string
 	Message *v1.ConsensusMessage
@@ -35,21 +35,21 @@
 	Err      error
 }
 
-// SendOrder sends an order to an engine; OrderAnswered follows, or the loss of it.
+// SendOrder sends an order to an engine; OrderAnswered follows, also when the answer is lost.
 type SendOrder struct {
 	Engine  string
 	Address string
 	Order   enginecontract.Order
 }
 
-// SendFence raises the fence at an engine; FenceAnswered follows, or the loss of it.
+// SendFence raises the fence at an engine; FenceAnswered follows, also when the answer is lost.
 type SendFence struct {
 	Engine  string
 	Address string
 	Epoch   uint64
 }
 
-// PollEngine asks an engine for its state and load; EngineStateReceived follows.
+// PollEngine requests the state and load of an engine; EngineStateReceived follows.
 type PollEngine struct {
 	Engine  string
 	Address string
@@ -62,7 +62,7 @@
 func (SendFence) isOutput()  {}
 func (PollEngine) isOutput() {}
 
-// DumpLogs asks the runtime to write out its log ring.
+// DumpLogs tells the runtime to write out its log ring.
 type DumpLogs struct{ Operator string }
 
 func (DumpLogs) isOutput() {}
--- a/internal/control/planning.go
+++ b/internal/control/planning.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/planner"
 )
 
-// recentChangeWindow is how far back role changes are told to the planner.
+// recentChangeWindow is how far back the planner is given role changes.
 const recentChangeWindow = 2 * time.Hour
 
 // planning holds the planners of the services and their last decisions.
@@ -29,7 +29,7 @@
 	return &planning{planners: map[string]planner.Planner{}, reasons: map[string]plannerReason{}}
 }
 
-// plan lets the planner of each engine service decide and orders what it wants.
+// plan runs the planner of each engine service and orders the changes it decides on.
 func (c *Core) plan() {
 	for _, object := range c.state.ObjectsOfType(v1.ObjectType_OBJECT_TYPE_SERVICE) {
 		service := object.Key.Name
@@ -46,8 +46,8 @@
 	}
 }
 
-// applyDecision turns changes into orders. A change that may not be ordered now is
-// dropped: the planner decides anew next time.
+// applyDecision issues orders for the changes of a decision. A change that may not be ordered
+// now is dropped, because the planner decides again at the next interval.
 func (c *Core) applyDecision(service string, decision planner.Decision) {
 	issued, reason := 0, decision.Reason
 	for _, change := range decision.Changes {
@@ -64,7 +64,7 @@
 	c.planning.reasons[service] = plannerReason{at: c.now, changes: issued, reason: reason}
 }
 
-// observeService gathers all that the planner may know about one service.
+// observeService collects the planner's input for one service.
 func (c *Core) observeService(service string, declared *v1.Service) planner.Observation {
 	model := c.state.Object(v1.ObjectType_OBJECT_TYPE_MODEL, declared.Model).GetModel()
 	observation := planner.Observation{
@@ -108,7 +108,7 @@
 	return planner.Policy{}
 }
 
-// observeEngines lists the engines of a service by name.
+// observeEngines lists the engines of a service, sorted by name.
 func (c *Core) observeEngines(service string) []planner.EngineObservation {
 	var engines []planner.EngineObservation
 	for _, machine := range c.tracker.Machines() {
@@ -135,7 +135,7 @@
 	return engines
 }
 
-// recentChanges are the times at which role changes of a service were ordered.
+// recentChanges returns the times at which role changes of a service were ordered within recentChangeWindow.
 func (c *Core) recentChanges(service string) []time.Duration {
 	var times []time.Duration
 	add := func(order *v1.Order) {
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -10,21 +10,21 @@
 	"github.com/hazelpitch/hazelpitch/internal/formats"
 )
 
-// maximumCommandBytes bounds one command in the log.
+// maximumCommandBytes is the maximum encoded size of one command in the log.
 const maximumCommandBytes = 12 << 20
 
 // pendingCall is a call that waits for its log entry to be applied.
 type pendingCall struct {
 	id   CallID
 	term uint64
-	// otherCalls are further calls that wait for the same entry; finish answers them as well.
+	// otherCalls are further calls that wait for the same entry; finish answers them too.
 	otherCalls []CallID
-	// finish answers the call with the entry's result.
+	// finish answers the call with the result of the entry.
 	finish func(*Core, controlstate.Result)
 }
 
-// propose appends a command to the log. Call finish, when not nil, answers the call
-// once the entry is applied.
+// propose appends a command to the log and returns its log index. If finish is not nil, it
+// answers the call once the entry is applied.
 func (c *Core) propose(command *v1.Command, call CallID, finish func(*Core, controlstate.Result)) (uint64, error) {
 	if !c.canPropose(command) {
 		return 0, errFormatNotAgreed
@@ -48,14 +48,14 @@
 	return index, nil
 }
 
-// awaitEntry registers a call that waits for the entry at index.
+// awaitEntry registers a call that waits for the entry at the index.
 func (c *Core) awaitEntry(index, term uint64, call CallID, finish func(*Core, controlstate.Result)) {
 	if finish != nil {
 		c.pending[index] = pendingCall{id: call, term: term, finish: finish}
 	}
 }
 
-// failPendingCall answers the calls that wait for an entry which may or may not be applied.
+// failPendingCall answers the calls that wait for an entry that may or may not be applied.
 func (c *Core) failPendingCall(call pendingCall) {
 	c.refuse(call.id, errLostLeadership)
 	for _, other := range call.otherCalls {
@@ -63,14 +63,14 @@
 	}
 }
 
-// proposeForCall proposes a command for a call and refuses the call when that fails.
+// proposeForCall proposes a command for a call, and refuses the call if that fails.
 func (c *Core) proposeForCall(command *v1.Command, call CallID, finish func(*Core, controlstate.Result)) {
 	if _, err := c.propose(command, call, finish); err != nil {
 		c.refuse(call, err)
 	}
 }
 
-// proposeForCalls proposes a command that several calls wait for, and refuses them when that fails.
+// proposeForCalls proposes a command for which several calls wait, and refuses them if that fails.
 func (c *Core) proposeForCalls(command *v1.Command, calls []CallID, finish func(*Core, controlstate.Result)) {
 	index, err := c.propose(command, calls[0], finish)
 	if err != nil {
@@ -84,8 +84,8 @@
 	c.pending[index] = waiting
 }
 
-// proposeWithoutCall proposes a command that no call waits for; what it was to achieve
-// is tried again by whoever asked.
+// proposeWithoutCall proposes a command for which no call waits. A failure is ignored, because
+// the caller proposes the command again when it is still needed.
 func (c *Core) proposeWithoutCall(command *v1.Command) {
 	_, _ = c.propose(command, 0, nil)
 }
@@ -99,7 +99,7 @@
 	return false
 }
 
-// canAnswerAsLeader reports whether what this controller has applied is all there is.
+// canAnswerAsLeader reports whether the state applied here includes everything that was acknowledged.
 func (c *Core) canAnswerAsLeader() bool {
 	if !c.config.Safeguards.On(SafeguardLeaseRead) {
 		return c.consensus.Leading()
@@ -107,7 +107,7 @@
 	return c.consensus.LeaseValid(c.now)
 }
 
-// notLeader names the leader as far as it is known.
+// notLeader returns an error that names the leader if it is known.
 func (c *Core) notLeader() error {
 	if c.consensus.Leader() == c.consensus.ID() {
 		return &NotLeaderError{}
--- a/internal/control/published_back_ends.go
+++ b/internal/control/published_back_ends.go
@@ -9,8 +9,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/subsetting"
 )
 
-// publishedPart chooses the back ends that relays are told of. Those that are left out get no work, so that
-// what relays hold and are sent follows the work and not the number of back ends.
+// publishedPart chooses the back ends that relays get to know. Back ends that are left out get no work, so that
+// what relays hold and receive grows with the work and not with the number of back ends.
 func (c *Core) publishedPart(listed []*v1.ListedBackEnd) []*v1.ListedBackEnd {
 	parts := map[string]subsetting.Part{}
 	for service, count := range countOpenBackEnds(listed) {
@@ -21,13 +21,13 @@
 	})
 }
 
-// backEndDemand is how many back ends of a service relays are to know, and the part that has them.
+// backEndDemand is the number of back ends of a service that relays need to know, and the part that is chosen.
 type backEndDemand struct {
 	subsetting.Demand
 	part subsetting.Chooser
 }
 
-// demandFor follows what is wanted of a service's back ends.
+// demandFor returns the demand record of a service and creates it if necessary.
 func (c *Core) demandFor(service string) *backEndDemand {
 	demand := c.listing.demands[service]
 	if demand == nil {
@@ -40,7 +40,7 @@
 	return demand
 }
 
-// requiredBackEnds is how many back ends of each listed service relays are to know for the work of now.
+// requiredBackEnds returns, by listed service, the number of back ends that relays need to know for the current work.
 func (c *Core) requiredBackEnds(listed []*v1.ListedBackEnd) map[string]int {
 	minimum := map[string]int{}
 	for _, backEnd := range listed {
@@ -55,7 +55,7 @@
 	}
 	required := make(map[string]int, len(minimum))
 	for service, demand := range c.listing.demands {
-		required[service] = demand.Wanted() // one that is not listed now is looked for
+		required[service] = demand.Wanted() // also for services that are not listed now, so that they are looked for
 	}
 	for service, count := range minimum {
 		required[service] = c.demandFor(service).Next(c.now, count, c.serviceWork(service).busy())
@@ -63,7 +63,7 @@
 	return required
 }
 
-// adoptDemand takes what this leader's predecessor wanted, which knew the work, as a relay was told.
+// adoptDemand adopts the demand of the previous leader, which knew the work, as that leader sent it to a relay.
 func (c *Core) adoptDemand(request *v1.WatchRequest) {
 	if c.now-c.leadingSince >= relayCountDelay {
 		return
@@ -79,7 +79,7 @@
 	}
 }
 
-// choosePublished chooses what of the list relays are told.
+// choosePublished chooses the back ends that are published to relays.
 func (c *Core) choosePublished() {
 	former := len(c.listing.published)
 	c.listing.published = c.publishedPart(c.listing.considered)
@@ -87,7 +87,7 @@
 	c.updates.relayListFresh = c.updates.relayListFresh && len(c.listing.published) == former
 }
 
-// requiredBackEndRecords are what is wanted as relays are told of it, sorted by service.
+// requiredBackEndRecords returns the required numbers of back ends as sent to relays, sorted by service.
 func (c *Core) requiredBackEndRecords() []*v1.WantedBackEnds {
 	services := slices.Sorted(maps.Keys(c.listing.demands))
 	records := make([]*v1.WantedBackEnds, len(services))
--- a/internal/control/published_documents.go
+++ b/internal/control/published_documents.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// maximumPublishedDocuments is how many documents that relays were told of are kept, to tell what has changed since.
+	// maximumPublishedDocuments is the number of published documents that are retained to make patches from.
 	maximumPublishedDocuments = 4
-	// documentBytesPerSecond is the rate at which contents of documents are told: a relay reads some
-	// megabytes of them a second, and only a part of its time may go to that.
+	// documentBytesPerSecond is the rate at which document contents are published: a relay parses some megabytes
+	// of them a second, and only a part of its time may go into that.
 	documentBytesPerSecond = 2 << 20
 )
 
-// publishedDocuments are the documents that the leader tells relays of. Those that follow one another fast
-// are skipped where reading each would cost relays too much.
+// publishedDocuments are the documents that the leader sends to relays. When documents follow each other so fast that
+// parsing each of them would cost relays too much, some are skipped.
 type publishedDocuments struct {
-	// documents are the last ones, the newest last.
+	// documents are the last published documents, the newest last.
 	documents []*v1.Document
-	// nextAt is when a newer one may be told.
+	// nextAt is the time from which a newer document may be published.
 	nextAt time.Duration
-	// patches make the newest of each earlier one, by its number.
+	// patches turn earlier documents into the newest one, by the number of the earlier document.
 	patches map[uint64][]byte
 }
 
-// advance takes the document in force, if it may be told yet, and returns the newest that is told; nil
-// before the first.
+// advance publishes the document in force if that is allowed now, and returns the newest published one; nil before the
+// first.
 func (t *publishedDocuments) advance(now time.Duration, inForce *v1.Document) *v1.Document {
 	newest := t.newest()
 	if inForce.GetNumber() <= newest.GetNumber() || now < t.nextAt {
@@ -49,8 +49,8 @@
 	return t.documents[len(t.documents)-1]
 }
 
-// patchFrom returns what makes the newest document of the one with a number; nil where that is not
-// kept.
+// patchFrom returns the patch that turns the document with a number into the newest one; nil if that document is not
+// retained.
 func (t *publishedDocuments) patchFrom(number uint64) []byte {
 	if patch, made := t.patches[number]; made {
 		return patch
@@ -61,7 +61,7 @@
 		}
 		patch, err := packed.Patch(former.GetContent(), t.newest().GetContent())
 		if err != nil {
-			return nil // the whole document is told instead
+			return nil // the whole document is sent instead
 		}
 		t.patches[number] = patch
 		return patch
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -9,20 +9,20 @@
 	"github.com/hazelpitch/hazelpitch/internal/quarantine"
 )
 
-// ReplicaCrashesReceived tells under which requests replicas have ended. The answer is a
-// ReportReplicaEndsResponse once that is agreed on.
+// ReplicaCrashesReceived reports replicas that crashed and the requests that were running on them. The answer is a
+// ReportReplicaEndsResponse once the report is recorded.
 type ReplicaCrashesReceived struct {
 	Call    CallID
 	Crashes []*v1.ReplicaEnd
 }
 
-// TrialRequested asks for the right to run a held request once more; the answer is a BeginTrialResponse.
+// TrialRequested requests a trial, which is one more run of a quarantined request. The answer is a BeginTrialResponse.
 type TrialRequested struct {
 	Call      CallID
 	Signature []byte
 }
 
-// RequestReleased tells that a held request has run to a good end; the answer is a
+// RequestReleased reports that a quarantined request ran without a crash. The answer is a
 // ReleaseRequestResponse.
 type RequestReleased struct {
 	Call      CallID
@@ -33,16 +33,16 @@
 func (TrialRequested) isInput()         {}
 func (RequestReleased) isInput()        {}
 
-// maximumCrashesPerReport bounds the ends in one report; the rest is ignored, and told again.
+// maximumCrashesPerReport is the maximum number of crashes in one report; further ones are ignored, and reported again.
 const maximumCrashesPerReport = 4096
 
-// requestQuarantine is what a controller keeps for the requests that are held.
+// requestQuarantine tracks the requests that are quarantined because replicas crashed under them.
 type requestQuarantine struct {
 	keeper *quarantine.Keeper
-	// quarantined is what nodes are told, version its hash, 0 for nothing.
+	// quarantined are the requests as sent to nodes; version is their hash, or 0 when there are none.
 	quarantined []*v1.HeldRequest
 	version     uint64
-	// ledger and ledgerVersion are what held was made of.
+	// ledger and ledgerVersion identify the ledger from which quarantined was built.
 	ledger        *quarantine.Ledger
 	ledgerVersion uint64
 }
@@ -51,7 +51,7 @@
 	return requestQuarantine{keeper: quarantine.NewKeeper()}
 }
 
-// handleReplicaCrashes takes a node's word on ends of replicas.
+// handleReplicaCrashes records a node's report of crashed replicas.
 func (c *Core) handleReplicaCrashes(received ReplicaCrashesReceived) {
 	if !c.requireLeader(received.Call) {
 		return
@@ -63,7 +63,7 @@
 	})
 }
 
-// replicaCrashesResponse tells which of the requests are held now.
+// replicaCrashesResponse returns which of the reported requests are quarantined now.
 func (c *Core) replicaCrashesResponse(crashes []*v1.ReplicaEnd) *v1.ReportReplicaEndsResponse {
 	response := &v1.ReportReplicaEndsResponse{}
 	for _, crash := range crashes {
@@ -74,8 +74,8 @@
 	return response
 }
 
-// handleTrialRequested grants a trial that is due. It is agreed on before it is granted, so that another
-// leader knows of it.
+// handleTrialRequested grants a trial that is due. The trial is recorded before it is granted, so that
+// the next leader knows of it.
 func (c *Core) handleTrialRequested(received TrialRequested) {
 	if !c.requireLeader(received.Call) {
 		return
@@ -91,7 +91,7 @@
 	})
 }
 
-// findDueTrial returns the held request with a signature if it may be tried now; nil otherwise.
+// findDueTrial returns the quarantined request with the signature if it may be tried now; nil otherwise.
 func (c *Core) findDueTrial(bytes []byte) *quarantine.Suspect {
 	signature, valid := quarantine.SignatureFrom(bytes)
 	if !valid {
@@ -105,7 +105,7 @@
 	return suspect
 }
 
-// handleRequestReleased forgets a request that has run to a good end.
+// handleRequestReleased removes a request that ran without a crash from the ledger.
 func (c *Core) handleRequestReleased(received RequestReleased) {
 	if !c.requireLeader(received.Call) {
 		return
@@ -119,7 +119,7 @@
 	return &v1.Command{Body: &v1.Command_ReleaseRequests{ReleaseRequests: &v1.ReleaseRequests{Signatures: signatures}}}
 }
 
-// releaseForOperator forgets a request that an operator names by its signature.
+// releaseForOperator removes from the ledger a request that an operator names by its signature.
 func (c *Core) releaseForOperator(received ExecuteReceived, content string) {
 	signature, valid := quarantine.ParseSignature(content)
 	if !valid || c.suspects().Suspect(signature) == nil {
@@ -133,7 +133,7 @@
 	})
 }
 
-// tickQuarantine sees which trials are due, and forgets requests that have not come again.
+// tickQuarantine checks which trials are due, and drops requests that have not been sent again.
 func (c *Core) tickQuarantine() {
 	ledger := c.suspects()
 	c.quarantine.keeper.Observe(c.now, ledger)
@@ -150,7 +150,7 @@
 	}
 }
 
-// quarantinedRequests returns what nodes are told of held requests, and its version.
+// quarantinedRequests returns the quarantined requests as sent to nodes, and their version.
 func (c *Core) quarantinedRequests() (quarantined []*v1.HeldRequest, version uint64) {
 	ledger := c.suspects()
 	if c.quarantine.ledger != ledger || c.quarantine.ledgerVersion != ledger.Version() {
@@ -159,7 +159,7 @@
 	return c.quarantine.quarantined, c.quarantine.version
 }
 
-// rebuild makes what nodes are told.
+// rebuild makes the list of quarantined requests from the ledger.
 func (q *requestQuarantine) rebuild(core *Core, ledger *quarantine.Ledger) {
 	q.ledger, q.ledgerVersion = ledger, ledger.Version()
 	q.quarantined = nil
@@ -170,7 +170,7 @@
 		}
 		request := &v1.HeldRequest{Signature: suspect.Signature[:], TrialDue: core.leading && q.keeper.TrialDue(core.now, suspect)}
 		q.quarantined = append(q.quarantined, request)
-		_, _ = sum.Write(request.Signature) // a hash takes everything
+		_, _ = sum.Write(request.Signature) // a hash never fails
 		if request.TrialDue {
 			_, _ = sum.Write([]byte{1})
 		}
--- a/internal/control/relay_list.go
+++ b/internal/control/relay_list.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// relayTimeout is how long a relay counts after it was last heard.
+	// relayTimeout is the time without a message after which a relay no longer counts.
 	relayTimeout = 15 * time.Second
-	// relayCountDelay is how long a new leader listens before it tells how many relays
-	// there are.
+	// relayCountDelay is how long a new leader collects watches before it announces the
+	// number of relays.
 	relayCountDelay = 3 * time.Second
 )
 
-// relayRecord is what the leader remembers of a relay.
+// relayRecord is what the leader records of a relay.
 type relayRecord struct {
 	name string
-	// incarnation is the random identity of its incarnation.
+	// incarnation is the random identity of the relay's process.
 	incarnation   uint64
 	receivedAt    time.Duration
 	noticeAddress string
-	// formats are those that it knows.
+	// formats are the formats that the relay supports.
 	formats formats.Range
-	// document and listing are what it was told last.
+	// document and listing are the last updates that it was sent.
 	document, listing sentUpdate
 }
 
-// recordRelay counts the relay, or forgets it when it leaves.
+// recordRelay records the relay of a watch, or removes it when it leaves.
 func (c *Core) recordRelay(request *v1.WatchRequest) {
 	name := request.GetNode().GetName()
 	if request.GetLeaving() {
@@ -61,7 +61,7 @@
 	c.adoptDemand(request)
 }
 
-// refreshRelayList makes the list of relays that may own cells anew when relays or engines are others.
+// refreshRelayList rebuilds the list of relays that may own cells when the relays or the engines have changed.
 func (c *Core) refreshRelayList() {
 	if c.updates.relayListFresh {
 		return
@@ -72,7 +72,7 @@
 	c.updates.relayListFresh = true
 }
 
-// firstFormatAmong returns the addresses of a list at which relays keep no counts for others.
+// firstFormatAmong returns the addresses in the list of relays that do not count permits for other relays.
 func (c *Core) firstFormatAmong(addresses []string) []string {
 	former := map[string]bool{}
 	for _, record := range c.relays {
@@ -83,7 +83,7 @@
 	return slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return !former[address] })
 }
 
-// hashAddresses identifies a list of addresses; 0 for an empty one.
+// hashAddresses returns a hash of a list of addresses; 0 for an empty list.
 func hashAddresses(addresses []string) uint64 {
 	if len(addresses) == 0 {
 		return 0
@@ -91,7 +91,7 @@
 	return xxhash.Sum64String(strings.Join(addresses, ","))
 }
 
-// relayCount returns how many relays were heard of lately; 0 while it is not known.
+// relayCount returns the number of relays with a message within relayTimeout; 0 while it is not known yet.
 func (c *Core) relayCount() uint32 {
 	if c.now-c.leadingSince < relayCountDelay {
 		return 0
@@ -99,7 +99,7 @@
 	return uint32(len(c.relays))
 }
 
-// dropSilentRelays forgets relays that have not been heard of for long. Call it now and then.
+// dropSilentRelays drops relays without a message for longer than relayTimeout. It must be called regularly.
 func (c *Core) dropSilentRelays() {
 	for name, record := range c.relays {
 		if c.now-record.receivedAt > relayTimeout {
@@ -109,7 +109,7 @@
 	}
 }
 
-// noticeAddresses returns where relays take load notices, sorted.
+// noticeAddresses returns the sorted addresses at which relays receive load notices.
 func (c *Core) noticeAddresses() []string {
 	var addresses []string
 	for _, record := range c.relays {
--- a/internal/control/replicas.go
+++ b/internal/control/replicas.go
@@ -10,17 +10,17 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// OrderReplicas orders how many replicas a group has; ReplicasOrdered follows, or the loss of it.
+// OrderReplicas orders a number of replicas for a group; ReplicaOrderFinished follows, also when the answer is lost.
 type OrderReplicas struct {
 	DutyCall
 	Group   replicaplan.Group
 	Desired int
-	// Listed is how many the list showed, Work how many were busy of late.
+	// Listed is the number of replicas on the list; Work is the number that were recently busy.
 	Listed int
 	Work   float64
 }
 
-// ReplicaOrderFinished is what became of an order.
+// ReplicaOrderFinished is the result of OrderReplicas.
 type ReplicaOrderFinished struct {
 	Order   OrderReplicas
 	Outcome duty.Outcome
@@ -30,30 +30,30 @@
 func (ReplicaOrderFinished) isInput() {}
 
 const (
-	// replicaInterval is the time between two looks at what is wanted.
+	// replicaInterval is the time between two plans of the number of replicas.
 	replicaInterval = 250 * time.Millisecond
-	// maximumListingAge is the age of a list by which nothing is decided any more.
+	// maximumListingAge is the age of the list above which no decision is based on it.
 	maximumListingAge = 1500 * time.Millisecond
 	// proposalRetryInterval is the wait before desired numbers that are not agreed on yet are proposed again.
 	proposalRetryInterval = time.Second
 )
 
-// siteReplicas is what the leader does for the number of replicas.
+// siteReplicas is the leader's control of the numbers of replicas.
 type siteReplicas struct {
 	dueAt time.Duration
-	// number is that of the configuration that scalings were read from.
+	// number is the number of the configuration document from which scalings were read.
 	number   uint64
 	scalings map[string]replicaplan.Scaling
 	services map[string]*serviceReplicas
 }
 
-// serviceReplicas is the work on one service.
+// serviceReplicas is the control of the number of replicas of one service.
 type serviceReplicas struct {
 	plan       *replicaplan.Plan
 	orders     *replicaplan.Orders
 	proposed   replicaplan.Desired
 	proposedAt time.Duration
-	// firstProposer tells that this leader was the firstProposer to propose desired numbers: nobody has ordered before it.
+	// firstProposer means that this leader was the first to propose desired numbers, so no predecessor has ordered any.
 	firstProposer bool
 }
 
@@ -61,8 +61,8 @@
 	return siteReplicas{services: map[string]*serviceReplicas{}}
 }
 
-// tickReplicas decides how many replicas are desired, and orders what is agreed on. A leader that knows
-// too little keeps what is there.
+// tickReplicas plans the desired numbers of replicas, and orders those that are agreed on. A leader whose list is
+// missing or too old changes nothing.
 func (c *Core) tickReplicas() {
 	if c.config.ReadConfiguration == nil || c.config.OnDemandShare >= 1 && !c.state.HasReplicaTargets() {
 		return
@@ -82,7 +82,7 @@
 	}
 }
 
-// readScalings reads what the operator allows when the configuration has changed.
+// readScalings reads the services' scaling limits when the configuration has changed.
 func (c *Core) readScalings() {
 	document := c.state.Document()
 	if document.GetNumber() == c.replicas.number {
@@ -91,7 +91,7 @@
 	c.replicas.number = document.GetNumber()
 	configuration, err := c.config.ReadConfiguration(document.GetContent())
 	if err != nil {
-		return // it was read when it was accepted: a later release's, which relays tell of
+		return // it was valid when it was accepted, so it is of a later release; relays report that
 	}
 	c.replicas.scalings = map[string]replicaplan.Scaling{}
 	for _, service := range configuration.Services {
@@ -109,7 +109,7 @@
 	}
 }
 
-// planReplicas desired for what the plan wants of a service, and orders what is agreed on.
+// planReplicas proposes the desired numbers of replicas of a service when they differ from the agreed ones.
 func (c *Core) planReplicas(service string) {
 	work := c.replicas.services[service]
 	if work == nil {
@@ -120,7 +120,7 @@
 	work.plan.SetScaling(c.replicas.scalings[service])
 	work.firstProposer = work.firstProposer || c.state.ReplicaTarget(service) == nil
 	if !work.firstProposer && c.now-c.leadingSince < c.config.OrderWait {
-		return // little is known yet
+		return // too little is known yet
 	}
 	agreed := desiredOf(c.state.ReplicaTarget(service))
 	listed := c.listedGroups(service)
@@ -132,7 +132,7 @@
 	}
 }
 
-// orderReplicas makes the calls that the list does not show yet.
+// orderReplicas orders the agreed numbers of replicas that the list does not show yet.
 func (c *Core) orderReplicas(work *serviceReplicas, agreed replicaplan.Desired, listed map[replicaplan.Group]replicaplan.Listed) {
 	for _, order := range work.orders.Due(c.now, work.plan.Boot(), agreed, listed) {
 		subject := duty.Subject("replicas of " + order.Group.Service + " in " + order.Group.Zone)
@@ -146,8 +146,8 @@
 	}
 }
 
-// handleReplicaOrderFinished takes what became of an order. One that was declined although it asks for no
-// more than there are was overtaken; otherwise there are none to be had.
+// handleReplicaOrderFinished processes the result of an order. A declined order for no more replicas than are
+// listed was superseded by a later holder; otherwise the platform has no further replicas.
 func (c *Core) handleReplicaOrderFinished(received ReplicaOrderFinished) {
 	order, outcome := received.Order, received.Outcome
 	if !c.leading || order.Fence != c.leadingTerm {
@@ -162,8 +162,8 @@
 	}
 }
 
-// outgoingServices are those whose replicas that stay are about to be given up for cheap ones that are
-// on their way.
+// outgoingServices returns the services whose on-demand replicas are about to be replaced by spot replicas
+// that are already starting.
 func (c *Core) outgoingServices() map[string]bool {
 	outgoing := map[string]bool{}
 	for name, work := range c.replicas.services {
@@ -174,7 +174,7 @@
 	return outgoing
 }
 
-// listedGroups counts the listed replicas of a service.
+// listedGroups counts the listed replicas of a service by group.
 func (c *Core) listedGroups(service string) map[replicaplan.Group]replicaplan.Listed {
 	listed := map[replicaplan.Group]replicaplan.Listed{}
 	for _, backEnd := range c.listing.considered {
@@ -197,7 +197,7 @@
 	return listed
 }
 
-// desiredOf reads desired from the log's record; nil is none.
+// desiredOf converts the replicated record to desired numbers; nil means none.
 func desiredOf(record *v1.SetReplicas) replicaplan.Desired {
 	desired := replicaplan.Desired{Base: int(record.GetBase()), Counts: map[replicaplan.Group]int{}}
 	for _, count := range record.GetCounts() {
@@ -206,7 +206,7 @@
 	return desired
 }
 
-// desiredRecord is the reverse of desiredOf.
+// desiredRecord converts desired numbers to the replicated record.
 func desiredRecord(service string, desired replicaplan.Desired) *v1.SetReplicas {
 	record := &v1.SetReplicas{Service: service, Base: uint32(max(desired.Base, 0))}
 	groups := make([]replicaplan.Group, 0, len(desired.Counts))
--- a/internal/control/revision_index.go
+++ b/internal/control/revision_index.go
@@ -2,17 +2,17 @@
 
 import "sort"
 
-// maximumIndexedRevisions bounds a revisionIndex.
+// maximumIndexedRevisions is the maximum number of entries of a revisionIndex.
 const maximumIndexedRevisions = 4096
 
-// revisionIndex tells which revision a log holds up to an index, for the last
-// revisions that were applied here.
+// revisionIndex maps log indexes to configuration revisions, for the last revisions that were
+// applied here.
 type revisionIndex struct{ entries []indexedRevision }
 
-// indexedRevision is a revision and the log index that made it.
+// indexedRevision is a revision and the log index of the entry that made it.
 type indexedRevision struct{ index, revision uint64 }
 
-// add notes the revision after an applied entry.
+// add records the revision after an applied entry.
 func (r *revisionIndex) add(index, revision uint64) {
 	if count := len(r.entries); count > 0 && r.entries[count-1].revision == revision {
 		return
@@ -23,8 +23,8 @@
 	r.entries = append(r.entries, indexedRevision{index: index, revision: revision})
 }
 
-// revisionAt returns the revision of a log that ends revisionAt index; false when it is older than
-// what is remembered.
+// revisionAt returns the revision of a log that ends at the index; false when the index is older than
+// the recorded revisions.
 func (r *revisionIndex) revisionAt(index uint64) (uint64, bool) {
 	after := sort.Search(len(r.entries), func(i int) bool { return r.entries[i].index > index })
 	if after == 0 {
--- a/internal/control/sent_updates.go
+++ b/internal/control/sent_updates.go
@@ -5,48 +5,49 @@
 	"github.com/hazelpitch/hazelpitch/internal/formats"
 )
 
-// UpdateNotApplied tells the runtime that a relay asks again for what it was told: it could not use the answer, or did not
-// get it.
+// UpdateNotApplied tells the runtime that a relay requests again an update that it was sent: it could not apply the
+// answer, or did not receive it.
 type UpdateNotApplied struct {
 	Relay   string
 	Formats formats.Range
-	// Kind is what was told, Held the number or version that the relay still holds, and Told that which it was told.
+	// Kind is the kind of update, HeldVersion the number or version that the relay still holds, and SentVersion the one
+	// that it was sent.
 	Kind                     UpdateKind
 	HeldVersion, SentVersion uint64
 }
 
 func (UpdateNotApplied) isOutput() {}
 
-// UpdateKind is a kind of what relays are told.
+// UpdateKind is a kind of update for relays.
 type UpdateKind string
 
-// What relays are told.
+// Kinds of updates.
 const (
 	UpdateDocument UpdateKind = "document"
 	UpdateListing  UpdateKind = "listing"
 )
 
-// sentUpdate is what a relay was told last of one kind of news.
+// sentUpdate records the last update of one kind that a relay was sent.
 type sentUpdate struct {
-	// heldVersion is what it heldVersion when it asked, sentVersion what it was sentVersion, as numbers or versions.
+	// heldVersion is the number or version that the relay held then, sentVersion the one that it was sent.
 	heldVersion, sentVersion uint64
-	// attempts is how often it was told that in a row.
+	// attempts is how often it was sent in a row.
 	attempts int
 }
 
-// observeHeld takes what the relay observeHeld now: once that is something else, what it was told before was not in vain.
+// observeHeld records what the relay holds now. A change means that it has applied an update, which resets the attempts.
 func (t *sentUpdate) observeHeld(held uint64) {
 	if t.heldVersion != held {
 		*t = sentUpdate{}
 	}
 }
 
-// maximumImmediateAttempts is how often a relay is told the same at once: the first answer may have been lost, or told in a form
-// that the relay could not use. One that asks on gets it as often as it is answered without news, so that a relay which
-// cannot use an answer costs no more than others.
+// maximumImmediateAttempts is how often a relay is sent the same update at once: the first answer may have been lost, or
+// sent in a form that the relay could not use. Later attempts are sent only when the watch is due, so that a relay that
+// cannot use an answer causes no more load than others.
 const maximumImmediateAttempts = 2
 
-// recordSend notes that a relay which holds one number is told another.
+// recordSend records that a relay which holds one version is sent another.
 func (t *sentUpdate) recordSend(held, sent uint64) {
 	if t.heldVersion != held || t.sentVersion != sent {
 		*t = sentUpdate{heldVersion: held, sentVersion: sent}
@@ -54,7 +55,7 @@
 	t.attempts++
 }
 
-// failedAttempts is how often a relay was told a number already which it still does not hold.
+// failedAttempts returns how often a relay that still holds one version was already sent another.
 func (t *sentUpdate) failedAttempts(held, sent uint64) int {
 	if t.heldVersion != held || t.sentVersion != sent {
 		return 0
@@ -62,7 +63,7 @@
 	return t.attempts
 }
 
-// lastSent returns what a relay was told last.
+// lastSent returns the last updates that a relay was sent.
 func (c *Core) lastSent(request *v1.WatchRequest) (document, listing sentUpdate) {
 	if record := c.relays[request.GetNode().GetName()]; record != nil && record.incarnation == request.GetNode().GetIncarnation() {
 		return record.document, record.listing
@@ -70,7 +71,7 @@
 	return sentUpdate{}, sentUpdate{}
 }
 
-// recordSent remembers what a relay is told in an answer.
+// recordSent records the updates in a response to a relay.
 func (c *Core) recordSent(request *v1.WatchRequest, response *v1.WatchResponse) {
 	record, known := c.relays[request.GetNode().GetName()]
 	if !known {
@@ -84,7 +85,7 @@
 	}
 }
 
-// recordAttempt counts what is told again, and says so once for each relay and news.
+// recordAttempt counts repeated updates, and reports the first repetition for each relay and version.
 func (c *Core) recordAttempt(record *relayRecord, kind UpdateKind, last *sentUpdate, held, newest uint64) {
 	failed := last.failedAttempts(held, newest)
 	last.recordSend(held, newest)
--- a/internal/control/site_status.go
+++ b/internal/control/site_status.go
@@ -6,24 +6,24 @@
 	"github.com/hazelpitch/hazelpitch/internal/formats"
 )
 
-// SiteStatus is what a leader knows of the relays and back ends that it serves; empty at others.
+// SiteStatus is a leader's status of the relays and back ends that it serves; empty at other controllers.
 type SiteStatus struct {
-	// Relays is how many relays were heard of lately, WaitingWatches how many of their questions wait.
+	// Relays is the number of recently active relays; WaitingWatches is the number of their watches that wait.
 	Relays, WaitingWatches int
-	// FormerRelays is how many of them do not know the newest format.
+	// FormerRelays is the number of those relays that do not support the newest format.
 	FormerRelays int
-	// RepeatedUpdates counts the news that relays were told again, since they did not hold it after an answer.
+	// RepeatedUpdates counts the updates that were sent again to relays that had not applied them.
 	RepeatedUpdates uint64
-	// BackEnds is how many the outside list held when it was read whole last, PublishedBackEnds how many of them relays
-	// know, and Pages how many pages of the list are read most of the time; 0 is all.
+	// BackEnds is the number of back ends in the last complete read of the external list, PublishedBackEnds the number
+	// that relays know, and Pages the number of pages of a partial read; 0 when reads are complete.
 	BackEnds, PublishedBackEnds, Pages int
-	// UpdatesPerSecond is the pace at which news is told to relays.
+	// UpdatesPerSecond is the pace of updates to relays.
 	UpdatesPerSecond float64
-	// QuorumSilence is how long ago a quorum was heard of.
+	// QuorumSilence is the time since this leader received from a quorum.
 	QuorumSilence time.Duration
 }
 
-// siteStatus returns what this leader knows of its site.
+// siteStatus returns the status of this leader's site.
 func (c *Core) siteStatus() SiteStatus {
 	if !c.leading {
 		return SiteStatus{RepeatedUpdates: c.repeatedUpdates}
@@ -39,7 +39,7 @@
 	return status
 }
 
-// formerRelays is how many relays do not know the newest format.
+// formerRelays returns the number of relays that do not support the newest format.
 func (c *Core) formerRelays() int {
 	former := 0
 	for _, record := range c.relays {
--- a/internal/control/site_updates.go
+++ b/internal/control/site_updates.go
@@ -6,34 +6,34 @@
 	"github.com/hazelpitch/hazelpitch/internal/packed"
 )
 
-// siteUpdates is what the leader tells relays, made once however many ask.
+// siteUpdates holds what the leader sends to relays, made once for all of them.
 type siteUpdates struct {
-	// relayList are the addresses of the relays, formerRelays those of them that know the first format alone, and
-	// relayHash is the hash of both, while fresh is set.
+	// relayList are the addresses of the relays, formerRelays those of them that support only the first format, and
+	// relayListHash is the hash of both. They are valid while relayListFresh is set.
 	relayList      []string
 	formerRelays   []string
 	relayListHash  uint64
 	relayListFresh bool
-	// documents are those that relays are told of.
+	// documents are the documents that are published to relays.
 	documents publishedDocuments
-	// packedContent is the packedContent with the number, compressed.
+	// packedContent is the compressed document with packedNumber.
 	packedContent []byte
 	packedNumber  uint64
-	// lastState is what all watches that wait were held against last.
+	// lastState is the state for which all waiting watches were last checked.
 	lastState siteState
 }
 
-// siteState is what decides whether there is something new for relays.
+// siteState determines whether there is an update for relays.
 type siteState struct {
 	leads bool
-	// leader is the address of the controller that leads as far as is known here.
+	// leader is the address of the leader as far as it is known here.
 	leader          string
 	number, listing uint64
-	// quarantineVersion is the version of the quarantineVersion requests.
+	// quarantineVersion is the version of the quarantined requests.
 	quarantineVersion uint64
 }
 
-// siteState returns what holds now.
+// siteState returns the current state.
 func (c *Core) siteState() siteState {
 	state := siteState{leads: c.leading && c.canAnswerAsLeader(), listing: c.listing.version}
 	if state.leads {
@@ -47,7 +47,7 @@
 	return state
 }
 
-// addDocument tells a relay the newest document that is told, whole or as what has changed.
+// addDocument adds the newest published document to a response, whole or as a patch.
 func (c *Core) addDocument(request *v1.WatchRequest, response *v1.WatchResponse) {
 	document := c.updates.documents.newest()
 	if document.GetNumber() <= request.GetDocumentNumber() {
@@ -62,8 +62,8 @@
 	response.PackedDocument = c.packedDocument(document)
 }
 
-// canApplyPatch reports whether a relay can be told what has changed: it has said that it knows patches, and has not been
-// told the same before in vain.
+// canApplyPatch reports whether a relay can be sent a patch: it supports patches, and has not been sent the same patch
+// before without applying it.
 func (c *Core) canApplyPatch(request *v1.WatchRequest, newest uint64) bool {
 	if !formats.FromWire(request.GetFormats()).Supports(formats.DocumentPatches) {
 		return false
@@ -72,7 +72,7 @@
 	return record == nil || record.document.failedAttempts(request.GetDocumentNumber(), newest) == 0
 }
 
-// packedDocument is the document, compressed once for its number.
+// packedDocument returns the compressed document, which is packed once for each number.
 func (c *Core) packedDocument(document *v1.Document) []byte {
 	if c.updates.packedContent == nil || c.updates.packedNumber != document.GetNumber() {
 		c.updates.packedContent, c.updates.packedNumber = packed.Pack(document), document.GetNumber()
--- a/internal/control/sorted.go
+++ b/internal/control/sorted.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// sortedKeys lists the keys of a map in order.
+// sortedKeys returns the keys of a map in order.
 func sortedKeys[K cmp.Ordered, V any](values map[K]V) []K {
 	keys := make([]K, 0, len(values))
 	for key := range values {
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -14,36 +14,36 @@
 	"github.com/hazelpitch/hazelpitch/internal/stageplan"
 )
 
-// ChangeStage orders a listed engine into a role; StageOrdered follows, or the loss of it.
+// ChangeStage orders a listed engine to change its role; StageChangeFinished follows, also when the answer is lost.
 type ChangeStage struct {
 	BackEnd *v1.ListedBackEnd
 	Role    v1.Role
-	// Holder and Fence say who orders: fences of later leaders are higher.
+	// Holder and Fence identify the ordering leader: later leaders have higher fences.
 	Holder string
 	Fence  uint64
-	// NotAfter is the time of Step after which the order must not reach the engine any more:
-	// engines may take any fence, and a successor may order by then.
+	// NotAfter is the time of Step after which the order must no longer reach the engine: engines may
+	// accept any fence, and a successor may send orders by then.
 	NotAfter time.Duration
 }
 
-// StageChangeFinished is what became of ChangeStage.
+// StageChangeFinished is the result of ChangeStage.
 type StageChangeFinished struct {
 	ID      string
 	Outcome StageOutcome
 }
 
-// StageOutcome is what is known of an order to a listed engine.
+// StageOutcome is the known result of an order to a listed engine.
 type StageOutcome int
 
-// Outcomes of orders.
+// Results of orders.
 const (
-	// StageLost orders may be carried out now, later or never.
+	// StageLost means that no answer came: the engine may carry out the order now, later or never.
 	StageLost StageOutcome = iota
-	// StageAccepted orders are being carried out, or the engine holds the role already.
+	// StageAccepted means that the engine is changing its role, or has the role already.
 	StageAccepted
-	// StageRefused orders were not sent or not taken and never will be.
+	// StageRefused means that the order was not sent or not accepted, and will never be carried out.
 	StageRefused
-	// StageFenced orders were refused since the engine has seen a later leader's fence.
+	// StageFenced means that the order was refused because the engine has seen a later leader's fence.
 	StageFenced
 )
 
@@ -51,32 +51,32 @@
 func (StageChangeFinished) isInput() {}
 
 const (
-	// stageInterval is the time between two looks at the engines' stages.
+	// stageInterval is the time between two plans of the engines' stages.
 	stageInterval = 500 * time.Millisecond
 	// stageOrderTimeout is how long an order may take to show in the list before the engine
 	// may be ordered again.
 	stageOrderTimeout = 8 * time.Second
-	// stageRefusedDelay is the wait after an order that was not taken.
+	// stageRefusedDelay is the wait after a refused order before the engine is ordered again.
 	stageRefusedDelay = 2 * time.Second
-	// stageChangeInterval is the time between two changes under load.
+	// stageChangeInterval is the minimum time between two changes under load.
 	stageChangeInterval = 3 * time.Second
-	// freshEngineWindow is how long after an engine was first listed it counts as one that keeps nothing yet.
+	// freshEngineWindow is how long after its first listing an engine counts as one with an empty KV cache.
 	freshEngineWindow = 2 * time.Second
-	// never is later than any time.
+	// never is a time that is not reached.
 	never = time.Duration(math.MaxInt64)
-	// workReportTTL is how long a relay's report of its work counts.
+	// workReportTTL is how long a relay's report of its work is valid.
 	workReportTTL = 4 * time.Second
 )
 
-// stageOrder is an order that does not show in the list yet.
+// stageOrder is an order whose effect the list does not show yet.
 type stageOrder struct {
 	role  v1.Role
 	until time.Duration
-	// refused orders only keep the engine from being ordered again at once.
+	// refused means that the entry only delays the next order to the engine.
 	refused bool
 }
 
-// relayWork is what one relay reported last, by service.
+// relayWork is the last report of a relay's work by service.
 type relayWork struct {
 	receivedAt time.Duration
 	demands    []*v1.RoleDemand
@@ -84,8 +84,8 @@
 
 // stages is the leader's view of the roles of listed engines.
 type stages struct {
-	// firstListedAt is when each engine was listed first, as far as this leader saw it; those of its first
-	// list have served before.
+	// firstListedAt is the time at which this leader first saw each engine listed. Engines of its first list
+	// count as listed for longer than freshEngineWindow.
 	firstListedAt map[string]time.Duration
 	plans         map[string]*stageplan.Plan
 	orders        map[string]stageOrder
@@ -97,15 +97,15 @@
 	return stages{plans: map[string]*stageplan.Plan{}, orders: map[string]stageOrder{}, work: map[string]relayWork{}}
 }
 
-// recordWork takes a relay's report of its work.
+// recordWork records a relay's report of its work.
 func (c *Core) recordWork(request *v1.WatchRequest) {
 	if len(request.GetDemands()) > 0 {
 		c.stages.work[request.GetNode().GetName()] = relayWork{receivedAt: c.now, demands: request.GetDemands()}
 	}
 }
 
-// tickStages orders engines into the roles that the plan wants. A new leader first lets
-// the time of its predecessor's orders pass.
+// tickStages orders engines into the roles that the plan requires. A new leader first waits until its
+// predecessor's orders can no longer arrive.
 func (c *Core) tickStages() {
 	if c.config.PriorPrefillShare <= 0 || c.listing.version == 0 || c.now-c.leadingSince < c.config.OrderWait {
 		return
@@ -121,10 +121,10 @@
 		order, ordered := c.stages.orders[backEnd.GetId()]
 		role := backEnd.GetRole()
 		if ordered && !order.refused {
-			role = order.role // the list shows it later
+			role = order.role // the list will show it later
 		}
 		if !backEnd.GetSpot() && outgoing[backEnd.GetService()] {
-			continue // it leaves as soon as those are there that take its place
+			continue // it leaves as soon as its replacements serve
 		}
 		if stage, is := stageOf(role); is && !backEnd.GetLeaving() {
 			engines[backEnd.GetService()] = append(engines[backEnd.GetService()], stageplan.Engine{
@@ -142,7 +142,7 @@
 	}
 }
 
-// recordFirstListed remembers when engines were listed first.
+// recordFirstListed records when engines were first listed.
 func (c *Core) recordFirstListed() {
 	first := c.stages.firstListedAt == nil
 	seenAt := make(map[string]time.Duration, len(c.listing.published))
@@ -159,13 +159,13 @@
 	c.stages.firstListedAt = seenAt
 }
 
-// memberOf is an engine as relays divide engines into cells.
+// memberOf converts an engine to a member of the relays' division into cells.
 func memberOf(backEnd *v1.ListedBackEnd) cell.Member {
 	return cell.Member{Hash: cell.HashEngine(serving.BackEndFromListed(backEnd).Expected()), Zone: backEnd.GetZone()}
 }
 
-// groupByCell adds the engines' cells to their zones: an owner that decides on one cell needs
-// engines of both stages there.
+// groupByCell appends the engines' cells to their groups, because an owner of one cell needs engines
+// of both stages in it.
 func groupByCell(service string, engines []stageplan.Engine, members []cell.Member) {
 	division := cell.Divide(service, members)
 	for index, member := range members {
@@ -178,7 +178,7 @@
 func (c *Core) planStages(service string, engines []stageplan.Engine) {
 	work := c.serviceWork(service).Work
 	if !work.Known && c.listing.partial() {
-		return // engines that nobody knows yet are brought in where one stage turns out to be short
+		return // engines that are not published yet are added when one stage turns out to be short
 	}
 	plan := c.stages.plans[service]
 	if plan == nil {
@@ -190,17 +190,17 @@
 	}
 }
 
-// reportedWork is how many back ends of a service the work that relays report would keep busy.
+// reportedWork is the reported work of a service, as the number of back ends that it would keep busy.
 type reportedWork struct {
 	stageplan.Work
-	// unstaged is the same for requests that are answered unstaged.
+	// unstaged is the work of requests that are not divided into prefill and decode.
 	unstaged float64
 }
 
-// busy is how many back ends the work would keep busy.
+// busy returns the number of back ends that the work would keep busy.
 func (w reportedWork) busy() float64 { return w.Prefill + w.Decode + w.unstaged }
 
-// serviceWork sums what relays reported of a service lately.
+// serviceWork sums the work of a service that relays have reported within workReportTTL.
 func (c *Core) serviceWork(service string) reportedWork {
 	work := reportedWork{}
 	for _, name := range sortedKeys(c.stages.work) {
@@ -222,7 +222,7 @@
 	return work
 }
 
-// orderStage orders one engine, and keeps relays from sending it work meanwhile.
+// orderStage orders one engine to change its stage, and keeps relays from sending it work meanwhile.
 func (c *Core) orderStage(change stageplan.Change) {
 	role := v1.Role_ROLE_DECODE
 	if change.Stage == stageplan.StagePrefill {
@@ -240,9 +240,9 @@
 	c.refreshListing()
 }
 
-// handleStageChangeFinished takes the outcome of an order. One that was refused gives the engine
-// back to the relays and lets it be ordered again after a pause; one that was lost counts
-// as taken until the list shows what became of it.
+// handleStageChangeFinished processes the result of an order. After a refused order, relays may use the
+// engine again, and it may be ordered again after a delay. A lost order counts as accepted until the
+// list shows its effect.
 func (c *Core) handleStageChangeFinished(received StageChangeFinished) {
 	order, ordered := c.stages.orders[received.ID]
 	if !ordered {
@@ -252,7 +252,7 @@
 	case StageRefused:
 		order.refused, order.until = true, c.now+stageRefusedDelay
 	case StageFenced:
-		order.refused, order.until = true, never // this leader's fence will not rise
+		order.refused, order.until = true, never // the fence of this term does not rise
 	default:
 		return
 	}
@@ -260,7 +260,7 @@
 	c.refreshListing()
 }
 
-// dropStageOrders forgets orders that show in the list or have taken too long.
+// dropStageOrders drops orders whose effect the list shows or that have timed out.
 func (c *Core) dropStageOrders() {
 	if len(c.stages.orders) == 0 {
 		return
@@ -278,7 +278,7 @@
 	c.refreshListing()
 }
 
-// markChangingRoles returns the back ends with those markChangingRoles whose role is being changed.
+// markChangingRoles returns the back ends with a mark on those whose role is being changed.
 func (c *Core) markChangingRoles(backEnds []*v1.ListedBackEnd) []*v1.ListedBackEnd {
 	if len(c.stages.orders) == 0 {
 		return backEnds
@@ -297,7 +297,7 @@
 	return marked
 }
 
-// stageOf translates a role; it reports false for back ends that are no engines.
+// stageOf converts a role to a stage; it returns false for back ends that are not engines.
 func stageOf(role v1.Role) (stageplan.Stage, bool) {
 	switch role {
 	case v1.Role_ROLE_PREFILL:
--- a/internal/control/stop.go
+++ b/internal/control/stop.go
@@ -7,14 +7,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/consensus"
 )
 
-// StopRequested tells that the process is about to stop: a leader hands its
+// StopRequested reports that the process is about to stop: a leader transfers its
 // leadership to another voter.
 type StopRequested struct{}
 
 func (StopRequested) isInput() {}
 
-// handleStop hands leadership to the voter that has the most of the log; of equal ones
-// to the one heard of last. Without another voter nothing changes.
+// handleStop transfers leadership to the voter with the longest matching log, and among equal ones to
+// the most recently active one. Without another voter nothing changes.
 func (c *Core) handleStop() {
 	status := c.consensus.Status()
 	voters := slices.DeleteFunc(status.Members, func(member consensus.MemberStatus) bool {
@@ -26,6 +26,6 @@
 	target := slices.MaxFunc(voters, func(a, b consensus.MemberStatus) int {
 		return cmp.Or(cmp.Compare(a.Match, b.Match), cmp.Compare(b.Silence, a.Silence))
 	})
-	// An error means that a transfer is under way or that leadership is lost already.
+	// An error means that a transfer is in progress or that leadership is already lost.
 	_ = c.consensus.TransferLeadership(c.now, target.Member.GetId())
 }
--- a/internal/control/update_pace.go
+++ b/internal/control/update_pace.go
@@ -3,34 +3,34 @@
 import "time"
 
 const (
-	// minimumUpdatesPerSecond and mostNews bound the pace of news, in answers a second; firstNews is the pace at first. At the
-	// least, 300 relays that have all just started hear within 0.75 s.
+	// minimumUpdatesPerSecond and maximumUpdatesPerSecond bound the pace of updates; initialUpdatesPerSecond is the pace
+	// at the start. At the minimum, 300 relays that have all just started get their answers within 0.75 s.
 	minimumUpdatesPerSecond = 400
 	initialUpdatesPerSecond = 1000
 	maximumUpdatesPerSecond = 4000
-	// updateBurstWindow is the time for which unused pace is kept: a fleet of 50 relays hears at once.
+	// updateBurstWindow is the time for which unused pace accumulates: a fleet of 50 relays is updated at once.
 	updateBurstWindow = TickInterval
-	// paceDecrease and speedUp are what the pace is multiplied by at a tick where the peers' answers come late,
-	// and at one where they come in time although more could be told.
+	// paceDecrease is the factor for the pace at a tick when the peers' answers are late, paceIncrease
+	// that at a tick when they are in time and the pace has limited updates.
 	paceDecrease = 0.7
 	paceIncrease = 1.02
 )
 
-// updatePace spreads the telling of news over time. An answer and the relay's next question take some tenths
-// of a millisecond of the leader's processor: a thousand at once keep it from its peers for longer than they
-// wait for a leader. It goes by what it observes: how long the leader has not heard of a quorum.
+// updatePace spreads updates to relays over time. An answer and the relay's next watch take some tenths of a
+// millisecond of the leader's CPU: a thousand at once delay its messages to peers beyond their election timeout.
+// The pace adapts to the time for which the leader has not received from a quorum.
 type updatePace struct {
 	perSecond float64
 	credit    float64
-	// creditAt is when credit was counted last.
+	// creditAt is the time at which credit was last updated.
 	creditAt time.Duration
-	// wasLimiting tells that somebody has waited for the pace since the last tick.
+	// wasLimiting is set when the pace has delayed an update since the last tick.
 	wasLimiting bool
 }
 
 func newUpdatePace() updatePace { return updatePace{perSecond: initialUpdatesPerSecond} }
 
-// tick adapts the pace to whether the quorum's answers come late.
+// tick adapts the pace; late says whether the quorum's answers are late.
 func (p *updatePace) tick(late bool) {
 	switch {
 	case late:
@@ -41,7 +41,7 @@
 	p.wasLimiting = false
 }
 
-// allow reports whether one more relay may be told now, and counts it.
+// allow reports whether one more relay may be updated now, and if so counts the update.
 func (p *updatePace) allow(now time.Duration) bool {
 	maximum := p.perSecond * updateBurstWindow.Seconds()
 	p.credit = min(p.credit+p.perSecond*(now-p.creditAt).Seconds(), maximum)
--- a/internal/control/usage.go
+++ b/internal/control/usage.go
@@ -9,23 +9,23 @@
 	"github.com/hazelpitch/hazelpitch/internal/usage"
 )
 
-// UsageReceived is a relay's report of what tenants used. The answer is a ReportUsageResponse once
-// the report is agreed on.
+// UsageReceived is a relay's report of tenants' usage. The answer is a ReportUsageResponse once the
+// report is committed.
 type UsageReceived struct {
 	Call   CallID
 	Report *v1.UsageReport
 }
 
-// DeliverUsage tells the platform the counts of a window; UsageDelivered follows, or the loss of it.
+// DeliverUsage reports the counts of a window to the platform; UsageDelivered follows, also when the answer is lost.
 type DeliverUsage struct {
 	DutyCall
 	Window usage.Window
 	Counts usage.Counts
-	// Late tells that the window was due before.
+	// Late means that the report of the window is overdue.
 	Late bool
 }
 
-// UsageDelivered is what became of a call.
+// UsageDelivered is the result of DeliverUsage.
 type UsageDelivered struct {
 	Call    DeliverUsage
 	Outcome duty.Outcome
@@ -35,16 +35,16 @@
 func (UsageDelivered) isInput() {}
 func (DeliverUsage) isOutput()  {}
 
-// SubjectUsage is the subject of all calls of usage.
+// SubjectUsage is the subject of all usage calls.
 const SubjectUsage duty.Subject = "usage"
 
-// errUsageNotCounted answers a report that cannot be taken yet, or is not wanted here.
+// errUsageNotCounted answers a report when usage is not counted here, or not yet.
 var errUsageNotCounted = trace.ConnectionProblem(nil, "usage is not counted here yet; send the report again")
 
-// siteUsage is what the leader does for usage.
+// siteUsage collects usage at the leader and reports it to the platform.
 type siteUsage struct {
 	reporter *usage.Reporter
-	// waiting are the calls whose reports go into the next command, in order.
+	// waiting are the calls whose reports go into the next command, in order of arrival.
 	waiting []usageCall
 }
 
@@ -58,7 +58,7 @@
 	return siteUsage{reporter: usage.NewReporter(config.Usage)}
 }
 
-// handleUsage takes a relay's report. Those of one tick go into one command.
+// handleUsage queues a relay's report. The reports of one tick go into one command.
 func (c *Core) handleUsage(received UsageReceived) {
 	if !c.requireLeader(received.Call) {
 		return
@@ -74,7 +74,7 @@
 	c.usage.waiting = append(c.usage.waiting, usageCall{id: received.Call, report: received.Report})
 }
 
-// tickUsage proposes what was reported, closes windows and tells them.
+// tickUsage proposes the queued reports, closes windows and reports them to the platform.
 func (c *Core) tickUsage() {
 	if c.config.Usage.Window <= 0 {
 		return
@@ -90,7 +90,7 @@
 	c.deliverUsage(now)
 }
 
-// recordUsage proposes the reports that wait as one command.
+// recordUsage proposes the queued reports as one command.
 func (c *Core) recordUsage() {
 	waiting := c.usage.waiting
 	if len(waiting) == 0 {
@@ -111,8 +111,8 @@
 	})
 }
 
-// deliverUsage tells the platform the window that is next. A new leader first lets the time of its
-// predecessor's calls pass.
+// deliverUsage reports the next window to the platform. A new leader first waits until its predecessor's
+// calls can no longer arrive.
 func (c *Core) deliverUsage(trueTimeMs int64) {
 	if !c.mayCallPlatform(SubjectUsage) {
 		return
@@ -127,7 +127,7 @@
 	})
 }
 
-// handleUsageDelivered takes what became of a call, which may be that of an earlier term.
+// handleUsageDelivered processes the result of a call, which may be that of an earlier term.
 func (c *Core) handleUsageDelivered(received UsageDelivered) {
 	if !c.leading {
 		return
@@ -141,7 +141,7 @@
 	c.proposeWithoutCall(&v1.Command{Body: &v1.Command_SettleUsage{SettleUsage: &v1.SettleUsage{Window: int64(window)}}})
 }
 
-// refuseWaitingUsage answers the reports that were not proposed.
+// refuseWaitingUsage refuses the reports that were not proposed.
 func (c *Core) refuseWaitingUsage() {
 	for _, call := range c.usage.waiting {
 		c.refuse(call.id, c.notLeader())
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -10,7 +10,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/language"
 )
 
-// view shows one controller's state to the operators' language.
+// view provides one controller's state to the operators' language.
 type view struct{ core *Core }
 
 var _ language.View = (*view)(nil)
--- a/internal/control/waiting_watches.go
+++ b/internal/control/waiting_watches.go
@@ -9,28 +9,28 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// waitingWatch is a relay's question that waits for something new, or for its time to pass.
+// waitingWatch is a relay's watch that waits for an update or until it is due.
 type waitingWatch struct {
 	call    CallID
 	request *v1.WatchRequest
 	dueAt   time.Duration
-	// superseded tells that the relay has given it up and asked again.
+	// superseded means that the relay has given up this watch and sent another one.
 	superseded bool
 }
 
-// waitingWatches are the questions that wait. One that has waited long enough is found without a look at
-// the others: as many relays ask as there are, each once a second or so.
+// waitingWatches are the waiting watches. A due watch is found without examining the others, because each
+// relay watches about once a second.
 type waitingWatches struct {
-	// byDue are those for which there was nothing new.
+	// byDue are the watches without an update.
 	byDue watchHeap
-	// ready are those for which there may be news, the first due first.
+	// ready are the watches for which there may be an update, the first due first.
 	ready []*waitingWatch
-	// latest is the latest question of each start of a relay.
+	// latest is the latest watch of each incarnation of a relay.
 	latest map[uint64]*waitingWatch
 }
 
-// register takes a question. An earlier one of the same start of the same relay was given up: to answer it would
-// cost as much and reach nobody.
+// register adds a watch. An earlier watch of the same incarnation of the same relay was given up: an answer to it
+// would cost as much and would not be received.
 func (w *waitingWatches) register(waiting *waitingWatch) {
 	start := waiting.request.GetNode().GetIncarnation()
 	if start == 0 {
@@ -45,7 +45,7 @@
 	w.latest[start] = waiting
 }
 
-// unregister forgets a question that is answered.
+// unregister removes a watch that is answered.
 func (w *waitingWatches) unregister(waiting *waitingWatch) {
 	start := waiting.request.GetNode().GetIncarnation()
 	if w.latest[start] == waiting {
@@ -53,21 +53,21 @@
 	}
 }
 
-// addWaiting lets a question wait for something new.
+// addWaiting makes a watch wait for an update.
 func (w *waitingWatches) addWaiting(waiting *waitingWatch) { heap.Push(&w.byDue, waiting) }
 
-// addReady lets a question wait until it can be answered.
+// addReady makes a watch wait until it may be answered.
 func (w *waitingWatches) addReady(waiting *waitingWatch) { w.ready = append(w.ready, waiting) }
 
-// markAllReady says that there may be something new for all that wait.
+// markAllReady makes all watches ready, because there may be an update for each of them.
 func (w *waitingWatches) markAllReady() {
 	slices.SortFunc(w.byDue, w.byDue.compare)
 	w.ready = append(w.ready, w.byDue...)
 	w.byDue = nil
 }
 
-// popReady takes questions for which there is news, as long as more may be answered, and those of them
-// that have waited long enough all the same. Others wait on.
+// popReady returns ready watches that have an update, as long as mayAnswer allows, and beyond that those that are due.
+// Watches without an update go back to waiting.
 func (w *waitingWatches) popReady(now time.Duration, hasUpdate func(*v1.WatchRequest) bool, mayAnswer func() bool) []*waitingWatch {
 	var taken []*waitingWatch
 	for len(w.ready) > 0 {
@@ -88,7 +88,7 @@
 	return taken
 }
 
-// popDue takes the questions that have waited long enough for something new, the first due first.
+// popDue returns the watches that are due, the first due first.
 func (w *waitingWatches) popDue(now time.Duration) []*waitingWatch {
 	var due []*waitingWatch
 	for len(w.byDue) > 0 && now >= w.byDue[0].dueAt {
@@ -101,7 +101,7 @@
 	return due
 }
 
-// watchHeap has the question that is due first at its top.
+// watchHeap is a heap with the watch that is due first at its top.
 type watchHeap []*waitingWatch
 
 // Len implements heap.Interface.
@@ -110,7 +110,7 @@
 // Less implements heap.Interface.
 func (h watchHeap) Less(i, j int) bool { return h.compare(h[i], h[j]) < 0 }
 
-// compare orders questions by when they are due.
+// compare orders watches by when they are due.
 func (watchHeap) compare(a, b *waitingWatch) int {
 	return cmp.Or(cmp.Compare(a.dueAt, b.dueAt), cmp.Compare(a.call, b.call))
 }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -8,8 +8,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/formats"
 )
 
-// WatchReceived is a relay's question for what is new; the answer waits until there is
-// something or until the relay's wait has passed.
+// WatchReceived is a relay's watch, a request for updates. The answer waits until there is an
+// update or until the relay's wait has passed.
 type WatchReceived struct {
 	Call    CallID
 	Request *v1.WatchRequest
@@ -18,15 +18,15 @@
 func (WatchReceived) isInput() {}
 
 const (
-	// maximumWatchWait bounds how long a watch may wait.
+	// maximumWatchWait is the maximum time for which a watch may wait.
 	maximumWatchWait = 5 * time.Second
-	// leaderlessWait bounds how long a watch waits where no controller is known to lead: one that
-	// is cut off must not keep relays for long.
+	// leaderlessWait is the maximum time for which a watch waits where no leader is known: a controller
+	// that is cut off must not hold relays for long.
 	leaderlessWait = 150 * time.Millisecond
 )
 
-// handleWatch lets a relay wait: until the pace of news allows an answer where there is something new, and for
-// something new elsewhere.
+// handleWatch makes a watch wait: until the pace allows the answer if there is an update, else until there is one or
+// the watch is due.
 func (c *Core) handleWatch(received WatchReceived) {
 	request := received.Request
 	state := c.siteState()
@@ -41,15 +41,15 @@
 	waiting := &waitingWatch{call: received.Call, request: request, dueAt: c.now + wait}
 	c.watches.register(waiting)
 	if c.canAnswerNow(state, request) {
-		c.watches.addReady(waiting) // it is answered in this step where the pace allows it
+		c.watches.addReady(waiting) // it is answered in this step if the pace allows
 		return
 	}
 	c.watches.addWaiting(waiting)
 }
 
-// canAnswerNow reports whether a relay is answered at once: the leader has something new for it, or
-// another controller leads. Where none is known to lead, relays wait a little: they would only
-// ask again.
+// canAnswerNow reports whether a watch need not wait for an update: the leader has one for the relay, or another
+// controller leads. Where no leader is known, relays wait a short time, because they would only
+// send the watch again.
 func (c *Core) canAnswerNow(state siteState, request *v1.WatchRequest) bool {
 	if state.leads {
 		return c.hasUpdate(request)
@@ -57,7 +57,7 @@
 	return state.leader != ""
 }
 
-// answerWatches answers the watches that have something new or have waited long enough.
+// answerWatches answers the watches that have an update and those that are due.
 func (c *Core) answerWatches() {
 	if len(c.watches.byDue) == 0 && len(c.watches.ready) == 0 {
 		return
@@ -73,15 +73,15 @@
 	c.answerAll(state, c.watches.popDue(c.now))
 }
 
-// answerAll answers watches that do not wait any more.
+// answerAll answers watches that no longer wait.
 func (c *Core) answerAll(state siteState, watches []*waitingWatch) {
 	for _, waited := range watches {
 		c.answer(Answer{Call: waited.call, Response: c.watchResponse(waited.request, !state.leads)})
 	}
 }
 
-// hasUpdate reports whether a relay does not hold what is in force. What it was told twice and still does not hold is no
-// news: it is told again with the answer that is due.
+// hasUpdate reports whether a relay does not hold the current versions. An update that it was sent
+// maximumImmediateAttempts times without applying it does not count: it is sent again when the watch is due.
 func (c *Core) hasUpdate(request *v1.WatchRequest) bool {
 	document, listing := c.lastSent(request)
 	newest, held := c.updates.documents.newest().GetNumber(), request.GetDocumentNumber()
@@ -97,8 +97,8 @@
 	return suspects != request.GetHeldVersion()
 }
 
-// watchResponse tells a relay what it does not hold. A controller that does not lead
-// tells only whom to ask.
+// watchResponse returns what a relay does not hold. A controller that does not lead only
+// names the leader.
 func (c *Core) watchResponse(request *v1.WatchRequest, behind bool) *v1.WatchResponse {
 	response := &v1.WatchResponse{LeaderAddress: c.consensus.LeaderAddress(), Behind: behind, Formats: formats.Supported().ToWire()}
 	for _, member := range c.consensus.Membership().GetMembers() {
@@ -133,7 +133,7 @@
 	response.RelayList = c.updates.relayListHash
 	if response.RelayList != request.GetRelayList() && (response.Relays > 0 || request.GetRelayList() == 0) {
 		response.FormerRelays = c.updates.formerRelays
-		response.RelayAddresses = c.updates.relayList // a new leader knows few: those who hold a list keep it
+		response.RelayAddresses = c.updates.relayList // a new leader knows few relays; relays keep the list that they hold
 	}
 	c.recordSent(request, response)
 	return response
--- a/internal/controlstate/bounds.go
+++ b/internal/controlstate/bounds.go
@@ -7,7 +7,7 @@
 const (
 	// MaximumRequestRecords is the number of first answers retained for resends. A resend
 	// that comes after as many later submissions is treated as a new submission;
-	// its change number still prevents that it is accepted twice.
+	// its change number still prevents it from being accepted twice.
 	MaximumRequestRecords = 4096
 	// MaximumChangeRecords is the number of accepted revisions whose change numbers
 	// are retained one by one. Unused numbers below the oldest of them count as taken.
