--- a/internal/control/agreement.go
+++ b/internal/control/agreement.go
@@ -118,8 +118,9 @@
 	return known && c.isAgreed(number)
 }
 
-// suspects returns the ledger of requests that were running when replicas crashed. It is the replicated ledger or, while
-// its format is not agreed on, a local one: the last agreed ledger, updated with the reports received here since then.
+// suspects returns the ledger of requests that were running when replicas crashed. It is the replicated ledger or,
+// while its format is not agreed on, a local one: the last agreed ledger, updated with the reports received here
+// since then.
 func (c *Core) suspects() *quarantine.Ledger {
 	if c.isAgreed(formats.QuarantinedRequests) {
 		return c.state.Suspects()
@@ -131,8 +132,8 @@
 // is not agreed on, only the leader does.
 func (c *Core) knowsQuarantined() bool { return c.leading || c.isAgreed(formats.QuarantinedRequests) }
 
-// applySuspectChange applies a command to the ledger of suspects, through the log if its format is agreed on and locally
-// otherwise.
+// applySuspectChange applies a command to the ledger of suspects, through the log if its format is agreed on and
+// locally otherwise.
 func (c *Core) applySuspectChange(command *v1.Command, call CallID, finish func(*Core, controlstate.Result)) {
 	if c.isAgreed(formats.QuarantinedRequests) {
 		c.proposeForCall(command, call, finish)
--- a/internal/control/change_faults_test.go
+++ b/internal/control/change_faults_test.go
@@ -10,51 +10,51 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// TestFaultsAtEachStepOfAChange breaks something at each step of a role change. The
-// engine must end in the pinned role, hold one order at a time, and the log must say
-// how each order ended.
+// TestFaultsAtEachStepOfAChange injects a fault at each step of a role change. The engine
+// must reach the pinned role and hold one order at a time, and the log must record the
+// outcome of each order.
 func TestFaultsAtEachStepOfAChange(t *testing.T) {
 	steps := []struct {
 		name string
-		// reached tells that the change has come to the step.
-		reached func(*world, *testEngine) bool
+		// reached reports whether the change has reached the step.
+		reached func(*testCluster, *testEngine) bool
 	}{
-		{"order committed", func(w *world, _ *testEngine) bool {
+		{"order committed", func(w *testCluster, _ *testEngine) bool {
 			leader := w.leader()
 			return leader != nil && leader.core.state.Engine("engine-1").GetOutstanding() != nil
 		}},
-		{"engine drains", func(_ *world, e *testEngine) bool {
+		{"engine drains", func(_ *testCluster, e *testEngine) bool {
 			return e.machine.State(1).OrderPhase == enginecontract.PhaseDraining
 		}},
-		{"engine changes", func(_ *world, e *testEngine) bool {
+		{"engine changes", func(_ *testCluster, e *testEngine) bool {
 			return e.machine.State(0).OrderPhase == enginecontract.PhaseChanging
 		}},
-		{"engine is done", func(_ *world, e *testEngine) bool {
+		{"engine is done", func(_ *testCluster, e *testEngine) bool {
 			return e.machine.State(0).OrderPhase == enginecontract.PhaseDone
 		}},
 	}
 	faults := []struct {
 		name  string
-		cause func(*world, *testEngine)
+		cause func(*testCluster, *testEngine)
 	}{
-		{"none", func(*world, *testEngine) {}},
-		{"leader crashes and stays away", func(w *world, _ *testEngine) { w.crash(w.leader().name) }},
-		{"leader crashes and restarts", func(w *world, _ *testEngine) {
+		{"none", func(*testCluster, *testEngine) {}},
+		{"leader crashes and stays away", func(w *testCluster, _ *testEngine) { w.crash(w.leader().name) }},
+		{"leader crashes and restarts", func(w *testCluster, _ *testEngine) {
 			name := w.leader().name
 			w.crash(name)
 			w.after(300*time.Millisecond, func() { w.start(name) })
 		}},
-		{"leader is cut off and comes back", func(w *world, _ *testEngine) {
+		{"leader is cut off and comes back", func(w *testCluster, _ *testEngine) {
 			old := w.leader()
 			old.cut = true
 			w.after(8*time.Second, func() { old.cut = false })
 		}},
-		{"engine restarts", func(w *world, _ *testEngine) { w.restartEngine("engine-1") }},
-		{"engine is silent for long", func(w *world, e *testEngine) {
+		{"engine restarts", func(w *testCluster, _ *testEngine) { w.restartEngine("engine-1") }},
+		{"engine is silent for long", func(w *testCluster, e *testEngine) {
 			e.down = true
 			w.after(8*time.Second, func() { e.down = false })
 		}},
-		{"leader and engine crash together", func(w *world, _ *testEngine) {
+		{"leader and engine crash together", func(w *testCluster, _ *testEngine) {
 			name := w.leader().name
 			w.crash(name)
 			w.restartEngine("engine-1")
@@ -64,7 +64,7 @@
 	for _, step := range steps {
 		for _, fault := range faults {
 			t.Run(step.name+"/"+fault.name, func(t *testing.T) {
-				w := newWorld(t, 3, nil)
+				w := newTestCluster(t, 3, nil)
 				engine := w.addEngine("engine-1", "assessor", "zone-a", enginecontract.RoleMixed)
 				engine.inFlight = 1
 				w.apply("request-1", serviceObjects()...)
@@ -88,14 +88,14 @@
 	}
 }
 
-// finishWorkLater lets the engine's requests in flight end after a second.
-func finishWorkLater(w *world, engine *testEngine) {
+// finishWorkLater ends the engine's requests in flight after a second.
+func finishWorkLater(w *testCluster, engine *testEngine) {
 	w.after(time.Second, func() { engine.inFlight = 0 })
 }
 
-// requireSoundOrders checks what engines accepted against the log: every accepted
-// order was committed first, and their fences only rise.
-func requireSoundOrders(t *testing.T, w *world) {
+// requireSoundOrders compares the orders that engines accepted with the log: every accepted
+// order must be committed, and the fences must never decrease.
+func requireSoundOrders(t *testing.T, w *testCluster) {
 	t.Helper()
 	committed := map[enginecontract.Fence]bool{}
 	for _, ended := range w.leader().core.state.Orders("") {
--- a/internal/control/configuration_faults_test.go
+++ b/internal/control/configuration_faults_test.go
@@ -28,8 +28,8 @@
 	return &v1.SyncRequest{Node: &v1.NodeIdentity{Name: "gateway-1", Zone: "zone-a", Incarnation: 1}, Revision: revision}
 }
 
-func TestRacingOperatorsWithEqualNumbers(t *testing.T) {
-	w := newWorld(t, 3, nil)
+func TestRacingOperatorsWithEqualChangeNumbers(t *testing.T) {
+	w := newTestCluster(t, 3, nil)
 	leader := w.waitLeader()
 	first := w.send(leader, submission("alice", "a", 7, modelVersion(1)))
 	second := w.send(leader, submission("bob", "b", 7, modelVersion(2)))
@@ -42,17 +42,17 @@
 	require.Equal(t, won.Revision, lost.WinnerRevision)
 }
 
-// TestResendGetsTheFirstAnswer loses the answer to a submission in each way and
-// sends it again.
+// TestResendGetsTheFirstAnswer loses the answer to a submission by different faults at
+// different times, and sends the submission again.
 func TestResendGetsTheFirstAnswer(t *testing.T) {
 	cases := []struct {
 		name  string
-		cause func(*world, *testController)
+		cause func(*testCluster, *testController)
 	}{
-		{"at the same leader", func(*world, *testController) {}},
-		{"after the leader crashed", func(w *world, leader *testController) { w.crash(leader.name) }},
-		{"after the leader was cut off", func(_ *world, leader *testController) { leader.cut = true }},
-		{"after all restarted", func(w *world, _ *testController) {
+		{"at the same leader", func(*testCluster, *testController) {}},
+		{"after the leader crashed", func(w *testCluster, leader *testController) { w.crash(leader.name) }},
+		{"after the leader was cut off", func(_ *testCluster, leader *testController) { leader.cut = true }},
+		{"after all restarted", func(w *testCluster, _ *testController) {
 			for _, name := range w.names {
 				w.crash(name)
 				w.start(name)
@@ -62,7 +62,7 @@
 	for _, test := range cases {
 		for _, moment := range []time.Duration{0, linkDelay, 3 * linkDelay, 10 * linkDelay, time.Second} {
 			t.Run(fmt.Sprintf("%s, %v later", test.name, moment), func(t *testing.T) {
-				w := newWorld(t, 3, nil)
+				w := newTestCluster(t, 3, nil)
 				leader := w.waitLeader()
 				w.send(leader, submission("alice", "request", 5, modelVersion(1)))
 				w.run(moment)
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestRestartAfterMissedChanges lets a controller miss 1,000 changes and catch up by
-// the log or by a snapshot.
+// TestRestartAfterMissedChanges lets a controller miss 1,000 changes and catch up from
+// the log or from a snapshot.
 func TestRestartAfterMissedChanges(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -93,7 +93,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			w := newWorld(t, 3, test.configure)
+			w := newTestCluster(t, 3, test.configure)
 			leader := w.waitLeader()
 			missing := w.names[0]
 			if missing == leader.name {
@@ -119,14 +119,14 @@
 			require.Equal(t, theirs, mine)
 			answer := w.sync(w.controllers[missing], gatewaySync(1))
 			require.Equal(t, uint64(changes), answer.Revision)
-			require.Len(t, answer.Objects, 1, "a node that missed as many gets one object")
+			require.Len(t, answer.Objects, 1, "a node that missed all these revisions gets one object")
 			require.False(t, answer.Behind)
 		})
 	}
 }
 
-// lagging brings a controller to lag by one revision, cut off from its peers.
-func lagging(w *world) *testController {
+// isolateLaggingController returns a controller that lags by one revision and is cut off from its peers.
+func isolateLaggingController(w *testCluster) *testController {
 	leader := w.waitLeader()
 	w.apply("one", modelVersion(1))
 	w.run(time.Second)
@@ -141,9 +141,9 @@
 	return nil
 }
 
-func TestLaggingControllerNeverTakesANodeBack(t *testing.T) {
-	w := newWorld(t, 3, nil)
-	behind := lagging(w)
+func TestLaggingControllerNeverLowersANodesRevision(t *testing.T) {
+	w := newTestCluster(t, 3, nil)
+	behind := isolateLaggingController(w)
 	require.Equal(t, uint64(1), behind.core.state.Revision())
 	request := gatewaySync(2)
 	request.UnknownKeyHashes = []string{strings.Repeat("ab", 32)}
@@ -152,28 +152,28 @@
 	require.Empty(t, answer.Objects)
 	require.Empty(t, answer.RejectedKeyHashes)
 	require.True(t, answer.Behind)
-	require.True(t, w.sync(behind, gatewaySync(1)).Behind, "a controller without a leader says so")
+	require.True(t, w.sync(behind, gatewaySync(1)).Behind, "a controller without a leader reports that it may be behind")
 	require.False(t, w.sync(w.leader(), gatewaySync(1)).Behind)
 }
 
-func TestRevisionsGoBackWithoutTheirOrder(t *testing.T) {
-	w := newWorld(t, 3, func(config *Config) { config.Safeguards = safeguard.Without(SafeguardRevisionOrder) })
-	answer := w.sync(lagging(w), gatewaySync(2))
+func TestRevisionsDecreaseWithoutTheSafeguard(t *testing.T) {
+	w := newTestCluster(t, 3, func(config *Config) { config.Safeguards = safeguard.Without(SafeguardRevisionOrder) })
+	answer := w.sync(isolateLaggingController(w), gatewaySync(2))
 	require.Equal(t, uint64(1), answer.Revision)
 	require.Equal(t, "1", answer.Objects[0].GetModel().Version)
 }
 
-// TestDeposedLeaderAnswersNothing asks a leader that was paused while another took over:
-// its first input after the pause is the question.
+// TestDeposedLeaderAnswersNothing calls a leader that was paused while another one took over. The
+// call is its first input after the pause.
 func TestDeposedLeaderAnswersNothing(t *testing.T) {
-	w := newWorld(t, 3, nil)
+	w := newTestCluster(t, 3, nil)
 	old := w.waitLeader()
 	w.apply("one", modelVersion(1))
 	old.cut = true
-	old.life++ // no ticks reach it any more
+	old.incarnation++ // it gets no more ticks
 	w.until("next leader", func() bool { return w.leader() != nil && w.leader() != old })
 	w.apply("two", modelVersion(2))
-	require.True(t, old.core.consensus.Leading(), "it does not know yet")
+	require.True(t, old.core.consensus.Leading(), "the old leader does not know of its successor yet")
 	answer := w.call(old, func(id CallID) Input {
 		return PlanReceived{Call: id, Request: &v1.PlanRequest{}, Objects: []*v1.Object{modelVersion(2)}}
 	})
@@ -182,39 +182,39 @@
 	require.True(t, w.sync(old, gatewaySync(1)).Behind)
 }
 
-// suspended returns a leader whose machine was suspended until another had taken over, and has just
-// woken up, and for how long it was away. A revision was accepted meanwhile.
-func suspended(w *world) (old *testController, away time.Duration) {
+// suspendLeader returns a leader whose machine was suspended until another leader had taken over and has
+// just resumed, and the time for which it was suspended. A revision was accepted meanwhile.
+func suspendLeader(w *testCluster) (old *testController, away time.Duration) {
 	old = w.waitLeader()
 	w.apply("one", modelVersion(1))
 	began := w.now
 	old.cut = true
-	old.life++ // it stands still
+	old.incarnation++ // it gets no more ticks
 	w.until("next leader", func() bool { return w.leader() != nil && w.leader() != old })
 	w.apply("two", modelVersion(2))
 	return old, w.now - began
 }
 
-// A leader whose machine was suspended answers nothing as a leader, since its clock counts that time.
+// A leader whose machine was suspended does not answer as a leader, because its clock counts the suspension.
 func TestALeaderThatWasSuspendedAnswersNothing(t *testing.T) {
-	w := newWorld(t, 3, nil)
-	old, _ := suspended(w)
+	w := newTestCluster(t, 3, nil)
+	old, _ := suspendLeader(w)
 	require.False(t, old.core.HoldsLease(w.now))
 	require.True(t, w.sync(old, gatewaySync(1)).Behind)
-	answer := w.call(old, func(id CallID) Input { return TrialRequested{Call: id, Signature: endingSignature[:]} })
+	answer := w.call(old, func(id CallID) Input { return TrialRequested{Call: id, Signature: crashingSignature[:]} })
 	var notLeader *NotLeaderError
 	require.ErrorAs(t, answer.Err, &notLeader)
 }
 
-// With a clock that does not count suspensions the promise breaks: two lead at once, and the one that
-// was away answers with what is old.
+// With a clock that does not count suspensions the lease does not hold: two controllers lead at once, and the
+// one that was suspended answers with old state.
 func TestAClockThatDoesNotCountSuspensionsBreaksTheLease(t *testing.T) {
-	w := newWorld(t, 3, nil)
-	old, away := suspended(w)
-	old.uncounted = away
-	require.True(t, old.core.HoldsLease(w.now-away), "it takes its lease for valid")
+	w := newTestCluster(t, 3, nil)
+	old, away := suspendLeader(w)
+	old.uncountedSuspension = away
+	require.True(t, old.core.HoldsLease(w.now-away), "the old leader considers its lease valid")
 	require.NotNil(t, w.leader())
 	answer := w.sync(old, gatewaySync(1))
 	require.False(t, answer.Behind)
-	require.Equal(t, uint64(1), answer.Revision, "what it tells is old")
+	require.Equal(t, uint64(1), answer.Revision, "the answer is outdated")
 }
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -16,7 +16,7 @@
 func TestDeclarationReachesEveryController(t *testing.T) {
 	for _, voters := range []int{1, 3} {
 		t.Run(fmt.Sprintf("%d voters", voters), func(t *testing.T) {
-			w := newWorld(t, voters, nil)
+			w := newTestCluster(t, voters, nil)
 			w.addEngine("engine-1", "assessor", "zone-a", enginecontract.RoleMixed)
 			response := w.apply("request-1", append(serviceObjects(), tenantObject("tenant-1", strings.Repeat("ab", 32)))...)
 			require.Equal(t, v1.ApplyOutcome_APPLY_OUTCOME_ACCEPTED, response.Outcome)
@@ -30,7 +30,7 @@
 				require.Equal(t, uint64(1), answer.Revision, name)
 				require.True(t, answer.Full)
 				require.Len(t, answer.Objects, 3)
-				require.Equal(t, w.leader().name != name, answer.Behind, "only the leader's revision may be the first")
+				require.Equal(t, w.leader().name != name, answer.Behind, "a node may start only with the leader's revision")
 				request.Revision = 1
 				known := w.sync(w.controllers[name], request)
 				require.False(t, known.Behind)
@@ -45,7 +45,7 @@
 }
 
 func TestPinnedEngineChangesRoleUnderTheFence(t *testing.T) {
-	w := newWorld(t, 3, nil)
+	w := newTestCluster(t, 3, nil)
 	engine := w.addEngine("engine-1", "assessor", "zone-a", enginecontract.RoleMixed)
 	w.apply("request-1", serviceObjects()...)
 	w.run(3 * time.Second)
@@ -64,7 +64,7 @@
 	script := &scriptedPlanner{changes: []planner.Change{{
 		Engine: "engine-2", From: enginecontract.RoleMixed, To: enginecontract.RolePrefill, Reason: "more prompts than output",
 	}}}
-	w := newWorld(t, 1, func(config *Config) {
+	w := newTestCluster(t, 1, func(config *Config) {
 		config.PlanInterval = time.Second
 		config.NewPlanner = func(string) planner.Planner { return script }
 	})
@@ -74,12 +74,12 @@
 	w.until("role change", func() bool { return engine.machine.Role() == enginecontract.RolePrefill })
 	w.run(10 * time.Second)
 	ended := w.leader().core.state.Orders("")
-	require.Len(t, ended, 1, "the planner's wish is carried out once")
+	require.Len(t, ended, 1, "the planned change is ordered once")
 	require.Equal(t, "more prompts than output", ended[0].Order.Reason)
 }
 
 func TestClaimIsGrantedOnce(t *testing.T) {
-	w := newWorld(t, 3, nil)
+	w := newTestCluster(t, 3, nil)
 	leader := w.waitLeader()
 	begin := func(attempt string) v1.ClaimState {
 		answer := w.call(leader, func(id CallID) Input {
@@ -94,12 +94,12 @@
 	require.Equal(t, v1.ClaimState_CLAIM_STATE_GRANTED, begin("first"))
 	require.Equal(t, v1.ClaimState_CLAIM_STATE_GRANTED, begin("first"), "a resend")
 	require.Equal(t, v1.ClaimState_CLAIM_STATE_RUNNING, begin("second"))
-	w.run(20 * time.Second) // the gateway is never heard of
+	w.run(20 * time.Second) // the gateway sends no heartbeat
 	require.Equal(t, v1.ClaimState_CLAIM_STATE_UNKNOWN, begin("second"))
 }
 
 func TestFollowerNamesTheLeader(t *testing.T) {
-	w := newWorld(t, 3, nil)
+	w := newTestCluster(t, 3, nil)
 	leader := w.waitLeader()
 	w.run(time.Second)
 	for _, name := range w.names {
@@ -116,7 +116,7 @@
 }
 
 func TestReportIsAnsweredWithShares(t *testing.T) {
-	w := newWorld(t, 1, nil)
+	w := newTestCluster(t, 1, nil)
 	w.apply("request-1", append(serviceObjects(), tenantObject("tenant-1", strings.Repeat("ab", 32)))...)
 	report := func(gateway string) *v1.Share {
 		answer := w.call(w.waitLeader(), func(id CallID) Input {
@@ -130,7 +130,7 @@
 	}
 	w.run(time.Second)
 	require.Equal(t, uint64(1000), report("gateway-1").TokensPerSecond)
-	require.Zero(t, report("gateway-2").TokensPerSecond, "all is held by the first gateway")
+	require.Zero(t, report("gateway-2").TokensPerSecond, "the first gateway holds the whole limit")
 	for range 8 {
 		w.run(time.Second)
 		report("gateway-1")
--- a/internal/control/declared_test.go
+++ b/internal/control/declared_test.go
@@ -17,11 +17,11 @@
 		Spec: &v1.Object_Adapter{Adapter: &v1.Adapter{Model: "base", Version: version}}}
 }
 
-// TestEnginesServeTheDeclaredVersions declares versions of the model and of an adapter,
-// and deletes the adapter: engines follow, and a new adapter version takes the old
-// one's place without a time in which neither is served.
+// TestEnginesServeTheDeclaredVersions declares versions of the model and of an adapter, and
+// deletes the adapter. The engines must follow, and a new version of the adapter must replace
+// the old one without a time in which the engine serves neither.
 func TestEnginesServeTheDeclaredVersions(t *testing.T) {
-	w := newWorld(t, 3, nil)
+	w := newTestCluster(t, 3, nil)
 	engines := []*testEngine{
 		w.addEngine("engine-1", "assessor", "zone-a", enginecontract.RoleMixed),
 		w.addEngine("engine-2", "assessor", "zone-a", enginecontract.RoleMixed),
@@ -58,10 +58,10 @@
 	require.Contains(t, strings.Join(w.rowsOf("history of engine engine-1"), "\n"), "load adapter minas 2")
 }
 
-// TestExplainSaysWhatIsHeldBack lets one of two engines wait for the bound on engines
-// out: explain names the change and the reason.
-func TestExplainSaysWhatIsHeldBack(t *testing.T) {
-	w := newWorld(t, 3, nil)
+// TestExplainShowsDeferredChanges makes the change of one of two engines wait for the bound on
+// engines out of service: explain must name the change and the reason.
+func TestExplainShowsDeferredChanges(t *testing.T) {
+	w := newTestCluster(t, 3, nil)
 	first := w.addEngine("engine-1", "assessor", "zone-a", enginecontract.RoleMixed)
 	w.addEngine("engine-2", "assessor", "zone-a", enginecontract.RoleMixed)
 	w.apply("services", serviceObjects()...)
@@ -75,11 +75,11 @@
 	w.until("no longer held back", func() bool { return !strings.Contains(explained(), "held back") })
 }
 
-// TestAuthorityBeginsAboveWhatEnginesRemember starts controllers on empty disks before
-// engines that have obeyed another quorum for long: they are ordered all the same.
-func TestAuthorityBeginsAboveWhatEnginesRemember(t *testing.T) {
+// TestAuthorityStartsAboveTheEnginesFences starts controllers with empty disks while the engines
+// hold fences of another quorum's later terms. The new leader must still be able to order them.
+func TestAuthorityStartsAboveTheEnginesFences(t *testing.T) {
 	const lastEpoch = 90
-	w := newWorld(t, 3, nil)
+	w := newTestCluster(t, 3, nil)
 	engine := w.addEngine("engine-1", "assessor", "zone-a", enginecontract.RoleMixed)
 	engine.machine.Fence(0, enginecontract.Fence{Epoch: lastEpoch, Sequence: 7}, 0)
 	w.apply("services", append(serviceObjects(), pinObjectFor("engine-1", v1.Role_ROLE_DECODE))...)
@@ -89,8 +89,8 @@
 	requireSoundOrders(t, w)
 }
 
-// TestRefusedCommandsAreAudited refuses commands for their operator's role, for the
-// state of things and for unknown names.
+// TestRefusedCommandsAreAudited has commands refused for the operator's role, for the state of
+// the engine and for unknown names.
 func TestRefusedCommandsAreAudited(t *testing.T) {
 	tests := map[string]struct {
 		role v1.OperatorRole
@@ -107,7 +107,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			w, _ := newStatementWorld(t)
+			w, _ := newStatementCluster(t)
 			_, err := w.execute("r", "bob", test.role, test.text)
 			require.ErrorContains(t, err, test.why)
 			w.until("audit record", func() bool { return len(w.rowsOf("show audit of operator bob")) == 1 })
@@ -120,17 +120,17 @@
 }
 
 func TestDumpOfLogsIsAudited(t *testing.T) {
-	w, _ := newStatementWorld(t)
+	w, _ := newStatementCluster(t)
 	_, err := w.execute("r", "bob", v1.OperatorRole_OPERATOR_ROLE_OPERATOR, "dump logs")
 	require.NoError(t, err)
 	w.until("audit record", func() bool { return len(w.rowsOf("show audit of operator bob")) == 1 })
 	require.Contains(t, w.rowsOf("show audit of operator bob")[0], "|bob|r|dump logs|done|")
 }
 
-// TestRefusedDeclarationIsAudited refuses a declaration that the runtime has found its
-// operator may not submit.
+// TestRefusedDeclarationIsAudited submits a declaration that the runtime refuses because its
+// operator is not authorized.
 func TestRefusedDeclarationIsAudited(t *testing.T) {
-	w, _ := newStatementWorld(t)
+	w, _ := newStatementCluster(t)
 	answer := w.call(w.waitLeader(), func(id CallID) Input {
 		return RefusalReceived{Call: id, Operator: "bob", RequestID: "r", Text: "apply", Err: trace.AccessDenied("bob is viewer")}
 	})
@@ -139,10 +139,10 @@
 	require.Contains(t, w.rowsOf("show audit of operator bob")[0], "apply|refused: bob is viewer")
 }
 
-// TestNodesShowTheRevisionOnEachControllersDisk cuts a follower off: it stays at the
-// revision it had.
+// TestNodesShowTheRevisionOnEachControllersDisk cuts off a follower, which must be shown with
+// the revision that it had.
 func TestNodesShowTheRevisionOnEachControllersDisk(t *testing.T) {
-	w, _ := newStatementWorld(t)
+	w, _ := newStatementCluster(t)
 	revisions := func() map[string]string {
 		found := map[string]string{}
 		for _, row := range w.rowsOf("show nodes where program = controller") {
--- a/internal/control/execute_test.go
+++ b/internal/control/execute_test.go
@@ -12,8 +12,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// execute runs one statement at the leader.
-func (w *world) execute(requestID, operator string, role v1.OperatorRole, text string) (*v1.ExecuteResponse, error) {
+// execute executes one statement at the leader.
+func (w *testCluster) execute(requestID, operator string, role v1.OperatorRole, text string) (*v1.ExecuteResponse, error) {
 	w.t.Helper()
 	answer := w.call(w.waitLeader(), func(id CallID) Input {
 		return ExecuteReceived{Call: id, Operator: operator, Role: role, Request: &v1.ExecuteRequest{RequestId: requestID, Text: text}}
@@ -24,8 +24,8 @@
 	return answer.Response.(*v1.ExecuteResponse), nil
 }
 
-// rowsOf writes the rows of a query's answer as lines of cells.
-func (w *world) rowsOf(text string) []string {
+// rowsOf returns the rows of a query's answer, each as its cells joined by "|".
+func (w *testCluster) rowsOf(text string) []string {
 	w.t.Helper()
 	response, err := w.execute("", "alice", v1.OperatorRole_OPERATOR_ROLE_VIEWER, text)
 	require.NoError(w.t, err)
@@ -36,8 +36,8 @@
 	return lines
 }
 
-func newStatementWorld(t *testing.T) (*world, *testEngine) {
-	w := newWorld(t, 3, nil)
+func newStatementCluster(t *testing.T) (*testCluster, *testEngine) {
+	w := newTestCluster(t, 3, nil)
 	engine := w.addEngine("engine-1", "assessor", "zone-a", enginecontract.RoleMixed)
 	w.apply("request-1", append(serviceObjects(), tenantObject("tenant-1", strings.Repeat("ab", 32)))...)
 	w.run(3 * time.Second)
@@ -45,7 +45,7 @@
 }
 
 func TestStatementsNeedTheirRole(t *testing.T) {
-	w, engine := newStatementWorld(t)
+	w, engine := newStatementCluster(t)
 	tests := map[string]struct {
 		role    v1.OperatorRole
 		text    string
@@ -70,8 +70,8 @@
 	require.Empty(t, w.accepted)
 }
 
-func TestCommandIsCarriedOutOnceAndStaysInTheAuditTrail(t *testing.T) {
-	w, engine := newStatementWorld(t)
+func TestCommandIsAppliedOnceAndAudited(t *testing.T) {
+	w, engine := newStatementCluster(t)
 	const operator = v1.OperatorRole_OPERATOR_ROLE_OPERATOR
 	first, err := w.execute("request-2", "bob", operator, "set role of engine engine-1 to decode")
 	require.NoError(t, err)
@@ -81,7 +81,7 @@
 	require.NoError(t, err)
 	require.Equal(t, first.Message, again.Message)
 	w.run(5 * time.Second)
-	require.Len(t, w.accepted, 1, "a resend orders nothing")
+	require.Len(t, w.accepted, 1, "a resend issues no order")
 
 	audit := w.rowsOf("show audit of operator bob")
 	require.Len(t, audit, 1)
@@ -93,7 +93,7 @@
 }
 
 func TestPinCommandIsADeclaration(t *testing.T) {
-	w, engine := newStatementWorld(t)
+	w, engine := newStatementCluster(t)
 	const operator = v1.OperatorRole_OPERATOR_ROLE_OPERATOR
 	_, err := w.execute("request-2", "bob", operator, "pin engine engine-1 to prefill")
 	require.NoError(t, err)
@@ -107,8 +107,8 @@
 	require.True(t, trace.IsNotFound(err))
 }
 
-func TestBadStatementNamesThePlace(t *testing.T) {
-	w, _ := newStatementWorld(t)
+func TestInvalidStatementErrorNamesThePosition(t *testing.T) {
+	w, _ := newStatementCluster(t)
 	_, err := w.execute("", "bob", v1.OperatorRole_OPERATOR_ROLE_VIEWER, "show tenants where wieght > 1")
 	require.True(t, trace.IsBadParameter(err))
 	require.ErrorContains(t, err, `statement:1:20: unknown column of tenants "wieght"`)
--- a/internal/control/fleet_size_test.go
+++ b/internal/control/fleet_size_test.go
@@ -13,10 +13,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/formats"
 )
 
-// fleetZones is the number of zones of the fleets here.
+// fleetZones is the number of zones of the test fleets.
 const fleetZones = 5
 
-// fleetOf lists engines of one service, half of which read prompts.
+// fleetOf lists engines of one service, half of which do prefill.
 func fleetOf(engines int) []*v1.ListedBackEnd {
 	listed := make([]*v1.ListedBackEnd, engines)
 	for index := range listed {
@@ -36,7 +36,7 @@
 	}
 }
 
-// fleetRelay is what one relay holds.
+// fleetRelay is a relay and what it holds.
 type fleetRelay struct {
 	request *v1.WatchRequest
 	// listed are the back ends by identity.
@@ -46,17 +46,17 @@
 	bytes  int
 }
 
-// fleetWorld is a site of controllers with relays that watch.
-type fleetWorld struct {
-	*world
+// testFleet is a cluster of controllers with a site of engines and with relays that watch.
+type testFleet struct {
+	*testCluster
 	site   *siteEngines
 	relays []*fleetRelay
 }
 
-func newFleetWorld(t *testing.T, engines, relays int) *fleetWorld {
-	w := newWorld(t, 3, func(config *Config) { seeded(config); config.PriorPrefillShare = 0 })
-	fleet := &fleetWorld{world: w, site: newSite(w, 4, 2)}
-	fleet.site.shown = fleetOf(engines)
+func newTestFleet(t *testing.T, engines, relays int) *testFleet {
+	w := newTestCluster(t, 3, func(config *Config) { withSeeds(config); config.PriorPrefillShare = 0 })
+	fleet := &testFleet{testCluster: w, site: newSite(w, 4, 2)}
+	fleet.site.listOverride = fleetOf(engines)
 	for index := range relays {
 		fleet.relays = append(fleet.relays, newFleetRelay(index))
 	}
@@ -72,67 +72,67 @@
 	}}
 }
 
-// watchAll lets each relay ask the leader once and take what it is told.
-func (w *fleetWorld) watchAll(busy float64) {
+// watchAll makes each relay watch the leader once and apply the answer.
+func (w *testFleet) watchAll(busy float64) {
 	w.t.Helper()
 	for _, relay := range w.relays {
 		const windowMs = 1000
 		relay.request.Demands = []*v1.RoleDemand{{Service: "s", WindowMs: windowMs, PrefillMs: uint64(busy * windowMs / float64(len(w.relays)))}}
 		answer := w.call(w.leader(), func(id CallID) Input { return WatchReceived{Call: id, Request: proto.CloneOf(relay.request)} })
-		relay.take(w.t, answer.Response.(*v1.WatchResponse))
+		relay.apply(w.t, answer.Response.(*v1.WatchResponse))
 	}
 }
 
-func (r *fleetRelay) take(t *testing.T, told *v1.WatchResponse) {
-	r.bytes += proto.Size(told)
-	if len(told.GetPackedListing()) > 0 {
+func (r *fleetRelay) apply(t *testing.T, response *v1.WatchResponse) {
+	r.bytes += proto.Size(response)
+	if len(response.GetPackedListing()) > 0 {
 		r.listed = map[string]*v1.ListedBackEnd{}
-		for _, entry := range wholeListing(t, told) {
+		for _, entry := range wholeListing(t, response) {
 			r.listed[entry.GetId()] = entry
 		}
 	}
-	for _, entry := range told.GetListingChange().GetChanged() {
+	for _, entry := range response.GetListingChange().GetChanged() {
 		r.listed[entry.GetId()] = entry
 	}
-	for _, id := range told.GetListingChange().GetGone() {
+	for _, id := range response.GetListingChange().GetGone() {
 		delete(r.listed, id)
 	}
-	if len(told.GetRelayAddresses()) > 0 {
-		r.owners, r.request.RelayList = told.GetRelayAddresses(), told.GetRelayList()
+	if len(response.GetRelayAddresses()) > 0 {
+		r.owners, r.request.RelayList = response.GetRelayAddresses(), response.GetRelayList()
 	}
-	if len(told.GetWanted()) > 0 {
-		r.request.Wanted = told.GetWanted()
+	if len(response.GetWanted()) > 0 {
+		r.request.Wanted = response.GetWanted()
 	}
-	r.request.ListingVersion = told.GetListingVersion()
+	r.request.ListingVersion = response.GetListingVersion()
 }
 
-// settle lets relays ask until the leader knows how many they are.
-func (w *fleetWorld) settle(busy float64) {
+// settle lets relays watch until the leader knows the number of relays.
+func (w *testFleet) settle(busy float64) {
 	w.watchAll(busy)
 	w.run(relayCountDelay)
 	w.watchAll(busy)
 }
 
-// What a relay holds and is sent is bounded whatever the number of relays and engines: 427 requests a second
-// that keep 60 engines busy, before fleets of 160 to 100,000 engines.
+// What a relay holds and is sent is bounded, whatever the number of relays and engines: here for 427 requests a
+// second, which keep 60 engines busy, with fleets of 160 to 100,000 engines.
 func TestRelayKnowsNoMoreInALargerFleet(t *testing.T) {
 	const (
-		mostEngines = 640
-		mostOwners  = 256
-		// firstBytes is what a relay is sent that holds nothing; its link carries a thousand times that in
-		// a second, and the links of the controllers that answer a thousand relays a third of it.
-		firstBytes = 40 << 10
+		maximumEngines = 640
+		maximumOwners  = 256
+		// maximumFirstBytes is what a relay without any state is sent. The relay's link carries a thousand times as
+		// much in a second, and the links of controllers that answer a thousand relays need a third of a second for it.
+		maximumFirstBytes = 40 << 10
 	)
 	for _, size := range []struct{ engines, relays int }{{160, 30}, {1_000, 100}, {10_000, 1_000}, {20_000, 2_000}, {100_000, 1_000}} {
 		t.Run(fmt.Sprint(size.engines, " engines, ", size.relays, " relays"), func(t *testing.T) {
-			w := newFleetWorld(t, size.engines, size.relays)
+			w := newTestFleet(t, size.engines, size.relays)
 			w.settle(60)
 			relay := w.relays[0]
 			t.Logf("engines %d, owners %d, %d bytes", len(relay.listed), len(relay.owners), relay.bytes)
 			require.GreaterOrEqual(t, len(relay.listed), min(size.engines, 240))
-			require.LessOrEqual(t, len(relay.listed), mostEngines)
-			require.LessOrEqual(t, len(relay.owners), mostOwners)
-			require.LessOrEqual(t, relay.bytes, firstBytes)
+			require.LessOrEqual(t, len(relay.listed), maximumEngines)
+			require.LessOrEqual(t, len(relay.owners), maximumOwners)
+			require.LessOrEqual(t, relay.bytes, maximumFirstBytes)
 			require.Equal(t, fleetZones, zonesOf(relay.listed))
 			for _, other := range w.relays {
 				require.Equal(t, len(relay.listed), len(other.listed))
@@ -149,17 +149,17 @@
 	return len(zones)
 }
 
-// In a fleet of 10,000 engines of which 100 are replaced each second, a relay hears of those few that it is
-// told of, and of none of the relays that restart but may own no cell.
+// In a fleet of 10,000 engines of which 100 are replaced each second, a relay is sent only changes of the few engines
+// that it knows, and no changes of restarted relays that may not own cells.
 func TestRelayHearsOfFewChanges(t *testing.T) {
-	w := newFleetWorld(t, 10_000, 300)
+	w := newTestFleet(t, 10_000, 300)
 	w.settle(60)
 	before := w.relays[0].bytes
 	for second := range 10 {
 		for index := range 100 {
 			replaced := (second*100 + index) * 7
-			w.site.shown = slices.Clone(w.site.shown)
-			w.site.shown[replaced] = fleetEngine(10_000 + replaced)
+			w.site.listOverride = slices.Clone(w.site.listOverride)
+			w.site.listOverride[replaced] = fleetEngine(10_000 + replaced)
 		}
 		restarted := newFleetRelay(1_000 + second)
 		w.relays[20+second] = restarted
@@ -170,9 +170,9 @@
 	require.Less(t, w.relays[0].bytes-before, 10*bytesASecond)
 }
 
-// Work that grows brings in engines at once, and a new leader goes on with them before it knows the work.
-func TestWorkBringsInEngines(t *testing.T) {
-	w := newFleetWorld(t, 10_000, 20)
+// More work publishes more engines at once, and a new leader continues with them before it knows the work.
+func TestMoreWorkPublishesMoreEngines(t *testing.T) {
+	w := newTestFleet(t, 10_000, 20)
 	w.settle(60)
 	idle := len(w.relays[0].listed)
 	w.watchAll(600)
@@ -186,50 +186,52 @@
 	w.until("another leader", func() bool { next := w.leader(); return next != nil && next != former })
 	w.run(time.Second)
 	w.watchAll(0)
-	require.Equal(t, grown, len(w.relays[0].listed), "the new leader has not heard of the work yet")
+	require.Equal(t, grown, len(w.relays[0].listed), "the new leader has not received reports of the work yet")
 }
 
-// callsOf lets the leader read the list for a while, and returns its calls, and how many back ends relays know.
-func (w *fleetWorld) callsOf(span time.Duration) (calls, told int) {
-	w.site.readings = nil
+// countListCalls lets the leader read the list for a while, and returns the number of its calls and of the back ends
+// that relays know.
+func (w *testFleet) countListCalls(span time.Duration) (calls, published int) {
+	w.site.reads = nil
 	w.run(span)
-	for _, reading := range w.site.readings {
+	for _, reading := range w.site.reads {
 		calls += reading.calls
 	}
 	w.watchAll(60)
 	return calls, len(w.relays[0].listed)
 }
 
-// The list takes a fixed rate of calls from all who read it. Where a part of it holds what is wanted, its
-// length does not matter: 0.5 s between readings, 20 s between those of the whole list.
+// All readers of the list share a fixed call rate. Where a part of the list holds the required back ends, the length
+// of the list does not matter: partial reads are 0.5 s apart, complete reads 20 s.
 func TestCallsForTheListDoNotGrowWithIt(t *testing.T) {
 	const (
 		pageSize = 200
 		span     = 60 * time.Second
 	)
-	for engines, most := range map[int]int{160: 121, 10_000: 650, 20_000: 800, 100_000: 1_950} {
-		w := newFleetWorld(t, 4, 1)
-		w.site.shown, w.site.pageSize = fleetOf(engines), pageSize
+	for engines, maximumCalls := range map[int]int{160: 121, 10_000: 650, 20_000: 800, 100_000: 1_950} {
+		w := newTestFleet(t, 4, 1)
+		w.site.listOverride, w.site.pageSize = fleetOf(engines), pageSize
 		w.run(2 * time.Second)
-		calls, told := w.callsOf(span)
-		t.Logf("%d engines: %d calls a minute, relays know %d", engines, calls, told)
-		require.LessOrEqual(t, calls, most)
-		require.GreaterOrEqual(t, told, min(engines, 240))
-		require.LessOrEqual(t, told, 640)
+		calls, published := w.countListCalls(span)
+		t.Logf("%d engines: %d calls a minute, relays know %d", engines, calls, published)
+		require.LessOrEqual(t, calls, maximumCalls)
+		require.GreaterOrEqual(t, published, min(engines, 240))
+		require.LessOrEqual(t, published, 640)
 		status := w.leader().core.Status().Site
 		require.Equal(t, SiteStatus{
-			Relays: 1, BackEnds: engines, PublishedBackEnds: told, Pages: status.Pages, UpdatesPerSecond: initialUpdatesPerSecond, QuorumSilence: status.QuorumSilence,
+			Relays: 1, BackEnds: engines, PublishedBackEnds: published, Pages: status.Pages, UpdatesPerSecond: initialUpdatesPerSecond, QuorumSilence: status.QuorumSilence,
 		}, status)
 		require.Equal(t, engines > 1_000, status.Pages > 0)
 	}
 }
 
-// leavingAfter is how long after an engine's entry says that it leaves a relay that was told of it knows.
-func (w *fleetWorld) leavingAfter(index int) time.Duration {
-	w.site.shown = slices.Clone(w.site.shown)
-	leaving := proto.CloneOf(w.site.shown[index])
+// timeUntilLeavingIsKnown returns how long it takes a relay to know that a published engine leaves after the list
+// shows it.
+func (w *testFleet) timeUntilLeavingIsKnown(index int) time.Duration {
+	w.site.listOverride = slices.Clone(w.site.listOverride)
+	leaving := proto.CloneOf(w.site.listOverride[index])
 	leaving.Leaving = true
-	w.site.shown[index] = leaving
+	w.site.listOverride[index] = leaving
 	for since := time.Duration(0); since < time.Minute; since += 50 * time.Millisecond {
 		w.run(50 * time.Millisecond)
 		w.watchAll(60)
@@ -237,46 +239,46 @@
 			return since
 		}
 	}
-	w.t.Fatal("nobody is told that an engine leaves")
+	w.t.Fatal("no relay is informed that the engine leaves")
 	return 0
 }
 
-// Relays hear within a second of a told engine that leaves, however long the list is.
+// Relays know within a second that a published engine leaves, however long the list is.
 func TestLeavingEngineIsToldSoonInALargeFleet(t *testing.T) {
 	for _, engines := range []int{160, 10_000, 100_000} {
-		w := newFleetWorld(t, 4, 2)
-		w.site.shown, w.site.pageSize = fleetOf(engines), 200
+		w := newTestFleet(t, 4, 2)
+		w.site.listOverride, w.site.pageSize = fleetOf(engines), 200
 		w.run(3 * time.Second)
 		w.settle(60)
-		told := slices.IndexFunc(w.site.shown, func(entry *v1.ListedBackEnd) bool { return w.relays[0].listed[entry.GetId()] != nil })
-		require.LessOrEqual(t, w.leavingAfter(told), time.Second, "%d engines", engines)
+		published := slices.IndexFunc(w.site.listOverride, func(entry *v1.ListedBackEnd) bool { return w.relays[0].listed[entry.GetId()] != nil })
+		require.LessOrEqual(t, w.timeUntilLeavingIsKnown(published), time.Second, "%d engines", engines)
 	}
 }
 
-// Where relays know a part of the engines, none is ordered into another stage before there is work: others
-// are there, and a change takes an engine away for seconds.
+// Where relays know only a part of the engines, no engine is ordered to another stage before there is work: a stage
+// change takes an engine out of service for seconds, and unpublished engines are available.
 func TestSpareEnginesAreNotOrderedBeforeThereIsWork(t *testing.T) {
 	for engines, expected := range map[int]bool{160: true, 10_000: false} {
-		w := newWorld(t, 3, seeded)
+		w := newTestCluster(t, 3, withSeeds)
 		site := newSite(w, 4, 2)
-		site.shown, site.pageSize = fleetOf(engines), 200
+		site.listOverride, site.pageSize = fleetOf(engines), 200
 		w.waitLeader()
 		w.run(10 * time.Second)
-		require.Equal(t, expected, site.asked > 0, "%d engines, half of which read prompts", engines)
+		require.Equal(t, expected, site.ordersReceived > 0, "%d engines, half of which do prefill", engines)
 	}
 }
 
-// Engines that go from the part of the list that is read are made good for by others further behind.
+// When engines of the part of the list that is read leave, engines further back in the list replace them.
 func TestPartOfTheListThatRunsShortIsReadFurther(t *testing.T) {
-	w := newFleetWorld(t, 4, 2)
-	w.site.shown, w.site.pageSize = fleetOf(10_000), 200
+	w := newTestFleet(t, 4, 2)
+	w.site.listOverride, w.site.pageSize = fleetOf(10_000), 200
 	w.run(3 * time.Second)
 	w.settle(60)
-	w.site.shown = slices.Clone(w.site.shown)
+	w.site.listOverride = slices.Clone(w.site.listOverride)
 	for index := range 1000 {
-		leaving := proto.CloneOf(w.site.shown[index])
+		leaving := proto.CloneOf(w.site.listOverride[index])
 		leaving.Leaving = true
-		w.site.shown[index] = leaving
+		w.site.listOverride[index] = leaving
 	}
 	w.run(3 * time.Second)
 	w.watchAll(60)
@@ -289,20 +291,24 @@
 	require.GreaterOrEqual(t, open, 240)
 }
 
-// A list that does not keep its order is read whole, and relays go on with what they know.
+// A list that does not keep its order is read completely, and relays keep the back ends that they know.
 func TestListWithoutAnOrderIsReadWhole(t *testing.T) {
-	w := newFleetWorld(t, 4, 2)
-	w.site.shown, w.site.pageSize = fleetOf(10_000), 200
+	w := newTestFleet(t, 4, 2)
+	w.site.listOverride, w.site.pageSize = fleetOf(10_000), 200
 	w.run(3 * time.Second)
 	for range 4 {
-		w.site.shown = slices.Clone(w.site.shown)
-		w.random.Shuffle(len(w.site.shown), func(i, j int) { w.site.shown[i], w.site.shown[j] = w.site.shown[j], w.site.shown[i] })
+		w.site.listOverride = slices.Clone(w.site.listOverride)
+		w.random.Shuffle(len(w.site.listOverride), func(i, j int) {
+			w.site.listOverride[i], w.site.listOverride[j] = w.site.listOverride[j], w.site.listOverride[i]
+		})
 		w.run(2 * time.Second)
 	}
 	w.settle(60)
 	before := w.relays[0].listed
-	w.random.Shuffle(len(w.site.shown), func(i, j int) { w.site.shown[i], w.site.shown[j] = w.site.shown[j], w.site.shown[i] })
-	calls, _ := w.callsOf(10 * time.Second)
+	w.random.Shuffle(len(w.site.listOverride), func(i, j int) {
+		w.site.listOverride[i], w.site.listOverride[j] = w.site.listOverride[j], w.site.listOverride[i]
+	})
+	calls, _ := w.countListCalls(10 * time.Second)
 	require.Equal(t, before, w.relays[0].listed)
-	require.LessOrEqual(t, calls, 11*50, "the calls of a second are bounded all the same")
+	require.LessOrEqual(t, calls, 11*50, "the calls per second are limited also for complete reads")
 }
--- a/internal/control/harness_engines_test.go
+++ b/internal/control/harness_engines_test.go
@@ -7,7 +7,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/engine/orders"
 )
 
-// testEngine is one engine around the stand-in's order machine.
+// testEngine is an engine that carries out orders by the stand-in engine's order machine.
 type testEngine struct {
 	name, address string
 	machine       *orders.Machine
@@ -17,7 +17,7 @@
 }
 
 // addEngine adds an engine in a role to the fleet and to the machine list.
-func (w *world) addEngine(name, service, zone string, role enginecontract.Role) *testEngine {
+func (w *testCluster) addEngine(name, service, zone string, role enginecontract.Role) *testEngine {
 	engine := &testEngine{name: name, address: name, incarnation: 1}
 	engine.machine = orders.New(w.engineConfig(name, service, zone, 1), orders.Durable{Role: role, Model: "base", Version: "1"})
 	w.engines[name] = engine
@@ -28,15 +28,15 @@
 	return engine
 }
 
-func (w *world) engineConfig(name, service, zone string, incarnation uint64) orders.Config {
+func (w *testCluster) engineConfig(name, service, zone string, incarnation uint64) orders.Config {
 	return orders.Config{
 		Engine: name, Service: service, Zone: zone, Incarnation: incarnation,
 		RoleChange: 3 * time.Second, WeightLoad: 3 * time.Second, AdapterLoad: time.Second,
 	}
 }
 
-// restartEngine crashes an engine and starts it again with what it kept.
-func (w *world) restartEngine(name string) {
+// restartEngine crashes an engine and starts it again with its durable state.
+func (w *testCluster) restartEngine(name string) {
 	engine := w.engines[name]
 	state := engine.machine.State(0)
 	engine.incarnation++
--- a/internal/control/harness_former_test.go
+++ b/internal/control/harness_former_test.go
@@ -11,17 +11,17 @@
 	"github.com/hazelpitch/hazelpitch/internal/formats/formerbuild"
 )
 
-// asFormer returns a message as a process of the first format reads it.
-func asFormer[Message proto.Message](t *testing.T, message Message) Message {
+// asFirstFormat returns a message as a process of the first format decodes it.
+func asFirstFormat[Message proto.Message](t *testing.T, message Message) Message {
 	t.Helper()
 	read, err := formerbuild.Downgrade(message)
 	require.NoError(t, err)
 	return read
 }
 
-// readsAs returns what a controller reads of another one's message.
-func (c *testController) readsAs(t *testing.T, message *v1.ConsensusMessage) *v1.ConsensusMessage {
-	if !c.former {
+// received returns another controller's message as this controller decodes it.
+func (c *testController) received(t *testing.T, message *v1.ConsensusMessage) *v1.ConsensusMessage {
+	if !c.firstFormat {
 		return message
 	}
 	read, err := c.translator.ReadMessage(message)
@@ -29,9 +29,9 @@
 	return read
 }
 
-// writesAs returns what a controller writes, in a message or to its disk.
-func (c *testController) writesAs(t *testing.T, message *v1.ConsensusMessage) *v1.ConsensusMessage {
-	if !c.former {
+// written returns a message or a disk write as this controller encodes it.
+func (c *testController) written(t *testing.T, message *v1.ConsensusMessage) *v1.ConsensusMessage {
+	if !c.firstFormat {
 		return message
 	}
 	written, err := c.translator.WriteMessage(message)
@@ -39,20 +39,20 @@
 	return written
 }
 
-// findsAs returns what a controller that starts reads of its disk.
-func (c *testController) findsAs(t *testing.T) Restored {
-	if !c.former {
+// restored returns the content of the disk as the controller decodes it when it starts.
+func (c *testController) restored(t *testing.T) Restored {
+	if !c.firstFormat {
 		return c.disk
 	}
 	c.translator = formerbuild.New()
-	read := c.readsAs(t, &v1.ConsensusMessage{Entries: c.disk.Entries, Snapshot: c.disk.Snapshot})
-	found := c.disk
-	found.Entries, found.Snapshot = read.GetEntries(), read.GetSnapshot()
-	return found
+	read := c.received(t, &v1.ConsensusMessage{Entries: c.disk.Entries, Snapshot: c.disk.Snapshot})
+	restored := c.disk
+	restored.Entries, restored.Snapshot = read.GetEntries(), read.GetSnapshot()
+	return restored
 }
 
 // waitAgreement waits until commands of the newest format take effect at the leader.
-func (w *world) waitAgreement() {
+func (w *testCluster) waitAgreement() {
 	w.t.Helper()
 	w.until("agreement", func() bool {
 		leader := w.leader()
--- a/internal/control/harness_objects_test.go
+++ b/internal/control/harness_objects_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// scriptedPlanner wants each of its changes once.
+// scriptedPlanner decides on the same changes each time.
 type scriptedPlanner struct{ changes []planner.Change }
 
 func (p *scriptedPlanner) Plan(planner.Observation) planner.Decision {
--- a/internal/control/harness_replicas_test.go
+++ b/internal/control/harness_replicas_test.go
@@ -10,32 +10,32 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// replicaBoot is how long a new replica takes until it serves.
+// replicaBoot is the time that a new replica takes to start serving.
 const replicaBoot = 4 * time.Second
 
-// replicaPlatform takes orders of replicas and lists those that serve.
+// replicaPlatform accepts orders of replicas and lists the replicas that serve.
 type replicaPlatform struct {
-	world *world
-	// looks tells that it looks at fencing tokens, lose that answers are lost.
-	looks, lose bool
-	highest     map[string]uint64
-	// serving is how many of each group serve, life tells later orders from earlier ones.
-	serving  map[replicaplan.Group]int
-	life     map[replicaplan.Group]int
-	arrivals []arrivedReplicaOrder
+	cluster *testCluster
+	// checksFences means that the platform checks fencing tokens, losesAnswers that its answers are lost.
+	checksFences, losesAnswers bool
+	highest                    map[string]uint64
+	// serving is the number of serving replicas of each group; latestOrder numbers the orders of each group.
+	serving     map[replicaplan.Group]int
+	latestOrder map[replicaplan.Group]int
+	arrivals    []arrivedReplicaOrder
 }
 
 // arrivedReplicaOrder is an order that reached the platform.
 type arrivedReplicaOrder struct {
 	at    time.Duration
 	order OrderReplicas
-	// agreed tells that a controller had applied a number for the group by then: it is committed.
+	// agreed means that a controller had applied a number for the group by then, so that it was committed.
 	agreed bool
 }
 
-// scaled configures a controller that orders replicas.
-func scaled(config *Config) {
-	counting(config)
+// withScaling configures a controller that orders replicas.
+func withScaling(config *Config) {
+	withUsage(config)
 	config.PriorPrefillShare = 0
 	config.ReadConfiguration = func([]byte) (serving.Configuration, error) {
 		return serving.Configuration{Services: []serving.Service{{Name: "s", Scaling: &serving.Scaling{
@@ -44,10 +44,10 @@
 	}
 }
 
-// startReplicas adds a platform with so many replicas that stay in each zone.
-func (w *world) startReplicas(onDemand int) *replicaPlatform {
+// startReplicas adds a platform with a number of on-demand replicas in each zone.
+func (w *testCluster) startReplicas(onDemand int) *replicaPlatform {
 	platform := &replicaPlatform{
-		world: w, looks: true, highest: map[string]uint64{}, serving: map[replicaplan.Group]int{}, life: map[replicaplan.Group]int{},
+		cluster: w, checksFences: true, highest: map[string]uint64{}, serving: map[replicaplan.Group]int{}, latestOrder: map[replicaplan.Group]int{},
 	}
 	for _, zone := range []string{"a", "b", "c"} {
 		platform.serving[replicaplan.Group{Service: "s", Zone: zone}] = onDemand
@@ -56,7 +56,7 @@
 	return platform
 }
 
-// list is what the platform shows.
+// list returns the replicas that serve.
 func (p *replicaPlatform) list() []*v1.ListedBackEnd {
 	var listed []*v1.ListedBackEnd
 	for group, count := range p.serving {
@@ -69,28 +69,28 @@
 	return listed
 }
 
-// call takes an order that the runtime sends, if it is in time.
-func (p *replicaPlatform) call(controller *testController, life int, order OrderReplicas) {
+// call delivers an order to the platform if it arrives in time.
+func (p *replicaPlatform) call(controller *testController, incarnation int, order OrderReplicas) {
 	answer := func(outcome duty.Outcome) {
-		p.world.deliver("platform", controller, life, ReplicaOrderFinished{Order: order, Outcome: outcome})
+		p.cluster.deliver("platform", controller, incarnation, ReplicaOrderFinished{Order: order, Outcome: outcome})
 	}
 	if controller.cut {
 		answer(duty.Lost)
 		return
 	}
-	p.world.after(linkDelay, func() {
-		if p.world.now > order.NotAfter {
+	p.cluster.after(linkDelay, func() {
+		if p.cluster.now > order.NotAfter {
 			answer(duty.Refused)
 			return
 		}
-		p.arrivals = append(p.arrivals, arrivedReplicaOrder{at: p.world.now, order: order, agreed: p.agreed(order)})
-		if p.looks && order.Fence < p.highest[order.Group.Zone] {
+		p.arrivals = append(p.arrivals, arrivedReplicaOrder{at: p.cluster.now, order: order, agreed: p.agreed(order)})
+		if p.checksFences && order.Fence < p.highest[order.Group.Zone] {
 			answer(duty.Declined)
 			return
 		}
 		p.highest[order.Group.Zone] = max(order.Fence, p.highest[order.Group.Zone])
-		p.carryOut(order)
-		if p.lose {
+		p.apply(order)
+		if p.losesAnswers {
 			answer(duty.Lost)
 			return
 		}
@@ -101,7 +101,7 @@
 // agreed reports whether a number for the order's group is committed.
 func (p *replicaPlatform) agreed(order OrderReplicas) bool {
 	count := 0
-	for _, controller := range p.world.controllers {
+	for _, controller := range p.cluster.controllers {
 		if controller.core == nil {
 			continue
 		}
@@ -115,22 +115,22 @@
 	return count > 0
 }
 
-func (p *replicaPlatform) carryOut(order OrderReplicas) {
-	p.life[order.Group]++
-	life := p.life[order.Group]
+func (p *replicaPlatform) apply(order OrderReplicas) {
+	p.latestOrder[order.Group]++
+	number := p.latestOrder[order.Group]
 	if order.Desired <= p.serving[order.Group] {
 		p.serving[order.Group] = order.Desired
 		return
 	}
-	p.world.after(replicaBoot, func() {
-		if p.life[order.Group] == life {
+	p.cluster.after(replicaBoot, func() {
+		if p.latestOrder[order.Group] == number {
 			p.serving[order.Group] = order.Desired
 		}
 	})
 }
 
-// kinds counts all replicas that serve by kind.
-func (p *replicaPlatform) kinds() (onDemand, spots int) {
+// countByKind counts all serving replicas by kind.
+func (p *replicaPlatform) countByKind() (onDemand, spots int) {
 	for group, count := range p.serving {
 		if group.Spot {
 			spots += count
--- a/internal/control/harness_site_test.go
+++ b/internal/control/harness_site_test.go
@@ -7,35 +7,35 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// listLag is how old the outside list is when it is read.
+// listLag is the age of the external list when it is read.
 const listLag = 800 * time.Millisecond
 
-// testTurn is the least time between orders of two leaders, testOrderLife that of one order.
+// minimumOrderGap is the minimum time between orders of two leaders; testOrderLifetime is the lifetime of one order.
 const (
-	testTurn      = 3 * time.Second
-	testOrderLife = 500 * time.Millisecond
+	minimumOrderGap   = 3 * time.Second
+	testOrderLifetime = 500 * time.Millisecond
 )
 
-// siteEngines are listed engines whose roles the list shows late.
+// siteEngines are listed engines whose role changes appear in the list with a delay.
 type siteEngines struct {
-	world   *world
+	cluster *testCluster
 	roles   map[string]v1.Role
 	history []listedRoles
-	// orders counts the orders that engines took; lose drops the answer of an order.
+	// orders counts the orders that engines accepted; lose drops the answers to orders.
 	orders int
 	lose   bool
-	// asked counts all orders, fenced refuses them for a higher fence.
-	asked  int
-	fenced bool
-	// held is how long orders are under way beside the link's delay: in a queue, in a socket,
-	// or in a process that stands still.
-	held time.Duration
-	// arrivals are the orders as they reached engines.
+	// ordersReceived counts all orders; fenced refuses them because of a higher fence.
+	ordersReceived int
+	fenced         bool
+	// transitDelay is how long orders are delayed in addition to the link's delay: in a queue, in a
+	// socket or in a suspended process.
+	transitDelay time.Duration
+	// arrivals are the orders that reached engines.
 	arrivals []arrivedOrder
-	// shown takes the place of the list where it is set, in pages of pageSize; readings are those of it.
-	shown    []*v1.ListedBackEnd
-	pageSize int
-	readings []listReading
+	// listOverride replaces the list if it is set, in pages of pageSize; reads are the reads of the list.
+	listOverride []*v1.ListedBackEnd
+	pageSize     int
+	reads        []listRead
 }
 
 // arrivedOrder is an order that reached an engine.
@@ -49,10 +49,10 @@
 	roles map[string]v1.Role
 }
 
-// newSite returns a world of controllers that know only the first three addresses and
-// serve a site with engines, the first ones reading prompts.
-func newSite(w *world, engines, prefill int) *siteEngines {
-	site := &siteEngines{world: w, roles: map[string]v1.Role{}}
+// newSite returns engines for a cluster of controllers that know only the first three addresses. The
+// first engines do prefill.
+func newSite(w *testCluster, engines, prefill int) *siteEngines {
+	site := &siteEngines{cluster: w, roles: map[string]v1.Role{}}
 	for index := range engines {
 		role := v1.Role_ROLE_DECODE
 		if index < prefill {
@@ -60,28 +60,28 @@
 		}
 		site.roles[fmt.Sprintf("engine-%02d", index)] = role
 	}
-	site.note()
+	site.recordRoles()
 	w.site = site
 	return site
 }
 
-func (s *siteEngines) note() {
+func (s *siteEngines) recordRoles() {
 	copied := map[string]v1.Role{}
 	for id, role := range s.roles {
 		copied[id] = role
 	}
-	s.history = append(s.history, listedRoles{at: s.world.now, roles: copied})
+	s.history = append(s.history, listedRoles{at: s.cluster.now, roles: copied})
 }
 
 // list returns the list as it stood listLag ago.
 func (s *siteEngines) list() []*v1.ListedBackEnd {
-	if s.shown != nil {
-		return s.shown
+	if s.listOverride != nil {
+		return s.listOverride
 	}
 	shown := s.history[0].roles
-	for _, noted := range s.history {
-		if noted.at <= s.world.now-listLag {
-			shown = noted.roles
+	for _, entry := range s.history {
+		if entry.at <= s.cluster.now-listLag {
+			shown = entry.roles
 		}
 	}
 	var listed []*v1.ListedBackEnd
@@ -91,13 +91,13 @@
 	return listed
 }
 
-// listReading is one reading of the list.
-type listReading struct {
+// listRead is one read of the list.
+type listRead struct {
 	at    time.Duration
 	calls int
 }
 
-// read reads so many pages of the list, or all for 0.
+// read reads a number of pages of the list; 0 means all.
 func (s *siteEngines) read(pages int) ListingReceived {
 	list := s.list()
 	received := ListingReceived{BackEnds: list, Calls: 1, Complete: true}
@@ -107,32 +107,32 @@
 			received = ListingReceived{BackEnds: list[:pages*s.pageSize], Calls: pages}
 		}
 	}
-	s.readings = append(s.readings, listReading{at: s.world.now, calls: received.Calls})
+	s.reads = append(s.reads, listRead{at: s.cluster.now, calls: received.Calls})
 	return received
 }
 
-// take carries out an order.
-func (s *siteEngines) take(order ChangeStage) StageChangeFinished {
-	s.asked++
-	s.arrivals = append(s.arrivals, arrivedOrder{at: s.world.now, order: order})
+// apply applies an order to its engine.
+func (s *siteEngines) apply(order ChangeStage) StageChangeFinished {
+	s.ordersReceived++
+	s.arrivals = append(s.arrivals, arrivedOrder{at: s.cluster.now, order: order})
 	if s.fenced {
 		return StageChangeFinished{ID: order.BackEnd.GetId(), Outcome: StageFenced}
 	}
 	s.roles[order.BackEnd.GetId()] = order.Role
 	s.orders++
-	s.note()
+	s.recordRoles()
 	if s.lose {
 		return StageChangeFinished{ID: order.BackEnd.GetId(), Outcome: StageLost}
 	}
 	return StageChangeFinished{ID: order.BackEnd.GetId(), Outcome: StageAccepted}
 }
 
-// arrive carries out an order that the runtime sends in time, and no other.
-func (s *siteEngines) arrive(order ChangeStage) StageChangeFinished {
-	if s.world.now > order.NotAfter {
+// receive applies an order that arrives in time, and refuses it otherwise.
+func (s *siteEngines) receive(order ChangeStage) StageChangeFinished {
+	if s.cluster.now > order.NotAfter {
 		return StageChangeFinished{ID: order.BackEnd.GetId(), Outcome: StageRefused}
 	}
-	return s.take(order)
+	return s.apply(order)
 }
 
 func (s *siteEngines) prefill() int {
@@ -145,34 +145,34 @@
 	return count
 }
 
-// seeded configures a controller that knows the seeds only.
-func seeded(config *Config) {
+// withSeeds configures a controller that knows only the seeds.
+func withSeeds(config *Config) {
 	config.Peers = nil
 	config.Seeds = []string{"controller-1", "controller-2", "controller-3"}
 	config.Bootstrap = true
 	config.FormationSize = 3
 	config.ListingInterval = 500 * time.Millisecond
 	config.PriorPrefillShare = 0.67
-	config.OrderWait = testTurn + testOrderLife
-	config.OrderLifetime = testOrderLife
+	config.OrderWait = minimumOrderGap + testOrderLifetime
+	config.OrderLifetime = testOrderLifetime
 }
 
-// carryOutSite carries out the outputs of a site's controller.
-func (w *world) carryOutSite(controller *testController, life int, output Output) {
+// handleSiteOutput carries out the outputs of a site's controller.
+func (w *testCluster) handleSiteOutput(controller *testController, incarnation int, output Output) {
 	switch wanted := output.(type) {
 	case OrderReplicas:
-		w.replicas.call(controller, life, wanted)
+		w.replicas.call(controller, incarnation, wanted)
 	case ReadListing:
 		if w.replicas != nil {
-			w.deliver("list", controller, life, ListingReceived{BackEnds: w.replicas.list(), Calls: 1, Complete: true})
+			w.deliver("list", controller, incarnation, ListingReceived{BackEnds: w.replicas.list(), Calls: 1, Complete: true})
 			return
 		}
-		w.deliver("list", controller, life, w.site.read(wanted.Pages))
+		w.deliver("list", controller, incarnation, w.site.read(wanted.Pages))
 	case DeliverUsage:
 		if w.usage != nil {
-			w.usage.call(controller, life, wanted)
+			w.usage.call(controller, incarnation, wanted)
 		}
 	case ChangeStage:
-		w.after(w.site.held+linkDelay, func() { w.deliver("engine", controller, life, w.site.arrive(wanted)) })
+		w.after(w.site.transitDelay+linkDelay, func() { w.deliver("engine", controller, incarnation, w.site.receive(wanted)) })
 	}
 }
--- a/internal/control/harness_test.go
+++ b/internal/control/harness_test.go
@@ -23,15 +23,15 @@
 // linkDelay is the one-way delay of every exchange.
 const linkDelay = time.Millisecond
 
-// event is something that happens at a virtual time.
+// event is a function that runs at a virtual time.
 type event struct {
 	at       time.Duration
 	sequence int
 	run      func()
 }
 
-// world runs controllers and engines over a network in memory, in virtual time.
-type world struct {
+// testCluster runs controllers and engines in virtual time over an in-memory network.
+type testCluster struct {
 	t           *testing.T
 	now         time.Duration
 	random      *rand.Rand
@@ -43,20 +43,20 @@
 	list        enginecontract.MachineList
 	// lose decides whether an exchange from one party to another is lost.
 	lose func(from, to string) bool
-	// trace records orders as engines accepted them.
+	// accepted are the orders that engines accepted, in order.
 	accepted []enginecontract.Order
 	answers  map[CallID]Answer
 	lastCall CallID
 	config   func(*Config)
-	// site is set in worlds of listed engines.
+	// site is set in clusters with listed engines.
 	site *siteEngines
-	// usage is set in worlds where usage is counted.
+	// usage is set in clusters that count usage.
 	usage *usagePlatform
-	// replicas is set in worlds where replicas are ordered.
+	// replicas is set in clusters that order replicas.
 	replicas *replicaPlatform
-	// clockError is by how much controllers' clocks are wrong.
+	// clockError is the error of the controllers' clocks, by controller.
 	clockError map[string]time.Duration
-	// persisted, where it is set, is told each entry that a controller writes.
+	// persisted is called for each entry that a controller writes, if it is set.
 	persisted func(controller *testController, entry *v1.Entry)
 }
 
@@ -65,19 +65,19 @@
 	name string
 	core *Core
 	disk Restored
-	// life grows with each crash: events of an earlier life are void.
-	life int
-	// cut: nothing reaches the controller and nothing leaves it.
+	// incarnation grows with each start and crash: events of earlier incarnations are ignored.
+	incarnation int
+	// cut means that the controller is disconnected from its peers, engines and other parties.
 	cut bool
-	// uncounted is the time for which the machine was suspended and that its clock has not counted.
-	uncounted time.Duration
-	// former: the controller stands for one of the first format, by its translator.
-	former     bool
-	translator *formerbuild.Translator
+	// uncountedSuspension is the time for which the machine was suspended and which its clock did not count.
+	uncountedSuspension time.Duration
+	// firstFormat means that the controller behaves like one of the first format, by means of its translator.
+	firstFormat bool
+	translator  *formerbuild.Translator
 }
 
-func newWorld(t *testing.T, voters int, configure func(*Config)) *world {
-	w := &world{
+func newTestCluster(t *testing.T, voters int, configure func(*Config)) *testCluster {
+	w := &testCluster{
 		t: t, random: rand.New(rand.NewPCG(1, 2)), controllers: map[string]*testController{},
 		engines: map[string]*testEngine{}, answers: map[CallID]Answer{}, config: configure,
 		lose: func(string, string) bool { return false }, clockError: map[string]time.Duration{},
@@ -94,12 +94,12 @@
 	return w
 }
 
-// start starts a controller with what its disk holds.
-func (w *world) start(name string) {
+// start starts a controller with the content of its disk.
+func (w *testCluster) start(name string) {
 	controller := w.controllers[name]
 	config := Config{
 		Fleet: "test", Name: name, Zone: "zone-a", Address: name, WallOrigin: testWallOrigin,
-		Seed: [32]byte{1, byte(controller.life)}, PlanInterval: -1,
+		Seed: [32]byte{1, byte(controller.incarnation)}, PlanInterval: -1,
 	}
 	for _, peer := range w.names {
 		config.Peers = append(config.Peers, consensus.Peer{Name: peer, Address: peer, Zone: "zone-a"})
@@ -107,46 +107,46 @@
 	if w.config != nil {
 		w.config(&config)
 	}
-	core, err := New(config, controller.findsAs(w.t))
+	core, err := New(config, controller.restored(w.t))
 	require.NoError(w.t, err)
 	controller.core = core
-	controller.life++
-	w.tick(controller, controller.life)
+	controller.incarnation++
+	w.tick(controller, controller.incarnation)
 }
 
-// restart crashes a controller and starts it again soon.
-func (w *world) restart(controller *testController) {
+// restart crashes a controller and starts it again after a second.
+func (w *testCluster) restart(controller *testController) {
 	w.crash(controller.name)
 	w.after(time.Second, func() { w.start(controller.name) })
 }
 
-// crash stops a controller; what it had not synced is lost.
-func (w *world) crash(name string) {
+// crash stops a controller; writes that were not synced are lost.
+func (w *testCluster) crash(name string) {
 	w.controllers[name].core = nil
-	w.controllers[name].life++
+	w.controllers[name].incarnation++
 }
 
-func (w *world) tick(controller *testController, life int) {
+func (w *testCluster) tick(controller *testController, incarnation int) {
 	w.after(TickInterval, func() {
-		if controller.life != life {
+		if controller.incarnation != incarnation {
 			return
 		}
 		w.step(controller, Tick{TimeOfDayMs: testWallOrigin + (w.now + w.clockError[controller.name]).Milliseconds()})
 		if w.now%time.Second < TickInterval {
 			w.step(controller, MachineListReceived{List: w.list})
 		}
-		w.tick(controller, life)
+		w.tick(controller, incarnation)
 	})
 }
 
-// after lets something happen later.
-func (w *world) after(delay time.Duration, run func()) {
+// after runs a function after a delay.
+func (w *testCluster) after(delay time.Duration, run func()) {
 	w.sequence++
 	w.events = append(w.events, event{at: w.now + delay, sequence: w.sequence, run: run})
 }
 
-// run lets virtual time pass.
-func (w *world) run(span time.Duration) {
+// run advances virtual time and runs the events that are due.
+func (w *testCluster) run(span time.Duration) {
 	end := w.now + span
 	for {
 		next := w.nextEvent()
@@ -161,7 +161,7 @@
 	}
 }
 
-func (w *world) nextEvent() int {
+func (w *testCluster) nextEvent() int {
 	if len(w.events) == 0 {
 		return -1
 	}
@@ -175,7 +175,7 @@
 }
 
 // until runs until the condition holds, for at most a minute of virtual time.
-func (w *world) until(what string, condition func() bool) {
+func (w *testCluster) until(what string, condition func() bool) {
 	w.t.Helper()
 	for range 6000 {
 		if condition() {
@@ -186,31 +186,31 @@
 	w.t.Fatalf("no %s within a minute", what)
 }
 
-// step gives a controller an input and carries out what it asks for.
-func (w *world) step(controller *testController, input Input) {
+// step passes an input to a controller and carries out its outputs.
+func (w *testCluster) step(controller *testController, input Input) {
 	if controller.core == nil {
 		return
 	}
-	life := controller.life
-	for _, output := range controller.core.Step(w.now-controller.uncounted, input) {
-		w.carryOut(controller, life, output)
+	incarnation := controller.incarnation
+	for _, output := range controller.core.Step(w.now-controller.uncountedSuspension, input) {
+		w.handleOutput(controller, incarnation, output)
 	}
 }
 
-// deliver hands an input to a controller later unless it has crashed meanwhile.
-func (w *world) deliver(from string, controller *testController, life int, input Input) {
+// deliver passes an input to a controller after the link's delay, unless the controller has crashed meanwhile.
+func (w *testCluster) deliver(from string, controller *testController, incarnation int, input Input) {
 	w.after(linkDelay, func() {
-		if controller.life == life && !controller.cut && !w.lose(from, controller.name) {
+		if controller.incarnation == incarnation && !controller.cut && !w.lose(from, controller.name) {
 			w.step(controller, input)
 		}
 	})
 }
 
-func (w *world) carryOut(controller *testController, life int, output Output) {
-	w.carryOutSite(controller, life, output)
+func (w *testCluster) handleOutput(controller *testController, incarnation int, output Output) {
+	w.handleSiteOutput(controller, incarnation, output)
 	switch wanted := output.(type) {
 	case Persist:
-		written := controller.writesAs(w.t, &v1.ConsensusMessage{Entries: wanted.Entries, Snapshot: wanted.Snapshot})
+		written := controller.written(w.t, &v1.ConsensusMessage{Entries: wanted.Entries, Snapshot: wanted.Snapshot})
 		wanted.Entries, wanted.Snapshot = written.GetEntries(), written.GetSnapshot()
 		for _, entry := range wanted.Entries {
 			if w.persisted != nil {
@@ -218,7 +218,7 @@
 			}
 		}
 		w.after(linkDelay, func() {
-			if controller.life == life {
+			if controller.incarnation == incarnation {
 				controller.write(wanted)
 				w.step(controller, Persisted{Batch: wanted.Batch})
 			}
@@ -226,13 +226,13 @@
 	case SendPeer:
 		peer := w.controllers[wanted.Address]
 		if peer != nil && !controller.cut {
-			message := peer.readsAs(w.t, controller.writesAs(w.t, proto.CloneOf(wanted.Message)))
-			w.deliver(controller.name, peer, peer.life, PeerMessage{Message: message})
+			message := peer.received(w.t, controller.written(w.t, proto.CloneOf(wanted.Message)))
+			w.deliver(controller.name, peer, peer.incarnation, PeerMessage{Message: message})
 		}
 	case Answer:
 		w.answers[wanted.Call] = wanted
 	case SendOrder:
-		w.toEngine(controller, life, wanted.Engine, func(engine *testEngine) Input {
+		w.toEngine(controller, incarnation, wanted.Engine, func(engine *testEngine) Input {
 			answer := engine.machine.Order(w.now, wanted.Order, engine.inFlight)
 			if answer.Accepted && (len(w.accepted) == 0 || w.accepted[len(w.accepted)-1] != wanted.Order) {
 				w.accepted = append(w.accepted, wanted.Order)
@@ -240,12 +240,12 @@
 			return OrderAnswered{Engine: wanted.Engine, Fence: wanted.Order.Fence, Answer: &answer}
 		}, OrderAnswered{Engine: wanted.Engine, Fence: wanted.Order.Fence})
 	case SendFence:
-		w.toEngine(controller, life, wanted.Engine, func(engine *testEngine) Input {
+		w.toEngine(controller, incarnation, wanted.Engine, func(engine *testEngine) Input {
 			answer := engine.machine.Fence(w.now, enginecontract.Fence{Epoch: wanted.Epoch}, engine.inFlight)
 			return FenceAnswered{Engine: wanted.Engine, Epoch: wanted.Epoch, Answer: &answer}
 		}, FenceAnswered{Engine: wanted.Engine, Epoch: wanted.Epoch})
 	case PollEngine:
-		w.toEngine(controller, life, wanted.Engine, func(engine *testEngine) Input {
+		w.toEngine(controller, incarnation, wanted.Engine, func(engine *testEngine) Input {
 			engine.machine.Advance(w.now, engine.inFlight)
 			state := engine.machine.State(engine.inFlight)
 			load := &enginecontract.LoadReport{Engine: engine.name, Incarnation: engine.incarnation, Running: engine.inFlight}
@@ -254,12 +254,12 @@
 	}
 }
 
-// toEngine exchanges one message with an engine; the answer may be lost on the way.
-func (w *world) toEngine(controller *testController, life int, name string, exchange func(*testEngine) Input, lost Input) {
+// toEngine exchanges one message with an engine; the message or the answer may be lost.
+func (w *testCluster) toEngine(controller *testController, incarnation int, name string, exchange func(*testEngine) Input, lost Input) {
 	w.after(linkDelay, func() {
 		engine := w.engines[name]
 		if engine == nil || engine.down || controller.cut || w.lose(controller.name, name) {
-			w.after(800*time.Millisecond, func() { w.stepLife(controller, life, lost) })
+			w.after(800*time.Millisecond, func() { w.stepIncarnation(controller, incarnation, lost) })
 			return
 		}
 		answer := exchange(engine)
@@ -267,33 +267,33 @@
 			if controller.cut || w.lose(name, controller.name) {
 				answer = lost
 			}
-			w.stepLife(controller, life, answer)
+			w.stepIncarnation(controller, incarnation, answer)
 		})
 	})
 }
 
-func (w *world) stepLife(controller *testController, life int, input Input) {
-	if controller.life == life {
+func (w *testCluster) stepIncarnation(controller *testController, incarnation int, input Input) {
+	if controller.incarnation == incarnation {
 		w.step(controller, input)
 	}
 }
 
-// write puts a batch on the controller's disk.
+// write writes a batch to the controller's disk.
 func (c *testController) write(batch Persist) {
 	if batch.HardState != nil {
 		c.disk.HardState = batch.HardState
 	}
 	if batch.Snapshot != nil {
 		c.disk.Snapshot = batch.Snapshot
-		c.keepEntries(func(index uint64) bool { return index > batch.Snapshot.Metadata.Index })
+		c.filterEntries(func(index uint64) bool { return index > batch.Snapshot.Metadata.Index })
 	}
 	for _, entry := range batch.Entries {
-		c.keepEntries(func(index uint64) bool { return index < entry.Index })
+		c.filterEntries(func(index uint64) bool { return index < entry.Index })
 		c.disk.Entries = append(c.disk.Entries, entry)
 	}
 }
 
-func (c *testController) keepEntries(keep func(uint64) bool) {
+func (c *testController) filterEntries(keep func(uint64) bool) {
 	kept := make([]*v1.Entry, 0, len(c.disk.Entries))
 	for _, entry := range c.disk.Entries {
 		if keep(entry.Index) {
--- a/internal/control/harness_usage_test.go
+++ b/internal/control/harness_usage_test.go
@@ -11,28 +11,28 @@
 	"github.com/hazelpitch/hazelpitch/internal/usage"
 )
 
-// testUsage is how usage is counted in worlds of controllers.
+// testUsage configures how usage is counted in test clusters.
 var testUsage = usage.Config{Window: 5 * time.Second, Due: 10 * time.Second}
 
-// counting configures a controller that knows the seeds only and counts usage.
-func counting(config *Config) {
-	seeded(config)
+// withUsage configures a controller that knows only the seeds and counts usage.
+func withUsage(config *Config) {
+	withSeeds(config)
 	config.Usage = testUsage
-	config.DutyLifetime = testOrderLife
+	config.DutyLifetime = testOrderLifetime
 	config.DutyInterval = 40 * time.Millisecond
 }
 
-// usagePlatform takes calls of usage as the platform does.
+// usagePlatform is the platform that receives usage calls.
 type usagePlatform struct {
-	world *world
-	// looks tells that it looks at fencing tokens.
-	looks bool
-	// lose decides whether the answer to a call is lost, held for how long a call is under way beside
-	// the link's delay, late for how long it is carried out after it has arrived.
-	lose func(call DeliverUsage) bool
-	held time.Duration
-	late func(call DeliverUsage) time.Duration
-	// refuse has it answer that it is busy.
+	cluster *testCluster
+	// checksFences means that the platform checks fencing tokens.
+	checksFences bool
+	// lose decides whether the answer to a call is lost. transitDelay is the delay of calls in addition to
+	// the link's delay, and processingDelay the time from a call's arrival until it is carried out.
+	lose            func(call DeliverUsage) bool
+	transitDelay    time.Duration
+	processingDelay func(call DeliverUsage) time.Duration
+	// refuse makes the platform answer that it is busy.
 	refuse bool
 
 	highest  uint64
@@ -46,29 +46,29 @@
 	call DeliverUsage
 }
 
-// call takes a call that the runtime sends, if it is in time.
-func (p *usagePlatform) call(controller *testController, life int, call DeliverUsage) {
+// call delivers a call to the platform if it arrives in time.
+func (p *usagePlatform) call(controller *testController, incarnation int, call DeliverUsage) {
 	answer := func(outcome duty.Outcome) {
-		p.world.deliver("platform", controller, life, UsageDelivered{Call: call, Outcome: outcome})
+		p.cluster.deliver("platform", controller, incarnation, UsageDelivered{Call: call, Outcome: outcome})
 	}
 	if controller.cut {
 		answer(duty.Lost)
 		return
 	}
-	p.world.after(p.held+linkDelay, func() {
-		if p.world.now > call.NotAfter {
+	p.cluster.after(p.transitDelay+linkDelay, func() {
+		if p.cluster.now > call.NotAfter {
 			answer(duty.Refused)
 			return
 		}
-		p.arrivals = append(p.arrivals, arrivedCall{at: p.world.now, call: call})
+		p.arrivals = append(p.arrivals, arrivedCall{at: p.cluster.now, call: call})
 		switch {
 		case p.refuse:
 			answer(duty.Refused)
-		case p.late != nil && p.late(call) > 0:
-			p.world.after(p.late(call), func() { p.carryOut(call) })
-			p.world.after(time.Second, func() { answer(duty.Lost) })
+		case p.processingDelay != nil && p.processingDelay(call) > 0:
+			p.cluster.after(p.processingDelay(call), func() { p.apply(call) })
+			p.cluster.after(time.Second, func() { answer(duty.Lost) })
 		default:
-			outcome := p.carryOut(call)
+			outcome := p.apply(call)
 			if p.lose != nil && p.lose(call) {
 				outcome = duty.Lost
 			}
@@ -77,14 +77,14 @@
 	})
 }
 
-// carryOut takes a call as it stands now. No window may ever be accepted with two contents.
-func (p *usagePlatform) carryOut(call DeliverUsage) duty.Outcome {
-	if p.looks && call.Fence < p.highest {
+// apply carries out a call. No window may ever be accepted with two different contents.
+func (p *usagePlatform) apply(call DeliverUsage) duty.Outcome {
+	if p.checksFences && call.Fence < p.highest {
 		return duty.Superseded
 	}
 	p.highest = max(p.highest, call.Fence)
 	if known, is := p.accepted[call.Window]; is {
-		require.Equal(p.world.t, known, call.Counts, "window %d has two contents", call.Window)
+		require.Equal(p.cluster.t, known, call.Counts, "window %d has two contents", call.Window)
 		return duty.Accepted
 	}
 	counts := usage.Counts{}
@@ -95,36 +95,36 @@
 	return duty.Accepted
 }
 
-// testRelays report usage, each one report after another until it is taken.
+// testRelays report usage. Each relay repeats a report until it is accepted, and then sends the next one.
 type testRelays struct {
-	world *world
-	// truth is what began, by window and tenant.
-	truth  map[usage.Window]usage.Counts
-	relays []*testRelayUsage
-	// quiet stops new requests.
-	quiet bool
+	cluster *testCluster
+	// expected counts the requests that began, by window and tenant.
+	expected map[usage.Window]usage.Counts
+	relays   []*testRelayUsage
+	// stopped means that no new requests begin.
+	stopped bool
 }
 
-// testRelayUsage is one relay's start.
+// testRelayUsage is one incarnation of a relay.
 type testRelayUsage struct {
 	relay    uint64
 	sequence uint64
 	counts   map[usage.Window]usage.Counts
-	underWay *v1.UsageReport
+	pending  *v1.UsageReport
 	call     CallID
 	calledAt time.Duration
-	dead     bool
+	crashed  bool
 }
 
-// trueWindow is the window of true time now.
-func (w *world) trueWindow() usage.Window {
+// trueWindow returns the usage window of the true time.
+func (w *testCluster) trueWindow() usage.Window {
 	return usage.WindowAt(testWallOrigin+w.now.Milliseconds(), testUsage.Window)
 }
 
-// startUsage adds a platform and relays whose tenants are busy.
-func (w *world) startUsage(relays int) (*usagePlatform, *testRelays) {
-	w.usage = &usagePlatform{world: w, accepted: map[usage.Window]usage.Counts{}, looks: true}
-	all := &testRelays{world: w, truth: map[usage.Window]usage.Counts{}}
+// startUsage adds a platform and relays with requests of several tenants.
+func (w *testCluster) startUsage(relays int) (*usagePlatform, *testRelays) {
+	w.usage = &usagePlatform{cluster: w, accepted: map[usage.Window]usage.Counts{}, checksFences: true}
+	all := &testRelays{cluster: w, expected: map[usage.Window]usage.Counts{}}
 	for index := range relays {
 		all.relays = append(all.relays, &testRelayUsage{relay: uint64(index + 1), counts: map[usage.Window]usage.Counts{}})
 	}
@@ -132,24 +132,24 @@
 	return w.usage, all
 }
 
-// step lets one request of a relay begin and every relay tell, again and again.
+// step begins requests at random and makes every relay report, every 50 ms.
 func (r *testRelays) step() {
-	w := r.world
+	w := r.cluster
 	for index, relay := range r.relays {
-		if relay.dead {
+		if relay.crashed {
 			continue
 		}
-		if !r.quiet && w.random.IntN(4) == 0 {
-			r.begin(relay, fmt.Sprint("tenant-", (index+w.random.IntN(3))%7))
+		if !r.stopped && w.random.IntN(4) == 0 {
+			r.beginRequest(relay, fmt.Sprint("tenant-", (index+w.random.IntN(3))%7))
 		}
-		r.tell(relay)
+		r.report(relay)
 	}
 	w.after(50*time.Millisecond, r.step)
 }
 
-func (r *testRelays) begin(relay *testRelayUsage, tenant string) {
-	window := r.world.trueWindow()
-	for _, counts := range []map[usage.Window]usage.Counts{r.truth, relay.counts} {
+func (r *testRelays) beginRequest(relay *testRelayUsage, tenant string) {
+	window := r.cluster.trueWindow()
+	for _, counts := range []map[usage.Window]usage.Counts{r.expected, relay.counts} {
 		if counts[window] == nil {
 			counts[window] = usage.Counts{}
 		}
@@ -157,62 +157,62 @@
 	}
 }
 
-// tell sends the report under way, or the next one.
-func (r *testRelays) tell(relay *testRelayUsage) {
-	w := r.world
-	if relay.underWay != nil {
+// report sends the pending report, or the next one.
+func (r *testRelays) report(relay *testRelayUsage) {
+	w := r.cluster
+	if relay.pending != nil {
 		answer, answered := w.answers[relay.call]
 		lost := w.random.IntN(5) == 0
 		if answered && answer.Err == nil && !lost {
-			relay.underWay = nil
+			relay.pending = nil
 		}
 		if answered && lost {
 			relay.calledAt = 0 // sent again at once
 		}
 	}
-	if relay.underWay == nil && len(relay.counts) > 0 {
+	if relay.pending == nil && len(relay.counts) > 0 {
 		relay.sequence++
-		relay.underWay = &v1.UsageReport{Relay: relay.relay, Sequence: relay.sequence}
+		relay.pending = &v1.UsageReport{Relay: relay.relay, Sequence: relay.sequence}
 		for window, counts := range relay.counts {
 			for tenant, count := range counts {
-				relay.underWay.Counts = append(relay.underWay.Counts, &v1.UsageCount{Window: int64(window), Tenant: tenant, Count: count})
+				relay.pending.Counts = append(relay.pending.Counts, &v1.UsageCount{Window: int64(window), Tenant: tenant, Count: count})
 			}
 		}
 		relay.counts = map[usage.Window]usage.Counts{}
 		relay.call = 0
 	}
 	leader := w.leader()
-	if relay.underWay == nil || leader == nil || relay.call != 0 && w.now-relay.calledAt < 500*time.Millisecond {
+	if relay.pending == nil || leader == nil || relay.call != 0 && w.now-relay.calledAt < 500*time.Millisecond {
 		return
 	}
 	relay.calledAt = w.now
-	relay.call = w.send(leader, func(id CallID) Input { return UsageReceived{Call: id, Report: relay.underWay} })
+	relay.call = w.send(leader, func(id CallID) Input { return UsageReceived{Call: id, Report: relay.pending} })
 }
 
-// requireTold demands that every window from first to last was told as it was.
-func (r *testRelays) requireTold(platform *usagePlatform, first, last usage.Window) {
-	r.world.t.Helper()
+// requireReported checks that every window from first to last was reported with the expected counts.
+func (r *testRelays) requireReported(platform *usagePlatform, first, last usage.Window) {
+	r.cluster.t.Helper()
 	for window := first; window <= last; window++ {
-		counts, told := platform.accepted[window]
-		require.True(r.world.t, told, "window %d was not told", window)
-		truth := r.truth[window]
-		if truth == nil {
-			truth = usage.Counts{}
+		counts, reported := platform.accepted[window]
+		require.True(r.cluster.t, reported, "window %d was not reported", window)
+		expected := r.expected[window]
+		if expected == nil {
+			expected = usage.Counts{}
 		}
-		require.Equal(r.world.t, truth, counts, "window %d", window)
+		require.Equal(r.cluster.t, expected, counts, "window %d", window)
 	}
 }
 
-// requireHoldersApart demands that calls of two holders never overlap: tokens rise, no token has two
-// holders, and a turn lies between the calls of one and of the next.
-func (p *usagePlatform) requireHoldersApart() {
-	p.world.t.Helper()
+// requireHoldersDoNotOverlap checks the fencing tokens of the calls: they never decrease, no token has two
+// holders, and minimumOrderGap lies between the calls of one holder and of the next.
+func (p *usagePlatform) requireHoldersDoNotOverlap() {
+	p.cluster.t.Helper()
 	for index, next := range p.arrivals[1:] {
 		previous := p.arrivals[index]
-		require.GreaterOrEqual(p.world.t, next.call.Fence, previous.call.Fence)
+		require.GreaterOrEqual(p.cluster.t, next.call.Fence, previous.call.Fence)
 		if next.call.Holder != previous.call.Holder {
-			require.Greater(p.world.t, next.call.Fence, previous.call.Fence)
-			require.GreaterOrEqual(p.world.t, next.at-previous.at, testTurn)
+			require.Greater(p.cluster.t, next.call.Fence, previous.call.Fence)
+			require.GreaterOrEqual(p.cluster.t, next.at-previous.at, minimumOrderGap)
 		}
 	}
 }
--- a/internal/control/input_fuzz_test.go
+++ b/internal/control/input_fuzz_test.go
@@ -13,7 +13,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Kinds of bytes that reach a controller from outside.
+// Kinds of input that a controller receives from outside.
 const (
 	fuzzSync = iota
 	fuzzReport
@@ -25,7 +25,7 @@
 	fuzzKinds
 )
 
-// fuzzInput decodes bytes as the runtime does; nil when it would refuse them.
+// fuzzInput decodes bytes as the runtime does, and returns nil when the runtime would refuse them.
 func fuzzInput(kind uint8, data []byte) Input {
 	message := func(into proto.Message) bool { return proto.Unmarshal(data, into) == nil }
 	switch kind % fuzzKinds {
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// FuzzInputs hands a leading controller arbitrary bytes of gateways, engines and the
-// platform: it goes on, and a declaration is still accepted.
+// FuzzInputs passes arbitrary bytes of gateways, engines and the platform to a leading controller.
+// The controller must still accept a declaration afterwards.
 func FuzzInputs(f *testing.F) {
 	f.Add(uint8(fuzzMachineList), []byte(`{"version":9,"machines":[{"name":"engine-2","service":"assessor","address":"x","state":"leaving"}]}`))
 	f.Add(uint8(fuzzEngineState), []byte(`{"engine":"engine-1","incarnation":2,"state":"serving","role":"decode"}`))
@@ -81,7 +81,7 @@
 		if input == nil {
 			return
 		}
-		w := newWorld(t, 1, nil)
+		w := newTestCluster(t, 1, nil)
 		w.addEngine("engine-1", "assessor", "zone-a", enginecontract.RoleMixed)
 		w.apply("before", serviceObjects()...)
 		w.run(2 * time.Second)
--- a/internal/control/limits_test.go
+++ b/internal/control/limits_test.go
@@ -10,7 +10,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// limitedBackEnd is the hash of a back end that names a limit of limitPerSecond.
+// limitedBackEnd is the hash of a back end that sets a limit of limitPerSecond requests a second.
 const (
 	limitedBackEnd = 4711
 	limitPerSecond = 5
@@ -20,8 +20,8 @@
 	return &v1.NamedLimit{BackEnd: limitedBackEnd, Named: true, PerSecond: perSecond}
 }
 
-// askPermit has a gateway ask a controller; nil when that does not lead.
-func (w *world) askPermit(controller *testController, gateway string) *v1.TakePermitResponse {
+// requestPermit sends a gateway's permit request to a controller; the result is nil when that does not lead.
+func (w *testCluster) requestPermit(controller *testController, gateway string) *v1.TakePermitResponse {
 	w.t.Helper()
 	answer := w.call(controller, func(id CallID) Input {
 		return PermitRequested{Call: id, Request: &v1.TakePermitRequest{Node: &v1.NodeIdentity{Name: gateway}, Limit: namedLimit(limitPerSecond)}}
@@ -32,17 +32,18 @@
 	return answer.Response.(*v1.TakePermitResponse)
 }
 
-// Gateways that ask all controllers all the time get what the limit allows and no more, while leaders die, are cut off
-// and take turns: a new one begins with nothing when the lease of the one before has run out.
+// Gateways that send permit requests to all controllers all the time get no more permits than the limit allows, and
+// at least half of them, while leaders crash in turn. A new leader starts without counts once the previous lease has
+// expired.
 func TestPermitsOfGatewaysOutliveLeaders(t *testing.T) {
-	w := newWorld(t, 3, nil)
+	w := newTestCluster(t, 3, nil)
 	w.waitLeader()
 	var granted []time.Duration
 	began := w.now
 	for round := 0; w.now-began < 40*time.Second; round++ {
 		for _, name := range w.names {
 			if controller := w.controllers[name]; controller.core != nil {
-				if response := w.askPermit(controller, "gateway"); response.GetGranted() {
+				if response := w.requestPermit(controller, "gateway"); response.GetGranted() {
 					granted = append(granted, w.now)
 				}
 			}
@@ -64,45 +65,46 @@
 	require.GreaterOrEqual(t, float64(len(granted)), 0.5*limitPerSecond*40)
 }
 
-// A former leader that does not know it yet grants nothing once its lease is over.
+// A deposed leader that does not know of its successor grants no permits once its lease has expired.
 func TestAFormerLeaderGrantsNoPermits(t *testing.T) {
-	w := newWorld(t, 3, nil)
-	old, _ := suspended(w)
-	require.Nil(t, w.askPermit(old, "gateway"))
-	require.NotNil(t, w.askPermit(w.waitLeader(), "gateway"))
+	w := newTestCluster(t, 3, nil)
+	old, _ := suspendLeader(w)
+	require.Nil(t, w.requestPermit(old, "gateway"))
+	require.NotNil(t, w.requestPermit(w.waitLeader(), "gateway"))
 }
 
-// Gateways learn with their reports of limits that others have heard, and of their end.
+// Gateways get, in the answers to their reports, the limits that other gateways have reported, and the removal of
+// limits.
 func TestGatewaysAreToldOfLimits(t *testing.T) {
-	w := newWorld(t, 3, nil)
-	report := func(gateway string, heard ...*v1.NamedLimit) []*v1.NamedLimit {
+	w := newTestCluster(t, 3, nil)
+	report := func(gateway string, reported ...*v1.NamedLimit) []*v1.NamedLimit {
 		answer := w.call(w.waitLeader(), func(id CallID) Input {
-			return ReportReceived{Call: id, Request: &v1.ReportRequest{Node: &v1.NodeIdentity{Name: gateway}, Limits: heard}}
+			return ReportReceived{Call: id, Request: &v1.ReportRequest{Node: &v1.NodeIdentity{Name: gateway}, Limits: reported}}
 		})
 		require.NoError(t, answer.Err)
 		return answer.Response.(*v1.ReportResponse).Limits
 	}
 	require.Empty(t, report("one"))
 	require.Len(t, report("one", namedLimit(2), namedLimit(math.NaN())), 1)
-	told := report("two")
-	require.Len(t, told, 1)
-	require.Equal(t, 2.0, told[0].PerSecond)
+	limits := report("two")
+	require.Len(t, limits, 1)
+	require.Equal(t, 2.0, limits[0].PerSecond)
 	report("one", &v1.NamedLimit{BackEnd: limitedBackEnd})
-	told = report("two")
-	require.Len(t, told, 1, "the end is told for a while")
-	require.False(t, told[0].Named)
+	limits = report("two")
+	require.Len(t, limits, 1, "the removal is sent for a while")
+	require.False(t, limits[0].Named)
 	answer := w.call(w.waitLeader(), func(id CallID) Input {
 		return PermitRequested{Call: id, Request: &v1.TakePermitRequest{Node: &v1.NodeIdentity{Name: "two"}, Limit: namedLimit(-1)}}
 	})
 	require.Error(t, answer.Err)
 }
 
-// A relay that comes later is told of limits whose counts others keep, while they are kept.
+// A relay that connects later gets the limits that other relays own, while those relays report them.
 func TestRelaysAreToldOfLimits(t *testing.T) {
-	w := newWorld(t, 3, nil)
-	watch := func(relay string, kept ...*v1.NamedLimit) []*v1.NamedLimit {
+	w := newTestCluster(t, 3, nil)
+	watch := func(relay string, reported ...*v1.NamedLimit) []*v1.NamedLimit {
 		answer := w.call(w.waitLeader(), func(id CallID) Input {
-			return WatchReceived{Call: id, Request: &v1.WatchRequest{Node: &v1.NodeIdentity{Name: relay}, WaitMs: 1, Limits: kept}}
+			return WatchReceived{Call: id, Request: &v1.WatchRequest{Node: &v1.NodeIdentity{Name: relay}, WaitMs: 1, Limits: reported}}
 		})
 		require.NoError(t, answer.Err)
 		return answer.Response.(*v1.WatchResponse).Limits
@@ -114,5 +116,5 @@
 	require.Empty(t, watch("late"))
 	watch("keeper", namedLimit(2))
 	w.run(relayLimitTTL)
-	require.Empty(t, watch("late"), "nobody keeps it any more")
+	require.Empty(t, watch("late"), "no relay owns the limit any more")
 }
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -10,31 +10,30 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// join starts a controller that asks the others for admission.
-func (w *world) join(name string) {
+// join starts a controller that requests admission from the others.
+func (w *testCluster) join(name string) {
 	w.controllers[name] = &testController{name: name, disk: Restored{DiskID: name + ".disk"}}
 	w.start(name)
 }
 
-// parts tells the part that each member plays, by identity; leaders count as voters.
-func (w *world) parts() string {
-	var parts []string
+// memberRoles returns the role of each member, sorted by identity; leaders count as voters.
+func (w *testCluster) memberRoles() string {
+	var roles []string
 	for _, row := range w.rowsOf("show members") {
 		cells := strings.Split(row, "|")
-		parts = append(parts, cells[0]+" "+strings.Replace(cells[3], "leader", "voter", 1))
+		roles = append(roles, cells[0]+" "+strings.Replace(cells[3], "leader", "voter", 1))
 	}
-	slices.Sort(parts)
-	return strings.Join(parts, ", ")
+	slices.Sort(roles)
+	return strings.Join(roles, ", ")
 }
 
-// TestReplaceMemberStepByStep replaces a voter that still runs by one on another
-// machine: the same command takes the next step each time, and changes stay possible
-// all along.
+// TestReplaceMemberStepByStep replaces a voter that still runs by one on another machine. Each
+// run of the same command takes the next step, and declarations are accepted all the time.
 func TestReplaceMemberStepByStep(t *testing.T) {
-	w := newWorld(t, 3, nil)
+	w := newTestCluster(t, 3, nil)
 	w.waitLeader()
 	w.join("controller-4")
-	w.until("admission", func() bool { return strings.Contains(w.parts(), "controller-4.disk learner") })
+	w.until("admission", func() bool { return strings.Contains(w.memberRoles(), "controller-4.disk learner") })
 	old := ""
 	for _, name := range w.names {
 		if w.controllers[name] != w.leader() {
@@ -55,8 +54,8 @@
 			return err == nil
 		})
 		require.Contains(t, response.Message, step.message)
-		require.Equal(t, step.old != "", strings.Contains(w.parts(), old+" voter"))
-		require.Contains(t, w.parts(), "controller-4.disk "+step.replacement)
+		require.Equal(t, step.old != "", strings.Contains(w.memberRoles(), old+" voter"))
+		require.Contains(t, w.memberRoles(), "controller-4.disk "+step.replacement)
 		w.apply(step.request+" change", modelVersion(revision))
 	}
 	_, err := w.execute("again", "ana", administrator, command)
@@ -65,5 +64,5 @@
 	require.ErrorContains(t, err, "show members")
 	_, err = w.execute("new", "ana", administrator, `replace member "controller-4.disk" with y at 10.0.0.7:7400`)
 	require.NoError(t, err)
-	require.Contains(t, w.parts(), "y learner")
+	require.Contains(t, w.memberRoles(), "y learner")
 }
--- a/internal/control/mixed_builds_test.go
+++ b/internal/control/mixed_builds_test.go
@@ -17,42 +17,42 @@
 	"github.com/hazelpitch/hazelpitch/internal/quarantine"
 )
 
-// rebuild ends a controller and starts it again later as the other build, on the disk as the one before left it.
-func (w *world) rebuild(controller *testController, away time.Duration) {
+// rebuild stops a controller and starts it again later as the other build, with the disk of the previous build.
+func (w *testCluster) rebuild(controller *testController, away time.Duration) {
 	w.crash(controller.name)
 	controller.translator = formerbuild.New()
-	controller.former = !controller.former
+	controller.firstFormat = !controller.firstFormat
 	w.after(away, func() { w.start(controller.name) })
 }
 
-// mixedBuilds is a world whose controllers are replaced by the other build and back under faults.
+// mixedBuilds is a cluster whose controllers are upgraded and downgraded under faults.
 type mixedBuilds struct {
-	*world
+	*testCluster
 	random *rand.Rand
-	// number is that of the last document that was sent, acknowledged of the newest that was acknowledged.
+	// number is that of the last document sent; acknowledged is the highest acknowledged number.
 	number, acknowledged uint64
 	sent                 map[CallID]uint64
-	// states are those of controllers of the new build by what they have applied.
-	states map[appliedBy][]byte
-	ends   uint64
+	// states are the states of controllers of the new build, by the log indexes that they have applied.
+	states  map[appliedIndexes][]byte
+	crashes uint64
 }
 
 func newMixedBuilds(t *testing.T, seed uint64) *mixedBuilds {
-	w := newWorld(t, 5, func(config *Config) { config.SnapshotEntries = 25 })
-	m := &mixedBuilds{world: w, random: rand.New(rand.NewPCG(seed, 9)), sent: map[CallID]uint64{}, states: map[appliedBy][]byte{}}
+	w := newTestCluster(t, 5, func(config *Config) { config.SnapshotEntries = 25 })
+	m := &mixedBuilds{testCluster: w, random: rand.New(rand.NewPCG(seed, 9)), sent: map[CallID]uint64{}, states: map[appliedIndexes][]byte{}}
 	for _, name := range w.names {
-		if seed%2 == 0 { // every second one is an upgrade
+		if seed%2 == 0 { // half of the seeds start with the former build
 			w.rebuild(w.controllers[name], 0)
 		}
 	}
 	return m
 }
 
-// strike does one thing to one controller, while the others are a quorum.
-func (m *mixedBuilds) strike() {
+// injectFault disturbs one controller, while the others are a quorum.
+func (m *mixedBuilds) injectFault() {
 	for _, each := range m.controllers {
 		if each.core == nil || each.cut {
-			return // one at a time: the rest goes on
+			return // one fault at a time, so that the others can go on
 		}
 	}
 	controller := m.controllers[m.names[m.random.IntN(len(m.names))]]
@@ -68,17 +68,17 @@
 	}
 }
 
-// send puts a document, or tells of an ended replica, at a controller.
-func (m *mixedBuilds) tell() {
+// sendInput sends a document or a report of a crashed replica to a controller.
+func (m *mixedBuilds) sendInput() {
 	controller := m.controllers[m.names[m.random.IntN(len(m.names))]]
 	if controller.core == nil {
 		return
 	}
 	if m.random.IntN(2) == 0 {
-		m.ends++
-		signature := quarantine.SignatureOf("", "", "", []byte{byte(m.ends / 3)})
-		ends := []*v1.ReplicaEnd{{Signature: signature[:], Replica: m.ends}}
-		m.send(controller, func(id CallID) Input { return ReplicaCrashesReceived{Call: id, Crashes: ends} })
+		m.crashes++
+		signature := quarantine.SignatureOf("", "", "", []byte{byte(m.crashes / 3)})
+		crashes := []*v1.ReplicaEnd{{Signature: signature[:], Replica: m.crashes}}
+		m.send(controller, func(id CallID) Input { return ReplicaCrashesReceived{Call: id, Crashes: crashes} })
 		return
 	}
 	m.number++
@@ -86,47 +86,48 @@
 	m.sent[m.send(controller, func(id CallID) Input { return PutDocumentReceived{Call: id, Document: document} })] = m.number
 }
 
-// appliedBy is the log index that a state has applied, and that of its agreement; 0 for what is of the first format.
-type appliedBy struct{ index, agreedAt uint64 }
+// appliedIndexes are the log index that a state has applied and that of its agreement; agreedAt is 0 for first-format
+// state.
+type appliedIndexes struct{ index, agreedAt uint64 }
 
-// compare holds a state against those of other controllers that have applied the same.
-func (m *mixedBuilds) compare(name string, applied appliedBy, state []byte) {
+// compare checks that controllers that have applied the same entries have the same state.
+func (m *mixedBuilds) compare(name string, applied appliedIndexes, state []byte) {
 	if known, seen := m.states[applied]; seen {
-		require.True(m.t, bytes.Equal(known, state), "%s holds another state by %v than another controller of its build", name, applied)
+		require.True(m.t, bytes.Equal(known, state), "%s holds a different state at %v than another controller of its build", name, applied)
 	}
 	m.states[applied] = state
 }
 
-// look checks what holds at any moment.
-func (m *mixedBuilds) look() {
+// checkInvariants checks what must hold at any time.
+func (m *mixedBuilds) checkInvariants() {
 	for call, number := range m.sent {
 		if answer, answered := m.answers[call]; answered && answer.Err == nil {
 			m.acknowledged = max(m.acknowledged, number)
 		}
 	}
 	for _, controller := range m.controllers {
-		if controller.core == nil || controller.former {
+		if controller.core == nil || controller.firstFormat {
 			continue
 		}
 		require.False(m.t, controller.core.halted, controller.name)
 		state := controller.core.State()
-		whole, err := state.Snapshot()
+		snapshot, err := state.Snapshot()
 		require.NoError(m.t, err)
-		former, err := formerbuild.StripState(whole)
+		former, err := formerbuild.StripState(snapshot)
 		require.NoError(m.t, err)
-		m.compare(controller.name, appliedBy{index: state.AppliedIndex()}, former)
+		m.compare(controller.name, appliedIndexes{index: state.AppliedIndex()}, former)
 		if !state.IsMissingAgreedState() {
-			m.compare(controller.name, appliedBy{index: state.AppliedIndex(), agreedAt: state.AgreementIndex()}, whole)
+			m.compare(controller.name, appliedIndexes{index: state.AppliedIndex(), agreedAt: state.AgreementIndex()}, snapshot)
 		}
 	}
 	if leader := m.leader(); leader != nil && leader.core.canAnswerAsLeader() {
-		require.GreaterOrEqual(m.t, leader.core.State().Document().GetNumber(), m.acknowledged, "what was acknowledged is in force")
+		require.GreaterOrEqual(m.t, leader.core.State().Document().GetNumber(), m.acknowledged, "an acknowledged document is in force")
 	}
 }
 
-// Controllers of two builds vote together while they are replaced in any order, forward and back, killed and cut off:
-// those of the new build never hold different states at the same entry, none halts, what was acknowledged stays, and
-// once all are of the new build its commands take effect at all of them.
+// Controllers of two builds vote together while they are upgraded and downgraded in any order, killed and cut off.
+// Those of the new build must never hold different states at the same entry, none may halt, and acknowledged
+// documents must stay in force. Once all are of the new build, its commands must take effect at all of them.
 func TestControllersOfTwoBuildsHoldOneState(t *testing.T) {
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -134,23 +135,23 @@
 			m.waitLeader()
 			for range 400 {
 				m.run(time.Duration(m.random.Int64N(int64(100 * time.Millisecond))))
-				m.tell()
+				m.sendInput()
 				if m.random.IntN(12) == 0 {
-					m.strike()
+					m.injectFault()
 				}
-				m.look()
+				m.checkInvariants()
 			}
 			m.run(3 * time.Second)
 			for _, name := range m.names {
-				if controller := m.controllers[name]; controller.former {
+				if controller := m.controllers[name]; controller.firstFormat {
 					m.rebuild(controller, 100*time.Millisecond)
 					m.run(2 * time.Second)
-					m.look()
+					m.checkInvariants()
 				}
 			}
 			m.waitAgreement()
 			m.run(2 * time.Second)
-			m.look()
+			m.checkInvariants()
 			for _, name := range m.names {
 				require.Equal(t, formats.Newest, m.controllers[name].core.State().AgreedFormat(), name)
 				require.GreaterOrEqual(t, m.controllers[name].core.State().Document().GetNumber(), m.acknowledged)
@@ -159,44 +160,45 @@
 	}
 }
 
-// A controller whose state was written while it was of the former build lacks what the others have agreed on since before,
-// and nobody has heard of it as that build. It finds out by the next entry, and all agree anew.
+// A controller whose state was written while it ran the former build is missing state that the others have agreed on
+// before, and no other controller has received its former format. It detects this with the next entry, and a new
+// agreement follows.
 func TestAStateThatLacksTheAgreementIsMadeWhole(t *testing.T) {
-	w := newWorld(t, 3, func(config *Config) { config.SnapshotEntries = 10 })
+	w := newTestCluster(t, 3, func(config *Config) { config.SnapshotEntries = 10 })
 	w.waitAgreement()
 	leader := w.leader()
-	w.holdRequest()
+	w.quarantineRequest()
 	for number := uint64(1); number <= 30; number++ {
 		require.NoError(t, w.putDocument(leader, number, "content").Err)
 	}
 	w.run(time.Second)
-	lacking := w.controllers[w.names[0]]
-	if lacking == leader {
-		lacking = w.controllers[w.names[1]]
+	outdated := w.controllers[w.names[0]]
+	if outdated == leader {
+		outdated = w.controllers[w.names[1]]
 	}
 	agreedAt := leader.core.State().AgreementIndex()
-	w.crash(lacking.name)
-	lacking.disk.Snapshot, _ = formerbuild.StripSnapshot(leader.disk.Snapshot)
-	lacking.disk.Entries = slices.Clone(leader.disk.Entries)
-	w.start(lacking.name)
+	w.crash(outdated.name)
+	outdated.disk.Snapshot, _ = formerbuild.StripSnapshot(leader.disk.Snapshot)
+	outdated.disk.Entries = slices.Clone(leader.disk.Entries)
+	w.start(outdated.name)
 	w.run(time.Second)
 	require.NoError(t, w.putDocument(leader, 31, "content").Err)
 	w.until("another agreement", func() bool {
-		state := lacking.core.State()
+		state := outdated.core.State()
 		return !state.IsMissingAgreedState() && state.AgreedFormat() == formats.Newest && state.AgreementIndex() > agreedAt
 	})
 	w.run(time.Second)
 	theirs, err := leader.core.State().Snapshot()
 	require.NoError(t, err)
-	mine, err := lacking.core.State().Snapshot()
+	mine, err := outdated.core.State().Snapshot()
 	require.NoError(t, err)
 	require.Equal(t, theirs, mine)
-	require.Len(t, w.toldHeld(), 1, "what was held is held")
+	require.Len(t, w.watchQuarantined(), 1, "the request is still quarantined")
 }
 
-// A controller that meets an entry of a newer build does not go on without it, and leaves its disk as it is.
+// A controller that cannot apply an entry of a newer build must halt and leave its disk unchanged.
 func TestAControllerHaltsAtAnEntryOfANewerBuild(t *testing.T) {
-	w := newWorld(t, 3, nil)
+	w := newTestCluster(t, 3, nil)
 	leader := w.waitLeader()
 	require.NoError(t, w.putDocument(leader, 1, "content").Err)
 	unknown := &v1.Command{}
--- a/internal/control/published_documents_test.go
+++ b/internal/control/published_documents_test.go
@@ -13,7 +13,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/packed"
 )
 
-// manyTenants is a document with 33,000 tenants of two keys, and the number in one of them.
+// manyTenants returns a document with 33,000 tenants of two keys each, in which one tenant's keys depend on the number.
 func manyTenants(number uint64) *v1.Document {
 	var content bytes.Buffer
 	fmt.Fprintf(&content, `{"Version":%d,"Tenants":[`, number)
@@ -28,56 +28,56 @@
 	return &v1.Document{Number: number, Content: content.Bytes()}
 }
 
-// A change of one key among 33,000 tenants each 60 ms: relays are told of some of the documents, as what
-// has changed, never later than the operator's bound, and of the last one.
-func TestAStormOfLargeDocumentsIsToldInParts(t *testing.T) {
-	told := publishedDocuments{}
-	held := told.advance(0, manyTenants(1))
-	require.Equal(t, uint64(1), held.GetNumber())
-	wholes, bytesTold, count := 0, 0, 0
-	newest, now := held, time.Duration(0)
+// A large document changes in one of 33,000 tenants every 60 ms. Relays get only some of the versions, as patches,
+// and the last version within the operator's time limit.
+func TestRapidLargeDocumentsAreSkippedAndPatched(t *testing.T) {
+	published := publishedDocuments{}
+	current := published.advance(0, manyTenants(1))
+	require.Equal(t, uint64(1), current.GetNumber())
+	unpatched, patchBytes, count := 0, 0, 0
+	newest, now := current, time.Duration(0)
 	for number := uint64(2); number <= 40; number++ {
 		now += 60 * time.Millisecond
 		newest = manyTenants(number)
-		next := told.advance(now, newest)
-		if next.GetNumber() == held.GetNumber() {
+		next := published.advance(now, newest)
+		if next.GetNumber() == current.GetNumber() {
 			continue
 		}
-		patch := told.patchFrom(held.GetNumber())
+		patch := published.patchFrom(current.GetNumber())
 		if patch == nil {
-			wholes++
+			unpatched++
 			continue
 		}
-		content, err := packed.ApplyPatch(held.GetContent(), patch)
+		content, err := packed.ApplyPatch(current.GetContent(), patch)
 		require.NoError(t, err)
 		require.True(t, bytes.Equal(next.GetContent(), content))
-		held, count = next, count+1
-		bytesTold += len(patch)
+		current, count = next, count+1
+		patchBytes += len(patch)
 	}
-	require.Zero(t, wholes)
-	require.Equal(t, 1, count, "one in 1.5 s of reading at a relay")
-	require.Less(t, bytesTold, 2_000)
-	now = told.nextAt
+	require.Zero(t, unpatched)
+	require.Equal(t, 1, count, "one version in the 1.5 s that a relay takes to parse it")
+	require.Less(t, patchBytes, 2_000)
+	now = published.nextAt
 	require.LessOrEqual(t, now, 2*1600*time.Millisecond)
-	require.Equal(t, newest.GetNumber(), told.advance(now, newest).GetNumber())
-	t.Logf("%d bytes told for a change of a document of %d", bytesTold, len(held.GetContent()))
+	require.Equal(t, newest.GetNumber(), published.advance(now, newest).GetNumber())
+	t.Logf("%d bytes of patches for a change of a document of %d", patchBytes, len(current.GetContent()))
 }
 
-// Small documents are told at once, however fast they come.
-func TestSmallDocumentsAreToldAtOnce(t *testing.T) {
-	told := publishedDocuments{}
+// Small documents are published at once, however fast they follow each other.
+func TestSmallDocumentsArePublishedAtOnce(t *testing.T) {
+	published := publishedDocuments{}
 	for number := uint64(1); number <= 20; number++ {
 		document := &v1.Document{Number: number, Content: bytes.Repeat([]byte{byte(number)}, 20_000)}
-		require.Equal(t, number, told.advance(time.Duration(number)*60*time.Millisecond, document).GetNumber())
+		require.Equal(t, number, published.advance(time.Duration(number)*60*time.Millisecond, document).GetNumber())
 	}
-	require.Nil(t, told.patchFrom(3), "it is not kept any more")
-	require.NotNil(t, told.patchFrom(18))
-	require.Nil(t, told.patchFrom(20), "nothing is new")
+	require.Nil(t, published.patchFrom(3), "the document is no longer retained")
+	require.NotNil(t, published.patchFrom(18))
+	require.Nil(t, published.patchFrom(20), "this is the newest document")
 }
 
-// A relay that holds the former document is told what has changed, one that holds none the whole.
-func TestRelaysAreToldWhatHasChanged(t *testing.T) {
-	w := newWorld(t, 3, seeded)
+// A relay that holds the previous document gets a patch; one without a document gets the whole document.
+func TestRelaysGetPatchesOfTheDocumentTheyHold(t *testing.T) {
+	w := newTestCluster(t, 3, withSeeds)
 	newSite(w, 0, 0)
 	leader := w.waitLeader()
 	content := string(bytes.Repeat([]byte("a long content; "), 1000))
@@ -93,13 +93,13 @@
 	require.NotEmpty(t, watch(0).GetPackedDocument())
 	require.NoError(t, w.putDocument(leader, 6, content+"six").Err)
 	w.run(50 * time.Millisecond)
-	told := watch(5)
-	require.Empty(t, told.GetPackedDocument())
-	require.Equal(t, uint64(6), told.GetPatchedNumber())
-	made, err := packed.ApplyPatch([]byte(content+"five"), told.GetDocumentPatch())
+	response := watch(5)
+	require.Empty(t, response.GetPackedDocument())
+	require.Equal(t, uint64(6), response.GetPatchedNumber())
+	patched, err := packed.ApplyPatch([]byte(content+"five"), response.GetDocumentPatch())
 	require.NoError(t, err)
-	require.Equal(t, content+"six", string(made))
+	require.Equal(t, content+"six", string(patched))
 	require.NotEmpty(t, watch(0).GetPackedDocument())
-	require.NotEmpty(t, watch(4).GetPackedDocument(), "another number is not known here")
+	require.NotEmpty(t, watch(4).GetPackedDocument(), "the leader does not retain this document")
 	require.Empty(t, watch(6).GetDocumentPatch())
 }
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -12,11 +12,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// endingSignature is that of a request which ends replicas.
-var endingSignature = quarantine.SignatureOf("tenant", "POST", "/a/x", []byte("ends its replica"))
+// crashingSignature is the signature of a request that crashes replicas.
+var crashingSignature = quarantine.SignatureOf("tenant", "POST", "/a/x", []byte("ends its replica"))
 
-// tellEnd tells the leader that a replica ended, and returns which requests are held.
-func (w *world) tellEnd(signature quarantine.Signature, replica uint64) [][]byte {
+// reportCrash reports a replica's crash to the leader, and returns the reported requests that are quarantined.
+func (w *testCluster) reportCrash(signature quarantine.Signature, replica uint64) [][]byte {
 	w.t.Helper()
 	answer := w.call(w.waitLeader(), func(id CallID) Input {
 		return ReplicaCrashesReceived{Call: id, Crashes: []*v1.ReplicaEnd{{Signature: signature[:], Replica: replica}}}
@@ -25,27 +25,27 @@
 	return answer.Response.(*v1.ReportReplicaEndsResponse).Held
 }
 
-// holdRequest has the ending request held.
-func (w *world) holdRequest() {
+// quarantineRequest reports crashes until the request is quarantined.
+func (w *testCluster) quarantineRequest() {
 	w.t.Helper()
 	w.waitAgreement()
 	for replica := range uint64(quarantine.HoldAfter - 1) {
-		require.Empty(w.t, w.tellEnd(endingSignature, replica))
-		require.Empty(w.t, w.tellEnd(endingSignature, replica), "the same end told again")
+		require.Empty(w.t, w.reportCrash(crashingSignature, replica))
+		require.Empty(w.t, w.reportCrash(crashingSignature, replica), "a repeated report of the same crash")
 	}
-	require.Len(w.t, w.tellEnd(endingSignature, quarantine.HoldAfter), 1)
+	require.Len(w.t, w.reportCrash(crashingSignature, quarantine.HoldAfter), 1)
 }
 
-// askTrial asks the leader for a trial.
-func (w *world) askTrial() bool {
+// requestTrial requests a trial from the leader, and reports whether it was granted.
+func (w *testCluster) requestTrial() bool {
 	w.t.Helper()
-	answer := w.call(w.waitLeader(), func(id CallID) Input { return TrialRequested{Call: id, Signature: endingSignature[:]} })
+	answer := w.call(w.waitLeader(), func(id CallID) Input { return TrialRequested{Call: id, Signature: crashingSignature[:]} })
 	require.NoError(w.t, answer.Err)
 	return answer.Response.(*v1.BeginTrialResponse).Granted
 }
 
-// toldHeld is what a relay that knows nothing is told of held requests.
-func (w *world) toldHeld() []*v1.HeldRequest {
+// watchQuarantined returns the quarantined requests that a relay without state gets.
+func (w *testCluster) watchQuarantined() []*v1.HeldRequest {
 	w.t.Helper()
 	answer := w.call(w.waitLeader(), func(id CallID) Input {
 		return WatchReceived{Call: id, Request: &v1.WatchRequest{Node: &v1.NodeIdentity{Name: "relay"}, WaitMs: 1}}
@@ -54,68 +54,68 @@
 	return answer.Response.(*v1.WatchResponse).Held
 }
 
-func TestHeldRequestsAreToldToWhoeverAsks(t *testing.T) {
-	w := newWorld(t, 3, nil)
+func TestQuarantinedRequestsAreSentToRelaysAndGateways(t *testing.T) {
+	w := newTestCluster(t, 3, nil)
 	w.waitLeader()
-	require.Empty(t, w.toldHeld())
+	require.Empty(t, w.watchQuarantined())
 	waiting := w.send(w.leader(), func(id CallID) Input {
 		return WatchReceived{Call: id, Request: &v1.WatchRequest{Node: &v1.NodeIdentity{Name: "waiting"}, WaitMs: 5000}}
 	})
-	w.holdRequest()
+	w.quarantineRequest()
 	w.run(2 * TickInterval)
-	require.Contains(t, w.answers, waiting, "a relay that waits is told at once")
-	held := w.answers[waiting].Response.(*v1.WatchResponse)
-	require.Len(t, held.Held, 1)
-	require.Equal(t, endingSignature[:], held.Held[0].Signature)
-	require.False(t, held.Held[0].TrialDue)
-	require.NotZero(t, held.HeldVersion)
+	require.Contains(t, w.answers, waiting, "a waiting relay is answered at once")
+	response := w.answers[waiting].Response.(*v1.WatchResponse)
+	require.Len(t, response.Held, 1)
+	require.Equal(t, crashingSignature[:], response.Held[0].Signature)
+	require.False(t, response.Held[0].TrialDue)
+	require.NotZero(t, response.HeldVersion)
 
 	gateway := w.sync(w.leader(), &v1.SyncRequest{Node: &v1.NodeIdentity{Name: "gateway"}})
-	require.Equal(t, held.HeldVersion, gateway.HeldVersion)
+	require.Equal(t, response.HeldVersion, gateway.HeldVersion)
 	require.Len(t, gateway.Held, 1)
 	again := w.sync(w.leader(), &v1.SyncRequest{Node: &v1.NodeIdentity{Name: "gateway"}, HeldVersion: gateway.HeldVersion})
-	require.Empty(t, again.Held, "it holds them already")
+	require.Empty(t, again.Held, "the gateway holds them already")
 }
 
-// faultsOfQuarantine are failures after which a held request has to be held on.
-var faultsOfQuarantine = map[string]func(w *world){
-	"the leader dies":        func(w *world) { w.restart(w.leader()) },
-	"the leader is cut off":  func(w *world) { w.leader().cut = true },
-	"leaders die in a row":   func(w *world) { faultsOfUsage["leaders die one after another"](w, nil) },
-	"all power is lost":      func(w *world) { faultsOfUsage["all power is lost"](w, nil) },
-	"the clocks of two jump": func(w *world) { faultsOfUsage["the clocks of two jump"](w, nil) },
-	"a snapshot is all there is": func(w *world) {
+// quarantineFaults are faults after which a quarantined request must stay quarantined.
+var quarantineFaults = map[string]func(w *testCluster){
+	"the leader dies":        func(w *testCluster) { w.restart(w.leader()) },
+	"the leader is cut off":  func(w *testCluster) { w.leader().cut = true },
+	"leaders die in a row":   func(w *testCluster) { usageFaults["leaders die one after another"](w, nil) },
+	"all power is lost":      func(w *testCluster) { usageFaults["all power is lost"](w, nil) },
+	"the clocks of two jump": func(w *testCluster) { usageFaults["the clocks of two jump"](w, nil) },
+	"a snapshot is all there is": func(w *testCluster) {
 		for number := range 2000 {
-			w.tellEnd(quarantine.SignatureOf("", "", "", []byte{byte(number), byte(number >> 8)}), 1)
+			w.reportCrash(quarantine.SignatureOf("", "", "", []byte{byte(number), byte(number >> 8)}), 1)
 		}
-		faultsOfUsage["all power is lost"](w, nil)
+		usageFaults["all power is lost"](w, nil)
 	},
 }
 
 func TestHeldRequestsOutliveFaults(t *testing.T) {
-	for name, fault := range faultsOfQuarantine {
+	for name, fault := range quarantineFaults {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 5, nil)
+			w := newTestCluster(t, 5, nil)
 			w.waitLeader()
-			w.holdRequest()
+			w.quarantineRequest()
 			fault(w)
 			w.until("a leader", func() bool { return w.leader() != nil })
-			require.False(t, w.askTrial(), "a leader that has just begun grants none")
+			require.False(t, w.requestTrial(), "a new leader grants no trial at first")
 			w.run(3 * time.Second)
 			w.waitLeader()
-			held := w.toldHeld()
+			held := w.watchQuarantined()
 			require.Len(t, held, 1)
-			require.Equal(t, endingSignature[:], held[0].Signature)
+			require.Equal(t, crashingSignature[:], held[0].Signature)
 		})
 	}
 }
 
-// However many relays ask, and whatever leaders do meanwhile, a request that ends each replica ends five
-// of them at most in its first five minutes.
+// Whatever number of relays requests trials, and whichever leaders fail meanwhile, a request that crashes every replica
+// crashes at most five of them in its first five minutes.
 func TestTrialsAreGrantedToOneAtATime(t *testing.T) {
-	w := newWorld(t, 3, nil)
+	w := newTestCluster(t, 3, nil)
 	w.waitLeader()
-	w.holdRequest()
+	w.quarantineRequest()
 	granted := 0
 	for step := range 600 {
 		w.run(500 * time.Millisecond)
@@ -123,31 +123,31 @@
 			w.restart(w.waitLeader())
 		}
 		for range 3 {
-			if w.askTrial() {
+			if w.requestTrial() {
 				granted++
-				w.tellEnd(endingSignature, uint64(100+granted))
+				w.reportCrash(crashingSignature, uint64(100+granted))
 			}
 		}
 	}
 	require.LessOrEqual(t, quarantine.HoldAfter+granted, 5)
-	require.Positive(t, granted, "what broke off by bad luck is served after a while")
+	require.Positive(t, granted, "a request that was quarantined by coincidence gets trials after a while")
 }
 
 func TestARequestThatRanWellIsReleased(t *testing.T) {
-	w := newWorld(t, 3, nil)
+	w := newTestCluster(t, 3, nil)
 	w.waitLeader()
-	w.holdRequest()
+	w.quarantineRequest()
 	w.run(11 * time.Second)
-	require.True(t, w.toldHeld()[0].TrialDue)
-	require.True(t, w.askTrial())
-	require.False(t, w.askTrial(), "another relay asks at the same time")
-	answer := w.call(w.leader(), func(id CallID) Input { return RequestReleased{Call: id, Signature: endingSignature[:]} })
+	require.True(t, w.watchQuarantined()[0].TrialDue)
+	require.True(t, w.requestTrial())
+	require.False(t, w.requestTrial(), "a concurrent request of another relay")
+	answer := w.call(w.leader(), func(id CallID) Input { return RequestReleased{Call: id, Signature: crashingSignature[:]} })
 	require.NoError(t, answer.Err)
-	require.Empty(t, w.toldHeld())
+	require.Empty(t, w.watchQuarantined())
 }
 
 func TestMalformedSignaturesAreHarmless(t *testing.T) {
-	w := newWorld(t, 1, nil)
+	w := newTestCluster(t, 1, nil)
 	w.waitLeader()
 	for _, signature := range [][]byte{nil, []byte("short"), make([]byte, 64)} {
 		for replica := range uint64(5) {
@@ -163,23 +163,23 @@
 			require.NoError(t, w.call(w.leader(), input).Err)
 		}
 	}
-	require.Empty(t, w.toldHeld())
+	require.Empty(t, w.watchQuarantined())
 }
 
-// Without the safeguard the promise breaks: nothing is held however many replicas end.
+// Without the safeguard no request is quarantined, however many replicas crash.
 func TestWithoutTheQuarantineNothingIsHeld(t *testing.T) {
-	w := newWorld(t, 3, func(config *Config) { config.Safeguards = safeguard.Without(controlstate.Quarantine) })
+	w := newTestCluster(t, 3, func(config *Config) { config.Safeguards = safeguard.Without(controlstate.Quarantine) })
 	w.waitLeader()
 	for replica := range uint64(10) {
-		require.Empty(t, w.tellEnd(endingSignature, replica))
+		require.Empty(t, w.reportCrash(crashingSignature, replica))
 	}
-	require.Empty(t, w.toldHeld())
+	require.Empty(t, w.watchQuarantined())
 }
 
-func TestOperatorsSeeAndReleaseHeldRequests(t *testing.T) {
-	w := newWorld(t, 3, nil)
+func TestOperatorsListAndReleaseQuarantinedRequests(t *testing.T) {
+	w := newTestCluster(t, 3, nil)
 	w.waitLeader()
-	w.holdRequest()
+	w.quarantineRequest()
 	run := func(text string) Answer {
 		return w.call(w.waitLeader(), func(id CallID) Input {
 			return ExecuteReceived{Call: id, Operator: "ana", Role: v1.OperatorRole_OPERATOR_ROLE_OPERATOR, Request: &v1.ExecuteRequest{RequestId: text, Text: text}}
@@ -187,10 +187,10 @@
 	}
 	listed := run("show suspects where held = true")
 	require.NoError(t, listed.Err)
-	require.Contains(t, listed.Response.(*v1.ExecuteResponse).String(), endingSignature.String())
+	require.Contains(t, listed.Response.(*v1.ExecuteResponse).String(), crashingSignature.String())
 	require.ErrorContains(t, run(`release request "0a1b"`).Err, "show suspects")
-	released := run(`release request "` + endingSignature.String() + `"`)
+	released := run(`release request "` + crashingSignature.String() + `"`)
 	require.NoError(t, released.Err)
 	require.Contains(t, released.Response.(*v1.ExecuteResponse).GetMessage(), "may run again")
-	require.Empty(t, w.toldHeld())
+	require.Empty(t, w.watchQuarantined())
 }
--- a/internal/control/replicas_test.go
+++ b/internal/control/replicas_test.go
@@ -8,13 +8,13 @@
 )
 
 func TestReplicasAreAgreedOnBeforeTheyAreOrdered(t *testing.T) {
-	w := newWorld(t, 5, scaled)
+	w := newTestCluster(t, 5, withScaling)
 	newSite(w, 0, 0)
 	platform := w.startReplicas(10)
 	leader := w.waitLeader()
 	require.NoError(t, w.putDocument(leader, 1, "one").Err)
 	w.run(30 * time.Second)
-	onDemand, spots := platform.kinds()
+	onDemand, spots := platform.countByKind()
 	require.Zero(t, onDemand)
 	require.Equal(t, 45, spots)
 	require.NotEmpty(t, platform.arrivals)
@@ -23,12 +23,12 @@
 	}
 	before := len(platform.arrivals)
 	w.run(time.Minute)
-	require.Len(t, platform.arrivals, before, "it comes to rest")
+	require.Len(t, platform.arrivals, before, "no further orders follow")
 }
 
-// A change of leaders orders nothing by itself, however often it comes.
+// A change of leaders alone causes no orders, however often it happens.
 func TestANewLeaderOrdersNoReplicasByItself(t *testing.T) {
-	w := newWorld(t, 5, scaled)
+	w := newTestCluster(t, 5, withScaling)
 	newSite(w, 0, 0)
 	platform := w.startReplicas(10)
 	require.NoError(t, w.putDocument(w.waitLeader(), 1, "one").Err)
@@ -42,15 +42,15 @@
 	require.Len(t, platform.arrivals, before)
 }
 
-// Leaders that die or are cut off amid their orders: the next one goes on, a turn later, and what is
-// wanted is there in the end.
+// Leaders crash or are cut off while their orders are in flight. The next leader continues after minimumOrderGap, and
+// the desired replicas serve in the end.
 func TestReplicasOutliveTheLossOfLeaders(t *testing.T) {
-	for _, looks := range []bool{true, false} {
-		for _, lose := range []bool{true, false} {
-			w := newWorld(t, 5, scaled)
+	for _, checksFences := range []bool{true, false} {
+		for _, losesAnswers := range []bool{true, false} {
+			w := newTestCluster(t, 5, withScaling)
 			newSite(w, 0, 0)
 			platform := w.startReplicas(10)
-			platform.looks, platform.lose = looks, lose
+			platform.checksFences, platform.losesAnswers = checksFences, losesAnswers
 			require.NoError(t, w.putDocument(w.waitLeader(), 1, "one").Err)
 			for round := range 3 {
 				before := len(platform.arrivals)
@@ -66,7 +66,7 @@
 				w.run(2 * time.Second)
 			}
 			w.run(time.Minute)
-			onDemand, spots := platform.kinds()
+			onDemand, spots := platform.countByKind()
 			require.Zero(t, onDemand)
 			require.Equal(t, 45, spots)
 			for index, next := range platform.arrivals[1:] {
@@ -74,7 +74,7 @@
 				require.GreaterOrEqual(t, next.order.Fence, previous.order.Fence)
 				if next.order.Holder != previous.order.Holder {
 					require.Greater(t, next.order.Fence, previous.order.Fence)
-					require.GreaterOrEqual(t, next.at-previous.at, testTurn)
+					require.GreaterOrEqual(t, next.at-previous.at, minimumOrderGap)
 				}
 			}
 		}
--- a/internal/control/revision_index_test.go
+++ b/internal/control/revision_index_test.go
@@ -23,7 +23,7 @@
 		{10 * last, last, true},
 		{10*last - 1, last - 1, true},
 		{10*(last-1) + 3, last - 1, true},
-		{10, 0, false}, // forgotten
+		{10, 0, false}, // dropped
 		{0, 0, false},
 	}
 	for _, test := range tests {
--- a/internal/control/sent_updates.go
+++ b/internal/control/sent_updates.go
@@ -35,16 +35,17 @@
 	attempts int
 }
 
-// observeHeld records what the relay holds now. A change means that it has applied an update, which resets the attempts.
+// observeHeld records what the relay holds now. A change means that it has applied an update, which resets the
+// attempts.
 func (t *sentUpdate) observeHeld(held uint64) {
 	if t.heldVersion != held {
 		*t = sentUpdate{}
 	}
 }
 
-// maximumImmediateAttempts is how often a relay is sent the same update at once: the first answer may have been lost, or
-// sent in a form that the relay could not use. Later attempts are sent only when the watch is due, so that a relay that
-// cannot use an answer causes no more load than others.
+// maximumImmediateAttempts is how often a relay is sent the same update at once: the first answer may have been lost,
+// or sent in a form that the relay could not use. Later attempts are sent only when the watch is due, so that a relay
+// that cannot use an answer causes no more load than others.
 const maximumImmediateAttempts = 2
 
 // recordSend records that a relay which holds one version is sent another.
--- a/internal/control/site_test.go
+++ b/internal/control/site_test.go
@@ -10,25 +10,25 @@
 	"github.com/hazelpitch/hazelpitch/internal/packed"
 )
 
-func (w *world) putDocument(controller *testController, number uint64, content string) Answer {
+func (w *testCluster) putDocument(controller *testController, number uint64, content string) Answer {
 	w.t.Helper()
 	return w.call(controller, func(id CallID) Input {
 		return PutDocumentReceived{Call: id, Document: &v1.Document{Number: number, Content: []byte(content)}}
 	})
 }
 
-func (w *world) readDocument(controller *testController) Answer {
+func (w *testCluster) readDocument(controller *testController) Answer {
 	w.t.Helper()
 	return w.call(controller, func(id CallID) Input { return ReadDocumentReceived{Call: id} })
 }
 
-func TestHighestDocumentHolds(t *testing.T) {
-	w := newWorld(t, 5, seeded)
+func TestHighestDocumentIsInForce(t *testing.T) {
+	w := newTestCluster(t, 5, withSeeds)
 	newSite(w, 0, 0)
 	leader := w.waitLeader()
 	require.NoError(t, w.putDocument(leader, 7, "seven").Err)
 	require.NoError(t, w.putDocument(leader, 7, "other content").Err, "a resend is acknowledged")
-	require.NoError(t, w.putDocument(leader, 3, "three").Err, "an overtaken document is acknowledged")
+	require.NoError(t, w.putDocument(leader, 3, "three").Err, "a document with a lower number is acknowledged")
 	read := w.readDocument(leader)
 	require.NoError(t, read.Err)
 	require.Equal(t, "seven", string(read.Response.(*v1.Document).GetContent()))
@@ -41,8 +41,8 @@
 	}
 }
 
-func TestAcknowledgedDocumentOutlivesTheLossOfPower(t *testing.T) {
-	w := newWorld(t, 5, seeded)
+func TestAcknowledgedDocumentSurvivesPowerLoss(t *testing.T) {
+	w := newTestCluster(t, 5, withSeeds)
 	newSite(w, 0, 0)
 	require.NoError(t, w.putDocument(w.waitLeader(), 9, "kept").Err)
 	for _, name := range w.names {
@@ -56,9 +56,9 @@
 	require.Equal(t, "kept", string(read.Response.(*v1.Document).GetContent()))
 }
 
-// A leader that is cut off must neither acknowledge nor answer reads once its lease ends.
-func TestCutOffLeaderIsNotSure(t *testing.T) {
-	w := newWorld(t, 5, seeded)
+// A leader that is cut off must neither acknowledge documents nor answer reads once its lease has expired.
+func TestCutOffLeaderNeitherReadsNorAcknowledges(t *testing.T) {
+	w := newTestCluster(t, 5, withSeeds)
 	newSite(w, 0, 0)
 	former := w.waitLeader()
 	require.NoError(t, w.putDocument(former, 1, "one").Err)
@@ -69,7 +69,7 @@
 	require.Error(t, w.putDocument(former, 3, "three").Err)
 }
 
-// wholeListing reads the list that a response holds whole.
+// wholeListing returns the list of a response that holds the whole list.
 func wholeListing(t *testing.T, response *v1.WatchResponse) []*v1.ListedBackEnd {
 	t.Helper()
 	listing := &v1.Listing{}
@@ -77,8 +77,8 @@
 	return listing.GetBackEnds()
 }
 
-func TestWatchAnswersAtOnceWhenSomethingIsNew(t *testing.T) {
-	w := newWorld(t, 3, seeded)
+func TestWatchIsAnsweredAtOnceWhenThereIsAnUpdate(t *testing.T) {
+	w := newTestCluster(t, 3, withSeeds)
 	newSite(w, 4, 2)
 	leader := w.waitLeader()
 	w.run(2 * time.Second)
@@ -92,14 +92,14 @@
 
 	waiting := watch(&v1.WatchRequest{WaitMs: 400, ListingVersion: first.GetListingVersion()})
 	_, answered := w.answers[waiting]
-	require.False(t, answered, "nothing is new")
+	require.False(t, answered, "there is no update")
 	require.NoError(t, w.putDocument(leader, 5, "five").Err)
-	told := w.answers[waiting].Response.(*v1.WatchResponse)
+	response := w.answers[waiting].Response.(*v1.WatchResponse)
 	document := &v1.Document{}
-	require.NoError(t, packed.Unpack(told.GetPackedDocument(), document))
+	require.NoError(t, packed.Unpack(response.GetPackedDocument(), document))
 	require.Equal(t, uint64(5), document.GetNumber())
-	require.Empty(t, told.GetPackedListing())
-	require.Nil(t, told.GetListingChange())
+	require.Empty(t, response.GetPackedListing())
+	require.Nil(t, response.GetListingChange())
 
 	idle := watch(&v1.WatchRequest{WaitMs: 400, ListingVersion: first.GetListingVersion(), DocumentNumber: 5})
 	w.run(450 * time.Millisecond)
@@ -114,9 +114,9 @@
 	}
 }
 
-// The list shows a change of role late; an engine that was ordered must not be ordered back.
+// The list shows a role change with a delay. An engine that was ordered must not be ordered back in the meantime.
 func TestStagesSettleThoughTheListLags(t *testing.T) {
-	w := newWorld(t, 3, seeded)
+	w := newTestCluster(t, 3, withSeeds)
 	site := newSite(w, 18, 7)
 	w.waitLeader()
 	w.run(20 * time.Second)
@@ -125,7 +125,7 @@
 }
 
 func TestLostAnswersOfStageOrdersAreSettledByTheList(t *testing.T) {
-	w := newWorld(t, 3, seeded)
+	w := newTestCluster(t, 3, withSeeds)
 	site := newSite(w, 18, 7)
 	site.lose = true
 	w.waitLeader()
@@ -134,29 +134,29 @@
 	require.LessOrEqual(t, site.orders, 10)
 }
 
-// A leader whose fence is too low orders no engine a second time.
+// A leader whose fence is too low must not order an engine twice.
 func TestFencedOrdersAreNotRepeated(t *testing.T) {
-	w := newWorld(t, 3, seeded)
+	w := newTestCluster(t, 3, withSeeds)
 	site := newSite(w, 18, 7)
 	site.fenced = true
 	w.waitLeader()
 	w.run(time.Minute)
 	require.Zero(t, site.orders)
-	require.Positive(t, site.asked)
-	require.LessOrEqual(t, site.asked, 18, "each engine is asked once at most")
+	require.Positive(t, site.ordersReceived)
+	require.LessOrEqual(t, site.ordersReceived, 18, "each engine gets at most one order")
 }
 
 func TestNewLeaderWaitsBeforeItsFirstOrder(t *testing.T) {
-	w := newWorld(t, 3, seeded)
+	w := newTestCluster(t, 3, withSeeds)
 	site := newSite(w, 18, 7)
 	w.waitLeader()
 	w.run(2 * time.Second)
 	require.Zero(t, site.orders)
 }
 
-// Two documents are under way at once, the lower one last: the highest holds all the same.
-func TestHighestDocumentHoldsWhenBothAreUnderWay(t *testing.T) {
-	w := newWorld(t, 3, seeded)
+// Two documents are proposed concurrently, the lower number last: the one with the highest number is in force.
+func TestHighestOfConcurrentDocumentsIsInForce(t *testing.T) {
+	w := newTestCluster(t, 3, withSeeds)
 	newSite(w, 0, 0)
 	leader := w.waitLeader()
 	put := func(number uint64) CallID {
@@ -171,20 +171,19 @@
 	require.Equal(t, uint64(9), w.readDocument(leader).Response.(*v1.Document).GetNumber())
 }
 
-// Engines that look at no fence take the order of a former leader whenever it comes. However
-// long its orders are held on their way, none may come after, or shortly before, its
-// successor's first one.
+// Engines that do not check fences accept an order of a former leader whenever it arrives. However long its orders
+// are in transit, none may arrive after its successor's first order or shortly before it.
 func TestOrdersOfAFormerLeaderDoNotOverlapItsSuccessors(t *testing.T) {
-	for _, held := range []time.Duration{0, 300 * time.Millisecond, 600 * time.Millisecond, 4 * time.Second, 8 * time.Second} {
-		t.Run(held.String(), func(t *testing.T) {
-			w := newWorld(t, 5, seeded)
+	for _, transitDelay := range []time.Duration{0, 300 * time.Millisecond, 600 * time.Millisecond, 4 * time.Second, 8 * time.Second} {
+		t.Run(transitDelay.String(), func(t *testing.T) {
+			w := newTestCluster(t, 5, withSeeds)
 			site := newSite(w, 18, 0)
-			site.held = held
+			site.transitDelay = transitDelay
 			former := w.waitLeader()
-			w.run(testTurn + testOrderLife + time.Second) // its first orders are under way
+			w.run(minimumOrderGap + testOrderLifetime + time.Second) // its first orders are in flight
 			former.cut = true
 			w.until("another leader", func() bool { leader := w.leader(); return leader != nil && leader != former })
-			site.held = 0
+			site.transitDelay = 0
 			w.run(20 * time.Second)
 			require.NotEmpty(t, site.arrivals)
 			for index, next := range site.arrivals[1:] {
@@ -192,7 +191,7 @@
 				require.GreaterOrEqual(t, next.order.Fence, previous.order.Fence)
 				if next.order.Holder != previous.order.Holder {
 					require.Greater(t, next.order.Fence, previous.order.Fence)
-					require.GreaterOrEqual(t, next.at-previous.at, testTurn)
+					require.GreaterOrEqual(t, next.at-previous.at, minimumOrderGap)
 				}
 			}
 		})
--- a/internal/control/update_pace.go
+++ b/internal/control/update_pace.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// minimumUpdatesPerSecond and maximumUpdatesPerSecond bound the pace of updates; initialUpdatesPerSecond is the pace
-	// at the start. At the minimum, 300 relays that have all just started get their answers within 0.75 s.
+	// minimumUpdatesPerSecond and maximumUpdatesPerSecond bound the pace of updates; initialUpdatesPerSecond is the
+	// pace at the start. At the minimum, 300 relays that have all just started get their answers within 0.75 s.
 	minimumUpdatesPerSecond = 400
 	initialUpdatesPerSecond = 1000
 	maximumUpdatesPerSecond = 4000
--- a/internal/control/update_pace_test.go
+++ b/internal/control/update_pace_test.go
@@ -10,14 +10,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/consensus"
 )
 
-// mostAtOnce is the most that may be told at one moment at a pace.
-func mostAtOnce(perSecond float64) int { return int(perSecond * updateBurstWindow.Seconds()) }
+// maximumBurst returns the maximum number of updates at one moment at a pace.
+func maximumBurst(perSecond float64) int { return int(perSecond * updateBurstWindow.Seconds()) }
 
-// A thousand relays that wait are told of a change over a second or less, never many at once, so that the
-// leader has time for its peers; a small fleet is told at once.
+// A thousand waiting relays get an update within a second and never many at once, so that the leader has time
+// for its peers. A small fleet gets it at once.
 func TestNewsIsSpreadOverTime(t *testing.T) {
 	for relays, spread := range map[int]bool{40: false, 1000: true} {
-		w := newFleetWorld(t, 300, relays)
+		w := newTestFleet(t, 300, relays)
 		w.settle(60)
 		leader := w.leader()
 		var calls []CallID
@@ -38,23 +38,23 @@
 		w.send(leader, func(id CallID) Input {
 			return PutDocumentReceived{Call: id, Document: &v1.Document{Number: 5, Content: []byte("five")}}
 		})
-		most, before := 0, 0
+		largest, before := 0, 0
 		for range 100 {
 			w.run(10 * time.Millisecond)
-			most = max(most, answered()-before)
+			largest = max(largest, answered()-before)
 			before = answered()
 		}
 		require.Equal(t, relays, answered(), "within a second")
-		require.LessOrEqual(t, most, mostAtOnce(maximumUpdatesPerSecond)*6/5)
+		require.LessOrEqual(t, largest, maximumBurst(maximumUpdatesPerSecond)*6/5)
 		if spread {
-			require.Greater(t, relays, 4*most)
+			require.Greater(t, relays, 4*largest)
 		}
 	}
 }
 
-// A leader whose peers' answers come late tells fewer at a time. It tells more again when they come in time
-// and somebody waits, and does not learn from quiet times.
-func TestNewsGoesByTheQuorum(t *testing.T) {
+// A leader whose peers answer late updates fewer relays at a time. The pace rises again when the answers are in time
+// and relays wait for updates, and does not change when no relay waits.
+func TestUpdatePaceFollowsTheQuorum(t *testing.T) {
 	pace := newUpdatePace()
 	for range 20 {
 		pace.tick(true)
@@ -63,7 +63,7 @@
 	for range 1000 {
 		pace.tick(false)
 	}
-	require.InDelta(t, minimumUpdatesPerSecond, pace.perSecond, 1, "nobody waits")
+	require.InDelta(t, minimumUpdatesPerSecond, pace.perSecond, 1, "no relay waits")
 	now := time.Duration(0)
 	for range 400 {
 		now += TickInterval
@@ -75,9 +75,9 @@
 	require.InDelta(t, maximumUpdatesPerSecond, pace.perSecond, 1)
 }
 
-// The pace falls before the leader would step down for want of its peers.
+// The pace decreases before the leader steps down because it has lost its quorum.
 func TestNewsSlowsDownBeforeTheLeaderFalls(t *testing.T) {
-	w := newFleetWorld(t, 300, 1)
+	w := newTestFleet(t, 300, 1)
 	leader := w.leader()
 	before := leader.core.updatePace.perSecond
 	leader.cut = true
--- a/internal/control/watch_bench_test.go
+++ b/internal/control/watch_bench_test.go
@@ -8,12 +8,12 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// BenchmarkWatchesOfManyRelays is the leader's work on one watch that waits its time out and is asked again,
-// where each relay asks once a second.
+// BenchmarkWatchesOfManyRelays measures the leader's work on one watch that waits until it is due and is sent again,
+// where each relay watches once a second.
 func BenchmarkWatchesOfManyRelays(b *testing.B) {
 	for _, relays := range []int{100, 1_000, 10_000} {
 		b.Run(fmt.Sprint(relays, " relays"), func(b *testing.B) {
-			w := newWorld(&testing.T{}, 1, func(config *Config) { seeded(config); config.FormationSize = 1; config.Seeds = config.Seeds[:1] })
+			w := newTestCluster(&testing.T{}, 1, func(config *Config) { withSeeds(config); config.FormationSize = 1; config.Seeds = config.Seeds[:1] })
 			newSite(w, 4, 2)
 			leader := w.waitLeader()
 			w.run(2 * time.Second)
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -10,59 +10,59 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// A new leader does not send its list to relays that hold the same one.
-func TestNewLeaderSendsNoListThatIsHeld(t *testing.T) {
-	w := newWorld(t, 3, seeded)
+// A new leader does not send its list to relays that already hold it.
+func TestNewLeaderDoesNotResendAnUnchangedList(t *testing.T) {
+	w := newTestCluster(t, 3, withSeeds)
 	newSite(w, 4, 2)
 	leader := w.waitLeader()
 	w.run(2 * time.Second)
-	watch := func(held uint64) *v1.WatchResponse {
+	watch := func(version uint64) *v1.WatchResponse {
 		answer := w.call(w.leader(), func(id CallID) Input {
-			return WatchReceived{Call: id, Request: &v1.WatchRequest{Node: &v1.NodeIdentity{Name: "relay-1", Zone: "z"}, WaitMs: 100, ListingVersion: held}}
+			return WatchReceived{Call: id, Request: &v1.WatchRequest{Node: &v1.NodeIdentity{Name: "relay-1", Zone: "z"}, WaitMs: 100, ListingVersion: version}}
 		})
 		return answer.Response.(*v1.WatchResponse)
 	}
-	held := watch(0).GetListingVersion()
+	version := watch(0).GetListingVersion()
 	leader.cut = true
 	w.until("another leader", func() bool { next := w.leader(); return next != nil && next != leader })
 	w.run(2 * time.Second)
-	response := watch(held)
-	require.Equal(t, held, response.GetListingVersion())
+	response := watch(version)
+	require.Equal(t, version, response.GetListingVersion())
 	require.Empty(t, response.GetPackedListing())
 	require.Nil(t, response.GetListingChange())
 }
 
-// Relays are told the list of relays once, and again when it is another.
-func TestRelaysAreToldOfEachOtherOnce(t *testing.T) {
-	w := newWorld(t, 3, seeded)
+// Relays get the list of relays once, and again when it has changed.
+func TestRelayListIsSentOnce(t *testing.T) {
+	w := newTestCluster(t, 3, withSeeds)
 	newSite(w, 4, 2)
 	leader := w.waitLeader()
 	w.run(relayCountDelay + time.Second)
-	watch := func(name string, held uint64) *v1.WatchResponse {
+	watch := func(name string, version uint64) *v1.WatchResponse {
 		answer := w.call(leader, func(id CallID) Input {
-			return WatchReceived{Call: id, Request: &v1.WatchRequest{Node: &v1.NodeIdentity{Name: name}, NoticeAddress: name + ":1", RelayList: held}}
+			return WatchReceived{Call: id, Request: &v1.WatchRequest{Node: &v1.NodeIdentity{Name: name}, NoticeAddress: name + ":1", RelayList: version}}
 		})
 		return answer.Response.(*v1.WatchResponse)
 	}
 	require.Equal(t, []string{"one:1"}, watch("one", 0).GetRelayAddresses())
-	told := watch("two", 0)
-	require.Equal(t, []string{"one:1", "two:1"}, told.GetRelayAddresses())
-	require.Empty(t, watch("two", told.GetRelayList()).GetRelayAddresses())
-	require.Len(t, watch("three", told.GetRelayList()).GetRelayAddresses(), 3)
+	response := watch("two", 0)
+	require.Equal(t, []string{"one:1", "two:1"}, response.GetRelayAddresses())
+	require.Empty(t, watch("two", response.GetRelayList()).GetRelayAddresses())
+	require.Len(t, watch("three", response.GetRelayList()).GetRelayAddresses(), 3)
 
 	leader.cut = true
 	w.until("another leader", func() bool { next := w.leader(); return next != nil && next != leader })
 	leader = w.leader()
-	require.Empty(t, watch("two", told.GetRelayList()).GetRelayAddresses(), "a new leader knows few relays yet")
+	require.Empty(t, watch("two", response.GetRelayList()).GetRelayAddresses(), "a new leader knows few relays yet")
 	require.Len(t, watch("two", 0).GetRelayAddresses(), 1)
 	w.run(relayCountDelay)
-	require.Len(t, watch("two", told.GetRelayList()).GetRelayAddresses(), 1)
+	require.Len(t, watch("two", response.GetRelayList()).GetRelayAddresses(), 1)
 }
 
-// The leader looks at the watches that wait only when there is something to tell them, and answers
-// each in its time all the same.
+// The leader examines waiting watches only when there is an update for them, and still answers each of them when it
+// is due.
 func TestWaitingWatchesAreAnsweredInTheirTime(t *testing.T) {
-	w := newWorld(t, 3, seeded)
+	w := newTestCluster(t, 3, withSeeds)
 	newSite(w, 4, 2)
 	leader := w.waitLeader()
 	w.run(2 * time.Second)
@@ -89,10 +89,10 @@
 	require.Equal(t, 10, answered())
 }
 
-// Where no controller is known to lead, relays wait a little in place of asking again and again, and
-// hear of a leader at once.
-func TestWatchesWaitWhileNoneLeads(t *testing.T) {
-	w := newWorld(t, 3, seeded)
+// Where no leader is known, watches wait a short time, so that relays do not repeat them all the time. They are
+// answered at once when a leader becomes known.
+func TestWatchesWaitWhileNoLeaderIsKnown(t *testing.T) {
+	w := newTestCluster(t, 3, withSeeds)
 	newSite(w, 4, 2)
 	leader := w.waitLeader()
 	w.run(2 * time.Second)
@@ -116,10 +116,10 @@
 	lost := watch()
 	require.False(t, answered(lost))
 	w.run(leaderlessWait + 2*TickInterval)
-	require.True(t, answered(lost), "it may ask another controller")
+	require.True(t, answered(lost), "the relay may now try another controller")
 	require.True(t, w.answers[lost].Response.(*v1.WatchResponse).GetBehind())
 
 	waiting := watch()
 	follower.cut = false
-	w.until("it is told", func() bool { return answered(waiting) })
+	w.until("an answer", func() bool { return answered(waiting) })
 }
--- a/internal/controlstate/agreement.go
+++ b/internal/controlstate/agreement.go
@@ -56,8 +56,9 @@
 	s.suspects = quarantine.NewLedger()
 }
 
-// checkFormat returns why a command must not be applied; nil if it may be applied. A command that refers to an agreement
-// which this state does not hold shows that a controller of the first format wrote the state or its snapshot.
+// checkFormat returns why a command must not be applied; nil if it may be applied. A command that refers to an
+// agreement which this state does not hold shows that a controller of the first format wrote the state or its
+// snapshot.
 func (s *State) checkFormat(index uint64, command *v1.Command) error {
 	number, known := formats.CommandFormat(command)
 	if !known && len(command.ProtoReflect().GetUnknown()) > 0 {
--- a/internal/controlstate/claims_test.go
+++ b/internal/controlstate/claims_test.go
@@ -116,7 +116,8 @@
 	require.True(t, answer.BodyOmitted)
 }
 
-// TestClaimLimitsPerTenant fills the claims of one tenant, and then its stored outcomes; other tenants keep their capacity.
+// TestClaimLimitsPerTenant fills the claims of one tenant, and then its stored outcomes; other tenants keep their
+// capacity.
 func TestClaimLimitsPerTenant(t *testing.T) {
 	s := newTestState(t)
 	begin := func(tenant string, number int) error {
--- a/internal/controlstate/state.go
+++ b/internal/controlstate/state.go
@@ -143,7 +143,8 @@
 // HasReplicaTargets reports whether a number of replicas has been agreed for any service.
 func (s *State) HasReplicaTargets() bool { return len(s.replicas) > 0 }
 
-// ReplicaTarget returns the agreed numbers of replicas of a service, or nil before the first. Callers must not change it.
+// ReplicaTarget returns the agreed numbers of replicas of a service, or nil before the first. Callers must not change
+// it.
 func (s *State) ReplicaTarget(service string) *v1.SetReplicas { return s.replicas[service] }
 
 // Usage returns the ledger of the tenants' usage. Callers must not change it.
--- a/internal/controlstate/suspects.go
+++ b/internal/controlstate/suspects.go
@@ -7,7 +7,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/quarantine"
 )
 
-// Suspects returns the ledger of suspects: requests that were running when replicas crashed. Callers must not change it.
+// Suspects returns the ledger of suspects: requests that were running when replicas crashed. Callers must not change
+// it.
 func (s *State) Suspects() *quarantine.Ledger { return s.suspects }
 
 // applyToSuspects applies a command to the replicated ledger of suspects.
