--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -66,13 +66,13 @@
 
 // executeAction carries out one action.
 func (c *Core) executeAction(action authority.Action) {
-	switch wanted := action.(type) {
+	switch requested := action.(type) {
 	case authority.Propose:
-		c.proposeWithoutCall(wanted.Command)
+		c.proposeWithoutCall(requested.Command)
 	case authority.SendOrder:
-		c.emit(SendOrder{Engine: wanted.Engine, Address: wanted.Address, Order: wanted.Order})
+		c.emit(SendOrder{Engine: requested.Engine, Address: requested.Address, Order: requested.Order})
 	case authority.SendFence:
-		c.emit(SendFence{Engine: wanted.Engine, Address: wanted.Address, Epoch: wanted.Epoch})
+		c.emit(SendFence{Engine: requested.Engine, Address: requested.Address, Epoch: requested.Epoch})
 	}
 }
 
--- a/internal/control/execute.go
+++ b/internal/control/execute.go
@@ -96,27 +96,27 @@
 	if c.answeredBefore(received) {
 		return
 	}
-	switch wanted := command.(type) {
+	switch requested := command.(type) {
 	case language.DrainEngine:
-		c.orderForOperator(received, &v1.Order{Engine: wanted.Engine, Action: v1.OrderAction_ORDER_ACTION_DRAIN})
+		c.orderForOperator(received, &v1.Order{Engine: requested.Engine, Action: v1.OrderAction_ORDER_ACTION_DRAIN})
 	case language.ResumeEngine:
-		c.orderForOperator(received, &v1.Order{Engine: wanted.Engine, Action: v1.OrderAction_ORDER_ACTION_RESUME})
+		c.orderForOperator(received, &v1.Order{Engine: requested.Engine, Action: v1.OrderAction_ORDER_ACTION_RESUME})
 	case language.SetEngineRole:
 		c.orderForOperator(received, &v1.Order{
-			Engine: wanted.Engine, Action: v1.OrderAction_ORDER_ACTION_SET_ROLE, Role: wanted.Role,
+			Engine: requested.Engine, Action: v1.OrderAction_ORDER_ACTION_SET_ROLE, Role: requested.Role,
 		})
 	case language.AbortOrder:
-		c.abortForOperator(received, wanted.Engine)
+		c.abortForOperator(received, requested.Engine)
 	case language.ReleaseRequest:
-		c.releaseForOperator(received, wanted.Content)
+		c.releaseForOperator(received, requested.Content)
 	case language.PinEngine:
-		c.declareForOperator(received, c.pinObject(wanted))
+		c.declareForOperator(received, c.pinObject(requested))
 	case language.UnpinEngine:
-		c.unpin(received, wanted.Engine)
+		c.unpin(received, requested.Engine)
 	case language.DeleteObject:
-		c.deleteObject(received, wanted.Key)
+		c.deleteObject(received, requested.Key)
 	case language.AddMember, language.PromoteMember, language.RemoveMember, language.ReplaceMember:
-		c.changeMembers(received, wanted)
+		c.changeMembers(received, requested)
 	default:
 		c.refuse(received.Call, trace.NotImplemented("this controller does not know the command; run one release everywhere"))
 	}
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -44,25 +44,25 @@
 // takes up to three steps; each run of the command takes the next one.
 func memberStep(present *v1.Membership, command language.Command) (*v1.Membership, string, error) {
 	changed := proto.CloneOf(present)
-	switch wanted := command.(type) {
+	switch requested := command.(type) {
 	case language.AddMember:
-		return addLearner(changed, wanted.Member)
+		return addLearner(changed, requested.Member)
 	case language.ReplaceMember:
-		return replaceStep(changed, wanted)
+		return replaceStep(changed, requested)
 	case language.PromoteMember:
-		position := memberIndex(changed, wanted.ID)
+		position := memberIndex(changed, requested.ID)
 		if position < 0 {
-			return nil, "", unknownMember(wanted.ID)
+			return nil, "", unknownMember(requested.ID)
 		}
 		changed.Members[position].Learner = false
-		return changed, fmt.Sprintf("member %s has a vote", wanted.ID), nil
+		return changed, fmt.Sprintf("member %s has a vote", requested.ID), nil
 	case language.RemoveMember:
-		position := memberIndex(changed, wanted.ID)
+		position := memberIndex(changed, requested.ID)
 		if position < 0 {
-			return nil, "", unknownMember(wanted.ID)
+			return nil, "", unknownMember(requested.ID)
 		}
 		changed.Members = slices.Delete(changed.Members, position, position+1)
-		return changed, fmt.Sprintf("member %s is removed", wanted.ID), nil
+		return changed, fmt.Sprintf("member %s is removed", requested.ID), nil
 	default:
 		return nil, "", trace.NotImplemented("unknown change of members")
 	}
--- a/internal/control/nodes.go
+++ b/internal/control/nodes.go
@@ -32,9 +32,9 @@
 	response.Formats = formats.Supported().ToWire()
 	response.TellsHeld = !behind && c.knowsQuarantined()
 	if response.TellsHeld {
-		held, version := c.quarantinedRequests()
+		quarantined, version := c.quarantinedRequests()
 		if response.HeldVersion = version; version != request.GetHeldVersion() {
-			response.Held = held
+			response.Held = quarantined
 		}
 	}
 	c.addDirectory(response, request)
--- a/internal/control/published_documents.go
+++ b/internal/control/published_documents.go
@@ -52,7 +52,7 @@
 // patchFrom returns the patch that turns the document with a number into the newest one; nil if that document is not
 // retained.
 func (t *publishedDocuments) patchFrom(number uint64) []byte {
-	if patch, made := t.patches[number]; made {
+	if patch, cached := t.patches[number]; cached {
 		return patch
 	}
 	for _, former := range t.documents[:max(len(t.documents)-1, 0)] {
--- a/internal/control/replicas.go
+++ b/internal/control/replicas.go
@@ -125,10 +125,10 @@
 	agreed := desiredOf(c.state.ReplicaTarget(service))
 	listed := c.listedGroups(service)
 	reported := c.serviceWork(service)
-	wanted := work.plan.Next(c.now, replicaplan.Seen{Listed: listed, Agreed: agreed, Work: reported.Prefill + reported.Decode})
-	if !wanted.Equal(agreed) && (!wanted.Equal(work.proposed) || c.now-work.proposedAt >= proposalRetryInterval) {
-		work.proposed, work.proposedAt = wanted, c.now
-		c.proposeWithoutCall(&v1.Command{Body: &v1.Command_SetReplicas{SetReplicas: desiredRecord(service, wanted)}})
+	desired := work.plan.Next(c.now, replicaplan.Seen{Listed: listed, Agreed: agreed, Work: reported.Prefill + reported.Decode})
+	if !desired.Equal(agreed) && (!desired.Equal(work.proposed) || c.now-work.proposedAt >= proposalRetryInterval) {
+		work.proposed, work.proposedAt = desired, c.now
+		c.proposeWithoutCall(&v1.Command{Body: &v1.Command_SetReplicas{SetReplicas: desiredRecord(service, desired)}})
 	}
 }
 
--- a/internal/control/sent_updates.go
+++ b/internal/control/sent_updates.go
@@ -37,8 +37,8 @@
 
 // observeHeld records what the relay holds now. A change means that it has applied an update, which resets the
 // attempts.
-func (t *sentUpdate) observeHeld(held uint64) {
-	if t.heldVersion != held {
+func (t *sentUpdate) observeHeld(heldVersion uint64) {
+	if t.heldVersion != heldVersion {
 		*t = sentUpdate{}
 	}
 }
@@ -49,16 +49,16 @@
 const maximumImmediateAttempts = 2
 
 // recordSend records that a relay which holds one version is sent another.
-func (t *sentUpdate) recordSend(held, sent uint64) {
-	if t.heldVersion != held || t.sentVersion != sent {
-		*t = sentUpdate{heldVersion: held, sentVersion: sent}
+func (t *sentUpdate) recordSend(heldVersion, sentVersion uint64) {
+	if t.heldVersion != heldVersion || t.sentVersion != sentVersion {
+		*t = sentUpdate{heldVersion: heldVersion, sentVersion: sentVersion}
 	}
 	t.attempts++
 }
 
 // failedAttempts returns how often a relay that still holds one version was already sent another.
-func (t *sentUpdate) failedAttempts(held, sent uint64) int {
-	if t.heldVersion != held || t.sentVersion != sent {
+func (t *sentUpdate) failedAttempts(heldVersion, sentVersion uint64) int {
+	if t.heldVersion != heldVersion || t.sentVersion != sentVersion {
 		return 0
 	}
 	return t.attempts
@@ -87,14 +87,14 @@
 }
 
 // recordAttempt counts repeated updates, and reports the first repetition for each relay and version.
-func (c *Core) recordAttempt(record *relayRecord, kind UpdateKind, last *sentUpdate, held, newest uint64) {
-	failed := last.failedAttempts(held, newest)
-	last.recordSend(held, newest)
+func (c *Core) recordAttempt(record *relayRecord, kind UpdateKind, last *sentUpdate, heldVersion, newest uint64) {
+	failed := last.failedAttempts(heldVersion, newest)
+	last.recordSend(heldVersion, newest)
 	if failed == 0 {
 		return
 	}
 	c.repeatedUpdates++
 	if failed == 1 {
-		c.emit(UpdateNotApplied{Relay: record.name, Formats: record.formats, Kind: kind, HeldVersion: held, SentVersion: newest})
+		c.emit(UpdateNotApplied{Relay: record.name, Formats: record.formats, Kind: kind, HeldVersion: heldVersion, SentVersion: newest})
 	}
 }
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -126,7 +126,7 @@
 		if !backEnd.GetSpot() && outgoing[backEnd.GetService()] {
 			continue // it leaves as soon as its replacements serve
 		}
-		if stage, is := stageOf(role); is && !backEnd.GetLeaving() {
+		if stage, isEngine := stageOf(role); isEngine && !backEnd.GetLeaving() {
 			engines[backEnd.GetService()] = append(engines[backEnd.GetService()], stageplan.Engine{
 				ID: backEnd.GetId(), Group: backEnd.GetZone(), Stage: stage, Busy: ordered,
 				Fresh: c.now-c.stages.firstListedAt[backEnd.GetId()] < freshEngineWindow,
@@ -270,8 +270,8 @@
 		listed[backEnd.GetId()] = backEnd.GetRole()
 	}
 	for id, order := range c.stages.orders {
-		role, is := listed[id]
-		if !is || role == order.role && !order.refused || c.now >= order.until {
+		role, isListed := listed[id]
+		if !isListed || role == order.role && !order.refused || c.now >= order.until {
 			delete(c.stages.orders, id)
 		}
 	}
--- a/internal/control/waiting_watches.go
+++ b/internal/control/waiting_watches.go
@@ -69,7 +69,7 @@
 // popReady returns ready watches that have an update, as long as mayAnswer allows, and beyond that those that are due.
 // Watches without an update go back to waiting.
 func (w *waitingWatches) popReady(now time.Duration, hasUpdate func(*v1.WatchRequest) bool, mayAnswer func() bool) []*waitingWatch {
-	var taken []*waitingWatch
+	var popped []*waitingWatch
 	for len(w.ready) > 0 {
 		first := w.ready[0]
 		if first.superseded {
@@ -78,14 +78,14 @@
 			w.addWaiting(first)
 		} else if now >= first.dueAt || mayAnswer() {
 			w.unregister(first)
-			taken = append(taken, first)
+			popped = append(popped, first)
 		} else {
 			break
 		}
 		w.ready[0] = nil
 		w.ready = w.ready[1:]
 	}
-	return taken
+	return popped
 }
 
 // popDue returns the watches that are due, the first due first.
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -84,17 +84,17 @@
 // maximumImmediateAttempts times without applying it does not count: it is sent again when the watch is due.
 func (c *Core) hasUpdate(request *v1.WatchRequest) bool {
 	document, listing := c.lastSent(request)
-	newest, held := c.updates.documents.newest().GetNumber(), request.GetDocumentNumber()
-	if newest > held && document.failedAttempts(held, newest) < maximumImmediateAttempts {
+	newestDocument, heldDocument := c.updates.documents.newest().GetNumber(), request.GetDocumentNumber()
+	if newestDocument > heldDocument && document.failedAttempts(heldDocument, newestDocument) < maximumImmediateAttempts {
 		return true
 	}
 	version, _ := c.listingFor(request)
-	listed := request.GetListingVersion()
-	if version != 0 && version != listed && listing.failedAttempts(listed, version) < maximumImmediateAttempts {
+	heldListing := request.GetListingVersion()
+	if version != 0 && version != heldListing && listing.failedAttempts(heldListing, version) < maximumImmediateAttempts {
 		return true
 	}
-	_, suspects := c.quarantinedRequests()
-	return suspects != request.GetHeldVersion()
+	_, quarantineVersion := c.quarantinedRequests()
+	return quarantineVersion != request.GetHeldVersion()
 }
 
 // watchResponse returns what a relay does not hold. A controller that does not lead only
@@ -120,10 +120,10 @@
 		response.ListingCalls = uint32(c.listing.plan.fullReadCalls)
 		response.ListingPartial = c.listing.partial()
 	}
-	held, heldVersion := c.quarantinedRequests()
+	quarantined, quarantineVersion := c.quarantinedRequests()
 	response.TellsHeld = true
-	if response.HeldVersion = heldVersion; heldVersion != request.GetHeldVersion() {
-		response.Held = held
+	if response.HeldVersion = quarantineVersion; quarantineVersion != request.GetHeldVersion() {
+		response.Held = quarantined
 	}
 	response.Limits = c.limitsForRelays()
 	response.TrueTimeMs, _ = c.trueTime()
--- a/internal/controlstate/delta.go
+++ b/internal/controlstate/delta.go
@@ -38,10 +38,10 @@
 		return Delta{Revision: request.Revision}
 	}
 	delta := Delta{Revision: s.revision}
-	held := stringSet(request.HeldTenants)
-	if request.Revision == 0 || request.Revision < s.catalogue.tombstoneFloor || !s.addChanges(&delta, request, held) {
+	heldTenants := stringSet(request.HeldTenants)
+	if request.Revision == 0 || request.Revision < s.catalogue.tombstoneFloor || !s.addChanges(&delta, request, heldTenants) {
 		delta.Full = true
-		delta.Objects = s.fullConfiguration(held)
+		delta.Objects = s.fullConfiguration(heldTenants)
 	}
 	s.addUnknownKeys(&delta, request.UnknownKeyHashes)
 	return delta
@@ -49,7 +49,7 @@
 
 // addChanges adds the changes after the request's revision. It returns false when there are so many
 // that the full configuration is shorter.
-func (s *State) addChanges(delta *Delta, request DeltaRequest, held map[string]bool) bool {
+func (s *State) addChanges(delta *Delta, request DeltaRequest, heldTenants map[string]bool) bool {
 	after := &v1.Object{Revision: request.Revision + 1, Key: &v1.ObjectKey{}}
 	tenants := 0
 	s.catalogue.byRevision.AscendGreaterOrEqual(after, func(object *v1.Object) bool {
@@ -57,15 +57,15 @@
 			return true
 		}
 		if object.Key.Type == v1.ObjectType_OBJECT_TYPE_TENANT {
-			if len(held) > 0 && !held[object.Key.Name] {
+			if len(heldTenants) > 0 && !heldTenants[object.Key.Name] {
 				return true
 			}
 			tenants++
 		}
 		delta.Objects = append(delta.Objects, object)
-		return len(held) > 0 || tenants <= MaximumTenantsInDelta
+		return len(heldTenants) > 0 || tenants <= MaximumTenantsInDelta
 	})
-	if len(held) == 0 && tenants > MaximumTenantsInDelta {
+	if len(heldTenants) == 0 && tenants > MaximumTenantsInDelta {
 		delta.Objects = nil
 		return false
 	}
@@ -73,7 +73,7 @@
 }
 
 // fullConfiguration lists all objects in force that a node needs.
-func (s *State) fullConfiguration(held map[string]bool) []*v1.Object {
+func (s *State) fullConfiguration(heldTenants map[string]bool) []*v1.Object {
 	var objects []*v1.Object
 	for _, objectType := range objectTypes {
 		if objectType == v1.ObjectType_OBJECT_TYPE_TENANT || !nodeNeeds(objectType) {
@@ -81,7 +81,7 @@
 		}
 		objects = append(objects, s.catalogue.ofType(objectType)...)
 	}
-	for _, name := range sortedKeys(held) {
+	for _, name := range sortedKeys(heldTenants) {
 		if tenant := s.Object(v1.ObjectType_OBJECT_TYPE_TENANT, name); tenant != nil {
 			objects = append(objects, tenant)
 		}
--- a/internal/controlstate/references.go
+++ b/internal/controlstate/references.go
@@ -113,9 +113,9 @@
 				return trace.BadParameter("%s and %s have the same API key hash %.8s…; make a new key for one", other, key, hash)
 			}
 			owners[hash] = key
-			owner, held := c.base.tenantOfKey[hash]
+			owner, inUse := c.base.tenantOfKey[hash]
 			ownerKey := Key{v1.ObjectType_OBJECT_TYPE_TENANT, owner}
-			if !held || ownerKey == key {
+			if !inUse || ownerKey == key {
 				continue
 			}
 			// The change may remove the key from its current owner.
