--- a/internal/formats/command.go
+++ b/internal/formats/command.go
@@ -2,8 +2,8 @@
 
 import v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 
-// CommandFormat returns the format from which on processes know an entry of the log; false for one that this build does
-// not know.
+// CommandFormat returns the first format that has a command of the replicated log; false for a command that this build
+// does not support.
 func CommandFormat(command *v1.Command) (Number, bool) {
 	switch command.GetBody().(type) {
 	case *v1.Command_ApplyDeclaration, *v1.Command_BeginAuthority, *v1.Command_IssueOrder, *v1.Command_FinishOrder,
--- a/internal/formats/doc.go
+++ b/internal/formats/doc.go
@@ -1,8 +1,8 @@
-// Package formats numbers what processes tell each other and keep: calls, datagrams between relays, entries of the
-// replicated log, snapshots and files. Builds of different formats run side by side while a fleet is upgraded or taken
-// back; each process tells which formats it knows, and what a process does not know is not told to it, nor put into the
-// log while it votes.
+// Package formats numbers the formats of what processes exchange and store: calls, datagrams between relays, entries of
+// the replicated log, snapshots and files. Builds of different formats run side by side while a fleet is upgraded or
+// downgraded. Each process advertises which formats it supports. It is not sent what it does not support, and no such
+// entry is put into the log while it is a voter.
 //
-// A change of what is told or kept that a process of the format before would not understand gets a number of its own
-// here, with what it added. A field that such a process may leave unread without harm needs none.
+// A change that a process of the previous format would not understand gets a new number here, together with the name of
+// what it adds. A field that such a process may ignore without harm needs no new number.
 package formats
--- a/internal/formats/formerbuild/controller.go
+++ b/internal/formats/formerbuild/controller.go
@@ -9,83 +9,83 @@
 	"github.com/hazelpitch/hazelpitch/internal/formats/released"
 )
 
-// Translator translates for one controller that stands for one of the first format. Commands that such a controller does
-// not know have no effect there, and it keeps and passes on their entries as they came.
+// Translator translates between this build and the first format for one controller. Commands that the first format does
+// not have take no effect at that controller, which stores and forwards their entries unchanged.
 type Translator struct {
-	// received are the entries that received from elsewhere, by their log indexes.
+	// received are the entries that came from other controllers or from the disk, by their log indexes.
 	received map[uint64]*v1.Entry
 }
 
 // New returns the translator of a controller that starts.
 func New() *Translator { return &Translator{received: map[uint64]*v1.Entry{}} }
 
-// Downgrade returns a message as a process of the first format reads it.
+// Downgrade returns a message as a process of the first format decodes it.
 func Downgrade[Message proto.Message](message Message) (Message, error) {
 	former, err := released.Load(formats.First)
 	if err != nil {
 		return message, trace.Wrap(err)
 	}
-	read, err := former.Downgrade(message)
+	downgraded, err := former.Downgrade(message)
 	if err != nil {
 		return message, trace.Wrap(err)
 	}
-	return read.(Message), nil
+	return downgraded.(Message), nil
 }
 
-// ReadEntries returns entries, from a message or a disk, as the controller applies them.
+// ReadEntries returns the entries of a message or a disk as the controller applies them.
 func (c *Translator) ReadEntries(entries []*v1.Entry) ([]*v1.Entry, error) {
-	read := make([]*v1.Entry, len(entries))
+	decoded := make([]*v1.Entry, len(entries))
 	for index, entry := range entries {
 		c.received[entry.GetIndex()] = proto.CloneOf(entry)
 		stripped, err := stripEntry(entry)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		read[index] = stripped
+		decoded[index] = stripped
 	}
-	return read, nil
+	return decoded, nil
 }
 
-// WriteEntries returns entries as the controller writes them: those that came as they came, its own without what the
-// format does not have.
+// WriteEntries returns entries as the controller writes them: received entries unchanged, and its own entries without
+// what the first format does not have.
 func (c *Translator) WriteEntries(entries []*v1.Entry) ([]*v1.Entry, error) {
-	written := make([]*v1.Entry, len(entries))
+	encoded := make([]*v1.Entry, len(entries))
 	for index, entry := range entries {
 		stripped, err := stripEntry(entry)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		if came := c.received[entry.GetIndex()]; came != nil && came.GetTerm() == entry.GetTerm() {
-			stripped = proto.CloneOf(came)
+		if original := c.received[entry.GetIndex()]; original != nil && original.GetTerm() == entry.GetTerm() {
+			stripped = proto.CloneOf(original)
 		}
-		written[index] = stripped
+		encoded[index] = stripped
 	}
-	return written, nil
+	return encoded, nil
 }
 
-// ReadMessage returns a message of another controller as this one reads it.
+// ReadMessage returns a message of another controller as this controller decodes it.
 func (c *Translator) ReadMessage(message *v1.ConsensusMessage) (*v1.ConsensusMessage, error) {
 	return translate(message, c.ReadEntries)
 }
 
-// WriteMessage returns a message as this controller writes it.
+// WriteMessage returns a message as this controller encodes it.
 func (c *Translator) WriteMessage(message *v1.ConsensusMessage) (*v1.ConsensusMessage, error) {
 	return translate(message, c.WriteEntries)
 }
 
-func translate(message *v1.ConsensusMessage, entriesAs func([]*v1.Entry) ([]*v1.Entry, error)) (*v1.ConsensusMessage, error) {
-	read, err := Downgrade(message)
+func translate(message *v1.ConsensusMessage, convertEntries func([]*v1.Entry) ([]*v1.Entry, error)) (*v1.ConsensusMessage, error) {
+	downgraded, err := Downgrade(message)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if read.Entries, err = entriesAs(message.GetEntries()); err != nil {
+	if downgraded.Entries, err = convertEntries(message.GetEntries()); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	read.Snapshot, err = StripSnapshot(message.GetSnapshot())
-	return read, trace.Wrap(err)
+	downgraded.Snapshot, err = StripSnapshot(message.GetSnapshot())
+	return downgraded, trace.Wrap(err)
 }
 
-// stripEntry returns an entry with what the first format has of its command.
+// stripEntry returns an entry whose command holds only what the first format has.
 func stripEntry(entry *v1.Entry) (*v1.Entry, error) {
 	stripped := proto.CloneOf(entry)
 	if entry.GetType() != v1.EntryType_ENTRY_TYPE_COMMAND {
@@ -93,7 +93,7 @@
 	}
 	command := &v1.Command{}
 	if err := proto.Unmarshal(entry.GetData(), command); err != nil {
-		return stripped, nil // every build passes over it
+		return stripped, nil // every build skips an entry that cannot be decoded
 	}
 	former, err := Downgrade(command)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return stripped, trace.Wrap(err)
 }
 
-// StripSnapshot returns a snapshot with what the first format has of its state; nil for none.
+// StripSnapshot returns a snapshot whose state holds only what the first format has; nil for nil.
 func StripSnapshot(snapshot *v1.Snapshot) (*v1.Snapshot, error) {
 	if snapshot == nil {
 		return nil, nil
@@ -117,7 +117,7 @@
 	return stripped, nil
 }
 
-// StripState returns what the first format has of a state; equal states give equal bytes.
+// StripState returns an encoded state with only what the first format has. Equal states have equal encodings.
 func StripState(content []byte) ([]byte, error) {
 	state := &v1.ReplicatedState{}
 	if err := proto.Unmarshal(content, state); err != nil {
--- a/internal/formats/formerbuild/doc.go
+++ b/internal/formats/formerbuild/doc.go
@@ -1,3 +1,3 @@
-// Package formerbuild lets a controller of this build stand for one of the first format in tests and simulations: what
-// it reads and writes is what a process of that format reads and writes, by the descriptors that were released.
+// Package formerbuild makes a controller of this build behave like one of the first format in tests and simulations. What
+// it reads and writes is restricted to that format by the released descriptors.
 package formerbuild
--- a/internal/formats/number.go
+++ b/internal/formats/number.go
@@ -1,27 +1,30 @@
 package formats
 
-// Number is a format as a whole.
+// Number identifies a format of everything that processes exchange and store.
 type Number uint32
 
 const (
-	// First is the format of processes that tell none.
+	// First is the format of processes that advertise no formats.
 	First Number = 0
-	// Second added what the constants below name.
+	// Second added everything that the constants below name.
 	Second Number = 1
-	// Newest is the highest that this build knows.
+	// Newest is the highest format that this build supports.
 	Newest = Second
 )
 
-// What formats have added, by the number from which on it is known.
+// Features that formats have added. Each constant is the first format that has the feature.
 const (
-	// DocumentPatches: a relay is told what has changed in the configuration document.
+	// DocumentPatches is the first format in which a relay is sent patches of the configuration document.
 	DocumentPatches = Second
-	// ReplicaIncarnations: listed back ends have identities of their starts, with the replicas' and the times beside them.
+	// ReplicaIncarnations is the first format in which listed back ends are identified by incarnation. The list also
+	// holds the replicas' identities and the times at which the incarnations started.
 	ReplicaIncarnations = Second
-	// QuarantinedRequests: controllers tell nodes which requests are held, and take ends of replicas.
+	// QuarantinedRequests is the first format in which controllers send the quarantined requests to nodes and accept
+	// reports of replica crashes.
 	QuarantinedRequests = Second
-	// UsageWindows: controllers tell relays in which windows tenants' usage is counted, and take their counts.
+	// UsageWindows is the first format in which controllers tell relays in which windows to count tenants' usage, and
+	// accept their counts.
 	UsageWindows = Second
-	// RelayPermits: relays keep counts of limits for each other.
+	// RelayPermits is the first format in which relays own limits and count permits for each other.
 	RelayPermits = Second
 )
--- a/internal/formats/range.go
+++ b/internal/formats/range.go
@@ -2,16 +2,16 @@
 
 import v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 
-// Range is the formats that a process knows. Its zero value is that of a process that tells none.
+// Range is the range of formats that a process supports. Its zero value is that of a process that advertises none.
 type Range struct{ Lowest, Highest Number }
 
-// Supported is the range of this build.
+// Supported returns the range of formats that this build supports.
 func Supported() Range { return Range{Lowest: First, Highest: Newest} }
 
 // Supports reports whether a format is in the range.
 func (r Range) Supports(number Number) bool { return r.Lowest <= number && number <= r.Highest }
 
-// ToWire writes a range; nil for that of a process that tells none.
+// ToWire encodes a range; the zero range is encoded as nil.
 func (r Range) ToWire() *v1.FormatRange {
 	if r == (Range{}) {
 		return nil
@@ -19,7 +19,7 @@
 	return &v1.FormatRange{Lowest: uint32(r.Lowest), Highest: uint32(r.Highest)}
 }
 
-// FromWire reads what a process has told; nil is nothing.
-func FromWire(told *v1.FormatRange) Range {
-	return Range{Lowest: Number(told.GetLowest()), Highest: Number(told.GetHighest())}
+// FromWire decodes the range that a process has advertised; nil is decoded as the zero range.
+func FromWire(reported *v1.FormatRange) Range {
+	return Range{Lowest: Number(reported.GetLowest()), Highest: Number(reported.GetHighest())}
 }
--- a/internal/formats/released/changed_test.go
+++ b/internal/formats/released/changed_test.go
@@ -12,26 +12,26 @@
 	"google.golang.org/protobuf/types/descriptorpb"
 )
 
-// changedFile are the files of a format, to be changed as a careless build would.
-type changedFile struct {
+// changedFormat holds the files of a format, which tests change as an incompatible build would.
+type changedFormat struct {
 	t   *testing.T
 	set *descriptorpb.FileDescriptorSet
 }
 
 // changed returns the files of a format after a change.
-func changed(t *testing.T, kept *Descriptors, change func(*changedFile)) *protoregistry.Files {
+func changed(t *testing.T, released *Descriptors, change func(*changedFormat)) *protoregistry.Files {
 	t.Helper()
-	file := &changedFile{t: t, set: &descriptorpb.FileDescriptorSet{}}
-	kept.ForEachFile(func(each protoreflect.FileDescriptor) {
-		file.set.File = append(file.set.File, protodesc.ToFileDescriptorProto(each))
+	format := &changedFormat{t: t, set: &descriptorpb.FileDescriptorSet{}}
+	released.ForEachFile(func(each protoreflect.FileDescriptor) {
+		format.set.File = append(format.set.File, protodesc.ToFileDescriptorProto(each))
 	})
-	change(file)
-	files, err := (protodesc.FileOptions{AllowUnresolvable: true}).NewFiles(file.set)
+	change(format)
+	files, err := (protodesc.FileOptions{AllowUnresolvable: true}).NewFiles(format.set)
 	require.NoError(t, err)
 	return files
 }
 
-func (f *changedFile) message(name string) *descriptorpb.DescriptorProto {
+func (f *changedFormat) message(name string) *descriptorpb.DescriptorProto {
 	f.t.Helper()
 	for _, file := range f.set.File {
 		for _, message := range file.MessageType {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-func (f *changedFile) field(message, name string) *descriptorpb.FieldDescriptorProto {
+func (f *changedFormat) field(message, name string) *descriptorpb.FieldDescriptorProto {
 	f.t.Helper()
 	fields := f.message(message).Field
 	index := slices.IndexFunc(fields, func(field *descriptorpb.FieldDescriptorProto) bool { return field.GetName() == name })
@@ -52,13 +52,13 @@
 	return fields[index]
 }
 
-func (f *changedFile) dropField(message, name string) {
+func (f *changedFormat) dropField(message, name string) {
 	dropped := f.field(message, name)
 	changed := f.message(message)
 	changed.Field = slices.DeleteFunc(changed.Field, func(field *descriptorpb.FieldDescriptorProto) bool { return field == dropped })
 }
 
-func (f *changedFile) addField(message, name string, number int32) {
+func (f *changedFormat) addField(message, name string, number int32) {
 	changed := f.message(message)
 	changed.ReservedRange = nil
 	changed.Field = append(changed.Field, &descriptorpb.FieldDescriptorProto{
@@ -67,13 +67,13 @@
 	})
 }
 
-func (f *changedFile) repeated() *descriptorpb.FieldDescriptorProto_Label {
+func (f *changedFormat) repeated() *descriptorpb.FieldDescriptorProto_Label {
 	return descriptorpb.FieldDescriptorProto_LABEL_REPEATED.Enum()
 }
 
-func (f *changedFile) leaveOneof(message, name string) { f.field(message, name).OneofIndex = nil }
+func (f *changedFormat) leaveOneof(message, name string) { f.field(message, name).OneofIndex = nil }
 
-func (f *changedFile) value(enum string, number int32) *descriptorpb.EnumValueDescriptorProto {
+func (f *changedFormat) value(enum string, number int32) *descriptorpb.EnumValueDescriptorProto {
 	for _, file := range f.set.File {
 		for _, each := range file.EnumType {
 			if each.GetName() == enum {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-func (f *changedFile) method(name string) *descriptorpb.MethodDescriptorProto {
+func (f *changedFormat) method(name string) *descriptorpb.MethodDescriptorProto {
 	for _, file := range f.set.File {
 		for _, service := range file.Service {
 			for _, method := range service.Method {
--- a/internal/formats/released/descriptors.go
+++ b/internal/formats/released/descriptors.go
@@ -19,22 +19,22 @@
 //go:embed format-*.binpb
 var descriptorSets embed.FS
 
-// Descriptors are the messages and calls of one released format.
+// Descriptors are the message and service descriptors of one released format.
 type Descriptors struct{ files *protoregistry.Files }
 
-// cache are the descriptors that were cache already.
+// cache holds the descriptors that were loaded already, by format number.
 var cache sync.Map
 
-// Load returns the descriptors of a format. An error means that the build keeps none of it, or that the file is damaged.
+// Load returns the descriptors of a format. It returns an error if this build does not hold them or the file is damaged.
 func Load(number formats.Number) (*Descriptors, error) {
-	if known, is := cache.Load(number); is {
+	if known, cached := cache.Load(number); cached {
 		return known.(*Descriptors), nil
 	}
-	read, err := load(number)
+	loaded, err := load(number)
 	if err == nil {
-		cache.Store(number, read)
+		cache.Store(number, loaded)
 	}
-	return read, err
+	return loaded, err
 }
 
 func load(number formats.Number) (*Descriptors, error) {
@@ -53,16 +53,16 @@
 	return &Descriptors{files: files}, nil
 }
 
-// Downgrade returns a message as a process of the format reads it: what that does not know is gone. A message that the
-// format does not have is empty.
+// Downgrade returns a message as a process of the format decodes it, without the fields that the format does not have. A
+// message type that the format does not have is returned empty.
 func (d *Descriptors) Downgrade(message proto.Message) (proto.Message, error) {
-	read := message.ProtoReflect().New().Interface()
+	downgraded := message.ProtoReflect().New().Interface()
 	candidate, err := d.files.FindDescriptorByName(message.ProtoReflect().Descriptor().FullName())
 	if err != nil {
-		return read, nil
+		return downgraded, nil
 	}
-	descriptor, is := candidate.(protoreflect.MessageDescriptor)
-	if !is {
+	descriptor, isMessage := candidate.(protoreflect.MessageDescriptor)
+	if !isMessage {
 		return nil, trace.BadParameter("%s is no message in the format", candidate.FullName())
 	}
 	content, err := proto.Marshal(message)
@@ -76,10 +76,10 @@
 	if content, err = proto.Marshal(former); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return read, trace.Wrap(proto.Unmarshal(content, read))
+	return downgraded, trace.Wrap(proto.Unmarshal(content, downgraded))
 }
 
-// ForEachFile calls a function with the descriptors of each file.
+// ForEachFile calls a function with the descriptor of each file.
 func (d *Descriptors) ForEachFile(each func(protoreflect.FileDescriptor)) {
 	d.files.RangeFiles(func(file protoreflect.FileDescriptor) bool {
 		each(file)
--- a/internal/formats/released/doc.go
+++ b/internal/formats/released/doc.go
@@ -1,3 +1,3 @@
-// Package released keeps the descriptors of what processes of each released format tell each other and keep, and reads
-// messages as such a process would. Tests hold the messages of this build against them.
+// Package released holds the protocol descriptors of each released format, and decodes messages as a process of that
+// format does. Tests compare the messages of this build with them.
 package released
