--- a/internal/controlstate/suspects.go
+++ b/internal/controlstate/suspects.go
@@ -7,7 +7,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/quarantine"
 )
 
-// Suspects returns the ledger of suspects: requests that were running when replicas crashed. Callers must not change it.
+// Suspects returns the ledger of suspects: requests that were running when replicas crashed. Callers must not change
+// it.
 func (s *State) Suspects() *quarantine.Ledger { return s.suspects }
 
 // applyToSuspects applies a command to the replicated ledger of suspects.
@@ -18,8 +19,8 @@
 	return ApplySuspectCommand(s.suspects, command)
 }
 
-// ApplySuspectCommand applies a command to a ledger of suspects. While such commands are not agreed on, the leader applies
-// them to a ledger of its own.
+// ApplySuspectCommand applies a command to a ledger of suspects. While such commands are not agreed on, the leader
+// applies them to a ledger of its own.
 func ApplySuspectCommand(suspects *quarantine.Ledger, command *v1.Command) Result {
 	switch body := command.GetBody().(type) {
 	case *v1.Command_RecordReplicaEnds:
