--- a/internal/authority/action.go
+++ b/internal/authority/action.go
@@ -5,20 +5,21 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Action is one thing the owner of a Commander has to do.
+// Action is an instruction to the owner of a Commander.
 type Action interface{ isAction() }
 
-// Propose asks to propose a command to the replicated log.
+// Propose instructs the owner to propose a command to the replicated log.
 type Propose struct{ Command *v1.Command }
 
-// SendOrder asks to send an order; OrderAnswered follows.
+// SendOrder instructs the owner to send an order and to call RecordOrderAnswer with the result.
 type SendOrder struct {
 	Engine  string
 	Address string
 	Order   enginecontract.Order
 }
 
-// SendFence asks to raise the fence at an engine; FenceAnswered follows.
+// SendFence instructs the owner to send a fence to an engine and to call RecordFenceAnswer with the
+// result.
 type SendFence struct {
 	Engine  string
 	Address string
--- a/internal/authority/answers_test.go
+++ b/internal/authority/answers_test.go
@@ -11,18 +11,18 @@
 	"github.com/hazelpitch/hazelpitch/internal/engineroles"
 )
 
-// answerCase is something that happens once an order to change the role of an engine
-// from mixed to decode has been committed, and how the order ends.
+// answerCase is an event after an order to change an engine's role from mixed to decode was
+// committed, and how the order ends.
 type answerCase struct {
 	name    string
-	happens func(*bench)
+	event   func(*bench)
 	outcome v1.OrderOutcome
-	// role of the engine in the end; empty when it is gone.
-	role enginecontract.Role
+	// finalRole is the engine's role at the end; empty when the engine is gone.
+	finalRole enginecontract.Role
 }
 
-// deliveries bring the order and its answers late, twice, crossed or not at all.
-func deliveries() []answerCase {
+// deliveryCases deliver the order and its answers late, twice, reordered or not at all.
+func deliveryCases() []answerCase {
 	return []answerCase{
 		{"all well", func(*bench) {}, done, enginecontract.RoleDecode},
 		{"order answered twice", func(b *bench) {
@@ -59,8 +59,8 @@
 	}
 }
 
-// engineFaults break the engine, or find it in another state than the log has.
-func engineFaults() []answerCase {
+// engineFaultCases make the engine fail, or put it into a state that differs from the log.
+func engineFaultCases() []answerCase {
 	return []answerCase{
 		{"engine restarts before the order arrives", func(b *bench) { b.restart("engine") }, done, enginecontract.RoleDecode},
 		{"engine restarts in the middle", func(b *bench) {
@@ -92,8 +92,8 @@
 	}
 }
 
-// aborts take the order back at each moment.
-func aborts() []answerCase {
+// abortCases abort the order in each of its phases.
+func abortCases() []answerCase {
 	return []answerCase{
 		{"aborted while draining", func(b *bench) {
 			b.inFlight["engine"] = 1
@@ -120,8 +120,8 @@
 	}
 }
 
-// newLeaders let another leader find the order at each moment.
-func newLeaders() []answerCase {
+// newLeaderCases replace the leader in each phase of the order.
+func newLeaderCases() []answerCase {
 	return []answerCase{
 		{"new leader, order never arrived", func(b *bench) { b.takeOver(6) }, aborted, enginecontract.RoleMixed},
 		{"new leader, late copy of the order", func(b *bench) {
@@ -158,15 +158,15 @@
 			delete(b.engines, "engine")
 			b.deliver = false
 			b.takeOver(6)
-			b.run(listedPatience*DefaultLostAfter + time.Second)
+			b.run(listedTimeoutFactor*DefaultLostAfter + time.Second)
 		}, engineLost, ""},
 	}
 }
 
-// TestAnswersOfEngines brings the answers of an engine late, twice, crossed or not at
-// all, and breaks engine and leader, at the moment an order has been committed.
+// TestAnswersOfEngines delivers an engine's answers late, twice, reordered or not at all, and fails
+// engine and leader, after an order was committed. Each order must end once, with the right outcome.
 func TestAnswersOfEngines(t *testing.T) {
-	for _, cases := range [][]answerCase{deliveries(), engineFaults(), aborts(), newLeaders()} {
+	for _, cases := range [][]answerCase{deliveryCases(), engineFaultCases(), abortCases(), newLeaderCases()} {
 		for _, test := range cases {
 			t.Run(test.name, test.run)
 		}
@@ -179,7 +179,7 @@
 	b.run(time.Second)
 	b.mustOrder(setRole("engine", decode))
 	b.deliver = false
-	c.happens(b)
+	c.event(b)
 	b.deliver = len(b.engines) > 0
 	b.run(20 * time.Second)
 	ended := b.state.Orders("engine")
@@ -187,7 +187,7 @@
 	require.Equal(t, c.outcome.String(), ended[0].Outcome.String(), ended[0].Detail)
 	require.Nil(t, b.state.Engine("engine").Outstanding)
 	if len(b.engines) > 0 {
-		require.Equal(t, c.role, b.engineState("engine").Role)
-		require.Equal(t, engineroles.FromContract(c.role), b.state.Engine("engine").State.Role, "the log knows what the engine is")
+		require.Equal(t, c.finalRole, b.engineState("engine").Role)
+		require.Equal(t, engineroles.FromContract(c.finalRole), b.state.Engine("engine").State.Role, "the log must record the engine's role")
 	}
 }
--- a/internal/authority/commander.go
+++ b/internal/authority/commander.go
@@ -10,32 +10,32 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Commander is the leader's authority over the engines.
+// Commander holds the authority of the leading controller over the engines.
 type Commander struct {
 	config Config
-	// epoch is the term this controller leads, since ledAt; 0 when it does not.
-	epoch   uint64
-	ledAt   time.Duration
-	engines map[string]*engine
-	names   []string // of engines, sorted
-	// begunAt is when the begin of authority was last proposed.
-	begun   bool
-	begunAt time.Duration
+	// epoch is the term in which this controller leads, since termStartedAt; 0 when it does not lead.
+	epoch         uint64
+	termStartedAt time.Duration
+	engines       map[string]*engine
+	names         []string // of engines, sorted
+	// beginProposedAt is when the BeginAuthority command of this term was last proposed.
+	beginProposed   bool
+	beginProposedAt time.Duration
 }
 
-// New returns a Commander of a controller that does not lead.
+// New returns a Commander for a controller that does not lead.
 func New(config Config) *Commander {
 	return &Commander{config: config.withDefaults(), engines: map[string]*engine{}}
 }
 
-// BeginTerm starts the authority of a term. What was known of the engines' own words is
-// kept; fences have to be raised again.
+// BeginTerm starts the authority of a term. The states reported by engines are kept; their fences
+// have to be raised again.
 func (c *Commander) BeginTerm(now time.Duration, term uint64) {
 	c.epoch = term
-	c.ledAt = now
-	c.begun = false
+	c.termStartedAt = now
+	c.beginProposed = false
 	for _, engine := range c.engines {
-		engine.ordering = nil
+		engine.pendingOrder = nil
 		engine.proposalPending = false
 		engine.fenceInFlight = false
 		engine.nextFenceAt = 0
@@ -44,20 +44,20 @@
 	}
 }
 
-// EndTerm ends the authority: this controller does not lead any more.
+// EndTerm ends the authority: this controller no longer leads.
 func (c *Commander) EndTerm() { c.epoch = 0 }
 
-// Epoch is the term this controller leads, or 0.
+// Epoch returns the term in which this controller leads, or 0.
 func (c *Commander) Epoch() uint64 { return c.epoch }
 
-// SetListing tells where an engine is reached and whether the platform still lists it.
+// SetListing sets an engine's address and whether the platform's list contains the engine.
 func (c *Commander) SetListing(name, address string, listed bool) {
-	engine := c.engine(name)
+	engine := c.findOrAddEngine(name)
 	engine.address = address
 	engine.listed = listed
 }
 
-// RemoveEngine drops an engine that is gone for good.
+// RemoveEngine removes an engine that will not return.
 func (c *Commander) RemoveEngine(name string) {
 	if _, known := c.engines[name]; !known {
 		return
@@ -66,7 +66,7 @@
 	c.names = slices.DeleteFunc(c.names, func(other string) bool { return other == name })
 }
 
-func (c *Commander) engine(name string) *engine {
+func (c *Commander) findOrAddEngine(name string) *engine {
 	if engine := c.engines[name]; engine != nil {
 		return engine
 	}
@@ -77,16 +77,16 @@
 	return created
 }
 
-// RecordPollAnswer takes an engine's answer to a poll that was sent at sentAt.
+// RecordPollAnswer records the state that an engine returned for a poll sent at sentAt.
 func (c *Commander) RecordPollAnswer(sentAt time.Duration, name string, state enginecontract.EngineState) {
 	engine := c.engines[name]
-	if engine == nil || sentAt < engine.answeredAt {
+	if engine == nil || sentAt < engine.lastAnswerAt {
 		return
 	}
-	engine.take(sentAt, state)
+	engine.recordState(sentAt, state)
 }
 
-// RecordFenceAnswer takes an engine's answer to a fence; answer is nil when it was lost.
+// RecordFenceAnswer records an engine's answer to a fence; answer is nil when none arrived.
 func (c *Commander) RecordFenceAnswer(now time.Duration, name string, epoch uint64, answer *enginecontract.OrderAnswer) {
 	engine := c.engines[name]
 	if engine == nil || epoch != c.epoch {
@@ -96,16 +96,16 @@
 	if answer == nil {
 		return
 	}
-	engine.answeredAt = now
-	engine.take(now, answer.State)
+	engine.lastAnswerAt = now
+	engine.recordState(now, answer.State)
 	if answer.State.HighestFence.Epoch == epoch {
 		engine.fencedEpoch = epoch
 		engine.fencedIncarnation = answer.State.Incarnation
 	}
 }
 
-// RecordOrderAnswer takes an engine's answer to an order or an abort; answer is nil when
-// it was lost.
+// RecordOrderAnswer records an engine's answer to an order or an abort; answer is nil when none
+// arrived.
 func (c *Commander) RecordOrderAnswer(now time.Duration, name string, fence enginecontract.Fence, answer *enginecontract.OrderAnswer) {
 	engine := c.engines[name]
 	if engine == nil {
@@ -117,28 +117,28 @@
 	if answer == nil {
 		return
 	}
-	engine.answeredAt = now
-	engine.take(now, answer.State)
+	engine.lastAnswerAt = now
+	engine.recordState(now, answer.State)
 	if !answer.Accepted {
-		engine.refused = fence
+		engine.refusedFence = fence
 		engine.refusal = answer.Refusal
 	}
 }
 
-// Step returns what to do now. Call it only while this controller leads with a valid
-// lease and the state holds everything committed before its term.
+// Step returns the actions that are due. Call it only while this controller leads with a valid lease
+// and the state contains everything committed before its term.
 func (c *Commander) Step(now time.Duration, state *controlstate.State) []Action {
 	if c.epoch == 0 {
 		return nil
 	}
-	inForce, _ := state.Authority()
+	activeEpoch, _ := state.Authority()
 	switch {
-	case inForce > c.epoch:
-		return nil // a later leader has taken over
-	case inForce < c.epoch:
+	case activeEpoch > c.epoch:
+		return nil // a later leader has authority
+	case activeEpoch < c.epoch:
 		return c.beginAuthority(now)
 	}
-	c.adoptUnlisted(state)
+	c.addEnginesWithOrders(state)
 	var actions []Action
 	for _, name := range c.names {
 		actions = append(actions, c.stepEngine(now, state, c.engines[name])...)
@@ -146,9 +146,9 @@
 	return actions
 }
 
-// adoptUnlisted takes up engines that may hold an order and that this leader has never
-// seen listed: their orders have to end too.
-func (c *Commander) adoptUnlisted(state *controlstate.State) {
+// addEnginesWithOrders adds the engines that may have an order and that this leader has not seen in
+// the platform's list, because those orders have to end too.
+func (c *Commander) addEnginesWithOrders(state *controlstate.State) {
 	for _, record := range state.Engines() {
 		if record.Outstanding != nil && c.engines[record.State.Engine] == nil {
 			c.SetListing(record.State.Engine, record.State.Address, false)
@@ -157,10 +157,10 @@
 }
 
 func (c *Commander) beginAuthority(now time.Duration) []Action {
-	if c.begun && now-c.begunAt < c.config.ProposalTimeout {
+	if c.beginProposed && now-c.beginProposedAt < c.config.ProposalTimeout {
 		return nil
 	}
-	c.begun, c.begunAt = true, now
+	c.beginProposed, c.beginProposedAt = true, now
 	return []Action{propose(&v1.Command{Body: &v1.Command_BeginAuthority{
 		BeginAuthority: &v1.BeginAuthority{Epoch: c.epoch, Leader: c.config.Leader},
 	}})}
@@ -168,44 +168,44 @@
 
 func propose(command *v1.Command) Action { return Propose{Command: command} }
 
-// stepEngine returns what to do about one engine.
+// stepEngine returns the actions due for one engine.
 func (c *Commander) stepEngine(now time.Duration, state *controlstate.State, engine *engine) []Action {
-	c.forgetStaleProposals(now, engine)
+	c.expireProposals(now, engine)
 	record := state.Engine(engine.name)
 	if record.GetOutstanding() != nil {
-		engine.ordering = nil
+		engine.pendingOrder = nil
 	}
-	if !engine.heard {
-		return append(c.giveUpSilent(now, engine, record), c.raiseFence(now, engine)...)
+	if !engine.hasState {
+		return append(c.expireSilent(now, engine, record), c.raiseFence(now, engine)...)
 	}
 	if record == nil {
 		return append(c.proposeOnce(now, engine, recordCommand(engine)), c.raiseFence(now, engine)...)
 	}
-	if !engine.fenced(c.epoch) && c.config.Safeguards.IsEnabled(SafeguardFence) {
-		return append(c.giveUpSilent(now, engine, record), c.raiseFence(now, engine)...)
+	if !engine.isFenced(c.epoch) && c.config.Safeguards.IsEnabled(SafeguardFence) {
+		return append(c.expireSilent(now, engine, record), c.raiseFence(now, engine)...)
 	}
 	if record.Outstanding == nil {
 		return c.recordChanges(now, engine, record)
 	}
-	if finish := c.ended(now, engine, record.Outstanding); finish != nil {
+	if finish := c.checkEnd(now, engine, record.Outstanding); finish != nil {
 		return c.proposeOnce(now, engine, &v1.Command{Body: &v1.Command_FinishOrder{FinishOrder: finish}})
 	}
-	if actions := c.giveUpSilent(now, engine, record); actions != nil {
+	if actions := c.expireSilent(now, engine, record); actions != nil {
 		return actions
 	}
 	return c.sendOrder(now, engine, record.Outstanding)
 }
 
-func (c *Commander) forgetStaleProposals(now time.Duration, engine *engine) {
+func (c *Commander) expireProposals(now time.Duration, engine *engine) {
 	if engine.proposalPending && now-engine.proposedAt >= c.config.ProposalTimeout {
 		engine.proposalPending = false
 	}
-	if engine.ordering != nil && now-engine.ordering.at >= c.config.ProposalTimeout {
-		engine.ordering = nil
+	if engine.pendingOrder != nil && now-engine.pendingOrder.proposedAt >= c.config.ProposalTimeout {
+		engine.pendingOrder = nil
 	}
 }
 
-// proposeOnce proposes a command about an engine unless one is pending.
+// proposeOnce proposes a command about an engine unless another such proposal is pending.
 func (c *Commander) proposeOnce(now time.Duration, engine *engine, command *v1.Command) []Action {
 	if engine.proposalPending {
 		return nil
@@ -215,8 +215,8 @@
 	return []Action{propose(command)}
 }
 
-// ClearPendingProposal tells that a command about an engine has been applied, so that the next
-// one need not wait.
+// ClearPendingProposal records that a command about an engine was applied, so that the next one need
+// not wait for the proposal timeout.
 func (c *Commander) ClearPendingProposal(name string) {
 	if engine := c.engines[name]; engine != nil {
 		engine.proposalPending = false
@@ -225,7 +225,7 @@
 
 // raiseFence sends the fence of this epoch.
 func (c *Commander) raiseFence(now time.Duration, engine *engine) []Action {
-	if engine.address == "" || engine.fenceInFlight || now < engine.nextFenceAt || engine.fenced(c.epoch) {
+	if engine.address == "" || engine.fenceInFlight || now < engine.nextFenceAt || engine.isFenced(c.epoch) {
 		return nil
 	}
 	engine.fenceInFlight = true
@@ -233,23 +233,23 @@
 	return []Action{SendFence{Engine: engine.name, Address: engine.address, Epoch: c.epoch}}
 }
 
-// recordCommand records the engine's own word.
+// recordCommand returns the command that records the state reported by the engine.
 func recordCommand(engine *engine) *v1.Command {
 	return &v1.Command{Body: &v1.Command_RecordEngine{
-		RecordEngine: &v1.RecordEngine{Engine: recordOf(engine.address, engine.last)},
+		RecordEngine: &v1.RecordEngine{Engine: recordedState(engine.address, engine.state)},
 	}}
 }
 
-// recordChanges records what an engine without an order has become.
+// recordChanges records a changed state of an engine that has no order.
 func (c *Commander) recordChanges(now time.Duration, engine *engine, record *v1.EngineRecord) []Action {
-	observed := recordOf(engine.address, engine.last)
-	if observed.Incarnation < record.State.GetIncarnation() || sameEngine(observed, record.State) {
+	current := recordedState(engine.address, engine.state)
+	if current.Incarnation < record.State.GetIncarnation() || equalEngineStates(current, record.State) {
 		return nil
 	}
 	return c.proposeOnce(now, engine, recordCommand(engine))
 }
 
-func sameEngine(a, b *v1.EngineState) bool {
+func equalEngineStates(a, b *v1.EngineState) bool {
 	return a.Service == b.Service && a.Zone == b.Zone && a.Address == b.Address && a.Role == b.Role &&
 		a.Model == b.Model && a.Version == b.Version && a.Incarnation == b.Incarnation &&
 		slices.Equal(a.Adapters, b.Adapters) && maps.Equal(a.AdapterVersions, b.AdapterVersions)
--- a/internal/authority/commander_test.go
+++ b/internal/authority/commander_test.go
@@ -39,7 +39,7 @@
 	require.IsType(t, SendOrder{}, b.sent[0])
 }
 
-func TestLostEngineGetsNoOrderWhileItStillCarriesOutTheOldOne(t *testing.T) {
+func TestLostEngineStillBusyGetsNoOrder(t *testing.T) {
 	b := newBench(t, 5)
 	b.addEngine("engine", "zone-a", enginecontract.RoleMixed)
 	b.run(time.Second)
@@ -51,7 +51,7 @@
 	b.commander.SetListing("engine", "127.0.0.1:1", false)
 	for end := b.now + DefaultLostAfter + time.Second; b.now < end; b.now += 100 * time.Millisecond {
 		b.deliver = false
-		b.step() // silent: no polls
+		b.step() // no polls: the engine is silent
 	}
 	require.Nil(t, b.state.Engine("engine").Outstanding)
 	b.poll("engine")
@@ -135,8 +135,8 @@
 	require.ErrorIs(t, b.order(setRole("engine", decode)), ErrEngineSilent)
 }
 
-// TestSilentEngineCountsAgainstTheBound lets a leader take over while an engine that it
-// has never heard carries out its predecessor's order: no second engine may go out.
+// TestSilentEngineCountsAgainstTheBound replaces the leader while an engine that has not reported to
+// the new one carries out the previous leader's order: no second engine may go out of service.
 func TestSilentEngineCountsAgainstTheBound(t *testing.T) {
 	b := newBench(t, 5)
 	b.addEngine("silent", "zone-a", enginecontract.RoleMixed)
@@ -163,7 +163,7 @@
 		b.takeOver(6)
 		b.run(2 * time.Second)
 		require.Equal(t, aborted, b.state.Orders("engine")[0].Outcome)
-		require.True(t, b.exchange(late).answer.Accepted, "the old leader's order takes effect although the log says aborted")
+		require.True(t, b.exchange(late).answer.Accepted, "without the fence the old leader's order takes effect although the log says aborted")
 	})
 	t.Run("engines out bound", func(t *testing.T) {
 		b := newBench(t, 5, SafeguardOutOfServiceBound)
--- a/internal/authority/config.go
+++ b/internal/authority/config.go
@@ -16,24 +16,23 @@
 	DefaultMaximumLoads    = 2
 )
 
-// Config configures a Commander. Zero values mean the defaults.
+// Config configures a Commander. Zero values select the defaults.
 type Config struct {
-	// Leader is the name of this controller, for the log.
+	// Leader is the name of this controller, as recorded in the log.
 	Leader string
-	// ResendInterval is the time between two copies of one order or fence.
+	// ResendInterval is the time after which an unanswered order or fence is sent again.
 	ResendInterval time.Duration
-	// ProposalTimeout is the time after which a proposal that has shown no effect
-	// is made again.
+	// ProposalTimeout is the time after which a proposal that has had no effect is repeated.
 	ProposalTimeout time.Duration
-	// MaximumStateAge is the greatest age of an engine's own word by which a new order
-	// may be decided.
+	// MaximumStateAge is the maximum age of an engine's reported state on which a new order may be
+	// based.
 	MaximumStateAge time.Duration
-	// LostAfter is the silence after which an engine's order is given up.
+	// LostAfter is the time without answers after which an engine's order ends as lost.
 	LostAfter time.Duration
 	// DrainTimeout is how long an engine may drain before it aborts the order.
 	DrainTimeout time.Duration
-	// MaximumLoads bounds the orders that draw weights from the store at once; with
-	// the store's rate shared by so many, each load keeps its share of the rate.
+	// MaximumLoads limits the orders that load weights from the store at once. The loads share the
+	// store's bandwidth, so the limit also sets the minimum bandwidth of each load.
 	MaximumLoads int
 	Safeguards   safeguard.Set
 }
@@ -57,11 +56,11 @@
 
 // Safeguards of the authority over engines.
 const (
-	// SafeguardFence raises the fence on an engine before it is ordered, and
-	// reconciles the engine with the log.
+	// SafeguardFence raises the fence on an engine before the engine receives orders, and compares
+	// the engine's state with the log.
 	SafeguardFence safeguard.Safeguard = "authority fence"
-	// SafeguardCommitBeforeSend sends an order only once it is committed.
+	// SafeguardCommitBeforeSend sends an order only after it is committed.
 	SafeguardCommitBeforeSend safeguard.Safeguard = "commit before send"
-	// SafeguardOutOfServiceBound bounds the engines that are out at once.
+	// SafeguardOutOfServiceBound limits the engines that are out of service at once.
 	SafeguardOutOfServiceBound safeguard.Safeguard = "engines out bound"
 )
--- a/internal/authority/convert.go
+++ b/internal/authority/convert.go
@@ -19,7 +19,7 @@
 	return enginecontract.Fence{Epoch: order.Epoch, Sequence: order.Sequence}
 }
 
-// contractOrder is the order as the engine gets it: the same bytes on each resend.
+// contractOrder returns the order in the format of the engine contract. It is identical on each resend.
 func contractOrder(order *v1.Order) enginecontract.Order {
 	return enginecontract.Order{
 		Fence:        fenceOf(order),
@@ -33,8 +33,8 @@
 	}
 }
 
-// recordOf is what the log keeps of an engine's own word.
-func recordOf(address string, state enginecontract.EngineState) *v1.EngineState {
+// recordedState returns the state that the log records for an engine's report.
+func recordedState(address string, state enginecontract.EngineState) *v1.EngineState {
 	return &v1.EngineState{
 		Engine: state.Engine, Service: state.Service, Zone: state.Zone, Address: address,
 		Role: engineroles.FromContract(state.Role), Model: state.Model, Version: state.Version,
@@ -42,7 +42,7 @@
 	}
 }
 
-// underWay reports whether the engine is carrying out an order.
-func underWay(state enginecontract.EngineState) bool {
+// isCarryingOutOrder reports whether the engine is carrying out an order.
+func isCarryingOutOrder(state enginecontract.EngineState) bool {
 	return state.OrderPhase == enginecontract.PhaseDraining || state.OrderPhase == enginecontract.PhaseChanging
 }
--- a/internal/authority/engine.go
+++ b/internal/authority/engine.go
@@ -7,20 +7,20 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// engine is what a Commander knows of one engine beyond the log.
+// engine is a Commander's state of one engine beyond what the log records.
 type engine struct {
 	name    string
 	address string
 	listed  bool
-	// heard: last is the engine's own word, read at the engine no earlier than heardAt.
-	heard   bool
-	last    enginecontract.EngineState
-	heardAt time.Duration
-	// answeredAt is the arrival of the last answer to an order or fence; polls sent
-	// earlier are older than what that answer said.
-	answeredAt time.Duration
+	// hasState is set once state holds a state reported by the engine, no older than stateAt.
+	hasState bool
+	state    enginecontract.EngineState
+	stateAt  time.Duration
+	// lastAnswerAt is the arrival time of the last answer to an order or fence. The results of polls
+	// sent earlier are ignored, because they are older than that answer.
+	lastAnswerAt time.Duration
 
-	// fencedEpoch is the epoch whose fence the engine's process is known to hold.
+	// fencedEpoch is the newest epoch whose fence the engine process has confirmed.
 	fencedEpoch       uint64
 	fencedIncarnation uint64
 	fenceInFlight     bool
@@ -28,56 +28,55 @@
 
 	orderInFlight enginecontract.Fence
 	nextOrderAt   time.Duration
-	// refused and refusal are the engine's final answer to an order.
-	refused enginecontract.Fence
-	refusal enginecontract.OrderRefusal
+	// refusedFence identifies the order that the engine refused last; refusal is the reason.
+	refusedFence enginecontract.Fence
+	refusal      enginecontract.OrderRefusal
 
-	// proposedAt is when something about this engine was last proposed and has
-	// shown no effect yet; zero when nothing is pending.
+	// proposalPending is set from proposedAt, when a command about this engine was proposed, until
+	// that command is applied or times out.
 	proposalPending bool
 	proposedAt      time.Duration
-	// ordering is the order that is being committed; its kind counts against bounds.
-	ordering *pendingOrder
+	// pendingOrder is the order being committed; it counts against the bounds.
+	pendingOrder *pendingOrder
 }
 
-// pendingOrder is an order proposed and not seen in the log yet.
+// pendingOrder is an order that was proposed and that the log's state does not contain yet.
 type pendingOrder struct {
-	at     time.Duration
-	out    bool
-	loads  bool
-	target enginecontract.Role
+	proposedAt   time.Duration
+	outOfService bool
+	loadsWeights bool
+	targetRole   enginecontract.Role
 }
 
-// take records the engine's own word unless an older one arrives late: the highest
-// fence and the incarnation never go back.
-func (e *engine) take(at time.Duration, state enginecontract.EngineState) {
-	if e.heard {
-		if state.Incarnation < e.last.Incarnation {
+// recordState records a state reported by the engine unless an older one arrives late: the highest
+// fence and the incarnation never decrease.
+func (e *engine) recordState(at time.Duration, state enginecontract.EngineState) {
+	if e.hasState {
+		if state.Incarnation < e.state.Incarnation {
 			return
 		}
-		if state.Incarnation == e.last.Incarnation && state.HighestFence.Less(e.last.HighestFence) {
+		if state.Incarnation == e.state.Incarnation && state.HighestFence.Less(e.state.HighestFence) {
 			return
 		}
-		if at < e.heardAt {
+		if at < e.stateAt {
 			return
 		}
 	}
-	e.heard = true
-	e.last = state
-	e.heardAt = at
+	e.hasState = true
+	e.state = state
+	e.stateAt = at
 }
 
-// placed returns the service and the zone of the engine by its own word or, before
-// this leader has heard it, by the log: an order that an earlier leader gave it may
-// be under way.
-func (e *engine) placed(record *v1.EngineRecord) (service, zone string) {
-	if e.heard {
-		return e.last.Service, e.last.Zone
+// location returns the service and zone that the engine reported or, before its first report to this
+// leader, those recorded in the log: the engine may be carrying out an order of an earlier leader.
+func (e *engine) location(record *v1.EngineRecord) (service, zone string) {
+	if e.hasState {
+		return e.state.Service, e.state.Zone
 	}
 	return record.GetState().GetService(), record.GetState().GetZone()
 }
 
-// fenced reports whether the engine's present process holds the epoch's fence.
-func (e *engine) fenced(epoch uint64) bool {
-	return e.fencedEpoch == epoch && e.heard && e.fencedIncarnation == e.last.Incarnation
+// isFenced reports whether the engine's current process has confirmed the fence of the epoch.
+func (e *engine) isFenced(epoch uint64) bool {
+	return e.fencedEpoch == epoch && e.hasState && e.fencedIncarnation == e.state.Incarnation
 }
--- a/internal/authority/harness_test.go
+++ b/internal/authority/harness_test.go
@@ -15,8 +15,8 @@
 
 const testStart = 1_700_000_000_000
 
-// bench is one leader's commander, the log's state and engines, with the messages
-// between them in the test's hands.
+// bench combines one leader's commander, the state of the log and the engines; the test controls the
+// delivery of the messages between them.
 type bench struct {
 	t         *testing.T
 	now       time.Duration
@@ -25,9 +25,9 @@
 	commander *Commander
 	engines   map[string]*orders.Machine
 	inFlight  map[string]int
-	// sent are the messages that wait to be delivered, in order.
+	// sent are the messages that wait for delivery, in order.
 	sent []Action
-	// deliver decides whether Step's messages are delivered at once.
+	// deliver makes step deliver messages at once.
 	deliver bool
 }
 
@@ -41,7 +41,7 @@
 	return b
 }
 
-// addEngine adds an engine and lets the commander hear it.
+// addEngine adds an engine and reports its state to the commander.
 func (b *bench) addEngine(name, zone string, role enginecontract.Role) {
 	b.engines[name] = b.machine(name, zone, 1, orders.Durable{Role: role, Model: "base", Version: "1"})
 	b.commander.SetListing(name, "127.0.0.1:1", true)
@@ -67,7 +67,7 @@
 
 func (b *bench) poll(name string) { b.commander.RecordPollAnswer(b.now, name, b.engineState(name)) }
 
-// apply applies a command as if committed.
+// apply applies a command as if it was committed.
 func (b *bench) apply(command *v1.Command) controlstate.Result {
 	b.index++
 	command.ProposedAtMs = testStart + b.now.Milliseconds()
@@ -83,7 +83,7 @@
 	return result
 }
 
-// step lets the commander act once.
+// step runs one step of the commander.
 func (b *bench) step() {
 	for _, action := range b.commander.Step(b.now, b.state) {
 		if propose, isProposal := action.(Propose); isProposal {
@@ -97,7 +97,7 @@
 	}
 }
 
-// run steps, polls and lets time pass.
+// run alternates steps and polls of all engines for the given time.
 func (b *bench) run(span time.Duration) {
 	for end := b.now + span; b.now < end; b.now += 100 * time.Millisecond {
 		b.step()
@@ -115,31 +115,31 @@
 	}
 }
 
-// answered is an engine's answer on its way to the commander.
-type answered struct {
+// engineAnswer is an engine's answer on its way to the commander.
+type engineAnswer struct {
 	action Action
 	answer enginecontract.OrderAnswer
 }
 
 // exchange delivers a message to its engine.
-func (b *bench) exchange(action Action) answered {
+func (b *bench) exchange(action Action) engineAnswer {
 	switch message := action.(type) {
 	case SendFence:
-		return answered{action, b.engines[message.Engine].Fence(b.now, enginecontract.Fence{Epoch: message.Epoch}, b.inFlight[message.Engine])}
+		return engineAnswer{action, b.engines[message.Engine].Fence(b.now, enginecontract.Fence{Epoch: message.Epoch}, b.inFlight[message.Engine])}
 	case SendOrder:
-		return answered{action, b.engines[message.Engine].Order(b.now, message.Order, b.inFlight[message.Engine])}
+		return engineAnswer{action, b.engines[message.Engine].Order(b.now, message.Order, b.inFlight[message.Engine])}
 	}
 	b.t.Fatalf("%T is no message to an engine", action)
-	return answered{}
+	return engineAnswer{}
 }
 
 // answer delivers an engine's answer to the commander.
-func (b *bench) answer(answered answered) {
-	switch message := answered.action.(type) {
+func (b *bench) answer(delivered engineAnswer) {
+	switch message := delivered.action.(type) {
 	case SendFence:
-		b.commander.RecordFenceAnswer(b.now, message.Engine, message.Epoch, &answered.answer)
+		b.commander.RecordFenceAnswer(b.now, message.Engine, message.Epoch, &delivered.answer)
 	case SendOrder:
-		b.commander.RecordOrderAnswer(b.now, message.Engine, message.Order.Fence, &answered.answer)
+		b.commander.RecordOrderAnswer(b.now, message.Engine, message.Order.Fence, &delivered.answer)
 	}
 }
 
@@ -170,7 +170,7 @@
 	require.NoError(b.t, result.Err)
 }
 
-// declare puts objects in force.
+// declare applies a declaration of objects.
 func (b *bench) declare(objects ...*v1.Object) {
 	b.t.Helper()
 	result := b.apply(&v1.Command{Body: &v1.Command_ApplyDeclaration{ApplyDeclaration: &v1.ApplyDeclaration{Objects: objects}}})
@@ -193,7 +193,7 @@
 	b.declare(objects...)
 }
 
-// takeOver replaces the commander by that of a new leader, which knows only the log.
+// takeOver replaces the commander by that of a new leader, which has only the state of the log.
 func (b *bench) takeOver(epoch uint64) {
 	b.commander = New(Config{Leader: "next", Safeguards: b.commander.config.Safeguards})
 	b.commander.BeginTerm(b.now, epoch)
--- a/internal/authority/limits.go
+++ b/internal/authority/limits.go
@@ -9,24 +9,24 @@
 	"github.com/hazelpitch/hazelpitch/internal/engineroles"
 )
 
-// defaultMaximumOut bounds the engines of a service that are out at once when no
-// declared bound says more.
+// defaultMaximumOut is the maximum number of a service's engines that may be out of service at once
+// unless a declared bound is higher.
 const defaultMaximumOut = 1
 
-// checkBounds demands that the order keeps the declared bounds and the weight
-// store's budget.
+// checkBounds returns an error if the order would exceed a declared bound or the maximum number of
+// loads from the weight store.
 func (c *Commander) checkBounds(state *controlstate.State, engine *engine, wanted *v1.Order) error {
-	if drawsWeights(wanted.Action) {
+	if loadsWeights(wanted.Action) {
 		if loads := c.countLoads(state); loads >= c.config.MaximumLoads {
 			return trace.Wrap(ErrTooManyLoads, "%d of %d are under way", loads, c.config.MaximumLoads)
 		}
 	}
-	if !takesOut(wanted.Action) {
+	if !takesOutOfService(wanted.Action) {
 		return nil
 	}
-	bounds := boundsOf(state, engine.last.Service)
+	bounds := boundsOf(state, engine.state.Service)
 	if c.config.Safeguards.IsEnabled(SafeguardOutOfServiceBound) {
-		if err := c.checkOut(state, engine, bounds); err != nil {
+		if err := c.checkOutOfService(state, engine, bounds); err != nil {
 			return err
 		}
 	}
@@ -46,10 +46,10 @@
 	return bounds
 }
 
-// checkOut demands room for one more engine out, over the whole service and in the
-// engine's zone. A zone has its own bound only when one is declared.
-func (c *Commander) checkOut(state *controlstate.State, engine *engine, bounds []*v1.Bound) error {
-	service, zone := engine.last.Service, engine.last.Zone
+// checkOutOfService returns an error if no further engine may go out of service, in the whole service
+// or in the engine's zone. A zone has a bound only when one is declared.
+func (c *Commander) checkOutOfService(state *controlstate.State, engine *engine, bounds []*v1.Bound) error {
+	service, zone := engine.state.Service, engine.state.Zone
 	scopes := []struct {
 		zone    string
 		limit   int
@@ -59,12 +59,12 @@
 		{zone, 0, false},
 	}
 	for i := range scopes {
-		if limit, declared := smallestOut(bounds, scopes[i].zone); declared {
+		if limit, declared := smallestMaximumOut(bounds, scopes[i].zone); declared {
 			scopes[i].limit, scopes[i].limited = limit, true
 		}
 	}
 	for _, scope := range scopes {
-		out := c.countOut(state, service, scope.zone)
+		out := c.countOutOfService(state, service, scope.zone)
 		if scope.limited && out >= scope.limit {
 			return trace.Wrap(ErrTooManyOutOfService, "%d of %d of service %q in zone %q are out; wait, or declare a larger maximum_out",
 				out, scope.limit, service, scope.zone)
@@ -73,88 +73,88 @@
 	return nil
 }
 
-// smallestOut returns the smallest declared bound of a scope; the empty zone is the
-// whole service.
-func smallestOut(bounds []*v1.Bound, zone string) (limit int, declared bool) {
+// smallestMaximumOut returns the smallest declared bound of a zone; the empty zone means the whole
+// service.
+func smallestMaximumOut(bounds []*v1.Bound, zone string) (limit int, declared bool) {
 	for _, bound := range bounds {
 		if bound.Zone != zone {
 			continue
 		}
-		most := max(int(bound.MaximumOut), defaultMaximumOut)
-		if !declared || most < limit {
-			limit, declared = most, true
+		maximum := max(int(bound.MaximumOut), defaultMaximumOut)
+		if !declared || maximum < limit {
+			limit, declared = maximum, true
 		}
 	}
 	return limit, declared
 }
 
-// countOut counts the engines of a service, in one zone or (empty) in all, that are
-// out or about to be: by an order, by one being committed, or by their own word.
-func (c *Commander) countOut(state *controlstate.State, service, zone string) int {
+// countOutOfService counts the engines of a service, in one zone or (empty) in all, that are out of
+// service or about to be: by an order, by a pending order, or by their reported state.
+func (c *Commander) countOutOfService(state *controlstate.State, service, zone string) int {
 	count := 0
 	for _, name := range c.names {
 		engine, record := c.engines[name], state.Engine(name)
-		if ownService, ownZone := engine.placed(record); ownService != service || (zone != "" && ownZone != zone) {
+		if engineService, engineZone := engine.location(record); engineService != service || (zone != "" && engineZone != zone) {
 			continue
 		}
-		outstanding := record.GetOutstanding() != nil && takesOut(record.Outstanding.Action)
-		pending := engine.ordering != nil && engine.ordering.out
-		own := engine.last.State == enginecontract.StateDraining || engine.last.State == enginecontract.StateChanging
-		if outstanding || pending || own || record.GetDrained() {
+		outstanding := record.GetOutstanding() != nil && takesOutOfService(record.Outstanding.Action)
+		pending := engine.pendingOrder != nil && engine.pendingOrder.outOfService
+		changing := engine.state.State == enginecontract.StateDraining || engine.state.State == enginecontract.StateChanging
+		if outstanding || pending || changing || record.GetDrained() {
 			count++
 		}
 	}
 	return count
 }
 
-// countLoads counts the orders that draw from the weight store.
+// countLoads counts the orders that load from the weight store.
 func (c *Commander) countLoads(state *controlstate.State) int {
 	count := 0
 	for _, name := range c.names {
 		order := state.Engine(name).GetOutstanding()
-		pending := c.engines[name].ordering
-		if (order != nil && drawsWeights(order.Action)) || (pending != nil && pending.loads) {
+		pending := c.engines[name].pendingOrder
+		if (order != nil && loadsWeights(order.Action)) || (pending != nil && pending.loadsWeights) {
 			count++
 		}
 	}
 	return count
 }
 
-// checkRoles demands that a role change keeps the declared minimum and maximum.
+// checkRoles returns an error if a role change would violate a declared minimum or maximum.
 func (c *Commander) checkRoles(state *controlstate.State, engine *engine, wanted *v1.Order, bounds []*v1.Bound) error {
-	from, to := engineroles.FromContract(engine.last.Role), wanted.Role
+	from, to := engineroles.FromContract(engine.state.Role), wanted.Role
 	for _, bound := range bounds {
-		if bound.Zone != "" && bound.Zone != engine.last.Zone {
+		if bound.Zone != "" && bound.Zone != engine.state.Zone {
 			continue
 		}
-		count := c.countRole(state, engine.last.Service, bound.Zone, bound.Role)
+		count := c.countRole(state, engine.state.Service, bound.Zone, bound.Role)
 		if bound.Role == from && count <= int(bound.Minimum) {
 			return trace.Wrap(ErrRoleBound, "service %q in zone %q has %d engines in role %s; at least %d",
-				engine.last.Service, bound.Zone, count, engineroles.ToContract(from), bound.Minimum)
+				engine.state.Service, bound.Zone, count, engineroles.ToContract(from), bound.Minimum)
 		}
 		if bound.Role == to && bound.Maximum != 0 && count >= int(bound.Maximum) {
 			return trace.Wrap(ErrRoleBound, "service %q in zone %q has %d engines in role %s; at most %d",
-				engine.last.Service, bound.Zone, count, engineroles.ToContract(to), bound.Maximum)
+				engine.state.Service, bound.Zone, count, engineroles.ToContract(to), bound.Maximum)
 		}
 	}
 	return nil
 }
 
-// countRole counts the engines that play a role or are changing to it.
+// countRole counts the engines that have a role or are changing to it.
 func (c *Commander) countRole(state *controlstate.State, service, zone string, role v1.Role) int {
 	count := 0
 	for _, name := range c.names {
 		engine := c.engines[name]
-		if !engine.heard || engine.last.Service != service || (zone != "" && engine.last.Zone != zone) {
+		if !engine.hasState || engine.state.Service != service || (zone != "" && engine.state.Zone != zone) {
 			continue
 		}
-		plays := engineroles.FromContract(engine.last.Role)
+		effectiveRole := engineroles.FromContract(engine.state.Role)
 		if order := state.Engine(name).GetOutstanding(); order.GetAction() == v1.OrderAction_ORDER_ACTION_SET_ROLE {
-			plays = order.Role
-		} else if engine.ordering != nil && engine.ordering.target != "" {
-			plays = engineroles.FromContract(engine.ordering.target)
+			effectiveRole = order.Role
+		} else if engine.pendingOrder != nil && engine.pendingOrder.targetRole != "" {
+			effectiveRole = engineroles.FromContract(engine.pendingOrder.targetRole)
 		}
-		if plays == role {
+		if effectiveRole == role {
 			count++
 		}
 	}
--- a/internal/authority/overtaken_test.go
+++ b/internal/authority/newer_fence_test.go
@@ -8,13 +8,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-func TestOvertaken(t *testing.T) {
+func TestNewerFenceEpoch(t *testing.T) {
 	tests := []struct {
-		name      string
-		epochs    []uint64
-		leading   uint64
-		overtaken bool
-		epoch     uint64
+		name       string
+		epochs     []uint64
+		leading    uint64
+		isMajority bool
+		epoch      uint64
 	}{
 		{"no engines", nil, 3, false, 0},
 		{"own epoch", []uint64{3, 3, 2}, 3, false, 0},
@@ -33,7 +33,7 @@
 				b.poll(name)
 			}
 			epoch, overtaken := b.commander.NewerFenceEpoch()
-			require.Equal(t, test.overtaken, overtaken)
+			require.Equal(t, test.isMajority, overtaken)
 			require.Equal(t, test.epoch, epoch)
 		})
 	}
--- a/internal/authority/reconcile.go
+++ b/internal/authority/reconcile.go
@@ -10,70 +10,70 @@
 	"github.com/hazelpitch/hazelpitch/internal/engineroles"
 )
 
-// ended compares the outstanding order with the engine's own word and returns how
-// the order ended, or nil while it has not. The engine holds this epoch's fence.
-func (c *Commander) ended(now time.Duration, engine *engine, order *v1.Order) *v1.FinishOrder {
-	fence, state := fenceOf(order), engine.last
+// checkEnd compares the outstanding order with the state reported by the engine and returns how the
+// order ended, or nil while it has not ended. The engine has confirmed this epoch's fence.
+func (c *Commander) checkEnd(now time.Duration, engine *engine, order *v1.Order) *v1.FinishOrder {
+	fence, state := fenceOf(order), engine.state
 	switch {
 	case state.OrderFence == fence:
-		return c.endedInPhase(engine, order)
-	case order.AbortSequence != 0 && state.OrderFence == abortFence(c.epoch, order) && !underWay(state):
-		if reached(order, state) {
-			return finish(engine, order, v1.OrderOutcome_ORDER_OUTCOME_DONE, "done before the abort arrived")
+		return c.endFromPhase(engine, order)
+	case order.AbortSequence != 0 && state.OrderFence == abortFence(c.epoch, order) && !isCarryingOutOrder(state):
+		if isFulfilled(order, state) {
+			return finishOrder(engine, order, v1.OrderOutcome_ORDER_OUTCOME_DONE, "done before the abort arrived")
 		}
-		return finish(engine, order, v1.OrderOutcome_ORDER_OUTCOME_ABORTED, order.AbortReason)
-	case engine.refused == fence && order.Epoch == c.epoch:
-		return finish(engine, order, v1.OrderOutcome_ORDER_OUTCOME_REFUSED, string(engine.refusal))
-	case order.Epoch < c.epoch && !underWay(state):
-		// The raised fence keeps every late copy of the order out.
-		if reached(order, state) && order.Action != v1.OrderAction_ORDER_ACTION_RESUME {
-			return finish(engine, order, v1.OrderOutcome_ORDER_OUTCOME_DONE, "found done by a new leader")
+		return finishOrder(engine, order, v1.OrderOutcome_ORDER_OUTCOME_ABORTED, order.AbortReason)
+	case engine.refusedFence == fence && order.Epoch == c.epoch:
+		return finishOrder(engine, order, v1.OrderOutcome_ORDER_OUTCOME_REFUSED, string(engine.refusal))
+	case order.Epoch < c.epoch && !isCarryingOutOrder(state):
+		// The raised fence makes the engine reject any late copy of the order.
+		if isFulfilled(order, state) && order.Action != v1.OrderAction_ORDER_ACTION_RESUME {
+			return finishOrder(engine, order, v1.OrderOutcome_ORDER_OUTCOME_DONE, "found done by a new leader")
 		}
-		return finish(engine, order, v1.OrderOutcome_ORDER_OUTCOME_ABORTED, "it never reached the engine, and a newer fence keeps it out")
-	case fence.Less(state.HighestFence) && order.AbortSequence == 0 && !underWay(state):
-		return finish(engine, order, v1.OrderOutcome_ORDER_OUTCOME_REFUSED, "the engine holds a higher fence")
+		return finishOrder(engine, order, v1.OrderOutcome_ORDER_OUTCOME_ABORTED, "it never reached the engine, and a newer fence keeps it out")
+	case fence.Less(state.HighestFence) && order.AbortSequence == 0 && !isCarryingOutOrder(state):
+		return finishOrder(engine, order, v1.OrderOutcome_ORDER_OUTCOME_REFUSED, "the engine holds a higher fence")
 	default:
 		return nil
 	}
 }
 
-// endedInPhase reads the end of an order from the phase the engine reports for it.
-func (c *Commander) endedInPhase(engine *engine, order *v1.Order) *v1.FinishOrder {
-	switch engine.last.OrderPhase {
+// endFromPhase derives the end of an order from the phase that the engine reports for it.
+func (c *Commander) endFromPhase(engine *engine, order *v1.Order) *v1.FinishOrder {
+	switch engine.state.OrderPhase {
 	case enginecontract.PhaseDone:
-		return finish(engine, order, v1.OrderOutcome_ORDER_OUTCOME_DONE, "")
+		return finishOrder(engine, order, v1.OrderOutcome_ORDER_OUTCOME_DONE, "")
 	case enginecontract.PhaseAborted:
 		detail := "the engine aborted it: the drain took too long, or the engine restarted"
 		if order.AbortSequence != 0 {
 			detail = order.AbortReason
-		} else if engine.last.Incarnation != order.EngineIncarnation {
-			return finish(engine, order, v1.OrderOutcome_ORDER_OUTCOME_ENGINE_LOST, "the engine restarted in the middle of it")
+		} else if engine.state.Incarnation != order.EngineIncarnation {
+			return finishOrder(engine, order, v1.OrderOutcome_ORDER_OUTCOME_ENGINE_LOST, "the engine restarted in the middle of it")
 		}
-		return finish(engine, order, v1.OrderOutcome_ORDER_OUTCOME_ABORTED, detail)
+		return finishOrder(engine, order, v1.OrderOutcome_ORDER_OUTCOME_ABORTED, detail)
 	case enginecontract.PhaseNone:
-		return finish(engine, order, v1.OrderOutcome_ORDER_OUTCOME_ENGINE_LOST, "the engine restarted in the middle of it")
+		return finishOrder(engine, order, v1.OrderOutcome_ORDER_OUTCOME_ENGINE_LOST, "the engine restarted in the middle of it")
 	default:
 		return nil
 	}
 }
 
-func finish(engine *engine, order *v1.Order, outcome v1.OrderOutcome, detail string) *v1.FinishOrder {
+func finishOrder(engine *engine, order *v1.Order, outcome v1.OrderOutcome, detail string) *v1.FinishOrder {
 	return &v1.FinishOrder{
 		Engine: order.Engine, Epoch: order.Epoch, Sequence: order.Sequence, Outcome: outcome, Detail: detail,
-		Observed: recordOf(engine.address, engine.last),
+		Observed: recordedState(engine.address, engine.state),
 	}
 }
 
-// reached reports whether the engine is as the order wants it.
-func reached(order *v1.Order, state enginecontract.EngineState) bool {
+// isFulfilled reports whether the engine is in the state that the order requests.
+func isFulfilled(order *v1.Order, state enginecontract.EngineState) bool {
 	switch order.Action {
 	case v1.OrderAction_ORDER_ACTION_SET_ROLE:
 		return engineroles.FromContract(state.Role) == order.Role
 	case v1.OrderAction_ORDER_ACTION_LOAD_MODEL:
 		return state.Model == order.Model && state.Version == order.Version
 	case v1.OrderAction_ORDER_ACTION_LOAD_ADAPTER:
-		version, told := state.AdapterVersions[order.Adapter]
-		return slices.Contains(state.Adapters, order.Adapter) && (!told || version == order.Version)
+		version, hasVersion := state.AdapterVersions[order.Adapter]
+		return slices.Contains(state.Adapters, order.Adapter) && (!hasVersion || version == order.Version)
 	case v1.OrderAction_ORDER_ACTION_UNLOAD_ADAPTER:
 		return !slices.Contains(state.Adapters, order.Adapter)
 	case v1.OrderAction_ORDER_ACTION_DRAIN:
@@ -85,35 +85,35 @@
 	}
 }
 
-// listedPatience is how many times longer the order of a silent engine is kept while
-// the platform lists the engine.
-const listedPatience = 4
+// listedTimeoutFactor is the factor by which the timeout of a silent engine's order is extended while
+// the platform's list contains the engine.
+const listedTimeoutFactor = 4
 
-// giveUpSilent ends the order of an engine that has not answered for long. Should the
-// engine return and still carry it out, no other order is given until that has ended.
-func (c *Commander) giveUpSilent(now time.Duration, engine *engine, record *v1.EngineRecord) []Action {
+// expireSilent ends the order of an engine that has not answered within the timeout. If the engine
+// returns and still carries out the order, it gets no other order until that has ended.
+func (c *Commander) expireSilent(now time.Duration, engine *engine, record *v1.EngineRecord) []Action {
 	order := record.GetOutstanding()
-	patience := c.config.LostAfter
+	timeout := c.config.LostAfter
 	if engine.listed {
-		patience *= listedPatience // the list lags, but the engine may still come back
+		timeout *= listedTimeoutFactor // the list may be out of date, but the engine may also return
 	}
-	if order == nil || now-max(engine.heardAt, c.ledAt) < patience {
+	if order == nil || now-max(engine.stateAt, c.termStartedAt) < timeout {
 		return nil
 	}
 	return c.proposeOnce(now, engine, &v1.Command{Body: &v1.Command_FinishOrder{FinishOrder: &v1.FinishOrder{
 		Engine: order.Engine, Epoch: order.Epoch, Sequence: order.Sequence,
 		Outcome: v1.OrderOutcome_ORDER_OUTCOME_ENGINE_LOST,
-		Detail:  fmt.Sprintf("the engine has not answered for %v", patience),
+		Detail:  fmt.Sprintf("the engine has not answered for %v", timeout),
 	}}})
 }
 
-// sendOrder sends the outstanding order, or its abort, at most one copy at a time.
+// sendOrder sends the outstanding order, or its abort, with at most one copy in flight.
 func (c *Commander) sendOrder(now time.Duration, engine *engine, order *v1.Order) []Action {
 	message := contractOrder(order)
 	if order.AbortSequence != 0 {
 		message = enginecontract.Order{Fence: abortFence(c.epoch, order), Action: enginecontract.ActionAbort}
-	} else if order.Epoch != c.epoch || engine.last.OrderFence == message.Fence {
-		return nil // an older leader's order is only watched; a held one needs no copy
+	} else if order.Epoch != c.epoch || engine.state.OrderFence == message.Fence {
+		return nil // an order of an earlier leader is only observed; a received one is not resent
 	}
 	if engine.address == "" || engine.orderInFlight == message.Fence || now < engine.nextOrderAt {
 		return nil
@@ -123,7 +123,7 @@
 	return []Action{SendOrder{Engine: engine.name, Address: engine.address, Order: message}}
 }
 
-// abortFence is the fence of the request to abort an order: above the order's own.
+// abortFence returns the fence of the request to abort an order, which is above the order's fence.
 func abortFence(epoch uint64, order *v1.Order) enginecontract.Fence {
 	return enginecontract.Fence{Epoch: epoch, Sequence: order.AbortSequence}
 }
