--- a/internal/control/drive.go
+++ b/internal/control/drive.go
@@ -122,7 +122,7 @@
 			pages[object.Key.Name] = true
 		}
 	}
-	c.tracker.SetPages(pages)
+	c.tracker.SetPageServices(pages)
 }
 
 // snapshotIfDue writes the state out and cuts the log.
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -10,29 +10,29 @@
 	DefaultGatewayTimeout     = 10 * time.Second
 	DefaultListResetAfter     = 30 * time.Second
 	DefaultDirectoryCacheTime = 100 * time.Millisecond
-	// DefaultMaximumPerService bounds the back ends of one service in a directory.
+	// DefaultMaximumPerService limits the back ends of one service in a directory.
 	DefaultMaximumPerService = 24
-	// DefaultMinimumPerRole is the number of back ends of each role that a directory holds
-	// at least, when there are as many.
+	// DefaultMinimumPerRole is the minimum number of back ends of each role in a directory, if that
+	// many exist.
 	DefaultMinimumPerRole = 4
 )
 
-// MaximumGateways bounds the gateways that are remembered; the one heard of longest
-// ago is forgotten first.
+// MaximumGateways limits the gateways that are tracked. When it is reached, the gateway with the oldest
+// heartbeat is removed.
 const MaximumGateways = 2000
 
-// Config configures a Tracker. Zero values mean the defaults.
+// Config configures a Tracker. Zero values select the defaults.
 type Config struct {
 	PollInterval time.Duration
-	// MaximumStateAge is the greatest age of a reading that confirms a back end.
+	// MaximumStateAge is the maximum age of a reading that confirms a back end.
 	MaximumStateAge time.Duration
-	// RemoveAfter is how long a back end that is neither listed nor answering is kept.
+	// RemoveAfter is how long a back end that is neither listed nor answering stays in the tracker.
 	RemoveAfter time.Duration
-	// GatewayTimeout is the silence after which a gateway counts as gone.
+	// GatewayTimeout is the time without a heartbeat after which a gateway counts as gone.
 	GatewayTimeout time.Duration
-	// ListResetAfter is how long lists with a lower version are taken for late copies.
+	// ListResetAfter is how long lists with a lower version are ignored as late copies.
 	ListResetAfter time.Duration
-	// DirectoryCacheTime is how long a zone's directory is used again.
+	// DirectoryCacheTime is how long a zone's directory is reused.
 	DirectoryCacheTime time.Duration
 	MaximumPerService  int
 	MinimumPerRole     int
--- a/internal/membership/description.go
+++ b/internal/membership/description.go
@@ -9,42 +9,42 @@
 	"github.com/hazelpitch/hazelpitch/internal/engineroles"
 )
 
-// description is what a machine's digest was last made of. Readings are replaced, never
-// changed, so that the same reading gives the same digest.
+// description is the input that a machine's digest was last computed from. States are replaced and
+// never modified, so comparing the pointer is enough.
 type description struct {
-	state  v1.BackEndState
-	row    enginecontract.Machine
-	own    *enginecontract.EngineState
-	digest uint64
+	state       v1.BackEndState
+	row         enginecontract.Machine
+	engineState *enginecontract.EngineState
+	digest      uint64
 }
 
-// describe returns the digest of what gateways are told of a machine, its load apart.
-// It is equal at every controller.
-func (m *Machine) describe(state v1.BackEndState) uint64 {
-	last := &m.described
-	if last.digest != 0 && last.state == state && last.own == m.State && last.row == m.Row {
-		return last.digest
+// descriptionDigest returns a digest of what gateways receive about a machine, except its load. All
+// controllers compute the same digest.
+func (m *Machine) descriptionDigest(state v1.BackEndState) uint64 {
+	cached := &m.cachedDescription
+	if cached.digest != 0 && cached.state == state && cached.engineState == m.State && cached.row == m.Row {
+		return cached.digest
 	}
-	*last = description{state: state, row: m.Row, own: m.State}
+	*cached = description{state: state, row: m.Row, engineState: m.State}
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m.backEnd(state))
 	if err != nil {
-		data = []byte(m.Row.Name) // names that are not UTF-8 never get this far
+		data = []byte(m.Row.Name) // names that are not valid UTF-8 are rejected earlier
 	}
-	last.digest = max(xxhash.Sum64(data), 1)
-	return last.digest
+	cached.digest = max(xxhash.Sum64(data), 1)
+	return cached.digest
 }
 
-// backEnd describes a machine to gateways, without its load.
+// backEnd returns the description of a machine for gateways, without its load.
 func (m *Machine) backEnd(state v1.BackEndState) *v1.BackEnd {
 	backEnd := &v1.BackEnd{
 		Name: m.Row.Name, Service: m.Row.Service, Zone: m.Row.Zone, Address: m.Row.Address, State: state,
 	}
-	if own := m.State; own != nil {
-		backEnd.Role = engineroles.FromContract(own.Role)
-		backEnd.Model = own.Model
-		backEnd.Version = own.Version
-		backEnd.Adapters = own.Adapters
-		backEnd.Incarnation = own.Incarnation
+	if engine := m.State; engine != nil {
+		backEnd.Role = engineroles.FromContract(engine.Role)
+		backEnd.Model = engine.Model
+		backEnd.Version = engine.Version
+		backEnd.Adapters = engine.Adapters
+		backEnd.Incarnation = engine.Incarnation
 	}
 	return backEnd
 }
--- a/internal/membership/description_test.go
+++ b/internal/membership/description_test.go
@@ -10,9 +10,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// TestVersionFollowsEveryChangeOfContent changes one thing at a time: a directory that
-// is kept between calls has to notice each.
-func TestVersionFollowsEveryChangeOfContent(t *testing.T) {
+// TestDirectoryVersionChangesWithContent changes one property at a time: the cached directory must get
+// a new version for each change.
+func TestDirectoryVersionChangesWithContent(t *testing.T) {
 	serving := enginecontract.EngineState{Engine: "x", Incarnation: 1, State: enginecontract.StateServing, Role: enginecontract.RoleMixed, Model: "m", Version: "1"}
 	for name, change := range map[string]func(tracker *Tracker, now time.Duration, state *enginecontract.EngineState){
 		"state": func(_ *Tracker, _ time.Duration, state *enginecontract.EngineState) {
@@ -48,8 +48,8 @@
 			now += time.Second
 			require.True(t, tracker.RecordState("x", now, &same))
 			kept, _ := tracker.Directory(now, "z")
-			require.Equal(t, before.Version, kept.Version, "the same content read again")
-			require.Zero(t, kept.Age, "but fresher")
+			require.Equal(t, before.Version, kept.Version, "the same content was read again")
+			require.Zero(t, kept.Age, "the same content was read again just now")
 
 			next := serving
 			now += time.Second
--- a/internal/membership/directory.go
+++ b/internal/membership/directory.go
@@ -13,112 +13,110 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Directory is what a gateway of a zone uses.
+// Directory is the set of back ends that gateways of a zone use.
 type Directory struct {
-	// Version is equal for equal back ends, loads apart.
+	// Version is equal for equal back ends; loads do not count.
 	Version uint64
-	// Age is the greatest age of the readings behind the serving back ends.
+	// Age is the maximum age of the readings that show back ends as serving.
 	Age time.Duration
 
 	tracker  *Tracker
 	machines []*Machine
 }
 
-// zoneDirectory is a directory that is used again for a short time.
-type zoneDirectory struct {
-	directory Directory
-	madeAt    time.Duration
-	// shape is the tracker's when the machines were chosen.
-	shape uint64
+// cachedDirectory is a directory that is reused for DirectoryCacheTime.
+type cachedDirectory struct {
+	directory   Directory
+	refreshedAt time.Duration
+	// topologyVersion is the tracker's topologyVersion when the machines were chosen.
+	topologyVersion uint64
 }
 
-// Directory returns the back ends for the gateways of a zone. It reports false while
-// this controller's readings are not good enough to say anything: before every
-// machine was polled once. When fewer than half of the engines answer, that tells more
-// about this controller's network than about the silent ones, whose state is then
-// unspecified; those that answer are told of all the same, so that a region which is cut
-// off goes on with its own.
+// Directory returns the back ends for the gateways of a zone. It reports false until every machine of
+// the first list has been polled once. When fewer than half of the engines answer, the cause is more
+// likely this controller's network than the silent engines, so their state is unspecified. The directory
+// still contains the engines that answer, so that a region that is cut off can use its own engines.
 func (t *Tracker) Directory(now time.Duration, zone string) (Directory, bool) {
-	if !t.polled(now) {
+	if !t.allPolled(now) {
 		return Directory{Age: math.MaxInt64}, false
 	}
 	cached := t.directories[zone]
-	if cached == nil || cached.shape != t.shape {
-		cached = &zoneDirectory{directory: Directory{tracker: t, machines: t.chosen(zone)}, shape: t.shape}
+	if cached == nil || cached.topologyVersion != t.topologyVersion {
+		cached = &cachedDirectory{directory: Directory{tracker: t, machines: t.chooseMachines(zone)}, topologyVersion: t.topologyVersion}
 		t.directories[zone] = cached
-		t.describe(now, cached)
-	} else if now-cached.madeAt > t.config.DirectoryCacheTime || now < cached.madeAt {
-		t.describe(now, cached)
+		t.refresh(now, cached)
+	} else if now-cached.refreshedAt > t.config.DirectoryCacheTime || now < cached.refreshedAt {
+		t.refresh(now, cached)
 	}
 	directory := cached.directory
-	directory.Age += now - cached.madeAt
+	directory.Age += now - cached.refreshedAt
 	return directory, true
 }
 
-// BackEnds describes the back ends with their loads as they are known now.
+// BackEnds returns the descriptions of the back ends with their current loads.
 func (d Directory) BackEnds(now time.Duration) []*v1.BackEnd {
 	backEnds := make([]*v1.BackEnd, len(d.machines))
 	for position, machine := range d.machines {
-		backEnds[position] = machine.backEnd(machine.described.state)
+		backEnds[position] = machine.backEnd(machine.cachedDescription.state)
 		if machine.Load != nil {
-			backEnds[position].Load = loadOf(machine.Load)
+			backEnds[position].Load = backEndLoad(machine.Load)
 			backEnds[position].LoadAgeMs = uint32(min(machine.LoadAge(now).Milliseconds(), math.MaxUint32))
 		}
 	}
 	return backEnds
 }
 
-// polled reports whether every machine of the first list was polled.
-func (t *Tracker) polled(now time.Duration) bool {
-	return t.listed && now-t.firstListAt >= t.config.PollInterval+t.config.PollInterval/2
+// allPolled reports whether every machine of the first list was polled.
+func (t *Tracker) allPolled(now time.Duration) bool {
+	return t.listRead && now-t.firstListAt >= t.config.PollInterval+t.config.PollInterval/2
 }
 
-// hearsFew reports whether fewer than half of the engines answer this controller.
-func (t *Tracker) hearsFew(now time.Duration) bool {
+// onlyMinorityAnswers reports whether fewer than half of the listed engines answer this controller.
+func (t *Tracker) onlyMinorityAnswers(now time.Duration) bool {
 	engines, answering := 0, 0
 	for _, machine := range t.machines {
-		if machine.page || !machine.Listed {
+		if machine.isPageService || !machine.Listed {
 			continue
 		}
 		engines++
-		if !machine.silent(now, t.config.MaximumStateAge) {
+		if !machine.isSilent(now, t.config.MaximumStateAge) {
 			answering++
 		}
 	}
 	return 2*answering < engines
 }
 
-// chosen lists the machines of a zone's directory, the services by name.
-func (t *Tracker) chosen(zone string) []*Machine {
+// chooseMachines returns the machines of a zone's directory, ordered by service.
+func (t *Tracker) chooseMachines(zone string) []*Machine {
 	var machines []*Machine
-	for _, service := range t.services() {
+	for _, service := range t.machinesByService() {
 		machines = append(machines, t.subset(service, zone)...)
 	}
 	return machines
 }
 
-// describe brings version and age of a zone's directory up to now.
-func (t *Tracker) describe(now time.Duration, cached *zoneDirectory) {
+// refresh updates the version and the age of a zone's directory.
+func (t *Tracker) refresh(now time.Duration, cached *cachedDirectory) {
 	directory := &cached.directory
 	directory.Age = 0
 	digest := xxhash.New()
 	var buffer [8]byte
-	hearsFew := t.hearsFew(now)
+	onlyMinorityAnswers := t.onlyMinorityAnswers(now)
 	for _, machine := range directory.machines {
 		state, age := machine.backEndState(now, t.listAt, t.config.MaximumStateAge)
-		if hearsFew && state == v1.BackEndState_BACK_END_STATE_CHANGING && machine.silent(now, t.config.MaximumStateAge) {
+		if onlyMinorityAnswers && state == v1.BackEndState_BACK_END_STATE_CHANGING && machine.isSilent(now, t.config.MaximumStateAge) {
 			state = v1.BackEndState_BACK_END_STATE_UNSPECIFIED
 		}
-		binary.BigEndian.PutUint64(buffer[:], machine.describe(state))
+		binary.BigEndian.PutUint64(buffer[:], machine.descriptionDigest(state))
 		_, _ = digest.Write(buffer[:]) // never fails, by its documentation
 		directory.Age = max(directory.Age, age)
 	}
 	directory.Version = max(digest.Sum64(), 1) // 0 means that a gateway has no directory
-	cached.madeAt = now
+	cached.refreshedAt = now
 }
 
-// services lists the machines by service, the services by name.
-func (t *Tracker) services() [][]*Machine {
+// machinesByService groups the machines by service, ordered by the name of the service.
+func (t *Tracker) machinesByService() [][]*Machine {
 	grouped := map[string][]*Machine{}
 	var names []string
 	for _, name := range t.names {
@@ -137,9 +135,9 @@
 	return services
 }
 
-// subset cuts a service's machines to the bound: the zone's own first, then those of
-// other zones as rendezvous hashing spreads them, each role in proportion. The result
-// has at most PerService machines, or a few more so that each role has PerRole.
+// subset reduces a service's machines to the configured maximum: first those of the zone, then those of
+// other zones in the order of rendezvous hashing, with each role in proportion. The result has at most
+// MaximumPerService machines, or slightly more so that each role has MinimumPerRole.
 func (t *Tracker) subset(machines []*Machine, zone string) []*Machine {
 	if len(machines) <= t.config.MaximumPerService {
 		return machines
@@ -151,7 +149,7 @@
 	}
 	var chosen []*Machine
 	for _, role := range []enginecontract.Role{"", enginecontract.RolePrefill, enginecontract.RoleDecode, enginecontract.RoleMixed} {
-		ranked := rank(byRole[role], zone)
+		ranked := rankForZone(byRole[role], zone)
 		quota := max(len(ranked)*t.config.MaximumPerService/len(machines), t.config.MinimumPerRole)
 		chosen = append(chosen, ranked[:min(quota, len(ranked))]...)
 	}
@@ -159,7 +157,7 @@
 	return chosen
 }
 
-// role is the machine's role by its own word; "" when it has none.
+// role returns the role that the machine reported; "" when it has none.
 func (m *Machine) role() enginecontract.Role {
 	if m.State == nil {
 		return ""
@@ -167,21 +165,21 @@
 	return m.State.Role
 }
 
-// rank orders machines for a zone: its own first, then by rendezvous weight.
-func rank(machines []*Machine, zone string) []*Machine {
+// rankForZone orders machines for a zone: first the zone's machines, then by rendezvous weight.
+func rankForZone(machines []*Machine, zone string) []*Machine {
 	ranked := slices.Clone(machines)
 	slices.SortFunc(ranked, func(a, b *Machine) int {
-		if own := compareBool(a.Row.Zone == zone, b.Row.Zone == zone); own != 0 {
-			return own
+		if sameZone := compareTrueFirst(a.Row.Zone == zone, b.Row.Zone == zone); sameZone != 0 {
+			return sameZone
 		}
-		left, right := weight(zone, a.Row.Name), weight(zone, b.Row.Name)
+		left, right := rendezvousWeight(zone, a.Row.Name), rendezvousWeight(zone, b.Row.Name)
 		return cmp.Or(cmp.Compare(right, left), cmp.Compare(a.Row.Name, b.Row.Name))
 	})
 	return ranked
 }
 
-// compareBool orders true before false.
-func compareBool(a, b bool) int {
+// compareTrueFirst orders true before false.
+func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -192,12 +190,12 @@
 	}
 }
 
-// weight is the rendezvous weight of a machine for a zone.
-func weight(zone, name string) uint64 {
+// rendezvousWeight returns the weight of a machine for a zone in rendezvous hashing.
+func rendezvousWeight(zone, name string) uint64 {
 	return xxhash.Sum64String(zone + "\x00" + name)
 }
 
-// BackEndState is what gateways are told of a machine.
+// BackEndState returns the state of a machine as reported to gateways.
 func (t *Tracker) BackEndState(now time.Duration, name string) v1.BackEndState {
 	machine := t.machines[name]
 	if machine == nil {
@@ -207,7 +205,7 @@
 	return state
 }
 
-func loadOf(load *enginecontract.LoadReport) *v1.BackEndLoad {
+func backEndLoad(load *enginecontract.LoadReport) *v1.BackEndLoad {
 	return &v1.BackEndLoad{
 		Running: uint32(max(load.Running, 0)), Waiting: uint32(max(load.Waiting, 0)),
 		WaitingPromptTokens: uint64(max(load.WaitingPromptTokens, 0)),
@@ -216,11 +214,11 @@
 	}
 }
 
-// BackEndLoad is the machine's last load report in the internal protocol; nil when
+// BackEndLoad returns the machine's last load report in the format of the internal protocol; nil when
 // there is none.
 func (m *Machine) BackEndLoad() *v1.BackEndLoad {
 	if m.Load == nil {
 		return nil
 	}
-	return loadOf(m.Load)
+	return backEndLoad(m.Load)
 }
--- a/internal/membership/gateway.go
+++ b/internal/membership/gateway.go
@@ -7,7 +7,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// Gateway is one gateway as its heartbeats tell.
+// Gateway is a gateway as described by its last heartbeat.
 type Gateway struct {
 	Name            string
 	Zone            string
@@ -18,7 +18,7 @@
 	LastHeartbeatAt time.Duration
 }
 
-// RecordHeartbeat takes a gateway's heartbeat. One of an older incarnation is ignored.
+// RecordHeartbeat records a gateway's heartbeat. A heartbeat of an older incarnation is ignored.
 func (t *Tracker) RecordHeartbeat(now time.Duration, identity *v1.NodeIdentity, revision uint64, leaving bool) {
 	name := identity.GetName()
 	if name == "" {
@@ -29,7 +29,7 @@
 		return
 	}
 	if known == nil && len(t.gateways) >= MaximumGateways {
-		t.forgetOldestGateway()
+		t.removeOldestGateway()
 	}
 	t.gateways[name] = &Gateway{
 		Name: name, Zone: identity.Zone, Address: identity.Address, Incarnation: identity.Incarnation,
@@ -37,7 +37,7 @@
 	}
 }
 
-func (t *Tracker) forgetOldestGateway() {
+func (t *Tracker) removeOldestGateway() {
 	var oldest *Gateway
 	for _, gateway := range t.Gateways() {
 		if oldest == nil || gateway.LastHeartbeatAt < oldest.LastHeartbeatAt {
@@ -47,7 +47,7 @@
 	delete(t.gateways, oldest.Name)
 }
 
-// Gateways lists the gateways that have been heard of, by name.
+// Gateways returns the known gateways, ordered by name.
 func (t *Tracker) Gateways() []*Gateway {
 	gateways := make([]*Gateway, 0, len(t.gateways))
 	for _, gateway := range t.gateways {
@@ -62,9 +62,9 @@
 	return gateways
 }
 
-// IsGatewayGone reports whether the gateway process is known to be gone, or has been
-// silent for long, counted from since when it was never heard of. A later process
-// under its name means that it is gone.
+// IsGatewayGone reports whether the gateway process is gone: a newer incarnation has the same name, or
+// no heartbeat arrived for GatewayTimeout. The time without heartbeats is counted from since at the
+// earliest.
 func (t *Tracker) IsGatewayGone(now, since time.Duration, name string, incarnation uint64) bool {
 	gateway := t.gateways[name]
 	if gateway == nil {
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -7,28 +7,28 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Machine is one back end as the tracker knows it.
+// Machine is one back end as known to the tracker.
 type Machine struct {
 	Row enginecontract.Machine
-	// Listed: the newest list has the machine; SeenAt is when a list last had it.
+	// Listed is set when the newest list contains the machine; LastListedAt is when a list last did.
 	Listed       bool
 	LastListedAt time.Duration
-	// State is the machine's own last word, read no earlier than AnsweredAt.
+	// State is the state that the machine last reported; it was read no earlier than StateAt.
 	State   *enginecontract.EngineState
 	StateAt time.Duration
 	// Load is its last load report, received at LoadAt.
 	Load   *enginecontract.LoadReport
 	LoadAt time.Duration
 
-	page         bool
-	pollInFlight bool
-	pollSentAt   time.Duration
-	nextPollAt   time.Duration
+	isPageService bool
+	pollInFlight  bool
+	pollSentAt    time.Duration
+	nextPollAt    time.Duration
 
-	described description
+	cachedDescription description
 }
 
-// LoadAge is how old the load report's readings are.
+// LoadAge returns the age of the load report's readings.
 func (m *Machine) LoadAge(now time.Duration) time.Duration {
 	if m.Load == nil {
 		return 0
@@ -36,19 +36,19 @@
 	return now - m.LoadAt + time.Duration(m.Load.AgeMs)*time.Millisecond
 }
 
-// backEndState tells whether the machine may receive new work, and the age of the
-// reading that says so.
-func (m *Machine) backEndState(now, listAt, freshness time.Duration) (v1.BackEndState, time.Duration) {
+// backEndState returns whether the machine may receive new work, and the age of the reading that
+// confirms it.
+func (m *Machine) backEndState(now, listAt, maximumAge time.Duration) (v1.BackEndState, time.Duration) {
 	if m.Listed && m.Row.State == enginecontract.StateLeaving {
 		return v1.BackEndState_BACK_END_STATE_LEAVING, 0
 	}
-	if m.page {
-		if !m.Listed || now-listAt > freshness {
+	if m.isPageService {
+		if !m.Listed || now-listAt > maximumAge {
 			return v1.BackEndState_BACK_END_STATE_CHANGING, 0
 		}
 		return v1.BackEndState_BACK_END_STATE_SERVING, now - listAt
 	}
-	if m.silent(now, freshness) {
+	if m.isSilent(now, maximumAge) {
 		return v1.BackEndState_BACK_END_STATE_CHANGING, 0
 	}
 	switch m.State.State {
@@ -61,7 +61,7 @@
 	}
 }
 
-// silent reports whether an engine has not answered lately. Page services are not asked.
-func (m *Machine) silent(now, freshness time.Duration) bool {
-	return !m.page && (m.State == nil || now-m.StateAt > freshness)
+// isSilent reports whether an engine has not answered within maximumAge. Page services are not polled.
+func (m *Machine) isSilent(now, maximumAge time.Duration) bool {
+	return !m.isPageService && (m.State == nil || now-m.StateAt > maximumAge)
 }
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -9,52 +9,52 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Tracker knows the back ends and the gateways.
+// Tracker tracks the back ends and the gateways.
 type Tracker struct {
-	config   Config
-	machines map[string]*Machine
-	names    []string // of machines, sorted
-	pages    map[string]bool
+	config       Config
+	machines     map[string]*Machine
+	names        []string // of machines, sorted
+	pageServices map[string]bool
 
-	listed      bool
+	listRead    bool
 	listVersion uint64
 	listAt      time.Duration
 	firstListAt time.Duration
 
 	gateways    map[string]*Gateway
-	directories map[string]*zoneDirectory
-	// shape counts the changes of what the choice of a zone's back ends follows from:
-	// the machines, their zones, services and roles.
-	shape uint64
+	directories map[string]*cachedDirectory
+	// topologyVersion counts the changes of everything on which the choice of a zone's back ends
+	// depends: the machines, their zones, services and roles.
+	topologyVersion uint64
 }
 
-// New returns a Tracker that has heard of no one.
+// New returns an empty Tracker.
 func New(config Config) *Tracker {
 	return &Tracker{
-		config: config.withDefaults(), machines: map[string]*Machine{}, pages: map[string]bool{},
-		gateways: map[string]*Gateway{}, directories: map[string]*zoneDirectory{},
+		config: config.withDefaults(), machines: map[string]*Machine{}, pageServices: map[string]bool{},
+		gateways: map[string]*Gateway{}, directories: map[string]*cachedDirectory{},
 	}
 }
 
-// SetPages tells which services are page services: their machines are not polled.
-func (t *Tracker) SetPages(services map[string]bool) {
-	t.pages = services
+// SetPageServices sets which services are page services; their machines are not polled.
+func (t *Tracker) SetPageServices(services map[string]bool) {
+	t.pageServices = services
 	for _, machine := range t.machines {
-		machine.page = services[machine.Row.Service]
+		machine.isPageService = services[machine.Row.Service]
 	}
 }
 
-// ApplyList takes a reading of the platform's machine list. A list with a lower version
-// than the last one is a late copy, unless the list has not moved on for long: then
-// the platform has started to count anew. It reports whether the list was taken.
+// ApplyList applies a reading of the platform's machine list and reports whether it was accepted. A list
+// with a lower version than the last one is a late copy and is ignored, unless no newer list has arrived
+// for ListResetAfter: then the platform has restarted its version numbers.
 func (t *Tracker) ApplyList(now time.Duration, list enginecontract.MachineList) bool {
-	if t.listed && list.Version < t.listVersion && now-t.listAt < t.config.ListResetAfter {
+	if t.listRead && list.Version < t.listVersion && now-t.listAt < t.config.ListResetAfter {
 		return false
 	}
-	if !t.listed {
+	if !t.listRead {
 		t.firstListAt = now
 	}
-	t.listed, t.listVersion, t.listAt = true, list.Version, now
+	t.listRead, t.listVersion, t.listAt = true, list.Version, now
 	for _, machine := range t.machines {
 		machine.Listed = false
 	}
@@ -71,19 +71,19 @@
 		t.machines[row.Name] = machine
 		position, _ := slices.BinarySearch(t.names, row.Name)
 		t.names = slices.Insert(t.names, position, row.Name)
-		t.shape++
+		t.topologyVersion++
 	}
 	if machine.Row.Address != row.Address {
-		// Another machine under the same name: nothing heard so far is about it.
+		// Another machine has taken over the name: earlier reports do not describe it.
 		machine.State, machine.Load, machine.pollInFlight = nil, nil, false
 	}
 	if machine.Row.Zone != row.Zone || machine.Row.Service != row.Service || machine.Row.Address != row.Address {
-		t.shape++
+		t.topologyVersion++
 	}
 	machine.Row = row
 	machine.Listed = true
 	machine.LastListedAt = now
-	machine.page = t.pages[row.Service]
+	machine.isPageService = t.pageServices[row.Service]
 }
 
 // pollPhase spreads the polls of many machines over the interval.
@@ -91,15 +91,15 @@
 	return time.Duration(xxhash.Sum64String(name) % uint64(t.config.PollInterval))
 }
 
-// Poll is one poll that is due.
+// Poll is a poll to send to a machine.
 type Poll struct{ Name, Address string }
 
-// DuePolls returns the polls to send now; each counts as sent.
+// DuePolls returns the polls that are due, and records them as sent.
 func (t *Tracker) DuePolls(now time.Duration) []Poll {
 	var polls []Poll
 	for _, name := range t.names {
 		machine := t.machines[name]
-		if machine.page || machine.pollInFlight || now < machine.nextPollAt {
+		if machine.isPageService || machine.pollInFlight || now < machine.nextPollAt {
 			continue
 		}
 		machine.pollInFlight = true
@@ -113,15 +113,16 @@
 	return polls
 }
 
-// ExpeditePoll makes the next poll of a machine due soon: an order is under way there.
+// ExpeditePoll brings a machine's next poll forward to at most within from now, because an order is in
+// progress there.
 func (t *Tracker) ExpeditePoll(now time.Duration, name string, within time.Duration) {
 	if machine := t.machines[name]; machine != nil {
 		machine.nextPollAt = min(machine.nextPollAt, now+within)
 	}
 }
 
-// RecordPollAnswer takes the answer to a poll; state is nil when it was lost. It returns
-// when the poll was sent, and whether the answer counts.
+// RecordPollAnswer records the answer to a poll; state is nil when no answer arrived. It returns when the
+// poll was sent, and whether the answer was accepted.
 func (t *Tracker) RecordPollAnswer(now time.Duration, name string, state *enginecontract.EngineState, load *enginecontract.LoadReport) (sentAt time.Duration, counts bool) {
 	machine := t.machines[name]
 	if machine == nil || !machine.pollInFlight {
@@ -141,8 +142,8 @@
 	return sentAt, true
 }
 
-// RecordState takes a machine's own word, read at the machine no earlier than at. It
-// reports whether the word counts: an older incarnation's does not.
+// RecordState records a state that a machine reported, read at the machine no earlier than at. It reports
+// whether the state was accepted: those of an older incarnation are not.
 func (t *Tracker) RecordState(name string, at time.Duration, state *enginecontract.EngineState) bool {
 	machine := t.machines[name]
 	if machine == nil || state.Engine != name {
@@ -157,14 +158,14 @@
 		}
 	}
 	if machine.State == nil || machine.State.Role != state.Role {
-		t.shape++
+		t.topologyVersion++
 	}
 	machine.State = state
 	machine.StateAt = at
 	return true
 }
 
-// Machines lists the machines by name.
+// Machines returns the machines, ordered by name.
 func (t *Tracker) Machines() []*Machine {
 	machines := make([]*Machine, len(t.names))
 	for i, name := range t.names {
@@ -176,8 +177,8 @@
 // Machine returns one machine, or nil.
 func (t *Tracker) Machine(name string) *Machine { return t.machines[name] }
 
-// RemoveGone forgets the machines that are neither listed nor answering and returns
-// their names.
+// RemoveGone removes the machines that have been neither listed nor answering for RemoveAfter, and
+// returns their names.
 func (t *Tracker) RemoveGone(now time.Duration) []string {
 	var gone []string
 	for _, name := range t.names {
@@ -191,11 +192,11 @@
 		delete(t.machines, name)
 	}
 	if len(gone) > 0 {
-		t.shape++
+		t.topologyVersion++
 		t.names = slices.DeleteFunc(t.names, func(name string) bool { return slices.Contains(gone, name) })
 	}
 	return gone
 }
 
-// HasList reports whether a machine list has been read.
-func (t *Tracker) HasList() bool { return t.listed }
+// HasList reports whether a machine list has been applied.
+func (t *Tracker) HasList() bool { return t.listRead }
--- a/internal/membership/tracker_test.go
+++ b/internal/membership/tracker_test.go
@@ -20,15 +20,15 @@
 
 // platform is the machine list and the engines behind it.
 type platform struct {
-	tracker *Tracker
-	now     time.Duration
-	list    enginecontract.MachineList
-	states  map[string]*enginecontract.EngineState // nil answers are lost
-	listing bool
+	tracker       *Tracker
+	now           time.Duration
+	list          enginecontract.MachineList
+	states        map[string]*enginecontract.EngineState // a nil state means that the engine does not answer
+	listAvailable bool
 }
 
 func newPlatform(config Config, machines ...enginecontract.Machine) *platform {
-	p := &platform{tracker: New(config), states: map[string]*enginecontract.EngineState{}, listing: true}
+	p := &platform{tracker: New(config), states: map[string]*enginecontract.EngineState{}, listAvailable: true}
 	p.list = enginecontract.MachineList{Version: 1, Machines: machines}
 	for _, machine := range machines {
 		p.states[machine.Name] = &enginecontract.EngineState{
@@ -43,10 +43,10 @@
 	return enginecontract.Machine{Name: name, Service: service, Zone: zone, Address: "127.0.0.1:1", State: enginecontract.StateServing}
 }
 
-// run lets time pass: list readings each second, polls answered at once.
+// run advances the time; the list is read every second, polls are answered at once.
 func (p *platform) run(span time.Duration) {
 	for end := p.now + span; p.now < end; p.now += 50 * time.Millisecond {
-		if p.listing && p.now%time.Second == 0 {
+		if p.listAvailable && p.now%time.Second == 0 {
 			p.tracker.ApplyList(p.now, p.list)
 		}
 		for _, poll := range p.tracker.DuePolls(p.now) {
@@ -65,8 +65,8 @@
 
 func (p *platform) stateOf(name string) v1.BackEndState { return p.tracker.BackEndState(p.now, name) }
 
-// TestLeavingBackEndIsOutWithinTheBound lets a back end leave while the list and its
-// own answers lag or are lost, and checks the stated bounds.
+// TestLeavingBackEndIsOutWithinTheBound makes a back end leave while the list and its answers lag or are
+// lost, and checks the bounds of the package documentation.
 func TestLeavingBackEndIsOutWithinTheBound(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -86,7 +86,7 @@
 			p.list.Version++
 			p.list.Machines[0].State = enginecontract.StateLeaving
 		}, time.Second, leaving},
-		{"page service when the list is gone", "pages", func(p *platform) { p.listing = false }, DefaultMaximumStateAge, changing},
+		{"page service when the list is gone", "pages", func(p *platform) { p.listAvailable = false }, DefaultMaximumStateAge, changing},
 		{"unlisted and silent", "engines", func(p *platform) {
 			p.states["x"] = nil
 			p.list.Version++
@@ -97,7 +97,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			p := newPlatform(Config{}, engineRow("x", test.service, "zone-a"),
 				engineRow("y", "engines", "zone-a"), engineRow("z", "engines", "zone-a"))
-			p.tracker.SetPages(map[string]bool{"pages": true})
+			p.tracker.SetPageServices(map[string]bool{"pages": true})
 			p.run(5 * time.Second)
 			require.Equal(t, serving, p.stateOf("x"))
 			test.leave(p)
@@ -114,13 +114,13 @@
 	p.run(2 * time.Second)
 	require.Equal(t, uint64(2), p.tracker.Machine("x").State.Incarnation)
 	require.False(t, p.tracker.RecordState("x", p.now, &enginecontract.EngineState{
-		Engine: "x", Incarnation: 1, State: enginecontract.StateServing}), "a late word of the older process")
-	require.False(t, p.tracker.RecordState("x", p.now, &enginecontract.EngineState{Engine: "y", Incarnation: 9}), "a crossed answer")
+		Engine: "x", Incarnation: 1, State: enginecontract.StateServing}), "a late report of the older process")
+	require.False(t, p.tracker.RecordState("x", p.now, &enginecontract.EngineState{Engine: "y", Incarnation: 9}), "an answer of another engine")
 	p.states["x"] = nil
 	p.list.Version++
 	p.list.Machines[0].Address = "127.0.0.2:1"
 	p.run(1100 * time.Millisecond)
-	require.Equal(t, changing, p.stateOf("x"), "another machine under the name has not been heard of")
+	require.Equal(t, changing, p.stateOf("x"), "the new machine under this name has not answered yet")
 	require.Nil(t, p.tracker.Machine("x").Load)
 }
 
@@ -132,15 +132,15 @@
 	require.True(t, tracker.ApplyList(0, list(5)))
 	require.False(t, tracker.ApplyList(time.Second, list(4)), "a late copy")
 	require.True(t, tracker.ApplyList(2*time.Second, list(5)))
-	require.True(t, tracker.ApplyList(2*time.Second+DefaultListResetAfter, list(1)), "the platform counts anew")
+	require.True(t, tracker.ApplyList(2*time.Second+DefaultListResetAfter, list(1)), "the platform has restarted its version numbers")
 }
 
-// TestControllerThatHearsTooFew shows that the controller says nothing of engines that are
-// silent when most are, and still tells of those that answer.
-func TestControllerThatHearsTooFew(t *testing.T) {
+// TestDirectoryWhenMostEnginesAreSilent checks that the directory leaves the state of silent engines
+// unspecified when most engines are silent, and still reports those that answer.
+func TestDirectoryWhenMostEnginesAreSilent(t *testing.T) {
 	p := newPlatform(Config{}, engineRow("x", "s", "z"), engineRow("y", "s", "z"), engineRow("w", "s", "z"))
 	_, credible := p.tracker.Directory(p.now, "z")
-	require.False(t, credible, "before anything was read")
+	require.False(t, credible, "before the first list")
 	p.run(3 * time.Second)
 	directory, credible := p.tracker.Directory(p.now, "z")
 	require.True(t, credible)
@@ -151,12 +151,12 @@
 	states := func() map[string]v1.BackEndState {
 		directory, credible := p.tracker.Directory(p.now, "z")
 		require.True(t, credible)
-		require.LessOrEqual(t, directory.Age, DefaultPollInterval, "of those that answer")
-		told := map[string]v1.BackEndState{}
+		require.LessOrEqual(t, directory.Age, DefaultPollInterval, "age of the engines that answer")
+		states := map[string]v1.BackEndState{}
 		for _, backEnd := range directory.BackEnds(p.now) {
-			told[backEnd.Name] = backEnd.State
+			states[backEnd.Name] = backEnd.State
 		}
-		return told
+		return states
 	}
 	const serving, changing, unspecified = v1.BackEndState_BACK_END_STATE_SERVING, v1.BackEndState_BACK_END_STATE_CHANGING, v1.BackEndState_BACK_END_STATE_UNSPECIFIED
 	require.Equal(t, map[string]v1.BackEndState{"x": changing, "y": serving, "w": serving}, states(), "one of three is silent")
@@ -166,7 +166,7 @@
 	p.list.Version++
 	p.list.Machines[0].State = enginecontract.StateLeaving
 	p.run(1100 * time.Millisecond)
-	require.Equal(t, v1.BackEndState_BACK_END_STATE_LEAVING, states()["x"], "the list says so")
+	require.Equal(t, v1.BackEndState_BACK_END_STATE_LEAVING, states()["x"], "the list marks it as leaving")
 }
 
 func TestDirectoryVersionIsEqualForEqualBackEnds(t *testing.T) {
@@ -176,7 +176,7 @@
 	two.run(7 * time.Second)
 	first, _ := one.tracker.Directory(one.now, "z")
 	second, _ := two.tracker.Directory(two.now, "z")
-	require.Equal(t, first.Version, second.Version, "at two controllers")
+	require.Equal(t, first.Version, second.Version, "two controllers with the same back ends")
 	one.states["x"].Role = enginecontract.RoleDecode
 	one.run(2 * time.Second)
 	changed, _ := one.tracker.Directory(one.now, "z")
@@ -203,24 +203,24 @@
 		directory, credible := p.tracker.Directory(p.now, fmt.Sprint("zone-", zone))
 		require.True(t, credible)
 		require.LessOrEqual(t, len(directory.BackEnds(p.now)), 60)
-		own, prefill := 0, 0
+		local, prefill := 0, 0
 		for _, backEnd := range directory.BackEnds(p.now) {
 			uses[backEnd.Name]++
 			if backEnd.Zone == fmt.Sprint("zone-", zone) {
-				own++
+				local++
 			}
 			if backEnd.Role == v1.Role_ROLE_PREFILL {
 				prefill++
 			}
 		}
-		require.Equal(t, perZone, own, "its own zone first")
-		require.Equal(t, 15, prefill, "each role in proportion")
+		require.Equal(t, perZone, local, "all engines of the zone must be chosen first")
+		require.Equal(t, 15, prefill, "each role must be chosen in proportion")
 		again, _ := p.tracker.Directory(p.now, fmt.Sprint("zone-", zone))
 		require.Equal(t, directory.Version, again.Version)
 	}
 	foreign := 0
 	for _, count := range uses {
-		require.LessOrEqual(t, count, 6, "no engine is in far more subsets than others")
+		require.LessOrEqual(t, count, 6, "no engine may be in far more subsets than the others")
 		foreign += count - 1
 	}
 	require.Equal(t, zones*(60-perZone), foreign)
@@ -233,11 +233,11 @@
 	}
 	tracker.RecordHeartbeat(0, identity("a", 2), 7, false)
 	tracker.RecordHeartbeat(time.Second, identity("a", 1), 9, false)
-	require.Equal(t, uint64(7), tracker.Gateways()[0].Revision, "a late heartbeat of an older process")
-	require.True(t, tracker.IsGatewayGone(time.Second, 0, "a", 1), "a later process serves under the name")
+	require.Equal(t, uint64(7), tracker.Gateways()[0].Revision, "a late heartbeat of an older process must be ignored")
+	require.True(t, tracker.IsGatewayGone(time.Second, 0, "a", 1), "a newer incarnation has the same name")
 	require.False(t, tracker.IsGatewayGone(time.Second, 0, "a", 2))
 	require.True(t, tracker.IsGatewayGone(DefaultGatewayTimeout+time.Second, 0, "a", 2))
-	require.False(t, tracker.IsGatewayGone(DefaultGatewayTimeout+time.Second, 5*time.Second, "a", 2), "a new leader waits")
+	require.False(t, tracker.IsGatewayGone(DefaultGatewayTimeout+time.Second, 5*time.Second, "a", 2), "a new leader must wait for the whole timeout")
 	require.True(t, tracker.IsGatewayGone(DefaultGatewayTimeout+time.Second, 0, "never heard of", 1))
 	for i := range MaximumGateways + 5 {
 		tracker.RecordHeartbeat(time.Duration(i)*time.Millisecond, identity(fmt.Sprint("g", i), 1), 1, false)
@@ -245,7 +245,7 @@
 	require.Len(t, tracker.Gateways(), MaximumGateways)
 }
 
-// BenchmarkDirectory shows the cost of making a zone's directory against the fleet.
+// BenchmarkDirectory measures the cost of refreshing a zone's directory for fleets of several sizes.
 func BenchmarkDirectory(b *testing.B) {
 	for _, size := range []int{93, 465, 930} {
 		b.Run(fmt.Sprintf("machines=%d", size), func(b *testing.B) {
@@ -258,7 +258,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				// Each call is too late for the directory made before.
+				// Each call comes too late to reuse the previous directory.
 				now := p.now + time.Duration(i%2)*2*DefaultDirectoryCacheTime
 				p.tracker.Directory(now, "zone-1")
 			}
