--- a/internal/truetime/clock.go
+++ b/internal/truetime/clock.go
@@ -6,51 +6,51 @@
 )
 
 const (
-	// readingInterval is the time between two readings of the own clock that are kept.
+	// readingInterval is the minimum time between two stored readings of the local clock.
 	readingInterval = time.Second
-	// readingsKept bounds them: a clock that jumps for less than half of that time is not followed.
-	readingsKept = 61
-	// peerMemory is how long the word of another controller counts.
-	peerMemory = 10 * time.Second
+	// maximumReadings limits them: a jump of the clock for less than half of that time has no effect.
+	maximumReadings = 61
+	// peerReadingLifetime is how long a reading from another controller is used.
+	peerReadingLifetime = 10 * time.Second
 )
 
-// Clock agrees on the time of day. Steady times are durations since an origin of the caller's and
-// never go back; times of day are milliseconds since the start of 1970.
+// Clock computes the agreed time of day. Steady times are durations since an origin of the caller's
+// choice and never go back; times of day are milliseconds since the Unix epoch.
 type Clock struct {
-	// offsets are those of the own readings, oldest first: time of day less steady time.
-	offsets []time.Duration
-	readAt  time.Duration
-	peers   map[string]peerOffset
+	// offsets are the differences between time of day and steady time in the local readings, oldest first.
+	offsets       []time.Duration
+	lastReadingAt time.Duration
+	peers         map[string]peerOffset
 }
 
-// peerOffset is what another controller takes the time of day to be, by the own steady clock.
+// peerOffset is another controller's time of day, as its offset from the local steady clock.
 type peerOffset struct {
-	offset  time.Duration
-	heardAt time.Duration
+	offset     time.Duration
+	receivedAt time.Duration
 }
 
-// New returns a clock that has read nothing yet.
+// New returns a Clock without readings.
 func New() *Clock { return &Clock{peers: map[string]peerOffset{}} }
 
-// AddReading takes a reading of the own clock.
+// AddReading adds a reading of the local clock. It is ignored within readingInterval of the last one.
 func (c *Clock) AddReading(now time.Duration, timeOfDayMs int64) {
-	if len(c.offsets) > 0 && now-c.readAt < readingInterval {
+	if len(c.offsets) > 0 && now-c.lastReadingAt < readingInterval {
 		return
 	}
-	c.readAt = now
+	c.lastReadingAt = now
 	c.offsets = append(c.offsets, offsetOf(now, timeOfDayMs))
-	if len(c.offsets) > readingsKept {
+	if len(c.offsets) > maximumReadings {
 		c.offsets = c.offsets[1:]
 	}
 }
 
-// AddPeerReading takes another controller's word, just received.
+// AddPeerReading adds the time of day that another controller reported in a message just received.
 func (c *Clock) AddPeerReading(now time.Duration, peer string, timeOfDayMs int64) {
-	c.peers[peer] = peerOffset{offset: offsetOf(now, timeOfDayMs), heardAt: now}
+	c.peers[peer] = peerOffset{offset: offsetOf(now, timeOfDayMs), receivedAt: now}
 }
 
-// LocalTime returns what this controller alone takes the time of day to be: the median of its readings. It is
-// 0 before the first.
+// LocalTime returns the time of day as this controller alone sees it, from the median of its readings. It
+// returns 0 before the first reading.
 func (c *Clock) LocalTime(now time.Duration) int64 {
 	if len(c.offsets) == 0 {
 		return 0
@@ -58,19 +58,19 @@
 	return (median(c.offsets) + now).Milliseconds()
 }
 
-// AgreedTime returns the median of what the controllers take the time of day to be; false unless a
-// majority of so many has been heard of lately, this one among them.
+// AgreedTime returns the median of the controllers' times of day. It reports false unless a majority of
+// the given number of controllers, including this one, has recent readings.
 func (c *Clock) AgreedTime(now time.Duration, controllers int) (timeOfDayMs int64, agreed bool) {
 	if len(c.offsets) == 0 {
 		return 0, false
 	}
 	offsets := []time.Duration{median(c.offsets)}
-	for peer, told := range c.peers {
-		if now-told.heardAt > peerMemory {
+	for peer, reading := range c.peers {
+		if now-reading.receivedAt > peerReadingLifetime {
 			delete(c.peers, peer)
 			continue
 		}
-		offsets = append(offsets, told.offset)
+		offsets = append(offsets, reading.offset)
 	}
 	if 2*len(offsets) <= controllers {
 		return 0, false
@@ -82,7 +82,7 @@
 	return time.Duration(timeOfDayMs)*time.Millisecond - now
 }
 
-// median returns the middle one, the lower of two.
+// median returns the middle value, or the lower of the two middle values.
 func median(durations []time.Duration) time.Duration {
 	sorted := slices.Sorted(slices.Values(durations))
 	return sorted[(len(sorted)-1)/2]
--- a/internal/truetime/clock_test.go
+++ b/internal/truetime/clock_test.go
@@ -10,13 +10,13 @@
 // start is the true time at steady time 0, in milliseconds.
 const start = int64(1_790_000_000_000)
 
-// trueAt is the true time.
+// trueAt returns the true time at a steady time, in milliseconds.
 func trueAt(now time.Duration) int64 { return start + now.Milliseconds() }
 
-func TestNothingIsAgreedWithoutAMajority(t *testing.T) {
+func TestNoTimeIsAgreedWithoutAMajority(t *testing.T) {
 	clock := New()
 	_, agreed := clock.AgreedTime(0, 1)
-	require.False(t, agreed, "nothing was read")
+	require.False(t, agreed, "without any reading")
 	clock.AddReading(0, start)
 	got, agreed := clock.AgreedTime(time.Second, 1)
 	require.True(t, agreed)
@@ -27,18 +27,18 @@
 	_, agreed = clock.AgreedTime(time.Second, 3)
 	require.True(t, agreed)
 	_, agreed = clock.AgreedTime(time.Minute, 3)
-	require.False(t, agreed, "the other's word is old")
+	require.False(t, agreed, "the peer's reading is too old")
 }
 
-// A clock that jumps by seconds for a while, here or at others, changes nothing.
+// A clock that jumps by seconds for a short time, here or at a minority of peers, must have no effect.
 func TestJumpsAreNotFollowed(t *testing.T) {
 	for name, row := range map[string]struct {
-		own   time.Duration
+		local time.Duration
 		peers []time.Duration
 	}{
-		"here":                {own: 4 * time.Second, peers: []time.Duration{0, 0, 0, 0}},
+		"here":                {local: 4 * time.Second, peers: []time.Duration{0, 0, 0, 0}},
 		"at two others":       {peers: []time.Duration{4 * time.Second, -4 * time.Second, 0, 0}},
-		"here and at another": {own: -2 * time.Second, peers: []time.Duration{-2 * time.Second, 0, 0, 0}},
+		"here and at another": {local: -2 * time.Second, peers: []time.Duration{-2 * time.Second, 0, 0, 0}},
 	} {
 		clock := New()
 		for now := time.Duration(0); now < 40*time.Second; now += 100 * time.Millisecond {
@@ -48,7 +48,7 @@
 				}
 				return trueAt(now)
 			}
-			clock.AddReading(now, jump(row.own))
+			clock.AddReading(now, jump(row.local))
 			for index, by := range row.peers {
 				clock.AddPeerReading(now, string(rune('a'+index)), jump(by))
 			}
@@ -59,7 +59,8 @@
 	}
 }
 
-// Half of the controllers jump; each of them has read its clock for long, so none is misled.
+// Half of the controllers' clocks jump for a short time. The median of each controller's earlier
+// readings must hide the jump.
 func TestHalfOfAllClocksJump(t *testing.T) {
 	clocks := []*Clock{New(), New(), New(), New()}
 	for now := time.Duration(0); now < time.Minute; now += time.Second {
@@ -83,8 +84,8 @@
 	}
 }
 
-// A process that starts while its clock is wrong does not mislead the others.
-func TestAWrongClockAtTheStartIsOutvoted(t *testing.T) {
+// A controller whose clock is wrong from its start must not change the agreed time.
+func TestWrongClockAtStartIsOutvoted(t *testing.T) {
 	clock := New()
 	clock.AddReading(0, start+9000)
 	clock.AddPeerReading(0, "b", start)
--- a/internal/truetime/doc.go
+++ b/internal/truetime/doc.go
@@ -1,3 +1,4 @@
-// Package truetime finds the time of day on which controllers agree, though the clocks of some may be
-// wrong or jump. It is pure: readings come in with the steady time at which they were taken.
+// Package truetime determines the time of day that a majority of controllers agrees on, although the
+// clocks of some may be wrong or jump. It reads no clock: each reading is passed in together with the
+// steady time at which it was taken.
 package truetime
