--- a/internal/bootclock/clock.go
+++ b/internal/bootclock/clock.go
@@ -5,46 +5,49 @@
 	"time"
 )
 
-// Clock turns the steady clock into durations since its origin. It is safe for concurrent use.
+// Clock measures durations since its origin, including suspensions. It is safe for concurrent use.
 type Clock struct {
 	origin time.Time
-	// suspended tells for how long the machine was suspended since it was started.
-	suspended func() time.Duration
-	// before is how long it was suspended before the origin, counted how much of the time since then
-	// is counted here.
-	before  time.Duration
-	counted atomic.Int64
-	// lookEvery is the time between two looks for a suspension, lookedAt when the last one was, by the
-	// clock that does not count suspensions.
-	lookEvery time.Duration
-	lookedAt  atomic.Int64
+	// readSuspended returns how long the machine has been suspended since it was booted.
+	readSuspended func() time.Duration
+	// suspendedBefore is the suspended time before the origin; suspendedSince is the suspended time since
+	// the origin that Now has already included.
+	suspendedBefore time.Duration
+	suspendedSince  atomic.Int64
+	// checkInterval is the minimum time between two checks for a suspension; lastCheckAt is the time of
+	// the last one. Both are measured by the clock that does not count suspensions.
+	checkInterval time.Duration
+	lastCheckAt   atomic.Int64
 }
 
-// leastSuspension is the shortest suspension that counts. Two readings of clocks are never of the same
-// moment, and what lies between them must not count.
-const leastSuspension = 20 * time.Millisecond
+// minimumSuspension is the shortest suspension that counts. The two clocks are never read at exactly the
+// same moment, and the time between the two readings must not count.
+const minimumSuspension = 20 * time.Millisecond
 
-// RequestCheckInterval is the time between two looks of processes that serve requests: nothing that they decide
-// within it hangs on a lease.
+// RequestCheckInterval is the check interval of processes that serve requests: they make no decision that
+// depends on a lease within that time.
 const RequestCheckInterval = time.Millisecond
 
-// New returns a Clock whose origin is now. A suspension counts once the process has run for lookEvery
-// after it: a look costs two calls of the system. With 0 each reading looks, as leases need it.
-func New(lookEvery time.Duration) *Clock { return NewWithSuspension(lookEvery, suspended) }
+// New returns a Clock whose origin is now. The clock includes a suspension at the latest checkInterval
+// after the process runs again: each check costs two system calls. With 0 every reading checks, as leases
+// require.
+func New(checkInterval time.Duration) *Clock {
+	return NewWithSuspension(checkInterval, readSuspendedTime)
+}
 
-// NewWithSuspension returns a Clock for tests, of a machine that was suspended for as long as told.
-func NewWithSuspension(lookEvery time.Duration, suspended func() time.Duration) *Clock {
-	return &Clock{origin: time.Now(), suspended: suspended, before: atLeast(suspended), lookEvery: lookEvery}
+// NewWithSuspension returns a Clock for tests, with the suspended time that readSuspended returns.
+func NewWithSuspension(checkInterval time.Duration, readSuspended func() time.Duration) *Clock {
+	return &Clock{origin: time.Now(), readSuspended: readSuspended, suspendedBefore: longestReading(readSuspended), checkInterval: checkInterval}
 }
 
-// originReadings is how often the origin is read: a reading may tell too little.
+// originReadings is the number of readings at the origin, because one reading may be too low.
 const originReadings = 5
 
-// atLeast returns the longest of some readings.
-func atLeast(suspended func() time.Duration) time.Duration {
-	longest := suspended()
+// longestReading returns the largest of originReadings readings.
+func longestReading(readSuspended func() time.Duration) time.Duration {
+	longest := readSuspended()
 	for range originReadings - 1 {
-		longest = max(longest, suspended())
+		longest = max(longest, readSuspended())
 	}
 	return longest
 }
@@ -52,29 +55,29 @@
 // Now returns the time since the origin.
 func (c *Clock) Now() time.Duration {
 	running := time.Since(c.origin)
-	if c.lookEvery > 0 && running-time.Duration(c.lookedAt.Load()) < c.lookEvery {
-		return running + time.Duration(c.counted.Load())
+	if c.checkInterval > 0 && running-time.Duration(c.lastCheckAt.Load()) < c.checkInterval {
+		return running + time.Duration(c.suspendedSince.Load())
 	}
-	c.lookedAt.Store(int64(running))
+	c.lastCheckAt.Store(int64(running))
 	return running + c.SuspendedTime()
 }
 
-// SuspendedTime looks for how long the machine was suspended since the origin.
+// SuspendedTime checks for suspensions and returns the suspended time since the origin.
 func (c *Clock) SuspendedTime() time.Duration {
-	now := int64(c.suspended() - c.before)
+	current := int64(c.readSuspended() - c.suspendedBefore)
 	for {
-		counted := c.counted.Load()
-		if now-counted < int64(leastSuspension) {
+		counted := c.suspendedSince.Load()
+		if current-counted < int64(minimumSuspension) {
 			return time.Duration(counted)
 		}
-		if c.counted.CompareAndSwap(counted, now) {
-			return time.Duration(now)
+		if c.suspendedSince.CompareAndSwap(counted, current) {
+			return time.Duration(current)
 		}
 	}
 }
 
-// TimerDeadline returns the moment for timers and for deadlines of connections, which do not count suspensions:
-// they are right until the next one.
+// TimerDeadline converts a moment of this clock for timers and connection deadlines, which do not count
+// suspensions. The result is valid until the next suspension.
 func (c *Clock) TimerDeadline(moment time.Duration) time.Time {
-	return c.origin.Add(moment - time.Duration(c.counted.Load()))
+	return c.origin.Add(moment - time.Duration(c.suspendedSince.Load()))
 }
--- a/internal/bootclock/clock_test.go
+++ b/internal/bootclock/clock_test.go
@@ -14,36 +14,36 @@
 
 func TestSuspensionsCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		away := 7 * time.Hour // before the process began
-		clock := NewWithSuspension(0, func() time.Duration { return away })
+		suspended := 7 * time.Hour // before the process started
+		clock := NewWithSuspension(0, func() time.Duration { return suspended })
 		require.Zero(t, clock.Now())
 		time.Sleep(time.Second)
 		require.Equal(t, time.Second, clock.Now())
-		away += 5 * time.Second
+		suspended += 5 * time.Second
 		require.Equal(t, 6*time.Second, clock.Now())
 		require.Equal(t, 5*time.Second, clock.SuspendedTime())
 		time.Sleep(time.Second)
 		require.Equal(t, 7*time.Second, clock.Now())
-		require.Equal(t, 3*time.Second, time.Until(clock.TimerDeadline(10*time.Second)), "timers count from now on")
+		require.Equal(t, 3*time.Second, time.Until(clock.TimerDeadline(10*time.Second)), "timers do not count the suspension")
 	})
 }
 
-// Readings of two clocks differ by what lies between them. That is no suspension, and time never goes
-// back over it.
+// Readings of two clocks differ by the time between them. That must not count as a suspension, and must
+// not make the time go back.
 func TestJitterIsNoSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var away atomic.Int64
-		clock := NewWithSuspension(0, func() time.Duration { return time.Duration(away.Load()) })
-		for _, jitter := range []time.Duration{time.Microsecond, leastSuspension - 1, 0, -time.Millisecond, -time.Hour} {
-			away.Store(int64(jitter))
+		var suspended atomic.Int64
+		clock := NewWithSuspension(0, func() time.Duration { return time.Duration(suspended.Load()) })
+		for _, jitter := range []time.Duration{time.Microsecond, minimumSuspension - 1, 0, -time.Millisecond, -time.Hour} {
+			suspended.Store(int64(jitter))
 			require.Zero(t, clock.Now())
 		}
 	})
 }
 
 func TestTimeNeverGoesBack(t *testing.T) {
-	var away atomic.Int64
-	clock := NewWithSuspension(0, func() time.Duration { return time.Duration(away.Load()) })
+	var suspended atomic.Int64
+	clock := NewWithSuspension(0, func() time.Duration { return time.Duration(suspended.Load()) })
 	var running sync.WaitGroup
 	for range 4 {
 		running.Go(func() {
@@ -52,30 +52,30 @@
 				now := clock.Now()
 				require.GreaterOrEqual(t, now, last)
 				last = now
-				away.Add(int64(leastSuspension / 8))
+				suspended.Add(int64(minimumSuspension / 8))
 			}
 		})
 	}
 	running.Wait()
 }
 
-func TestTheMachinesClocksCanBeRead(t *testing.T) {
+func TestSystemClocksCanBeRead(t *testing.T) {
 	clock := New(0)
 	first := clock.Now()
 	require.GreaterOrEqual(t, clock.Now(), first)
-	require.Greater(t, suspended(), -time.Hour, "it tells too little by what lies between its readings")
+	require.Greater(t, readSuspendedTime(), -time.Hour, "the value may only be too low by the time between the readings")
 }
 
-// A clock that looks now and then knows of a suspension soon after it.
-func TestASuspensionCountsWithTheNextLook(t *testing.T) {
+// A clock with a check interval must include a suspension at the first check after it.
+func TestSuspensionCountsWithNextCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		away, looks := time.Duration(0), 0
-		clock := NewWithSuspension(time.Millisecond, func() time.Duration { looks++; return away })
+		suspended, checks := time.Duration(0), 0
+		clock := NewWithSuspension(time.Millisecond, func() time.Duration { checks++; return suspended })
 		time.Sleep(time.Second)
 		require.Equal(t, time.Second, clock.Now())
-		away = 5 * time.Second
+		suspended = 5 * time.Second
 		require.Equal(t, time.Second, clock.Now())
-		require.Equal(t, originReadings+1, looks)
+		require.Equal(t, originReadings+1, checks)
 		time.Sleep(time.Millisecond)
 		require.Equal(t, 6*time.Second+time.Millisecond, clock.Now())
 	})
@@ -88,32 +88,32 @@
 	}
 }
 
-func TestWatchTellsOfEachSuspensionOnce(t *testing.T) {
+func TestWatchReportsEachSuspensionOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var away atomic.Int64
-		clock := NewWithSuspension(0, func() time.Duration { return time.Duration(away.Load()) })
-		var told []time.Duration
+		var suspendedTotal atomic.Int64
+		clock := NewWithSuspension(0, func() time.Duration { return time.Duration(suspendedTotal.Load()) })
+		var reported []time.Duration
 		ctx, cancel := context.WithCancel(t.Context())
-		go clock.Watch(ctx, func(suspended time.Duration) { told = append(told, suspended) })
+		go clock.Watch(ctx, func(suspended time.Duration) { reported = append(reported, suspended) })
 		time.Sleep(time.Second)
-		away.Add(int64(5 * time.Second))
+		suspendedTotal.Add(int64(5 * time.Second))
 		time.Sleep(time.Second)
-		away.Add(int64(2 * time.Second))
+		suspendedTotal.Add(int64(2 * time.Second))
 		time.Sleep(time.Second)
 		cancel()
 		synctest.Wait()
-		require.Equal(t, []time.Duration{5 * time.Second, 2 * time.Second}, told)
+		require.Equal(t, []time.Duration{5 * time.Second, 2 * time.Second}, reported)
 	})
 }
 
-// A process that stands still between the readings of the two clocks, as one whose share of a core is spent
-// does, sees no suspension; nor does it where that happens to the first readings.
-func TestAPauseBetweenTheReadingsIsNoSuspension(t *testing.T) {
+// A process that is paused between the readings of the two clocks, for example because its CPU quota is
+// used up, must see no suspension; nor must it when that happens during the first readings.
+func TestPauseBetweenReadingsIsNoSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var boot, pause time.Duration
 		read := func(clock int32, now *unix.Timespec) error {
 			*now = unix.NsecToTimespec(int64(boot))
-			boot += pause // the process is stopped after each reading
+			boot += pause // the process is paused after each reading
 			return nil
 		}
 		readings := 0
@@ -122,7 +122,7 @@
 			if readings++; readings%2 == 1 {
 				pause = 90 * time.Millisecond
 			}
-			return difference(unix.CLOCK_BOOTTIME, unix.CLOCK_MONOTONIC, read)
+			return clockDifference(unix.CLOCK_BOOTTIME, unix.CLOCK_MONOTONIC, read)
 		})
 		for range 100 {
 			require.Zero(t, clock.Now())
--- a/internal/bootclock/doc.go
+++ b/internal/bootclock/doc.go
@@ -1,5 +1,5 @@
-// Package bootclock is the steady clock of hazelpitch's processes. It never goes back, has nothing to do
-// with the time of day, and counts the time for which the machine was suspended: the clock that Go reads
-// does not, so that a lease or an age that was measured with it would look young on a machine that has
-// just woken up.
+// Package bootclock implements the steady clock of hazelpitch's processes. The clock never goes back, is
+// independent of the time of day, and counts the time for which the machine was suspended. Go's monotonic
+// clock does not count suspensions: with it, a lease or an age would look too young on a machine that has
+// just resumed.
 package bootclock
--- a/internal/bootclock/watch.go
+++ b/internal/bootclock/watch.go
@@ -7,17 +7,17 @@
 	"github.com/hazelpitch/hazelpitch/internal/pause"
 )
 
-// watchPause is the time between two looks of Watch.
-const watchPause = 100 * time.Millisecond
+// watchInterval is the time between two checks of Watch.
+const watchInterval = 100 * time.Millisecond
 
-// Watch calls woken with the length of each suspension, soon after it, until the context ends. Timers do
-// not count suspensions: what was set by one is late by then.
+// Watch calls woken with the length of each suspension, soon after it ends, until the context is done.
+// Timers do not count suspensions, so all that were set before are late by that time.
 func (c *Clock) Watch(ctx context.Context, woken func(suspended time.Duration)) {
-	known := c.SuspendedTime()
-	for pause.For(ctx, watchPause) {
-		if now := c.SuspendedTime(); now > known {
-			woken(now - known)
-			known = now
+	reported := c.SuspendedTime()
+	for pause.For(ctx, watchInterval) {
+		if now := c.SuspendedTime(); now > reported {
+			woken(now - reported)
+			reported = now
 		}
 	}
 }
