--- a/internal/leaderwatch/controllers.go
+++ b/internal/leaderwatch/controllers.go
@@ -7,57 +7,57 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// controllers are the addresses of those that are known, and which of them is asked next. One goroutine
-// uses them; the seeds may change meanwhile.
+// controllers holds the addresses of the known controllers, and which of them gets the next request. It is
+// used by one goroutine, except that seeds may be changed concurrently.
 type controllers struct {
-	// seeds are the controllers that the settings name.
+	// seeds are the controllers named in the settings.
 	seeds atomic.Pointer[[]string]
-	// known are the seeds at first, then what controllers tell and the seeds.
-	known []string
-	// target is the index of the one that is asked next; it may lie behind the end.
-	target int
-	// leader is the one that leads, as far as one that does not has told; empty for none.
+	// addresses are the seeds at first, later the controllers in the last response and the seeds.
+	addresses []string
+	// nextIndex is the index of the controller that gets the next request; it may exceed the length.
+	nextIndex int
+	// leader is the leader according to the last response; empty if unknown.
 	leader string
 }
 
 func newControllers(seeds []string) *controllers {
-	made := &controllers{known: seeds}
-	made.seeds.Store(&seeds)
-	return made
+	list := &controllers{addresses: seeds}
+	list.seeds.Store(&seeds)
+	return list
 }
 
-// next is the controller that is asked next.
-func (c *controllers) next() string { return c.known[c.target%len(c.known)] }
+// next returns the controller that gets the next request.
+func (c *controllers) next() string { return c.addresses[c.nextIndex%len(c.addresses)] }
 
-// failed goes on to another controller after one that did not answer.
-func (c *controllers) failed() {
-	c.set(c.known)
-	c.target++
+// advanceAfterFailure moves on to another controller after one that did not answer.
+func (c *controllers) advanceAfterFailure() {
+	c.setAddresses(c.addresses)
+	c.nextIndex++
 	c.leader = ""
 }
 
-// set takes the controllers that one told, and keeps the seeds beside them.
-func (c *controllers) set(told []string) {
-	c.known = append(slices.Clone(told), *c.seeds.Load()...)
-	slices.Sort(c.known)
-	c.known = slices.Compact(c.known)
+// setAddresses replaces the addresses by the received ones and the seeds.
+func (c *controllers) setAddresses(received []string) {
+	c.addresses = append(slices.Clone(received), *c.seeds.Load()...)
+	slices.Sort(c.addresses)
+	c.addresses = slices.Compact(c.addresses)
 }
 
-// learn takes the addresses that a controller tells. The leader is asked next, or another controller where
-// that one knows none.
-func (c *controllers) learn(response *v1.WatchResponse, asked string) {
-	if told := response.GetControllerAddresses(); len(told) > 0 {
-		c.set(told)
+// applyResponse applies the addresses in a response. The next request goes to the leader, or to another
+// controller if the sender knows no leader.
+func (c *controllers) applyResponse(response *v1.WatchResponse, sender string) {
+	if received := response.GetControllerAddresses(); len(received) > 0 {
+		c.setAddresses(received)
 	}
 	leader := response.GetLeaderAddress()
 	if !response.GetBehind() {
-		leader = asked
+		leader = sender
 	}
 	c.leader = leader
-	next := slices.Index(c.known, leader)
-	if next < 0 || response.GetBehind() && leader == asked {
-		c.target = max(slices.Index(c.known, asked), 0) + 1
+	next := slices.Index(c.addresses, leader)
+	if next < 0 || response.GetBehind() && leader == sender {
+		c.nextIndex = max(slices.Index(c.addresses, sender), 0) + 1
 		return
 	}
-	c.target = next
+	c.nextIndex = next
 }
--- a/internal/leaderwatch/doc.go
+++ b/internal/leaderwatch/doc.go
@@ -1,4 +1,4 @@
-// Package leaderwatch keeps a node in touch with the controller that leads: it finds it among those that
-// are known, and asks it again and again what is new, so that news comes at once and a leader that is gone
-// is noticed. What is asked and what becomes of answers is the node's.
+// Package leaderwatch keeps a node connected to the leading controller. It finds the leader among the
+// known controllers and sends it one long-polling watch request after another, so that updates arrive at
+// once and the loss of the leader is detected. The node supplies the requests and applies the responses.
 package leaderwatch
--- a/internal/leaderwatch/rate.go
+++ b/internal/leaderwatch/rate.go
@@ -3,25 +3,28 @@
 import "time"
 
 const (
-	// shortestWait is how long a controller lets a watch wait for something new at least, LongestWait at
-	// most: the leader answers about watchesPerSecond watches a second, however many nodes there are.
-	shortestWait     = 400 * time.Millisecond
+	// minimumWait and MaximumWait bound how long a controller delays the answer to a watch without updates;
+	// between them, the leader answers about watchesPerSecond watches a second for any number of nodes.
+	minimumWait      = 400 * time.Millisecond
 	MaximumWait      = time.Second
 	watchesPerSecond = 300
-	// slack is what a watch may take beyond its wait before another controller is asked.
-	slack = 300 * time.Millisecond
+	// responseSlack is how long after its wait a watch may be answered before another controller is tried.
+	responseSlack = 300 * time.Millisecond
 )
 
-// newLeaderAsks is how many nodes a second turn to a new leader, so that it is not kept from its peers at once.
-const newLeaderAsks = 1000
+// switchesPerSecond is the number of nodes per second that switch to a new leader, so that the load does not
+// cut the leader off from its peers.
+const switchesPerSecond = 1000
 
-// spreadFor is the time over which so many nodes turn to a new leader.
-func spreadFor(nodes int) time.Duration { return time.Duration(nodes) * time.Second / newLeaderAsks }
+// spreadTime returns the time over which the given number of nodes switches to a new leader.
+func spreadTime(nodes int) time.Duration {
+	return time.Duration(nodes) * time.Second / switchesPerSecond
+}
 
-// WaitFor is how long a controller lets a watch wait where there are so many nodes.
+// WaitFor returns how long a controller delays the answer to a watch without updates, for a number of nodes.
 func WaitFor(nodes int) time.Duration {
-	return min(max(time.Duration(nodes)*time.Second/watchesPerSecond, shortestWait), MaximumWait)
+	return min(max(time.Duration(nodes)*time.Second/watchesPerSecond, minimumWait), MaximumWait)
 }
 
-// ExtraWait is how much longer watches wait than where there are few nodes.
-func ExtraWait(nodes int) time.Duration { return WaitFor(nodes) - shortestWait }
+// ExtraWait returns by how much the wait for the given number of nodes exceeds the minimum wait.
+func ExtraWait(nodes int) time.Duration { return WaitFor(nodes) - minimumWait }
--- a/internal/leaderwatch/watcher.go
+++ b/internal/leaderwatch/watcher.go
@@ -15,130 +15,130 @@
 )
 
 const (
-	// searchPause is the wait before another controller is asked.
-	searchPause = 40 * time.Millisecond
-	// unusedPause is the wait after an answer that could not be used: the leader may have nothing else to tell, and
-	// asking at once would go on without end.
-	unusedPause = 400 * time.Millisecond
+	// searchDelay is the wait before another controller is tried.
+	searchDelay = 40 * time.Millisecond
+	// unusableResponseDelay is the wait after a response that could not be applied: the leader may have no other
+	// response, and repeating the request at once would become a busy loop.
+	unusableResponseDelay = 400 * time.Millisecond
 )
 
 // Node is the node that watches. Its methods are called by one goroutine.
 type Node interface {
-	// BeforeWatch is called before each question, with the controllers that are known.
+	// BeforeWatch is called before each request, with the known controllers.
 	BeforeWatch(controllers []string)
-	// WatchRequest tells what the node holds.
+	// WatchRequest returns the request, which states the versions that the node has.
 	WatchRequest(wait time.Duration) *v1.WatchRequest
-	// ApplyUpdate takes what the leader told; false where something of it could not be used.
+	// ApplyUpdate applies the leader's response. It returns false if a part of it could not be applied.
 	ApplyUpdate(told *v1.WatchResponse) bool
-	// HandleNoLeader is called after a question that no leader answered.
+	// HandleNoLeader is called after each request that no leader answered.
 	HandleNoLeader(ctx context.Context)
 }
 
-// Config is what a Watcher needs; all fields are required.
+// Config configures a Watcher; all fields are required.
 type Config struct {
-	// Seeds are the controllers that the settings name, as IP:port.
+	// Seeds are the controllers named in the settings, as IP:port.
 	Seeds []string
 	Dial  dialing.Dial
-	// Now is the steady time since an origin, in which suspensions count.
+	// Now returns the steady time since an origin, including suspensions.
 	Now func() time.Duration
-	// NodeCount is how many nodes watch, as far as that is known.
+	// NodeCount returns the number of nodes that watch, as far as known.
 	NodeCount func() int
 	// Draw returns a random number in [0, 1).
 	Draw func() float64
 	Node Node
 }
 
-// Watcher follows the leader.
+// Watcher sends watch requests to the leader.
 type Watcher struct {
 	config      Config
 	http        *http.Client
 	controllers *controllers
-	// asked is the controller that is asked now or was asked last.
-	asked atomic.Pointer[controllerClient]
-	// led is the controller that led last.
-	led string
+	// current is the controller that got the last request.
+	current atomic.Pointer[controllerClient]
+	// lastLeader is the controller that last answered as the leader.
+	lastLeader string
 }
 
-// New returns a Watcher that has asked nobody yet.
+// New returns a Watcher that has sent no request yet.
 func New(config Config) *Watcher {
 	transport := &http.Transport{DialContext: dialing.WithTimeout(config.Dial, dialing.PeerTimeout), Protocols: new(http.Protocols)}
 	transport.Protocols.SetUnencryptedHTTP2(true)
 	watcher := &Watcher{config: config, http: &http.Client{Transport: transport}, controllers: newControllers(config.Seeds)}
-	watcher.asked.Store(watcher.client("")) // until the first question
+	watcher.current.Store(watcher.client("")) // until the first request
 	return watcher
 }
 
-// SetSeeds takes the controllers that the settings name now.
+// SetSeeds sets the controllers named in updated settings.
 func (w *Watcher) SetSeeds(seeds []string) { w.controllers.seeds.Store(&seeds) }
 
-// LeaderClient calls the controller that led last, as far as is known here.
-func (w *Watcher) LeaderClient() hazelpitchv1connect.NodeServiceClient { return w.asked.Load() }
+// LeaderClient returns a client for the controller that got the last request: the leader, as far as known.
+func (w *Watcher) LeaderClient() hazelpitchv1connect.NodeServiceClient { return w.current.Load() }
 
-// controllerClient calls one controller.
+// controllerClient is a client for one controller.
 type controllerClient struct {
 	hazelpitchv1connect.NodeServiceClient
 	address string
 }
 
-// client returns a client for a controller, the one in use where it is the same.
+// client returns a client for a controller; it reuses the current one for the same controller.
 func (w *Watcher) client(address string) *controllerClient {
-	if current := w.asked.Load(); current != nil && current.address == address {
+	if current := w.current.Load(); current != nil && current.address == address {
 		return current
 	}
 	return &controllerClient{NodeServiceClient: hazelpitchv1connect.NewNodeServiceClient(w.http, "http://"+address), address: address}
 }
 
-// Wait is how long a controller lets a watch wait now.
+// Wait returns how long a controller currently delays the answer to a watch without updates.
 func (w *Watcher) Wait() time.Duration { return WaitFor(w.config.NodeCount()) }
 
-// Run watches until the context ends.
+// Run watches until the context is done.
 func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.config.Node.BeforeWatch(w.controllers.known)
+		w.config.Node.BeforeWatch(w.controllers.addresses)
 		if w.watchOnce(ctx) {
 			continue
 		}
 		w.config.Node.HandleNoLeader(ctx)
-		pause.For(ctx, searchPause)
+		pause.For(ctx, searchDelay)
 	}
 }
 
-// watchOnce asks the controller that most likely leads; it reports whether that one led.
+// watchOnce sends a request to the controller that is most likely the leader, and reports whether it is.
 func (w *Watcher) watchOnce(ctx context.Context) bool {
 	address := w.controllers.next()
-	if w.turnsToNewLeader(address) {
-		pause.For(ctx, time.Duration(w.config.Draw()*float64(spreadFor(w.config.NodeCount()))))
+	if w.switchesToNewLeader(address) {
+		pause.For(ctx, time.Duration(w.config.Draw()*float64(spreadTime(w.config.NodeCount()))))
 	}
 	controller := w.client(address)
-	w.asked.Store(controller)
+	w.current.Store(controller)
 	wait := w.Wait()
-	limited, cancel := context.WithTimeout(ctx, wait+slack)
+	limited, cancel := context.WithTimeout(ctx, wait+responseSlack)
 	defer cancel()
-	asked := w.config.Now()
+	sentAt := w.config.Now()
 	response, err := controller.Watch(limited, connect.NewRequest(w.config.Node.WatchRequest(wait)))
 	if err != nil {
-		w.controllers.failed()
+		w.controllers.advanceAfterFailure()
 		return false
 	}
-	w.controllers.learn(response.Msg, address)
+	w.controllers.applyResponse(response.Msg, address)
 	if response.Msg.GetBehind() {
 		return false
 	}
-	w.led = address
-	if !w.IsResponseStale(asked) && !w.config.Node.ApplyUpdate(response.Msg) {
-		pause.For(ctx, unusedPause)
+	w.lastLeader = address
+	if !w.IsResponseStale(sentAt) && !w.config.Node.ApplyUpdate(response.Msg) {
+		pause.For(ctx, unusableResponseDelay)
 	}
-	return true // where it was late the leader is asked again at once
+	return true // a stale response was discarded, and the leader gets the next request at once
 }
 
-// turnsToNewLeader reports whether a controller that is about to be asked is told to lead, and did not
-// before. A node that has not heard of any leader yet holds nothing and asks at once.
-func (w *Watcher) turnsToNewLeader(address string) bool {
-	return w.led != "" && address != w.led && address == w.controllers.leader
+// switchesToNewLeader reports whether the next request goes to a controller that was reported as the leader
+// and was not the leader before. A node that has had no leader yet has no data and sends its request at once.
+func (w *Watcher) switchesToNewLeader(address string) bool {
+	return w.lastLeader != "" && address != w.lastLeader && address == w.controllers.leader
 }
 
-// IsResponseStale reports whether the answer to a question can have lain at this machine while it stood still: what
-// it says may be old by now.
-func (w *Watcher) IsResponseStale(asked time.Duration) bool {
-	return w.config.Now()-asked > w.Wait()+slack
+// IsResponseStale reports whether the response to a request sent at sentAt may have waited on this machine
+// while it was suspended, so that its content may be out of date.
+func (w *Watcher) IsResponseStale(sentAt time.Duration) bool {
+	return w.config.Now()-sentAt > w.Wait()+responseSlack
 }
--- a/internal/leaderwatch/watcher_test.go
+++ b/internal/leaderwatch/watcher_test.go
@@ -15,23 +15,23 @@
 	"github.com/hazelpitch/hazelpitch/api/hazelpitch/v1/hazelpitchv1connect"
 )
 
-// standInController answers watches as a test says.
-type standInController struct {
+// fakeController answers watches with the function of the test.
+type fakeController struct {
 	hazelpitchv1connect.UnimplementedNodeServiceHandler
 	answer func() *v1.WatchResponse
 }
 
-func (s *standInController) Watch(context.Context, *connect.Request[v1.WatchRequest]) (*connect.Response[v1.WatchResponse], error) {
+func (s *fakeController) Watch(context.Context, *connect.Request[v1.WatchRequest]) (*connect.Response[v1.WatchResponse], error) {
 	return connect.NewResponse(s.answer()), nil
 }
 
-// startController serves a stand-in and returns its address.
+// startController serves a fakeController and returns its address.
 func startController(t *testing.T, answer func() *v1.WatchResponse) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	mux := http.NewServeMux()
-	mux.Handle(hazelpitchv1connect.NewNodeServiceHandler(&standInController{answer: answer}))
+	mux.Handle(hazelpitchv1connect.NewNodeServiceHandler(&fakeController{answer: answer}))
 	server := &http.Server{Handler: mux, Protocols: new(http.Protocols)}
 	server.Protocols.SetUnencryptedHTTP2(true)
 	go func() { _ = server.Serve(listener) }()
@@ -39,28 +39,28 @@
 	return listener.Addr().String()
 }
 
-// recordingHolder counts what it is told.
-type recordingHolder struct {
-	taken     chan *v1.WatchResponse
-	noneLeads atomic.Int64
-	// unusable: nothing of what it is told can be used.
+// recordingNode records the responses and the requests without a leader.
+type recordingNode struct {
+	responses     chan *v1.WatchResponse
+	noLeaderCalls atomic.Int64
+	// unusable makes ApplyUpdate report that the response could not be applied.
 	unusable bool
 }
 
-func (*recordingHolder) BeforeWatch([]string) {}
+func (*recordingNode) BeforeWatch([]string) {}
 
-func (*recordingHolder) WatchRequest(wait time.Duration) *v1.WatchRequest {
+func (*recordingNode) WatchRequest(wait time.Duration) *v1.WatchRequest {
 	return &v1.WatchRequest{WaitMs: uint32(wait.Milliseconds())}
 }
 
-func (r *recordingHolder) ApplyUpdate(told *v1.WatchResponse) bool {
-	r.taken <- told
+func (r *recordingNode) ApplyUpdate(response *v1.WatchResponse) bool {
+	r.responses <- response
 	return !r.unusable
 }
 
-func (r *recordingHolder) HandleNoLeader(context.Context) { r.noneLeads.Add(1) }
+func (r *recordingNode) HandleNoLeader(context.Context) { r.noLeaderCalls.Add(1) }
 
-// A watcher goes from a seed that is dead and one that does not lead to the leader, and asks it again.
+// A watcher must get from a dead seed and a follower to the leader, and then stay with the leader.
 func TestWatcherFindsTheLeader(t *testing.T) {
 	number := uint64(0)
 	leader := startController(t, func() *v1.WatchResponse {
@@ -70,73 +70,73 @@
 	follower := startController(t, func() *v1.WatchResponse {
 		return &v1.WatchResponse{Behind: true, LeaderAddress: leader, ControllerAddresses: []string{leader}}
 	})
-	holder := &recordingHolder{taken: make(chan *v1.WatchResponse)}
+	node := &recordingNode{responses: make(chan *v1.WatchResponse)}
 	watcher := New(Config{
 		Seeds: []string{"127.0.0.1:1", follower}, Dial: (&net.Dialer{}).DialContext,
-		Now: func() time.Duration { return 0 }, NodeCount: func() int { return 1 }, Draw: func() float64 { return 0 }, Node: holder,
+		Now: func() time.Duration { return 0 }, NodeCount: func() int { return 1 }, Draw: func() float64 { return 0 }, Node: node,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go watcher.Run(ctx)
-	require.Equal(t, uint64(1), (<-holder.taken).GetListingVersion())
-	require.Equal(t, uint64(2), (<-holder.taken).GetListingVersion())
-	require.EqualValues(t, 2, holder.noneLeads.Load())
+	require.Equal(t, uint64(1), (<-node.responses).GetListingVersion())
+	require.Equal(t, uint64(2), (<-node.responses).GetListingVersion())
+	require.EqualValues(t, 2, node.noLeaderCalls.Load())
 }
 
-// Nothing is made anew for a question to the same controller.
-func TestClientOfAControllerIsKept(t *testing.T) {
+// A request to the same controller must reuse the client.
+func TestClientIsReusedForSameController(t *testing.T) {
 	watcher := New(Config{Seeds: []string{"a"}, Dial: (&net.Dialer{}).DialContext})
-	asked := watcher.client("a")
-	watcher.asked.Store(asked)
-	require.Same(t, asked, watcher.client("a"))
+	first := watcher.client("a")
+	watcher.current.Store(first)
+	require.Same(t, first, watcher.client("a"))
 	require.Equal(t, "b", watcher.client("b").address)
 }
 
-// An answer that lay at this machine while it was suspended is asked for again.
-func TestWatcherAsksAgainAfterASuspension(t *testing.T) {
+// A response that waited on this machine while it was suspended must be discarded and requested again.
+func TestWatcherDiscardsResponseAfterSuspension(t *testing.T) {
 	var now atomic.Int64
 	leader := startController(t, func() *v1.WatchResponse {
 		defer now.Add(int64(time.Minute))
 		return &v1.WatchResponse{ListingVersion: uint64(now.Load()/int64(time.Minute)) + 1}
 	})
-	holder := &recordingHolder{taken: make(chan *v1.WatchResponse, 1)}
+	node := &recordingNode{responses: make(chan *v1.WatchResponse, 1)}
 	watcher := New(Config{
 		Seeds: []string{leader}, Dial: (&net.Dialer{}).DialContext,
-		Now: func() time.Duration { return time.Duration(now.Load()) }, NodeCount: func() int { return 1 }, Draw: func() float64 { return 0 }, Node: holder,
+		Now: func() time.Duration { return time.Duration(now.Load()) }, NodeCount: func() int { return 1 }, Draw: func() float64 { return 0 }, Node: node,
 	})
-	require.True(t, watcher.watchOnce(t.Context()), "the leader is asked again at once")
-	require.Empty(t, holder.taken)
+	require.True(t, watcher.watchOnce(t.Context()), "the leader must get the next request at once")
+	require.Empty(t, node.responses)
 }
 
-// Nodes that had a leader turn to the next one over a time that grows with their number; one that has heard of
-// none yet asks at once.
-func TestNodesTurnToANewLeaderOverTime(t *testing.T) {
-	require.Equal(t, 12*time.Millisecond, spreadFor(12))
-	require.Equal(t, time.Second, spreadFor(1000))
+// Nodes that had a leader switch to the next one over a time that grows with their number; a node without
+// a leader so far sends its request at once.
+func TestSwitchToNewLeaderIsSpread(t *testing.T) {
+	require.Equal(t, 12*time.Millisecond, spreadTime(12))
+	require.Equal(t, time.Second, spreadTime(1000))
 	watcher := New(Config{Seeds: []string{"a", "b"}, Dial: (&net.Dialer{}).DialContext})
-	watcher.controllers.learn(&v1.WatchResponse{Behind: true, LeaderAddress: "b"}, "a")
-	require.False(t, watcher.turnsToNewLeader("b"), "it holds nothing")
-	watcher.led = "a"
-	require.True(t, watcher.turnsToNewLeader("b"))
-	require.False(t, watcher.turnsToNewLeader("a"), "it led before")
-	watcher.controllers.failed()
-	require.False(t, watcher.turnsToNewLeader("b"), "one that is tried for want of another")
+	watcher.controllers.applyResponse(&v1.WatchResponse{Behind: true, LeaderAddress: "b"}, "a")
+	require.False(t, watcher.switchesToNewLeader("b"), "the node has no data yet")
+	watcher.lastLeader = "a"
+	require.True(t, watcher.switchesToNewLeader("b"))
+	require.False(t, watcher.switchesToNewLeader("a"), "this controller was the leader before")
+	watcher.controllers.advanceAfterFailure()
+	require.False(t, watcher.switchesToNewLeader("b"), "after a failure no leader is known")
 }
 
-// An answer that cannot be used is not asked for again at once: a leader of another build would give the same again, as
-// fast as it is asked.
+// A response that cannot be applied must not be requested again at once: a leader of another build would
+// return the same response as fast as it is requested.
 func TestWatcherPausesAfterAnAnswerOfNoUse(t *testing.T) {
 	leader := startController(t, func() *v1.WatchResponse { return &v1.WatchResponse{} })
-	holder := &recordingHolder{taken: make(chan *v1.WatchResponse), unusable: true}
+	node := &recordingNode{responses: make(chan *v1.WatchResponse), unusable: true}
 	watcher := New(Config{
 		Seeds: []string{leader}, Dial: (&net.Dialer{}).DialContext,
-		Now: func() time.Duration { return 0 }, NodeCount: func() int { return 1 }, Draw: func() float64 { return 0 }, Node: holder,
+		Now: func() time.Duration { return 0 }, NodeCount: func() int { return 1 }, Draw: func() float64 { return 0 }, Node: node,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go watcher.Run(ctx)
-	<-holder.taken
+	<-node.responses
 	answered := time.Now()
-	<-holder.taken
-	require.GreaterOrEqual(t, time.Since(answered), unusedPause)
+	<-node.responses
+	require.GreaterOrEqual(t, time.Since(answered), unusableResponseDelay)
 }
