--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time or for the end of a context.
+// Package pause waits for a duration unless a context ends first.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits; it reports false when the context ended first.
+// For waits for the given length. It returns false when the context ended first.
 func For(ctx context.Context, length time.Duration) bool {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -14,6 +14,6 @@
 		limited, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		require.True(t, For(limited, 999*time.Millisecond))
-		require.False(t, For(limited, time.Hour), "the context ends first")
+		require.False(t, For(limited, time.Hour), "the context must end the wait")
 	})
 }
