--- a/internal/closing/connection.go
+++ b/internal/closing/connection.go
@@ -9,48 +9,49 @@
 	"time"
 )
 
-// State is what a connection is used for at the moment.
+// State is the current use of a connection.
 type State int
 
-// States.
+// States of a connection.
 const (
-	// Fresh is a connection on which nothing has come yet.
+	// Fresh is a connection on which no byte has arrived yet.
 	Fresh State = iota
-	// Serving is one on which a request is read or served.
+	// Serving is a connection on which a request is being read or served.
 	Serving
-	// Idle is one whose last request was answered.
+	// Idle is a connection whose last request was answered.
 	Idle
 )
 
-// Connection is a client's connection that can be ended while it rests. One goroutine at a time reads
-// from it.
+// Connection is a client's connection that can be closed while it is idle. Only one goroutine at a time
+// reads from it.
 type Connection struct {
 	net.Conn
 	set *Set
 
 	mutex sync.Mutex
 	state State
-	// since is when the state began.
-	since time.Time
-	// ending tells that its end was asked for; deadline is the reader's own.
-	ending   bool
-	deadline time.Time
+	// stateSince is when the state last changed.
+	stateSince time.Time
+	// closeRequested is set once the connection is to be closed; readDeadline is the deadline set by the
+	// reader.
+	closeRequested bool
+	readDeadline   time.Time
 }
 
-// SetState notes what the connection is used for from now on.
+// SetState sets the use of the connection from now on.
 func (c *Connection) SetState(state State) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.state, c.since = state, time.Now()
+	c.state, c.stateSince = state, time.Now()
 }
 
-// SetReadDeadline implements net.Conn; the deadline counts again once a connection that was to end has
-// got another request.
+// SetReadDeadline implements net.Conn. While a close is requested, the deadline is only stored; it applies
+// again if the connection receives another request.
 func (c *Connection) SetReadDeadline(deadline time.Time) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.deadline = deadline
-	if c.ending {
+	c.readDeadline = deadline
+	if c.closeRequested {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(deadline)
@@ -62,31 +63,31 @@
 	return c.Conn.Close()
 }
 
-// end asks for the connection's end unless a request is being served on it, or something came on it
-// since the time. The goroutine that reads it then gets a timeout.
-func (c *Connection) end(quietSince time.Time) {
+// requestClose requests the connection to be closed, unless a request is being served on it or its state
+// has changed after quietSince. The read in progress then times out.
+func (c *Connection) requestClose(quietSince time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.ending || c.state == Serving || c.since.After(quietSince) {
+	if c.closeRequested || c.state == Serving || c.stateSince.After(quietSince) {
 		return
 	}
-	c.ending = true
-	_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // a connection that fails has ended
+	c.closeRequested = true
+	_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // an error means that the connection is closed already
 }
 
-// Read implements net.Conn. When the connection's end was asked for it looks once more for a request
-// that has reached it.
+// Read implements net.Conn. When a close is requested, it makes a final read for a request that has
+// already arrived.
 func (c *Connection) Read(data []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(data)
-		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !c.isEnding() {
+		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !c.isCloseRequested() {
 			return n, err
 		}
-		n, err = lookOnce(c.Conn.SetReadDeadline, func() (int, error) { return c.Conn.Read(data) })
-		if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.rests() {
+		n, err = finalRead(c.Conn.SetReadDeadline, func() (int, error) { return c.Conn.Read(data) })
+		if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.isIdle() {
 			return 0, err
 		}
-		if resumed := c.resume(); resumed != nil {
+		if resumed := c.cancelClose(); resumed != nil {
 			return n, resumed
 		}
 		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -95,47 +96,47 @@
 	}
 }
 
-func (c *Connection) isEnding() bool {
+func (c *Connection) isCloseRequested() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.ending
+	return c.closeRequested
 }
 
-func (c *Connection) rests() bool {
+func (c *Connection) isIdle() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.state != Serving
 }
 
-// resume takes the wish for an end back: a request has come.
-func (c *Connection) resume() error {
+// cancelClose withdraws the request to close, because a request has arrived.
+func (c *Connection) cancelClose() error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.ending = false
-	return c.Conn.SetReadDeadline(c.deadline)
+	c.closeRequested = false
+	return c.Conn.SetReadDeadline(c.readDeadline)
 }
 
-// SyscallConn implements syscall.Conn when the connection below does.
+// SyscallConn implements syscall.Conn if the underlying connection does.
 func (c *Connection) SyscallConn() (syscall.RawConn, error) {
-	system, can := c.Conn.(syscall.Conn)
-	if !can {
+	inner, ok := c.Conn.(syscall.Conn)
+	if !ok {
 		return nil, syscall.ENOTSUP
 	}
-	return system.SyscallConn()
+	return inner.SyscallConn()
 }
 
-// lookTime is how long a last look waits for something to come.
-const lookTime = 50 * time.Millisecond
+// finalReadTimeout is how long a final read waits for data.
+const finalReadTimeout = 50 * time.Millisecond
 
-// lookOnce reads with a deadline that had not passed when the read began, so that a timeout means that
-// there was nothing.
-func lookOnce(setDeadline func(time.Time) error, read func() (int, error)) (int, error) {
+// finalRead reads with a deadline that had not passed when the read began, so that a timeout proves that no
+// data was there.
+func finalRead(setDeadline func(time.Time) error, read func() (int, error)) (int, error) {
 	for {
-		began := time.Now()
-		if err := setDeadline(began.Add(lookTime)); err != nil {
+		startedAt := time.Now()
+		if err := setDeadline(startedAt.Add(finalReadTimeout)); err != nil {
 			return 0, err
 		}
-		if time.Since(began) < lookTime/2 { // else this process may have stood still
+		if time.Since(startedAt) < finalReadTimeout/2 { // otherwise the process may have been paused in between
 			return read()
 		}
 	}
--- a/internal/closing/doc.go
+++ b/internal/closing/doc.go
@@ -1,7 +1,7 @@
-// Package closing ends listeners and connections without losing a request that has reached them.
+// Package closing closes listeners and connections without losing requests that have already arrived.
 //
-// A listener that is closed has the kernel reset every connection that waits in its queue, and a
-// connection that is closed has its unread bytes thrown away: whoever sent them gets no answer. So a
-// listener is closed here only once its queue was found empty, and a connection only once a last read
-// has found nothing on it.
+// When a listener is closed, the kernel resets every connection in its accept queue. When a connection is
+// closed, its unread bytes are discarded. In both cases the sender gets no answer. Therefore this package
+// closes a listener only once its queue is empty, and a connection only once a final read has found
+// nothing on it.
 package closing
--- a/internal/closing/handshake.go
+++ b/internal/closing/handshake.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// flagsOffset is where a TCP header has its flags; synchronize is the one that begins a handshake.
-	flagsOffset = 13
-	synchronize = 0x02
-	// wholePacket lets a packet pass uncut.
-	wholePacket = 1 << 18
+	// tcpFlagsOffset is the offset of the flags in a TCP header; synFlag is the flag that starts a handshake.
+	tcpFlagsOffset = 13
+	synFlag        = 0x02
+	// acceptWholePacket makes the filter accept a packet without truncation.
+	acceptWholePacket = 1 << 18
 )
 
-// refuseHandshakes lets a listening socket drop packets that begin a handshake, so that its queue only
-// shrinks. Those who sent one try again a second later and then find the port closed.
-func refuseHandshakes(raw syscall.RawConn) error {
+// dropHandshakes makes a listening socket drop the packets that start a handshake, so that its queue only
+// shrinks. The clients retransmit a second later and then find the port closed.
+func dropHandshakes(raw syscall.RawConn) error {
 	program, err := bpf.Assemble([]bpf.Instruction{
-		bpf.LoadAbsolute{Off: flagsOffset, Size: 1},
-		bpf.JumpIf{Cond: bpf.JumpBitsSet, Val: synchronize, SkipFalse: 1},
+		bpf.LoadAbsolute{Off: tcpFlagsOffset, Size: 1},
+		bpf.JumpIf{Cond: bpf.JumpBitsSet, Val: synFlag, SkipFalse: 1},
 		bpf.RetConstant{Val: 0},
-		bpf.RetConstant{Val: wholePacket},
+		bpf.RetConstant{Val: acceptWholePacket},
 	})
 	if err != nil {
 		return trace.Wrap(err)
@@ -32,13 +32,13 @@
 	for _, each := range program {
 		filter = append(filter, unix.SockFilter{Code: each.Op, Jt: each.Jt, Jf: each.Jf, K: each.K})
 	}
-	var failed error
+	var optionErr error
 	if err := raw.Control(func(descriptor uintptr) {
-		failed = unix.SetsockoptSockFprog(int(descriptor), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{
+		optionErr = unix.SetsockoptSockFprog(int(descriptor), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{
 			Len: uint16(len(filter)), Filter: &filter[0],
 		})
 	}); err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(failed)
+	return trace.Wrap(optionErr)
 }
--- a/internal/closing/listener.go
+++ b/internal/closing/listener.go
@@ -13,21 +13,21 @@
 	"github.com/gravitational/trace"
 )
 
-// Listener is a listener that can be closed without resetting the connections in its queue. Its
-// connections are accepted by one goroutine.
+// Listener is a listener that can be closed without resetting the connections in its accept queue. Only
+// one goroutine calls Accept.
 type Listener struct {
 	net.Listener
-	emptying atomic.Bool
-	// settled is when handshakes that had begun are through.
-	settled time.Time
-	closed  chan struct{}
-	once    sync.Once
+	draining atomic.Bool
+	// handshakesDoneAt is when handshakes that were already in progress have ended.
+	handshakesDoneAt time.Time
+	closed           chan struct{}
+	closeOnce        sync.Once
 }
 
-// settleTime is how long handshakes that have begun may take once new ones are turned away.
-const settleTime = 100 * time.Millisecond
+// handshakeGrace is the time allowed for handshakes in progress once new ones are dropped.
+const handshakeGrace = 100 * time.Millisecond
 
-// Listen opens a listener as net.Listen does, but for one path only: sockets for several paths take no filters.
+// Listen opens a listener like net.Listen, but without multipath TCP, whose sockets accept no packet filters.
 func Listen(network, address string) (net.Listener, error) {
 	var config net.ListenConfig
 	config.SetMultipathTCP(false)
@@ -38,53 +38,53 @@
 	return NewListener(inner), nil
 }
 
-// NewListener wraps a listener.
+// NewListener returns a Listener that wraps inner.
 func NewListener(inner net.Listener) *Listener {
 	return &Listener{Listener: inner, closed: make(chan struct{})}
 }
 
-// CloseWhenEmpty closes a listener once its queue is empty, or after the limit. One that does not know
-// how is closed at once.
+// CloseWhenEmpty closes a listener once its queue is empty, or after the limit. A listener without support
+// for this is closed at once.
 func CloseWhenEmpty(listener net.Listener, limit time.Duration) error {
-	if emptying, can := listener.(interface{ CloseWhenEmpty(time.Duration) error }); can {
-		return emptying.CloseWhenEmpty(limit)
+	if drainable, ok := listener.(interface{ CloseWhenEmpty(time.Duration) error }); ok {
+		return drainable.CloseWhenEmpty(limit)
 	}
 	return listener.Close()
 }
 
-// Accept returns the next connection. While the listener is being emptied it returns what waits in the
-// queue, then closes the listener and returns net.ErrClosed.
+// Accept returns the next connection. After CloseWhenEmpty was called, it returns the connections that are
+// still in the queue, then closes the listener and returns net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	connection, err := l.Listener.Accept()
-	if err == nil || !l.emptying.Load() || !errors.Is(err, os.ErrDeadlineExceeded) {
+	if err == nil || !l.draining.Load() || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return connection, err
 	}
-	if connection, err = l.acceptLast(); err == nil {
+	if connection, err = l.acceptPending(); err == nil {
 		return connection, nil
 	}
-	_ = l.Close() // it takes no connections any more
+	_ = l.Close() // no connection is left to accept
 	return nil, net.ErrClosed
 }
 
 // Close closes the listener at once.
 func (l *Listener) Close() error {
 	err := l.Listener.Close()
-	l.once.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return err
 }
 
-// CloseWhenEmpty turns new handshakes away where the system can, lets Accept return the connections that
-// wait, closes the listener, and returns then. After the limit it closes it all the same.
+// CloseWhenEmpty drops new handshakes if the system supports it, lets Accept return the connections in the
+// queue, closes the listener, and then returns. After the limit it closes the listener in any case.
 func (l *Listener) CloseWhenEmpty(limit time.Duration) error {
-	waking, can := l.Listener.(interface{ SetDeadline(time.Time) error })
-	if !can {
+	withDeadline, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
+	if !ok {
 		return l.Close()
 	}
-	if raw, err := l.socket(); err == nil && refuseHandshakes(raw) == nil {
-		l.settled = time.Now().Add(settleTime)
+	if raw, err := l.rawSocket(); err == nil && dropHandshakes(raw) == nil {
+		l.handshakesDoneAt = time.Now().Add(handshakeGrace)
 	}
-	l.emptying.Store(true)
-	if err := waking.SetDeadline(time.Unix(1, 0)); err != nil {
+	l.draining.Store(true)
+	if err := withDeadline.SetDeadline(time.Unix(1, 0)); err != nil {
 		return l.Close()
 	}
 	timer := time.NewTimer(limit)
@@ -97,57 +97,57 @@
 	}
 }
 
-func (l *Listener) socket() (syscall.RawConn, error) {
-	system, can := l.Listener.(syscall.Conn)
-	if !can {
+func (l *Listener) rawSocket() (syscall.RawConn, error) {
+	inner, ok := l.Listener.(syscall.Conn)
+	if !ok {
 		return nil, syscall.ENOTSUP
 	}
-	return system.SyscallConn()
+	return inner.SyscallConn()
 }
 
-// acceptLast returns a connection that waits, or an error when none does and handshakes are through. It
-// then ends the socket's listening in the next call to the system, so that hardly anyone comes in between
-// where new handshakes could not be turned away.
-func (l *Listener) acceptLast() (net.Conn, error) {
-	raw, err := l.socket()
+// acceptPending returns a connection from the queue, or an error when the queue is empty and no handshake
+// is in progress. In that case it stops the socket from listening in the very next system call, so that
+// almost no connection can arrive in between if new handshakes could not be dropped.
+func (l *Listener) acceptPending() (net.Conn, error) {
+	raw, err := l.rawSocket()
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	for {
-		last := !time.Now().Before(l.settled)
+		isLastCheck := !time.Now().Before(l.handshakesDoneAt)
 		accepted := -1
 		if controlErr := raw.Control(func(descriptor uintptr) {
-			accepted, err = acceptNow(descriptor)
-			if last && errors.Is(err, syscall.EAGAIN) {
-				_ = syscall.Shutdown(int(descriptor), syscall.SHUT_RD) // it is closed next in any case
+			accepted, err = acceptNonBlocking(descriptor)
+			if isLastCheck && errors.Is(err, syscall.EAGAIN) {
+				_ = syscall.Shutdown(int(descriptor), syscall.SHUT_RD) // the socket is closed next in any case
 			}
 		}); controlErr != nil {
 			return nil, trace.Wrap(controlErr)
 		}
 		switch {
 		case err == nil:
-			return connectionOf(accepted)
+			return newConnection(accepted)
 		case errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ECONNABORTED):
-		case last || !errors.Is(err, syscall.EAGAIN):
+		case isLastCheck || !errors.Is(err, syscall.EAGAIN):
 			return nil, trace.Wrap(err)
 		default:
-			time.Sleep(settlePoll)
+			time.Sleep(queuePollInterval)
 		}
 	}
 }
 
-// settlePoll is the time between two looks into the queue while handshakes may still end.
-const settlePoll = 2 * time.Millisecond
+// queuePollInterval is the time between two checks of the queue while handshakes are in progress.
+const queuePollInterval = 2 * time.Millisecond
 
-func acceptNow(descriptor uintptr) (int, error) {
+func acceptNonBlocking(descriptor uintptr) (int, error) {
 	accepted, _, err := syscall.Accept4(int(descriptor), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 	return accepted, err
 }
 
-// connectionOf makes a connection of an accepted socket.
-func connectionOf(descriptor int) (net.Conn, error) {
+// newConnection returns a connection for an accepted socket.
+func newConnection(descriptor int) (net.Conn, error) {
 	file := os.NewFile(uintptr(descriptor), "accepted connection")
-	defer func() { _ = file.Close() }() // the connection has a descriptor of its own
+	defer func() { _ = file.Close() }() // the connection has its own copy of the descriptor
 	connection, err := net.FileConn(file)
 	return connection, trace.Wrap(err)
 }
--- a/internal/closing/listener_test.go
+++ b/internal/closing/listener_test.go
@@ -10,14 +10,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo answers each byte of a connection with itself.
+// echo sends all bytes of a connection back.
 func echo(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
 	_, _ = io.Copy(connection, connection)
 }
 
-// Guards against callers whose connection waited in the kernel's queue as the port closed, and was reset.
-func TestConnectionsInTheQueueOfAClosingListenerAreAccepted(t *testing.T) {
+// Guards against resetting clients whose connections are in the accept queue when the port is closed.
+func TestQueuedConnectionsOfClosingListenerAreAccepted(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	listener := NewListener(inner)
@@ -31,7 +31,7 @@
 	}
 	closed := make(chan error, 1)
 	go func() { closed <- listener.CloseWhenEmpty(time.Minute) }()
-	require.Eventually(t, listener.emptying.Load, time.Minute, time.Millisecond)
+	require.Eventually(t, listener.draining.Load, time.Minute, time.Millisecond)
 	for range waiting {
 		connection, err := listener.Accept()
 		require.NoError(t, err)
@@ -49,10 +49,10 @@
 	}
 }
 
-func TestAClosingListenerWaitsForNobodyBeyondItsLimit(t *testing.T) {
+func TestClosingListenerWaitsAtMostItsLimit(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	require.NoError(t, NewListener(inner).CloseWhenEmpty(time.Millisecond), "nobody accepts")
+	require.NoError(t, NewListener(inner).CloseWhenEmpty(time.Millisecond), "no goroutine accepts")
 	_, err = inner.Accept()
 	require.True(t, errors.Is(err, net.ErrClosed))
 }
--- a/internal/closing/set.go
+++ b/internal/closing/set.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// endPoll is the time between two looks at which connections rest.
-const endPoll = 10 * time.Millisecond
+// closePollInterval is the time between two checks for idle connections.
+const closePollInterval = 10 * time.Millisecond
 
-// Set is the open connections of a server. It is safe for concurrent use.
+// Set tracks the open connections of a server. It is safe for concurrent use.
 type Set struct {
 	mutex sync.Mutex
 	open  map[*Connection]struct{}
@@ -19,9 +19,9 @@
 // NewSet returns an empty set.
 func NewSet() *Set { return &Set{open: map[*Connection]struct{}{}} }
 
-// Track adds an accepted connection, until it is closed.
+// Track adds an accepted connection to the set until it is closed.
 func (s *Set) Track(accepted net.Conn) *Connection {
-	connection := &Connection{Conn: accepted, set: s, since: time.Now()}
+	connection := &Connection{Conn: accepted, set: s, stateSince: time.Now()}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.open[connection] = struct{}{}
@@ -34,22 +34,22 @@
 	delete(s.open, connection)
 }
 
-// Len is the number of open connections.
+// Len returns the number of open connections.
 func (s *Set) Len() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.open)
 }
 
-// CloseIdle ends the connections that rest, each once nothing has come on it for the quiet time, counted from
-// the beginning of the stop at the earliest. It returns true once no connection is open, false when the
-// context ends first.
-func (s *Set) CloseIdle(ctx context.Context, began time.Time, quiet time.Duration) bool {
-	ticker := time.NewTicker(endPoll)
+// CloseIdle closes the connections that are not serving a request, each once its state has not changed for
+// the quiet time, and at the earliest the quiet time after the stop started. It returns true once no
+// connection is open, and false if the context is done first.
+func (s *Set) CloseIdle(ctx context.Context, stopStartedAt time.Time, quiet time.Duration) bool {
+	ticker := time.NewTicker(closePollInterval)
 	defer ticker.Stop()
 	for s.Len() > 0 {
-		if now := time.Now(); now.Sub(began) >= quiet {
-			s.endResting(now.Add(-quiet))
+		if now := time.Now(); now.Sub(stopStartedAt) >= quiet {
+			s.closeIdleConnections(now.Add(-quiet))
 		}
 		select {
 		case <-ctx.Done():
@@ -60,7 +60,7 @@
 	return true
 }
 
-func (s *Set) endResting(quietSince time.Time) {
+func (s *Set) closeIdleConnections(quietSince time.Time) {
 	s.mutex.Lock()
 	connections := make([]*Connection, 0, len(s.open))
 	for connection := range s.open {
@@ -68,6 +68,6 @@
 	}
 	s.mutex.Unlock()
 	for _, connection := range connections {
-		connection.end(quietSince)
+		connection.requestClose(quietSince)
 	}
 }
