--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -16,23 +16,22 @@
 const (
 	dialTimeout             = 2 * time.Second
 	maximumConnections      = 4096
-	idleConnectionLimit     = 15 * time.Second
+	idleConnectionTimeout   = 15 * time.Second
 	maximumResponseHeader   = 16 << 10
 	maximumBufferedResponse = 4 << 20
 )
 
-// Options are what a client may be given.
+// Options configures a Client.
 type Options struct {
-	// SourceAddress is the IP that connections leave from; empty leaves the choice to
-	// the system.
+	// SourceAddress is the source IP address of connections; if empty, the system chooses it.
 	SourceAddress string
-	// Dial replaces the system's connections; nil for those.
+	// Dial replaces the system's dialer; nil selects the system's.
 	Dial dialing.Dial
-	// Safeguards is the zero Set but in tests.
+	// Safeguards is the zero Set except in tests.
 	Safeguards safeguard.Set
 }
 
-// Client holds the connections to back ends.
+// Client performs exchanges and pools the connections to back ends.
 type Client struct {
 	http       fasthttp.Client
 	safeguards safeguard.Set
@@ -63,7 +62,7 @@
 			return &trackedConnection{Conn: connection}, nil
 		},
 		MaxConnsPerHost:               maximumConnections,
-		MaxIdleConnDuration:           idleConnectionLimit,
+		MaxIdleConnDuration:           idleConnectionTimeout,
 		MaxIdemponentCallAttempts:     1,
 		ReadBufferSize:                maximumResponseHeader,
 		StreamResponseBody:            true,
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -7,7 +7,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/wirecheck"
 )
 
-// trackedConnection counts what was handed to the system for sending.
+// trackedConnection counts the bytes passed to the system for sending.
 type trackedConnection struct {
 	net.Conn
 	written atomic.Int64
@@ -19,5 +19,5 @@
 	return n, err
 }
 
-// checkIdle returns an error when an idle connection cannot carry a request.
+// checkIdle returns an error if the idle connection cannot carry another request.
 func (c *trackedConnection) checkIdle() error { return wirecheck.CheckIdle(c.Conn) }
--- a/internal/upstream/control.go
+++ b/internal/upstream/control.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// Resume asks for the rest of an exchange's stream after offset tokens.
+// Resume requests the part of an exchange's stream that follows offset tokens.
 func (c *Client) Resume(address, exchange string, offset int, deadline time.Time, interrupter *Interrupter) (*Answer, Report, *Failure) {
 	return c.Do(Request{
 		Address:  address,
@@ -22,8 +22,8 @@
 	})
 }
 
-// Cancel ends an exchange at its engine. It returns NotRun only when the engine says that
-// the exchange had not begun and never will.
+// Cancel cancels an exchange at its engine. It returns NotRun only if the engine states that the exchange
+// had not started and never will.
 func (c *Client) Cancel(address, exchange string, deadline time.Time) verdict.Verdict {
 	answer, _, failure := c.Do(Request{
 		Address:  address,
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,8 +1,8 @@
-// Package upstream carries out single exchanges with engines and page services over
-// fasthttp. It never retries and never guesses: a failure carries the verdict that the
-// facts allow. Nothing written to a connection is not run; a back end's own X-Run-State
-// is believed when the answer echoes the exchange; anything else may have run.
+// Package upstream performs single exchanges with engines and page services over fasthttp. It never
+// retries. A failure carries a verdict that follows from known facts only: a request of which no byte was
+// written was not run; the X-Run-State of a back end is trusted if the answer echoes the exchange; any
+// other request may have run.
 //
-// Client is safe for concurrent use. An Answer belongs to one goroutine; an
-// Interrupter may be used by any.
+// Client is safe for concurrent use. An Answer belongs to one goroutine; an Interrupter may be used by any
+// goroutine.
 package upstream
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -19,12 +19,12 @@
 // Header is one header of a request to a back end.
 type Header struct{ Name, Value string }
 
-// Request is one exchange to be carried out.
+// Request describes one exchange to perform.
 type Request struct {
-	// Address of the back end, IP:port.
+	// Address is the IP:port of the back end.
 	Address string
 	Method  string
-	// Target is path and query.
+	// Target is the path and query.
 	Target  string
 	Headers []Header
 	Body    []byte
@@ -32,11 +32,11 @@
 	Exchange string
 	// Deadline bounds the whole exchange.
 	Deadline time.Time
-	// Interrupter breaks the exchange off; nil when nobody needs to.
+	// Interrupter can interrupt the exchange; nil if that is not needed.
 	Interrupter *Interrupter
 }
 
-// exchangeBytes is the number of random bytes in an exchange's identity.
+// exchangeBytes is the number of random bytes in the identity of an exchange.
 const exchangeBytes = 16
 
 // NewExchange returns an unguessable identity for one attempt at one back end.
@@ -46,38 +46,38 @@
 	return hex.EncodeToString(random[:])
 }
 
-// Report is what a back end said of itself on an answer; empty fields were not said.
+// Report is what a back end reported about itself with an answer; fields that it did not report are empty.
 type Report struct {
 	State enginecontract.ServiceState
 	Role  enginecontract.Role
 	Load  string
-	// Backoff is how long the back end wants nothing from this gateway; 0 when it did not ask.
+	// Backoff is how long the back end asks this gateway to send nothing; 0 if it did not ask.
 	Backoff time.Duration
-	// Limit is how many requests a second the back end takes of all gateways together, the zero value for no limit; nil
-	// where the answer said nothing of that: only a success says by its silence that there is none.
+	// Limit is the number of requests per second that the back end accepts from all gateways together; its
+	// zero value means no limit. It is nil if the answer does not state it: only a success without a limit
+	// means that there is none.
 	Limit *backpressure.Limit
 }
 
-// Answer is the beginning of a back end's answer. Close it.
+// Answer is a back end's answer whose header has been read. The caller must close it.
 type Answer struct {
 	Status int
 	Report Report
 
-	attempt  *attempt
-	request  *fasthttp.Request
-	response *fasthttp.Response
-	body     io.Reader
-	whole    bool
-	closed   bool
+	attempt    *attempt
+	request    *fasthttp.Request
+	response   *fasthttp.Response
+	body       io.Reader
+	isComplete bool
+	isClosed   bool
 }
 
-// Do sends a request and reads the head of its answer. The failure is nil when the answer
-// echoes the exchange and is not a refusal (X-Run-State is absent). Report is filled
-// whenever a back end answered.
+// Do sends a request and reads the header of its answer. The failure is nil if the answer echoes the
+// exchange and is no refusal (it has no X-Run-State). The Report is filled whenever the back end answered.
 func (c *Client) Do(request Request) (*Answer, Report, *Failure) {
 	message := fasthttp.AcquireRequest()
 	response := fasthttp.AcquireResponse()
-	fill(message, request)
+	fillRequest(message, request)
 	if request.Interrupter == nil {
 		request.Interrupter = &Interrupter{}
 	}
@@ -86,7 +86,7 @@
 	if err := c.http.Do(message, response); err != nil {
 		fasthttp.ReleaseRequest(message)
 		fasthttp.ReleaseResponse(response)
-		return nil, Report{}, &Failure{Verdict: c.sentVerdict(attempt.sent), Cause: err}
+		return nil, Report{}, &Failure{Verdict: c.verdictWithoutAnswer(attempt.bytesSent), Cause: err}
 	}
 	answer := &Answer{
 		Status:   response.StatusCode(),
@@ -96,23 +96,23 @@
 		response: response,
 		body:     response.BodyStream(),
 	}
-	if failure := c.check(answer, request.Exchange); failure != nil {
+	if failure := c.checkAnswer(answer, request.Exchange); failure != nil {
 		answer.Close()
 		return nil, answer.Report, failure
 	}
 	return answer, answer.Report, nil
 }
 
-// sentVerdict is the verdict when there is no answer: only a request of which nothing was
-// sent has certainly not run.
-func (c *Client) sentVerdict(sent bool) verdict.Verdict {
+// verdictWithoutAnswer returns the verdict for an exchange without an answer: only a request of which no
+// byte was sent has certainly not run.
+func (c *Client) verdictWithoutAnswer(sent bool) verdict.Verdict {
 	if sent && c.safeguards.IsEnabled(SentMayHaveRun) {
 		return verdict.MayHaveRun
 	}
 	return verdict.NotRun
 }
 
-func fill(message *fasthttp.Request, request Request) {
+func fillRequest(message *fasthttp.Request, request Request) {
 	message.SetRequestURI("http://" + request.Address + request.Target)
 	message.Header.SetMethod(request.Method)
 	for _, header := range request.Headers {
@@ -124,25 +124,25 @@
 	}
 }
 
-// readReport reads what a back end says of itself.
+// readReport reads what a back end reports about itself in the header.
 func readReport(header *fasthttp.ResponseHeader) Report {
-	asked := backpressure.ParseDirectives(header.StatusCode(), backpressure.Headers{
+	signals := backpressure.ParseDirectives(header.StatusCode(), backpressure.Headers{
 		RetryAfter: header.Peek(fasthttp.HeaderRetryAfter), Limit: header.PeekAll(enginecontract.HeaderRequestLimit),
 	})
 	report := Report{
 		State:   enginecontract.ServiceState(header.Peek(enginecontract.HeaderEngineState)),
 		Role:    enginecontract.Role(header.Peek(enginecontract.HeaderEngineRole)),
 		Load:    string(header.Peek(enginecontract.HeaderEngineLoad)),
-		Backoff: asked.Backoff,
+		Backoff: signals.Backoff,
 	}
-	if asked.StatesLimit() {
-		report.Limit = &asked.Limit
+	if signals.StatesLimit() {
+		report.Limit = &signals.Limit
 	}
 	return report
 }
 
-// check decides whether the answer belongs to the exchange and may be used.
-func (c *Client) check(a *Answer, exchange string) *Failure {
+// checkAnswer returns a Failure if the answer does not belong to the exchange or is a refusal.
+func (c *Client) checkAnswer(a *Answer, exchange string) *Failure {
 	header := &a.response.Header
 	if string(header.Peek(enginecontract.HeaderExchange)) != exchange && c.safeguards.IsEnabled(EchoCheck) {
 		return &Failure{Verdict: verdict.MayHaveRun, Cause: trace.Wrap(ErrForeignAnswer)}
@@ -163,16 +163,16 @@
 	return failure
 }
 
-// Read reads the body; io.EOF means that the body came to its declared end.
+// Read reads the body; io.EOF means that the body is complete.
 func (a *Answer) Read(buffer []byte) (int, error) {
 	n, err := a.body.Read(buffer)
 	if err == io.EOF {
-		a.whole = true
+		a.isComplete = true
 	}
 	return n, err
 }
 
-// ReadAll reads a bounded body to its declared end; a shorter one is ErrTruncated.
+// ReadAll reads the whole body, up to a limit. It returns ErrTruncated if the body is incomplete.
 func (a *Answer) ReadAll() ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a, maximumBufferedResponse+1))
 	if err != nil {
@@ -184,25 +184,25 @@
 	return body, nil
 }
 
-// HasLength reports whether the answer declares its length.
+// HasLength reports whether the answer states its length.
 func (a *Answer) HasLength() bool { return a.response.Header.ContentLength() >= 0 }
 
-// Header returns one header of the answer.
+// Header returns the value of a header of the answer.
 func (a *Answer) Header(name string) string { return string(a.response.Header.Peek(name)) }
 
-// SetReadDeadline bounds the next reads, unless the exchange was interrupted.
+// SetReadDeadline sets the deadline of the next reads, unless the exchange was interrupted.
 func (a *Answer) SetReadDeadline(deadline time.Time) {
 	a.attempt.interrupter.setReadDeadline(deadline)
 }
 
-// Close ends the exchange. The connection is used again only after a whole body.
+// Close ends the exchange. The connection is reused only if the body was read completely.
 func (a *Answer) Close() {
-	if a.closed {
+	if a.isClosed {
 		return
 	}
-	a.closed = true
-	reuse := a.whole && !a.response.ConnectionClose()
-	_ = a.response.CloseBodyStream() // closing a body that is not whole may report just that
+	a.isClosed = true
+	reuse := a.isComplete && !a.response.ConnectionClose()
+	_ = a.response.CloseBodyStream() // closing an incomplete body may return an error that says so
 	a.attempt.release(reuse)
 	fasthttp.ReleaseRequest(a.request)
 	fasthttp.ReleaseResponse(a.response)
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -18,17 +18,17 @@
 
 var errStopped = errors.New("stopped by the test")
 
-// exchangeRow is one way in which an exchange ends at the back end.
-type exchangeRow struct {
+// exchangeCase is one way in which an exchange ends at the back end.
+type exchangeCase struct {
 	name string
-	// answer is what the back end does; nil refuses connections.
+	// answer is the back end's handler; nil refuses connections.
 	answer http.HandlerFunc
-	// prepare changes the request.
+	// prepare modifies the request.
 	prepare func(*Request)
 	status  int
 	code    string
 	verdict verdict.Verdict
-	cause   error // nil when the exchange brings an answer
+	cause   error // nil if any cause is accepted
 }
 
 func echo(writer http.ResponseWriter, request *http.Request) {
@@ -44,9 +44,9 @@
 	}
 }
 
-func abort(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func abortResponse(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-var exchangeRows = []exchangeRow{
+var exchangeCases = []exchangeCase{
 	{name: "answered", answer: echo},
 	{name: "connection refused", verdict: verdict.NotRun},
 	{name: "deadline passed before sending", answer: echo, verdict: verdict.NotRun, cause: ErrDeadline,
@@ -56,7 +56,7 @@
 			request.Interrupter = &Interrupter{}
 			request.Interrupter.Interrupt(errStopped)
 		}},
-	{name: "closed without an answer", answer: abort, verdict: verdict.MayHaveRun},
+	{name: "closed without an answer", answer: abortResponse, verdict: verdict.MayHaveRun},
 	{name: "no echo", answer: func(http.ResponseWriter, *http.Request) {}, verdict: verdict.MayHaveRun, cause: ErrForeignAnswer},
 	{name: "another's echo", verdict: verdict.MayHaveRun, cause: ErrForeignAnswer,
 		answer: func(writer http.ResponseWriter, _ *http.Request) {
@@ -72,9 +72,9 @@
 		}},
 }
 
-// TestExchange shows the verdict of each way in which an exchange ends.
+// TestExchange checks the verdict for each way in which an exchange may end.
 func TestExchange(t *testing.T) {
-	for _, row := range exchangeRows {
+	for _, row := range exchangeCases {
 		t.Run(row.name, func(t *testing.T) {
 			client, err := NewClient(Options{})
 			require.NoError(t, err)
@@ -108,8 +108,8 @@
 	}
 }
 
-// closedAddress returns an address that refuses connections: nobody else listens on
-// 127.0.0.5 or dials from there.
+// closedAddress returns an address that refuses connections. No other process listens on 127.0.0.5 or dials
+// from there, so the port stays free.
 func closedAddress(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.5:0")
 	require.NoError(t, err)
@@ -117,8 +117,8 @@
 	return listener.Addr().String()
 }
 
-// TestIdleConnectionClosed shows that a connection which the back end closed while it was
-// idle is not used again: the next exchange has a connection of its own and succeeds.
+// TestIdleConnectionClosed checks that a connection which the back end closed while it was idle is not
+// reused: the next exchange opens a new connection and succeeds.
 func TestIdleConnectionClosed(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(echo))
 	defer server.Close()
@@ -138,7 +138,7 @@
 	}
 }
 
-// TestTruncated shows that a body which ends before its declared length is not whole.
+// TestTruncated checks that a body which ends before its declared length is reported as truncated.
 func TestTruncated(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		echo(writer, request)
--- a/internal/upstream/failure.go
+++ b/internal/upstream/failure.go
@@ -6,14 +6,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// Failure is an exchange that brought no answer that may be used.
+// Failure is the error of an exchange that returned no usable answer.
 type Failure struct {
-	// Verdict says whether the back end may have run the request.
+	// Verdict states whether the back end may have run the request.
 	Verdict verdict.Verdict
-	// Status and Code are those of the back end's refusal; zero when there was none.
+	// Status and Code are those of the back end's refusal; zero if there was none.
 	Status int
 	Code   string
-	// RetryAfterSeconds is the back end's wish; 0 when it had none.
+	// RetryAfterSeconds is the delay that the back end asked for; 0 if it did not ask.
 	RetryAfterSeconds int
 	Cause             error
 }
@@ -28,14 +28,14 @@
 
 // Causes of failures.
 var (
-	// ErrForeignAnswer tells that the answer does not belong to the exchange.
+	// ErrForeignAnswer means that the answer does not belong to the exchange.
 	ErrForeignAnswer = errors.New("answer does not echo the exchange")
-	// ErrRefused tells that the back end refused the request.
+	// ErrRefused means that the back end refused the request.
 	ErrRefused = errors.New("refused by the back end")
-	// ErrTruncated tells that the answer ended too early.
+	// ErrTruncated means that the answer ended before its declared end.
 	ErrTruncated = errors.New("answer is truncated")
-	// ErrInterrupted tells that the gateway itself broke the exchange off.
+	// ErrInterrupted means that the gateway itself interrupted the exchange.
 	ErrInterrupted = errors.New("exchange was interrupted")
-	// ErrDeadline tells that the deadline had passed before anything was sent.
+	// ErrDeadline means that the deadline had passed before any byte was sent.
 	ErrDeadline = errors.New("deadline has passed")
 )
--- a/internal/upstream/interrupter.go
+++ b/internal/upstream/interrupter.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Interrupter breaks off the exchanges of one caller's request, whichever is under way:
-// its reads and writes fail at once and later exchanges fail before anything is sent.
-// It is safe for concurrent use. The zero value is ready.
+// Interrupter interrupts the exchanges of one caller's request: the reads and writes of the current
+// exchange fail at once, and later exchanges fail before any byte is sent. It is safe for concurrent use.
+// The zero value is ready to use.
 type Interrupter struct {
 	mutex      sync.Mutex
 	connection *trackedConnection
@@ -28,8 +28,8 @@
 	return i.done
 }
 
-// Interrupt breaks off the exchange under way and forbids later ones. Only the first
-// cause counts; it must not be nil.
+// Interrupt interrupts the current exchange and prevents later ones. Only the first cause is recorded; it
+// must not be nil.
 func (i *Interrupter) Interrupt(cause error) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -41,23 +41,23 @@
 		close(i.done)
 	}
 	if i.connection != nil {
-		_ = i.connection.SetDeadline(longPast) // a closed connection fails by itself
+		_ = i.connection.SetDeadline(pastDeadline) // an error means that the connection is closed already
 	}
 }
 
 // Interrupted reports whether Interrupt was called.
 func (i *Interrupter) Interrupted() bool { return i.Cause() != nil }
 
-// Cause returns why the request was interrupted; nil when it was not.
+// Cause returns the cause of the interruption; nil if there was none.
 func (i *Interrupter) Cause() error {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	return i.cause
 }
 
-var longPast = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
-// attach makes the connection the one to break off, with the deadline given.
+// attach makes the connection the one to interrupt, and sets its deadline.
 func (i *Interrupter) attach(connection *trackedConnection, deadline time.Time) error {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -68,18 +68,18 @@
 	return connection.SetDeadline(deadline)
 }
 
-// detach forgets the connection before another request may use it.
+// detach removes the connection before another request may use it.
 func (i *Interrupter) detach() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	i.connection = nil
 }
 
-// setReadDeadline bounds the next reads, unless interrupted.
+// setReadDeadline sets the deadline of the next reads, unless the exchange was interrupted.
 func (i *Interrupter) setReadDeadline(deadline time.Time) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	if i.connection != nil && i.cause == nil {
-		_ = i.connection.SetReadDeadline(deadline) // a closed connection fails the read itself
+		_ = i.connection.SetReadDeadline(deadline) // on a closed connection the read itself fails
 	}
 }
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -10,29 +10,29 @@
 // attemptKey is the user value under which a request carries its attempt.
 const attemptKey = "hazelpitch.attempt"
 
-// attempt notes the facts of one exchange that its verdict depends on.
+// attempt holds the facts about one exchange that determine its verdict.
 type attempt struct {
 	deadline time.Time
-	// sent tells that at least one byte was handed to the system.
-	sent        bool
+	// bytesSent is set once at least one byte was passed to the system.
+	bytesSent   bool
 	interrupter *Interrupter
-	// release gives the connection back to the pool, or closes it.
+	// release returns the connection to the pool, or closes it.
 	release func(reuse bool)
 }
 
-// transport performs one exchange for fasthttp's client and records in the attempt what
-// was sent. It leaves the body on the connection for the reader of the answer.
+// transport performs one exchange for fasthttp's client and records in the attempt whether bytes were sent.
+// It leaves the body on the connection, to be read through the Answer.
 type transport struct{}
 
-// RoundTrip implements fasthttp.RoundTripper. It never asks for a retry.
+// RoundTrip implements fasthttp.RoundTripper. It never requests a retry.
 func (t *transport) RoundTrip(host *fasthttp.HostClient, request *fasthttp.Request, response *fasthttp.Response) (bool, error) {
 	attempt := request.UserValue(attemptKey).(*attempt)
 	for {
-		left := time.Until(attempt.deadline)
-		if left <= 0 {
+		remaining := time.Until(attempt.deadline)
+		if remaining <= 0 {
 			return false, trace.Wrap(ErrDeadline)
 		}
-		pooled, err := host.AcquireConn(left, false)
+		pooled, err := host.AcquireConn(remaining, false)
 		if err != nil {
 			return false, trace.Wrap(err)
 		}
@@ -53,9 +53,9 @@
 	}
 }
 
-// exchange writes the request and reads the head of the response.
+// exchange writes the request and reads the header of the response.
 func exchange(host *fasthttp.HostClient, connection *trackedConnection, attempt *attempt, request *fasthttp.Request, response *fasthttp.Response) error {
-	before := connection.written.Load()
+	writtenBefore := connection.written.Load()
 	if err := attempt.interrupter.attach(connection, attempt.deadline); err != nil {
 		attempt.release(false)
 		return trace.Wrap(err)
@@ -66,17 +66,17 @@
 		err = writer.Flush()
 	}
 	host.ReleaseWriter(writer)
-	attempt.sent = connection.written.Load() > before
+	attempt.bytesSent = connection.written.Load() > writtenBefore
 	if err != nil {
 		attempt.release(false)
 		return trace.Wrap(err)
 	}
 	reader := host.AcquireReader(connection)
-	returnConnection := attempt.release
+	releaseConnection := attempt.release
 	attempt.release = func(reuse bool) {
 		reuse = reuse && reader.Buffered() == 0
 		host.ReleaseReader(reader)
-		returnConnection(reuse)
+		releaseConnection(reuse)
 	}
 	if err := response.ReadLimitBody(reader, 0); err != nil {
 		attempt.release(false)
