--- a/internal/listing/direct_read.go
+++ b/internal/listing/direct_read.go
@@ -3,36 +3,37 @@
 import "time"
 
 const (
-	// DirectReadAfter is how long no controller has led when a relay of few reads the list itself.
+	// DirectReadAfter is how long no controller must have led before a relay of a small fleet reads the list
+	// itself.
 	DirectReadAfter = time.Second
-	// ownInterval is the least time between readings of the list by this relay itself,
-	// while no controller leads.
-	ownInterval = 800 * time.Millisecond
-	// ownCallsPerSecond bounds the calls for it of all relays together then: the list takes a fixed rate
-	// of calls, whatever the number of relays and its length.
-	ownCallsPerSecond = 80
+	// minimumDirectInterval is the minimum time between two readings of the list by this relay while no
+	// controller leads.
+	minimumDirectInterval = 800 * time.Millisecond
+	// directCallsPerSecond limits the rate of calls for such readings by all relays together: the platform
+	// accepts a fixed rate, for any number of relays and any length of the list.
+	directCallsPerSecond = 80
 )
 
-// DirectRead tells when this relay reads the list of back ends itself.
+// DirectRead schedules this relay's own readings of the list of back ends.
 type DirectRead struct {
-	// planned tells that no controller leads and that dueAt holds.
-	planned bool
-	dueAt   time.Duration
+	// scheduled is set while no controller leads and dueAt is valid.
+	scheduled bool
+	dueAt     time.Duration
 }
 
-// IsDue reports whether the relay reads the list now. lostAt is when a leader would have been heard
-// of; calls is how many calls it takes all relays to read the list once, as far as that is known. The
-// first readings of those that hold a list are spread.
+// IsDue reports whether the relay must read the list now. lostAt is the time from which the lack of a leader
+// counts; calls is the number of calls that all relays need to read the list once, as far as known. The first
+// readings of relays that have a list are spread over the interval.
 func (o *DirectRead) IsDue(now, lostAt time.Duration, holdsList bool, calls int, draw func() float64) bool {
 	if now < lostAt {
-		o.planned = false
+		o.scheduled = false
 		return false
 	}
-	interval := max(time.Duration(calls)*time.Second/ownCallsPerSecond, ownInterval)
-	if !o.planned {
-		o.planned, o.dueAt = true, now
+	interval := max(time.Duration(calls)*time.Second/directCallsPerSecond, minimumDirectInterval)
+	if !o.scheduled {
+		o.scheduled, o.dueAt = true, now
 		if holdsList {
-			o.dueAt += time.Duration(draw() * float64(interval-ownInterval))
+			o.dueAt += time.Duration(draw() * float64(interval-minimumDirectInterval))
 		}
 	}
 	if now < o.dueAt {
--- a/internal/listing/doc.go
+++ b/internal/listing/doc.go
@@ -1,4 +1,4 @@
-// Package listing keeps the list of back ends the same at the leader and at relays: versions and what has
-// changed between them at the leader, the list that is held and its changes at a relay, and when a relay
-// that hears of no leader reads the list itself. The package is pure.
+// Package listing keeps the list of back ends consistent between the leader and the relays: the leader's
+// versions of the list and the changes between them, a relay's copy of the list and the changes applied to
+// it, and the schedule by which a relay without a leader reads the list itself. The package does no I/O.
 package listing
--- a/internal/listing/faults_test.go
+++ b/internal/listing/faults_test.go
@@ -11,16 +11,16 @@
 
 func TestFaultsAreToldWhenTheyChange(t *testing.T) {
 	faults := &Faults{}
-	next := func(read serving.Listing, err error, expected string, expectNews bool) {
+	requireUpdate := func(read serving.Listing, err error, expected string, expectChanged bool) {
 		t.Helper()
-		text, isNews := faults.Update(read, err)
+		text, changed := faults.Update(read, err)
 		require.Equal(t, expected, text)
-		require.Equal(t, expectNews, isNews)
+		require.Equal(t, expectChanged, changed)
 	}
 	odd := serving.Listing{SkippedEntries: []string{"no Slots", "no Zone"}}
-	next(serving.Listing{}, nil, "", false)
-	next(odd, nil, "2 entries name no back end; the first: no Slots", true)
-	next(odd, nil, "2 entries name no back end; the first: no Slots", false)
-	next(serving.Listing{}, errors.New("broke off"), "broke off", true)
-	next(serving.Listing{}, nil, "", true)
+	requireUpdate(serving.Listing{}, nil, "", false)
+	requireUpdate(odd, nil, "2 entries name no back end; the first: no Slots", true)
+	requireUpdate(odd, nil, "2 entries name no back end; the first: no Slots", false)
+	requireUpdate(serving.Listing{}, errors.New("broke off"), "broke off", true)
+	requireUpdate(serving.Listing{}, nil, "", true)
 }
--- a/internal/listing/first_format.go
+++ b/internal/listing/first_format.go
@@ -9,33 +9,33 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// ToFirstFormat returns a list as relays of the first format know it: by the identities of replicas, which requests name
-// there, and without what such relays do not read, so that its version is that of such a controller. A list that has
-// nothing else is returned as it is.
+// ToFirstFormat returns a list in the form that relays of the first format expect: entries have the identities
+// of replicas, which requests of such relays use, and no newer fields, so that the version equals that of a
+// controller of that format. A list without newer fields is returned unchanged.
 func ToFirstFormat(list []*v1.ListedBackEnd) []*v1.ListedBackEnd {
-	if !slices.ContainsFunc(list, tellsMore) {
+	if !slices.ContainsFunc(list, hasNewerFields) {
 		return list
 	}
-	former := make([]*v1.ListedBackEnd, len(list))
+	converted := make([]*v1.ListedBackEnd, len(list))
 	for index, entry := range list {
-		if former[index] = entry; tellsMore(entry) {
-			former[index] = asFirstFormat(entry)
+		if converted[index] = entry; hasNewerFields(entry) {
+			converted[index] = entryToFirstFormat(entry)
 		}
 	}
-	slices.SortFunc(former, func(a, b *v1.ListedBackEnd) int { return strings.Compare(a.GetId(), b.GetId()) })
-	return former
+	slices.SortFunc(converted, func(a, b *v1.ListedBackEnd) int { return strings.Compare(a.GetId(), b.GetId()) })
+	return converted
 }
 
-// tellsMore reports whether an entry has what the first format has not.
-func tellsMore(entry *v1.ListedBackEnd) bool {
+// hasNewerFields reports whether an entry has fields that the first format does not have.
+func hasNewerFields(entry *v1.ListedBackEnd) bool {
 	return entry.GetReplica() != "" || entry.GetBornMs() != 0 || entry.GetSpot()
 }
 
-func asFirstFormat(entry *v1.ListedBackEnd) *v1.ListedBackEnd {
-	former := proto.CloneOf(entry)
-	if former.Replica != "" {
-		former.Id = former.Replica
+func entryToFirstFormat(entry *v1.ListedBackEnd) *v1.ListedBackEnd {
+	converted := proto.CloneOf(entry)
+	if converted.Replica != "" {
+		converted.Id = converted.Replica
 	}
-	former.Replica, former.BornMs, former.Spot = "", 0, false
-	return former
+	converted.Replica, converted.BornMs, converted.Spot = "", 0, false
+	return converted
 }
--- a/internal/listing/history.go
+++ b/internal/listing/history.go
@@ -11,55 +11,55 @@
 	"github.com/hazelpitch/hazelpitch/internal/packed"
 )
 
-// keptVersions is how many versions of the list are kept, so that relays which hold one of them
-// are told what has changed and not the whole list.
-const keptVersions = 12
+// maximumVersions is the number of stored versions of the list. Relays that have one of them get only the
+// change and not the full list.
+const maximumVersions = 12
 
-// History holds the newest versions of the list of back ends. What it sends is made once for
-// a version, however many relays ask.
+// History stores the newest versions of the list of back ends. Each change and each packed list is computed
+// once per version, for any number of relays.
 type History struct {
-	// versions are those kept, the current one last.
+	// versions are the stored versions, the current one last.
 	versions []uint64
 	lists    map[uint64][]*v1.ListedBackEnd
-	// changes lead from kept versions to the current one.
+	// changes lead from stored versions to the current one.
 	changes map[uint64]*v1.ListingChange
-	// whole is the current list, compressed; empty until somebody needs it.
-	whole []byte
+	// packedList is the current list, compressed; nil until it is needed.
+	packedList []byte
 }
 
-// Add makes a list the current one.
+// Add makes a list the current version.
 func (h *History) Add(version uint64, list []*v1.ListedBackEnd) {
 	if h.lists == nil {
 		h.lists = map[uint64][]*v1.ListedBackEnd{}
 	}
 	h.versions = append(slices.DeleteFunc(h.versions, func(kept uint64) bool { return kept == version }), version)
 	h.lists[version] = list
-	if len(h.versions) > keptVersions {
+	if len(h.versions) > maximumVersions {
 		delete(h.lists, h.versions[0])
 		h.versions = h.versions[1:]
 	}
-	h.changes, h.whole = map[uint64]*v1.ListingChange{}, nil
+	h.changes, h.packedList = map[uint64]*v1.ListingChange{}, nil
 }
 
-// FillResponse adds to a response what a relay needs that holds a version of the list.
-func (h *History) FillResponse(response *v1.WatchResponse, held uint64) {
+// FillResponse adds the change or the full list that a relay with the given version needs to a response.
+func (h *History) FillResponse(response *v1.WatchResponse, heldVersion uint64) {
 	current := h.versions[len(h.versions)-1]
-	former, kept := h.lists[held]
-	if kept {
-		if h.changes[held] == nil {
-			h.changes[held] = changeOf(held, former, h.lists[current])
+	former, stored := h.lists[heldVersion]
+	if stored {
+		if h.changes[heldVersion] == nil {
+			h.changes[heldVersion] = computeChange(heldVersion, former, h.lists[current])
 		}
-		response.ListingChange = h.changes[held]
+		response.ListingChange = h.changes[heldVersion]
 		return
 	}
-	if h.whole == nil {
-		h.whole = packed.Pack(&v1.Listing{BackEnds: h.lists[current]})
+	if h.packedList == nil {
+		h.packedList = packed.Pack(&v1.Listing{BackEnds: h.lists[current]})
 	}
-	response.PackedListing = h.whole
+	response.PackedListing = h.packedList
 }
 
-// changeOf is what makes one list out of another.
-func changeOf(version uint64, from, to []*v1.ListedBackEnd) *v1.ListingChange {
+// computeChange returns the change that turns one list into the other.
+func computeChange(version uint64, from, to []*v1.ListedBackEnd) *v1.ListingChange {
 	change := &v1.ListingChange{FromVersion: version}
 	former := make(map[string]*v1.ListedBackEnd, len(from))
 	for _, entry := range from {
@@ -75,8 +75,8 @@
 	return change
 }
 
-// VersionOf is a hash of what a list holds, but for the time that cold back ends need, which runs
-// on. No list has version 0.
+// VersionOf returns a hash of a list's content. The remaining cold-start time of cold back ends does not count,
+// because it changes constantly. No list has version 0.
 func VersionOf(list []*v1.ListedBackEnd) uint64 {
 	digest := xxhash.New()
 	var content []byte
@@ -85,13 +85,13 @@
 			entry = proto.CloneOf(entry)
 			entry.ColdMs = 1
 		}
-		content, _ = proto.MarshalOptions{Deterministic: true}.MarshalAppend(content[:0], entry) // strings of the list are valid
-		_, _ = digest.Write(content)                                                             // never fails
+		content, _ = proto.MarshalOptions{Deterministic: true}.MarshalAppend(content[:0], entry) // strings of the list are valid UTF-8
+		_, _ = digest.Write(content)                                                             // never returns an error
 	}
 	return max(digest.Sum64(), 1)
 }
 
-// EqualEntries compares two entries but for the time that a cold one needs, which runs on.
+// EqualEntries compares two entries, except for the remaining cold-start time of a cold back end.
 func EqualEntries(a, b *v1.ListedBackEnd) bool {
 	if (a.GetColdMs() == 0) != (b.GetColdMs() == 0) {
 		return false
--- a/internal/listing/history_test.go
+++ b/internal/listing/history_test.go
@@ -18,9 +18,9 @@
 	return list
 }
 
-// A relay that holds a kept version is told what has changed, any other one the whole list. Both are
-// made once.
-func TestListingIsToldByWhatHasChanged(t *testing.T) {
+// A relay with a stored version must get the change, any other relay the full list. Both must be computed only
+// once.
+func TestHistorySendsChangeOrFullList(t *testing.T) {
 	history := History{}
 	first := listedBackEnds(200)
 	history.Add(1, first)
@@ -28,31 +28,31 @@
 	second[0].Leaving = true
 	history.Add(2, second)
 
-	told, again := &v1.WatchResponse{}, &v1.WatchResponse{}
-	history.FillResponse(told, 1)
+	response, again := &v1.WatchResponse{}, &v1.WatchResponse{}
+	history.FillResponse(response, 1)
 	history.FillResponse(again, 1)
-	change := told.GetListingChange()
+	change := response.GetListingChange()
 	require.Same(t, change, again.GetListingChange())
 	require.Equal(t, uint64(1), change.GetFromVersion())
 	require.Equal(t, []string{"i-000"}, change.GetGone())
 	require.Len(t, change.GetChanged(), 2)
-	require.Empty(t, told.GetPackedListing())
+	require.Empty(t, response.GetPackedListing())
 
 	stranger := &v1.WatchResponse{}
 	history.FillResponse(stranger, 99)
 	require.Nil(t, stranger.GetListingChange())
-	require.Len(t, wholeListing(t, stranger), 200)
+	require.Len(t, unpackListing(t, stranger), 200)
 
-	for version := range uint64(keptVersions) {
+	for version := range uint64(maximumVersions) {
 		history.Add(10+version, first)
 	}
 	late := &v1.WatchResponse{}
 	history.FillResponse(late, 1)
-	require.Len(t, wholeListing(t, late), 200, "an old version is forgotten")
-	require.Len(t, history.lists, keptVersions)
+	require.Len(t, unpackListing(t, late), 200, "an old version must be removed")
+	require.Len(t, history.lists, maximumVersions)
 }
 
-// The same list has the same version, whoever leads and however long cold back ends still need.
+// Equal lists must have equal versions at every leader, whatever cold-start time cold back ends still need.
 func TestVersionOfAListing(t *testing.T) {
 	one, other := listedBackEnds(5), listedBackEnds(5)
 	one[2].ColdMs, other[2].ColdMs = 900, 400
@@ -62,8 +62,8 @@
 	require.NotZero(t, VersionOf(nil))
 }
 
-// wholeListing reads the list that a response holds whole.
-func wholeListing(t *testing.T, response *v1.WatchResponse) []*v1.ListedBackEnd {
+// unpackListing returns the full list in a response.
+func unpackListing(t *testing.T, response *v1.WatchResponse) []*v1.ListedBackEnd {
 	t.Helper()
 	listing := &v1.Listing{}
 	require.NoError(t, packed.Unpack(response.GetPackedListing(), listing))
--- a/internal/listing/received_list.go
+++ b/internal/listing/received_list.go
@@ -5,20 +5,20 @@
 	"github.com/hazelpitch/hazelpitch/internal/packed"
 )
 
-// ReceivedList is the list of back ends as the leader told it, to which changes are applied.
+// ReceivedList is a relay's copy of the leader's list of back ends.
 type ReceivedList struct {
 	version uint64
 	entries []*v1.ListedBackEnd
 }
 
-// Apply takes the list of a response to a watch that told the version held. It reports false when the
-// list cannot be made out: it is asked for again then.
-func (h *ReceivedList) Apply(held uint64, response *v1.WatchResponse) ([]*v1.ListedBackEnd, bool) {
+// Apply applies the list or change in a response to a watch request that stated heldVersion. It returns false
+// if the response cannot be applied; the relay must then request the list again.
+func (h *ReceivedList) Apply(heldVersion uint64, response *v1.WatchResponse) ([]*v1.ListedBackEnd, bool) {
 	if change := response.GetListingChange(); change != nil {
-		if held != h.version || change.GetFromVersion() != h.version {
+		if heldVersion != h.version || change.GetFromVersion() != h.version {
 			return nil, false
 		}
-		h.entries = changed(h.entries, change)
+		h.entries = applyChange(h.entries, change)
 	} else {
 		listing := &v1.Listing{}
 		if packed.Unpack(response.GetPackedListing(), listing) != nil {
@@ -30,8 +30,8 @@
 	return h.entries, true
 }
 
-// changed returns a list with a change made.
-func changed(entries []*v1.ListedBackEnd, change *v1.ListingChange) []*v1.ListedBackEnd {
+// applyChange returns the list with the change applied.
+func applyChange(entries []*v1.ListedBackEnd, change *v1.ListingChange) []*v1.ListedBackEnd {
 	next := make([]*v1.ListedBackEnd, 0, len(entries)+len(change.GetChanged()))
 	replaced := make(map[string]bool, len(change.GetChanged())+len(change.GetGone()))
 	for _, entry := range change.GetChanged() {
--- a/internal/listing/received_list_test.go
+++ b/internal/listing/received_list_test.go
@@ -16,17 +16,17 @@
 	return ids
 }
 
-// A relay follows the changes of the list, and asks for the whole list when it cannot.
-func TestHeldListingFollowsChanges(t *testing.T) {
-	held := ReceivedList{}
+// A relay must apply changes of the list, and reject a response that it cannot apply.
+func TestReceivedListAppliesChanges(t *testing.T) {
+	list := ReceivedList{}
 	whole := packed.Pack(&v1.Listing{BackEnds: []*v1.ListedBackEnd{{Id: "a"}, {Id: "b"}, {Id: "c"}}})
-	entries, read := held.Apply(0, &v1.WatchResponse{ListingVersion: 5, PackedListing: whole})
-	require.True(t, read)
+	entries, applied := list.Apply(0, &v1.WatchResponse{ListingVersion: 5, PackedListing: whole})
+	require.True(t, applied)
 	require.Equal(t, []string{"a", "b", "c"}, identities(entries))
 
 	change := &v1.ListingChange{FromVersion: 5, Changed: []*v1.ListedBackEnd{{Id: "b", Leaving: true}, {Id: "d"}}, Gone: []string{"a"}}
-	entries, read = held.Apply(5, &v1.WatchResponse{ListingVersion: 6, ListingChange: change})
-	require.True(t, read)
+	entries, applied = list.Apply(5, &v1.WatchResponse{ListingVersion: 6, ListingChange: change})
+	require.True(t, applied)
 	require.Equal(t, []string{"c", "b", "d"}, identities(entries))
 	require.True(t, entries[1].GetLeaving())
 
@@ -35,10 +35,10 @@
 		"a garbled list":           {ListingVersion: 9, PackedListing: []byte("garbled")},
 		"nothing":                  {ListingVersion: 9},
 	} {
-		_, read = held.Apply(6, response)
-		require.False(t, read, name)
-		require.Equal(t, uint64(6), held.version)
+		_, applied = list.Apply(6, response)
+		require.False(t, applied, name)
+		require.Equal(t, uint64(6), list.version)
 	}
-	_, read = held.Apply(0, &v1.WatchResponse{ListingVersion: 7, ListingChange: &v1.ListingChange{FromVersion: 6}})
-	require.False(t, read, "the list in force was read elsewhere meanwhile")
+	_, applied = list.Apply(0, &v1.WatchResponse{ListingVersion: 7, ListingChange: &v1.ListingChange{FromVersion: 6}})
+	require.False(t, applied, "the relay has read the list elsewhere in the meantime")
 }
