--- a/internal/dialing/dead_peer_test.go
+++ b/internal/dialing/dead_peer_test.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// A connection that has gone silent cannot be brought about on loopback: the options that find it are
-// looked at.
-func TestWatchedConnectionsFindASilentPeer(t *testing.T) {
+// A peer that stops answering cannot be simulated on the loopback interface, so the test checks the socket
+// options that detect it.
+func TestDeadPeerDetectionOptionsAreSet(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
--- a/internal/dialing/expiry.go
+++ b/internal/dialing/expiry.go
@@ -10,21 +10,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrExpired is the error of a write that was not begun, since its time was over.
-var ErrExpired = errors.New("the time for sending is over")
+// ErrExpired is the error of a write that was not started because the time for it had passed.
+var ErrExpired = errors.New("the time for sending has passed")
 
-// WithExpiry returns a Dial for bytes that must not arrive late. Its connections look at the
-// time that remains right before each write, so that a process that stood still between its
-// decision and the write sends nothing; the kernel gives up what the peer has not confirmed
-// within the rest of the time; and a connection that is closed while the peer may not have
-// everything is reset, which drops what is still held on the way.
+// WithExpiry returns a Dial for data that must not arrive late. Its connections check the remaining time right
+// before each write, so that a process that was paused after its decision sends nothing. The kernel drops a
+// connection whose peer does not acknowledge the data within the remaining time. A connection that is closed
+// while the peer may not have received everything is reset, which discards data that is still buffered.
 func WithExpiry(dial Dial, remaining func() time.Duration) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		left := remaining()
-		if left <= 0 {
+		timeLeft := remaining()
+		if timeLeft <= 0 {
 			return nil, ErrExpired
 		}
-		connection, err := WithTimeout(dial, left)(ctx, network, address)
+		connection, err := WithTimeout(dial, timeLeft)(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
@@ -32,28 +31,28 @@
 	}
 }
 
-// expiringConnection is a connection of Expiring.
+// expiringConnection is a connection of WithExpiry.
 type expiringConnection struct {
 	net.Conn
 	remaining func() time.Duration
 
 	mutex sync.Mutex
-	// unanswered tells that something was written and nothing has come back since.
+	// unanswered is set from a write until the next data from the peer.
 	unanswered bool
 }
 
-// Write sends the bytes unless their time is over.
+// Write writes the data unless the time for it has passed.
 func (c *expiringConnection) Write(bytes []byte) (int, error) {
-	left := c.remaining()
-	if left <= 0 {
+	timeLeft := c.remaining()
+	if timeLeft <= 0 {
 		return 0, ErrExpired
 	}
-	c.limitUnconfirmed(left)
+	c.setUserTimeout(timeLeft)
 	c.setUnanswered(true)
 	return c.Conn.Write(bytes)
 }
 
-// Read notes that the peer has answered.
+// Read reads data and records that the peer has answered.
 func (c *expiringConnection) Read(bytes []byte) (int, error) {
 	n, err := c.Conn.Read(bytes)
 	if n > 0 {
@@ -62,13 +61,13 @@
 	return n, err
 }
 
-// Close ends the connection, by a reset when the peer may not have everything.
+// Close closes the connection, by a reset if the peer may not have received everything.
 func (c *expiringConnection) Close() error {
 	c.mutex.Lock()
 	unanswered := c.unanswered
 	c.mutex.Unlock()
-	if tcp, is := c.Conn.(*net.TCPConn); is && unanswered {
-		_ = tcp.SetLinger(0) // fails only on a connection that is closed already
+	if tcp, ok := c.Conn.(*net.TCPConn); ok && unanswered {
+		_ = tcp.SetLinger(0) // fails only if the connection is closed already
 	}
 	return c.Conn.Close()
 }
@@ -79,17 +78,17 @@
 	c.unanswered = unanswered
 }
 
-// limitUnconfirmed lets the kernel drop bytes that the peer does not confirm in time.
-func (c *expiringConnection) limitUnconfirmed(limit time.Duration) {
-	tcp, is := c.Conn.(*net.TCPConn)
-	if !is {
+// setUserTimeout makes the kernel drop the connection if the peer does not acknowledge data in time.
+func (c *expiringConnection) setUserTimeout(limit time.Duration) {
+	tcp, ok := c.Conn.(*net.TCPConn)
+	if !ok {
 		return
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return
 	}
-	_ = raw.Control(func(descriptor uintptr) { // the reset at Close holds without it
+	_ = raw.Control(func(descriptor uintptr) { // on failure, the reset by Close still applies
 		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(max(limit.Milliseconds(), 1)))
 	})
 }
--- a/internal/dialing/source_test.go
+++ b/internal/dialing/source_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Connections leave from the source address.
-func TestFromLeavesFromTheSource(t *testing.T) {
+// Connections must have the given source address.
+func TestFromSourceUsesSourceAddress(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -23,7 +23,7 @@
 	require.Equal(t, "127.0.0.5", host)
 }
 
-func TestFromRefusesASourceThatIsNoAddress(t *testing.T) {
+func TestFromSourceRejectsInvalidAddress(t *testing.T) {
 	_, err := FromSource("front", 0)
 	require.True(t, trace.IsBadParameter(err), err)
 	require.ErrorContains(t, err, `"front"`)
--- a/internal/dialing/timeout.go
+++ b/internal/dialing/timeout.go
@@ -1,4 +1,4 @@
-// Package dialing bounds how connections between the system's own processes are opened.
+// Package dialing limits how connections between hazelpitch's own processes are opened and used.
 package dialing
 
 import (
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// PeerTimeout is how long an attempt to connect to a process of the system may take. A
-// machine without power answers nothing, and the opening packet that it has lost is repeated
-// after a second only: a new attempt reaches the machine sooner once it is back.
+// PeerTimeout limits an attempt to connect to another process of the system. A machine without power does not
+// answer, and the kernel repeats the lost SYN packet only after a second; a new attempt reaches the machine
+// sooner once it is back.
 const PeerTimeout = 250 * time.Millisecond
 
-// Dial opens a connection.
+// Dial opens a connection, like net.Dialer.DialContext.
 type Dial = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// WithTimeout returns a Dial that fails when the connection is not open within the limit.
+// WithTimeout returns a Dial that fails if the connection is not open within the limit.
 func WithTimeout(dial Dial, limit time.Duration) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		limited, cancel := context.WithTimeout(ctx, limit)
