--- a/internal/packed/packed.go
+++ b/internal/packed/packed.go
@@ -1,5 +1,5 @@
-// Package packed compresses messages that are made once and sent to many: compressing them for each
-// receiver would cost the sender more than everything else.
+// Package packed compresses messages that are created once and sent to many receivers. Compressing them for each
+// receiver would dominate the sender's CPU time.
 package packed
 
 import (
@@ -11,35 +11,35 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maximumSize bounds what a message may unpack to, in bytes.
-const maximumSize = 64 << 20
+// maximumUnpackedBytes limits the size of an unpacked message.
+const maximumUnpackedBytes = 64 << 20
 
-// Pack returns a message in compressed form.
+// Pack returns the compressed encoding of a message.
 func Pack(message proto.Message) []byte {
-	content, _ := proto.MarshalOptions{Deterministic: true}.Marshal(message) // strings come from messages, and so are valid
+	content, _ := proto.MarshalOptions{Deterministic: true}.Marshal(message) // strings come from decoded messages, so they are valid UTF-8
 	return compress(content)
 }
 
 func compress(content []byte) []byte {
 	var buffer bytes.Buffer
-	writer, _ := gzip.NewWriterLevel(&buffer, gzip.BestSpeed) // the level is known
-	_, _ = writer.Write(content)                              // a buffer takes everything
+	writer, _ := gzip.NewWriterLevel(&buffer, gzip.BestSpeed) // the level is valid
+	_, _ = writer.Write(content)                              // writes to a buffer never fail
 	_ = writer.Close()
 	return buffer.Bytes()
 }
 
-// Unpack reads a message from its compressed form. One that is garbled or too large is an error.
+// Unpack decodes a message from its compressed encoding. It returns an error if the content is corrupt or too large.
 func Unpack(content []byte, message proto.Message) error {
 	reader, err := gzip.NewReader(bytes.NewReader(content))
 	if err != nil {
-		return trace.BadParameter("a packed message is not compressed: %v", err)
+		return trace.BadParameter("a packed message is not in gzip format: %v", err)
 	}
-	whole, err := io.ReadAll(io.LimitReader(reader, maximumSize+1))
+	unpacked, err := io.ReadAll(io.LimitReader(reader, maximumUnpackedBytes+1))
 	if err != nil {
-		return trace.BadParameter("a packed message cannot be read to its end: %v", err)
+		return trace.BadParameter("a packed message cannot be decompressed: %v", err)
 	}
-	if len(whole) > maximumSize {
-		return trace.LimitExceeded("a packed message is larger than %d bytes", maximumSize)
+	if len(unpacked) > maximumUnpackedBytes {
+		return trace.LimitExceeded("a packed message is larger than %d bytes", maximumUnpackedBytes)
 	}
-	return trace.Wrap(proto.Unmarshal(whole, message))
+	return trace.Wrap(proto.Unmarshal(unpacked, message))
 }
--- a/internal/packed/packed_test.go
+++ b/internal/packed/packed_test.go
@@ -9,7 +9,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-func TestPackedMessagesComeOutAsTheyWere(t *testing.T) {
+func TestPackRoundTrip(t *testing.T) {
 	document := &v1.Document{Number: 7, Content: make([]byte, 100_000)}
 	content := Pack(document)
 	require.Less(t, len(content), 2_000)
@@ -18,7 +18,7 @@
 	require.True(t, proto.Equal(document, read))
 }
 
-func TestGarbledMessagesAreRefused(t *testing.T) {
+func TestCorruptMessagesAreRejected(t *testing.T) {
 	content := Pack(&v1.Document{Number: 7, Content: []byte("content")})
 	for name, garbled := range map[string][]byte{"empty": nil, "no gzip": []byte("garbled"), "cut": content[:len(content)-9]} {
 		require.Error(t, Unpack(garbled, &v1.Document{}), name)
@@ -26,6 +26,6 @@
 	require.Error(t, Unpack(compress([]byte{0xff}), &v1.Document{}))
 }
 
-func TestMessagesThatUnpackTooLargeAreRefused(t *testing.T) {
-	require.ErrorContains(t, Unpack(Pack(&v1.Document{Content: make([]byte, maximumSize)}), &v1.Document{}), "larger than")
+func TestOversizedMessagesAreRejected(t *testing.T) {
+	require.ErrorContains(t, Unpack(Pack(&v1.Document{Content: make([]byte, maximumUnpackedBytes)}), &v1.Document{}), "larger than")
 }
--- a/internal/packed/patch.go
+++ b/internal/packed/patch.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// patchDictionary names the content that a patch is made against; there is one.
-	patchDictionary = 1
-	// leastWindow and mostWindow bound how far back a patch looks, in bytes: as far as both contents.
-	leastWindow = 1 << 16
-	mostWindow  = 32 << 20
+	// patchDictionaryID identifies the content that a patch was made against; there is only one.
+	patchDictionaryID = 1
+	// minimumWindow and maximumWindow bound the zstd window in bytes; it must span both contents.
+	minimumWindow = 1 << 16
+	maximumWindow = 32 << 20
 )
 
-// MakePatch returns what makes one content of another, in compressed form. It is small where they differ
+// MakePatch returns a compressed patch that turns one content into the other. The patch is small if they differ
 // little.
 func MakePatch(from, to []byte) ([]byte, error) {
-	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderDictRaw(patchDictionary, from), zstd.WithEncoderConcurrency(1),
-		zstd.WithEncoderLevel(zstd.SpeedBetterCompression), zstd.WithWindowSize(window(len(from)+len(to))), zstd.WithEncoderCRC(true))
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderDictRaw(patchDictionaryID, from), zstd.WithEncoderConcurrency(1),
+		zstd.WithEncoderLevel(zstd.SpeedBetterCompression), zstd.WithWindowSize(windowSize(len(from)+len(to))), zstd.WithEncoderCRC(true))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -27,23 +27,23 @@
 	return encoder.EncodeAll(to, nil), nil
 }
 
-// ApplyPatch makes a content of another by a patch. A patch that was made against another content is an
-// error, as are a garbled one and one whose result is too large.
+// ApplyPatch applies a patch to the content it was made against. It returns an error for a patch of another
+// content, for a corrupt patch, and for a result that is too large.
 func ApplyPatch(from, patch []byte) ([]byte, error) {
-	decoder, err := zstd.NewReader(nil, zstd.WithDecoderDictRaw(patchDictionary, from), zstd.WithDecoderConcurrency(1),
-		zstd.WithDecoderMaxMemory(maximumSize), zstd.WithDecoderMaxWindow(mostWindow))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderDictRaw(patchDictionaryID, from), zstd.WithDecoderConcurrency(1),
+		zstd.WithDecoderMaxMemory(maximumUnpackedBytes), zstd.WithDecoderMaxWindow(maximumWindow))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	defer decoder.Close()
 	content, err := decoder.DecodeAll(patch, nil)
 	if err != nil {
-		return nil, trace.BadParameter("a patch cannot be applied: %v", err)
+		return nil, trace.BadParameter("the patch cannot be applied to this content: %v", err)
 	}
 	return content, nil
 }
 
-// window is the least power of two that holds so many bytes, within bounds.
-func window(size int) int {
-	return min(max(1<<bits.Len(uint(size)), leastWindow), mostWindow)
+// windowSize returns the smallest power of two above the size, within the bounds.
+func windowSize(size int) int {
+	return min(max(1<<bits.Len(uint(size)), minimumWindow), maximumWindow)
 }
--- a/internal/packed/patch_test.go
+++ b/internal/packed/patch_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// tenantsDocument is a content with so many tenants of two keys each.
+// tenantsDocument returns a document with the given number of tenants, each with two keys.
 func tenantsDocument(tenants int) []byte {
 	random := rand.New(rand.NewPCG(1, 2))
 	var content bytes.Buffer
@@ -22,8 +22,8 @@
 	return content.Bytes()
 }
 
-// A change of one key among 33,000 tenants is told as little more than that key.
-func TestAPatchIsAsLargeAsTheChange(t *testing.T) {
+// The patch for one changed key among 33,000 tenants must be hardly larger than that key.
+func TestPatchSizeIsProportionalToChange(t *testing.T) {
 	from := tenantsDocument(33_000)
 	to := bytes.Replace(from, []byte(`"Version":7`), []byte(`"Version":19`), 1)
 	at := bytes.Index(to, []byte(`tenant-20000`)) + len(`tenant-20000","ApiKeys":["`)
@@ -32,22 +32,22 @@
 	require.NoError(t, err)
 	t.Logf("%d bytes of %d", len(patch), len(to))
 	require.Less(t, len(patch), 2_000)
-	made, err := ApplyPatch(from, patch)
+	patched, err := ApplyPatch(from, patch)
 	require.NoError(t, err)
-	require.True(t, bytes.Equal(to, made))
+	require.True(t, bytes.Equal(to, patched))
 }
 
-func TestPatchesOfAnyContents(t *testing.T) {
+func TestPatchRoundTrip(t *testing.T) {
 	for _, row := range [][2]string{{"", ""}, {"", "new"}, {"old", ""}, {"same", "same"}, {"one and two", "two and one"}} {
 		patch, err := MakePatch([]byte(row[0]), []byte(row[1]))
 		require.NoError(t, err)
-		made, err := ApplyPatch([]byte(row[0]), patch)
+		patched, err := ApplyPatch([]byte(row[0]), patch)
 		require.NoError(t, err)
-		require.Equal(t, row[1], string(made))
+		require.Equal(t, row[1], string(patched))
 	}
 }
 
-func TestPatchesThatDoNotFitAreRefused(t *testing.T) {
+func TestMismatchedPatchesAreRejected(t *testing.T) {
 	from := tenantsDocument(100)
 	to := bytes.Replace(from, []byte(`"Version":7`), []byte(`"Version":8`), 1)
 	patch, err := MakePatch(from, to)
@@ -56,9 +56,9 @@
 	for name, row := range map[string][2][]byte{
 		"another content": {other, patch}, "cut": {from, patch[:len(patch)-3]}, "garbled": {from, []byte("garbled")}, "none": {from, nil},
 	} {
-		made, err := ApplyPatch(row[0], row[1])
+		patched, err := ApplyPatch(row[0], row[1])
 		if name == "none" {
-			require.Empty(t, made)
+			require.Empty(t, patched)
 			continue
 		}
 		require.Error(t, err, name)
