--- a/internal/wirecheck/idle.go
+++ b/internal/wirecheck/idle.go
@@ -6,17 +6,17 @@
 	"syscall"
 )
 
-// Faults of connections that rest.
+// Errors of idle connections that cannot be reused.
 var (
-	// ErrClosedByPeer tells that the peer has closed the connection.
+	// ErrClosedByPeer means that the peer has closed the connection.
 	ErrClosedByPeer = errors.New("connection closed by the back end while idle")
-	// ErrUnexpectedBytes tells that bytes have come that nobody asked for.
-	ErrUnexpectedBytes = errors.New("bytes on an idle connection")
+	// ErrUnexpectedBytes means that the peer has sent data without a request.
+	ErrUnexpectedBytes = errors.New("unexpected data on an idle connection")
 )
 
-// CheckIdle returns an error when a resting connection cannot carry a request: the peer has
-// closed it, or has sent bytes that nobody asked for. It reads without waiting; a
-// connection that is not the system's own counts as sound.
+// CheckIdle returns an error if an idle connection cannot carry another request: the peer has closed it, or has
+// sent data without a request. It does not block. A connection without access to its socket is assumed to be
+// usable.
 func CheckIdle(connection net.Conn) error {
 	system, ok := connection.(syscall.Conn)
 	if !ok {
@@ -26,20 +26,20 @@
 	if err != nil {
 		return err
 	}
-	var verdict error
+	var fault error
 	err = raw.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		n, err := syscall.Read(int(descriptor), one[:])
+		var buffer [1]byte
+		n, err := syscall.Read(int(descriptor), buffer[:])
 		switch {
 		case n > 0:
-			verdict = ErrUnexpectedBytes
+			fault = ErrUnexpectedBytes
 		case n == 0 && err == nil:
-			verdict = ErrClosedByPeer
+			fault = ErrClosedByPeer
 		case errors.Is(err, syscall.EAGAIN):
 		default:
-			verdict = err
+			fault = err
 		}
 		return true
 	})
-	return errors.Join(verdict, err)
+	return errors.Join(fault, err)
 }
--- a/internal/wirecheck/token.go
+++ b/internal/wirecheck/token.go
@@ -1,10 +1,10 @@
-// Package wirecheck holds checks of what stands on HTTP connections that gateways and relays
-// share: names of headers, and connections that rest.
+// Package wirecheck contains checks of HTTP connections that gateways and relays share: names of headers, and
+// idle connections.
 package wirecheck
 
 import "bytes"
 
-// IsToken reports whether a header's name is one by RFC 9110.
+// IsToken reports whether a header name is a valid token according to RFC 9110.
 func IsToken(name []byte) bool {
 	if len(name) == 0 {
 		return false
