--- a/internal/stream/answer.go
+++ b/internal/stream/answer.go
@@ -7,7 +7,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Format is the shape of answers that a caller asked for.
+// Format is the API format of answers that a caller requested.
 type Format int
 
 // Formats.
@@ -16,15 +16,15 @@
 	FormatCompletions
 )
 
-// object returns the object names of a whole answer and of one event.
-func (f Format) object() (whole, chunk string) {
+// object returns the object names of a complete answer and of one event.
+func (f Format) object() (complete, chunk string) {
 	if f == FormatCompletions {
 		return "text_completion", "text_completion"
 	}
 	return "chat.completion", "chat.completion.chunk"
 }
 
-// Identity is what every event and the whole answer say of themselves to the caller.
+// Identity holds the metadata that every event and the complete answer carry for the caller.
 type Identity struct {
 	ID      string
 	Created int64 // seconds since the Unix epoch
@@ -32,7 +32,7 @@
 	Format  Format
 }
 
-// Answer gathers delivered events into one whole answer.
+// Answer assembles delivered events into one complete answer.
 type Answer struct {
 	identity     Identity
 	text         strings.Builder
@@ -43,7 +43,7 @@
 // NewAnswer returns an empty answer.
 func NewAnswer(identity Identity) *Answer { return &Answer{identity: identity} }
 
-// Add adds a delivered event.
+// Add adds a delivered event to the answer.
 func (a *Answer) Add(event *Event) {
 	switch event.Type {
 	case EventToken:
@@ -55,44 +55,44 @@
 	}
 }
 
-// wholeAnswer is the JSON of a whole answer.
-type wholeAnswer struct {
-	ID      string          `json:"id"`
-	Object  string          `json:"object"`
-	Created int64           `json:"created"`
-	Model   string          `json:"model"`
-	Choices []wholeChoice   `json:"choices"`
-	Usage   json.RawMessage `json:"usage"`
+// completeAnswer is the JSON encoding of a complete answer.
+type completeAnswer struct {
+	ID      string           `json:"id"`
+	Object  string           `json:"object"`
+	Created int64            `json:"created"`
+	Model   string           `json:"model"`
+	Choices []completeChoice `json:"choices"`
+	Usage   json.RawMessage  `json:"usage"`
 }
 
-type wholeChoice struct {
-	Index        int           `json:"index"`
-	Message      *wholeMessage `json:"message,omitempty"`
-	Text         *string       `json:"text,omitempty"`
-	FinishReason string        `json:"finish_reason"`
+type completeChoice struct {
+	Index        int              `json:"index"`
+	Message      *completeMessage `json:"message,omitempty"`
+	Text         *string          `json:"text,omitempty"`
+	FinishReason string           `json:"finish_reason"`
 }
 
-type wholeMessage struct {
+type completeMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// JSON returns the whole answer's body.
+// JSON returns the body of the complete answer.
 func (a *Answer) JSON() ([]byte, error) {
 	object, _ := a.identity.Format.object()
 	text := a.text.String()
-	choice := wholeChoice{FinishReason: a.finishReason}
+	choice := completeChoice{FinishReason: a.finishReason}
 	if a.identity.Format == FormatCompletions {
 		choice.Text = &text
 	} else {
-		choice.Message = &wholeMessage{Role: "assistant", Content: text}
+		choice.Message = &completeMessage{Role: "assistant", Content: text}
 	}
-	body, err := json.Marshal(wholeAnswer{
+	body, err := json.Marshal(completeAnswer{
 		ID:      a.identity.ID,
 		Object:  object,
 		Created: a.identity.Created,
 		Model:   a.identity.Model,
-		Choices: []wholeChoice{choice},
+		Choices: []completeChoice{choice},
 		Usage:   a.usage,
 	})
 	return body, trace.Wrap(err)
--- a/internal/stream/doc.go
+++ b/internal/stream/doc.go
@@ -1,7 +1,7 @@
-// Package stream reads the event stream of an engine and decides, event by event, what
-// of it belongs to a caller's answer. Scanner splits bytes into events, Sequence (pure)
-// accepts each token exactly once and in order, Answer gathers a whole answer, and Writer
-// writes the events that callers see. Nothing of an engine's own fields passes through.
+// Package stream reads the event stream of an engine and decides for each event whether it belongs to the
+// caller's answer. Scanner splits bytes into events; Sequence accepts each token exactly once and in order;
+// Answer assembles a non-streamed answer; Writer writes the events for callers. No field of an engine's event
+// is passed to callers unless it is part of their protocol.
 //
 // None of the types is safe for concurrent use.
 package stream
--- a/internal/stream/event.go
+++ b/internal/stream/event.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// EventType tells what an event carries.
+// EventType is the kind of content that an event carries.
 type EventType int
 
 // Event types.
@@ -21,14 +21,14 @@
 	EventError
 )
 
-// ErrMalformed tells that a stream does not keep to the contract.
+// ErrMalformed means that a stream violates the engine contract.
 var ErrMalformed = errors.New("malformed event stream")
 
-// Event is one event of an engine. Its slices point into the scanner's buffer and hold
-// until the next call of Next.
+// Event is one event of an engine. Its slices point into the scanner's buffer and are valid until the next
+// call of Next.
 type Event struct {
 	Type EventType
-	// Exchange is the exchange that the event claims to belong to.
+	// Exchange is the exchange that the event states to belong to.
 	Exchange string
 	// Offset is the number of output tokens up to and including this event.
 	Offset int
@@ -45,7 +45,7 @@
 	Error enginecontract.ErrorDetail
 }
 
-// parseEvent reads the data of one event.
+// parseEvent parses the data of one event.
 func parseEvent(data []byte) (Event, error) {
 	if string(data) == enginecontract.DoneMarker {
 		return Event{Type: EventDone}, nil
@@ -63,7 +63,7 @@
 		case "tokens":
 			event.Tokens = int(value.Int())
 		case "choices":
-			event.takeChoices(data, value)
+			event.setChoices(data, value)
 		case "usage":
 			if value.IsObject() {
 				event.Type = EventUsage
@@ -81,7 +81,7 @@
 	return event, nil
 }
 
-func (e *Event) takeChoices(data []byte, choices gjson.Result) {
+func (e *Event) setChoices(data []byte, choices gjson.Result) {
 	e.Choices = raw(data, choices)
 	first := choices.Get("0")
 	if reason := first.Get("finish_reason"); reason.Type == gjson.String {
@@ -95,7 +95,7 @@
 	e.Text = first.Get("text").String()
 }
 
-// raw returns the bytes of a value inside data without copying them.
+// raw returns the bytes of a value within data without copying them.
 func raw(data []byte, value gjson.Result) []byte {
 	return data[value.Index : value.Index+len(value.Raw)]
 }
--- a/internal/stream/safeguards.go
+++ b/internal/stream/safeguards.go
@@ -2,13 +2,13 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/safeguard"
 
-// Safeguards of streams. Tests switch one off to show that answers are then mixed, short
-// or repeated; processes always run with all of them.
+// Safeguards of streams. Tests disable one to show that answers are then mixed, incomplete or repeated;
+// processes always run with all of them.
 const (
-	// EventEchoCheck accepts only events of the exchange under way.
+	// EventEchoCheck accepts only events of the current exchange.
 	EventEchoCheck safeguard.Safeguard = "event echo check"
-	// OffsetCheck delivers a token only at the offset that follows the last one.
+	// OffsetCheck delivers a token only at the offset that follows the last delivered one.
 	OffsetCheck safeguard.Safeguard = "offset check"
-	// CompletionCheck calls an answer whole only after its finish and usage events.
+	// CompletionCheck treats an answer as complete only after its finish and usage events.
 	CompletionCheck safeguard.Safeguard = "whole end"
 )
--- a/internal/stream/scanner.go
+++ b/internal/stream/scanner.go
@@ -11,29 +11,29 @@
 
 const (
 	scannerBufferBytes = 4096
-	// maximumEventBytes bounds one event; a longer one is malformed.
+	// maximumEventBytes limits the size of one event; a longer one is malformed.
 	maximumEventBytes = 1 << 20
 )
 
 var dataPrefix = []byte("data:")
 
-// Scanner splits a server-sent-event stream into events.
+// Scanner splits a stream of server-sent events into events.
 type Scanner struct {
-	reader *bufio.Reader
-	long   []byte // a line that did not fit the reader's buffer
+	reader   *bufio.Reader
+	longLine []byte // a line that does not fit into the reader's buffer
 }
 
-// NewScanner returns a scanner over an engine's body.
+// NewScanner returns a Scanner for the body of an engine's answer.
 func NewScanner(body io.Reader) *Scanner {
 	return &Scanner{reader: bufio.NewReaderSize(body, scannerBufferBytes)}
 }
 
-// Next returns the next event. It returns io.EOF at the end of the body and an error that
-// wraps ErrMalformed when the stream breaks the contract. A last line without its newline
-// is a cut, not an event: it is reported as io.ErrUnexpectedEOF.
+// Next returns the next event. It returns io.EOF at the end of the body, and an error that wraps ErrMalformed
+// if the stream violates the contract. A last line without a newline is not an event: the stream was cut, and
+// Next returns io.ErrUnexpectedEOF.
 func (s *Scanner) Next() (Event, error) {
 	for {
-		line, err := s.line()
+		line, err := s.readLine()
 		if err != nil {
 			return Event{}, err
 		}
@@ -45,22 +45,22 @@
 	}
 }
 
-// line returns the next line without its end.
-func (s *Scanner) line() ([]byte, error) {
-	s.long = s.long[:0]
+// readLine returns the next line without its line ending.
+func (s *Scanner) readLine() ([]byte, error) {
+	s.longLine = s.longLine[:0]
 	for {
-		part, err := s.reader.ReadSlice('\n')
+		fragment, err := s.reader.ReadSlice('\n')
 		switch {
-		case err == nil && len(s.long) == 0:
-			return bytes.TrimRight(part, "\r\n"), nil
+		case err == nil && len(s.longLine) == 0:
+			return bytes.TrimRight(fragment, "\r\n"), nil
 		case err == nil:
-			return bytes.TrimRight(append(s.long, part...), "\r\n"), nil
+			return bytes.TrimRight(append(s.longLine, fragment...), "\r\n"), nil
 		case errors.Is(err, bufio.ErrBufferFull):
-			s.long = append(s.long, part...)
-			if len(s.long) > maximumEventBytes {
+			s.longLine = append(s.longLine, fragment...)
+			if len(s.longLine) > maximumEventBytes {
 				return nil, trace.Wrap(ErrMalformed, "event is longer than %d bytes", maximumEventBytes)
 			}
-		case errors.Is(err, io.EOF) && len(part)+len(s.long) > 0:
+		case errors.Is(err, io.EOF) && len(fragment)+len(s.longLine) > 0:
 			return nil, io.ErrUnexpectedEOF
 		default:
 			return nil, err
--- a/internal/stream/scanner_fuzz_test.go
+++ b/internal/stream/scanner_fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// FuzzScanner reads arbitrary event streams: each event keeps to the contract's bounds,
-// carries valid JSON, and the stream ends with an error.
+// FuzzScanner reads arbitrary event streams: each event must respect the bounds of the contract and contain
+// valid JSON, and each stream must end with an error.
 func FuzzScanner(f *testing.F) {
 	f.Add([]byte("data: {\"exchange\":\"e\",\"offset\":1,\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("data: {\"usage\":{\"prompt_tokens\":1}}\n\n"))
@@ -31,6 +31,6 @@
 				require.True(t, len(part) == 0 || gjson.ValidBytes(part), "%q", part)
 			}
 		}
-		require.Fail(t, "the scanner does not come to the end")
+		require.Fail(t, "the scanner did not reach the end of the stream")
 	})
 }
--- a/internal/stream/sequence.go
+++ b/internal/stream/sequence.go
@@ -6,61 +6,60 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// Step tells what to do with an event.
+// Step is the handling of an event that Sequence decided on.
 type Step int
 
 // Steps.
 const (
-	// StepDeliver: the event is the next part of the answer.
+	// StepDeliver: the event is the next one of the answer and is delivered.
 	StepDeliver Step = iota
-	// StepDrop: the event repeats what was delivered.
+	// StepDrop: the event repeats delivered content and is dropped.
 	StepDrop
-	// StepForeign: the event belongs to another exchange; nothing more of this connection
-	// can be trusted.
+	// StepForeign: the event belongs to another exchange; the connection cannot be trusted any more.
 	StepForeign
-	// StepResume: tokens are missing before the event; resume at Delivered.
+	// StepResume: tokens before the event are missing; the stream must be resumed at Delivered.
 	StepResume
-	// StepFail: the engine reports an error; the answer cannot become whole here.
+	// StepFail: the engine reports an error; the answer cannot be completed in this exchange.
 	StepFail
-	// StepComplete: the answer is whole.
+	// StepComplete: the answer is complete.
 	StepComplete
 )
 
-// Sequence accepts the events of one answer, over any number of connections and
-// exchanges, so that each token is delivered exactly once and in order.
+// Sequence accepts the events of one answer, received over any number of connections and exchanges, so that
+// each token is delivered exactly once and in order.
 type Sequence struct {
-	exchange  string
-	delivered int
-	finished  bool
-	counted   bool
-	// keepText tells to gather the delivered text, for continuing at another engine.
+	exchange        string
+	deliveredTokens int
+	finished        bool
+	usageDelivered  bool
+	// keepText makes the sequence store the delivered text, to continue the answer at another engine.
 	keepText   bool
 	text       strings.Builder
 	safeguards safeguard.Set
 }
 
-// NewSequence returns a sequence for one answer. With keepText it gathers the delivered
-// text, which continuing at another engine needs. safeguards is the zero Set but in tests.
+// NewSequence returns a Sequence for one answer. With keepText it stores the delivered text, which is needed to
+// continue the answer at another engine. safeguards is the zero Set except in tests.
 func NewSequence(keepText bool, safeguards safeguard.Set) *Sequence {
 	return &Sequence{keepText: keepText, safeguards: safeguards}
 }
 
-// Begin names the exchange whose events are accepted from now on.
+// Begin sets the exchange whose events are accepted from now on.
 func (s *Sequence) Begin(exchange string) { s.exchange = exchange }
 
 // Delivered returns the number of output tokens delivered.
-func (s *Sequence) Delivered() int { return s.delivered }
+func (s *Sequence) Delivered() int { return s.deliveredTokens }
 
-// Text returns the text delivered.
+// Text returns the delivered text; it is empty without keepText.
 func (s *Sequence) Text() string { return s.text.String() }
 
 // Finished reports whether the finish event has been delivered.
 func (s *Sequence) Finished() bool { return s.finished }
 
-// Accept decides on one event and notes it when it is delivered.
+// Accept decides on one event and records it if it is to be delivered.
 func (s *Sequence) Accept(event *Event) Step {
 	if event.Type == EventDone {
-		if s.finished && s.counted || !s.safeguards.IsEnabled(CompletionCheck) {
+		if s.finished && s.usageDelivered || !s.safeguards.IsEnabled(CompletionCheck) {
 			return StepComplete
 		}
 		return StepResume
@@ -77,7 +76,7 @@
 		if !s.finished {
 			return StepResume
 		}
-		return s.acceptOnce(event, &s.counted)
+		return s.acceptOnce(event, &s.usageDelivered)
 	default:
 		return StepFail
 	}
@@ -86,28 +85,28 @@
 func (s *Sequence) acceptToken(event *Event) Step {
 	switch {
 	case !s.safeguards.IsEnabled(OffsetCheck):
-	case event.Offset <= s.delivered:
+	case event.Offset <= s.deliveredTokens:
 		return StepDrop
 	case s.finished:
-		return StepFail // a token after the end
-	case event.Offset-event.Tokens != s.delivered:
+		return StepFail // a token after the finish event
+	case event.Offset-event.Tokens != s.deliveredTokens:
 		return StepResume
 	}
-	s.delivered = event.Offset
+	s.deliveredTokens = event.Offset
 	if s.keepText {
 		s.text.WriteString(event.Text)
 	}
 	return StepDeliver
 }
 
-// acceptOnce accepts an event that comes once, after the last token.
-func (s *Sequence) acceptOnce(event *Event, seen *bool) Step {
+// acceptOnce accepts an event that occurs once, after the last token.
+func (s *Sequence) acceptOnce(event *Event, delivered *bool) Step {
 	switch {
-	case *seen:
+	case *delivered:
 		return StepDrop
-	case event.Offset != s.delivered:
+	case event.Offset != s.deliveredTokens:
 		return StepResume
 	}
-	*seen = true
+	*delivered = true
 	return StepDeliver
 }
--- a/internal/stream/writer.go
+++ b/internal/stream/writer.go
@@ -9,21 +9,21 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Writer renders the events that a caller sees. The fields of the engine's event that
-// are not part of the chat protocol never appear.
+// Writer encodes the events that callers receive. Fields of the engine's events that are not part of the
+// caller's protocol are never included.
 type Writer struct {
-	// head is everything of an event before its choices, the same for all events.
+	// head is the part of each event before its choices; it is the same for all events.
 	head      []byte
 	withUsage bool
 }
 
-// ErrorBody is the error that ends a stream, with what the caller should know.
+// ErrorBody is the error that ends a stream, with the verdict on whether the request may have run.
 type ErrorBody struct {
 	Error      enginecontract.ErrorDetail `json:"error"`
 	RunVerdict string                     `json:"run_verdict"`
 }
 
-// NewWriter returns a writer; withUsage passes the usage event on.
+// NewWriter returns a Writer; withUsage includes the usage event.
 func NewWriter(identity Identity, withUsage bool) *Writer {
 	_, object := identity.Format.object()
 	head := append([]byte(nil), `data: {"id":`...)
@@ -33,14 +33,14 @@
 	head = append(head, `","created":`...)
 	head = strconv.AppendInt(head, identity.Created, 10)
 	head = append(head, `,"model":`...)
-	model, _ := json.Marshal(identity.Model) // a string always marshals
+	model, _ := json.Marshal(identity.Model) // encoding a string never fails
 	head = append(head, model...)
 	head = append(head, `,"choices":`...)
 	return &Writer{head: head, withUsage: withUsage}
 }
 
-// AppendEvent appends a delivered event to buffer; a usage event that the caller did not
-// ask for adds nothing.
+// AppendEvent appends a delivered event to the buffer. A usage event is left out if the caller did not request
+// it.
 func (w *Writer) AppendEvent(buffer []byte, event *Event) []byte {
 	switch event.Type {
 	case EventToken, EventFinish:
@@ -60,31 +60,31 @@
 	}
 }
 
-// AppendComplete appends a whole answer, as Answer.JSON returned it, as a stream of its own:
-// one event with all of the text, the finish event, the usage event and the end.
-func (w *Writer) AppendComplete(buffer, whole []byte) []byte {
-	choice := gjson.GetBytes(whole, "choices.0")
-	reason, _ := json.Marshal(choice.Get("finish_reason").String()) // a string always marshals
+// AppendComplete appends a complete answer, as returned by Answer.JSON, in the form of a stream: one event with
+// the whole text, the finish event, the usage event and the end marker.
+func (w *Writer) AppendComplete(buffer, complete []byte) []byte {
+	choice := gjson.GetBytes(complete, "choices.0")
+	reason, _ := json.Marshal(choice.Get("finish_reason").String()) // encoding a string never fails
 	text, end := `"text":`+choice.Get("text").Raw, `"text":""`
 	if message := choice.Get("message"); message.Exists() {
 		text, end = `"delta":`+message.Raw, `"delta":{}`
 	}
 	buffer = w.AppendEvent(buffer, &Event{Choices: []byte(`[{"index":0,` + text + `,"finish_reason":null}]`)})
 	buffer = w.AppendEvent(buffer, &Event{Choices: []byte(`[{"index":0,` + end + `,"finish_reason":` + string(reason) + `}]`)})
-	buffer = w.AppendEvent(buffer, &Event{Type: EventUsage, Usage: []byte(gjson.GetBytes(whole, "usage").Raw)})
+	buffer = w.AppendEvent(buffer, &Event{Type: EventUsage, Usage: []byte(gjson.GetBytes(complete, "usage").Raw)})
 	return w.AppendDone(buffer)
 }
 
-// AppendDone appends the end of a whole stream.
+// AppendDone appends the end marker of a complete stream.
 func (w *Writer) AppendDone(buffer []byte) []byte {
 	buffer = append(buffer, "data: "...)
 	buffer = append(buffer, enginecontract.DoneMarker...)
 	return append(buffer, "\n\n"...)
 }
 
-// AppendError appends the error that ends a stream that is not whole.
+// AppendError appends the error that ends an incomplete stream.
 func (w *Writer) AppendError(buffer []byte, body ErrorBody) []byte {
-	data, _ := json.Marshal(body) // strings always marshal
+	data, _ := json.Marshal(body) // encoding strings never fails
 	buffer = append(buffer, "data: "...)
 	buffer = append(buffer, data...)
 	return append(buffer, "\n\n"...)
