--- a/internal/lifecycle/decider.go
+++ b/internal/lifecycle/decider.go
@@ -6,33 +6,34 @@
 	"time"
 )
 
-// Action is what a process does about a signal.
+// Action is a process's response to a signal.
 type Action string
 
 // Actions.
 const (
-	// Stop begins the stop: SIGTERM or SIGINT, the first time.
+	// Stop starts the shutdown: the first SIGTERM or SIGINT.
 	Stop Action = "stop"
-	// Repeated is a further one while the process stops: nothing, since the stop is bounded. Supervisors repeat
-	// themselves, and a terminal sends SIGINT to a whole group whose members pass it on.
+	// Repeated is a further SIGTERM or SIGINT during the shutdown. It has no effect, because the shutdown has a time
+	// limit. Supervisors may repeat the signal, and a terminal sends SIGINT to a whole process group, whose members may
+	// forward it.
 	Repeated Action = "repeated"
-	// Interrupted ends the process at once: a further SIGINT from somebody who does not want to wait.
+	// Interrupted ends the process at once: a further SIGINT of a person who does not want to wait.
 	Interrupted Action = "interrupted"
 	// Reload reads the settings again: SIGHUP.
 	Reload Action = "reload"
-	// NotReloaded is SIGHUP at a process that stops: nothing.
+	// NotReloaded is a SIGHUP during the shutdown. It has no effect.
 	NotReloaded Action = "not_reloaded"
-	// Dump writes the log's ring out: SIGUSR1.
+	// Dump writes the log's ring buffer out: SIGUSR1.
 	Dump Action = "dump"
-	// Ignored is SIGPIPE: whoever read the process's output has gone, the process goes on.
+	// Ignored is a SIGPIPE: the reader of the process's output has gone, and the process continues.
 	Ignored Action = "ignored"
 )
 
-// interruptGap is the least time between two interrupts of a person: what comes sooner is one interrupt that was passed
-// on.
+// interruptGap is the minimum time between two SIGINTs of a person. A SIGINT that follows sooner is the same one,
+// forwarded.
 const interruptGap = 500 * time.Millisecond
 
-// Decider decides what signals do. It is not safe for concurrent use.
+// Decider decides the action for each signal. It is not safe for concurrent use.
 type Decider struct {
 	stopping    bool
 	interrupted bool
@@ -40,11 +41,11 @@
 	interruptedAt time.Duration
 }
 
-// Decide decides on a signal that came at a steady time.
+// Decide returns the action for a signal received at a steady time.
 func (d *Decider) Decide(signal os.Signal, now time.Duration) Action {
 	switch signal {
 	case syscall.SIGTERM:
-		return d.stop()
+		return d.decideStop()
 	case syscall.SIGINT:
 		if d.interrupted && now-d.interruptedAt >= interruptGap {
 			return Interrupted
@@ -52,7 +53,7 @@
 		if !d.interrupted {
 			d.interrupted, d.interruptedAt = true, now
 		}
-		return d.stop()
+		return d.decideStop()
 	case syscall.SIGHUP:
 		if d.stopping {
 			return NotReloaded
@@ -65,7 +66,7 @@
 	}
 }
 
-func (d *Decider) stop() Action {
+func (d *Decider) decideStop() Action {
 	if d.stopping {
 		return Repeated
 	}
--- a/internal/lifecycle/decider_test.go
+++ b/internal/lifecycle/decider_test.go
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against processes that a reload, a dump or a repeated SIGTERM ended in the middle of their stop.
-func TestWhatSignalsDo(t *testing.T) {
+// Guards against a reload, a dump or a repeated SIGTERM that ends a process in the middle of its shutdown.
+func TestDecide(t *testing.T) {
 	const term, interrupt, hangup, dump, pipe = syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGPIPE
 	for name, test := range map[string]struct {
 		signals []os.Signal
-		// gap is the time between two of them.
+		// gap is the time between two signals.
 		gap  time.Duration
 		want []Action
 	}{
--- a/internal/lifecycle/doc.go
+++ b/internal/lifecycle/doc.go
@@ -1,3 +1,3 @@
-// Package lifecycle takes the signals of a server process from its first line to its last, in one place, so
-// that none of them ends it but on purpose. What each does is decided by Decider, which is pure.
+// Package lifecycle handles the signals of a server process during its whole lifetime, in one place, so that no
+// signal ends the process unintentionally. Decider, which has no side effects, decides what each signal does.
 package lifecycle
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -9,87 +9,88 @@
 	"time"
 )
 
-// queuedSignals bounds the signals that wait to be decided on; more of them in one moment are dropped by the
-// system's notifier, which a series of the same kind bears.
+// queuedSignals limits the signals that wait for a decision. If more arrive at once, os/signal drops them, which is
+// harmless for a series of the same signal.
 const queuedSignals = 64
 
-// Signals are the signals of this process.
+// Signals handles the signals of this process.
 type Signals struct {
 	origin  time.Time
 	reloads chan struct{}
 
-	stopping    context.Context
+	stopContext context.Context
 	stop        context.CancelFunc
 	interrupted chan struct{}
 
 	mutex   sync.Mutex
 	decider Decider
-	// tell writes a line on what was done; dump writes the log's ring out. Both are nil until there is a log.
-	tell func(os.Signal, Action)
-	dump func()
-	// early are what came before there was a log.
-	early []taken
+	// logAction logs a signal and its action; dumpLog writes the log's ring buffer out. Both are nil until SetLog.
+	logAction func(os.Signal, Action)
+	dumpLog   func()
+	// unlogged are the signals handled before SetLog.
+	unlogged []handledSignal
 }
 
-// taken is a signal and what was done about it.
-type taken struct {
+// handledSignal is a signal and the action taken.
+type handledSignal struct {
 	signal os.Signal
 	action Action
 }
 
-// HandleSignals takes the signals of this process from now on, and never gives them back: their default is to end it.
+// HandleSignals starts to handle the signals of this process, for the rest of its lifetime: by default, most of them
+// would end it.
 func HandleSignals() *Signals {
 	stopping, stop := context.WithCancel(context.Background())
-	made := &Signals{
-		origin: time.Now(), reloads: make(chan struct{}, 1), stopping: stopping, stop: stop, interrupted: make(chan struct{}),
+	signals := &Signals{
+		origin: time.Now(), reloads: make(chan struct{}, 1), stopContext: stopping, stop: stop, interrupted: make(chan struct{}),
 	}
 	queue := make(chan os.Signal, queuedSignals)
 	signal.Notify(queue, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGPIPE)
 	go func() {
 		for each := range queue {
-			made.take(each)
+			signals.handle(each)
 		}
 	}()
-	return made
+	return signals
 }
 
-// WithStop returns a context that ends with the parent or when the process is asked to stop.
+// WithStop returns a context that is canceled with its parent or when the process is to stop.
 func (s *Signals) WithStop(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
-	unhook := context.AfterFunc(s.stopping, cancel)
-	return ctx, func() { unhook(); cancel() }
+	detach := context.AfterFunc(s.stopContext, cancel)
+	return ctx, func() { detach(); cancel() }
 }
 
-// Reloads gets one entry for any number of wishes to read the settings again.
+// Reloads returns a channel that receives one value for any number of pending requests to reload the settings.
 func (s *Signals) Reloads() <-chan struct{} { return s.reloads }
 
-// Interrupted is closed when the process is to end at once.
+// Interrupted returns a channel that is closed when the process must end at once.
 func (s *Signals) Interrupted() <-chan struct{} { return s.interrupted }
 
-// SetLog sets what writes lines and dumps from now on, and writes those that waited for it.
-func (s *Signals) SetLog(tell func(os.Signal, Action), dump func()) {
+// SetLog sets the functions that log signals and dump the log, and logs the signals handled so far.
+func (s *Signals) SetLog(logAction func(os.Signal, Action), dumpLog func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.tell, s.dump = tell, dump
-	for _, each := range s.early {
+	s.logAction, s.dumpLog = logAction, dumpLog
+	for _, each := range s.unlogged {
 		s.report(each)
 	}
-	s.early = nil
+	s.unlogged = nil
 }
 
-// take does what a signal asks for.
-func (s *Signals) take(received os.Signal) {
+// handle carries out the action for a signal.
+func (s *Signals) handle(received os.Signal) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	action := s.decider.Decide(received, time.Since(s.origin))
-	s.report(taken{received, action})
+	s.report(handledSignal{received, action})
 	switch action {
 	case Stop:
 		s.stop()
 	case Reload:
 		select {
 		case s.reloads <- struct{}{}:
-		default: // one wish waits already
+		default: // a reload is pending already
 		}
 	case Interrupted:
 		select {
@@ -100,19 +101,19 @@
 	}
 }
 
-// report writes a line, and the ring where that is asked for. The mutex is held.
-func (s *Signals) report(each taken) {
-	if s.tell == nil {
-		if len(s.early) < queuedSignals {
-			s.early = append(s.early, each)
+// report logs the signal, and dumps the log if the action is Dump. The mutex must be held.
+func (s *Signals) report(handled handledSignal) {
+	if s.logAction == nil {
+		if len(s.unlogged) < queuedSignals {
+			s.unlogged = append(s.unlogged, handled)
 		}
 		return
 	}
-	if each.action == Ignored {
-		return // the line would go where nobody reads
+	if handled.action == Ignored {
+		return // the process's output has no reader, so the line would be lost
 	}
-	s.tell(each.signal, each.action)
-	if each.action == Dump {
-		s.dump()
+	s.logAction(handled.signal, handled.action)
+	if handled.action == Dump {
+		s.dumpLog()
 	}
 }
