--- a/internal/authority/answers_test.go
+++ b/internal/authority/answers_test.go
@@ -27,33 +27,33 @@
 		{"all well", func(*bench) {}, done, enginecontract.RoleDecode},
 		{"order answered twice", func(b *bench) {
 			b.step()
-			answer := b.exchange(b.sent[0])
+			answer := b.exchange(b.outbox[0])
 			b.answer(answer)
 			b.answer(answer)
 		}, done, enginecontract.RoleDecode},
 		{"order delivered twice, answers crossed", func(b *bench) {
 			b.step()
-			first, second := b.exchange(b.sent[0]), b.exchange(b.sent[0])
+			first, second := b.exchange(b.outbox[0]), b.exchange(b.outbox[0])
 			b.answer(second)
 			b.answer(first)
 		}, done, enginecontract.RoleDecode},
 		{"order lost", func(b *bench) {
 			b.step()
-			b.commander.RecordOrderAnswer(b.now, "engine", b.sent[0].(SendOrder).Order.Fence, nil)
-			b.sent = nil
+			b.commander.RecordOrderAnswer(b.now, "engine", b.outbox[0].(SendOrder).Order.Fence, nil)
+			b.outbox = nil
 		}, done, enginecontract.RoleDecode},
 		{"answer lost", func(b *bench) {
 			b.step()
-			b.exchange(b.sent[0])
-			b.commander.RecordOrderAnswer(b.now, "engine", b.sent[0].(SendOrder).Order.Fence, nil)
-			b.sent = nil
+			b.exchange(b.outbox[0])
+			b.commander.RecordOrderAnswer(b.now, "engine", b.outbox[0].(SendOrder).Order.Fence, nil)
+			b.outbox = nil
 		}, done, enginecontract.RoleDecode},
 		{"poll from before the order arrives after its answer", func(b *bench) {
 			before, sentAt := b.engineState("engine"), b.now
 			b.now += time.Millisecond
 			b.step()
-			b.answer(b.exchange(b.sent[0]))
-			b.sent = nil
+			b.answer(b.exchange(b.outbox[0]))
+			b.outbox = nil
 			b.commander.RecordPollAnswer(sentAt, "engine", before)
 		}, done, enginecontract.RoleDecode},
 	}
@@ -76,9 +76,9 @@
 			b.run(DefaultDrainTimeout)
 		}, aborted, enginecontract.RoleMixed},
 		{"engine holds another role", func(b *bench) {
-			kept := b.engines["engine"].Durable()
-			kept.Role = enginecontract.RolePrefill
-			b.engines["engine"] = b.machine("engine", "zone-a", 1, kept)
+			durable := b.engines["engine"].Durable()
+			durable.Role = enginecontract.RolePrefill
+			b.engines["engine"] = b.machine("engine", "zone-a", 1, durable)
 		}, refused, enginecontract.RolePrefill},
 		{"a stranger's fence is higher", func(b *bench) {
 			b.engines["engine"].Fence(b.now, enginecontract.Fence{Epoch: 9}, 0)
@@ -104,8 +104,8 @@
 		{"aborted before it was sent", func(b *bench) { b.abort("engine") }, aborted, enginecontract.RoleMixed},
 		{"abort overtakes the order", func(b *bench) {
 			b.step()
-			order := b.sent
-			b.sent = nil
+			order := b.outbox
+			b.outbox = nil
 			b.abort("engine")
 			b.deliver = true
 			b.run(time.Second)
@@ -126,8 +126,8 @@
 		{"new leader, order never arrived", func(b *bench) { b.takeOver(6) }, aborted, enginecontract.RoleMixed},
 		{"new leader, late copy of the order", func(b *bench) {
 			b.step()
-			late := b.sent
-			b.sent = nil
+			late := b.outbox
+			b.outbox = nil
 			b.takeOver(6)
 			b.deliver = true
 			b.run(2 * time.Second)
--- a/internal/authority/commander_test.go
+++ b/internal/authority/commander_test.go
@@ -29,14 +29,14 @@
 	require.Equal(t, uint64(5), epoch)
 	require.Equal(t, "leader", leader)
 	b.step()
-	require.Equal(t, []Action{SendFence{Engine: "engine", Address: "127.0.0.1:1", Epoch: 5}}, b.sent)
+	require.Equal(t, []Action{SendFence{Engine: "engine", Address: "127.0.0.1:1", Epoch: 5}}, b.outbox)
 	require.ErrorIs(t, b.order(setRole("engine", decode)), ErrNoAuthority)
 	b.deliverAll()
 	b.step()
 	b.mustOrder(setRole("engine", decode))
 	b.step()
-	require.Len(t, b.sent, 1)
-	require.IsType(t, SendOrder{}, b.sent[0])
+	require.Len(t, b.outbox, 1)
+	require.IsType(t, SendOrder{}, b.outbox[0])
 }
 
 func TestLostEngineStillBusyGetsNoOrder(t *testing.T) {
@@ -159,7 +159,7 @@
 		b.mustOrder(setRole("engine", decode))
 		b.deliver = false
 		b.step()
-		late := b.sent[0]
+		late := b.outbox[0]
 		b.takeOver(6)
 		b.run(2 * time.Second)
 		require.Equal(t, aborted, b.state.Orders("engine")[0].Outcome)
--- a/internal/authority/harness_test.go
+++ b/internal/authority/harness_test.go
@@ -25,8 +25,8 @@
 	commander *Commander
 	engines   map[string]*orders.Machine
 	inFlight  map[string]int
-	// sent are the messages that wait for delivery, in order.
-	sent []Action
+	// outbox holds the messages that wait for delivery, in order.
+	outbox []Action
 	// deliver makes step deliver messages at once.
 	deliver bool
 }
@@ -90,7 +90,7 @@
 			b.apply(propose.Command)
 			continue
 		}
-		b.sent = append(b.sent, action)
+		b.outbox = append(b.outbox, action)
 	}
 	if b.deliver {
 		b.deliverAll()
@@ -108,9 +108,9 @@
 }
 
 func (b *bench) deliverAll() {
-	sent := b.sent
-	b.sent = nil
-	for _, action := range sent {
+	messages := b.outbox
+	b.outbox = nil
+	for _, action := range messages {
 		b.answer(b.exchange(action))
 	}
 }
--- a/internal/authority/limits.go
+++ b/internal/authority/limits.go
@@ -64,10 +64,10 @@
 		}
 	}
 	for _, scope := range scopes {
-		out := c.countOutOfService(state, service, scope.zone)
-		if scope.limited && out >= scope.limit {
+		outOfService := c.countOutOfService(state, service, scope.zone)
+		if scope.limited && outOfService >= scope.limit {
 			return trace.Wrap(ErrTooManyOutOfService, "%d of %d of service %q in zone %q are out; wait, or declare a larger maximum_out",
-				out, scope.limit, service, scope.zone)
+				outOfService, scope.limit, service, scope.zone)
 		}
 	}
 	return nil
--- a/internal/closing/handshake.go
+++ b/internal/closing/handshake.go
@@ -29,8 +29,8 @@
 		return trace.Wrap(err)
 	}
 	filter := make([]unix.SockFilter, 0, len(program))
-	for _, each := range program {
-		filter = append(filter, unix.SockFilter{Code: each.Op, Jt: each.Jt, Jf: each.Jf, K: each.K})
+	for _, instruction := range program {
+		filter = append(filter, unix.SockFilter{Code: instruction.Op, Jt: instruction.Jt, Jf: instruction.Jf, K: instruction.K})
 	}
 	var optionErr error
 	if err := raw.Control(func(descriptor uintptr) {
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -27,22 +27,22 @@
 	if ready.Snapshot != nil {
 		d.restored.Snapshot = ready.Snapshot
 		index := ready.Snapshot.GetMetadata().GetIndex()
-		kept := d.restored.Entries[:0:0]
+		remaining := d.restored.Entries[:0:0]
 		for _, entry := range d.restored.Entries {
 			if entry.GetIndex() > index {
-				kept = append(kept, entry)
+				remaining = append(remaining, entry)
 			}
 		}
-		d.restored.Entries = kept
+		d.restored.Entries = remaining
 	}
 	for _, entry := range ready.Entries {
-		kept := d.restored.Entries[:0:0]
+		remaining := d.restored.Entries[:0:0]
 		for _, old := range d.restored.Entries {
 			if old.GetIndex() < entry.GetIndex() {
-				kept = append(kept, old)
+				remaining = append(remaining, old)
 			}
 		}
-		d.restored.Entries = append(kept, entry)
+		d.restored.Entries = append(remaining, entry)
 	}
 }
 
@@ -132,7 +132,7 @@
 		disk.pending = nil
 		core.ReportPersisted(c.now, last)
 	}
-	for ready, some := core.Ready(); some; ready, some = core.Ready() {
+	for ready, hasWork := core.Ready(); hasWork; ready, hasWork = core.Ready() {
 		if ready.Batch != 0 {
 			disk.pending = append(disk.pending, ready)
 		}
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -125,15 +125,15 @@
 	if len(c.Seeds) > 0 && len(c.Peers) > 0 {
 		return trace.BadParameter("consensus: both peers and seeds are set; name all controllers as peers, or some as seeds")
 	}
-	seen := make(map[string]bool, len(c.Peers))
+	names := make(map[string]bool, len(c.Peers))
 	for _, peer := range c.Peers {
 		if peer.Name == "" || peer.Address == "" {
 			return trace.BadParameter("consensus: peer %q at %q needs both a name and an address", peer.Name, peer.Address)
 		}
-		if seen[peer.Name] {
+		if names[peer.Name] {
 			return trace.BadParameter("consensus: peer %q is listed twice", peer.Name)
 		}
-		seen[peer.Name] = true
+		names[peer.Name] = true
 	}
 	return nil
 }
--- a/internal/consensus/formation.go
+++ b/internal/consensus/formation.go
@@ -209,17 +209,17 @@
 	if member.GetName() == "" {
 		return nil
 	}
-	var found *v1.Member
+	var match *v1.Member
 	for _, id := range c.members.ids() {
 		other := c.members.byID[id]
 		if id == member.GetId() || other.GetName() != member.GetName() {
 			continue
 		}
-		if found == nil || found.GetLearner() {
-			found = other
+		if match == nil || match.GetLearner() {
+			match = other
 		}
 	}
-	return found
+	return match
 }
 
 // isSilent reports whether the member has not answered for replacementSilence election timeouts.
--- a/internal/consensus/formation_seeds.go
+++ b/internal/consensus/formation_seeds.go
@@ -137,8 +137,8 @@
 	if !c.hasCaughtUp(member.GetId()) {
 		return nil
 	}
-	if gone := c.longestSilentVoter(); gone != "" {
-		return c.members.without(gone)
+	if silentVoter := c.longestSilentVoter(); silentVoter != "" {
+		return c.members.without(silentVoter)
 	}
 	promoted := &v1.Member{Id: member.GetId(), Address: member.GetAddress(), Zone: member.GetZone(), Name: member.GetName()}
 	return c.members.with(promoted)
@@ -158,17 +158,17 @@
 
 // longestSilentVoter returns the voter that has been silent for longest, or "" if none is silent.
 func (c *Core) longestSilentVoter() string {
-	gone, since := "", time.Duration(0)
+	longestSilent, since := "", time.Duration(0)
 	for _, id := range c.members.voters() {
 		progress := c.progress[id]
 		if !c.isSilentFor(id, seededVoterSilence) {
 			continue
 		}
-		if gone == "" || progress.lastAnswerAt < since {
-			gone, since = id, progress.lastAnswerAt
+		if longestSilent == "" || progress.lastAnswerAt < since {
+			longestSilent, since = id, progress.lastAnswerAt
 		}
 	}
-	return gone
+	return longestSilent
 }
 
 // hasReplacement reports whether a learner on another disk has caught up at the voter's address
--- a/internal/consensus/formation_seeds_test.go
+++ b/internal/consensus/formation_seeds_test.go
@@ -145,8 +145,8 @@
 	c := newSeededCluster(t, 5, 4)
 	c.commitCommand("kept")
 	c.bootstrap = false
-	gone := c.names[1]
-	c.cores[gone] = nil
+	replaced := c.names[1]
+	c.cores[replaced] = nil
 	for range 1000 {
 		c.step()
 	}
@@ -157,7 +157,7 @@
 	c.stepUntil("replacement", func() bool {
 		leader := c.leader()
 		return leader != "" && c.cores[leader].members.isVoter("controller-6/first") &&
-			!c.cores[leader].members.isVoter(gone+"/first") && len(voterIDs(c.cores[leader])) == 5
+			!c.cores[leader].members.isVoter(replaced+"/first") && len(voterIDs(c.cores[leader])) == 5
 	})
 	require.Less(t, c.now-started, 4*time.Second, "the quorum must tolerate the next loss once the new member has caught up")
 }
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -152,8 +152,8 @@
 	if index > l.last().index {
 		return
 	}
-	kept := l.entries[:index-l.base.index-1]
-	l.entries = append(make([]*v1.Entry, 0, len(kept)), kept...)
+	remaining := l.entries[:index-l.base.index-1]
+	l.entries = append(make([]*v1.Entry, 0, len(remaining)), remaining...)
 	l.handedOut = min(l.handedOut, index-1)
 	l.stable = min(l.stable, index-1)
 }
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -89,13 +89,13 @@
 
 // lastMembershipAfter returns the index of the last membership entry after index, or 0.
 func (c *Core) lastMembershipAfter(index uint64) uint64 {
-	found := uint64(0)
+	last := uint64(0)
 	for _, entry := range c.log.entriesBetween(index, c.log.last().index) {
 		if entry.GetType() == v1.EntryType_ENTRY_TYPE_MEMBERSHIP {
-			found = entry.GetIndex()
+			last = entry.GetIndex()
 		}
 	}
-	return found
+	return last
 }
 
 // reloadMembers reads the effective membership again after the log has changed.
--- a/internal/consensus/restart_test.go
+++ b/internal/consensus/restart_test.go
@@ -116,7 +116,7 @@
 			cluster.start(name)
 		}
 	}
-	most := 0
+	maximum := 0
 	for range 3 * int(DefaultElectionTimeout/time.Millisecond) {
 		cluster.step()
 		leases := 0
@@ -125,9 +125,9 @@
 				leases++
 			}
 		}
-		most = max(most, leases)
+		maximum = max(maximum, leases)
 	}
-	return most
+	return maximum
 }
 
 // When all members but the leader restart, the leader's lease must stay the only one.
@@ -159,8 +159,8 @@
 				cluster.isolated[name] = false
 			}
 			leases := 0
-			for _, each := range cluster.names {
-				if cluster.cores[each].HasValidLease(cluster.now) {
+			for _, member := range cluster.names {
+				if cluster.cores[member].HasValidLease(cluster.now) {
 					leases++
 				}
 			}
--- a/internal/consensus/step_fuzz_test.go
+++ b/internal/consensus/step_fuzz_test.go
@@ -73,8 +73,8 @@
 	core.Tick(now)
 	_ = core.Step(now, message) // an error only states that the message was dropped
 	for {
-		ready, some := core.Ready()
-		if !some {
+		ready, hasWork := core.Ready()
+		if !hasWork {
 			break
 		}
 		core.ReportPersisted(now, ready.Batch)
--- a/internal/dialing/expiry_test.go
+++ b/internal/dialing/expiry_test.go
@@ -28,9 +28,9 @@
 
 // A process that was paused until the time had passed must send nothing.
 func TestExpiredWriteSendsNothing(t *testing.T) {
-	left := time.Hour
-	local, remote := openExpiring(t, func() time.Duration { return left })
-	left = 0
+	remaining := time.Hour
+	local, remote := openExpiring(t, func() time.Duration { return remaining })
+	remaining = 0
 	_, err := local.Write([]byte("an order"))
 	require.ErrorIs(t, err, ErrExpired)
 	require.NoError(t, local.Close())
--- a/internal/leaderwatch/controllers_test.go
+++ b/internal/leaderwatch/controllers_test.go
@@ -25,13 +25,13 @@
 // controller as the leader.
 func TestControllersAreTriedInTurnWithoutLeader(t *testing.T) {
 	list := newControllers([]string{"a", "b", "c"})
-	var asked []string
+	var tried []string
 	for _, leader := range []string{"", "b", "stranger", ""} {
 		next := list.next()
-		asked = append(asked, next)
+		tried = append(tried, next)
 		list.applyResponse(&v1.WatchResponse{Behind: true, LeaderAddress: leader}, next)
 	}
-	require.Equal(t, []string{"a", "b", "c", "a"}, asked)
+	require.Equal(t, []string{"a", "b", "c", "a"}, tried)
 }
 
 // Seeds from updated settings must be tried once the other controllers fail.
--- a/internal/leaderwatch/watcher_test.go
+++ b/internal/leaderwatch/watcher_test.go
@@ -136,7 +136,7 @@
 	defer cancel()
 	go watcher.Run(ctx)
 	<-node.responses
-	answered := time.Now()
+	answeredAt := time.Now()
 	<-node.responses
-	require.GreaterOrEqual(t, time.Since(answered), unusableResponseDelay)
+	require.GreaterOrEqual(t, time.Since(answeredAt), unusableResponseDelay)
 }
--- a/internal/lifecycle/decider_test.go
+++ b/internal/lifecycle/decider_test.go
@@ -33,8 +33,8 @@
 		t.Run(name, func(t *testing.T) {
 			var decider Decider
 			var got []Action
-			for number, each := range test.signals {
-				got = append(got, decider.Decide(each, time.Duration(number)*test.gap))
+			for number, received := range test.signals {
+				got = append(got, decider.Decide(received, time.Duration(number)*test.gap))
 			}
 			require.Equal(t, test.want, got)
 		})
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -47,8 +47,8 @@
 	queue := make(chan os.Signal, queuedSignals)
 	signal.Notify(queue, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGPIPE)
 	go func() {
-		for each := range queue {
-			signals.handle(each)
+		for received := range queue {
+			signals.handle(received)
 		}
 	}()
 	return signals
@@ -72,8 +72,8 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.logAction, s.dumpLog = logAction, dumpLog
-	for _, each := range s.unlogged {
-		s.report(each)
+	for _, handled := range s.unlogged {
+		s.report(handled)
 	}
 	s.unlogged = nil
 }
--- a/internal/listing/history.go
+++ b/internal/listing/history.go
@@ -32,7 +32,7 @@
 	if h.lists == nil {
 		h.lists = map[uint64][]*v1.ListedBackEnd{}
 	}
-	h.versions = append(slices.DeleteFunc(h.versions, func(kept uint64) bool { return kept == version }), version)
+	h.versions = append(slices.DeleteFunc(h.versions, func(stored uint64) bool { return stored == version }), version)
 	h.lists[version] = list
 	if len(h.versions) > maximumVersions {
 		delete(h.lists, h.versions[0])
@@ -44,10 +44,10 @@
 // FillResponse adds the change or the full list that a relay with the given version needs to a response.
 func (h *History) FillResponse(response *v1.WatchResponse, heldVersion uint64) {
 	current := h.versions[len(h.versions)-1]
-	former, stored := h.lists[heldVersion]
+	storedList, stored := h.lists[heldVersion]
 	if stored {
 		if h.changes[heldVersion] == nil {
-			h.changes[heldVersion] = computeChange(heldVersion, former, h.lists[current])
+			h.changes[heldVersion] = computeChange(heldVersion, storedList, h.lists[current])
 		}
 		response.ListingChange = h.changes[heldVersion]
 		return
@@ -61,17 +61,17 @@
 // computeChange returns the change that turns one list into the other.
 func computeChange(version uint64, from, to []*v1.ListedBackEnd) *v1.ListingChange {
 	change := &v1.ListingChange{FromVersion: version}
-	former := make(map[string]*v1.ListedBackEnd, len(from))
+	formerByID := make(map[string]*v1.ListedBackEnd, len(from))
 	for _, entry := range from {
-		former[entry.GetId()] = entry
+		formerByID[entry.GetId()] = entry
 	}
 	for _, entry := range to {
-		if known := former[entry.GetId()]; known == nil || !EqualEntries(known, entry) {
+		if known := formerByID[entry.GetId()]; known == nil || !EqualEntries(known, entry) {
 			change.Changed = append(change.Changed, entry)
 		}
-		delete(former, entry.GetId())
+		delete(formerByID, entry.GetId())
 	}
-	change.Gone = slices.Sorted(maps.Keys(former))
+	change.Gone = slices.Sorted(maps.Keys(formerByID))
 	return change
 }
 
--- a/internal/listing/received_list_test.go
+++ b/internal/listing/received_list_test.go
@@ -19,8 +19,8 @@
 // A relay must apply changes of the list, and reject a response that it cannot apply.
 func TestReceivedListAppliesChanges(t *testing.T) {
 	list := ReceivedList{}
-	whole := packed.Pack(&v1.Listing{BackEnds: []*v1.ListedBackEnd{{Id: "a"}, {Id: "b"}, {Id: "c"}}})
-	entries, applied := list.Apply(0, &v1.WatchResponse{ListingVersion: 5, PackedListing: whole})
+	packedList := packed.Pack(&v1.Listing{BackEnds: []*v1.ListedBackEnd{{Id: "a"}, {Id: "b"}, {Id: "c"}}})
+	entries, applied := list.Apply(0, &v1.WatchResponse{ListingVersion: 5, PackedListing: packedList})
 	require.True(t, applied)
 	require.Equal(t, []string{"a", "b", "c"}, identities(entries))
 
--- a/internal/membership/description_test.go
+++ b/internal/membership/description_test.go
@@ -47,9 +47,9 @@
 			same := serving
 			now += time.Second
 			require.True(t, tracker.RecordState("x", now, &same))
-			kept, _ := tracker.Directory(now, "z")
-			require.Equal(t, before.Version, kept.Version, "the same content was read again")
-			require.Zero(t, kept.Age, "the same content was read again just now")
+			cached, _ := tracker.Directory(now, "z")
+			require.Equal(t, before.Version, cached.Version, "the same content was read again")
+			require.Zero(t, cached.Age, "the same content was read again just now")
 
 			next := serving
 			now += time.Second
--- a/internal/stream/scanner_fuzz_test.go
+++ b/internal/stream/scanner_fuzz_test.go
@@ -27,8 +27,8 @@
 			if event.Type == EventToken {
 				require.Positive(t, event.Tokens)
 			}
-			for _, part := range [][]byte{event.Choices, event.Usage} {
-				require.True(t, len(part) == 0 || gjson.ValidBytes(part), "%q", part)
+			for _, content := range [][]byte{event.Choices, event.Usage} {
+				require.True(t, len(content) == 0 || gjson.ValidBytes(content), "%q", content)
 			}
 		}
 		require.Fail(t, "the scanner did not reach the end of the stream")
