--- a/internal/authority/answers_test.go
+++ b/internal/authority/answers_test.go
@@ -24,14 +24,14 @@
 // deliveryCases deliver the order and its answers late, twice, reordered or not at all.
 func deliveryCases() []answerCase {
 	return []answerCase{
-		{"all well", func(*bench) {}, done, enginecontract.RoleDecode},
+		{"no fault", func(*bench) {}, done, enginecontract.RoleDecode},
 		{"order answered twice", func(b *bench) {
 			b.step()
 			answer := b.exchange(b.outbox[0])
 			b.answer(answer)
 			b.answer(answer)
 		}, done, enginecontract.RoleDecode},
-		{"order delivered twice, answers crossed", func(b *bench) {
+		{"order delivered twice, answers reordered", func(b *bench) {
 			b.step()
 			first, second := b.exchange(b.outbox[0]), b.exchange(b.outbox[0])
 			b.answer(second)
@@ -63,7 +63,7 @@
 func engineFaultCases() []answerCase {
 	return []answerCase{
 		{"engine restarts before the order arrives", func(b *bench) { b.restart("engine") }, done, enginecontract.RoleDecode},
-		{"engine restarts in the middle", func(b *bench) {
+		{"engine restarts while it carries out the order", func(b *bench) {
 			b.step()
 			b.deliverAll()
 			b.now += time.Second
@@ -75,12 +75,12 @@
 			b.deliverAll()
 			b.run(DefaultDrainTimeout)
 		}, aborted, enginecontract.RoleMixed},
-		{"engine holds another role", func(b *bench) {
+		{"engine has another role", func(b *bench) {
 			durable := b.engines["engine"].Durable()
 			durable.Role = enginecontract.RolePrefill
 			b.engines["engine"] = b.machine("engine", "zone-a", 1, durable)
 		}, refused, enginecontract.RolePrefill},
-		{"a stranger's fence is higher", func(b *bench) {
+		{"the engine has a higher fence", func(b *bench) {
 			b.engines["engine"].Fence(b.now, enginecontract.Fence{Epoch: 9}, 0)
 		}, refused, enginecontract.RoleMixed},
 		{"engine is gone", func(b *bench) {
@@ -133,7 +133,7 @@
 			b.run(2 * time.Second)
 			b.exchange(late[0])
 		}, aborted, enginecontract.RoleMixed},
-		{"new leader, engine drains", func(b *bench) {
+		{"new leader, engine is draining", func(b *bench) {
 			b.inFlight["engine"] = 1
 			b.step()
 			b.deliverAll()
@@ -141,13 +141,13 @@
 			b.run(2 * time.Second)
 			b.inFlight["engine"] = 0
 		}, done, enginecontract.RoleDecode},
-		{"new leader, engine is done", func(b *bench) {
+		{"new leader, engine has finished", func(b *bench) {
 			b.step()
 			b.deliverAll()
 			b.now += 5 * time.Second
 			b.takeOver(6)
 		}, done, enginecontract.RoleDecode},
-		{"new leader, aborted by the old one", func(b *bench) {
+		{"new leader, aborted by the previous one", func(b *bench) {
 			b.inFlight["engine"] = 1
 			b.step()
 			b.deliverAll()
--- a/internal/authority/commander_test.go
+++ b/internal/authority/commander_test.go
@@ -74,14 +74,14 @@
 		wanted *v1.Order
 		err    error
 	}{
-		{"one out without a bound", nil, []*v1.Order{setRole("a1", decode)}, setRole("b1", decode), ErrTooManyOutOfService},
-		{"two out with a bound", []*v1.Bound{{Role: decode, MaximumOut: 2}}, []*v1.Order{setRole("a1", decode)}, setRole("b1", decode), nil},
-		{"the zone's own bound", []*v1.Bound{{Role: decode, MaximumOut: 3}, {Role: decode, Zone: "zone-a", MaximumOut: 1}},
+		{"one engine out of service without a bound", nil, []*v1.Order{setRole("a1", decode)}, setRole("b1", decode), ErrTooManyOutOfService},
+		{"two engines out of service with a bound", []*v1.Bound{{Role: decode, MaximumOut: 2}}, []*v1.Order{setRole("a1", decode)}, setRole("b1", decode), nil},
+		{"bound of the same zone", []*v1.Bound{{Role: decode, MaximumOut: 3}, {Role: decode, Zone: "zone-a", MaximumOut: 1}},
 			[]*v1.Order{setRole("a1", decode)}, setRole("a2", decode), ErrTooManyOutOfService},
-		{"another zone's bound", []*v1.Bound{{Role: decode, MaximumOut: 3}, {Role: decode, Zone: "zone-a", MaximumOut: 1}},
+		{"bound of another zone", []*v1.Bound{{Role: decode, MaximumOut: 3}, {Role: decode, Zone: "zone-a", MaximumOut: 1}},
 			[]*v1.Order{setRole("a1", decode)}, setRole("b1", decode), nil},
-		{"a drained engine is out", nil, []*v1.Order{action("a1", v1.OrderAction_ORDER_ACTION_DRAIN)}, setRole("b1", decode), ErrTooManyOutOfService},
-		{"an adapter takes no one out", nil, []*v1.Order{loadAdapter("a1")}, setRole("b1", decode), nil},
+		{"a drained engine is out of service", nil, []*v1.Order{action("a1", v1.OrderAction_ORDER_ACTION_DRAIN)}, setRole("b1", decode), ErrTooManyOutOfService},
+		{"loading an adapter takes no engine out of service", nil, []*v1.Order{loadAdapter("a1")}, setRole("b1", decode), nil},
 		{"minimum of a role", []*v1.Bound{{Role: v1.Role_ROLE_MIXED, Minimum: 3}}, nil, setRole("a1", decode), ErrRoleBound},
 		{"minimum of a role in one zone", []*v1.Bound{{Role: v1.Role_ROLE_MIXED, Zone: "zone-a", Minimum: 2}}, nil, setRole("a1", decode), ErrRoleBound},
 		{"maximum of a role", []*v1.Bound{{Role: v1.Role_ROLE_PREFILL, Maximum: 1}}, nil, setRole("a1", v1.Role_ROLE_PREFILL), ErrRoleBound},
@@ -89,7 +89,7 @@
 		{"third load", []*v1.Bound{{Role: decode, MaximumOut: 9}}, []*v1.Order{loadModel("a1"), loadAdapter("a2")}, loadModel("b1"), ErrTooManyLoads},
 		{"second order of one engine", nil, []*v1.Order{loadAdapter("a1")}, loadAdapter("a1"), ErrEngineBusy},
 		{"unknown engine", nil, nil, setRole("none", decode), ErrEngineUnknown},
-		{"the role it plays", nil, nil, setRole("a1", v1.Role_ROLE_MIXED), ErrEngineState},
+		{"the current role", nil, nil, setRole("a1", v1.Role_ROLE_MIXED), ErrEngineState},
 		{"resume of an engine that serves", nil, nil, action("a1", v1.OrderAction_ORDER_ACTION_RESUME), ErrEngineState},
 	}
 	for _, test := range cases {
--- a/internal/authority/newer_fence_test.go
+++ b/internal/authority/newer_fence_test.go
@@ -17,7 +17,7 @@
 		epoch      uint64
 	}{
 		{"no engines", nil, 3, false, 0},
-		{"own epoch", []uint64{3, 3, 2}, 3, false, 0},
+		{"this leader's epoch", []uint64{3, 3, 2}, 3, false, 0},
 		{"one of three", []uint64{3, 90, 2}, 3, false, 90},
 		{"half", []uint64{3, 90}, 3, false, 90},
 		{"most", []uint64{40, 90, 2}, 3, true, 90},
--- a/internal/consensus/restart.go
+++ b/internal/consensus/restart.go
@@ -142,6 +142,6 @@
 // provesNoLease reports whether a vote request shows that every voter known to this member has
 // restarted, so that none of them holds a lease.
 func (c *Core) provesNoLease(message *v1.ConsensusMessage) bool {
-	named := message.GetRestartedVoters()
-	return c.restart.noLeaderSinceStart && len(named) > 0 && c.allVoters(func(id string) bool { return slices.Contains(named, id) })
+	restarted := message.GetRestartedVoters()
+	return c.restart.noLeaderSinceStart && len(restarted) > 0 && c.allVoters(func(id string) bool { return slices.Contains(restarted, id) })
 }
--- a/internal/leaderwatch/watcher.go
+++ b/internal/leaderwatch/watcher.go
@@ -29,7 +29,7 @@
 	// WatchRequest returns the request, which states the versions that the node has.
 	WatchRequest(wait time.Duration) *v1.WatchRequest
 	// ApplyUpdate applies the leader's response. It returns false if a part of it could not be applied.
-	ApplyUpdate(told *v1.WatchResponse) bool
+	ApplyUpdate(response *v1.WatchResponse) bool
 	// HandleNoLeader is called after each request that no leader answered.
 	HandleNoLeader(ctx context.Context)
 }
--- a/internal/lifecycle/decider_test.go
+++ b/internal/lifecycle/decider_test.go
@@ -18,17 +18,17 @@
 		gap  time.Duration
 		want []Action
 	}{
-		"stop":                               {[]os.Signal{term}, 0, []Action{Stop}},
-		"stop, repeated":                     {[]os.Signal{term, term, term}, time.Second, []Action{Stop, Repeated, Repeated}},
-		"reload, repeated":                   {[]os.Signal{hangup, hangup}, 0, []Action{Reload, Reload}},
-		"reload, then stop":                  {[]os.Signal{hangup, term}, 0, []Action{Reload, Stop}},
-		"stop, then reload":                  {[]os.Signal{term, hangup}, 0, []Action{Stop, NotReloaded}},
-		"stop, then dump":                    {[]os.Signal{term, dump, dump}, 0, []Action{Stop, Dump, Dump}},
-		"interrupt that is passed on":        {[]os.Signal{interrupt, interrupt}, time.Millisecond, []Action{Stop, Repeated}},
-		"interrupt of one who does not wait": {[]os.Signal{interrupt, interrupt}, time.Second, []Action{Stop, Interrupted}},
-		"stop, then interrupt":               {[]os.Signal{term, interrupt, interrupt}, time.Second, []Action{Stop, Repeated, Interrupted}},
-		"interrupt, then stop":               {[]os.Signal{interrupt, term, term}, time.Second, []Action{Stop, Repeated, Repeated}},
-		"reader of the output is gone":       {[]os.Signal{pipe, term}, 0, []Action{Ignored, Stop}},
+		"stop":                         {[]os.Signal{term}, 0, []Action{Stop}},
+		"stop, repeated":               {[]os.Signal{term, term, term}, time.Second, []Action{Stop, Repeated, Repeated}},
+		"reload, repeated":             {[]os.Signal{hangup, hangup}, 0, []Action{Reload, Reload}},
+		"reload, then stop":            {[]os.Signal{hangup, term}, 0, []Action{Reload, Stop}},
+		"stop, then reload":            {[]os.Signal{term, hangup}, 0, []Action{Stop, NotReloaded}},
+		"stop, then dump":              {[]os.Signal{term, dump, dump}, 0, []Action{Stop, Dump, Dump}},
+		"forwarded interrupt":          {[]os.Signal{interrupt, interrupt}, time.Millisecond, []Action{Stop, Repeated}},
+		"second interrupt of a person": {[]os.Signal{interrupt, interrupt}, time.Second, []Action{Stop, Interrupted}},
+		"stop, then interrupt":         {[]os.Signal{term, interrupt, interrupt}, time.Second, []Action{Stop, Repeated, Interrupted}},
+		"interrupt, then stop":         {[]os.Signal{interrupt, term, term}, time.Second, []Action{Stop, Repeated, Repeated}},
+		"output without a reader":      {[]os.Signal{pipe, term}, 0, []Action{Ignored, Stop}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var decider Decider
--- a/internal/listing/direct_read.go
+++ b/internal/listing/direct_read.go
@@ -24,21 +24,21 @@
 // IsDue reports whether the relay must read the list now. lostAt is the time from which the lack of a leader
 // counts; calls is the number of calls that all relays need to read the list once, as far as known. The first
 // readings of relays that have a list are spread over the interval.
-func (o *DirectRead) IsDue(now, lostAt time.Duration, holdsList bool, calls int, draw func() float64) bool {
+func (d *DirectRead) IsDue(now, lostAt time.Duration, hasList bool, calls int, draw func() float64) bool {
 	if now < lostAt {
-		o.scheduled = false
+		d.scheduled = false
 		return false
 	}
 	interval := max(time.Duration(calls)*time.Second/directCallsPerSecond, minimumDirectInterval)
-	if !o.scheduled {
-		o.scheduled, o.dueAt = true, now
-		if holdsList {
-			o.dueAt += time.Duration(draw() * float64(interval-minimumDirectInterval))
+	if !d.scheduled {
+		d.scheduled, d.dueAt = true, now
+		if hasList {
+			d.dueAt += time.Duration(draw() * float64(interval-minimumDirectInterval))
 		}
 	}
-	if now < o.dueAt {
+	if now < d.dueAt {
 		return false
 	}
-	o.dueAt = now + interval
+	d.dueAt = now + interval
 	return true
 }
--- a/internal/listing/direct_read_test.go
+++ b/internal/listing/direct_read_test.go
@@ -8,13 +8,13 @@
 )
 
 // countReads counts how often relays read the list within a time without a leader.
-func countReads(relays, calls int, holdsList bool, span time.Duration) int {
+func countReads(relays, calls int, hasList bool, span time.Duration) int {
 	count := 0
 	for relay := range relays {
 		read := DirectRead{}
 		draw := func() float64 { return float64(relay) / float64(relays) }
 		for now := time.Duration(0); now < span; now += 40 * time.Millisecond {
-			if read.IsDue(now, 0, holdsList, relays*calls, draw) {
+			if read.IsDue(now, 0, hasList, relays*calls, draw) {
 				count++
 			}
 		}
--- a/internal/listing/history.go
+++ b/internal/listing/history.go
@@ -42,14 +42,14 @@
 }
 
 // FillResponse adds the change or the full list that a relay with the given version needs to a response.
-func (h *History) FillResponse(response *v1.WatchResponse, heldVersion uint64) {
+func (h *History) FillResponse(response *v1.WatchResponse, relayVersion uint64) {
 	current := h.versions[len(h.versions)-1]
-	storedList, stored := h.lists[heldVersion]
+	storedList, stored := h.lists[relayVersion]
 	if stored {
-		if h.changes[heldVersion] == nil {
-			h.changes[heldVersion] = computeChange(heldVersion, storedList, h.lists[current])
+		if h.changes[relayVersion] == nil {
+			h.changes[relayVersion] = computeChange(relayVersion, storedList, h.lists[current])
 		}
-		response.ListingChange = h.changes[heldVersion]
+		response.ListingChange = h.changes[relayVersion]
 		return
 	}
 	if h.packedList == nil {
--- a/internal/listing/received_list.go
+++ b/internal/listing/received_list.go
@@ -13,21 +13,21 @@
 
 // Apply applies the list or change in a response to a watch request that stated heldVersion. It returns false
 // if the response cannot be applied; the relay must then request the list again.
-func (h *ReceivedList) Apply(heldVersion uint64, response *v1.WatchResponse) ([]*v1.ListedBackEnd, bool) {
+func (l *ReceivedList) Apply(heldVersion uint64, response *v1.WatchResponse) ([]*v1.ListedBackEnd, bool) {
 	if change := response.GetListingChange(); change != nil {
-		if heldVersion != h.version || change.GetFromVersion() != h.version {
+		if heldVersion != l.version || change.GetFromVersion() != l.version {
 			return nil, false
 		}
-		h.entries = applyChange(h.entries, change)
+		l.entries = applyChange(l.entries, change)
 	} else {
 		listing := &v1.Listing{}
 		if packed.Unpack(response.GetPackedListing(), listing) != nil {
 			return nil, false
 		}
-		h.entries = listing.GetBackEnds()
+		l.entries = listing.GetBackEnds()
 	}
-	h.version = response.GetListingVersion()
-	return h.entries, true
+	l.version = response.GetListingVersion()
+	return l.entries, true
 }
 
 // applyChange returns the list with the change applied.
--- a/internal/listing/received_list_test.go
+++ b/internal/listing/received_list_test.go
@@ -31,9 +31,9 @@
 	require.True(t, entries[1].GetLeaving())
 
 	for name, response := range map[string]*v1.WatchResponse{
-		"a change of another list": {ListingVersion: 9, ListingChange: &v1.ListingChange{FromVersion: 7}},
-		"a garbled list":           {ListingVersion: 9, PackedListing: []byte("garbled")},
-		"nothing":                  {ListingVersion: 9},
+		"a change from another version": {ListingVersion: 9, ListingChange: &v1.ListingChange{FromVersion: 7}},
+		"a corrupt list":                {ListingVersion: 9, PackedListing: []byte("garbled")},
+		"nothing":                       {ListingVersion: 9},
 	} {
 		_, applied = list.Apply(6, response)
 		require.False(t, applied, name)
--- a/internal/membership/tracker_test.go
+++ b/internal/membership/tracker_test.go
@@ -75,18 +75,18 @@
 		within  time.Duration
 		state   v1.BackEndState
 	}{
-		{"by its own word", "engines", func(p *platform) { p.states["x"].State = enginecontract.StateLeaving }, DefaultPollInterval, leaving},
-		{"drains by its own word", "engines", func(p *platform) { p.states["x"].State = enginecontract.StateDraining }, DefaultPollInterval, changing},
-		{"by the list", "engines", func(p *platform) {
+		{"leaving, reported by the engine", "engines", func(p *platform) { p.states["x"].State = enginecontract.StateLeaving }, DefaultPollInterval, leaving},
+		{"draining, reported by the engine", "engines", func(p *platform) { p.states["x"].State = enginecontract.StateDraining }, DefaultPollInterval, changing},
+		{"leaving, marked in the list", "engines", func(p *platform) {
 			p.list.Version++
 			p.list.Machines[0].State = enginecontract.StateLeaving
 		}, time.Second, leaving},
 		{"falls silent while listed as serving", "engines", func(p *platform) { p.states["x"] = nil }, DefaultMaximumStateAge, changing},
-		{"page service by the list", "pages", func(p *platform) {
+		{"page service, marked in the list", "pages", func(p *platform) {
 			p.list.Version++
 			p.list.Machines[0].State = enginecontract.StateLeaving
 		}, time.Second, leaving},
-		{"page service when the list is gone", "pages", func(p *platform) { p.listAvailable = false }, DefaultMaximumStateAge, changing},
+		{"page service without a current list", "pages", func(p *platform) { p.listAvailable = false }, DefaultMaximumStateAge, changing},
 		{"unlisted and silent", "engines", func(p *platform) {
 			p.states["x"] = nil
 			p.list.Version++
--- a/internal/truetime/clock_test.go
+++ b/internal/truetime/clock_test.go
@@ -36,9 +36,9 @@
 		local time.Duration
 		peers []time.Duration
 	}{
-		"here":                {local: 4 * time.Second, peers: []time.Duration{0, 0, 0, 0}},
-		"at two others":       {peers: []time.Duration{4 * time.Second, -4 * time.Second, 0, 0}},
-		"here and at another": {local: -2 * time.Second, peers: []time.Duration{-2 * time.Second, 0, 0, 0}},
+		"here":                 {local: 4 * time.Second, peers: []time.Duration{0, 0, 0, 0}},
+		"at two peers":         {peers: []time.Duration{4 * time.Second, -4 * time.Second, 0, 0}},
+		"here and at one peer": {local: -2 * time.Second, peers: []time.Duration{-2 * time.Second, 0, 0, 0}},
 	} {
 		clock := New()
 		for now := time.Duration(0); now < 40*time.Second; now += 100 * time.Millisecond {
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -58,7 +58,7 @@
 		}},
 	{name: "closed without an answer", answer: abortResponse, verdict: verdict.MayHaveRun},
 	{name: "no echo", answer: func(http.ResponseWriter, *http.Request) {}, verdict: verdict.MayHaveRun, cause: ErrForeignAnswer},
-	{name: "another's echo", verdict: verdict.MayHaveRun, cause: ErrForeignAnswer,
+	{name: "echo of another exchange", verdict: verdict.MayHaveRun, cause: ErrForeignAnswer,
 		answer: func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set(enginecontract.HeaderExchange, NewExchange())
 		}},
