--- a/internal/authority/newer_fence.go
+++ b/internal/authority/newer_fence.go
@@ -1,10 +1,10 @@
 package authority
 
-// NewerFenceEpoch returns the highest epoch above this leader's that any reporting engine holds a
-// fence of, and whether the majority of the reporting engines hold fences above this leader's epoch.
-// A leader of the same quorum can never be behind its engines; a leader of a quorum that was formed
-// anew, after the previous one was lost with its disks, is. A minority does not count, so that a faulty
-// engine cannot take authority from a leader.
+// NewerFenceEpoch returns the highest fence epoch above this leader's that any engine reports, and
+// whether the majority of the reporting engines have a fence above this leader's epoch. Within one
+// quorum, engines never have a newer fence than the leader. They do when a quorum was formed anew,
+// because the previous one was lost with its disks. A minority does not count, so that a faulty engine
+// cannot take authority from a leader.
 func (c *Commander) NewerFenceEpoch() (epoch uint64, isMajority bool) {
 	if c.epoch == 0 {
 		return 0, false
--- a/internal/closing/set.go
+++ b/internal/closing/set.go
@@ -41,8 +41,8 @@
 	return len(s.open)
 }
 
-// CloseIdle closes the connections that are not serving a request, each once its state has not changed for
-// the quiet time, and at the earliest the quiet time after the stop started. It returns true once no
+// CloseIdle closes each connection that serves no request, once its state has not changed for the quiet
+// time. It closes none before the quiet time has passed since the stop started. It returns true once no
 // connection is open, and false if the context is done first.
 func (s *Set) CloseIdle(ctx context.Context, stopStartedAt time.Time, quiet time.Duration) bool {
 	ticker := time.NewTicker(closePollInterval)
