--- a/internal/authority/answers_test.go
+++ b/internal/authority/answers_test.go
@@ -11,59 +11,59 @@
 	"github.com/hazelpitch/hazelpitch/internal/engineroles"
 )
 
-// answerCase is something that happens once an order to change the role of an engine
-// from mixed to decode has been committed, and how the order ends.
+// answerCase is an event after an order to change an engine's role from mixed to decode was
+// committed, and how the order ends.
 type answerCase struct {
 	name    string
-	happens func(*bench)
+	event   func(*bench)
 	outcome v1.OrderOutcome
-	// role of the engine in the end; empty when it is gone.
-	role enginecontract.Role
+	// finalRole is the engine's role at the end; empty when the engine is gone.
+	finalRole enginecontract.Role
 }
 
-// deliveries bring the order and its answers late, twice, crossed or not at all.
-func deliveries() []answerCase {
+// deliveryCases deliver the order and its answers late, twice, reordered or not at all.
+func deliveryCases() []answerCase {
 	return []answerCase{
-		{"all well", func(*bench) {}, done, enginecontract.RoleDecode},
+		{"no fault", func(*bench) {}, done, enginecontract.RoleDecode},
 		{"order answered twice", func(b *bench) {
 			b.step()
-			answer := b.exchange(b.sent[0])
+			answer := b.exchange(b.outbox[0])
 			b.answer(answer)
 			b.answer(answer)
 		}, done, enginecontract.RoleDecode},
-		{"order delivered twice, answers crossed", func(b *bench) {
+		{"order delivered twice, answers reordered", func(b *bench) {
 			b.step()
-			first, second := b.exchange(b.sent[0]), b.exchange(b.sent[0])
+			first, second := b.exchange(b.outbox[0]), b.exchange(b.outbox[0])
 			b.answer(second)
 			b.answer(first)
 		}, done, enginecontract.RoleDecode},
 		{"order lost", func(b *bench) {
 			b.step()
-			b.commander.RecordOrderAnswer(b.now, "engine", b.sent[0].(SendOrder).Order.Fence, nil)
-			b.sent = nil
+			b.commander.RecordOrderAnswer(b.now, "engine", b.outbox[0].(SendOrder).Order.Fence, nil)
+			b.outbox = nil
 		}, done, enginecontract.RoleDecode},
 		{"answer lost", func(b *bench) {
 			b.step()
-			b.exchange(b.sent[0])
-			b.commander.RecordOrderAnswer(b.now, "engine", b.sent[0].(SendOrder).Order.Fence, nil)
-			b.sent = nil
+			b.exchange(b.outbox[0])
+			b.commander.RecordOrderAnswer(b.now, "engine", b.outbox[0].(SendOrder).Order.Fence, nil)
+			b.outbox = nil
 		}, done, enginecontract.RoleDecode},
 		{"poll from before the order arrives after its answer", func(b *bench) {
 			before, sentAt := b.engineState("engine"), b.now
 			b.now += time.Millisecond
 			b.step()
-			b.answer(b.exchange(b.sent[0]))
-			b.sent = nil
+			b.answer(b.exchange(b.outbox[0]))
+			b.outbox = nil
 			b.commander.RecordPollAnswer(sentAt, "engine", before)
 		}, done, enginecontract.RoleDecode},
 	}
 }
 
-// engineFaults break the engine, or find it in another state than the log has.
-func engineFaults() []answerCase {
+// engineFaultCases make the engine fail, or put it into a state that differs from the log.
+func engineFaultCases() []answerCase {
 	return []answerCase{
 		{"engine restarts before the order arrives", func(b *bench) { b.restart("engine") }, done, enginecontract.RoleDecode},
-		{"engine restarts in the middle", func(b *bench) {
+		{"engine restarts while it carries out the order", func(b *bench) {
 			b.step()
 			b.deliverAll()
 			b.now += time.Second
@@ -75,12 +75,12 @@
 			b.deliverAll()
 			b.run(DefaultDrainTimeout)
 		}, aborted, enginecontract.RoleMixed},
-		{"engine holds another role", func(b *bench) {
-			kept := b.engines["engine"].Durable()
-			kept.Role = enginecontract.RolePrefill
-			b.engines["engine"] = b.machine("engine", "zone-a", 1, kept)
+		{"engine has another role", func(b *bench) {
+			durable := b.engines["engine"].Durable()
+			durable.Role = enginecontract.RolePrefill
+			b.engines["engine"] = b.machine("engine", "zone-a", 1, durable)
 		}, refused, enginecontract.RolePrefill},
-		{"a stranger's fence is higher", func(b *bench) {
+		{"the engine has a higher fence", func(b *bench) {
 			b.engines["engine"].Fence(b.now, enginecontract.Fence{Epoch: 9}, 0)
 		}, refused, enginecontract.RoleMixed},
 		{"engine is gone", func(b *bench) {
@@ -92,8 +92,8 @@
 	}
 }
 
-// aborts take the order back at each moment.
-func aborts() []answerCase {
+// abortCases abort the order in each of its phases.
+func abortCases() []answerCase {
 	return []answerCase{
 		{"aborted while draining", func(b *bench) {
 			b.inFlight["engine"] = 1
@@ -104,8 +104,8 @@
 		{"aborted before it was sent", func(b *bench) { b.abort("engine") }, aborted, enginecontract.RoleMixed},
 		{"abort overtakes the order", func(b *bench) {
 			b.step()
-			order := b.sent
-			b.sent = nil
+			order := b.outbox
+			b.outbox = nil
 			b.abort("engine")
 			b.deliver = true
 			b.run(time.Second)
@@ -120,20 +120,20 @@
 	}
 }
 
-// newLeaders let another leader find the order at each moment.
-func newLeaders() []answerCase {
+// newLeaderCases replace the leader in each phase of the order.
+func newLeaderCases() []answerCase {
 	return []answerCase{
 		{"new leader, order never arrived", func(b *bench) { b.takeOver(6) }, aborted, enginecontract.RoleMixed},
 		{"new leader, late copy of the order", func(b *bench) {
 			b.step()
-			late := b.sent
-			b.sent = nil
+			late := b.outbox
+			b.outbox = nil
 			b.takeOver(6)
 			b.deliver = true
 			b.run(2 * time.Second)
 			b.exchange(late[0])
 		}, aborted, enginecontract.RoleMixed},
-		{"new leader, engine drains", func(b *bench) {
+		{"new leader, engine is draining", func(b *bench) {
 			b.inFlight["engine"] = 1
 			b.step()
 			b.deliverAll()
@@ -141,13 +141,13 @@
 			b.run(2 * time.Second)
 			b.inFlight["engine"] = 0
 		}, done, enginecontract.RoleDecode},
-		{"new leader, engine is done", func(b *bench) {
+		{"new leader, engine has finished", func(b *bench) {
 			b.step()
 			b.deliverAll()
 			b.now += 5 * time.Second
 			b.takeOver(6)
 		}, done, enginecontract.RoleDecode},
-		{"new leader, aborted by the old one", func(b *bench) {
+		{"new leader, aborted by the previous one", func(b *bench) {
 			b.inFlight["engine"] = 1
 			b.step()
 			b.deliverAll()
@@ -158,15 +158,15 @@
 			delete(b.engines, "engine")
 			b.deliver = false
 			b.takeOver(6)
-			b.run(listedPatience*DefaultLostAfter + time.Second)
+			b.run(listedTimeoutFactor*DefaultLostAfter + time.Second)
 		}, engineLost, ""},
 	}
 }
 
-// TestAnswersOfEngines brings the answers of an engine late, twice, crossed or not at
-// all, and breaks engine and leader, at the moment an order has been committed.
+// TestAnswersOfEngines delivers an engine's answers late, twice, reordered or not at all, and fails
+// engine and leader, after an order was committed. Each order must end once, with the right outcome.
 func TestAnswersOfEngines(t *testing.T) {
-	for _, cases := range [][]answerCase{deliveries(), engineFaults(), aborts(), newLeaders()} {
+	for _, cases := range [][]answerCase{deliveryCases(), engineFaultCases(), abortCases(), newLeaderCases()} {
 		for _, test := range cases {
 			t.Run(test.name, test.run)
 		}
@@ -179,7 +179,7 @@
 	b.run(time.Second)
 	b.mustOrder(setRole("engine", decode))
 	b.deliver = false
-	c.happens(b)
+	c.event(b)
 	b.deliver = len(b.engines) > 0
 	b.run(20 * time.Second)
 	ended := b.state.Orders("engine")
@@ -187,7 +187,7 @@
 	require.Equal(t, c.outcome.String(), ended[0].Outcome.String(), ended[0].Detail)
 	require.Nil(t, b.state.Engine("engine").Outstanding)
 	if len(b.engines) > 0 {
-		require.Equal(t, c.role, b.engineState("engine").Role)
-		require.Equal(t, engineroles.FromContract(c.role), b.state.Engine("engine").State.Role, "the log knows what the engine is")
+		require.Equal(t, c.finalRole, b.engineState("engine").Role)
+		require.Equal(t, engineroles.FromContract(c.finalRole), b.state.Engine("engine").State.Role, "the log must record the engine's role")
 	}
 }
--- a/internal/authority/commander_test.go
+++ b/internal/authority/commander_test.go
@@ -29,17 +29,17 @@
 	require.Equal(t, uint64(5), epoch)
 	require.Equal(t, "leader", leader)
 	b.step()
-	require.Equal(t, []Action{SendFence{Engine: "engine", Address: "127.0.0.1:1", Epoch: 5}}, b.sent)
+	require.Equal(t, []Action{SendFence{Engine: "engine", Address: "127.0.0.1:1", Epoch: 5}}, b.outbox)
 	require.ErrorIs(t, b.order(setRole("engine", decode)), ErrNoAuthority)
 	b.deliverAll()
 	b.step()
 	b.mustOrder(setRole("engine", decode))
 	b.step()
-	require.Len(t, b.sent, 1)
-	require.IsType(t, SendOrder{}, b.sent[0])
+	require.Len(t, b.outbox, 1)
+	require.IsType(t, SendOrder{}, b.outbox[0])
 }
 
-func TestLostEngineGetsNoOrderWhileItStillCarriesOutTheOldOne(t *testing.T) {
+func TestLostEngineStillBusyGetsNoOrder(t *testing.T) {
 	b := newBench(t, 5)
 	b.addEngine("engine", "zone-a", enginecontract.RoleMixed)
 	b.run(time.Second)
@@ -51,7 +51,7 @@
 	b.commander.SetListing("engine", "127.0.0.1:1", false)
 	for end := b.now + DefaultLostAfter + time.Second; b.now < end; b.now += 100 * time.Millisecond {
 		b.deliver = false
-		b.step() // silent: no polls
+		b.step() // no polls: the engine is silent
 	}
 	require.Nil(t, b.state.Engine("engine").Outstanding)
 	b.poll("engine")
@@ -74,14 +74,14 @@
 		wanted *v1.Order
 		err    error
 	}{
-		{"one out without a bound", nil, []*v1.Order{setRole("a1", decode)}, setRole("b1", decode), ErrTooManyOutOfService},
-		{"two out with a bound", []*v1.Bound{{Role: decode, MaximumOut: 2}}, []*v1.Order{setRole("a1", decode)}, setRole("b1", decode), nil},
-		{"the zone's own bound", []*v1.Bound{{Role: decode, MaximumOut: 3}, {Role: decode, Zone: "zone-a", MaximumOut: 1}},
+		{"one engine out of service without a bound", nil, []*v1.Order{setRole("a1", decode)}, setRole("b1", decode), ErrTooManyOutOfService},
+		{"two engines out of service with a bound", []*v1.Bound{{Role: decode, MaximumOut: 2}}, []*v1.Order{setRole("a1", decode)}, setRole("b1", decode), nil},
+		{"bound of the same zone", []*v1.Bound{{Role: decode, MaximumOut: 3}, {Role: decode, Zone: "zone-a", MaximumOut: 1}},
 			[]*v1.Order{setRole("a1", decode)}, setRole("a2", decode), ErrTooManyOutOfService},
-		{"another zone's bound", []*v1.Bound{{Role: decode, MaximumOut: 3}, {Role: decode, Zone: "zone-a", MaximumOut: 1}},
+		{"bound of another zone", []*v1.Bound{{Role: decode, MaximumOut: 3}, {Role: decode, Zone: "zone-a", MaximumOut: 1}},
 			[]*v1.Order{setRole("a1", decode)}, setRole("b1", decode), nil},
-		{"a drained engine is out", nil, []*v1.Order{action("a1", v1.OrderAction_ORDER_ACTION_DRAIN)}, setRole("b1", decode), ErrTooManyOutOfService},
-		{"an adapter takes no one out", nil, []*v1.Order{loadAdapter("a1")}, setRole("b1", decode), nil},
+		{"a drained engine is out of service", nil, []*v1.Order{action("a1", v1.OrderAction_ORDER_ACTION_DRAIN)}, setRole("b1", decode), ErrTooManyOutOfService},
+		{"loading an adapter takes no engine out of service", nil, []*v1.Order{loadAdapter("a1")}, setRole("b1", decode), nil},
 		{"minimum of a role", []*v1.Bound{{Role: v1.Role_ROLE_MIXED, Minimum: 3}}, nil, setRole("a1", decode), ErrRoleBound},
 		{"minimum of a role in one zone", []*v1.Bound{{Role: v1.Role_ROLE_MIXED, Zone: "zone-a", Minimum: 2}}, nil, setRole("a1", decode), ErrRoleBound},
 		{"maximum of a role", []*v1.Bound{{Role: v1.Role_ROLE_PREFILL, Maximum: 1}}, nil, setRole("a1", v1.Role_ROLE_PREFILL), ErrRoleBound},
@@ -89,7 +89,7 @@
 		{"third load", []*v1.Bound{{Role: decode, MaximumOut: 9}}, []*v1.Order{loadModel("a1"), loadAdapter("a2")}, loadModel("b1"), ErrTooManyLoads},
 		{"second order of one engine", nil, []*v1.Order{loadAdapter("a1")}, loadAdapter("a1"), ErrEngineBusy},
 		{"unknown engine", nil, nil, setRole("none", decode), ErrEngineUnknown},
-		{"the role it plays", nil, nil, setRole("a1", v1.Role_ROLE_MIXED), ErrEngineState},
+		{"the current role", nil, nil, setRole("a1", v1.Role_ROLE_MIXED), ErrEngineState},
 		{"resume of an engine that serves", nil, nil, action("a1", v1.OrderAction_ORDER_ACTION_RESUME), ErrEngineState},
 	}
 	for _, test := range cases {
@@ -135,8 +135,8 @@
 	require.ErrorIs(t, b.order(setRole("engine", decode)), ErrEngineSilent)
 }
 
-// TestSilentEngineCountsAgainstTheBound lets a leader take over while an engine that it
-// has never heard carries out its predecessor's order: no second engine may go out.
+// TestSilentEngineCountsAgainstTheBound replaces the leader while an engine that has not reported to
+// the new one carries out the previous leader's order: no second engine may go out of service.
 func TestSilentEngineCountsAgainstTheBound(t *testing.T) {
 	b := newBench(t, 5)
 	b.addEngine("silent", "zone-a", enginecontract.RoleMixed)
@@ -159,11 +159,11 @@
 		b.mustOrder(setRole("engine", decode))
 		b.deliver = false
 		b.step()
-		late := b.sent[0]
+		late := b.outbox[0]
 		b.takeOver(6)
 		b.run(2 * time.Second)
 		require.Equal(t, aborted, b.state.Orders("engine")[0].Outcome)
-		require.True(t, b.exchange(late).answer.Accepted, "the old leader's order takes effect although the log says aborted")
+		require.True(t, b.exchange(late).answer.Accepted, "without the fence the old leader's order takes effect although the log says aborted")
 	})
 	t.Run("engines out bound", func(t *testing.T) {
 		b := newBench(t, 5, SafeguardOutOfServiceBound)
