--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -13,7 +13,7 @@
 // Reasons why requests are not admitted.
 const (
 	keyMissing   keyFault = "the request has no key"
-	keyTwice     keyFault = "the request has more than one key"
+	keyRepeated  keyFault = "the request has more than one key"
 	keyMalformed keyFault = "the key of the request cannot be read"
 	keyUnknown   keyFault = "the key of the request is not known"
 )
@@ -24,7 +24,7 @@
 	if !table.Configuration.RequireKeys {
 		return ""
 	}
-	request.keyed = true
+	request.usesKeys = true
 	given := request.header.PeekAll(r.dialect.Headers.Authorization)
 	switch {
 	case len(given) == 0 && request.route.Open:
@@ -32,7 +32,7 @@
 	case len(given) == 0:
 		return keyMissing
 	case len(given) > 1:
-		return keyTwice
+		return keyRepeated
 	}
 	key, found := r.dialect.ParseKey(string(given[0]))
 	if !found {
@@ -50,7 +50,7 @@
 	if refused.status == fasthttp.StatusUnauthorized {
 		refused.challenge = "Bearer"
 	}
-	r.log.keyRefused(request, fault, refused.status)
+	r.log.recordKeyRefusal(request, fault, refused.status)
 	r.metrics.refusals.WithLabelValues(refused.reason).Inc()
 	reply.refuse(refused)
 }
--- a/internal/relay/admit_test.go
+++ b/internal/relay/admit_test.go
@@ -56,7 +56,7 @@
 	}
 	require.Empty(t, backEnd.seen(), "none has run")
 
-	relay.contactAt.Store(int64(-time.Hour))
+	relay.lastContactAt.Store(int64(-time.Hour))
 	for name, headers := range refusedKeys {
 		answer := client.do("GET", "/path/", "", headers...)
 		require.Equal(t, 503, answer.status, "%s: a newer configuration may admit it", name)
@@ -134,14 +134,14 @@
 	f.Add("T-Tenant : two\r\n")
 	f.Add(" T-Tenant: two\r\n")
 	dialect := testDialect()
-	relay := &Relay{dialect: dialect, single: singleHeaders(dialect.Headers)}
+	relay := &Relay{dialect: dialect, singleValueHeaders: singleValueHeaders(dialect.Headers)}
 	writer := newRequestWriter(dialect.Headers)
 	f.Fuzz(func(t *testing.T, lines string) {
 		head := readHead(relay, "GET /path/ HTTP/1.1\r\nHost: test\r\nT-Id: x\r\n"+lines+"\r\n")
 		if head == nil {
 			return // refused
 		}
-		message := writer.head(&request{header: head, method: "GET", target: "/path/", host: "test", keyed: true}, "1.2.3.4:5",
+		message := writer.head(&request{header: head, method: "GET", target: "/path/", host: "test", usesKeys: true}, "1.2.3.4:5",
 			[]header{{dialect.Headers.Tenant, "one"}})
 		again := readHead(relay, string(message))
 		if again == nil {
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -21,19 +21,19 @@
 	connection *connpool.Connection
 	message    *message
 	exchanger  *exchanger
-	// unread tells that the back end answered before it had read the whole request.
-	unread bool
-	closed bool
+	// bodyUnread tells that the back end answered before it had read the whole request.
+	bodyUnread bool
+	closed     bool
 }
 
-// promptRead notes that the back end has read the whole prompt.
-func (a *answer) promptRead() {
+// recordPrefillDone notes that the back end has read the whole prompt.
+func (a *answer) recordPrefillDone() {
 	if a.message.work.PromptTokens() == 0 {
 		return
 	}
-	a.message.backEnd.end(placement.Work{Tokens: a.message.work.Tokens})
+	a.message.backEnd.removeWork(placement.Work{Tokens: a.message.work.Tokens})
 	a.message.work.Tokens = [placement.RankCount]int{}
-	a.exchanger.noteWork(a.message)
+	a.exchanger.announceWork(a.message)
 }
 
 // Read reads the body; io.EOF means that it came to its declared end.
@@ -42,7 +42,7 @@
 	if err == nil || errors.Is(err, io.EOF) {
 		return n, err
 	}
-	return n, a.exchanger.broken(a.connection, a.message, true, err)
+	return n, a.exchanger.connectionFailure(a.connection, a.message, true, err)
 }
 
 // finish ends an exchange whose answer was taken; the connection is used again when the
@@ -51,18 +51,18 @@
 	if a.closed {
 		return
 	}
-	a.message.backEnd.end(a.message.work)
-	a.exchanger.noteWork(a.message)
-	if a.body.whole {
-		a.message.backEnd.succeeded()
-		a.noteRanWell()
+	a.message.backEnd.removeWork(a.message.work)
+	a.exchanger.announceWork(a.message)
+	if a.body.isComplete {
+		a.message.backEnd.recordSuccess()
+		a.reportCompleted()
 	}
 	a.release()
 }
 
-// noteRanWell notes that the back end has run the request to its end.
-func (a *answer) noteRanWell() {
-	if !a.message.reading {
+// reportCompleted notes that the back end has run the request to its end.
+func (a *answer) reportCompleted() {
+	if !a.message.isPrefill {
 		a.exchanger.guard.RecordSuccess(a.message.request.signature)
 	}
 }
@@ -70,8 +70,8 @@
 // discard ends an exchange whose answer is a failure. A short body is read, so that the
 // connection can be used again.
 func (a *answer) discard() {
-	if a.body.framing == framedByLength && a.body.left <= connpool.AnswerHeadBufferSize {
-		readPast(a.body)
+	if a.body.framing == framedByLength && a.body.remaining <= connpool.AnswerHeadBufferSize {
+		discardBody(a.body)
 	}
 	a.release()
 }
@@ -83,28 +83,28 @@
 	}
 	a.closed = true
 	a.message.request.canceller.detach()
-	if !a.reusable() {
+	if !a.isReusable() {
 		a.connection.Discard()
 		return
 	}
 	a.connection.AnsweredRequests++
-	if limit := keepAlive(a.head); limit > 0 {
+	if limit := keepAliveTimeout(a.head); limit > 0 {
 		a.connection.IdleLimit = limit
 	}
 	_ = a.connection.SetDeadline(time.Time{}) // a closed connection fails its next request
 	a.message.backEnd.pool.Put(a.connection, a.exchanger.clock.now())
 }
 
-func (a *answer) reusable() bool {
-	return a.body.whole && !a.unread && a.body.framing != framedByClose && !a.head.ConnectionClose() &&
+func (a *answer) isReusable() bool {
+	return a.body.isComplete && !a.bodyUnread && a.body.framing != framedByClose && !a.head.ConnectionClose() &&
 		a.connection.Reader.Buffered() == 0 && !a.message.request.canceller.isCancelled()
 }
 
 // keepAliveMargin is taken off the time for which a back end keeps a connection.
 const keepAliveMargin = 300 * time.Millisecond
 
-// keepAlive returns how long the back end keeps an idle connection; 0 when it does not say.
-func keepAlive(head *fasthttp.ResponseHeader) time.Duration {
+// keepAliveTimeout returns how long the back end keeps an idle connection; 0 when it does not say.
+func keepAliveTimeout(head *fasthttp.ResponseHeader) time.Duration {
 	for part := range strings.SplitSeq(string(head.Peek("Keep-Alive")), ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !found {
@@ -117,7 +117,7 @@
 	return 0
 }
 
-// bodiless reports whether an answer has no body by its status or method.
-func (a *answer) bodiless() bool {
+// hasNoBody reports whether an answer has no body by its status or method.
+func (a *answer) hasNoBody() bool {
 	return a.message.request.method == fasthttp.MethodHead || a.status == fasthttp.StatusNoContent || a.status == fasthttp.StatusNotModified
 }
--- a/internal/relay/asker.go
+++ b/internal/relay/asker.go
@@ -9,43 +9,43 @@
 	"github.com/hazelpitch/hazelpitch/internal/relay/peerhealth"
 )
 
-// furtherAnswerSlack is how much longer than an owner told its further answer may take.
-const furtherAnswerSlack = 100 * time.Millisecond
+// laterAnswerSlack is how much longer than an owner told its further answer may take.
+const laterAnswerSlack = 100 * time.Millisecond
 
 // Outcomes of questions, as metrics name them.
 const (
-	askedAnswered = "answered"
-	askedMissed   = "missed"
-	askedStale    = "stale"
-	askedNobody   = "decided_here"
-	askedOwn      = "own_cell"
+	queryAnswered    = "answered"
+	queryMissed      = "missed"
+	queryStale       = "stale"
+	queryDecidedHere = "decided_here"
+	queryOwnCell     = "own_cell"
 )
 
-// asker asks the owners of cells where this relay's requests run.
-type asker struct {
-	relay     *Relay
-	datagrams *datagram.Socket
-	self      uint64
-	peers     *peerhealth.Table
-	questions *datagram.Queries[*v1.PlacementAnswer]
+// placementClient asks the owners of cells where this relay's requests run.
+type placementClient struct {
+	relay       *Relay
+	datagrams   *datagram.Socket
+	incarnation uint64
+	peers       *peerhealth.Table
+	queries     *datagram.Queries[*v1.PlacementAnswer]
 }
 
-func newAsker(relay *Relay, datagrams *datagram.Socket, self uint64, peers *peerhealth.Table) *asker {
-	return &asker{relay: relay, datagrams: datagrams, self: self, peers: peers, questions: datagram.NewQueries[*v1.PlacementAnswer](datagrams)}
+func newPlacementClient(relay *Relay, datagrams *datagram.Socket, incarnation uint64, peers *peerhealth.Table) *placementClient {
+	return &placementClient{relay: relay, datagrams: datagrams, incarnation: incarnation, peers: peers, queries: datagram.NewQueries[*v1.PlacementAnswer](datagrams)}
 }
 
-// owners are the other relays that are to know of the work at an engine.
-func (a *asker) owners(now time.Duration, engine *backEnd) []string {
-	known, index := a.relay.owners.current.Load().of(engine)
-	if known == nil {
+// otherOwners are the other relays that are to know of the work at an engine.
+func (a *placementClient) otherOwners(now time.Duration, engine *backEnd) []string {
+	cells, index := a.relay.owners.current.Load().cellOf(engine)
+	if cells == nil {
 		return nil
 	}
-	trusted := a.trusted(now, known.owners[index], ownersOfCell)
+	trusted := a.trustedOwners(now, cells.owners[index], activeOwnersPerCell)
 	return slices.DeleteFunc(trusted, func(owner string) bool { return owner == a.datagrams.Address })
 }
 
-// trusted returns up to count of the owners that answer, in their order.
-func (a *asker) trusted(now time.Duration, owners []string, count int) []string {
+// trustedOwners returns up to count of the owners that answer, in their order.
+func (a *placementClient) trustedOwners(now time.Duration, owners []string, count int) []string {
 	trusted := make([]string, 0, count)
 	for _, owner := range owners {
 		if len(trusted) < count && (owner == a.datagrams.Address || a.peers.Trusted(now, owner)) {
@@ -55,50 +55,50 @@
 	return trusted
 }
 
-// take hands an answer to the question that waits for it.
-func (a *asker) take(answer *v1.PlacementAnswer) {
-	a.questions.Deliver(answer.GetNumber(), answer.GetRelay() == a.self, answer)
+// deliver hands an answer to the question that waits for it.
+func (a *placementClient) deliver(answer *v1.PlacementAnswer) {
+	a.queries.Deliver(answer.GetNumber(), answer.GetRelay() == a.incarnation, answer)
 }
 
-// ask asks one owner. It reports false when no answer came that can be followed. stop ends the
+// query asks one owner. It reports false when no answer came that can be followed. stop ends the
 // wait for it.
-func (a *asker) ask(owner string, id uint64, query *engineQuery, stop <-chan struct{}) (engineAnswer, bool) {
-	number, answers := a.questions.Open()
-	defer a.questions.Close(number)
-	asked := a.relay.clock.now()
+func (a *placementClient) query(owner string, id uint64, query *engineQuery, stop <-chan struct{}) (engineAnswer, bool) {
+	number, answers := a.queries.Open()
+	defer a.queries.Close(number)
+	sentAt := a.relay.clock.now()
 	limit := a.peers.Timeout()
-	a.datagrams.Send(owner, &v1.RelayDatagram{Content: &v1.RelayDatagram_Request{Request: queryToWire(query, a.self, number, id)}})
-	told := a.await(answers, limit, stop)
-	if told == nil && isClosed(stop) { // the client has gone: that says nothing of the owner
+	a.datagrams.Send(owner, &v1.RelayDatagram{Content: &v1.RelayDatagram_Request{Request: queryToWire(query, a.incarnation, number, id)}})
+	received := a.awaitAnswer(answers, limit, stop)
+	if received == nil && isClosed(stop) { // the client has gone: that says nothing of the owner
 		a.cancel(assignment{owner: owner, number: number})
 		return engineAnswer{}, false
 	}
-	a.peers.RecordQuery(a.relay.clock.now(), owner, told != nil, a.relay.clock.now()-asked)
-	for waits := 0; told != nil && told.GetAction() == v1.PlacementAction_PLACEMENT_ACTION_WAIT && waits <= a.relay.policy.MaxPrefillWaits; waits++ {
-		a.relay.metrics.waits.Inc()
-		told = a.await(answers, fromMicroseconds(told.GetWaitingUs())+furtherAnswerSlack, stop)
+	a.peers.RecordQuery(a.relay.clock.now(), owner, received != nil, a.relay.clock.now()-sentAt)
+	for waits := 0; received != nil && received.GetAction() == v1.PlacementAction_PLACEMENT_ACTION_WAIT && waits <= a.relay.policy.MaxPrefillWaits; waits++ {
+		a.relay.metrics.prefillWaits.Inc()
+		received = a.awaitAnswer(answers, fromMicroseconds(received.GetWaitingUs())+laterAnswerSlack, stop)
 	}
-	if told == nil {
-		a.relay.metrics.asked.WithLabelValues(askedMissed).Inc()
+	if received == nil {
+		a.relay.metrics.placementQueries.WithLabelValues(queryMissed).Inc()
 		a.cancel(assignment{owner: owner, number: number})
 		return engineAnswer{}, false
 	}
-	answer, valid := answerFromWire(told, a.relay.view.Load(), query.excludes, a.relay.clock.now())
+	answer, valid := answerFromWire(received, a.relay.view.Load(), query.excludes, a.relay.clock.now())
 	if !valid {
-		a.relay.metrics.asked.WithLabelValues(askedStale).Inc()
+		a.relay.metrics.placementQueries.WithLabelValues(queryStale).Inc()
 		a.cancel(assignment{owner: owner, number: number})
 		return engineAnswer{}, false
 	}
-	a.relay.metrics.asked.WithLabelValues(askedAnswered).Inc()
+	a.relay.metrics.placementQueries.WithLabelValues(queryAnswered).Inc()
 	if answer.chosen != nil {
-		answer.chosen.assigned = assignment{owner: owner, number: number}
-		a.relay.pace.learn(answer.chosen.backEnd.hash, answer.chosen.perToken)
+		answer.chosen.assignment = assignment{owner: owner, number: number}
+		a.relay.pace.adopt(answer.chosen.backEnd.hash, answer.chosen.timePerToken)
 	}
 	return answer, true
 }
 
-// await waits for an answer; nil when none comes in time.
-func (a *asker) await(answers <-chan *v1.PlacementAnswer, limit time.Duration, stop <-chan struct{}) *v1.PlacementAnswer {
+// awaitAnswer waits for an answer; nil when none comes in time.
+func (a *placementClient) awaitAnswer(answers <-chan *v1.PlacementAnswer, limit time.Duration, stop <-chan struct{}) *v1.PlacementAnswer {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
@@ -121,11 +121,11 @@
 }
 
 // cancel tells an owner that a question is void, or its answer not followed.
-func (a *asker) cancel(assigned assignment) {
+func (a *placementClient) cancel(assigned assignment) {
 	if assigned.owner == "" {
 		return
 	}
 	a.datagrams.Send(assigned.owner, &v1.RelayDatagram{Content: &v1.RelayDatagram_Cancel{Cancel: &v1.PlacementCancel{
-		Relay: a.self, Number: assigned.number,
+		Relay: a.incarnation, Number: assigned.number,
 	}}})
 }
--- a/internal/relay/asker_test.go
+++ b/internal/relay/asker_test.go
@@ -33,7 +33,7 @@
 // tellsOfItsWork lets the relay send its notices.
 func (r *testRelay) tellsOfItsWork(t *testing.T) {
 	t.Helper()
-	go r.notices.send(t.Context())
+	go r.notices.run(t.Context())
 }
 
 // silentRelay takes datagrams and answers none.
@@ -65,7 +65,7 @@
 func (r *testRelay) ask(query *engineQuery, number uint64) <-chan *v1.PlacementAnswer {
 	answers := make(chan *v1.PlacementAnswer, answersAwaited)
 	id := r.owners.current.Load().services["service"].division.Cells()[0].ID
-	go r.owner.answer(queryToWire(query, otherRelay, number, id), func(answer *v1.PlacementAnswer) { answers <- answer })
+	go r.owner.handleQuery(queryToWire(query, otherRelay, number, id), func(answer *v1.PlacementAnswer) { answers <- answer })
 	return answers
 }
 
@@ -77,7 +77,7 @@
 
 // beginning is the question where a prompt should be read.
 func beginning(prompt serving.Prompt) *engineQuery {
-	return &engineQuery{purpose: toBegin, service: "service", request: placement.Request{
+	return &engineQuery{purpose: purposeBegin, service: "service", request: placement.Request{
 		Stage: serving.StageDecode, Prompt: placement.PrefixBlocksOf(prompt), Tokens: prompt.PromptTokens, Target: time.Second, TimeLeft: time.Hour,
 	}}
 }
@@ -88,11 +88,11 @@
 	busy := startBackEnd(t, "busy", serving.StageDecode, streaming("busy", eventOne))
 	idle := startBackEnd(t, "idle", serving.StageDecode, streaming("idle", eventOne))
 	owner := newTestRelay(t, route(stream(true)), busy, idle)
-	owner.engineOf("busy").begin(placement.Work{Streams: 8}.Plus(placement.PrefillWork(100_000, 0)))
+	owner.engineOf("busy").addWork(placement.Work{Streams: 8}.Plus(placement.PrefillWork(100_000, 0)))
 	answer := <-owner.ask(beginning(serving.ParsePrompt("m", "300,50", "aa:100,bb:200")), 5)
 	require.Equal(t, owner.engineOf("idle").hash, answer.GetEngine())
 	require.Equal(t, 1, owner.reservedAt("idle").Streams)
-	owner.notices.take(&v1.LoadNotice{Relay: otherRelay, Sequence: 1, Engines: []*v1.EngineWork{{Engine: answer.GetEngine(), Streams: 1, Assigned: []uint64{5}}}})
+	owner.notices.handle(&v1.LoadNotice{Relay: otherRelay, Sequence: 1, Engines: []*v1.EngineWork{{Engine: answer.GetEngine(), Streams: 1, Assigned: []uint64{5}}}})
 	require.Zero(t, owner.reservedAt("idle"))
 }
 
@@ -101,12 +101,14 @@
 	engine := startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne))
 	asking, owner := newPair(t, engine)
 	asking.tellsOfItsWork(t)
-	answered := func() float64 { return testutil.ToFloat64(asking.metrics.asked.WithLabelValues(askedAnswered)) }
+	answered := func() float64 {
+		return testutil.ToFloat64(asking.metrics.placementQueries.WithLabelValues(queryAnswered))
+	}
 	for answered() == 0 { // an answer that comes too late is not followed
 		require.Equal(t, eventOne, asking.client(t).do("POST", "/path/", "x", shortPrompt...).body)
 	}
 	require.Eventually(t, func() bool { return owner.reservedAt("engine") == placement.Work{} }, time.Minute, time.Millisecond)
-	require.Eventually(t, func() bool { return owner.notices.table.lastHeard() > 0 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return owner.notices.table.lastReceivedAt() > 0 }, time.Minute, time.Millisecond)
 }
 
 // An owner that does not answer costs a request little: the stand-in decides, and without one the
@@ -139,10 +141,10 @@
 	silent := silentRelay(t)
 	asking.ownedBy(silent, standIn.datagrams.Address, "127.0.0.1:1")
 	now := asking.clock.now()
-	require.Equal(t, []string{silent, standIn.datagrams.Address}, asking.asker.owners(now, asking.engineOf("engine")))
+	require.Equal(t, []string{silent, standIn.datagrams.Address}, asking.placements.otherOwners(now, asking.engineOf("engine")))
 	asking.peers.RecordQuery(asking.clock.now(), silent, false, time.Millisecond)
 	asking.peers.RecordQuery(asking.clock.now(), silent, false, time.Millisecond)
-	require.Equal(t, []string{standIn.datagrams.Address, "127.0.0.1:1"}, asking.asker.owners(asking.clock.now(), asking.engineOf("engine")))
+	require.Equal(t, []string{standIn.datagrams.Address, "127.0.0.1:1"}, asking.placements.otherOwners(asking.clock.now(), asking.engineOf("engine")))
 }
 
 // An owner that is behind may answer with an engine that leaves by the newest list here. Its word
@@ -151,7 +153,7 @@
 	leaving := startBackEnd(t, "leaving", serving.StageDecode, streaming("leaving", eventOne))
 	staying := startBackEnd(t, "staying", serving.StageDecode, streaming("staying", eventOne))
 	asking, owner := newPair(t, leaving, staying)
-	owner.engineOf("staying").begin(placement.Work{Streams: 8}.Plus(placement.PrefillWork(100_000, 0)))
+	owner.engineOf("staying").addWork(placement.Work{Streams: 8}.Plus(placement.PrefillWork(100_000, 0)))
 	asking.leave("leaving")
 	asking.ownedBy(owner.datagrams.Address)
 	require.Equal(t, eventOne, asking.client(t).do("POST", "/path/", "x", shortPrompt...).body)
@@ -171,10 +173,10 @@
 	} {
 		former := proto.CloneOf(asked)
 		former.Formats = nil
-		owner.owner.answer(former, func(*v1.PlacementAnswer) { t.Error("a relay of the first format was answered") })
+		owner.owner.handleQuery(former, func(*v1.PlacementAnswer) { t.Error("a relay of the first format was answered") })
 		t.Run(name, func(t *testing.T) {
 			var answers []*v1.PlacementAnswer
-			owner.owner.answer(asked, func(answer *v1.PlacementAnswer) { answers = append(answers, answer) })
+			owner.owner.handleQuery(asked, func(answer *v1.PlacementAnswer) { answers = append(answers, answer) })
 			require.Len(t, answers, 1)
 			require.Equal(t, v1.PlacementAction_PLACEMENT_ACTION_UNPLACED, answers[0].GetAction())
 			require.Equal(t, uint64(3), answers[0].GetNumber())
@@ -187,31 +189,31 @@
 func TestOwnerLetsPromptsWaitForSharedParts(t *testing.T) {
 	reader := startBackEnd(t, "reader", serving.StagePrefill, refusing(503))
 	owner := newTestRelay(t, route(stream(true)), reader, startBackEnd(t, "decoder", serving.StageDecode, refusing(503)))
-	owner.readingSlack = time.Hour
+	owner.prefillWaitSlack = time.Hour
 	parts := placement.PrefixBlocksOf(serving.ParsePrompt("m", "9000,50", "aa:6000,bb:3000"))
-	owner.engineOf("reader").cache.begin(owner.clock.now(), parts)
+	owner.engineOf("reader").cache.beginPrefill(owner.clock.now(), parts)
 	answers := owner.ask(beginning(serving.ParsePrompt("m", "9500,50", "aa:6000,cc:3500")), 1)
 	require.Equal(t, v1.PlacementAction_PLACEMENT_ACTION_WAIT, (<-answers).GetAction())
-	require.Eventually(t, func() bool { return owner.engineOf("reader").look(0).own.Prefills == 1 }, time.Minute, time.Millisecond)
-	owner.engineOf("reader").cache.keep(owner.clock.now(), parts)
+	require.Eventually(t, func() bool { return owner.engineOf("reader").currentLoad(0).ownWork.Prefills == 1 }, time.Minute, time.Millisecond)
+	owner.engineOf("reader").cache.markCached(owner.clock.now(), parts)
 	answer := <-answers
 	require.Equal(t, v1.PlacementAction_PLACEMENT_ACTION_READ_APART, answer.GetAction())
 	require.Equal(t, owner.engineOf("reader").hash, answer.GetEngine())
 	require.Equal(t, uint32(3500), answer.GetToRead())
-	require.Equal(t, placement.Work{}, owner.engineOf("reader").look(0).own)
+	require.Equal(t, placement.Work{}, owner.engineOf("reader").currentLoad(0).ownWork)
 }
 
 // The wait at the owner ends when its relay gives the question up, and no answer follows.
 func TestWaitAtTheOwnerEndsWhenItIsCancelled(t *testing.T) {
 	reader := startBackEnd(t, "reader", serving.StagePrefill, refusing(503))
 	owner := newTestRelay(t, route(stream(true)), reader, startBackEnd(t, "decoder", serving.StageDecode, refusing(503)))
-	owner.readingSlack = time.Hour
-	owner.engineOf("reader").cache.begin(owner.clock.now(), placement.PrefixBlocksOf(serving.ParsePrompt("m", "9000,50", "aa:6000,bb:3000")))
+	owner.prefillWaitSlack = time.Hour
+	owner.engineOf("reader").cache.beginPrefill(owner.clock.now(), placement.PrefixBlocksOf(serving.ParsePrompt("m", "9000,50", "aa:6000,bb:3000")))
 	answers := owner.ask(beginning(serving.ParsePrompt("m", "9500,50", "aa:6000,cc:3500")), 1)
 	require.Equal(t, v1.PlacementAction_PLACEMENT_ACTION_WAIT, (<-answers).GetAction())
-	require.Eventually(t, func() bool { return owner.engineOf("reader").look(0).own.Prefills == 1 }, time.Minute, time.Millisecond)
-	owner.takeDatagram(&v1.RelayDatagram{Content: &v1.RelayDatagram_Cancel{Cancel: &v1.PlacementCancel{Relay: otherRelay, Number: 1}}}, "")
-	require.Eventually(t, func() bool { return owner.engineOf("reader").look(0).own == placement.Work{} }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return owner.engineOf("reader").currentLoad(0).ownWork.Prefills == 1 }, time.Minute, time.Millisecond)
+	owner.handleDatagram(&v1.RelayDatagram{Content: &v1.RelayDatagram_Cancel{Cancel: &v1.PlacementCancel{Relay: otherRelay, Number: 1}}}, "")
+	require.Eventually(t, func() bool { return owner.engineOf("reader").currentLoad(0).ownWork == placement.Work{} }, time.Minute, time.Millisecond)
 	require.Empty(t, answers)
 	require.Equal(t, placement.Work{}, owner.reservedAt("reader"))
 }
@@ -221,12 +223,12 @@
 	reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 	_, owner := newPair(t, reader, startBackEnd(t, "decoder", serving.StageDecode, refusing(503)))
 	parts := []placement.PrefixBlock{{Hash: 1, Tokens: 4000}, {Hash: 2, Tokens: 3000}}
-	query := &engineQuery{purpose: toRead, service: "service", request: placement.Request{Prompt: parts, Tokens: 7000, Target: time.Second}}
+	query := &engineQuery{purpose: purposePrefill, service: "service", request: placement.Request{Prompt: parts, Tokens: 7000, Target: time.Second}}
 	asker := placement.QueryID{Relay: 1, Number: 1}
 	answer := owner.owner.decide(query, owner.view.Load().byService["service"], &asker)
-	require.Equal(t, 7000, answer.chosen.backEnd.cache.cached(parts, 0).Total)
-	owner.takeDatagram(&v1.RelayDatagram{Content: &v1.RelayDatagram_Cancel{Cancel: &v1.PlacementCancel{Relay: 1, Number: 1}}}, "")
-	require.Zero(t, answer.chosen.backEnd.cache.cached(parts, 0).Total)
+	require.Equal(t, 7000, answer.chosen.backEnd.cache.lookup(parts, 0).Total)
+	owner.handleDatagram(&v1.RelayDatagram{Content: &v1.RelayDatagram_Cancel{Cancel: &v1.PlacementCancel{Relay: 1, Number: 1}}}, "")
+	require.Zero(t, answer.chosen.backEnd.cache.lookup(parts, 0).Total)
 	require.Zero(t, owner.reservedAt(answer.chosen.backEnd.ID))
 }
 
@@ -238,10 +240,10 @@
 	require.NoError(t, err)
 	require.Nil(t, relay.datagrams.Parse([]byte("no datagram")))
 	require.Nil(t, relay.datagrams.Parse(other))
-	relay.takeDatagram(&v1.RelayDatagram{}, "")
-	relay.asker.take(&v1.PlacementAnswer{Number: 99})
-	number, answers := relay.asker.questions.Open()
-	relay.asker.take(&v1.PlacementAnswer{Number: number, Relay: relay.asker.self + 1})
+	relay.handleDatagram(&v1.RelayDatagram{}, "")
+	relay.placements.deliver(&v1.PlacementAnswer{Number: 99})
+	number, answers := relay.placements.queries.Open()
+	relay.placements.deliver(&v1.PlacementAnswer{Number: number, Relay: relay.placements.incarnation + 1})
 	require.Empty(t, answers, "an answer to an earlier start of this relay")
 	for reason, count := range map[datagram.DropReason]float64{datagram.Malformed: 1, datagram.UnsupportedFormat: 1, datagram.Unexpected: 3} {
 		require.Equal(t, count, testutil.ToFloat64(relay.metrics.datagramsDropped.WithLabelValues(string(reason))), reason)
@@ -255,7 +257,7 @@
 	view := relay.view.Load()
 	known := relay.engineOf("engine")
 	query := &engineQuery{
-		purpose: toTakeOver, service: "service", excluded: []uint64{4}, holder: &promptHolder{engine: known, tokens: 12},
+		purpose: purposeTakeOver, service: "service", excluded: []uint64{4}, holder: &prefixHolder{engine: known, tokens: 12},
 		request: placement.Request{
 			Stage: serving.StageDecode, Zone: "zone", Rank: placement.Rank{First: 6, Steps: 2}, Target: time.Second, Gap: time.Millisecond, Stride: 7, Tokens: 70,
 			Prompt: []placement.PrefixBlock{{Hash: 1, Tokens: 60}, {Hash: 2, Tokens: 10}}, TokenTransferTime: 33, SlotHoldTime: time.Minute,
@@ -267,9 +269,9 @@
 
 	decided := engineAnswer{
 		decision: placement.Decision{Action: placement.PrefillSeparately, Reason: placement.ReasonPrefillSooner, RetryAfter: time.Second, OverloadedStage: serving.StageDecode},
-		holder:   &promptHolder{engine: known, tokens: 5},
-		chosen: &place{
-			backEnd: known, fetchFrom: known, perToken: time.Microsecond, ahead: placement.Work{Prefills: 1, Streams: 2}.Plus(placement.PrefillWork(9, 3)),
+		holder:   &prefixHolder{engine: known, tokens: 5},
+		chosen: &selection{
+			backEnd: known, fetchFrom: known, timePerToken: time.Microsecond, queuedWork: placement.Work{Prefills: 1, Streams: 2}.Plus(placement.PrefillWork(9, 3)),
 			Candidate: placement.Candidate{Index: placement.None, FetchFrom: placement.None, PrefillTokens: 3, EffectiveTokens: 4, PendingTokens: 5, QueueDelay: time.Second, Cost: 0.25},
 		},
 	}
@@ -320,7 +322,7 @@
 	divided := relay.owners.current.Load().services["service"].division.Cells()[0]
 	addresses := []string{relay.datagrams.Address, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"}
 	relay.setRelays(addresses, nil)
-	owners := cell.Owners(divided.ID, addresses, ownersOfCell)
+	owners := cell.Owners(divided.ID, addresses, activeOwnersPerCell)
 	want := 0
 	if owners[0] == relay.datagrams.Address || owners[1] == relay.datagrams.Address {
 		want = 1
@@ -336,7 +338,7 @@
 	asking.peers.RecordQuery(asking.clock.now(), silent, false, time.Millisecond)
 	gone := make(chan struct{})
 	close(gone)
-	_, answered := asking.asker.ask(silent, 1, &engineQuery{service: "service"}, gone)
+	_, answered := asking.placements.query(silent, 1, &engineQuery{service: "service"}, gone)
 	require.False(t, answered)
 	now := asking.clock.now()
 	require.True(t, asking.peers.Trusted(now, silent), "no other miss counts")
--- a/internal/relay/await_reading_test.go
+++ b/internal/relay/await_reading_test.go
@@ -46,12 +46,12 @@
 // reads the first; it returns when the work of both counts there.
 func (r *testRelay) sendSharing(t *testing.T, reader *scriptedBackEnd) (first, second *testClient) {
 	t.Helper()
-	r.readingSlack = time.Hour // tests wait for states, not for time
+	r.prefillWaitSlack = time.Hour // tests wait for states, not for time
 	first, second = r.client(t), r.client(t)
 	first.send("POST", "/path/", "x", longPrompt...)
 	require.Eventually(t, func() bool { return len(reader.seen()) == 1 }, time.Minute, time.Millisecond)
 	second.send("POST", "/path/", "x", "T-Model: m", "T-Tokens: 9500,50", "T-Parts: aa:6000,cc:3500")
-	require.Eventually(t, func() bool { return r.engineOf("reader").look(0).own.Prefills == 2 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return r.engineOf("reader").currentLoad(0).ownWork.Prefills == 2 }, time.Minute, time.Millisecond)
 	return first, second
 }
 
@@ -77,7 +77,7 @@
 	require.Equal(t, eventOne, second.read().body)
 	taken := order.all()
 	require.Equal(t, []string{"read aa:6000,bb:3000", "generate aa:6000,bb:3000"}, taken[:2])
-	require.Eventually(t, func() bool { return relay.engineOf("reader").look(0).own == (placement.Work{}) }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return relay.engineOf("reader").currentLoad(0).ownWork == (placement.Work{}) }, time.Minute, time.Millisecond)
 }
 
 // A reading that fails wakes those that wait for it: they have their prompt read elsewhere or
@@ -114,7 +114,7 @@
 	_, second := relay.sendSharing(t, reader)
 	engine := relay.engineOf("reader")
 	_ = second.connection.Close()
-	require.Eventually(t, func() bool { return engine.look(0).own.Prefills == 1 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return engine.currentLoad(0).ownWork.Prefills == 1 }, time.Minute, time.Millisecond)
 	require.Len(t, reader.seen(), 1)
 }
 
@@ -128,22 +128,22 @@
 	tell := func(change func(*v1.EngineWork)) {
 		told := &v1.EngineWork{Engine: engine.hash}
 		change(told)
-		relay.notices.learn(&v1.LoadNotice{Engines: []*v1.EngineWork{told}})
+		relay.notices.apply(&v1.LoadNotice{Engines: []*v1.EngineWork{told}})
 	}
-	tell(func(told *v1.EngineWork) { told.Parts, told.PartTokens = wireParts(parts) })
-	require.Equal(t, placement.CachedPrefix{Total: 6000, Pending: 6000}, engine.cache.cached(parts, now))
+	tell(func(told *v1.EngineWork) { told.Parts, told.PartTokens = blocksToWire(parts) })
+	require.Equal(t, placement.CachedPrefix{Total: 6000, Pending: 6000}, engine.cache.lookup(parts, now))
 
-	tell(func(told *v1.EngineWork) { told.KeptParts, told.KeptTokens = wireParts(parts[:1]) })
+	tell(func(told *v1.EngineWork) { told.KeptParts, told.KeptTokens = blocksToWire(parts[:1]) })
 	tell(func(told *v1.EngineWork) { told.DroppedParts = []uint64{1, 2} })
-	require.Equal(t, placement.CachedPrefix{Total: 4000, Ready: 4000}, engine.cache.cached(parts, now), "what is kept is not dropped")
+	require.Equal(t, placement.CachedPrefix{Total: 4000, Ready: 4000}, engine.cache.lookup(parts, now), "what is kept is not dropped")
 }
 
 // A part of which nothing more is heard counts as kept once its memory must have lapsed.
 func TestSilentReadingCountsAsKeptLater(t *testing.T) {
-	cache := newPromptCache(100_000)
+	cache := newPrefixCache(100_000)
 	parts := []placement.PrefixBlock{{Hash: 1, Tokens: 4000}}
-	require.Equal(t, parts, cache.begin(0, parts))
-	require.Empty(t, cache.begin(0, parts), "it is being read already")
-	require.Zero(t, cache.cached(parts, placement.AssumeReadyAfter).Ready)
-	require.Equal(t, 4000, cache.cached(parts, placement.AssumeReadyAfter+1).Ready)
+	require.Equal(t, parts, cache.beginPrefill(0, parts))
+	require.Empty(t, cache.beginPrefill(0, parts), "it is being read already")
+	require.Zero(t, cache.lookup(parts, placement.AssumeReadyAfter).Ready)
+	require.Equal(t, 4000, cache.lookup(parts, placement.AssumeReadyAfter+1).Ready)
 }
--- a/internal/relay/back_end.go
+++ b/internal/relay/back_end.go
@@ -18,17 +18,17 @@
 	serving.BackEnd
 	// hash identifies the replica in what relays tell each other: not all of them know the identities of starts. startHash
 	// identifies the start, among those that do.
-	hash      uint64
-	startHash uint64
-	pool      connpool.Pool
-	cache     *promptCache
+	hash            uint64
+	incarnationHash uint64
+	pool            connpool.Pool
+	cache           *prefixCache
 	// signals are what this start of the back end has asked of this relay.
 	signals *backpressure.Signals
-	// startedAgain tells that another start has answered in its place: the list does not show that yet.
-	startedAgain atomic.Bool
-	// toldBorn is when the start began by the list, where the record was made before the list told it; 0 where it was not
+	// isSuperseded tells that another start has answered in its place: the list does not show that yet.
+	isSuperseded atomic.Bool
+	// listedBorn is when the start began by the list, where the record was made before the list told it; 0 where it was not
 	// told yet. It is used by the one goroutine that takes lists.
-	toldBorn int64
+	listedBorn int64
 	// changingSince is when the engine was marked last as changing its stage.
 	changingSince time.Duration
 
@@ -39,149 +39,149 @@
 }
 
 // newBackEnd returns the record of a listed back end; memory is an engine's, in tokens.
-func newBackEnd(entry serving.BackEnd, memory int) *backEnd {
+func newBackEnd(entry serving.BackEnd, cacheSize int) *backEnd {
 	return &backEnd{
-		BackEnd: entry, hash: cell.HashEngine(entry.ExpectedID()), startHash: cell.HashEngine(entry.ID), signals: &backpressure.Signals{},
-		cache: newPromptCache(placement.PrefixCacheCapacity(entry.Stage, memory)),
+		BackEnd: entry, hash: cell.HashEngine(entry.ExpectedID()), incarnationHash: cell.HashEngine(entry.ID), signals: &backpressure.Signals{},
+		cache: newPrefixCache(placement.PrefixCacheCapacity(entry.Stage, cacheSize)),
 	}
 }
 
 // load is what the relay knows of a back end's work and health.
 type load struct {
-	// own is this relay's work at the back end.
-	own placement.Work
-	// told is the back end's own word of its running and waiting requests.
-	told   int
-	toldAt time.Duration
+	// ownWork is this relay's work at the back end.
+	ownWork placement.Work
+	// reportedRequests is the back end's own word of its running and waiting requests.
+	reportedRequests int
+	reportedAt       time.Duration
 	// failures counts exchanges in a row that broke or stalled, refusals those in a row that
 	// were refused for want of room; avoidUntil keeps new requests away while other back
 	// ends can take them.
 	failures   int
 	refusals   int
 	avoidUntil time.Duration
-	// suspicions counts the pauses in a row after which other relays told of failures again.
-	suspicions int
-	// heardAt is when anything came from the back end last.
-	heardAt time.Duration
+	// peerFailures counts the pauses in a row after which other relays told of failures again.
+	peerFailures int
+	// lastReceivedAt is when anything came from the back end last.
+	lastReceivedAt time.Duration
 }
 
 // Health of a back end as learnt from exchanges.
 const (
-	// avoidFirst is how long a back end is avoided after a failure; it doubles with each
+	// failureBackoffMin is how long a back end is avoided after a failure; it doubles with each
 	// further one up to avoidLongest.
-	avoidFirst   = 250 * time.Millisecond
-	avoidLongest = 4 * time.Second
-	// busyFirst is how long a back end that refused for want of room is avoided; it doubles
+	failureBackoffMin = 250 * time.Millisecond
+	failureBackoffMax = 4 * time.Second
+	// busyBackoffMin is how long a back end that refused for want of room is avoided; it doubles
 	// with each further refusal up to busyLongest.
-	busyFirst   = 50 * time.Millisecond
-	busyLongest = time.Second
-	// suspectPause is how long a back end is avoided that failed for another relay; it doubles up to
+	busyBackoffMin = 50 * time.Millisecond
+	busyBackoffMax = time.Second
+	// peerFailureBackoff is how long a back end is avoided that failed for another relay; it doubles up to
 	// avoidLongest while it fails again after each pause and nobody tells of a success.
-	suspectPause = 400 * time.Millisecond
-	// toldLifetime is how long a back end's own word of its load counts.
-	toldLifetime = 500 * time.Millisecond
+	peerFailureBackoff = 400 * time.Millisecond
+	// reportedLoadLifetime is how long a back end's own word of its load counts.
+	reportedLoadLifetime = 500 * time.Millisecond
 )
 
-// begin notes work that is about to be sent.
-func (b *backEnd) begin(begun placement.Work) {
+// addWork notes work that is about to be sent.
+func (b *backEnd) addWork(work placement.Work) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.load.own = b.load.own.Plus(begun)
+	b.load.ownWork = b.load.ownWork.Plus(work)
 }
 
-// end notes that work of begin has ended.
-func (b *backEnd) end(ended placement.Work) {
+// removeWork notes that work of begin has ended.
+func (b *backEnd) removeWork(work placement.Work) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.load.own = b.load.own.Minus(ended)
+	b.load.ownWork = b.load.ownWork.Minus(work)
 }
 
-// succeeded notes that the back end answered.
-func (b *backEnd) succeeded() {
+// recordSuccess notes that the back end answered.
+func (b *backEnd) recordSuccess() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.load.failures, b.load.refusals, b.load.suspicions = 0, 0, 0
+	b.load.failures, b.load.refusals, b.load.peerFailures = 0, 0, 0
 	b.load.avoidUntil = 0
 }
 
-// failed notes that an exchange broke or stalled, and avoids the back end for a while.
-func (b *backEnd) failed(now time.Duration) {
+// recordFailure notes that an exchange broke or stalled, and avoids the back end for a while.
+func (b *backEnd) recordFailure(now time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.load.avoidUntil = now + doubled(avoidFirst, b.load.failures, avoidLongest)
+	b.load.avoidUntil = now + exponentialBackoff(failureBackoffMin, b.load.failures, failureBackoffMax)
 	b.load.failures++
 }
 
-// busy notes that the back end refused for want of room.
-func (b *backEnd) busy(now time.Duration) {
+// recordBusy notes that the back end refused for want of room.
+func (b *backEnd) recordBusy(now time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.load.avoidUntil = max(b.load.avoidUntil, now+doubled(busyFirst, b.load.refusals, busyLongest))
+	b.load.avoidUntil = max(b.load.avoidUntil, now+exponentialBackoff(busyBackoffMin, b.load.refusals, busyBackoffMax))
 	b.load.refusals++
 }
 
-// suspect notes that the back end failed for another relay. Failures that are told during a pause
+// recordPeerFailure notes that the back end failed for another relay. Failures that are told during a pause
 // are of requests from before it.
-func (b *backEnd) suspect(now time.Duration) {
+func (b *backEnd) recordPeerFailure(now time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if now >= b.load.avoidUntil {
-		b.load.suspicions++
+		b.load.peerFailures++
 	}
-	b.load.avoidUntil = max(b.load.avoidUntil, now+doubled(suspectPause, max(b.load.suspicions-1, 0), avoidLongest))
+	b.load.avoidUntil = max(b.load.avoidUntil, now+exponentialBackoff(peerFailureBackoff, max(b.load.peerFailures-1, 0), failureBackoffMax))
 }
 
-// unsuspect notes that the back end has served another relay.
-func (b *backEnd) unsuspect() {
+// clearPeerFailures notes that the back end has served another relay.
+func (b *backEnd) clearPeerFailures() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.load.suspicions = 0
+	b.load.peerFailures = 0
 }
 
-// avoid keeps new requests away until a time.
-func (b *backEnd) avoid(until time.Duration) {
+// avoidUntil keeps new requests away until a time.
+func (b *backEnd) avoidUntil(until time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.load.avoidUntil = max(b.load.avoidUntil, until)
 }
 
-// avoidedFor is how much longer new requests are kept away while other back ends can take them.
-func (b *backEnd) avoidedFor(now time.Duration) time.Duration {
+// avoidanceLeft is how much longer new requests are kept away while other back ends can take them.
+func (b *backEnd) avoidanceLeft(now time.Duration) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return max(b.load.avoidUntil-now, 0)
 }
 
-// heard notes that something came from the back end.
-func (b *backEnd) heard(now time.Duration) {
+// recordReceived notes that something came from the back end.
+func (b *backEnd) recordReceived(now time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.load.heardAt = now
+	b.load.lastReceivedAt = now
 }
 
-// doubled returns the first pause doubled so many times, up to the longest.
-func doubled(first time.Duration, times int, longest time.Duration) time.Duration {
-	const mostDoublings = 16
-	return min(first<<min(times, mostDoublings), longest)
+// exponentialBackoff returns the first pause exponentialBackoff so many times, up to the longest.
+func exponentialBackoff(first time.Duration, times int, maximum time.Duration) time.Duration {
+	const maxDoublings = 16
+	return min(first<<min(times, maxDoublings), maximum)
 }
 
-// tell notes the back end's own word of its load.
-func (b *backEnd) tell(now time.Duration, running, waiting int) {
+// recordReportedLoad notes the back end's own word of its load.
+func (b *backEnd) recordReportedLoad(now time.Duration, running, waiting int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.load.told = running + waiting
-	b.load.toldAt = now
+	b.load.reportedRequests = running + waiting
+	b.load.reportedAt = now
 }
 
-// look returns the load as it counts now.
-func (b *backEnd) look(now time.Duration) load {
+// currentLoad returns the load as it counts now.
+func (b *backEnd) currentLoad(now time.Duration) load {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	seen := b.load
-	if now-seen.toldAt > toldLifetime {
-		seen.told = 0
+	current := b.load
+	if now-current.reportedAt > reportedLoadLifetime {
+		current.reportedRequests = 0
 	}
-	return seen
+	return current
 }
 
 // addMover registers a run that may be moved.
@@ -201,11 +201,11 @@
 	delete(b.movers, mover)
 }
 
-// moveRuns moves the runs under way to other engines.
-func (b *backEnd) moveRuns() {
+// migrateRuns moves the runs under way to other engines.
+func (b *backEnd) migrateRuns() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for mover := range b.movers {
-		go mover.move()
+		go mover.migrate()
 	}
 }
--- a/internal/relay/back_end_limits.go
+++ b/internal/relay/back_end_limits.go
@@ -13,9 +13,9 @@
 // permitLifetime is how long after it was granted a permit may be used: a run that is moved stands still for as long.
 const permitLifetime = 2 * time.Second
 
-// leaderWordAfter is how long what this relay knows of a limit counts for more than what the leader tells, who hears of
+// leaderLimitDelay is how long what this relay knows of a limit counts for more than what the leader tells, who hears of
 // it later than the relays that keep the count.
-const leaderWordAfter = 10 * time.Second
+const leaderLimitDelay = 10 * time.Second
 
 // Outcomes of questions for permits, as metrics name them.
 const (
@@ -23,62 +23,62 @@
 	permitDenied  = "denied"
 )
 
-// noteLimit takes the limit in an answer of a back end to what was sent at a time, and tells those that keep its count.
-func (r *Relay) noteLimit(backEnd *backEnd, limit backpressure.Limit, sentAt time.Duration) {
+// recordLimit takes the limit in an answer of a back end to what was sent at a time, and tells those that keep its count.
+func (r *Relay) recordLimit(backEnd *backEnd, limit backpressure.Limit, sentAt time.Duration) {
 	if !backEnd.signals.RecordBackEndLimit(r.clock.now(), sentAt, limit) {
 		return
 	}
-	r.limitEvent(backEnd, limit, "")
-	r.permits.ReportLimit(fleetlimit.BackEndLimit{BackEnd: backEnd.startHash, Limit: limit})
+	r.logLimitChange(backEnd, limit, "")
+	r.permits.ReportLimit(fleetlimit.BackEndLimit{BackEnd: backEnd.incarnationHash, Limit: limit})
 }
 
-// limitEvent writes a line on a limit that has changed; teller is the relay or controller that told it, empty for the
+// logLimitChange writes a line on a limit that has changed; teller is the relay or controller that told it, empty for the
 // back end itself.
-func (r *Relay) limitEvent(backEnd *backEnd, limit backpressure.Limit, teller string) {
-	r.event(events.BackEndLimits).Str("back_end", backEnd.ID).Bool("named", limit.IsSet).Float64("per_second", limit.PerSecond).Str("teller", teller).Send()
+func (r *Relay) logLimitChange(backEnd *backEnd, limit backpressure.Limit, source string) {
+	r.event(events.BackEndLimits).Str("back_end", backEnd.ID).Bool("named", limit.IsSet).Float64("per_second", limit.PerSecond).Str("teller", source).Send()
 }
 
 // tellers of limits, as lines name them.
 const (
-	tellerRelay  = "relay"
-	tellerLeader = "leader"
+	sourceRelay  = "relay"
+	sourceLeader = "leader"
 )
 
-// takeLimit takes the limit of a back end as another relay knows it.
-func (r *Relay) takeLimit(told fleetlimit.BackEndLimit) {
-	if backEnd := r.view.Load().byStart[told.BackEnd]; backEnd != nil && backEnd.signals.RecordPeerLimit(r.clock.now(), told.Limit) {
-		r.limitEvent(backEnd, told.Limit, tellerRelay)
+// applyPeerLimit takes the limit of a back end as another relay knows it.
+func (r *Relay) applyPeerLimit(named fleetlimit.BackEndLimit) {
+	if backEnd := r.view.Load().byStart[named.BackEnd]; backEnd != nil && backEnd.signals.RecordPeerLimit(r.clock.now(), named.Limit) {
+		r.logLimitChange(backEnd, named.Limit, sourceRelay)
 	}
 }
 
-// takeLeadersLimit takes a limit as the leader knows it, where nothing else is known of it.
-func (r *Relay) takeLeadersLimit(told fleetlimit.BackEndLimit) {
-	backEnd, now := r.view.Load().byStart[told.BackEnd], r.clock.now()
-	if backEnd == nil || !told.Limit.IsSet || backEnd.limited() {
+// applyLeaderLimit takes a limit as the leader knows it, where nothing else is known of it.
+func (r *Relay) applyLeaderLimit(named fleetlimit.BackEndLimit) {
+	backEnd, now := r.view.Load().byStart[named.BackEnd], r.clock.now()
+	if backEnd == nil || !named.Limit.IsSet || backEnd.hasLimit() {
 		return
 	}
-	if known, heard := backEnd.signals.LimitAge(now); heard && known < leaderWordAfter {
+	if knownFor, isKnown := backEnd.signals.LimitAge(now); isKnown && knownFor < leaderLimitDelay {
 		return
 	}
-	if backEnd.signals.RecordPeerLimit(now, told.Limit) {
-		r.limitEvent(backEnd, told.Limit, tellerLeader)
+	if backEnd.signals.RecordPeerLimit(now, named.Limit) {
+		r.logLimitChange(backEnd, named.Limit, sourceLeader)
 	}
 }
 
-// permitted reports whether one request of a rank may be sent to the back end: it names no limit, or those who keep its
+// acquirePermit reports whether one request of a rank may be sent to the back end: it names no limit, or those who keep its
 // count permit it. One that is owed must go on there: it is asked for also while others wait.
-func (r *Relay) permitted(backEnd *backEnd, rank int, owed bool) bool {
-	limit, own := backEnd.signals.Limit()
+func (r *Relay) acquirePermit(backEnd *backEnd, rank int, isOwed bool) bool {
+	limit, isFirstHand := backEnd.signals.Limit()
 	if !limit.IsSet {
 		return true
 	}
-	if !owed && backEnd.signals.PermitWait(r.clock.now()) > 0 {
+	if !isOwed && backEnd.signals.PermitWait(r.clock.now()) > 0 {
 		return false
 	}
-	answer, answered := r.permits.Request(fleetlimit.PermitRequest{BackEnd: backEnd.startHash, Limit: limit, LimitFromBackEnd: own, Rank: rank, MustResume: owed})
+	answer, answered := r.permits.Request(fleetlimit.PermitRequest{BackEnd: backEnd.incarnationHash, Limit: limit, LimitFromBackEnd: isFirstHand, Rank: rank, MustResume: isOwed})
 	now := r.clock.now()
 	if answered && backEnd.signals.RecordPeerLimit(now, answer.Limit) {
-		r.limitEvent(backEnd, answer.Limit, tellerRelay)
+		r.logLimitChange(backEnd, answer.Limit, sourceRelay)
 	}
 	if !answer.Granted {
 		backEnd.signals.DelayPermits(now + answer.Wait)
@@ -89,12 +89,12 @@
 	return true
 }
 
-// ownCallRank is the rank of calls of a relay's own: no request waits for them.
-const ownCallRank = fleetlimit.RankCount - 1
+// internalCallRank is the rank of calls of a relay's own: no request waits for them.
+const internalCallRank = fleetlimit.RankCount - 1
 
-// permitPlace takes a permit for a place that was picked; it reports false where there is none.
-func (r *Relay) permitPlace(chosen *place, rank placement.Rank) bool {
-	if !r.permitted(chosen.backEnd, rank.First, false) {
+// acquirePermitFor takes a permit for a place that was picked; it reports false where there is none.
+func (r *Relay) acquirePermitFor(chosen *selection, rank placement.Rank) bool {
+	if !r.acquirePermit(chosen.backEnd, rank.First, false) {
 		return false
 	}
 	chosen.permittedAt = r.clock.now()
@@ -104,8 +104,8 @@
 // newPermits returns what gives this relay permits.
 func newPermits(relay *Relay) *permits.Permits {
 	return permits.New(permits.Config{
-		Socket: relay.datagrams, Incarnation: relay.knowledge.incarnation, Now: func() time.Duration { return relay.clock.now() },
-		Draw: relay.draw, Peers: relay.peers, OnLimit: relay.takeLimit,
-		IsRelayListFresh: func() bool { return relay.clock.now()-relay.lastContact() <= relay.contactLimit() },
+		Socket: relay.datagrams, Incarnation: relay.fleet.incarnation, Now: func() time.Duration { return relay.clock.now() },
+		Draw: relay.draw, Peers: relay.peers, OnLimit: relay.applyPeerLimit,
+		IsRelayListFresh: func() bool { return relay.clock.now()-relay.lastContact() <= relay.maxContactAge() },
 	})
 }
--- a/internal/relay/back_end_limits_test.go
+++ b/internal/relay/back_end_limits_test.go
@@ -22,7 +22,7 @@
 // limit makes a back end known as one that names a limit.
 func (r *testRelay) limit(id string, limit backpressure.Limit) *backEnd {
 	engine := r.engineOf(id)
-	r.noteLimit(engine, limit, r.clock.now())
+	r.recordLimit(engine, limit, r.clock.now())
 	return engine
 }
 
@@ -72,7 +72,7 @@
 	relay := newTestRelay(t, route(nil), names)
 	engine := relay.limit("names", backpressure.Limit{IsSet: true, PerSecond: 10_000})
 	require.Eventually(t, func() bool { return relay.client(t).do("POST", "/path/", "x").status == 200 }, time.Minute, time.Millisecond)
-	require.True(t, engine.limited())
+	require.True(t, engine.hasLimit())
 }
 
 // A success that names no limit lifts it, a failure does not: a limit is used to find out, and then the back end is used
@@ -83,7 +83,7 @@
 	relay := newTestRelay(t, route(nil), serves)
 	engine := relay.limit("serves", generous)
 	require.Eventually(t, func() bool { return relay.client(t).do("POST", "/path/", "x").status == 200 }, time.Minute, time.Millisecond)
-	require.False(t, engine.limited())
+	require.False(t, engine.hasLimit())
 	for range 20 {
 		require.Equal(t, 200, relay.client(t).do("POST", "/path/", "x").status)
 	}
@@ -92,7 +92,7 @@
 	relay = newTestRelay(t, route(nil), fails)
 	engine = relay.limit("fails", generous)
 	require.Eventually(t, func() bool { return relay.client(t).do("POST", "/path/", "x").status == 500 }, time.Minute, time.Millisecond)
-	require.True(t, engine.limited())
+	require.True(t, engine.hasLimit())
 }
 
 // Readings of prompts, the release of prompts that were read, moves of runs and readings of what is cached need permits
@@ -111,7 +111,7 @@
 	t.Run("release", func(t *testing.T) {
 		reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 		relay := newTestRelay(t, route(stream(false)), reader)
-		relay.exchanger.release(&heldPrompt{engine: relay.limit("reader", small), handle: "handle"}, "/handle/handle")
+		relay.exchanger.release(&remotePrefill{engine: relay.limit("reader", small), handle: "handle"}, "/handle/handle")
 		require.Empty(t, reader.seen())
 	})
 	t.Run("move", func(t *testing.T) {
@@ -125,12 +125,12 @@
 		engine := startBackEnd(t, "engine", serving.StagePrefill, answering(200, "handle"))
 		relay := newTestRelay(t, route(stream(false)), engine)
 		relay.limit("engine", small)
-		reader := &cacheReader{relay: relay.Relay, readAt: map[*promptCache]time.Duration{}}
+		reader := &cacheReader{relay: relay.Relay, readAt: map[*prefixCache]time.Duration{}}
 		reader.read = func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReport, error) {
 			t.Error("it was asked")
 			return serving.CacheReport{}, nil
 		}
-		reader.readNew(t.Context())
+		reader.readNewlyOwned(t.Context())
 	})
 	t.Run("picked before it was named", func(t *testing.T) {
 		engine := startBackEnd(t, "engine", serving.StageWhole, answering(200, "ok"))
@@ -138,16 +138,16 @@
 		_, fault := relay.exchanger.connect(&message{
 			request: &request{}, backEnd: relay.limit("engine", small), deadline: relay.clock.now() + time.Minute,
 		})
-		require.ErrorIs(t, fault, errLimited)
-		require.False(t, fault.arrived)
+		require.ErrorIs(t, fault, errLimitReached)
+		require.False(t, fault.mayHaveArrived)
 	})
 	t.Run("a word of a call's own", func(t *testing.T) {
 		engine := startBackEnd(t, "engine", serving.StagePrefill, answering(200, "handle"))
 		relay := newTestRelay(t, route(stream(false)), engine)
-		relay.noteAsked(relay.engineOf("engine"), backpressure.Directives{Limit: small}, noRequest)
-		require.True(t, relay.engineOf("engine").limited())
-		relay.noteAsked(relay.engineOf("engine"), backpressure.Directives{Unlimited: true}, noRequest)
-		require.True(t, relay.engineOf("engine").limited(), "an answer to a call says nothing by its silence")
+		relay.applySignals(relay.engineOf("engine"), backpressure.Directives{Limit: small}, internalCallSentAt)
+		require.True(t, relay.engineOf("engine").hasLimit())
+		relay.applySignals(relay.engineOf("engine"), backpressure.Directives{Unlimited: true}, internalCallSentAt)
+		require.True(t, relay.engineOf("engine").hasLimit(), "an answer to a call says nothing by its silence")
 	})
 }
 
@@ -185,18 +185,18 @@
 	again := names.entry
 	again.ID, again.Replica, again.StartedAtMs = "names/2", "names", 2
 	next := *relay.view.Load()
-	relay.knowledge.takeBackEnds([]serving.BackEnd{again}, &next)
+	relay.fleet.applyListing([]serving.BackEnd{again}, &next)
 	relay.view.Store(&next)
-	require.False(t, next.byService["service"][0].limited())
+	require.False(t, next.byService["service"][0].hasLimit())
 }
 
 func TestTheLeadersWordIsTheLeast(t *testing.T) {
 	names := startBackEnd(t, "names", serving.StageWhole, answering(200, "served"))
 	relay := newTestRelay(t, route(nil), names)
 	engine := relay.engineOf("names")
-	relay.takeLeadersLimit(fleetlimit.BackEndLimit{BackEnd: engine.hash, Limit: small})
-	require.True(t, engine.limited(), "a relay that knows nothing takes it")
-	relay.takeLimit(fleetlimit.BackEndLimit{BackEnd: engine.hash})
-	relay.takeLeadersLimit(fleetlimit.BackEndLimit{BackEnd: engine.hash, Limit: small})
-	require.False(t, engine.limited(), "one that has heard of its end does not")
+	relay.applyLeaderLimit(fleetlimit.BackEndLimit{BackEnd: engine.hash, Limit: small})
+	require.True(t, engine.hasLimit(), "a relay that knows nothing takes it")
+	relay.applyPeerLimit(fleetlimit.BackEndLimit{BackEnd: engine.hash})
+	relay.applyLeaderLimit(fleetlimit.BackEndLimit{BackEnd: engine.hash, Limit: small})
+	require.False(t, engine.hasLimit(), "one that has heard of its end does not")
 }
--- a/internal/relay/back_end_signals_test.go
+++ b/internal/relay/back_end_signals_test.go
@@ -63,7 +63,7 @@
 	require.Equal(t, 503, answer.status)
 	comeBack := backpressure.ParseRetryAfter(answer.head.Peek("Retry-After"))
 	require.Greater(t, comeBack, 500*time.Second)
-	require.LessOrEqual(t, comeBack, 600*time.Second+comeBackSpread)
+	require.LessOrEqual(t, comeBack, 600*time.Second+minRetrySpread)
 	require.Len(t, long.seen(), 1)
 	require.Len(t, short.seen(), 1)
 }
@@ -79,7 +79,7 @@
 	require.Equal(t, 503, answer.status)
 	comeBack := backpressure.ParseRetryAfter(answer.head.Peek("Retry-After"))
 	require.Greater(t, comeBack, 500*time.Second)
-	require.LessOrEqual(t, comeBack, 600*time.Second+comeBackSpread)
+	require.LessOrEqual(t, comeBack, 600*time.Second+minRetrySpread)
 	require.Empty(t, rests.seen())
 }
 
@@ -91,7 +91,7 @@
 	relay.client(t).do("POST", "/path/", "x")
 	list := func(entries ...serving.BackEnd) *backEnd {
 		next := *relay.view.Load()
-		relay.knowledge.takeBackEnds(entries, &next)
+		relay.fleet.applyListing(entries, &next)
 		relay.view.Store(&next)
 		if len(entries) == 0 {
 			return nil
@@ -100,14 +100,14 @@
 	}
 	changed := asks.entry
 	changed.Slots++
-	require.True(t, list(changed).leaving())
-	require.True(t, list(changed).resting(relay.clock.now()))
+	require.True(t, list(changed).isLeaving())
+	require.True(t, list(changed).inBackoff(relay.clock.now()))
 	list()
-	require.True(t, list(asks.entry).leaving())
+	require.True(t, list(asks.entry).isLeaving())
 	again := asks.entry
 	again.ID, again.Replica, again.StartedAtMs = "asks/2", "asks", 2
-	require.False(t, list(again).leaving())
-	require.False(t, list(again).resting(relay.clock.now()))
+	require.False(t, list(again).isLeaving())
+	require.False(t, list(again).inBackoff(relay.clock.now()))
 }
 
 // Readings of prompts, the release of prompts that were read, moves of runs and readings of what is cached heed a rest as
@@ -126,7 +126,7 @@
 		reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 		relay := newTestRelay(t, route(stream(false)), reader)
 		relay.engineOf("reader").signals.ExtendBackoff(relay.clock.now(), time.Hour)
-		relay.exchanger.release(&heldPrompt{engine: relay.engineOf("reader"), handle: "handle"}, "/handle/handle")
+		relay.exchanger.release(&remotePrefill{engine: relay.engineOf("reader"), handle: "handle"}, "/handle/handle")
 		require.Empty(t, reader.seen())
 	})
 	t.Run("move", func(t *testing.T) {
@@ -142,13 +142,13 @@
 		engine := startBackEnd(t, "engine", serving.StagePrefill, answering(200, "handle"))
 		relay := newTestRelay(t, route(stream(false)), engine)
 		asked := 0
-		reader := &cacheReader{relay: relay.Relay, readAt: map[*promptCache]time.Duration{}}
+		reader := &cacheReader{relay: relay.Relay, readAt: map[*prefixCache]time.Duration{}}
 		reader.read = func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReport, error) {
 			asked++
 			return serving.CacheReport{Signals: backpressure.Directives{Backoff: time.Hour}}, nil
 		}
 		for range 3 {
-			reader.readNew(t.Context())
+			reader.readNewlyOwned(t.Context())
 			clear(reader.readAt)
 			reader.owned = nil
 		}
@@ -161,8 +161,8 @@
 		_, fault := relay.exchanger.connect(&message{
 			request: &request{}, backEnd: relay.engineOf("engine"), deadline: relay.clock.now() + time.Minute,
 		})
-		require.ErrorIs(t, fault, errResting)
-		require.False(t, fault.arrived)
+		require.ErrorIs(t, fault, errInBackoff)
+		require.False(t, fault.mayHaveArrived)
 	})
 }
 
@@ -174,7 +174,7 @@
 	engine := relay.engineOf("rests")
 	engine.signals.ExtendBackoff(relay.clock.now(), time.Hour)
 	engines := relay.view.Load().byService["service"]
-	asked := &engineQuery{purpose: toGenerate, service: "service", request: placement.Request{Stage: serving.StageDecode}}
+	asked := &engineQuery{purpose: purposeDecode, service: "service", request: placement.Request{Stage: serving.StageDecode}}
 	require.NotNil(t, relay.owner.decide(asked, engines, &placement.QueryID{Relay: 7, Number: 1}).chosen)
 	asked.excluded = []uint64{engine.hash}
 	require.Nil(t, relay.owner.decide(asked, engines, &placement.QueryID{Relay: 7, Number: 2}).chosen)
--- a/internal/relay/back_end_test.go
+++ b/internal/relay/back_end_test.go
@@ -16,19 +16,19 @@
 	engine := newBackEnd(serving.BackEnd{ID: "engine", Stage: serving.StagePrefill}, 1000)
 	now := time.Duration(0)
 	for _, pause := range []time.Duration{1, 2, 4, 8} {
-		engine.suspect(now)
-		engine.suspect(now) // of requests that were under way
-		require.Equal(t, now+pause*suspectPause, engine.look(now).avoidUntil)
-		now = engine.look(now).avoidUntil
+		engine.recordPeerFailure(now)
+		engine.recordPeerFailure(now) // of requests that were under way
+		require.Equal(t, now+pause*peerFailureBackoff, engine.currentLoad(now).avoidUntil)
+		now = engine.currentLoad(now).avoidUntil
 	}
 	for range 5 {
-		engine.suspect(now)
-		require.LessOrEqual(t, engine.look(now).avoidUntil, now+avoidLongest)
-		now = engine.look(now).avoidUntil
+		engine.recordPeerFailure(now)
+		require.LessOrEqual(t, engine.currentLoad(now).avoidUntil, now+failureBackoffMax)
+		now = engine.currentLoad(now).avoidUntil
 	}
-	engine.unsuspect()
-	engine.suspect(now)
-	require.Equal(t, now+suspectPause, engine.look(now).avoidUntil)
+	engine.clearPeerFailures()
+	engine.recordPeerFailure(now)
+	require.Equal(t, now+peerFailureBackoff, engine.currentLoad(now).avoidUntil)
 }
 
 // Nothing is fetched from an engine that failed for another relay, until it is told to have
@@ -37,10 +37,10 @@
 	relay := newTestRelay(t, route(stream(true)), startBackEnd(t, "engine", serving.StageDecode, refusing(503)))
 	engine := relay.engineOf("engine")
 	look := func() int {
-		return relay.surveyOf([]*backEnd{engine}, nil, func(*backEnd) bool { return false }, relay.clock.now()).engines[0].Failures
+		return relay.candidatesOf([]*backEnd{engine}, nil, func(*backEnd) bool { return false }, relay.clock.now()).engines[0].Failures
 	}
-	relay.notices.learn(&v1.LoadNotice{Engines: []*v1.EngineWork{{Engine: engine.hash, Failed: true}}})
+	relay.notices.apply(&v1.LoadNotice{Engines: []*v1.EngineWork{{Engine: engine.hash, Failed: true}}})
 	require.Equal(t, 1, look())
-	relay.notices.learn(&v1.LoadNotice{Engines: []*v1.EngineWork{{Engine: engine.hash, KeptParts: []uint64{1}, KeptTokens: []uint32{5}}}})
+	relay.notices.apply(&v1.LoadNotice{Engines: []*v1.EngineWork{{Engine: engine.hash, KeptParts: []uint64{1}, KeptTokens: []uint32{5}}}})
 	require.Zero(t, look())
 }
--- a/internal/relay/body.go
+++ b/internal/relay/body.go
@@ -20,17 +20,17 @@
 	framedByClose
 )
 
-// maximumTrailerLines bounds what may follow the last chunk.
-const maximumTrailerLines = 32
+// maxTrailerLines bounds what may follow the last chunk.
+const maxTrailerLines = 32
 
 // framedBody reads the body of an answer to its declared end and returns io.EOF there;
 // any other end is errBroken.
 type framedBody struct {
-	framing framing
-	source  *bufio.Reader
-	reader  io.Reader
-	left    int
-	whole   bool
+	framing    framing
+	source     *bufio.Reader
+	reader     io.Reader
+	remaining  int
+	isComplete bool
 }
 
 // newFramedBody reads the body behind the head.
@@ -39,10 +39,10 @@
 	body := &framedBody{source: source}
 	switch {
 	case method == fasthttp.MethodHead || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified:
-		body.whole = true
+		body.isComplete = true
 	case length >= 0:
-		body.left = length
-		body.whole = length == 0
+		body.remaining = length
+		body.isComplete = length == 0
 	case length == -1:
 		body.framing = framedByChunks
 		body.reader = httputil.NewChunkedReader(source)
@@ -54,7 +54,7 @@
 
 // Read implements io.Reader.
 func (b *framedBody) Read(buffer []byte) (int, error) {
-	if b.whole {
+	if b.isComplete {
 		return 0, io.EOF
 	}
 	switch b.framing {
@@ -64,16 +64,16 @@
 		return b.readChunks(buffer)
 	default:
 		n, err := b.source.Read(buffer)
-		b.whole = errors.Is(err, io.EOF)
+		b.isComplete = errors.Is(err, io.EOF)
 		return n, err
 	}
 }
 
 func (b *framedBody) readLength(buffer []byte) (int, error) {
-	n, err := b.source.Read(buffer[:min(len(buffer), b.left)])
-	b.left -= n
-	if b.left == 0 {
-		b.whole = true
+	n, err := b.source.Read(buffer[:min(len(buffer), b.remaining)])
+	b.remaining -= n
+	if b.remaining == 0 {
+		b.isComplete = true
 		return n, nil
 	}
 	if errors.Is(err, io.EOF) {
@@ -90,13 +90,13 @@
 	if err := b.readTrailer(); err != nil {
 		return n, err
 	}
-	b.whole = true
+	b.isComplete = true
 	return n, io.EOF
 }
 
 // readTrailer reads what follows the last chunk, up to the empty line.
 func (b *framedBody) readTrailer() error {
-	for range maximumTrailerLines {
+	for range maxTrailerLines {
 		line, err := b.source.ReadSlice('\n')
 		if err != nil {
 			return errors.Join(io.ErrUnexpectedEOF, err)
@@ -105,5 +105,5 @@
 			return nil
 		}
 	}
-	return errNoAnswer
+	return errMalformedAnswer
 }
--- a/internal/relay/cache_reader_test.go
+++ b/internal/relay/cache_reader_test.go
@@ -18,10 +18,10 @@
 func (r *testRelay) settle(parts []placement.PrefixBlock) {
 	now := r.clock.now()
 	for _, engine := range r.view.Load().byService["service"] {
-		held := engine.cache.cached(parts, now).Total
+		held := engine.cache.lookup(parts, now).Total
 		for count, tokens := 0, 0; count < len(parts) && tokens < held; count++ {
 			tokens += parts[count].Tokens
-			engine.cache.keep(now, parts[:count+1])
+			engine.cache.markCached(now, parts[:count+1])
 		}
 	}
 }
@@ -34,7 +34,7 @@
 	decoder := startBackEnd(t, "decoder", serving.StageDecode, streaming("decoder", eventOne))
 	relay := newTestRelay(t, route(stream(false)), cold, warm, decoder)
 	var asked []string
-	reader := &cacheReader{relay: relay.Relay, readAt: map[*promptCache]time.Duration{}}
+	reader := &cacheReader{relay: relay.Relay, readAt: map[*prefixCache]time.Duration{}}
 	reader.read = func(_ context.Context, _ *http.Client, engine serving.BackEnd) (serving.CacheReport, error) {
 		asked = append(asked, engine.ID)
 		if engine.ID != "warm" {
@@ -42,9 +42,9 @@
 		}
 		return serving.CacheReport{Blocks: []serving.CachedBlock{{Model: "m", Block: serving.PrefixBlock{ID: "aa", Tokens: 6000}}}}, nil
 	}
-	reader.readNew(t.Context())
+	reader.readNewlyOwned(t.Context())
 	require.ElementsMatch(t, []string{"cold", "warm", "decoder"}, asked)
-	reader.readNew(t.Context())
+	reader.readNewlyOwned(t.Context())
 	require.Len(t, asked, 3, "an engine is read once while it is owned")
 
 	require.Equal(t, eventOne, relay.client(t).do("POST", "/path/", "x", longPrompt...).body)
@@ -52,7 +52,7 @@
 
 	for _, backEnd := range relay.view.Load().byService["service"] {
 		if backEnd.ID == "warm" {
-			backEnd.begin(placement.PrefillWork(200_000, 0).Plus(placement.Work{Prefills: 1}))
+			backEnd.addWork(placement.PrefillWork(200_000, 0).Plus(placement.Work{Prefills: 1}))
 		}
 	}
 	relay.settle(placement.PrefixBlocksOf(serving.ParsePrompt("m", "9000,50", "aa:6000,bb:3000")))
@@ -65,13 +65,13 @@
 func TestConfigurationTellsTheMemoryOfListedEngines(t *testing.T) {
 	relay := newTestRelay(t, route(stream(true)), startBackEnd(t, "reader", serving.StagePrefill, refusing(503)))
 	next := &view{}
-	relay.knowledge.takeBackEnds([]serving.BackEnd{{ID: "new", Service: "service", Stage: serving.StagePrefill}}, next)
+	relay.fleet.applyListing([]serving.BackEnd{{ID: "new", Service: "service", Stage: serving.StagePrefill}}, next)
 	engine := next.byService["service"][0]
 	require.Equal(t, placement.PrefixCacheCapacity(serving.StagePrefill, defaultCacheTokens), engine.cache.cache.Capacity())
 	relay.dialect.ParseConfiguration = func([]byte) (serving.Configuration, error) {
 		return serving.Configuration{Number: 1, Services: []serving.Service{{Name: "service", Engine: &serving.Engine{Slots: 8, CacheTokens: 600_000}}}}, nil
 	}
-	relay.knowledge.takeDocument(&v1.Document{Number: 1}, next)
+	relay.fleet.applyDocument(&v1.Document{Number: 1}, next)
 	require.NotNil(t, next.table)
 	require.Equal(t, placement.PrefixCacheCapacity(serving.StagePrefill, 600_000), engine.cache.cache.Capacity())
 }
@@ -84,15 +84,15 @@
 	away := relay.suspendable()
 	relay.engineOf("engine").signals.ExtendBackoff(relay.clock.now(), time.Minute)
 	asked := 0
-	reader := &cacheReader{relay: relay.Relay, readAt: map[*promptCache]time.Duration{}}
+	reader := &cacheReader{relay: relay.Relay, readAt: map[*prefixCache]time.Duration{}}
 	reader.read = func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReport, error) {
 		asked++
 		return serving.CacheReport{}, nil
 	}
-	reader.readNew(t.Context())
+	reader.readNewlyOwned(t.Context())
 	require.Zero(t, asked)
 	away.Add(int64(time.Minute))
-	reader.readNew(t.Context())
-	reader.readNew(t.Context())
+	reader.readNewlyOwned(t.Context())
+	reader.readNewlyOwned(t.Context())
 	require.Equal(t, 1, asked)
 }
--- a/internal/relay/client_request.go
+++ b/internal/relay/client_request.go
@@ -23,8 +23,8 @@
 // Error implements error.
 func (f *requestFault) Error() string { return fmt.Sprintf("%d: %s", f.status, f.message) }
 
-// singleHeaders may appear once: two values would let two readers differ.
-func singleHeaders(names HeaderNames) []string {
+// singleValueHeaders may appear once: two values would let two readers differ.
+func singleValueHeaders(names HeaderNames) []string {
 	return []string{
 		"Host", "Content-Length", "Transfer-Encoding", names.RequestID, names.DeadlineMs,
 		names.LastEventID, names.Model, names.Tokens, names.PromptParts,
@@ -39,7 +39,7 @@
 	_ = connection.SetReadDeadline(r.clock.at(arrivedAt + limits.HeaderTimeout))
 	head := &fasthttp.RequestHeader{}
 	if err := head.Read(connection.reader); err != nil {
-		return nil, headFault(err)
+		return nil, classifyHeadError(err)
 	}
 	if err := r.checkHead(head); err != nil {
 		return nil, err
@@ -68,8 +68,8 @@
 // bodyTimeout bounds the time that a client may take to send a body.
 const bodyTimeout = 10 * time.Second
 
-// headFault tells apart a head that is malformed from a connection that ended.
-func headFault(err error) error {
+// classifyHeadError tells apart a head that is malformed from a connection that ended.
+func classifyHeadError(err error) error {
 	var small *fasthttp.ErrSmallBuffer
 	switch {
 	case errors.As(err, &small):
@@ -91,7 +91,7 @@
 	if !strings.HasPrefix(target, "/") || strings.ContainsAny(target, " \t\r\n#") {
 		return bad("the target must be a path")
 	}
-	framings := 0 // the library keeps one of several: only the lines as sent tell
+	framingHeaders := 0 // the library keeps one of several: only the lines as sent tell
 	for line := range bytes.Lines(head.RawHeaders()) {
 		name, _, found := bytes.Cut(bytes.TrimRight(line, "\r\n"), []byte(":"))
 		if len(name) == 0 && !found {
@@ -101,13 +101,13 @@
 			return bad("a header's name is malformed or its line is folded")
 		}
 		if bytes.EqualFold(name, []byte("Content-Length")) || bytes.EqualFold(name, []byte("Transfer-Encoding")) {
-			framings++
+			framingHeaders++
 		}
 	}
-	if framings > 1 {
+	if framingHeaders > 1 {
 		return bad("the body's length is given twice")
 	}
-	for _, name := range r.single {
+	for _, name := range r.singleValueHeaders {
 		if len(head.PeekAll(name)) > 1 {
 			return bad("the header " + name + " appears twice")
 		}
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -32,7 +32,7 @@
 func (r *Relay) readyHandler() http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("GET "+r.dialect.ReadyPath, func(writer http.ResponseWriter, _ *http.Request) {
-		if r.stopping.Load() || !r.view.Load().ready() {
+		if r.stopping.Load() || !r.view.Load().isReady() {
 			writer.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -48,7 +48,7 @@
 	beganAt := r.clock.now()
 	began := r.clock.at(beganAt)
 	share := func(part float64) time.Duration { return time.Duration(part * float64(r.settings.Grace)) }
-	r.stopAt.Store(int64(beganAt + share(refuseShare)))
+	r.refuseNewAt.Store(int64(beganAt + share(refuseShare)))
 	r.stopping.Store(true)
 	limited, cancel := context.WithDeadline(ctx, began.Add(share(lastShare)))
 	defer cancel()
@@ -57,11 +57,11 @@
 		r.log.logger.Warn().Err(err).Msg("the clients' port did not close as it should")
 	}
 	clean := r.connections.tracked.CloseIdle(limited, began, share(quietShare))
-	r.event(events.RelayStopped).Bool("clean", clean).Int("serving", r.connections.serving()).Int("connections", r.connections.tracked.Len()).
+	r.event(events.RelayStopped).Bool("clean", clean).Int("serving", r.connections.servingCount()).Int("connections", r.connections.tracked.Len()).
 		Dur("took_ms", r.clock.now()-beganAt).Send()
 }
 
-// refusesNew reports whether a stopping relay takes no new requests any more.
-func (r *Relay) refusesNew() bool {
-	return r.stopping.Load() && r.clock.now() >= time.Duration(r.stopAt.Load())
+// refusesNewRequests reports whether a stopping relay takes no new requests any more.
+func (r *Relay) refusesNewRequests() bool {
+	return r.stopping.Load() && r.clock.now() >= time.Duration(r.refuseNewAt.Load())
 }
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	eventBuffer = 2 << 10
-	// maximumEvent bounds one event.
-	maximumEvent = 1 << 20
+	eventBufferBytes = 2 << 10
+	// maxEventBytes bounds one event.
+	maxEventBytes = 1 << 20
 )
 
 // event is one event of a stream, with the empty line that ends it.
@@ -24,11 +24,11 @@
 // eventReader splits a stream's body into events.
 type eventReader struct {
 	source *bufio.Reader
-	held   []byte
+	buffer []byte
 }
 
 func newEventReader(body io.Reader) *eventReader {
-	return &eventReader{source: bufio.NewReaderSize(body, eventBuffer)}
+	return &eventReader{source: bufio.NewReaderSize(body, eventBufferBytes)}
 }
 
 // next returns the next whole event; its bytes are valid until the next call. At io.EOF
@@ -36,23 +36,23 @@
 // returned with it. Any other error means that the stream broke off; a piece of an event
 // is then dropped.
 func (e *eventReader) next() (event, error) {
-	e.held = e.held[:0]
+	e.buffer = e.buffer[:0]
 	for {
 		line, err := e.source.ReadSlice('\n')
-		e.held = append(e.held, line...)
-		if len(e.held) > maximumEvent {
+		e.buffer = append(e.buffer, line...)
+		if len(e.buffer) > maxEventBytes {
 			return event{}, errEventTooLong
 		}
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
 			continue
 		case errors.Is(err, io.EOF):
-			return event{bytes: e.held, id: eventID(e.held)}, io.EOF
+			return event{bytes: e.buffer, id: eventID(e.buffer)}, io.EOF
 		case err != nil:
 			return event{}, err
 		}
-		if isEmptyLine(line) && len(e.held) > len(line) {
-			return event{bytes: e.held, id: eventID(e.held)}, nil
+		if isEmptyLine(line) && len(e.buffer) > len(line) {
+			return event{bytes: e.buffer, id: eventID(e.buffer)}, nil
 		}
 	}
 }
@@ -75,13 +75,13 @@
 	return ""
 }
 
-// after reports whether an event comes after the last one that was passed on. Identities
+// isAfter reports whether an event comes isAfter the last one that was passed on. Identities
 // that are not numbers cannot be compared and count as later.
-func (e *event) after(last string) bool {
-	own, ownErr := strconv.ParseInt(e.id, 10, 64)
-	passed, passedErr := strconv.ParseInt(last, 10, 64)
+func (e *event) isAfter(lastID string) bool {
+	id, ownErr := strconv.ParseInt(e.id, 10, 64)
+	lastNumber, passedErr := strconv.ParseInt(lastID, 10, 64)
 	if ownErr != nil || passedErr != nil {
 		return true
 	}
-	return own > passed
+	return id > lastNumber
 }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -23,13 +23,13 @@
 const (
 	// dialTimeout bounds the opening of a connection to a back end.
 	dialTimeout = 300 * time.Millisecond
-	// maximumStaleAnswers bounds how many answers to earlier requests are read past.
-	maximumStaleAnswers = 2
-	// maximumStaleBody bounds the body of an answer that is read past.
-	maximumStaleBody = 1 << 20
-	// longBody is the size from which a request's body is written beside the reading of
+	// maxStaleAnswers bounds how many answers to earlier requests are read past.
+	maxStaleAnswers = 2
+	// maxStaleBodyBytes bounds the body of an answer that is read past.
+	maxStaleBodyBytes = 1 << 20
+	// longBodyBytes is the size from which a request's body is written beside the reading of
 	// the answer, since a back end may answer before it has read it.
-	longBody = 8 << 10
+	longBodyBytes = 8 << 10
 	// unsafeIdleLimit is how long a connection may have rested when a request that must not
 	// be repeated goes out on it: the back end may close it at the same moment.
 	unsafeIdleLimit = time.Second
@@ -41,32 +41,32 @@
 	writer  requestWriter
 	clock   clock
 	dial    dialing.Dial
-	notices *notices
+	notices *loadNotices
 	guard   *crashguard.Guard
-	// noteAnswer takes what a back end asks for in the head of an answer.
-	noteAnswer func(backEnd *backEnd, head *fasthttp.ResponseHeader, sentAt time.Duration)
-	// permitted reports whether a request of a rank may be sent to a back end that may name a limit.
-	permitted func(backEnd *backEnd, rank int, owed bool) bool
-	// limitedSendings counts sendings to back ends that have named a limit.
-	limitedSendings prometheus.Counter
+	// applyAnswerSignals takes what a back end asks for in the head of an answer.
+	applyAnswerSignals func(backEnd *backEnd, head *fasthttp.ResponseHeader, sentAt time.Duration)
+	// acquirePermit reports whether a request of a rank may be sent to a back end that may name a limit.
+	acquirePermit func(backEnd *backEnd, rank int, owed bool) bool
+	// limitedSends counts sendings to back ends that have named a limit.
+	limitedSends prometheus.Counter
 	// without are mechanisms that are left out.
 	without mechanism.Set
 }
 
 // send sends the message and reads the head of the answer to it. The answer must be closed.
 func (e *exchanger) send(message *message) (*answer, *failure) {
-	avoided := message.backEnd.avoidedFor(e.clock.now())
-	message.backEnd.begin(message.work)
-	e.noteReading(message)
+	backoffLeft := message.backEnd.avoidanceLeft(e.clock.now())
+	message.backEnd.addWork(message.work)
+	e.recordPrefill(message)
 	answer, fault := e.exchange(message)
 	if fault == nil {
 		return answer, nil
 	}
-	fault.avoided = avoided
-	message.backEnd.end(message.work)
-	e.noteWork(message)
-	e.noteGivenUp(message)
-	e.judge(message, fault)
+	fault.backoffLeft = backoffLeft
+	message.backEnd.removeWork(message.work)
+	e.announceWork(message)
+	e.recordAbandonedPrefill(message)
+	e.updateHealth(message, fault)
 	return nil, fault
 }
 
@@ -82,15 +82,15 @@
 		connection.Discard()
 		return nil, fault
 	}
-	if fault := e.check(answer); fault != nil {
+	if fault := e.checkAnswer(answer); fault != nil {
 		answer.discard() // it gives the connection back, or closes it
 		return nil, fault
 	}
 	return answer, nil
 }
 
-// admit returns why a message must not go out now; nil where it may.
-func (e *exchanger) admit(message *message) *failure {
+// checkAdmission returns why a message must not go out now; nil where it may.
+func (e *exchanger) checkAdmission(message *message) *failure {
 	notRun := func(cause error) *failure { return &failure{verdict: verdict.NotRun, cause: cause} }
 	now := e.clock.now()
 	switch {
@@ -98,21 +98,21 @@
 		return notRun(errCancelled)
 	case now >= message.deadline:
 		return notRun(errDeadline)
-	case message.backEnd.resting(now): // it was picked before the rest was asked for
-		return notRun(errResting)
-	case !message.backEnd.limited():
+	case message.backEnd.inBackoff(now): // it was picked before the rest was asked for
+		return notRun(errInBackoff)
+	case !message.backEnd.hasLimit():
 		return nil
-	case !message.usePermit(now) && !e.permitted(message.backEnd, message.request.rank.First, message.owed()):
-		return notRun(errLimited)
+	case !message.usePermit(now) && !e.acquirePermit(message.backEnd, message.request.rank.First, message.isOwed()):
+		return notRun(errLimitReached)
 	default:
-		e.limitedSendings.Inc()
+		e.limitedSends.Inc()
 		return nil
 	}
 }
 
 // connect returns a connection to the back end that belongs to the request's canceller.
 func (e *exchanger) connect(message *message) (*connpool.Connection, *failure) {
-	if fault := e.admit(message); fault != nil {
+	if fault := e.checkAdmission(message); fault != nil {
 		return nil, fault
 	}
 	now := e.clock.now()
@@ -155,42 +155,42 @@
 
 // exchangeOn writes the message on the connection and reads the head of its answer.
 func (e *exchanger) exchangeOn(connection *connpool.Connection, message *message) (*answer, *failure) {
-	set := append([]header{
+	headers := append([]header{
 		{e.names.DeadlineMs, milliseconds(message.deadline - e.clock.now())},
 		{e.names.ExpectInstance, message.backEnd.ExpectedID()},
-	}, message.set...)
+	}, message.headers...)
 	if tenant := message.request.tenant; tenant != nil {
-		set = append(set, header{e.names.Tenant, tenant.Name})
+		headers = append(headers, header{e.names.Tenant, tenant.Name})
 	}
-	head := e.writer.head(message.request, message.backEnd.Address, set)
+	head := e.writer.head(message.request, message.backEnd.Address, headers)
 	written, fault := e.write(connection, message, head)
 	if fault != nil {
 		return nil, fault
 	}
 	var watch *stallWatch
 	if message.stall > 0 {
-		watch = e.watchStall(connection, message.backEnd, message.stall, message.mayBreak)
+		watch = e.watchStall(connection, message.backEnd, message.stall, message.mayAbort)
 		defer watch.stop()
 	}
 	answer, fault := e.readHead(connection, message)
-	unread := false
+	bodyUnread := false
 	if written != nil {
-		unread = e.finishWriting(connection, written)
+		bodyUnread = e.finishWriting(connection, written)
 	}
 	if fault != nil {
 		return nil, fault
 	}
-	answer.unread = unread
+	answer.bodyUnread = bodyUnread
 	return answer, nil
 }
 
 // write sends head and body. A long body goes out beside the reading of the answer: the
 // channel then tells how its writing ended.
 func (e *exchanger) write(connection *connpool.Connection, message *message, head []byte) (<-chan error, *failure) {
-	if len(message.request.body) < longBody {
+	if len(message.request.body) < longBodyBytes {
 		head = append(head, message.request.body...)
 		if n, err := connection.Write(head); err != nil {
-			return nil, e.broken(connection, message, n > 0, err)
+			return nil, e.connectionFailure(connection, message, n > 0, err)
 		}
 		return nil, nil
 	}
@@ -215,12 +215,12 @@
 	return <-written != nil
 }
 
-// broken is the failure of a connection that broke. What was not sent at all cannot have
+// connectionFailure is the failure of a connection that broke. What was not sent at all cannot have
 // run; anything else may have.
-func (e *exchanger) broken(connection *connpool.Connection, message *message, sent bool, err error) *failure {
-	fault := &failure{verdict: verdict.MayHaveRun, arrived: true, cause: fmt.Errorf("%w: %w", errBroken, err)}
-	if !sent {
-		fault.verdict, fault.arrived = verdict.NotRun, false
+func (e *exchanger) connectionFailure(connection *connpool.Connection, message *message, anySent bool, err error) *failure {
+	fault := &failure{verdict: verdict.MayHaveRun, mayHaveArrived: true, cause: fmt.Errorf("%w: %w", errConnectionBroken, err)}
+	if !anySent {
+		fault.verdict, fault.mayHaveArrived = verdict.NotRun, false
 	}
 	switch {
 	case message.request.canceller.isCancelled():
@@ -230,7 +230,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		fault.cause = errStalled
 	case connection.TimedOut:
-		fault.cause = errSilent
+		fault.cause = errPeerTimeout
 	}
 	return fault
 }
@@ -238,10 +238,10 @@
 // readHead reads the head of the answer to the message. It reads past answers that belong
 // to earlier requests on the connection.
 func (e *exchanger) readHead(connection *connpool.Connection, message *message) (*answer, *failure) {
-	for range maximumStaleAnswers + 1 {
+	for range maxStaleAnswers + 1 {
 		head := &fasthttp.ResponseHeader{}
 		if err := readFinalHead(head, connection); err != nil {
-			return nil, e.broken(connection, message, true, err)
+			return nil, e.connectionFailure(connection, message, true, err)
 		}
 		answer := &answer{
 			status: head.StatusCode(), head: head, connection: connection, message: message, exchanger: e,
@@ -251,11 +251,11 @@
 			return answer, nil
 		}
 		stale := connection.AnsweredRequests > 0 && answer.body.framing != framedByClose
-		if !stale || !readPast(answer.body) {
+		if !stale || !discardBody(answer.body) {
 			break
 		}
 	}
-	return nil, &failure{verdict: verdict.MayHaveRun, arrived: true, cause: errForeign}
+	return nil, &failure{verdict: verdict.MayHaveRun, mayHaveArrived: true, cause: errForeignAnswer}
 }
 
 // readFinalHead reads heads until one that is not informational.
@@ -270,29 +270,29 @@
 	}
 }
 
-// readPast reads a body that nobody wants, and reports whether it came to its end.
-func readPast(body *framedBody) bool {
-	_, err := io.Copy(io.Discard, io.LimitReader(body, maximumStaleBody))
-	return err == nil && body.whole
+// discardBody reads a body that nobody wants, and reports whether it came to its end.
+func discardBody(body *framedBody) bool {
+	_, err := io.Copy(io.Discard, io.LimitReader(body, maxStaleBodyBytes))
+	return err == nil && body.isComplete
 }
 
-// check decides whether the answer is one for the client. Answers that say that the
+// checkAnswer decides whether the answer is one for the client. Answers that say that the
 // request has not run become failures.
-func (e *exchanger) check(answer *answer) *failure {
-	answer.message.backEnd.heard(e.clock.now())
-	e.noteLoad(answer)
+func (e *exchanger) checkAnswer(answer *answer) *failure {
+	answer.message.backEnd.recordReceived(e.clock.now())
+	e.recordReportedLoad(answer)
 	if answer.status == fasthttp.StatusMisdirectedRequest {
-		return &failure{verdict: verdict.NotRun, arrived: true, cause: errMisdirected}
+		return &failure{verdict: verdict.NotRun, mayHaveArrived: true, cause: errMisdirected}
 	}
-	e.noteAnswer(answer.message.backEnd, answer.head, answer.message.sentAt)
+	e.applyAnswerSignals(answer.message.backEnd, answer.head, answer.message.sentAt)
 	if len(answer.head.Peek(e.names.NotExecuted)) > 0 {
 		return &failure{
-			verdict: verdict.NotRun, arrived: true, cause: fmt.Errorf("%w: status %d", errNotExecuted, answer.status),
+			verdict: verdict.NotRun, mayHaveArrived: true, cause: fmt.Errorf("%w: status %d", errNotExecuted, answer.status),
 			retryAfter: answer.message.backEnd.signals.RemainingBackoff(e.clock.now()),
 		}
 	}
 	if len(answer.head.ContentEncoding()) > 0 {
-		return &failure{verdict: verdict.MayHaveRun, arrived: true, cause: fmt.Errorf("%w: it is encoded", errWrongAnswer)}
+		return &failure{verdict: verdict.MayHaveRun, mayHaveArrived: true, cause: fmt.Errorf("%w: it is encoded", errUnsupportedAnswer)}
 	}
 	return nil
 }
--- a/internal/relay/exchange_notes.go
+++ b/internal/relay/exchange_notes.go
@@ -9,108 +9,108 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// assigned is the number of the question that was answered with the message's back end; 0 for none.
-func (m *message) assigned() uint64 {
+// queryNumber is the number of the question that was answered with the message's back end; 0 for none.
+func (m *message) queryNumber() uint64 {
 	if m.chosen == nil {
 		return 0
 	}
-	return m.chosen.assigned.number
+	return m.chosen.assignment.number
 }
 
-// noteWork tells other relays that the work at an engine has changed.
-func (e *exchanger) noteWork(message *message) {
+// announceWork tells other relays that the work at an engine has changed.
+func (e *exchanger) announceWork(message *message) {
 	if message.backEnd.isEngine() {
-		e.notices.note(message.backEnd)
+		e.notices.queueWork(message.backEnd)
 	}
 }
 
-// noteReading notes, here and at other relays, what an engine begins to read.
-func (e *exchanger) noteReading(message *message) {
+// recordPrefill notes, here and at other relays, what an engine begins to read.
+func (e *exchanger) recordPrefill(message *message) {
 	if message.backEnd.isEngine() {
-		message.begun = message.backEnd.cache.begin(e.clock.now(), message.reads)
-		e.notices.noteBegun(message.backEnd, message.reads, message.assigned())
+		message.newBlocks = message.backEnd.cache.beginPrefill(e.clock.now(), message.prefixBlocks)
+		e.notices.queueStarted(message.backEnd, message.prefixBlocks, message.queryNumber())
 	}
 }
 
-// noteKept notes, here and at other relays, that an engine keeps parts for any request.
-func (e *exchanger) noteKept(engine *backEnd, parts []placement.PrefixBlock) {
+// recordCached notes, here and at other relays, that an engine keeps parts for any request.
+func (e *exchanger) recordCached(engine *backEnd, parts []placement.PrefixBlock) {
 	if engine.isEngine() && len(parts) > 0 {
-		engine.cache.keep(e.clock.now(), parts)
-		e.notices.noteKept(engine, parts)
+		engine.cache.markCached(e.clock.now(), parts)
+		e.notices.queueCached(engine, parts)
 	}
 }
 
-// noteGivenUp notes, here and at other relays, that an engine does not read to its end what
+// recordAbandonedPrefill notes, here and at other relays, that an engine does not read to its end what
 // it was sent to read.
-func (e *exchanger) noteGivenUp(message *message) {
-	if !message.backEnd.isEngine() || len(message.begun) == 0 {
+func (e *exchanger) recordAbandonedPrefill(message *message) {
+	if !message.backEnd.isEngine() || len(message.newBlocks) == 0 {
 		return
 	}
-	dropped := make([]placement.BlockHash, len(message.begun))
-	for index, part := range message.begun {
+	dropped := make([]placement.BlockHash, len(message.newBlocks))
+	for index, part := range message.newBlocks {
 		dropped[index] = part.Hash
 	}
-	message.backEnd.cache.drop(dropped)
-	e.notices.noteDropped(message.backEnd, dropped)
+	message.backEnd.cache.dropBlocks(dropped)
+	e.notices.queueAbandoned(message.backEnd, dropped)
 }
 
-// judge lets the back end's health follow from a failure.
-func (e *exchanger) judge(message *message, fault *failure) {
+// updateHealth lets the back end's health follow from a failure.
+func (e *exchanger) updateHealth(message *message, fault *failure) {
 	switch {
-	case errors.Is(fault, errCancelled), errors.Is(fault, errResting), errors.Is(fault, errLimited):
+	case errors.Is(fault, errCancelled), errors.Is(fault, errInBackoff), errors.Is(fault, errLimitReached):
 	case errors.Is(fault, errNotExecuted):
-		e.noteRefusal(message)
+		e.recordRefusal(message)
 	default:
-		e.noteFailure(message.backEnd)
+		e.recordFailure(message.backEnd)
 	}
 }
 
-// noteRefusal avoids a back end that has not run a request. An engine that refuses although
+// recordRefusal avoids a back end that has not run a request. An engine that refuses although
 // most of its slots are free does not want for room: its stage is being changed, for instance,
 // and it will refuse other relays too. It counts as failed. One refusal of a prompt that
 // another engine has read is no such sign, since that memory may have been out of reach.
-func (e *exchanger) noteRefusal(message *message) {
+func (e *exchanger) recordRefusal(message *message) {
 	engine := message.backEnd
-	alone := message.work.PromptTokens() == 0 && engine.look(e.clock.now()).refusals == 0
-	if alone || !e.hasRoom(message) || !e.without.IsEnabled(mechanism.RefusalSuspicion) {
-		engine.busy(e.clock.now())
+	isInconclusive := message.work.PromptTokens() == 0 && engine.currentLoad(e.clock.now()).refusals == 0
+	if isInconclusive || !e.hasFreeSlots(message) || !e.without.IsEnabled(mechanism.RefusalSuspicion) {
+		engine.recordBusy(e.clock.now())
 		return
 	}
-	e.noteFailure(engine)
+	e.recordFailure(engine)
 }
 
-// hasRoom reports whether most slots of a message's engine are free, as far as is known here or
+// hasFreeSlots reports whether most slots of a message's engine are free, as far as is known here or
 // was known to those who picked it.
-func (e *exchanger) hasRoom(message *message) bool {
+func (e *exchanger) hasFreeSlots(message *message) bool {
 	engine, now := message.backEnd, e.clock.now()
-	seen := engine.look(now)
-	known := e.notices.table.total(now, engine, seen)
-	busy := max(known.Streams+known.Prefills, seen.told)
+	current := engine.currentLoad(now)
+	total := e.notices.table.totalWork(now, engine, current)
+	busy := max(total.Streams+total.Prefills, current.reportedRequests)
 	if chosen := message.chosen; chosen != nil {
-		busy = max(busy, chosen.ahead.Streams+chosen.ahead.Prefills)
+		busy = max(busy, chosen.queuedWork.Streams+chosen.queuedWork.Prefills)
 	}
 	return engine.isEngine() && busy < engine.Slots/2
 }
 
-// noteFailure avoids a back end that failed, and tells other relays.
-func (e *exchanger) noteFailure(backEnd *backEnd) {
-	backEnd.failed(e.clock.now())
-	e.notices.noteFailure(backEnd)
+// recordFailure avoids a back end that failed, and tells other relays.
+func (e *exchanger) recordFailure(backEnd *backEnd) {
+	backEnd.recordFailure(e.clock.now())
+	e.notices.queueFailure(backEnd)
 }
 
-// noteLoad takes the back end's own word of its load.
-func (e *exchanger) noteLoad(answer *answer) {
-	told := string(answer.head.Peek(e.names.Load))
-	if told == "" {
+// recordReportedLoad takes the back end's own word of its load.
+func (e *exchanger) recordReportedLoad(answer *answer) {
+	value := string(answer.head.Peek(e.names.Load))
+	if value == "" {
 		return
 	}
-	parts := strings.Split(told, ",")
+	parts := strings.Split(value, ",")
 	if len(parts) < 2 {
 		return
 	}
 	running, runningErr := strconv.Atoi(strings.TrimSpace(parts[0]))
 	waiting, waitingErr := strconv.Atoi(strings.TrimSpace(parts[1]))
 	if runningErr == nil && waitingErr == nil {
-		answer.message.backEnd.tell(e.clock.now(), running, waiting)
+		answer.message.backEnd.recordReportedLoad(e.clock.now(), running, waiting)
 	}
 }
--- a/internal/relay/former_leader_test.go
+++ b/internal/relay/former_leader_test.go
@@ -17,7 +17,7 @@
 	relay := newTestRelay(t, route(nil))
 	signature := quarantine.SignatureOf("", "", "", []byte("ending"))
 	own := formats.Supported().ToWire()
-	relay.knowledge.ApplyUpdate(&v1.WatchResponse{
+	relay.fleet.ApplyUpdate(&v1.WatchResponse{
 		Formats: own, TellsHeld: true, HeldVersion: 7, Held: []*v1.HeldRequest{{Signature: signature[:]}},
 		TrueTimeMs: 1_790_000_000_000, UsageWindowMs: 1000, ListingVersion: 1, ListingCalls: 25,
 		Wanted:        []*v1.WantedBackEnds{{Service: "service", Count: 300}},
@@ -27,15 +27,15 @@
 	require.Equal(t, uint64(1), relay.usage.UnreportedCount())
 
 	former := &v1.WatchResponse{ListingVersion: 2, ListingChange: &v1.ListingChange{FromVersion: 1, Gone: []string{"i-1"}}}
-	relay.knowledge.ApplyUpdate(former)
+	relay.fleet.ApplyUpdate(former)
 	require.True(t, relay.guard.IsQuarantined(signature))
 	require.Equal(t, uint64(1), relay.usage.UnreportedCount())
-	require.Equal(t, 25, relay.knowledge.listingCalls)
-	request := relay.knowledge.WatchRequest(time.Second)
+	require.Equal(t, 25, relay.fleet.listingCalls)
+	request := relay.fleet.WatchRequest(time.Second)
 	require.Len(t, request.GetWanted(), 1)
 	require.Equal(t, uint64(2), request.GetListingVersion())
 
-	relay.knowledge.ApplyUpdate(&v1.WatchResponse{Formats: own, TellsHeld: true, ListingVersion: 2})
+	relay.fleet.ApplyUpdate(&v1.WatchResponse{Formats: own, TellsHeld: true, ListingVersion: 2})
 	require.False(t, relay.guard.IsQuarantined(signature), "a leader that knows says that none is held")
 }
 
@@ -43,10 +43,10 @@
 func TestRelaysOfTheFormerBuildKeepNoCounts(t *testing.T) {
 	relay := newTestRelay(t, route(nil))
 	others := []string{"127.0.0.1:1", "127.0.0.1:2", relay.datagrams.Address}
-	relay.knowledge.ApplyUpdate(&v1.WatchResponse{
+	relay.fleet.ApplyUpdate(&v1.WatchResponse{
 		Formats: formats.Supported().ToWire(), RelayAddresses: others, RelayList: 5, Relays: 3, FormerRelays: others[:2],
 	})
 	require.Equal(t, []string{relay.datagrams.Address}, relay.permits.OwnersOf(4711))
-	relay.knowledge.ApplyUpdate(&v1.WatchResponse{Formats: formats.Supported().ToWire(), RelayAddresses: others, RelayList: 6, Relays: 3})
+	relay.fleet.ApplyUpdate(&v1.WatchResponse{Formats: formats.Supported().ToWire(), RelayAddresses: others, RelayList: 6, Relays: 3})
 	require.Len(t, relay.permits.OwnersOf(4711), 3)
 }
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -218,11 +218,11 @@
 	relay.exchanger.clock = relay.clock
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
-	relay.meetOthers(socket)
+	relay.initPeers(socket)
 	relay.setRelays([]string{relay.datagrams.Address}, nil)
-	go relay.datagrams.Receive(relay.takeDatagram)
+	go relay.datagrams.Receive(relay.handleDatagram)
 	relay.budget.SetRelays(1)
-	relay.contactAt.Store(int64(relay.clock.now()))
+	relay.lastContactAt.Store(int64(relay.clock.now()))
 	service := serving.Service{Name: "service"}
 	for _, backEnd := range backEnds {
 		if backEnd.entry.Stage != serving.StageWhole {
@@ -236,7 +236,7 @@
 	for _, backEnd := range backEnds {
 		entries = append(entries, backEnd.entry)
 	}
-	relay.knowledge.takeBackEnds(entries, next)
+	relay.fleet.applyListing(entries, next)
 	relay.view.Store(next)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -293,7 +293,7 @@
 	require.NoError(c.t, head.Read(c.reader))
 	framed := newFramedBody(head, "", c.reader)
 	body, err := io.ReadAll(framed)
-	return clientAnswer{status: head.StatusCode(), head: head, body: string(body), whole: err == nil && framed.whole}
+	return clientAnswer{status: head.StatusCode(), head: head, body: string(body), whole: err == nil && framed.isComplete}
 }
 
 func (c *testClient) do(method, target, body string, headers ...string) clientAnswer {
--- a/internal/relay/held_document_test.go
+++ b/internal/relay/held_document_test.go
@@ -19,7 +19,7 @@
 	relay.dialect.ParseConfiguration = func(content []byte) (serving.Configuration, error) {
 		return serving.Configuration{Number: uint64(content[0]), Services: []serving.Service{{Name: "service"}}}, nil
 	}
-	knowledge := relay.knowledge
+	knowledge := relay.fleet
 	first := &v1.Document{Number: 2, Content: []byte{2, 'a'}}
 	knowledge.ApplyUpdate(&v1.WatchResponse{PackedDocument: packed.Pack(first)})
 	require.Equal(t, uint64(2), knowledge.WatchRequest(time.Second).GetDocumentNumber())
@@ -48,7 +48,7 @@
 		}
 		return serving.Configuration{Number: uint64(content[0]), Services: []serving.Service{{Name: "service"}}}, nil
 	}
-	knowledge := relay.knowledge
+	knowledge := relay.fleet
 	tell := func(number byte, content byte) bool {
 		return knowledge.ApplyUpdate(&v1.WatchResponse{PackedDocument: packed.Pack(&v1.Document{Number: uint64(number), Content: []byte{number, content}})})
 	}
--- a/internal/relay/identified_starts_test.go
+++ b/internal/relay/identified_starts_test.go
@@ -39,7 +39,7 @@
 			var former *backEnd
 			for index, telling := range tellings {
 				next := *relay.view.Load()
-				relay.knowledge.takeBackEnds(relay.knowledge.identified([]serving.BackEnd{entryOf(telling.born, telling.address)}, telling.born == 0), &next)
+				relay.fleet.applyListing(relay.fleet.identifyIncarnations([]serving.BackEnd{entryOf(telling.born, telling.address)}, telling.born == 0), &next)
 				relay.setView(&next)
 				require.Len(t, next.byService["s"], 1)
 				listed := next.byService["s"][0]
--- a/internal/relay/knowledge.go
+++ b/internal/relay/knowledge.go
@@ -21,68 +21,68 @@
 // listingTimeout bounds one call for the outside list.
 const listingTimeout = time.Second
 
-// knowledge is what the relay knows of the fleet: configuration, back ends, relays that own them. It takes
+// fleetState is what the relay knows of the fleet: configuration, back ends, relays that own them. It takes
 // what the leader tells, and reads the list of back ends itself while none leads.
-type knowledge struct {
-	relay       *Relay
-	platform    *http.Client
-	readListing func(ctx context.Context, client *http.Client, pages int) (serving.Listing, error)
-	incarnation uint64
-	// known are the back ends by identity, so that their state outlives a reading.
-	known map[string]*backEnd
+type fleetState struct {
+	relay          *Relay
+	platformClient *http.Client
+	readListing    func(ctx context.Context, client *http.Client, pages int) (serving.Listing, error)
+	incarnation    uint64
+	// records are the back ends by identity, so that their state outlives a reading.
+	records map[string]*backEnd
 	// signals are what back ends have asked of this relay; they outlive known.
 	signals *backpressure.Registry
-	// closed are those of them that take no more work since the last list.
-	closed []*backEnd
-	// lost tells that no controller led when this was last looked at.
-	lost bool
-	// held is the document in force as the leader told it; patches are made against it. Its number is 0
+	// closedBackEnds are those of them that take no more work since the last list.
+	closedBackEnds []*backEnd
+	// isLeaderLost tells that no controller led when this was last looked at.
+	isLeaderLost bool
+	// heldDocument is the document in force as the leader told it; patches are made against it. Its number is 0
 	// where the whole document is wanted.
-	held *v1.Document
-	// relayList is the hash of the list of relays that is held, 0 for none, and relaysListed their number.
-	relayList    uint64
-	relaysListed int
-	// formerListed: a leader of the first format, which does not tell starts apart, has told the last list.
-	formerListed bool
+	heldDocument *v1.Document
+	// relayListHash is the hash of the list of relays that is held, 0 for none, and relaysListed their number.
+	relayListHash uint64
+	relayListSize int
+	// listedByFormerLeader: a leader of the first format, which does not tell starts apart, has told the last list.
+	listedByFormerLeader bool
 	// listing is the list of back ends as the leader told it last.
 	listing listing.ReceivedList
-	// wanted is how many back ends of each service the leader wanted last, and partial whether it told of a
+	// wantedBackEnds is how many back ends of each service the leader wantedBackEnds last, and partial whether it told of a
 	// part of them.
-	wanted  []*v1.WantedBackEnds
-	partial bool
-	own     listing.DirectRead
-	faults  listing.Faults
+	wantedBackEnds   []*v1.WantedBackEnds
+	isListingPartial bool
+	localReading     listing.DirectRead
+	faults           listing.Faults
 	// listingCalls is how many calls a reading of the outside list takes, 0 while it is not known.
 	listingCalls int
 }
 
-func newKnowledge(relay *Relay, options Options) *knowledge {
-	return &knowledge{
-		relay:       relay,
-		platform:    &http.Client{Transport: &http.Transport{DialContext: options.Dial}, Timeout: listingTimeout},
-		readListing: options.ReadListing,
-		incarnation: rand.Uint64(),
-		known:       map[string]*backEnd{},
-		signals:     backpressure.NewRegistry(),
+func newFleetState(relay *Relay, options Options) *fleetState {
+	return &fleetState{
+		relay:          relay,
+		platformClient: &http.Client{Transport: &http.Transport{DialContext: options.Dial}, Timeout: listingTimeout},
+		readListing:    options.ReadListing,
+		incarnation:    rand.Uint64(),
+		records:        map[string]*backEnd{},
+		signals:        backpressure.NewRegistry(),
 	}
 }
 
 // BeforeWatch implements leaderwatch.Node: it writes a line when a leader is lost or found again.
-func (k *knowledge) BeforeWatch(controllers []string) {
-	lost := k.relay.clock.now()-k.relay.lastContact() > k.relay.contactLimit()
-	if lost == k.lost {
+func (k *fleetState) BeforeWatch(controllers []string) {
+	isLost := k.relay.clock.now()-k.relay.lastContact() > k.relay.maxContactAge()
+	if isLost == k.isLeaderLost {
 		return
 	}
-	k.lost = lost
+	k.isLeaderLost = isLost
 	event := events.LeaderFound
-	if lost {
+	if isLost {
 		event = events.LeaderLost
 	}
 	k.relay.event(event).Strs("controllers", controllers).Send()
 }
 
 // WatchRequest implements leaderwatch.Node.
-func (k *knowledge) WatchRequest(wait time.Duration) *v1.WatchRequest {
+func (k *fleetState) WatchRequest(wait time.Duration) *v1.WatchRequest {
 	view := k.relay.view.Load()
 	request := &v1.WatchRequest{
 		Node: &v1.NodeIdentity{
@@ -92,34 +92,34 @@
 		WaitMs:         uint32(wait.Milliseconds()),
 		Leaving:        k.relay.stopping.Load(),
 		NoticeAddress:  k.relay.datagrams.Address,
-		RelayList:      k.relayList,
+		RelayList:      k.relayListHash,
 		HeldVersion:    k.relay.guard.QuarantineVersion(),
 		Demands:        k.relay.work.Report(k.relay.clock.now()),
 	}
 	request.Limits = fleetlimit.LimitsToWire(k.relay.permits.Limits())
 	request.Formats = formats.Supported().ToWire()
-	request.DocumentNumber = k.held.GetNumber()
-	request.Wanted = k.wanted
+	request.DocumentNumber = k.heldDocument.GetNumber()
+	request.Wanted = k.wantedBackEnds
 	return request
 }
 
 // ApplyUpdate implements leaderwatch.Node: it puts in force what the leader told.
-func (k *knowledge) ApplyUpdate(response *v1.WatchResponse) bool {
+func (k *fleetState) ApplyUpdate(response *v1.WatchResponse) bool {
 	current := k.relay.view.Load()
 	next := *current
 	used := true
-	if document := k.document(response); document != nil {
-		used = k.takeDocument(document, &next)
+	if document := k.decodeDocument(response); document != nil {
+		used = k.applyDocument(document, &next)
 	}
 	if version := response.GetListingVersion(); version != 0 && version != current.listingVersion {
-		next.listingVersion = 0 // the whole list is asked for unless this one can be read
-		if listed, read := k.listing.Apply(current.listingVersion, response); read {
+		next.listingVersion = 0 // the whole list is asked for unless this one can be isReadable
+		if listed, isReadable := k.listing.Apply(current.listingVersion, response); isReadable {
 			next.listingVersion = version
 			if wanted := response.GetWanted(); len(wanted) > 0 {
-				k.wanted = wanted // a leader of the first format tells none: the next one is told what is known
+				k.wantedBackEnds = wanted // a leader of the first format tells none: the next one is told what is known
 			}
-			former := !formats.FromWire(response.GetFormats()).Supports(formats.ReplicaIncarnations)
-			k.takeBackEnds(k.identified(translate(listed), former), &next)
+			fromFormerLeader := !formats.FromWire(response.GetFormats()).Supports(formats.ReplicaIncarnations)
+			k.applyListing(k.identifyIncarnations(backEndsFromWire(listed), fromFormerLeader), &next)
 		}
 	}
 	if response.GetTellsHeld() || response.GetHeldVersion() != 0 {
@@ -127,23 +127,23 @@
 	} else {
 		k.relay.guard.MarkQuarantineUnsupported()
 	}
-	k.takeRelays(response)
-	k.takeRelayCount(response)
-	k.partial = response.GetListingPartial()
+	k.applyRelayList(response)
+	k.applyRelayCount(response)
+	k.isListingPartial = response.GetListingPartial()
 	if calls := int(response.GetListingCalls()); calls > 0 {
 		k.listingCalls = calls // a leader that does not know yet, or of the first format, tells none
 	}
-	k.takeUsageWindow(response)
+	k.applyUsageWindow(response)
 	k.relay.setView(&next)
-	k.takeLimits(response)
-	k.moveRuns()
-	k.relay.contactAt.Store(int64(k.relay.clock.now()))
+	k.applyLimits(response)
+	k.migrateRuns()
+	k.relay.lastContactAt.Store(int64(k.relay.clock.now()))
 	return used
 }
 
-// takeUsageWindow takes the windows in which usage is counted. A leader of the first format knows of none: what is
+// applyUsageWindow takes the windows in which usage is counted. A leader of the first format knows of none: what is
 // counted waits for one that does.
-func (k *knowledge) takeUsageWindow(response *v1.WatchResponse) {
+func (k *fleetState) applyUsageWindow(response *v1.WatchResponse) {
 	window := time.Duration(response.GetUsageWindowMs()) * time.Millisecond
 	if window == 0 && !formats.FromWire(response.GetFormats()).Supports(formats.UsageWindows) {
 		return
@@ -151,19 +151,19 @@
 	k.relay.usage.UpdateTime(k.relay.clock.now(), response.GetTrueTimeMs(), window)
 }
 
-// takeLimits takes the limits that the leader knows of, for back ends of which other relays have not told yet.
-func (k *knowledge) takeLimits(response *v1.WatchResponse) {
-	for _, told := range response.GetLimits() {
-		if named, valid := fleetlimit.FromWire(told); valid {
-			k.relay.takeLeadersLimit(named)
+// applyLimits takes the limits that the leader knows of, for back ends of which other relays have not told yet.
+func (k *fleetState) applyLimits(response *v1.WatchResponse) {
+	for _, wireLimit := range response.GetLimits() {
+		if named, valid := fleetlimit.FromWire(wireLimit); valid {
+			k.relay.applyLeaderLimit(named)
 		}
 	}
 }
 
-// document reads the document of a response; nil for none.
-func (k *knowledge) document(response *v1.WatchResponse) *v1.Document {
+// decodeDocument reads the decodeDocument of a response; nil for none.
+func (k *fleetState) decodeDocument(response *v1.WatchResponse) *v1.Document {
 	if len(response.GetDocumentPatch()) > 0 {
-		return k.patched(response)
+		return k.patchDocument(response)
 	}
 	if len(response.GetPackedDocument()) == 0 {
 		return nil
@@ -176,43 +176,43 @@
 	return document
 }
 
-// patched makes the document in force of the one held; nil where that fails, and the whole one is
+// patchDocument makes the document in force of the one held; nil where that fails, and the whole one is
 // asked for next.
-func (k *knowledge) patched(response *v1.WatchResponse) *v1.Document {
-	content, err := packed.ApplyPatch(k.held.GetContent(), response.GetDocumentPatch())
+func (k *fleetState) patchDocument(response *v1.WatchResponse) *v1.Document {
+	content, err := packed.ApplyPatch(k.heldDocument.GetContent(), response.GetDocumentPatch())
 	if err != nil {
 		k.relay.event(events.ConfigurationUnreadable).Err(err).Uint64("number", response.GetPatchedNumber()).Send()
-		k.held = nil
+		k.heldDocument = nil
 		return nil
 	}
 	return &v1.Document{Number: response.GetPatchedNumber(), Content: content}
 }
 
-// takeRelays puts a list of relays in force. A new leader hears of them one by one: until it
+// applyRelayList puts a list of relays in force. A new leader hears of them one by one: until it
 // knows how many there are, its list counts only where it tells more than is held.
-func (k *knowledge) takeRelays(response *v1.WatchResponse) {
+func (k *fleetState) applyRelayList(response *v1.WatchResponse) {
 	addresses := response.GetRelayAddresses()
-	if len(addresses) == 0 || response.GetRelayList() == k.relayList {
+	if len(addresses) == 0 || response.GetRelayList() == k.relayListHash {
 		return
 	}
-	if response.GetRelays() == 0 && len(addresses) < k.relaysListed {
+	if response.GetRelays() == 0 && len(addresses) < k.relayListSize {
 		return
 	}
-	k.relayList, k.relaysListed = response.GetRelayList(), len(addresses)
+	k.relayListHash, k.relayListSize = response.GetRelayList(), len(addresses)
 	k.relay.setRelays(addresses, response.GetFormerRelays())
 }
 
-// takeRelayCount takes the number of all relays; a new leader does not know it yet.
-func (k *knowledge) takeRelayCount(response *v1.WatchResponse) {
+// applyRelayCount takes the number of all relays; a new leader does not know it yet.
+func (k *fleetState) applyRelayCount(response *v1.WatchResponse) {
 	if count := response.GetRelays(); count > 0 {
 		k.relay.relayCount.Store(int64(count))
 		k.relay.budget.SetRelays(int(count))
 	}
 }
 
-// takeDocument puts a configuration in force if its number is above the one in force; false where it cannot be put in
+// applyDocument puts a configuration in force if its number is above the one in force; false where it cannot be put in
 // force. Such a document is not held: the number that the leader is told stands for what requests are served by.
-func (k *knowledge) takeDocument(document *v1.Document, next *view) bool {
+func (k *fleetState) applyDocument(document *v1.Document, next *view) bool {
 	number := uint64(0)
 	if next.table != nil {
 		number = next.table.Configuration.Number
@@ -221,7 +221,7 @@
 		return true
 	}
 	if document.GetNumber() == number {
-		k.held = document
+		k.heldDocument = document
 		return true
 	}
 	configuration, err := k.relay.dialect.ParseConfiguration(document.GetContent())
@@ -232,7 +232,7 @@
 		k.relay.event(events.ConfigurationUnreadable).Err(err).Uint64("number", document.GetNumber()).Send()
 		return false
 	}
-	k.held = document
+	k.heldDocument = document
 	next.table, next.configuredAt = serving.NewTable(&configuration), k.relay.clock.now()
 	k.resizeCaches(next)
 	k.relay.event(events.ConfigurationInForce).Uint64("number", configuration.Number).Int("tenants", len(configuration.Tenants)).Send()
@@ -241,47 +241,47 @@
 
 // HandleNoLeader implements leaderwatch.Node: it reads the list here once no controller has led for a while, so that
 // back ends that leave are known without one.
-func (k *knowledge) HandleNoLeader(ctx context.Context) {
+func (k *fleetState) HandleNoLeader(ctx context.Context) {
 	relays := int(k.relay.relayCount.Load())
 	if relays == 0 {
 		return // it cannot tell how many others would read it as well
 	}
 	lead := listing.DirectReadAfter + leaderwatch.ExtraWait(relays)
-	held := k.relay.view.Load()
-	if held.table == nil {
+	current := k.relay.view.Load()
+	if current.table == nil {
 		return // a list serves nobody without a configuration, which only controllers tell
 	}
 	calls := relays * max(k.listingCalls, 1)
-	if !k.own.IsDue(k.relay.clock.now(), max(k.relay.lastContact(), 0)+lead, held.listed, calls, k.relay.draw) {
+	if !k.localReading.IsDue(k.relay.clock.now(), max(k.relay.lastContact(), 0)+lead, current.isListed, calls, k.relay.draw) {
 		return
 	}
-	read, err := k.readListing(ctx, k.platform, 0)
-	if fault, isNews := k.faults.Update(read, err); isNews {
+	result, err := k.readListing(ctx, k.platformClient, 0)
+	if fault, isChanged := k.faults.Update(result, err); isChanged {
 		k.relay.event(events.ListingFault).Str("fault", fault).Send()
 	}
 	if err != nil {
 		return
 	}
-	k.listingCalls = read.Calls
+	k.listingCalls = result.Calls
 	next := *k.relay.view.Load()
 	next.listingVersion = 0
-	read.BackEnds = slices.DeleteFunc(read.BackEnds, func(backEnd serving.BackEnd) bool { return next.table.Service(backEnd.Service) == nil })
-	k.takeBackEnds(k.toldBackEnds(k.identified(read.BackEnds, false)), &next)
+	result.BackEnds = slices.DeleteFunc(result.BackEnds, func(backEnd serving.BackEnd) bool { return next.table.Service(backEnd.Service) == nil })
+	k.applyListing(k.restrictToKnown(k.identifyIncarnations(result.BackEnds, false)), &next)
 	k.relay.setView(&next)
-	k.moveRuns()
+	k.migrateRuns()
 }
 
-// toldBackEnds keeps of a list that this relay has read those that the leader told it of, where these are a
+// restrictToKnown keeps of a list that this relay has read those that the leader told it of, where these are a
 // part: all relays must keep to the same part.
-func (k *knowledge) toldBackEnds(listed []serving.BackEnd) []serving.BackEnd {
-	if !k.partial {
+func (k *fleetState) restrictToKnown(listed []serving.BackEnd) []serving.BackEnd {
+	if !k.isListingPartial {
 		return listed
 	}
-	return slices.DeleteFunc(listed, func(backEnd serving.BackEnd) bool { return k.known[backEnd.ID] == nil })
+	return slices.DeleteFunc(listed, func(backEnd serving.BackEnd) bool { return k.records[backEnd.ID] == nil })
 }
 
-// translate turns the controllers' entries into back ends.
-func translate(entries []*v1.ListedBackEnd) []serving.BackEnd {
+// backEndsFromWire turns the controllers' entries into back ends.
+func backEndsFromWire(entries []*v1.ListedBackEnd) []serving.BackEnd {
 	backEnds := make([]serving.BackEnd, 0, len(entries))
 	for _, entry := range entries {
 		backEnds = append(backEnds, serving.BackEndFromProto(entry))
--- a/internal/relay/lack.go
+++ b/internal/relay/lack.go
@@ -6,26 +6,26 @@
 	"github.com/valyala/fasthttp"
 )
 
-// lack is what a relay does not know though a request needs it; empty for nothing. It is the reason in the
+// missingState is what a relay does not know though a request needs it; empty for nothing. It is the reason in the
 // request's line and its answer.
-type lack string
+type missingState string
 
 // What relays may lack, beside room at back ends.
 const (
-	lacksConfiguration lack = "no configuration is known yet"
-	lacksListing       lack = "no list of back ends is known yet"
-	lacksBackEnds      lack = "no back end of the service is known"
-	// lacksOwner begins the reason of a refusal that this relay had to decide by itself.
-	lacksOwner lack = "no owner of the engines answers"
+	missingConfiguration missingState = "no configuration is known yet"
+	missingListing       missingState = "no list of back ends is known yet"
+	missingBackEnds      missingState = "no back end of the service is known"
+	// missingOwner begins the reason of a refusal that this relay had to decide by itself.
+	missingOwner missingState = "no owner of the engines answers"
 )
 
-// lack returns what the relay lacks for any request.
-func (v *view) lack() lack {
+// missing returns what the relay lacks for any request.
+func (v *view) missing() missingState {
 	switch {
 	case v.table == nil:
-		return lacksConfiguration
-	case !v.listed:
-		return lacksListing
+		return missingConfiguration
+	case !v.isListed:
+		return missingListing
 	default:
 		return ""
 	}
@@ -33,15 +33,15 @@
 
 // refusal is the answer to a request for which something is lacking: it has not run. The draw in [0, 1)
 // spreads the times at which clients come back.
-func (l lack) refusal(draw float64) refusal {
-	comeBack := retryAfterStart + time.Duration(draw*float64(retryStartSpread))
-	return refusal{status: fasthttp.StatusServiceUnavailable, reason: string(l), retryAfter: comeBack}
+func (l missingState) refusal(draw float64) refusal {
+	retryAfter := retryAfterStartup + time.Duration(draw*float64(retryStartupSpread))
+	return refusal{status: fasthttp.StatusServiceUnavailable, reason: string(l), retryAfter: retryAfter}
 }
 
-// refuseForLack answers a request that came before the relay knew what it needs.
-func (r *Relay) refuseForLack(request *request, lacking lack, reply *replier) {
-	refused := lacking.refusal(r.draw())
-	r.log.refusedForLack(request, lacking, r.belief())
+// refuseForMissingState answers a request that came before the relay knew what it needs.
+func (r *Relay) refuseForMissingState(request *request, missing missingState, reply *replier) {
+	refused := missing.refusal(r.draw())
+	r.log.recordMissingState(request, missing, r.viewSnapshot())
 	r.metrics.refusals.WithLabelValues(refused.reason).Inc()
 	reply.refuse(refused)
 }
--- a/internal/relay/lack_test.go
+++ b/internal/relay/lack_test.go
@@ -13,15 +13,15 @@
 // An operator tells from a request's line and answer what its relay did not know.
 func TestRefusalsNameWhatIsLacking(t *testing.T) {
 	known := func(relay *testRelay) view { return *relay.view.Load() }
-	for lacking, forget := range map[lack]func(*view){
-		lacksConfiguration: func(view *view) { view.table, view.listed = nil, false },
-		lacksListing:       func(view *view) { view.listed = false },
-		lacksBackEnds:      func(view *view) { view.byService = map[string][]*backEnd{} },
+	for lacking, forget := range map[missingState]func(*view){
+		missingConfiguration: func(view *view) { view.table, view.isListed = nil, false },
+		missingListing:       func(view *view) { view.isListed = false },
+		missingBackEnds:      func(view *view) { view.byService = map[string][]*backEnd{} },
 	} {
 		relay := newTestRelay(t, route(nil), startBackEnd(t, "one", serving.StageWhole, answering(200, "ok")))
 		lines := &logLines{}
 		relay.log = requestLog{logger: zerolog.New(lines)}
-		relay.startWait = 0
+		relay.startupWait = 0
 		next := known(relay)
 		forget(&next)
 		relay.view.Store(&next)
@@ -36,12 +36,12 @@
 // A decision that the relay made because no owner answered says so.
 func TestDecisionsWithoutAnOwnerSaySo(t *testing.T) {
 	relay := newTestRelay(t, route(stream(false)), startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne)))
-	query := &engineQuery{purpose: toGenerate, service: "service", request: placement.Request{Stage: serving.StageDecode}}
+	query := &engineQuery{purpose: purposeDecode, service: "service", request: placement.Request{Stage: serving.StageDecode}}
 	known := relay.owners.current.Load().services["service"]
-	own := relay.asker.decideIn(known, 0, query, nil)
-	require.NotContains(t, own.reason(), string(lacksOwner))
+	own := relay.placements.decideInCell(known, 0, query, nil)
+	require.NotContains(t, own.reason(), string(missingOwner))
 	relay.ownedBy(newScriptedOwner(t).address())
 	known = relay.owners.current.Load().services["service"]
-	decided := relay.asker.decideIn(known, 0, query, nil)
-	require.Contains(t, decided.reason(), string(lacksOwner))
+	decided := relay.placements.decideInCell(known, 0, query, nil)
+	require.Contains(t, decided.reason(), string(missingOwner))
 }
--- a/internal/relay/load_table.go
+++ b/internal/relay/load_table.go
@@ -17,26 +17,26 @@
 // concurrent use.
 type loadTable struct {
 	mutex   sync.Mutex
-	engines map[uint64]map[uint64]toldWork
+	engines map[uint64]map[uint64]reportedWork
 	// sequences are the newest notices of each relay.
 	sequences map[uint64]uint64
-	// heardAt is when the last notice came.
-	heardAt time.Duration
+	// receivedAt is when the last notice came.
+	receivedAt time.Duration
 }
 
-// toldWork is one relay's work at one engine, and when it was told.
-type toldWork struct {
+// reportedWork is one relay's work at one engine, and when it was told.
+type reportedWork struct {
 	work placement.Work
 	at   time.Duration
 }
 
 func newLoadTable() *loadTable {
-	return &loadTable{engines: map[uint64]map[uint64]toldWork{}, sequences: map[uint64]uint64{}}
+	return &loadTable{engines: map[uint64]map[uint64]reportedWork{}, sequences: map[uint64]uint64{}}
 }
 
-// take notes what a relay told; older notices than the last are dropped. It reports
+// record notes what a relay told; older notices than the last are dropped. It reports
 // whether the notice was new.
-func (t *loadTable) take(now time.Duration, notice *v1.LoadNotice) bool {
+func (t *loadTable) record(now time.Duration, notice *v1.LoadNotice) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	relay := notice.GetRelay()
@@ -44,54 +44,54 @@
 		return false
 	}
 	t.sequences[relay] = notice.GetSequence()
-	t.heardAt = now
+	t.receivedAt = now
 	for _, engine := range notice.GetEngines() {
 		relays := t.engines[engine.GetEngine()]
 		if relays == nil {
-			relays = map[uint64]toldWork{}
+			relays = map[uint64]reportedWork{}
 			t.engines[engine.GetEngine()] = relays
 		}
-		told := placement.Work{Prefills: int(engine.GetPrompts()), Streams: int(engine.GetStreams()), Tokens: tokensFromWire(engine.GetPromptTokens())}
-		if told == (placement.Work{}) {
+		work := placement.Work{Prefills: int(engine.GetPrompts()), Streams: int(engine.GetStreams()), Tokens: tokensFromWire(engine.GetPromptTokens())}
+		if work == (placement.Work{}) {
 			delete(relays, relay)
 			continue
 		}
-		relays[relay] = toldWork{work: told, at: now}
+		relays[relay] = reportedWork{work: work, at: now}
 	}
 	return true
 }
 
-// lastHeard is when the last notice of another relay came.
-func (t *loadTable) lastHeard() time.Duration {
+// lastReceivedAt is when the last notice of another relay came.
+func (t *loadTable) lastReceivedAt() time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.heardAt
+	return t.receivedAt
 }
 
-// others sums what other relays have under way at an engine.
-func (t *loadTable) others(now time.Duration, engine uint64) placement.Work {
+// otherRelaysWork sums what other relays have under way at an engine.
+func (t *loadTable) otherRelaysWork(now time.Duration, engine uint64) placement.Work {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	sum := placement.Work{}
-	for relay, told := range t.engines[engine] {
-		if now-told.at > noticeLifetime {
+	for relay, reported := range t.engines[engine] {
+		if now-reported.at > noticeLifetime {
 			delete(t.engines[engine], relay)
 			continue
 		}
-		sum = sum.Plus(told.work)
+		sum = sum.Plus(reported.work)
 	}
 	return sum
 }
 
-// total is the work of all relays at an engine, as far as is known; seen is what this relay
+// totalWork is the work of all relays at an engine, as far as is known; seen is what this relay
 // knows of the engine itself.
-func (t *loadTable) total(now time.Duration, engine *backEnd, seen load) placement.Work {
-	return seen.own.Plus(t.others(now, engine.hash))
+func (t *loadTable) totalWork(now time.Duration, engine *backEnd, current load) placement.Work {
+	return current.ownWork.Plus(t.otherRelaysWork(now, engine.hash))
 }
 
-// keep forgets engines that are no longer listed.
-func (t *loadTable) keep(listed map[uint64]*backEnd) {
+// retain forgets engines that are no longer listed.
+func (t *loadTable) retain(listed map[uint64]*backEnd) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	maps.DeleteFunc(t.engines, func(engine uint64, _ map[uint64]toldWork) bool { return listed[engine] == nil })
+	maps.DeleteFunc(t.engines, func(engine uint64, _ map[uint64]reportedWork) bool { return listed[engine] == nil })
 }
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -20,27 +20,27 @@
 
 // requestWriter builds the messages that go to back ends.
 type requestWriter struct {
-	// key holds clients' keys, which no back end gets to see where callers are known by them.
-	key string
-	// own are the headers that only relays set; those of clients are dropped.
-	own map[string]bool
+	// keyHeader holds clients' keys, which no back end gets to see where callers are known by them.
+	keyHeader string
+	// relayHeaders are the headers that only relays set; those of clients are dropped.
+	relayHeaders map[string]bool
 }
 
 func newRequestWriter(names HeaderNames) requestWriter {
-	own := map[string]bool{
+	relayHeaders := map[string]bool{
 		names.Tenant:     true,
 		names.DeadlineMs: true, names.ExpectInstance: true, names.Priority: true,
 		names.Stage: true, names.KVSource: true, names.KVFetch: true,
 	}
 	for _, name := range names.EngineOnly {
-		own[name] = true
+		relayHeaders[name] = true
 	}
-	return requestWriter{own: own, key: names.Authorization}
+	return requestWriter{relayHeaders: relayHeaders, keyHeader: names.Authorization}
 }
 
 // head returns the head of the message for a back end: the client's line and headers, the
 // body's length, and the headers given, which take the place of the client's.
-func (w requestWriter) head(request *request, address string, set []header) []byte {
+func (w requestWriter) head(request *request, address string, headers []header) []byte {
 	head := make([]byte, 0, 1024)
 	head = append(head, request.method...)
 	head = append(head, ' ')
@@ -48,18 +48,18 @@
 	head = append(head, " HTTP/1.1\r\nHost: "...)
 	head = append(head, request.host...)
 	head = append(head, "\r\n"...)
-	named := connectionNames(request.header.Peek("Connection"))
+	connectionHeaderNames := connectionNames(request.header.Peek("Connection"))
 	for key, value := range request.header.All() {
 		name := string(key)
-		if name == "Host" || connectionHeaders[name] || w.own[name] || named[name] || isSet(set, name) {
+		if name == "Host" || connectionHeaders[name] || w.relayHeaders[name] || connectionHeaderNames[name] || containsHeader(headers, name) {
 			continue
 		}
-		if request.keyed && name == w.key {
+		if request.usesKeys && name == w.keyHeader {
 			continue
 		}
 		head = appendHeader(head, name, string(value))
 	}
-	for _, header := range set {
+	for _, header := range headers {
 		head = appendHeader(head, header.name, header.value)
 	}
 	if len(request.body) > 0 || request.method != fasthttp.MethodGet && request.method != fasthttp.MethodHead {
@@ -68,8 +68,8 @@
 	return append(head, "\r\n"...)
 }
 
-func isSet(set []header, name string) bool {
-	for _, header := range set {
+func containsHeader(headers []header, name string) bool {
+	for _, header := range headers {
 		if header.name == name {
 			return true
 		}
@@ -103,6 +103,6 @@
 }
 
 // milliseconds writes a duration for a header; at least 1.
-func milliseconds(left time.Duration) string {
-	return strconv.FormatInt(max(left.Milliseconds(), 1), 10)
+func milliseconds(duration time.Duration) string {
+	return strconv.FormatInt(max(duration.Milliseconds(), 1), 10)
 }
--- a/internal/relay/newest_list_test.go
+++ b/internal/relay/newest_list_test.go
@@ -24,9 +24,9 @@
 		change(&entry)
 		listed = append(listed, entry)
 	}
-	r.knowledge.takeBackEnds(listed, &next)
+	r.fleet.applyListing(listed, &next)
 	r.view.Store(&next)
-	r.knowledge.moveRuns()
+	r.fleet.migrateRuns()
 }
 
 // A prompt may be read for seconds. The engine that generates is picked from the list as it is
@@ -57,8 +57,8 @@
 	leaving := startBackEnd(t, "leaving", serving.StageWhole, answering(200, "leaving"))
 	staying := startBackEnd(t, "staying", serving.StageWhole, answering(200, "staying"))
 	relay = newTestRelay(t, route(nil), refuses, leaving, staying)
-	relay.engineOf("leaving").begin(placement.Work{Streams: 1})
-	relay.engineOf("staying").begin(placement.Work{Streams: 2})
+	relay.engineOf("leaving").addWork(placement.Work{Streams: 1})
+	relay.engineOf("staying").addWork(placement.Work{Streams: 2})
 	require.Equal(t, "staying", relay.client(t).do("GET", "/path/", "").body)
 	require.Empty(t, leaving.seen())
 }
--- a/internal/relay/notice_pending.go
+++ b/internal/relay/notice_pending.go
@@ -8,61 +8,61 @@
 
 // pendingNotice is what is to be told of one back end, beside its work.
 type pendingNotice struct {
-	// read are the parts that the engine has begun to read, kept those that it has read and
+	// started are the parts that the engine has begun to started, cached those that it has started and
 	// keeps for any request, dropped those whose reading was given up.
-	read, kept []placement.PrefixBlock
-	dropped    []placement.BlockHash
-	// assigned are the numbers of questions whose assignments have begun.
-	assigned []uint64
-	// tokenTime is the newest observation of the time per token, 0 for none.
-	tokenTime time.Duration
+	started, cached []placement.PrefixBlock
+	abandoned       []placement.BlockHash
+	// queryNumbers are the numbers of questions whose assignments have begun.
+	queryNumbers []uint64
+	// timePerToken is the newest observation of the time per token, 0 for none.
+	timePerToken time.Duration
 	// failed tells that exchanges with the back end broke or stalled.
 	failed bool
 }
 
-// note tells that the work at an engine has changed.
-func (n *notices) note(engine *backEnd) { n.add(engine, pendingNotice{}) }
+// queueWork tells that the work at an engine has changed.
+func (n *loadNotices) queueWork(engine *backEnd) { n.queue(engine, pendingNotice{}) }
 
-// noteBegun tells what an engine has begun to read, and the number of the question that was
+// queueStarted tells what an engine has begun to read, and the number of the question that was
 // answered with it, 0 for none.
-func (n *notices) noteBegun(engine *backEnd, read []placement.PrefixBlock, assigned uint64) {
-	told := pendingNotice{read: read}
-	if assigned != 0 {
-		told.assigned = []uint64{assigned}
+func (n *loadNotices) queueStarted(engine *backEnd, started []placement.PrefixBlock, queryNumber uint64) {
+	update := pendingNotice{started: started}
+	if queryNumber != 0 {
+		update.queryNumbers = []uint64{queryNumber}
 	}
-	n.add(engine, told)
+	n.queue(engine, update)
 }
 
-// noteKept tells that an engine keeps parts for any request.
-func (n *notices) noteKept(engine *backEnd, kept []placement.PrefixBlock) {
-	n.add(engine, pendingNotice{kept: kept})
+// queueCached tells that an engine keeps parts for any request.
+func (n *loadNotices) queueCached(engine *backEnd, cached []placement.PrefixBlock) {
+	n.queue(engine, pendingNotice{cached: cached})
 }
 
-// noteDropped tells that the reading of parts was given up.
-func (n *notices) noteDropped(engine *backEnd, dropped []placement.BlockHash) {
-	n.add(engine, pendingNotice{dropped: dropped})
+// queueAbandoned tells that the reading of parts was given up.
+func (n *loadNotices) queueAbandoned(engine *backEnd, abandoned []placement.BlockHash) {
+	n.queue(engine, pendingNotice{abandoned: abandoned})
 }
 
-// notePace tells the time per token that an engine was seen to take.
-func (n *notices) notePace(engine *backEnd, tokenTime time.Duration) {
-	if tokenTime > 0 {
-		n.add(engine, pendingNotice{tokenTime: tokenTime})
+// queuePace tells the time per token that an engine was seen to take.
+func (n *loadNotices) queuePace(engine *backEnd, timePerToken time.Duration) {
+	if timePerToken > 0 {
+		n.queue(engine, pendingNotice{timePerToken: timePerToken})
 	}
 }
 
-// add joins what is to be told with what waits of the same back end.
-func (n *notices) add(engine *backEnd, told pendingNotice) {
+// queue joins what is to be told with what waits of the same back end.
+func (n *loadNotices) queue(engine *backEnd, update pendingNotice) {
 	n.mutex.Lock()
-	waiting := n.pending[engine]
-	waiting.read = append(waiting.read, told.read...)
-	waiting.kept = append(waiting.kept, told.kept...)
-	waiting.dropped = append(waiting.dropped, told.dropped...)
-	waiting.assigned = append(waiting.assigned, told.assigned...)
-	if told.tokenTime > 0 {
-		waiting.tokenTime = told.tokenTime
+	queued := n.pending[engine]
+	queued.started = append(queued.started, update.started...)
+	queued.cached = append(queued.cached, update.cached...)
+	queued.abandoned = append(queued.abandoned, update.abandoned...)
+	queued.queryNumbers = append(queued.queryNumbers, update.queryNumbers...)
+	if update.timePerToken > 0 {
+		queued.timePerToken = update.timePerToken
 	}
-	waiting.failed = waiting.failed || told.failed
-	n.pending[engine] = waiting
+	queued.failed = queued.failed || update.failed
+	n.pending[engine] = queued
 	n.mutex.Unlock()
 	select {
 	case n.changed <- struct{}{}:
@@ -70,5 +70,5 @@
 	}
 }
 
-// noteFailure tells that exchanges with a back end broke or stalled.
-func (n *notices) noteFailure(backEnd *backEnd) { n.add(backEnd, pendingNotice{failed: true}) }
+// queueFailure tells that exchanges with a back end broke or stalled.
+func (n *loadNotices) queueFailure(backEnd *backEnd) { n.queue(backEnd, pendingNotice{failed: true}) }
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -18,24 +18,24 @@
 )
 
 const (
-	// noticePause gathers what changes within it into one notice.
-	noticePause = 3 * time.Millisecond
-	// noticeRefresh is the time between two notices of work that goes on.
-	noticeRefresh = 500 * time.Millisecond
-	// failurePeers is how many relays hear of the failures of back ends that have no owner.
-	failurePeers = 16
-	// noticeRoom is the part of a datagram, in bytes, that a notice's engines may take.
-	noticeRoom = datagram.MaxSize - 64
+	// noticeBatchDelay gathers what changes within it into one notice.
+	noticeBatchDelay = 3 * time.Millisecond
+	// noticeRefreshInterval is the time between two notices of work that goes on.
+	noticeRefreshInterval = 500 * time.Millisecond
+	// maxFailurePeers is how many relays hear of the failures of back ends that have no owner.
+	maxFailurePeers = 16
+	// maxNoticeBytes is the part of a datagram, in bytes, that a notice's engines may take.
+	maxNoticeBytes = datagram.MaxSize - 64
 )
 
-// notices tells the owners of engines what this relay has under way there, and takes what other
+// loadNotices tells the owners of engines what this relay has under way there, and takes what other
 // relays tell. Nothing depends on them but the quality of choices.
-type notices struct {
-	relay     *Relay
-	datagrams *datagram.Socket
-	self      uint64
-	table     *loadTable
-	changed   chan struct{}
+type loadNotices struct {
+	relay       *Relay
+	datagrams   *datagram.Socket
+	incarnation uint64
+	table       *loadTable
+	changed     chan struct{}
 
 	mutex sync.Mutex
 	// peers are the relays that hear of failures of back ends without an owner.
@@ -45,38 +45,38 @@
 	sequence uint64
 }
 
-func newNotices(relay *Relay, datagrams *datagram.Socket, self uint64) *notices {
-	return &notices{
-		relay: relay, datagrams: datagrams, self: self, table: newLoadTable(),
+func newLoadNotices(relay *Relay, datagrams *datagram.Socket, incarnation uint64) *loadNotices {
+	return &loadNotices{
+		relay: relay, datagrams: datagrams, incarnation: incarnation, table: newLoadTable(),
 		changed: make(chan struct{}, 1), pending: map[*backEnd]pendingNotice{},
 	}
 }
 
 // setPeers takes the addresses of all relays.
-func (n *notices) setPeers(addresses []string) {
+func (n *loadNotices) setPeers(addresses []string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.peers = nil
-	own := max(slices.Index(addresses, n.datagrams.Address), 0)
-	for offset := 1; offset < len(addresses) && len(n.peers) < failurePeers; offset++ {
-		if peer := addresses[(own+offset)%len(addresses)]; peer != n.datagrams.Address {
+	ownIndex := max(slices.Index(addresses, n.datagrams.Address), 0)
+	for offset := 1; offset < len(addresses) && len(n.peers) < maxFailurePeers; offset++ {
+		if peer := addresses[(ownIndex+offset)%len(addresses)]; peer != n.datagrams.Address {
 			n.peers = append(n.peers, peer)
 		}
 	}
 }
 
-// send sends notices until the context ends.
-func (n *notices) send(ctx context.Context) {
-	refresh := time.NewTicker(noticeRefresh)
+// run sends notices until the context ends.
+func (n *loadNotices) run(ctx context.Context) {
+	refresh := time.NewTicker(noticeRefreshInterval)
 	defer refresh.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-refresh.C:
-			n.refresh()
+			n.queueRefresh()
 		case <-n.changed:
-			if !pause.For(ctx, noticePause) {
+			if !pause.For(ctx, noticeBatchDelay) {
 				return
 			}
 		}
@@ -84,8 +84,8 @@
 	}
 }
 
-// refresh adds the engines at which this relay has work to the next notice.
-func (n *notices) refresh() {
+// queueRefresh adds the engines at which this relay has work to the next notice.
+func (n *loadNotices) queueRefresh() {
 	now := n.relay.clock.now()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -94,7 +94,7 @@
 			if !backEnd.isEngine() {
 				break
 			}
-			if _, waits := n.pending[backEnd]; !waits && backEnd.look(now).own != (placement.Work{}) {
+			if _, isQueued := n.pending[backEnd]; !isQueued && backEnd.currentLoad(now).ownWork != (placement.Work{}) {
 				n.pending[backEnd] = pendingNotice{}
 			}
 		}
@@ -102,44 +102,44 @@
 }
 
 // sendPending tells what has changed to those whom it concerns.
-func (n *notices) sendPending() {
+func (n *loadNotices) sendPending() {
 	if !n.relay.without.IsEnabled(mechanism.Notices) {
 		return
 	}
-	for receiver, told := range n.takePending() {
-		for len(told) > 0 {
-			fits := fitting(told)
+	for receiver, engines := range n.takePending() {
+		for len(engines) > 0 {
+			count := fittingCount(engines)
 			n.sequence++
 			n.datagrams.Send(receiver, &v1.RelayDatagram{Content: &v1.RelayDatagram_Notice{Notice: &v1.LoadNotice{
-				Relay: n.self, Sequence: n.sequence, Engines: told[:fits],
+				Relay: n.incarnation, Sequence: n.sequence, Engines: engines[:count],
 			}}})
-			told = told[fits:]
+			engines = engines[count:]
 		}
 	}
 }
 
-// fitting is how many of the engines fit into one notice, one at least.
-func fitting(told []*v1.EngineWork) int {
-	room := noticeRoom
-	for index, engine := range told {
+// fittingCount is how many of the engines fit into one notice, one at least.
+func fittingCount(engines []*v1.EngineWork) int {
+	room := maxNoticeBytes
+	for index, engine := range engines {
 		const tagAndLength = 4
 		if room -= proto.Size(engine) + tagAndLength; room < 0 {
 			return max(index, 1)
 		}
 	}
-	return len(told)
+	return len(engines)
 }
 
 // takePending returns what waits to be told, by the address of the relay that it concerns.
-func (n *notices) takePending() map[string][]*v1.EngineWork {
+func (n *loadNotices) takePending() map[string][]*v1.EngineWork {
 	now := n.relay.clock.now()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	byReceiver := map[string][]*v1.EngineWork{}
-	for engine, waiting := range n.pending {
-		told := n.workOf(now, engine, waiting)
+	for engine, queued := range n.pending {
+		work := n.workOf(now, engine, queued)
 		for _, receiver := range n.receivers(now, engine) {
-			byReceiver[receiver] = append(byReceiver[receiver], told)
+			byReceiver[receiver] = append(byReceiver[receiver], work)
 		}
 	}
 	clear(n.pending)
@@ -147,59 +147,59 @@
 }
 
 // workOf is this relay's work at an engine, and what has happened there. The mutex is held.
-func (n *notices) workOf(now time.Duration, engine *backEnd, waiting pendingNotice) *v1.EngineWork {
-	own := engine.look(now).own
-	told := &v1.EngineWork{
-		Engine: engine.hash, Prompts: uint32(max(own.Prefills, 0)), PromptTokens: wireTokens(own), Streams: uint32(max(own.Streams, 0)),
-		TokenNs: uint32(min(waiting.tokenTime, math.MaxUint32)), Failed: waiting.failed, Assigned: waiting.assigned,
+func (n *loadNotices) workOf(now time.Duration, engine *backEnd, queued pendingNotice) *v1.EngineWork {
+	ownWork := engine.currentLoad(now).ownWork
+	result := &v1.EngineWork{
+		Engine: engine.hash, Prompts: uint32(max(ownWork.Prefills, 0)), PromptTokens: tokensToWire(ownWork), Streams: uint32(max(ownWork.Streams, 0)),
+		TokenNs: uint32(min(queued.timePerToken, math.MaxUint32)), Failed: queued.failed, Assigned: queued.queryNumbers,
 	}
-	told.Parts, told.PartTokens = wireParts(waiting.read)
-	told.KeptParts, told.KeptTokens = wireParts(waiting.kept)
-	for _, hash := range waiting.dropped {
-		told.DroppedParts = append(told.DroppedParts, uint64(hash))
+	result.Parts, result.PartTokens = blocksToWire(queued.started)
+	result.KeptParts, result.KeptTokens = blocksToWire(queued.cached)
+	for _, hash := range queued.abandoned {
+		result.DroppedParts = append(result.DroppedParts, uint64(hash))
 	}
-	return told
+	return result
 }
 
 // receivers are the relays that hear of an engine: its owner and the stand-in, as far as they
 // answer. Of a back end without an owner some peers hear. The mutex is held.
-func (n *notices) receivers(now time.Duration, engine *backEnd) []string {
+func (n *loadNotices) receivers(now time.Duration, engine *backEnd) []string {
 	if !engine.isEngine() {
 		return n.peers
 	}
-	return n.relay.asker.owners(now, engine)
+	return n.relay.placements.otherOwners(now, engine)
 }
 
-// take takes another relay's notice.
-func (n *notices) take(notice *v1.LoadNotice) {
-	if notice.GetRelay() != n.self && n.table.take(n.relay.clock.now(), notice) {
-		n.learn(notice)
+// handle takes another relay's notice.
+func (n *loadNotices) handle(notice *v1.LoadNotice) {
+	if notice.GetRelay() != n.incarnation && n.table.record(n.relay.clock.now(), notice) {
+		n.apply(notice)
 	}
 }
 
-// learn notes what engines have begun to read for other relays, and which back ends failed.
-func (n *notices) learn(notice *v1.LoadNotice) {
+// apply notes what engines have begun to read for other relays, and which back ends failed.
+func (n *loadNotices) apply(notice *v1.LoadNotice) {
 	byHash := n.relay.view.Load().byHash
-	for _, told := range notice.GetEngines() {
-		n.relay.owner.told(notice.GetRelay(), told.GetAssigned())
-		engine := byHash[told.GetEngine()]
+	for _, entry := range notice.GetEngines() {
+		n.relay.owner.releaseReservations(notice.GetRelay(), entry.GetAssigned())
+		engine := byHash[entry.GetEngine()]
 		if engine == nil {
 			continue
 		}
-		if told.GetFailed() {
-			engine.suspect(n.relay.clock.now())
+		if entry.GetFailed() {
+			engine.recordPeerFailure(n.relay.clock.now())
 		}
-		n.relay.pace.observe(engine.hash, time.Duration(told.GetTokenNs()))
+		n.relay.pace.observe(engine.hash, time.Duration(entry.GetTokenNs()))
 		now := n.relay.clock.now()
-		if read := partsFromWire(told.GetParts(), told.GetPartTokens()); len(read) > 0 {
-			engine.cache.begin(now, read)
+		if started := blocksFromWire(entry.GetParts(), entry.GetPartTokens()); len(started) > 0 {
+			engine.cache.beginPrefill(now, started)
 		}
-		if dropped := told.GetDroppedParts(); len(dropped) > 0 {
-			engine.cache.drop(hashesFromWire(dropped))
+		if dropped := entry.GetDroppedParts(); len(dropped) > 0 {
+			engine.cache.dropBlocks(hashesFromWire(dropped))
 		}
-		if kept := partsFromWire(told.GetKeptParts(), told.GetKeptTokens()); len(kept) > 0 {
-			engine.cache.keep(now, kept)
-			engine.unsuspect()
+		if cached := blocksFromWire(entry.GetKeptParts(), entry.GetKeptTokens()); len(cached) > 0 {
+			engine.cache.markCached(now, cached)
+			engine.clearPeerFailures()
 		}
 	}
 }
--- a/internal/relay/own_reading_test.go
+++ b/internal/relay/own_reading_test.go
@@ -18,7 +18,7 @@
 // listsRead lets a relay read a list of so many engines by itself, and counts the readings.
 func (r *testRelay) listsRead(engines int) *int {
 	readings := 0
-	r.knowledge.readListing = func(context.Context, *http.Client, int) (serving.Listing, error) {
+	r.fleet.readListing = func(context.Context, *http.Client, int) (serving.Listing, error) {
 		readings++
 		read := serving.Listing{Calls: 50}
 		for index := range engines {
@@ -38,7 +38,7 @@
 	relay := newTestRelay(t, route(nil), startBackEnd(t, "one", serving.StageWhole, refusing(503)))
 	readings := relay.listsRead(10)
 	relay.view.Store(&view{byService: map[string][]*backEnd{}})
-	relay.knowledge.HandleNoLeader(t.Context())
+	relay.fleet.HandleNoLeader(t.Context())
 	require.Zero(t, *readings)
 }
 
@@ -47,7 +47,7 @@
 	relay := newTestRelay(t, route(nil), startBackEnd(t, "one", serving.StageWhole, refusing(503)))
 	readings := relay.listsRead(10)
 	relay.relayCount.Store(0)
-	relay.knowledge.HandleNoLeader(t.Context())
+	relay.fleet.HandleNoLeader(t.Context())
 	require.Zero(t, *readings)
 }
 
@@ -57,13 +57,13 @@
 	for partial, expected := range map[bool]int{true: 2, false: 40} {
 		relay := newTestRelay(t, route(nil), startBackEnd(t, "one", serving.StageWhole, refusing(503)))
 		told := &v1.Listing{BackEnds: []*v1.ListedBackEnd{{Id: "i-0", Service: "service"}, {Id: "i-7", Service: "service"}, {Id: "gone", Service: "service"}}}
-		relay.knowledge.ApplyUpdate(&v1.WatchResponse{
+		relay.fleet.ApplyUpdate(&v1.WatchResponse{
 			ListingVersion: 7, PackedListing: packed.Pack(told), ListingPartial: partial,
 			Wanted: []*v1.WantedBackEnds{{Service: "service", Count: 3}},
 		})
-		require.Equal(t, uint32(3), relay.knowledge.WatchRequest(time.Second).GetWanted()[0].GetCount(), "a new leader is told")
+		require.Equal(t, uint32(3), relay.fleet.WatchRequest(time.Second).GetWanted()[0].GetCount(), "a new leader is told")
 		readings := relay.listsRead(40)
-		relay.knowledge.HandleNoLeader(t.Context())
+		relay.fleet.HandleNoLeader(t.Context())
 		require.Equal(t, 1, *readings)
 		require.Len(t, relay.view.Load().byService["service"], expected)
 	}
--- a/internal/relay/owner_faults_test.go
+++ b/internal/relay/owner_faults_test.go
@@ -60,7 +60,7 @@
 	relay := newTestRelay(t, route(stream(true)), near, far)
 	owner := newScriptedOwner(t)
 	relay.ownedBy(owner.address())
-	relay.engineOf("far").begin(placement.Work{Streams: 7})
+	relay.engineOf("far").addWork(placement.Work{Streams: 7})
 	require.Equal(t, eventOne, relay.client(t).do("POST", "/path/", "x", shortPrompt...).body)
 	require.Len(t, near.seen(), 1, "the relay decided by itself")
 
@@ -102,7 +102,7 @@
 	engine := startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne))
 	one, other := newPair(t, engine)
 	query := func() *engineQuery {
-		return &engineQuery{purpose: toGenerate, service: "service", request: placement.Request{Stage: serving.StageDecode}}
+		return &engineQuery{purpose: purposeDecode, service: "service", request: placement.Request{Stage: serving.StageDecode}}
 	}
 	for number := range uint64(3) {
 		one.owner.decide(query(), one.view.Load().byService["service"], &placement.QueryID{Relay: 7, Number: number})
@@ -111,12 +111,12 @@
 	hash := one.engineOf("engine").hash
 	require.Equal(t, 3, one.reservedAt("engine").Streams)
 	told := &v1.LoadNotice{Relay: 8, Sequence: 1, Engines: []*v1.EngineWork{{Engine: hash, Streams: 3, Assigned: []uint64{0, 1, 2}}}}
-	one.notices.take(told)
-	other.notices.take(told)
+	one.notices.handle(told)
+	other.notices.handle(told)
 	answer := one.owner.decide(query(), one.view.Load().byService["service"], nil)
-	require.Equal(t, 6, answer.chosen.ahead.Streams, "its own, and what it was told")
+	require.Equal(t, 6, answer.chosen.queuedWork.Streams, "its own, and what it was told")
 	answer = other.owner.decide(query(), other.view.Load().byService["service"], nil)
-	require.Equal(t, 3, answer.chosen.ahead.Streams, "what was told takes the place of what was assigned")
+	require.Equal(t, 3, answer.chosen.queuedWork.Streams, "what was told takes the place of what was assigned")
 }
 
 // Relays that come and go change who owns what; the list in force decides, and a relay that was
@@ -124,13 +124,13 @@
 func TestOwnersFollowTheListOfRelays(t *testing.T) {
 	relay := newTestRelay(t, route(stream(true)), startBackEnd(t, "engine", serving.StageDecode, refusing(503)))
 	engine, now := relay.engineOf("engine"), relay.clock.now()
-	require.Empty(t, relay.asker.owners(now, engine), "nobody else is to be told")
+	require.Empty(t, relay.placements.otherOwners(now, engine), "nobody else is to be told")
 	relay.setRelays([]string{"127.0.0.1:1", "127.0.0.1:2"}, nil)
 	require.Empty(t, relay.owners.ownedEngines())
-	require.ElementsMatch(t, []string{"127.0.0.1:1", "127.0.0.1:2"}, relay.asker.owners(now, engine))
+	require.ElementsMatch(t, []string{"127.0.0.1:1", "127.0.0.1:2"}, relay.placements.otherOwners(now, engine))
 	relay.setRelays([]string{"127.0.0.1:2", relay.datagrams.Address}, nil)
 	require.Len(t, relay.owners.ownedEngines(), 1)
-	require.Equal(t, []string{"127.0.0.1:2"}, relay.asker.owners(now, engine))
+	require.Equal(t, []string{"127.0.0.1:2"}, relay.placements.otherOwners(now, engine))
 }
 
 // An owner that has just started knows no cells yet. Its word that it places nothing is none: the relay asks
@@ -141,5 +141,5 @@
 	owner := newTestRelay(t, route(stream(false)))
 	relay.ownedBy(owner.datagrams.Address)
 	require.Equal(t, eventOne, relay.client(t).do("POST", "/path/", "x", shortPrompt...).body)
-	require.EqualValues(t, 1, testutil.ToFloat64(relay.metrics.asked.WithLabelValues(askedStale)))
+	require.EqualValues(t, 1, testutil.ToFloat64(relay.metrics.placementQueries.WithLabelValues(queryStale)))
 }
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// ownersOfCell is how many relays know a cell: its owner, and a stand-in that hears the same
+	// activeOwnersPerCell is how many relays know a cell: its owner, and a stand-in that hears the same
 	// notices and so can take its place at once.
-	ownersOfCell = 2
-	// rankedOwners is how many relays are ranked for a cell, so that some are left when the first
+	activeOwnersPerCell = 2
+	// rankedOwnersPerCell is how many relays are ranked for a cell, so that some are left when the first
 	// do not answer.
-	rankedOwners = 5
+	rankedOwnersPerCell = 5
 )
 
-// cells are the engines of one service in cells, with the relays that own each.
-type cells struct {
+// serviceCells are the engines of one service in serviceCells, with the relays that own each.
+type serviceCells struct {
 	division *cell.Division
 	// members are the engines of each cell, owners its relays by rank.
 	members [][]*backEnd
@@ -32,37 +32,37 @@
 }
 
 // rankOf is 0 for the relay that owns a cell, above 0 for those that stand in, and -1 for others.
-func (c *cells) rankOf(index int, relay string) int {
+func (c *serviceCells) rankOf(index int, relay string) int {
 	owners := c.owners[index]
-	return slices.Index(owners[:min(ownersOfCell, len(owners))], relay)
+	return slices.Index(owners[:min(activeOwnersPerCell, len(owners))], relay)
 }
 
 // ownership says which relays decide on which engines, as far as this relay knows. It is
 // replaced as a whole and never changed.
 type ownership struct {
-	services map[string]*cells
+	services map[string]*serviceCells
 }
 
-// of returns the cells of a service and the index of an engine's; nil for a back end that belongs
+// cellOf returns the cells cellOf a service and the index cellOf an engine's; nil for a back end that belongs
 // to none.
-func (o *ownership) of(engine *backEnd) (found *cells, index int) {
-	known := o.services[engine.Service]
-	if known == nil {
+func (o *ownership) cellOf(engine *backEnd) (cells *serviceCells, index int) {
+	service := o.services[engine.Service]
+	if service == nil {
 		return nil, 0
 	}
-	index, is := known.division.CellOf(engine.hash)
-	if !is {
+	index, found := service.division.CellOf(engine.hash)
+	if !found {
 		return nil, 0
 	}
-	return known, index
+	return service, index
 }
 
 // ownedCell is this relay's part in one cell.
 type ownedCell struct {
 	service string
 	zone    string
-	// standsIn tells that another relay owns it.
-	standsIn bool
+	// isDeputy tells that another relay owns it.
+	isDeputy bool
 	engines  int
 }
 
@@ -85,7 +85,7 @@
 
 func newOwnerTable(self string, event func(events.Event) *zerolog.Event) *ownerTable {
 	table := &ownerTable{self: self, event: event, ranked: map[uint64][]string{}}
-	table.current.Store(&ownership{services: map[string]*cells{}})
+	table.current.Store(&ownership{services: map[string]*serviceCells{}})
 	return table
 }
 
@@ -112,7 +112,7 @@
 
 // rebuild divides the engines and ranks the owners. The mutex is held.
 func (t *ownerTable) rebuild() {
-	next := &ownership{services: map[string]*cells{}}
+	next := &ownership{services: map[string]*serviceCells{}}
 	if t.view != nil {
 		for service, backEnds := range t.view.byService {
 			if len(backEnds) > 0 && backEnds[0].isEngine() {
@@ -121,62 +121,62 @@
 		}
 	}
 	t.current.Store(next)
-	t.noteOwned(next)
+	t.logOwnershipChanges(next)
 }
 
-// noteOwned writes a line for each cell that has become this relay's or is no longer. The mutex is
+// logOwnershipChanges writes a line for each cell that has become this relay's or is no longer. The mutex is
 // held.
-func (t *ownerTable) noteOwned(next *ownership) {
+func (t *ownerTable) logOwnershipChanges(next *ownership) {
 	owned := map[uint64]ownedCell{}
 	for name, service := range next.services {
 		for index, divided := range service.division.Cells() {
 			if rank := service.rankOf(index, t.self); rank >= 0 {
-				owned[divided.ID] = ownedCell{service: name, zone: divided.Zone, standsIn: rank > 0, engines: len(divided.Members)}
+				owned[divided.ID] = ownedCell{service: name, zone: divided.Zone, isDeputy: rank > 0, engines: len(divided.Members)}
 			}
 		}
 	}
 	for id, cell := range owned {
-		if former, had := t.owned[id]; !had || former.standsIn != cell.standsIn {
-			t.cellEvent(events.CellOwned, id, cell)
+		if former, existed := t.owned[id]; !existed || former.isDeputy != cell.isDeputy {
+			t.logCellEvent(events.CellOwned, id, cell)
 		}
 	}
 	for id, cell := range t.owned {
-		if _, has := owned[id]; !has {
-			t.cellEvent(events.CellLeft, id, cell)
+		if _, isStillOwned := owned[id]; !isStillOwned {
+			t.logCellEvent(events.CellLeft, id, cell)
 		}
 	}
 	t.owned = owned
 }
 
-// cellEvent writes a line on a cell.
-func (t *ownerTable) cellEvent(event events.Event, id uint64, cell ownedCell) {
+// logCellEvent writes a line on a cell.
+func (t *ownerTable) logCellEvent(event events.Event, id uint64, cell ownedCell) {
 	t.event(event).Str("cell", strconv.FormatUint(id, 16)).Str("service", cell.service).Str("zone", cell.zone).
-		Bool("stands_in", cell.standsIn).Int("engines", cell.engines).Send()
+		Bool("stands_in", cell.isDeputy).Int("engines", cell.engines).Send()
 }
 
 // divide divides the engines of a service. The mutex is held.
-func (t *ownerTable) divide(service string, backEnds []*backEnd) *cells {
+func (t *ownerTable) divide(service string, backEnds []*backEnd) *serviceCells {
 	members := make([]cell.Member, len(backEnds))
 	for index, backEnd := range backEnds {
 		members[index] = cell.Member{Hash: backEnd.hash, Zone: backEnd.Zone, Closed: backEnd.Leaving}
 	}
-	made := &cells{division: cell.Divide(service, members)}
-	for _, divided := range made.division.Cells() {
+	result := &serviceCells{division: cell.Divide(service, members)}
+	for _, divided := range result.division.Cells() {
 		engines := make([]*backEnd, len(divided.Members))
 		for index, member := range divided.Members {
 			engines[index] = backEnds[member]
 		}
-		made.members = append(made.members, engines)
-		made.owners = append(made.owners, t.rank(divided.ID))
+		result.members = append(result.members, engines)
+		result.owners = append(result.owners, t.ownersByRank(divided.ID))
 	}
-	return made
+	return result
 }
 
-// rank returns the owners of a cell by rank. The mutex is held.
-func (t *ownerTable) rank(id uint64) []string {
+// ownersByRank returns the owners of a cell by ownersByRank. The mutex is held.
+func (t *ownerTable) ownersByRank(id uint64) []string {
 	ranked, known := t.ranked[id]
 	if !known {
-		ranked = cell.Owners(id, t.relays, rankedOwners)
+		ranked = cell.Owners(id, t.relays, rankedOwnersPerCell)
 		t.ranked[id] = ranked
 	}
 	return ranked
@@ -195,17 +195,17 @@
 	return owned
 }
 
-// homes returns the indexes of the cells in which a prompt had better run, the best first. Only
+// homeCells returns the indexes of the cells in which a prompt had better run, the best first. Only
 // a shared part that is worth fetching ties a prompt to cells of other zones.
-func (c *cells) homes(prompt []placement.PrefixBlock, request, zone string, least, count int) []int {
-	if shared := sharedTokens(prompt); shared >= least {
+func (c *serviceCells) homeCells(prompt []placement.PrefixBlock, request, zone string, least, count int) []int {
+	if shared := sharedPrefixTokens(prompt); shared >= least {
 		return c.division.Homes(uint64(prompt[len(prompt)-2].Hash), "", count)
 	}
-	return c.division.Homes(hashOfRequest(request), zone, count)
+	return c.division.Homes(requestHash(request), zone, count)
 }
 
-// sharedTokens is the length of a prompt without its last part, which is its own.
-func sharedTokens(prompt []placement.PrefixBlock) int {
+// sharedPrefixTokens is the length of a prompt without its last part, which is its own.
+func sharedPrefixTokens(prompt []placement.PrefixBlock) int {
 	shared := 0
 	for _, part := range prompt[:max(len(prompt)-1, 0)] {
 		shared += part.Tokens
@@ -213,8 +213,8 @@
 	return shared
 }
 
-// hashOfRequest spreads requests that no part ties to a cell.
-func hashOfRequest(id string) uint64 {
+// requestHash spreads requests that no part ties to a cell.
+func requestHash(id string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(id)) // never fails
 	return hash.Sum64()
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -11,31 +11,31 @@
 	"github.com/hazelpitch/hazelpitch/internal/relay/peerhealth"
 )
 
-// meetOthers sets up what goes by datagrams between relays.
-func (r *Relay) meetOthers(socket net.PacketConn) {
+// initPeers sets up what goes by datagrams between relays.
+func (r *Relay) initPeers(socket net.PacketConn) {
 	r.datagrams = datagram.New(socket, r.metrics.datagramsDropped)
-	r.notices = newNotices(r, r.datagrams, r.knowledge.incarnation)
+	r.notices = newLoadNotices(r, r.datagrams, r.fleet.incarnation)
 	r.exchanger.notices = r.notices
 	r.peers = peerhealth.New(func(relay string, waited time.Duration) {
 		r.event(events.OwnerDoubted).Str("owner", relay).Int64("waited_ms", waited.Milliseconds()).Send()
 	})
-	r.asker = newAsker(r, r.datagrams, r.knowledge.incarnation, r.peers)
+	r.placements = newPlacementClient(r, r.datagrams, r.fleet.incarnation, r.peers)
 	r.permits = newPermits(r)
 	r.owner = newPlacementOwner(r)
 	r.owners = newOwnerTable(r.datagrams.Address, r.event)
 }
 
-// takeDatagram hands a datagram to those whom it concerns.
-func (r *Relay) takeDatagram(told *v1.RelayDatagram, from string) {
-	switch content := told.GetContent().(type) {
+// handleDatagram hands a datagram to those whom it concerns.
+func (r *Relay) handleDatagram(received *v1.RelayDatagram, from string) {
+	switch content := received.GetContent().(type) {
 	case *v1.RelayDatagram_Notice:
-		r.notices.take(content.Notice)
+		r.notices.handle(content.Notice)
 	case *v1.RelayDatagram_Request:
-		r.owner.answer(content.Request, func(answer *v1.PlacementAnswer) {
+		r.owner.handleQuery(content.Request, func(answer *v1.PlacementAnswer) {
 			r.datagrams.Send(from, &v1.RelayDatagram{Content: &v1.RelayDatagram_Answer{Answer: answer}})
 		})
 	case *v1.RelayDatagram_Answer:
-		r.asker.take(content.Answer)
+		r.placements.deliver(content.Answer)
 	case *v1.RelayDatagram_Cancel:
 		r.owner.cancel(content.Cancel)
 	case *v1.RelayDatagram_LimitAsk:
@@ -50,9 +50,9 @@
 }
 
 // setRelays takes the addresses of all relays.
-func (r *Relay) setRelays(addresses, former []string) {
-	keepers := slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return slices.Contains(former, address) })
-	r.permits.SetRelays(keepers)
+func (r *Relay) setRelays(addresses, formerRelays []string) {
+	limitOwners := slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return slices.Contains(formerRelays, address) })
+	r.permits.SetRelays(limitOwners)
 	if !r.owners.setRelays(addresses) {
 		return
 	}
--- a/internal/relay/placement_owner.go
+++ b/internal/relay/placement_owner.go
@@ -10,8 +10,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// maximumWaiting bounds the questions of other relays that wait for readings at one owner.
-const maximumWaiting = 2048
+// maxWaitingQueries bounds the questions of other relays that wait for readings at one owner.
+const maxWaitingQueries = 2048
 
 // placementOwner decides where requests run on the engines of cells, for this relay and for others
 // that ask. It counts what it has assigned, so that each decision sees those before it.
@@ -36,18 +36,18 @@
 	defer o.mutex.Unlock()
 	now := o.relay.clock.now()
 	query.request.Now, query.request.UncachedShare = now, o.relay.pace.usualShare()
-	o.expire(now)
-	seen := o.relay.surveyOf(engines, query.request.Prompt, query.excludes, now)
-	for index := range seen.engines {
-		seen.engines[index].Work = seen.engines[index].Work.Plus(o.reserved.ReservedWork(seen.engines[index].Hash))
+	o.expireReservations(now)
+	candidates := o.relay.candidatesOf(engines, query.request.Prompt, query.excludes, now)
+	for index := range candidates.engines {
+		candidates.engines[index].Work = candidates.engines[index].Work.Plus(o.reserved.ReservedWork(candidates.engines[index].Hash))
 	}
-	answer := engineAnswer{holder: seen.holder()}
+	answer := engineAnswer{holder: candidates.bestHolder()}
 	if query.holder != nil {
-		seen = seen.with(query.holder)
+		candidates = candidates.withHolder(query.holder)
 	}
-	answer.decision = query.decideFrom(o.relay.policy, seen, o.relay.draw)
-	answer.chosen = seen.place(answer.decision.Engine)
-	if answer.decision.Action == placement.PrefillSeparately && query.purpose == toBegin {
+	answer.decision = query.decideAmong(o.relay.policy, candidates, o.relay.draw)
+	answer.chosen = candidates.selectionOf(answer.decision.Engine)
+	if answer.decision.Action == placement.PrefillSeparately && query.purpose == purposeBegin {
 		o.relay.pace.observeShare(query.request.Tokens, answer.decision.Engine.PrefillTokens)
 	}
 	if asker != nil && o.relay.without.IsEnabled(mechanism.Reservations) {
@@ -62,30 +62,30 @@
 		return
 	}
 	reserved := placement.Reservation{Engine: answer.chosen.backEnd.hash, Work: query.workOf(o.relay.policy, answer.decision)}
-	for _, part := range answer.chosen.backEnd.cache.begin(now, query.request.Prompt) {
+	for _, part := range answer.chosen.backEnd.cache.beginPrefill(now, query.request.Prompt) {
 		reserved.PendingBlocks = append(reserved.PendingBlocks, part.Hash)
 	}
-	if former, had := o.reserved.Add(now, asker, reserved); had {
-		o.giveUp(former)
+	if former, found := o.reserved.Add(now, asker, reserved); found {
+		o.dropReservedBlocks(former)
 	}
 }
 
-// expire ends reservations of which nothing was told in time. The mutex is held.
-func (o *placementOwner) expire(now time.Duration) {
+// expireReservations ends reservations of which nothing was told in time. The mutex is held.
+func (o *placementOwner) expireReservations(now time.Duration) {
 	for _, reserved := range o.reserved.Expire(now) {
-		o.giveUp(reserved)
+		o.dropReservedBlocks(reserved)
 	}
 }
 
-// giveUp forgets what a reservation's engine would have read. The mutex is held.
-func (o *placementOwner) giveUp(reserved placement.Reservation) {
+// dropReservedBlocks forgets what a reservation's engine would have read. The mutex is held.
+func (o *placementOwner) dropReservedBlocks(reserved placement.Reservation) {
 	if engine := o.relay.view.Load().byHash[reserved.Engine]; engine != nil && len(reserved.PendingBlocks) > 0 {
-		engine.cache.drop(reserved.PendingBlocks)
+		engine.cache.dropBlocks(reserved.PendingBlocks)
 	}
 }
 
-// told ends the reservations of questions whose work a relay tells of from now on.
-func (o *placementOwner) told(relay uint64, numbers []uint64) {
+// releaseReservations ends the reservations of questions whose work a relay tells of from now on.
+func (o *placementOwner) releaseReservations(relay uint64, numbers []uint64) {
 	if len(numbers) == 0 {
 		return
 	}
@@ -97,62 +97,62 @@
 }
 
 // cancel ends a question: its wait, or the reservation that it got.
-func (o *placementOwner) cancel(asked *v1.PlacementCancel) {
-	asker := placement.QueryID{Relay: asked.GetRelay(), Number: asked.GetNumber()}
+func (o *placementOwner) cancel(request *v1.PlacementCancel) {
+	asker := placement.QueryID{Relay: request.GetRelay(), Number: request.GetNumber()}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if stop, waits := o.waiting[asker]; waits {
 		close(stop)
 		delete(o.waiting, asker)
 	}
-	if reserved, had := o.reserved.Release(asker); had {
-		o.giveUp(reserved)
+	if reserved, found := o.reserved.Release(asker); found {
+		o.dropReservedBlocks(reserved)
 	}
 }
 
-// answer answers another relay's question. One that had better wait for a reading is told so, and
+// handleQuery answers another relay's question. One that had better wait for a reading is told so, and
 // answered again after it.
-func (o *placementOwner) answer(asked *v1.PlacementRequest, reply func(*v1.PlacementAnswer)) {
-	current := o.relay.owners.current.Load().services[asked.GetService()]
+func (o *placementOwner) handleQuery(request *v1.PlacementRequest, reply func(*v1.PlacementAnswer)) {
+	current := o.relay.owners.current.Load().services[request.GetService()]
 	if current == nil {
-		replyUnknown(asked, reply)
+		replyUnknownCell(request, reply)
 		return
 	}
-	index, known := current.division.IndexByID(asked.GetCell())
+	index, known := current.division.IndexByID(request.GetCell())
 	if !known {
-		replyUnknown(asked, reply)
+		replyUnknownCell(request, reply)
 		return
 	}
 	engines := current.members[index]
-	query := queryFromWire(asked, o.relay.view.Load())
-	asker := placement.QueryID{Relay: asked.GetRelay(), Number: asked.GetNumber()}
+	query := queryFromWire(request, o.relay.view.Load())
+	asker := placement.QueryID{Relay: request.GetRelay(), Number: request.GetNumber()}
 	decided := o.decide(query, engines, &asker)
 	if decided.decision.Action != placement.AwaitSharedPrefill {
-		reply(answerToWire(asked, decided))
+		reply(answerToWire(request, decided))
 		return
 	}
-	stop := o.beginWait(asker)
+	stop := o.registerWait(asker)
 	if stop == nil {
 		query.request.PrefillWaits = o.relay.policy.MaxPrefillWaits
-		reply(answerToWire(asked, o.decide(query, engines, &asker)))
+		reply(answerToWire(request, o.decide(query, engines, &asker)))
 		return
 	}
-	go o.answerAfterWait(asked, query, engines, decided, stop, reply)
+	go o.answerAfterWait(request, query, engines, decided, stop, reply)
 }
 
-// replyUnknown answers a question about a cell that is not known here. A relay of the first format would take the answer
+// replyUnknownCell answers a question about a cell that is not known here. A relay of the first format would take the answer
 // for the word that nothing can be placed, and refuse the request: it gets none, and asks another one.
-func replyUnknown(asked *v1.PlacementRequest, reply func(*v1.PlacementAnswer)) {
-	if formats.FromWire(asked.GetFormats()) != (formats.Range{}) {
-		reply(unplacedAnswer(asked))
+func replyUnknownCell(request *v1.PlacementRequest, reply func(*v1.PlacementAnswer)) {
+	if formats.FromWire(request.GetFormats()) != (formats.Range{}) {
+		reply(unknownCellAnswer(request))
 	}
 }
 
-// beginWait notes a question that waits; nil when too many do, or when it does already.
-func (o *placementOwner) beginWait(asker placement.QueryID) (stop chan struct{}) {
+// registerWait notes a question that waits; nil when too many do, or when it does already.
+func (o *placementOwner) registerWait(asker placement.QueryID) (stop chan struct{}) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if _, waits := o.waiting[asker]; waits || len(o.waiting) >= maximumWaiting {
+	if _, waits := o.waiting[asker]; waits || len(o.waiting) >= maxWaitingQueries {
 		return nil
 	}
 	stop = make(chan struct{})
@@ -161,15 +161,15 @@
 }
 
 // answerAfterWait waits for readings of other requests, and answers then.
-func (o *placementOwner) answerAfterWait(asked *v1.PlacementRequest, query *engineQuery, engines []*backEnd, decided engineAnswer, stop chan struct{}, reply func(*v1.PlacementAnswer)) {
-	asker := placement.QueryID{Relay: asked.GetRelay(), Number: asked.GetNumber()}
+func (o *placementOwner) answerAfterWait(request *v1.PlacementRequest, query *engineQuery, engines []*backEnd, decided engineAnswer, stop chan struct{}, reply func(*v1.PlacementAnswer)) {
+	asker := placement.QueryID{Relay: request.GetRelay(), Number: request.GetNumber()}
 	for decided.decision.Action == placement.AwaitSharedPrefill {
-		limit := min(o.relay.waitLimit(decided.chosen), query.request.TimeLeft)
-		waiting := answerToWire(asked, decided)
+		limit := min(o.relay.prefillWaitLimit(decided.chosen), query.request.TimeLeft)
+		waiting := answerToWire(request, decided)
 		waiting.WaitingUs = microseconds(limit)
 		reply(waiting)
-		waited := o.relay.awaitKept(&keptWait{
-			chosen: decided.chosen, parts: query.request.Prompt, rank: query.request.Rank, limit: limit, stop: stop,
+		waited := o.relay.awaitCached(&prefillWait{
+			chosen: decided.chosen, prefixBlocks: query.request.Prompt, rank: query.request.Rank, limit: limit, stop: stop,
 		})
 		query.request.PrefillWaits++
 		if !waited {
@@ -185,11 +185,11 @@
 	o.mutex.Lock()
 	if _, waits := o.waiting[asker]; !waits { // it was cancelled meanwhile
 		reserved, _ := o.reserved.Release(asker)
-		o.giveUp(reserved)
+		o.dropReservedBlocks(reserved)
 		o.mutex.Unlock()
 		return
 	}
 	delete(o.waiting, asker)
 	o.mutex.Unlock()
-	reply(answerToWire(asked, decided))
+	reply(answerToWire(request, decided))
 }
--- a/internal/relay/placement_wire.go
+++ b/internal/relay/placement_wire.go
@@ -10,26 +10,26 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// maximumParts bounds the parts of a prompt that are told in a question; further ones are its own
+// maxQueryBlocks bounds the parts of a prompt that are told in a question; further ones are its own
 // most likely, and are read wherever it goes.
-const maximumParts = 32
+const maxQueryBlocks = 32
 
 // wirePurposes are the purposes as datagrams name them.
 var wirePurposes = map[purpose]v1.PlacementPurpose{
-	toBegin:    v1.PlacementPurpose_PLACEMENT_PURPOSE_BEGIN,
-	toRead:     v1.PlacementPurpose_PLACEMENT_PURPOSE_READ,
-	toGenerate: v1.PlacementPurpose_PLACEMENT_PURPOSE_GENERATE,
-	toTakeOver: v1.PlacementPurpose_PLACEMENT_PURPOSE_TAKE_OVER,
+	purposeBegin:    v1.PlacementPurpose_PLACEMENT_PURPOSE_BEGIN,
+	purposePrefill:  v1.PlacementPurpose_PLACEMENT_PURPOSE_READ,
+	purposeDecode:   v1.PlacementPurpose_PLACEMENT_PURPOSE_GENERATE,
+	purposeTakeOver: v1.PlacementPurpose_PLACEMENT_PURPOSE_TAKE_OVER,
 }
 
 // purposeFromWire is the reverse of wirePurposes; unknown ones ask for an engine that generates.
-func purposeFromWire(told v1.PlacementPurpose) purpose {
+func purposeFromWire(wirePurpose v1.PlacementPurpose) purpose {
 	for known, name := range wirePurposes {
-		if name == told {
+		if name == wirePurpose {
 			return known
 		}
 	}
-	return toGenerate
+	return purposeDecode
 }
 
 // wireActions are the actions as datagrams name them.
@@ -42,9 +42,9 @@
 }
 
 // actionFromWire is the reverse of wireActions; unknown ones leave a request unplaced.
-func actionFromWire(told v1.PlacementAction) placement.Action {
+func actionFromWire(wireAction v1.PlacementAction) placement.Action {
 	for known, name := range wireActions {
-		if name == told {
+		if name == wireAction {
 			return known
 		}
 	}
@@ -54,60 +54,60 @@
 // queryToWire is a question to the owner of a cell.
 func queryToWire(query *engineQuery, relay, number, cell uint64) *v1.PlacementRequest {
 	wanted := query.request
-	asked := &v1.PlacementRequest{
+	result := &v1.PlacementRequest{
 		Relay: relay, Number: number, Purpose: wirePurposes[query.purpose], Service: query.service, Cell: cell, Zone: wanted.Zone,
 		Rank: uint32(max(wanted.Rank.First, 0)), RankSteps: uint32(max(wanted.Rank.Steps, 0)), TargetUs: microseconds(wanted.Target), GapUs: microseconds(wanted.Gap), Stride: uint32(max(wanted.Stride, 0)),
 		Tokens: uint32(max(wanted.Tokens, 0)), TokenMoveNs: uint64(max(wanted.TokenTransferTime, 0)), ResidenceUs: microseconds(wanted.SlotHoldTime),
 		TimeLeftUs: microseconds(wanted.TimeLeft), MayHaveRun: wanted.MayHaveRun, Excluded: query.excluded,
 	}
-	asked.Formats = formats.Supported().ToWire()
-	asked.Parts, asked.PartTokens = wireParts(wanted.Prompt[:min(len(wanted.Prompt), maximumParts)])
+	result.Formats = formats.Supported().ToWire()
+	result.Parts, result.PartTokens = blocksToWire(wanted.Prompt[:min(len(wanted.Prompt), maxQueryBlocks)])
 	if query.holder != nil {
-		asked.Holder, asked.HolderTokens = query.holder.engine.hash, uint32(max(query.holder.tokens, 0))
+		result.Holder, result.HolderTokens = query.holder.engine.hash, uint32(max(query.holder.tokens, 0))
 	}
-	return asked
+	return result
 }
 
 // queryFromWire is the reverse of queryToWire. What it tells is taken as it is: an answer binds
 // nobody.
-func queryFromWire(asked *v1.PlacementRequest, view *view) *engineQuery {
+func queryFromWire(request *v1.PlacementRequest, view *view) *engineQuery {
 	query := &engineQuery{
-		purpose: purposeFromWire(asked.GetPurpose()), service: asked.GetService(), excluded: asked.GetExcluded(),
-		withoutPermits: !formats.FromWire(asked.GetFormats()).Supports(formats.RelayPermits),
+		purpose: purposeFromWire(request.GetPurpose()), service: request.GetService(), excluded: request.GetExcluded(),
+		withoutPermits: !formats.FromWire(request.GetFormats()).Supports(formats.RelayPermits),
 		request: placement.Request{
-			Stage: serving.StageDecode, Zone: asked.GetZone(), Rank: rankFromWire(asked),
-			Target: fromMicroseconds(asked.GetTargetUs()), Gap: fromMicroseconds(asked.GetGapUs()), Stride: tokensOf(asked.GetStride()),
-			Prompt: partsFromWire(asked.GetParts(), asked.GetPartTokens()), Tokens: tokensOf(asked.GetTokens()),
-			TokenTransferTime: time.Duration(min(asked.GetTokenMoveNs(), uint64(time.Second))), SlotHoldTime: fromMicroseconds(asked.GetResidenceUs()),
-			TimeLeft: fromMicroseconds(asked.GetTimeLeftUs()), MayHaveRun: asked.GetMayHaveRun(),
+			Stage: serving.StageDecode, Zone: request.GetZone(), Rank: rankFromWire(request),
+			Target: fromMicroseconds(request.GetTargetUs()), Gap: fromMicroseconds(request.GetGapUs()), Stride: countFromWire(request.GetStride()),
+			Prompt: blocksFromWire(request.GetParts(), request.GetPartTokens()), Tokens: countFromWire(request.GetTokens()),
+			TokenTransferTime: time.Duration(min(request.GetTokenMoveNs(), uint64(time.Second))), SlotHoldTime: fromMicroseconds(request.GetResidenceUs()),
+			TimeLeft: fromMicroseconds(request.GetTimeLeftUs()), MayHaveRun: request.GetMayHaveRun(),
 		},
 	}
-	if holder := view.byHash[asked.GetHolder()]; holder != nil {
-		query.holder = &promptHolder{engine: holder, tokens: tokensOf(asked.GetHolderTokens())}
+	if holder := view.byHash[request.GetHolder()]; holder != nil {
+		query.holder = &prefixHolder{engine: holder, tokens: countFromWire(request.GetHolderTokens())}
 	}
 	return query
 }
 
 // rankFromWire reads the rank of a request.
-func rankFromWire(asked *v1.PlacementRequest) placement.Rank {
+func rankFromWire(request *v1.PlacementRequest) placement.Rank {
 	return placement.Rank{
-		First: int(min(asked.GetRank(), placement.RankCount-1)),
-		Steps: int(min(max(asked.GetRankSteps(), 1), placement.MaxRankSteps)),
+		First: int(min(request.GetRank(), placement.RankCount-1)),
+		Steps: int(min(max(request.GetRankSteps(), 1), placement.MaxRankSteps)),
 	}
 }
 
-// unplacedAnswer tells that the owner knows no engine for a question.
-func unplacedAnswer(asked *v1.PlacementRequest) *v1.PlacementAnswer {
+// unknownCellAnswer tells that the owner knows no engine for a question.
+func unknownCellAnswer(request *v1.PlacementRequest) *v1.PlacementAnswer {
 	return &v1.PlacementAnswer{
-		Relay: asked.GetRelay(), Number: asked.GetNumber(),
+		Relay: request.GetRelay(), Number: request.GetNumber(),
 		Action: v1.PlacementAction_PLACEMENT_ACTION_UNPLACED, Reason: uint32(placement.ReasonNoEngine), UnknownCell: true,
 	}
 }
 
 // answerToWire is an owner's answer to a question.
-func answerToWire(asked *v1.PlacementRequest, decided engineAnswer) *v1.PlacementAnswer {
+func answerToWire(request *v1.PlacementRequest, decided engineAnswer) *v1.PlacementAnswer {
 	answer := &v1.PlacementAnswer{
-		Relay: asked.GetRelay(), Number: asked.GetNumber(), Action: wireActions[decided.decision.Action],
+		Relay: request.GetRelay(), Number: request.GetNumber(), Action: wireActions[decided.decision.Action],
 		Reason: uint32(decided.decision.Reason), RetryAfterUs: microseconds(decided.decision.RetryAfter),
 		DecodeShort: decided.decision.OverloadedStage == serving.StageDecode,
 	}
@@ -121,8 +121,8 @@
 	answer.Engine, answer.ToRead, answer.Effort = chosen.backEnd.hash, uint32(max(chosen.PrefillTokens, 0)), uint32(max(chosen.EffectiveTokens, 0))
 	answer.Unusable, answer.WaitingUs = uint32(max(chosen.PendingTokens, 0)), microseconds(chosen.QueueDelay)
 	answer.CostUs = microseconds(time.Duration(chosen.Cost * float64(time.Second)))
-	answer.Prompts, answer.Streams = uint32(max(chosen.ahead.Prefills, 0)), uint32(max(chosen.ahead.Streams, 0))
-	answer.PromptTokens, answer.TokenNs = wireTokens(chosen.ahead), uint64(max(chosen.perToken, 0))
+	answer.Prompts, answer.Streams = uint32(max(chosen.queuedWork.Prefills, 0)), uint32(max(chosen.queuedWork.Streams, 0))
+	answer.PromptTokens, answer.TokenNs = tokensToWire(chosen.queuedWork), uint64(max(chosen.timePerToken, 0))
 	if chosen.fetchFrom != nil {
 		answer.FetchFrom = chosen.fetchFrom.hash
 	}
@@ -131,49 +131,49 @@
 
 // answerFromWire is the reverse of answerToWire. It reports false for an answer whose engines are
 // not listed here, or take no work by what is known here.
-func answerFromWire(told *v1.PlacementAnswer, view *view, excludes func(*backEnd) bool, now time.Duration) (engineAnswer, bool) {
-	if told.GetUnknownCell() {
+func answerFromWire(wireAnswer *v1.PlacementAnswer, view *view, excludes func(*backEnd) bool, now time.Duration) (engineAnswer, bool) {
+	if wireAnswer.GetUnknownCell() {
 		return engineAnswer{}, false
 	}
 	answer := engineAnswer{decision: placement.Decision{
-		Action: actionFromWire(told.GetAction()), Reason: placement.Reason(told.GetReason()),
-		RetryAfter: fromMicroseconds(told.GetRetryAfterUs()), OverloadedStage: serving.StagePrefill,
+		Action: actionFromWire(wireAnswer.GetAction()), Reason: placement.Reason(wireAnswer.GetReason()),
+		RetryAfter: fromMicroseconds(wireAnswer.GetRetryAfterUs()), OverloadedStage: serving.StagePrefill,
 	}}
-	if told.GetDecodeShort() {
+	if wireAnswer.GetDecodeShort() {
 		answer.decision.OverloadedStage = serving.StageDecode
 	}
-	if holder := view.byHash[told.GetHolder()]; holder != nil {
-		answer.holder = &promptHolder{engine: holder, tokens: tokensOf(told.GetHolderTokens())}
+	if holder := view.byHash[wireAnswer.GetHolder()]; holder != nil {
+		answer.holder = &prefixHolder{engine: holder, tokens: countFromWire(wireAnswer.GetHolderTokens())}
 	}
 	if answer.decision.Action == placement.Unplaced {
 		return answer, true
 	}
-	engine := view.byHash[told.GetEngine()]
-	if engine == nil || engine.closed(now) || excludes(engine) {
+	engine := view.byHash[wireAnswer.GetEngine()]
+	if engine == nil || engine.isUnavailable(now) || excludes(engine) {
 		return engineAnswer{}, false
 	}
-	answer.chosen = &place{
-		backEnd: engine, fetchFrom: view.byHash[told.GetFetchFrom()], perToken: time.Duration(min(told.GetTokenNs(), uint64(time.Second))),
+	answer.chosen = &selection{
+		backEnd: engine, fetchFrom: view.byHash[wireAnswer.GetFetchFrom()], timePerToken: time.Duration(min(wireAnswer.GetTokenNs(), uint64(time.Second))),
 		Candidate: placement.Candidate{
-			Index: placement.None, FetchFrom: placement.None, PrefillTokens: tokensOf(told.GetToRead()), EffectiveTokens: tokensOf(told.GetEffort()),
-			PendingTokens: tokensOf(told.GetUnusable()), QueueDelay: fromMicroseconds(told.GetWaitingUs()),
-			Cost: fromMicroseconds(told.GetCostUs()).Seconds(),
+			Index: placement.None, FetchFrom: placement.None, PrefillTokens: countFromWire(wireAnswer.GetToRead()), EffectiveTokens: countFromWire(wireAnswer.GetEffort()),
+			PendingTokens: countFromWire(wireAnswer.GetUnusable()), QueueDelay: fromMicroseconds(wireAnswer.GetWaitingUs()),
+			Cost: fromMicroseconds(wireAnswer.GetCostUs()).Seconds(),
 		},
-		ahead: placement.Work{Prefills: tokensOf(told.GetPrompts()), Streams: tokensOf(told.GetStreams()), Tokens: tokensFromWire(told.GetPromptTokens())},
+		queuedWork: placement.Work{Prefills: countFromWire(wireAnswer.GetPrompts()), Streams: countFromWire(wireAnswer.GetStreams()), Tokens: tokensFromWire(wireAnswer.GetPromptTokens())},
 	}
 	answer.decision.Engine = &answer.chosen.Candidate
 	return answer, true
 }
 
-// mostTokens bounds the counts that datagrams tell: sums of them stay far from an overflow.
-const mostTokens = 1 << 30
+// maxWireCount bounds the counts that datagrams tell: sums of them stay far from an overflow.
+const maxWireCount = 1 << 30
 
-func tokensOf(told uint32) int { return int(min(told, mostTokens)) }
+func countFromWire(count uint32) int { return int(min(count, maxWireCount)) }
 
 // microseconds is a duration in a datagram, in which none is negative.
 func microseconds(duration time.Duration) uint64 { return uint64(max(duration.Microseconds(), 0)) }
 
 // fromMicroseconds is the reverse of microseconds, within an hour.
-func fromMicroseconds(told uint64) time.Duration {
-	return time.Duration(min(told, uint64(time.Hour.Microseconds()), math.MaxInt64)) * time.Microsecond
+func fromMicroseconds(wireDuration uint64) time.Duration {
+	return time.Duration(min(wireDuration, uint64(time.Hour.Microseconds()), math.MaxInt64)) * time.Microsecond
 }
--- a/internal/relay/plain_test.go
+++ b/internal/relay/plain_test.go
@@ -87,7 +87,7 @@
 				first := startBackEnd(t, "first", serving.StageWhole, fault.first)
 				second := startBackEnd(t, "second", serving.StageWhole, answering(200, "whole"))
 				relay := newTestRelay(t, route(func(r *serving.Route) { r.Kind = kind }), first, second)
-				relay.view.Load().byService["service"][1].begin(placement.Work{Streams: 5}) // the first is picked first
+				relay.view.Load().byService["service"][1].addWork(placement.Work{Streams: 5}) // the first is picked first
 				answer := relay.client(t).do("POST", "/path/", "x")
 				require.Equal(t, want, answer.status)
 				require.True(t, answer.whole)
@@ -186,14 +186,14 @@
 	client.send("GET", "/path/", "")
 	require.Eventually(t, func() bool { return len(silent.seen()) == 1 }, time.Minute, time.Millisecond)
 	require.NoError(t, client.connection.Close())
-	require.Eventually(t, func() bool { return relay.connections.serving() == 0 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return relay.connections.servingCount() == 0 }, time.Minute, time.Millisecond)
 	require.Len(t, silent.seen(), 1, "it is not sent again")
 }
 
 func TestOwnRefusals(t *testing.T) {
 	relay := newTestRelay(t, route(nil), startBackEnd(t, "one", serving.StageWhole, answering(200, "ok")))
 	require.Equal(t, 404, relay.client(t).do("GET", "/elsewhere/", "").status)
-	relay.contactAt.Store(int64(relay.clock.now() - 2*relay.contactLimit()))
+	relay.lastContactAt.Store(int64(relay.clock.now() - 2*relay.maxContactAge()))
 	require.Equal(t, 503, relay.client(t).do("GET", "/elsewhere/", "").status, "an old configuration proves no absence")
 	require.Equal(t, 200, relay.client(t).do("GET", "/path/", "").status)
 	relay.view.Store(&view{byService: map[string][]*backEnd{}})
@@ -243,7 +243,7 @@
 func TestLargeHeadsWithinTheLimit(t *testing.T) {
 	backEnd := startBackEnd(t, "one", serving.StageWhole, answering(200, "ok"))
 	client := newTestRelay(t, route(nil), backEnd).client(t)
-	large := "Large: " + strings.Repeat("x", clientBuffer-200)
+	large := "Large: " + strings.Repeat("x", clientBufferBytes-200)
 	// The stand-in's own reader is smaller: that the relay passes it on is what counts.
 	client.send("GET", "/path/"+strings.Repeat("p", 1000), "", large)
 	require.NotEqual(t, 431, client.read().status)
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -12,12 +12,12 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// endWait is how long a request waits, before it is sent to another back end, until the controllers have
+// crashReportWait is how long a request waits, before it is sent to another back end, until the controllers have
 // agreed on the end of the one that broke it off.
-const endWait = 300 * time.Millisecond
+const crashReportWait = 300 * time.Millisecond
 
-// reasonHeld is why a request is refused under which back ends have ended.
-const reasonHeld = "back ends have ended while they ran this request"
+// reasonQuarantined is why a request is refused under which back ends have ended.
+const reasonQuarantined = "back ends have ended while they ran this request"
 
 // newGuard makes the guard of a relay.
 func newGuard(relay *Relay) *crashguard.Guard {
@@ -27,45 +27,45 @@
 	})
 }
 
-// admitHeld refuses a request that must not run. It reports whether the request goes on.
-func (r *Relay) admitHeld(request *request, reply *replier) bool {
+// admitQuarantined refuses a request that must not run. It reports whether the request goes on.
+func (r *Relay) admitQuarantined(request *request, reply *replier) bool {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	switch r.guard.Admit(ctx, request.signature) {
 	case crashguard.Quarantined:
-		r.finishRefused(&attempts{relay: r, request: request, held: true}, reply)
+		r.replyRefused(&attemptTracker{relay: r, request: request, isQuarantined: true}, reply)
 		return false
 	case crashguard.Trial:
-		request.trial = true
-		r.log.trial(request)
+		request.isTrial = true
+		r.log.recordTrial(request)
 	}
 	return true
 }
 
-// noteBroken lets the guard find out whether a back end has ended that broke a request off. Where the
+// reportBroken lets the guard find out whether a back end has ended that broke a request off. Where the
 // request may go on, that is awaited.
-func (a *attempts) noteBroken(backEnd *backEnd, fault *failure) {
+func (a *attemptTracker) reportBroken(backEnd *backEnd, fault *failure) {
 	relay, request := a.relay, a.request
-	if !fault.arrived || backEnd.leaving() {
+	if !fault.mayHaveArrived || backEnd.isLeaving() {
 		return
 	}
-	if errors.Is(fault, errStalled) || errors.Is(fault, errSilent) {
+	if errors.Is(fault, errStalled) || errors.Is(fault, errPeerTimeout) {
 		relay.guard.RecordSilentRun(request.signature, backEnd.ID)
 		return
 	}
-	if !errors.Is(fault, errBroken) {
+	if !errors.Is(fault, errConnectionBroken) {
 		return
 	}
 	replica := crashguard.Replica{ID: backEnd.ID, Name: backEnd.ExpectedID(), Address: backEnd.Address}
-	if !request.route.Repeatable() || a.sent >= request.route.MaxAttempts {
+	if !request.route.Repeatable() || a.sentCount >= request.route.MaxAttempts {
 		go relay.guard.RecordBrokenRun(request.signature, replica, 0)
 		return
 	}
-	a.held = relay.guard.RecordBrokenRun(request.signature, replica, min(endWait, request.deadline-relay.clock.now()))
+	a.isQuarantined = relay.guard.RecordBrokenRun(request.signature, replica, min(crashReportWait, request.deadline-relay.clock.now()))
 }
 
-// noteEnded tells the guard that nothing serves at a back end's address, or another one.
-func (r *Relay) noteEnded(backEnd *backEnd, fault *failure) {
+// reportIfCrashed tells the guard that nothing serves at a back end's address, or another one.
+func (r *Relay) reportIfCrashed(backEnd *backEnd, fault *failure) {
 	refused := errors.Is(fault, errDial) && errors.Is(fault, syscall.ECONNREFUSED)
 	if refused || errors.Is(fault, errMisdirected) {
 		r.guard.RecordCrash(backEnd.ID)
@@ -75,7 +75,7 @@
 // probe looks whether a back end takes connections; one that was opened is used later. A start in whose place the
 // list shows another one has ended, whoever serves there: the list may show that before the connections break.
 func (r *Relay) probe(_ context.Context, replica crashguard.Replica) crashguard.ProbeResult {
-	known := r.backEndOf(replica.ID)
+	known := r.backEndByID(replica.ID)
 	if known == nil && r.isReplaced(replica) {
 		return crashguard.ProbeGone
 	}
@@ -102,25 +102,25 @@
 	return false
 }
 
-// noteReplaced tells the guard of back ends whose address, or whose identity, another start has by now.
-func (r *Relay) noteReplaced(gone []*backEnd, present map[string]*backEnd) {
+// reportReplaced tells the guard of back ends whose address, or whose identity, another start has by now.
+func (r *Relay) reportReplaced(gone []*backEnd, present map[string]*backEnd) {
 	if len(gone) == 0 {
 		return
 	}
-	taken, started := make(map[string]bool, len(present)), make(map[string]bool, len(present))
+	addresses, identities := make(map[string]bool, len(present)), make(map[string]bool, len(present))
 	for _, backEnd := range present {
-		taken[backEnd.Address] = true
-		started[backEnd.ExpectedID()] = true
+		addresses[backEnd.Address] = true
+		identities[backEnd.ExpectedID()] = true
 	}
 	for _, backEnd := range gone {
-		if taken[backEnd.Address] || started[backEnd.ExpectedID()] {
+		if addresses[backEnd.Address] || identities[backEnd.ExpectedID()] {
 			r.guard.RecordCrash(backEnd.ID)
 		}
 	}
 }
 
-// backEndOf returns a back end of the list; nil when the list does not show it.
-func (r *Relay) backEndOf(id string) *backEnd {
+// backEndByID returns a back end of the list; nil when the list does not show it.
+func (r *Relay) backEndByID(id string) *backEnd {
 	for _, backEnds := range r.view.Load().byService {
 		for _, backEnd := range backEnds {
 			if backEnd.ID == id {
@@ -136,7 +136,7 @@
 
 // ReplicaCrashed implements crashguard.Observer.
 func (o guardObserver) ReplicaCrashed(replica string, requests int) {
-	o.relay.metrics.replicaEnds.Inc()
+	o.relay.metrics.backEndCrashes.Inc()
 	o.relay.event(events.BackEndEnded).Str("back_end", replica).Int("requests", requests).Send()
 }
 
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -192,7 +192,7 @@
 		entries = append(entries, entry)
 	}
 	next := *relay.view.Load()
-	relay.knowledge.takeBackEnds(entries, &next)
+	relay.fleet.applyListing(entries, &next)
 	require.True(t, relay.guard.IsQuarantined(signature))
 }
 
