--- a/internal/relay/read_prompt.go
+++ b/internal/relay/read_prompt.go
@@ -9,133 +9,133 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// maximumPrefillAnswer bounds the answer to a reading of a prompt.
-const maximumPrefillAnswer = 16 << 10
+// maxPrefillAnswerBytes bounds the answer to a reading of a prompt.
+const maxPrefillAnswerBytes = 16 << 10
 
-// heldPrompt is a prompt that an engine has read for another one.
-type heldPrompt struct {
-	engine *backEnd
-	handle string
-	parts  []placement.PrefixBlock
+// remotePrefill is a prompt that an engine has read for another one.
+type remotePrefill struct {
+	engine       *backEnd
+	handle       string
+	prefixBlocks []placement.PrefixBlock
 }
 
-// source is how a decoding engine is told where the prompt is.
-func (h *heldPrompt) source() string { return h.engine.Address + "/" + h.handle }
+// sourceHeader is how a decoding engine is told where the prompt is.
+func (h *remotePrefill) sourceHeader() string { return h.engine.Address + "/" + h.handle }
 
 // serveStream serves a stream. From model engines the prompt is read at a prefill engine and
 // generated from at a decoding one, or both are done at a decoding one.
 func (r *Relay) serveStream(request *request, reply *replier) {
-	tried := &attempts{relay: r, request: request}
-	stream := &streamReply{relay: r, request: request, reply: reply, tried: tried,
-		parts: placement.PrefixBlocksOf(request.prompt), last: string(request.header.Peek(r.dialect.Headers.LastEventID))}
-	begun := r.beginStream(stream)
-	if begun.refused != nil {
-		r.log.refused(request, *begun.refused, tried)
-		reply.refuse(*begun.refused)
+	attempts := &attemptTracker{relay: r, request: request}
+	stream := &streamReply{relay: r, request: request, reply: reply, attempts: attempts,
+		prefixBlocks: placement.PrefixBlocksOf(request.prompt), lastEventID: string(request.header.Peek(r.dialect.Headers.LastEventID))}
+	start := r.beginStream(stream)
+	if start.refusal != nil {
+		r.log.recordRefusal(request, *start.refusal, attempts)
+		reply.refuse(*start.refusal)
 		return
 	}
-	chosen, held := begun.direct, begun.held
-	for stream.moved != nil || tried.mayContinue() {
-		if moved := stream.moved; moved != nil {
-			stream.moved, chosen, held = nil, moved.place, moved.held
+	chosen, prefill := start.direct, start.prefill
+	for stream.migrated != nil || attempts.mayContinue() {
+		if migrated := stream.migrated; migrated != nil {
+			stream.migrated, chosen, prefill = nil, migrated.target, migrated.prefill
 		}
 		if chosen == nil {
-			chosen = r.nextEngine(stream, held)
+			chosen = r.nextDecodeEngine(stream, prefill)
 		}
 		if chosen == nil {
 			break
 		}
 		engine := chosen.backEnd
-		fault := stream.run(chosen, held)
-		held = nil // a handle serves once
+		fault := stream.runOn(chosen, prefill)
+		prefill = nil // a handle serves once
 		if fault == nil {
 			return
 		}
-		if stream.moved != nil {
-			tried.noteMoved()
+		if stream.migrated != nil {
+			attempts.recordMigration()
 			continue
 		}
-		r.log.attemptFailed(request, engine, fault)
-		tried.note(engine, fault)
+		r.log.recordFailedAttempt(request, engine, fault)
+		attempts.recordFailure(engine, fault)
 		chosen = nil
 	}
-	if held != nil {
-		r.release(held)
+	if prefill != nil {
+		r.release(prefill)
 	}
-	r.finishRefused(tried, reply)
+	r.replyRefused(attempts, reply)
 }
 
-// readTwice lets a prefill engine read a prompt, and another one when the first has failed
+// prefillWithRetry lets a prefill engine read a prompt, and another one when the first has failed
 // and the route's attempts leave one for the reading and one for the run.
-func (r *Relay) readTwice(stream *streamReply, chosen *place) *heldPrompt {
-	held := r.readPrompt(stream, chosen)
-	tried := stream.tried
-	if held != nil || tried.over() || tried.sent+1 >= stream.request.route.MaxAttempts {
-		return held
+func (r *Relay) prefillWithRetry(stream *streamReply, chosen *selection) *remotePrefill {
+	prefill := r.prefillPrompt(stream, chosen)
+	attempts := stream.attempts
+	if prefill != nil || attempts.isOver() || attempts.sentCount+1 >= stream.request.route.MaxAttempts {
+		return prefill
 	}
-	next := r.nextReader(stream)
-	if next == nil || !r.sendAgain(stream.request) {
+	next := r.nextPrefillEngine(stream)
+	if next == nil || !r.trySpendRetry(stream.request) {
 		return nil
 	}
-	tried.sent++ // a further reading counts as an attempt
-	return r.readPrompt(stream, next)
+	attempts.sentCount++ // a further reading counts as an attempt
+	return r.prefillPrompt(stream, next)
 }
 
-// readPrompt lets a prefill engine read a prompt. It returns nil when it has not.
-func (r *Relay) readPrompt(stream *streamReply, chosen *place) *heldPrompt {
+// prefillPrompt lets a prefill engine read a prompt. It returns nil when it has not.
+func (r *Relay) prefillPrompt(stream *streamReply, chosen *selection) *remotePrefill {
 	request, engine, now := stream.request, chosen.backEnd, r.clock.now()
 	rank := r.policy.PrefillRank(stream.rank(), chosen.PrefillTokens)
-	request.trace.prefill(chosen, now, rank)
-	perToken := r.pace.of(engine.hash)
-	r.noteAskedReading(request.service.Name, engine, chosen.EffectiveTokens)
-	set := []header{r.rankHeader(rank), {r.dialect.Headers.Stage, r.dialect.PrefillStage}}
+	request.trace.recordPrefill(chosen, now, rank)
+	perToken := r.pace.timePerToken(engine.hash)
+	r.recordPrefillDemand(request.service.Name, engine, chosen.EffectiveTokens)
+	headers := []header{r.priorityHeader(rank), {r.dialect.Headers.Stage, r.dialect.PrefillStage}}
 	if chosen.fetchFrom != nil {
-		set = append(set, header{r.dialect.Headers.KVFetch, chosen.fetchFrom.Address})
+		headers = append(headers, header{r.dialect.Headers.KVFetch, chosen.fetchFrom.Address})
 	}
 	answer, fault := r.exchanger.send(&message{
-		request: request, backEnd: engine, deadline: request.deadline, reads: stream.parts, set: set, chosen: chosen, reading: true,
-		work:     readingWork(r.policy, stream.rank(), &chosen.Candidate),
-		stall:    prefillStall + time.Duration(prefillStallShare*float64(r.policy.PrefillQueueDelay(chosen.ahead, placement.RankCount-1, perToken)+placement.PrefillTime(perToken, chosen.EffectiveTokens))),
-		mayBreak: true,
+		request: request, backEnd: engine, deadline: request.deadline, prefixBlocks: stream.prefixBlocks, headers: headers, chosen: chosen, isPrefill: true,
+		work:     prefillWork(r.policy, stream.rank(), &chosen.Candidate),
+		stall:    prefillStallSlack + time.Duration(prefillStallFactor*float64(r.policy.PrefillQueueDelay(chosen.queuedWork, placement.RankCount-1, perToken)+placement.PrefillTime(perToken, chosen.EffectiveTokens))),
+		mayAbort: true,
 	})
 	if fault != nil {
-		r.log.attemptFailed(request, engine, fault)
-		stream.tried.noteReading(engine, fault)
+		r.log.recordFailedAttempt(request, engine, fault)
+		stream.attempts.recordFailedPrefill(engine, fault)
 		return nil
 	}
-	if chosen.ahead.Prefills == 0 && chosen.fetchFrom == nil {
-		r.notePace(engine, placement.TimePerToken(chosen.EffectiveTokens, r.clock.now()-now))
+	if chosen.queuedWork.Prefills == 0 && chosen.fetchFrom == nil {
+		r.recordPace(engine, placement.TimePerToken(chosen.EffectiveTokens, r.clock.now()-now))
 	}
 	defer answer.finish()
-	held := r.takeHandle(answer, stream.parts)
-	if held == nil {
-		stream.tried.excluded = append(stream.tried.excluded, engine)
+	prefill := r.readPrefillAnswer(answer, stream.prefixBlocks)
+	if prefill == nil {
+		stream.attempts.excluded = append(stream.attempts.excluded, engine)
 	}
-	return held
+	return prefill
 }
 
-// notePace notes, here and at other relays, the time per token of a reading.
-func (r *Relay) notePace(engine *backEnd, perToken time.Duration) {
+// recordPace notes, here and at other relays, the time per token of a reading.
+func (r *Relay) recordPace(engine *backEnd, perToken time.Duration) {
 	r.pace.observe(engine.hash, perToken)
-	r.notices.notePace(engine, perToken)
+	r.notices.queuePace(engine, perToken)
 }
 
-// takeHandle reads the answer to the reading of a prompt; nil when it is none.
-func (r *Relay) takeHandle(answer *answer, parts []placement.PrefixBlock) *heldPrompt {
-	body, err := io.ReadAll(io.LimitReader(answer, maximumPrefillAnswer))
+// readPrefillAnswer reads the answer to the reading of a prompt; nil when it is none.
+func (r *Relay) readPrefillAnswer(answer *answer, prefixBlocks []placement.PrefixBlock) *remotePrefill {
+	body, err := io.ReadAll(io.LimitReader(answer, maxPrefillAnswerBytes))
 	if err != nil || answer.status != fasthttp.StatusOK {
 		return nil
 	}
-	read, err := r.dialect.ParsePrefillAnswer(body)
+	parsed, err := r.dialect.ParsePrefillAnswer(body)
 	if err != nil {
 		return nil
 	}
-	r.noteBorn(answer.message.backEnd, read.Born)
-	return &heldPrompt{engine: answer.message.backEnd, handle: read.Handle, parts: parts}
+	r.checkIncarnation(answer.message.backEnd, parsed.Born)
+	return &remotePrefill{engine: answer.message.backEnd, handle: parsed.Handle, prefixBlocks: prefixBlocks}
 }
 
 // release gives a prompt up that nobody will take, in the background: it would take room
 // until it lapses.
-func (r *Relay) release(held *heldPrompt) {
-	go r.exchanger.release(held, r.dialect.HandlePath(held.handle))
+func (r *Relay) release(prefill *remotePrefill) {
+	go r.exchanger.release(prefill, r.dialect.HandlePath(prefill.handle))
 }
--- a/internal/relay/refusal_test.go
+++ b/internal/relay/refusal_test.go
@@ -11,11 +11,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-var refusedByEngine = &failure{verdict: verdict.NotRun, arrived: true, cause: errNotExecuted}
+var refusedByEngine = &failure{verdict: verdict.NotRun, mayHaveArrived: true, cause: errNotExecuted}
 
 // refuse lets an engine of the relay refuse a message of some work.
 func (r *testRelay) refuse(engine *backEnd, asked placement.Work) {
-	r.exchanger.judge(&message{backEnd: engine, work: asked}, refusedByEngine)
+	r.exchanger.updateHealth(&message{backEnd: engine, work: asked}, refusedByEngine)
 }
 
 // isToldFailed reports whether the relay is about to tell others that the engine failed.
@@ -37,23 +37,23 @@
 func TestRefusalOfAnEngineWithRoomCountsAsFailure(t *testing.T) {
 	relay, engine := newRefusingRelay(t, serving.StageDecode)
 	relay.refuse(engine, placement.Work{Streams: 1}.Plus(placement.PrefillWork(500, 0)))
-	require.Equal(t, 1, engine.look(relay.clock.now()).failures)
+	require.Equal(t, 1, engine.currentLoad(relay.clock.now()).failures)
 	require.True(t, relay.isToldFailed(engine))
 }
 
 // A full engine is not broken: it is avoided for a short while, and only here.
 func TestRefusalOfAFullEngineIsNoFailure(t *testing.T) {
 	for name, fill := range map[string]func(*testRelay, *backEnd){
-		"own work":      func(_ *testRelay, engine *backEnd) { engine.begin(placement.Work{Streams: 6}) },
-		"its own word":  func(relay *testRelay, engine *backEnd) { engine.tell(relay.clock.now()+time.Hour, 4, 3) },
-		"both together": func(_ *testRelay, engine *backEnd) { engine.begin(placement.Work{Streams: 2, Prefills: 2}) },
+		"own work":      func(_ *testRelay, engine *backEnd) { engine.addWork(placement.Work{Streams: 6}) },
+		"its own word":  func(relay *testRelay, engine *backEnd) { engine.recordReportedLoad(relay.clock.now()+time.Hour, 4, 3) },
+		"both together": func(_ *testRelay, engine *backEnd) { engine.addWork(placement.Work{Streams: 2, Prefills: 2}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			relay, engine := newRefusingRelay(t, serving.StageDecode)
 			fill(relay, engine)
 			relay.refuse(engine, placement.Work{Streams: 1}.Plus(placement.PrefillWork(500, 0)))
-			require.Zero(t, engine.look(relay.clock.now()).failures)
-			require.Equal(t, 1, engine.look(relay.clock.now()).refusals)
+			require.Zero(t, engine.currentLoad(relay.clock.now()).failures)
+			require.Equal(t, 1, engine.currentLoad(relay.clock.now()).refusals)
 			require.False(t, relay.isToldFailed(engine))
 		})
 	}
@@ -64,10 +64,10 @@
 func TestRefusalOfAHandOverCountsWhenRepeated(t *testing.T) {
 	relay, engine := newRefusingRelay(t, serving.StageDecode)
 	relay.refuse(engine, placement.Work{Streams: 1})
-	require.Zero(t, engine.look(relay.clock.now()).failures)
+	require.Zero(t, engine.currentLoad(relay.clock.now()).failures)
 	require.False(t, relay.isToldFailed(engine))
 	relay.refuse(engine, placement.Work{Streams: 1})
-	require.Equal(t, 1, engine.look(relay.clock.now()).failures)
+	require.Equal(t, 1, engine.currentLoad(relay.clock.now()).failures)
 	require.True(t, relay.isToldFailed(engine))
 }
 
@@ -76,5 +76,5 @@
 	relay, engine := newRefusingRelay(t, serving.StageWhole)
 	relay.refuse(engine, placement.Work{Streams: 1})
 	relay.refuse(engine, placement.Work{Streams: 1})
-	require.Zero(t, engine.look(relay.clock.now()).failures)
+	require.Zero(t, engine.currentLoad(relay.clock.now()).failures)
 }
--- a/internal/relay/refused_work_test.go
+++ b/internal/relay/refused_work_test.go
@@ -16,7 +16,7 @@
 	reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 	decoder := startBackEnd(t, "decoder", serving.StageDecode, streaming("decoder", eventOne))
 	relay := newTestRelay(t, route(stream(true)), reader, decoder)
-	relay.engineOf("reader").begin(placement.PrefillWork(100_000, 0).Plus(placement.Work{Prefills: 5}))
+	relay.engineOf("reader").addWork(placement.PrefillWork(100_000, 0).Plus(placement.Work{Prefills: 5}))
 	require.Equal(t, 503, relay.client(t).do("POST", "/path/", "x", longPrompt...).status)
 	require.Empty(t, reader.seen())
 	reported := relay.work.Report(relay.clock.now() + time.Hour)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -34,29 +34,29 @@
 	"github.com/hazelpitch/hazelpitch/internal/usagereport"
 )
 
-// contactSlack is how long after the time for the last word of a leader the view still counts as
+// leaderContactSlack is how long after the time for the last word of a leader the view still counts as
 // fresh.
-const contactSlack = 800 * time.Millisecond
+const leaderContactSlack = 800 * time.Millisecond
 
 // Relay is one running relay process.
 type Relay struct {
-	settings  settings.Relay
-	dialect   Dialect
-	single    []string
-	clock     clock
-	log       requestLog
-	exchanger *exchanger
-	budget    *retrybudget.Budget
+	settings           settings.Relay
+	dialect            Dialect
+	singleValueHeaders []string
+	clock              clock
+	log                requestLog
+	exchanger          *exchanger
+	budget             *retrybudget.Budget
 	// watcher follows the leader; knowledge is what it tells.
-	watcher   *leaderwatch.Watcher
-	knowledge *knowledge
+	watcher *leaderwatch.Watcher
+	fleet   *fleetState
 	// guard keeps requests away from back ends that they would end.
 	guard *crashguard.Guard
 	// datagrams, notices and asker are what this relay has to do with others; owner decides on
 	// the engines that owners says are this relay's.
-	datagrams *datagram.Socket
-	notices   *notices
-	asker     *asker
+	datagrams  *datagram.Socket
+	notices    *loadNotices
+	placements *placementClient
 	// peers is which other relays answer.
 	peers *peerhealth.Table
 	// permits gives permits to send to back ends that name a limit for all relays together.
@@ -64,28 +64,28 @@
 	owner   *placementOwner
 	owners  *ownerTable
 	work    *workmeter.Meter
-	pace    *pace
+	pace    *prefillPace
 	// usage counts what tenants use.
 	usage *usagereport.Meter
 	// policy holds the weights of the decisions on where requests run.
 	policy placement.Parameters
 	// without are mechanisms that are left out.
 	without mechanism.Set
-	// startWait is how long requests wait for what the relay does not know yet, known ends that wait.
-	startWait time.Duration
-	known     *knownSignal
-	// readingSlack is how long beyond the expected a request waits for another's reading.
-	readingSlack time.Duration
+	// startupWait is how long requests wait for what the relay does not know yet, known ends that wait.
+	startupWait time.Duration
+	viewReady   *readySignal
+	// prefillWaitSlack is how long beyond the expected a request waits for another's reading.
+	prefillWaitSlack time.Duration
 
 	view atomic.Pointer[view]
-	// contactAt is the time of the last word of a leader.
-	contactAt atomic.Int64
+	// lastContactAt is the time of the last word of a leader.
+	lastContactAt atomic.Int64
 	// relayCount is the number of relays that the leader has told of.
 	relayCount atomic.Int64
 	// stopping tells that no new connections are wanted.
 	stopping atomic.Bool
-	// stopAt is when a stopping relay takes no new requests any more.
-	stopAt atomic.Int64
+	// refuseNewAt is when a stopping relay takes no new requests any more.
+	refuseNewAt atomic.Int64
 
 	connections connections
 	random      lockedRandom
@@ -130,11 +130,11 @@
 			return trace.Wrap(err, "cannot listen on %s; check the key admin_listen", config.AdminListen)
 		}
 	}
-	relay.meetOthers(socket)
-	go relay.takeSettings(ctx, options.Reloaded)
+	relay.initPeers(socket)
+	go relay.applyReloadedSettings(ctx, options.Reloaded)
 	if options.ReadCache != nil && options.Without.IsEnabled(mechanism.CacheQuery) {
 		client := &http.Client{Transport: &http.Transport{DialContext: options.Dial, DisableKeepAlives: true}, Timeout: cacheReadTimeout}
-		reader := &cacheReader{relay: relay, read: options.ReadCache, client: client, readAt: map[*promptCache]time.Duration{}}
+		reader := &cacheReader{relay: relay, read: options.ReadCache, client: client, readAt: map[*prefixCache]time.Duration{}}
 		go reader.run(ctx)
 	}
 	return trace.Wrap(relay.run(ctx, listener, ready))
@@ -143,42 +143,42 @@
 func newRelay(config settings.Relay, options Options) *Relay {
 	steady := newClock()
 	relay := &Relay{
-		settings: config,
-		dialect:  options.Dialect,
-		single:   singleHeaders(options.Dialect.Headers),
-		clock:    steady,
-		log:      requestLog{logger: options.Log.Logger},
-		ring:     options.Log,
-		budget:   retrybudget.New(config.RetryBudget.Ratio, config.RetryBudget.Window, config.RetryBudget.Slack),
-		work:     workmeter.New(),
-		pace:     newPace(),
-		policy:   placement.DefaultParameters().Without(options.Without),
-		without:  options.Without,
+		settings:           config,
+		dialect:            options.Dialect,
+		singleValueHeaders: singleValueHeaders(options.Dialect.Headers),
+		clock:              steady,
+		log:                requestLog{logger: options.Log.Logger},
+		ring:               options.Log,
+		budget:             retrybudget.New(config.RetryBudget.Ratio, config.RetryBudget.Window, config.RetryBudget.Slack),
+		work:               workmeter.New(),
+		pace:               newPrefillPace(),
+		policy:             placement.DefaultParameters().Without(options.Without),
+		without:            options.Without,
 
-		readingSlack: readingSlack,
-		startWait:    startWait,
-		known:        newKnownSignal(),
-		random:       lockedRandom{source: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))},
+		prefillWaitSlack: prefillWaitSlack,
+		startupWait:      startupWait,
+		viewReady:        newReadySignal(),
+		random:           lockedRandom{source: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))},
 	}
 	relay.splits = splitdraw.New(relay.draw)
 	relay.metrics = newRelayMetrics(relay, options.Log)
-	relay.connections = connections{open: map[*clientConnection]bool{}, requests: map[*clientConnection]*request{}, tracked: closing.NewSet()}
-	relay.contactAt.Store(int64(-leaderwatch.MaximumWait - contactSlack))
+	relay.connections = connections{isServing: map[*clientConnection]bool{}, requests: map[*clientConnection]*request{}, tracked: closing.NewSet()}
+	relay.lastContactAt.Store(int64(-leaderwatch.MaximumWait - leaderContactSlack))
 	relay.exchanger = &exchanger{
-		noteAnswer: relay.noteAnswer, permitted: relay.permitted, limitedSendings: relay.metrics.limitedSendings,
+		applyAnswerSignals: relay.applyAnswerSignals, acquirePermit: relay.acquirePermit, limitedSends: relay.metrics.limitedSends,
 		names: options.Dialect.Headers, writer: newRequestWriter(options.Dialect.Headers), clock: steady, dial: options.Dial,
 		without: options.Without,
 	}
 	relay.pace.fixed = !options.Without.IsEnabled(mechanism.MeasuredPace)
 	relay.view.Store(&view{byService: map[string][]*backEnd{}})
-	relay.knowledge = newKnowledge(relay, options)
+	relay.fleet = newFleetState(relay, options)
 	relay.watcher = leaderwatch.New(leaderwatch.Config{
 		Seeds: config.ControllerAddresses(), Dial: options.Dial, Now: func() time.Duration { return relay.clock.now() },
-		NodeCount: func() int { return int(relay.relayCount.Load()) }, Draw: relay.draw, Node: relay.knowledge,
+		NodeCount: func() int { return int(relay.relayCount.Load()) }, Draw: relay.draw, Node: relay.fleet,
 	})
 	relay.guard = newGuard(relay)
 	relay.exchanger.guard = relay.guard
-	relay.usage = usagereport.NewMeter(relay.knowledge.incarnation)
+	relay.usage = usagereport.NewMeter(relay.fleet.incarnation)
 	return relay
 }
 
@@ -197,21 +197,21 @@
 		return nil
 	})
 	if r.admin != nil {
-		server := &metrics.AdminServer{Registry: r.metrics.registry, Log: r.ring, Ready: r.notReady}
+		server := &metrics.AdminServer{Registry: r.metrics.registry, Log: r.ring, Ready: r.readinessError}
 		group.Go(func() error { return trace.Wrap(server.Serve(working, r.admin)) })
 	}
 	group.Go(func() error { r.watcher.Run(working); return nil })
 	group.Go(func() error { r.usageReporter().Run(working); return nil })
-	group.Go(func() error { r.clock.steady.Watch(working, r.noteSuspension); return nil })
+	group.Go(func() error { r.clock.steady.Watch(working, r.handleSuspension); return nil })
 	group.Go(func() error { r.guard.Run(working); return nil })
-	group.Go(func() error { r.notices.send(working); return nil })
+	group.Go(func() error { r.notices.run(working); return nil })
 	group.Go(func() error { r.permits.Run(working); return nil })
-	group.Go(func() error { r.datagrams.Receive(r.takeDatagram); return nil })
+	group.Go(func() error { r.datagrams.Receive(r.handleDatagram); return nil })
 	group.Go(func() error { return r.accept(working, listener) })
 	select {
 	case <-working.Done():
 	case <-ctx.Done():
-		r.event(events.RelayStopping).Str("address", listener.Addr().String()).Int("serving", r.connections.serving()).Send()
+		r.event(events.RelayStopping).Str("address", listener.Addr().String()).Int("serving", r.connections.servingCount()).Send()
 		r.drain(working, listener)
 		r.awaitUsageReported()
 	}
@@ -222,13 +222,13 @@
 	return trace.Wrap(group.Wait())
 }
 
-// notReady tells why the relay cannot serve; nil when it can.
-func (r *Relay) notReady() error {
+// readinessError tells why the relay cannot serve; nil when it can.
+func (r *Relay) readinessError() error {
 	if r.stopping.Load() {
 		return trace.ConnectionProblem(nil, "the relay stops")
 	}
-	if lacking := r.view.Load().lack(); lacking != "" {
-		return trace.ConnectionProblem(nil, "%s", lacking)
+	if missing := r.view.Load().missing(); missing != "" {
+		return trace.ConnectionProblem(nil, "%s", missing)
 	}
 	return nil
 }
@@ -238,16 +238,16 @@
 	return r.log.logger.WithLevel(zerolog.WarnLevel).Str(events.FieldEvent, string(event))
 }
 
-// takeSettings puts in force what may change while the relay runs: the controllers and the
+// applyReloadedSettings puts in force what may change while the relay runs: the controllers and the
 // retry budget.
-func (r *Relay) takeSettings(ctx context.Context, reloaded <-chan settings.Relay) {
+func (r *Relay) applyReloadedSettings(ctx context.Context, reloaded <-chan settings.Relay) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case again := <-reloaded:
-			r.watcher.SetSeeds(again.ControllerAddresses())
-			r.budget.SetBounds(again.RetryBudget.Ratio, again.RetryBudget.Window, again.RetryBudget.Slack)
+		case updated := <-reloaded:
+			r.watcher.SetSeeds(updated.ControllerAddresses())
+			r.budget.SetBounds(updated.RetryBudget.Ratio, updated.RetryBudget.Window, updated.RetryBudget.Slack)
 		}
 	}
 }
@@ -273,29 +273,29 @@
 
 // limits returns the operator's limits, or the defaults before the first configuration.
 func (r *Relay) limits() serving.Limits {
-	limits := serving.Limits{HeaderBytes: clientBuffer, BodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
+	limits := serving.Limits{HeaderBytes: clientBufferBytes, BodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 	table := r.view.Load().table
 	if table == nil {
 		return limits
 	}
-	told := table.Configuration.Limits
-	if told.HeaderBytes > 0 {
-		limits.HeaderBytes = told.HeaderBytes
+	configured := table.Configuration.Limits
+	if configured.HeaderBytes > 0 {
+		limits.HeaderBytes = configured.HeaderBytes
 	}
-	if told.BodyBytes > 0 {
-		limits.BodyBytes = told.BodyBytes
+	if configured.BodyBytes > 0 {
+		limits.BodyBytes = configured.BodyBytes
 	}
-	if told.HeaderTimeout > 0 {
-		limits.HeaderTimeout = told.HeaderTimeout
+	if configured.HeaderTimeout > 0 {
+		limits.HeaderTimeout = configured.HeaderTimeout
 	}
-	if told.IdleTimeout > 0 {
-		limits.IdleTimeout = told.IdleTimeout
+	if configured.IdleTimeout > 0 {
+		limits.IdleTimeout = configured.IdleTimeout
 	}
 	return limits
 }
 
-// contactLimit is how long after the last word of a leader the view still counts as fresh.
-func (r *Relay) contactLimit() time.Duration { return r.watcher.Wait() + contactSlack }
+// maxContactAge is how long after the last word of a leader the view still counts as fresh.
+func (r *Relay) maxContactAge() time.Duration { return r.watcher.Wait() + leaderContactSlack }
 
 // lastContact is the time of the last word of a leader.
-func (r *Relay) lastContact() time.Duration { return time.Duration(r.contactAt.Load()) }
+func (r *Relay) lastContact() time.Duration { return time.Duration(r.lastContactAt.Load()) }
--- a/internal/relay/relay_metrics.go
+++ b/internal/relay/relay_metrics.go
@@ -32,13 +32,13 @@
 // outcomeOf tells how a request ended.
 func outcomeOf(request *request, reply *replier, now time.Duration) outcome {
 	switch {
-	case reply.failed || reply.status == 0:
+	case reply.aborted || reply.status == 0:
 		return outcomeCut
-	case reply.refused != nil && reply.refused.promisesNotRun():
+	case reply.refusal != nil && reply.refusal.promisesNotRun():
 		return outcomeRefused
 	case reply.status >= 400:
 		return outcomeFailed
-	case request.trace.late(request, now):
+	case request.trace.isLate(request, now):
 		return outcomeLate
 	default:
 		return outcomeInTime
@@ -47,69 +47,69 @@
 
 // relayMetrics are the counts of one relay.
 type relayMetrics struct {
-	registry *prometheus.Registry
-	requests *prometheus.CounterVec
-	refusals *prometheus.CounterVec
-	again    prometheus.Counter
-	denied   prometheus.Counter
-	// usageSentAgain counts reports of usage that had to be sent again.
-	usageSentAgain prometheus.Counter
-	// replicaEnds counts back ends that ended while they ran requests of this relay,
+	registry      *prometheus.Registry
+	requests      *prometheus.CounterVec
+	refusals      *prometheus.CounterVec
+	retries       prometheus.Counter
+	deniedRetries prometheus.Counter
+	// usageResends counts reports of usage that had to be sent again.
+	usageResends prometheus.Counter
+	// backEndCrashes counts back ends that ended while they ran requests of this relay,
 	// guardCallsFailed calls to the leader on them that failed.
-	replicaEnds prometheus.Counter
-	// limitedSendings counts sendings to back ends that had named a limit, permits questions for permits to send there by
+	backEndCrashes prometheus.Counter
+	// limitedSends counts sendings to back ends that had named a limit, permits questions for permits to send there by
 	// what became of them.
-	limitedSendings prometheus.Counter
-	permits         *prometheus.CounterVec
-	// rests counts the rests that back ends have asked of this relay.
-	rests            prometheus.Counter
+	limitedSends prometheus.Counter
+	permits      *prometheus.CounterVec
+	// backoffs counts the backoffs that back ends have asked of this relay.
+	backoffs         prometheus.Counter
 	guardCallsFailed prometheus.Counter
-	waits            prometheus.Counter
-	// startWaits counts requests that came before the relay knew what they need.
-	startWaits prometheus.Counter
-	moves      *prometheus.CounterVec
-	// asked counts questions to owners of engines by what became of them, spills the requests
+	prefillWaits     prometheus.Counter
+	// startupWaits counts requests that came before the relay knew what they need.
+	startupWaits prometheus.Counter
+	migrations   *prometheus.CounterVec
+	// placementQueries counts questions to owners of engines by what became of them, spills the requests
 	// that were offered to a further cell.
-	asked            *prometheus.CounterVec
+	placementQueries *prometheus.CounterVec
 	spills           prometheus.Counter
 	datagramsDropped *prometheus.CounterVec
-	first            prometheus.Histogram
-	whole            prometheus.Histogram
-	gaps             prometheus.Histogram
-	queueing         prometheus.Histogram
+	firstEventTime   prometheus.Histogram
+	answerTime       prometheus.Histogram
+	longestGap       prometheus.Histogram
+	prefillQueueTime prometheus.Histogram
 }
 
 // newRelayMetrics makes the metrics of a relay and its log.
 func newRelayMetrics(relay *Relay, log *logring.Log) *relayMetrics {
 	registry, factory := metrics.NewRegistry(role, relay.settings.Name, relay.settings.Zone)
-	made := &relayMetrics{
+	result := &relayMetrics{
 		registry:         registry,
 		requests:         factory.CounterVec("requests_total", "Requests with a route, by how they ended.", "kind", "outcome"),
 		refusals:         factory.CounterVec("refusals_total", "Final answers of the relay's own, by reason.", "reason"),
-		again:            factory.Counter("sendings_again_total", "Sendings of requests beyond the first."),
-		denied:           factory.Counter("sendings_denied_total", "Sendings beyond the first that the retry budget did not allow."),
-		usageSentAgain:   factory.Counter("usage_sendings_again_total", "Reports of tenants' usage that were not taken and had to be sent again."),
-		rests:            factory.Counter("back_end_rests_total", "Rests that back ends have asked of this relay."),
-		limitedSendings:  factory.Counter("limited_sendings_total", "Sendings to back ends that had named a limit for all relays together."),
+		retries:          factory.Counter("sendings_again_total", "Sendings of requests beyond the first."),
+		deniedRetries:    factory.Counter("sendings_denied_total", "Sendings beyond the first that the retry budget did not allow."),
+		usageResends:     factory.Counter("usage_sendings_again_total", "Reports of tenants' usage that were not taken and had to be sent again."),
+		backoffs:         factory.Counter("back_end_rests_total", "Rests that back ends have asked of this relay."),
+		limitedSends:     factory.Counter("limited_sendings_total", "Sendings to back ends that had named a limit for all relays together."),
 		permits:          factory.CounterVec("permits_total", "Questions whether a request may be sent to a back end that names a limit for all relays together.", "outcome"),
-		replicaEnds:      factory.Counter("back_ends_ended_total", "Back ends that ended while they ran requests of this relay."),
+		backEndCrashes:   factory.Counter("back_ends_ended_total", "Back ends that ended while they ran requests of this relay."),
 		guardCallsFailed: factory.Counter("guard_calls_failed_total", "Calls to the leader on ended back ends and held requests that failed."),
-		waits:            factory.Counter("reading_waits_total", "Waits of prompts for the reading of parts that they share."),
-		startWaits:       factory.Counter("start_waits_total", "Requests that waited for a configuration and a list, since they came right after the start."),
-		moves:            factory.CounterVec("runs_moved_total", "Runs that stopped at one engine to go on at another, by whether they were copied.", "copied"),
-		asked:            factory.CounterVec("placement_questions_total", "Decisions on engines, by who made them.", "outcome"),
+		prefillWaits:     factory.Counter("reading_waits_total", "Waits of prompts for the reading of parts that they share."),
+		startupWaits:     factory.Counter("start_waits_total", "Requests that waited for a configuration and a list, since they came right after the start."),
+		migrations:       factory.CounterVec("runs_moved_total", "Runs that stopped at one engine to go on at another, by whether they were copied.", "copied"),
+		placementQueries: factory.CounterVec("placement_questions_total", "Decisions on engines, by who made them.", "outcome"),
 		spills:           factory.Counter("placement_spills_total", "Offers of requests to a further cell of engines."),
 		datagramsDropped: factory.CounterVec("datagrams_dropped_total", "Datagrams between relays that were not taken, by reason.", "reason"),
-		first:            factory.Histogram("first_event_seconds", "Time from a request to the first event of its stream."),
-		whole:            factory.Histogram("answer_seconds", "Time from a request to the end of its answer."),
-		gaps:             factory.Histogram("gap_seconds", "Longest pause between events of a stream."),
-		queueing:         factory.Histogram("reading_queue_seconds", "Time from a request until its prompt was sent to be read."),
+		firstEventTime:   factory.Histogram("first_event_seconds", "Time from a request to the first event of its stream."),
+		answerTime:       factory.Histogram("answer_seconds", "Time from a request to the end of its answer."),
+		longestGap:       factory.Histogram("gap_seconds", "Longest pause between events of a stream."),
+		prefillQueueTime: factory.Histogram("reading_queue_seconds", "Time from a request until its prompt was sent to be read."),
 	}
 	factory.GaugeFunc("configuration_number", "Number of the configuration in force here; 0 before the first.", func() float64 {
-		return float64(relay.belief().configuration)
+		return float64(relay.viewSnapshot().configuration)
 	})
 	factory.GaugeFunc("leader_age_seconds", "Time since the last word of a leader.", func() float64 {
-		return relay.belief().leaderAge.Seconds()
+		return relay.viewSnapshot().leaderAge.Seconds()
 	})
 	factory.GaugeFunc("configuration_age_seconds", "Time since the configuration was put in force here.", func() float64 {
 		return (relay.clock.now() - relay.view.Load().configuredAt).Seconds()
@@ -118,7 +118,7 @@
 		return (relay.clock.now() - relay.view.Load().listedAt).Seconds()
 	})
 	factory.GaugeFunc("notice_age_seconds", "Time since the last word of another relay on its work.", func() float64 {
-		return (relay.clock.now() - relay.notices.table.lastHeard()).Seconds()
+		return (relay.clock.now() - relay.notices.table.lastReceivedAt()).Seconds()
 	})
 	factory.GaugeFunc("owned_engines", "Engines on which this relay decides for all relays, or stands in for the one that does.", func() float64 {
 		return float64(len(relay.owners.ownedEngines()))
@@ -140,7 +140,7 @@
 	factory.GaugeFunc("log_lines_dropped", "Lines of the log dropped since the start.", func() float64 {
 		return float64(log.DroppedLines())
 	})
-	return made
+	return result
 }
 
 // backEndState is how a back end stands with this relay.
@@ -148,15 +148,15 @@
 
 // States of back ends.
 const (
-	backEndReady    backEndState = "ready"
-	backEndAvoided  backEndState = "avoided"
-	backEndLeaving  backEndState = "leaving"
-	backEndChanging backEndState = "changing"
-	backEndResting  backEndState = "resting"
-	backEndLimited  backEndState = "limited"
+	backEndReady     backEndState = "ready"
+	backEndAvoided   backEndState = "avoided"
+	backEndLeaving   backEndState = "leaving"
+	backEndChanging  backEndState = "changing"
+	backEndInBackoff backEndState = "resting"
+	backEndLimited   backEndState = "limited"
 )
 
-var backEndStates = []backEndState{backEndReady, backEndAvoided, backEndLeaving, backEndChanging, backEndResting, backEndLimited}
+var backEndStates = []backEndState{backEndReady, backEndAvoided, backEndLeaving, backEndChanging, backEndInBackoff, backEndLimited}
 
 // countBackEnds counts the listed back ends in a state.
 func (r *Relay) countBackEnds(state backEndState) int {
@@ -174,33 +174,33 @@
 // state tells how the back end stands.
 func (b *backEnd) state(now time.Duration) backEndState {
 	switch {
-	case b.leaving():
+	case b.isLeaving():
 		return backEndLeaving
-	case b.resting(now):
-		return backEndResting
+	case b.inBackoff(now):
+		return backEndInBackoff
 	case b.Changing:
 		return backEndChanging
-	case b.limited():
+	case b.hasLimit():
 		return backEndLimited
-	case now < b.look(now).avoidUntil:
+	case now < b.currentLoad(now).avoidUntil:
 		return backEndAvoided
 	default:
 		return backEndReady
 	}
 }
 
-// ended counts a request that has ended.
-func (m *relayMetrics) ended(request *request, reply *replier, now time.Duration) {
+// recordEnd counts a request that has recordEnd.
+func (m *relayMetrics) recordEnd(request *request, reply *replier, now time.Duration) {
 	m.requests.WithLabelValues(request.route.Kind.String(), string(outcomeOf(request, reply, now))).Inc()
-	if reply.refused != nil {
-		m.refusals.WithLabelValues(reply.refused.reason).Inc()
+	if reply.refusal != nil {
+		m.refusals.WithLabelValues(reply.refusal.reason).Inc()
 	}
-	m.whole.Observe((now - request.arrivedAt).Seconds())
+	m.answerTime.Observe((now - request.arrivedAt).Seconds())
 	if request.route.Kind == serving.KindStream && request.trace.firstAt > 0 {
-		m.first.Observe((request.trace.firstAt - request.arrivedAt).Seconds())
-		m.gaps.Observe(request.trace.longestGap.Seconds())
+		m.firstEventTime.Observe((request.trace.firstAt - request.arrivedAt).Seconds())
+		m.longestGap.Observe(request.trace.longestGap.Seconds())
 	}
 	if request.trace.prefillAt > 0 {
-		m.queueing.Observe((request.trace.prefillAt - request.arrivedAt).Seconds())
+		m.prefillQueueTime.Observe((request.trace.prefillAt - request.arrivedAt).Seconds())
 	}
 }
--- a/internal/relay/relay_metrics_test.go
+++ b/internal/relay/relay_metrics_test.go
@@ -17,8 +17,8 @@
 // read the answer, so it first waits until none is served.
 func (r *testRelay) scrape(t *testing.T) string {
 	t.Helper()
-	require.Eventually(t, func() bool { return r.connections.serving() == 0 }, time.Minute, time.Millisecond)
-	server := &metrics.AdminServer{Registry: r.metrics.registry, Log: r.ring, Ready: r.notReady}
+	require.Eventually(t, func() bool { return r.connections.servingCount() == 0 }, time.Minute, time.Millisecond)
+	server := &metrics.AdminServer{Registry: r.metrics.registry, Log: r.ring, Ready: r.readinessError}
 	recorder := httptest.NewRecorder()
 	server.Handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, metrics.PathMetrics, nil))
 	require.Equal(t, http.StatusOK, recorder.Code)
@@ -34,7 +34,7 @@
 	relay := newTestRelay(t, route(stream(true)), broken, sound).preferring("broken")
 	client := relay.client(t)
 	require.Equal(t, eventOne, client.do("GET", "/path/", "").body)
-	relay.engineOf("broken").avoid(relay.clock.now() + time.Hour) // the pause after one refusal is short
+	relay.engineOf("broken").avoidUntil(relay.clock.now() + time.Hour) // the pause after one refusal is short
 	text := relay.scrape(t)
 	require.Contains(t, text, `hazelpitch_relay_requests_total{kind="stream",`+metricLabels[:12]+`,outcome="in_time",`+metricLabels[13:]+`} 1`)
 	require.Contains(t, text, "hazelpitch_relay_sendings_again_total{"+metricLabels+"} 1")
@@ -53,7 +53,7 @@
 	relay.budget.SetBounds(0, time.Hour, 10)
 	require.Contains(t, relay.scrape(t), "hazelpitch_relay_retry_budget_left{"+metricLabels+"} 7\n")
 	require.Equal(t, 200, relay.client(t).do("GET", "/path/", "").status)
-	relay.notices.table.take(relay.clock.now(), &v1.LoadNotice{Relay: 2, Sequence: 1})
+	relay.notices.table.record(relay.clock.now(), &v1.LoadNotice{Relay: 2, Sequence: 1})
 	text := relay.scrape(t)
 	require.Contains(t, text, "hazelpitch_relay_retry_budget_left{"+metricLabels+"} 6\n")
 	for _, age := range []string{"leader", "configuration", "listing", "notice"} {
--- a/internal/relay/reply.go
+++ b/internal/relay/reply.go
@@ -18,10 +18,10 @@
 	started bool
 	// status is that of the answer begun, refused the relay's own answer, nil for none.
 	status  int
-	refused *refusal
+	refusal *refusal
 	chunked bool
-	// failed is set once the client cannot be written to any more.
-	failed  bool
+	// aborted is set once the client cannot be written to any more.
+	aborted bool
 	scratch []byte
 }
 
@@ -47,9 +47,9 @@
 
 // refuse sends an answer of the relay's own.
 func (r *replier) refuse(refused refusal) {
-	r.refused = &refused
+	r.refusal = &refused
 	body := refused.reason + "\n"
-	head := r.begin(refused.status)
+	head := r.beginHead(refused.status)
 	head = appendHeader(head, "Content-Type", "text/plain")
 	head = appendHeader(head, "Content-Length", strconv.Itoa(len(body)))
 	if r.requestID != "" {
@@ -61,34 +61,34 @@
 	if refused.retryAfter > 0 {
 		head = appendHeader(head, "Retry-After", strconv.FormatFloat(refused.retryAfter.Seconds(), 'f', 3, 64))
 	}
-	r.write(r.end(head, []byte(body)))
+	r.write(r.endHead(head, []byte(body)))
 }
 
-// whole sends a back end's answer whose body has been read whole.
-func (r *replier) whole(answer *answer, body []byte) {
-	head := r.passHead(answer)
-	if !answer.bodiless() {
+// sendWhole sends a back end's answer whose body has been read sendWhole.
+func (r *replier) sendWhole(answer *answer, body []byte) {
+	head := r.forwardHead(answer)
+	if !answer.hasNoBody() {
 		head = appendHeader(head, "Content-Length", strconv.Itoa(len(body)))
 	}
-	r.write(r.end(head, body))
+	r.write(r.endHead(head, body))
 }
 
-// beginChunks sends the head of a back end's answer together with the first piece of its
+// sendFirstChunk sends the head of a back end's answer together with the first piece of its
 // body; pieces follow with chunk, and lastChunk.
-func (r *replier) beginChunks(answer *answer, first []byte) {
-	head := r.passHead(answer)
+func (r *replier) sendFirstChunk(answer *answer, first []byte) {
+	head := r.forwardHead(answer)
 	head = appendHeader(head, "Transfer-Encoding", "chunked")
 	r.chunked = true
-	r.write(appendChunk(r.end(head, nil), first))
+	r.write(appendChunk(r.endHead(head, nil), first))
 }
 
-// chunk sends a piece of the body.
-func (r *replier) chunk(piece []byte) {
+// sendChunk sends a piece of the body.
+func (r *replier) sendChunk(piece []byte) {
 	r.write(appendChunk(r.scratch[:0], piece))
 }
 
-// lastChunk sends the last piece and tells that the body is whole.
-func (r *replier) lastChunk(piece []byte) {
+// sendLastChunk sends the last piece and tells that the body is whole.
+func (r *replier) sendLastChunk(piece []byte) {
 	message := appendChunk(r.scratch[:0], piece)
 	r.write(append(message, "0\r\n\r\n"...))
 }
@@ -103,8 +103,8 @@
 	return append(message, "\r\n"...)
 }
 
-// begin returns the status line.
-func (r *replier) begin(status int) []byte {
+// beginHead returns the status line.
+func (r *replier) beginHead(status int) []byte {
 	r.status = status
 	head := append(r.scratch[:0], "HTTP/1.1 "...)
 	head = strconv.AppendInt(head, int64(status), 10)
@@ -113,13 +113,13 @@
 	return append(head, "\r\n"...)
 }
 
-// passHead returns the status line and the headers of a back end that are the client's.
-func (r *replier) passHead(answer *answer) []byte {
-	head := r.begin(answer.status)
-	named := connectionNames(answer.head.Peek("Connection"))
+// forwardHead returns the status line and the headers of a back end that are the client's.
+func (r *replier) forwardHead(answer *answer) []byte {
+	head := r.beginHead(answer.status)
+	connectionHeaderNames := connectionNames(answer.head.Peek("Connection"))
 	for key, value := range answer.head.All() {
 		name := string(key)
-		if connectionHeaders[name] || named[name] {
+		if connectionHeaders[name] || connectionHeaderNames[name] {
 			continue
 		}
 		head = appendHeader(head, name, string(value))
@@ -127,8 +127,8 @@
 	return head
 }
 
-// end ends the head and appends the body.
-func (r *replier) end(head, body []byte) []byte {
+// endHead ends the head and appends the body.
+func (r *replier) endHead(head, body []byte) []byte {
 	if r.close {
 		head = appendHeader(head, "Connection", "close")
 	}
@@ -138,11 +138,11 @@
 
 func (r *replier) write(message []byte) {
 	r.scratch = message[:0]
-	if r.failed {
+	if r.aborted {
 		return
 	}
 	r.started = true
 	if _, err := r.connection.Write(message); err != nil {
-		r.failed = true
+		r.aborted = true
 	}
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -24,17 +24,17 @@
 	body   []byte
 	// signature tells which other requests are the same to a back end, whatever their identity.
 	signature quarantine.Signature
-	// trial tells that the request is held, and may be sent to one back end once.
-	trial bool
+	// isTrial tells that the request is held, and may be sent to one back end once.
+	isTrial bool
 
 	route   *serving.Route
 	service *serving.Service
 	prompt  serving.Prompt
-	// keyed tells that callers are known by keys; tenant is whose request it is, nil for nobody's.
-	keyed  bool
-	tenant *serving.Tenant
-	// counted tells that its run is counted in the tenant's usage.
-	counted bool
+	// usesKeys tells that callers are known by keys; tenant is whose request it is, nil for nobody's.
+	usesKeys bool
+	tenant   *serving.Tenant
+	// isUsageCounted tells that its run is isUsageCounted in the tenant's usage.
+	isUsageCounted bool
 	// rank is that of the request at engines.
 	rank placement.Rank
 
@@ -47,16 +47,16 @@
 	trace     requestTrace
 }
 
-// caller is the name of the tenant whose request it is; empty for nobody's.
-func (r *request) caller() string {
+// tenantName is the name of the tenant whose request it is; empty for nobody's.
+func (r *request) tenantName() string {
 	if r.tenant == nil {
 		return ""
 	}
 	return r.tenant.Name
 }
 
-// clientDeadline returns the time that the client gives, or fallback when it names none.
-func clientDeadline(header *fasthttp.RequestHeader, name string, fallback time.Duration) time.Duration {
+// clientTimeout returns the time that the client gives, or fallback when it names none.
+func clientTimeout(header *fasthttp.RequestHeader, name string, fallback time.Duration) time.Duration {
 	count, err := strconv.ParseFloat(string(header.Peek(name)), 64)
 	if err != nil || count <= 0 {
 		return fallback
@@ -72,8 +72,8 @@
 	// deadline is when the exchange on the connection ends.
 	deadline  time.Duration
 	cancelled bool
-	// done is closed by cancel; nil until somebody waits for it.
-	done chan struct{}
+	// doneChannel is closed by cancel; nil until somebody waits for it.
+	doneChannel chan struct{}
 }
 
 // attach makes the connection the one to break off, on which an exchange ends by a deadline; it
@@ -104,8 +104,8 @@
 func (c *canceller) cancel() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.done != nil && !c.cancelled {
-		close(c.done)
+	if c.doneChannel != nil && !c.cancelled {
+		close(c.doneChannel)
 	}
 	c.cancelled = true
 	if c.connection != nil {
@@ -113,17 +113,17 @@
 	}
 }
 
-// gone returns a channel that is closed when the client has gone.
-func (c *canceller) gone() <-chan struct{} {
+// done returns a channel that is closed when the client has done.
+func (c *canceller) done() <-chan struct{} {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.done == nil {
-		c.done = make(chan struct{})
+	if c.doneChannel == nil {
+		c.doneChannel = make(chan struct{})
 		if c.cancelled {
-			close(c.done)
+			close(c.doneChannel)
 		}
 	}
-	return c.done
+	return c.doneChannel
 }
 
 func (c *canceller) isCancelled() bool {
--- a/internal/relay/request_log.go
+++ b/internal/relay/request_log.go
@@ -9,8 +9,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/events"
 )
 
-// sampled is how many ordinary requests stand behind one line.
-const sampled = 16
+// sampleInterval is how many ordinary requests stand behind one line.
+const sampleInterval = 16
 
 // requestLog writes a line for each decision that changes what becomes of a request.
 type requestLog struct{ logger zerolog.Logger }
@@ -25,77 +25,77 @@
 	return line
 }
 
-// keyRefused notes a request that was not admitted.
-func (l requestLog) keyRefused(request *request, fault keyFault, status int) {
+// recordKeyRefusal notes a request that was not admitted.
+func (l requestLog) recordKeyRefusal(request *request, fault keyFault, status int) {
 	l.line(zerolog.WarnLevel, events.KeyRefused, request).Int("status", status).Str("reason", string(fault)).Send()
 }
 
-// trial notes that a held request is sent to a back end once more.
-func (l requestLog) trial(request *request) {
+// recordTrial notes that a held request is sent to a back end once more.
+func (l requestLog) recordTrial(request *request) {
 	l.line(zerolog.WarnLevel, events.RequestTried, request).Stringer("content", request.signature).Send()
 }
 
-// attemptFailed notes a sending to a back end that brought no answer.
-func (l requestLog) attemptFailed(request *request, backEnd *backEnd, fault *failure) {
+// recordFailedAttempt notes a sending to a back end that brought no answer.
+func (l requestLog) recordFailedAttempt(request *request, backEnd *backEnd, fault *failure) {
 	l.line(zerolog.WarnLevel, events.AttemptFailed, request).Stringer("content", request.signature).Str("back_end", backEnd.ID).
-		Str("verdict", fault.verdict.String()).Bool("arrived", fault.arrived).
-		AnErr("cause", fault.cause).Func(fault.notePauses).Send()
+		Str("verdict", fault.verdict.String()).Bool("arrived", fault.mayHaveArrived).
+		AnErr("cause", fault.cause).Func(fault.addBackoffFields).Send()
 }
 
-// refused notes a final answer of the relay's own.
-func (l requestLog) refused(request *request, refused refusal, tried *attempts) {
+// recordRefusal notes a final answer of the relay's own.
+func (l requestLog) recordRefusal(request *request, refused refusal, attempts *attemptTracker) {
 	l.line(zerolog.WarnLevel, events.RequestRefused, request).Stringer("content", request.signature).Int("status", refused.status).Str("reason", refused.reason).
-		Int64("retry_after_ms", refused.retryAfter.Milliseconds()).Int("sent", tried.sent).Bool("may_have_run", tried.mayHaveRun).Send()
+		Int64("retry_after_ms", refused.retryAfter.Milliseconds()).Int("sent", attempts.sentCount).Bool("may_have_run", attempts.mayHaveRun).Send()
 }
 
-// refusedForLack notes a request that came before the relay knew what it needs. Its route may not be known.
-func (l requestLog) refusedForLack(request *request, lacking lack, belief belief) {
+// recordMissingState notes a request that came before the relay knew what it needs. Its route may not be known.
+func (l requestLog) recordMissingState(request *request, missing missingState, snapshot viewSnapshot) {
 	l.logger.WithLevel(zerolog.WarnLevel).Str(events.FieldEvent, string(events.RequestRefused)).Str(events.FieldRequest, request.id).
-		Str("reason", string(lacking)).Uint64("configuration", belief.configuration).Int64("leader_age_ms", belief.leaderAge.Milliseconds()).Send()
+		Str("reason", string(missing)).Uint64("configuration", snapshot.configuration).Int64("leader_age_ms", snapshot.leaderAge.Milliseconds()).Send()
 }
 
-// moved notes that a run was moved from an engine that takes no more work, or stopped there
+// recordMigration notes that a run was recordMigration from an engine that takes no more work, or stopped there
 // without a copy.
-func (l requestLog) moved(request *request, from, to *backEnd, copied bool) {
+func (l requestLog) recordMigration(request *request, from, to *backEnd, copied bool) {
 	l.line(zerolog.InfoLevel, events.RunMoved, request).Str("back_end", from.ID).Str("to", to.ID).Bool("copied", copied).Send()
 }
 
-// ended notes how a request ended. Of ordinary requests one in sampled has a line, chosen
+// recordEnd notes how a request recordEnd. Of ordinary requests one in sampled has a line, chosen
 // by its identity, so that every process keeps the same ones.
-func (l requestLog) ended(request *request, reply *replier, belief belief) {
+func (l requestLog) recordEnd(request *request, reply *replier, snapshot viewSnapshot) {
 	trace := request.trace
-	late := trace.late(request, belief.now)
-	ordinary := reply.status < 400 && reply.status > 0 && !reply.failed && !late
+	isLate := trace.isLate(request, snapshot.now)
+	isOrdinary := reply.status < 400 && reply.status > 0 && !reply.aborted && !isLate
 	level := zerolog.WarnLevel
-	if ordinary {
-		if xxhash.Sum64String(request.id)%sampled != 0 {
+	if isOrdinary {
+		if xxhash.Sum64String(request.id)%sampleInterval != 0 {
 			return
 		}
 		level = zerolog.InfoLevel
 	}
 	since := func(at time.Duration) int64 { return max((at - request.arrivedAt).Milliseconds(), 0) }
 	l.line(level, events.RequestEnded, request).Stringer("content", request.signature).
-		Int("status", reply.status).Bool("cut", reply.failed).Bool("late", late).
-		Str("placed", trace.placed).Str("owner", trace.owner).Str("prefill", trace.prefillEngine).Str("back_end", trace.engine).
-		Int("prompt", request.prompt.PromptTokens).Int("to_read", trace.toRead).Int("ahead", trace.ahead).Int("ahead_all", trace.aheadAll).
+		Int("status", reply.status).Bool("cut", reply.aborted).Bool("late", isLate).
+		Str("placed", trace.placementReason).Str("owner", trace.owner).Str("prefill", trace.prefillEngine).Str("back_end", trace.engine).
+		Int("prompt", request.prompt.PromptTokens).Int("to_read", trace.tokensToPrefill).Int("ahead", trace.tokensAhead).Int("ahead_all", trace.tokensAheadAll).
 		Int64("prefill_sent_ms", since(trace.prefillAt)).Int64("sent_ms", since(trace.sentAt)).Int64("gap_ms", trace.longestGap.Milliseconds()).
-		Int64("first_ms", since(trace.firstAt)).Int64("ended_ms", since(belief.now)).
-		Uint64("configuration", belief.configuration).Int64("leader_age_ms", belief.leaderAge.Milliseconds()).Send()
+		Int64("first_ms", since(trace.firstAt)).Int64("ended_ms", since(snapshot.now)).
+		Uint64("configuration", snapshot.configuration).Int64("leader_age_ms", snapshot.leaderAge.Milliseconds()).Send()
 }
 
-// belief is what the relay went by when a request ended, and how old it was.
-type belief struct {
+// viewSnapshot is what the relay went by when a request ended, and how old it was.
+type viewSnapshot struct {
 	now           time.Duration
 	configuration uint64
 	leaderAge     time.Duration
 }
 
-// belief returns what the relay goes by now.
-func (r *Relay) belief() belief {
+// viewSnapshot returns what the relay goes by now.
+func (r *Relay) viewSnapshot() viewSnapshot {
 	now := r.clock.now()
-	current := belief{now: now, leaderAge: now - r.lastContact()}
+	snapshot := viewSnapshot{now: now, leaderAge: now - r.lastContact()}
 	if table := r.view.Load().table; table != nil {
-		current.configuration = table.Configuration.Number
+		snapshot.configuration = table.Configuration.Number
 	}
-	return current
+	return snapshot
 }
--- a/internal/relay/request_trace.go
+++ b/internal/relay/request_trace.go
@@ -11,11 +11,11 @@
 	// prefillEngine and engine are the back ends that took the request last.
 	prefillEngine, engine string
 	prefillAt, sentAt     time.Duration
-	// toRead and ahead are the tokens that the prefill engine had to read for this request
+	// tokensToPrefill and tokensAhead are the tokens that the prefill engine had to read for this request
 	// and for others when it was picked, as far as was known.
-	toRead, ahead, aheadAll int
-	// placed says why the prompt is read where it is.
-	placed string
+	tokensToPrefill, tokensAhead, tokensAheadAll int
+	// placementReason says why the prompt is read where it is.
+	placementReason string
 	// owner is the relay that decided on the last engine, empty for this one.
 	owner string
 	// firstAt is when the first event of a stream was passed on.
@@ -24,14 +24,14 @@
 	lastAt, longestGap time.Duration
 }
 
-// prefill notes which engine was asked to read the prompt at a rank, and what it had to do.
-func (t *requestTrace) prefill(chosen *place, now time.Duration, rank int) {
+// recordPrefill notes which engine was asked to read the prompt at a rank, and what it had to do.
+func (t *requestTrace) recordPrefill(chosen *selection, now time.Duration, rank int) {
 	t.prefillEngine, t.prefillAt = chosen.backEnd.ID, now
-	t.toRead, t.ahead, t.aheadAll = chosen.PrefillTokens, chosen.ahead.TokensUpTo(rank), chosen.ahead.PromptTokens()
+	t.tokensToPrefill, t.tokensAhead, t.tokensAheadAll = chosen.PrefillTokens, chosen.queuedWork.TokensUpTo(rank), chosen.queuedWork.PromptTokens()
 }
 
-// passed notes that events were passed on.
-func (t *requestTrace) passed(now time.Duration) {
+// recordEvents notes that events were recordEvents on.
+func (t *requestTrace) recordEvents(now time.Duration) {
 	if t.firstAt == 0 {
 		t.firstAt = now
 	} else {
@@ -40,12 +40,12 @@
 	t.lastAt = now
 }
 
-// late reports whether a served request was later than its route's targets.
-func (t *requestTrace) late(request *request, ended time.Duration) bool {
+// isLate reports whether a served request was later than its route's targets.
+func (t *requestTrace) isLate(request *request, ended time.Duration) bool {
 	firstAt := t.firstAt
 	if request.route.Kind != serving.KindStream {
 		firstAt = ended
 	}
-	pause := request.route.TargetGap > 0 && t.longestGap > request.route.TargetGap
-	return firstAt-request.arrivedAt > request.route.Target || pause
+	hasLongGap := request.route.TargetGap > 0 && t.longestGap > request.route.TargetGap
+	return firstAt-request.arrivedAt > request.route.Target || hasLongGap
 }
--- a/internal/relay/role_change_test.go
+++ b/internal/relay/role_change_test.go
@@ -19,11 +19,11 @@
 			relay.view.Load().table.Service("service").Engine.RoleChangeTime = time.Hour
 			before := relay.clock.now()
 			relay.relist(func(entry *serving.BackEnd) { entry.Changing = marked })
-			require.Zero(t, relay.engineOf("engine").look(0).avoidUntil)
+			require.Zero(t, relay.engineOf("engine").currentLoad(0).avoidUntil)
 			marking := relay.clock.now()
 			time.Sleep(time.Millisecond)
 			relay.relist(func(entry *serving.BackEnd) { entry.Changing, entry.Stage = false, serving.StagePrefill })
-			until := relay.engineOf("engine").look(0).avoidUntil
+			until := relay.engineOf("engine").currentLoad(0).avoidUntil
 			if marked {
 				require.GreaterOrEqual(t, until, before+time.Hour)
 				require.LessOrEqual(t, until, marking+time.Hour)
--- a/internal/relay/run_mover.go
+++ b/internal/relay/run_mover.go
@@ -10,13 +10,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// moveTimeout bounds the copying of one run.
-const moveTimeout = time.Second
+// runCopyTimeout bounds the copying of one run.
+const runCopyTimeout = time.Second
 
-// movedRun says where a run goes on that was moved from its engine.
-type movedRun struct {
-	place *place
-	held  *heldPrompt
+// migratedRun says where a run goes on that was moved from its engine.
+type migratedRun struct {
+	target  *selection
+	prefill *remotePrefill
 }
 
 // runMover moves one run to another engine when its own takes no more work: its streams need not
@@ -29,24 +29,24 @@
 	mutex sync.Mutex
 	// stopping tells that the run has been asked to stop, outcome then gets where it goes on,
 	// nil for nowhere.
-	stopping bool
-	ended    bool
-	outcome  chan *movedRun
+	stopping   bool
+	isFinished bool
+	outcome    chan *migratedRun
 }
 
 // newRunMover registers a run with its engine. Its end must be told.
 func newRunMover(stream *streamReply, engine *backEnd) *runMover {
-	mover := &runMover{stream: stream, engine: engine, outcome: make(chan *movedRun, 1)}
+	mover := &runMover{stream: stream, engine: engine, outcome: make(chan *migratedRun, 1)}
 	engine.addMover(mover)
 	return mover
 }
 
-// end notes that no more events of the run come. It returns where the run goes on; nil when it
+// finish notes that no more events of the run come. It returns where the run goes on; nil when it
 // was not moved.
-func (m *runMover) end() *movedRun {
+func (m *runMover) finish() *migratedRun {
 	m.engine.removeMover(m)
 	m.mutex.Lock()
-	m.ended = true
+	m.isFinished = true
 	stopping := m.stopping
 	m.mutex.Unlock()
 	if !stopping {
@@ -55,82 +55,82 @@
 	return <-m.outcome
 }
 
-// stop begins the part of the move in which the run stands still; it reports false when there is
+// beginStop begins the part of the move in which the run stands still; it reports false when there is
 // nothing to move any more.
-func (m *runMover) stop() bool {
+func (m *runMover) beginStop() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.stopping = !m.ended
+	m.stopping = !m.isFinished
 	return m.stopping
 }
 
-// move copies the run's memory while the run goes on, and then what is new, while it stands
+// migrate copies the run's memory while the run goes on, and then what is new, while it stands
 // still. A run whose memory could not be copied stays where it is.
-func (m *runMover) move() {
+func (m *runMover) migrate() {
 	relay, request := m.stream.relay, m.stream.request
 	target := relay.pickForRun(m)
 	if target == nil {
 		return
 	}
-	target.backEnd.begin(placement.Work{Streams: 1})
-	defer target.backEnd.end(placement.Work{Streams: 1})
+	target.backEnd.addWork(placement.Work{Streams: 1})
+	defer target.backEnd.removeWork(placement.Work{Streams: 1})
 	copied, handle := relay.exchanger.copyRun(m.engine, relay.dialect, request.id, target.backEnd.Address, false)
 	if !copied {
 		return
 	}
-	if !m.stop() {
-		relay.release(&heldPrompt{engine: m.engine, handle: handle})
+	if !m.beginStop() {
+		relay.release(&remotePrefill{engine: m.engine, handle: handle})
 		return
 	}
 	copied, handle = relay.exchanger.copyRun(m.engine, relay.dialect, request.id, target.backEnd.Address, true)
-	relay.log.moved(request, m.engine, target.backEnd, copied)
-	relay.metrics.moves.WithLabelValues(strconv.FormatBool(copied)).Inc()
+	relay.log.recordMigration(request, m.engine, target.backEnd, copied)
+	relay.metrics.migrations.WithLabelValues(strconv.FormatBool(copied)).Inc()
 	m.outcome <- m.destination(target, copied, handle)
 }
 
 // destination is where a run that has stopped goes on: at the engine that has its copy, or where
 // it was when the rest could not be copied.
-func (m *runMover) destination(target *place, copied bool, handle string) *movedRun {
+func (m *runMover) destination(target *selection, copied bool, handle string) *migratedRun {
 	if handle == "" {
 		return nil
 	}
 	if !copied {
-		target = ownPlace(m.engine)
-		target.owed = true
+		target = selectionFor(m.engine)
+		target.isOwed = true
 	}
-	return &movedRun{place: target, held: &heldPrompt{engine: m.engine, handle: handle, parts: m.stream.parts}}
+	return &migratedRun{target: target, prefill: &remotePrefill{engine: m.engine, handle: handle, prefixBlocks: m.stream.prefixBlocks}}
 }
 
 // pickForRun picks the engine that takes over a run; nil when none has a slot for it.
-func (r *Relay) pickForRun(mover *runMover) *place {
+func (r *Relay) pickForRun(mover *runMover) *selection {
 	request, now := mover.stream.request, r.clock.now()
-	tried := &attempts{relay: r, request: request, excluded: []*backEnd{mover.engine}}
+	attempts := &attemptTracker{relay: r, request: request, excluded: []*backEnd{mover.engine}}
 	wanted := placement.Request{Now: now, Stage: answeringStage(request.service), Zone: mover.engine.Zone, Rank: mover.stream.rank()}
-	return r.decide(request, queryOf(toTakeOver, tried, wanted), mover.engine).chosen
+	return r.decide(request, newEngineQuery(purposeTakeOver, attempts, wanted), mover.engine).chosen
 }
 
 // copyRun has an engine copy a run to the engine at an address. It reports whether it did, and
 // the handle under which the run goes on.
 func (e *exchanger) copyRun(engine *backEnd, dialect Dialect, request, address string, stop bool) (copied bool, handle string) {
 	now := e.clock.now()
-	if engine.resting(now) || !e.permitted(engine, ownCallRank, false) {
+	if engine.inBackoff(now) || !e.acquirePermit(engine, internalCallRank, false) {
 		return false, "" // the run stays where it is
 	}
-	connection, err := e.open(engine, moveTimeout)
+	connection, err := e.open(engine, runCopyTimeout)
 	if err != nil {
 		return false, ""
 	}
 	defer connection.Discard()
-	_ = connection.SetDeadline(e.clock.at(now + moveTimeout))
-	if e.writeCall(connection, engine, fasthttp.MethodPost, dialect.MovePath, dialect.MoveBody(request, address, stop)) != nil {
+	_ = connection.SetDeadline(e.clock.at(now + runCopyTimeout))
+	if e.writeInternalCall(connection, engine, fasthttp.MethodPost, dialect.MovePath, dialect.MoveBody(request, address, stop)) != nil {
 		return false, ""
 	}
 	answer := fasthttp.Response{}
-	if err := answer.ReadLimitBody(connection.Reader, maximumPrefillAnswer); err != nil {
+	if err := answer.ReadLimitBody(connection.Reader, maxPrefillAnswerBytes); err != nil {
 		return false, ""
 	}
 	if answer.StatusCode() != fasthttp.StatusMisdirectedRequest {
-		e.noteAnswer(engine, &answer.Header, noRequest)
+		e.applyAnswerSignals(engine, &answer.Header, internalCallSentAt)
 	}
 	return answer.StatusCode() == fasthttp.StatusOK, dialect.ParseMoveAnswer(answer.Body())
 }
--- a/internal/relay/run_mover_test.go
+++ b/internal/relay/run_mover_test.go
@@ -82,7 +82,7 @@
 			next := startBackEnd(t, "next", serving.StageDecode, streaming("next", eventOne, eventTwo+eventThree))
 			relay := newTestRelay(t, route(func(r *serving.Route) { stream(false)(r); r.MaxAttempts = 1 }), former.scriptedBackEnd, next).preferring("former")
 			client := former.beginRun(t, relay)
-			relay.engineOf("next").end(relay.engineOf("next").look(0).own) // it has slots now
+			relay.engineOf("next").removeWork(relay.engineOf("next").currentLoad(0).ownWork) // it has slots now
 			relay.relist(change)
 			if name == "leaving and no move" {
 				close(former.stopped)
@@ -111,9 +111,9 @@
 	relay := newTestRelay(t, route(func(r *serving.Route) { stream(false)(r); r.MaxAttempts = 1 }), former.scriptedBackEnd, next).preferring("former")
 	client := former.beginRun(t, relay)
 	mover := relay.engineOf("former").anyMover()
-	target := &place{backEnd: relay.engineOf("next")}
-	require.Equal(t, relay.engineOf("former"), mover.destination(target, false, "kept").place.backEnd)
-	require.Equal(t, relay.engineOf("next"), mover.destination(target, true, "copy").place.backEnd)
+	target := &selection{backEnd: relay.engineOf("next")}
+	require.Equal(t, relay.engineOf("former"), mover.destination(target, false, "kept").target.backEnd)
+	require.Equal(t, relay.engineOf("next"), mover.destination(target, true, "copy").target.backEnd)
 	require.Nil(t, mover.destination(target, false, ""), "nothing is known of its memory")
 	close(former.stopped)
 	require.False(t, client.read().whole)
@@ -137,9 +137,9 @@
 			client := former.beginRun(t, relay)
 			engine := relay.engineOf("former")
 			if !row.full {
-				relay.engineOf("next").end(relay.engineOf("next").look(0).own)
+				relay.engineOf("next").removeWork(relay.engineOf("next").currentLoad(0).ownWork)
 			}
-			engine.anyMover().move()
+			engine.anyMover().migrate()
 			require.Len(t, former.moves(), row.moves)
 			require.Empty(t, next.seen())
 			close(former.stopped)
@@ -171,11 +171,11 @@
 	next := startBackEnd(t, "next", serving.StageDecode, streaming("next", eventTwo))
 	relay := newTestRelay(t, route(stream(false)), former.scriptedBackEnd, next)
 	request := &request{id: "id-1", route: &relay.view.Load().table.Configuration.Routes[0], service: relay.view.Load().table.Service("service"), deadline: time.Hour}
-	stream := &streamReply{relay: relay.Relay, request: request, tried: &attempts{relay: relay.Relay, request: request}}
+	stream := &streamReply{relay: relay.Relay, request: request, attempts: &attemptTracker{relay: relay.Relay, request: request}}
 	stream.mover = newRunMover(stream, relay.engineOf("former"))
-	require.True(t, stream.mover.stop())
-	stream.mover.outcome <- stream.mover.destination(&place{backEnd: relay.engineOf("next")}, true, "handle")
-	stream.dropMoved()
+	require.True(t, stream.mover.beginStop())
+	stream.mover.outcome <- stream.mover.destination(&selection{backEnd: relay.engineOf("next")}, true, "handle")
+	stream.releaseMigrated()
 	require.Eventually(t, func() bool {
 		seen := former.seen()
 		return len(seen) == 1 && seen[0].line == "DELETE /handle/handle"
@@ -197,7 +197,7 @@
 			other := startBackEnd(t, "other", serving.StageDecode, streaming("other", eventTwo+eventThree))
 			relay := newTestRelay(t, route(func(r *serving.Route) { stream(row.resumable)(r); r.MaxAttempts = 2 }), former.scriptedBackEnd, gone, other).preferring("former")
 			client := former.beginRun(t, relay)
-			relay.engineOf("gone").end(relay.engineOf("gone").look(0).own) // it has slots now, the other has none
+			relay.engineOf("gone").removeWork(relay.engineOf("gone").currentLoad(0).ownWork) // it has slots now, the other has none
 			relay.relist(func(entry *serving.BackEnd) { entry.Leaving = entry.Leaving || entry.ID == "former" })
 			answer := client.read()
 			require.Equal(t, row.resumable, answer.whole)
--- a/internal/relay/serve_connection.go
+++ b/internal/relay/serve_connection.go
@@ -16,17 +16,17 @@
 // connections are the open connections of clients.
 type connections struct {
 	mutex sync.Mutex
-	// open tells for each whether a request is being served on it; requests which, once it is read.
-	open     map[*clientConnection]bool
-	requests map[*clientConnection]*request
+	// isServing tells for each whether a request is being served on it; requests which, once it is read.
+	isServing map[*clientConnection]bool
+	requests  map[*clientConnection]*request
 	// tracked are the same connections, to end those that rest.
 	tracked *closing.Set
 }
 
-func (c *connections) set(connection *clientConnection, serving bool) {
+func (c *connections) setServing(connection *clientConnection, serving bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.open[connection] = serving
+	c.isServing[connection] = serving
 	delete(c.requests, connection)
 }
 
@@ -37,8 +37,8 @@
 	c.requests[connection] = request
 }
 
-// served are the requests that are being served.
-func (c *connections) served() []*request {
+// activeRequests are the requests that are being activeRequests.
+func (c *connections) activeRequests() []*request {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return slices.Collect(maps.Values(c.requests))
@@ -47,16 +47,16 @@
 func (c *connections) remove(connection *clientConnection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	delete(c.open, connection)
+	delete(c.isServing, connection)
 	delete(c.requests, connection)
 }
 
-// serving counts the connections on which a request is being served.
-func (c *connections) serving() int {
+// servingCount counts the connections on which a request is being served.
+func (c *connections) servingCount() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	count := 0
-	for _, serving := range c.open {
+	for _, serving := range c.isServing {
 		if serving {
 			count++
 		}
@@ -66,20 +66,20 @@
 
 // serveConnection serves the requests of one connection, one after another.
 func (r *Relay) serveConnection(connection *clientConnection) {
-	r.connections.set(connection, false)
+	r.connections.setServing(connection, false)
 	defer r.connections.remove(connection)
 	defer connection.Close()
 	for {
 		idle := r.clock.at(r.clock.now() + r.limits().IdleTimeout)
-		if connection.await(idle) != nil {
+		if connection.awaitRequest(idle) != nil {
 			return
 		}
 		connection.SetState(closing.Serving)
-		r.connections.set(connection, true)
+		r.connections.setServing(connection, true)
 		if !r.serveNext(connection) {
 			return
 		}
-		r.connections.set(connection, false)
+		r.connections.setServing(connection, false)
 		connection.SetState(closing.Idle)
 	}
 }
@@ -99,21 +99,21 @@
 	}
 	reply.requestID = request.id
 	reply.close = request.header.ConnectionClose() || r.stopping.Load()
-	_ = connection.SetWriteDeadline(r.clock.at(request.arrivedAt + longestRequest))
-	if r.refusesNew() {
+	_ = connection.SetWriteDeadline(r.clock.at(request.arrivedAt + maxAnswerDuration))
+	if r.refusesNewRequests() {
 		reply.close = true
 		reply.refuse(refusal{status: fasthttp.StatusServiceUnavailable, reason: "this relay stops", retryAfter: retryAfterStop})
 		return false
 	}
 	r.connections.setRequest(connection, request)
-	connection.watch(request.canceller.cancel)
+	connection.watchForClose(request.canceller.cancel)
 	r.serveRequest(request, reply)
-	return !reply.close && !reply.failed && !request.canceller.isCancelled()
+	return !reply.close && !reply.aborted && !request.canceller.isCancelled()
 }
 
 const (
-	// longestRequest bounds the time in which an answer can be written to a client.
-	longestRequest = 2 * time.Minute
+	// maxAnswerDuration bounds the time in which an answer can be written to a client.
+	maxAnswerDuration = 2 * time.Minute
 	// retryAfterStop sends a client to another relay at once.
 	retryAfterStop = 10 * time.Millisecond
 )
--- a/internal/relay/serve_request.go
+++ b/internal/relay/serve_request.go
@@ -12,9 +12,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// wholeAnswer is the size up to which an answer is read whole before anything of it is
+// maxBufferedAnswer is the size up to which an answer is read whole before anything of it is
 // passed on: one that breaks off can then still be replaced or refused.
-const wholeAnswer = 64 << 10
+const maxBufferedAnswer = 64 << 10
 
 // serveRequest finds the route of a request and serves it; the replier has then answered,
 // unless the client has gone.
@@ -23,8 +23,8 @@
 		reply.refuse(refusal{status: fasthttp.StatusBadRequest, reason: "the header " + r.dialect.Headers.RequestID + " is missing"})
 		return
 	}
-	if lacking := r.awaitKnown(request); lacking != "" {
-		r.refuseForLack(request, lacking, reply)
+	if missing := r.awaitReadyView(request); missing != "" {
+		r.refuseForMissingState(request, missing, reply)
 		return
 	}
 	view := r.view.Load()
@@ -37,17 +37,17 @@
 		r.refuseKey(request, fault, reply)
 		return
 	}
-	request.signature = quarantine.SignatureOf(request.caller(), request.method, request.target, request.body)
+	request.signature = quarantine.SignatureOf(request.tenantName(), request.method, request.target, request.body)
 	request.rank = placement.RankOf(view.table.PriorityLevel(request.tenant, request.route))
 	names := r.dialect.Headers
 	request.deadline = request.arrivedAt +
-		min(request.route.Timeout, clientDeadline(request.header, names.DeadlineMs, request.route.Timeout))
+		min(request.route.Timeout, clientTimeout(request.header, names.DeadlineMs, request.route.Timeout))
 	request.service = view.table.Service(r.chooseService(request.route))
 	request.prompt = serving.ParsePrompt(string(request.header.Peek(names.Model)),
 		string(request.header.Peek(names.Tokens)), string(request.header.Peek(names.PromptParts)))
 	r.budget.RecordRequest(r.clock.now(), request.service.Name)
-	defer r.noteAnswered(request, reply)
-	if !r.admitHeld(request, reply) {
+	defer r.recordRequestEnd(request, reply)
+	if !r.admitQuarantined(request, reply) {
 		return
 	}
 	if request.route.Kind == serving.KindStream {
@@ -57,11 +57,11 @@
 	r.servePlain(request, reply)
 }
 
-// noteAnswered writes the line at a request's end and counts it.
-func (r *Relay) noteAnswered(request *request, reply *replier) {
-	belief := r.belief()
-	r.log.ended(request, reply, belief)
-	r.metrics.ended(request, reply, belief.now)
+// recordRequestEnd writes the line at a request's end and counts it.
+func (r *Relay) recordRequestEnd(request *request, reply *replier) {
+	snapshot := r.viewSnapshot()
+	r.log.recordEnd(request, reply, snapshot)
+	r.metrics.recordEnd(request, reply, snapshot.now)
 }
 
 // chooseService chooses among a route's services by their weights.
@@ -75,8 +75,8 @@
 // refuseByConfiguration answers a request that the configuration does not allow. Only a relay whose
 // view is fresh can be sure of that.
 func (r *Relay) refuseByConfiguration(status int, reason string) refusal {
-	if r.clock.now()-r.lastContact() > r.contactLimit() {
-		return refusal{status: fasthttp.StatusServiceUnavailable, reason: "the configuration may be old", retryAfter: retryAfterOld}
+	if r.clock.now()-r.lastContact() > r.maxContactAge() {
+		return refusal{status: fasthttp.StatusServiceUnavailable, reason: "the configuration may be old", retryAfter: retryAfterStaleView}
 	}
 	return refusal{status: status, reason: reason}
 }
@@ -93,30 +93,30 @@
 
 // servePlain serves a request whose back ends answer it whole.
 func (r *Relay) servePlain(request *request, reply *replier) {
-	tried := &attempts{relay: r, request: request}
-	for tried.mayContinue() {
-		chosen := r.pickWhole(request, tried)
+	attempts := &attemptTracker{relay: r, request: request}
+	for attempts.mayContinue() {
+		chosen := r.pickForPlain(request, attempts)
 		if chosen == nil {
 			break
 		}
 		backEnd := chosen.backEnd
 		request.trace.engine, request.trace.sentAt = backEnd.ID, r.clock.now()
 		answer, fault := r.exchanger.send(&message{request: request, backEnd: backEnd, deadline: request.deadline, work: placement.Work{Streams: 1}, chosen: chosen,
-			stall: stallLimit(request.route), mayBreak: tried.leaveAnother()})
+			stall: stallLimit(request.route), mayAbort: attempts.hasFurtherAttempt()})
 		r.work.AddWholeAnswer(request.service.Name, r.clock.now()-request.trace.sentAt, backEnd.Slots)
 		if fault == nil || fault.verdict != verdict.NotRun {
-			r.noteRun(request, request.trace.sentAt)
+			r.recordRun(request, request.trace.sentAt)
 		}
 		if fault == nil {
-			fault = r.passPlain(answer, tried, reply)
+			fault = r.forwardPlain(answer, attempts, reply)
 		}
 		if fault == nil {
 			return
 		}
-		r.log.attemptFailed(request, backEnd, fault)
-		tried.note(backEnd, fault)
+		r.log.recordFailedAttempt(request, backEnd, fault)
+		attempts.recordFailure(backEnd, fault)
 	}
-	r.finishRefused(tried, reply)
+	r.replyRefused(attempts, reply)
 }
 
 // answeringStage is the stage of the back ends that answer requests of a service.
@@ -127,50 +127,50 @@
 	return serving.StageDecode
 }
 
-// finishRefused gives the final answer when none came from a back end.
-func (r *Relay) finishRefused(tried *attempts, reply *replier) {
-	if reply.started || tried.request.canceller.isCancelled() {
-		reply.close, reply.failed = true, true // an answer that was begun must not look whole
+// replyRefused gives the final answer when none came from a back end.
+func (r *Relay) replyRefused(attempts *attemptTracker, reply *replier) {
+	if reply.started || attempts.request.canceller.isCancelled() {
+		reply.close, reply.aborted = true, true // an answer that was begun must not look whole
 		return
 	}
-	refused := tried.refusal()
-	r.log.refused(tried.request, refused, tried)
+	refused := attempts.refusal()
+	r.log.recordRefusal(attempts.request, refused, attempts)
 	reply.refuse(refused)
 }
 
-// passPlain passes an answer on. The failure is nil when the client has its final answer,
+// forwardPlain passes an answer on. The failure is nil when the client has its final answer,
 // whole or cut; otherwise nothing of the answer was passed on.
-func (r *Relay) passPlain(answer *answer, tried *attempts, reply *replier) *failure {
+func (r *Relay) forwardPlain(answer *answer, attempts *attemptTracker, reply *replier) *failure {
 	defer answer.finish()
-	if answer.head.ContentLength() > wholeAnswer {
-		return r.passLong(answer, nil, reply)
+	if answer.head.ContentLength() > maxBufferedAnswer {
+		return r.forwardLong(answer, nil, reply)
 	}
-	body, err := io.ReadAll(io.LimitReader(answer, wholeAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedAnswer+1))
 	if err != nil {
 		return asFailure(err)
 	}
-	if len(body) > wholeAnswer {
-		return r.passLong(answer, body, reply)
+	if len(body) > maxBufferedAnswer {
+		return r.forwardLong(answer, body, reply)
 	}
-	if answer.status >= fasthttp.StatusInternalServerError && r.mayReplace(answer, tried) {
-		return &failure{verdict: failedAnswer.verdict, arrived: true, cause: failedAnswer.cause}
+	if answer.status >= fasthttp.StatusInternalServerError && r.mayReplace(answer, attempts) {
+		return &failure{verdict: backEndErrorAnswer.verdict, mayHaveArrived: true, cause: backEndErrorAnswer.cause}
 	}
-	reply.whole(answer, body)
+	reply.sendWhole(answer, body)
 	return nil
 }
 
 // mayReplace reports whether a back end's own failure may be replaced by another one's
 // answer. It takes nothing from the budget: mayContinue does.
-func (r *Relay) mayReplace(answer *answer, tried *attempts) bool {
-	return tried.leaveAnother() && !tried.over() && r.othersLeft(answer, tried) &&
+func (r *Relay) mayReplace(answer *answer, attempts *attemptTracker) bool {
+	return attempts.hasFurtherAttempt() && !attempts.isOver() && r.hasUntriedBackEnd(answer, attempts) &&
 		r.budget.CanSpend(r.clock.now(), answer.message.request.service.Name)
 }
 
-// othersLeft reports whether a back end is left that has not been tried.
-func (r *Relay) othersLeft(answer *answer, tried *attempts) bool {
+// hasUntriedBackEnd reports whether a back end is left that has not been tried.
+func (r *Relay) hasUntriedBackEnd(answer *answer, attempts *attemptTracker) bool {
 	now := r.clock.now()
 	for _, backEnd := range r.view.Load().byService[answer.message.request.service.Name] {
-		if !backEnd.leaving() && backEnd.wait(now) == 0 && backEnd != answer.message.backEnd && !tried.isExcluded(backEnd) {
+		if !backEnd.isLeaving() && backEnd.sendDelay(now) == 0 && backEnd != answer.message.backEnd && !attempts.isExcluded(backEnd) {
 			return true
 		}
 	}
@@ -183,26 +183,26 @@
 	if errors.As(err, &fault) {
 		return fault
 	}
-	return &failure{verdict: failedAnswer.verdict, arrived: true, cause: err}
+	return &failure{verdict: backEndErrorAnswer.verdict, mayHaveArrived: true, cause: err}
 }
 
-// passLong passes a long answer on as it comes, after what was read already. One that
+// forwardLong passes a long answer on as it comes, after what was read already. One that
 // breaks off ends with the client's connection, so that it does not look whole.
-func (r *Relay) passLong(answer *answer, begun []byte, reply *replier) *failure {
-	reply.beginChunks(answer, begun)
+func (r *Relay) forwardLong(answer *answer, buffered []byte, reply *replier) *failure {
+	reply.sendFirstChunk(answer, buffered)
 	piece := make([]byte, 16<<10)
 	for {
 		n, err := answer.Read(piece)
 		if errors.Is(err, io.EOF) {
-			reply.lastChunk(piece[:n])
+			reply.sendLastChunk(piece[:n])
 			return nil
 		}
-		if err != nil || reply.failed {
-			reply.close, reply.failed = true, true
+		if err != nil || reply.aborted {
+			reply.close, reply.aborted = true, true
 			return nil
 		}
 		if n > 0 {
-			reply.chunk(piece[:n])
+			reply.sendChunk(piece[:n])
 		}
 	}
 }
--- a/internal/relay/stall.go
+++ b/internal/relay/stall.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// streamStall is the least silence of a stream after which its engine counts as failed.
-	streamStall = 900 * time.Millisecond
-	// plainStall is likewise for a back end that answers whole.
-	plainStall = 250 * time.Millisecond
-	// stallTargets is how many targets of its route a silence must last at least.
-	stallTargets = 2
-	// prefillStall is how much longer than expected the reading of a prompt may take, beside
+	// minStreamStall is the least silence of a stream after which its engine counts as failed.
+	minStreamStall = 900 * time.Millisecond
+	// minPlainStall is likewise for a back end that answers whole.
+	minPlainStall = 250 * time.Millisecond
+	// stallTargetFactor is how many targets of its route a silence must last at least.
+	stallTargetFactor = 2
+	// prefillStallSlack is how much longer than expected the reading of a prompt may take, beside
 	// prefillStallShare times the expectation.
-	prefillStall      = 600 * time.Millisecond
-	prefillStallShare = 2.5
+	prefillStallSlack  = 600 * time.Millisecond
+	prefillStallFactor = 2.5
 )
 
 // stallLimit is the silence after which the back end of a request counts as failed.
 func stallLimit(route *serving.Route) time.Duration {
 	if route.Kind == serving.KindStream {
-		return max(streamStall, stallTargets*route.TargetGap)
+		return max(minStreamStall, stallTargetFactor*route.TargetGap)
 	}
-	return max(plainStall, stallTargets*route.Target)
+	return max(minPlainStall, stallTargetFactor*route.Target)
 }
 
 // stallWatch looks for the silence of a back end during one answer. When nothing has come
@@ -38,7 +38,7 @@
 	exchanger  *exchanger
 	connection *connpool.Connection
 	backEnd    *backEnd
-	mayBreak   bool
+	mayAbort   bool
 	limit      time.Duration
 	timer      *time.Timer
 
@@ -48,9 +48,9 @@
 }
 
 // watchStall begins to look. mayBreak says whether the answer may be broken off.
-func (e *exchanger) watchStall(connection *connpool.Connection, backEnd *backEnd, limit time.Duration, mayBreak bool) *stallWatch {
-	mayBreak = mayBreak && e.without.IsEnabled(mechanism.StallWatch)
-	watch := &stallWatch{exchanger: e, connection: connection, backEnd: backEnd, mayBreak: mayBreak, limit: limit}
+func (e *exchanger) watchStall(connection *connpool.Connection, backEnd *backEnd, limit time.Duration, mayAbort bool) *stallWatch {
+	mayAbort = mayAbort && e.without.IsEnabled(mechanism.StallWatch)
+	watch := &stallWatch{exchanger: e, connection: connection, backEnd: backEnd, mayAbort: mayAbort, limit: limit}
 	watch.mutex.Lock()
 	defer watch.mutex.Unlock()
 	watch.timer = time.AfterFunc(limit, watch.check)
@@ -64,20 +64,20 @@
 	if w.stopped {
 		return
 	}
-	silence := w.exchanger.clock.now() - w.backEnd.look(w.exchanger.clock.now()).heardAt
+	silence := w.exchanger.clock.now() - w.backEnd.currentLoad(w.exchanger.clock.now()).lastReceivedAt
 	if silence < w.limit {
 		w.timer.Reset(w.limit - silence)
 		return
 	}
-	w.exchanger.noteFailure(w.backEnd)
-	if w.mayBreak {
+	w.exchanger.recordFailure(w.backEnd)
+	if w.mayAbort {
 		_ = w.connection.SetDeadline(time.Unix(1, 0)) // a closed connection fails by itself
 	}
 }
 
-// heard notes that something has come.
-func (w *stallWatch) heard() {
-	w.backEnd.heard(w.exchanger.clock.now())
+// recordReceived notes that something has come.
+func (w *stallWatch) recordReceived() {
+	w.backEnd.recordReceived(w.exchanger.clock.now())
 	w.timer.Reset(w.limit)
 }
 
--- a/internal/relay/stall_test.go
+++ b/internal/relay/stall_test.go
@@ -27,7 +27,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = socket.Close() })
 	steady := newClock()
-	return &exchanger{clock: steady, notices: newNotices(&Relay{clock: steady}, datagram.New(socket, nil), 1)}
+	return &exchanger{clock: steady, notices: newLoadNotices(&Relay{clock: steady}, datagram.New(socket, nil), 1)}
 }
 
 // A look that is under way when its answer ends must touch nothing any more: the connection
@@ -37,12 +37,12 @@
 	for name, heardAt := range map[string]time.Duration{"silent": -time.Hour, "heard of": time.Hour} {
 		recorder := &deadlineRecorder{}
 		backEnd := newBackEnd(serving.BackEnd{ID: "one"}, 1000)
-		backEnd.heard(heardAt)
+		backEnd.recordReceived(heardAt)
 		watch := exchanger.watchStall(connpool.NewConnection(recorder), backEnd, time.Hour, true)
 		watch.stop()
 		watch.check()
 		require.Zero(t, recorder.set, name)
-		require.Zero(t, backEnd.look(0).failures, name)
+		require.Zero(t, backEnd.currentLoad(0).failures, name)
 		require.False(t, watch.timer.Stop(), "%s: the timer was set again", name)
 	}
 }
@@ -59,7 +59,7 @@
 			synctest.Wait()
 			watch.stop()
 			require.Equal(t, deadlines, recorder.set)
-			require.Equal(t, 1, backEnd.look(0).failures)
+			require.Equal(t, 1, backEnd.currentLoad(0).failures)
 		})
 	}
 }
--- a/internal/relay/start_wait.go
+++ b/internal/relay/start_wait.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// startWait is how long a request that comes before the relay knows what it needs waits for that. After a
+// startupWait is how long a request that comes before the relay knows what it needs waits for that. After a
 // loss of all processes, relays know it 0.1 s after their start in the median, and 0.6 s at the latest where
 // controllers are slow (291 to 295 relays); a client that is told to come back is late by then.
-const startWait = 250 * time.Millisecond
+const startupWait = 250 * time.Millisecond
 
-// knownSignal tells those who wait that the relay knows a configuration and a list. It never forgets them.
-type knownSignal struct {
+// readySignal tells those who wait that the relay knows a configuration and a list. It never forgets them.
+type readySignal struct {
 	once  sync.Once
-	known chan struct{}
+	ready chan struct{}
 }
 
-func newKnownSignal() *knownSignal { return &knownSignal{known: make(chan struct{})} }
+func newReadySignal() *readySignal { return &readySignal{ready: make(chan struct{})} }
 
-// raise ends all waits.
-func (s *knownSignal) raise() { s.once.Do(func() { close(s.known) }) }
+// notify ends all waits.
+func (s *readySignal) notify() { s.once.Do(func() { close(s.ready) }) }
 
 // setView puts a view in force.
 func (r *Relay) setView(next *view) {
 	r.view.Store(next)
-	if next.ready() {
-		r.known.raise()
+	if next.isReady() {
+		r.viewReady.notify()
 	}
 }
 
-// awaitKnown waits until the relay knows what every request needs, and returns what it lacks after that.
-func (r *Relay) awaitKnown(request *request) lack {
-	if lacking := r.view.Load().lack(); lacking == "" {
+// awaitReadyView waits until the relay knows what every request needs, and returns what it lacks after that.
+func (r *Relay) awaitReadyView(request *request) missingState {
+	if missing := r.view.Load().missing(); missing == "" {
 		return ""
 	}
-	r.metrics.startWaits.Inc()
-	timer := time.NewTimer(r.startWait)
+	r.metrics.startupWaits.Inc()
+	timer := time.NewTimer(r.startupWait)
 	defer timer.Stop()
 	select {
-	case <-r.known.known:
+	case <-r.viewReady.ready:
 	case <-timer.C:
-	case <-request.canceller.gone():
+	case <-request.canceller.done():
 	}
-	return r.view.Load().lack()
+	return r.view.Load().missing()
 }
--- a/internal/relay/start_wait_test.go
+++ b/internal/relay/start_wait_test.go
@@ -16,25 +16,25 @@
 	relay := newTestRelay(t, route(nil), startBackEnd(t, "one", serving.StageWhole, answering(200, "ok")))
 	known := relay.view.Load()
 	relay.view.Store(&view{byService: map[string][]*backEnd{}})
-	relay.startWait = time.Hour
+	relay.startupWait = time.Hour
 	client := relay.client(t)
 	client.send("GET", "/path/", "")
-	require.Eventually(t, func() bool { return testutil.ToFloat64(relay.metrics.startWaits) == 1 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return testutil.ToFloat64(relay.metrics.startupWaits) == 1 }, time.Minute, time.Millisecond)
 	relay.setView(known)
 	require.Equal(t, 200, client.read().status)
 	require.Equal(t, 200, client.do("GET", "/path/", "").status)
-	require.EqualValues(t, 1, testutil.ToFloat64(relay.metrics.startWaits), "nobody waits any more")
+	require.EqualValues(t, 1, testutil.ToFloat64(relay.metrics.startupWaits), "nobody waits any more")
 }
 
 // A relay that goes on knowing nothing refuses soon, and spreads those who come back.
 func TestRequestsAreRefusedWhereNothingBecomesKnown(t *testing.T) {
 	relay := newTestRelay(t, route(nil))
 	relay.view.Store(&view{byService: map[string][]*backEnd{}})
-	relay.startWait = time.Millisecond
+	relay.startupWait = time.Millisecond
 	require.Equal(t, 503, relay.client(t).do("GET", "/path/", "").status)
-	first, last := lacksConfiguration.refusal(0), lacksConfiguration.refusal(0.999)
-	require.Equal(t, retryAfterStart, first.retryAfter)
-	require.Greater(t, last.retryAfter, first.retryAfter+retryStartSpread/2)
+	first, last := missingConfiguration.refusal(0), missingConfiguration.refusal(0.999)
+	require.Equal(t, retryAfterStartup, first.retryAfter)
+	require.Greater(t, last.retryAfter, first.retryAfter+retryStartupSpread/2)
 	require.True(t, first.promisesNotRun())
 }
 
@@ -42,10 +42,10 @@
 func TestRequestWhoseClientLeavesDoesNotWait(t *testing.T) {
 	relay := newTestRelay(t, route(nil))
 	relay.view.Store(&view{byService: map[string][]*backEnd{}})
-	relay.startWait = time.Hour
+	relay.startupWait = time.Hour
 	client := relay.client(t)
 	client.send("GET", "/path/", "")
-	require.Eventually(t, func() bool { return testutil.ToFloat64(relay.metrics.startWaits) == 1 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return testutil.ToFloat64(relay.metrics.startupWaits) == 1 }, time.Minute, time.Millisecond)
 	require.NoError(t, client.connection.Close())
-	require.Eventually(t, func() bool { return relay.connections.serving() == 0 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return relay.connections.servingCount() == 0 }, time.Minute, time.Millisecond)
 }
--- a/internal/relay/started_again.go
+++ b/internal/relay/started_again.go
@@ -5,11 +5,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// noteBorn takes the time of the start that has answered for a back end. A later one than the list shows is another
+// checkIncarnation takes the time of the start that has answered for a back end. A later one than the list shows is another
 // start under the same identity: it holds nothing of what was read before, and the listed one has ended. Its own
 // record comes with the list, a second later at most.
-func (r *Relay) noteBorn(backEnd *backEnd, born int64) {
-	if backEnd.StartedAtMs == 0 || born <= backEnd.StartedAtMs || !backEnd.startedAgain.CompareAndSwap(false, true) {
+func (r *Relay) checkIncarnation(backEnd *backEnd, born int64) {
+	if backEnd.StartedAtMs == 0 || born <= backEnd.StartedAtMs || !backEnd.isSuperseded.CompareAndSwap(false, true) {
 		return
 	}
 	r.event(events.BackEndStartedAgain).Str("back_end", backEnd.ID).Int64("born", born).Send()
--- a/internal/relay/started_again_test.go
+++ b/internal/relay/started_again_test.go
@@ -35,11 +35,11 @@
 				}
 			}
 			before := []placement.PrefixBlock{{Hash: placement.HashBlock("m", "ff"), Tokens: 3000}}
-			engine.cache.keep(relay.clock.now(), before)
+			engine.cache.markCached(relay.clock.now(), before)
 			require.Equal(t, eventOne, relay.client(t).do("POST", "/path/", "x", longPrompt...).body)
 			require.NotEmpty(t, reader.seen())
-			require.Equal(t, test.forgotten, engine.startedAgain.Load())
-			require.Equal(t, test.forgotten, engine.cache.cached(before, relay.clock.now()).Total == 0)
+			require.Equal(t, test.forgotten, engine.isSuperseded.Load())
+			require.Equal(t, test.forgotten, engine.cache.lookup(before, relay.clock.now()).Total == 0)
 		})
 	}
 }
--- a/internal/relay/stopping_test.go
+++ b/internal/relay/stopping_test.go
@@ -64,7 +64,7 @@
 	kept := relay.client(t)
 	kept.send("POST", "/path/", "x")
 	<-arrived
-	relay.stopAt.Store(int64(relay.clock.now() + time.Hour))
+	relay.refuseNewAt.Store(int64(relay.clock.now() + time.Hour))
 	relay.stopping.Store(true)
 	require.Equal(t, 503, ready())
 	late := relay.client(t) // it was sent here before the platform knew
@@ -96,7 +96,7 @@
 		relay.drain(t.Context(), listener)
 		close(stopped)
 	}()
-	require.Eventually(t, relay.refusesNew, time.Minute, time.Millisecond)
+	require.Eventually(t, relay.refusesNewRequests, time.Minute, time.Millisecond)
 	time.Sleep(time.Duration(float64(relay.settings.Grace) * (leaveShare - refuseShare + 0.1))) // the port is about to close
 	go func() { _ = relay.accept(t.Context(), listener) }()
 	for _, client := range clients {
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -46,7 +46,7 @@
 func (r *testRelay) preferring(id string) *testRelay {
 	for _, backEnd := range r.view.Load().byService["service"] {
 		if backEnd.ID != id {
-			backEnd.begin(placement.Work{Streams: 50})
+			backEnd.addWork(placement.Work{Streams: 50})
 		}
 	}
 	return r
@@ -158,7 +158,7 @@
 	lapsed := startBackEnd(t, "lapsed", serving.StageDecode, refusing(503))
 	decoder := startBackEnd(t, "decoder", serving.StageDecode, streaming("decoder", eventOne))
 	relay := newTestRelay(t, route(stream(false)), reader, lapsed, decoder)
-	relay.engineOf("decoder").begin(placement.Work{Streams: 1}) // so that the other one is picked
+	relay.engineOf("decoder").addWork(placement.Work{Streams: 1}) // so that the other one is picked
 	answer := relay.client(t).do("POST", "/path/", "x", longPrompt...)
 	require.Len(t, lapsed.seen(), 1)
 	require.Equal(t, eventOne, answer.body)
@@ -184,13 +184,13 @@
 		reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 		broken := startBackEnd(t, "broken", serving.StageDecode, func(connection net.Conn, request received) bool {
 			if readerFails {
-				relay.engineOf("reader").failed(relay.clock.now())
+				relay.engineOf("reader").recordFailure(relay.clock.now())
 			}
 			return streaming("broken", "cut")(connection, request)
 		})
 		busy := startBackEnd(t, "busy", serving.StageDecode, streaming("busy", eventOne))
 		relay = newTestRelay(t, route(stream(true)), reader, broken, busy).preferring("broken")
-		relay.engineOf("busy").begin(placement.PrefillWork(10_000, 0))
+		relay.engineOf("busy").addWork(placement.PrefillWork(10_000, 0))
 		answer := relay.client(t).do("POST", "/path/", "x", longPrompt...)
 		if readerFails {
 			require.Equal(t, 502, answer.status)
@@ -210,7 +210,7 @@
 		reader := startBackEnd(t, "reader", serving.StagePrefill, writing(""))
 		decoder := startBackEnd(t, "decoder", serving.StageDecode, streaming("decoder", eventOne))
 		relay := newTestRelay(t, route(func(r *serving.Route) { stream(false)(r); r.MaxAttempts = 1 }), reader, decoder)
-		relay.engineOf("decoder").begin(placement.Work{Streams: streams})
+		relay.engineOf("decoder").addWork(placement.Work{Streams: streams})
 		answer := relay.client(t).do("POST", "/path/", "x", longPrompt...)
 		require.Equal(t, status, answer.status)
 		if status == 503 {
@@ -227,7 +227,7 @@
 	relay := newTestRelay(t, route(stream(true)), reader, decoder)
 	for _, backEnd := range relay.view.Load().byService["service"] {
 		if backEnd.ID == "reader" {
-			backEnd.begin(placement.PrefillWork(100_000, 0).Plus(placement.Work{Prefills: 5}))
+			backEnd.addWork(placement.PrefillWork(100_000, 0).Plus(placement.Work{Prefills: 5}))
 		}
 	}
 	answer := relay.client(t).do("POST", "/path/", "x", longPrompt...)
@@ -247,7 +247,7 @@
 		relay := newTestRelay(t, made, broken, reader, decoder)
 		for _, backEnd := range relay.view.Load().byService["service"] {
 			if backEnd.ID == "reader" {
-				backEnd.begin(placement.PrefillWork(5000, 0))
+				backEnd.addWork(placement.PrefillWork(5000, 0))
 			}
 		}
 		answer := relay.client(t).do("POST", "/path/", "x", longPrompt...)
--- a/internal/relay/suspension_test.go
+++ b/internal/relay/suspension_test.go
@@ -14,7 +14,7 @@
 
 // suspendable returns for how long the relay's machine was suspended, in nanoseconds, which a test may change.
 func (r *testRelay) suspendable() *atomic.Int64 {
-	r.contactAt.Store(int64(r.clock.now()))
+	r.lastContactAt.Store(int64(r.clock.now()))
 	return r.away
 }
 
@@ -63,7 +63,7 @@
 	})
 	relay := newTestRelay(t, route(func(made *serving.Route) { made.Timeout = time.Hour }), backEnd)
 	away := relay.suspendable()
-	go relay.clock.steady.Watch(t.Context(), relay.noteSuspension)
+	go relay.clock.steady.Watch(t.Context(), relay.handleSuspension)
 	client := relay.client(t)
 	client.send("POST", "/path/", "x")
 	<-arrived
@@ -79,6 +79,6 @@
 	require.False(t, relay.watcher.IsResponseStale(asked))
 	away.Add(int64(5 * time.Second))
 	require.True(t, relay.watcher.IsResponseStale(asked))
-	relay.knowledge.ApplyUpdate(&v1.WatchResponse{})
-	require.Less(t, relay.clock.now()-relay.lastContact(), relay.contactLimit(), "one that is asked for anew counts")
+	relay.fleet.ApplyUpdate(&v1.WatchResponse{})
+	require.Less(t, relay.clock.now()-relay.lastContact(), relay.maxContactAge(), "one that is asked for anew counts")
 }
--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// lastUsageWait is how long a stopping relay waits until what it has counted is told.
-	lastUsageWait = 300 * time.Millisecond
-	lastUsagePoll = 10 * time.Millisecond
+	// finalUsageWait is how long a stopping relay waits until what it has counted is told.
+	finalUsageWait         = 300 * time.Millisecond
+	finalUsagePollInterval = 10 * time.Millisecond
 )
 
-// noteRun counts a request of a tenant that began to run at a moment, once however many back ends run
+// recordRun counts a request of a tenant that began to run at a moment, once however many back ends run
 // it.
-func (r *Relay) noteRun(request *request, moment time.Duration) {
-	if request.tenant == nil || request.counted {
+func (r *Relay) recordRun(request *request, moment time.Duration) {
+	if request.tenant == nil || request.isUsageCounted {
 		return
 	}
-	request.counted = true
+	request.isUsageCounted = true
 	r.usage.CountRequest(moment, request.tenant.Name)
 }
 
 // usageReporter tells the leader what tenants use.
 func (r *Relay) usageReporter() *usagereport.Reporter {
 	return &usagereport.Reporter{
-		Meter: r.usage, Send: r.reportUsage, OnFailure: r.metrics.usageSentAgain.Inc,
+		Meter: r.usage, Send: r.reportUsage, OnFailure: r.metrics.usageResends.Inc,
 		RelayCount: func() int { return int(r.relayCount.Load()) },
 	}
 }
 
 // awaitUsageReported lets a stopping relay tell what it has counted.
 func (r *Relay) awaitUsageReported() {
-	for limit := r.clock.now() + lastUsageWait; r.usage.UnreportedCount() > 0 && r.clock.now() < limit; {
-		time.Sleep(lastUsagePoll)
+	for limit := r.clock.now() + finalUsageWait; r.usage.UnreportedCount() > 0 && r.clock.now() < limit; {
+		time.Sleep(finalUsagePollInterval)
 	}
 }
 
--- a/internal/relay/view.go
+++ b/internal/relay/view.go
@@ -15,8 +15,8 @@
 	configuredAt, listedAt time.Duration
 	// listingVersion is the controllers' version of the list; 0 for one read here.
 	listingVersion uint64
-	// listed tells that a list has been read at all.
-	listed bool
+	// isListed tells that a list has been read at all.
+	isListed bool
 	// byService holds the back ends of each service, by identity.
 	byService map[string][]*backEnd
 	// byHash holds the back ends by the hash that relays name replicas with, byStart by that of their starts.
@@ -35,5 +35,5 @@
 	return nil
 }
 
-// ready reports whether requests can be served.
-func (v *view) ready() bool { return v.lack() == "" }
+// isReady reports whether requests can be served.
+func (v *view) isReady() bool { return v.missing() == "" }
--- a/internal/relay/watch_rate_test.go
+++ b/internal/relay/watch_rate_test.go
@@ -13,6 +13,6 @@
 	for relays, wait := range map[int64]string{0: "400ms", 7: "400ms", 120: "400ms", 240: "800ms", 300: "1s", 5000: "1s"} {
 		relay.relayCount.Store(relays)
 		require.Equal(t, wait, relay.watcher.Wait().String())
-		require.Greater(t, relay.contactLimit(), relay.watcher.Wait())
+		require.Greater(t, relay.maxContactAge(), relay.watcher.Wait())
 	}
 }
