--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -6,11 +6,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// keyFault is why a request's key does not admit it; empty where it does. It never tells of the key
-// itself.
+// keyFault says why a request's key does not admit it; empty when it does. It never contains the key.
 type keyFault string
 
-// Reasons why requests are not admitted.
+// Reasons for which requests are not admitted.
 const (
 	keyMissing   keyFault = "the request has no key"
 	keyRepeated  keyFault = "the request has more than one key"
@@ -18,8 +17,8 @@
 	keyUnknown   keyFault = "the key of the request is not known"
 )
 
-// admit finds whose request it is. A request without a key is nobody's; only open routes admit it. A
-// key that is given must be known on every route.
+// admit identifies the request's tenant by its key. A request without a key has no tenant and is admitted only on open
+// routes. A key that is sent must be valid, on open routes too.
 func (r *Relay) admit(table *serving.Table, request *request) keyFault {
 	if !table.Configuration.RequireKeys {
 		return ""
@@ -44,7 +43,7 @@
 	return ""
 }
 
-// refuseKey answers a request that is not admitted.
+// refuseKey refuses a request that is not admitted.
 func (r *Relay) refuseKey(request *request, fault keyFault, reply *replier) {
 	refused := r.refuseByConfiguration(fasthttp.StatusUnauthorized, string(fault))
 	if refused.status == fasthttp.StatusUnauthorized {
--- a/internal/relay/asker_test.go
+++ b/internal/relay/asker_test.go
@@ -25,7 +25,7 @@
 	r.owners.mutex.Lock()
 	defer r.owners.mutex.Unlock()
 	for _, divided := range r.owners.current.Load().services["service"].division.Cells() {
-		r.owners.ranked[divided.ID] = owners
+		r.owners.ownersByCell[divided.ID] = owners
 	}
 	r.owners.rebuild()
 }
--- a/internal/relay/attempts.go
+++ b/internal/relay/attempts.go
@@ -11,21 +11,21 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// attemptTracker keeps count of what one request was sent to.
+// attemptTracker records the attempts of one request and their outcomes.
 type attemptTracker struct {
 	relay   *Relay
 	request *request
-	// sentCount counts sendings that reached a back end, but for a first reading of the prompt.
+	// sentCount counts the attempts that reached a back end. The first prefill of the prompt is not counted.
 	sentCount int
-	// mayHaveRun tells that a back end may have run the request, or run it still.
+	// mayHaveRun reports whether a back end may have run the request, or may still be running it.
 	mayHaveRun  bool
 	excluded    []*backEnd
 	lastFailure *failure
-	// isQuarantined tells that the request must not be sent to any back end again.
+	// isQuarantined reports whether the request must not be sent to any further back end.
 	isQuarantined bool
 }
 
-// recordFailure takes the outcome of a sending that brought no answer.
+// recordFailure records an attempt that brought no answer, and excludes its back end from further attempts.
 func (a *attemptTracker) recordFailure(backEnd *backEnd, fault *failure) {
 	a.lastFailure = fault
 	a.excluded = append(a.excluded, backEnd)
@@ -39,15 +39,15 @@
 	a.reportBroken(backEnd, fault)
 }
 
-// recordMigration takes a run that was moved from a back end: it ran there, and goes on at another one as
-// the same run.
+// recordMigration records that the run was migrated from its back end. The run counts as an attempt there; it continues
+// at another back end as the same run.
 func (a *attemptTracker) recordMigration() {
 	a.sentCount++
 	a.mayHaveRun = true
 }
 
-// recordFailedPrefill takes a failed reading of the prompt, which runs nothing: one that an engine
-// rejected counts as a sending, one that broke off after it was taken up does not.
+// recordFailedPrefill records a failed prefill and excludes its engine. A prefill runs nothing. One that the engine
+// rejected counts as an attempt; one that broke off after the engine had accepted it does not.
 func (a *attemptTracker) recordFailedPrefill(engine *backEnd, fault *failure) {
 	a.excluded = append(a.excluded, engine)
 	if fault.verdict == verdict.NotRun && fault.mayHaveArrived {
@@ -58,8 +58,9 @@
 	a.reportBroken(engine, fault)
 }
 
-// mayContinue reports whether another sending is allowed: by the client, the time, the
-// route's attempts, what the request may have done, and the retry budget.
+// mayContinue reports whether another attempt is allowed: the client is connected, the deadline has not passed, the
+// request is not quarantined, a possible earlier run may be repeated, and the route's attempts and the retry budget allow
+// it. It takes the attempt from the retry budget.
 func (a *attemptTracker) mayContinue() bool {
 	if a.isOver() || a.isQuarantined || a.mayHaveRun && !a.request.route.Repeatable() {
 		return false
@@ -79,12 +80,12 @@
 	return a.relay.trySpendRetry(a.request)
 }
 
-// hasFurtherAttempt reports whether the request may be sent to a further back end after the present one.
+// hasFurtherAttempt reports whether the route allows to send the request to another back end if the current one fails.
 func (a *attemptTracker) hasFurtherAttempt() bool {
 	return a.request.route.Repeatable() && !a.request.isTrial && a.sentCount+1 < a.request.route.MaxAttempts
 }
 
-// trySpendRetry reports whether the retry budget allows another sending, and takes it from there.
+// trySpendRetry reports whether the retry budget allows another attempt, and takes it from the budget if so.
 func (r *Relay) trySpendRetry(request *request) bool {
 	if !r.budget.TrySpend(r.clock.now(), request.service.Name) {
 		r.metrics.deniedRetries.Inc()
@@ -94,7 +95,7 @@
 	return true
 }
 
-// isOver reports whether the client has gone or the request's time is isOver.
+// isOver reports whether the client has disconnected or the request's deadline has passed.
 func (a *attemptTracker) isOver() bool {
 	return a.request.canceller.isCancelled() || a.relay.clock.now() >= a.request.deadline
 }
@@ -104,19 +105,19 @@
 	return slices.Contains(a.excluded, backEnd)
 }
 
-// Times after which a client that was refused may come back.
+// Delays after which refused clients may retry.
 const (
 	retryAfterBusy      = 150 * time.Millisecond
 	retryAfterNoBackEnd = 250 * time.Millisecond
 	retryAfterStaleView = 1000 * time.Millisecond
-	// retryAfterStartup and retryStartSpread are for relays that have just started: nearly all of them know what
-	// they need within 0.7 s, and clients had better not come back at once.
+	// retryAfterStartup and retryStartupSpread apply to relays that have just started. Nearly all of them receive a
+	// configuration and a list of back ends within 0.7 s, and clients should not all retry at the same moment.
 	retryAfterStartup  = 300 * time.Millisecond
 	retryStartupSpread = 300 * time.Millisecond
 )
 
-// refusal is the final answer when no sending brought one. It promises that the request
-// has not run only when that is certain.
+// refusal returns the final answer when no attempt brought one. Its status promises that the request was not run only when
+// that is certain.
 func (a *attemptTracker) refusal() refusal {
 	isLate := a.relay.clock.now() >= a.request.deadline || a.lastFailure != nil && errors.Is(a.lastFailure, errDeadline)
 	advice := a.relay.retryAdvice(a.request.service.Name, answeringStage(a.request.service))
@@ -129,7 +130,7 @@
 		return refusal{status: fasthttp.StatusServiceUnavailable, reason: reasonQuarantined, retryAfter: crashguard.QuarantineRetryAfter}
 	case isLate:
 		return refusal{status: fasthttp.StatusServiceUnavailable, reason: "no back end took the request in time", retryAfter: retryAfterBusy}
-	case advice.limited:
+	case advice.isLimited:
 		return refusal{status: fasthttp.StatusServiceUnavailable, reason: "the limits of the back ends leave no room", retryAfter: advice.retryAfter}
 	case advice.retryAfter > 0:
 		return refusal{status: fasthttp.StatusServiceUnavailable, reason: "the back ends have asked to be left alone", retryAfter: advice.retryAfter}
--- a/internal/relay/back_end.go
+++ b/internal/relay/back_end.go
@@ -12,33 +12,33 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// backEnd is one start of one replica as this relay knows it. It lives as long as the list
-// shows it; requests that still use it may outlive that.
+// backEnd is this relay's record of one incarnation of a replica. It exists while the list contains the incarnation;
+// requests in flight may use it longer.
 type backEnd struct {
 	serving.BackEnd
-	// hash identifies the replica in what relays tell each other: not all of them know the identities of starts. startHash
-	// identifies the start, among those that do.
+	// hash identifies the replica in messages between relays, since some relays do not know the identities of incarnations.
+	// incarnationHash identifies the incarnation among the relays that do.
 	hash            uint64
 	incarnationHash uint64
 	pool            connpool.Pool
 	cache           *prefixCache
-	// signals are what this start of the back end has asked of this relay.
+	// signals holds what this incarnation has asked of this relay.
 	signals *backpressure.Signals
-	// isSuperseded tells that another start has answered in its place: the list does not show that yet.
+	// isSuperseded reports whether a newer incarnation has answered in its place, which the list does not show yet.
 	isSuperseded atomic.Bool
-	// listedBorn is when the start began by the list, where the record was made before the list told it; 0 where it was not
-	// told yet. It is used by the one goroutine that takes lists.
+	// listedBorn is the incarnation's start time when the list sent it only after this record was created; 0 otherwise. It
+	// is used only by the goroutine that applies lists.
 	listedBorn int64
-	// changingSince is when the engine was marked last as changing its stage.
+	// changingSince is the time at which the engine was last marked as changing its stage.
 	changingSince time.Duration
 
 	mutex sync.Mutex
 	load  load
-	// movers move the runs under way when the engine takes no more work.
+	// movers migrate the running streams when the engine accepts no more work.
 	movers map[*runMover]bool
 }
 
-// newBackEnd returns the record of a listed back end; memory is an engine's, in tokens.
+// newBackEnd returns the record of a listed back end; cacheSize is the size of an engine's KV cache in tokens.
 func newBackEnd(entry serving.BackEnd, cacheSize int) *backEnd {
 	return &backEnd{
 		BackEnd: entry, hash: cell.HashEngine(entry.ExpectedID()), incarnationHash: cell.HashEngine(entry.ID), signals: &backpressure.Signals{},
@@ -46,57 +46,56 @@
 	}
 }
 
-// load is what the relay knows of a back end's work and health.
+// load is what this relay knows about a back end's work and health.
 type load struct {
 	// ownWork is this relay's work at the back end.
 	ownWork placement.Work
-	// reportedRequests is the back end's own word of its running and waiting requests.
+	// reportedRequests is the number of running and waiting requests that the back end reported at reportedAt.
 	reportedRequests int
 	reportedAt       time.Duration
-	// failures counts exchanges in a row that broke or stalled, refusals those in a row that
-	// were refused for want of room; avoidUntil keeps new requests away while other back
-	// ends can take them.
+	// failures counts consecutive exchanges that broke or stalled; refusals counts consecutive refusals for lack of
+	// capacity. Until avoidUntil, new requests go to other back ends where possible.
 	failures   int
 	refusals   int
 	avoidUntil time.Duration
-	// peerFailures counts the pauses in a row after which other relays told of failures again.
+	// peerFailures counts consecutive backoff periods after which other relays reported failures again.
 	peerFailures int
-	// lastReceivedAt is when anything came from the back end last.
+	// lastReceivedAt is when the last bytes arrived from the back end.
 	lastReceivedAt time.Duration
 }
 
-// Health of a back end as learnt from exchanges.
+// Backoff after failed exchanges, and lifetime of reported loads.
 const (
-	// failureBackoffMin is how long a back end is avoided after a failure; it doubles with each
-	// further one up to avoidLongest.
+	// failureBackoffMin is how long a back end is avoided after a failure; it doubles with each consecutive failure up to
+	// failureBackoffMax.
 	failureBackoffMin = 250 * time.Millisecond
 	failureBackoffMax = 4 * time.Second
-	// busyBackoffMin is how long a back end that refused for want of room is avoided; it doubles
-	// with each further refusal up to busyLongest.
+	// busyBackoffMin is how long a back end is avoided after it refused for lack of capacity; it doubles with each
+	// consecutive refusal up to busyBackoffMax.
 	busyBackoffMin = 50 * time.Millisecond
 	busyBackoffMax = time.Second
-	// peerFailureBackoff is how long a back end is avoided that failed for another relay; it doubles up to
-	// avoidLongest while it fails again after each pause and nobody tells of a success.
+	// peerFailureBackoff is how long a back end is avoided after it failed for another relay. It doubles up to
+	// failureBackoffMax while the back end fails again after each period and no relay reports a success.
 	peerFailureBackoff = 400 * time.Millisecond
-	// reportedLoadLifetime is how long a back end's own word of its load counts.
+	// reportedLoadLifetime is how long a back end's report of its load is used.
 	reportedLoadLifetime = 500 * time.Millisecond
 )
 
-// addWork notes work that is about to be sent.
+// addWork adds work that is about to be sent.
 func (b *backEnd) addWork(work placement.Work) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.load.ownWork = b.load.ownWork.Plus(work)
 }
 
-// removeWork notes that work of begin has ended.
+// removeWork removes work that has ended.
 func (b *backEnd) removeWork(work placement.Work) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.load.ownWork = b.load.ownWork.Minus(work)
 }
 
-// recordSuccess notes that the back end answered.
+// recordSuccess resets the failure counts after the back end has answered.
 func (b *backEnd) recordSuccess() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -104,7 +103,7 @@
 	b.load.avoidUntil = 0
 }
 
-// recordFailure notes that an exchange broke or stalled, and avoids the back end for a while.
+// recordFailure records an exchange that broke or stalled, and starts the failure backoff.
 func (b *backEnd) recordFailure(now time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -112,7 +111,7 @@
 	b.load.failures++
 }
 
-// recordBusy notes that the back end refused for want of room.
+// recordBusy records a refusal for lack of capacity, and starts the busy backoff.
 func (b *backEnd) recordBusy(now time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -120,8 +119,8 @@
 	b.load.refusals++
 }
 
-// recordPeerFailure notes that the back end failed for another relay. Failures that are told during a pause
-// are of requests from before it.
+// recordPeerFailure records that the back end failed for another relay. Failures reported during a backoff belong to
+// requests that were sent before it, so they do not increase the count.
 func (b *backEnd) recordPeerFailure(now time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -131,41 +130,41 @@
 	b.load.avoidUntil = max(b.load.avoidUntil, now+exponentialBackoff(peerFailureBackoff, max(b.load.peerFailures-1, 0), failureBackoffMax))
 }
 
-// clearPeerFailures notes that the back end has served another relay.
+// clearPeerFailures records that the back end has served another relay.
 func (b *backEnd) clearPeerFailures() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.load.peerFailures = 0
 }
 
-// avoidUntil keeps new requests away until a time.
+// avoidUntil keeps new requests away from the back end until the given time, where other back ends can serve them.
 func (b *backEnd) avoidUntil(until time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.load.avoidUntil = max(b.load.avoidUntil, until)
 }
 
-// avoidanceLeft is how much longer new requests are kept away while other back ends can take them.
+// avoidanceLeft returns how much longer new requests are kept away where other back ends can serve them.
 func (b *backEnd) avoidanceLeft(now time.Duration) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return max(b.load.avoidUntil-now, 0)
 }
 
-// recordReceived notes that something came from the back end.
+// recordReceived records that bytes arrived from the back end.
 func (b *backEnd) recordReceived(now time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.load.lastReceivedAt = now
 }
 
-// exponentialBackoff returns the first pause exponentialBackoff so many times, up to the longest.
+// exponentialBackoff returns the first delay, doubled the given number of times, but at most maximum.
 func exponentialBackoff(first time.Duration, times int, maximum time.Duration) time.Duration {
 	const maxDoublings = 16
 	return min(first<<min(times, maxDoublings), maximum)
 }
 
-// recordReportedLoad notes the back end's own word of its load.
+// recordReportedLoad records the load that the back end reported.
 func (b *backEnd) recordReportedLoad(now time.Duration, running, waiting int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -173,7 +172,7 @@
 	b.load.reportedAt = now
 }
 
-// currentLoad returns the load as it counts now.
+// currentLoad returns the load, without the back end's report if that has expired.
 func (b *backEnd) currentLoad(now time.Duration) load {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -184,7 +183,7 @@
 	return current
 }
 
-// addMover registers a run that may be moved.
+// addMover registers a run that may be migrated.
 func (b *backEnd) addMover(mover *runMover) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -194,14 +193,14 @@
 	b.movers[mover] = true
 }
 
-// removeMover forgets a run that has ended.
+// removeMover removes a run that has ended.
 func (b *backEnd) removeMover(mover *runMover) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	delete(b.movers, mover)
 }
 
-// migrateRuns moves the runs under way to other engines.
+// migrateRuns starts the migration of all running streams to other engines. It does not wait for it.
 func (b *backEnd) migrateRuns() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/relay/back_end_limits.go
+++ b/internal/relay/back_end_limits.go
@@ -10,20 +10,22 @@
 	"github.com/hazelpitch/hazelpitch/internal/relay/permits"
 )
 
-// permitLifetime is how long after it was granted a permit may be used: a run that is moved stands still for as long.
+// permitLifetime is how long a permit may be used after it was granted, which is long enough for the pause of a run that
+// is being migrated.
 const permitLifetime = 2 * time.Second
 
-// leaderLimitDelay is how long what this relay knows of a limit counts for more than what the leader tells, who hears of
-// it later than the relays that keep the count.
+// leaderLimitDelay is how long this relay's own knowledge of a limit takes precedence over the leader's, since the leader
+// receives limits later than their owners do.
 const leaderLimitDelay = 10 * time.Second
 
-// Outcomes of questions for permits, as metrics name them.
+// Outcomes of permit requests; they are label values of a metric.
 const (
 	permitGranted = "granted"
 	permitDenied  = "denied"
 )
 
-// recordLimit takes the limit in an answer of a back end to what was sent at a time, and tells those that keep its count.
+// recordLimit records the limit in a back end's answer to a request that was sent at sentAt, and reports a change to the
+// limit's owners.
 func (r *Relay) recordLimit(backEnd *backEnd, limit backpressure.Limit, sentAt time.Duration) {
 	if !backEnd.signals.RecordBackEndLimit(r.clock.now(), sentAt, limit) {
 		return
@@ -32,28 +34,29 @@
 	r.permits.ReportLimit(fleetlimit.BackEndLimit{BackEnd: backEnd.incarnationHash, Limit: limit})
 }
 
-// logLimitChange writes a line on a limit that has changed; teller is the relay or controller that told it, empty for the
-// back end itself.
+// logLimitChange writes a log line about a changed limit. source says who reported it: a relay or the leader; it is empty
+// for the back end itself.
 func (r *Relay) logLimitChange(backEnd *backEnd, limit backpressure.Limit, source string) {
 	r.event(events.BackEndLimits).Str("back_end", backEnd.ID).Bool("named", limit.IsSet).Float64("per_second", limit.PerSecond).Str("teller", source).Send()
 }
 
-// tellers of limits, as lines name them.
+// Sources of limits in log lines.
 const (
 	sourceRelay  = "relay"
 	sourceLeader = "leader"
 )
 
-// applyPeerLimit takes the limit of a back end as another relay knows it.
+// applyPeerLimit applies a limit that another relay announced.
 func (r *Relay) applyPeerLimit(named fleetlimit.BackEndLimit) {
-	if backEnd := r.view.Load().byStart[named.BackEnd]; backEnd != nil && backEnd.signals.RecordPeerLimit(r.clock.now(), named.Limit) {
+	if backEnd := r.view.Load().byIncarnation[named.BackEnd]; backEnd != nil && backEnd.signals.RecordPeerLimit(r.clock.now(), named.Limit) {
 		r.logLimitChange(backEnd, named.Limit, sourceRelay)
 	}
 }
 
-// applyLeaderLimit takes a limit as the leader knows it, where nothing else is known of it.
+// applyLeaderLimit applies a limit that the leader reported, when neither the back end nor a relay has reported any
+// recently.
 func (r *Relay) applyLeaderLimit(named fleetlimit.BackEndLimit) {
-	backEnd, now := r.view.Load().byStart[named.BackEnd], r.clock.now()
+	backEnd, now := r.view.Load().byIncarnation[named.BackEnd], r.clock.now()
 	if backEnd == nil || !named.Limit.IsSet || backEnd.hasLimit() {
 		return
 	}
@@ -65,8 +68,9 @@
 	}
 }
 
-// acquirePermit reports whether one request of a rank may be sent to the back end: it names no limit, or those who keep its
-// count permit it. One that is owed must go on there: it is asked for also while others wait.
+// acquirePermit reports whether one request of the given rank may be sent to the back end: the back end has no limit, or
+// the limit's owner grants a permit. It blocks while it queries the owner. isOwed marks a run that must continue at this
+// back end: its permit is requested even while other requests wait for theirs.
 func (r *Relay) acquirePermit(backEnd *backEnd, rank int, isOwed bool) bool {
 	limit, isFirstHand := backEnd.signals.Limit()
 	if !limit.IsSet {
@@ -89,10 +93,10 @@
 	return true
 }
 
-// internalCallRank is the rank of calls of a relay's own: no request waits for them.
+// internalCallRank is the rank of the relay's internal calls to back ends, the lowest: no request waits for them.
 const internalCallRank = fleetlimit.RankCount - 1
 
-// acquirePermitFor takes a permit for a place that was picked; it reports false where there is none.
+// acquirePermitFor acquires a permit for a selected back end; it returns false when none is granted.
 func (r *Relay) acquirePermitFor(chosen *selection, rank placement.Rank) bool {
 	if !r.acquirePermit(chosen.backEnd, rank.First, false) {
 		return false
@@ -101,7 +105,7 @@
 	return true
 }
 
-// newPermits returns what gives this relay permits.
+// newPermits creates the relay's permits.
 func newPermits(relay *Relay) *permits.Permits {
 	return permits.New(permits.Config{
 		Socket: relay.datagrams, Incarnation: relay.fleet.incarnation, Now: func() time.Duration { return relay.clock.now() },
--- a/internal/relay/back_end_signals.go
+++ b/internal/relay/back_end_signals.go
@@ -11,35 +11,35 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// isLeaving reports whether the back end leaves, by the list or by its own word: the list lags, and is not read
-// while nobody leads and the platform is silent.
+// isLeaving reports whether the back end is leaving, according to the list or to the back end itself. The list lags behind,
+// and is not updated while there is no leader and the platform does not answer.
 func (b *backEnd) isLeaving() bool { return b.Leaving || b.signals.IsLeaving() }
 
-// inBackoff reports whether the back end has asked to be sent nothing for now.
+// inBackoff reports whether the back end has asked for a backoff that has not ended yet.
 func (b *backEnd) inBackoff(now time.Duration) bool { return b.signals.RemainingBackoff(now) > 0 }
 
-// sendDelay is how much longer nothing may be sent to the back end: it has asked for rest, or its limit leaves no room.
+// sendDelay returns how much longer nothing may be sent to the back end, because of its backoff or its limit.
 func (b *backEnd) sendDelay(now time.Duration) time.Duration {
 	return max(b.signals.RemainingBackoff(now), b.signals.PermitWait(now))
 }
 
-// hasLimit reports whether the back end names a limit for all relays together.
+// hasLimit reports whether the back end declares a limit for all relays together.
 func (b *backEnd) hasLimit() bool {
 	limit, _ := b.signals.Limit()
 	return limit.IsSet
 }
 
-// isUnavailable reports whether new requests must not be sent to the back end now.
+// isUnavailable reports whether the back end must not be sent new requests now.
 func (b *backEnd) isUnavailable(now time.Duration) bool {
 	return b.Changing || b.isLeaving() || b.sendDelay(now) > 0
 }
 
-// internalCallSentAt stands for the time of a request where a call of the relay's own was answered: that such an answer names no
-// limit, or a larger one, says nothing.
+// internalCallSentAt is passed instead of the send time when an internal call of the relay was answered. The absence of a
+// limit in such an answer, or a larger limit, has no meaning.
 const internalCallSentAt = time.Duration(-1)
 
-// applyAnswerSignals takes what a back end asks for in the head of an answer to a request that was sent at a time, or to a call
-// of the relay's own (noRequest).
+// applyAnswerSignals applies the signals in the head of a back end's answer to a request sent at sentAt, or to an internal
+// call (internalCallSentAt).
 func (r *Relay) applyAnswerSignals(backEnd *backEnd, head *fasthttp.ResponseHeader, sentAt time.Duration) {
 	names := r.dialect.Headers
 	r.applySignals(backEnd, backpressure.ParseDirectives(head.StatusCode(), backpressure.Headers{
@@ -47,7 +47,7 @@
 	}), sentAt)
 }
 
-// applySignals takes what a back end has asked for in an answer to what was sent at a time.
+// applySignals applies what a back end asked for in an answer: a backoff, no new requests because it leaves, or a limit.
 func (r *Relay) applySignals(backEnd *backEnd, signals backpressure.Directives, sentAt time.Duration) {
 	now := r.clock.now()
 	if signals.Backoff > 0 {
@@ -68,20 +68,21 @@
 	}
 }
 
-// minRetrySpread is the least time over which callers are spread that come back after a wait, so that the back end is
-// not asked by all of them at once.
+// minRetrySpread is the minimum time over which the retries of refused callers are spread, so that they do not all reach
+// the back end at once.
 const minRetrySpread = 300 * time.Millisecond
 
-// retryAdvice is when callers may come back for whom nothing can be sent to any back end of a service.
+// retryAdvice says when refused callers may retry.
 type retryAdvice struct {
-	// retryAfter is when; 0 where something can be sent to one of them.
+	// retryAfter is the delay before a retry; 0 when some back end can be sent requests now.
 	retryAfter time.Duration
-	// limited tells that it is a limit that leaves no room, rather than a rest.
-	limited bool
+	// isLimited reports whether the delay comes from a limit rather than from a backoff.
+	isLimited bool
 }
 
-// retryAdvice is when a caller may come back who would be answered by back ends of a stage. Coming back sooner would be in
-// vain. Those who are told so at different times of one wait are spread over as long again.
+// retryAdvice returns when a caller may retry a request that back ends of the given stage would answer: the shortest delay
+// among them, plus a random spread. For a limit, the spread is at least as long as the delay, since callers are refused at
+// different moments of one wait.
 func (r *Relay) retryAdvice(service string, stage serving.Stage) retryAdvice {
 	now, shortest := r.clock.now(), retryAdvice{}
 	for _, backEnd := range r.view.Load().byService[service] {
@@ -93,12 +94,12 @@
 			return retryAdvice{}
 		}
 		if shortest.retryAfter == 0 || wait < shortest.retryAfter {
-			shortest = retryAdvice{retryAfter: wait, limited: backEnd.signals.RemainingBackoff(now) < wait}
+			shortest = retryAdvice{retryAfter: wait, isLimited: backEnd.signals.RemainingBackoff(now) < wait}
 		}
 	}
 	if shortest.retryAfter > 0 {
 		spread := minRetrySpread
-		if shortest.limited {
+		if shortest.isLimited {
 			spread = max(spread, shortest.retryAfter)
 		}
 		shortest.retryAfter += time.Duration(r.draw() * float64(spread))
--- a/internal/relay/failure.go
+++ b/internal/relay/failure.go
@@ -9,20 +9,20 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// failure is an exchange that brought no answer for the client.
+// failure is an exchange with a back end that brought no answer for the client.
 type failure struct {
 	// verdict says whether the back end may have run the request.
 	verdict verdict.Verdict
-	// mayHaveArrived tells that the request may have reached the back end at all.
+	// mayHaveArrived reports whether any part of the request may have reached the back end.
 	mayHaveArrived bool
 	cause          error
-	// retryAfter is how long the back end asked not to be sent requests; 0 when it did not.
+	// retryAfter is the backoff that the back end asked for; 0 when it asked for none.
 	retryAfter time.Duration
-	// backoffLeft is how much of a pause of the back end was left when it was sent the request.
+	// backoffLeft is how much longer the back end was to be avoided when the request was sent to it.
 	backoffLeft time.Duration
 }
 
-// addBackoffFields adds to a line the pauses that stood behind the failure, where there were any.
+// addBackoffFields adds the backoff times of the failure to a log line, where they are not 0.
 func (f *failure) addBackoffFields(line *zerolog.Event) {
 	if f.retryAfter > 0 {
 		line.Int64("retry_after_ms", f.retryAfter.Milliseconds())
@@ -38,7 +38,7 @@
 // Unwrap returns the cause.
 func (f *failure) Unwrap() error { return f.cause }
 
-// backEndErrorAnswer is a back end's own failure that may be replaced by another one's answer.
+// backEndErrorAnswer is a complete error answer of a back end, which may be replaced by another back end's answer.
 var backEndErrorAnswer = failure{verdict: verdict.MayHaveRun, mayHaveArrived: true, cause: errors.New("the back end answered with a failure")}
 
 // Causes of failures.
--- a/internal/relay/identified_starts.go
+++ b/internal/relay/identified_starts.go
@@ -2,9 +2,9 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/serving"
 
-// identifyIncarnations returns the entries of a list with the identities under which the starts are known here. Leaders of the
-// first format name replicas and not their starts: a back end must not be another one because another build leads.
-// former tells that such a leader has told the list.
+// identifyIncarnations returns the entries of a list under the identities by which this relay knows the incarnations.
+// Leaders of the first format identify replicas but not their incarnations; a back end must not appear as a new one only
+// because a leader of another format has taken over. fromFormerLeader says that such a leader sent the list.
 func (k *fleetState) identifyIncarnations(listed []serving.BackEnd, fromFormerLeader bool) []serving.BackEnd {
 	byReplica := make(map[string]*backEnd, len(k.records))
 	for _, known := range k.records {
@@ -22,8 +22,8 @@
 	return identified
 }
 
-// isSameIncarnation reports whether an entry names the start that is known, where a leader of the first format has told one of
-// the two without its time.
+// isSameIncarnation reports whether an entry denotes the known incarnation, where a leader of the first format has sent the
+// entry or the known record without a start time.
 func (k *fleetState) isSameIncarnation(known *backEnd, entry serving.BackEnd, fromFormerLeader bool) bool {
 	switch {
 	case known.Address != entry.Address:
--- a/internal/relay/known_back_ends.go
+++ b/internal/relay/known_back_ends.go
@@ -9,8 +9,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// resizeCaches takes the engines' memory from the configuration in force: engines may be
-// listed before it is known.
+// resizeCaches applies the KV cache sizes of the configuration to the engines, which may have been listed before it
+// arrived.
 func (k *fleetState) resizeCaches(next *view) {
 	for service, backEnds := range next.byService {
 		for _, engine := range backEnds {
@@ -19,11 +19,11 @@
 	}
 }
 
-// applyListing puts a reading of the list in force.
+// applyListing applies a list of back ends to the next view.
 func (k *fleetState) applyListing(listed []serving.BackEnd, next *view) {
 	known := make(map[string]*backEnd, len(listed))
 	next.byService = map[string][]*backEnd{}
-	next.byHash, next.byStart = map[uint64]*backEnd{}, map[uint64]*backEnd{}
+	next.byHash, next.byIncarnation = map[uint64]*backEnd{}, map[uint64]*backEnd{}
 	for _, entry := range listed {
 		current := k.records[entry.ID]
 		if current == nil || !sameEntry(current.BackEnd, entry) {
@@ -31,7 +31,7 @@
 		}
 		known[entry.ID] = current
 		next.byService[entry.Service] = append(next.byService[entry.Service], current)
-		next.byHash[current.hash], next.byStart[current.incarnationHash] = current, current
+		next.byHash[current.hash], next.byIncarnation[current.incarnationHash] = current, current
 	}
 	var gone []*backEnd
 	for id, former := range k.records {
@@ -51,7 +51,7 @@
 	k.relay.owners.setView(next)
 }
 
-// newlyClosed returns the former records of back ends that take no more work since then.
+// newlyClosed returns the former records of back ends that accept no more work since the new list.
 func newlyClosed(former, present map[string]*backEnd) []*backEnd {
 	var closed []*backEnd
 	for id, backEnd := range former {
@@ -62,7 +62,7 @@
 	return closed
 }
 
-// migrateRuns moves the runs at back ends that were closed, now that the view shows where to.
+// migrateRuns migrates the runs at newly closed back ends. It is called once the view contains their possible targets.
 func (k *fleetState) migrateRuns() {
 	if k.relay.without.IsEnabled(mechanism.RunMigration) {
 		for _, closed := range k.closedBackEnds {
@@ -72,7 +72,7 @@
 	k.closedBackEnds = nil
 }
 
-// replaceRecord makes the record of a back end whose entry is new or has changed.
+// replaceRecord creates the record of a back end whose entry is new or has changed, and keeps the state of its former record.
 func (k *fleetState) replaceRecord(former *backEnd, entry serving.BackEnd, view *view) *backEnd {
 	record := newBackEnd(entry, cacheTokens(view, entry.Service))
 	record.signals = k.signals.SignalsOf(entry.ID)
@@ -94,8 +94,8 @@
 	return record
 }
 
-// unavailableSince is when an engine whose stage has changed went away: when it was marked, or, where it
-// was not, now that the list shows the new stage.
+// unavailableSince returns when an engine whose stage has changed became unavailable: when it was marked as changing, or
+// now if it was never marked.
 func unavailableSince(former *backEnd, now time.Duration) time.Duration {
 	if former.Changing {
 		return former.changingSince
@@ -103,7 +103,7 @@
 	return now
 }
 
-// roleChangeDuration is how long an engine of the service is away when its stage changes.
+// roleChangeDuration returns how long an engine of the service is unavailable when its stage changes.
 func roleChangeDuration(view *view, service string) time.Duration {
 	if engine := view.engine(service); engine != nil {
 		return engine.RoleChangeTime
@@ -111,10 +111,10 @@
 	return 0
 }
 
-// defaultCacheTokens is an engine's memory until the configuration tells it.
+// defaultCacheTokens is the size of an engine's KV cache until the configuration is known.
 const defaultCacheTokens = 400_000
 
-// cacheTokens is the memory of a service's engines.
+// cacheTokens returns the KV cache size of a service's engines, in tokens.
 func cacheTokens(view *view, service string) int {
 	if engine := view.engine(service); engine != nil && engine.CacheTokens > 0 {
 		return engine.CacheTokens
--- a/internal/relay/lack.go
+++ b/internal/relay/lack.go
@@ -6,20 +6,20 @@
 	"github.com/valyala/fasthttp"
 )
 
-// missingState is what a relay does not know though a request needs it; empty for nothing. It is the reason in the
-// request's line and its answer.
+// missingState names the state that the relay needs for a request but has not received yet; empty for none. It is the
+// reason in the request's log line and in its answer.
 type missingState string
 
-// What relays may lack, beside room at back ends.
+// State that may be missing.
 const (
 	missingConfiguration missingState = "no configuration is known yet"
 	missingListing       missingState = "no list of back ends is known yet"
 	missingBackEnds      missingState = "no back end of the service is known"
-	// missingOwner begins the reason of a refusal that this relay had to decide by itself.
+	// missingOwner is the prefix of the reason when this relay had to decide without the engines' owner.
 	missingOwner missingState = "no owner of the engines answers"
 )
 
-// missing returns what the relay lacks for any request.
+// missing returns the state that is missing for any request.
 func (v *view) missing() missingState {
 	switch {
 	case v.table == nil:
@@ -31,14 +31,14 @@
 	}
 }
 
-// refusal is the answer to a request for which something is lacking: it has not run. The draw in [0, 1)
-// spreads the times at which clients come back.
+// refusal returns the answer to a request that cannot be served for want of this state. The request was not run. draw, in
+// [0, 1), spreads the times at which clients retry.
 func (l missingState) refusal(draw float64) refusal {
 	retryAfter := retryAfterStartup + time.Duration(draw*float64(retryStartupSpread))
 	return refusal{status: fasthttp.StatusServiceUnavailable, reason: string(l), retryAfter: retryAfter}
 }
 
-// refuseForMissingState answers a request that came before the relay knew what it needs.
+// refuseForMissingState refuses a request that arrived before the relay had received the state that it needs.
 func (r *Relay) refuseForMissingState(request *request, missing missingState, reply *replier) {
 	refused := missing.refusal(r.draw())
 	r.log.recordMissingState(request, missing, r.viewSnapshot())
--- a/internal/relay/offer.go
+++ b/internal/relay/offer.go
@@ -8,11 +8,12 @@
 const (
 	// maxHomeCells is how many cells a request may be offered to.
 	maxHomeCells = 3
-	// maxOwnersQueried is how many owners of a cell are asked before this relay decides by itself.
+	// maxOwnersQueried is how many owners of a cell are queried before this relay decides itself.
 	maxOwnersQueried = 2
 )
 
-// decideInCell has the owner of a cell decide, or its stand-in, or this relay where neither answers.
+// decideInCell returns the decision of the cell's owner, of its deputy when the owner does not answer, or of this relay
+// when neither answers.
 func (a *placementClient) decideInCell(cells *serviceCells, index int, query *engineQuery, stop <-chan struct{}) engineAnswer {
 	id := cells.division.Cells()[index].ID
 	if !a.relay.without.IsEnabled(mechanism.Owners) {
@@ -36,8 +37,8 @@
 	return answer
 }
 
-// decide offers a request to its home cells, one after another until one takes it well. What the
-// first one keeps of its prompt can be fetched by an engine of the next.
+// decide offers a request to its home cells, one after another, until one of them can serve it well. Engines of a further
+// cell can fetch the prompt's prefix from the engine that has cached it in the first cell.
 func (a *placementClient) decide(cells *serviceCells, homes []int, query *engineQuery, stop <-chan struct{}) engineAnswer {
 	if len(homes) == 0 {
 		return engineAnswer{decision: placement.Decision{Action: placement.Unplaced, Reason: placement.ReasonNoEngine}}
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -15,36 +15,37 @@
 )
 
 const (
-	// activeOwnersPerCell is how many relays know a cell: its owner, and a stand-in that hears the same
-	// notices and so can take its place at once.
+	// activeOwnersPerCell is how many relays receive the load notices of a cell's engines: its owner, and a deputy that can
+	// replace the owner at once because it receives the same notices.
 	activeOwnersPerCell = 2
-	// rankedOwnersPerCell is how many relays are ranked for a cell, so that some are left when the first
-	// do not answer.
+	// rankedOwnersPerCell is how many relays are ranked as owners of a cell, so that some are left when the first ones do
+	// not answer.
 	rankedOwnersPerCell = 5
 )
 
-// serviceCells are the engines of one service in serviceCells, with the relays that own each.
+// serviceCells are the cells into which the engines of one service are divided, with the owners of each. A cell is a group
+// of engines on which one relay, its owner, decides for all relays.
 type serviceCells struct {
 	division *cell.Division
-	// members are the engines of each cell, owners its relays by rank.
+	// members holds the engines of each cell, owners its relays by rank.
 	members [][]*backEnd
 	owners  [][]string
 }
 
-// rankOf is 0 for the relay that owns a cell, above 0 for those that stand in, and -1 for others.
+// rankOf returns 0 for the owner of a cell, a higher rank for a deputy, and -1 for other relays.
 func (c *serviceCells) rankOf(index int, relay string) int {
 	owners := c.owners[index]
 	return slices.Index(owners[:min(activeOwnersPerCell, len(owners))], relay)
 }
 
-// ownership says which relays decide on which engines, as far as this relay knows. It is
-// replaced as a whole and never changed.
+// ownership says which relays decide on which engines, according to this relay's lists. It is immutable and replaced as a
+// whole.
 type ownership struct {
 	services map[string]*serviceCells
 }
 
-// cellOf returns the cells cellOf a service and the index cellOf an engine's; nil for a back end that belongs
-// to none.
+// cellOf returns the cells of an engine's service and the index of the engine's cell; nil for a back end that belongs to
+// no cell.
 func (o *ownership) cellOf(engine *backEnd) (cells *serviceCells, index int) {
 	service := o.services[engine.Service]
 	if service == nil {
@@ -57,39 +58,39 @@
 	return service, index
 }
 
-// ownedCell is this relay's part in one cell.
+// ownedCell describes a cell of which this relay is owner or deputy.
 type ownedCell struct {
 	service string
 	zone    string
-	// isDeputy tells that another relay owns it.
+	// isDeputy reports whether another relay is the owner.
 	isDeputy bool
 	engines  int
 }
 
-// ownerTable keeps the ownership of the newest lists of engines and relays.
+// ownerTable derives the ownership from the newest lists of engines and relays.
 type ownerTable struct {
-	// self is the address of this relay's datagrams.
+	// self is the address of this relay's datagram socket.
 	self string
-	// event begins a line of the log.
+	// event begins a log line.
 	event   func(events.Event) *zerolog.Event
 	current atomic.Pointer[ownership]
 
 	mutex  sync.Mutex
 	relays []string
-	// ranked are the owners of cells by rank for these relays, by the cells' identities.
-	ranked map[uint64][]string
-	view   *view
-	// owned are the cells that are this relay's, by their identities.
-	owned map[uint64]ownedCell
+	// ownersByCell caches the ranked owners of cells for the current relays, by the cells' identities.
+	ownersByCell map[uint64][]string
+	view         *view
+	// ownedCells are the cells of which this relay is owner or deputy, by their identities.
+	ownedCells map[uint64]ownedCell
 }
 
 func newOwnerTable(self string, event func(events.Event) *zerolog.Event) *ownerTable {
-	table := &ownerTable{self: self, event: event, ranked: map[uint64][]string{}}
+	table := &ownerTable{self: self, event: event, ownersByCell: map[uint64][]string{}}
 	table.current.Store(&ownership{services: map[string]*serviceCells{}})
 	return table
 }
 
-// setRelays takes the addresses of all relays; it reports whether they are others than before.
+// setRelays sets the addresses of all relays and reports whether they differ from the earlier ones.
 func (t *ownerTable) setRelays(addresses []string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -97,12 +98,12 @@
 		return false
 	}
 	t.relays = slices.Clone(addresses)
-	t.ranked = map[uint64][]string{}
+	t.ownersByCell = map[uint64][]string{}
 	t.rebuild()
 	return true
 }
 
-// setView takes a list of engines that was put in force.
+// setView sets the view whose engines are divided into cells.
 func (t *ownerTable) setView(next *view) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -110,7 +111,7 @@
 	t.rebuild()
 }
 
-// rebuild divides the engines and ranks the owners. The mutex is held.
+// rebuild divides the engines into cells and ranks the owners. The mutex is held.
 func (t *ownerTable) rebuild() {
 	next := &ownership{services: map[string]*serviceCells{}}
 	if t.view != nil {
@@ -124,8 +125,7 @@
 	t.logOwnershipChanges(next)
 }
 
-// logOwnershipChanges writes a line for each cell that has become this relay's or is no longer. The mutex is
-// held.
+// logOwnershipChanges writes a log line for each cell that this relay begins or ceases to own. The mutex is held.
 func (t *ownerTable) logOwnershipChanges(next *ownership) {
 	owned := map[uint64]ownedCell{}
 	for name, service := range next.services {
@@ -136,25 +136,25 @@
 		}
 	}
 	for id, cell := range owned {
-		if former, existed := t.owned[id]; !existed || former.isDeputy != cell.isDeputy {
+		if former, existed := t.ownedCells[id]; !existed || former.isDeputy != cell.isDeputy {
 			t.logCellEvent(events.CellOwned, id, cell)
 		}
 	}
-	for id, cell := range t.owned {
+	for id, cell := range t.ownedCells {
 		if _, isStillOwned := owned[id]; !isStillOwned {
 			t.logCellEvent(events.CellLeft, id, cell)
 		}
 	}
-	t.owned = owned
+	t.ownedCells = owned
 }
 
-// logCellEvent writes a line on a cell.
+// logCellEvent writes a log line about a cell.
 func (t *ownerTable) logCellEvent(event events.Event, id uint64, cell ownedCell) {
 	t.event(event).Str("cell", strconv.FormatUint(id, 16)).Str("service", cell.service).Str("zone", cell.zone).
 		Bool("stands_in", cell.isDeputy).Int("engines", cell.engines).Send()
 }
 
-// divide divides the engines of a service. The mutex is held.
+// divide divides the engines of a service into cells. The mutex is held.
 func (t *ownerTable) divide(service string, backEnds []*backEnd) *serviceCells {
 	members := make([]cell.Member, len(backEnds))
 	for index, backEnd := range backEnds {
@@ -172,17 +172,17 @@
 	return result
 }
 
-// ownersByRank returns the owners of a cell by ownersByRank. The mutex is held.
+// ownersByRank returns the owners of a cell by rank. The mutex is held.
 func (t *ownerTable) ownersByRank(id uint64) []string {
-	ranked, known := t.ranked[id]
+	ranked, known := t.ownersByCell[id]
 	if !known {
 		ranked = cell.Owners(id, t.relays, rankedOwnersPerCell)
-		t.ranked[id] = ranked
+		t.ownersByCell[id] = ranked
 	}
 	return ranked
 }
 
-// ownedEngines are the engines of the cells that this relay owns or stands in for.
+// ownedEngines returns the engines of the cells of which this relay is owner or deputy.
 func (t *ownerTable) ownedEngines() []*backEnd {
 	var owned []*backEnd
 	for _, service := range t.current.Load().services {
@@ -195,8 +195,8 @@
 	return owned
 }
 
-// homeCells returns the indexes of the cells in which a prompt had better run, the best first. Only
-// a shared part that is worth fetching ties a prompt to cells of other zones.
+// homeCells returns the indexes of the cells in which a prompt should run, the best first. A request is tied to cells of
+// other zones only by a shared prefix of at least the given number of tokens, which is long enough to be worth fetching.
 func (c *serviceCells) homeCells(prompt []placement.PrefixBlock, request, zone string, least, count int) []int {
 	if shared := sharedPrefixTokens(prompt); shared >= least {
 		return c.division.Homes(uint64(prompt[len(prompt)-2].Hash), "", count)
@@ -204,7 +204,7 @@
 	return c.division.Homes(requestHash(request), zone, count)
 }
 
-// sharedPrefixTokens is the length of a prompt without its last part, which is its own.
+// sharedPrefixTokens returns the length of a prompt without its last block, which no other request shares.
 func sharedPrefixTokens(prompt []placement.PrefixBlock) int {
 	shared := 0
 	for _, part := range prompt[:max(len(prompt)-1, 0)] {
@@ -213,9 +213,9 @@
 	return shared
 }
 
-// requestHash spreads requests that no part ties to a cell.
+// requestHash returns the hash by which requests without a shared prefix are spread over cells.
 func requestHash(id string) uint64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(id)) // never fails
+	_, _ = hash.Write([]byte(id)) // never returns an error
 	return hash.Sum64()
 }
--- a/internal/relay/pick.go
+++ b/internal/relay/pick.go
@@ -8,14 +8,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// candidateSet is what is known of back ends of a service at one moment, for one decision.
+// candidateSet is a snapshot of the back ends of a service, taken for one decision.
 type candidateSet struct {
 	backEnds []*backEnd
 	engines  []placement.Engine
 }
 
-// candidatesOf looks at back ends that are not excluded. Those that rest are excluded by whoever asks: a back end that has
-// asked this relay for rest serves others.
+// candidatesOf takes a snapshot of back ends; excluded ones are marked as closed. Back ends in backoff must be excluded by
+// the caller: a backoff applies to one relay, and the snapshot may be taken for the request of another relay.
 func (r *Relay) candidatesOf(backEnds []*backEnd, prompt []placement.PrefixBlock, isExcluded func(*backEnd) bool, now time.Duration) candidateSet {
 	candidates := candidateSet{backEnds: backEnds, engines: make([]placement.Engine, len(backEnds))}
 	for index, backEnd := range backEnds {
@@ -35,8 +35,7 @@
 	return candidates
 }
 
-// withHolder adds an engine that takes no work here and from which the beginning of a prompt can be
-// taken.
+// withHolder adds an engine that accepts no work in this cell but can transfer the prompt's prefix to another engine.
 func (s candidateSet) withHolder(holder *prefixHolder) candidateSet {
 	for index, known := range s.backEnds {
 		if known == holder.engine {
@@ -52,7 +51,7 @@
 	return s
 }
 
-// bestHolder is the engine that keeps most of the prompt; nil for none.
+// bestHolder returns the engine that has cached the longest prefix of the prompt; nil for none.
 func (s candidateSet) bestHolder() *prefixHolder {
 	index, tokens := placement.LongestPrefixHolder(s.engines)
 	if index == placement.None {
@@ -74,8 +73,8 @@
 	return chosen
 }
 
-// pickForPlain chooses the back end of a service that answers requests whole, or nil when none is left. One that names a
-// limit is chosen where it permits the request.
+// pickForPlain selects a back end that answers requests whole; nil when none is left. It selects a back end with a limit
+// only when the limit's owner grants a permit for the request.
 func (r *Relay) pickForPlain(request *request, attempts *attemptTracker) *selection {
 	var denied []*backEnd
 	for {
@@ -87,8 +86,8 @@
 	}
 }
 
-// pickAmong chooses among the back ends that are not excluded. It looks at the newest list: a request may wait long
-// between two picks.
+// pickAmong selects one of the back ends that are not excluded. It uses the newest list, since a request may wait for a
+// long time between two attempts.
 func (r *Relay) pickAmong(request *request, isExcluded func(*backEnd) bool) *selection {
 	now := r.clock.now()
 	excluded := func(backEnd *backEnd) bool { return isExcluded(backEnd) || backEnd.sendDelay(now) > 0 }
@@ -101,10 +100,10 @@
 	return candidates.selectionOf(r.policy.PickBackEnd(wanted, candidates.engines, r.draw))
 }
 
-// defaultTokenTransfer is the way of one token where the links are not known.
+// defaultTokenTransfer is the transfer time of one token's KV cache when the link's speed is not configured.
 const defaultTokenTransfer = 2 * time.Microsecond
 
-// tokenTransferTime is how long the memory of one token is on its way between engines.
+// tokenTransferTime returns how long the transfer of one token's KV cache between two engines takes.
 func tokenTransferTime(engine *serving.Engine) time.Duration {
 	if engine == nil || engine.LinkBytesPerSecond <= 0 {
 		return defaultTokenTransfer
--- a/internal/relay/placement_owner.go
+++ b/internal/relay/placement_owner.go
@@ -10,18 +10,17 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// maxWaitingQueries bounds the questions of other relays that wait for readings at one owner.
+// maxWaitingQueries bounds the queries of other relays that wait at this owner for a prefill of another request.
 const maxWaitingQueries = 2048
 
-// placementOwner decides where requests run on the engines of cells, for this relay and for others
-// that ask. It counts what it has assigned, so that each decision sees those before it.
+// placementOwner decides where requests run on the engines of a cell, for this relay and for other relays that query it.
+// It reserves the work that it assigns, so that each decision takes the earlier ones into account.
 type placementOwner struct {
 	relay *Relay
 
 	mutex    sync.Mutex
 	reserved *placement.Reservations
-	// waiting are the questions that wait for another request's reading; closing a channel ends
-	// the wait.
+	// waiting holds the queries that wait for another request's prefill. Closing a query's channel ends its wait.
 	waiting map[placement.QueryID]chan struct{}
 }
 
@@ -29,8 +28,8 @@
 	return &placementOwner{relay: relay, reserved: placement.NewReservations(), waiting: map[placement.QueryID]chan struct{}{}}
 }
 
-// decide decides among the engines. The work that it assigns counts from now on when another
-// relay has asked; asker is nil for this relay's own requests, whose work begins at once.
+// decide selects one of the engines for a request. When another relay has sent the query, the assigned work is reserved
+// from now on; asker is nil for this relay's own requests, whose work begins at once.
 func (o *placementOwner) decide(query *engineQuery, engines []*backEnd, asker *placement.QueryID) engineAnswer {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -56,7 +55,7 @@
 	return answer
 }
 
-// reserve counts the work that an answer gives its engine. The mutex is held.
+// reserve reserves the work that an answer assigns to an engine. The mutex is held.
 func (o *placementOwner) reserve(now time.Duration, asker placement.QueryID, query *engineQuery, answer engineAnswer) {
 	if action := answer.decision.Action; action != placement.PrefillSeparately && action != placement.PrefillOnDecodeEngine {
 		return
@@ -70,21 +69,21 @@
 	}
 }
 
-// expireReservations ends reservations of which nothing was told in time. The mutex is held.
+// expireReservations removes reservations whose work was not reported in time. The mutex is held.
 func (o *placementOwner) expireReservations(now time.Duration) {
 	for _, reserved := range o.reserved.Expire(now) {
 		o.dropReservedBlocks(reserved)
 	}
 }
 
-// dropReservedBlocks forgets what a reservation's engine would have read. The mutex is held.
+// dropReservedBlocks removes the prefix blocks that the engine would have computed for a reservation. The mutex is held.
 func (o *placementOwner) dropReservedBlocks(reserved placement.Reservation) {
 	if engine := o.relay.view.Load().byHash[reserved.Engine]; engine != nil && len(reserved.PendingBlocks) > 0 {
 		engine.cache.dropBlocks(reserved.PendingBlocks)
 	}
 }
 
-// releaseReservations ends the reservations of questions whose work a relay tells of from now on.
+// releaseReservations removes the reservations of queries whose work the relay includes in its notices from now on.
 func (o *placementOwner) releaseReservations(relay uint64, numbers []uint64) {
 	if len(numbers) == 0 {
 		return
@@ -96,7 +95,7 @@
 	}
 }
 
-// cancel ends a question: its wait, or the reservation that it got.
+// cancel cancels a query: it ends the query's wait or removes its reservation.
 func (o *placementOwner) cancel(request *v1.PlacementCancel) {
 	asker := placement.QueryID{Relay: request.GetRelay(), Number: request.GetNumber()}
 	o.mutex.Lock()
@@ -110,8 +109,8 @@
 	}
 }
 
-// handleQuery answers another relay's question. One that had better wait for a reading is told so, and
-// answered again after it.
+// handleQuery answers another relay's query. When the request should wait for another prefill, it first answers that the
+// query waits, and answers again after the wait.
 func (o *placementOwner) handleQuery(request *v1.PlacementRequest, reply func(*v1.PlacementAnswer)) {
 	current := o.relay.owners.current.Load().services[request.GetService()]
 	if current == nil {
@@ -140,15 +139,16 @@
 	go o.answerAfterWait(request, query, engines, decided, stop, reply)
 }
 
-// replyUnknownCell answers a question about a cell that is not known here. A relay of the first format would take the answer
-// for the word that nothing can be placed, and refuse the request: it gets none, and asks another one.
+// replyUnknownCell answers a query about a cell that this relay does not know. Relays of the first format do not recognize
+// this answer: they would conclude that the request cannot be placed, and refuse it. They are sent no answer, so that they
+// query another relay.
 func replyUnknownCell(request *v1.PlacementRequest, reply func(*v1.PlacementAnswer)) {
 	if formats.FromWire(request.GetFormats()) != (formats.Range{}) {
 		reply(unknownCellAnswer(request))
 	}
 }
 
-// registerWait notes a question that waits; nil when too many do, or when it does already.
+// registerWait registers a waiting query; it returns nil when too many queries wait or this one waits already.
 func (o *placementOwner) registerWait(asker placement.QueryID) (stop chan struct{}) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -160,7 +160,7 @@
 	return stop
 }
 
-// answerAfterWait waits for readings of other requests, and answers then.
+// answerAfterWait waits for the prefills of other requests, decides again, and answers.
 func (o *placementOwner) answerAfterWait(request *v1.PlacementRequest, query *engineQuery, engines []*backEnd, decided engineAnswer, stop chan struct{}, reply func(*v1.PlacementAnswer)) {
 	asker := placement.QueryID{Relay: request.GetRelay(), Number: request.GetNumber()}
 	for decided.decision.Action == placement.AwaitSharedPrefill {
@@ -183,7 +183,7 @@
 		decided = o.decide(query, engines, &asker)
 	}
 	o.mutex.Lock()
-	if _, waits := o.waiting[asker]; !waits { // it was cancelled meanwhile
+	if _, waits := o.waiting[asker]; !waits { // cancelled during the decision
 		reserved, _ := o.reserved.Release(asker)
 		o.dropReservedBlocks(reserved)
 		o.mutex.Unlock()
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -12,14 +12,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// crashReportWait is how long a request waits, before it is sent to another back end, until the controllers have
-// agreed on the end of the one that broke it off.
+// crashReportWait is how long a request waits, before its next attempt, for the controllers to agree that the back end that
+// broke its connection has crashed.
 const crashReportWait = 300 * time.Millisecond
 
-// reasonQuarantined is why a request is refused under which back ends have ended.
+// reasonQuarantined is the reason for refusing a request that has crashed back ends.
 const reasonQuarantined = "back ends have ended while they ran this request"
 
-// newGuard makes the guard of a relay.
+// newGuard creates the crash guard of a relay.
 func newGuard(relay *Relay) *crashguard.Guard {
 	leader := crashguard.LeaderClient{Client: relay.watcher.LeaderClient}
 	return crashguard.New(crashguard.Options{
@@ -27,7 +27,7 @@
 	})
 }
 
-// admitQuarantined refuses a request that must not run. It reports whether the request goes on.
+// admitQuarantined refuses a quarantined request unless it may run as a trial. It reports whether the request is admitted.
 func (r *Relay) admitQuarantined(request *request, reply *replier) bool {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -42,8 +42,8 @@
 	return true
 }
 
-// reportBroken lets the guard find out whether a back end has ended that broke a request off. Where the
-// request may go on, that is awaited.
+// reportBroken lets the guard find out whether the back end that broke the connection has crashed. It waits for the result
+// when the request may be sent again.
 func (a *attemptTracker) reportBroken(backEnd *backEnd, fault *failure) {
 	relay, request := a.relay, a.request
 	if !fault.mayHaveArrived || backEnd.isLeaving() {
@@ -64,7 +64,7 @@
 	a.isQuarantined = relay.guard.RecordBrokenRun(request.signature, replica, min(crashReportWait, request.deadline-relay.clock.now()))
 }
 
-// reportIfCrashed tells the guard that nothing serves at a back end's address, or another one.
+// reportIfCrashed reports a crash to the guard when nothing listens at the back end's address, or another back end does.
 func (r *Relay) reportIfCrashed(backEnd *backEnd, fault *failure) {
 	refused := errors.Is(fault, errDial) && errors.Is(fault, syscall.ECONNREFUSED)
 	if refused || errors.Is(fault, errMisdirected) {
@@ -72,14 +72,15 @@
 	}
 }
 
-// probe looks whether a back end takes connections; one that was opened is used later. A start in whose place the
-// list shows another one has ended, whoever serves there: the list may show that before the connections break.
+// probe checks whether a back end accepts connections; an opened connection is kept in the pool. An incarnation that the
+// list shows as replaced has crashed even if its address accepts connections: the list may show the replacement before
+// the connections break.
 func (r *Relay) probe(_ context.Context, replica crashguard.Replica) crashguard.ProbeResult {
 	known := r.backEndByID(replica.ID)
 	if known == nil && r.isReplaced(replica) {
 		return crashguard.ProbeGone
 	}
-	if known == nil { // the list does not show it any more: its pool is closed
+	if known == nil { // not listed any more: nothing may be kept in its pool
 		known = newBackEnd(serving.BackEnd{ID: replica.ID, Address: replica.Address}, 0)
 		known.pool.Close()
 	}
@@ -90,7 +91,7 @@
 	return crashguard.ProbeResultOf(err)
 }
 
-// isReplaced reports whether the list shows another start at a back end's address, or under its identity.
+// isReplaced reports whether the list shows another incarnation at the replica's address or under its identity.
 func (r *Relay) isReplaced(replica crashguard.Replica) bool {
 	for _, backEnds := range r.view.Load().byService {
 		for _, backEnd := range backEnds {
@@ -102,7 +103,7 @@
 	return false
 }
 
-// reportReplaced tells the guard of back ends whose address, or whose identity, another start has by now.
+// reportReplaced reports to the guard the removed back ends whose address or identity another incarnation has taken over.
 func (r *Relay) reportReplaced(gone []*backEnd, present map[string]*backEnd) {
 	if len(gone) == 0 {
 		return
@@ -119,7 +120,7 @@
 	}
 }
 
-// backEndByID returns a back end of the list; nil when the list does not show it.
+// backEndByID returns a listed back end; nil when it is not listed.
 func (r *Relay) backEndByID(id string) *backEnd {
 	for _, backEnds := range r.view.Load().byService {
 		for _, backEnd := range backEnds {
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// guardObserver writes lines and counts of what the guard finds.
+// guardObserver writes log lines and metrics for the guard's findings.
 type guardObserver struct{ relay *Relay }
 
 // ReplicaCrashed implements crashguard.Observer.
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -13,41 +13,40 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// request is one request of a client, read whole.
+// request is one request of a client, read completely.
 type request struct {
 	id     string
 	method string
-	// target is path and query as the client sent them.
+	// target is the path with the query string as the client sent them.
 	target string
 	host   string
 	header *fasthttp.RequestHeader
 	body   []byte
-	// signature tells which other requests are the same to a back end, whatever their identity.
+	// signature is the same for all requests that a back end would process in the same way, whatever their identities.
 	signature quarantine.Signature
-	// isTrial tells that the request is held, and may be sent to one back end once.
+	// isTrial reports whether the request is quarantined and may be sent to a single back end once.
 	isTrial bool
 
 	route   *serving.Route
 	service *serving.Service
 	prompt  serving.Prompt
-	// usesKeys tells that callers are known by keys; tenant is whose request it is, nil for nobody's.
+	// usesKeys reports whether callers are identified by keys; tenant is the caller, nil for an anonymous one.
 	usesKeys bool
 	tenant   *serving.Tenant
-	// isUsageCounted tells that its run is isUsageCounted in the tenant's usage.
+	// isUsageCounted reports whether the run is counted in the tenant's usage already.
 	isUsageCounted bool
-	// rank is that of the request at engines.
+	// rank is the request's rank in the queues of engines.
 	rank placement.Rank
 
 	arrivedAt time.Duration
-	// deadline is when the final answer is due: the client's time or the route's,
-	// whichever ends first.
+	// deadline is when the final answer is due: the earlier of the client's deadline and the route's timeout.
 	deadline time.Duration
 
 	canceller canceller
 	trace     requestTrace
 }
 
-// tenantName is the name of the tenant whose request it is; empty for nobody's.
+// tenantName returns the tenant's name; empty for an anonymous caller.
 func (r *request) tenantName() string {
 	if r.tenant == nil {
 		return ""
@@ -55,7 +54,7 @@
 	return r.tenant.Name
 }
 
-// clientTimeout returns the time that the client gives, or fallback when it names none.
+// clientTimeout returns the timeout that the client sent, or fallback when it sent none.
 func clientTimeout(header *fasthttp.RequestHeader, name string, fallback time.Duration) time.Duration {
 	count, err := strconv.ParseFloat(string(header.Peek(name)), 64)
 	if err != nil || count <= 0 {
@@ -64,20 +63,20 @@
 	return time.Duration(count * float64(time.Millisecond))
 }
 
-// canceller breaks off the exchange under way when the client has gone. It is safe for
-// concurrent use; the zero value is ready.
+// canceller aborts the exchange in progress when the client disconnects. It is safe for concurrent use; the zero value is
+// ready to use.
 type canceller struct {
 	mutex      sync.Mutex
 	connection *connpool.Connection
-	// deadline is when the exchange on the connection ends.
+	// deadline is when the exchange on the connection must end.
 	deadline  time.Duration
 	cancelled bool
-	// doneChannel is closed by cancel; nil until somebody waits for it.
+	// doneChannel is closed by cancel; nil until done is called.
 	doneChannel chan struct{}
 }
 
-// attach makes the connection the one to break off, on which an exchange ends by a deadline; it
-// reports false when the request is cancelled already.
+// attach sets the connection that cancel aborts, and the deadline of the exchange on it. It returns false when the request
+// is cancelled already.
 func (c *canceller) attach(connection *connpool.Connection, deadline time.Duration) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -85,12 +84,12 @@
 	return !c.cancelled
 }
 
-// resetDeadline sets the deadline of the exchange under way anew, after the machine was suspended.
+// resetDeadline sets the deadline of the exchange in progress again, after the machine was suspended.
 func (c *canceller) resetDeadline(steady clock) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.connection != nil && !c.cancelled {
-		_ = c.connection.SetDeadline(steady.at(c.deadline)) // a closed connection fails by itself
+		_ = c.connection.SetDeadline(steady.at(c.deadline)) // a closed connection needs no deadline
 	}
 }
 
@@ -100,7 +99,7 @@
 	c.connection = nil
 }
 
-// cancel breaks off the exchange under way and forbids later ones.
+// cancel aborts the exchange in progress and prevents later ones.
 func (c *canceller) cancel() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -109,11 +108,11 @@
 	}
 	c.cancelled = true
 	if c.connection != nil {
-		_ = c.connection.SetDeadline(time.Unix(1, 0)) // a closed connection fails by itself
+		_ = c.connection.SetDeadline(time.Unix(1, 0)) // a closed connection needs no deadline
 	}
 }
 
-// done returns a channel that is closed when the client has done.
+// done returns a channel that is closed when the client has disconnected.
 func (c *canceller) done() <-chan struct{} {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/relay/serve_request.go
+++ b/internal/relay/serve_request.go
@@ -12,12 +12,12 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// maxBufferedAnswer is the size up to which an answer is read whole before anything of it is
-// passed on: one that breaks off can then still be replaced or refused.
+// maxBufferedAnswer is the size in bytes up to which an answer is buffered before any of it is forwarded: when it breaks
+// off, it can still be replaced or refused.
 const maxBufferedAnswer = 64 << 10
 
-// serveRequest finds the route of a request and serves it; the replier has then answered,
-// unless the client has gone.
+// serveRequest finds the route of a request and serves it. When it returns, the replier has answered, unless the client has
+// disconnected.
 func (r *Relay) serveRequest(request *request, reply *replier) {
 	if request.id == "" {
 		reply.refuse(refusal{status: fasthttp.StatusBadRequest, reason: "the header " + r.dialect.Headers.RequestID + " is missing"})
@@ -57,14 +57,14 @@
 	r.servePlain(request, reply)
 }
 
-// recordRequestEnd writes the line at a request's end and counts it.
+// recordRequestEnd writes the log line at a request's end and updates the metrics.
 func (r *Relay) recordRequestEnd(request *request, reply *replier) {
 	snapshot := r.viewSnapshot()
 	r.log.recordEnd(request, reply, snapshot)
 	r.metrics.recordEnd(request, reply, snapshot.now)
 }
 
-// chooseService chooses among a route's services by their weights.
+// chooseService selects one of a route's services by their weights.
 func (r *Relay) chooseService(route *serving.Route) string {
 	if len(route.Splits) == 1 {
 		return route.Splits[0].Service
@@ -72,8 +72,8 @@
 	return route.ChooseService(r.splits.Next(route.Name))
 }
 
-// refuseByConfiguration answers a request that the configuration does not allow. Only a relay whose
-// view is fresh can be sure of that.
+// refuseByConfiguration returns the refusal of a request that the configuration does not allow. When the configuration may
+// be out of date, the status promises only that the request was not run.
 func (r *Relay) refuseByConfiguration(status int, reason string) refusal {
 	if r.clock.now()-r.lastContact() > r.maxContactAge() {
 		return refusal{status: fasthttp.StatusServiceUnavailable, reason: "the configuration may be old", retryAfter: retryAfterStaleView}
@@ -81,7 +81,7 @@
 	return refusal{status: status, reason: reason}
 }
 
-// pathOf returns the target without its query.
+// pathOf returns the target without its query string.
 func pathOf(target string) string {
 	for index := range len(target) {
 		if target[index] == '?' {
@@ -91,7 +91,7 @@
 	return target
 }
 
-// servePlain serves a request whose back ends answer it whole.
+// servePlain serves a request that back ends answer whole, without streaming.
 func (r *Relay) servePlain(request *request, reply *replier) {
 	attempts := &attemptTracker{relay: r, request: request}
 	for attempts.mayContinue() {
@@ -119,7 +119,7 @@
 	r.replyRefused(attempts, reply)
 }
 
-// answeringStage is the stage of the back ends that answer requests of a service.
+// answeringStage returns the stage of the back ends that answer requests of a service.
 func answeringStage(service *serving.Service) serving.Stage {
 	if service.Engine == nil {
 		return serving.StageWhole
@@ -127,10 +127,10 @@
 	return serving.StageDecode
 }
 
-// replyRefused gives the final answer when none came from a back end.
+// replyRefused sends the final answer when none came from a back end.
 func (r *Relay) replyRefused(attempts *attemptTracker, reply *replier) {
 	if reply.started || attempts.request.canceller.isCancelled() {
-		reply.close, reply.aborted = true, true // an answer that was begun must not look whole
+		reply.close, reply.aborted = true, true // a truncated answer must not look complete
 		return
 	}
 	refused := attempts.refusal()
@@ -138,8 +138,8 @@
 	reply.refuse(refused)
 }
 
-// forwardPlain passes an answer on. The failure is nil when the client has its final answer,
-// whole or cut; otherwise nothing of the answer was passed on.
+// forwardPlain forwards an answer to the client. It returns nil when the client has its final answer, complete or cut off;
+// on a failure, nothing of the answer was forwarded.
 func (r *Relay) forwardPlain(answer *answer, attempts *attemptTracker, reply *replier) *failure {
 	defer answer.finish()
 	if answer.head.ContentLength() > maxBufferedAnswer {
@@ -159,14 +159,14 @@
 	return nil
 }
 
-// mayReplace reports whether a back end's own failure may be replaced by another one's
-// answer. It takes nothing from the budget: mayContinue does.
+// mayReplace reports whether a back end's error answer may be replaced by the answer of another back end. It takes nothing
+// from the retry budget; mayContinue does.
 func (r *Relay) mayReplace(answer *answer, attempts *attemptTracker) bool {
 	return attempts.hasFurtherAttempt() && !attempts.isOver() && r.hasUntriedBackEnd(answer, attempts) &&
 		r.budget.CanSpend(r.clock.now(), answer.message.request.service.Name)
 }
 
-// hasUntriedBackEnd reports whether a back end is left that has not been tried.
+// hasUntriedBackEnd reports whether an available back end of the service was not tried yet.
 func (r *Relay) hasUntriedBackEnd(answer *answer, attempts *attemptTracker) bool {
 	now := r.clock.now()
 	for _, backEnd := range r.view.Load().byService[answer.message.request.service.Name] {
@@ -177,7 +177,7 @@
 	return false
 }
 
-// asFailure returns the failure that an answer's reader met.
+// asFailure converts an error of an answer's reader into a failure.
 func asFailure(err error) *failure {
 	var fault *failure
 	if errors.As(err, &fault) {
@@ -186,8 +186,8 @@
 	return &failure{verdict: backEndErrorAnswer.verdict, mayHaveArrived: true, cause: err}
 }
 
-// forwardLong passes a long answer on as it comes, after what was read already. One that
-// breaks off ends with the client's connection, so that it does not look whole.
+// forwardLong forwards a long answer as it arrives, after the bytes that were buffered already. When the answer breaks off,
+// it closes the client's connection, so that the answer does not look complete.
 func (r *Relay) forwardLong(answer *answer, buffered []byte, reply *replier) *failure {
 	reply.sendFirstChunk(answer, buffered)
 	piece := make([]byte, 16<<10)
--- a/internal/relay/stall.go
+++ b/internal/relay/stall.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// minStreamStall is the least silence of a stream after which its engine counts as failed.
+	// minStreamStall is the minimum silence of a stream after which its engine counts as failed.
 	minStreamStall = 900 * time.Millisecond
-	// minPlainStall is likewise for a back end that answers whole.
+	// minPlainStall is the minimum silence for back ends that answer whole.
 	minPlainStall = 250 * time.Millisecond
-	// stallTargetFactor is how many targets of its route a silence must last at least.
+	// stallTargetFactor is the minimum silence as a multiple of the route's target.
 	stallTargetFactor = 2
-	// prefillStallSlack is how much longer than expected the reading of a prompt may take, beside
-	// prefillStallShare times the expectation.
+	// prefillStallSlack and prefillStallFactor bound the silence during a prefill: prefillStallFactor times the expected
+	// duration plus prefillStallSlack.
 	prefillStallSlack  = 600 * time.Millisecond
 	prefillStallFactor = 2.5
 )
 
-// stallLimit is the silence after which the back end of a request counts as failed.
+// stallLimit returns the silence after which the back end of a request counts as failed.
 func stallLimit(route *serving.Route) time.Duration {
 	if route.Kind == serving.KindStream {
 		return max(minStreamStall, stallTargetFactor*route.TargetGap)
@@ -30,10 +30,9 @@
 	return max(minPlainStall, stallTargetFactor*route.Target)
 }
 
-// stallWatch looks for the silence of a back end during one answer. When nothing has come
-// from the back end for that long, on this answer or any other, it counts as failed; the
-// answer is broken off only where the request may run elsewhere. A back end that sends
-// other answers is slow and not gone: leaving it would only move its load.
+// stallWatch detects a back end that stalls during one answer. The back end counts as failed when nothing arrived from it
+// for the limit, neither on this answer nor on any other; the answer is aborted only when the request may run elsewhere. A
+// back end that sends other answers is slow but alive: aborting would only move its load.
 type stallWatch struct {
 	exchanger  *exchanger
 	connection *connpool.Connection
@@ -43,11 +42,11 @@
 	timer      *time.Timer
 
 	mutex sync.Mutex
-	// stopped tells that the connection may be another request's.
+	// stopped reports that the connection may carry another request now.
 	stopped bool
 }
 
-// watchStall begins to look. mayBreak says whether the answer may be broken off.
+// watchStall starts a watch. mayAbort says whether the answer may be aborted.
 func (e *exchanger) watchStall(connection *connpool.Connection, backEnd *backEnd, limit time.Duration, mayAbort bool) *stallWatch {
 	mayAbort = mayAbort && e.without.IsEnabled(mechanism.StallWatch)
 	watch := &stallWatch{exchanger: e, connection: connection, backEnd: backEnd, mayAbort: mayAbort, limit: limit}
@@ -71,17 +70,17 @@
 	}
 	w.exchanger.recordFailure(w.backEnd)
 	if w.mayAbort {
-		_ = w.connection.SetDeadline(time.Unix(1, 0)) // a closed connection fails by itself
+		_ = w.connection.SetDeadline(time.Unix(1, 0)) // a closed connection needs no deadline
 	}
 }
 
-// recordReceived notes that something has come.
+// recordReceived records that bytes arrived, and restarts the timer.
 func (w *stallWatch) recordReceived() {
 	w.backEnd.recordReceived(w.exchanger.clock.now())
 	w.timer.Reset(w.limit)
 }
 
-// stop ends the look; it waits for one that is under way.
+// stop ends the watch. It waits for a check in progress.
 func (w *stallWatch) stop() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/relay/start_wait.go
+++ b/internal/relay/start_wait.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// startupWait is how long a request that comes before the relay knows what it needs waits for that. After a
-// loss of all processes, relays know it 0.1 s after their start in the median, and 0.6 s at the latest where
-// controllers are slow (291 to 295 relays); a client that is told to come back is late by then.
+// startupWait is how long a request waits when it arrives before the relay has a configuration and a list of back ends.
+// After a loss of all processes, relays receive both 0.1 s after their start in the median, and 0.6 s at the latest where
+// controllers are slow (291 to 295 relays); a client that was refused and retries later would miss its target.
 const startupWait = 250 * time.Millisecond
 
-// readySignal tells those who wait that the relay knows a configuration and a list. It never forgets them.
+// readySignal signals that the relay has a configuration and a list of back ends. Once notified, it stays so.
 type readySignal struct {
 	once  sync.Once
 	ready chan struct{}
@@ -18,10 +18,10 @@
 
 func newReadySignal() *readySignal { return &readySignal{ready: make(chan struct{})} }
 
-// notify ends all waits.
+// notify ends all waits, present and future ones.
 func (s *readySignal) notify() { s.once.Do(func() { close(s.ready) }) }
 
-// setView puts a view in force.
+// setView replaces the view.
 func (r *Relay) setView(next *view) {
 	r.view.Store(next)
 	if next.isReady() {
@@ -29,7 +29,7 @@
 	}
 }
 
-// awaitReadyView waits until the relay knows what every request needs, and returns what it lacks after that.
+// awaitReadyView waits up to startupWait until the relay can serve requests, and returns the state that is still missing.
 func (r *Relay) awaitReadyView(request *request) missingState {
 	if missing := r.view.Load().missing(); missing == "" {
 		return ""
--- a/internal/relay/started_again.go
+++ b/internal/relay/started_again.go
@@ -5,9 +5,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// checkIncarnation takes the time of the start that has answered for a back end. A later one than the list shows is another
-// start under the same identity: it holds nothing of what was read before, and the listed one has ended. Its own
-// record comes with the list, a second later at most.
+// checkIncarnation checks the start time of the incarnation that answered for a back end. A later one than the listed one
+// belongs to a newer incarnation under the same identity: its cache is empty, and the listed incarnation has crashed. The
+// newer incarnation gets its own record with the next list, a second later at most.
 func (r *Relay) checkIncarnation(backEnd *backEnd, born int64) {
 	if backEnd.StartedAtMs == 0 || born <= backEnd.StartedAtMs || !backEnd.isSuperseded.CompareAndSwap(false, true) {
 		return
--- a/internal/relay/view.go
+++ b/internal/relay/view.go
@@ -20,8 +20,8 @@
 	// byService holds the back ends of each service, by identity.
 	byService map[string][]*backEnd
 	// byHash holds the back ends by the hash that relays name replicas with, byStart by that of their starts.
-	byHash  map[uint64]*backEnd
-	byStart map[uint64]*backEnd
+	byHash        map[uint64]*backEnd
+	byIncarnation map[uint64]*backEnd
 }
 
 // engine returns what the configuration tells of a service's engines; nil for nothing.
