--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -13,7 +13,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/relay/connpool"
 )
 
-// answer is the head of a back end's answer; its body is still on the connection.
+// answer is a back end's answer of which the head was read; the body is still unread on the connection.
 type answer struct {
 	status     int
 	head       *fasthttp.ResponseHeader
@@ -21,12 +21,12 @@
 	connection *connpool.Connection
 	message    *message
 	exchanger  *exchanger
-	// bodyUnread tells that the back end answered before it had read the whole request.
+	// bodyUnread reports whether the back end answered before it had received the whole request body.
 	bodyUnread bool
 	closed     bool
 }
 
-// recordPrefillDone notes that the back end has read the whole prompt.
+// recordPrefillDone removes the prefill from the back end's work once it is complete.
 func (a *answer) recordPrefillDone() {
 	if a.message.work.PromptTokens() == 0 {
 		return
@@ -36,7 +36,7 @@
 	a.exchanger.announceWork(a.message)
 }
 
-// Read reads the body; io.EOF means that it came to its declared end.
+// Read implements io.Reader for the body. It returns io.EOF only at the body's declared end.
 func (a *answer) Read(buffer []byte) (int, error) {
 	n, err := a.body.Read(buffer)
 	if err == nil || errors.Is(err, io.EOF) {
@@ -45,8 +45,8 @@
 	return n, a.exchanger.connectionFailure(a.connection, a.message, true, err)
 }
 
-// finish ends an exchange whose answer was taken; the connection is used again when the
-// whole body was read and nothing followed it.
+// finish ends an exchange whose answer was used. The connection is reused when the complete body was read and nothing
+// followed it.
 func (a *answer) finish() {
 	if a.closed {
 		return
@@ -60,15 +60,14 @@
 	a.release()
 }
 
-// reportCompleted notes that the back end has run the request to its end.
+// reportCompleted reports to the crash guard that the back end has run the request without a crash.
 func (a *answer) reportCompleted() {
 	if !a.message.isPrefill {
 		a.exchanger.guard.RecordSuccess(a.message.request.signature)
 	}
 }
 
-// discard ends an exchange whose answer is a failure. A short body is read, so that the
-// connection can be used again.
+// discard ends an exchange whose answer is not used. It reads a short body, so that the connection can be reused.
 func (a *answer) discard() {
 	if a.body.framing == framedByLength && a.body.remaining <= connpool.AnswerHeadBufferSize {
 		discardBody(a.body)
@@ -76,7 +75,7 @@
 	a.release()
 }
 
-// release gives the connection back, or closes it.
+// release returns the connection to the pool, or closes it when it cannot be reused.
 func (a *answer) release() {
 	if a.closed {
 		return
@@ -91,7 +90,7 @@
 	if limit := keepAliveTimeout(a.head); limit > 0 {
 		a.connection.IdleLimit = limit
 	}
-	_ = a.connection.SetDeadline(time.Time{}) // a closed connection fails its next request
+	_ = a.connection.SetDeadline(time.Time{}) // on a closed connection, the next request will fail
 	a.message.backEnd.pool.Put(a.connection, a.exchanger.clock.now())
 }
 
@@ -100,10 +99,11 @@
 		a.connection.Reader.Buffered() == 0 && !a.message.request.canceller.isCancelled()
 }
 
-// keepAliveMargin is taken off the time for which a back end keeps a connection.
+// keepAliveMargin is subtracted from the back end's keep-alive timeout, so that the relay stops using a connection before
+// the back end closes it.
 const keepAliveMargin = 300 * time.Millisecond
 
-// keepAliveTimeout returns how long the back end keeps an idle connection; 0 when it does not say.
+// keepAliveTimeout returns how long the back end keeps an idle connection open; 0 when it does not say.
 func keepAliveTimeout(head *fasthttp.ResponseHeader) time.Duration {
 	for part := range strings.SplitSeq(string(head.Peek("Keep-Alive")), ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
@@ -117,7 +117,7 @@
 	return 0
 }
 
-// hasNoBody reports whether an answer has no body by its status or method.
+// hasNoBody reports whether an answer has no body because of its status or the request's method.
 func (a *answer) hasNoBody() bool {
 	return a.message.request.method == fasthttp.MethodHead || a.status == fasthttp.StatusNoContent || a.status == fasthttp.StatusNotModified
 }
--- a/internal/relay/await_reading.go
+++ b/internal/relay/await_reading.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// prefillWaitSlack is how much longer than expected a request waits for a reading to end and
-	// its memory to be taken, beside readingSlackShare times the expectation.
+	// prefillWaitSlack and prefillWaitSlackFactor bound the wait for another request's prefill and the transfer of its
+	// result: prefillWaitSlackFactor times the expected duration plus prefillWaitSlack.
 	prefillWaitSlack       = 200 * time.Millisecond
 	prefillWaitSlackFactor = 1.5
 )
 
-// prefillWait is the wait of one request for parts of its prompt that an engine reads for others.
+// prefillWait is the wait of one request for blocks of its prompt that an engine prefills for other requests.
 type prefillWait struct {
 	chosen       *selection
 	prefixBlocks []placement.PrefixBlock
 	rank         placement.Rank
 	limit        time.Duration
-	// stop ends the wait when it is closed.
+	// stop is closed to end the wait.
 	stop <-chan struct{}
 }
 
-// prefillWaitLimit is how long a request waits for a reading at the engine.
+// prefillWaitLimit returns how long a request waits for a prefill at the engine.
 func (r *Relay) prefillWaitLimit(chosen *selection) time.Duration {
 	return r.prefillWaitSlack + time.Duration(prefillWaitSlackFactor*float64(chosen.QueueDelay))
 }
 
-// awaitPrefill waits until the engine can use for this request what it reads for others.
+// awaitPrefill waits until the engine has cached, for use by this request, what it prefills for others.
 func (r *Relay) awaitPrefill(stream *streamReply, chosen *selection) bool {
 	r.metrics.prefillWaits.Inc()
 	return r.awaitCached(&prefillWait{
@@ -37,9 +37,9 @@
 	})
 }
 
-// awaitCached waits until the engine can use what it reads for others. A request that is sent
-// there before would have the same parts read again. Meanwhile its work counts at the engine, so
-// that decisions see it. It reports false when the time for it is over or it was stopped.
+// awaitCached waits until the engine has cached what it prefills for other requests. A request sent to the engine earlier
+// would have the same blocks prefilled again. Meanwhile the waiting request's work counts at the engine, so that decisions
+// take it into account. It returns false when the time limit has passed or the wait was stopped.
 func (r *Relay) awaitCached(wait *prefillWait) bool {
 	expected := &message{backEnd: wait.chosen.backEnd, work: prefillWork(r.policy, wait.rank, &wait.chosen.Candidate)}
 	expected.backEnd.addWork(expected.work)
--- a/internal/relay/body.go
+++ b/internal/relay/body.go
@@ -10,21 +10,20 @@
 	"github.com/valyala/fasthttp"
 )
 
-// framing tells how the end of a body is known.
+// framing says how the end of a body is determined.
 type framing int
 
 const (
 	framedByLength framing = iota
 	framedByChunks
-	// framedByClose bodies end with their connection; a reset leaves them incomplete.
+	// framedByClose bodies end when the connection is closed; after a reset they are incomplete.
 	framedByClose
 )
 
-// maxTrailerLines bounds what may follow the last chunk.
+// maxTrailerLines bounds the trailer lines after the last chunk.
 const maxTrailerLines = 32
 
-// framedBody reads the body of an answer to its declared end and returns io.EOF there;
-// any other end is errBroken.
+// framedBody reads a body up to its declared end and returns io.EOF there; it returns another error for any other end.
 type framedBody struct {
 	framing    framing
 	source     *bufio.Reader
@@ -33,7 +32,7 @@
 	isComplete bool
 }
 
-// newFramedBody reads the body behind the head.
+// newFramedBody returns the body that follows a head.
 func newFramedBody(head *fasthttp.ResponseHeader, method string, source *bufio.Reader) *framedBody {
 	status, length := head.StatusCode(), head.ContentLength()
 	body := &framedBody{source: source}
@@ -94,7 +93,7 @@
 	return n, io.EOF
 }
 
-// readTrailer reads what follows the last chunk, up to the empty line.
+// readTrailer reads the trailer after the last chunk, up to the empty line.
 func (b *framedBody) readTrailer() error {
 	for range maxTrailerLines {
 		line, err := b.source.ReadSlice('\n')
--- a/internal/relay/engine_query.go
+++ b/internal/relay/engine_query.go
@@ -7,49 +7,49 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// purpose is what an engine is wanted for.
+// purpose says what an engine is needed for.
 type purpose int
 
-// Purposes.
+// Purposes of placement queries.
 const (
-	// purposeBegin wants an engine that reads a prompt first, or one that reads it and generates.
+	// purposeBegin asks for an engine that prefills the prompt, or that prefills it and decodes.
 	purposeBegin purpose = iota
-	// purposePrefill wants one for a prompt whose first reading has failed.
+	// purposePrefill asks for an engine that prefills a prompt whose first prefill has failed.
 	purposePrefill
-	// purposeDecode wants one that generates.
+	// purposeDecode asks for an engine that decodes.
 	purposeDecode
-	// purposeTakeOver wants one with a free slot for a run that moves.
+	// purposeTakeOver asks for an engine with a free slot for a run that is migrated.
 	purposeTakeOver
 )
 
-// engineQuery is the question where a request should run.
+// engineQuery asks where a request should run.
 type engineQuery struct {
 	purpose purpose
 	service string
 	request placement.Request
-	// excluded are the engines that must not be taken, by their hashes.
+	// excluded holds the hashes of the engines that must not be selected.
 	excluded []uint64
-	// withoutPermits: the asking relay would send to an engine that names a limit without a permit.
+	// withoutPermits reports that the querying relay would send to an engine with a limit without acquiring a permit.
 	withoutPermits bool
-	// hasPermit tells that a permit for the run was taken already.
+	// hasPermit reports whether a permit for the run was acquired already.
 	hasPermit bool
-	// holder is the engine of another cell that keeps the beginning of the prompt; nil for none.
+	// holder is the engine of another cell that has cached a prefix of the prompt; nil for none.
 	holder *prefixHolder
 }
 
-// prefixHolder is an engine that keeps the beginning of a prompt for any request.
+// prefixHolder is an engine that has cached a prefix of the prompt for any request; tokens is the prefix's length.
 type prefixHolder struct {
 	engine *backEnd
 	tokens int
 }
 
-// excludes reports whether an engine must not be taken.
+// excludes reports whether an engine must not be selected.
 func (q *engineQuery) excludes(engine *backEnd) bool {
 	return slices.Contains(q.excluded, engine.hash) || q.withoutPermits && engine.hasLimit()
 }
 
-// newEngineQuery asks for an engine for a request that has tried some. What engines have asked of this relay the
-// owner does not know.
+// newEngineQuery returns a query for a request. It excludes the engines that were tried, and those in backoff or leaving,
+// since the owner does not know what engines have asked of this relay.
 func newEngineQuery(purpose purpose, attempts *attemptTracker, wanted placement.Request) *engineQuery {
 	query := &engineQuery{purpose: purpose, service: attempts.request.service.Name, request: wanted}
 	for _, engine := range attempts.excluded {
@@ -57,7 +57,7 @@
 	}
 	for _, engine := range attempts.relay.view.Load().byService[query.service] {
 		if len(query.excluded) >= maxExcluded {
-			break // the answer is looked at again: one that rests is not taken
+			break // the answer is checked again: an engine in backoff is not used
 		}
 		if engine.signals.IsLeaving() && !engine.Leaving || engine.sendDelay(wanted.Now) > 0 {
 			query.excluded = append(query.excluded, engine.hash)
@@ -66,10 +66,10 @@
 	return query
 }
 
-// maxExcluded bounds the engines that a question excludes, 8 to 10 bytes each in its datagram.
+// maxExcluded bounds the engines that a query excludes; each takes 8 to 10 bytes of its datagram.
 const maxExcluded = 32
 
-// decideAmong decides by what is known of the engines.
+// decideAmong decides among candidates according to the query's purpose.
 func (q *engineQuery) decideAmong(policy placement.Parameters, candidates candidateSet, draw func() float64) placement.Decision {
 	switch q.purpose {
 	case purposeBegin:
@@ -83,7 +83,7 @@
 	}
 }
 
-// decisionFor is the decision for an engine, or for none.
+// decisionFor returns the decision for a candidate; a nil candidate leaves the request unplaced.
 func decisionFor(action placement.Action, chosen *placement.Candidate) placement.Decision {
 	if chosen == nil {
 		return placement.Decision{Action: placement.Unplaced, Reason: placement.ReasonNoEngine}
@@ -91,7 +91,7 @@
 	return placement.Decision{Action: action, Engine: chosen}
 }
 
-// workOf is the work that a decision gives its engine.
+// workOf returns the work that a decision assigns to its engine.
 func (q *engineQuery) workOf(policy placement.Parameters, decision placement.Decision) placement.Work {
 	if decision.Action == placement.PrefillSeparately {
 		return prefillWork(policy, q.request.Rank, decision.Engine)
@@ -103,23 +103,23 @@
 	return work
 }
 
-// prefillWork is the work of a prompt that is read apart.
+// prefillWork returns the work of a prefill on a prefill engine.
 func prefillWork(policy placement.Parameters, rank placement.Rank, engine *placement.Candidate) placement.Work {
 	return placement.PrefillWork(engine.EffectiveTokens, policy.PrefillRank(rank, engine.PrefillTokens)).Plus(placement.Work{Prefills: 1})
 }
 
-// engineAnswer is a decision with what stands behind it.
+// engineAnswer is a placement decision with the engines that it refers to.
 type engineAnswer struct {
 	decision placement.Decision
-	// chosen is the engine that was decided on, nil for none.
+	// chosen is the selected engine; nil for none.
 	chosen *selection
-	// holder is the engine of the cell that keeps most of the prompt, nil for none.
+	// holder is the engine of the cell that has cached the longest prefix of the prompt; nil for none.
 	holder *prefixHolder
-	// isDecidedHere tells that neither the owner of the engines nor its stand-in answered, and this relay decided.
+	// isDecidedHere reports whether this relay decided because neither the engines' owner nor its deputy answered.
 	isDecidedHere bool
 }
 
-// reason tells why the decision is what it is.
+// reason returns the reason for the decision.
 func (a *engineAnswer) reason() string {
 	if a.isDecidedHere {
 		return string(missingOwner) + ": " + a.decision.Reason.String()
@@ -127,30 +127,30 @@
 	return a.decision.Reason.String()
 }
 
-// assignment is an owner's answer that gave an engine work.
+// assignment identifies an owner's answer that assigned work to an engine.
 type assignment struct {
 	owner  string
 	number uint64
 }
 
-// selection is a back end that was picked, with what picking it means.
+// selection is a selected back end with the data on which the selection was based.
 type selection struct {
 	placement.Candidate
 	backEnd *backEnd
-	// fetchFrom is the engine from which it takes the beginning of the prompt, nil for none.
+	// fetchFrom is the engine from which it fetches the prompt's prefix; nil for none.
 	fetchFrom *backEnd
-	// queuedWork is the work of all relays there when it was picked, as far as was known, and
-	// perToken its time for one token of a prompt.
+	// queuedWork is the known work of all relays at the engine when it was selected; timePerToken is the engine's prefill
+	// time per token.
 	queuedWork   placement.Work
 	timePerToken time.Duration
-	// assignment names the owner's answer; zero where this relay decided.
+	// assignment identifies the owner's answer; zero when this relay decided.
 	assignment assignment
-	// permittedAt is when a permit was taken for it, 0 for never; owed tells that the run must go on there.
+	// permittedAt is when a permit was acquired for it, 0 for none; isOwed reports whether the run must continue there.
 	permittedAt time.Duration
 	isOwed      bool
 }
 
-// selectionFor is a place for a back end that was not weighed.
+// selectionFor returns the selection of a back end that was not compared with others.
 func selectionFor(backEnd *backEnd) *selection {
 	return &selection{backEnd: backEnd, Candidate: placement.Candidate{FetchFrom: placement.None}}
 }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -23,19 +23,19 @@
 const (
 	// dialTimeout bounds the opening of a connection to a back end.
 	dialTimeout = 300 * time.Millisecond
-	// maxStaleAnswers bounds how many answers to earlier requests are read past.
+	// maxStaleAnswers bounds how many answers to earlier requests are skipped on a connection.
 	maxStaleAnswers = 2
-	// maxStaleBodyBytes bounds the body of an answer that is read past.
+	// maxStaleBodyBytes bounds the body of a skipped answer.
 	maxStaleBodyBytes = 1 << 20
-	// longBodyBytes is the size from which a request's body is written beside the reading of
-	// the answer, since a back end may answer before it has read it.
+	// longBodyBytes is the size from which a request's body is written concurrently with reading the answer, since a back
+	// end may answer before it has read the body.
 	longBodyBytes = 8 << 10
-	// unsafeIdleLimit is how long a connection may have rested when a request that must not
-	// be repeated goes out on it: the back end may close it at the same moment.
+	// unsafeIdleLimit is how long a connection may have been idle before it carries a request that must not be repeated:
+	// the back end might close an idle connection at the moment at which the request is sent.
 	unsafeIdleLimit = time.Second
 )
 
-// exchanger carries messages to back ends.
+// exchanger sends messages to back ends and reads the heads of their answers.
 type exchanger struct {
 	names   HeaderNames
 	writer  requestWriter
@@ -43,17 +43,17 @@
 	dial    dialing.Dial
 	notices *loadNotices
 	guard   *crashguard.Guard
-	// applyAnswerSignals takes what a back end asks for in the head of an answer.
+	// applyAnswerSignals applies the signals in the head of a back end's answer.
 	applyAnswerSignals func(backEnd *backEnd, head *fasthttp.ResponseHeader, sentAt time.Duration)
-	// acquirePermit reports whether a request of a rank may be sent to a back end that may name a limit.
-	acquirePermit func(backEnd *backEnd, rank int, owed bool) bool
-	// limitedSends counts sendings to back ends that have named a limit.
+	// acquirePermit reports whether a request of the given rank may be sent to a back end, which may have a limit.
+	acquirePermit func(backEnd *backEnd, rank int, isOwed bool) bool
+	// limitedSends counts messages sent to back ends with a limit.
 	limitedSends prometheus.Counter
-	// without are mechanisms that are left out.
+	// without holds the mechanisms that are disabled.
 	without mechanism.Set
 }
 
-// send sends the message and reads the head of the answer to it. The answer must be closed.
+// send sends the message and reads the head of the answer. The caller must finish or discard the answer.
 func (e *exchanger) send(message *message) (*answer, *failure) {
 	backoffLeft := message.backEnd.avoidanceLeft(e.clock.now())
 	message.backEnd.addWork(message.work)
@@ -70,7 +70,7 @@
 	return nil, fault
 }
 
-// exchange connects, writes and reads the head of the answer.
+// exchange connects, writes the message, and reads and checks the head of the answer.
 func (e *exchanger) exchange(message *message) (*answer, *failure) {
 	connection, fault := e.connect(message)
 	if fault != nil {
@@ -83,13 +83,13 @@
 		return nil, fault
 	}
 	if fault := e.checkAnswer(answer); fault != nil {
-		answer.discard() // it gives the connection back, or closes it
+		answer.discard() // returns the connection to the pool, or closes it
 		return nil, fault
 	}
 	return answer, nil
 }
 
-// checkAdmission returns why a message must not go out now; nil where it may.
+// checkAdmission returns the reason why a message must not be sent now; nil when it may be sent.
 func (e *exchanger) checkAdmission(message *message) *failure {
 	notRun := func(cause error) *failure { return &failure{verdict: verdict.NotRun, cause: cause} }
 	now := e.clock.now()
@@ -98,7 +98,7 @@
 		return notRun(errCancelled)
 	case now >= message.deadline:
 		return notRun(errDeadline)
-	case message.backEnd.inBackoff(now): // it was picked before the rest was asked for
+	case message.backEnd.inBackoff(now): // the backoff began after the back end was selected
 		return notRun(errInBackoff)
 	case !message.backEnd.hasLimit():
 		return nil
@@ -110,7 +110,7 @@
 	}
 }
 
-// connect returns a connection to the back end that belongs to the request's canceller.
+// connect returns a connection to the back end and attaches it to the request's canceller.
 func (e *exchanger) connect(message *message) (*connpool.Connection, *failure) {
 	if fault := e.checkAdmission(message); fault != nil {
 		return nil, fault
@@ -124,7 +124,7 @@
 			return nil, &failure{verdict: verdict.NotRun, cause: fmt.Errorf("%w: %w", errDial, err)}
 		}
 	}
-	_ = connection.SetDeadline(e.clock.at(message.deadline)) // a closed connection fails by itself
+	_ = connection.SetDeadline(e.clock.at(message.deadline)) // a closed connection needs no deadline
 	if !message.request.canceller.attach(connection, message.deadline) {
 		connection.Discard()
 		return nil, &failure{verdict: verdict.NotRun, cause: errCancelled}
@@ -132,7 +132,7 @@
 	return connection, nil
 }
 
-// idleLimitOf is how long a connection may have rested that carries a request of a route.
+// idleLimitOf returns how long a connection may have been idle before it carries a request of the route.
 func idleLimitOf(route *serving.Route) time.Duration {
 	if route.Repeatable() {
 		return connpool.DefaultIdleLimit
@@ -140,16 +140,16 @@
 	return unsafeIdleLimit
 }
 
-// open opens a connection to a back end within a time.
+// open opens a connection to a back end within the given time.
 func (e *exchanger) open(backEnd *backEnd, limit time.Duration) (*connpool.Connection, error) {
-	limited, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	connection, err := e.dial(limited, "tcp", backEnd.Address)
+	connection, err := e.dial(ctx, "tcp", backEnd.Address)
 	if err != nil {
 		return nil, err
 	}
 	opened := connpool.NewConnection(connection)
-	opened.OnTimeout = backEnd.pool.CloseIdle // others may have gone silent as well
+	opened.OnTimeout = backEnd.pool.CloseIdle // the other connections have probably lost their peer as well
 	return opened, nil
 }
 
@@ -163,7 +163,7 @@
 		headers = append(headers, header{e.names.Tenant, tenant.Name})
 	}
 	head := e.writer.head(message.request, message.backEnd.Address, headers)
-	written, fault := e.write(connection, message, head)
+	writeDone, fault := e.write(connection, message, head)
 	if fault != nil {
 		return nil, fault
 	}
@@ -174,8 +174,8 @@
 	}
 	answer, fault := e.readHead(connection, message)
 	bodyUnread := false
-	if written != nil {
-		bodyUnread = e.finishWriting(connection, written)
+	if writeDone != nil {
+		bodyUnread = e.finishWriting(connection, writeDone)
 	}
 	if fault != nil {
 		return nil, fault
@@ -184,8 +184,8 @@
 	return answer, nil
 }
 
-// write sends head and body. A long body goes out beside the reading of the answer: the
-// channel then tells how its writing ended.
+// write sends the head and the body. It sends a long body in the background, and then returns a channel that receives the
+// result of that write; otherwise the channel is nil.
 func (e *exchanger) write(connection *connpool.Connection, message *message, head []byte) (<-chan error, *failure) {
 	if len(message.request.body) < longBodyBytes {
 		head = append(head, message.request.body...)
@@ -203,20 +203,20 @@
 	return written, nil
 }
 
-// finishWriting ends the writing of a long body once the head of the answer has come. It
-// reports whether the back end has not taken the whole body.
+// finishWriting ends the background write of a long body after the head of the answer has arrived. It reports whether part
+// of the body was not sent.
 func (e *exchanger) finishWriting(connection *connpool.Connection, written <-chan error) (unread bool) {
 	select {
 	case err := <-written:
 		return err != nil
 	default:
 	}
-	_ = connection.SetWriteDeadline(time.Unix(1, 0)) // a closed connection fails by itself
+	_ = connection.SetWriteDeadline(time.Unix(1, 0)) // a closed connection needs no deadline
 	return <-written != nil
 }
 
-// connectionFailure is the failure of a connection that broke. What was not sent at all cannot have
-// run; anything else may have.
+// connectionFailure returns the failure for an error of a connection. A request of which nothing was sent cannot have run;
+// any other may have.
 func (e *exchanger) connectionFailure(connection *connpool.Connection, message *message, anySent bool, err error) *failure {
 	fault := &failure{verdict: verdict.MayHaveRun, mayHaveArrived: true, cause: fmt.Errorf("%w: %w", errConnectionBroken, err)}
 	if !anySent {
@@ -235,8 +235,7 @@
 	return fault
 }
 
-// readHead reads the head of the answer to the message. It reads past answers that belong
-// to earlier requests on the connection.
+// readHead reads the head of the answer to the message. It skips answers to earlier requests on the connection.
 func (e *exchanger) readHead(connection *connpool.Connection, message *message) (*answer, *failure) {
 	for range maxStaleAnswers + 1 {
 		head := &fasthttp.ResponseHeader{}
@@ -250,15 +249,15 @@
 		if string(head.Peek(e.names.RequestID)) == message.request.id {
 			return answer, nil
 		}
-		stale := connection.AnsweredRequests > 0 && answer.body.framing != framedByClose
-		if !stale || !discardBody(answer.body) {
+		isStale := connection.AnsweredRequests > 0 && answer.body.framing != framedByClose
+		if !isStale || !discardBody(answer.body) {
 			break
 		}
 	}
 	return nil, &failure{verdict: verdict.MayHaveRun, mayHaveArrived: true, cause: errForeignAnswer}
 }
 
-// readFinalHead reads heads until one that is not informational.
+// readFinalHead reads heads up to the first one that is not informational (1xx).
 func readFinalHead(head *fasthttp.ResponseHeader, connection *connpool.Connection) error {
 	for {
 		if err := head.Read(connection.Reader); err != nil {
@@ -270,14 +269,14 @@
 	}
 }
 
-// discardBody reads a body that nobody wants, and reports whether it came to its end.
+// discardBody reads and discards a body, and reports whether it was complete.
 func discardBody(body *framedBody) bool {
 	_, err := io.Copy(io.Discard, io.LimitReader(body, maxStaleBodyBytes))
 	return err == nil && body.isComplete
 }
 
-// checkAnswer decides whether the answer is one for the client. Answers that say that the
-// request has not run become failures.
+// checkAnswer checks whether the answer may be forwarded to the client. An answer saying that the request was not run is
+// turned into a failure.
 func (e *exchanger) checkAnswer(answer *answer) *failure {
 	answer.message.backEnd.recordReceived(e.clock.now())
 	e.recordReportedLoad(answer)
--- a/internal/relay/exchange_notes.go
+++ b/internal/relay/exchange_notes.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// queryNumber is the number of the question that was answered with the message's back end; 0 for none.
+// queryNumber is the number of the placement query whose answer selected the message's back end; 0 for none.
 func (m *message) queryNumber() uint64 {
 	if m.chosen == nil {
 		return 0
@@ -17,14 +17,14 @@
 	return m.chosen.assignment.number
 }
 
-// announceWork tells other relays that the work at an engine has changed.
+// announceWork notifies other relays that this relay's work at an engine has changed.
 func (e *exchanger) announceWork(message *message) {
 	if message.backEnd.isEngine() {
 		e.notices.queueWork(message.backEnd)
 	}
 }
 
-// recordPrefill notes, here and at other relays, what an engine begins to read.
+// recordPrefill records, and announces to other relays, the prefix blocks whose prefill an engine begins.
 func (e *exchanger) recordPrefill(message *message) {
 	if message.backEnd.isEngine() {
 		message.newBlocks = message.backEnd.cache.beginPrefill(e.clock.now(), message.prefixBlocks)
@@ -32,16 +32,16 @@
 	}
 }
 
-// recordCached notes, here and at other relays, that an engine keeps parts for any request.
-func (e *exchanger) recordCached(engine *backEnd, parts []placement.PrefixBlock) {
-	if engine.isEngine() && len(parts) > 0 {
-		engine.cache.markCached(e.clock.now(), parts)
-		e.notices.queueCached(engine, parts)
+// recordCached records, and announces to other relays, that an engine has cached blocks for use by any request.
+func (e *exchanger) recordCached(engine *backEnd, blocks []placement.PrefixBlock) {
+	if engine.isEngine() && len(blocks) > 0 {
+		engine.cache.markCached(e.clock.now(), blocks)
+		e.notices.queueCached(engine, blocks)
 	}
 }
 
-// recordAbandonedPrefill notes, here and at other relays, that an engine does not read to its end what
-// it was sent to read.
+// recordAbandonedPrefill records, and announces to other relays, that an engine does not complete a prefill that it was
+// sent.
 func (e *exchanger) recordAbandonedPrefill(message *message) {
 	if !message.backEnd.isEngine() || len(message.newBlocks) == 0 {
 		return
@@ -54,7 +54,7 @@
 	e.notices.queueAbandoned(message.backEnd, dropped)
 }
 
-// updateHealth lets the back end's health follow from a failure.
+// updateHealth updates the back end's health after a failure.
 func (e *exchanger) updateHealth(message *message, fault *failure) {
 	switch {
 	case errors.Is(fault, errCancelled), errors.Is(fault, errInBackoff), errors.Is(fault, errLimitReached):
@@ -65,10 +65,10 @@
 	}
 }
 
-// recordRefusal avoids a back end that has not run a request. An engine that refuses although
-// most of its slots are free does not want for room: its stage is being changed, for instance,
-// and it will refuse other relays too. It counts as failed. One refusal of a prompt that
-// another engine has read is no such sign, since that memory may have been out of reach.
+// recordRefusal starts a backoff after a back end refused a request. An engine that refuses although most of its slots are
+// free counts as failed: it does not lack capacity, but may be changing its stage, for instance, and will refuse other
+// relays too. A single refusal of a prompt that another engine has prefilled is inconclusive, since that engine's KV cache
+// may have been unreachable.
 func (e *exchanger) recordRefusal(message *message) {
 	engine := message.backEnd
 	isInconclusive := message.work.PromptTokens() == 0 && engine.currentLoad(e.clock.now()).refusals == 0
@@ -79,8 +79,8 @@
 	e.recordFailure(engine)
 }
 
-// hasFreeSlots reports whether most slots of a message's engine are free, as far as is known here or
-// was known to those who picked it.
+// hasFreeSlots reports whether most slots of a message's engine are free, by what is known here or was known when the
+// engine was selected.
 func (e *exchanger) hasFreeSlots(message *message) bool {
 	engine, now := message.backEnd, e.clock.now()
 	current := engine.currentLoad(now)
@@ -92,13 +92,13 @@
 	return engine.isEngine() && busy < engine.Slots/2
 }
 
-// recordFailure avoids a back end that failed, and tells other relays.
+// recordFailure starts the failure backoff of a back end, and notifies other relays.
 func (e *exchanger) recordFailure(backEnd *backEnd) {
 	backEnd.recordFailure(e.clock.now())
 	e.notices.queueFailure(backEnd)
 }
 
-// recordReportedLoad takes the back end's own word of its load.
+// recordReportedLoad records the load that the back end reports in its answer.
 func (e *exchanger) recordReportedLoad(answer *answer) {
 	value := string(answer.head.Peek(e.names.Load))
 	if value == "" {
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -8,21 +8,21 @@
 	"github.com/valyala/fasthttp"
 )
 
-// connectionHeaders concern one connection only and are never passed on.
+// connectionHeaders are hop-by-hop headers, which are never forwarded.
 var connectionHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Content-Length": true, "Expect": true,
 }
 
-// header is one header that a relay sets itself.
+// header is a header that the relay itself sets.
 type header struct{ name, value string }
 
-// requestWriter builds the messages that go to back ends.
+// requestWriter builds the heads of requests to back ends.
 type requestWriter struct {
-	// keyHeader holds clients' keys, which no back end gets to see where callers are known by them.
+	// keyHeader is the name of the header with clients' keys. It is not forwarded when callers are identified by keys.
 	keyHeader string
-	// relayHeaders are the headers that only relays set; those of clients are dropped.
+	// relayHeaders are the headers that only relays may set; they are removed from clients' requests.
 	relayHeaders map[string]bool
 }
 
@@ -38,8 +38,8 @@
 	return requestWriter{relayHeaders: relayHeaders, keyHeader: names.Authorization}
 }
 
-// head returns the head of the message for a back end: the client's line and headers, the
-// body's length, and the headers given, which take the place of the client's.
+// head returns the head of a request to a back end: the client's request line and headers, the body's length, and the given
+// headers, which replace the client's.
 func (w requestWriter) head(request *request, address string, headers []header) []byte {
 	head := make([]byte, 0, 1024)
 	head = append(head, request.method...)
@@ -84,7 +84,7 @@
 	return append(head, "\r\n"...)
 }
 
-// connectionNames lists the headers that a Connection header names, in canonical form.
+// connectionNames returns the names that a Connection header lists, in canonical form.
 func connectionNames(value []byte) map[string]bool {
 	if len(value) == 0 || len(value) == len("close") || len(value) == len("keep-alive") {
 		return nil
@@ -96,13 +96,13 @@
 	return names
 }
 
-// canonical returns a header's name as fasthttp writes it.
+// canonical returns a header's name in the form in which fasthttp writes it.
 func canonical(name string) string {
 	normalized := fasthttp.AppendNormalizedHeaderKey(nil, name)
 	return string(normalized)
 }
 
-// milliseconds writes a duration for a header; at least 1.
+// milliseconds formats a duration for a header, as at least 1 ms.
 func milliseconds(duration time.Duration) string {
 	return strconv.FormatInt(max(duration.Milliseconds(), 1), 10)
 }
--- a/internal/relay/read_prompt.go
+++ b/internal/relay/read_prompt.go
@@ -9,21 +9,21 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// maxPrefillAnswerBytes bounds the answer to a reading of a prompt.
+// maxPrefillAnswerBytes bounds an engine's answer to a prefill.
 const maxPrefillAnswerBytes = 16 << 10
 
-// remotePrefill is a prompt that an engine has read for another one.
+// remotePrefill is a prompt that one engine has prefilled for another engine.
 type remotePrefill struct {
 	engine       *backEnd
 	handle       string
 	prefixBlocks []placement.PrefixBlock
 }
 
-// sourceHeader is how a decoding engine is told where the prompt is.
+// sourceHeader returns the value of the header that tells a decoding engine where to fetch the prompt's KV cache.
 func (h *remotePrefill) sourceHeader() string { return h.engine.Address + "/" + h.handle }
 
-// serveStream serves a stream. From model engines the prompt is read at a prefill engine and
-// generated from at a decoding one, or both are done at a decoding one.
+// serveStream serves a streaming request. With model engines, either a prefill engine processes the prompt and a decoding
+// engine generates the stream, or a decoding engine does both.
 func (r *Relay) serveStream(request *request, reply *replier) {
 	attempts := &attemptTracker{relay: r, request: request}
 	stream := &streamReply{relay: r, request: request, reply: reply, attempts: attempts,
@@ -47,7 +47,7 @@
 		}
 		engine := chosen.backEnd
 		fault := stream.runOn(chosen, prefill)
-		prefill = nil // a handle serves once
+		prefill = nil // a handle can be used only once
 		if fault == nil {
 			return
 		}
@@ -65,8 +65,8 @@
 	r.replyRefused(attempts, reply)
 }
 
-// prefillWithRetry lets a prefill engine read a prompt, and another one when the first has failed
-// and the route's attempts leave one for the reading and one for the run.
+// prefillWithRetry lets a prefill engine process a prompt. After a failure it tries another engine, if the route's attempts
+// leave one for the prefill and one for the run.
 func (r *Relay) prefillWithRetry(stream *streamReply, chosen *selection) *remotePrefill {
 	prefill := r.prefillPrompt(stream, chosen)
 	attempts := stream.attempts
@@ -77,11 +77,11 @@
 	if next == nil || !r.trySpendRetry(stream.request) {
 		return nil
 	}
-	attempts.sentCount++ // a further reading counts as an attempt
+	attempts.sentCount++ // the second prefill counts as an attempt
 	return r.prefillPrompt(stream, next)
 }
 
-// prefillPrompt lets a prefill engine read a prompt. It returns nil when it has not.
+// prefillPrompt lets a prefill engine process a prompt. It returns nil when that failed.
 func (r *Relay) prefillPrompt(stream *streamReply, chosen *selection) *remotePrefill {
 	request, engine, now := stream.request, chosen.backEnd, r.clock.now()
 	rank := r.policy.PrefillRank(stream.rank(), chosen.PrefillTokens)
@@ -114,13 +114,13 @@
 	return prefill
 }
 
-// recordPace notes, here and at other relays, the time per token of a reading.
+// recordPace records, and announces to other relays, an engine's prefill time per token.
 func (r *Relay) recordPace(engine *backEnd, perToken time.Duration) {
 	r.pace.observe(engine.hash, perToken)
 	r.notices.queuePace(engine, perToken)
 }
 
-// readPrefillAnswer reads the answer to the reading of a prompt; nil when it is none.
+// readPrefillAnswer reads the answer to a prefill; it returns nil for an error or a malformed answer.
 func (r *Relay) readPrefillAnswer(answer *answer, prefixBlocks []placement.PrefixBlock) *remotePrefill {
 	body, err := io.ReadAll(io.LimitReader(answer, maxPrefillAnswerBytes))
 	if err != nil || answer.status != fasthttp.StatusOK {
@@ -134,8 +134,7 @@
 	return &remotePrefill{engine: answer.message.backEnd, handle: parsed.Handle, prefixBlocks: prefixBlocks}
 }
 
-// release gives a prompt up that nobody will take, in the background: it would take room
-// until it lapses.
+// release releases an unused prefill in the background. It would occupy the engine's memory until it expires.
 func (r *Relay) release(prefill *remotePrefill) {
 	go r.exchanger.release(prefill, r.dialect.HandlePath(prefill.handle))
 }
--- a/internal/relay/release.go
+++ b/internal/relay/release.go
@@ -9,15 +9,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/relay/connpool"
 )
 
-// releaseTimeout bounds the giving up of a prompt; it lapses by itself later.
+// releaseTimeout bounds the release of a prefill, which expires later without one.
 const releaseTimeout = time.Second
 
-// release tells an engine that a prompt it holds will not be taken. Once it has answered, it keeps
-// the prompt's parts for any request.
+// release tells an engine that a prefill will not be fetched. Once the engine has confirmed, it has the prompt's blocks
+// cached for any request.
 func (e *exchanger) release(prefill *remotePrefill, path string) {
 	now := e.clock.now()
 	if prefill.engine.inBackoff(now) || !e.acquirePermit(prefill.engine, internalCallRank, false) {
-		return // the prompt lapses by itself
+		return // the prefill expires without a release
 	}
 	connection := prefill.engine.pool.Get(now, unsafeIdleLimit)
 	if connection == nil {
@@ -41,8 +41,8 @@
 	}
 }
 
-// writeInternalCall writes a call of the relay's own to an engine, which refuses it when another one has
-// its address. A body is JSON; nil is none.
+// writeInternalCall writes an internal call of the relay to an engine. Another back end at the engine's address refuses it.
+// The body is JSON; nil means no body.
 func (e *exchanger) writeInternalCall(connection *connpool.Connection, engine *backEnd, method, path string, body []byte) error {
 	head := append([]byte(nil), method+" "+path+" HTTP/1.1\r\nHost: "+engine.Address+"\r\n"...)
 	head = appendHeader(head, e.names.ExpectInstance, engine.ExpectedID())
--- a/internal/relay/reply.go
+++ b/internal/relay/reply.go
@@ -7,35 +7,35 @@
 	"github.com/valyala/fasthttp"
 )
 
-// replier writes the answer of one request to its client, once.
+// replier writes the one answer to a request to its client.
 type replier struct {
 	connection *clientConnection
 	names      HeaderNames
 	requestID  string
-	// close tells that the connection ends with this answer.
+	// close reports whether the connection is closed after this answer.
 	close bool
-	// started tells that bytes of an answer may have left.
+	// started reports whether bytes of an answer may have been sent.
 	started bool
-	// status is that of the answer begun, refused the relay's own answer, nil for none.
+	// status is the status of the answer; refusal is the relay's own answer, nil when a back end's answer is sent.
 	status  int
 	refusal *refusal
 	chunked bool
-	// aborted is set once the client cannot be written to any more.
+	// aborted reports whether the answer cannot be completed: a write failed, or the answer broke off.
 	aborted bool
 	scratch []byte
 }
 
-// refusal is a final answer of the relay's own.
+// refusal is a final answer that the relay itself makes.
 type refusal struct {
 	status int
 	reason string
-	// retryAfter tells when to come back; 0 leaves it out.
+	// retryAfter is the delay after which the client may retry; 0 omits it from the answer.
 	retryAfter time.Duration
-	// challenge names how a client may prove who it is; empty where that is not wanted.
+	// challenge is the authentication scheme that the client must use; empty omits it.
 	challenge string
 }
 
-// promisesNotRun reports whether the answer tells that the request has not run and never will.
+// promisesNotRun reports whether the status promises that the request was not run and will not be run later.
 func (r refusal) promisesNotRun() bool {
 	switch r.status {
 	case fasthttp.StatusServiceUnavailable, fasthttp.StatusTooManyRequests, fasthttp.StatusRequestTimeout, fasthttp.StatusMisdirectedRequest:
@@ -45,7 +45,7 @@
 	}
 }
 
-// refuse sends an answer of the relay's own.
+// refuse sends an answer that the relay itself makes.
 func (r *replier) refuse(refused refusal) {
 	r.refusal = &refused
 	body := refused.reason + "\n"
@@ -64,7 +64,7 @@
 	r.write(r.endHead(head, []byte(body)))
 }
 
-// sendWhole sends a back end's answer whose body has been read sendWhole.
+// sendWhole sends a back end's answer whose body was read completely.
 func (r *replier) sendWhole(answer *answer, body []byte) {
 	head := r.forwardHead(answer)
 	if !answer.hasNoBody() {
@@ -73,8 +73,8 @@
 	r.write(r.endHead(head, body))
 }
 
-// sendFirstChunk sends the head of a back end's answer together with the first piece of its
-// body; pieces follow with chunk, and lastChunk.
+// sendFirstChunk sends the head of a back end's answer and the first chunk of its body. The caller must continue with
+// sendChunk and end with sendLastChunk.
 func (r *replier) sendFirstChunk(answer *answer, first []byte) {
 	head := r.forwardHead(answer)
 	head = appendHeader(head, "Transfer-Encoding", "chunked")
@@ -82,12 +82,12 @@
 	r.write(appendChunk(r.endHead(head, nil), first))
 }
 
-// sendChunk sends a piece of the body.
+// sendChunk sends one chunk of the body.
 func (r *replier) sendChunk(piece []byte) {
 	r.write(appendChunk(r.scratch[:0], piece))
 }
 
-// sendLastChunk sends the last piece and tells that the body is whole.
+// sendLastChunk sends the last chunk and the end of the body.
 func (r *replier) sendLastChunk(piece []byte) {
 	message := appendChunk(r.scratch[:0], piece)
 	r.write(append(message, "0\r\n\r\n"...))
@@ -103,7 +103,7 @@
 	return append(message, "\r\n"...)
 }
 
-// beginHead returns the status line.
+// beginHead sets the status and returns the status line.
 func (r *replier) beginHead(status int) []byte {
 	r.status = status
 	head := append(r.scratch[:0], "HTTP/1.1 "...)
@@ -113,7 +113,7 @@
 	return append(head, "\r\n"...)
 }
 
-// forwardHead returns the status line and the headers of a back end that are the client's.
+// forwardHead returns the status line and those headers of a back end's answer that are forwarded to the client.
 func (r *replier) forwardHead(answer *answer) []byte {
 	head := r.beginHead(answer.status)
 	connectionHeaderNames := connectionNames(answer.head.Peek("Connection"))
@@ -127,7 +127,7 @@
 	return head
 }
 
-// endHead ends the head and appends the body.
+// endHead completes the head and appends the body.
 func (r *replier) endHead(head, body []byte) []byte {
 	if r.close {
 		head = appendHeader(head, "Connection", "close")
--- a/internal/relay/run_mover.go
+++ b/internal/relay/run_mover.go
@@ -10,39 +10,39 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// runCopyTimeout bounds the copying of one run.
+// runCopyTimeout bounds the KV transfer of one run.
 const runCopyTimeout = time.Second
 
-// migratedRun says where a run goes on that was moved from its engine.
+// migratedRun says where a migrated run continues.
 type migratedRun struct {
 	target  *selection
 	prefill *remotePrefill
 }
 
-// runMover moves one run to another engine when its own takes no more work: its streams need not
-// hold up the engine's change of stage, nor end with an engine that leaves. It is registered with
-// the engine while events of the run come.
+// runMover migrates one run to another engine when its engine accepts no more work, so that the run neither delays the
+// engine's change of stage nor ends with an engine that leaves. It is registered with the engine while the run produces
+// events.
 type runMover struct {
 	stream *streamReply
 	engine *backEnd
 
 	mutex sync.Mutex
-	// stopping tells that the run has been asked to stop, outcome then gets where it goes on,
-	// nil for nowhere.
+	// stopping reports whether the run has been asked to stop. outcome then receives where the run continues, nil for
+	// nowhere.
 	stopping   bool
 	isFinished bool
 	outcome    chan *migratedRun
 }
 
-// newRunMover registers a run with its engine. Its end must be told.
+// newRunMover registers a run with its engine. The caller must call finish when the run ends.
 func newRunMover(stream *streamReply, engine *backEnd) *runMover {
 	mover := &runMover{stream: stream, engine: engine, outcome: make(chan *migratedRun, 1)}
 	engine.addMover(mover)
 	return mover
 }
 
-// finish notes that no more events of the run come. It returns where the run goes on; nil when it
-// was not moved.
+// finish records that the run produces no more events. It returns where the run continues, nil when it was not migrated. It
+// blocks while a migration is in progress.
 func (m *runMover) finish() *migratedRun {
 	m.engine.removeMover(m)
 	m.mutex.Lock()
@@ -55,8 +55,7 @@
 	return <-m.outcome
 }
 
-// beginStop begins the part of the move in which the run stands still; it reports false when there is
-// nothing to move any more.
+// beginStop begins the phase of the migration in which the run is paused. It returns false when the run has ended already.
 func (m *runMover) beginStop() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -64,8 +63,8 @@
 	return m.stopping
 }
 
-// migrate copies the run's memory while the run goes on, and then what is new, while it stands
-// still. A run whose memory could not be copied stays where it is.
+// migrate copies the run's KV cache while the run continues, and then the remainder while the run is paused. A run whose KV
+// cache cannot be copied stays at its engine.
 func (m *runMover) migrate() {
 	relay, request := m.stream.relay, m.stream.request
 	target := relay.pickForRun(m)
@@ -88,8 +87,8 @@
 	m.outcome <- m.destination(target, copied, handle)
 }
 
-// destination is where a run that has stopped goes on: at the engine that has its copy, or where
-// it was when the rest could not be copied.
+// destination returns where a paused run continues: at the engine that has the copy, or at its former engine when the
+// remainder could not be copied.
 func (m *runMover) destination(target *selection, copied bool, handle string) *migratedRun {
 	if handle == "" {
 		return nil
@@ -101,7 +100,7 @@
 	return &migratedRun{target: target, prefill: &remotePrefill{engine: m.engine, handle: handle, prefixBlocks: m.stream.prefixBlocks}}
 }
 
-// pickForRun picks the engine that takes over a run; nil when none has a slot for it.
+// pickForRun selects the engine that takes over a run; nil when none has a free slot.
 func (r *Relay) pickForRun(mover *runMover) *selection {
 	request, now := mover.stream.request, r.clock.now()
 	attempts := &attemptTracker{relay: r, request: request, excluded: []*backEnd{mover.engine}}
@@ -109,12 +108,12 @@
 	return r.decide(request, newEngineQuery(purposeTakeOver, attempts, wanted), mover.engine).chosen
 }
 
-// copyRun has an engine copy a run to the engine at an address. It reports whether it did, and
-// the handle under which the run goes on.
+// copyRun lets an engine transfer a run to the engine at an address. It reports whether the transfer succeeded, and returns
+// the handle under which the run continues.
 func (e *exchanger) copyRun(engine *backEnd, dialect Dialect, request, address string, stop bool) (copied bool, handle string) {
 	now := e.clock.now()
 	if engine.inBackoff(now) || !e.acquirePermit(engine, internalCallRank, false) {
-		return false, "" // the run stays where it is
+		return false, "" // the run stays at its engine
 	}
 	connection, err := e.open(engine, runCopyTimeout)
 	if err != nil {
--- a/internal/relay/sending.go
+++ b/internal/relay/sending.go
@@ -6,33 +6,32 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// message is one sending of a request to one back end.
+// message is one attempt to send a request to one back end.
 type message struct {
 	request *request
 	backEnd *backEnd
-	// headers are headers that take the place of the client's.
+	// headers replace the client's headers of the same names.
 	headers []header
-	// deadline ends the exchange; the back end is told what is left of it.
+	// deadline ends the exchange; the back end is sent the time that is left.
 	deadline time.Duration
-	// stall is the silence after which the back end counts as failed; mayBreak tells that the
-	// exchange is then broken off, since the request may go elsewhere.
+	// stall is the silence after which the back end counts as failed; mayAbort reports that the exchange is then aborted,
+	// since the request may be sent to another back end.
 	stall    time.Duration
 	mayAbort bool
-	// work is what the message asks of the back end, as far as known.
+	// work is the expected work at the back end.
 	work placement.Work
-	// chosen is how the back end was picked; nil where that does not matter.
+	// chosen is the selection of the back end; nil where it does not matter.
 	chosen *selection
-	// isPrefill tells that the prompt is read and nothing runs.
+	// isPrefill reports whether the message only prefills the prompt, so that nothing runs.
 	isPrefill bool
-	// prefixBlocks are the parts of the prompt that the back end prefixBlocks, newBlocks those of them that it
-	// did not hold when the message was sent.
+	// prefixBlocks are the prompt's blocks; newBlocks are those that the back end had not cached when the message was sent.
 	prefixBlocks, newBlocks []placement.PrefixBlock
-	// sentAt is when it was sent.
+	// sentAt is when the message was sent.
 	sentAt time.Duration
 }
 
-// usePermit uses the permit that was taken when the message's back end was picked; it reports false where there is none
-// that holds. A permit serves once.
+// usePermit consumes the permit that was acquired when the back end was selected. It returns false when there is none or
+// it has expired. A permit is valid for one message.
 func (m *message) usePermit(now time.Duration) bool {
 	if m.chosen == nil || m.chosen.permittedAt == 0 {
 		return false
@@ -42,5 +41,5 @@
 	return now-acquiredAt <= permitLifetime
 }
 
-// isOwed reports whether the request must go on at this back end.
+// isOwed reports whether the run must continue at this back end.
 func (m *message) isOwed() bool { return m.chosen != nil && m.chosen.isOwed }
--- a/internal/relay/serve_engine.go
+++ b/internal/relay/serve_engine.go
@@ -11,8 +11,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// nextDecodeEngine picks the decoding engine that goes on with a stream; nil when there is none, or
-// none that may read the prompt itself. One for which a permit was taken before goes first.
+// nextDecodeEngine selects the decoding engine that continues a stream. An engine for which a permit was acquired before
+// goes first. It returns nil when no engine is left, or none that may prefill the prompt itself.
 func (r *Relay) nextDecodeEngine(stream *streamReply, prefill *remotePrefill) *selection {
 	if run := stream.reservedRun; run != nil {
 		stream.reservedRun = nil
@@ -25,25 +25,24 @@
 	return r.decide(stream.request, newEngineQuery(purposeDecode, stream.attempts, stream.placementRequest(prefill)), near).chosen
 }
 
-// nextPrefillEngine picks the prefill engine that reads the prompt; nil when there is none.
+// nextPrefillEngine selects the engine that prefills the prompt; nil when there is none.
 func (r *Relay) nextPrefillEngine(stream *streamReply) *selection {
 	return r.decide(stream.request, newEngineQuery(purposePrefill, stream.attempts, stream.placementRequest(nil)), nil).chosen
 }
 
-// streamStart says where a stream begins: at a decoding engine that reads the prompt itself, with a
-// prompt that a prefill engine has read, or nowhere because too much waits.
+// streamStart says where a stream begins: at a decoding engine that also prefills the prompt, with a prompt that a prefill
+// engine has processed, or nowhere because too much work is queued.
 type streamStart struct {
 	direct  *selection
 	prefill *remotePrefill
 	refusal *refusal
 }
 
-// beginStream decides where the prompt is read, and has it read there when that is at a
-// prefill engine.
+// beginStream decides where to prefill the prompt, and lets a prefill engine process it when the decision says so.
 func (r *Relay) beginStream(stream *streamReply) streamStart {
 	request := stream.request
 	if request.service.Engine == nil || request.prompt.PromptTokens == 0 || request.isTrial {
-		return streamStart{} // a trial reaches one engine, which reads the prompt itself
+		return streamStart{} // a trial must reach a single engine, which also prefills the prompt
 	}
 	if r.allLimited(request.service.Name, answeringStage(request.service)) {
 		if stream.reservedRun = r.reserveRun(stream); stream.reservedRun == nil {
@@ -56,7 +55,7 @@
 		switch decision.Action {
 		case placement.AwaitSharedPrefill:
 			if !r.awaitPrefill(stream, chosen) {
-				waits = r.policy.MaxPrefillWaits // it goes where it had better not wait any more
+				waits = r.policy.MaxPrefillWaits // decide again without further waits
 			}
 		case placement.PrefillOnDecodeEngine:
 			return streamStart{direct: chosen}
@@ -73,8 +72,7 @@
 	}
 }
 
-// recordRefusedWork counts what is refused as asked for, so that more engines take the stage that is
-// short of them.
+// recordRefusedWork counts refused work as demand, so that more engines are assigned to the stage that lacks capacity.
 func (r *Relay) recordRefusedWork(stream *streamReply, decision placement.Decision, chosen *selection) {
 	service := stream.request.service.Name
 	if decision.OverloadedStage == serving.StageDecode {
@@ -84,12 +82,12 @@
 	r.recordPrefillDemand(service, chosen.backEnd, chosen.EffectiveTokens)
 }
 
-// recordPrefillDemand counts a reading as work that prefill engines are asked for.
+// recordPrefillDemand counts a prefill as demand for prefill engines.
 func (r *Relay) recordPrefillDemand(service string, engine *backEnd, effort int) {
 	r.work.AddPrefill(service, placement.PrefillTime(r.pace.timePerToken(engine.hash), effort))
 }
 
-// decidePrefill decides where the prompt is read, after so many waits for others' readings.
+// decidePrefill decides where to prefill the prompt, after the given number of waits for other requests' prefills.
 func (r *Relay) decidePrefill(stream *streamReply, waits int) (placement.Decision, *selection) {
 	wanted := stream.placementRequest(nil)
 	wanted.PrefillWaits = waits
@@ -104,8 +102,8 @@
 	return answer.decision, answer.chosen
 }
 
-// decide has the owners of the request's home cells decide on its engine. Near an engine, its own cell is the first. An
-// engine that names a limit is taken where it permits the request.
+// decide returns the decision of the owners of the request's home cells. When near is set, its cell is queried first. An
+// engine with a limit is selected only when the limit's owner grants a permit for the request.
 func (r *Relay) decide(request *request, query *engineQuery, near *backEnd) engineAnswer {
 	for {
 		answer := r.decideOnce(request, query, near)
@@ -124,7 +122,7 @@
 	}
 }
 
-// decideOnce has them decide among the engines that are not excluded.
+// decideOnce queries the owners once, without regard to permits.
 func (r *Relay) decideOnce(request *request, query *engineQuery, near *backEnd) engineAnswer {
 	ownership := r.owners.current.Load()
 	cells := ownership.services[query.service]
@@ -144,12 +142,12 @@
 	return answer
 }
 
-// priorityHeader ranks a request at an engine.
+// priorityHeader returns the header with the request's rank for an engine's queue.
 func (r *Relay) priorityHeader(rank int) header {
 	return header{r.dialect.Headers.Priority, strconv.Itoa(min(max(rank, 0), placement.RankCount-1))}
 }
 
-// allLimited reports whether all engines of a stage that take work name limits.
+// allLimited reports whether all available engines of a stage have limits.
 func (r *Relay) allLimited(service string, stage serving.Stage) bool {
 	limited := false
 	for _, engine := range r.view.Load().byService[service] {
@@ -164,8 +162,8 @@
 	return limited
 }
 
-// reserveRun takes a permit for the run before the prompt is read, where no engine generates without one: a prompt that
-// was read for a run that is then refused was read in vain. The run is owed once that has been done.
+// reserveRun acquires a permit for the run before the prefill, where all decoding engines have limits: otherwise a prefill
+// would be wasted when the run is refused. After the prefill, the run is owed.
 func (r *Relay) reserveRun(stream *streamReply) *selection {
 	run := r.nextDecodeEngine(stream, nil)
 	if run != nil {
--- a/internal/relay/stream_reply.go
+++ b/internal/relay/stream_reply.go
@@ -11,38 +11,38 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// maxBatchBytes bounds the events that are passed on with one write.
+// maxBatchBytes bounds the events that are sent to the client with one write.
 const maxBatchBytes = 16 << 10
 
-// streamReply passes one stream on to its client, from one engine after another. The
-// client sees one answer: the head of the first engine, and every event once, in order.
+// streamReply forwards one stream to its client, from one engine after another. The client receives one answer: the head of
+// the first engine's answer, and every event once, in order.
 type streamReply struct {
 	relay    *Relay
 	request  *request
 	reply    *replier
 	attempts *attemptTracker
-	// prefixBlocks are those of the prompt, in order.
+	// prefixBlocks are the prompt's blocks, in order.
 	prefixBlocks []placement.PrefixBlock
-	// lastEventID is the identity of the lastEventID event that the client has.
+	// lastEventID is the identity of the last event that the client has.
 	lastEventID string
-	// pending are events that wait for the next write.
+	// pending holds events that the next write sends.
 	pending []byte
-	// prefill is the prompt that the engine of the present run takes, nil where it reads itself.
+	// prefill is the prefilled prompt that the current run's engine fetches; nil when the engine prefills the prompt itself.
 	prefill *remotePrefill
-	// reservedRun is the engine for which a permit was taken before the prompt is read; nil for none.
+	// reservedRun is the engine for which a permit was acquired before the prefill; nil for none.
 	reservedRun *selection
-	// hasEvents tells that the present run has brought events.
+	// hasEvents reports whether the current run has produced events.
 	hasEvents bool
-	// mover moves the present run to another engine; nil where that cannot be. moved is where a
-	// run goes on that was moved.
+	// mover can migrate the current run to another engine; nil when that is impossible. migrated is where a migrated run
+	// continues.
 	mover    *runMover
 	migrated *migratedRun
 }
 
-// rank is that of the request at engines.
+// rank returns the request's rank in the queues of engines.
 func (s *streamReply) rank() placement.Rank { return s.request.rank }
 
-// placementRequest describes the engine that is to generate, and to read the prompt unless held.
+// placementRequest describes the decoding engine that is needed, which also prefills the prompt unless prefill is set.
 func (s *streamReply) placementRequest(prefill *remotePrefill) placement.Request {
 	wanted := placement.Request{
 		Now: s.relay.clock.now(), Stage: answeringStage(s.request.service), Zone: s.relay.settings.Zone, Rank: s.rank(),
@@ -60,15 +60,15 @@
 	return wanted
 }
 
-// prefillQuery is the question where the prompt is read.
+// prefillQuery returns the query that asks where to prefill the prompt.
 func (s *streamReply) prefillQuery(wanted placement.Request) *engineQuery {
 	query := newEngineQuery(purposeBegin, s.attempts, wanted)
 	query.hasPermit = s.reservedRun != nil
 	return query
 }
 
-// runOn sends the request to an engine and passes its stream on. The failure is nil when the
-// client has its final answer; otherwise the stream may go on at another engine.
+// runOn sends the request to an engine and forwards its stream. It returns nil when the client has its final answer; after
+// a failure the stream may continue at another engine.
 func (s *streamReply) runOn(chosen *selection, prefill *remotePrefill) *failure {
 	engine := chosen.backEnd
 	s.prefill, s.hasEvents = prefill, false
@@ -84,7 +84,7 @@
 	if engine.isEngine() {
 		endRun := s.relay.work.BeginRun(began, s.request.service.Name, engine.Slots)
 		defer func() { endRun(s.relay.clock.now()) }()
-		if chosen.EffectiveTokens > 0 { // prefill engines could read it as well, in the time that counts
+		if chosen.EffectiveTokens > 0 { // counted as demand for prefill engines, which could have prefilled the prompt instead
 			s.relay.recordPrefillDemand(s.request.service.Name, engine, chosen.EffectiveTokens)
 		}
 	}
@@ -109,7 +109,7 @@
 	return s.forwardEvents(answer)
 }
 
-// mayContinueElsewhere reports whether the stream may be taken up at another engine.
+// mayContinueElsewhere reports whether the stream may continue at another engine.
 func (s *streamReply) mayContinueElsewhere() bool { return s.attempts.hasFurtherAttempt() }
 
 func isEventStream(answer *answer) bool {
@@ -117,7 +117,7 @@
 		strings.HasPrefix(string(answer.head.ContentType()), "text/event-stream")
 }
 
-// forwardOther passes an answer on that is no stream: a failure of the engine's own.
+// forwardOther forwards an answer that is not an event stream, such as an error of the engine.
 func (s *streamReply) forwardOther(answer *answer) *failure {
 	if s.reply.started {
 		answer.finish()
@@ -126,7 +126,7 @@
 	return s.relay.forwardPlain(answer, s.attempts, s.reply)
 }
 
-// forwardEvents passes events on as they arrive.
+// forwardEvents forwards events as they arrive.
 func (s *streamReply) forwardEvents(answer *answer) *failure {
 	defer s.releaseMigrated()
 	defer func() {
@@ -157,12 +157,12 @@
 			s.flush(answer)
 		}
 		if s.reply.aborted {
-			return nil // the client has gone
+			return nil // the client has disconnected
 		}
 	}
 }
 
-// addEvent takes an event that the client does not have yet.
+// addEvent appends an event to the next write, unless the client has it already.
 func (s *streamReply) addEvent(event event) {
 	if event.id != "" && s.lastEventID != "" && !event.isAfter(s.lastEventID) {
 		return
@@ -173,7 +173,7 @@
 	}
 }
 
-// flush writes the events that wait.
+// flush writes the pending events.
 func (s *streamReply) flush(answer *answer) {
 	if len(s.pending) == 0 {
 		return
@@ -188,16 +188,16 @@
 	s.pending = s.pending[:0]
 }
 
-// recordSourceCached notes that an engine which may have run the request has most likely taken the
-// prompt from the one that had read it, so that this one keeps it for any request.
+// recordSourceCached records that the engine that prefilled the prompt has it cached for any request: an engine that may
+// have run the request has most likely fetched it.
 func (s *streamReply) recordSourceCached(fault *failure) {
 	if s.prefill != nil && fault.verdict != verdict.NotRun {
 		s.relay.exchanger.recordCached(s.prefill.engine, s.prefixBlocks)
 	}
 }
 
-// recordFirstEvent notes at a run's first event that its engine has read the prompt or taken it from
-// another one: both keep it for other requests from now on.
+// recordFirstEvent records, at a run's first event, that its engine has prefilled the prompt or fetched it from another
+// engine. From now on both have it cached for other requests.
 func (s *streamReply) recordFirstEvent(answer *answer) {
 	if s.hasEvents {
 		return
@@ -215,8 +215,8 @@
 	}
 }
 
-// finishMover notes that the present run brings no more events. It returns where the run goes on, nil
-// when it was not moved.
+// finishMover ends the migration of the current run, which produces no more events. It returns where the run continues; nil
+// when it was not migrated.
 func (s *streamReply) finishMover() *migratedRun {
 	if s.mover == nil {
 		return nil
@@ -226,14 +226,14 @@
 	return mover.finish()
 }
 
-// releaseMigrated gives up the memory of a run that was moved for a client that has gone.
+// releaseMigrated releases the KV cache of a migrated run whose client has disconnected.
 func (s *streamReply) releaseMigrated() {
 	if migrated := s.finishMover(); migrated != nil {
 		s.relay.release(migrated.prefill)
 	}
 }
 
-// finish writes what is left and tells that the stream is whole.
+// finish writes the pending events and the end of the stream.
 func (s *streamReply) finish(answer *answer, remainder event) {
 	if len(remainder.bytes) > 0 && (remainder.id == "" || s.lastEventID == "" || remainder.isAfter(s.lastEventID)) {
 		s.pending = append(s.pending, remainder.bytes...)
