--- a/internal/relay/asker.go
+++ b/internal/relay/asker.go
@@ -9,10 +9,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/relay/peerhealth"
 )
 
-// laterAnswerSlack is how much longer than an owner told its further answer may take.
+// laterAnswerSlack is how much longer than the announced wait the later answer of an owner may take.
 const laterAnswerSlack = 100 * time.Millisecond
 
-// Outcomes of questions, as metrics name them.
+// Outcomes of placement queries; they are label values of a metric.
 const (
 	queryAnswered    = "answered"
 	queryMissed      = "missed"
@@ -21,7 +21,7 @@
 	queryOwnCell     = "own_cell"
 )
 
-// placementClient asks the owners of cells where this relay's requests run.
+// placementClient queries the owners of cells for the engines on which this relay's requests run.
 type placementClient struct {
 	relay       *Relay
 	datagrams   *datagram.Socket
@@ -34,7 +34,7 @@
 	return &placementClient{relay: relay, datagrams: datagrams, incarnation: incarnation, peers: peers, queries: datagram.NewQueries[*v1.PlacementAnswer](datagrams)}
 }
 
-// otherOwners are the other relays that are to know of the work at an engine.
+// otherOwners returns the other relays that receive notices about this relay's work at an engine.
 func (a *placementClient) otherOwners(now time.Duration, engine *backEnd) []string {
 	cells, index := a.relay.owners.current.Load().cellOf(engine)
 	if cells == nil {
@@ -44,7 +44,7 @@
 	return slices.DeleteFunc(trusted, func(owner string) bool { return owner == a.datagrams.Address })
 }
 
-// trustedOwners returns up to count of the owners that answer, in their order.
+// trustedOwners returns the first owners that answer queries, at most count, in their order.
 func (a *placementClient) trustedOwners(now time.Duration, owners []string, count int) []string {
 	trusted := make([]string, 0, count)
 	for _, owner := range owners {
@@ -55,13 +55,13 @@
 	return trusted
 }
 
-// deliver hands an answer to the question that waits for it.
+// deliver passes an answer to the query that waits for it.
 func (a *placementClient) deliver(answer *v1.PlacementAnswer) {
 	a.queries.Deliver(answer.GetNumber(), answer.GetRelay() == a.incarnation, answer)
 }
 
-// query asks one owner. It reports false when no answer came that can be followed. stop ends the
-// wait for it.
+// query queries one owner and waits for its answer. It returns false when no answer arrived in time, when the answer cannot
+// be used, or when stop was closed.
 func (a *placementClient) query(owner string, id uint64, query *engineQuery, stop <-chan struct{}) (engineAnswer, bool) {
 	number, answers := a.queries.Open()
 	defer a.queries.Close(number)
@@ -69,7 +69,7 @@
 	limit := a.peers.Timeout()
 	a.datagrams.Send(owner, &v1.RelayDatagram{Content: &v1.RelayDatagram_Request{Request: queryToWire(query, a.incarnation, number, id)}})
 	received := a.awaitAnswer(answers, limit, stop)
-	if received == nil && isClosed(stop) { // the client has gone: that says nothing of the owner
+	if received == nil && isClosed(stop) { // the client has disconnected, which says nothing about the owner
 		a.cancel(assignment{owner: owner, number: number})
 		return engineAnswer{}, false
 	}
@@ -97,7 +97,7 @@
 	return answer, true
 }
 
-// awaitAnswer waits for an answer; nil when none comes in time.
+// awaitAnswer waits for an answer; it returns nil when none arrives within the limit or stop is closed.
 func (a *placementClient) awaitAnswer(answers <-chan *v1.PlacementAnswer, limit time.Duration, stop <-chan struct{}) *v1.PlacementAnswer {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
@@ -120,7 +120,7 @@
 	}
 }
 
-// cancel tells an owner that a question is void, or its answer not followed.
+// cancel tells an owner that a query is cancelled, or that its answer is not used.
 func (a *placementClient) cancel(assigned assignment) {
 	if assigned.owner == "" {
 		return
--- a/internal/relay/cache_reader.go
+++ b/internal/relay/cache_reader.go
@@ -11,30 +11,29 @@
 )
 
 const (
-	// cacheReadTimeout bounds the reading of one engine's list.
+	// cacheReadTimeout bounds the call to one engine.
 	cacheReadTimeout = 500 * time.Millisecond
-	// cacheReadInterval is the time between two readings, so that engines are not held up at once.
+	// cacheReadInterval is the time between the calls to two engines, so that not all engines are delayed at once.
 	cacheReadInterval = 10 * time.Millisecond
-	// ownershipCheckInterval is the time between two looks at which engines are this relay's.
+	// ownershipCheckInterval is the time between two checks of which engines this relay owns.
 	ownershipCheckInterval = 200 * time.Millisecond
-	// cacheReadLifetime is how long what was read of an engine is good for: a relay that loses an
-	// engine to another one and gets it back has not heard of what was read there meanwhile.
+	// cacheReadLifetime is how long an engine's cache listing is used. A relay that loses an engine to another relay and
+	// gets it back has missed the notices in between.
 	cacheReadLifetime = 30 * time.Second
 )
 
-// cacheReader asks engines what they have cached when this relay becomes their owner or stand-in:
-// engines outlive owners, and an owner that does not know would have prompts read again. Later it
-// learns from notices.
+// cacheReader asks engines which blocks they have cached when this relay becomes their owner or deputy. Engines outlive
+// their owners, and an owner without this information would have prompts prefilled again. Later updates arrive as notices.
 type cacheReader struct {
 	relay  *Relay
 	read   func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReport, error)
 	client *http.Client
-	// owned are the engines that were this relay's at the last look, readAt when they were read.
+	// owned holds the engines that this relay owned at the last check; readAt is when each was called.
 	owned  map[*prefixCache]bool
 	readAt map[*prefixCache]time.Duration
 }
 
-// run looks for engines that are new to this relay until the context ends.
+// run calls newly owned engines until the context ends.
 func (c *cacheReader) run(ctx context.Context) {
 	for pause.For(ctx, ownershipCheckInterval) {
 		if c.relay.view.Load().isReady() {
@@ -43,12 +42,12 @@
 	}
 }
 
-// readNewlyOwned reads the engines that have become this relay's.
+// readNewlyOwned calls the engines that this relay has come to own.
 func (c *cacheReader) readNewlyOwned(ctx context.Context) {
 	owned := map[*prefixCache]bool{}
 	for _, engine := range c.relay.owners.ownedEngines() {
 		if !c.owned[engine.cache] && c.isDue(engine) && !engine.isLeaving() && !c.mayCall(engine) {
-			continue // it is read when it can be called
+			continue // it is tried again at the next check
 		}
 		owned[engine.cache] = true
 		if c.owned[engine.cache] || engine.isLeaving() || !c.isDue(engine) {
@@ -73,12 +72,12 @@
 	}
 }
 
-// mayCall reports whether an engine can be called now: it does not rest, and its limit has room.
+// mayCall reports whether an engine may be called now: it is not in backoff, and its limit permits the call.
 func (c *cacheReader) mayCall(engine *backEnd) bool {
 	return !engine.inBackoff(c.relay.clock.now()) && c.relay.acquirePermit(engine, internalCallRank, false)
 }
 
-// isDue reports whether an engine was not read lately.
+// isDue reports whether an engine was not called within cacheReadLifetime.
 func (c *cacheReader) isDue(engine *backEnd) bool {
 	readAt, wasRead := c.readAt[engine.cache]
 	return !wasRead || c.relay.clock.now()-readAt >= cacheReadLifetime
--- a/internal/relay/client_connection.go
+++ b/internal/relay/client_connection.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// clientBufferBytes holds the whole head of a request where the operator sets no larger bound;
-	// lineRoom is added to that bound for the request line.
+	// clientBufferBytes is the smallest read buffer, which must hold the complete head of a request. A larger configured
+	// limit for headers replaces it; requestLineBytes is added for the request line.
 	clientBufferBytes = 16 << 10
 	requestLineBytes  = 4 << 10
-	// writeSlack is how long a client may take for the last bytes after a request's deadline.
+	// writeSlack is how long a client may take to receive an error answer to a malformed request.
 	writeSlack = time.Second
 )
 
@@ -20,21 +20,20 @@
 type clientConnection struct {
 	*closing.Connection
 	reader *bufio.Reader
-	// watchDone is closed when the goroutine that looks for the client's end has returned;
-	// nil when there is none.
+	// watchDone is closed when the goroutine that watches for the client's close has returned; nil when there is none.
 	watchDone chan struct{}
-	// watchErr is what the look found; read it after watched is closed.
+	// watchErr is the error that this goroutine met; it may be read after watchDone is closed.
 	watchErr error
 }
 
-// newClientConnection reads heads of up to the bound.
+// newClientConnection returns a connection whose buffer holds heads of up to headerBytes.
 func newClientConnection(connection *closing.Connection, headerBytes int) *clientConnection {
 	size := max(headerBytes, clientBufferBytes) + requestLineBytes
 	return &clientConnection{Connection: connection, reader: bufio.NewReaderSize(connection, size)}
 }
 
-// watchForClose looks for the client's end of the connection while a request is served, and
-// calls gone when it comes. Bytes of a next request end the look.
+// watchForClose watches in the background for the client's close of the connection while a request is served, and then
+// calls onClose. Bytes of the next request end the watch.
 func (c *clientConnection) watchForClose(onClose func()) {
 	_ = c.SetReadDeadline(time.Time{})
 	watchDone := make(chan struct{})
@@ -48,7 +47,7 @@
 	}()
 }
 
-// awaitRequest waits until the first byte of the next request is there, or until the deadline.
+// awaitRequest blocks until the first byte of the next request has arrived, or until the deadline.
 func (c *clientConnection) awaitRequest(deadline time.Time) error {
 	_ = c.SetReadDeadline(deadline)
 	if c.watchDone != nil {
--- a/internal/relay/client_request.go
+++ b/internal/relay/client_request.go
@@ -14,7 +14,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/wirecheck"
 )
 
-// requestFault is a request that cannot be read or must not be passed on.
+// requestFault is the error for a request that is malformed or must not be forwarded.
 type requestFault struct {
 	status  int
 	message string
@@ -23,7 +23,7 @@
 // Error implements error.
 func (f *requestFault) Error() string { return fmt.Sprintf("%d: %s", f.status, f.message) }
 
-// singleValueHeaders may appear once: two values would let two readers differ.
+// singleValueHeaders returns the headers that may appear only once: two recipients could use different values.
 func singleValueHeaders(names HeaderNames) []string {
 	return []string{
 		"Host", "Content-Length", "Transfer-Encoding", names.RequestID, names.DeadlineMs,
@@ -31,8 +31,7 @@
 	}
 }
 
-// readRequest reads the next request whole. The deadline of the head counts from the first
-// byte, which has arrived.
+// readRequest reads the complete next request. The head's deadline counts from the first byte, which has arrived already.
 func (r *Relay) readRequest(connection *clientConnection) (*request, error) {
 	limits := r.limits()
 	arrivedAt := r.clock.now()
@@ -68,7 +67,7 @@
 // bodyTimeout bounds the time that a client may take to send a body.
 const bodyTimeout = 10 * time.Second
 
-// classifyHeadError tells apart a head that is malformed from a connection that ended.
+// classifyHeadError returns a requestFault for a malformed head, and the error itself for a connection that ended.
 func classifyHeadError(err error) error {
 	var small *fasthttp.ErrSmallBuffer
 	switch {
@@ -81,7 +80,7 @@
 	}
 }
 
-// checkHead refuses what two readers may understand differently.
+// checkHead rejects heads that two recipients may interpret differently.
 func (r *Relay) checkHead(head *fasthttp.RequestHeader) error {
 	bad := func(message string) error { return &requestFault{fasthttp.StatusBadRequest, message} }
 	if !head.IsHTTP11() {
@@ -91,7 +90,7 @@
 	if !strings.HasPrefix(target, "/") || strings.ContainsAny(target, " \t\r\n#") {
 		return bad("the target must be a path")
 	}
-	framingHeaders := 0 // the library keeps one of several: only the lines as sent tell
+	framingHeaders := 0 // the library keeps only one of several, so the raw lines are counted
 	for line := range bytes.Lines(head.RawHeaders()) {
 		name, _, found := bytes.Cut(bytes.TrimRight(line, "\r\n"), []byte(":"))
 		if len(name) == 0 && !found {
@@ -118,7 +117,7 @@
 	return nil
 }
 
-// readBody reads a body of either framing, up to the limit.
+// readBody reads a body with a length or in chunks, up to the limit.
 func readBody(head *fasthttp.RequestHeader, connection *clientConnection, limit int) ([]byte, error) {
 	tooLarge := &requestFault{fasthttp.StatusRequestEntityTooLarge, "the body is too large"}
 	length := head.ContentLength()
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// readyTimeout and readyIdle bound the calls that ask for readiness.
+	// readyTimeout and readyIdle bound the calls to the readiness endpoint.
 	readyTimeout = 2 * time.Second
 	readyIdle    = 30 * time.Second
-	// refuseShare is the part of the grace after which a stopping relay takes no new
-	// requests; those taken until then have the rest.
-	refuseShare = 0.3
-	// leaveShare is the part of the grace for which a stopping relay at least stays, so that
-	// nobody is sent to it any more when it goes.
-	leaveShare = 0.4
-	// quietShare is the part of the grace for which nothing must have come on a connection that
-	// rests before it is ended: a client that has just opened one sends on it.
-	quietShare = 0.2
-	// lastShare is the part of the grace after which it goes whatever is under way.
-	lastShare = 0.95
+	// refuseAfterShare is the fraction of the grace period after which a stopping relay refuses new requests; requests
+	// accepted before have the remainder to complete.
+	refuseAfterShare = 0.3
+	// minStayShare is the fraction of the grace period for which a stopping relay stays in any case, so that clients have
+	// stopped connecting to it when it exits.
+	minStayShare = 0.4
+	// quietIdleShare is the fraction of the grace period for which nothing must have arrived on an idle connection before
+	// it is closed: a client that has just opened a connection is about to send on it.
+	quietIdleShare = 0.2
+	// maxStayShare is the fraction of the grace period after which the relay exits even if requests are in progress.
+	maxStayShare = 0.95
 )
 
-// readyHandler answers whether this relay wants new connections.
+// readyHandler serves the readiness endpoint: status 200 while the relay accepts new connections, 503 otherwise.
 func (r *Relay) readyHandler() http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("GET "+r.dialect.ReadyPath, func(writer http.ResponseWriter, _ *http.Request) {
@@ -41,27 +41,27 @@
 	return routes
 }
 
-// drain stops the relay without cutting a request: first it calls itself not ready and serves on, then
-// it refuses new requests, then it closes its port and the connections that rest, after a last look at
-// each, and it goes when those taken are answered.
+// drain stops the relay without cutting off a request. First it reports not ready and continues to serve, then it refuses
+// new requests, then it closes the port and the idle connections, after a last check of each. It returns when the accepted
+// requests are answered or maxStayShare has passed.
 func (r *Relay) drain(ctx context.Context, listener net.Listener) {
 	beganAt := r.clock.now()
 	began := r.clock.at(beganAt)
 	share := func(part float64) time.Duration { return time.Duration(part * float64(r.settings.Grace)) }
-	r.refuseNewAt.Store(int64(beganAt + share(refuseShare)))
+	r.refuseNewAt.Store(int64(beganAt + share(refuseAfterShare)))
 	r.stopping.Store(true)
-	limited, cancel := context.WithDeadline(ctx, began.Add(share(lastShare)))
+	drainCtx, cancel := context.WithDeadline(ctx, began.Add(share(maxStayShare)))
 	defer cancel()
-	pause.For(limited, share(leaveShare))
-	if err := closing.CloseWhenEmpty(listener, share(lastShare-leaveShare)); err != nil {
-		r.log.logger.Warn().Err(err).Msg("the clients' port did not close as it should")
+	pause.For(drainCtx, share(minStayShare))
+	if err := closing.CloseWhenEmpty(listener, share(maxStayShare-minStayShare)); err != nil {
+		r.log.logger.Warn().Err(err).Msg("closing the listener for clients failed")
 	}
-	clean := r.connections.tracked.CloseIdle(limited, began, share(quietShare))
+	clean := r.connections.tracked.CloseIdle(drainCtx, began, share(quietIdleShare))
 	r.event(events.RelayStopped).Bool("clean", clean).Int("serving", r.connections.servingCount()).Int("connections", r.connections.tracked.Len()).
 		Dur("took_ms", r.clock.now()-beganAt).Send()
 }
 
-// refusesNewRequests reports whether a stopping relay takes no new requests any more.
+// refusesNewRequests reports whether a stopping relay refuses new requests now.
 func (r *Relay) refusesNewRequests() bool {
 	return r.stopping.Load() && r.clock.now() >= time.Duration(r.refuseNewAt.Load())
 }
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -14,7 +14,7 @@
 	maxEventBytes = 1 << 20
 )
 
-// event is one event of a stream, with the empty line that ends it.
+// event is one server-sent event, including the empty line that ends it.
 type event struct {
 	bytes []byte
 	// id is empty when the event has none.
@@ -31,10 +31,9 @@
 	return &eventReader{source: bufio.NewReaderSize(body, eventBufferBytes)}
 }
 
-// next returns the next whole event; its bytes are valid until the next call. At io.EOF
-// the stream has ended as its framing declares, and what stood after the last event is
-// returned with it. Any other error means that the stream broke off; a piece of an event
-// is then dropped.
+// next returns the next complete event; its bytes are valid until the next call. At the declared end of the stream it
+// returns io.EOF together with the bytes after the last event. Any other error means that the stream broke off; an
+// incomplete event is then dropped.
 func (e *eventReader) next() (event, error) {
 	e.buffer = e.buffer[:0]
 	for {
@@ -57,7 +56,7 @@
 	}
 }
 
-// buffered reports whether more of the stream can be read without waiting.
+// buffered reports whether more of the stream can be read without blocking.
 func (e *eventReader) buffered() bool { return e.source.Buffered() > 0 }
 
 func isEmptyLine(line []byte) bool {
@@ -75,8 +74,8 @@
 	return ""
 }
 
-// isAfter reports whether an event comes isAfter the last one that was passed on. Identities
-// that are not numbers cannot be compared and count as later.
+// isAfter reports whether an event comes after the event with the given identity. Identities that are not numbers cannot be
+// compared; the event then counts as later.
 func (e *event) isAfter(lastID string) bool {
 	id, ownErr := strconv.ParseInt(e.id, 10, 64)
 	lastNumber, passedErr := strconv.ParseInt(lastID, 10, 64)
--- a/internal/relay/knowledge.go
+++ b/internal/relay/knowledge.go
@@ -18,41 +18,42 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// listingTimeout bounds one call for the outside list.
+// listingTimeout bounds one call to the platform for its list of back ends.
 const listingTimeout = time.Second
 
-// fleetState is what the relay knows of the fleet: configuration, back ends, relays that own them. It takes
-// what the leader tells, and reads the list of back ends itself while none leads.
+// fleetState applies the leader's updates about the fleet: the configuration, the back ends, and the relays that own them.
+// While there is no leader, it reads the list of back ends from the platform itself.
 type fleetState struct {
 	relay          *Relay
 	platformClient *http.Client
 	readListing    func(ctx context.Context, client *http.Client, pages int) (serving.Listing, error)
 	incarnation    uint64
-	// records are the back ends by identity, so that their state outlives a reading.
+	// records holds the back ends by identity; their state is kept when a new list arrives.
 	records map[string]*backEnd
-	// signals are what back ends have asked of this relay; they outlive known.
+	// signals holds what back ends have asked of this relay; it is kept longer than the records.
 	signals *backpressure.Registry
-	// closedBackEnds are those of them that take no more work since the last list.
+	// closedBackEnds are the records of back ends that accept no more work since the last list.
 	closedBackEnds []*backEnd
-	// isLeaderLost tells that no controller led when this was last looked at.
+	// isLeaderLost reports whether there was no leader at the last check.
 	isLeaderLost bool
-	// heldDocument is the document in force as the leader told it; patches are made against it. Its number is 0
-	// where the whole document is wanted.
+	// heldDocument is the applied document as the leader sent it; patches apply to it. Its number is 0 when the complete
+	// document must be requested.
 	heldDocument *v1.Document
-	// relayListHash is the hash of the list of relays that is held, 0 for none, and relaysListed their number.
+	// relayListHash is the hash of the applied list of relays, 0 for none; relayListSize is its length.
 	relayListHash uint64
 	relayListSize int
-	// listedByFormerLeader: a leader of the first format, which does not tell starts apart, has told the last list.
+	// listedByFormerLeader reports whether the last list came from a leader of the first format, which does not distinguish
+	// incarnations.
 	listedByFormerLeader bool
-	// listing is the list of back ends as the leader told it last.
+	// listing is the last list of back ends as the leader sent it.
 	listing listing.ReceivedList
-	// wantedBackEnds is how many back ends of each service the leader wantedBackEnds last, and partial whether it told of a
-	// part of them.
+	// wantedBackEnds is how many back ends of each service the last leader wanted; isListingPartial reports whether its list
+	// contained only a part of the back ends.
 	wantedBackEnds   []*v1.WantedBackEnds
 	isListingPartial bool
 	localReading     listing.DirectRead
 	faults           listing.Faults
-	// listingCalls is how many calls a reading of the outside list takes, 0 while it is not known.
+	// listingCalls is how many calls a read of the platform's list takes; 0 while unknown.
 	listingCalls int
 }
 
@@ -67,7 +68,7 @@
 	}
 }
 
-// BeforeWatch implements leaderwatch.Node: it writes a line when a leader is lost or found again.
+// BeforeWatch implements leaderwatch.Node: it writes a log line when the leader is lost or found again.
 func (k *fleetState) BeforeWatch(controllers []string) {
 	isLost := k.relay.clock.now()-k.relay.lastContact() > k.relay.maxContactAge()
 	if isLost == k.isLeaderLost {
@@ -103,7 +104,7 @@
 	return request
 }
 
-// ApplyUpdate implements leaderwatch.Node: it puts in force what the leader told.
+// ApplyUpdate implements leaderwatch.Node: it applies the leader's response, and reports whether the response could be used.
 func (k *fleetState) ApplyUpdate(response *v1.WatchResponse) bool {
 	current := k.relay.view.Load()
 	next := *current
@@ -112,11 +113,11 @@
 		used = k.applyDocument(document, &next)
 	}
 	if version := response.GetListingVersion(); version != 0 && version != current.listingVersion {
-		next.listingVersion = 0 // the whole list is asked for unless this one can be isReadable
+		next.listingVersion = 0 // requests the complete list unless this one can be decoded
 		if listed, isReadable := k.listing.Apply(current.listingVersion, response); isReadable {
 			next.listingVersion = version
 			if wanted := response.GetWanted(); len(wanted) > 0 {
-				k.wantedBackEnds = wanted // a leader of the first format tells none: the next one is told what is known
+				k.wantedBackEnds = wanted // a leader of the first format sends none; the next leader needs the known value
 			}
 			fromFormerLeader := !formats.FromWire(response.GetFormats()).Supports(formats.ReplicaIncarnations)
 			k.applyListing(k.identifyIncarnations(backEndsFromWire(listed), fromFormerLeader), &next)
@@ -131,7 +132,7 @@
 	k.applyRelayCount(response)
 	k.isListingPartial = response.GetListingPartial()
 	if calls := int(response.GetListingCalls()); calls > 0 {
-		k.listingCalls = calls // a leader that does not know yet, or of the first format, tells none
+		k.listingCalls = calls // leaders that do not know it yet, and those of the first format, send none
 	}
 	k.applyUsageWindow(response)
 	k.relay.setView(&next)
@@ -141,8 +142,8 @@
 	return used
 }
 
-// applyUsageWindow takes the windows in which usage is counted. A leader of the first format knows of none: what is
-// counted waits for one that does.
+// applyUsageWindow applies the window over which usage is counted. A leader of the first format does not know such windows;
+// counts are then kept until a leader that does takes over.
 func (k *fleetState) applyUsageWindow(response *v1.WatchResponse) {
 	window := time.Duration(response.GetUsageWindowMs()) * time.Millisecond
 	if window == 0 && !formats.FromWire(response.GetFormats()).Supports(formats.UsageWindows) {
@@ -151,7 +152,7 @@
 	k.relay.usage.UpdateTime(k.relay.clock.now(), response.GetTrueTimeMs(), window)
 }
 
-// applyLimits takes the limits that the leader knows of, for back ends of which other relays have not told yet.
+// applyLimits applies the limits that the leader knows, for back ends about which no relay has sent a notice yet.
 func (k *fleetState) applyLimits(response *v1.WatchResponse) {
 	for _, wireLimit := range response.GetLimits() {
 		if named, valid := fleetlimit.FromWire(wireLimit); valid {
@@ -160,7 +161,7 @@
 	}
 }
 
-// decodeDocument reads the decodeDocument of a response; nil for none.
+// decodeDocument returns the document of a response; nil for none or a malformed one.
 func (k *fleetState) decodeDocument(response *v1.WatchResponse) *v1.Document {
 	if len(response.GetDocumentPatch()) > 0 {
 		return k.patchDocument(response)
@@ -176,8 +177,8 @@
 	return document
 }
 
-// patchDocument makes the document in force of the one held; nil where that fails, and the whole one is
-// asked for next.
+// patchDocument applies a response's patch to the held document. It returns nil when that fails; the complete document is
+// then requested next.
 func (k *fleetState) patchDocument(response *v1.WatchResponse) *v1.Document {
 	content, err := packed.ApplyPatch(k.heldDocument.GetContent(), response.GetDocumentPatch())
 	if err != nil {
@@ -188,8 +189,8 @@
 	return &v1.Document{Number: response.GetPatchedNumber(), Content: content}
 }
 
-// applyRelayList puts a list of relays in force. A new leader hears of them one by one: until it
-// knows how many there are, its list counts only where it tells more than is held.
+// applyRelayList applies a list of relays. A new leader learns of the relays one by one: until it knows how many there are,
+// its list is applied only when it is at least as long as the current one.
 func (k *fleetState) applyRelayList(response *v1.WatchResponse) {
 	addresses := response.GetRelayAddresses()
 	if len(addresses) == 0 || response.GetRelayList() == k.relayListHash {
@@ -202,7 +203,7 @@
 	k.relay.setRelays(addresses, response.GetFormerRelays())
 }
 
-// applyRelayCount takes the number of all relays; a new leader does not know it yet.
+// applyRelayCount applies the number of relays; a new leader does not send one until it knows it.
 func (k *fleetState) applyRelayCount(response *v1.WatchResponse) {
 	if count := response.GetRelays(); count > 0 {
 		k.relay.relayCount.Store(int64(count))
@@ -210,8 +211,9 @@
 	}
 }
 
-// applyDocument puts a configuration in force if its number is above the one in force; false where it cannot be put in
-// force. Such a document is not held: the number that the leader is told stands for what requests are served by.
+// applyDocument applies a configuration whose number is above the current one. It returns false when the configuration
+// cannot be applied. Such a document is not held, since the number that is sent to the leader denotes the configuration by
+// which requests are served.
 func (k *fleetState) applyDocument(document *v1.Document, next *view) bool {
 	number := uint64(0)
 	if next.table != nil {
@@ -239,17 +241,17 @@
 	return true
 }
 
-// HandleNoLeader implements leaderwatch.Node: it reads the list here once no controller has led for a while, so that
-// back ends that leave are known without one.
+// HandleNoLeader implements leaderwatch.Node: it reads the platform's list when there has been no leader for a while, so that
+// leaving back ends are known without a leader.
 func (k *fleetState) HandleNoLeader(ctx context.Context) {
 	relays := int(k.relay.relayCount.Load())
 	if relays == 0 {
-		return // it cannot tell how many others would read it as well
+		return // the number of relays that would read the list as well is unknown
 	}
 	lead := listing.DirectReadAfter + leaderwatch.ExtraWait(relays)
 	current := k.relay.view.Load()
 	if current.table == nil {
-		return // a list serves nobody without a configuration, which only controllers tell
+		return // without a configuration, which only controllers send, no request could be served
 	}
 	calls := relays * max(k.listingCalls, 1)
 	if !k.localReading.IsDue(k.relay.clock.now(), max(k.relay.lastContact(), 0)+lead, current.isListed, calls, k.relay.draw) {
@@ -271,8 +273,8 @@
 	k.migrateRuns()
 }
 
-// restrictToKnown keeps of a list that this relay has read those that the leader told it of, where these are a
-// part: all relays must keep to the same part.
+// restrictToKnown removes from a list that this relay has read all back ends that the leader had not listed, when the
+// leader listed only a part: all relays must use the same part.
 func (k *fleetState) restrictToKnown(listed []serving.BackEnd) []serving.BackEnd {
 	if !k.isListingPartial {
 		return listed
@@ -280,7 +282,7 @@
 	return slices.DeleteFunc(listed, func(backEnd serving.BackEnd) bool { return k.records[backEnd.ID] == nil })
 }
 
-// backEndsFromWire turns the controllers' entries into back ends.
+// backEndsFromWire decodes the controllers' entries.
 func backEndsFromWire(entries []*v1.ListedBackEnd) []serving.BackEnd {
 	backEnds := make([]serving.BackEnd, 0, len(entries))
 	for _, entry := range entries {
--- a/internal/relay/load_table.go
+++ b/internal/relay/load_table.go
@@ -10,21 +10,20 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// noticeLifetime is how long another relay's word of its work counts.
+// noticeLifetime is how long another relay's report of its work is used.
 const noticeLifetime = 1200 * time.Millisecond
 
-// loadTable holds what other relays tell of their work at engines. It is safe for
-// concurrent use.
+// loadTable holds the work at engines that other relays have reported. It is safe for concurrent use.
 type loadTable struct {
 	mutex   sync.Mutex
 	engines map[uint64]map[uint64]reportedWork
-	// sequences are the newest notices of each relay.
+	// sequences holds the number of the newest notice of each relay.
 	sequences map[uint64]uint64
-	// receivedAt is when the last notice came.
+	// receivedAt is when the last notice arrived.
 	receivedAt time.Duration
 }
 
-// reportedWork is one relay's work at one engine, and when it was told.
+// reportedWork is one relay's work at one engine, and when the report arrived.
 type reportedWork struct {
 	work placement.Work
 	at   time.Duration
@@ -34,8 +33,7 @@
 	return &loadTable{engines: map[uint64]map[uint64]reportedWork{}, sequences: map[uint64]uint64{}}
 }
 
-// record notes what a relay told; older notices than the last are dropped. It reports
-// whether the notice was new.
+// record records a relay's notice and reports whether it was new; a notice that is not newer than the last one is dropped.
 func (t *loadTable) record(now time.Duration, notice *v1.LoadNotice) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -61,14 +59,14 @@
 	return true
 }
 
-// lastReceivedAt is when the last notice of another relay came.
+// lastReceivedAt returns when the last notice of another relay arrived.
 func (t *loadTable) lastReceivedAt() time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.receivedAt
 }
 
-// otherRelaysWork sums what other relays have under way at an engine.
+// otherRelaysWork returns the sum of the other relays' work at an engine.
 func (t *loadTable) otherRelaysWork(now time.Duration, engine uint64) placement.Work {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -83,13 +81,12 @@
 	return sum
 }
 
-// totalWork is the work of all relays at an engine, as far as is known; seen is what this relay
-// knows of the engine itself.
+// totalWork returns the known work of all relays at an engine; current is this relay's record of the engine's load.
 func (t *loadTable) totalWork(now time.Duration, engine *backEnd, current load) placement.Work {
 	return current.ownWork.Plus(t.otherRelaysWork(now, engine.hash))
 }
 
-// retain forgets engines that are no longer listed.
+// retain removes the engines that are not listed any more.
 func (t *loadTable) retain(listed map[uint64]*backEnd) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/relay/notice_pending.go
+++ b/internal/relay/notice_pending.go
@@ -6,25 +6,25 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// pendingNotice is what is to be told of one back end, beside its work.
+// pendingNotice holds the changes of one back end for the next notice, which also contains this relay's work there.
 type pendingNotice struct {
-	// started are the parts that the engine has begun to started, cached those that it has started and
-	// keeps for any request, dropped those whose reading was given up.
+	// started are the blocks whose prefill the engine has begun, cached those that it has cached for any request, and
+	// abandoned those whose prefill was abandoned.
 	started, cached []placement.PrefixBlock
 	abandoned       []placement.BlockHash
-	// queryNumbers are the numbers of questions whose assignments have begun.
+	// queryNumbers are the numbers of placement queries whose assigned work has begun.
 	queryNumbers []uint64
-	// timePerToken is the newest observation of the time per token, 0 for none.
+	// timePerToken is the newest measured prefill time per token; 0 for none.
 	timePerToken time.Duration
-	// failed tells that exchanges with the back end broke or stalled.
+	// failed reports whether exchanges with the back end broke or stalled.
 	failed bool
 }
 
-// queueWork tells that the work at an engine has changed.
+// queueWork queues a notice about changed work at an engine.
 func (n *loadNotices) queueWork(engine *backEnd) { n.queue(engine, pendingNotice{}) }
 
-// queueStarted tells what an engine has begun to read, and the number of the question that was
-// answered with it, 0 for none.
+// queueStarted queues the blocks whose prefill an engine begins, and the number of the placement query that selected the
+// engine; 0 for none.
 func (n *loadNotices) queueStarted(engine *backEnd, started []placement.PrefixBlock, queryNumber uint64) {
 	update := pendingNotice{started: started}
 	if queryNumber != 0 {
@@ -33,24 +33,24 @@
 	n.queue(engine, update)
 }
 
-// queueCached tells that an engine keeps parts for any request.
+// queueCached queues blocks that an engine has cached for any request.
 func (n *loadNotices) queueCached(engine *backEnd, cached []placement.PrefixBlock) {
 	n.queue(engine, pendingNotice{cached: cached})
 }
 
-// queueAbandoned tells that the reading of parts was given up.
+// queueAbandoned queues blocks whose prefill was abandoned.
 func (n *loadNotices) queueAbandoned(engine *backEnd, abandoned []placement.BlockHash) {
 	n.queue(engine, pendingNotice{abandoned: abandoned})
 }
 
-// queuePace tells the time per token that an engine was seen to take.
+// queuePace queues an engine's measured prefill time per token.
 func (n *loadNotices) queuePace(engine *backEnd, timePerToken time.Duration) {
 	if timePerToken > 0 {
 		n.queue(engine, pendingNotice{timePerToken: timePerToken})
 	}
 }
 
-// queue joins what is to be told with what waits of the same back end.
+// queue merges changes into the queued ones of the same back end.
 func (n *loadNotices) queue(engine *backEnd, update pendingNotice) {
 	n.mutex.Lock()
 	queued := n.pending[engine]
@@ -70,5 +70,5 @@
 	}
 }
 
-// queueFailure tells that exchanges with a back end broke or stalled.
+// queueFailure queues the failure of an exchange with a back end.
 func (n *loadNotices) queueFailure(backEnd *backEnd) { n.queue(backEnd, pendingNotice{failed: true}) }
--- a/internal/relay/notice_wire.go
+++ b/internal/relay/notice_wire.go
@@ -18,7 +18,7 @@
 	return counts
 }
 
-// tokensFromWire is the reverse of wireTokens.
+// tokensFromWire is the reverse of tokensToWire.
 func tokensFromWire(counts []uint32) (tokens [placement.RankCount]int) {
 	for rank, count := range slices.All(counts[:min(len(counts), placement.RankCount)]) {
 		tokens[rank] = int(count)
@@ -26,7 +26,7 @@
 	return tokens
 }
 
-// blocksToWire returns the hashes and lengths of parts for a notice.
+// blocksToWire returns the hashes and lengths of blocks for a notice.
 func blocksToWire(blocks []placement.PrefixBlock) (hashes []uint64, tokens []uint32) {
 	for _, part := range blocks {
 		hashes = append(hashes, uint64(part.Hash))
@@ -35,7 +35,7 @@
 	return hashes, tokens
 }
 
-// blocksFromWire is the reverse of wireParts; what does not fit together is left out.
+// blocksFromWire is the reverse of blocksToWire. It returns nil when the two lists differ in length.
 func blocksFromWire(hashes []uint64, tokens []uint32) []placement.PrefixBlock {
 	if len(hashes) != len(tokens) {
 		return nil
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// noticeBatchDelay gathers what changes within it into one notice.
+	// noticeBatchDelay is the time during which changes are collected into one notice.
 	noticeBatchDelay = 3 * time.Millisecond
-	// noticeRefreshInterval is the time between two notices of work that goes on.
+	// noticeRefreshInterval is the time between two notices about work that continues.
 	noticeRefreshInterval = 500 * time.Millisecond
-	// maxFailurePeers is how many relays hear of the failures of back ends that have no owner.
+	// maxFailurePeers is how many relays receive notices about failures of back ends that have no owner.
 	maxFailurePeers = 16
-	// maxNoticeBytes is the part of a datagram, in bytes, that a notice's engines may take.
+	// maxNoticeBytes is the space for the engines of a notice in a datagram.
 	maxNoticeBytes = datagram.MaxSize - 64
 )
 
-// loadNotices tells the owners of engines what this relay has under way there, and takes what other
-// relays tell. Nothing depends on them but the quality of choices.
+// loadNotices sends notices about this relay's work to the owners of engines, and applies the notices of other relays. Only
+// the quality of placement decisions depends on notices.
 type loadNotices struct {
 	relay       *Relay
 	datagrams   *datagram.Socket
@@ -38,9 +38,9 @@
 	changed     chan struct{}
 
 	mutex sync.Mutex
-	// peers are the relays that hear of failures of back ends without an owner.
+	// peers are the relays that receive notices about failures of back ends without an owner.
 	peers []string
-	// pending are the back ends of which there is something to tell.
+	// pending holds the back ends with changes that were not sent yet.
 	pending  map[*backEnd]pendingNotice
 	sequence uint64
 }
@@ -52,7 +52,7 @@
 	}
 }
 
-// setPeers takes the addresses of all relays.
+// setPeers selects the peers from the addresses of all relays: those that follow this relay in the list.
 func (n *loadNotices) setPeers(addresses []string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -84,7 +84,7 @@
 	}
 }
 
-// queueRefresh adds the engines at which this relay has work to the next notice.
+// queueRefresh queues notices for the engines at which this relay has work.
 func (n *loadNotices) queueRefresh() {
 	now := n.relay.clock.now()
 	n.mutex.Lock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// sendPending tells what has changed to those whom it concerns.
+// sendPending sends the queued changes to the relays concerned.
 func (n *loadNotices) sendPending() {
 	if !n.relay.without.IsEnabled(mechanism.Notices) {
 		return
@@ -118,7 +118,7 @@
 	}
 }
 
-// fittingCount is how many of the engines fit into one notice, one at least.
+// fittingCount returns how many of the engines fit into one notice, at least one.
 func fittingCount(engines []*v1.EngineWork) int {
 	room := maxNoticeBytes
 	for index, engine := range engines {
@@ -130,7 +130,7 @@
 	return len(engines)
 }
 
-// takePending returns what waits to be told, by the address of the relay that it concerns.
+// takePending removes the queued changes and returns them by the addresses of their receivers.
 func (n *loadNotices) takePending() map[string][]*v1.EngineWork {
 	now := n.relay.clock.now()
 	n.mutex.Lock()
@@ -146,7 +146,7 @@
 	return byReceiver
 }
 
-// workOf is this relay's work at an engine, and what has happened there. The mutex is held.
+// workOf returns this relay's work at an engine and the queued changes there. The mutex is held.
 func (n *loadNotices) workOf(now time.Duration, engine *backEnd, queued pendingNotice) *v1.EngineWork {
 	ownWork := engine.currentLoad(now).ownWork
 	result := &v1.EngineWork{
@@ -161,8 +161,8 @@
 	return result
 }
 
-// receivers are the relays that hear of an engine: its owner and the stand-in, as far as they
-// answer. Of a back end without an owner some peers hear. The mutex is held.
+// receivers returns the relays that receive notices about a back end: the owner and the deputy of an engine's cell, as far
+// as they answer, or the peers for a back end without an owner. The mutex is held.
 func (n *loadNotices) receivers(now time.Duration, engine *backEnd) []string {
 	if !engine.isEngine() {
 		return n.peers
@@ -170,14 +170,14 @@
 	return n.relay.placements.otherOwners(now, engine)
 }
 
-// handle takes another relay's notice.
+// handle records and applies another relay's notice, unless it is older than an earlier one.
 func (n *loadNotices) handle(notice *v1.LoadNotice) {
 	if notice.GetRelay() != n.incarnation && n.table.record(n.relay.clock.now(), notice) {
 		n.apply(notice)
 	}
 }
 
-// apply notes what engines have begun to read for other relays, and which back ends failed.
+// apply applies a notice's changes: released reservations, failures, prefill times, and started, abandoned and cached blocks.
 func (n *loadNotices) apply(notice *v1.LoadNotice) {
 	byHash := n.relay.view.Load().byHash
 	for _, entry := range notice.GetEngines() {
--- a/internal/relay/options.go
+++ b/internal/relay/options.go
@@ -12,24 +12,24 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// Options are what the process around a relay decides.
+// Options are what the surrounding process supplies to a relay.
 type Options struct {
 	// Dialect is required.
 	Dialect Dialect
-	// ReadListing reads so many pages of the outside list of back ends, 0 for all; required. It is
-	// called only while no controller leads.
+	// ReadListing reads the given number of pages of the platform's list of back ends, 0 for all. It is required, and is
+	// called only while there is no leader.
 	ReadListing func(ctx context.Context, client *http.Client, pages int) (serving.Listing, error)
-	// ReadCache reads what an engine has cached; nil where that cannot be asked.
+	// ReadCache reads which blocks an engine has cached; nil when engines do not offer that.
 	ReadCache func(ctx context.Context, client *http.Client, engine serving.BackEnd) (serving.CacheReport, error)
-	// Listen opens a listener; nil means net.Listen.
+	// Listen opens a listener; nil means closing.Listen.
 	Listen func(network, address string) (net.Listener, error)
 	// ListenPacket opens a datagram socket; nil means net.ListenPacket.
 	ListenPacket func(network, address string) (net.PacketConn, error)
-	// Dial opens outgoing connections; nil means the system's.
+	// Dial opens outgoing connections; nil means dialing.Watched.
 	Dial dialing.Dial
-	// Reloaded brings settings that were read again; nil for none.
+	// Reloaded delivers settings that were read again; nil for none.
 	Reloaded <-chan settings.Relay
-	// Without are mechanisms that are left out; none for users.
+	// Without holds the mechanisms that are disabled; it is empty in production.
 	Without mechanism.Set
 	// Log is required.
 	Log *logring.Log
--- a/internal/relay/pace.go
+++ b/internal/relay/pace.go
@@ -7,17 +7,17 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// prefillPace is a placement.Pace that goroutines share.
+// prefillPace holds the engines' prefill times per token. It makes placement.Pace safe for concurrent use.
 type prefillPace struct {
 	mutex sync.Mutex
 	pace  *placement.PrefillSpeed
-	// fixed paces are not learnt.
+	// fixed reports that the times are not updated by measurements.
 	fixed bool
 }
 
 func newPrefillPace() *prefillPace { return &prefillPace{pace: placement.NewPrefillSpeed()} }
 
-// observe notes the time per token of one reading at an engine, seen here or by another relay.
+// observe records the time per token of one prefill at an engine, measured here or by another relay.
 func (p *prefillPace) observe(engine uint64, perToken time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -26,14 +26,14 @@
 	}
 }
 
-// timePerToken returns the time per token at an engine.
+// timePerToken returns the prefill time per token at an engine.
 func (p *prefillPace) timePerToken(engine uint64) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.pace.PerToken(engine)
 }
 
-// adopt takes the time per token of an engine from a relay that knows it better.
+// adopt applies an engine's time per token as its owner knows it, who has more measurements.
 func (p *prefillPace) adopt(engine uint64, perToken time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -42,21 +42,21 @@
 	}
 }
 
-// observeShare notes how much of a prompt had to be read.
+// observeShare records how many of a prompt's tokens needed a prefill.
 func (p *prefillPace) observeShare(tokens, toRead int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.pace.ObserveUncachedShare(tokens, toRead)
 }
 
-// usualShare is the part of prompts that usually has to be read.
+// usualShare returns the usual fraction of a prompt that needs a prefill.
 func (p *prefillPace) usualShare() float64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.pace.UncachedShare()
 }
 
-// retain forgets engines that are no longer listed.
+// retain removes the engines that are not listed any more.
 func (p *prefillPace) retain(listed map[uint64]*backEnd) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -11,7 +11,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/relay/peerhealth"
 )
 
-// initPeers sets up what goes by datagrams between relays.
+// initPeers sets up everything that exchanges datagrams with other relays.
 func (r *Relay) initPeers(socket net.PacketConn) {
 	r.datagrams = datagram.New(socket, r.metrics.datagramsDropped)
 	r.notices = newLoadNotices(r, r.datagrams, r.fleet.incarnation)
@@ -25,7 +25,7 @@
 	r.owners = newOwnerTable(r.datagrams.Address, r.event)
 }
 
-// handleDatagram hands a datagram to those whom it concerns.
+// handleDatagram passes a datagram to its handler.
 func (r *Relay) handleDatagram(received *v1.RelayDatagram, from string) {
 	switch content := received.GetContent().(type) {
 	case *v1.RelayDatagram_Notice:
@@ -49,7 +49,7 @@
 	}
 }
 
-// setRelays takes the addresses of all relays.
+// setRelays applies a new list of relays. Those of the former format cannot own limits.
 func (r *Relay) setRelays(addresses, formerRelays []string) {
 	limitOwners := slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return slices.Contains(formerRelays, address) })
 	r.permits.SetRelays(limitOwners)
--- a/internal/relay/placement_wire.go
+++ b/internal/relay/placement_wire.go
@@ -10,11 +10,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// maxQueryBlocks bounds the parts of a prompt that are told in a question; further ones are its own
-// most likely, and are read wherever it goes.
+// maxQueryBlocks bounds the prompt's blocks in a query. Further blocks are most likely not shared, and need a prefill on any
+// engine.
 const maxQueryBlocks = 32
 
-// wirePurposes are the purposes as datagrams name them.
+// wirePurposes maps purposes to their values in datagrams.
 var wirePurposes = map[purpose]v1.PlacementPurpose{
 	purposeBegin:    v1.PlacementPurpose_PLACEMENT_PURPOSE_BEGIN,
 	purposePrefill:  v1.PlacementPurpose_PLACEMENT_PURPOSE_READ,
@@ -22,7 +22,7 @@
 	purposeTakeOver: v1.PlacementPurpose_PLACEMENT_PURPOSE_TAKE_OVER,
 }
 
-// purposeFromWire is the reverse of wirePurposes; unknown ones ask for an engine that generates.
+// purposeFromWire is the reverse of wirePurposes; for an unknown value it returns purposeDecode.
 func purposeFromWire(wirePurpose v1.PlacementPurpose) purpose {
 	for known, name := range wirePurposes {
 		if name == wirePurpose {
@@ -32,7 +32,7 @@
 	return purposeDecode
 }
 
-// wireActions are the actions as datagrams name them.
+// wireActions maps actions to their values in datagrams.
 var wireActions = map[placement.Action]v1.PlacementAction{
 	placement.Unplaced:              v1.PlacementAction_PLACEMENT_ACTION_UNPLACED,
 	placement.PrefillOnDecodeEngine: v1.PlacementAction_PLACEMENT_ACTION_READ_DIRECTLY,
@@ -41,7 +41,7 @@
 	placement.Refuse:                v1.PlacementAction_PLACEMENT_ACTION_REFUSE,
 }
 
-// actionFromWire is the reverse of wireActions; unknown ones leave a request unplaced.
+// actionFromWire is the reverse of wireActions; for an unknown value it returns placement.Unplaced.
 func actionFromWire(wireAction v1.PlacementAction) placement.Action {
 	for known, name := range wireActions {
 		if name == wireAction {
@@ -51,7 +51,7 @@
 	return placement.Unplaced
 }
 
-// queryToWire is a question to the owner of a cell.
+// queryToWire encodes a query to the owner of a cell.
 func queryToWire(query *engineQuery, relay, number, cell uint64) *v1.PlacementRequest {
 	wanted := query.request
 	result := &v1.PlacementRequest{
@@ -68,8 +68,7 @@
 	return result
 }
 
-// queryFromWire is the reverse of queryToWire. What it tells is taken as it is: an answer binds
-// nobody.
+// queryFromWire is the reverse of queryToWire. It validates no content beyond its bounds, since the answer is not binding.
 func queryFromWire(request *v1.PlacementRequest, view *view) *engineQuery {
 	query := &engineQuery{
 		purpose: purposeFromWire(request.GetPurpose()), service: request.GetService(), excluded: request.GetExcluded(),
@@ -88,7 +87,7 @@
 	return query
 }
 
-// rankFromWire reads the rank of a request.
+// rankFromWire decodes the rank of a request within its bounds.
 func rankFromWire(request *v1.PlacementRequest) placement.Rank {
 	return placement.Rank{
 		First: int(min(request.GetRank(), placement.RankCount-1)),
@@ -96,7 +95,7 @@
 	}
 }
 
-// unknownCellAnswer tells that the owner knows no engine for a question.
+// unknownCellAnswer returns the answer to a query about a cell that this relay does not know.
 func unknownCellAnswer(request *v1.PlacementRequest) *v1.PlacementAnswer {
 	return &v1.PlacementAnswer{
 		Relay: request.GetRelay(), Number: request.GetNumber(),
@@ -104,7 +103,7 @@
 	}
 }
 
-// answerToWire is an owner's answer to a question.
+// answerToWire encodes an owner's answer to a query.
 func answerToWire(request *v1.PlacementRequest, decided engineAnswer) *v1.PlacementAnswer {
 	answer := &v1.PlacementAnswer{
 		Relay: request.GetRelay(), Number: request.GetNumber(), Action: wireActions[decided.decision.Action],
@@ -129,8 +128,8 @@
 	return answer
 }
 
-// answerFromWire is the reverse of answerToWire. It reports false for an answer whose engines are
-// not listed here, or take no work by what is known here.
+// answerFromWire is the reverse of answerToWire. It returns false for an answer whose engine is not listed here, is
+// unavailable or is excluded.
 func answerFromWire(wireAnswer *v1.PlacementAnswer, view *view, excludes func(*backEnd) bool, now time.Duration) (engineAnswer, bool) {
 	if wireAnswer.GetUnknownCell() {
 		return engineAnswer{}, false
@@ -165,15 +164,15 @@
 	return answer, true
 }
 
-// maxWireCount bounds the counts that datagrams tell: sums of them stay far from an overflow.
+// maxWireCount bounds the counts in datagrams, so that their sums cannot overflow.
 const maxWireCount = 1 << 30
 
 func countFromWire(count uint32) int { return int(min(count, maxWireCount)) }
 
-// microseconds is a duration in a datagram, in which none is negative.
+// microseconds encodes a duration for a datagram; a negative one becomes 0.
 func microseconds(duration time.Duration) uint64 { return uint64(max(duration.Microseconds(), 0)) }
 
-// fromMicroseconds is the reverse of microseconds, within an hour.
+// fromMicroseconds is the reverse of microseconds, bounded to one hour.
 func fromMicroseconds(wireDuration uint64) time.Duration {
 	return time.Duration(min(wireDuration, uint64(time.Hour.Microseconds()), math.MaxInt64)) * time.Microsecond
 }
--- a/internal/relay/random.go
+++ b/internal/relay/random.go
@@ -8,7 +8,7 @@
 // draw returns a random number in [0, 1).
 func (r *Relay) draw() float64 { return r.random.float64() }
 
-// lockedRandom is a random source that goroutines share.
+// lockedRandom is a random source for concurrent use.
 type lockedRandom struct {
 	mutex  sync.Mutex
 	source *rand.Rand
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -34,8 +34,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/usagereport"
 )
 
-// leaderContactSlack is how long after the time for the last word of a leader the view still counts as
-// fresh.
+// leaderContactSlack is how long after an overdue message of the leader the view still counts as fresh.
 const leaderContactSlack = 800 * time.Millisecond
 
 // Relay is one running relay process.
@@ -47,57 +46,57 @@
 	log                requestLog
 	exchanger          *exchanger
 	budget             *retrybudget.Budget
-	// watcher follows the leader; knowledge is what it tells.
+	// watcher follows the leader; fleet applies the leader's updates.
 	watcher *leaderwatch.Watcher
 	fleet   *fleetState
-	// guard keeps requests away from back ends that they would end.
+	// guard keeps requests away from back ends that they would crash.
 	guard *crashguard.Guard
-	// datagrams, notices and asker are what this relay has to do with others; owner decides on
-	// the engines that owners says are this relay's.
+	// datagrams, notices and placements communicate with other relays. owners says which engines belong to which relays;
+	// owner decides on the engines that belong to this relay.
 	datagrams  *datagram.Socket
 	notices    *loadNotices
 	placements *placementClient
-	// peers is which other relays answer.
+	// peers records which other relays answer.
 	peers *peerhealth.Table
-	// permits gives permits to send to back ends that name a limit for all relays together.
+	// permits obtains permits for back ends that declare a limit for all relays together.
 	permits *permits.Permits
 	owner   *placementOwner
 	owners  *ownerTable
 	work    *workmeter.Meter
 	pace    *prefillPace
-	// usage counts what tenants use.
+	// usage counts the tenants' requests.
 	usage *usagereport.Meter
-	// policy holds the weights of the decisions on where requests run.
+	// policy holds the parameters of placement decisions.
 	policy placement.Parameters
-	// without are mechanisms that are left out.
+	// without holds the mechanisms that are disabled.
 	without mechanism.Set
-	// startupWait is how long requests wait for what the relay does not know yet, known ends that wait.
+	// startupWait is how long requests wait for a configuration and a list of back ends; viewReady ends that wait.
 	startupWait time.Duration
 	viewReady   *readySignal
-	// prefillWaitSlack is how long beyond the expected a request waits for another's reading.
+	// prefillWaitSlack is how much longer than expected a request waits for another request's prefill.
 	prefillWaitSlack time.Duration
 
 	view atomic.Pointer[view]
-	// lastContactAt is the time of the last word of a leader.
+	// lastContactAt is when the last message of a leader arrived.
 	lastContactAt atomic.Int64
-	// relayCount is the number of relays that the leader has told of.
+	// relayCount is the number of relays as the leader sent it; 0 while unknown.
 	relayCount atomic.Int64
-	// stopping tells that no new connections are wanted.
+	// stopping reports that the relay accepts no new connections.
 	stopping atomic.Bool
-	// refuseNewAt is when a stopping relay takes no new requests any more.
+	// refuseNewAt is when a stopping relay begins to refuse new requests.
 	refuseNewAt atomic.Int64
 
 	connections connections
 	random      lockedRandom
 	splits      *splitdraw.Draws
 	metrics     *relayMetrics
-	// admin is where health and metrics are told, nil for nowhere; ring is the log behind it.
+	// admin is the listener for health and metrics, nil for none; ring is the log that it serves.
 	admin net.Listener
 	ring  *logring.Log
 }
 
-// Run runs a relay until the context ends; it then serves what it has taken and returns
-// within the settings' grace.
+// Run runs a relay until the context ends. It then completes the accepted requests and returns within the grace period of
+// the settings.
 func Run(ctx context.Context, config settings.Relay, options Options) error {
 	if options.Listen == nil {
 		options.Listen = closing.Listen
@@ -182,12 +181,12 @@
 	return relay
 }
 
-// run serves until the context ends and everything taken is answered.
+// run serves until the context ends and all accepted requests are answered.
 func (r *Relay) run(ctx context.Context, listener, ready net.Listener) error {
 	r.event(events.RelayStarted).Str("address", listener.Addr().String()).Uint("format", uint(formats.Newest)).Send()
 	background := context.WithoutCancel(ctx)
-	group, working := errgroup.WithContext(background)
-	working, stopWorking := context.WithCancel(working)
+	group, workCtx := errgroup.WithContext(background)
+	workCtx, stopWorking := context.WithCancel(workCtx)
 	defer stopWorking()
 	readyServer := &http.Server{Handler: r.readyHandler(), ReadHeaderTimeout: readyTimeout, IdleTimeout: readyIdle}
 	group.Go(func() error {
@@ -198,21 +197,21 @@
 	})
 	if r.admin != nil {
 		server := &metrics.AdminServer{Registry: r.metrics.registry, Log: r.ring, Ready: r.readinessError}
-		group.Go(func() error { return trace.Wrap(server.Serve(working, r.admin)) })
+		group.Go(func() error { return trace.Wrap(server.Serve(workCtx, r.admin)) })
 	}
-	group.Go(func() error { r.watcher.Run(working); return nil })
-	group.Go(func() error { r.usageReporter().Run(working); return nil })
-	group.Go(func() error { r.clock.steady.Watch(working, r.handleSuspension); return nil })
-	group.Go(func() error { r.guard.Run(working); return nil })
-	group.Go(func() error { r.notices.run(working); return nil })
-	group.Go(func() error { r.permits.Run(working); return nil })
+	group.Go(func() error { r.watcher.Run(workCtx); return nil })
+	group.Go(func() error { r.usageReporter().Run(workCtx); return nil })
+	group.Go(func() error { r.clock.steady.Watch(workCtx, r.handleSuspension); return nil })
+	group.Go(func() error { r.guard.Run(workCtx); return nil })
+	group.Go(func() error { r.notices.run(workCtx); return nil })
+	group.Go(func() error { r.permits.Run(workCtx); return nil })
 	group.Go(func() error { r.datagrams.Receive(r.handleDatagram); return nil })
-	group.Go(func() error { return r.accept(working, listener) })
+	group.Go(func() error { return r.accept(workCtx, listener) })
 	select {
-	case <-working.Done():
+	case <-workCtx.Done():
 	case <-ctx.Done():
 		r.event(events.RelayStopping).Str("address", listener.Addr().String()).Int("serving", r.connections.servingCount()).Send()
-		r.drain(working, listener)
+		r.drain(workCtx, listener)
 		r.awaitUsageReported()
 	}
 	stopWorking()
@@ -222,7 +221,7 @@
 	return trace.Wrap(group.Wait())
 }
 
-// readinessError tells why the relay cannot serve; nil when it can.
+// readinessError returns why the relay cannot serve requests; nil when it can.
 func (r *Relay) readinessError() error {
 	if r.stopping.Load() {
 		return trace.ConnectionProblem(nil, "the relay stops")
@@ -233,13 +232,13 @@
 	return nil
 }
 
-// event begins a line on the process.
+// event begins a log line about the process.
 func (r *Relay) event(event events.Event) *zerolog.Event {
 	return r.log.logger.WithLevel(zerolog.WarnLevel).Str(events.FieldEvent, string(event))
 }
 
-// applyReloadedSettings puts in force what may change while the relay runs: the controllers and the
-// retry budget.
+// applyReloadedSettings applies the settings that may change while the relay runs: the controllers' addresses and the retry
+// budget.
 func (r *Relay) applyReloadedSettings(ctx context.Context, reloaded <-chan settings.Relay) {
 	for {
 		select {
@@ -252,7 +251,7 @@
 	}
 }
 
-// accept serves each connection in a goroutine of its own until the listener closes.
+// accept serves each connection in its own goroutine until the listener is closed.
 func (r *Relay) accept(ctx context.Context, listener net.Listener) error {
 	for {
 		connection, err := listener.Accept()
@@ -263,15 +262,15 @@
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		r.log.logger.Warn().Err(err).Msg("a connection could not be accepted")
+		r.log.logger.Warn().Err(err).Msg("accepting a client connection failed; retrying")
 		time.Sleep(acceptPause)
 	}
 }
 
-// acceptPause is the wait after a failed accept, which is mostly for want of descriptors.
+// acceptPause is the delay after a failed accept, which is mostly caused by a lack of file descriptors.
 const acceptPause = 20 * time.Millisecond
 
-// limits returns the operator's limits, or the defaults before the first configuration.
+// limits returns the configured limits; defaults apply to those that are not set and before the first configuration.
 func (r *Relay) limits() serving.Limits {
 	limits := serving.Limits{HeaderBytes: clientBufferBytes, BodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 	table := r.view.Load().table
@@ -294,8 +293,8 @@
 	return limits
 }
 
-// maxContactAge is how long after the last word of a leader the view still counts as fresh.
+// maxContactAge returns how long after the leader's last message the view still counts as fresh.
 func (r *Relay) maxContactAge() time.Duration { return r.watcher.Wait() + leaderContactSlack }
 
-// lastContact is the time of the last word of a leader.
+// lastContact returns when the leader's last message arrived.
 func (r *Relay) lastContact() time.Duration { return time.Duration(r.lastContactAt.Load()) }
--- a/internal/relay/relay_metrics.go
+++ b/internal/relay/relay_metrics.go
@@ -10,26 +10,26 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// role names the process in metrics.
+// role is the value of the role label in metrics.
 const role = "relay"
 
-// outcome is how a request ended for its client.
+// outcome says how a request ended for its client.
 type outcome string
 
 // Outcomes of requests.
 const (
-	// outcomeInTime answers met their route's targets; outcomeLate ones did not.
+	// outcomeInTime answers met their route's targets; outcomeLate answers missed one.
 	outcomeInTime outcome = "in_time"
 	outcomeLate   outcome = "late"
-	// outcomeRefused requests were told by the relay that they have not run.
+	// outcomeRefused requests were refused by the relay with the promise that they were not run.
 	outcomeRefused outcome = "refused"
-	// outcomeFailed requests got another failure, a back end's or the relay's own.
+	// outcomeFailed requests received another error, of a back end or of the relay.
 	outcomeFailed outcome = "failed"
-	// outcomeCut answers ended before they were whole, or their client had gone.
+	// outcomeCut answers ended before they were complete, or their client disconnected.
 	outcomeCut outcome = "cut"
 )
 
-// outcomeOf tells how a request ended.
+// outcomeOf returns how a request ended.
 func outcomeOf(request *request, reply *replier, now time.Duration) outcome {
 	switch {
 	case reply.aborted || reply.status == 0:
@@ -45,31 +45,29 @@
 	}
 }
 
-// relayMetrics are the counts of one relay.
+// relayMetrics are the metrics of one relay.
 type relayMetrics struct {
 	registry      *prometheus.Registry
 	requests      *prometheus.CounterVec
 	refusals      *prometheus.CounterVec
 	retries       prometheus.Counter
 	deniedRetries prometheus.Counter
-	// usageResends counts reports of usage that had to be sent again.
+	// usageResends counts usage reports that had to be sent again.
 	usageResends prometheus.Counter
-	// backEndCrashes counts back ends that ended while they ran requests of this relay,
-	// guardCallsFailed calls to the leader on them that failed.
+	// backEndCrashes counts back ends that crashed while they ran requests of this relay; guardCallsFailed counts failed
+	// calls to the leader about crashes.
 	backEndCrashes prometheus.Counter
-	// limitedSends counts sendings to back ends that had named a limit, permits questions for permits to send there by
-	// what became of them.
+	// limitedSends counts messages sent to back ends with a limit; permits counts permit requests by their outcome.
 	limitedSends prometheus.Counter
 	permits      *prometheus.CounterVec
-	// backoffs counts the backoffs that back ends have asked of this relay.
+	// backoffs counts the backoffs that back ends asked of this relay.
 	backoffs         prometheus.Counter
 	guardCallsFailed prometheus.Counter
 	prefillWaits     prometheus.Counter
-	// startupWaits counts requests that came before the relay knew what they need.
+	// startupWaits counts requests that arrived before the relay had the state to serve them.
 	startupWaits prometheus.Counter
 	migrations   *prometheus.CounterVec
-	// placementQueries counts questions to owners of engines by what became of them, spills the requests
-	// that were offered to a further cell.
+	// placementQueries counts placement decisions by who made them; spills counts requests offered to a further cell.
 	placementQueries *prometheus.CounterVec
 	spills           prometheus.Counter
 	datagramsDropped *prometheus.CounterVec
@@ -79,7 +77,7 @@
 	prefillQueueTime prometheus.Histogram
 }
 
-// newRelayMetrics makes the metrics of a relay and its log.
+// newRelayMetrics creates the metrics of a relay and of its log.
 func newRelayMetrics(relay *Relay, log *logring.Log) *relayMetrics {
 	registry, factory := metrics.NewRegistry(role, relay.settings.Name, relay.settings.Zone)
 	result := &relayMetrics{
@@ -143,7 +141,7 @@
 	return result
 }
 
-// backEndState is how a back end stands with this relay.
+// backEndState is the state of a back end from this relay's point of view.
 type backEndState string
 
 // States of back ends.
@@ -171,7 +169,7 @@
 	return count
 }
 
-// state tells how the back end stands.
+// state returns the back end's state; the first one that applies, in the order of the cases.
 func (b *backEnd) state(now time.Duration) backEndState {
 	switch {
 	case b.isLeaving():
@@ -189,7 +187,7 @@
 	}
 }
 
-// recordEnd counts a request that has recordEnd.
+// recordEnd counts a request that has ended and observes its times.
 func (m *relayMetrics) recordEnd(request *request, reply *replier, now time.Duration) {
 	m.requests.WithLabelValues(request.route.Kind.String(), string(outcomeOf(request, reply, now))).Inc()
 	if reply.refusal != nil {
--- a/internal/relay/request_log.go
+++ b/internal/relay/request_log.go
@@ -9,13 +9,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/events"
 )
 
-// sampleInterval is how many ordinary requests stand behind one line.
+// sampleInterval is the number of ordinary requests per log line.
 const sampleInterval = 16
 
-// requestLog writes a line for each decision that changes what becomes of a request.
+// requestLog writes a log line for each decision that affects a request.
 type requestLog struct{ logger zerolog.Logger }
 
-// line begins a line on a request.
+// line begins a log line about a request.
 func (l requestLog) line(level zerolog.Level, event events.Event, request *request) *zerolog.Event {
 	line := l.logger.WithLevel(level).Str(events.FieldEvent, string(event)).
 		Str(events.FieldRequest, request.id).Str("route", request.route.Name)
@@ -25,43 +25,43 @@
 	return line
 }
 
-// recordKeyRefusal notes a request that was not admitted.
+// recordKeyRefusal logs a request that was not admitted.
 func (l requestLog) recordKeyRefusal(request *request, fault keyFault, status int) {
 	l.line(zerolog.WarnLevel, events.KeyRefused, request).Int("status", status).Str("reason", string(fault)).Send()
 }
 
-// recordTrial notes that a held request is sent to a back end once more.
+// recordTrial logs that a quarantined request is sent to a back end once more.
 func (l requestLog) recordTrial(request *request) {
 	l.line(zerolog.WarnLevel, events.RequestTried, request).Stringer("content", request.signature).Send()
 }
 
-// recordFailedAttempt notes a sending to a back end that brought no answer.
+// recordFailedAttempt logs an attempt that brought no answer.
 func (l requestLog) recordFailedAttempt(request *request, backEnd *backEnd, fault *failure) {
 	l.line(zerolog.WarnLevel, events.AttemptFailed, request).Stringer("content", request.signature).Str("back_end", backEnd.ID).
 		Str("verdict", fault.verdict.String()).Bool("arrived", fault.mayHaveArrived).
 		AnErr("cause", fault.cause).Func(fault.addBackoffFields).Send()
 }
 
-// recordRefusal notes a final answer of the relay's own.
+// recordRefusal logs a final answer that the relay itself makes.
 func (l requestLog) recordRefusal(request *request, refused refusal, attempts *attemptTracker) {
 	l.line(zerolog.WarnLevel, events.RequestRefused, request).Stringer("content", request.signature).Int("status", refused.status).Str("reason", refused.reason).
 		Int64("retry_after_ms", refused.retryAfter.Milliseconds()).Int("sent", attempts.sentCount).Bool("may_have_run", attempts.mayHaveRun).Send()
 }
 
-// recordMissingState notes a request that came before the relay knew what it needs. Its route may not be known.
+// recordMissingState logs a request that arrived before the relay had the state to serve it. Its route may be unknown.
 func (l requestLog) recordMissingState(request *request, missing missingState, snapshot viewSnapshot) {
 	l.logger.WithLevel(zerolog.WarnLevel).Str(events.FieldEvent, string(events.RequestRefused)).Str(events.FieldRequest, request.id).
 		Str("reason", string(missing)).Uint64("configuration", snapshot.configuration).Int64("leader_age_ms", snapshot.leaderAge.Milliseconds()).Send()
 }
 
-// recordMigration notes that a run was recordMigration from an engine that takes no more work, or stopped there
-// without a copy.
+// recordMigration logs that a run was migrated from an engine that accepts no more work, or that its migration stopped it
+// there without a copy.
 func (l requestLog) recordMigration(request *request, from, to *backEnd, copied bool) {
 	l.line(zerolog.InfoLevel, events.RunMoved, request).Str("back_end", from.ID).Str("to", to.ID).Bool("copied", copied).Send()
 }
 
-// recordEnd notes how a request recordEnd. Of ordinary requests one in sampled has a line, chosen
-// by its identity, so that every process keeps the same ones.
+// recordEnd logs the outcome of a request. Only one in sampleInterval of the ordinary requests is logged, chosen by its
+// identity, so that every process logs the same ones.
 func (l requestLog) recordEnd(request *request, reply *replier, snapshot viewSnapshot) {
 	trace := request.trace
 	isLate := trace.isLate(request, snapshot.now)
@@ -83,14 +83,14 @@
 		Uint64("configuration", snapshot.configuration).Int64("leader_age_ms", snapshot.leaderAge.Milliseconds()).Send()
 }
 
-// viewSnapshot is what the relay went by when a request ended, and how old it was.
+// viewSnapshot describes the view that a request was served by, and its age.
 type viewSnapshot struct {
 	now           time.Duration
 	configuration uint64
 	leaderAge     time.Duration
 }
 
-// viewSnapshot returns what the relay goes by now.
+// viewSnapshot returns the current snapshot.
 func (r *Relay) viewSnapshot() viewSnapshot {
 	now := r.clock.now()
 	snapshot := viewSnapshot{now: now, leaderAge: now - r.lastContact()}
--- a/internal/relay/request_trace.go
+++ b/internal/relay/request_trace.go
@@ -6,31 +6,31 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// requestTrace is what became of a request, for the line at its end.
+// requestTrace collects the course of a request for the log line at its end.
 type requestTrace struct {
-	// prefillEngine and engine are the back ends that took the request last.
+	// prefillEngine and engine are the back ends to which the request was sent last.
 	prefillEngine, engine string
 	prefillAt, sentAt     time.Duration
-	// tokensToPrefill and tokensAhead are the tokens that the prefill engine had to read for this request
-	// and for others when it was picked, as far as was known.
+	// tokensToPrefill is how many tokens of this request the prefill engine had to process, as known when it was selected.
+	// tokensAhead counts the tokens of other requests that were queued before this one, tokensAheadAll those of all ranks.
 	tokensToPrefill, tokensAhead, tokensAheadAll int
-	// placementReason says why the prompt is read where it is.
+	// placementReason is the reason for the place of the prefill.
 	placementReason string
-	// owner is the relay that decided on the last engine, empty for this one.
+	// owner is the relay that selected the last engine; empty for this relay.
 	owner string
-	// firstAt is when the first event of a stream was passed on.
+	// firstAt is when the first event of a stream was forwarded.
 	firstAt time.Duration
-	// lastAt is when the last events were passed on, longestGap the longest pause before any.
+	// lastAt is when the last events were forwarded; longestGap is the longest time between two forwards.
 	lastAt, longestGap time.Duration
 }
 
-// recordPrefill notes which engine was asked to read the prompt at a rank, and what it had to do.
+// recordPrefill records the engine to which the prefill is sent, and the work that is queued there up to the given rank.
 func (t *requestTrace) recordPrefill(chosen *selection, now time.Duration, rank int) {
 	t.prefillEngine, t.prefillAt = chosen.backEnd.ID, now
 	t.tokensToPrefill, t.tokensAhead, t.tokensAheadAll = chosen.PrefillTokens, chosen.queuedWork.TokensUpTo(rank), chosen.queuedWork.PromptTokens()
 }
 
-// recordEvents notes that events were recordEvents on.
+// recordEvents records that events were forwarded.
 func (t *requestTrace) recordEvents(now time.Duration) {
 	if t.firstAt == 0 {
 		t.firstAt = now
@@ -40,7 +40,7 @@
 	t.lastAt = now
 }
 
-// isLate reports whether a served request was later than its route's targets.
+// isLate reports whether a served request missed its route's targets.
 func (t *requestTrace) isLate(request *request, ended time.Duration) bool {
 	firstAt := t.firstAt
 	if request.route.Kind != serving.KindStream {
--- a/internal/relay/serve_connection.go
+++ b/internal/relay/serve_connection.go
@@ -16,10 +16,10 @@
 // connections are the open connections of clients.
 type connections struct {
 	mutex sync.Mutex
-	// isServing tells for each whether a request is being served on it; requests which, once it is read.
+	// isServing says for each connection whether it is serving a request; requests holds the request once it was read.
 	isServing map[*clientConnection]bool
 	requests  map[*clientConnection]*request
-	// tracked are the same connections, to end those that rest.
+	// tracked holds the same connections, so that idle ones can be closed when the relay stops.
 	tracked *closing.Set
 }
 
@@ -30,14 +30,14 @@
 	delete(c.requests, connection)
 }
 
-// setRequest notes which request is being served on a connection.
+// setRequest sets the request that a connection is serving.
 func (c *connections) setRequest(connection *clientConnection, request *request) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.requests[connection] = request
 }
 
-// activeRequests are the requests that are being activeRequests.
+// activeRequests returns the requests that are being served.
 func (c *connections) activeRequests() []*request {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -51,7 +51,7 @@
 	delete(c.requests, connection)
 }
 
-// servingCount counts the connections on which a request is being served.
+// servingCount returns the number of connections that are serving a request.
 func (c *connections) servingCount() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -84,7 +84,7 @@
 	}
 }
 
-// serveNext reads and serves one request; it reports whether the connection goes on.
+// serveNext reads and serves one request; it reports whether the connection can be used further.
 func (r *Relay) serveNext(connection *clientConnection) bool {
 	request, err := r.readRequest(connection)
 	reply := &replier{connection: connection, names: r.dialect.Headers}
@@ -112,13 +112,13 @@
 }
 
 const (
-	// maxAnswerDuration bounds the time in which an answer can be written to a client.
+	// maxAnswerDuration bounds the time from a request's arrival to the end of its answer.
 	maxAnswerDuration = 2 * time.Minute
-	// retryAfterStop sends a client to another relay at once.
+	// retryAfterStop is short because the client can reach another relay at once.
 	retryAfterStop = 10 * time.Millisecond
 )
 
-// isTimeout reports whether a read or write failed for its deadline.
+// isTimeout reports whether a read or write failed because its deadline had passed.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// finalUsageWait is how long a stopping relay waits until what it has counted is told.
+	// finalUsageWait is how long a stopping relay waits for its last counts to be reported.
 	finalUsageWait         = 300 * time.Millisecond
 	finalUsagePollInterval = 10 * time.Millisecond
 )
 
-// recordRun counts a request of a tenant that began to run at a moment, once however many back ends run
-// it.
+// recordRun counts a tenant's request that began to run at the given moment. A request is counted once, however many back
+// ends run it.
 func (r *Relay) recordRun(request *request, moment time.Duration) {
 	if request.tenant == nil || request.isUsageCounted {
 		return
@@ -26,7 +26,7 @@
 	r.usage.CountRequest(moment, request.tenant.Name)
 }
 
-// usageReporter tells the leader what tenants use.
+// usageReporter returns the reporter that sends tenants' usage to the leader.
 func (r *Relay) usageReporter() *usagereport.Reporter {
 	return &usagereport.Reporter{
 		Meter: r.usage, Send: r.reportUsage, OnFailure: r.metrics.usageResends.Inc,
@@ -34,15 +34,14 @@
 	}
 }
 
-// awaitUsageReported lets a stopping relay tell what it has counted.
+// awaitUsageReported waits until all counts are reported, for finalUsageWait at most.
 func (r *Relay) awaitUsageReported() {
 	for limit := r.clock.now() + finalUsageWait; r.usage.UnreportedCount() > 0 && r.clock.now() < limit; {
 		time.Sleep(finalUsagePollInterval)
 	}
 }
 
-// reportUsage sends a report to the controller that led last, as far as is known here. One that does not
-// lead passes it on.
+// reportUsage sends a report to the last known leader. A controller that is not the leader forwards it.
 func (r *Relay) reportUsage(ctx context.Context, report *v1.UsageReport) error {
 	_, err := r.watcher.LeaderClient().ReportUsage(ctx, connect.NewRequest(&v1.ReportUsageRequest{Report: report}))
 	return err
--- a/internal/relay/view.go
+++ b/internal/relay/view.go
@@ -6,25 +6,24 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// view is what the relay believes: the configuration in force and the back ends. It is
-// replaced as a whole and never changed.
+// view is the configuration and the back ends as this relay knows them. It is immutable and replaced as a whole.
 type view struct {
 	// table is nil before the first configuration.
 	table *serving.Table
-	// configuredAt and listedAt are when the configuration and the list were put in force.
+	// configuredAt and listedAt are when the configuration and the list were applied.
 	configuredAt, listedAt time.Duration
-	// listingVersion is the controllers' version of the list; 0 for one read here.
+	// listingVersion is the controllers' version of the list; 0 for a list that this relay has read from the platform.
 	listingVersion uint64
-	// isListed tells that a list has been read at all.
+	// isListed reports whether any list has been applied.
 	isListed bool
-	// byService holds the back ends of each service, by identity.
+	// byService maps services' names to their back ends, which are ordered by identity.
 	byService map[string][]*backEnd
-	// byHash holds the back ends by the hash that relays name replicas with, byStart by that of their starts.
+	// byHash maps the hashes of replicas in messages between relays to back ends; byIncarnation does so for incarnations.
 	byHash        map[uint64]*backEnd
 	byIncarnation map[uint64]*backEnd
 }
 
-// engine returns what the configuration tells of a service's engines; nil for nothing.
+// engine returns the configuration of a service's engines; nil for none.
 func (v *view) engine(service string) *serving.Engine {
 	if v.table == nil {
 		return nil
