--- a/internal/relay/back_end_limits_test.go
+++ b/internal/relay/back_end_limits_test.go
@@ -13,36 +13,35 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// small is a limit that permits nothing while a test runs: a relay that has just begun to keep a count grants its first
-// permit after sixteen seconds.
-var small = backpressure.Limit{IsSet: true, PerSecond: 0.001}
+// tinyLimit grants no permit during a test: a new owner of such a limit grants its first permit after sixteen seconds.
+var tinyLimit = backpressure.Limit{IsSet: true, PerSecond: 0.001}
 
-const namingSmall = "T-Limit: 0.001"
+const tinyLimitHeader = "T-Limit: 0.001"
 
-// limit makes a back end known as one that names a limit.
-func (r *testRelay) limit(id string, limit backpressure.Limit) *backEnd {
+// setLimit records a limit as if the back end had declared it.
+func (r *testRelay) setLimit(id string, limit backpressure.Limit) *backEnd {
 	engine := r.engineOf(id)
 	r.recordLimit(engine, limit, r.clock.now())
 	return engine
 }
 
-// What a back end names holds from its next request on, whatever its answer was else. A value that cannot be read, one
-// beyond what any back end serves and one of another back end at its address change nothing.
+// A declared limit applies from the next request on, whatever the answer was otherwise. A malformed value, a value beyond
+// what any back end can serve, and the value of another back end at the address change nothing.
 func TestBackEndsThatNameALimitAreSentNoMore(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer script
 		holds  bool
 	}{
-		"serves":             {answering(200, "served", namingSmall), true},
-		"fails":              {answering(500, "failed", namingSmall), true},
-		"turns it away":      {answering(503, "", "T-Not-Run: 1", namingSmall), true},
-		"zero":               {answering(200, "served", "T-Limit: 0"), true},
-		"the smaller of two": {answering(200, "served", "T-Limit: 9000", namingSmall), true},
-		"unreadable":         {answering(200, "served", "T-Limit: many"), false},
-		"negative":           {answering(200, "served", "T-Limit: -1"), false},
-		"empty":              {answering(200, "served", "T-Limit:"), false},
-		"huge":               {answering(200, "served", "T-Limit: 1e300"), false},
-		"another's address":  {answering(421, "", "T-Not-Run: 1", namingSmall), false},
+		"serves":              {answering(200, "served", tinyLimitHeader), true},
+		"fails":               {answering(500, "failed", tinyLimitHeader), true},
+		"refuses the request": {answering(503, "", "T-Not-Run: 1", tinyLimitHeader), true},
+		"zero":                {answering(200, "served", "T-Limit: 0"), true},
+		"the smaller of two":  {answering(200, "served", "T-Limit: 9000", tinyLimitHeader), true},
+		"unreadable":          {answering(200, "served", "T-Limit: many"), false},
+		"negative":            {answering(200, "served", "T-Limit: -1"), false},
+		"empty":               {answering(200, "served", "T-Limit:"), false},
+		"huge":                {answering(200, "served", "T-Limit: 1e300"), false},
+		"another's address":   {answering(421, "", "T-Not-Run: 1", tinyLimitHeader), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			names := startBackEnd(t, "names", serving.StageWhole, test.answer)
@@ -54,34 +53,34 @@
 				if test.holds {
 					require.Equal(t, 503, answer.status)
 					require.Empty(t, answer.head.Peek("T-Seal"))
-					require.Positive(t, backpressure.ParseRetryAfter(answer.head.Peek("Retry-After")), "when to come back")
+					require.Positive(t, backpressure.ParseRetryAfter(answer.head.Peek("Retry-After")), "no time for a retry")
 				}
 			}
 			if test.holds {
-				require.Len(t, names.seen(), 1)
+				require.Len(t, names.receivedRequests(), 1)
 			} else {
-				require.Len(t, names.seen(), 4)
+				require.Len(t, names.receivedRequests(), 4)
 			}
 		})
 	}
 }
 
-// An unreadable value neither lifts a limit nor replaces it.
-func TestAnUnreadableLimitLiftsNone(t *testing.T) {
+// A malformed value neither lifts a limit nor replaces it.
+func TestMalformedLimitDoesNotLiftALimit(t *testing.T) {
 	names := startBackEnd(t, "names", serving.StageWhole, answering(200, "served", "T-Limit: many"))
 	relay := newTestRelay(t, route(nil), names)
-	engine := relay.limit("names", backpressure.Limit{IsSet: true, PerSecond: 10_000})
+	engine := relay.setLimit("names", backpressure.Limit{IsSet: true, PerSecond: 10_000})
 	require.Eventually(t, func() bool { return relay.client(t).do("POST", "/path/", "x").status == 200 }, time.Minute, time.Millisecond)
 	require.True(t, engine.hasLimit())
 }
 
-// A success that names no limit lifts it, a failure does not: a limit is used to find out, and then the back end is used
-// as before.
+// A success without a limit lifts the limit, a failure does not. Requests within the limit find that out, and the back end is
+// then used as before.
 func TestASuccessWithoutALimitLiftsIt(t *testing.T) {
 	generous := backpressure.Limit{IsSet: true, PerSecond: 10_000}
 	serves := startBackEnd(t, "serves", serving.StageWhole, answering(200, "served"))
 	relay := newTestRelay(t, route(nil), serves)
-	engine := relay.limit("serves", generous)
+	engine := relay.setLimit("serves", generous)
 	require.Eventually(t, func() bool { return relay.client(t).do("POST", "/path/", "x").status == 200 }, time.Minute, time.Millisecond)
 	require.False(t, engine.hasLimit())
 	for range 20 {
@@ -90,98 +89,97 @@
 
 	fails := startBackEnd(t, "fails", serving.StageWhole, answering(500, "failed"))
 	relay = newTestRelay(t, route(nil), fails)
-	engine = relay.limit("fails", generous)
+	engine = relay.setLimit("fails", generous)
 	require.Eventually(t, func() bool { return relay.client(t).do("POST", "/path/", "x").status == 500 }, time.Minute, time.Millisecond)
 	require.True(t, engine.hasLimit())
 }
 
-// Readings of prompts, the release of prompts that were read, moves of runs and readings of what is cached need permits
-// as requests do.
+// Prefills, releases of prefills, migrations of runs and reads of caches need permits as requests do.
 func TestCallsToEnginesNeedPermits(t *testing.T) {
 	t.Run("reading", func(t *testing.T) {
 		names := startBackEnd(t, "names", serving.StagePrefill, answering(200, "handle"))
 		decoder := startBackEnd(t, "decoder", serving.StageDecode, streaming("decoder", eventOne))
 		relay := newTestRelay(t, route(stream(false)), names, decoder)
-		relay.limit("names", small)
+		relay.setLimit("names", tinyLimit)
 		for range 3 {
 			require.Equal(t, eventOne, relay.client(t).do("POST", "/path/", "x", longPrompt...).body)
 		}
-		require.Empty(t, names.seen())
+		require.Empty(t, names.receivedRequests())
 	})
 	t.Run("release", func(t *testing.T) {
 		reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 		relay := newTestRelay(t, route(stream(false)), reader)
-		relay.exchanger.release(&remotePrefill{engine: relay.limit("reader", small), handle: "handle"}, "/handle/handle")
-		require.Empty(t, reader.seen())
+		relay.exchanger.release(&remotePrefill{engine: relay.setLimit("reader", tinyLimit), handle: "handle"}, "/handle/handle")
+		require.Empty(t, reader.receivedRequests())
 	})
 	t.Run("move", func(t *testing.T) {
 		engine := startBackEnd(t, "engine", serving.StageDecode, answering(200, "handle"))
 		relay := newTestRelay(t, route(stream(false)), engine)
-		copied, _ := relay.exchanger.copyRun(relay.limit("engine", small), relay.dialect, "request", "10.0.0.1:80", false)
+		copied, _ := relay.exchanger.copyRun(relay.setLimit("engine", tinyLimit), relay.dialect, "request", "10.0.0.1:80", false)
 		require.False(t, copied)
-		require.Empty(t, engine.seen())
+		require.Empty(t, engine.receivedRequests())
 	})
-	t.Run("what is cached", func(t *testing.T) {
+	t.Run("read of the cache", func(t *testing.T) {
 		engine := startBackEnd(t, "engine", serving.StagePrefill, answering(200, "handle"))
 		relay := newTestRelay(t, route(stream(false)), engine)
-		relay.limit("engine", small)
+		relay.setLimit("engine", tinyLimit)
 		reader := &cacheReader{relay: relay.Relay, readAt: map[*prefixCache]time.Duration{}}
 		reader.read = func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReport, error) {
-			t.Error("it was asked")
+			t.Error("the engine was called")
 			return serving.CacheReport{}, nil
 		}
 		reader.readNewlyOwned(t.Context())
 	})
-	t.Run("picked before it was named", func(t *testing.T) {
+	t.Run("selected before the limit was declared", func(t *testing.T) {
 		engine := startBackEnd(t, "engine", serving.StageWhole, answering(200, "ok"))
 		relay := newTestRelay(t, route(nil), engine)
 		_, fault := relay.exchanger.connect(&message{
-			request: &request{}, backEnd: relay.limit("engine", small), deadline: relay.clock.now() + time.Minute,
+			request: &request{}, backEnd: relay.setLimit("engine", tinyLimit), deadline: relay.clock.now() + time.Minute,
 		})
 		require.ErrorIs(t, fault, errLimitReached)
 		require.False(t, fault.mayHaveArrived)
 	})
-	t.Run("a word of a call's own", func(t *testing.T) {
+	t.Run("an answer to an internal call", func(t *testing.T) {
 		engine := startBackEnd(t, "engine", serving.StagePrefill, answering(200, "handle"))
 		relay := newTestRelay(t, route(stream(false)), engine)
-		relay.applySignals(relay.engineOf("engine"), backpressure.Directives{Limit: small}, internalCallSentAt)
+		relay.applySignals(relay.engineOf("engine"), backpressure.Directives{Limit: tinyLimit}, internalCallSentAt)
 		require.True(t, relay.engineOf("engine").hasLimit())
 		relay.applySignals(relay.engineOf("engine"), backpressure.Directives{Unlimited: true}, internalCallSentAt)
-		require.True(t, relay.engineOf("engine").hasLimit(), "an answer to a call says nothing by its silence")
+		require.True(t, relay.engineOf("engine").hasLimit(), "the absence of a limit in such an answer has no meaning")
 	})
 }
 
-// Where no engine that generates has room, nothing is read in vain: the request is refused at once.
+// When no decoding engine grants a permit, the request is refused at once, without a wasted prefill.
 func TestNoPromptIsReadForARunWithoutAPermit(t *testing.T) {
 	reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 	decoder := startBackEnd(t, "decoder", serving.StageDecode, streaming("decoder", eventOne))
 	relay := newTestRelay(t, route(stream(false)), reader, decoder)
-	relay.limit("decoder", small)
+	relay.setLimit("decoder", tinyLimit)
 	answer := relay.client(t).do("POST", "/path/", "x", longPrompt...)
 	require.Equal(t, 503, answer.status)
 	require.Positive(t, backpressure.ParseRetryAfter(answer.head.Peek("Retry-After")))
-	require.Empty(t, reader.seen())
-	require.Empty(t, decoder.seen())
+	require.Empty(t, reader.receivedRequests())
+	require.Empty(t, decoder.receivedRequests())
 }
 
-// Where there is room, the permit that is taken before the prompt is read serves the run.
-func TestAPermitIsTakenBeforeThePromptIsRead(t *testing.T) {
+// The permit that was acquired before the prefill is used for the run.
+func TestPermitIsAcquiredBeforeThePrefill(t *testing.T) {
 	reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 	decoder := startBackEnd(t, "decoder", serving.StageDecode, streaming("decoder", eventOne))
 	relay := newTestRelay(t, route(stream(false)), reader, decoder)
-	relay.limit("decoder", backpressure.Limit{IsSet: true, PerSecond: 10_000})
+	relay.setLimit("decoder", backpressure.Limit{IsSet: true, PerSecond: 10_000})
 	require.Eventually(t, func() bool {
 		return relay.client(t).do("POST", "/path/", "x", longPrompt...).body == eventOne
 	}, time.Minute, time.Millisecond)
-	require.Len(t, reader.seen(), 1)
-	require.Len(t, decoder.seen(), 1)
+	require.Len(t, reader.receivedRequests(), 1)
+	require.Len(t, decoder.receivedRequests(), 1)
 }
 
-// The next start of a back end has named no limit, and what the leader tells does not undo what was heard here.
+// The next incarnation of a back end starts without a limit.
 func TestALimitIsOfOneStart(t *testing.T) {
 	names := startBackEnd(t, "names", serving.StageWhole, answering(200, "served"))
 	relay := newTestRelay(t, route(nil), names)
-	relay.limit("names", small)
+	relay.setLimit("names", tinyLimit)
 	again := names.entry
 	again.ID, again.Replica, again.StartedAtMs = "names/2", "names", 2
 	next := *relay.view.Load()
@@ -190,13 +188,14 @@
 	require.False(t, next.byService["service"][0].hasLimit())
 }
 
-func TestTheLeadersWordIsTheLeast(t *testing.T) {
+// The leader's limit applies only to a relay without a more recent limit from the back end or from another relay.
+func TestLeadersLimitDoesNotOverrideRecentLimits(t *testing.T) {
 	names := startBackEnd(t, "names", serving.StageWhole, answering(200, "served"))
 	relay := newTestRelay(t, route(nil), names)
 	engine := relay.engineOf("names")
-	relay.applyLeaderLimit(fleetlimit.BackEndLimit{BackEnd: engine.hash, Limit: small})
-	require.True(t, engine.hasLimit(), "a relay that knows nothing takes it")
+	relay.applyLeaderLimit(fleetlimit.BackEndLimit{BackEnd: engine.hash, Limit: tinyLimit})
+	require.True(t, engine.hasLimit(), "a relay without a known limit applies it")
 	relay.applyPeerLimit(fleetlimit.BackEndLimit{BackEnd: engine.hash})
-	relay.applyLeaderLimit(fleetlimit.BackEndLimit{BackEnd: engine.hash, Limit: small})
-	require.False(t, engine.hasLimit(), "one that has heard of its end does not")
+	relay.applyLeaderLimit(fleetlimit.BackEndLimit{BackEnd: engine.hash, Limit: tinyLimit})
+	require.False(t, engine.hasLimit(), "a relay that knows that the limit was lifted does not")
 }
--- a/internal/relay/back_end_signals_test.go
+++ b/internal/relay/back_end_signals_test.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	askingForRest = "Retry-After: 3600"
-	sayingLeaving = "T-Leaving: 1"
+	backoffHeader = "Retry-After: 3600"
+	leavingHeader = "T-Leaving: 1"
 )
 
-// A back end that rests or says that it leaves gets nothing more, whatever its answer was else. Requests go to another
-// one, or are refused as not run where none is left, with when the rest ends.
+// A back end that asks for a backoff or is leaving is sent nothing more, whatever its answer was otherwise. Requests go to
+// another back end; when none is left they are refused as not run, with the time at which the backoff ends.
 func TestBackEndsThatAskForItAreLeftAlone(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer script
 		alone  bool
 	}{
-		"rests":                           {answering(503, "", "T-Not-Run: 1", askingForRest), true},
-		"rests, may have run it":          {answering(503, "", askingForRest), true},
-		"asks with a status that is none": {answering(429, "", "T-Not-Run: 1", askingForRest), false},
-		"leaves, serves":                  {answering(200, "served", sayingLeaving), true},
-		"leaves, fails":                   {answering(500, "failed", sayingLeaving), true},
-		"leaves, turns it away":           {answering(503, "", "T-Not-Run: 1", sayingLeaving), true},
-		"another's address":               {answering(421, "", "T-Not-Run: 1", askingForRest, sayingLeaving), false},
+		"rests":                           {answering(503, "", "T-Not-Run: 1", backoffHeader), true},
+		"backoff, may have run":           {answering(503, "", backoffHeader), true},
+		"Retry-After with another status": {answering(429, "", "T-Not-Run: 1", backoffHeader), false},
+		"leaving, serves":                 {answering(200, "served", leavingHeader), true},
+		"leaving, fails":                  {answering(500, "failed", leavingHeader), true},
+		"leaving, refuses":                {answering(503, "", "T-Not-Run: 1", leavingHeader), true},
+		"another's address":               {answering(421, "", "T-Not-Run: 1", backoffHeader, leavingHeader), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			asks := startBackEnd(t, "asks", serving.StageWhole, test.answer)
@@ -46,17 +46,17 @@
 				}
 			}
 			if test.alone {
-				require.Len(t, asks.seen(), 1)
+				require.Len(t, asks.receivedRequests(), 1)
 			} else {
-				require.Len(t, asks.seen(), 4)
+				require.Len(t, asks.receivedRequests(), 4)
 			}
 		})
 	}
 }
 
-// When all back ends rest, callers are told when the first of them can be asked again.
+// When all back ends are in backoff, callers are told when the first backoff ends.
 func TestCallersAreToldWhenARestEnds(t *testing.T) {
-	long := startBackEnd(t, "long", serving.StageWhole, answering(503, "", "T-Not-Run: 1", askingForRest))
+	long := startBackEnd(t, "long", serving.StageWhole, answering(503, "", "T-Not-Run: 1", backoffHeader))
 	short := startBackEnd(t, "short", serving.StageWhole, answering(503, "", "T-Not-Run: 1", "Retry-After: 600"))
 	relay := newTestRelay(t, route(nil), long, short)
 	answer := relay.client(t).do("POST", "/path/", "x")
@@ -64,12 +64,12 @@
 	comeBack := backpressure.ParseRetryAfter(answer.head.Peek("Retry-After"))
 	require.Greater(t, comeBack, 500*time.Second)
 	require.LessOrEqual(t, comeBack, 600*time.Second+minRetrySpread)
-	require.Len(t, long.seen(), 1)
-	require.Len(t, short.seen(), 1)
+	require.Len(t, long.receivedRequests(), 1)
+	require.Len(t, short.receivedRequests(), 1)
 }
 
-// Where all engines that generate rest, callers are told when the first of them can be asked again, though engines that
-// read prompts do not rest.
+// When all decoding engines are in backoff, callers are told when the first backoff ends, even though prefill engines are
+// available.
 func TestCallersOfStreamsAreToldWhenARestEnds(t *testing.T) {
 	reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 	rests := startBackEnd(t, "rests", serving.StageDecode, streaming("rests", eventOne))
@@ -80,13 +80,13 @@
 	comeBack := backpressure.ParseRetryAfter(answer.head.Peek("Retry-After"))
 	require.Greater(t, comeBack, 500*time.Second)
 	require.LessOrEqual(t, comeBack, 600*time.Second+minRetrySpread)
-	require.Empty(t, rests.seen())
+	require.Empty(t, rests.receivedRequests())
 }
 
-// What a back end asked for holds though its entry changes, and though the list does not show it for a while; its next
-// start has asked for nothing.
+// The signals of a back end stay valid when its entry changes and when the list omits it for a while. Its next incarnation
+// starts without signals.
 func TestSignalsHoldForAStart(t *testing.T) {
-	asks := startBackEnd(t, "asks", serving.StageWhole, answering(503, "", "T-Not-Run: 1", askingForRest, sayingLeaving))
+	asks := startBackEnd(t, "asks", serving.StageWhole, answering(503, "", "T-Not-Run: 1", backoffHeader, leavingHeader))
 	relay := newTestRelay(t, route(nil), asks)
 	relay.client(t).do("POST", "/path/", "x")
 	list := func(entries ...serving.BackEnd) *backEnd {
@@ -110,35 +110,34 @@
 	require.False(t, list(again).inBackoff(relay.clock.now()))
 }
 
-// Readings of prompts, the release of prompts that were read, moves of runs and readings of what is cached heed a rest as
-// requests do.
+// Prefills, releases of prefills, migrations of runs and reads of caches respect a backoff as requests do.
 func TestCallsToEnginesHeedARest(t *testing.T) {
 	t.Run("reading", func(t *testing.T) {
-		rests := startBackEnd(t, "rests", serving.StagePrefill, answering(503, "", "T-Not-Run: 1", askingForRest))
+		rests := startBackEnd(t, "rests", serving.StagePrefill, answering(503, "", "T-Not-Run: 1", backoffHeader))
 		decoder := startBackEnd(t, "decoder", serving.StageDecode, streaming("decoder", eventOne))
 		relay := newTestRelay(t, route(stream(false)), rests, decoder)
 		for range 3 {
 			require.Equal(t, eventOne, relay.client(t).do("POST", "/path/", "x", longPrompt...).body)
 		}
-		require.Len(t, rests.seen(), 1)
+		require.Len(t, rests.receivedRequests(), 1)
 	})
 	t.Run("release", func(t *testing.T) {
 		reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 		relay := newTestRelay(t, route(stream(false)), reader)
 		relay.engineOf("reader").signals.ExtendBackoff(relay.clock.now(), time.Hour)
 		relay.exchanger.release(&remotePrefill{engine: relay.engineOf("reader"), handle: "handle"}, "/handle/handle")
-		require.Empty(t, reader.seen())
+		require.Empty(t, reader.receivedRequests())
 	})
 	t.Run("move", func(t *testing.T) {
-		engine := startBackEnd(t, "engine", serving.StageDecode, answering(503, "", askingForRest))
+		engine := startBackEnd(t, "engine", serving.StageDecode, answering(503, "", backoffHeader))
 		relay := newTestRelay(t, route(stream(false)), engine)
 		for range 3 {
 			copied, _ := relay.exchanger.copyRun(relay.engineOf("engine"), relay.dialect, "request", "10.0.0.1:80", false)
 			require.False(t, copied)
 		}
-		require.Len(t, engine.seen(), 1)
+		require.Len(t, engine.receivedRequests(), 1)
 	})
-	t.Run("what is cached", func(t *testing.T) {
+	t.Run("read of the cache", func(t *testing.T) {
 		engine := startBackEnd(t, "engine", serving.StagePrefill, answering(200, "handle"))
 		relay := newTestRelay(t, route(stream(false)), engine)
 		asked := 0
@@ -154,7 +153,7 @@
 		}
 		require.Equal(t, 1, asked)
 	})
-	t.Run("picked before it asked", func(t *testing.T) {
+	t.Run("selected before the backoff", func(t *testing.T) {
 		engine := startBackEnd(t, "engine", serving.StageWhole, answering(200, "ok"))
 		relay := newTestRelay(t, route(nil), engine)
 		relay.engineOf("engine").signals.ExtendBackoff(relay.clock.now(), time.Hour)
@@ -166,8 +165,7 @@
 	})
 }
 
-// A rest is between one relay and a back end: an owner that was asked for it still gives the back end to relays that were
-// not.
+// A backoff applies to one relay: an owner in backoff from a back end still assigns it to relays that are not.
 func TestAnOwnersRestIsNotItsAskersRest(t *testing.T) {
 	rests := startBackEnd(t, "rests", serving.StageDecode, streaming("rests", eventOne))
 	relay := newTestRelay(t, route(stream(false)), rests)
@@ -178,6 +176,6 @@
 	require.NotNil(t, relay.owner.decide(asked, engines, &placement.QueryID{Relay: 7, Number: 1}).chosen)
 	asked.excluded = []uint64{engine.hash}
 	require.Nil(t, relay.owner.decide(asked, engines, &placement.QueryID{Relay: 7, Number: 2}).chosen)
-	require.Equal(t, 503, relay.client(t).do("POST", "/path/", "x").status, "its own request")
-	require.Empty(t, rests.seen())
+	require.Equal(t, 503, relay.client(t).do("POST", "/path/", "x").status, "the relay's own request")
+	require.Empty(t, rests.receivedRequests())
 }
--- a/internal/relay/cache_reader_test.go
+++ b/internal/relay/cache_reader_test.go
@@ -14,8 +14,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// settle lets everything that engines hold of a prompt have been read.
-func (r *testRelay) settle(parts []placement.PrefixBlock) {
+// markAllCached marks everything that engines have of a prompt as cached for any request.
+func (r *testRelay) markAllCached(parts []placement.PrefixBlock) {
 	now := r.clock.now()
 	for _, engine := range r.view.Load().byService["service"] {
 		held := engine.cache.lookup(parts, now).Total
@@ -26,42 +26,41 @@
 	}
 }
 
-// A relay that starts anew sends a prompt to the engine that has cached it, and has parts
-// that another engine holds taken from there.
+// A relay that has just started sends a prompt to the engine that has cached it, and lets other engines fetch cached blocks
+// from there.
 func TestRelayLearnsCachesAtItsStart(t *testing.T) {
 	cold := startBackEnd(t, "cold", serving.StagePrefill, answering(200, "handle"))
 	warm := startBackEnd(t, "warm", serving.StagePrefill, answering(200, "handle"))
 	decoder := startBackEnd(t, "decoder", serving.StageDecode, streaming("decoder", eventOne))
 	relay := newTestRelay(t, route(stream(false)), cold, warm, decoder)
-	var asked []string
+	var called []string
 	reader := &cacheReader{relay: relay.Relay, readAt: map[*prefixCache]time.Duration{}}
 	reader.read = func(_ context.Context, _ *http.Client, engine serving.BackEnd) (serving.CacheReport, error) {
-		asked = append(asked, engine.ID)
+		called = append(called, engine.ID)
 		if engine.ID != "warm" {
 			return serving.CacheReport{}, errors.New("does not answer")
 		}
 		return serving.CacheReport{Blocks: []serving.CachedBlock{{Model: "m", Block: serving.PrefixBlock{ID: "aa", Tokens: 6000}}}}, nil
 	}
 	reader.readNewlyOwned(t.Context())
-	require.ElementsMatch(t, []string{"cold", "warm", "decoder"}, asked)
+	require.ElementsMatch(t, []string{"cold", "warm", "decoder"}, called)
 	reader.readNewlyOwned(t.Context())
-	require.Len(t, asked, 3, "an engine is read once while it is owned")
+	require.Len(t, called, 3, "an engine is called once while it is owned")
 
 	require.Equal(t, eventOne, relay.client(t).do("POST", "/path/", "x", longPrompt...).body)
-	require.Len(t, warm.seen(), 1)
+	require.Len(t, warm.receivedRequests(), 1)
 
 	for _, backEnd := range relay.view.Load().byService["service"] {
 		if backEnd.ID == "warm" {
 			backEnd.addWork(placement.PrefillWork(200_000, 0).Plus(placement.Work{Prefills: 1}))
 		}
 	}
-	relay.settle(placement.PrefixBlocksOf(serving.ParsePrompt("m", "9000,50", "aa:6000,bb:3000")))
+	relay.markAllCached(placement.PrefixBlocksOf(serving.ParsePrompt("m", "9000,50", "aa:6000,bb:3000")))
 	require.Equal(t, eventOne, relay.client(t).do("POST", "/path/", "x", "T-Model: m", "T-Tokens: 9000,50", "T-Parts: aa:6000,cc:3000").body)
-	require.Equal(t, warm.entry.Address, string(cold.seen()[0].head.Peek("T-Fetch")))
+	require.Equal(t, warm.entry.Address, string(cold.receivedRequests()[0].head.Peek("T-Fetch")))
 }
 
-// Engines are listed before the first configuration is known. Their memory is the configured
-// one from then on.
+// Engines may be listed before the first configuration arrives. Their KV cache size is the configured one from then on.
 func TestConfigurationTellsTheMemoryOfListedEngines(t *testing.T) {
 	relay := newTestRelay(t, route(stream(true)), startBackEnd(t, "reader", serving.StagePrefill, refusing(503)))
 	next := &view{}
@@ -76,23 +75,23 @@
 	require.Equal(t, placement.PrefixCacheCapacity(serving.StagePrefill, 600_000), engine.cache.cache.Capacity())
 }
 
-// An engine that rests when it becomes this relay's is read once its rest is over: it was counted as read and stayed
-// unknown for as long as it was owned.
+// Guards against an engine that was in backoff when this relay became its owner: it counted as read, and its cache stayed
+// unknown for as long as the relay owned it. It must be read when the backoff ends.
 func TestAnEngineThatRestedIsReadLater(t *testing.T) {
 	engine := startBackEnd(t, "engine", serving.StagePrefill, answering(200, "handle"))
 	relay := newTestRelay(t, route(stream(false)), engine)
-	away := relay.suspendable()
+	suspension := relay.suspension()
 	relay.engineOf("engine").signals.ExtendBackoff(relay.clock.now(), time.Minute)
-	asked := 0
+	calls := 0
 	reader := &cacheReader{relay: relay.Relay, readAt: map[*prefixCache]time.Duration{}}
 	reader.read = func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReport, error) {
-		asked++
+		calls++
 		return serving.CacheReport{}, nil
 	}
 	reader.readNewlyOwned(t.Context())
-	require.Zero(t, asked)
-	away.Add(int64(time.Minute))
+	require.Zero(t, calls)
+	suspension.Add(int64(time.Minute))
 	reader.readNewlyOwned(t.Context())
 	reader.readNewlyOwned(t.Context())
-	require.Equal(t, 1, asked)
+	require.Equal(t, 1, calls)
 }
--- a/internal/relay/former_leader_test.go
+++ b/internal/relay/former_leader_test.go
@@ -11,14 +11,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/quarantine"
 )
 
-// A leader of the first format says nothing of what it does not know. That is no word that there is none of it: requests
-// stay held, usage is counted on, and the next leader is told what was wanted.
+// A leader of the first format omits what it does not know. An omission must not count as an empty value: requests stay
+// quarantined, usage is still counted, and the next leader is sent the last wanted counts.
 func TestWhatALeaderDoesNotKnowHoldsOn(t *testing.T) {
 	relay := newTestRelay(t, route(nil))
 	signature := quarantine.SignatureOf("", "", "", []byte("ending"))
-	own := formats.Supported().ToWire()
+	formatRange := formats.Supported().ToWire()
 	relay.fleet.ApplyUpdate(&v1.WatchResponse{
-		Formats: own, TellsHeld: true, HeldVersion: 7, Held: []*v1.HeldRequest{{Signature: signature[:]}},
+		Formats: formatRange, TellsHeld: true, HeldVersion: 7, Held: []*v1.HeldRequest{{Signature: signature[:]}},
 		TrueTimeMs: 1_790_000_000_000, UsageWindowMs: 1000, ListingVersion: 1, ListingCalls: 25,
 		Wanted:        []*v1.WantedBackEnds{{Service: "service", Count: 300}},
 		ListingChange: &v1.ListingChange{Changed: []*v1.ListedBackEnd{{Id: "i-1", Service: "service", Address: "10.0.0.1:1", Slots: 1}}},
@@ -35,11 +35,11 @@
 	require.Len(t, request.GetWanted(), 1)
 	require.Equal(t, uint64(2), request.GetListingVersion())
 
-	relay.fleet.ApplyUpdate(&v1.WatchResponse{Formats: own, TellsHeld: true, ListingVersion: 2})
-	require.False(t, relay.guard.IsQuarantined(signature), "a leader that knows says that none is held")
+	relay.fleet.ApplyUpdate(&v1.WatchResponse{Formats: formatRange, TellsHeld: true, ListingVersion: 2})
+	require.False(t, relay.guard.IsQuarantined(signature), "a leader of the current format reports that no request is quarantined")
 }
 
-// Counts of limits are kept by relays that know how.
+// Limits are owned only by relays whose format supports it.
 func TestRelaysOfTheFormerBuildKeepNoCounts(t *testing.T) {
 	relay := newTestRelay(t, route(nil))
 	others := []string{"127.0.0.1:1", "127.0.0.1:2", relay.datagrams.Address}
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -22,7 +22,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// testDialect has names of its own: what the relay does must not depend on any site's.
+// testDialect uses its own names, since the relay must not depend on the names of any site.
 func testDialect() Dialect {
 	return Dialect{
 		Headers: HeaderNames{
@@ -44,38 +44,37 @@
 	}
 }
 
-// parseTestPrefill reads "HANDLE" or "HANDLE BORN".
+// parseTestPrefill parses "HANDLE" or "HANDLE BORN".
 func parseTestPrefill(body []byte) (PrefillAnswer, error) {
-	handle, told, _ := strings.Cut(string(body), " ")
-	born, _ := strconv.ParseInt(told, 10, 64)
+	handle, bornText, _ := strings.Cut(string(body), " ")
+	born, _ := strconv.ParseInt(bornText, 10, 64)
 	return PrefillAnswer{Handle: handle, Born: born}, nil
 }
 
-// received is one request as a back end read it.
-type received struct {
+// backEndRequest is one request as a back end received it.
+type backEndRequest struct {
 	line   string
 	head   *fasthttp.RequestHeader
 	body   string
 	number int // of the request on its connection, from 1
 }
 
-// script answers requests of one back end on the raw connection. It returns false when the
-// connection is to be closed.
-type script func(connection net.Conn, request received) bool
+// script answers requests of one back end on the raw connection. It returns false when the connection must be closed.
+type script func(connection net.Conn, request backEndRequest) bool
 
-// scriptedBackEnd is a back end that answers as its script says.
+// scriptedBackEnd is a back end that answers according to a script.
 type scriptedBackEnd struct {
 	entry    serving.BackEnd
 	mutex    sync.Mutex
-	requests []received
+	requests []backEndRequest
 	// closed counts connections that the relay has closed.
 	closed int
 }
 
-func (b *scriptedBackEnd) seen() []received {
+func (b *scriptedBackEnd) receivedRequests() []backEndRequest {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return append([]received(nil), b.requests...)
+	return append([]backEndRequest(nil), b.requests...)
 }
 
 func startBackEnd(t *testing.T, id string, stage serving.Stage, answer script) *scriptedBackEnd {
@@ -83,7 +82,7 @@
 	return serveBackEnd(t, id, stage, func(net.Listener) script { return answer })
 }
 
-// serveBackEnd starts a back end whose script may stop its listening.
+// serveBackEnd starts a back end whose script has access to its listener.
 func serveBackEnd(t *testing.T, id string, stage serving.Stage, scriptOf func(net.Listener) script) *scriptedBackEnd {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -117,18 +116,18 @@
 			return
 		}
 		body := make([]byte, max(head.ContentLength(), 0))
-		request := received{line: string(head.Method()) + " " + string(head.RequestURI()), head: head, number: number}
+		request := backEndRequest{line: string(head.Method()) + " " + string(head.RequestURI()), head: head, number: number}
 		if string(head.Peek("T-Early")) == "" {
 			if _, err := io.ReadFull(reader, body); err != nil {
 				return
 			}
 		}
 		request.body = string(body)
-		kept := request
-		kept.head = &fasthttp.RequestHeader{} // reading a header changes it: the script has its own
-		head.CopyTo(kept.head)
+		recorded := request
+		recorded.head = &fasthttp.RequestHeader{} // reading a header modifies it, so the script gets its own copy
+		head.CopyTo(recorded.head)
 		b.mutex.Lock()
-		b.requests = append(b.requests, kept)
+		b.requests = append(b.requests, recorded)
 		b.mutex.Unlock()
 		if !answer(connection, request) {
 			return
@@ -136,8 +135,8 @@
 	}
 }
 
-// reply writes a whole answer with a seal.
-func reply(connection net.Conn, request received, status int, body string, headers ...string) {
+// writeAnswer writes a complete answer with a seal.
+func writeAnswer(connection net.Conn, request backEndRequest, status int, body string, headers ...string) {
 	head := fmt.Sprintf("HTTP/1.1 %d X\r\nT-Id: %s\r\nT-Seal: seal\r\nContent-Length: %d\r\n", status, request.head.Peek("T-Id"), len(body))
 	for _, header := range headers {
 		head += header + "\r\n"
@@ -145,33 +144,33 @@
 	_, _ = io.WriteString(connection, head+"\r\n"+body)
 }
 
-// answering is a script that always answers alike.
+// answering returns a script that always sends the same answer.
 func answering(status int, body string, headers ...string) script {
-	return func(connection net.Conn, request received) bool {
-		reply(connection, request, status, body, headers...)
+	return func(connection net.Conn, request backEndRequest) bool {
+		writeAnswer(connection, request, status, body, headers...)
 		return true
 	}
 }
 
-// refusing is a script that has not run the request.
+// refusing returns a script that answers that the request was not run.
 func refusing(status int) script {
 	return answering(status, "", "T-Not-Run: 1")
 }
 
-// writing is a script that writes raw bytes and closes the connection; ID stands for the
-// request's identity.
+// writing returns a script that writes raw bytes and closes the connection; ID in the bytes is replaced by the request's
+// identity.
 func writing(raw string) script {
-	return func(connection net.Conn, request received) bool {
+	return func(connection net.Conn, request backEndRequest) bool {
 		_, _ = io.WriteString(connection, strings.ReplaceAll(raw, "ID", string(request.head.Peek("T-Id"))))
 		return false
 	}
 }
 
-// resetting resets the connection after raw bytes.
+// resetting returns a script that writes raw bytes and resets the connection.
 func resetting(raw string) script {
-	return func(connection net.Conn, request received) bool {
+	return func(connection net.Conn, request backEndRequest) bool {
 		_, _ = io.WriteString(connection, strings.ReplaceAll(raw, "ID", string(request.head.Peek("T-Id"))))
-		time.Sleep(5 * time.Millisecond) // lets the bytes arrive before the reset drops them
+		time.Sleep(5 * time.Millisecond) // a reset would discard bytes that have not arrived yet
 		_ = connection.(*net.TCPConn).SetLinger(0)
 		return false
 	}
@@ -181,29 +180,29 @@
 type testRelay struct {
 	*Relay
 	address string
-	// away is for how long its machine was suspended, in nanoseconds.
-	away *atomic.Int64
+	// suspendedFor is how long its machine was suspended, in nanoseconds.
+	suspendedFor *atomic.Int64
 }
 
-// route returns a route for /path/ of host test.
+// route returns a route for /path/ on the host test.
 func route(change func(*serving.Route)) serving.Route {
-	made := serving.Route{
+	result := serving.Route{
 		Name: "route", Host: "test", Prefix: "/path/", Kind: serving.KindUnsafe, Timeout: 5 * time.Second,
 		Target: 500 * time.Millisecond, MaxAttempts: 2, Splits: []serving.Split{{Service: "service", Weight: 1}},
 	}
 	if change != nil {
-		change(&made)
+		change(&result)
 	}
-	return made
+	return result
 }
 
-func newTestRelay(t *testing.T, made serving.Route, backEnds ...*scriptedBackEnd) *testRelay {
+func newTestRelay(t *testing.T, config serving.Route, backEnds ...*scriptedBackEnd) *testRelay {
 	t.Helper()
-	return newKeyedRelay(t, made, nil, backEnds...)
+	return newKeyedRelay(t, config, nil, backEnds...)
 }
 
-// newKeyedRelay is a test relay whose callers are known by the tenants' keys, if there are any.
-func newKeyedRelay(t *testing.T, made serving.Route, tenants []serving.Tenant, backEnds ...*scriptedBackEnd) *testRelay {
+// newKeyedRelay starts a test relay. When tenants are given, callers are identified by their keys.
+func newKeyedRelay(t *testing.T, routeConfig serving.Route, tenants []serving.Tenant, backEnds ...*scriptedBackEnd) *testRelay {
 	t.Helper()
 	config := settings.Relay{
 		Name: "relay", Zone: "zone", Grace: time.Second,
@@ -213,8 +212,8 @@
 		Dialect: testDialect(), Log: logring.New("relay", settings.Log{RingEntries: 64}),
 		Dial: (&net.Dialer{}).DialContext,
 	})
-	away := &atomic.Int64{}
-	relay.clock.steady = bootclock.NewWithSuspension(0, func() time.Duration { return time.Duration(away.Load()) })
+	suspendedFor := &atomic.Int64{}
+	relay.clock.steady = bootclock.NewWithSuspension(0, func() time.Duration { return time.Duration(suspendedFor.Load()) })
 	relay.exchanger.clock = relay.clock
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -229,7 +228,7 @@
 			service.Engine = &serving.Engine{Slots: 8, CacheTokens: 100_000, Movable: true}
 		}
 	}
-	configuration := serving.Configuration{Number: 1, Routes: []serving.Route{made}, Services: []serving.Service{service}, RequireKeys: len(tenants) > 0, Tenants: tenants}
+	configuration := serving.Configuration{Number: 1, Routes: []serving.Route{routeConfig}, Services: []serving.Service{service}, RequireKeys: len(tenants) > 0, Tenants: tenants}
 	require.NoError(t, configuration.Check())
 	next := &view{table: serving.NewTable(&configuration), byService: map[string][]*backEnd{}}
 	entries := make([]serving.BackEnd, 0, len(backEnds))
@@ -243,16 +242,16 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { _ = relay.accept(ctx, listener) }()
 	t.Cleanup(func() { cancel(); _ = listener.Close(); _ = socket.Close() })
-	return &testRelay{Relay: relay, address: listener.Addr().String(), away: away}
+	return &testRelay{Relay: relay, address: listener.Addr().String(), suspendedFor: suspendedFor}
 }
 
-// clientAnswer is an answer as a client read it.
+// clientAnswer is an answer as a client received it.
 type clientAnswer struct {
 	status int
 	head   *fasthttp.ResponseHeader
 	body   string
-	// whole tells that the body came to its declared end.
-	whole bool
+	// isComplete reports whether the body was received up to its declared end.
+	isComplete bool
 }
 
 // testClient is one connection of a client.
@@ -271,7 +270,7 @@
 	return &testClient{t: t, connection: connection, reader: bufio.NewReader(connection)}
 }
 
-// send sends a request with further header lines and a body.
+// send sends a request with additional header lines and a body.
 func (c *testClient) send(method, target, body string, headers ...string) {
 	c.t.Helper()
 	c.sent++
@@ -286,14 +285,14 @@
 	require.NoError(c.t, err)
 }
 
-// read reads an answer to its end.
+// read reads a complete answer.
 func (c *testClient) read() clientAnswer {
 	c.t.Helper()
 	head := &fasthttp.ResponseHeader{}
 	require.NoError(c.t, head.Read(c.reader))
 	framed := newFramedBody(head, "", c.reader)
 	body, err := io.ReadAll(framed)
-	return clientAnswer{status: head.StatusCode(), head: head, body: string(body), whole: err == nil && framed.isComplete}
+	return clientAnswer{status: head.StatusCode(), head: head, body: string(body), isComplete: err == nil && framed.isComplete}
 }
 
 func (c *testClient) do(method, target, body string, headers ...string) clientAnswer {
@@ -302,7 +301,7 @@
 	return c.read()
 }
 
-// readHead reads and checks a head as the relay does; nil for one that it refuses.
+// readHead parses and checks a head as the relay does; it returns nil for a head that the relay refuses.
 func readHead(relay *Relay, text string) *fasthttp.RequestHeader {
 	head := &fasthttp.RequestHeader{}
 	if head.Read(bufio.NewReader(strings.NewReader(text))) != nil || relay.checkHead(head) != nil {
--- a/internal/relay/held_document_test.go
+++ b/internal/relay/held_document_test.go
@@ -12,9 +12,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// A patch makes the next document of the one held; one that does not fit has the whole asked for, and
-// the configuration in force stays meanwhile.
-func TestDocumentsAreMadeByPatches(t *testing.T) {
+// A patch is applied to the held document. After a patch that does not apply, the complete document is requested, and the
+// current configuration stays in effect meanwhile.
+func TestPatchesAreAppliedToTheHeldDocument(t *testing.T) {
 	relay := newTestRelay(t, route(nil))
 	relay.dialect.ParseConfiguration = func(content []byte) (serving.Configuration, error) {
 		return serving.Configuration{Number: uint64(content[0]), Services: []serving.Service{{Name: "service"}}}, nil
@@ -31,15 +31,15 @@
 
 	knowledge.ApplyUpdate(&v1.WatchResponse{DocumentPatch: []byte("garbled"), PatchedNumber: 4})
 	require.Equal(t, uint64(3), relay.view.Load().table.Configuration.Number)
-	require.Zero(t, knowledge.WatchRequest(time.Second).GetDocumentNumber(), "the whole is asked for")
+	require.Zero(t, knowledge.WatchRequest(time.Second).GetDocumentNumber(), "the complete document is requested")
 	knowledge.ApplyUpdate(&v1.WatchResponse{PackedDocument: packed.Pack(&v1.Document{Number: 3, Content: []byte{3, 'b'}})})
-	require.Equal(t, uint64(3), knowledge.WatchRequest(time.Second).GetDocumentNumber(), "and held, though it is in force already")
+	require.Equal(t, uint64(3), knowledge.WatchRequest(time.Second).GetDocumentNumber(), "it is held, although it is applied already")
 	knowledge.ApplyUpdate(&v1.WatchResponse{PackedDocument: packed.Pack(&v1.Document{Number: 4, Content: []byte{4}})})
 	require.Equal(t, uint64(4), relay.view.Load().table.Configuration.Number)
 }
 
-// The number that the leader is told is that of the configuration in force: one that this build cannot put in force is
-// not held, and what has changed since the one in force is still understood.
+// The document number that is sent to the leader is that of the current configuration. A document that this build cannot
+// apply is not held, so later patches still apply to the current one.
 func TestADocumentThatCannotBePutInForceIsNotHeld(t *testing.T) {
 	relay := newTestRelay(t, route(nil))
 	relay.dialect.ParseConfiguration = func(content []byte) (serving.Configuration, error) {
@@ -49,11 +49,11 @@
 		return serving.Configuration{Number: uint64(content[0]), Services: []serving.Service{{Name: "service"}}}, nil
 	}
 	knowledge := relay.fleet
-	tell := func(number byte, content byte) bool {
+	apply := func(number byte, content byte) bool {
 		return knowledge.ApplyUpdate(&v1.WatchResponse{PackedDocument: packed.Pack(&v1.Document{Number: uint64(number), Content: []byte{number, content}})})
 	}
-	require.True(t, tell(2, 'a'))
-	require.False(t, tell(3, '?'))
+	require.True(t, apply(2, 'a'))
+	require.False(t, apply(3, '?'))
 	require.Equal(t, uint64(2), knowledge.WatchRequest(time.Second).GetDocumentNumber())
 	patch, err := packed.MakePatch([]byte{2, 'a'}, []byte{4, 'b'})
 	require.NoError(t, err)
--- a/internal/relay/log_lines_test.go
+++ b/internal/relay/log_lines_test.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// logLines holds lines of a log that is written while a test reads it.
+// logLines collects log lines; it is safe for a test to read them while they are written.
 type logLines struct {
 	mutex sync.Mutex
 	lines strings.Builder
@@ -18,7 +18,7 @@
 	return l.lines.Write(line)
 }
 
-// String returns what was written.
+// String returns the lines written so far.
 func (l *logLines) String() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/relay/missing_state_test.go
+++ b/internal/relay/missing_state_test.go
@@ -10,10 +10,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// An operator tells from a request's line and answer what its relay did not know.
-func TestRefusalsNameWhatIsLacking(t *testing.T) {
-	known := func(relay *testRelay) view { return *relay.view.Load() }
-	for lacking, forget := range map[missingState]func(*view){
+// A request's log line and answer name the state that the relay was missing.
+func TestRefusalsNameTheMissingState(t *testing.T) {
+	viewOf := func(relay *testRelay) view { return *relay.view.Load() }
+	for missing, remove := range map[missingState]func(*view){
 		missingConfiguration: func(view *view) { view.table, view.isListed = nil, false },
 		missingListing:       func(view *view) { view.isListed = false },
 		missingBackEnds:      func(view *view) { view.byService = map[string][]*backEnd{} },
@@ -22,19 +22,19 @@
 		lines := &logLines{}
 		relay.log = requestLog{logger: zerolog.New(lines)}
 		relay.startupWait = 0
-		next := known(relay)
-		forget(&next)
+		next := viewOf(relay)
+		remove(&next)
 		relay.view.Store(&next)
 		answer := relay.client(t).do("GET", "/path/", "")
 		require.Equal(t, 503, answer.status)
-		require.Equal(t, string(lacking)+"\n", answer.body)
-		require.Contains(t, lines.String(), `"reason":"`+string(lacking)+`"`)
+		require.Equal(t, string(missing)+"\n", answer.body)
+		require.Contains(t, lines.String(), `"reason":"`+string(missing)+`"`)
 		require.Contains(t, lines.String(), `"event":"request_refused"`)
 	}
 }
 
-// A decision that the relay made because no owner answered says so.
-func TestDecisionsWithoutAnOwnerSaySo(t *testing.T) {
+// When no owner answers and the relay itself decides, the reason of the decision says so.
+func TestDecisionReasonNamesAMissingOwner(t *testing.T) {
 	relay := newTestRelay(t, route(stream(false)), startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne)))
 	query := &engineQuery{purpose: purposeDecode, service: "service", request: placement.Request{Stage: serving.StageDecode}}
 	known := relay.owners.current.Load().services["service"]
--- a/internal/relay/newest_list_test.go
+++ b/internal/relay/newest_list_test.go
@@ -10,13 +10,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// leave puts a list in force in which a back end leaves.
-func (r *testRelay) leave(id string) {
-	r.relist(func(entry *serving.BackEnd) { entry.Leaving = entry.Leaving || entry.ID == id })
+// markLeaving applies a list in which the given back end is leaving.
+func (r *testRelay) markLeaving(id string) {
+	r.changeListing(func(entry *serving.BackEnd) { entry.Leaving = entry.Leaving || entry.ID == id })
 }
 
-// relist puts a list in force whose entries are changed.
-func (r *testRelay) relist(change func(entry *serving.BackEnd)) {
+// changeListing applies a list with changed entries.
+func (r *testRelay) changeListing(change func(entry *serving.BackEnd)) {
 	next := *r.view.Load()
 	var listed []serving.BackEnd
 	for _, known := range next.byService["service"] {
@@ -29,13 +29,13 @@
 	r.fleet.migrateRuns()
 }
 
-// A prompt may be read for seconds. The engine that generates is picked from the list as it is
-// then, not from that of the request's arrival: one that leaves meanwhile gets nothing more.
-func TestDecodingEngineIsPickedFromTheNewestList(t *testing.T) {
+// A prefill may take seconds. The decoding engine must be selected from the list as it is after the prefill, not as it was
+// when the request arrived: an engine that leaves meanwhile is sent nothing.
+func TestDecodingEngineIsSelectedFromTheNewestList(t *testing.T) {
 	var relay *testRelay
-	reader := startBackEnd(t, "reader", serving.StagePrefill, func(connection net.Conn, request received) bool {
-		relay.leave("leaving")
-		reply(connection, request, 200, "handle")
+	reader := startBackEnd(t, "reader", serving.StagePrefill, func(connection net.Conn, request backEndRequest) bool {
+		relay.markLeaving("leaving")
+		writeAnswer(connection, request, 200, "handle")
 		return true
 	})
 	leaving := startBackEnd(t, "leaving", serving.StageDecode, streaming("leaving", eventOne))
@@ -43,15 +43,15 @@
 	relay = newTestRelay(t, route(stream(false)), reader, leaving, staying).preferring("leaving")
 	answer := relay.client(t).do("POST", "/path/", "x", longPrompt...)
 	require.Equal(t, eventOne, answer.body)
-	require.Empty(t, leaving.seen())
-	require.Len(t, staying.seen(), 1)
+	require.Empty(t, leaving.receivedRequests())
+	require.Len(t, staying.receivedRequests(), 1)
 }
 
-// The same for a request that is sent again after its first back end has refused it.
-func TestNextBackEndIsPickedFromTheNewestList(t *testing.T) {
+// The same applies to a request that is sent again after its first back end has refused it.
+func TestNextBackEndIsSelectedFromTheNewestList(t *testing.T) {
 	var relay *testRelay
-	refuses := startBackEnd(t, "refuses", serving.StageWhole, func(connection net.Conn, request received) bool {
-		relay.leave("leaving")
+	refuses := startBackEnd(t, "refuses", serving.StageWhole, func(connection net.Conn, request backEndRequest) bool {
+		relay.markLeaving("leaving")
 		return refusing(503)(connection, request)
 	})
 	leaving := startBackEnd(t, "leaving", serving.StageWhole, answering(200, "leaving"))
@@ -60,5 +60,5 @@
 	relay.engineOf("leaving").addWork(placement.Work{Streams: 1})
 	relay.engineOf("staying").addWork(placement.Work{Streams: 2})
 	require.Equal(t, "staying", relay.client(t).do("GET", "/path/", "").body)
-	require.Empty(t, leaving.seen())
+	require.Empty(t, leaving.receivedRequests())
 }
--- a/internal/relay/owner_faults_test.go
+++ b/internal/relay/owner_faults_test.go
@@ -31,30 +31,30 @@
 
 func (o *scriptedOwner) address() string { return o.socket.LocalAddr().String() }
 
-// read returns the next datagram and where it came from.
+// read returns the next datagram and its sender.
 func (o *scriptedOwner) read() (*v1.RelayDatagram, net.Addr) {
 	o.t.Helper()
 	buffer := make([]byte, 2*datagram.MaxSize)
 	length, from, err := o.socket.ReadFrom(buffer)
 	require.NoError(o.t, err)
-	told := &v1.RelayDatagram{}
-	require.NoError(o.t, proto.Unmarshal(buffer[:length], told))
-	return told, from
+	received := &v1.RelayDatagram{}
+	require.NoError(o.t, proto.Unmarshal(buffer[:length], received))
+	return received, from
 }
 
 // write sends a datagram.
-func (o *scriptedOwner) write(to net.Addr, sent *v1.RelayDatagram) {
+func (o *scriptedOwner) write(to net.Addr, message *v1.RelayDatagram) {
 	o.t.Helper()
-	sent.Format = datagram.Format
-	content, err := proto.Marshal(sent)
+	message.Format = datagram.Format
+	content, err := proto.Marshal(message)
 	require.NoError(o.t, err)
 	_, err = o.socket.WriteTo(content, to)
 	require.NoError(o.t, err)
 }
 
-// An owner that is slow, or whose answers are lost while it hears questions, is told that its answer
-// is not followed; one that comes late changes nothing.
-func TestLateAnswerOfAnOwnerIsNotFollowed(t *testing.T) {
+// An owner that is slow, or whose answers are lost while it receives queries, is told that its answer is not used. A late
+// answer changes nothing.
+func TestLateAnswerOfAnOwnerIsNotUsed(t *testing.T) {
 	near := startBackEnd(t, "near", serving.StageDecode, streaming("near", eventOne))
 	far := startBackEnd(t, "far", serving.StageDecode, streaming("far", eventOne))
 	relay := newTestRelay(t, route(stream(true)), near, far)
@@ -62,43 +62,43 @@
 	relay.ownedBy(owner.address())
 	relay.engineOf("far").addWork(placement.Work{Streams: 7})
 	require.Equal(t, eventOne, relay.client(t).do("POST", "/path/", "x", shortPrompt...).body)
-	require.Len(t, near.seen(), 1, "the relay decided by itself")
+	require.Len(t, near.receivedRequests(), 1, "the relay decided itself")
 
-	asked, from := owner.read()
-	require.NotNil(t, asked.GetRequest())
+	query, from := owner.read()
+	require.NotNil(t, query.GetRequest())
 	cancelled, _ := owner.read()
-	require.Equal(t, asked.GetRequest().GetNumber(), cancelled.GetCancel().GetNumber())
+	require.Equal(t, query.GetRequest().GetNumber(), cancelled.GetCancel().GetNumber())
 	owner.write(from, &v1.RelayDatagram{Content: &v1.RelayDatagram_Answer{Answer: &v1.PlacementAnswer{
-		Number: asked.GetRequest().GetNumber(), Relay: asked.GetRequest().GetRelay(),
+		Number: query.GetRequest().GetNumber(), Relay: query.GetRequest().GetRelay(),
 		Action: v1.PlacementAction_PLACEMENT_ACTION_READ_DIRECTLY, Engine: relay.engineOf("far").hash,
 	}}})
 	require.Eventually(t, func() bool {
 		return testutil.ToFloat64(relay.metrics.datagramsDropped.WithLabelValues(string(datagram.Unexpected))) == 1
 	}, time.Minute, time.Millisecond)
-	require.Empty(t, far.seen())
+	require.Empty(t, far.receivedRequests())
 }
 
-// An owner that tells a request to wait again and again is left after so many waits.
-func TestOwnerThatKeepsARequestWaitingIsLeft(t *testing.T) {
+// A relay stops waiting for an owner that keeps postponing its answer after the maximum number of waits.
+func TestOwnerThatKeepsARequestWaitingIsAbandoned(t *testing.T) {
 	engine := startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne))
 	relay := newTestRelay(t, route(stream(true)), engine)
 	owner := newScriptedOwner(t)
 	relay.ownedBy(owner.address())
 	client := relay.client(t)
 	client.send("POST", "/path/", "x", shortPrompt...)
-	asked, from := owner.read()
+	query, from := owner.read()
 	for range relay.policy.MaxPrefillWaits + 1 {
 		owner.write(from, &v1.RelayDatagram{Content: &v1.RelayDatagram_Answer{Answer: &v1.PlacementAnswer{
-			Number: asked.GetRequest().GetNumber(), Relay: asked.GetRequest().GetRelay(),
+			Number: query.GetRequest().GetNumber(), Relay: query.GetRequest().GetRelay(),
 			Action: v1.PlacementAction_PLACEMENT_ACTION_WAIT, Engine: relay.engineOf("engine").hash,
 		}}})
 	}
 	require.Equal(t, eventOne, client.read().body)
 }
 
-// Two relays may both think that they own an engine. Each counts what it has assigned; what they
-// cannot know of each other comes with the notices of the relays that asked.
-func TestTwoOwnersOfOneEngine(t *testing.T) {
+// Two relays may both believe that they own an engine. Each takes its own assignments into account, and learns of the
+// other's through the notices of the querying relays.
+func TestTwoOwnersOfOneEngineLearnOfEachOthersAssignments(t *testing.T) {
 	engine := startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne))
 	one, other := newPair(t, engine)
 	query := func() *engineQuery {
@@ -109,22 +109,21 @@
 		other.owner.decide(query(), other.view.Load().byService["service"], &placement.QueryID{Relay: 8, Number: number})
 	}
 	hash := one.engineOf("engine").hash
-	require.Equal(t, 3, one.reservedAt("engine").Streams)
-	told := &v1.LoadNotice{Relay: 8, Sequence: 1, Engines: []*v1.EngineWork{{Engine: hash, Streams: 3, Assigned: []uint64{0, 1, 2}}}}
-	one.notices.handle(told)
-	other.notices.handle(told)
+	require.Equal(t, 3, one.reservedWork("engine").Streams)
+	notice := &v1.LoadNotice{Relay: 8, Sequence: 1, Engines: []*v1.EngineWork{{Engine: hash, Streams: 3, Assigned: []uint64{0, 1, 2}}}}
+	one.notices.handle(notice)
+	other.notices.handle(notice)
 	answer := one.owner.decide(query(), one.view.Load().byService["service"], nil)
-	require.Equal(t, 6, answer.chosen.queuedWork.Streams, "its own, and what it was told")
+	require.Equal(t, 6, answer.chosen.queuedWork.Streams, "its own assignments and the reported work")
 	answer = other.owner.decide(query(), other.view.Load().byService["service"], nil)
-	require.Equal(t, 3, answer.chosen.queuedWork.Streams, "what was told takes the place of what was assigned")
+	require.Equal(t, 3, answer.chosen.queuedWork.Streams, "the reported work replaces the assignments")
 }
 
-// Relays that come and go change who owns what; the list in force decides, and a relay that was
-// left out owns nothing.
-func TestOwnersFollowTheListOfRelays(t *testing.T) {
+// The newest list of relays determines the owners; a relay that is not in the list owns nothing.
+func TestOwnershipFollowsTheListOfRelays(t *testing.T) {
 	relay := newTestRelay(t, route(stream(true)), startBackEnd(t, "engine", serving.StageDecode, refusing(503)))
 	engine, now := relay.engineOf("engine"), relay.clock.now()
-	require.Empty(t, relay.placements.otherOwners(now, engine), "nobody else is to be told")
+	require.Empty(t, relay.placements.otherOwners(now, engine), "no other relay receives notices")
 	relay.setRelays([]string{"127.0.0.1:1", "127.0.0.1:2"}, nil)
 	require.Empty(t, relay.owners.ownedEngines())
 	require.ElementsMatch(t, []string{"127.0.0.1:1", "127.0.0.1:2"}, relay.placements.otherOwners(now, engine))
@@ -133,9 +132,9 @@
 	require.Equal(t, []string{"127.0.0.1:2"}, relay.placements.otherOwners(now, engine))
 }
 
-// An owner that has just started knows no cells yet. Its word that it places nothing is none: the relay asks
-// the stand-in, or decides by itself.
-func TestOwnerThatKnowsNothingIsNotFollowed(t *testing.T) {
+// An owner that has just started knows no cells yet. Its answer that it cannot place a request is not used: the relay
+// queries the deputy, or decides itself.
+func TestAnswerOfAnOwnerWithoutCellsIsNotUsed(t *testing.T) {
 	engine := startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne))
 	relay := newTestRelay(t, route(stream(false)), engine)
 	owner := newTestRelay(t, route(stream(false)))
--- a/internal/relay/peer_timeout_test.go
+++ b/internal/relay/peer_timeout_test.go
@@ -13,13 +13,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// silentConnection goes silent when it is told to: the kernel then ends reading from it.
+// silentConnection loses its peer when silent is closed: reads then fail with the kernel's timeout.
 type silentConnection struct {
 	net.Conn
 	silent chan struct{}
 }
 
-// Read fails as the kernel does once the peer has not confirmed anything for long.
+// Read fails as the kernel does when the peer has acknowledged nothing for too long.
 func (c *silentConnection) Read(buffer []byte) (int, error) {
 	select {
 	case <-c.silent:
@@ -29,7 +29,8 @@
 	}
 }
 
-// Connections that go silent without a reset cost one request a retry, and not each of them one.
+// When the peer of several connections disappears without a reset, only one request must need a retry, not one per
+// connection.
 func TestTheOtherConnectionsAreDroppedWithASilentOne(t *testing.T) {
 	backEnd := startBackEnd(t, "one", serving.StageWhole, answering(200, "ok"))
 	relay := newTestRelay(t, route(safe), backEnd, startBackEnd(t, "two", serving.StageWhole, answering(200, "ok")))
@@ -54,6 +55,6 @@
 		known.pool.Put(connection, relay.clock.now())
 	}
 	close(silent)
-	require.Equal(t, 200, relay.client(t).do("GET", "/path/", "").status, "it runs elsewhere")
-	require.False(t, known.pool.HasIdle(relay.clock.now(), connpool.DefaultIdleLimit), "none of them rests there")
+	require.Equal(t, 200, relay.client(t).do("GET", "/path/", "").status, "the request runs at another back end")
+	require.False(t, known.pool.HasIdle(relay.clock.now(), connpool.DefaultIdleLimit), "no idle connection is left in the pool")
 }
--- a/internal/relay/placement_client_test.go
+++ b/internal/relay/placement_client_test.go
@@ -17,10 +17,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// shortPrompt is one that a decoding engine reads itself.
+// shortPrompt declares a prompt that a decoding engine prefills itself.
 var shortPrompt = []string{"T-Model: m", "T-Tokens: 300,50", "T-Parts: aa:100,bb:200"}
 
-// ownedBy lets other relays own all engines of this one, in their order.
+// ownedBy makes the given relays, in this order, the owners of all engines that this relay knows.
 func (r *testRelay) ownedBy(owners ...string) {
 	r.owners.mutex.Lock()
 	defer r.owners.mutex.Unlock()
@@ -30,14 +30,14 @@
 	r.owners.rebuild()
 }
 
-// tellsOfItsWork lets the relay send its notices.
-func (r *testRelay) tellsOfItsWork(t *testing.T) {
+// startNotices starts the sending of the relay's notices.
+func (r *testRelay) startNotices(t *testing.T) {
 	t.Helper()
 	go r.notices.run(t.Context())
 }
 
-// silentRelay takes datagrams and answers none.
-func silentRelay(t *testing.T) string {
+// startSilentRelay returns the address of a relay that answers no datagram.
+func startSilentRelay(t *testing.T) string {
 	t.Helper()
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -46,81 +46,80 @@
 }
 
 // newPair returns a relay and the owner of its engines; both know the same back ends.
-func newPair(t *testing.T, backEnds ...*scriptedBackEnd) (asking, owner *testRelay) {
+func newPair(t *testing.T, backEnds ...*scriptedBackEnd) (querying, owner *testRelay) {
 	t.Helper()
-	asking = newTestRelay(t, route(stream(true)), backEnds...)
+	querying = newTestRelay(t, route(stream(true)), backEnds...)
 	owner = newTestRelay(t, route(stream(true)), backEnds...)
-	asking.ownedBy(owner.datagrams.Address)
-	return asking, owner
+	querying.ownedBy(owner.datagrams.Address)
+	return querying, owner
 }
 
-// reservedAt is the work that the relay has assigned to an engine as an owner.
-func (r *testRelay) reservedAt(engine string) placement.Work {
+// reservedWork returns the work that the relay, as owner, has reserved at an engine.
+func (r *testRelay) reservedWork(engine string) placement.Work {
 	r.owner.mutex.Lock()
 	defer r.owner.mutex.Unlock()
 	return r.owner.reserved.ReservedWork(r.engineOf(engine).hash)
 }
 
-// ask has the owner answer a question of another relay about its only cell; answers come one by one.
-func (r *testRelay) ask(query *engineQuery, number uint64) <-chan *v1.PlacementAnswer {
-	answers := make(chan *v1.PlacementAnswer, answersAwaited)
+// queryOwner sends the owner another relay's query about its only cell; the channel receives the answers.
+func (r *testRelay) queryOwner(query *engineQuery, number uint64) <-chan *v1.PlacementAnswer {
+	answers := make(chan *v1.PlacementAnswer, maxAnswersRead)
 	id := r.owners.current.Load().services["service"].division.Cells()[0].ID
 	go r.owner.handleQuery(queryToWire(query, otherRelay, number, id), func(answer *v1.PlacementAnswer) { answers <- answer })
 	return answers
 }
 
-// answersAwaited is how many answers a test reads at most.
-const answersAwaited = 4
+// maxAnswersRead is the capacity for the answers to one query.
+const maxAnswersRead = 4
 
-// otherRelay is the identity of a relay that asks in tests.
+// otherRelay is the incarnation of another relay that sends queries.
 const otherRelay = 77
 
-// beginning is the question where a prompt should be read.
-func beginning(prompt serving.Prompt) *engineQuery {
+// beginQuery returns the query that asks where to prefill a prompt.
+func beginQuery(prompt serving.Prompt) *engineQuery {
 	return &engineQuery{purpose: purposeBegin, service: "service", request: placement.Request{
 		Stage: serving.StageDecode, Prompt: placement.PrefixBlocksOf(prompt), Tokens: prompt.PromptTokens, Target: time.Second, TimeLeft: time.Hour,
 	}}
 }
 
-// The owner knows what no other relay knows: the work that it has assigned, from the moment at
-// which it did until the relay that asked tells of it.
-func TestOwnerDecides(t *testing.T) {
+// The owner takes into account work that it has assigned, from the assignment until the querying relay reports the work in
+// a notice.
+func TestOwnerReservesAssignedWork(t *testing.T) {
 	busy := startBackEnd(t, "busy", serving.StageDecode, streaming("busy", eventOne))
 	idle := startBackEnd(t, "idle", serving.StageDecode, streaming("idle", eventOne))
 	owner := newTestRelay(t, route(stream(true)), busy, idle)
 	owner.engineOf("busy").addWork(placement.Work{Streams: 8}.Plus(placement.PrefillWork(100_000, 0)))
-	answer := <-owner.ask(beginning(serving.ParsePrompt("m", "300,50", "aa:100,bb:200")), 5)
+	answer := <-owner.queryOwner(beginQuery(serving.ParsePrompt("m", "300,50", "aa:100,bb:200")), 5)
 	require.Equal(t, owner.engineOf("idle").hash, answer.GetEngine())
-	require.Equal(t, 1, owner.reservedAt("idle").Streams)
+	require.Equal(t, 1, owner.reservedWork("idle").Streams)
 	owner.notices.handle(&v1.LoadNotice{Relay: otherRelay, Sequence: 1, Engines: []*v1.EngineWork{{Engine: answer.GetEngine(), Streams: 1, Assigned: []uint64{5}}}})
-	require.Zero(t, owner.reservedAt("idle"))
+	require.Zero(t, owner.reservedWork("idle"))
 }
 
-// A relay follows its owner, and tells it of the work that came of it.
-func TestRelayFollowsItsOwner(t *testing.T) {
+// A relay uses its owner's answer, and reports the resulting work to the owner.
+func TestRelayUsesItsOwnersAnswerAndReportsTheWork(t *testing.T) {
 	engine := startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne))
 	asking, owner := newPair(t, engine)
-	asking.tellsOfItsWork(t)
+	asking.startNotices(t)
 	answered := func() float64 {
 		return testutil.ToFloat64(asking.metrics.placementQueries.WithLabelValues(queryAnswered))
 	}
-	for answered() == 0 { // an answer that comes too late is not followed
+	for answered() == 0 { // an answer that arrives too late is not used
 		require.Equal(t, eventOne, asking.client(t).do("POST", "/path/", "x", shortPrompt...).body)
 	}
-	require.Eventually(t, func() bool { return owner.reservedAt("engine") == placement.Work{} }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return owner.reservedWork("engine") == placement.Work{} }, time.Minute, time.Millisecond)
 	require.Eventually(t, func() bool { return owner.notices.table.lastReceivedAt() > 0 }, time.Minute, time.Millisecond)
 }
 
-// An owner that does not answer costs a request little: the stand-in decides, and without one the
-// relay itself.
-func TestRequestsDoNotNeedTheirOwner(t *testing.T) {
+// An owner that does not answer delays a request only a little: the deputy decides, or without a deputy the relay itself.
+func TestRequestsAreServedWithoutTheirOwner(t *testing.T) {
 	for name, owners := range map[string]func(t *testing.T, standIn *testRelay) []string{
-		"the stand-in decides": func(t *testing.T, standIn *testRelay) []string {
-			return []string{silentRelay(t), standIn.datagrams.Address}
+		"the deputy decides": func(t *testing.T, standIn *testRelay) []string {
+			return []string{startSilentRelay(t), standIn.datagrams.Address}
 		},
-		"nobody answers":        func(t *testing.T, _ *testRelay) []string { return []string{silentRelay(t), silentRelay(t)} },
-		"nobody owns":           func(*testing.T, *testRelay) []string { return nil },
-		"an address is garbled": func(*testing.T, *testRelay) []string { return []string{"nowhere"} },
+		"no owner answers":        func(t *testing.T, _ *testRelay) []string { return []string{startSilentRelay(t), startSilentRelay(t)} },
+		"no owner exists":         func(*testing.T, *testRelay) []string { return nil },
+		"an address is malformed": func(*testing.T, *testRelay) []string { return []string{"nowhere"} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			engine := startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne))
@@ -133,12 +132,11 @@
 	}
 }
 
-// An owner that stays silent is not asked again for a while, and hears no notices; the stand-in
-// does.
-func TestSilentOwnerLosesItsPart(t *testing.T) {
+// An owner that does not answer is not queried for a while and receives no notices; the deputy receives them.
+func TestUnresponsiveOwnerIsReplaced(t *testing.T) {
 	engine := startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne))
 	asking, standIn := newPair(t, engine)
-	silent := silentRelay(t)
+	silent := startSilentRelay(t)
 	asking.ownedBy(silent, standIn.datagrams.Address, "127.0.0.1:1")
 	now := asking.clock.now()
 	require.Equal(t, []string{silent, standIn.datagrams.Address}, asking.placements.otherOwners(now, asking.engineOf("engine")))
@@ -147,23 +145,23 @@
 	require.Equal(t, []string{standIn.datagrams.Address, "127.0.0.1:1"}, asking.placements.otherOwners(asking.clock.now(), asking.engineOf("engine")))
 }
 
-// An owner that is behind may answer with an engine that leaves by the newest list here. Its word
-// is not followed.
-func TestOwnerThatIsBehindIsNotFollowed(t *testing.T) {
+// An owner with an outdated list may answer with an engine that is leaving according to the relay's newer list. The relay
+// does not use that answer.
+func TestAnswerOfAnOutdatedOwnerIsNotUsed(t *testing.T) {
 	leaving := startBackEnd(t, "leaving", serving.StageDecode, streaming("leaving", eventOne))
 	staying := startBackEnd(t, "staying", serving.StageDecode, streaming("staying", eventOne))
 	asking, owner := newPair(t, leaving, staying)
 	owner.engineOf("staying").addWork(placement.Work{Streams: 8}.Plus(placement.PrefillWork(100_000, 0)))
-	asking.leave("leaving")
+	asking.markLeaving("leaving")
 	asking.ownedBy(owner.datagrams.Address)
 	require.Equal(t, eventOne, asking.client(t).do("POST", "/path/", "x", shortPrompt...).body)
-	require.Empty(t, leaving.seen())
-	require.Len(t, staying.seen(), 1)
-	require.Eventually(t, func() bool { return owner.reservedAt("leaving") == placement.Work{} }, time.Minute, time.Millisecond, "it is told")
+	require.Empty(t, leaving.receivedRequests())
+	require.Len(t, staying.receivedRequests(), 1)
+	require.Eventually(t, func() bool { return owner.reservedWork("leaving") == placement.Work{} }, time.Minute, time.Millisecond, "the owner receives the cancellation")
 }
 
-// A question for a cell that the owner does not know, or about another service, is answered at
-// once; one of a relay that would refuse its request for that answer is not, and goes to another owner.
+// A query about an unknown cell or service is answered at once. It is not answered when the querying relay is of the first
+// format and would refuse its request because of the answer; such a relay then queries another owner.
 func TestOwnerOfOtherCells(t *testing.T) {
 	engine := startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne))
 	_, owner := newPair(t, engine)
@@ -184,15 +182,15 @@
 	}
 }
 
-// A prompt that shares its beginning waits at the owner while an engine reads that for another
-// request, and is answered when it is read.
-func TestOwnerLetsPromptsWaitForSharedParts(t *testing.T) {
+// A prompt with a shared prefix waits at the owner while an engine prefills that prefix for another request, and is answered
+// when the prefix is cached.
+func TestOwnerLetsPromptsWaitForSharedPrefixBlocks(t *testing.T) {
 	reader := startBackEnd(t, "reader", serving.StagePrefill, refusing(503))
 	owner := newTestRelay(t, route(stream(true)), reader, startBackEnd(t, "decoder", serving.StageDecode, refusing(503)))
 	owner.prefillWaitSlack = time.Hour
 	parts := placement.PrefixBlocksOf(serving.ParsePrompt("m", "9000,50", "aa:6000,bb:3000"))
 	owner.engineOf("reader").cache.beginPrefill(owner.clock.now(), parts)
-	answers := owner.ask(beginning(serving.ParsePrompt("m", "9500,50", "aa:6000,cc:3500")), 1)
+	answers := owner.queryOwner(beginQuery(serving.ParsePrompt("m", "9500,50", "aa:6000,cc:3500")), 1)
 	require.Equal(t, v1.PlacementAction_PLACEMENT_ACTION_WAIT, (<-answers).GetAction())
 	require.Eventually(t, func() bool { return owner.engineOf("reader").currentLoad(0).ownWork.Prefills == 1 }, time.Minute, time.Millisecond)
 	owner.engineOf("reader").cache.markCached(owner.clock.now(), parts)
@@ -203,23 +201,23 @@
 	require.Equal(t, placement.Work{}, owner.engineOf("reader").currentLoad(0).ownWork)
 }
 
-// The wait at the owner ends when its relay gives the question up, and no answer follows.
+// The wait at the owner ends when the querying relay cancels its query, and no answer follows.
 func TestWaitAtTheOwnerEndsWhenItIsCancelled(t *testing.T) {
 	reader := startBackEnd(t, "reader", serving.StagePrefill, refusing(503))
 	owner := newTestRelay(t, route(stream(true)), reader, startBackEnd(t, "decoder", serving.StageDecode, refusing(503)))
 	owner.prefillWaitSlack = time.Hour
 	owner.engineOf("reader").cache.beginPrefill(owner.clock.now(), placement.PrefixBlocksOf(serving.ParsePrompt("m", "9000,50", "aa:6000,bb:3000")))
-	answers := owner.ask(beginning(serving.ParsePrompt("m", "9500,50", "aa:6000,cc:3500")), 1)
+	answers := owner.queryOwner(beginQuery(serving.ParsePrompt("m", "9500,50", "aa:6000,cc:3500")), 1)
 	require.Equal(t, v1.PlacementAction_PLACEMENT_ACTION_WAIT, (<-answers).GetAction())
 	require.Eventually(t, func() bool { return owner.engineOf("reader").currentLoad(0).ownWork.Prefills == 1 }, time.Minute, time.Millisecond)
 	owner.handleDatagram(&v1.RelayDatagram{Content: &v1.RelayDatagram_Cancel{Cancel: &v1.PlacementCancel{Relay: otherRelay, Number: 1}}}, "")
 	require.Eventually(t, func() bool { return owner.engineOf("reader").currentLoad(0).ownWork == placement.Work{} }, time.Minute, time.Millisecond)
 	require.Empty(t, answers)
-	require.Equal(t, placement.Work{}, owner.reservedAt("reader"))
+	require.Equal(t, placement.Work{}, owner.reservedWork("reader"))
 }
 
-// What an assignment would have had read is forgotten when its relay gives it up.
-func TestCancelledAssignmentIsForgotten(t *testing.T) {
+// The prefix blocks of an assignment are removed when its relay cancels it.
+func TestCancelledAssignmentIsRemoved(t *testing.T) {
 	reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 	_, owner := newPair(t, reader, startBackEnd(t, "decoder", serving.StageDecode, refusing(503)))
 	parts := []placement.PrefixBlock{{Hash: 1, Tokens: 4000}, {Hash: 2, Tokens: 3000}}
@@ -229,12 +227,11 @@
 	require.Equal(t, 7000, answer.chosen.backEnd.cache.lookup(parts, 0).Total)
 	owner.handleDatagram(&v1.RelayDatagram{Content: &v1.RelayDatagram_Cancel{Cancel: &v1.PlacementCancel{Relay: 1, Number: 1}}}, "")
 	require.Zero(t, answer.chosen.backEnd.cache.lookup(parts, 0).Total)
-	require.Zero(t, owner.reservedAt(answer.chosen.backEnd.ID))
+	require.Zero(t, owner.reservedWork(answer.chosen.backEnd.ID))
 }
 
-// Datagrams that are garbled, of another format, or answer nothing that was asked are counted and
-// dropped.
-func TestStrayDatagramsAreDropped(t *testing.T) {
+// Datagrams that are malformed, of another format, or answer no query are counted and dropped.
+func TestInvalidDatagramsAreDropped(t *testing.T) {
 	relay := newTestRelay(t, route(stream(true)), startBackEnd(t, "engine", serving.StageDecode, refusing(503)))
 	other, err := proto.Marshal(&v1.RelayDatagram{Format: datagram.Format + 1})
 	require.NoError(t, err)
@@ -244,14 +241,14 @@
 	relay.placements.deliver(&v1.PlacementAnswer{Number: 99})
 	number, answers := relay.placements.queries.Open()
 	relay.placements.deliver(&v1.PlacementAnswer{Number: number, Relay: relay.placements.incarnation + 1})
-	require.Empty(t, answers, "an answer to an earlier start of this relay")
+	require.Empty(t, answers, "an answer to an earlier incarnation of this relay")
 	for reason, count := range map[datagram.DropReason]float64{datagram.Malformed: 1, datagram.UnsupportedFormat: 1, datagram.Unexpected: 3} {
 		require.Equal(t, count, testutil.ToFloat64(relay.metrics.datagramsDropped.WithLabelValues(string(reason))), reason)
 	}
 }
 
-// Questions and answers come over as they were, and what does not fit is bounded.
-func TestPlacementWire(t *testing.T) {
+// Queries and answers survive encoding and decoding unchanged, and values out of bounds are limited.
+func TestPlacementMessagesRoundTrip(t *testing.T) {
 	engine := startBackEnd(t, "engine", serving.StageDecode, refusing(503))
 	relay := newTestRelay(t, route(stream(true)), engine)
 	view := relay.view.Load()
@@ -290,7 +287,7 @@
 	require.Equal(t, placement.Unplaced, read.decision.Action)
 }
 
-// FuzzDatagram takes any bytes from other relays; nothing of them may stop a relay.
+// FuzzDatagram feeds arbitrary datagrams of other relays to the decoder; none may crash a relay.
 func FuzzDatagram(f *testing.F) {
 	whole, err := proto.Marshal(&v1.RelayDatagram{Format: datagram.Format, Content: &v1.RelayDatagram_Request{Request: &v1.PlacementRequest{
 		Service: "service", Parts: []uint64{1}, PartTokens: []uint32{5}, Rank: 1 << 31, Tokens: 1 << 31, TargetUs: 1 << 63,
@@ -315,7 +312,7 @@
 	})
 }
 
-// Few relays own many engines each; many own none.
+// A single relay owns every engine; among many relays, one owns engines only if it is ranked first or second for the cell.
 func TestOwnedEngines(t *testing.T) {
 	relay := newTestRelay(t, route(stream(true)), startBackEnd(t, "engine", serving.StageDecode, refusing(503)))
 	require.Len(t, relay.owners.ownedEngines(), 1)
@@ -330,11 +327,11 @@
 	require.Len(t, relay.owners.ownedEngines(), want)
 }
 
-// A client that leaves before the answer says nothing of the owner, good or bad.
-func TestClientThatLeavesDoesNotJudgeTheOwner(t *testing.T) {
+// A client that disconnects before the answer arrives does not affect the owner's health, neither for good nor for bad.
+func TestDisconnectedClientDoesNotAffectTheOwnersHealth(t *testing.T) {
 	engine := startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne))
 	asking, _ := newPair(t, engine)
-	silent := silentRelay(t)
+	silent := startSilentRelay(t)
 	asking.peers.RecordQuery(asking.clock.now(), silent, false, time.Millisecond)
 	gone := make(chan struct{})
 	close(gone)
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -16,15 +16,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// endingBody is the body of a request that ends every back end that runs it.
-const endingBody = "ends its back end"
+// crashingBody is the body of a request that crashes every back end that runs it.
+const crashingBody = "crashes its back end"
 
-// startEndingBackEnd starts a back end that is gone once it begins to run the ending request.
-func startEndingBackEnd(t *testing.T, id string, stage serving.Stage, sound script) *scriptedBackEnd {
+// startCrashingBackEnd starts a back end that crashes when it begins to run the crashing request.
+func startCrashingBackEnd(t *testing.T, id string, stage serving.Stage, sound script) *scriptedBackEnd {
 	t.Helper()
 	return serveBackEnd(t, id, stage, func(listener net.Listener) script {
-		return func(connection net.Conn, request received) bool {
-			if request.body == endingBody {
+		return func(connection net.Conn, request backEndRequest) bool {
+			if request.body == crashingBody {
 				_ = listener.Close()
 				return false
 			}
@@ -33,7 +33,7 @@
 	})
 }
 
-// grantingLeader grants every trial, and holds nothing.
+// grantingLeader is a leader that grants every trial and quarantines nothing.
 type grantingLeader struct{ released chan []byte }
 
 func (grantingLeader) ReportReplicaEnds(context.Context, []*v1.ReplicaEnd) ([][]byte, error) {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// guardedBy has the relay's guard ask a leader.
+// guardedBy replaces the relay's guard by one that calls the given leader.
 func (r *testRelay) guardedBy(t *testing.T, leader crashguard.Leader) {
 	r.guard = crashguard.New(crashguard.Options{
 		Leader: leader, Now: r.clock.now, Probe: r.probe, Observer: guardObserver{r.Relay},
@@ -56,38 +56,38 @@
 	go r.guard.Run(ctx)
 }
 
-// holding has the relay told that a request is held.
-func (r *testRelay) holding(trialDue bool, method, target, body string) quarantine.Signature {
+// addQuarantined marks a request as quarantined, as a leader's update would.
+func (r *testRelay) addQuarantined(trialDue bool, method, target, body string) quarantine.Signature {
 	signature := quarantine.SignatureOf("", method, target, []byte(body))
 	r.guard.ApplyQuarantine(1, []*v1.HeldRequest{{Signature: signature[:], TrialDue: trialDue}})
 	return signature
 }
 
-// A request ends no more back ends than are needed to hold it, also where no controller answers. Requests
-// that run beside are served.
+// A request crashes no more back ends than are needed to quarantine it, even when no controller answers. Other requests are
+// served meanwhile.
 func TestARequestEndsNoMoreBackEndsThanItMay(t *testing.T) {
 	for name, kind := range map[string]func(*serving.Route){"whole answers": safe, "streams": stream(true)} {
 		t.Run(name, func(t *testing.T) {
 			var backEnds []*scriptedBackEnd
 			for number := range 8 {
-				backEnds = append(backEnds, startEndingBackEnd(t, fmt.Sprint(number), serving.StageWhole, answering(200, "ok")))
+				backEnds = append(backEnds, startCrashingBackEnd(t, fmt.Sprint(number), serving.StageWhole, answering(200, "ok")))
 			}
 			relay := newTestRelay(t, route(func(made *serving.Route) { kind(made); made.MaxAttempts = 1 }), backEnds...)
-			for ended := range quarantine.QuarantineThreshold {
-				require.Equal(t, 502, relay.client(t).do("POST", "/path/", endingBody).status, "it has run")
-				seen := fmt.Sprintf("hazelpitch_relay_back_ends_ended_total{%s} %d\n", metricLabels, ended+1)
+			for crashes := range quarantine.QuarantineThreshold {
+				require.Equal(t, 502, relay.client(t).do("POST", "/path/", crashingBody).status, "the request has run")
+				seen := fmt.Sprintf("hazelpitch_relay_back_ends_ended_total{%s} %d\n", metricLabels, crashes+1)
 				require.Eventually(t, func() bool { return strings.Contains(relay.scrape(t), seen) }, time.Minute, time.Millisecond)
 			}
 			for retry := range 5 {
-				again := relay.client(t).do("POST", "/path/", endingBody, fmt.Sprint("T-Model: ", retry))
-				require.Equal(t, 503, again.status, "it has not run")
+				again := relay.client(t).do("POST", "/path/", crashingBody, fmt.Sprint("T-Model: ", retry))
+				require.Equal(t, 503, again.status, "the request was not run")
 				require.Equal(t, "3.000", string(again.head.Peek("Retry-After")))
 				require.Equal(t, 200, relay.client(t).do("POST", "/path/", "sound").status)
 			}
 			arrived := 0
 			for _, backEnd := range backEnds {
-				for _, request := range backEnd.seen() {
-					if request.body == endingBody {
+				for _, request := range backEnd.receivedRequests() {
+					if request.body == crashingBody {
 						arrived++
 					}
 				}
@@ -97,7 +97,7 @@
 	}
 }
 
-// Back ends that only break connections off are not ended, and the request is sent on as the route says.
+// Back ends that only break connections have not crashed: the request is sent again as its route allows.
 func TestBrokenConnectionsHoldNothing(t *testing.T) {
 	var backEnds []*scriptedBackEnd
 	for number := range 6 {
@@ -107,37 +107,36 @@
 	require.Equal(t, 502, relay.client(t).do("POST", "/path/", "sound").status)
 	require.False(t, relay.guard.IsQuarantined(quarantine.SignatureOf("", "POST", "/path/", []byte("sound"))))
 	for _, backEnd := range backEnds {
-		require.Len(t, backEnd.seen(), 1)
+		require.Len(t, backEnd.receivedRequests(), 1)
 	}
 }
 
-// What is held reaches no back end, neither to be run nor to be read.
-func TestHeldRequestsReachNobody(t *testing.T) {
+// A quarantined request reaches no back end, neither for a prefill nor for the run.
+func TestQuarantinedRequestReachesNoBackEnd(t *testing.T) {
 	reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 	engine := startBackEnd(t, "engine", serving.StageDecode, streaming("seal", eventOne))
 	relay := newTestRelay(t, route(stream(true)), reader, engine)
-	relay.holding(false, "POST", "/path/", "x")
+	relay.addQuarantined(false, "POST", "/path/", "x")
 	answer := relay.client(t).do("POST", "/path/", "x", longPrompt...)
 	require.Equal(t, 503, answer.status)
-	require.Empty(t, reader.seen())
-	require.Empty(t, engine.seen())
+	require.Empty(t, reader.receivedRequests())
+	require.Empty(t, engine.receivedRequests())
 	require.Equal(t, eventOne, relay.client(t).do("POST", "/path/", "y", longPrompt...).body)
 }
 
-// A trial reaches one engine once, which reads the prompt itself; one that runs well releases the
-// request for all.
+// A trial reaches a single engine once, which also prefills the prompt. A successful trial releases the request for all.
 func TestATrialReachesOneBackEnd(t *testing.T) {
-	for name, answer := range map[string]script{"ends well": streaming("seal", eventOne), "breaks": resetting("")} {
+	for name, answer := range map[string]script{"trial succeeds": streaming("seal", eventOne), "breaks": resetting("")} {
 		t.Run(name, func(t *testing.T) {
 			reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 			engines := []*scriptedBackEnd{startBackEnd(t, "one", serving.StageDecode, answer), startBackEnd(t, "two", serving.StageDecode, answer)}
 			relay := newTestRelay(t, route(stream(true)), reader, engines[0], engines[1])
 			leader := grantingLeader{released: make(chan []byte, 1)}
 			relay.guardedBy(t, leader)
-			signature := relay.holding(true, "POST", "/path/", "x")
+			signature := relay.addQuarantined(true, "POST", "/path/", "x")
 			got := relay.client(t).do("POST", "/path/", "x", longPrompt...)
-			require.Empty(t, reader.seen())
-			require.Len(t, append(engines[0].seen(), engines[1].seen()...), 1)
+			require.Empty(t, reader.receivedRequests())
+			require.Len(t, append(engines[0].receivedRequests(), engines[1].receivedRequests()...), 1)
 			if name == "breaks" {
 				require.Equal(t, 502, got.status)
 				require.True(t, relay.guard.IsQuarantined(signature))
@@ -150,20 +149,20 @@
 	}
 }
 
-// A request that waits, or whose back end has broken it off, when it becomes held is not sent on.
-func TestARequestThatBecomesHeldIsNotSentOn(t *testing.T) {
+// A request that is quarantined during its first attempt is not sent to another back end.
+func TestRequestQuarantinedDuringAnAttemptIsNotRetried(t *testing.T) {
 	var relay *testRelay
-	first := startBackEnd(t, "first", serving.StageWhole, func(net.Conn, received) bool {
-		relay.holding(false, "POST", "/path/", "x")
+	first := startBackEnd(t, "first", serving.StageWhole, func(net.Conn, backEndRequest) bool {
+		relay.addQuarantined(false, "POST", "/path/", "x")
 		return false
 	})
 	second := startBackEnd(t, "second", serving.StageWhole, answering(200, "ok"))
 	relay = newTestRelay(t, route(safe), first, second).preferring("first")
-	require.Equal(t, 502, relay.client(t).do("POST", "/path/", "x").status, "it may have run")
-	require.Empty(t, second.seen())
+	require.Equal(t, 502, relay.client(t).do("POST", "/path/", "x").status, "the request may have run")
+	require.Empty(t, second.receivedRequests())
 }
 
-// Tenants do not have each other's requests held.
+// The quarantine of one tenant's request does not affect the same request of another tenant.
 func TestTheSameRequestOfAnotherTenantIsNotHeld(t *testing.T) {
 	backEnd := startBackEnd(t, "one", serving.StageWhole, answering(200, "ok"))
 	tenants := []serving.Tenant{{Name: "a", Keys: []string{"ka"}}, {Name: "b", Keys: []string{"kb"}}}
@@ -174,9 +173,9 @@
 	require.Equal(t, 200, relay.client(t).do("POST", "/path/", "x", "T-Key: key kb").status)
 }
 
-// A relay that stood still while a back end ended finds another start at the address, which takes
-// connections. The list tells that the former one has ended.
-func TestTheListTellsThatABackEndHasEnded(t *testing.T) {
+// A relay that was paused while a back end crashed finds a new incarnation at the address, which accepts connections. The
+// list reveals that the former incarnation has crashed.
+func TestListingRevealsACrashedBackEnd(t *testing.T) {
 	var backEnds []*scriptedBackEnd
 	for number := range 3 {
 		backEnds = append(backEnds, startBackEnd(t, fmt.Sprint(number), serving.StageWhole, resetting("")))
@@ -196,8 +195,8 @@
 	require.True(t, relay.guard.IsQuarantined(signature))
 }
 
-// A back end that the list has dropped by the time its end is noticed is looked at all the same.
-func TestABackEndThatIsNotListedAnyMoreIsLookedAt(t *testing.T) {
+// A back end that is no longer listed is still probed when its crash is suspected.
+func TestUnlistedBackEndIsProbed(t *testing.T) {
 	relay := newTestRelay(t, route(safe), startBackEnd(t, "one", serving.StageWhole, answering(200, "ok")))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -207,8 +206,8 @@
 	require.Equal(t, crashguard.ProbeGone, relay.probe(t.Context(), replica))
 }
 
-// The list may show the next start, at the same address and under the same identity or another, before the connections
-// to the former one break: what is found to serve there then is not what ended.
+// The list may show the next incarnation, at the same address and under the same identity or another one, before the
+// connections to the former incarnation break. The incarnation that accepts connections then is not the one that crashed.
 func TestABackEndInWhosePlaceAnotherStartedHasEnded(t *testing.T) {
 	serves := startBackEnd(t, "serves", serving.StageWhole, answering(200, "ok"))
 	serves.entry.ID, serves.entry.Replica, serves.entry.StartedAtMs = "one/2", "one", 2
@@ -220,11 +219,11 @@
 		replica crashguard.Replica
 		sight   crashguard.ProbeResult
 	}{
-		"its own former start":        {crashguard.Replica{ID: "one/1", Name: "one", Address: elsewhere.Addr().String()}, crashguard.ProbeGone},
-		"another's at its address":    {crashguard.Replica{ID: "two/1", Name: "two", Address: serves.entry.Address}, crashguard.ProbeGone},
-		"the listed start":            {crashguard.Replica{ID: "one/2", Name: "one", Address: serves.entry.Address}, crashguard.ProbeServing},
-		"one that is listed no more":  {crashguard.Replica{ID: "two/1", Name: "two", Address: elsewhere.Addr().String()}, crashguard.ProbeServing},
-		"one whose name is not known": {crashguard.Replica{ID: "two/1", Address: elsewhere.Addr().String()}, crashguard.ProbeServing},
+		"its former incarnation":         {crashguard.Replica{ID: "one/1", Name: "one", Address: elsewhere.Addr().String()}, crashguard.ProbeGone},
+		"another replica at its address": {crashguard.Replica{ID: "two/1", Name: "two", Address: serves.entry.Address}, crashguard.ProbeGone},
+		"the listed incarnation":         {crashguard.Replica{ID: "one/2", Name: "one", Address: serves.entry.Address}, crashguard.ProbeServing},
+		"an unlisted replica":            {crashguard.Replica{ID: "two/1", Name: "two", Address: elsewhere.Addr().String()}, crashguard.ProbeServing},
+		"a replica of unknown name":      {crashguard.Replica{ID: "two/1", Address: elsewhere.Addr().String()}, crashguard.ProbeServing},
 	} {
 		require.Equal(t, test.sight, relay.probe(t.Context(), test.replica), name)
 	}
--- a/internal/relay/relay_metrics_test.go
+++ b/internal/relay/relay_metrics_test.go
@@ -13,8 +13,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// scrape returns the relay's metrics as text. A request is counted after its client has
-// read the answer, so it first waits until none is served.
+// scrape returns the relay's metrics as text. Since a request is counted after its client has read the answer, it first
+// waits until no request is being served.
 func (r *testRelay) scrape(t *testing.T) string {
 	t.Helper()
 	require.Eventually(t, func() bool { return r.connections.servingCount() == 0 }, time.Minute, time.Millisecond)
@@ -27,14 +27,14 @@
 
 const metricLabels = `name="relay",role="relay",zone="zone"`
 
-// What became of requests can be read from the metrics.
-func TestMetricsTellHowRequestsEnded(t *testing.T) {
+// The metrics show the outcomes of requests.
+func TestMetricsCountRequestOutcomes(t *testing.T) {
 	broken := startBackEnd(t, "broken", serving.StageWhole, refusing(503))
 	sound := startBackEnd(t, "sound", serving.StageWhole, streaming("sound", eventOne))
 	relay := newTestRelay(t, route(stream(true)), broken, sound).preferring("broken")
 	client := relay.client(t)
 	require.Equal(t, eventOne, client.do("GET", "/path/", "").body)
-	relay.engineOf("broken").avoidUntil(relay.clock.now() + time.Hour) // the pause after one refusal is short
+	relay.engineOf("broken").avoidUntil(relay.clock.now() + time.Hour) // the backoff after one refusal is short
 	text := relay.scrape(t)
 	require.Contains(t, text, `hazelpitch_relay_requests_total{kind="stream",`+metricLabels[:12]+`,outcome="in_time",`+metricLabels[13:]+`} 1`)
 	require.Contains(t, text, "hazelpitch_relay_sendings_again_total{"+metricLabels+"} 1")
@@ -45,8 +45,8 @@
 	require.Contains(t, text, "hazelpitch_relay_log_lines_dropped{"+metricLabels+"} 0")
 }
 
-// The age of each input and what is left of the retry budget can be read.
-func TestMetricsTellInputsAndBudget(t *testing.T) {
+// The metrics show the age of each input and the remaining retry budget.
+func TestMetricsShowInputAgesAndRetryBudget(t *testing.T) {
 	broken := startBackEnd(t, "broken", serving.StageWhole, refusing(503))
 	sound := startBackEnd(t, "sound", serving.StageWhole, streaming("sound", eventOne))
 	relay := newTestRelay(t, route(stream(true)), broken, sound).preferring("broken")
@@ -62,8 +62,8 @@
 	require.Contains(t, text, "hazelpitch_relay_gap_seconds_count{"+metricLabels+"} 1\n")
 }
 
-// Refusals are told with their reason.
-func TestMetricsTellWhyRequestsWereRefused(t *testing.T) {
+// The metrics show refusals by reason.
+func TestMetricsShowRefusalReasons(t *testing.T) {
 	busy := startBackEnd(t, "busy", serving.StageWhole, refusing(503))
 	relay := newTestRelay(t, route(nil), busy)
 	require.Equal(t, 503, relay.client(t).do("GET", "/path/", "").status)
--- a/internal/relay/stall_test.go
+++ b/internal/relay/stall_test.go
@@ -30,8 +30,8 @@
 	return &exchanger{clock: steady, notices: newLoadNotices(&Relay{clock: steady}, datagram.New(socket, nil), 1)}
 }
 
-// A look that is under way when its answer ends must touch nothing any more: the connection
-// may carry another request by then.
+// A stopped watch must not change anything, even when its check is in progress: the connection may carry another request by
+// then.
 func TestStoppedStallWatchTouchesNothing(t *testing.T) {
 	exchanger := newStallExchanger(t)
 	for name, heardAt := range map[string]time.Duration{"silent": -time.Hour, "heard of": time.Hour} {
@@ -43,11 +43,11 @@
 		watch.check()
 		require.Zero(t, recorder.set, name)
 		require.Zero(t, backEnd.currentLoad(0).failures, name)
-		require.False(t, watch.timer.Stop(), "%s: the timer was set again", name)
+		require.False(t, watch.timer.Stop(), "%s: the timer was restarted", name)
 	}
 }
 
-func TestSilenceBreaksOffOnlyWhatMayMove(t *testing.T) {
+func TestStallAbortsOnlyRequestsThatMayRunElsewhere(t *testing.T) {
 	for mayBreak, deadlines := range map[bool]int{true: 1, false: 0} {
 		exchanger := newStallExchanger(t)
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/relay/startup_wait_test.go
+++ b/internal/relay/startup_wait_test.go
@@ -10,9 +10,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// Pattern: all processes were killed, and clients come back to relays that have started and know nothing for a
-// tenth of a second. A client that is told to come back in a second is late; one that waits is served.
-func TestRequestRightAfterTheStartIsServed(t *testing.T) {
+// After all processes were killed, clients reach relays that have no configuration and list for a tenth of a second. A
+// client that is told to retry in a second would miss its target; a request that waits is served.
+func TestRequestDuringStartupWaitsAndIsServed(t *testing.T) {
 	relay := newTestRelay(t, route(nil), startBackEnd(t, "one", serving.StageWhole, answering(200, "ok")))
 	known := relay.view.Load()
 	relay.view.Store(&view{byService: map[string][]*backEnd{}})
@@ -23,11 +23,11 @@
 	relay.setView(known)
 	require.Equal(t, 200, client.read().status)
 	require.Equal(t, 200, client.do("GET", "/path/", "").status)
-	require.EqualValues(t, 1, testutil.ToFloat64(relay.metrics.startupWaits), "nobody waits any more")
+	require.EqualValues(t, 1, testutil.ToFloat64(relay.metrics.startupWaits), "the second request did not wait")
 }
 
-// A relay that goes on knowing nothing refuses soon, and spreads those who come back.
-func TestRequestsAreRefusedWhereNothingBecomesKnown(t *testing.T) {
+// A relay that stays without a configuration refuses requests after a short wait, and spreads the retries.
+func TestRequestsAreRefusedAfterTheStartupWait(t *testing.T) {
 	relay := newTestRelay(t, route(nil))
 	relay.view.Store(&view{byService: map[string][]*backEnd{}})
 	relay.startupWait = time.Millisecond
@@ -38,8 +38,8 @@
 	require.True(t, first.promisesNotRun())
 }
 
-// One whose client leaves meanwhile is let go.
-func TestRequestWhoseClientLeavesDoesNotWait(t *testing.T) {
+// The wait of a request ends when its client disconnects.
+func TestDisconnectedClientEndsTheStartupWait(t *testing.T) {
 	relay := newTestRelay(t, route(nil))
 	relay.view.Store(&view{byService: map[string][]*backEnd{}})
 	relay.startupWait = time.Hour
--- a/internal/relay/stopping_test.go
+++ b/internal/relay/stopping_test.go
@@ -14,7 +14,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// A client that leaves before it has sent its request whole has nothing sent to any back end.
+// A request whose client disconnects before it has sent the whole body is not sent to any back end.
 func TestARequestThatIsNeverReadWholeReachesNobody(t *testing.T) {
 	backEnd := startBackEnd(t, "one", serving.StageWhole, answering(200, "ok"))
 	relay := newTestRelay(t, route(safe), backEnd)
@@ -24,17 +24,17 @@
 	require.NoError(t, err)
 	require.NoError(t, connection.Close())
 	require.Equal(t, 200, relay.client(t).do("GET", "/path/", "").status)
-	require.Len(t, backEnd.seen(), 1)
+	require.Len(t, backEnd.receivedRequests(), 1)
 }
 
-// A relay that says it is ready takes new connections; one that stops says so first and takes them on
-// for a while, and answers every request that it has passed on.
+// A ready relay accepts new connections. A stopping relay first reports not ready, continues to accept connections for a
+// while, and answers every request that it has forwarded.
 func TestAStoppingRelayAnswersWhatItHasTaken(t *testing.T) {
 	arrived, answer := make(chan struct{}, 1), make(chan struct{})
-	backEnd := startBackEnd(t, "one", serving.StageWhole, func(connection net.Conn, request received) bool {
+	backEnd := startBackEnd(t, "one", serving.StageWhole, func(connection net.Conn, request backEndRequest) bool {
 		arrived <- struct{}{}
 		<-answer
-		reply(connection, request, 200, "whole")
+		writeAnswer(connection, request, 200, "whole")
 		return true
 	})
 	relay := newTestRelay(t, route(nil), backEnd)
@@ -44,10 +44,10 @@
 		require.NoError(t, err)
 		go func() { _ = server.Serve(listener) }()
 		defer server.Close()
-		told, err := http.Get("http://" + listener.Addr().String() + relay.dialect.ReadyPath)
+		response, err := http.Get("http://" + listener.Addr().String() + relay.dialect.ReadyPath)
 		require.NoError(t, err)
-		require.NoError(t, told.Body.Close())
-		return told.StatusCode
+		require.NoError(t, response.Body.Close())
+		return response.StatusCode
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -67,7 +67,7 @@
 	relay.refuseNewAt.Store(int64(relay.clock.now() + time.Hour))
 	relay.stopping.Store(true)
 	require.Equal(t, 503, ready())
-	late := relay.client(t) // it was sent here before the platform knew
+	late := relay.client(t) // connects before the platform has noticed that the relay is not ready
 	late.send("POST", "/path/", "y")
 	<-arrived
 	close(answer)
@@ -78,8 +78,8 @@
 	}
 }
 
-// Guards against clients whose connection, their first or one in use, held a request that a stopping relay had not read when it
-// closed its port, and that got no answer: seen when the machine was so busy that the relay stood still.
+// Guards against requests without an answer: on a machine under load, a relay had not read requests on new and on used
+// connections when it closed its port.
 func TestClientsThatReachAClosingPortAreAnswered(t *testing.T) {
 	backEnd := startBackEnd(t, "one", serving.StageWhole, answering(200, "ok"))
 	relay := newTestRelay(t, route(safe), backEnd)
@@ -97,12 +97,12 @@
 		close(stopped)
 	}()
 	require.Eventually(t, relay.refusesNewRequests, time.Minute, time.Millisecond)
-	time.Sleep(time.Duration(float64(relay.settings.Grace) * (minStayShare - refuseAfterShare + 0.1))) // the port is about to close
+	time.Sleep(time.Duration(float64(relay.settings.Grace) * (minStayShare - refuseAfterShare + 0.1))) // the port is about to be closed
 	go func() { _ = relay.accept(t.Context(), listener) }()
 	for _, client := range clients {
 		got := client.read()
 		require.Equal(t, 503, got.status)
-		require.True(t, got.head.ConnectionClose(), "the client is told that its connection ends")
+		require.True(t, got.head.ConnectionClose(), "the answer announces that the connection is closed")
 	}
 	<-stopped
 	require.Zero(t, relay.connections.tracked.Len())
--- a/internal/relay/usage_test.go
+++ b/internal/relay/usage_test.go
@@ -9,8 +9,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// counted returns how many requests of tenants have begun to run since the last call.
-func (r *testRelay) counted() map[string]uint64 {
+// takeCounts returns, by tenant, how many requests have begun to run since the last call.
+func (r *testRelay) takeCounts() map[string]uint64 {
 	counts := map[string]uint64{}
 	for _, count := range r.usage.NextReport().GetCounts() {
 		counts[count.GetTenant()] += count.GetCount()
@@ -19,20 +19,20 @@
 	return counts
 }
 
-// Requests count once they have run, once however many back ends ran them, and not when none did.
+// A request is counted once when it has run, however many back ends ran it, and not when none did.
 func TestRunsCountForTheirTenants(t *testing.T) {
 	for name, row := range map[string]struct {
 		answers []script
 		route   func(*serving.Route)
 		want    uint64
 	}{
-		"answered":                      {[]script{answering(200, "ok")}, nil, 1},
-		"refused by its back end":       {[]script{refusing(503)}, nil, 0},
-		"refused, then answered":        {[]script{refusing(503), answering(200, "ok")}, nil, 1},
-		"failed at one, then answered":  {[]script{answering(500, "failed"), answering(200, "ok")}, safe, 1},
-		"failed at both":                {[]script{answering(500, "failed"), answering(500, "failed")}, safe, 1},
-		"its answer is lost":            {[]script{resetting("")}, nil, 1},
-		"its answer is lost, then none": {[]script{resetting(""), refusing(503)}, safe, 1},
+		"answered":                     {[]script{answering(200, "ok")}, nil, 1},
+		"refused by the back end":      {[]script{refusing(503)}, nil, 0},
+		"refused, then answered":       {[]script{refusing(503), answering(200, "ok")}, nil, 1},
+		"failed at one, then answered": {[]script{answering(500, "failed"), answering(200, "ok")}, safe, 1},
+		"failed at both":               {[]script{answering(500, "failed"), answering(500, "failed")}, safe, 1},
+		"answer is lost":               {[]script{resetting("")}, nil, 1},
+		"answer is lost, then refused": {[]script{resetting(""), refusing(503)}, safe, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var backEnds []*scriptedBackEnd
@@ -42,25 +42,25 @@
 			relay := newKeyedRelay(t, route(row.route), twoTenants(), backEnds...)
 			relay.usage.UpdateTime(relay.clock.now(), 1_790_000_000_000, 5*time.Second)
 			relay.client(t).do("GET", "/path/", "", "T-Key: key k2")
-			require.Equal(t, row.want, relay.counted()["two"])
-			require.Zero(t, relay.counted()["one"])
+			require.Equal(t, row.want, relay.takeCounts()["two"])
+			require.Zero(t, relay.takeCounts()["one"])
 		})
 	}
 }
 
-// A stream begins to run with its first event, wherever it goes on.
+// A stream begins to run with its first event, and is counted once wherever it continues.
 func TestStreamsCountWithTheirFirstEvent(t *testing.T) {
 	first := startBackEnd(t, "a", serving.StageWhole, streaming("seal", eventOne, "cut"))
 	second := startBackEnd(t, "b", serving.StageWhole, streaming("seal", eventOne, "cut"))
 	relay := newKeyedRelay(t, route(stream(true)), twoTenants(), first, second)
 	relay.usage.UpdateTime(relay.clock.now(), 1_790_000_000_000, 5*time.Second)
 	relay.client(t).do("GET", "/path/", "", "T-Key: key k1")
-	require.NotEmpty(t, first.seen())
-	require.NotEmpty(t, second.seen())
-	require.Equal(t, map[string]uint64{"one": 1}, relay.counted())
+	require.NotEmpty(t, first.receivedRequests())
+	require.NotEmpty(t, second.receivedRequests())
+	require.Equal(t, map[string]uint64{"one": 1}, relay.takeCounts())
 
 	silent := newKeyedRelay(t, route(stream(true)), twoTenants(), startBackEnd(t, "c", serving.StageWhole, streaming("seal", "cut")))
 	silent.usage.UpdateTime(silent.clock.now(), 1_790_000_000_000, 5*time.Second)
 	silent.client(t).do("GET", "/path/", "", "T-Key: key k1")
-	require.Empty(t, silent.counted(), "no event came")
+	require.Empty(t, silent.takeCounts(), "no event was forwarded")
 }
