--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -24,16 +24,16 @@
 		return ""
 	}
 	request.usesKeys = true
-	given := request.header.PeekAll(r.dialect.Headers.Authorization)
+	values := request.header.PeekAll(r.dialect.Headers.Authorization)
 	switch {
-	case len(given) == 0 && request.route.Open:
+	case len(values) == 0 && request.route.Open:
 		return ""
-	case len(given) == 0:
+	case len(values) == 0:
 		return keyMissing
-	case len(given) > 1:
+	case len(values) > 1:
 		return keyRepeated
 	}
-	key, found := r.dialect.ParseKey(string(given[0]))
+	key, found := r.dialect.ParseKey(string(values[0]))
 	if !found {
 		return keyMalformed
 	}
@@ -45,11 +45,11 @@
 
 // refuseKey refuses a request that is not admitted.
 func (r *Relay) refuseKey(request *request, fault keyFault, reply *replier) {
-	refused := r.refuseByConfiguration(fasthttp.StatusUnauthorized, string(fault))
-	if refused.status == fasthttp.StatusUnauthorized {
-		refused.challenge = "Bearer"
+	response := r.refuseByConfiguration(fasthttp.StatusUnauthorized, string(fault))
+	if response.status == fasthttp.StatusUnauthorized {
+		response.challenge = "Bearer"
 	}
-	r.log.recordKeyRefusal(request, fault, refused.status)
-	r.metrics.refusals.WithLabelValues(refused.reason).Inc()
-	reply.refuse(refused)
+	r.log.recordKeyRefusal(request, fault, response.status)
+	r.metrics.refusals.WithLabelValues(response.reason).Inc()
+	reply.refuse(response)
 }
--- a/internal/relay/await_prefill.go
+++ b/internal/relay/await_prefill.go
@@ -15,7 +15,7 @@
 
 // prefillWait is the wait of one request for blocks of its prompt that an engine prefills for other requests.
 type prefillWait struct {
-	chosen       *selection
+	selection    *backEndSelection
 	prefixBlocks []placement.PrefixBlock
 	rank         placement.Rank
 	limit        time.Duration
@@ -24,16 +24,16 @@
 }
 
 // prefillWaitLimit returns how long a request waits for a prefill at the engine.
-func (r *Relay) prefillWaitLimit(chosen *selection) time.Duration {
-	return r.prefillWaitSlack + time.Duration(prefillWaitSlackFactor*float64(chosen.QueueDelay))
+func (r *Relay) prefillWaitLimit(selection *backEndSelection) time.Duration {
+	return r.prefillWaitSlack + time.Duration(prefillWaitSlackFactor*float64(selection.QueueDelay))
 }
 
 // awaitPrefill waits until the engine has cached, for use by this request, what it prefills for others.
-func (r *Relay) awaitPrefill(stream *streamReply, chosen *selection) bool {
+func (r *Relay) awaitPrefill(stream *streamReply, selection *backEndSelection) bool {
 	r.metrics.prefillWaits.Inc()
 	return r.awaitCached(&prefillWait{
-		chosen: chosen, prefixBlocks: stream.prefixBlocks, rank: stream.rank(),
-		limit: min(r.prefillWaitLimit(chosen), stream.request.deadline-r.clock.now()), stop: stream.request.canceller.done(),
+		selection: selection, prefixBlocks: stream.prefixBlocks, rank: stream.rank(),
+		limit: min(r.prefillWaitLimit(selection), stream.request.deadline-r.clock.now()), stop: stream.request.canceller.done(),
 	})
 }
 
@@ -41,7 +41,7 @@
 // would have the same blocks prefilled again. Meanwhile the waiting request's work counts at the engine, so that decisions
 // take it into account. It returns false when the time limit has passed or the wait was stopped.
 func (r *Relay) awaitCached(wait *prefillWait) bool {
-	expected := &message{backEnd: wait.chosen.backEnd, work: prefillWork(r.policy, wait.rank, &wait.chosen.Candidate)}
+	expected := &message{backEnd: wait.selection.backEnd, work: prefillWork(r.policy, wait.rank, &wait.selection.Candidate)}
 	expected.backEnd.addWork(expected.work)
 	r.exchanger.announceWork(expected)
 	defer func() {
@@ -50,7 +50,7 @@
 	}()
 	timer := time.NewTimer(wait.limit)
 	defer timer.Stop()
-	cache := wait.chosen.backEnd.cache
+	cache := wait.selection.backEnd.cache
 	for {
 		changed := cache.changes()
 		if cache.lookup(wait.prefixBlocks, r.clock.now()).Pending < r.policy.MinPendingTokens {
--- a/internal/relay/await_prefill_test.go
+++ b/internal/relay/await_prefill_test.go
@@ -121,27 +121,27 @@
 	reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 	relay := newTestRelay(t, route(stream(false)), reader)
 	engine := relay.engineOf("reader")
-	parts := []placement.PrefixBlock{{Hash: 1, Tokens: 4000}, {Hash: 2, Tokens: 2000}}
+	blocks := []placement.PrefixBlock{{Hash: 1, Tokens: 4000}, {Hash: 2, Tokens: 2000}}
 	now := relay.clock.now()
 	applyNotice := func(change func(*v1.EngineWork)) {
 		entry := &v1.EngineWork{Engine: engine.hash}
 		change(entry)
 		relay.notices.apply(&v1.LoadNotice{Engines: []*v1.EngineWork{entry}})
 	}
-	applyNotice(func(told *v1.EngineWork) { told.Parts, told.PartTokens = blocksToWire(parts) })
-	require.Equal(t, placement.CachedPrefix{Total: 6000, Pending: 6000}, engine.cache.lookup(parts, now))
+	applyNotice(func(entry *v1.EngineWork) { entry.Parts, entry.PartTokens = blocksToWire(blocks) })
+	require.Equal(t, placement.CachedPrefix{Total: 6000, Pending: 6000}, engine.cache.lookup(blocks, now))
 
-	applyNotice(func(told *v1.EngineWork) { told.KeptParts, told.KeptTokens = blocksToWire(parts[:1]) })
-	applyNotice(func(told *v1.EngineWork) { told.DroppedParts = []uint64{1, 2} })
-	require.Equal(t, placement.CachedPrefix{Total: 4000, Ready: 4000}, engine.cache.lookup(parts, now), "cached blocks are not dropped")
+	applyNotice(func(entry *v1.EngineWork) { entry.KeptParts, entry.KeptTokens = blocksToWire(blocks[:1]) })
+	applyNotice(func(entry *v1.EngineWork) { entry.DroppedParts = []uint64{1, 2} })
+	require.Equal(t, placement.CachedPrefix{Total: 4000, Ready: 4000}, engine.cache.lookup(blocks, now), "cached blocks are not dropped")
 }
 
 // A block without further notices counts as cached once the prefill that reserved it must have expired.
 func TestUnconfirmedPrefillCountsAsCachedLater(t *testing.T) {
 	cache := newPrefixCache(100_000)
-	parts := []placement.PrefixBlock{{Hash: 1, Tokens: 4000}}
-	require.Equal(t, parts, cache.beginPrefill(0, parts))
-	require.Empty(t, cache.beginPrefill(0, parts), "the prefill has begun already")
-	require.Zero(t, cache.lookup(parts, placement.AssumeReadyAfter).Ready)
-	require.Equal(t, 4000, cache.lookup(parts, placement.AssumeReadyAfter+1).Ready)
+	blocks := []placement.PrefixBlock{{Hash: 1, Tokens: 4000}}
+	require.Equal(t, blocks, cache.beginPrefill(0, blocks))
+	require.Empty(t, cache.beginPrefill(0, blocks), "the prefill has begun already")
+	require.Zero(t, cache.lookup(blocks, placement.AssumeReadyAfter).Ready)
+	require.Equal(t, 4000, cache.lookup(blocks, placement.AssumeReadyAfter+1).Ready)
 }
--- a/internal/relay/back_end_limits.go
+++ b/internal/relay/back_end_limits.go
@@ -97,11 +97,11 @@
 const internalCallRank = fleetlimit.RankCount - 1
 
 // acquirePermitFor acquires a permit for a selected back end; it returns false when none is granted.
-func (r *Relay) acquirePermitFor(chosen *selection, rank placement.Rank) bool {
-	if !r.acquirePermit(chosen.backEnd, rank.First, false) {
+func (r *Relay) acquirePermitFor(selection *backEndSelection, rank placement.Rank) bool {
+	if !r.acquirePermit(selection.backEnd, rank.First, false) {
 		return false
 	}
-	chosen.permittedAt = r.clock.now()
+	selection.permittedAt = r.clock.now()
 	return true
 }
 
--- a/internal/relay/back_end_limits_test.go
+++ b/internal/relay/back_end_limits_test.go
@@ -180,10 +180,10 @@
 	names := startBackEnd(t, "names", serving.StageWhole, answering(200, "served"))
 	relay := newTestRelay(t, route(nil), names)
 	relay.setLimit("names", tinyLimit)
-	again := names.entry
-	again.ID, again.Replica, again.StartedAtMs = "names/2", "names", 2
+	newer := names.entry
+	newer.ID, newer.Replica, newer.StartedAtMs = "names/2", "names", 2
 	next := *relay.view.Load()
-	relay.fleet.applyListing([]serving.BackEnd{again}, &next)
+	relay.fleet.applyListing([]serving.BackEnd{newer}, &next)
 	relay.view.Store(&next)
 	require.False(t, next.byService["service"][0].hasLimit())
 }
--- a/internal/relay/back_end_records.go
+++ b/internal/relay/back_end_records.go
@@ -11,7 +11,7 @@
 
 // resizeCaches applies the KV cache sizes of the configuration to the engines, which may have been listed before it
 // arrived.
-func (k *fleetState) resizeCaches(next *view) {
+func (f *fleetState) resizeCaches(next *view) {
 	for service, backEnds := range next.byService {
 		for _, engine := range backEnds {
 			engine.cache.resize(placement.PrefixCacheCapacity(engine.Stage, cacheTokens(next, service)))
@@ -20,35 +20,35 @@
 }
 
 // applyListing applies a list of back ends to the next view.
-func (k *fleetState) applyListing(listed []serving.BackEnd, next *view) {
-	known := make(map[string]*backEnd, len(listed))
+func (f *fleetState) applyListing(listed []serving.BackEnd, next *view) {
+	records := make(map[string]*backEnd, len(listed))
 	next.byService = map[string][]*backEnd{}
 	next.byHash, next.byIncarnation = map[uint64]*backEnd{}, map[uint64]*backEnd{}
 	for _, entry := range listed {
-		current := k.records[entry.ID]
+		current := f.records[entry.ID]
 		if current == nil || !sameEntry(current.BackEnd, entry) {
-			current = k.replaceRecord(current, entry, next)
+			current = f.replaceRecord(current, entry, next)
 		}
-		known[entry.ID] = current
+		records[entry.ID] = current
 		next.byService[entry.Service] = append(next.byService[entry.Service], current)
 		next.byHash[current.hash], next.byIncarnation[current.incarnationHash] = current, current
 	}
 	var gone []*backEnd
-	for id, former := range k.records {
-		if known[id] == nil {
+	for id, former := range f.records {
+		if records[id] == nil {
 			former.pool.Close()
 			gone = append(gone, former)
 		}
 	}
-	k.relay.reportReplaced(gone, known)
-	k.closedBackEnds = newlyClosed(k.records, known)
-	k.records = known
-	k.signals.RemoveUnlisted(k.relay.clock.now(), func(identity string) bool { return known[identity] != nil })
-	k.relay.event(events.ListingInForce).Uint64("version", next.listingVersion).Int("back_ends", len(listed)).Send()
-	k.relay.notices.table.retain(next.byHash)
-	k.relay.pace.retain(next.byHash)
-	next.isListed, next.listedAt = true, k.relay.clock.now()
-	k.relay.owners.setView(next)
+	f.relay.reportReplaced(gone, records)
+	f.closedBackEnds = newlyClosed(f.records, records)
+	f.records = records
+	f.signals.RemoveUnlisted(f.relay.clock.now(), func(identity string) bool { return records[identity] != nil })
+	f.relay.event(events.ListingInForce).Uint64("version", next.listingVersion).Int("back_ends", len(listed)).Send()
+	f.relay.notices.table.retain(next.byHash)
+	f.relay.pace.retain(next.byHash)
+	next.isListed, next.listedAt = true, f.relay.clock.now()
+	f.relay.owners.setView(next)
 }
 
 // newlyClosed returns the former records of back ends that accept no more work since the new list.
@@ -63,23 +63,23 @@
 }
 
 // migrateRuns migrates the runs at newly closed back ends. It is called once the view contains their possible targets.
-func (k *fleetState) migrateRuns() {
-	if k.relay.without.IsEnabled(mechanism.RunMigration) {
-		for _, closed := range k.closedBackEnds {
+func (f *fleetState) migrateRuns() {
+	if f.relay.without.IsEnabled(mechanism.RunMigration) {
+		for _, closed := range f.closedBackEnds {
 			closed.migrateRuns()
 		}
 	}
-	k.closedBackEnds = nil
+	f.closedBackEnds = nil
 }
 
 // replaceRecord creates the record of a back end whose entry is new or has changed, and keeps the state of its former record.
-func (k *fleetState) replaceRecord(former *backEnd, entry serving.BackEnd, view *view) *backEnd {
+func (f *fleetState) replaceRecord(former *backEnd, entry serving.BackEnd, view *view) *backEnd {
 	record := newBackEnd(entry, cacheTokens(view, entry.Service))
-	record.signals = k.signals.SignalsOf(entry.ID)
+	record.signals = f.signals.SignalsOf(entry.ID)
 	if former == nil {
 		return record
 	}
-	now := k.relay.clock.now()
+	now := f.relay.clock.now()
 	record.load.avoidUntil = former.currentLoad(0).avoidUntil
 	record.cache = former.cache
 	record.changingSince, record.listedBorn = former.changingSince, former.listedBorn
--- a/internal/relay/back_end_signals_test.go
+++ b/internal/relay/back_end_signals_test.go
@@ -104,10 +104,10 @@
 	require.True(t, list(changed).inBackoff(relay.clock.now()))
 	list()
 	require.True(t, list(asks.entry).isLeaving())
-	again := asks.entry
-	again.ID, again.Replica, again.StartedAtMs = "asks/2", "asks", 2
-	require.False(t, list(again).isLeaving())
-	require.False(t, list(again).inBackoff(relay.clock.now()))
+	newer := asks.entry
+	newer.ID, newer.Replica, newer.StartedAtMs = "asks/2", "asks", 2
+	require.False(t, list(newer).isLeaving())
+	require.False(t, list(newer).inBackoff(relay.clock.now()))
 }
 
 // Prefills, releases of prefills, migrations of runs and reads of caches respect a backoff as requests do.
@@ -140,10 +140,10 @@
 	t.Run("read of the cache", func(t *testing.T) {
 		engine := startBackEnd(t, "engine", serving.StagePrefill, answering(200, "handle"))
 		relay := newTestRelay(t, route(stream(false)), engine)
-		asked := 0
+		calls := 0
 		reader := &cacheReader{relay: relay.Relay, readAt: map[*prefixCache]time.Duration{}}
 		reader.read = func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReport, error) {
-			asked++
+			calls++
 			return serving.CacheReport{Signals: backpressure.Directives{Backoff: time.Hour}}, nil
 		}
 		for range 3 {
@@ -151,7 +151,7 @@
 			clear(reader.readAt)
 			reader.owned = nil
 		}
-		require.Equal(t, 1, asked)
+		require.Equal(t, 1, calls)
 	})
 	t.Run("selected before the backoff", func(t *testing.T) {
 		engine := startBackEnd(t, "engine", serving.StageWhole, answering(200, "ok"))
@@ -172,10 +172,10 @@
 	engine := relay.engineOf("rests")
 	engine.signals.ExtendBackoff(relay.clock.now(), time.Hour)
 	engines := relay.view.Load().byService["service"]
-	asked := &engineQuery{purpose: purposeDecode, service: "service", request: placement.Request{Stage: serving.StageDecode}}
-	require.NotNil(t, relay.owner.decide(asked, engines, &placement.QueryID{Relay: 7, Number: 1}).chosen)
-	asked.excluded = []uint64{engine.hash}
-	require.Nil(t, relay.owner.decide(asked, engines, &placement.QueryID{Relay: 7, Number: 2}).chosen)
+	query := &engineQuery{purpose: purposeDecode, service: "service", request: placement.Request{Stage: serving.StageDecode}}
+	require.NotNil(t, relay.owner.decide(query, engines, &placement.QueryID{Relay: 7, Number: 1}).selection)
+	query.excluded = []uint64{engine.hash}
+	require.Nil(t, relay.owner.decide(query, engines, &placement.QueryID{Relay: 7, Number: 2}).selection)
 	require.Equal(t, 503, relay.client(t).do("POST", "/path/", "x").status, "the relay's own request")
 	require.Empty(t, rests.receivedRequests())
 }
--- a/internal/relay/cache_reader_test.go
+++ b/internal/relay/cache_reader_test.go
@@ -15,13 +15,13 @@
 )
 
 // markAllCached marks everything that engines have of a prompt as cached for any request.
-func (r *testRelay) markAllCached(parts []placement.PrefixBlock) {
+func (r *testRelay) markAllCached(blocks []placement.PrefixBlock) {
 	now := r.clock.now()
 	for _, engine := range r.view.Load().byService["service"] {
-		held := engine.cache.lookup(parts, now).Total
-		for count, tokens := 0, 0; count < len(parts) && tokens < held; count++ {
-			tokens += parts[count].Tokens
-			engine.cache.markCached(now, parts[:count+1])
+		heldTokens := engine.cache.lookup(blocks, now).Total
+		for count, tokens := 0, 0; count < len(blocks) && tokens < heldTokens; count++ {
+			tokens += blocks[count].Tokens
+			engine.cache.markCached(now, blocks[:count+1])
 		}
 	}
 }
--- a/internal/relay/datagram/socket.go
+++ b/internal/relay/datagram/socket.go
@@ -70,8 +70,8 @@
 func (d *Socket) resolve(address string) net.Addr {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if known, is := d.addresses[address]; is {
-		return known
+	if cached, isCached := d.addresses[address]; isCached {
+		return cached
 	}
 	resolved, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
--- a/internal/relay/engine_query.go
+++ b/internal/relay/engine_query.go
@@ -50,8 +50,8 @@
 
 // newEngineQuery returns a query for a request. It excludes the engines that were tried, and those in backoff or leaving,
 // since the owner does not know what engines have asked of this relay.
-func newEngineQuery(purpose purpose, attempts *attemptTracker, wanted placement.Request) *engineQuery {
-	query := &engineQuery{purpose: purpose, service: attempts.request.service.Name, request: wanted}
+func newEngineQuery(purpose purpose, attempts *attemptTracker, criteria placement.Request) *engineQuery {
+	query := &engineQuery{purpose: purpose, service: attempts.request.service.Name, request: criteria}
 	for _, engine := range attempts.excluded {
 		query.excluded = append(query.excluded, engine.hash)
 	}
@@ -59,7 +59,7 @@
 		if len(query.excluded) >= maxExcluded {
 			break // the answer is checked again: an engine in backoff is not used
 		}
-		if engine.signals.IsLeaving() && !engine.Leaving || engine.sendDelay(wanted.Now) > 0 {
+		if engine.signals.IsLeaving() && !engine.Leaving || engine.sendDelay(criteria.Now) > 0 {
 			query.excluded = append(query.excluded, engine.hash)
 		}
 	}
@@ -84,11 +84,11 @@
 }
 
 // decisionFor returns the decision for a candidate; a nil candidate leaves the request unplaced.
-func decisionFor(action placement.Action, chosen *placement.Candidate) placement.Decision {
-	if chosen == nil {
+func decisionFor(action placement.Action, candidate *placement.Candidate) placement.Decision {
+	if candidate == nil {
 		return placement.Decision{Action: placement.Unplaced, Reason: placement.ReasonNoEngine}
 	}
-	return placement.Decision{Action: action, Engine: chosen}
+	return placement.Decision{Action: action, Engine: candidate}
 }
 
 // workOf returns the work that a decision assigns to its engine.
@@ -111,8 +111,8 @@
 // engineAnswer is a placement decision with the engines that it refers to.
 type engineAnswer struct {
 	decision placement.Decision
-	// chosen is the selected engine; nil for none.
-	chosen *selection
+	// selection is the selected engine; nil for none.
+	selection *backEndSelection
 	// holder is the engine of the cell that has cached the longest prefix of the prompt; nil for none.
 	holder *prefixHolder
 	// isDecidedHere reports whether this relay decided because neither the engines' owner nor its deputy answered.
@@ -133,8 +133,8 @@
 	number uint64
 }
 
-// selection is a selected back end with the data on which the selection was based.
-type selection struct {
+// backEndSelection is a selected back end with the data on which the selection was based.
+type backEndSelection struct {
 	placement.Candidate
 	backEnd *backEnd
 	// fetchFrom is the engine from which it fetches the prompt's prefix; nil for none.
@@ -151,6 +151,6 @@
 }
 
 // selectionFor returns the selection of a back end that was not compared with others.
-func selectionFor(backEnd *backEnd) *selection {
-	return &selection{backEnd: backEnd, Candidate: placement.Candidate{FetchFrom: placement.None}}
+func selectionFor(backEnd *backEnd) *backEndSelection {
+	return &backEndSelection{backEnd: backEnd, Candidate: placement.Candidate{FetchFrom: placement.None}}
 }
--- a/internal/relay/exchange_records.go
+++ b/internal/relay/exchange_records.go
@@ -11,10 +11,10 @@
 
 // queryNumber is the number of the placement query whose answer selected the message's back end; 0 for none.
 func (m *message) queryNumber() uint64 {
-	if m.chosen == nil {
+	if m.selection == nil {
 		return 0
 	}
-	return m.chosen.assignment.number
+	return m.selection.assignment.number
 }
 
 // announceWork notifies other relays that this relay's work at an engine has changed.
@@ -86,8 +86,8 @@
 	current := engine.currentLoad(now)
 	total := e.notices.table.totalWork(now, engine, current)
 	busy := max(total.Streams+total.Prefills, current.reportedRequests)
-	if chosen := message.chosen; chosen != nil {
-		busy = max(busy, chosen.queuedWork.Streams+chosen.queuedWork.Prefills)
+	if selection := message.selection; selection != nil {
+		busy = max(busy, selection.queuedWork.Streams+selection.queuedWork.Prefills)
 	}
 	return engine.isEngine() && busy < engine.Slots/2
 }
@@ -104,12 +104,12 @@
 	if value == "" {
 		return
 	}
-	parts := strings.Split(value, ",")
-	if len(parts) < 2 {
+	fields := strings.Split(value, ",")
+	if len(fields) < 2 {
 		return
 	}
-	running, runningErr := strconv.Atoi(strings.TrimSpace(parts[0]))
-	waiting, waitingErr := strconv.Atoi(strings.TrimSpace(parts[1]))
+	running, runningErr := strconv.Atoi(strings.TrimSpace(fields[0]))
+	waiting, waitingErr := strconv.Atoi(strings.TrimSpace(fields[1]))
 	if runningErr == nil && waitingErr == nil {
 		answer.message.backEnd.recordReportedLoad(e.clock.now(), running, waiting)
 	}
--- a/internal/relay/fleet_state.go
+++ b/internal/relay/fleet_state.go
@@ -69,109 +69,109 @@
 }
 
 // BeforeWatch implements leaderwatch.Node: it writes a log line when the leader is lost or found again.
-func (k *fleetState) BeforeWatch(controllers []string) {
-	isLost := k.relay.clock.now()-k.relay.lastContact() > k.relay.maxContactAge()
-	if isLost == k.isLeaderLost {
+func (f *fleetState) BeforeWatch(controllers []string) {
+	isLost := f.relay.clock.now()-f.relay.lastContact() > f.relay.maxContactAge()
+	if isLost == f.isLeaderLost {
 		return
 	}
-	k.isLeaderLost = isLost
+	f.isLeaderLost = isLost
 	event := events.LeaderFound
 	if isLost {
 		event = events.LeaderLost
 	}
-	k.relay.event(event).Strs("controllers", controllers).Send()
+	f.relay.event(event).Strs("controllers", controllers).Send()
 }
 
 // WatchRequest implements leaderwatch.Node.
-func (k *fleetState) WatchRequest(wait time.Duration) *v1.WatchRequest {
-	view := k.relay.view.Load()
+func (f *fleetState) WatchRequest(wait time.Duration) *v1.WatchRequest {
+	view := f.relay.view.Load()
 	request := &v1.WatchRequest{
 		Node: &v1.NodeIdentity{
-			Name: k.relay.settings.Name, Zone: k.relay.settings.Zone, Address: k.relay.settings.Listen, Incarnation: k.incarnation,
+			Name: f.relay.settings.Name, Zone: f.relay.settings.Zone, Address: f.relay.settings.Listen, Incarnation: f.incarnation,
 		},
 		ListingVersion: view.listingVersion,
 		WaitMs:         uint32(wait.Milliseconds()),
-		Leaving:        k.relay.stopping.Load(),
-		NoticeAddress:  k.relay.datagrams.Address,
-		RelayList:      k.relayListHash,
-		HeldVersion:    k.relay.guard.QuarantineVersion(),
-		Demands:        k.relay.work.Report(k.relay.clock.now()),
+		Leaving:        f.relay.stopping.Load(),
+		NoticeAddress:  f.relay.datagrams.Address,
+		RelayList:      f.relayListHash,
+		HeldVersion:    f.relay.guard.QuarantineVersion(),
+		Demands:        f.relay.work.Report(f.relay.clock.now()),
 	}
-	request.Limits = fleetlimit.LimitsToWire(k.relay.permits.Limits())
+	request.Limits = fleetlimit.LimitsToWire(f.relay.permits.Limits())
 	request.Formats = formats.Supported().ToWire()
-	request.DocumentNumber = k.heldDocument.GetNumber()
-	request.Wanted = k.wantedBackEnds
+	request.DocumentNumber = f.heldDocument.GetNumber()
+	request.Wanted = f.wantedBackEnds
 	return request
 }
 
 // ApplyUpdate implements leaderwatch.Node: it applies the leader's response, and reports whether the response could be used.
-func (k *fleetState) ApplyUpdate(response *v1.WatchResponse) bool {
-	current := k.relay.view.Load()
+func (f *fleetState) ApplyUpdate(response *v1.WatchResponse) bool {
+	current := f.relay.view.Load()
 	next := *current
 	used := true
-	if document := k.decodeDocument(response); document != nil {
-		used = k.applyDocument(document, &next)
+	if document := f.decodeDocument(response); document != nil {
+		used = f.applyDocument(document, &next)
 	}
 	if version := response.GetListingVersion(); version != 0 && version != current.listingVersion {
 		next.listingVersion = 0 // requests the complete list unless this one can be decoded
-		if listed, isReadable := k.listing.Apply(current.listingVersion, response); isReadable {
+		if listed, isReadable := f.listing.Apply(current.listingVersion, response); isReadable {
 			next.listingVersion = version
 			if wanted := response.GetWanted(); len(wanted) > 0 {
-				k.wantedBackEnds = wanted // a leader of the first format sends none; the next leader needs the known value
+				f.wantedBackEnds = wanted // a leader of the first format sends none; the next leader needs the known value
 			}
 			fromFormerLeader := !formats.FromWire(response.GetFormats()).Supports(formats.ReplicaIncarnations)
-			k.applyListing(k.identifyIncarnations(backEndsFromWire(listed), fromFormerLeader), &next)
+			f.applyListing(f.identifyIncarnations(backEndsFromWire(listed), fromFormerLeader), &next)
 		}
 	}
 	if response.GetTellsHeld() || response.GetHeldVersion() != 0 {
-		k.relay.guard.ApplyQuarantine(response.GetHeldVersion(), response.GetHeld())
+		f.relay.guard.ApplyQuarantine(response.GetHeldVersion(), response.GetHeld())
 	} else {
-		k.relay.guard.MarkQuarantineUnsupported()
+		f.relay.guard.MarkQuarantineUnsupported()
 	}
-	k.applyRelayList(response)
-	k.applyRelayCount(response)
-	k.isListingPartial = response.GetListingPartial()
+	f.applyRelayList(response)
+	f.applyRelayCount(response)
+	f.isListingPartial = response.GetListingPartial()
 	if calls := int(response.GetListingCalls()); calls > 0 {
-		k.listingCalls = calls // leaders that do not know it yet, and those of the first format, send none
+		f.listingCalls = calls // leaders that do not know it yet, and those of the first format, send none
 	}
-	k.applyUsageWindow(response)
-	k.relay.setView(&next)
-	k.applyLimits(response)
-	k.migrateRuns()
-	k.relay.lastContactAt.Store(int64(k.relay.clock.now()))
+	f.applyUsageWindow(response)
+	f.relay.setView(&next)
+	f.applyLimits(response)
+	f.migrateRuns()
+	f.relay.lastContactAt.Store(int64(f.relay.clock.now()))
 	return used
 }
 
 // applyUsageWindow applies the window over which usage is counted. A leader of the first format does not know such windows;
 // counts are then kept until a leader that does takes over.
-func (k *fleetState) applyUsageWindow(response *v1.WatchResponse) {
+func (f *fleetState) applyUsageWindow(response *v1.WatchResponse) {
 	window := time.Duration(response.GetUsageWindowMs()) * time.Millisecond
 	if window == 0 && !formats.FromWire(response.GetFormats()).Supports(formats.UsageWindows) {
 		return
 	}
-	k.relay.usage.UpdateTime(k.relay.clock.now(), response.GetTrueTimeMs(), window)
+	f.relay.usage.UpdateTime(f.relay.clock.now(), response.GetTrueTimeMs(), window)
 }
 
 // applyLimits applies the limits that the leader knows, for back ends about which no relay has sent a notice yet.
-func (k *fleetState) applyLimits(response *v1.WatchResponse) {
+func (f *fleetState) applyLimits(response *v1.WatchResponse) {
 	for _, wireLimit := range response.GetLimits() {
 		if named, valid := fleetlimit.FromWire(wireLimit); valid {
-			k.relay.applyLeaderLimit(named)
+			f.relay.applyLeaderLimit(named)
 		}
 	}
 }
 
 // decodeDocument returns the document of a response; nil for none or a malformed one.
-func (k *fleetState) decodeDocument(response *v1.WatchResponse) *v1.Document {
+func (f *fleetState) decodeDocument(response *v1.WatchResponse) *v1.Document {
 	if len(response.GetDocumentPatch()) > 0 {
-		return k.patchDocument(response)
+		return f.patchDocument(response)
 	}
 	if len(response.GetPackedDocument()) == 0 {
 		return nil
 	}
 	document := &v1.Document{}
 	if err := packed.Unpack(response.GetPackedDocument(), document); err != nil {
-		k.relay.event(events.ConfigurationUnreadable).Err(err).Send()
+		f.relay.event(events.ConfigurationUnreadable).Err(err).Send()
 		return nil
 	}
 	return document
@@ -179,11 +179,11 @@
 
 // patchDocument applies a response's patch to the held document. It returns nil when that fails; the complete document is
 // then requested next.
-func (k *fleetState) patchDocument(response *v1.WatchResponse) *v1.Document {
-	content, err := packed.ApplyPatch(k.heldDocument.GetContent(), response.GetDocumentPatch())
+func (f *fleetState) patchDocument(response *v1.WatchResponse) *v1.Document {
+	content, err := packed.ApplyPatch(f.heldDocument.GetContent(), response.GetDocumentPatch())
 	if err != nil {
-		k.relay.event(events.ConfigurationUnreadable).Err(err).Uint64("number", response.GetPatchedNumber()).Send()
-		k.heldDocument = nil
+		f.relay.event(events.ConfigurationUnreadable).Err(err).Uint64("number", response.GetPatchedNumber()).Send()
+		f.heldDocument = nil
 		return nil
 	}
 	return &v1.Document{Number: response.GetPatchedNumber(), Content: content}
@@ -191,30 +191,30 @@
 
 // applyRelayList applies a list of relays. A new leader learns of the relays one by one: until it knows how many there are,
 // its list is applied only when it is at least as long as the current one.
-func (k *fleetState) applyRelayList(response *v1.WatchResponse) {
+func (f *fleetState) applyRelayList(response *v1.WatchResponse) {
 	addresses := response.GetRelayAddresses()
-	if len(addresses) == 0 || response.GetRelayList() == k.relayListHash {
+	if len(addresses) == 0 || response.GetRelayList() == f.relayListHash {
 		return
 	}
-	if response.GetRelays() == 0 && len(addresses) < k.relayListSize {
+	if response.GetRelays() == 0 && len(addresses) < f.relayListSize {
 		return
 	}
-	k.relayListHash, k.relayListSize = response.GetRelayList(), len(addresses)
-	k.relay.setRelays(addresses, response.GetFormerRelays())
+	f.relayListHash, f.relayListSize = response.GetRelayList(), len(addresses)
+	f.relay.setRelays(addresses, response.GetFormerRelays())
 }
 
 // applyRelayCount applies the number of relays; a new leader does not send one until it knows it.
-func (k *fleetState) applyRelayCount(response *v1.WatchResponse) {
+func (f *fleetState) applyRelayCount(response *v1.WatchResponse) {
 	if count := response.GetRelays(); count > 0 {
-		k.relay.relayCount.Store(int64(count))
-		k.relay.budget.SetRelays(int(count))
+		f.relay.relayCount.Store(int64(count))
+		f.relay.budget.SetRelays(int(count))
 	}
 }
 
 // applyDocument applies a configuration whose number is above the current one. It returns false when the configuration
 // cannot be applied. Such a document is not held, since the number that is sent to the leader denotes the configuration by
 // which requests are served.
-func (k *fleetState) applyDocument(document *v1.Document, next *view) bool {
+func (f *fleetState) applyDocument(document *v1.Document, next *view) bool {
 	number := uint64(0)
 	if next.table != nil {
 		number = next.table.Configuration.Number
@@ -223,63 +223,63 @@
 		return true
 	}
 	if document.GetNumber() == number {
-		k.heldDocument = document
+		f.heldDocument = document
 		return true
 	}
-	configuration, err := k.relay.dialect.ParseConfiguration(document.GetContent())
+	configuration, err := f.relay.dialect.ParseConfiguration(document.GetContent())
 	if err == nil {
 		err = configuration.Check()
 	}
 	if err != nil {
-		k.relay.event(events.ConfigurationUnreadable).Err(err).Uint64("number", document.GetNumber()).Send()
+		f.relay.event(events.ConfigurationUnreadable).Err(err).Uint64("number", document.GetNumber()).Send()
 		return false
 	}
-	k.heldDocument = document
-	next.table, next.configuredAt = serving.NewTable(&configuration), k.relay.clock.now()
-	k.resizeCaches(next)
-	k.relay.event(events.ConfigurationInForce).Uint64("number", configuration.Number).Int("tenants", len(configuration.Tenants)).Send()
+	f.heldDocument = document
+	next.table, next.configuredAt = serving.NewTable(&configuration), f.relay.clock.now()
+	f.resizeCaches(next)
+	f.relay.event(events.ConfigurationInForce).Uint64("number", configuration.Number).Int("tenants", len(configuration.Tenants)).Send()
 	return true
 }
 
 // HandleNoLeader implements leaderwatch.Node: it reads the platform's list when there has been no leader for a while, so that
 // leaving back ends are known without a leader.
-func (k *fleetState) HandleNoLeader(ctx context.Context) {
-	relays := int(k.relay.relayCount.Load())
+func (f *fleetState) HandleNoLeader(ctx context.Context) {
+	relays := int(f.relay.relayCount.Load())
 	if relays == 0 {
 		return // the number of relays that would read the list as well is unknown
 	}
 	lead := listing.DirectReadAfter + leaderwatch.ExtraWait(relays)
-	current := k.relay.view.Load()
+	current := f.relay.view.Load()
 	if current.table == nil {
 		return // without a configuration, which only controllers send, no request could be served
 	}
-	calls := relays * max(k.listingCalls, 1)
-	if !k.localReading.IsDue(k.relay.clock.now(), max(k.relay.lastContact(), 0)+lead, current.isListed, calls, k.relay.draw) {
+	calls := relays * max(f.listingCalls, 1)
+	if !f.localReading.IsDue(f.relay.clock.now(), max(f.relay.lastContact(), 0)+lead, current.isListed, calls, f.relay.draw) {
 		return
 	}
-	result, err := k.readListing(ctx, k.platformClient, 0)
-	if fault, isChanged := k.faults.Update(result, err); isChanged {
-		k.relay.event(events.ListingFault).Str("fault", fault).Send()
+	result, err := f.readListing(ctx, f.platformClient, 0)
+	if fault, isChanged := f.faults.Update(result, err); isChanged {
+		f.relay.event(events.ListingFault).Str("fault", fault).Send()
 	}
 	if err != nil {
 		return
 	}
-	k.listingCalls = result.Calls
-	next := *k.relay.view.Load()
+	f.listingCalls = result.Calls
+	next := *f.relay.view.Load()
 	next.listingVersion = 0
 	result.BackEnds = slices.DeleteFunc(result.BackEnds, func(backEnd serving.BackEnd) bool { return next.table.Service(backEnd.Service) == nil })
-	k.applyListing(k.restrictToKnown(k.identifyIncarnations(result.BackEnds, false)), &next)
-	k.relay.setView(&next)
-	k.migrateRuns()
+	f.applyListing(f.restrictToKnown(f.identifyIncarnations(result.BackEnds, false)), &next)
+	f.relay.setView(&next)
+	f.migrateRuns()
 }
 
 // restrictToKnown removes from a list that this relay has read all back ends that the leader had not listed, when the
 // leader listed only a part: all relays must use the same part.
-func (k *fleetState) restrictToKnown(listed []serving.BackEnd) []serving.BackEnd {
-	if !k.isListingPartial {
+func (f *fleetState) restrictToKnown(listed []serving.BackEnd) []serving.BackEnd {
+	if !f.isListingPartial {
 		return listed
 	}
-	return slices.DeleteFunc(listed, func(backEnd serving.BackEnd) bool { return k.records[backEnd.ID] == nil })
+	return slices.DeleteFunc(listed, func(backEnd serving.BackEnd) bool { return f.records[backEnd.ID] == nil })
 }
 
 // backEndsFromWire decodes the controllers' entries.
--- a/internal/relay/local_listing_test.go
+++ b/internal/relay/local_listing_test.go
@@ -56,9 +56,9 @@
 func TestRelayRestrictsItsListingToTheLeadersPart(t *testing.T) {
 	for partial, expected := range map[bool]int{true: 2, false: 40} {
 		relay := newTestRelay(t, route(nil), startBackEnd(t, "one", serving.StageWhole, refusing(503)))
-		told := &v1.Listing{BackEnds: []*v1.ListedBackEnd{{Id: "i-0", Service: "service"}, {Id: "i-7", Service: "service"}, {Id: "gone", Service: "service"}}}
+		list := &v1.Listing{BackEnds: []*v1.ListedBackEnd{{Id: "i-0", Service: "service"}, {Id: "i-7", Service: "service"}, {Id: "gone", Service: "service"}}}
 		relay.fleet.ApplyUpdate(&v1.WatchResponse{
-			ListingVersion: 7, PackedListing: packed.Pack(told), ListingPartial: partial,
+			ListingVersion: 7, PackedListing: packed.Pack(list), ListingPartial: partial,
 			Wanted: []*v1.WantedBackEnds{{Service: "service", Count: 3}},
 		})
 		require.Equal(t, uint32(3), relay.fleet.WatchRequest(time.Second).GetWanted()[0].GetCount(), "a new leader receives the last wanted counts")
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -20,8 +20,8 @@
 	mayAbort bool
 	// work is the expected work at the back end.
 	work placement.Work
-	// chosen is the selection of the back end; nil where it does not matter.
-	chosen *selection
+	// selection is the selection of the back end; nil where it does not matter.
+	selection *backEndSelection
 	// isPrefill reports whether the message only prefills the prompt, so that nothing runs.
 	isPrefill bool
 	// prefixBlocks are the prompt's blocks; newBlocks are those that the back end had not cached when the message was sent.
@@ -33,13 +33,13 @@
 // usePermit consumes the permit that was acquired when the back end was selected. It returns false when there is none or
 // it has expired. A permit is valid for one message.
 func (m *message) usePermit(now time.Duration) bool {
-	if m.chosen == nil || m.chosen.permittedAt == 0 {
+	if m.selection == nil || m.selection.permittedAt == 0 {
 		return false
 	}
-	acquiredAt := m.chosen.permittedAt
-	m.chosen.permittedAt = 0
+	acquiredAt := m.selection.permittedAt
+	m.selection.permittedAt = 0
 	return now-acquiredAt <= permitLifetime
 }
 
 // isOwed reports whether the run must continue at this back end.
-func (m *message) isOwed() bool { return m.chosen != nil && m.chosen.isOwed }
+func (m *message) isOwed() bool { return m.selection != nil && m.selection.isOwed }
--- a/internal/relay/missing_state.go
+++ b/internal/relay/missing_state.go
@@ -33,15 +33,15 @@
 
 // refusal returns the answer to a request that cannot be served for want of this state. The request was not run. draw, in
 // [0, 1), spreads the times at which clients retry.
-func (l missingState) refusal(draw float64) refusal {
+func (m missingState) refusal(draw float64) refusal {
 	retryAfter := retryAfterStartup + time.Duration(draw*float64(retryStartupSpread))
-	return refusal{status: fasthttp.StatusServiceUnavailable, reason: string(l), retryAfter: retryAfter}
+	return refusal{status: fasthttp.StatusServiceUnavailable, reason: string(m), retryAfter: retryAfter}
 }
 
 // refuseForMissingState refuses a request that arrived before the relay had received the state that it needs.
 func (r *Relay) refuseForMissingState(request *request, missing missingState, reply *replier) {
-	refused := missing.refusal(r.draw())
+	response := missing.refusal(r.draw())
 	r.log.recordMissingState(request, missing, r.viewSnapshot())
-	r.metrics.refusals.WithLabelValues(refused.reason).Inc()
-	reply.refuse(refused)
+	r.metrics.refusals.WithLabelValues(response.reason).Inc()
+	reply.refuse(response)
 }
--- a/internal/relay/missing_state_test.go
+++ b/internal/relay/missing_state_test.go
@@ -37,11 +37,11 @@
 func TestDecisionReasonNamesAMissingOwner(t *testing.T) {
 	relay := newTestRelay(t, route(stream(false)), startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne)))
 	query := &engineQuery{purpose: purposeDecode, service: "service", request: placement.Request{Stage: serving.StageDecode}}
-	known := relay.owners.current.Load().services["service"]
-	own := relay.placements.decideInCell(known, 0, query, nil)
-	require.NotContains(t, own.reason(), string(missingOwner))
+	cells := relay.owners.current.Load().services["service"]
+	ownAnswer := relay.placements.decideInCell(cells, 0, query, nil)
+	require.NotContains(t, ownAnswer.reason(), string(missingOwner))
 	relay.ownedBy(newScriptedOwner(t).address())
-	known = relay.owners.current.Load().services["service"]
-	decided := relay.placements.decideInCell(known, 0, query, nil)
-	require.Contains(t, decided.reason(), string(missingOwner))
+	cells = relay.owners.current.Load().services["service"]
+	localAnswer := relay.placements.decideInCell(cells, 0, query, nil)
+	require.Contains(t, localAnswer.reason(), string(missingOwner))
 }
--- a/internal/relay/newer_incarnation_test.go
+++ b/internal/relay/newer_incarnation_test.go
@@ -29,9 +29,9 @@
 			decoder := startBackEnd(t, "decoder", serving.StageDecode, streaming("decoder", eventOne))
 			relay := newTestRelay(t, route(stream(false)), reader, decoder)
 			var engine *backEnd
-			for _, known := range relay.view.Load().byService["service"] {
-				if known.ID == "reader" {
-					engine = known
+			for _, record := range relay.view.Load().byService["service"] {
+				if record.ID == "reader" {
+					engine = record
 				}
 			}
 			before := []placement.PrefixBlock{{Hash: placement.HashBlock("m", "ff"), Tokens: 3000}}
--- a/internal/relay/newest_list_test.go
+++ b/internal/relay/newest_list_test.go
@@ -19,8 +19,8 @@
 func (r *testRelay) changeListing(change func(entry *serving.BackEnd)) {
 	next := *r.view.Load()
 	var listed []serving.BackEnd
-	for _, known := range next.byService["service"] {
-		entry := known.BackEnd
+	for _, record := range next.byService["service"] {
+		entry := record.BackEnd
 		change(&entry)
 		listed = append(listed, entry)
 	}
--- a/internal/relay/owner_faults_test.go
+++ b/internal/relay/owner_faults_test.go
@@ -114,9 +114,9 @@
 	one.notices.handle(notice)
 	other.notices.handle(notice)
 	answer := one.owner.decide(query(), one.view.Load().byService["service"], nil)
-	require.Equal(t, 6, answer.chosen.queuedWork.Streams, "its own assignments and the reported work")
+	require.Equal(t, 6, answer.selection.queuedWork.Streams, "its own assignments and the reported work")
 	answer = other.owner.decide(query(), other.view.Load().byService["service"], nil)
-	require.Equal(t, 3, answer.chosen.queuedWork.Streams, "the reported work replaces the assignments")
+	require.Equal(t, 3, answer.selection.queuedWork.Streams, "the reported work replaces the assignments")
 }
 
 // The newest list of relays determines the owners; a relay that is not in the list owns nothing.
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -129,9 +129,9 @@
 func (t *ownerTable) logOwnershipChanges(next *ownership) {
 	owned := map[uint64]ownedCell{}
 	for name, service := range next.services {
-		for index, divided := range service.division.Cells() {
+		for index, entry := range service.division.Cells() {
 			if rank := service.rankOf(index, t.self); rank >= 0 {
-				owned[divided.ID] = ownedCell{service: name, zone: divided.Zone, isDeputy: rank > 0, engines: len(divided.Members)}
+				owned[entry.ID] = ownedCell{service: name, zone: entry.Zone, isDeputy: rank > 0, engines: len(entry.Members)}
 			}
 		}
 	}
@@ -161,21 +161,21 @@
 		members[index] = cell.Member{Hash: backEnd.hash, Zone: backEnd.Zone, Closed: backEnd.Leaving}
 	}
 	result := &serviceCells{division: cell.Divide(service, members)}
-	for _, divided := range result.division.Cells() {
-		engines := make([]*backEnd, len(divided.Members))
-		for index, member := range divided.Members {
+	for _, entry := range result.division.Cells() {
+		engines := make([]*backEnd, len(entry.Members))
+		for index, member := range entry.Members {
 			engines[index] = backEnds[member]
 		}
 		result.members = append(result.members, engines)
-		result.owners = append(result.owners, t.ownersByRank(divided.ID))
+		result.owners = append(result.owners, t.ownersByRank(entry.ID))
 	}
 	return result
 }
 
 // ownersByRank returns the owners of a cell by rank. The mutex is held.
 func (t *ownerTable) ownersByRank(id uint64) []string {
-	ranked, known := t.ownersByCell[id]
-	if !known {
+	ranked, found := t.ownersByCell[id]
+	if !found {
 		ranked = cell.Owners(id, t.relays, rankedOwnersPerCell)
 		t.ownersByCell[id] = ranked
 	}
--- a/internal/relay/peer_timeout_test.go
+++ b/internal/relay/peer_timeout_test.go
@@ -44,17 +44,17 @@
 		}
 		return &silentConnection{Conn: connection, silent: silent}, nil
 	}
-	known := relay.view.Load().byService["service"][0]
-	if known.ID != "one" {
-		known = relay.view.Load().byService["service"][1]
+	record := relay.view.Load().byService["service"][0]
+	if record.ID != "one" {
+		record = relay.view.Load().byService["service"][1]
 	}
 	for range 3 {
-		connection, err := relay.exchanger.open(known, time.Second)
+		connection, err := relay.exchanger.open(record, time.Second)
 		require.NoError(t, err)
 		connection.AnsweredRequests = 1
-		known.pool.Put(connection, relay.clock.now())
+		record.pool.Put(connection, relay.clock.now())
 	}
 	close(silent)
 	require.Equal(t, 200, relay.client(t).do("GET", "/path/", "").status, "the request runs at another back end")
-	require.False(t, known.pool.HasIdle(relay.clock.now(), connpool.DefaultIdleLimit), "no idle connection is left in the pool")
+	require.False(t, record.pool.HasIdle(relay.clock.now(), connpool.DefaultIdleLimit), "no idle connection is left in the pool")
 }
--- a/internal/relay/peerhealth/table.go
+++ b/internal/relay/peerhealth/table.go
@@ -36,17 +36,17 @@
 }
 
 // RecordQuery records whether a relay answered a query in time, and how long the answer took or was awaited.
-func (t *Table) RecordQuery(now time.Duration, relay string, answered bool, took time.Duration) {
+func (t *Table) RecordQuery(now time.Duration, relay string, answered bool, duration time.Duration) {
 	t.mutex.Lock()
 	isDistrusted := false
 	if answered {
-		t.health.RecordAnswer(relay, took)
+		t.health.RecordAnswer(relay, duration)
 	} else {
 		isDistrusted = t.health.RecordTimeout(now, relay)
 	}
 	t.mutex.Unlock()
 	if isDistrusted {
-		t.onDistrust(relay, took)
+		t.onDistrust(relay, duration)
 	}
 }
 
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// setRelays applies a new list of relays. Those of the former format cannot own limits.
+// setRelays applies a new list of relays. Relays of the former format are listed in formerRelays; they cannot own limits.
 func (r *Relay) setRelays(addresses, formerRelays []string) {
 	limitOwners := slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return slices.Contains(formerRelays, address) })
 	r.permits.SetRelays(limitOwners)
--- a/internal/relay/pick.go
+++ b/internal/relay/pick.go
@@ -36,19 +36,19 @@
 }
 
 // withHolder adds an engine that accepts no work in this cell but can transfer the prompt's prefix to another engine.
-func (s candidateSet) withHolder(holder *prefixHolder) candidateSet {
-	for index, known := range s.backEnds {
+func (c candidateSet) withHolder(holder *prefixHolder) candidateSet {
+	for index, known := range c.backEnds {
 		if known == holder.engine {
-			s.engines[index].Cached.Ready = max(s.engines[index].Cached.Ready, holder.tokens)
-			return s
+			c.engines[index].Cached.Ready = max(c.engines[index].Cached.Ready, holder.tokens)
+			return c
 		}
 	}
-	s.backEnds = append(s.backEnds[:len(s.backEnds):len(s.backEnds)], holder.engine)
-	s.engines = append(s.engines, placement.Engine{
+	c.backEnds = append(c.backEnds[:len(c.backEnds):len(c.backEnds)], holder.engine)
+	c.engines = append(c.engines, placement.Engine{
 		Hash: holder.engine.hash, Zone: holder.engine.Zone, Stage: holder.engine.Stage, Closed: true,
 		Cached: placement.CachedPrefix{Total: holder.tokens, Ready: holder.tokens},
 	})
-	return s
+	return c
 }
 
 // bestHolder returns the engine that has cached the longest prefix of the prompt; nil for none.
@@ -61,34 +61,34 @@
 }
 
 // selectionOf returns the back end of a candidate; nil for none.
-func (s candidateSet) selectionOf(candidate *placement.Candidate) *selection {
+func (s candidateSet) selectionOf(candidate *placement.Candidate) *backEndSelection {
 	if candidate == nil {
 		return nil
 	}
 	engine := s.engines[candidate.Index]
-	chosen := &selection{Candidate: *candidate, backEnd: s.backEnds[candidate.Index], queuedWork: engine.Work, timePerToken: engine.PerToken}
+	selection := &backEndSelection{Candidate: *candidate, backEnd: s.backEnds[candidate.Index], queuedWork: engine.Work, timePerToken: engine.PerToken}
 	if candidate.FetchFrom != placement.None {
-		chosen.fetchFrom = s.backEnds[candidate.FetchFrom]
+		selection.fetchFrom = s.backEnds[candidate.FetchFrom]
 	}
-	return chosen
+	return selection
 }
 
 // pickForPlain selects a back end that answers requests whole; nil when none is left. It selects a back end with a limit
 // only when the limit's owner grants a permit for the request.
-func (r *Relay) pickForPlain(request *request, attempts *attemptTracker) *selection {
+func (r *Relay) pickForPlain(request *request, attempts *attemptTracker) *backEndSelection {
 	var denied []*backEnd
 	for {
-		chosen := r.pickAmong(request, func(backEnd *backEnd) bool { return attempts.isExcluded(backEnd) || slices.Contains(denied, backEnd) })
-		if chosen == nil || r.acquirePermitFor(chosen, request.rank) {
-			return chosen
+		selection := r.pickAmong(request, func(backEnd *backEnd) bool { return attempts.isExcluded(backEnd) || slices.Contains(denied, backEnd) })
+		if selection == nil || r.acquirePermitFor(selection, request.rank) {
+			return selection
 		}
-		denied = append(denied, chosen.backEnd)
+		denied = append(denied, selection.backEnd)
 	}
 }
 
 // pickAmong selects one of the back ends that are not excluded. It uses the newest list, since a request may wait for a
 // long time between two attempts.
-func (r *Relay) pickAmong(request *request, isExcluded func(*backEnd) bool) *selection {
+func (r *Relay) pickAmong(request *request, isExcluded func(*backEnd) bool) *backEndSelection {
 	now := r.clock.now()
 	excluded := func(backEnd *backEnd) bool { return isExcluded(backEnd) || backEnd.sendDelay(now) > 0 }
 	candidates := r.candidatesOf(r.view.Load().byService[request.service.Name], nil, excluded, now)
@@ -96,8 +96,8 @@
 	for index, backEnd := range candidates.backEnds {
 		candidates.engines[index].Connected = backEnd.pool.HasIdle(now, limit)
 	}
-	wanted := placement.Request{Now: now, Stage: answeringStage(request.service), Zone: r.settings.Zone}
-	return candidates.selectionOf(r.policy.PickBackEnd(wanted, candidates.engines, r.draw))
+	criteria := placement.Request{Now: now, Stage: answeringStage(request.service), Zone: r.settings.Zone}
+	return candidates.selectionOf(r.policy.PickBackEnd(criteria, candidates.engines, r.draw))
 }
 
 // defaultTokenTransfer is the transfer time of one token's KV cache when the link's speed is not configured.
--- a/internal/relay/placement_client.go
+++ b/internal/relay/placement_client.go
@@ -35,20 +35,20 @@
 }
 
 // otherOwners returns the other relays that receive notices about this relay's work at an engine.
-func (a *placementClient) otherOwners(now time.Duration, engine *backEnd) []string {
-	cells, index := a.relay.owners.current.Load().cellOf(engine)
+func (c *placementClient) otherOwners(now time.Duration, engine *backEnd) []string {
+	cells, index := c.relay.owners.current.Load().cellOf(engine)
 	if cells == nil {
 		return nil
 	}
-	trusted := a.trustedOwners(now, cells.owners[index], activeOwnersPerCell)
-	return slices.DeleteFunc(trusted, func(owner string) bool { return owner == a.datagrams.Address })
+	trusted := c.trustedOwners(now, cells.owners[index], activeOwnersPerCell)
+	return slices.DeleteFunc(trusted, func(owner string) bool { return owner == c.datagrams.Address })
 }
 
 // trustedOwners returns the first owners that answer queries, at most count, in their order.
-func (a *placementClient) trustedOwners(now time.Duration, owners []string, count int) []string {
+func (c *placementClient) trustedOwners(now time.Duration, owners []string, count int) []string {
 	trusted := make([]string, 0, count)
 	for _, owner := range owners {
-		if len(trusted) < count && (owner == a.datagrams.Address || a.peers.Trusted(now, owner)) {
+		if len(trusted) < count && (owner == c.datagrams.Address || c.peers.Trusted(now, owner)) {
 			trusted = append(trusted, owner)
 		}
 	}
@@ -56,49 +56,49 @@
 }
 
 // deliver passes an answer to the query that waits for it.
-func (a *placementClient) deliver(answer *v1.PlacementAnswer) {
-	a.queries.Deliver(answer.GetNumber(), answer.GetRelay() == a.incarnation, answer)
+func (c *placementClient) deliver(answer *v1.PlacementAnswer) {
+	c.queries.Deliver(answer.GetNumber(), answer.GetRelay() == c.incarnation, answer)
 }
 
 // query queries one owner and waits for its answer. It returns false when no answer arrived in time, when the answer cannot
 // be used, or when stop was closed.
-func (a *placementClient) query(owner string, id uint64, query *engineQuery, stop <-chan struct{}) (engineAnswer, bool) {
-	number, answers := a.queries.Open()
-	defer a.queries.Close(number)
-	sentAt := a.relay.clock.now()
-	limit := a.peers.Timeout()
-	a.datagrams.Send(owner, &v1.RelayDatagram{Content: &v1.RelayDatagram_Request{Request: queryToWire(query, a.incarnation, number, id)}})
-	received := a.awaitAnswer(answers, limit, stop)
+func (c *placementClient) query(owner string, id uint64, query *engineQuery, stop <-chan struct{}) (engineAnswer, bool) {
+	number, answers := c.queries.Open()
+	defer c.queries.Close(number)
+	sentAt := c.relay.clock.now()
+	limit := c.peers.Timeout()
+	c.datagrams.Send(owner, &v1.RelayDatagram{Content: &v1.RelayDatagram_Request{Request: queryToWire(query, c.incarnation, number, id)}})
+	received := c.awaitAnswer(answers, limit, stop)
 	if received == nil && isClosed(stop) { // the client has disconnected, which says nothing about the owner
-		a.cancel(assignment{owner: owner, number: number})
+		c.cancel(assignment{owner: owner, number: number})
 		return engineAnswer{}, false
 	}
-	a.peers.RecordQuery(a.relay.clock.now(), owner, received != nil, a.relay.clock.now()-sentAt)
-	for waits := 0; received != nil && received.GetAction() == v1.PlacementAction_PLACEMENT_ACTION_WAIT && waits <= a.relay.policy.MaxPrefillWaits; waits++ {
-		a.relay.metrics.prefillWaits.Inc()
-		received = a.awaitAnswer(answers, fromMicroseconds(received.GetWaitingUs())+laterAnswerSlack, stop)
+	c.peers.RecordQuery(c.relay.clock.now(), owner, received != nil, c.relay.clock.now()-sentAt)
+	for waits := 0; received != nil && received.GetAction() == v1.PlacementAction_PLACEMENT_ACTION_WAIT && waits <= c.relay.policy.MaxPrefillWaits; waits++ {
+		c.relay.metrics.prefillWaits.Inc()
+		received = c.awaitAnswer(answers, fromMicroseconds(received.GetWaitingUs())+laterAnswerSlack, stop)
 	}
 	if received == nil {
-		a.relay.metrics.placementQueries.WithLabelValues(queryMissed).Inc()
-		a.cancel(assignment{owner: owner, number: number})
+		c.relay.metrics.placementQueries.WithLabelValues(queryMissed).Inc()
+		c.cancel(assignment{owner: owner, number: number})
 		return engineAnswer{}, false
 	}
-	answer, valid := answerFromWire(received, a.relay.view.Load(), query.excludes, a.relay.clock.now())
+	answer, valid := answerFromWire(received, c.relay.view.Load(), query.excludes, c.relay.clock.now())
 	if !valid {
-		a.relay.metrics.placementQueries.WithLabelValues(queryStale).Inc()
-		a.cancel(assignment{owner: owner, number: number})
+		c.relay.metrics.placementQueries.WithLabelValues(queryStale).Inc()
+		c.cancel(assignment{owner: owner, number: number})
 		return engineAnswer{}, false
 	}
-	a.relay.metrics.placementQueries.WithLabelValues(queryAnswered).Inc()
-	if answer.chosen != nil {
-		answer.chosen.assignment = assignment{owner: owner, number: number}
-		a.relay.pace.adopt(answer.chosen.backEnd.hash, answer.chosen.timePerToken)
+	c.relay.metrics.placementQueries.WithLabelValues(queryAnswered).Inc()
+	if answer.selection != nil {
+		answer.selection.assignment = assignment{owner: owner, number: number}
+		c.relay.pace.adopt(answer.selection.backEnd.hash, answer.selection.timePerToken)
 	}
 	return answer, true
 }
 
 // awaitAnswer waits for an answer; it returns nil when none arrives within the limit or stop is closed.
-func (a *placementClient) awaitAnswer(answers <-chan *v1.PlacementAnswer, limit time.Duration, stop <-chan struct{}) *v1.PlacementAnswer {
+func (c *placementClient) awaitAnswer(answers <-chan *v1.PlacementAnswer, limit time.Duration, stop <-chan struct{}) *v1.PlacementAnswer {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
@@ -121,11 +121,11 @@
 }
 
 // cancel tells an owner that a query is cancelled, or that its answer is not used.
-func (a *placementClient) cancel(assigned assignment) {
+func (c *placementClient) cancel(assigned assignment) {
 	if assigned.owner == "" {
 		return
 	}
-	a.datagrams.Send(assigned.owner, &v1.RelayDatagram{Content: &v1.RelayDatagram_Cancel{Cancel: &v1.PlacementCancel{
-		Relay: a.incarnation, Number: assigned.number,
+	c.datagrams.Send(assigned.owner, &v1.RelayDatagram{Content: &v1.RelayDatagram_Cancel{Cancel: &v1.PlacementCancel{
+		Relay: c.incarnation, Number: assigned.number,
 	}}})
 }
--- a/internal/relay/placement_client_test.go
+++ b/internal/relay/placement_client_test.go
@@ -24,8 +24,8 @@
 func (r *testRelay) ownedBy(owners ...string) {
 	r.owners.mutex.Lock()
 	defer r.owners.mutex.Unlock()
-	for _, divided := range r.owners.current.Load().services["service"].division.Cells() {
-		r.owners.ownersByCell[divided.ID] = owners
+	for _, entry := range r.owners.current.Load().services["service"].division.Cells() {
+		r.owners.ownersByCell[entry.ID] = owners
 	}
 	r.owners.rebuild()
 }
@@ -58,7 +58,7 @@
 func (r *testRelay) reservedWork(engine string) placement.Work {
 	r.owner.mutex.Lock()
 	defer r.owner.mutex.Unlock()
-	return r.owner.reserved.ReservedWork(r.engineOf(engine).hash)
+	return r.owner.reservations.ReservedWork(r.engineOf(engine).hash)
 }
 
 // queryOwner sends the owner another relay's query about its only cell; the channel receives the answers.
@@ -165,16 +165,16 @@
 func TestOwnerOfOtherCells(t *testing.T) {
 	engine := startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne))
 	_, owner := newPair(t, engine)
-	for name, asked := range map[string]*v1.PlacementRequest{
+	for name, query := range map[string]*v1.PlacementRequest{
 		"another cell":    {Service: "service", Cell: 1, Relay: 1, Number: 3, Formats: formats.Supported().ToWire()},
 		"another service": {Service: "other", Relay: 1, Number: 3, Formats: formats.Supported().ToWire()},
 	} {
-		former := proto.CloneOf(asked)
+		former := proto.CloneOf(query)
 		former.Formats = nil
 		owner.owner.handleQuery(former, func(*v1.PlacementAnswer) { t.Error("a relay of the first format was answered") })
 		t.Run(name, func(t *testing.T) {
 			var answers []*v1.PlacementAnswer
-			owner.owner.handleQuery(asked, func(answer *v1.PlacementAnswer) { answers = append(answers, answer) })
+			owner.owner.handleQuery(query, func(answer *v1.PlacementAnswer) { answers = append(answers, answer) })
 			require.Len(t, answers, 1)
 			require.Equal(t, v1.PlacementAction_PLACEMENT_ACTION_UNPLACED, answers[0].GetAction())
 			require.Equal(t, uint64(3), answers[0].GetNumber())
@@ -188,12 +188,12 @@
 	reader := startBackEnd(t, "reader", serving.StagePrefill, refusing(503))
 	owner := newTestRelay(t, route(stream(true)), reader, startBackEnd(t, "decoder", serving.StageDecode, refusing(503)))
 	owner.prefillWaitSlack = time.Hour
-	parts := placement.PrefixBlocksOf(serving.ParsePrompt("m", "9000,50", "aa:6000,bb:3000"))
-	owner.engineOf("reader").cache.beginPrefill(owner.clock.now(), parts)
+	blocks := placement.PrefixBlocksOf(serving.ParsePrompt("m", "9000,50", "aa:6000,bb:3000"))
+	owner.engineOf("reader").cache.beginPrefill(owner.clock.now(), blocks)
 	answers := owner.queryOwner(beginQuery(serving.ParsePrompt("m", "9500,50", "aa:6000,cc:3500")), 1)
 	require.Equal(t, v1.PlacementAction_PLACEMENT_ACTION_WAIT, (<-answers).GetAction())
 	require.Eventually(t, func() bool { return owner.engineOf("reader").currentLoad(0).ownWork.Prefills == 1 }, time.Minute, time.Millisecond)
-	owner.engineOf("reader").cache.markCached(owner.clock.now(), parts)
+	owner.engineOf("reader").cache.markCached(owner.clock.now(), blocks)
 	answer := <-answers
 	require.Equal(t, v1.PlacementAction_PLACEMENT_ACTION_READ_APART, answer.GetAction())
 	require.Equal(t, owner.engineOf("reader").hash, answer.GetEngine())
@@ -220,14 +220,14 @@
 func TestCancelledAssignmentIsRemoved(t *testing.T) {
 	reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 	_, owner := newPair(t, reader, startBackEnd(t, "decoder", serving.StageDecode, refusing(503)))
-	parts := []placement.PrefixBlock{{Hash: 1, Tokens: 4000}, {Hash: 2, Tokens: 3000}}
-	query := &engineQuery{purpose: purposePrefill, service: "service", request: placement.Request{Prompt: parts, Tokens: 7000, Target: time.Second}}
+	blocks := []placement.PrefixBlock{{Hash: 1, Tokens: 4000}, {Hash: 2, Tokens: 3000}}
+	query := &engineQuery{purpose: purposePrefill, service: "service", request: placement.Request{Prompt: blocks, Tokens: 7000, Target: time.Second}}
 	asker := placement.QueryID{Relay: 1, Number: 1}
 	answer := owner.owner.decide(query, owner.view.Load().byService["service"], &asker)
-	require.Equal(t, 7000, answer.chosen.backEnd.cache.lookup(parts, 0).Total)
+	require.Equal(t, 7000, answer.selection.backEnd.cache.lookup(blocks, 0).Total)
 	owner.handleDatagram(&v1.RelayDatagram{Content: &v1.RelayDatagram_Cancel{Cancel: &v1.PlacementCancel{Relay: 1, Number: 1}}}, "")
-	require.Zero(t, answer.chosen.backEnd.cache.lookup(parts, 0).Total)
-	require.Zero(t, owner.reservedWork(answer.chosen.backEnd.ID))
+	require.Zero(t, answer.selection.backEnd.cache.lookup(blocks, 0).Total)
+	require.Zero(t, owner.reservedWork(answer.selection.backEnd.ID))
 }
 
 // Datagrams that are malformed, of another format, or answer no query are counted and dropped.
@@ -252,48 +252,48 @@
 	engine := startBackEnd(t, "engine", serving.StageDecode, refusing(503))
 	relay := newTestRelay(t, route(stream(true)), engine)
 	view := relay.view.Load()
-	known := relay.engineOf("engine")
+	record := relay.engineOf("engine")
 	query := &engineQuery{
-		purpose: purposeTakeOver, service: "service", excluded: []uint64{4}, holder: &prefixHolder{engine: known, tokens: 12},
+		purpose: purposeTakeOver, service: "service", excluded: []uint64{4}, holder: &prefixHolder{engine: record, tokens: 12},
 		request: placement.Request{
 			Stage: serving.StageDecode, Zone: "zone", Rank: placement.Rank{First: 6, Steps: 2}, Target: time.Second, Gap: time.Millisecond, Stride: 7, Tokens: 70,
 			Prompt: []placement.PrefixBlock{{Hash: 1, Tokens: 60}, {Hash: 2, Tokens: 10}}, TokenTransferTime: 33, SlotHoldTime: time.Minute,
 			TimeLeft: 4 * time.Second, MayHaveRun: true,
 		},
 	}
-	asked := queryToWire(query, 1, 2, 3)
-	require.Equal(t, query, queryFromWire(asked, view))
+	wireQuery := queryToWire(query, 1, 2, 3)
+	require.Equal(t, query, queryFromWire(wireQuery, view))
 
-	decided := engineAnswer{
+	result := engineAnswer{
 		decision: placement.Decision{Action: placement.PrefillSeparately, Reason: placement.ReasonPrefillSooner, RetryAfter: time.Second, OverloadedStage: serving.StageDecode},
-		holder:   &prefixHolder{engine: known, tokens: 5},
-		chosen: &selection{
-			backEnd: known, fetchFrom: known, timePerToken: time.Microsecond, queuedWork: placement.Work{Prefills: 1, Streams: 2}.Plus(placement.PrefillWork(9, 3)),
+		holder:   &prefixHolder{engine: record, tokens: 5},
+		selection: &backEndSelection{
+			backEnd: record, fetchFrom: record, timePerToken: time.Microsecond, queuedWork: placement.Work{Prefills: 1, Streams: 2}.Plus(placement.PrefillWork(9, 3)),
 			Candidate: placement.Candidate{Index: placement.None, FetchFrom: placement.None, PrefillTokens: 3, EffectiveTokens: 4, PendingTokens: 5, QueueDelay: time.Second, Cost: 0.25},
 		},
 	}
-	decided.decision.Engine = &decided.chosen.Candidate
+	result.decision.Engine = &result.selection.Candidate
 	none := func(*backEnd) bool { return false }
-	read, valid := answerFromWire(answerToWire(asked, decided), view, none, 0)
+	decoded, valid := answerFromWire(answerToWire(wireQuery, result), view, none, 0)
 	require.True(t, valid)
-	require.Equal(t, decided, read)
+	require.Equal(t, result, decoded)
 
 	_, valid = answerFromWire(&v1.PlacementAnswer{Action: v1.PlacementAction_PLACEMENT_ACTION_READ_APART, Engine: 77}, view, none, 0)
 	require.False(t, valid, "an engine that is not listed")
-	_, valid = answerFromWire(answerToWire(asked, decided), view, func(*backEnd) bool { return true }, 0)
+	_, valid = answerFromWire(answerToWire(wireQuery, result), view, func(*backEnd) bool { return true }, 0)
 	require.False(t, valid, "an engine that was tried already")
-	read, valid = answerFromWire(&v1.PlacementAnswer{Action: 99}, view, none, 0)
+	decoded, valid = answerFromWire(&v1.PlacementAnswer{Action: 99}, view, none, 0)
 	require.True(t, valid)
-	require.Equal(t, placement.Unplaced, read.decision.Action)
+	require.Equal(t, placement.Unplaced, decoded.decision.Action)
 }
 
 // FuzzDatagram feeds arbitrary datagrams of other relays to the decoder; none may crash a relay.
 func FuzzDatagram(f *testing.F) {
-	whole, err := proto.Marshal(&v1.RelayDatagram{Format: datagram.Format, Content: &v1.RelayDatagram_Request{Request: &v1.PlacementRequest{
+	seed, err := proto.Marshal(&v1.RelayDatagram{Format: datagram.Format, Content: &v1.RelayDatagram_Request{Request: &v1.PlacementRequest{
 		Service: "service", Parts: []uint64{1}, PartTokens: []uint32{5}, Rank: 1 << 31, Tokens: 1 << 31, TargetUs: 1 << 63,
 	}}})
 	require.NoError(f, err)
-	f.Add(whole)
+	f.Add(seed)
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, content []byte) {
 		datagram := &v1.RelayDatagram{}
@@ -305,9 +305,9 @@
 		require.GreaterOrEqual(t, query.request.Tokens, 0)
 		require.GreaterOrEqual(t, query.request.Target, time.Duration(0))
 		answer, _ := answerFromWire(datagram.GetAnswer(), view, func(*backEnd) bool { return false }, 0)
-		if answer.chosen != nil {
-			require.GreaterOrEqual(t, answer.chosen.QueueDelay, time.Duration(0))
-			require.GreaterOrEqual(t, answer.chosen.PrefillTokens, 0)
+		if answer.selection != nil {
+			require.GreaterOrEqual(t, answer.selection.QueueDelay, time.Duration(0))
+			require.GreaterOrEqual(t, answer.selection.PrefillTokens, 0)
 		}
 	})
 }
@@ -316,10 +316,10 @@
 func TestOwnedEngines(t *testing.T) {
 	relay := newTestRelay(t, route(stream(true)), startBackEnd(t, "engine", serving.StageDecode, refusing(503)))
 	require.Len(t, relay.owners.ownedEngines(), 1)
-	divided := relay.owners.current.Load().services["service"].division.Cells()[0]
+	entry := relay.owners.current.Load().services["service"].division.Cells()[0]
 	addresses := []string{relay.datagrams.Address, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"}
 	relay.setRelays(addresses, nil)
-	owners := cell.Owners(divided.ID, addresses, activeOwnersPerCell)
+	owners := cell.Owners(entry.ID, addresses, activeOwnersPerCell)
 	want := 0
 	if owners[0] == relay.datagrams.Address || owners[1] == relay.datagrams.Address {
 		want = 1
--- a/internal/relay/placement_offer.go
+++ b/internal/relay/placement_offer.go
@@ -14,37 +14,37 @@
 
 // decideInCell returns the decision of the cell's owner, of its deputy when the owner does not answer, or of this relay
 // when neither answers.
-func (a *placementClient) decideInCell(cells *serviceCells, index int, query *engineQuery, stop <-chan struct{}) engineAnswer {
+func (c *placementClient) decideInCell(cells *serviceCells, index int, query *engineQuery, stop <-chan struct{}) engineAnswer {
 	id := cells.division.Cells()[index].ID
-	if !a.relay.without.IsEnabled(mechanism.Owners) {
-		return a.relay.owner.decide(query, cells.members[index], nil)
+	if !c.relay.without.IsEnabled(mechanism.Owners) {
+		return c.relay.owner.decide(query, cells.members[index], nil)
 	}
-	for _, owner := range a.trustedOwners(a.relay.clock.now(), cells.owners[index], maxOwnersQueried) {
-		if owner == a.datagrams.Address {
-			a.relay.metrics.placementQueries.WithLabelValues(queryOwnCell).Inc()
-			return a.relay.owner.decide(query, cells.members[index], nil)
+	for _, owner := range c.trustedOwners(c.relay.clock.now(), cells.owners[index], maxOwnersQueried) {
+		if owner == c.datagrams.Address {
+			c.relay.metrics.placementQueries.WithLabelValues(queryOwnCell).Inc()
+			return c.relay.owner.decide(query, cells.members[index], nil)
 		}
-		if answer, answered := a.query(owner, id, query, stop); answered {
+		if answer, answered := c.query(owner, id, query, stop); answered {
 			return answer
 		}
 		if isClosed(stop) {
 			break
 		}
 	}
-	a.relay.metrics.placementQueries.WithLabelValues(queryDecidedHere).Inc()
-	answer := a.relay.owner.decide(query, cells.members[index], nil)
+	c.relay.metrics.placementQueries.WithLabelValues(queryDecidedHere).Inc()
+	answer := c.relay.owner.decide(query, cells.members[index], nil)
 	answer.isDecidedHere = true
 	return answer
 }
 
 // decide offers a request to its home cells, one after another, until one of them can serve it well. Engines of a further
 // cell can fetch the prompt's prefix from the engine that has cached it in the first cell.
-func (a *placementClient) decide(cells *serviceCells, homes []int, query *engineQuery, stop <-chan struct{}) engineAnswer {
+func (c *placementClient) decide(cells *serviceCells, homes []int, query *engineQuery, stop <-chan struct{}) engineAnswer {
 	if len(homes) == 0 {
 		return engineAnswer{decision: placement.Decision{Action: placement.Unplaced, Reason: placement.ReasonNoEngine}}
 	}
-	best := a.decideInCell(cells, homes[0], query, stop)
-	if !a.relay.policy.ShouldSpill(query.request, best.decision) {
+	best := c.decideInCell(cells, homes[0], query, stop)
+	if !c.relay.policy.ShouldSpill(query.request, best.decision) {
 		return best
 	}
 	query.holder = best.holder
@@ -52,15 +52,15 @@
 		if isClosed(stop) {
 			break
 		}
-		a.relay.metrics.spills.Inc()
-		next := a.decideInCell(cells, home, query, stop)
+		c.relay.metrics.spills.Inc()
+		next := c.decideInCell(cells, home, query, stop)
 		if next.decision.IsBetter(best.decision) {
 			best, next = next, best
 		}
-		if next.chosen != nil {
-			a.cancel(next.chosen.assignment)
+		if next.selection != nil {
+			c.cancel(next.selection.assignment)
 		}
-		if !a.relay.policy.ShouldSpill(query.request, best.decision) {
+		if !c.relay.policy.ShouldSpill(query.request, best.decision) {
 			break
 		}
 	}
--- a/internal/relay/placement_owner.go
+++ b/internal/relay/placement_owner.go
@@ -18,14 +18,14 @@
 type placementOwner struct {
 	relay *Relay
 
-	mutex    sync.Mutex
-	reserved *placement.Reservations
+	mutex        sync.Mutex
+	reservations *placement.Reservations
 	// waiting holds the queries that wait for another request's prefill. Closing a query's channel ends its wait.
 	waiting map[placement.QueryID]chan struct{}
 }
 
 func newPlacementOwner(relay *Relay) *placementOwner {
-	return &placementOwner{relay: relay, reserved: placement.NewReservations(), waiting: map[placement.QueryID]chan struct{}{}}
+	return &placementOwner{relay: relay, reservations: placement.NewReservations(), waiting: map[placement.QueryID]chan struct{}{}}
 }
 
 // decide selects one of the engines for a request. When another relay has sent the query, the assigned work is reserved
@@ -38,14 +38,14 @@
 	o.expireReservations(now)
 	candidates := o.relay.candidatesOf(engines, query.request.Prompt, query.excludes, now)
 	for index := range candidates.engines {
-		candidates.engines[index].Work = candidates.engines[index].Work.Plus(o.reserved.ReservedWork(candidates.engines[index].Hash))
+		candidates.engines[index].Work = candidates.engines[index].Work.Plus(o.reservations.ReservedWork(candidates.engines[index].Hash))
 	}
 	answer := engineAnswer{holder: candidates.bestHolder()}
 	if query.holder != nil {
 		candidates = candidates.withHolder(query.holder)
 	}
 	answer.decision = query.decideAmong(o.relay.policy, candidates, o.relay.draw)
-	answer.chosen = candidates.selectionOf(answer.decision.Engine)
+	answer.selection = candidates.selectionOf(answer.decision.Engine)
 	if answer.decision.Action == placement.PrefillSeparately && query.purpose == purposeBegin {
 		o.relay.pace.observeShare(query.request.Tokens, answer.decision.Engine.PrefillTokens)
 	}
@@ -60,26 +60,26 @@
 	if action := answer.decision.Action; action != placement.PrefillSeparately && action != placement.PrefillOnDecodeEngine {
 		return
 	}
-	reserved := placement.Reservation{Engine: answer.chosen.backEnd.hash, Work: query.workOf(o.relay.policy, answer.decision)}
-	for _, part := range answer.chosen.backEnd.cache.beginPrefill(now, query.request.Prompt) {
-		reserved.PendingBlocks = append(reserved.PendingBlocks, part.Hash)
+	reservation := placement.Reservation{Engine: answer.selection.backEnd.hash, Work: query.workOf(o.relay.policy, answer.decision)}
+	for _, part := range answer.selection.backEnd.cache.beginPrefill(now, query.request.Prompt) {
+		reservation.PendingBlocks = append(reservation.PendingBlocks, part.Hash)
 	}
-	if former, found := o.reserved.Add(now, asker, reserved); found {
-		o.dropReservedBlocks(former)
+	if replaced, found := o.reservations.Add(now, asker, reservation); found {
+		o.dropReservedBlocks(replaced)
 	}
 }
 
 // expireReservations removes reservations whose work was not reported in time. The mutex is held.
 func (o *placementOwner) expireReservations(now time.Duration) {
-	for _, reserved := range o.reserved.Expire(now) {
-		o.dropReservedBlocks(reserved)
+	for _, reservation := range o.reservations.Expire(now) {
+		o.dropReservedBlocks(reservation)
 	}
 }
 
 // dropReservedBlocks removes the prefix blocks that the engine would have computed for a reservation. The mutex is held.
-func (o *placementOwner) dropReservedBlocks(reserved placement.Reservation) {
-	if engine := o.relay.view.Load().byHash[reserved.Engine]; engine != nil && len(reserved.PendingBlocks) > 0 {
-		engine.cache.dropBlocks(reserved.PendingBlocks)
+func (o *placementOwner) dropReservedBlocks(reservation placement.Reservation) {
+	if engine := o.relay.view.Load().byHash[reservation.Engine]; engine != nil && len(reservation.PendingBlocks) > 0 {
+		engine.cache.dropBlocks(reservation.PendingBlocks)
 	}
 }
 
@@ -91,7 +91,7 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	for _, number := range numbers {
-		o.reserved.Release(placement.QueryID{Relay: relay, Number: number})
+		o.reservations.Release(placement.QueryID{Relay: relay, Number: number})
 	}
 }
 
@@ -100,12 +100,12 @@
 	asker := placement.QueryID{Relay: request.GetRelay(), Number: request.GetNumber()}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if stop, waits := o.waiting[asker]; waits {
+	if stop, isWaiting := o.waiting[asker]; isWaiting {
 		close(stop)
 		delete(o.waiting, asker)
 	}
-	if reserved, found := o.reserved.Release(asker); found {
-		o.dropReservedBlocks(reserved)
+	if reservation, found := o.reservations.Release(asker); found {
+		o.dropReservedBlocks(reservation)
 	}
 }
 
@@ -117,17 +117,17 @@
 		replyUnknownCell(request, reply)
 		return
 	}
-	index, known := current.division.IndexByID(request.GetCell())
-	if !known {
+	index, found := current.division.IndexByID(request.GetCell())
+	if !found {
 		replyUnknownCell(request, reply)
 		return
 	}
 	engines := current.members[index]
 	query := queryFromWire(request, o.relay.view.Load())
 	asker := placement.QueryID{Relay: request.GetRelay(), Number: request.GetNumber()}
-	decided := o.decide(query, engines, &asker)
-	if decided.decision.Action != placement.AwaitSharedPrefill {
-		reply(answerToWire(request, decided))
+	result := o.decide(query, engines, &asker)
+	if result.decision.Action != placement.AwaitSharedPrefill {
+		reply(answerToWire(request, result))
 		return
 	}
 	stop := o.registerWait(asker)
@@ -136,7 +136,7 @@
 		reply(answerToWire(request, o.decide(query, engines, &asker)))
 		return
 	}
-	go o.answerAfterWait(request, query, engines, decided, stop, reply)
+	go o.answerAfterWait(request, query, engines, result, stop, reply)
 }
 
 // replyUnknownCell answers a query about a cell that this relay does not know. Relays of the first format do not recognize
@@ -152,7 +152,7 @@
 func (o *placementOwner) registerWait(asker placement.QueryID) (stop chan struct{}) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if _, waits := o.waiting[asker]; waits || len(o.waiting) >= maxWaitingQueries {
+	if _, isWaiting := o.waiting[asker]; isWaiting || len(o.waiting) >= maxWaitingQueries {
 		return nil
 	}
 	stop = make(chan struct{})
@@ -161,15 +161,15 @@
 }
 
 // answerAfterWait waits for the prefills of other requests, decides again, and answers.
-func (o *placementOwner) answerAfterWait(request *v1.PlacementRequest, query *engineQuery, engines []*backEnd, decided engineAnswer, stop chan struct{}, reply func(*v1.PlacementAnswer)) {
+func (o *placementOwner) answerAfterWait(request *v1.PlacementRequest, query *engineQuery, engines []*backEnd, result engineAnswer, stop chan struct{}, reply func(*v1.PlacementAnswer)) {
 	asker := placement.QueryID{Relay: request.GetRelay(), Number: request.GetNumber()}
-	for decided.decision.Action == placement.AwaitSharedPrefill {
-		limit := min(o.relay.prefillWaitLimit(decided.chosen), query.request.TimeLeft)
-		waiting := answerToWire(request, decided)
+	for result.decision.Action == placement.AwaitSharedPrefill {
+		limit := min(o.relay.prefillWaitLimit(result.selection), query.request.TimeLeft)
+		waiting := answerToWire(request, result)
 		waiting.WaitingUs = microseconds(limit)
 		reply(waiting)
 		waited := o.relay.awaitCached(&prefillWait{
-			chosen: decided.chosen, prefixBlocks: query.request.Prompt, rank: query.request.Rank, limit: limit, stop: stop,
+			selection: result.selection, prefixBlocks: query.request.Prompt, rank: query.request.Rank, limit: limit, stop: stop,
 		})
 		query.request.PrefillWaits++
 		if !waited {
@@ -180,16 +180,16 @@
 			return
 		default:
 		}
-		decided = o.decide(query, engines, &asker)
+		result = o.decide(query, engines, &asker)
 	}
 	o.mutex.Lock()
-	if _, waits := o.waiting[asker]; !waits { // cancelled during the decision
-		reserved, _ := o.reserved.Release(asker)
-		o.dropReservedBlocks(reserved)
+	if _, isWaiting := o.waiting[asker]; !isWaiting { // cancelled during the decision
+		reservation, _ := o.reservations.Release(asker)
+		o.dropReservedBlocks(reservation)
 		o.mutex.Unlock()
 		return
 	}
 	delete(o.waiting, asker)
 	o.mutex.Unlock()
-	reply(answerToWire(request, decided))
+	reply(answerToWire(request, result))
 }
--- a/internal/relay/placement_wire.go
+++ b/internal/relay/placement_wire.go
@@ -53,15 +53,15 @@
 
 // queryToWire encodes a query to the owner of a cell.
 func queryToWire(query *engineQuery, relay, number, cell uint64) *v1.PlacementRequest {
-	wanted := query.request
+	criteria := query.request
 	result := &v1.PlacementRequest{
-		Relay: relay, Number: number, Purpose: wirePurposes[query.purpose], Service: query.service, Cell: cell, Zone: wanted.Zone,
-		Rank: uint32(max(wanted.Rank.First, 0)), RankSteps: uint32(max(wanted.Rank.Steps, 0)), TargetUs: microseconds(wanted.Target), GapUs: microseconds(wanted.Gap), Stride: uint32(max(wanted.Stride, 0)),
-		Tokens: uint32(max(wanted.Tokens, 0)), TokenMoveNs: uint64(max(wanted.TokenTransferTime, 0)), ResidenceUs: microseconds(wanted.SlotHoldTime),
-		TimeLeftUs: microseconds(wanted.TimeLeft), MayHaveRun: wanted.MayHaveRun, Excluded: query.excluded,
+		Relay: relay, Number: number, Purpose: wirePurposes[query.purpose], Service: query.service, Cell: cell, Zone: criteria.Zone,
+		Rank: uint32(max(criteria.Rank.First, 0)), RankSteps: uint32(max(criteria.Rank.Steps, 0)), TargetUs: microseconds(criteria.Target), GapUs: microseconds(criteria.Gap), Stride: uint32(max(criteria.Stride, 0)),
+		Tokens: uint32(max(criteria.Tokens, 0)), TokenMoveNs: uint64(max(criteria.TokenTransferTime, 0)), ResidenceUs: microseconds(criteria.SlotHoldTime),
+		TimeLeftUs: microseconds(criteria.TimeLeft), MayHaveRun: criteria.MayHaveRun, Excluded: query.excluded,
 	}
 	result.Formats = formats.Supported().ToWire()
-	result.Parts, result.PartTokens = blocksToWire(wanted.Prompt[:min(len(wanted.Prompt), maxQueryBlocks)])
+	result.Parts, result.PartTokens = blocksToWire(criteria.Prompt[:min(len(criteria.Prompt), maxQueryBlocks)])
 	if query.holder != nil {
 		result.Holder, result.HolderTokens = query.holder.engine.hash, uint32(max(query.holder.tokens, 0))
 	}
@@ -104,26 +104,26 @@
 }
 
 // answerToWire encodes an owner's answer to a query.
-func answerToWire(request *v1.PlacementRequest, decided engineAnswer) *v1.PlacementAnswer {
+func answerToWire(request *v1.PlacementRequest, result engineAnswer) *v1.PlacementAnswer {
 	answer := &v1.PlacementAnswer{
-		Relay: request.GetRelay(), Number: request.GetNumber(), Action: wireActions[decided.decision.Action],
-		Reason: uint32(decided.decision.Reason), RetryAfterUs: microseconds(decided.decision.RetryAfter),
-		DecodeShort: decided.decision.OverloadedStage == serving.StageDecode,
+		Relay: request.GetRelay(), Number: request.GetNumber(), Action: wireActions[result.decision.Action],
+		Reason: uint32(result.decision.Reason), RetryAfterUs: microseconds(result.decision.RetryAfter),
+		DecodeShort: result.decision.OverloadedStage == serving.StageDecode,
 	}
-	if holder := decided.holder; holder != nil {
+	if holder := result.holder; holder != nil {
 		answer.Holder, answer.HolderTokens = holder.engine.hash, uint32(max(holder.tokens, 0))
 	}
-	chosen := decided.chosen
-	if chosen == nil {
+	selection := result.selection
+	if selection == nil {
 		return answer
 	}
-	answer.Engine, answer.ToRead, answer.Effort = chosen.backEnd.hash, uint32(max(chosen.PrefillTokens, 0)), uint32(max(chosen.EffectiveTokens, 0))
-	answer.Unusable, answer.WaitingUs = uint32(max(chosen.PendingTokens, 0)), microseconds(chosen.QueueDelay)
-	answer.CostUs = microseconds(time.Duration(chosen.Cost * float64(time.Second)))
-	answer.Prompts, answer.Streams = uint32(max(chosen.queuedWork.Prefills, 0)), uint32(max(chosen.queuedWork.Streams, 0))
-	answer.PromptTokens, answer.TokenNs = tokensToWire(chosen.queuedWork), uint64(max(chosen.timePerToken, 0))
-	if chosen.fetchFrom != nil {
-		answer.FetchFrom = chosen.fetchFrom.hash
+	answer.Engine, answer.ToRead, answer.Effort = selection.backEnd.hash, uint32(max(selection.PrefillTokens, 0)), uint32(max(selection.EffectiveTokens, 0))
+	answer.Unusable, answer.WaitingUs = uint32(max(selection.PendingTokens, 0)), microseconds(selection.QueueDelay)
+	answer.CostUs = microseconds(time.Duration(selection.Cost * float64(time.Second)))
+	answer.Prompts, answer.Streams = uint32(max(selection.queuedWork.Prefills, 0)), uint32(max(selection.queuedWork.Streams, 0))
+	answer.PromptTokens, answer.TokenNs = tokensToWire(selection.queuedWork), uint64(max(selection.timePerToken, 0))
+	if selection.fetchFrom != nil {
+		answer.FetchFrom = selection.fetchFrom.hash
 	}
 	return answer
 }
@@ -151,7 +151,7 @@
 	if engine == nil || engine.isUnavailable(now) || excludes(engine) {
 		return engineAnswer{}, false
 	}
-	answer.chosen = &selection{
+	answer.selection = &backEndSelection{
 		backEnd: engine, fetchFrom: view.byHash[wireAnswer.GetFetchFrom()], timePerToken: time.Duration(min(wireAnswer.GetTokenNs(), uint64(time.Second))),
 		Candidate: placement.Candidate{
 			Index: placement.None, FetchFrom: placement.None, PrefillTokens: countFromWire(wireAnswer.GetToRead()), EffectiveTokens: countFromWire(wireAnswer.GetEffort()),
@@ -160,7 +160,7 @@
 		},
 		queuedWork: placement.Work{Prefills: countFromWire(wireAnswer.GetPrompts()), Streams: countFromWire(wireAnswer.GetStreams()), Tokens: tokensFromWire(wireAnswer.GetPromptTokens())},
 	}
-	answer.decision.Engine = &answer.chosen.Candidate
+	answer.decision.Engine = &answer.selection.Candidate
 	return answer, true
 }
 
--- a/internal/relay/prefix_cache.go
+++ b/internal/relay/prefix_cache.go
@@ -21,10 +21,10 @@
 }
 
 // lookup returns how much of the prompt's prefix the engine has cached.
-func (c *prefixCache) lookup(wanted []placement.PrefixBlock, now time.Duration) placement.CachedPrefix {
+func (c *prefixCache) lookup(prompt []placement.PrefixBlock, now time.Duration) placement.CachedPrefix {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.cache.Lookup(wanted, now)
+	return c.cache.Lookup(prompt, now)
 }
 
 // beginPrefill records blocks that the engine is sent to prefill, and returns those that it had not cached before.
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -66,8 +66,8 @@
 
 // reportIfCrashed reports a crash to the guard when nothing listens at the back end's address, or another back end does.
 func (r *Relay) reportIfCrashed(backEnd *backEnd, fault *failure) {
-	refused := errors.Is(fault, errDial) && errors.Is(fault, syscall.ECONNREFUSED)
-	if refused || errors.Is(fault, errMisdirected) {
+	isRefused := errors.Is(fault, errDial) && errors.Is(fault, syscall.ECONNREFUSED)
+	if isRefused || errors.Is(fault, errMisdirected) {
 		r.guard.RecordCrash(backEnd.ID)
 	}
 }
@@ -76,17 +76,17 @@
 // list shows as replaced has crashed even if its address accepts connections: the list may show the replacement before
 // the connections break.
 func (r *Relay) probe(_ context.Context, replica crashguard.Replica) crashguard.ProbeResult {
-	known := r.backEndByID(replica.ID)
-	if known == nil && r.isReplaced(replica) {
+	record := r.backEndByID(replica.ID)
+	if record == nil && r.isReplaced(replica) {
 		return crashguard.ProbeGone
 	}
-	if known == nil { // not listed any more: nothing may be kept in its pool
-		known = newBackEnd(serving.BackEnd{ID: replica.ID, Address: replica.Address}, 0)
-		known.pool.Close()
+	if record == nil { // not listed any more: nothing may be kept in its pool
+		record = newBackEnd(serving.BackEnd{ID: replica.ID, Address: replica.Address}, 0)
+		record.pool.Close()
 	}
-	connection, err := r.exchanger.open(known, dialTimeout)
+	connection, err := r.exchanger.open(record, dialTimeout)
 	if err == nil {
-		known.pool.Put(connection, r.clock.now())
+		record.pool.Put(connection, r.clock.now())
 	}
 	return crashguard.ProbeResultOf(err)
 }
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -72,7 +72,7 @@
 			for number := range 8 {
 				backEnds = append(backEnds, startCrashingBackEnd(t, fmt.Sprint(number), serving.StageWhole, answering(200, "ok")))
 			}
-			relay := newTestRelay(t, route(func(made *serving.Route) { kind(made); made.MaxAttempts = 1 }), backEnds...)
+			relay := newTestRelay(t, route(func(config *serving.Route) { kind(config); config.MaxAttempts = 1 }), backEnds...)
 			for crashes := range quarantine.QuarantineThreshold {
 				require.Equal(t, 502, relay.client(t).do("POST", "/path/", crashingBody).status, "the request has run")
 				seen := fmt.Sprintf("hazelpitch_relay_back_ends_ended_total{%s} %d\n", metricLabels, crashes+1)
@@ -103,7 +103,7 @@
 	for number := range 6 {
 		backEnds = append(backEnds, startBackEnd(t, fmt.Sprint(number), serving.StageWhole, resetting("")))
 	}
-	relay := newTestRelay(t, route(func(made *serving.Route) { safe(made); made.MaxAttempts = 6 }), backEnds...)
+	relay := newTestRelay(t, route(func(config *serving.Route) { safe(config); config.MaxAttempts = 6 }), backEnds...)
 	require.Equal(t, 502, relay.client(t).do("POST", "/path/", "sound").status)
 	require.False(t, relay.guard.IsQuarantined(quarantine.SignatureOf("", "POST", "/path/", []byte("sound"))))
 	for _, backEnd := range backEnds {
@@ -180,7 +180,7 @@
 	for number := range 3 {
 		backEnds = append(backEnds, startBackEnd(t, fmt.Sprint(number), serving.StageWhole, resetting("")))
 	}
-	relay := newTestRelay(t, route(func(made *serving.Route) { safe(made); made.MaxAttempts = 3 }), backEnds...)
+	relay := newTestRelay(t, route(func(config *serving.Route) { safe(config); config.MaxAttempts = 3 }), backEnds...)
 	signature := quarantine.SignatureOf("", "POST", "/path/", []byte("x"))
 	require.Equal(t, 502, relay.client(t).do("POST", "/path/", "x").status)
 	require.False(t, relay.guard.IsQuarantined(signature))
--- a/internal/relay/reply.go
+++ b/internal/relay/reply.go
@@ -46,20 +46,20 @@
 }
 
 // refuse sends an answer that the relay itself makes.
-func (r *replier) refuse(refused refusal) {
-	r.refusal = &refused
-	body := refused.reason + "\n"
-	head := r.beginHead(refused.status)
+func (r *replier) refuse(response refusal) {
+	r.refusal = &response
+	body := response.reason + "\n"
+	head := r.beginHead(response.status)
 	head = appendHeader(head, "Content-Type", "text/plain")
 	head = appendHeader(head, "Content-Length", strconv.Itoa(len(body)))
 	if r.requestID != "" {
 		head = appendHeader(head, r.names.RequestID, r.requestID)
 	}
-	if refused.challenge != "" {
-		head = appendHeader(head, "WWW-Authenticate", refused.challenge)
+	if response.challenge != "" {
+		head = appendHeader(head, "WWW-Authenticate", response.challenge)
 	}
-	if refused.retryAfter > 0 {
-		head = appendHeader(head, "Retry-After", strconv.FormatFloat(refused.retryAfter.Seconds(), 'f', 3, 64))
+	if response.retryAfter > 0 {
+		head = appendHeader(head, "Retry-After", strconv.FormatFloat(response.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	r.write(r.endHead(head, []byte(body)))
 }
--- a/internal/relay/request_log.go
+++ b/internal/relay/request_log.go
@@ -43,9 +43,9 @@
 }
 
 // recordRefusal logs a final answer that the relay itself makes.
-func (l requestLog) recordRefusal(request *request, refused refusal, attempts *attemptTracker) {
-	l.line(zerolog.WarnLevel, events.RequestRefused, request).Stringer("content", request.signature).Int("status", refused.status).Str("reason", refused.reason).
-		Int64("retry_after_ms", refused.retryAfter.Milliseconds()).Int("sent", attempts.sentCount).Bool("may_have_run", attempts.mayHaveRun).Send()
+func (l requestLog) recordRefusal(request *request, response refusal, attempts *attemptTracker) {
+	l.line(zerolog.WarnLevel, events.RequestRefused, request).Stringer("content", request.signature).Int("status", response.status).Str("reason", response.reason).
+		Int64("retry_after_ms", response.retryAfter.Milliseconds()).Int("sent", attempts.sentCount).Bool("may_have_run", attempts.mayHaveRun).Send()
 }
 
 // recordMissingState logs a request that arrived before the relay had the state to serve it. Its route may be unknown.
--- a/internal/relay/request_trace.go
+++ b/internal/relay/request_trace.go
@@ -25,9 +25,9 @@
 }
 
 // recordPrefill records the engine to which the prefill is sent, and the work that is queued there up to the given rank.
-func (t *requestTrace) recordPrefill(chosen *selection, now time.Duration, rank int) {
-	t.prefillEngine, t.prefillAt = chosen.backEnd.ID, now
-	t.tokensToPrefill, t.tokensAhead, t.tokensAheadAll = chosen.PrefillTokens, chosen.queuedWork.TokensUpTo(rank), chosen.queuedWork.PromptTokens()
+func (t *requestTrace) recordPrefill(selection *backEndSelection, now time.Duration, rank int) {
+	t.prefillEngine, t.prefillAt = selection.backEnd.ID, now
+	t.tokensToPrefill, t.tokensAhead, t.tokensAheadAll = selection.PrefillTokens, selection.queuedWork.TokensUpTo(rank), selection.queuedWork.PromptTokens()
 }
 
 // recordEvents records that events were forwarded.
--- a/internal/relay/run_mover.go
+++ b/internal/relay/run_mover.go
@@ -15,7 +15,7 @@
 
 // migratedRun says where a migrated run continues.
 type migratedRun struct {
-	target  *selection
+	target  *backEndSelection
 	prefill *remotePrefill
 }
 
@@ -89,7 +89,7 @@
 
 // destination returns where a paused run continues: at the engine that has the copy, or at its former engine when the
 // remainder could not be copied.
-func (m *runMover) destination(target *selection, copied bool, handle string) *migratedRun {
+func (m *runMover) destination(target *backEndSelection, copied bool, handle string) *migratedRun {
 	if handle == "" {
 		return nil
 	}
@@ -101,11 +101,11 @@
 }
 
 // pickForRun selects the engine that takes over a run; nil when none has a free slot.
-func (r *Relay) pickForRun(mover *runMover) *selection {
+func (r *Relay) pickForRun(mover *runMover) *backEndSelection {
 	request, now := mover.stream.request, r.clock.now()
 	attempts := &attemptTracker{relay: r, request: request, excluded: []*backEnd{mover.engine}}
-	wanted := placement.Request{Now: now, Stage: answeringStage(request.service), Zone: mover.engine.Zone, Rank: mover.stream.rank()}
-	return r.decide(request, newEngineQuery(purposeTakeOver, attempts, wanted), mover.engine).chosen
+	criteria := placement.Request{Now: now, Stage: answeringStage(request.service), Zone: mover.engine.Zone, Rank: mover.stream.rank()}
+	return r.decide(request, newEngineQuery(purposeTakeOver, attempts, criteria), mover.engine).selection
 }
 
 // copyRun lets an engine transfer a run to the engine at an address. It reports whether the transfer succeeded, and returns
--- a/internal/relay/run_mover_test.go
+++ b/internal/relay/run_mover_test.go
@@ -111,7 +111,7 @@
 	relay := newTestRelay(t, route(func(r *serving.Route) { stream(false)(r); r.MaxAttempts = 1 }), former.scriptedBackEnd, next).preferring("former")
 	client := former.beginRun(t, relay)
 	mover := relay.engineOf("former").anyMover()
-	target := &selection{backEnd: relay.engineOf("next")}
+	target := &backEndSelection{backEnd: relay.engineOf("next")}
 	require.Equal(t, relay.engineOf("former"), mover.destination(target, false, "kept").target.backEnd)
 	require.Equal(t, relay.engineOf("next"), mover.destination(target, true, "copy").target.backEnd)
 	require.Nil(t, mover.destination(target, false, ""), "the place of its KV cache is unknown")
@@ -174,7 +174,7 @@
 	stream := &streamReply{relay: relay.Relay, request: request, attempts: &attemptTracker{relay: relay.Relay, request: request}}
 	stream.mover = newRunMover(stream, relay.engineOf("former"))
 	require.True(t, stream.mover.beginStop())
-	stream.mover.outcome <- stream.mover.destination(&selection{backEnd: relay.engineOf("next")}, true, "handle")
+	stream.mover.outcome <- stream.mover.destination(&backEndSelection{backEnd: relay.engineOf("next")}, true, "handle")
 	stream.releaseMigrated()
 	require.Eventually(t, func() bool {
 		seen := former.receivedRequests()
--- a/internal/relay/serve_engine.go
+++ b/internal/relay/serve_engine.go
@@ -13,7 +13,7 @@
 
 // nextDecodeEngine selects the decoding engine that continues a stream. An engine for which a permit was acquired before
 // goes first. It returns nil when no engine is left, or none that may prefill the prompt itself.
-func (r *Relay) nextDecodeEngine(stream *streamReply, prefill *remotePrefill) *selection {
+func (r *Relay) nextDecodeEngine(stream *streamReply, prefill *remotePrefill) *backEndSelection {
 	if run := stream.reservedRun; run != nil {
 		stream.reservedRun = nil
 		return run
@@ -22,18 +22,18 @@
 	if prefill != nil {
 		near = prefill.engine
 	}
-	return r.decide(stream.request, newEngineQuery(purposeDecode, stream.attempts, stream.placementRequest(prefill)), near).chosen
+	return r.decide(stream.request, newEngineQuery(purposeDecode, stream.attempts, stream.placementRequest(prefill)), near).selection
 }
 
 // nextPrefillEngine selects the engine that prefills the prompt; nil when there is none.
-func (r *Relay) nextPrefillEngine(stream *streamReply) *selection {
-	return r.decide(stream.request, newEngineQuery(purposePrefill, stream.attempts, stream.placementRequest(nil)), nil).chosen
+func (r *Relay) nextPrefillEngine(stream *streamReply) *backEndSelection {
+	return r.decide(stream.request, newEngineQuery(purposePrefill, stream.attempts, stream.placementRequest(nil)), nil).selection
 }
 
 // streamStart says where a stream begins: at a decoding engine that also prefills the prompt, with a prompt that a prefill
 // engine has processed, or nowhere because too much work is queued.
 type streamStart struct {
-	direct  *selection
+	direct  *backEndSelection
 	prefill *remotePrefill
 	refusal *refusal
 }
@@ -46,23 +46,23 @@
 	}
 	if r.allLimited(request.service.Name, answeringStage(request.service)) {
 		if stream.reservedRun = r.reserveRun(stream); stream.reservedRun == nil {
-			refused := stream.attempts.refusal()
-			return streamStart{refusal: &refused}
+			response := stream.attempts.refusal()
+			return streamStart{refusal: &response}
 		}
 	}
 	for waits := 0; ; waits++ {
-		decision, chosen := r.decidePrefill(stream, waits)
+		decision, selection := r.decidePrefill(stream, waits)
 		switch decision.Action {
 		case placement.AwaitSharedPrefill:
-			if !r.awaitPrefill(stream, chosen) {
+			if !r.awaitPrefill(stream, selection) {
 				waits = r.policy.MaxPrefillWaits // decide again without further waits
 			}
 		case placement.PrefillOnDecodeEngine:
-			return streamStart{direct: chosen}
+			return streamStart{direct: selection}
 		case placement.PrefillSeparately:
-			return streamStart{prefill: r.prefillWithRetry(stream, chosen)}
+			return streamStart{prefill: r.prefillWithRetry(stream, selection)}
 		case placement.Refuse:
-			r.recordRefusedWork(stream, decision, chosen)
+			r.recordRefusedWork(stream, decision, selection)
 			return streamStart{refusal: &refusal{
 				status: fasthttp.StatusServiceUnavailable, reason: stream.request.trace.placementReason, retryAfter: decision.RetryAfter,
 			}}
@@ -73,13 +73,13 @@
 }
 
 // recordRefusedWork counts refused work as demand, so that more engines are assigned to the stage that lacks capacity.
-func (r *Relay) recordRefusedWork(stream *streamReply, decision placement.Decision, chosen *selection) {
+func (r *Relay) recordRefusedWork(stream *streamReply, decision placement.Decision, selection *backEndSelection) {
 	service := stream.request.service.Name
 	if decision.OverloadedStage == serving.StageDecode {
-		r.work.AddDecode(service, r.work.Residence(service)/time.Duration(max(chosen.backEnd.Slots, 1)))
+		r.work.AddDecode(service, r.work.Residence(service)/time.Duration(max(selection.backEnd.Slots, 1)))
 		return
 	}
-	r.recordPrefillDemand(service, chosen.backEnd, chosen.EffectiveTokens)
+	r.recordPrefillDemand(service, selection.backEnd, selection.EffectiveTokens)
 }
 
 // recordPrefillDemand counts a prefill as demand for prefill engines.
@@ -88,18 +88,18 @@
 }
 
 // decidePrefill decides where to prefill the prompt, after the given number of waits for other requests' prefills.
-func (r *Relay) decidePrefill(stream *streamReply, waits int) (placement.Decision, *selection) {
-	wanted := stream.placementRequest(nil)
-	wanted.PrefillWaits = waits
-	wanted.SlotHoldTime = r.work.Residence(stream.request.service.Name)
-	wanted.TimeLeft = stream.request.deadline - wanted.Now
-	answer := r.decide(stream.request, stream.prefillQuery(wanted), nil)
+func (r *Relay) decidePrefill(stream *streamReply, waits int) (placement.Decision, *backEndSelection) {
+	criteria := stream.placementRequest(nil)
+	criteria.PrefillWaits = waits
+	criteria.SlotHoldTime = r.work.Residence(stream.request.service.Name)
+	criteria.TimeLeft = stream.request.deadline - criteria.Now
+	answer := r.decide(stream.request, stream.prefillQuery(criteria), nil)
 	if answer.decision.Action == placement.PrefillOnDecodeEngine && stream.reservedRun != nil {
-		r.placements.cancel(answer.chosen.assignment)
-		answer.chosen, stream.reservedRun = stream.reservedRun, nil
+		r.placements.cancel(answer.selection.assignment)
+		answer.selection, stream.reservedRun = stream.reservedRun, nil
 	}
 	stream.request.trace.placementReason = answer.reason()
-	return answer.decision, answer.chosen
+	return answer.decision, answer.selection
 }
 
 // decide returns the decision of the owners of the request's home cells. When near is set, its cell is queried first. An
@@ -111,14 +111,14 @@
 		if action != placement.PrefillOnDecodeEngine && action != placement.PrefillSeparately || query.hasPermit && action == placement.PrefillOnDecodeEngine {
 			return answer
 		}
-		if r.acquirePermitFor(answer.chosen, request.rank) {
+		if r.acquirePermitFor(answer.selection, request.rank) {
 			return answer
 		}
-		r.placements.cancel(answer.chosen.assignment)
+		r.placements.cancel(answer.selection.assignment)
 		if len(query.excluded) >= maxExcluded {
 			return engineAnswer{decision: decisionFor(placement.Unplaced, nil)}
 		}
-		query.excluded, query.holder = append(query.excluded, answer.chosen.backEnd.hash), nil
+		query.excluded, query.holder = append(query.excluded, answer.selection.backEnd.hash), nil
 	}
 }
 
@@ -136,8 +136,8 @@
 		}
 	}
 	answer := r.placements.decide(cells, homes, query, request.canceller.done())
-	if answer.chosen != nil {
-		request.trace.owner = answer.chosen.assignment.owner
+	if answer.selection != nil {
+		request.trace.owner = answer.selection.assignment.owner
 	}
 	return answer
 }
@@ -164,7 +164,7 @@
 
 // reserveRun acquires a permit for the run before the prefill, where all decoding engines have limits: otherwise a prefill
 // would be wasted when the run is refused. After the prefill, the run is owed.
-func (r *Relay) reserveRun(stream *streamReply) *selection {
+func (r *Relay) reserveRun(stream *streamReply) *backEndSelection {
 	run := r.nextDecodeEngine(stream, nil)
 	if run != nil {
 		run.isOwed = true
--- a/internal/relay/serve_request.go
+++ b/internal/relay/serve_request.go
@@ -95,13 +95,13 @@
 func (r *Relay) servePlain(request *request, reply *replier) {
 	attempts := &attemptTracker{relay: r, request: request}
 	for attempts.mayContinue() {
-		chosen := r.pickForPlain(request, attempts)
-		if chosen == nil {
+		selection := r.pickForPlain(request, attempts)
+		if selection == nil {
 			break
 		}
-		backEnd := chosen.backEnd
+		backEnd := selection.backEnd
 		request.trace.engine, request.trace.sentAt = backEnd.ID, r.clock.now()
-		answer, fault := r.exchanger.send(&message{request: request, backEnd: backEnd, deadline: request.deadline, work: placement.Work{Streams: 1}, chosen: chosen,
+		answer, fault := r.exchanger.send(&message{request: request, backEnd: backEnd, deadline: request.deadline, work: placement.Work{Streams: 1}, selection: selection,
 			stall: stallLimit(request.route), mayAbort: attempts.hasFurtherAttempt()})
 		r.work.AddWholeAnswer(request.service.Name, r.clock.now()-request.trace.sentAt, backEnd.Slots)
 		if fault == nil || fault.verdict != verdict.NotRun {
@@ -133,9 +133,9 @@
 		reply.close, reply.aborted = true, true // a truncated answer must not look complete
 		return
 	}
-	refused := attempts.refusal()
-	r.log.recordRefusal(attempts.request, refused, attempts)
-	reply.refuse(refused)
+	response := attempts.refusal()
+	r.log.recordRefusal(attempts.request, response, attempts)
+	reply.refuse(response)
 }
 
 // forwardPlain forwards an answer to the client. It returns nil when the client has its final answer, complete or cut off;
--- a/internal/relay/serve_stream.go
+++ b/internal/relay/serve_stream.go
@@ -20,7 +20,7 @@
 }
 
 // sourceHeader returns the value of the header that tells a decoding engine where to fetch the prompt's KV cache.
-func (h *remotePrefill) sourceHeader() string { return h.engine.Address + "/" + h.handle }
+func (p *remotePrefill) sourceHeader() string { return p.engine.Address + "/" + p.handle }
 
 // serveStream serves a streaming request. With model engines, either a prefill engine processes the prompt and a decoding
 // engine generates the stream, or a decoding engine does both.
@@ -34,19 +34,19 @@
 		reply.refuse(*start.refusal)
 		return
 	}
-	chosen, prefill := start.direct, start.prefill
+	selection, prefill := start.direct, start.prefill
 	for stream.migrated != nil || attempts.mayContinue() {
 		if migrated := stream.migrated; migrated != nil {
-			stream.migrated, chosen, prefill = nil, migrated.target, migrated.prefill
+			stream.migrated, selection, prefill = nil, migrated.target, migrated.prefill
 		}
-		if chosen == nil {
-			chosen = r.nextDecodeEngine(stream, prefill)
+		if selection == nil {
+			selection = r.nextDecodeEngine(stream, prefill)
 		}
-		if chosen == nil {
+		if selection == nil {
 			break
 		}
-		engine := chosen.backEnd
-		fault := stream.runOn(chosen, prefill)
+		engine := selection.backEnd
+		fault := stream.runOn(selection, prefill)
 		prefill = nil // a handle can be used only once
 		if fault == nil {
 			return
@@ -57,7 +57,7 @@
 		}
 		r.log.recordFailedAttempt(request, engine, fault)
 		attempts.recordFailure(engine, fault)
-		chosen = nil
+		selection = nil
 	}
 	if prefill != nil {
 		r.release(prefill)
@@ -67,8 +67,8 @@
 
 // prefillWithRetry lets a prefill engine process a prompt. After a failure it tries another engine, if the route's attempts
 // leave one for the prefill and one for the run.
-func (r *Relay) prefillWithRetry(stream *streamReply, chosen *selection) *remotePrefill {
-	prefill := r.prefillPrompt(stream, chosen)
+func (r *Relay) prefillWithRetry(stream *streamReply, selection *backEndSelection) *remotePrefill {
+	prefill := r.prefillPrompt(stream, selection)
 	attempts := stream.attempts
 	if prefill != nil || attempts.isOver() || attempts.sentCount+1 >= stream.request.route.MaxAttempts {
 		return prefill
@@ -82,20 +82,20 @@
 }
 
 // prefillPrompt lets a prefill engine process a prompt. It returns nil when that failed.
-func (r *Relay) prefillPrompt(stream *streamReply, chosen *selection) *remotePrefill {
-	request, engine, now := stream.request, chosen.backEnd, r.clock.now()
-	rank := r.policy.PrefillRank(stream.rank(), chosen.PrefillTokens)
-	request.trace.recordPrefill(chosen, now, rank)
+func (r *Relay) prefillPrompt(stream *streamReply, selection *backEndSelection) *remotePrefill {
+	request, engine, now := stream.request, selection.backEnd, r.clock.now()
+	rank := r.policy.PrefillRank(stream.rank(), selection.PrefillTokens)
+	request.trace.recordPrefill(selection, now, rank)
 	perToken := r.pace.timePerToken(engine.hash)
-	r.recordPrefillDemand(request.service.Name, engine, chosen.EffectiveTokens)
+	r.recordPrefillDemand(request.service.Name, engine, selection.EffectiveTokens)
 	headers := []header{r.priorityHeader(rank), {r.dialect.Headers.Stage, r.dialect.PrefillStage}}
-	if chosen.fetchFrom != nil {
-		headers = append(headers, header{r.dialect.Headers.KVFetch, chosen.fetchFrom.Address})
+	if selection.fetchFrom != nil {
+		headers = append(headers, header{r.dialect.Headers.KVFetch, selection.fetchFrom.Address})
 	}
 	answer, fault := r.exchanger.send(&message{
-		request: request, backEnd: engine, deadline: request.deadline, prefixBlocks: stream.prefixBlocks, headers: headers, chosen: chosen, isPrefill: true,
-		work:     prefillWork(r.policy, stream.rank(), &chosen.Candidate),
-		stall:    prefillStallSlack + time.Duration(prefillStallFactor*float64(r.policy.PrefillQueueDelay(chosen.queuedWork, placement.RankCount-1, perToken)+placement.PrefillTime(perToken, chosen.EffectiveTokens))),
+		request: request, backEnd: engine, deadline: request.deadline, prefixBlocks: stream.prefixBlocks, headers: headers, selection: selection, isPrefill: true,
+		work:     prefillWork(r.policy, stream.rank(), &selection.Candidate),
+		stall:    prefillStallSlack + time.Duration(prefillStallFactor*float64(r.policy.PrefillQueueDelay(selection.queuedWork, placement.RankCount-1, perToken)+placement.PrefillTime(perToken, selection.EffectiveTokens))),
 		mayAbort: true,
 	})
 	if fault != nil {
@@ -103,8 +103,8 @@
 		stream.attempts.recordFailedPrefill(engine, fault)
 		return nil
 	}
-	if chosen.queuedWork.Prefills == 0 && chosen.fetchFrom == nil {
-		r.recordPace(engine, placement.TimePerToken(chosen.EffectiveTokens, r.clock.now()-now))
+	if selection.queuedWork.Prefills == 0 && selection.fetchFrom == nil {
+		r.recordPace(engine, placement.TimePerToken(selection.EffectiveTokens, r.clock.now()-now))
 	}
 	defer answer.finish()
 	prefill := r.readPrefillAnswer(answer, stream.prefixBlocks)
--- a/internal/relay/splitdraw/draws.go
+++ b/internal/relay/splitdraw/draws.go
@@ -34,8 +34,8 @@
 func (d *Draws) Next(route string) float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	last, known := d.last[route]
-	if !known {
+	last, found := d.last[route]
+	if !found {
 		if len(d.last) >= maxRoutes {
 			clear(d.last) // removes routes that no longer exist; the sequences of the others restart
 		}
--- a/internal/relay/startup_wait_test.go
+++ b/internal/relay/startup_wait_test.go
@@ -14,13 +14,13 @@
 // client that is told to retry in a second would miss its target; a request that waits is served.
 func TestRequestDuringStartupWaitsAndIsServed(t *testing.T) {
 	relay := newTestRelay(t, route(nil), startBackEnd(t, "one", serving.StageWhole, answering(200, "ok")))
-	known := relay.view.Load()
+	readyView := relay.view.Load()
 	relay.view.Store(&view{byService: map[string][]*backEnd{}})
 	relay.startupWait = time.Hour
 	client := relay.client(t)
 	client.send("GET", "/path/", "")
 	require.Eventually(t, func() bool { return testutil.ToFloat64(relay.metrics.startupWaits) == 1 }, time.Minute, time.Millisecond)
-	relay.setView(known)
+	relay.setView(readyView)
 	require.Equal(t, 200, client.read().status)
 	require.Equal(t, 200, client.do("GET", "/path/", "").status)
 	require.EqualValues(t, 1, testutil.ToFloat64(relay.metrics.startupWaits), "the second request did not wait")
--- a/internal/relay/stopping_test.go
+++ b/internal/relay/stopping_test.go
@@ -55,10 +55,10 @@
 	defer cancel()
 	go func() { _ = relay.accept(ctx, listener) }()
 	relay.address = listener.Addr().String()
-	known := relay.view.Load()
-	relay.view.Store(&view{table: known.table})
+	readyView := relay.view.Load()
+	relay.view.Store(&view{table: readyView.table})
 	require.Equal(t, 503, ready(), "no list of back ends is known")
-	relay.view.Store(known)
+	relay.view.Store(readyView)
 	require.Equal(t, 200, ready())
 
 	kept := relay.client(t)
--- a/internal/relay/stream_reply.go
+++ b/internal/relay/stream_reply.go
@@ -30,7 +30,7 @@
 	// prefill is the prefilled prompt that the current run's engine fetches; nil when the engine prefills the prompt itself.
 	prefill *remotePrefill
 	// reservedRun is the engine for which a permit was acquired before the prefill; nil for none.
-	reservedRun *selection
+	reservedRun *backEndSelection
 	// hasEvents reports whether the current run has produced events.
 	hasEvents bool
 	// mover can migrate the current run to another engine; nil when that is impossible. migrated is where a migrated run
@@ -44,33 +44,33 @@
 
 // placementRequest describes the decoding engine that is needed, which also prefills the prompt unless prefill is set.
 func (s *streamReply) placementRequest(prefill *remotePrefill) placement.Request {
-	wanted := placement.Request{
+	criteria := placement.Request{
 		Now: s.relay.clock.now(), Stage: answeringStage(s.request.service), Zone: s.relay.settings.Zone, Rank: s.rank(),
 		MayHaveRun: s.attempts.mayHaveRun,
 	}
 	if prefill != nil {
-		wanted.Zone = prefill.engine.Zone
-		return wanted
+		criteria.Zone = prefill.engine.Zone
+		return criteria
 	}
-	wanted.Prompt, wanted.Tokens = s.prefixBlocks, s.request.prompt.PromptTokens
-	if engine := s.request.service.Engine; engine != nil && wanted.Tokens > 0 {
-		wanted.TokenTransferTime = tokenTransferTime(engine)
-		wanted.Target, wanted.Gap, wanted.Stride = s.request.route.Target, s.request.route.TargetGap, engine.Stride
+	criteria.Prompt, criteria.Tokens = s.prefixBlocks, s.request.prompt.PromptTokens
+	if engine := s.request.service.Engine; engine != nil && criteria.Tokens > 0 {
+		criteria.TokenTransferTime = tokenTransferTime(engine)
+		criteria.Target, criteria.Gap, criteria.Stride = s.request.route.Target, s.request.route.TargetGap, engine.Stride
 	}
-	return wanted
+	return criteria
 }
 
 // prefillQuery returns the query that asks where to prefill the prompt.
-func (s *streamReply) prefillQuery(wanted placement.Request) *engineQuery {
-	query := newEngineQuery(purposeBegin, s.attempts, wanted)
+func (s *streamReply) prefillQuery(criteria placement.Request) *engineQuery {
+	query := newEngineQuery(purposeBegin, s.attempts, criteria)
 	query.hasPermit = s.reservedRun != nil
 	return query
 }
 
 // runOn sends the request to an engine and forwards its stream. It returns nil when the client has its final answer; after
 // a failure the stream may continue at another engine.
-func (s *streamReply) runOn(chosen *selection, prefill *remotePrefill) *failure {
-	engine := chosen.backEnd
+func (s *streamReply) runOn(selection *backEndSelection, prefill *remotePrefill) *failure {
+	engine := selection.backEnd
 	s.prefill, s.hasEvents = prefill, false
 	names := s.relay.dialect.Headers
 	headers := []header{s.relay.priorityHeader(s.rank().First)}
@@ -84,19 +84,19 @@
 	if engine.isEngine() {
 		endRun := s.relay.work.BeginRun(began, s.request.service.Name, engine.Slots)
 		defer func() { endRun(s.relay.clock.now()) }()
-		if chosen.EffectiveTokens > 0 { // counted as demand for prefill engines, which could have prefilled the prompt instead
-			s.relay.recordPrefillDemand(s.request.service.Name, engine, chosen.EffectiveTokens)
+		if selection.EffectiveTokens > 0 { // counted as demand for prefill engines, which could have prefilled the prompt instead
+			s.relay.recordPrefillDemand(s.request.service.Name, engine, selection.EffectiveTokens)
 		}
 	}
 	s.request.trace.engine, s.request.trace.sentAt = engine.ID, began
 	work := placement.Work{Streams: 1}
 	if prefill == nil {
-		work = work.Plus(placement.PrefillWork(chosen.EffectiveTokens, s.rank().First))
-		if chosen.fetchFrom != nil {
-			headers = append(headers, header{names.KVFetch, chosen.fetchFrom.Address})
+		work = work.Plus(placement.PrefillWork(selection.EffectiveTokens, s.rank().First))
+		if selection.fetchFrom != nil {
+			headers = append(headers, header{names.KVFetch, selection.fetchFrom.Address})
 		}
 	}
-	answer, fault := s.relay.exchanger.send(&message{request: s.request, backEnd: engine, deadline: s.request.deadline, headers: headers, work: work, prefixBlocks: s.prefixBlocks, chosen: chosen,
+	answer, fault := s.relay.exchanger.send(&message{request: s.request, backEnd: engine, deadline: s.request.deadline, headers: headers, work: work, prefixBlocks: s.prefixBlocks, selection: selection,
 		stall: stallLimit(s.request.route) + placement.PrefillTime(s.relay.pace.timePerToken(engine.hash), s.relay.policy.DecodeSlowdown*work.PromptTokens()), mayAbort: s.mayContinueElsewhere()})
 	if fault != nil {
 		s.recordSourceCached(fault)
--- a/internal/relay/suspension_test.go
+++ b/internal/relay/suspension_test.go
@@ -61,7 +61,7 @@
 		<-t.Context().Done()
 		return false
 	})
-	relay := newTestRelay(t, route(func(made *serving.Route) { made.Timeout = time.Hour }), backEnd)
+	relay := newTestRelay(t, route(func(config *serving.Route) { config.Timeout = time.Hour }), backEnd)
 	suspension := relay.suspension()
 	go relay.clock.steady.Watch(t.Context(), relay.handleSuspension)
 	client := relay.client(t)
@@ -75,10 +75,10 @@
 func TestLeaderAnswerFromBeforeASuspensionIsStale(t *testing.T) {
 	relay := newTestRelay(t, route(nil))
 	suspension := relay.suspension()
-	asked := relay.clock.now()
-	require.False(t, relay.watcher.IsResponseStale(asked))
+	sentAt := relay.clock.now()
+	require.False(t, relay.watcher.IsResponseStale(sentAt))
 	suspension.Add(int64(5 * time.Second))
-	require.True(t, relay.watcher.IsResponseStale(asked))
+	require.True(t, relay.watcher.IsResponseStale(sentAt))
 	relay.fleet.ApplyUpdate(&v1.WatchResponse{})
 	require.Less(t, relay.clock.now()-relay.lastContact(), relay.maxContactAge(), "a new answer counts as contact")
 }
--- a/internal/relay/view.go
+++ b/internal/relay/view.go
@@ -28,8 +28,8 @@
 	if v.table == nil {
 		return nil
 	}
-	if known := v.table.Service(service); known != nil {
-		return known.Engine
+	if found := v.table.Service(service); found != nil {
+		return found.Engine
 	}
 	return nil
 }
--- a/internal/relay/workmeter/meter.go
+++ b/internal/relay/workmeter/meter.go
@@ -43,24 +43,24 @@
 func New() *Meter { return &Meter{services: map[string]*serviceWork{}} }
 
 // AddPrefill adds time that a request of a service needs on prefill engines.
-func (m *Meter) AddPrefill(service string, took time.Duration) {
+func (m *Meter) AddPrefill(service string, duration time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.workOf(service).prefill += took
+	m.workOf(service).prefill += duration
 }
 
 // AddDecode adds time that a request of a service needs on decoding engines.
-func (m *Meter) AddDecode(service string, took time.Duration) {
+func (m *Meter) AddDecode(service string, duration time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.workOf(service).decode += took
+	m.workOf(service).decode += duration
 }
 
 // AddWholeAnswer adds the time for which a non-streaming request occupied one of a back end's slots.
-func (m *Meter) AddWholeAnswer(service string, took time.Duration, slots int) {
+func (m *Meter) AddWholeAnswer(service string, duration time.Duration, slots int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.workOf(service).wholeAnswers += took / time.Duration(max(slots, 1))
+	m.workOf(service).wholeAnswers += duration / time.Duration(max(slots, 1))
 }
 
 // BeginRun records that a stream begins to occupy, or to wait for, one slot of a decoding engine with the given number of
@@ -75,12 +75,12 @@
 }
 
 // recordRun records for how long an ended run occupied its slot.
-func (m *Meter) recordRun(service string, took time.Duration) {
+func (m *Meter) recordRun(service string, duration time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	work := m.workOf(service)
-	work.runSeconds = runDecay*work.runSeconds + took.Seconds()
-	work.runSecondsSquared = runDecay*work.runSecondsSquared + took.Seconds()*took.Seconds()
+	work.runSeconds = runDecay*work.runSeconds + duration.Seconds()
+	work.runSecondsSquared = runDecay*work.runSecondsSquared + duration.Seconds()*duration.Seconds()
 }
 
 // Residence estimates for how long the runs that occupy slots at a given moment keep them. It returns half the
--- a/internal/relay/workmeter/meter_test.go
+++ b/internal/relay/workmeter/meter_test.go
@@ -26,11 +26,11 @@
 	meter := New()
 	require.Zero(t, meter.Residence("service"))
 	for index := range 400 {
-		took := 10 * time.Millisecond
+		duration := 10 * time.Millisecond
 		if index%4 == 0 {
-			took = 4 * time.Second
+			duration = 4 * time.Second
 		}
-		meter.BeginRun(0, "service", 4)(took)
+		meter.BeginRun(0, "service", 4)(duration)
 	}
 	require.InDelta(t, 2, meter.Residence("service").Seconds(), 0.05)
 }
