--- a/internal/relay/back_end.go
+++ b/internal/relay/back_end.go
@@ -26,9 +26,9 @@
 	signals *backpressure.Signals
 	// isSuperseded reports whether a newer incarnation has answered in its place, which the list does not show yet.
 	isSuperseded atomic.Bool
-	// listedBorn is the incarnation's start time when the list sent it only after this record was created; 0 otherwise. It
-	// is used only by the goroutine that applies lists.
-	listedBorn int64
+	// listedStartedAtMs is the incarnation's start time in Unix milliseconds, when the list sent it only after this record
+	// was created; 0 otherwise. It is used only by the goroutine that applies lists.
+	listedStartedAtMs int64
 	// changingSince is the time at which the engine was last marked as changing its stage.
 	changingSince time.Duration
 
--- a/internal/relay/back_end_records.go
+++ b/internal/relay/back_end_records.go
@@ -46,7 +46,7 @@
 	f.signals.RemoveUnlisted(f.relay.clock.now(), func(identity string) bool { return records[identity] != nil })
 	f.relay.event(events.ListingInForce).Uint64("version", next.listingVersion).Int("back_ends", len(listed)).Send()
 	f.relay.notices.table.retain(next.byHash)
-	f.relay.pace.retain(next.byHash)
+	f.relay.prefillSpeed.retain(next.byHash)
 	next.isListed, next.listedAt = true, f.relay.clock.now()
 	f.relay.owners.setView(next)
 }
@@ -64,7 +64,7 @@
 
 // migrateRuns migrates the runs at newly closed back ends. It is called once the view contains their possible targets.
 func (f *fleetState) migrateRuns() {
-	if f.relay.without.IsEnabled(mechanism.RunMigration) {
+	if f.relay.mechanisms.IsEnabled(mechanism.RunMigration) {
 		for _, closed := range f.closedBackEnds {
 			closed.migrateRuns()
 		}
@@ -82,7 +82,7 @@
 	now := f.relay.clock.now()
 	record.load.avoidUntil = former.currentLoad(0).avoidUntil
 	record.cache = former.cache
-	record.changingSince, record.listedBorn = former.changingSince, former.listedBorn
+	record.changingSince, record.listedStartedAtMs = former.changingSince, former.listedStartedAtMs
 	if entry.Changing && !former.Changing {
 		record.changingSince = now
 	}
--- a/internal/relay/back_end_signals.go
+++ b/internal/relay/back_end_signals.go
@@ -59,7 +59,7 @@
 	}
 	if signals.Leaving && backEnd.signals.MarkLeaving(now) {
 		r.event(events.BackEndLeaves).Str("back_end", backEnd.ID).Bool("listed", backEnd.Leaving).Send()
-		if !backEnd.Leaving && r.without.IsEnabled(mechanism.RunMigration) {
+		if !backEnd.Leaving && r.mechanisms.IsEnabled(mechanism.RunMigration) {
 			go backEnd.migrateRuns()
 		}
 	}
--- a/internal/relay/back_end_signals_test.go
+++ b/internal/relay/back_end_signals_test.go
@@ -34,8 +34,8 @@
 		"another's address":               {answering(421, "", "T-Not-Run: 1", backoffHeader, leavingHeader), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			asks := startBackEnd(t, "asks", serving.StageWhole, test.answer)
-			relay := newTestRelay(t, route(func(r *serving.Route) { r.MaxAttempts = 1 }), asks)
+			scripted := startBackEnd(t, "asks", serving.StageWhole, test.answer)
+			relay := newTestRelay(t, route(func(r *serving.Route) { r.MaxAttempts = 1 }), scripted)
 			client := relay.client(t)
 			client.do("POST", "/path/", "x")
 			for range 3 {
@@ -46,9 +46,9 @@
 				}
 			}
 			if test.alone {
-				require.Len(t, asks.receivedRequests(), 1)
+				require.Len(t, scripted.receivedRequests(), 1)
 			} else {
-				require.Len(t, asks.receivedRequests(), 4)
+				require.Len(t, scripted.receivedRequests(), 4)
 			}
 		})
 	}
@@ -86,8 +86,8 @@
 // The signals of a back end stay valid when its entry changes and when the list omits it for a while. Its next incarnation
 // starts without signals.
 func TestSignalsHoldForAStart(t *testing.T) {
-	asks := startBackEnd(t, "asks", serving.StageWhole, answering(503, "", "T-Not-Run: 1", backoffHeader, leavingHeader))
-	relay := newTestRelay(t, route(nil), asks)
+	scripted := startBackEnd(t, "asks", serving.StageWhole, answering(503, "", "T-Not-Run: 1", backoffHeader, leavingHeader))
+	relay := newTestRelay(t, route(nil), scripted)
 	relay.client(t).do("POST", "/path/", "x")
 	list := func(entries ...serving.BackEnd) *backEnd {
 		next := *relay.view.Load()
@@ -98,13 +98,13 @@
 		}
 		return next.byService["service"][0]
 	}
-	changed := asks.entry
+	changed := scripted.entry
 	changed.Slots++
 	require.True(t, list(changed).isLeaving())
 	require.True(t, list(changed).inBackoff(relay.clock.now()))
 	list()
-	require.True(t, list(asks.entry).isLeaving())
-	newer := asks.entry
+	require.True(t, list(scripted.entry).isLeaving())
+	newer := scripted.entry
 	newer.ID, newer.Replica, newer.StartedAtMs = "asks/2", "asks", 2
 	require.False(t, list(newer).isLeaving())
 	require.False(t, list(newer).inBackoff(relay.clock.now()))
--- a/internal/relay/cache_reader.go
+++ b/internal/relay/cache_reader.go
@@ -83,10 +83,10 @@
 	return !wasRead || c.relay.clock.now()-readAt >= cacheReadLifetime
 }
 
-func hashedBlocks(cachedParts []serving.CachedBlock) []placement.PrefixBlock {
-	blocks := make([]placement.PrefixBlock, 0, len(cachedParts))
-	for _, part := range cachedParts {
-		blocks = append(blocks, placement.PrefixBlock{Hash: placement.HashBlock(part.Model, part.Block.ID), Tokens: part.Block.Tokens})
+func hashedBlocks(cachedBlocks []serving.CachedBlock) []placement.PrefixBlock {
+	blocks := make([]placement.PrefixBlock, 0, len(cachedBlocks))
+	for _, block := range cachedBlocks {
+		blocks = append(blocks, placement.PrefixBlock{Hash: placement.HashBlock(block.Model, block.Block.ID), Tokens: block.Block.Tokens})
 	}
 	return blocks
 }
--- a/internal/relay/dialect.go
+++ b/internal/relay/dialect.go
@@ -30,8 +30,8 @@
 type PrefillAnswer struct {
 	// Handle identifies the prefilled prompt at the engine; it is never empty.
 	Handle string
-	// Born is the start time of the incarnation that answered, in Unix milliseconds; 0 when the engine sends none.
-	Born int64
+	// StartedAtMs is the start time of the incarnation that answered, in Unix milliseconds; 0 when the engine sends none.
+	StartedAtMs int64
 }
 
 // HeaderNames are the names of headers, in canonical form.
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -49,8 +49,8 @@
 	acquirePermit func(backEnd *backEnd, rank int, isOwed bool) bool
 	// limitedSends counts messages sent to back ends with a limit.
 	limitedSends prometheus.Counter
-	// without holds the mechanisms that are disabled.
-	without mechanism.Set
+	// mechanisms says which mechanisms are enabled.
+	mechanisms mechanism.Set
 }
 
 // send sends the message and reads the head of the answer. The caller must finish or discard the answer.
--- a/internal/relay/exchange_records.go
+++ b/internal/relay/exchange_records.go
@@ -72,7 +72,7 @@
 func (e *exchanger) recordRefusal(message *message) {
 	engine := message.backEnd
 	isInconclusive := message.work.PromptTokens() == 0 && engine.currentLoad(e.clock.now()).refusals == 0
-	if isInconclusive || !e.hasFreeSlots(message) || !e.without.IsEnabled(mechanism.RefusalSuspicion) {
+	if isInconclusive || !e.hasFreeSlots(message) || !e.mechanisms.IsEnabled(mechanism.RefusalSuspicion) {
 		engine.recordBusy(e.clock.now())
 		return
 	}
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -46,9 +46,9 @@
 
 // parseTestPrefill parses "HANDLE" or "HANDLE BORN".
 func parseTestPrefill(body []byte) (PrefillAnswer, error) {
-	handle, bornText, _ := strings.Cut(string(body), " ")
-	born, _ := strconv.ParseInt(bornText, 10, 64)
-	return PrefillAnswer{Handle: handle, Born: born}, nil
+	handle, startedText, _ := strings.Cut(string(body), " ")
+	startedAtMs, _ := strconv.ParseInt(startedText, 10, 64)
+	return PrefillAnswer{Handle: handle, StartedAtMs: startedAtMs}, nil
 }
 
 // backEndRequest is one request as a back end received it.
--- a/internal/relay/identify_incarnations.go
+++ b/internal/relay/identify_incarnations.go
@@ -13,7 +13,7 @@
 	identified := make([]serving.BackEnd, len(listed))
 	for index, entry := range listed {
 		if record := byReplica[entry.ExpectedID()]; record != nil && f.isSameIncarnation(record, entry, fromFormerLeader) {
-			record.listedBorn = max(record.listedBorn, entry.StartedAtMs)
+			record.listedStartedAtMs = max(record.listedStartedAtMs, entry.StartedAtMs)
 			entry.ID, entry.Replica, entry.StartedAtMs = record.ID, record.Replica, record.StartedAtMs
 		}
 		identified[index] = entry
@@ -33,6 +33,6 @@
 	case record.StartedAtMs != 0 || entry.StartedAtMs == 0:
 		return false
 	default:
-		return record.listedBorn == entry.StartedAtMs || record.listedBorn == 0 && f.listedByFormerLeader
+		return record.listedStartedAtMs == entry.StartedAtMs || record.listedStartedAtMs == 0 && f.listedByFormerLeader
 	}
 }
--- a/internal/relay/identify_incarnations_test.go
+++ b/internal/relay/identify_incarnations_test.go
@@ -9,10 +9,10 @@
 )
 
 // entryOf returns a replica's list entry; born is 0 in the list of a leader of the first format.
-func entryOf(born int64, address string) serving.BackEnd {
+func entryOf(startedAtMs int64, address string) serving.BackEnd {
 	entry := serving.BackEnd{ID: "i-1", Service: "s", Address: address, Zone: "z", Slots: 4}
-	if born != 0 {
-		entry.ID, entry.Replica, entry.StartedAtMs = "i-1/"+string(rune('0'+born)), "i-1", born
+	if startedAtMs != 0 {
+		entry.ID, entry.Replica, entry.StartedAtMs = "i-1/"+string(rune('0'+startedAtMs)), "i-1", startedAtMs
 	}
 	return entry
 }
@@ -22,8 +22,8 @@
 func TestAStartStaysTheSameUnderLeadersOfBothBuilds(t *testing.T) {
 	const here, there = "10.0.0.1:1", "10.0.0.2:1"
 	type listingStep struct {
-		born    int64
-		address string
+		startedAtMs int64
+		address     string
 		// same: the entry denotes the same incarnation as the entry before.
 		same bool
 	}
@@ -39,7 +39,7 @@
 			var former *backEnd
 			for index, step := range listings {
 				next := *relay.view.Load()
-				relay.fleet.applyListing(relay.fleet.identifyIncarnations([]serving.BackEnd{entryOf(step.born, step.address)}, step.born == 0), &next)
+				relay.fleet.applyListing(relay.fleet.identifyIncarnations([]serving.BackEnd{entryOf(step.startedAtMs, step.address)}, step.startedAtMs == 0), &next)
 				relay.setView(&next)
 				require.Len(t, next.byService["s"], 1)
 				listed := next.byService["s"][0]
--- a/internal/relay/notice_pending.go
+++ b/internal/relay/notice_pending.go
@@ -43,8 +43,8 @@
 	n.queue(engine, pendingNotice{abandoned: abandoned})
 }
 
-// queuePace queues an engine's measured prefill time per token.
-func (n *loadNotices) queuePace(engine *backEnd, timePerToken time.Duration) {
+// queuePrefillSpeed queues an engine's measured prefill time per token.
+func (n *loadNotices) queuePrefillSpeed(engine *backEnd, timePerToken time.Duration) {
 	if timePerToken > 0 {
 		n.queue(engine, pendingNotice{timePerToken: timePerToken})
 	}
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -103,7 +103,7 @@
 
 // sendPending sends the queued changes to the relays concerned.
 func (n *loadNotices) sendPending() {
-	if !n.relay.without.IsEnabled(mechanism.Notices) {
+	if !n.relay.mechanisms.IsEnabled(mechanism.Notices) {
 		return
 	}
 	for receiver, engines := range n.takePending() {
@@ -189,7 +189,7 @@
 		if entry.GetFailed() {
 			engine.recordPeerFailure(n.relay.clock.now())
 		}
-		n.relay.pace.observe(engine.hash, time.Duration(entry.GetTokenNs()))
+		n.relay.prefillSpeed.observe(engine.hash, time.Duration(entry.GetTokenNs()))
 		now := n.relay.clock.now()
 		if started := blocksFromWire(entry.GetParts(), entry.GetPartTokens()); len(started) > 0 {
 			engine.cache.beginPrefill(now, started)
--- a/internal/relay/permits/datagram_fuzz_test.go
+++ b/internal/relay/permits/datagram_fuzz_test.go
@@ -32,9 +32,9 @@
 		const self = "10.0.0.1:1"
 		member := fleetlimit.NewMember(self)
 		member.SetProcesses(0, []string{self})
-		if ask, valid := requestFromWire(received.GetLimitAsk()); valid {
+		if request, valid := requestFromWire(received.GetLimitAsk()); valid {
 			for now := time.Minute; now < 2*time.Minute; now += time.Second {
-				answer, isOwner := member.HandleRequest(now, ask, true, 0.5)
+				answer, isOwner := member.HandleRequest(now, request, true, 0.5)
 				require.True(t, isOwner)
 				require.GreaterOrEqual(t, answer.Wait, time.Duration(0))
 				require.LessOrEqual(t, answer.Wait, maxWait)
--- a/internal/relay/permits/permits.go
+++ b/internal/relay/permits/permits.go
@@ -78,10 +78,10 @@
 // Request requests a permit from a limit's owner, and then from its deputies until one answers. answered is false when
 // none of them does; the permit is then not granted, because requests that relays send on their own would add up beyond
 // the limit. It blocks for up to one timeout per relay.
-func (p *Permits) Request(ask fleetlimit.PermitRequest) (answer fleetlimit.PermitResponse, answered bool) {
-	ask.RequesterID = p.config.Incarnation
-	for _, owner := range p.OwnersOf(ask.BackEnd) {
-		if answer, answered = p.requestFrom(owner, ask); answered {
+func (p *Permits) Request(request fleetlimit.PermitRequest) (answer fleetlimit.PermitResponse, answered bool) {
+	request.RequesterID = p.config.Incarnation
+	for _, owner := range p.OwnersOf(request.BackEnd) {
+		if answer, answered = p.requestFrom(owner, request); answered {
 			return answer, true
 		}
 	}
@@ -97,9 +97,9 @@
 
 // requestFrom requests a permit from one relay, which may be this one. It returns false when that relay does not answer
 // or does not own the limit.
-func (p *Permits) requestFrom(owner string, ask fleetlimit.PermitRequest) (fleetlimit.PermitResponse, bool) {
+func (p *Permits) requestFrom(owner string, request fleetlimit.PermitRequest) (fleetlimit.PermitResponse, bool) {
 	if owner == p.config.Socket.Address {
-		return p.grant(ask)
+		return p.grant(request)
 	}
 	sentAt := p.config.Now()
 	if !p.config.Peers.Trusted(sentAt, owner) {
@@ -107,7 +107,7 @@
 	}
 	number, answers := p.queries.Open()
 	defer p.queries.Close(number)
-	p.config.Socket.Send(owner, &v1.RelayDatagram{Content: &v1.RelayDatagram_LimitAsk{LimitAsk: requestToWire(ask, number)}})
+	p.config.Socket.Send(owner, &v1.RelayDatagram{Content: &v1.RelayDatagram_LimitAsk{LimitAsk: requestToWire(request, number)}})
 	timer := time.NewTimer(p.config.Peers.Timeout())
 	defer timer.Stop()
 	select {
@@ -121,21 +121,21 @@
 }
 
 // grant decides on a permit request for a limit that this relay owns. It returns false when another relay owns it.
-func (p *Permits) grant(ask fleetlimit.PermitRequest) (fleetlimit.PermitResponse, bool) {
+func (p *Permits) grant(request fleetlimit.PermitRequest) (fleetlimit.PermitResponse, bool) {
 	fresh, draw := p.config.IsRelayListFresh(), p.config.Draw()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.member.HandleRequest(p.config.Now(), ask, fresh, draw)
+	return p.member.HandleRequest(p.config.Now(), request, fresh, draw)
 }
 
 // HandleRequest answers another relay's permit request.
 func (p *Permits) HandleRequest(request *v1.LimitAsk, from string) {
-	ask, valid := requestFromWire(request)
+	decoded, valid := requestFromWire(request)
 	if !valid {
 		p.config.Socket.CountDrop(datagram.Malformed)
 		return
 	}
-	answer, isOwner := p.grant(ask)
+	answer, isOwner := p.grant(decoded)
 	p.mutex.Lock()
 	p.requesters[from] = p.config.Now()
 	p.mutex.Unlock()
--- a/internal/relay/permits/wire.go
+++ b/internal/relay/permits/wire.go
@@ -8,21 +8,21 @@
 )
 
 // requestToWire encodes a permit request.
-func requestToWire(ask fleetlimit.PermitRequest, number uint64) *v1.LimitAsk {
+func requestToWire(request fleetlimit.PermitRequest, number uint64) *v1.LimitAsk {
 	return &v1.LimitAsk{
-		Relay: ask.RequesterID, Number: number, Limit: fleetlimit.ToWire(fleetlimit.BackEndLimit{BackEnd: ask.BackEnd, Limit: ask.Limit}),
-		Heard: ask.LimitFromBackEnd, Rank: uint32(ask.Rank), Owed: ask.MustResume,
+		Relay: request.RequesterID, Number: number, Limit: fleetlimit.ToWire(fleetlimit.BackEndLimit{BackEnd: request.BackEnd, Limit: request.Limit}),
+		Heard: request.LimitFromBackEnd, Rank: uint32(request.Rank), Owed: request.MustResume,
 	}
 }
 
 // requestFromWire decodes a permit request; it returns false for an invalid one.
 func requestFromWire(request *v1.LimitAsk) (fleetlimit.PermitRequest, bool) {
 	named, valid := fleetlimit.FromWire(request.GetLimit())
-	ask := fleetlimit.PermitRequest{
+	decoded := fleetlimit.PermitRequest{
 		BackEnd: named.BackEnd, Limit: named.Limit, LimitFromBackEnd: request.GetHeard(), RequesterID: request.GetRelay(),
 		Rank: int(min(request.GetRank(), fleetlimit.RankCount-1)), MustResume: request.GetOwed(),
 	}
-	return ask, valid
+	return decoded, valid
 }
 
 // answerToWire encodes the answer to a permit request.
--- a/internal/relay/pick.go
+++ b/internal/relay/pick.go
@@ -27,7 +27,7 @@
 		}
 		if backEnd.isEngine() {
 			engine.Work = r.notices.table.totalWork(now, backEnd, load)
-			engine.PerToken = r.pace.timePerToken(backEnd.hash)
+			engine.PerToken = r.prefillSpeed.timePerToken(backEnd.hash)
 			engine.Cached = backEnd.cache.lookup(prompt, now)
 		}
 		candidates.engines[index] = engine
--- a/internal/relay/placement_client.go
+++ b/internal/relay/placement_client.go
@@ -92,7 +92,7 @@
 	c.relay.metrics.placementQueries.WithLabelValues(queryAnswered).Inc()
 	if answer.selection != nil {
 		answer.selection.assignment = assignment{owner: owner, number: number}
-		c.relay.pace.adopt(answer.selection.backEnd.hash, answer.selection.timePerToken)
+		c.relay.prefillSpeed.adopt(answer.selection.backEnd.hash, answer.selection.timePerToken)
 	}
 	return answer, true
 }
--- a/internal/relay/placement_client_test.go
+++ b/internal/relay/placement_client_test.go
@@ -222,8 +222,8 @@
 	_, owner := newPair(t, reader, startBackEnd(t, "decoder", serving.StageDecode, refusing(503)))
 	blocks := []placement.PrefixBlock{{Hash: 1, Tokens: 4000}, {Hash: 2, Tokens: 3000}}
 	query := &engineQuery{purpose: purposePrefill, service: "service", request: placement.Request{Prompt: blocks, Tokens: 7000, Target: time.Second}}
-	asker := placement.QueryID{Relay: 1, Number: 1}
-	answer := owner.owner.decide(query, owner.view.Load().byService["service"], &asker)
+	queryID := placement.QueryID{Relay: 1, Number: 1}
+	answer := owner.owner.decide(query, owner.view.Load().byService["service"], &queryID)
 	require.Equal(t, 7000, answer.selection.backEnd.cache.lookup(blocks, 0).Total)
 	owner.handleDatagram(&v1.RelayDatagram{Content: &v1.RelayDatagram_Cancel{Cancel: &v1.PlacementCancel{Relay: 1, Number: 1}}}, "")
 	require.Zero(t, answer.selection.backEnd.cache.lookup(blocks, 0).Total)
--- a/internal/relay/placement_offer.go
+++ b/internal/relay/placement_offer.go
@@ -16,7 +16,7 @@
 // when neither answers.
 func (c *placementClient) decideInCell(cells *serviceCells, index int, query *engineQuery, stop <-chan struct{}) engineAnswer {
 	id := cells.division.Cells()[index].ID
-	if !c.relay.without.IsEnabled(mechanism.Owners) {
+	if !c.relay.mechanisms.IsEnabled(mechanism.Owners) {
 		return c.relay.owner.decide(query, cells.members[index], nil)
 	}
 	for _, owner := range c.trustedOwners(c.relay.clock.now(), cells.owners[index], maxOwnersQueried) {
--- a/internal/relay/placement_owner.go
+++ b/internal/relay/placement_owner.go
@@ -30,11 +30,11 @@
 
 // decide selects one of the engines for a request. When another relay has sent the query, the assigned work is reserved
 // from now on; asker is nil for this relay's own requests, whose work begins at once.
-func (o *placementOwner) decide(query *engineQuery, engines []*backEnd, asker *placement.QueryID) engineAnswer {
+func (o *placementOwner) decide(query *engineQuery, engines []*backEnd, queryID *placement.QueryID) engineAnswer {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	now := o.relay.clock.now()
-	query.request.Now, query.request.UncachedShare = now, o.relay.pace.usualShare()
+	query.request.Now, query.request.UncachedShare = now, o.relay.prefillSpeed.usualShare()
 	o.expireReservations(now)
 	candidates := o.relay.candidatesOf(engines, query.request.Prompt, query.excludes, now)
 	for index := range candidates.engines {
@@ -47,16 +47,16 @@
 	answer.decision = query.decideAmong(o.relay.policy, candidates, o.relay.draw)
 	answer.selection = candidates.selectionOf(answer.decision.Engine)
 	if answer.decision.Action == placement.PrefillSeparately && query.purpose == purposeBegin {
-		o.relay.pace.observeShare(query.request.Tokens, answer.decision.Engine.PrefillTokens)
+		o.relay.prefillSpeed.observeShare(query.request.Tokens, answer.decision.Engine.PrefillTokens)
 	}
-	if asker != nil && o.relay.without.IsEnabled(mechanism.Reservations) {
-		o.reserve(now, *asker, query, answer)
+	if queryID != nil && o.relay.mechanisms.IsEnabled(mechanism.Reservations) {
+		o.reserve(now, *queryID, query, answer)
 	}
 	return answer
 }
 
 // reserve reserves the work that an answer assigns to an engine. The mutex is held.
-func (o *placementOwner) reserve(now time.Duration, asker placement.QueryID, query *engineQuery, answer engineAnswer) {
+func (o *placementOwner) reserve(now time.Duration, queryID placement.QueryID, query *engineQuery, answer engineAnswer) {
 	if action := answer.decision.Action; action != placement.PrefillSeparately && action != placement.PrefillOnDecodeEngine {
 		return
 	}
@@ -64,7 +64,7 @@
 	for _, part := range answer.selection.backEnd.cache.beginPrefill(now, query.request.Prompt) {
 		reservation.PendingBlocks = append(reservation.PendingBlocks, part.Hash)
 	}
-	if replaced, found := o.reservations.Add(now, asker, reservation); found {
+	if replaced, found := o.reservations.Add(now, queryID, reservation); found {
 		o.dropReservedBlocks(replaced)
 	}
 }
@@ -97,14 +97,14 @@
 
 // cancel cancels a query: it ends the query's wait or removes its reservation.
 func (o *placementOwner) cancel(request *v1.PlacementCancel) {
-	asker := placement.QueryID{Relay: request.GetRelay(), Number: request.GetNumber()}
+	queryID := placement.QueryID{Relay: request.GetRelay(), Number: request.GetNumber()}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if stop, isWaiting := o.waiting[asker]; isWaiting {
+	if stop, isWaiting := o.waiting[queryID]; isWaiting {
 		close(stop)
-		delete(o.waiting, asker)
+		delete(o.waiting, queryID)
 	}
-	if reservation, found := o.reservations.Release(asker); found {
+	if reservation, found := o.reservations.Release(queryID); found {
 		o.dropReservedBlocks(reservation)
 	}
 }
@@ -124,16 +124,16 @@
 	}
 	engines := current.members[index]
 	query := queryFromWire(request, o.relay.view.Load())
-	asker := placement.QueryID{Relay: request.GetRelay(), Number: request.GetNumber()}
-	result := o.decide(query, engines, &asker)
+	queryID := placement.QueryID{Relay: request.GetRelay(), Number: request.GetNumber()}
+	result := o.decide(query, engines, &queryID)
 	if result.decision.Action != placement.AwaitSharedPrefill {
 		reply(answerToWire(request, result))
 		return
 	}
-	stop := o.registerWait(asker)
+	stop := o.registerWait(queryID)
 	if stop == nil {
 		query.request.PrefillWaits = o.relay.policy.MaxPrefillWaits
-		reply(answerToWire(request, o.decide(query, engines, &asker)))
+		reply(answerToWire(request, o.decide(query, engines, &queryID)))
 		return
 	}
 	go o.answerAfterWait(request, query, engines, result, stop, reply)
@@ -149,20 +149,20 @@
 }
 
 // registerWait registers a waiting query; it returns nil when too many queries wait or this one waits already.
-func (o *placementOwner) registerWait(asker placement.QueryID) (stop chan struct{}) {
+func (o *placementOwner) registerWait(queryID placement.QueryID) (stop chan struct{}) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if _, isWaiting := o.waiting[asker]; isWaiting || len(o.waiting) >= maxWaitingQueries {
+	if _, isWaiting := o.waiting[queryID]; isWaiting || len(o.waiting) >= maxWaitingQueries {
 		return nil
 	}
 	stop = make(chan struct{})
-	o.waiting[asker] = stop
+	o.waiting[queryID] = stop
 	return stop
 }
 
 // answerAfterWait waits for the prefills of other requests, decides again, and answers.
 func (o *placementOwner) answerAfterWait(request *v1.PlacementRequest, query *engineQuery, engines []*backEnd, result engineAnswer, stop chan struct{}, reply func(*v1.PlacementAnswer)) {
-	asker := placement.QueryID{Relay: request.GetRelay(), Number: request.GetNumber()}
+	queryID := placement.QueryID{Relay: request.GetRelay(), Number: request.GetNumber()}
 	for result.decision.Action == placement.AwaitSharedPrefill {
 		limit := min(o.relay.prefillWaitLimit(result.selection), query.request.TimeLeft)
 		waiting := answerToWire(request, result)
@@ -180,16 +180,16 @@
 			return
 		default:
 		}
-		result = o.decide(query, engines, &asker)
+		result = o.decide(query, engines, &queryID)
 	}
 	o.mutex.Lock()
-	if _, isWaiting := o.waiting[asker]; !isWaiting { // cancelled during the decision
-		reservation, _ := o.reservations.Release(asker)
+	if _, isWaiting := o.waiting[queryID]; !isWaiting { // cancelled during the decision
+		reservation, _ := o.reservations.Release(queryID)
 		o.dropReservedBlocks(reservation)
 		o.mutex.Unlock()
 		return
 	}
-	delete(o.waiting, asker)
+	delete(o.waiting, queryID)
 	o.mutex.Unlock()
 	reply(answerToWire(request, result))
 }
--- a/internal/relay/pace.go
+++ b/internal/relay/prefill_speed.go
@@ -7,58 +7,58 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// prefillPace holds the engines' prefill times per token. It makes placement.Pace safe for concurrent use.
-type prefillPace struct {
+// prefillSpeed holds the engines' prefill times per token. It makes placement.PrefillSpeed safe for concurrent use.
+type prefillSpeed struct {
 	mutex sync.Mutex
-	pace  *placement.PrefillSpeed
+	speed *placement.PrefillSpeed
 	// fixed reports that the times are not updated by measurements.
 	fixed bool
 }
 
-func newPrefillPace() *prefillPace { return &prefillPace{pace: placement.NewPrefillSpeed()} }
+func newPrefillSpeed() *prefillSpeed { return &prefillSpeed{speed: placement.NewPrefillSpeed()} }
 
 // observe records the time per token of one prefill at an engine, measured here or by another relay.
-func (p *prefillPace) observe(engine uint64, perToken time.Duration) {
+func (p *prefillSpeed) observe(engine uint64, perToken time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if !p.fixed {
-		p.pace.Observe(engine, perToken)
+		p.speed.Observe(engine, perToken)
 	}
 }
 
 // timePerToken returns the prefill time per token at an engine.
-func (p *prefillPace) timePerToken(engine uint64) time.Duration {
+func (p *prefillSpeed) timePerToken(engine uint64) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.pace.PerToken(engine)
+	return p.speed.PerToken(engine)
 }
 
 // adopt applies an engine's time per token as its owner knows it, who has more measurements.
-func (p *prefillPace) adopt(engine uint64, perToken time.Duration) {
+func (p *prefillSpeed) adopt(engine uint64, perToken time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if !p.fixed {
-		p.pace.SetPerToken(engine, perToken)
+		p.speed.SetPerToken(engine, perToken)
 	}
 }
 
 // observeShare records how many of a prompt's tokens needed a prefill.
-func (p *prefillPace) observeShare(tokens, toRead int) {
+func (p *prefillSpeed) observeShare(tokens, toRead int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.pace.ObserveUncachedShare(tokens, toRead)
+	p.speed.ObserveUncachedShare(tokens, toRead)
 }
 
 // usualShare returns the usual fraction of a prompt that needs a prefill.
-func (p *prefillPace) usualShare() float64 {
+func (p *prefillSpeed) usualShare() float64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.pace.UncachedShare()
+	return p.speed.UncachedShare()
 }
 
 // retain removes the engines that are not listed any more.
-func (p *prefillPace) retain(listed map[uint64]*backEnd) {
+func (p *prefillSpeed) retain(listed map[uint64]*backEnd) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.pace.Retain(func(engine uint64) bool { return listed[engine] != nil })
+	p.speed.Retain(func(engine uint64) bool { return listed[engine] != nil })
 }
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -228,8 +228,8 @@
 		require.Equal(t, test.sight, relay.probe(t.Context(), test.replica), name)
 	}
 	signature := quarantine.SignatureOf("", "POST", "/path/", []byte("x"))
-	for born := range quarantine.QuarantineThreshold {
-		relay.guard.RecordBrokenRun(signature, crashguard.Replica{ID: fmt.Sprint("one/0", born), Name: "one", Address: serves.entry.Address}, 0)
+	for number := range quarantine.QuarantineThreshold {
+		relay.guard.RecordBrokenRun(signature, crashguard.Replica{ID: fmt.Sprint("one/0", number), Name: "one", Address: serves.entry.Address}, 0)
 	}
 	require.Eventually(t, func() bool { return relay.guard.IsQuarantined(signature) }, time.Minute, time.Millisecond)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -59,17 +59,17 @@
 	// peers records which other relays answer.
 	peers *peerhealth.Table
 	// permits obtains permits for back ends that declare a limit for all relays together.
-	permits *permits.Permits
-	owner   *placementOwner
-	owners  *ownerTable
-	work    *workmeter.Meter
-	pace    *prefillPace
+	permits      *permits.Permits
+	owner        *placementOwner
+	owners       *ownerTable
+	work         *workmeter.Meter
+	prefillSpeed *prefillSpeed
 	// usage counts the tenants' requests.
 	usage *usagereport.Meter
 	// policy holds the parameters of placement decisions.
 	policy placement.Parameters
-	// without holds the mechanisms that are disabled.
-	without mechanism.Set
+	// mechanisms says which mechanisms are enabled.
+	mechanisms mechanism.Set
 	// startupWait is how long requests wait for a configuration and a list of back ends; viewReady ends that wait.
 	startupWait time.Duration
 	viewReady   *readySignal
@@ -150,9 +150,9 @@
 		ring:               options.Log,
 		budget:             retrybudget.New(config.RetryBudget.Ratio, config.RetryBudget.Window, config.RetryBudget.Slack),
 		work:               workmeter.New(),
-		pace:               newPrefillPace(),
+		prefillSpeed:       newPrefillSpeed(),
 		policy:             placement.DefaultParameters().Without(options.Without),
-		without:            options.Without,
+		mechanisms:         options.Without,
 
 		prefillWaitSlack: prefillWaitSlack,
 		startupWait:      startupWait,
@@ -166,9 +166,9 @@
 	relay.exchanger = &exchanger{
 		applyAnswerSignals: relay.applyAnswerSignals, acquirePermit: relay.acquirePermit, limitedSends: relay.metrics.limitedSends,
 		names: options.Dialect.Headers, writer: newRequestWriter(options.Dialect.Headers), clock: steady, dial: options.Dial,
-		without: options.Without,
+		mechanisms: options.Without,
 	}
-	relay.pace.fixed = !options.Without.IsEnabled(mechanism.MeasuredPace)
+	relay.prefillSpeed.fixed = !options.Without.IsEnabled(mechanism.MeasuredPace)
 	relay.view.Store(&view{byService: map[string][]*backEnd{}})
 	relay.fleet = newFleetState(relay, options)
 	relay.watcher = leaderwatch.New(leaderwatch.Config{
--- a/internal/relay/serve_engine.go
+++ b/internal/relay/serve_engine.go
@@ -84,7 +84,7 @@
 
 // recordPrefillDemand counts a prefill as demand for prefill engines.
 func (r *Relay) recordPrefillDemand(service string, engine *backEnd, effort int) {
-	r.work.AddPrefill(service, placement.PrefillTime(r.pace.timePerToken(engine.hash), effort))
+	r.work.AddPrefill(service, placement.PrefillTime(r.prefillSpeed.timePerToken(engine.hash), effort))
 }
 
 // decidePrefill decides where to prefill the prompt, after the given number of waits for other requests' prefills.
--- a/internal/relay/serve_stream.go
+++ b/internal/relay/serve_stream.go
@@ -86,7 +86,7 @@
 	request, engine, now := stream.request, selection.backEnd, r.clock.now()
 	rank := r.policy.PrefillRank(stream.rank(), selection.PrefillTokens)
 	request.trace.recordPrefill(selection, now, rank)
-	perToken := r.pace.timePerToken(engine.hash)
+	perToken := r.prefillSpeed.timePerToken(engine.hash)
 	r.recordPrefillDemand(request.service.Name, engine, selection.EffectiveTokens)
 	headers := []header{r.priorityHeader(rank), {r.dialect.Headers.Stage, r.dialect.PrefillStage}}
 	if selection.fetchFrom != nil {
@@ -104,7 +104,7 @@
 		return nil
 	}
 	if selection.queuedWork.Prefills == 0 && selection.fetchFrom == nil {
-		r.recordPace(engine, placement.TimePerToken(selection.EffectiveTokens, r.clock.now()-now))
+		r.recordPrefillSpeed(engine, placement.TimePerToken(selection.EffectiveTokens, r.clock.now()-now))
 	}
 	defer answer.finish()
 	prefill := r.readPrefillAnswer(answer, stream.prefixBlocks)
@@ -114,10 +114,10 @@
 	return prefill
 }
 
-// recordPace records, and announces to other relays, an engine's prefill time per token.
-func (r *Relay) recordPace(engine *backEnd, perToken time.Duration) {
-	r.pace.observe(engine.hash, perToken)
-	r.notices.queuePace(engine, perToken)
+// recordPrefillSpeed records, and announces to other relays, an engine's prefill time per token.
+func (r *Relay) recordPrefillSpeed(engine *backEnd, perToken time.Duration) {
+	r.prefillSpeed.observe(engine.hash, perToken)
+	r.notices.queuePrefillSpeed(engine, perToken)
 }
 
 // readPrefillAnswer reads the answer to a prefill; it returns nil for an error or a malformed answer.
@@ -130,7 +130,7 @@
 	if err != nil {
 		return nil
 	}
-	r.checkIncarnation(answer.message.backEnd, parsed.Born)
+	r.checkIncarnation(answer.message.backEnd, parsed.StartedAtMs)
 	return &remotePrefill{engine: answer.message.backEnd, handle: parsed.Handle, prefixBlocks: prefixBlocks}
 }
 
--- a/internal/relay/stall.go
+++ b/internal/relay/stall.go
@@ -48,7 +48,7 @@
 
 // watchStall starts a watch. mayAbort says whether the answer may be aborted.
 func (e *exchanger) watchStall(connection *connpool.Connection, backEnd *backEnd, limit time.Duration, mayAbort bool) *stallWatch {
-	mayAbort = mayAbort && e.without.IsEnabled(mechanism.StallWatch)
+	mayAbort = mayAbort && e.mechanisms.IsEnabled(mechanism.StallWatch)
 	watch := &stallWatch{exchanger: e, connection: connection, backEnd: backEnd, mayAbort: mayAbort, limit: limit}
 	watch.mutex.Lock()
 	defer watch.mutex.Unlock()
--- a/internal/relay/stream_reply.go
+++ b/internal/relay/stream_reply.go
@@ -97,7 +97,7 @@
 		}
 	}
 	answer, fault := s.relay.exchanger.send(&message{request: s.request, backEnd: engine, deadline: s.request.deadline, headers: headers, work: work, prefixBlocks: s.prefixBlocks, selection: selection,
-		stall: stallLimit(s.request.route) + placement.PrefillTime(s.relay.pace.timePerToken(engine.hash), s.relay.policy.DecodeSlowdown*work.PromptTokens()), mayAbort: s.mayContinueElsewhere()})
+		stall: stallLimit(s.request.route) + placement.PrefillTime(s.relay.prefillSpeed.timePerToken(engine.hash), s.relay.policy.DecodeSlowdown*work.PromptTokens()), mayAbort: s.mayContinueElsewhere()})
 	if fault != nil {
 		s.recordSourceCached(fault)
 		return fault
