--- a/internal/relay/attempts.go
+++ b/internal/relay/attempts.go
@@ -15,7 +15,8 @@
 type attemptTracker struct {
 	relay   *Relay
 	request *request
-	// sentCount counts the attempts that reached a back end. The first prefill of the prompt is not counted.
+	// sentCount counts the attempts that reached a back end. The first prefill of the prompt counts only when the engine
+	// rejected it.
 	sentCount int
 	// mayHaveRun reports whether a back end may have run the request, or may still be running it.
 	mayHaveRun  bool
--- a/internal/relay/refused_work_test.go
+++ b/internal/relay/refused_work_test.go
@@ -10,7 +10,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// A prompt that is refused for lack of prefill capacity still counts as demand, which the plan of the stages needs.
+// A prompt that is refused for lack of prefill capacity still counts as demand, since stages are planned by the demand.
 func TestRefusedPromptsCountAsDemand(t *testing.T) {
 	reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 	decoder := startBackEnd(t, "decoder", serving.StageDecode, streaming("decoder", eventOne))
