--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -6,35 +6,34 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// keyFault is why a request's key does not admit it; empty where it does. It never tells of the key
-// itself.
+// keyFault says why a request's key does not admit it; empty when it does. It never contains the key.
 type keyFault string
 
-// Reasons why requests are not admitted.
+// Reasons for which requests are not admitted.
 const (
 	keyMissing   keyFault = "the request has no key"
-	keyTwice     keyFault = "the request has more than one key"
+	keyRepeated  keyFault = "the request has more than one key"
 	keyMalformed keyFault = "the key of the request cannot be read"
 	keyUnknown   keyFault = "the key of the request is not known"
 )
 
-// admit finds whose request it is. A request without a key is nobody's; only open routes admit it. A
-// key that is given must be known on every route.
+// admit identifies the request's tenant by its key. A request without a key has no tenant and is admitted only on open
+// routes. A key that is sent must be valid, on open routes too.
 func (r *Relay) admit(table *serving.Table, request *request) keyFault {
 	if !table.Configuration.RequireKeys {
 		return ""
 	}
-	request.keyed = true
-	given := request.header.PeekAll(r.dialect.Headers.Authorization)
+	request.usesKeys = true
+	values := request.header.PeekAll(r.dialect.Headers.Authorization)
 	switch {
-	case len(given) == 0 && request.route.Open:
+	case len(values) == 0 && request.route.Open:
 		return ""
-	case len(given) == 0:
+	case len(values) == 0:
 		return keyMissing
-	case len(given) > 1:
-		return keyTwice
+	case len(values) > 1:
+		return keyRepeated
 	}
-	key, found := r.dialect.ParseKey(string(given[0]))
+	key, found := r.dialect.ParseKey(string(values[0]))
 	if !found {
 		return keyMalformed
 	}
@@ -44,13 +43,13 @@
 	return ""
 }
 
-// refuseKey answers a request that is not admitted.
+// refuseKey refuses a request that is not admitted.
 func (r *Relay) refuseKey(request *request, fault keyFault, reply *replier) {
-	refused := r.refuseByConfiguration(fasthttp.StatusUnauthorized, string(fault))
-	if refused.status == fasthttp.StatusUnauthorized {
-		refused.challenge = "Bearer"
+	response := r.refuseByConfiguration(fasthttp.StatusUnauthorized, string(fault))
+	if response.status == fasthttp.StatusUnauthorized {
+		response.challenge = "Bearer"
 	}
-	r.log.keyRefused(request, fault, refused.status)
-	r.metrics.refusals.WithLabelValues(refused.reason).Inc()
-	reply.refuse(refused)
+	r.log.recordKeyRefusal(request, fault, response.status)
+	r.metrics.refusals.WithLabelValues(response.reason).Inc()
+	reply.refuse(response)
 }
--- a/internal/relay/back_end_signals_test.go
+++ b/internal/relay/back_end_signals_test.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	askingForRest = "Retry-After: 3600"
-	sayingLeaving = "T-Leaving: 1"
+	backoffHeader = "Retry-After: 3600"
+	leavingHeader = "T-Leaving: 1"
 )
 
-// A back end that rests or says that it leaves gets nothing more, whatever its answer was else. Requests go to another
-// one, or are refused as not run where none is left, with when the rest ends.
+// A back end that asks for a backoff or is leaving is sent nothing more, whatever its answer was otherwise. Requests go to
+// another back end; when none is left they are refused as not run, with the time at which the backoff ends.
 func TestBackEndsThatAskForItAreLeftAlone(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer script
 		alone  bool
 	}{
-		"rests":                           {answering(503, "", "T-Not-Run: 1", askingForRest), true},
-		"rests, may have run it":          {answering(503, "", askingForRest), true},
-		"asks with a status that is none": {answering(429, "", "T-Not-Run: 1", askingForRest), false},
-		"leaves, serves":                  {answering(200, "served", sayingLeaving), true},
-		"leaves, fails":                   {answering(500, "failed", sayingLeaving), true},
-		"leaves, turns it away":           {answering(503, "", "T-Not-Run: 1", sayingLeaving), true},
-		"another's address":               {answering(421, "", "T-Not-Run: 1", askingForRest, sayingLeaving), false},
+		"rests":                           {answering(503, "", "T-Not-Run: 1", backoffHeader), true},
+		"backoff, may have run":           {answering(503, "", backoffHeader), true},
+		"Retry-After with another status": {answering(429, "", "T-Not-Run: 1", backoffHeader), false},
+		"leaving, serves":                 {answering(200, "served", leavingHeader), true},
+		"leaving, fails":                  {answering(500, "failed", leavingHeader), true},
+		"leaving, refuses":                {answering(503, "", "T-Not-Run: 1", leavingHeader), true},
+		"another's address":               {answering(421, "", "T-Not-Run: 1", backoffHeader, leavingHeader), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			asks := startBackEnd(t, "asks", serving.StageWhole, test.answer)
-			relay := newTestRelay(t, route(func(r *serving.Route) { r.MaxAttempts = 1 }), asks)
+			scripted := startBackEnd(t, "asks", serving.StageWhole, test.answer)
+			relay := newTestRelay(t, route(func(r *serving.Route) { r.MaxAttempts = 1 }), scripted)
 			client := relay.client(t)
 			client.do("POST", "/path/", "x")
 			for range 3 {
@@ -46,30 +46,30 @@
 				}
 			}
 			if test.alone {
-				require.Len(t, asks.seen(), 1)
+				require.Len(t, scripted.receivedRequests(), 1)
 			} else {
-				require.Len(t, asks.seen(), 4)
+				require.Len(t, scripted.receivedRequests(), 4)
 			}
 		})
 	}
 }
 
-// When all back ends rest, callers are told when the first of them can be asked again.
+// When all back ends are in backoff, callers are told when the first backoff ends.
 func TestCallersAreToldWhenARestEnds(t *testing.T) {
-	long := startBackEnd(t, "long", serving.StageWhole, answering(503, "", "T-Not-Run: 1", askingForRest))
+	long := startBackEnd(t, "long", serving.StageWhole, answering(503, "", "T-Not-Run: 1", backoffHeader))
 	short := startBackEnd(t, "short", serving.StageWhole, answering(503, "", "T-Not-Run: 1", "Retry-After: 600"))
 	relay := newTestRelay(t, route(nil), long, short)
 	answer := relay.client(t).do("POST", "/path/", "x")
 	require.Equal(t, 503, answer.status)
 	comeBack := backpressure.ParseRetryAfter(answer.head.Peek("Retry-After"))
 	require.Greater(t, comeBack, 500*time.Second)
-	require.LessOrEqual(t, comeBack, 600*time.Second+comeBackSpread)
-	require.Len(t, long.seen(), 1)
-	require.Len(t, short.seen(), 1)
+	require.LessOrEqual(t, comeBack, 600*time.Second+minRetrySpread)
+	require.Len(t, long.receivedRequests(), 1)
+	require.Len(t, short.receivedRequests(), 1)
 }
 
-// Where all engines that generate rest, callers are told when the first of them can be asked again, though engines that
-// read prompts do not rest.
+// When all decoding engines are in backoff, callers are told when the first backoff ends, even though prefill engines are
+// available.
 func TestCallersOfStreamsAreToldWhenARestEnds(t *testing.T) {
 	reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 	rests := startBackEnd(t, "rests", serving.StageDecode, streaming("rests", eventOne))
@@ -79,105 +79,103 @@
 	require.Equal(t, 503, answer.status)
 	comeBack := backpressure.ParseRetryAfter(answer.head.Peek("Retry-After"))
 	require.Greater(t, comeBack, 500*time.Second)
-	require.LessOrEqual(t, comeBack, 600*time.Second+comeBackSpread)
-	require.Empty(t, rests.seen())
+	require.LessOrEqual(t, comeBack, 600*time.Second+minRetrySpread)
+	require.Empty(t, rests.receivedRequests())
 }
 
-// What a back end asked for holds though its entry changes, and though the list does not show it for a while; its next
-// start has asked for nothing.
+// The signals of a back end stay valid when its entry changes and when the list omits it for a while. Its next incarnation
+// starts without signals.
 func TestSignalsHoldForAStart(t *testing.T) {
-	asks := startBackEnd(t, "asks", serving.StageWhole, answering(503, "", "T-Not-Run: 1", askingForRest, sayingLeaving))
-	relay := newTestRelay(t, route(nil), asks)
+	scripted := startBackEnd(t, "asks", serving.StageWhole, answering(503, "", "T-Not-Run: 1", backoffHeader, leavingHeader))
+	relay := newTestRelay(t, route(nil), scripted)
 	relay.client(t).do("POST", "/path/", "x")
 	list := func(entries ...serving.BackEnd) *backEnd {
 		next := *relay.view.Load()
-		relay.knowledge.takeBackEnds(entries, &next)
+		relay.fleet.applyListing(entries, &next)
 		relay.view.Store(&next)
 		if len(entries) == 0 {
 			return nil
 		}
 		return next.byService["service"][0]
 	}
-	changed := asks.entry
+	changed := scripted.entry
 	changed.Slots++
-	require.True(t, list(changed).leaving())
-	require.True(t, list(changed).resting(relay.clock.now()))
+	require.True(t, list(changed).isLeaving())
+	require.True(t, list(changed).inBackoff(relay.clock.now()))
 	list()
-	require.True(t, list(asks.entry).leaving())
-	again := asks.entry
-	again.ID, again.Replica, again.StartedAtMs = "asks/2", "asks", 2
-	require.False(t, list(again).leaving())
-	require.False(t, list(again).resting(relay.clock.now()))
+	require.True(t, list(scripted.entry).isLeaving())
+	newer := scripted.entry
+	newer.ID, newer.Replica, newer.StartedAtMs = "asks/2", "asks", 2
+	require.False(t, list(newer).isLeaving())
+	require.False(t, list(newer).inBackoff(relay.clock.now()))
 }
 
-// Readings of prompts, the release of prompts that were read, moves of runs and readings of what is cached heed a rest as
-// requests do.
+// Prefills, releases of prefills, migrations of runs and reads of caches respect a backoff as requests do.
 func TestCallsToEnginesHeedARest(t *testing.T) {
 	t.Run("reading", func(t *testing.T) {
-		rests := startBackEnd(t, "rests", serving.StagePrefill, answering(503, "", "T-Not-Run: 1", askingForRest))
+		rests := startBackEnd(t, "rests", serving.StagePrefill, answering(503, "", "T-Not-Run: 1", backoffHeader))
 		decoder := startBackEnd(t, "decoder", serving.StageDecode, streaming("decoder", eventOne))
 		relay := newTestRelay(t, route(stream(false)), rests, decoder)
 		for range 3 {
 			require.Equal(t, eventOne, relay.client(t).do("POST", "/path/", "x", longPrompt...).body)
 		}
-		require.Len(t, rests.seen(), 1)
+		require.Len(t, rests.receivedRequests(), 1)
 	})
 	t.Run("release", func(t *testing.T) {
 		reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 		relay := newTestRelay(t, route(stream(false)), reader)
 		relay.engineOf("reader").signals.ExtendBackoff(relay.clock.now(), time.Hour)
-		relay.exchanger.release(&heldPrompt{engine: relay.engineOf("reader"), handle: "handle"}, "/handle/handle")
-		require.Empty(t, reader.seen())
+		relay.exchanger.release(&remotePrefill{engine: relay.engineOf("reader"), handle: "handle"}, "/handle/handle")
+		require.Empty(t, reader.receivedRequests())
 	})
 	t.Run("move", func(t *testing.T) {
-		engine := startBackEnd(t, "engine", serving.StageDecode, answering(503, "", askingForRest))
+		engine := startBackEnd(t, "engine", serving.StageDecode, answering(503, "", backoffHeader))
 		relay := newTestRelay(t, route(stream(false)), engine)
 		for range 3 {
 			copied, _ := relay.exchanger.copyRun(relay.engineOf("engine"), relay.dialect, "request", "10.0.0.1:80", false)
 			require.False(t, copied)
 		}
-		require.Len(t, engine.seen(), 1)
+		require.Len(t, engine.receivedRequests(), 1)
 	})
-	t.Run("what is cached", func(t *testing.T) {
+	t.Run("read of the cache", func(t *testing.T) {
 		engine := startBackEnd(t, "engine", serving.StagePrefill, answering(200, "handle"))
 		relay := newTestRelay(t, route(stream(false)), engine)
-		asked := 0
-		reader := &cacheReader{relay: relay.Relay, readAt: map[*promptCache]time.Duration{}}
+		calls := 0
+		reader := &cacheReader{relay: relay.Relay, readAt: map[*prefixCache]time.Duration{}}
 		reader.read = func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReport, error) {
-			asked++
+			calls++
 			return serving.CacheReport{Signals: backpressure.Directives{Backoff: time.Hour}}, nil
 		}
 		for range 3 {
-			reader.readNew(t.Context())
+			reader.readNewlyOwned(t.Context())
 			clear(reader.readAt)
 			reader.owned = nil
 		}
-		require.Equal(t, 1, asked)
+		require.Equal(t, 1, calls)
 	})
-	t.Run("picked before it asked", func(t *testing.T) {
+	t.Run("selected before the backoff", func(t *testing.T) {
 		engine := startBackEnd(t, "engine", serving.StageWhole, answering(200, "ok"))
 		relay := newTestRelay(t, route(nil), engine)
 		relay.engineOf("engine").signals.ExtendBackoff(relay.clock.now(), time.Hour)
 		_, fault := relay.exchanger.connect(&message{
 			request: &request{}, backEnd: relay.engineOf("engine"), deadline: relay.clock.now() + time.Minute,
 		})
-		require.ErrorIs(t, fault, errResting)
-		require.False(t, fault.arrived)
+		require.ErrorIs(t, fault, errInBackoff)
+		require.False(t, fault.mayHaveArrived)
 	})
 }
 
-// A rest is between one relay and a back end: an owner that was asked for it still gives the back end to relays that were
-// not.
+// A backoff applies to one relay: an owner in backoff from a back end still assigns it to relays that are not.
 func TestAnOwnersRestIsNotItsAskersRest(t *testing.T) {
 	rests := startBackEnd(t, "rests", serving.StageDecode, streaming("rests", eventOne))
 	relay := newTestRelay(t, route(stream(false)), rests)
 	engine := relay.engineOf("rests")
 	engine.signals.ExtendBackoff(relay.clock.now(), time.Hour)
 	engines := relay.view.Load().byService["service"]
-	asked := &engineQuery{purpose: toGenerate, service: "service", request: placement.Request{Stage: serving.StageDecode}}
-	require.NotNil(t, relay.owner.decide(asked, engines, &placement.QueryID{Relay: 7, Number: 1}).chosen)
-	asked.excluded = []uint64{engine.hash}
-	require.Nil(t, relay.owner.decide(asked, engines, &placement.QueryID{Relay: 7, Number: 2}).chosen)
-	require.Equal(t, 503, relay.client(t).do("POST", "/path/", "x").status, "its own request")
-	require.Empty(t, rests.seen())
+	query := &engineQuery{purpose: purposeDecode, service: "service", request: placement.Request{Stage: serving.StageDecode}}
+	require.NotNil(t, relay.owner.decide(query, engines, &placement.QueryID{Relay: 7, Number: 1}).selection)
+	query.excluded = []uint64{engine.hash}
+	require.Nil(t, relay.owner.decide(query, engines, &placement.QueryID{Relay: 7, Number: 2}).selection)
+	require.Equal(t, 503, relay.client(t).do("POST", "/path/", "x").status, "the relay's own request")
+	require.Empty(t, rests.receivedRequests())
 }
--- a/internal/relay/engine_query.go
+++ b/internal/relay/engine_query.go
@@ -7,94 +7,94 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// purpose is what an engine is wanted for.
+// purpose says what an engine is needed for.
 type purpose int
 
-// Purposes.
+// Purposes of placement queries.
 const (
-	// toBegin wants an engine that reads a prompt first, or one that reads it and generates.
-	toBegin purpose = iota
-	// toRead wants one for a prompt whose first reading has failed.
-	toRead
-	// toGenerate wants one that generates.
-	toGenerate
-	// toTakeOver wants one with a free slot for a run that moves.
-	toTakeOver
+	// purposeBegin asks for an engine that prefills the prompt, or that prefills it and decodes.
+	purposeBegin purpose = iota
+	// purposePrefill asks for an engine that prefills a prompt whose first prefill has failed.
+	purposePrefill
+	// purposeDecode asks for an engine that decodes.
+	purposeDecode
+	// purposeTakeOver asks for an engine with a free slot for a run that is migrated.
+	purposeTakeOver
 )
 
-// engineQuery is the question where a request should run.
+// engineQuery asks where a request should run.
 type engineQuery struct {
 	purpose purpose
 	service string
 	request placement.Request
-	// excluded are the engines that must not be taken, by their hashes.
+	// excluded holds the hashes of the engines that must not be selected.
 	excluded []uint64
-	// withoutPermits: the asking relay would send to an engine that names a limit without a permit.
+	// withoutPermits reports that the querying relay would send to an engine with a limit without acquiring a permit.
 	withoutPermits bool
-	// reserved tells that a permit for the run was taken already.
-	reserved bool
-	// holder is the engine of another cell that keeps the beginning of the prompt; nil for none.
-	holder *promptHolder
+	// hasPermit reports whether a permit for the run was acquired already.
+	hasPermit bool
+	// holder is the engine of another cell that has cached a prefix of the prompt; nil for none.
+	holder *prefixHolder
 }
 
-// promptHolder is an engine that keeps the beginning of a prompt for any request.
-type promptHolder struct {
+// prefixHolder is an engine that has cached a prefix of the prompt for any request; tokens is the prefix's length.
+type prefixHolder struct {
 	engine *backEnd
 	tokens int
 }
 
-// excludes reports whether an engine must not be taken.
+// excludes reports whether an engine must not be selected.
 func (q *engineQuery) excludes(engine *backEnd) bool {
-	return slices.Contains(q.excluded, engine.hash) || q.withoutPermits && engine.limited()
+	return slices.Contains(q.excluded, engine.hash) || q.withoutPermits && engine.hasLimit()
 }
 
-// queryOf asks for an engine for a request that has tried some. What engines have asked of this relay the
-// owner does not know.
-func queryOf(purpose purpose, tried *attempts, wanted placement.Request) *engineQuery {
-	query := &engineQuery{purpose: purpose, service: tried.request.service.Name, request: wanted}
-	for _, engine := range tried.excluded {
+// newEngineQuery returns a query for a request. It excludes the engines that were tried, and those in backoff or leaving,
+// since the owner does not know what engines have asked of this relay.
+func newEngineQuery(purpose purpose, attempts *attemptTracker, criteria placement.Request) *engineQuery {
+	query := &engineQuery{purpose: purpose, service: attempts.request.service.Name, request: criteria}
+	for _, engine := range attempts.excluded {
 		query.excluded = append(query.excluded, engine.hash)
 	}
-	for _, engine := range tried.relay.view.Load().byService[query.service] {
-		if len(query.excluded) >= mostExcluded {
-			break // the answer is looked at again: one that rests is not taken
+	for _, engine := range attempts.relay.view.Load().byService[query.service] {
+		if len(query.excluded) >= maxExcluded {
+			break // the answer is checked again: an engine in backoff is not used
 		}
-		if engine.signals.IsLeaving() && !engine.Leaving || engine.wait(wanted.Now) > 0 {
+		if engine.signals.IsLeaving() && !engine.Leaving || engine.sendDelay(criteria.Now) > 0 {
 			query.excluded = append(query.excluded, engine.hash)
 		}
 	}
 	return query
 }
 
-// mostExcluded bounds the engines that a question excludes, 8 to 10 bytes each in its datagram.
-const mostExcluded = 32
+// maxExcluded bounds the engines that a query excludes; each takes 8 to 10 bytes of its datagram.
+const maxExcluded = 32
 
-// decideFrom decides by what is known of the engines.
-func (q *engineQuery) decideFrom(policy placement.Parameters, seen survey, draw func() float64) placement.Decision {
+// decideAmong decides among candidates according to the query's purpose.
+func (q *engineQuery) decideAmong(policy placement.Parameters, candidates candidateSet, draw func() float64) placement.Decision {
 	switch q.purpose {
-	case toBegin:
-		return policy.PlacePrefill(q.request, seen.engines, draw)
-	case toRead:
-		return decisionFor(placement.PrefillSeparately, policy.PickPrefillEngine(q.request, seen.engines, draw))
-	case toTakeOver:
-		return decisionFor(placement.PrefillOnDecodeEngine, policy.PickMigrationTarget(q.request, seen.engines, draw))
+	case purposeBegin:
+		return policy.PlacePrefill(q.request, candidates.engines, draw)
+	case purposePrefill:
+		return decisionFor(placement.PrefillSeparately, policy.PickPrefillEngine(q.request, candidates.engines, draw))
+	case purposeTakeOver:
+		return decisionFor(placement.PrefillOnDecodeEngine, policy.PickMigrationTarget(q.request, candidates.engines, draw))
 	default:
-		return decisionFor(placement.PrefillOnDecodeEngine, policy.PickBackEnd(q.request, seen.engines, draw))
+		return decisionFor(placement.PrefillOnDecodeEngine, policy.PickBackEnd(q.request, candidates.engines, draw))
 	}
 }
 
-// decisionFor is the decision for an engine, or for none.
-func decisionFor(action placement.Action, chosen *placement.Candidate) placement.Decision {
-	if chosen == nil {
+// decisionFor returns the decision for a candidate; a nil candidate leaves the request unplaced.
+func decisionFor(action placement.Action, candidate *placement.Candidate) placement.Decision {
+	if candidate == nil {
 		return placement.Decision{Action: placement.Unplaced, Reason: placement.ReasonNoEngine}
 	}
-	return placement.Decision{Action: action, Engine: chosen}
+	return placement.Decision{Action: action, Engine: candidate}
 }
 
-// workOf is the work that a decision gives its engine.
+// workOf returns the work that a decision assigns to its engine.
 func (q *engineQuery) workOf(policy placement.Parameters, decision placement.Decision) placement.Work {
 	if decision.Action == placement.PrefillSeparately {
-		return readingWork(policy, q.request.Rank, decision.Engine)
+		return prefillWork(policy, q.request.Rank, decision.Engine)
 	}
 	work := placement.Work{Streams: 1}
 	if q.request.Tokens > 0 {
@@ -103,54 +103,54 @@
 	return work
 }
 
-// readingWork is the work of a prompt that is read apart.
-func readingWork(policy placement.Parameters, rank placement.Rank, engine *placement.Candidate) placement.Work {
+// prefillWork returns the work of a prefill on a prefill engine.
+func prefillWork(policy placement.Parameters, rank placement.Rank, engine *placement.Candidate) placement.Work {
 	return placement.PrefillWork(engine.EffectiveTokens, policy.PrefillRank(rank, engine.PrefillTokens)).Plus(placement.Work{Prefills: 1})
 }
 
-// engineAnswer is a decision with what stands behind it.
+// engineAnswer is a placement decision with the engines that it refers to.
 type engineAnswer struct {
 	decision placement.Decision
-	// chosen is the engine that was decided on, nil for none.
-	chosen *place
-	// holder is the engine of the cell that keeps most of the prompt, nil for none.
-	holder *promptHolder
-	// unowned tells that neither the owner of the engines nor its stand-in answered, and this relay decided.
-	unowned bool
+	// selection is the selected engine; nil for none.
+	selection *backEndSelection
+	// holder is the engine of the cell that has cached the longest prefix of the prompt; nil for none.
+	holder *prefixHolder
+	// isDecidedHere reports whether this relay decided because neither the engines' owner nor its deputy answered.
+	isDecidedHere bool
 }
 
-// reason tells why the decision is what it is.
+// reason returns the reason for the decision.
 func (a *engineAnswer) reason() string {
-	if a.unowned {
-		return string(lacksOwner) + ": " + a.decision.Reason.String()
+	if a.isDecidedHere {
+		return string(missingOwner) + ": " + a.decision.Reason.String()
 	}
 	return a.decision.Reason.String()
 }
 
-// assignment is an owner's answer that gave an engine work.
+// assignment identifies an owner's answer that assigned work to an engine.
 type assignment struct {
 	owner  string
 	number uint64
 }
 
-// place is a back end that was picked, with what picking it means.
-type place struct {
+// backEndSelection is a selected back end with the data on which the selection was based.
+type backEndSelection struct {
 	placement.Candidate
 	backEnd *backEnd
-	// fetchFrom is the engine from which it takes the beginning of the prompt, nil for none.
+	// fetchFrom is the engine from which it fetches the prompt's prefix; nil for none.
 	fetchFrom *backEnd
-	// ahead is the work of all relays there when it was picked, as far as was known, and
-	// perToken its time for one token of a prompt.
-	ahead    placement.Work
-	perToken time.Duration
-	// assigned names the owner's answer; zero where this relay decided.
-	assigned assignment
-	// permittedAt is when a permit was taken for it, 0 for never; owed tells that the run must go on there.
+	// queuedWork is the known work of all relays at the engine when it was selected; timePerToken is the engine's prefill
+	// time per token.
+	queuedWork   placement.Work
+	timePerToken time.Duration
+	// assignment identifies the owner's answer; zero when this relay decided.
+	assignment assignment
+	// permittedAt is when a permit was acquired for it, 0 for none; isOwed reports whether the run must continue there.
 	permittedAt time.Duration
-	owed        bool
+	isOwed      bool
 }
 
-// ownPlace is a place for a back end that was not weighed.
-func ownPlace(backEnd *backEnd) *place {
-	return &place{backEnd: backEnd, Candidate: placement.Candidate{FetchFrom: placement.None}}
+// selectionFor returns the selection of a back end that was not compared with others.
+func selectionFor(backEnd *backEnd) *backEndSelection {
+	return &backEndSelection{backEnd: backEnd, Candidate: placement.Candidate{FetchFrom: placement.None}}
 }
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	eventBuffer = 2 << 10
-	// maximumEvent bounds one event.
-	maximumEvent = 1 << 20
+	eventBufferBytes = 2 << 10
+	// maxEventBytes bounds one event.
+	maxEventBytes = 1 << 20
 )
 
-// event is one event of a stream, with the empty line that ends it.
+// event is one server-sent event, including the empty line that ends it.
 type event struct {
 	bytes []byte
 	// id is empty when the event has none.
@@ -24,40 +24,39 @@
 // eventReader splits a stream's body into events.
 type eventReader struct {
 	source *bufio.Reader
-	held   []byte
+	buffer []byte
 }
 
 func newEventReader(body io.Reader) *eventReader {
-	return &eventReader{source: bufio.NewReaderSize(body, eventBuffer)}
+	return &eventReader{source: bufio.NewReaderSize(body, eventBufferBytes)}
 }
 
-// next returns the next whole event; its bytes are valid until the next call. At io.EOF
-// the stream has ended as its framing declares, and what stood after the last event is
-// returned with it. Any other error means that the stream broke off; a piece of an event
-// is then dropped.
+// next returns the next complete event; its bytes are valid until the next call. At the declared end of the stream it
+// returns io.EOF together with the bytes after the last event. Any other error means that the stream broke off; an
+// incomplete event is then dropped.
 func (e *eventReader) next() (event, error) {
-	e.held = e.held[:0]
+	e.buffer = e.buffer[:0]
 	for {
 		line, err := e.source.ReadSlice('\n')
-		e.held = append(e.held, line...)
-		if len(e.held) > maximumEvent {
+		e.buffer = append(e.buffer, line...)
+		if len(e.buffer) > maxEventBytes {
 			return event{}, errEventTooLong
 		}
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
 			continue
 		case errors.Is(err, io.EOF):
-			return event{bytes: e.held, id: eventID(e.held)}, io.EOF
+			return event{bytes: e.buffer, id: eventID(e.buffer)}, io.EOF
 		case err != nil:
 			return event{}, err
 		}
-		if isEmptyLine(line) && len(e.held) > len(line) {
-			return event{bytes: e.held, id: eventID(e.held)}, nil
+		if isEmptyLine(line) && len(e.buffer) > len(line) {
+			return event{bytes: e.buffer, id: eventID(e.buffer)}, nil
 		}
 	}
 }
 
-// buffered reports whether more of the stream can be read without waiting.
+// buffered reports whether more of the stream can be read without blocking.
 func (e *eventReader) buffered() bool { return e.source.Buffered() > 0 }
 
 func isEmptyLine(line []byte) bool {
@@ -75,13 +74,13 @@
 	return ""
 }
 
-// after reports whether an event comes after the last one that was passed on. Identities
-// that are not numbers cannot be compared and count as later.
-func (e *event) after(last string) bool {
-	own, ownErr := strconv.ParseInt(e.id, 10, 64)
-	passed, passedErr := strconv.ParseInt(last, 10, 64)
+// isAfter reports whether an event comes after the event with the given identity. Identities that are not numbers cannot be
+// compared; the event then counts as later.
+func (e *event) isAfter(lastID string) bool {
+	id, ownErr := strconv.ParseInt(e.id, 10, 64)
+	lastNumber, passedErr := strconv.ParseInt(lastID, 10, 64)
 	if ownErr != nil || passedErr != nil {
 		return true
 	}
-	return own > passed
+	return id > lastNumber
 }
--- /dev/null
+++ b/internal/relay/exchange_records.go
@@ -0,0 +1,116 @@
+package relay
+
+import (
+	"errors"
+	"strconv"
+	"strings"
+
+	"github.com/hazelpitch/hazelpitch/internal/mechanism"
+	"github.com/hazelpitch/hazelpitch/internal/placement"
+)
+
+// queryNumber is the number of the placement query whose answer selected the message's back end; 0 for none.
+func (m *message) queryNumber() uint64 {
+	if m.selection == nil {
+		return 0
+	}
+	return m.selection.assignment.number
+}
+
+// announceWork notifies other relays that this relay's work at an engine has changed.
+func (e *exchanger) announceWork(message *message) {
+	if message.backEnd.isEngine() {
+		e.notices.queueWork(message.backEnd)
+	}
+}
+
+// recordPrefill records, and announces to other relays, the prefix blocks whose prefill an engine begins.
+func (e *exchanger) recordPrefill(message *message) {
+	if message.backEnd.isEngine() {
+		message.newBlocks = message.backEnd.cache.beginPrefill(e.clock.now(), message.prefixBlocks)
+		e.notices.queueStarted(message.backEnd, message.prefixBlocks, message.queryNumber())
+	}
+}
+
+// recordCached records, and announces to other relays, that an engine has cached blocks for use by any request.
+func (e *exchanger) recordCached(engine *backEnd, blocks []placement.PrefixBlock) {
+	if engine.isEngine() && len(blocks) > 0 {
+		engine.cache.markCached(e.clock.now(), blocks)
+		e.notices.queueCached(engine, blocks)
+	}
+}
+
+// recordAbandonedPrefill records, and announces to other relays, that an engine does not complete a prefill that it was
+// sent.
+func (e *exchanger) recordAbandonedPrefill(message *message) {
+	if !message.backEnd.isEngine() || len(message.newBlocks) == 0 {
+		return
+	}
+	dropped := make([]placement.BlockHash, len(message.newBlocks))
+	for index, part := range message.newBlocks {
+		dropped[index] = part.Hash
+	}
+	message.backEnd.cache.dropBlocks(dropped)
+	e.notices.queueAbandoned(message.backEnd, dropped)
+}
+
+// updateHealth updates the back end's health after a failure.
+func (e *exchanger) updateHealth(message *message, fault *failure) {
+	switch {
+	case errors.Is(fault, errCancelled), errors.Is(fault, errInBackoff), errors.Is(fault, errLimitReached):
+	case errors.Is(fault, errNotExecuted):
+		e.recordRefusal(message)
+	default:
+		e.recordFailure(message.backEnd)
+	}
+}
+
+// recordRefusal starts a backoff after a back end refused a request. An engine that refuses although most of its slots are
+// free counts as failed: it does not lack capacity, but may be changing its stage, for instance, and will refuse other
+// relays too. A single refusal of a prompt that another engine has prefilled is inconclusive, since that engine's KV cache
+// may have been unreachable.
+func (e *exchanger) recordRefusal(message *message) {
+	engine := message.backEnd
+	isInconclusive := message.work.PromptTokens() == 0 && engine.currentLoad(e.clock.now()).refusals == 0
+	if isInconclusive || !e.hasFreeSlots(message) || !e.mechanisms.IsEnabled(mechanism.RefusalSuspicion) {
+		engine.recordBusy(e.clock.now())
+		return
+	}
+	e.recordFailure(engine)
+}
+
+// hasFreeSlots reports whether most slots of a message's engine are free, by what is known here or was known when the
+// engine was selected.
+func (e *exchanger) hasFreeSlots(message *message) bool {
+	engine, now := message.backEnd, e.clock.now()
+	current := engine.currentLoad(now)
+	total := e.notices.table.totalWork(now, engine, current)
+	busy := max(total.Streams+total.Prefills, current.reportedRequests)
+	if selection := message.selection; selection != nil {
+		busy = max(busy, selection.queuedWork.Streams+selection.queuedWork.Prefills)
+	}
+	return engine.isEngine() && busy < engine.Slots/2
+}
+
+// recordFailure starts the failure backoff of a back end, and notifies other relays.
+func (e *exchanger) recordFailure(backEnd *backEnd) {
+	backEnd.recordFailure(e.clock.now())
+	e.notices.queueFailure(backEnd)
+}
+
+// recordReportedLoad records the load that the back end reports in its answer.
+func (e *exchanger) recordReportedLoad(answer *answer) {
+	value := string(answer.head.Peek(e.names.Load))
+	if value == "" {
+		return
+	}
+	fields := strings.Split(value, ",")
+	if len(fields) < 2 {
+		return
+	}
+	running, runningErr := strconv.Atoi(strings.TrimSpace(fields[0]))
+	waiting, waitingErr := strconv.Atoi(strings.TrimSpace(fields[1]))
+	if runningErr == nil && waitingErr == nil {
+		answer.message.backEnd.recordReportedLoad(e.clock.now(), running, waiting)
+	}
+}
--- /dev/null
+++ b/internal/relay/fleet_state.go
@@ -0,0 +1,292 @@
+package relay
+
+import (
+	"context"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+	"time"
+
+	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
+	"github.com/hazelpitch/hazelpitch/internal/backpressure"
+	"github.com/hazelpitch/hazelpitch/internal/events"
+	"github.com/hazelpitch/hazelpitch/internal/fleetlimit"
+	"github.com/hazelpitch/hazelpitch/internal/formats"
+	"github.com/hazelpitch/hazelpitch/internal/leaderwatch"
+	"github.com/hazelpitch/hazelpitch/internal/listing"
+	"github.com/hazelpitch/hazelpitch/internal/packed"
+	"github.com/hazelpitch/hazelpitch/internal/serving"
+)
+
+// listingTimeout bounds one call to the platform for its list of back ends.
+const listingTimeout = time.Second
+
+// fleetState applies the leader's updates about the fleet: the configuration, the back ends, and the relays that own them.
+// While there is no leader, it reads the list of back ends from the platform itself.
+type fleetState struct {
+	relay          *Relay
+	platformClient *http.Client
+	readListing    func(ctx context.Context, client *http.Client, pages int) (serving.Listing, error)
+	incarnation    uint64
+	// records holds the back ends by identity; their state is kept when a new list arrives.
+	records map[string]*backEnd
+	// signals holds what back ends have asked of this relay; it is kept longer than the records.
+	signals *backpressure.Registry
+	// closedBackEnds are the records of back ends that accept no more work since the last list.
+	closedBackEnds []*backEnd
+	// isLeaderLost reports whether there was no leader at the last check.
+	isLeaderLost bool
+	// heldDocument is the applied document as the leader sent it; patches apply to it. Its number is 0 when the complete
+	// document must be requested.
+	heldDocument *v1.Document
+	// relayListHash is the hash of the applied list of relays, 0 for none; relayListSize is its length.
+	relayListHash uint64
+	relayListSize int
+	// listedByFormerLeader reports whether the last list came from a leader of the first format, which does not distinguish
+	// incarnations.
+	listedByFormerLeader bool
+	// listing is the last list of back ends as the leader sent it.
+	listing listing.ReceivedList
+	// wantedBackEnds is how many back ends of each service the last leader wanted; isListingPartial reports whether its list
+	// contained only a part of the back ends.
+	wantedBackEnds   []*v1.WantedBackEnds
+	isListingPartial bool
+	localReading     listing.DirectRead
+	faults           listing.Faults
+	// listingCalls is how many calls a read of the platform's list takes; 0 while unknown.
+	listingCalls int
+}
+
+func newFleetState(relay *Relay, options Options) *fleetState {
+	return &fleetState{
+		relay:          relay,
+		platformClient: &http.Client{Transport: &http.Transport{DialContext: options.Dial}, Timeout: listingTimeout},
+		readListing:    options.ReadListing,
+		incarnation:    rand.Uint64(),
+		records:        map[string]*backEnd{},
+		signals:        backpressure.NewRegistry(),
+	}
+}
+
+// BeforeWatch implements leaderwatch.Node: it writes a log line when the leader is lost or found again.
+func (f *fleetState) BeforeWatch(controllers []string) {
+	isLost := f.relay.clock.now()-f.relay.lastContact() > f.relay.maxContactAge()
+	if isLost == f.isLeaderLost {
+		return
+	}
+	f.isLeaderLost = isLost
+	event := events.LeaderFound
+	if isLost {
+		event = events.LeaderLost
+	}
+	f.relay.event(event).Strs("controllers", controllers).Send()
+}
+
+// WatchRequest implements leaderwatch.Node.
+func (f *fleetState) WatchRequest(wait time.Duration) *v1.WatchRequest {
+	view := f.relay.view.Load()
+	request := &v1.WatchRequest{
+		Node: &v1.NodeIdentity{
+			Name: f.relay.settings.Name, Zone: f.relay.settings.Zone, Address: f.relay.settings.Listen, Incarnation: f.incarnation,
+		},
+		ListingVersion: view.listingVersion,
+		WaitMs:         uint32(wait.Milliseconds()),
+		Leaving:        f.relay.stopping.Load(),
+		NoticeAddress:  f.relay.datagrams.Address,
+		RelayList:      f.relayListHash,
+		HeldVersion:    f.relay.guard.QuarantineVersion(),
+		Demands:        f.relay.work.Report(f.relay.clock.now()),
+	}
+	request.Limits = fleetlimit.LimitsToWire(f.relay.permits.Limits())
+	request.Formats = formats.Supported().ToWire()
+	request.DocumentNumber = f.heldDocument.GetNumber()
+	request.Wanted = f.wantedBackEnds
+	return request
+}
+
+// ApplyUpdate implements leaderwatch.Node: it applies the leader's response, and reports whether the response could be used.
+func (f *fleetState) ApplyUpdate(response *v1.WatchResponse) bool {
+	current := f.relay.view.Load()
+	next := *current
+	used := true
+	if document := f.decodeDocument(response); document != nil {
+		used = f.applyDocument(document, &next)
+	}
+	if version := response.GetListingVersion(); version != 0 && version != current.listingVersion {
+		next.listingVersion = 0 // requests the complete list unless this one can be decoded
+		if listed, isReadable := f.listing.Apply(current.listingVersion, response); isReadable {
+			next.listingVersion = version
+			if wanted := response.GetWanted(); len(wanted) > 0 {
+				f.wantedBackEnds = wanted // a leader of the first format sends none; the next leader needs the known value
+			}
+			fromFormerLeader := !formats.FromWire(response.GetFormats()).Supports(formats.ReplicaIncarnations)
+			f.applyListing(f.identifyIncarnations(backEndsFromWire(listed), fromFormerLeader), &next)
+		}
+	}
+	if response.GetTellsHeld() || response.GetHeldVersion() != 0 {
+		f.relay.guard.ApplyQuarantine(response.GetHeldVersion(), response.GetHeld())
+	} else {
+		f.relay.guard.MarkQuarantineUnsupported()
+	}
+	f.applyRelayList(response)
+	f.applyRelayCount(response)
+	f.isListingPartial = response.GetListingPartial()
+	if calls := int(response.GetListingCalls()); calls > 0 {
+		f.listingCalls = calls // leaders that do not know it yet, and those of the first format, send none
+	}
+	f.applyUsageWindow(response)
+	f.relay.setView(&next)
+	f.applyLimits(response)
+	f.migrateRuns()
+	f.relay.lastContactAt.Store(int64(f.relay.clock.now()))
+	return used
+}
+
+// applyUsageWindow applies the window over which usage is counted. A leader of the first format does not know such windows;
+// counts are then kept until a leader that does takes over.
+func (f *fleetState) applyUsageWindow(response *v1.WatchResponse) {
+	window := time.Duration(response.GetUsageWindowMs()) * time.Millisecond
+	if window == 0 && !formats.FromWire(response.GetFormats()).Supports(formats.UsageWindows) {
+		return
+	}
+	f.relay.usage.UpdateTime(f.relay.clock.now(), response.GetTrueTimeMs(), window)
+}
+
+// applyLimits applies the limits that the leader knows, for back ends about which no relay has sent a notice yet.
+func (f *fleetState) applyLimits(response *v1.WatchResponse) {
+	for _, wireLimit := range response.GetLimits() {
+		if named, valid := fleetlimit.FromWire(wireLimit); valid {
+			f.relay.applyLeaderLimit(named)
+		}
+	}
+}
+
+// decodeDocument returns the document of a response; nil for none or a malformed one.
+func (f *fleetState) decodeDocument(response *v1.WatchResponse) *v1.Document {
+	if len(response.GetDocumentPatch()) > 0 {
+		return f.patchDocument(response)
+	}
+	if len(response.GetPackedDocument()) == 0 {
+		return nil
+	}
+	document := &v1.Document{}
+	if err := packed.Unpack(response.GetPackedDocument(), document); err != nil {
+		f.relay.event(events.ConfigurationUnreadable).Err(err).Send()
+		return nil
+	}
+	return document
+}
+
+// patchDocument applies a response's patch to the held document. It returns nil when that fails; the complete document is
+// then requested next.
+func (f *fleetState) patchDocument(response *v1.WatchResponse) *v1.Document {
+	content, err := packed.ApplyPatch(f.heldDocument.GetContent(), response.GetDocumentPatch())
+	if err != nil {
+		f.relay.event(events.ConfigurationUnreadable).Err(err).Uint64("number", response.GetPatchedNumber()).Send()
+		f.heldDocument = nil
+		return nil
+	}
+	return &v1.Document{Number: response.GetPatchedNumber(), Content: content}
+}
+
+// applyRelayList applies a list of relays. A new leader learns of the relays one by one: until it knows how many there are,
+// its list is applied only when it is at least as long as the current one.
+func (f *fleetState) applyRelayList(response *v1.WatchResponse) {
+	addresses := response.GetRelayAddresses()
+	if len(addresses) == 0 || response.GetRelayList() == f.relayListHash {
+		return
+	}
+	if response.GetRelays() == 0 && len(addresses) < f.relayListSize {
+		return
+	}
+	f.relayListHash, f.relayListSize = response.GetRelayList(), len(addresses)
+	f.relay.setRelays(addresses, response.GetFormerRelays())
+}
+
+// applyRelayCount applies the number of relays; a new leader does not send one until it knows it.
+func (f *fleetState) applyRelayCount(response *v1.WatchResponse) {
+	if count := response.GetRelays(); count > 0 {
+		f.relay.relayCount.Store(int64(count))
+		f.relay.budget.SetRelays(int(count))
+	}
+}
+
+// applyDocument applies a configuration whose number is above the current one. It returns false when the configuration
+// cannot be applied. Such a document is not held, since the number that is sent to the leader denotes the configuration by
+// which requests are served.
+func (f *fleetState) applyDocument(document *v1.Document, next *view) bool {
+	number := uint64(0)
+	if next.table != nil {
+		number = next.table.Configuration.Number
+	}
+	if document.GetNumber() < number {
+		return true
+	}
+	if document.GetNumber() == number {
+		f.heldDocument = document
+		return true
+	}
+	configuration, err := f.relay.dialect.ParseConfiguration(document.GetContent())
+	if err == nil {
+		err = configuration.Check()
+	}
+	if err != nil {
+		f.relay.event(events.ConfigurationUnreadable).Err(err).Uint64("number", document.GetNumber()).Send()
+		return false
+	}
+	f.heldDocument = document
+	next.table, next.configuredAt = serving.NewTable(&configuration), f.relay.clock.now()
+	f.resizeCaches(next)
+	f.relay.event(events.ConfigurationInForce).Uint64("number", configuration.Number).Int("tenants", len(configuration.Tenants)).Send()
+	return true
+}
+
+// HandleNoLeader implements leaderwatch.Node: it reads the platform's list when there has been no leader for a while, so that
+// leaving back ends are known without a leader.
+func (f *fleetState) HandleNoLeader(ctx context.Context) {
+	relays := int(f.relay.relayCount.Load())
+	if relays == 0 {
+		return // the number of relays that would read the list as well is unknown
+	}
+	lead := listing.DirectReadAfter + leaderwatch.ExtraWait(relays)
+	current := f.relay.view.Load()
+	if current.table == nil {
+		return // without a configuration, which only controllers send, no request could be served
+	}
+	calls := relays * max(f.listingCalls, 1)
+	if !f.localReading.IsDue(f.relay.clock.now(), max(f.relay.lastContact(), 0)+lead, current.isListed, calls, f.relay.draw) {
+		return
+	}
+	result, err := f.readListing(ctx, f.platformClient, 0)
+	if fault, isChanged := f.faults.Update(result, err); isChanged {
+		f.relay.event(events.ListingFault).Str("fault", fault).Send()
+	}
+	if err != nil {
+		return
+	}
+	f.listingCalls = result.Calls
+	next := *f.relay.view.Load()
+	next.listingVersion = 0
+	result.BackEnds = slices.DeleteFunc(result.BackEnds, func(backEnd serving.BackEnd) bool { return next.table.Service(backEnd.Service) == nil })
+	f.applyListing(f.restrictToKnown(f.identifyIncarnations(result.BackEnds, false)), &next)
+	f.relay.setView(&next)
+	f.migrateRuns()
+}
+
+// restrictToKnown removes from a list that this relay has read all back ends that the leader had not listed, when the
+// leader listed only a part: all relays must use the same part.
+func (f *fleetState) restrictToKnown(listed []serving.BackEnd) []serving.BackEnd {
+	if !f.isListingPartial {
+		return listed
+	}
+	return slices.DeleteFunc(listed, func(backEnd serving.BackEnd) bool { return f.records[backEnd.ID] == nil })
+}
+
+// backEndsFromWire decodes the controllers' entries.
+func backEndsFromWire(entries []*v1.ListedBackEnd) []serving.BackEnd {
+	backEnds := make([]serving.BackEnd, 0, len(entries))
+	for _, entry := range entries {
+		backEnds = append(backEnds, serving.BackEndFromProto(entry))
+	}
+	return backEnds
+}
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -1,108 +1,45 @@
 package relay
 
 import (
-	"strconv"
-	"strings"
 	"time"
 
-	"github.com/valyala/fasthttp"
+	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// connectionHeaders concern one connection only and are never passed on.
-var connectionHeaders = map[string]bool{
-	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
-	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
-	"Content-Length": true, "Expect": true,
-}
-
-// header is one header that a relay sets itself.
-type header struct{ name, value string }
-
-// requestWriter builds the messages that go to back ends.
-type requestWriter struct {
-	// key holds clients' keys, which no back end gets to see where callers are known by them.
-	key string
-	// own are the headers that only relays set; those of clients are dropped.
-	own map[string]bool
-}
-
-func newRequestWriter(names HeaderNames) requestWriter {
-	own := map[string]bool{
-		names.Tenant:     true,
-		names.DeadlineMs: true, names.ExpectInstance: true, names.Priority: true,
-		names.Stage: true, names.KVSource: true, names.KVFetch: true,
-	}
-	for _, name := range names.EngineOnly {
-		own[name] = true
-	}
-	return requestWriter{own: own, key: names.Authorization}
-}
-
-// head returns the head of the message for a back end: the client's line and headers, the
-// body's length, and the headers given, which take the place of the client's.
-func (w requestWriter) head(request *request, address string, set []header) []byte {
-	head := make([]byte, 0, 1024)
-	head = append(head, request.method...)
-	head = append(head, ' ')
-	head = append(head, request.target...)
-	head = append(head, " HTTP/1.1\r\nHost: "...)
-	head = append(head, request.host...)
-	head = append(head, "\r\n"...)
-	named := connectionNames(request.header.Peek("Connection"))
-	for key, value := range request.header.All() {
-		name := string(key)
-		if name == "Host" || connectionHeaders[name] || w.own[name] || named[name] || isSet(set, name) {
-			continue
-		}
-		if request.keyed && name == w.key {
-			continue
-		}
-		head = appendHeader(head, name, string(value))
-	}
-	for _, header := range set {
-		head = appendHeader(head, header.name, header.value)
-	}
-	if len(request.body) > 0 || request.method != fasthttp.MethodGet && request.method != fasthttp.MethodHead {
-		head = appendHeader(head, "Content-Length", strconv.Itoa(len(request.body)))
-	}
-	return append(head, "\r\n"...)
-}
-
-func isSet(set []header, name string) bool {
-	for _, header := range set {
-		if header.name == name {
-			return true
-		}
-	}
-	return false
-}
-
-func appendHeader(head []byte, name, value string) []byte {
-	head = append(head, name...)
-	head = append(head, ": "...)
-	head = append(head, value...)
-	return append(head, "\r\n"...)
-}
-
-// connectionNames lists the headers that a Connection header names, in canonical form.
-func connectionNames(value []byte) map[string]bool {
-	if len(value) == 0 || len(value) == len("close") || len(value) == len("keep-alive") {
-		return nil
-	}
-	names := map[string]bool{}
-	for name := range strings.SplitSeq(string(value), ",") {
-		names[canonical(strings.TrimSpace(name))] = true
-	}
-	return names
-}
-
-// canonical returns a header's name as fasthttp writes it.
-func canonical(name string) string {
-	normalized := fasthttp.AppendNormalizedHeaderKey(nil, name)
-	return string(normalized)
-}
-
-// milliseconds writes a duration for a header; at least 1.
-func milliseconds(left time.Duration) string {
-	return strconv.FormatInt(max(left.Milliseconds(), 1), 10)
-}
+// message is one attempt to send a request to one back end.
+type message struct {
+	request *request
+	backEnd *backEnd
+	// headers replace the client's headers of the same names.
+	headers []header
+	// deadline ends the exchange; the back end is sent the time that is left.
+	deadline time.Duration
+	// stall is the silence after which the back end counts as failed; mayAbort reports that the exchange is then aborted,
+	// since the request may be sent to another back end.
+	stall    time.Duration
+	mayAbort bool
+	// work is the expected work at the back end.
+	work placement.Work
+	// selection is the selection of the back end; nil where it does not matter.
+	selection *backEndSelection
+	// isPrefill reports whether the message only prefills the prompt, so that nothing runs.
+	isPrefill bool
+	// prefixBlocks are the prompt's blocks; newBlocks are those that the back end had not cached when the message was sent.
+	prefixBlocks, newBlocks []placement.PrefixBlock
+	// sentAt is when the message was sent.
+	sentAt time.Duration
+}
+
+// usePermit consumes the permit that was acquired when the back end was selected. It returns false when there is none or
+// it has expired. A permit is valid for one message.
+func (m *message) usePermit(now time.Duration) bool {
+	if m.selection == nil || m.selection.permittedAt == 0 {
+		return false
+	}
+	acquiredAt := m.selection.permittedAt
+	m.selection.permittedAt = 0
+	return now-acquiredAt <= permitLifetime
+}
+
+// isOwed reports whether the run must continue at this back end.
+func (m *message) isOwed() bool { return m.selection != nil && m.selection.isOwed }
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -15,81 +15,82 @@
 )
 
 const (
-	// ownersOfCell is how many relays know a cell: its owner, and a stand-in that hears the same
-	// notices and so can take its place at once.
-	ownersOfCell = 2
-	// rankedOwners is how many relays are ranked for a cell, so that some are left when the first
-	// do not answer.
-	rankedOwners = 5
+	// activeOwnersPerCell is how many relays receive the load notices of a cell's engines: its owner, and a deputy that can
+	// replace the owner at once because it receives the same notices.
+	activeOwnersPerCell = 2
+	// rankedOwnersPerCell is how many relays are ranked as owners of a cell, so that some are left when the first ones do
+	// not answer.
+	rankedOwnersPerCell = 5
 )
 
-// cells are the engines of one service in cells, with the relays that own each.
-type cells struct {
+// serviceCells are the cells into which the engines of one service are divided, with the owners of each. A cell is a group
+// of engines on which one relay, its owner, decides for all relays.
+type serviceCells struct {
 	division *cell.Division
-	// members are the engines of each cell, owners its relays by rank.
+	// members holds the engines of each cell, owners its relays by rank.
 	members [][]*backEnd
 	owners  [][]string
 }
 
-// rankOf is 0 for the relay that owns a cell, above 0 for those that stand in, and -1 for others.
-func (c *cells) rankOf(index int, relay string) int {
+// rankOf returns 0 for the owner of a cell, a higher rank for a deputy, and -1 for other relays.
+func (c *serviceCells) rankOf(index int, relay string) int {
 	owners := c.owners[index]
-	return slices.Index(owners[:min(ownersOfCell, len(owners))], relay)
+	return slices.Index(owners[:min(activeOwnersPerCell, len(owners))], relay)
 }
 
-// ownership says which relays decide on which engines, as far as this relay knows. It is
-// replaced as a whole and never changed.
+// ownership says which relays decide on which engines, according to this relay's lists. It is immutable and replaced as a
+// whole.
 type ownership struct {
-	services map[string]*cells
+	services map[string]*serviceCells
 }
 
-// of returns the cells of a service and the index of an engine's; nil for a back end that belongs
-// to none.
-func (o *ownership) of(engine *backEnd) (found *cells, index int) {
-	known := o.services[engine.Service]
-	if known == nil {
+// cellOf returns the cells of an engine's service and the index of the engine's cell; nil for a back end that belongs to
+// no cell.
+func (o *ownership) cellOf(engine *backEnd) (cells *serviceCells, index int) {
+	service := o.services[engine.Service]
+	if service == nil {
 		return nil, 0
 	}
-	index, is := known.division.CellOf(engine.hash)
-	if !is {
+	index, found := service.division.CellOf(engine.hash)
+	if !found {
 		return nil, 0
 	}
-	return known, index
+	return service, index
 }
 
-// ownedCell is this relay's part in one cell.
+// ownedCell describes a cell of which this relay is owner or deputy.
 type ownedCell struct {
 	service string
 	zone    string
-	// standsIn tells that another relay owns it.
-	standsIn bool
+	// isDeputy reports whether another relay is the owner.
+	isDeputy bool
 	engines  int
 }
 
-// ownerTable keeps the ownership of the newest lists of engines and relays.
+// ownerTable derives the ownership from the newest lists of engines and relays.
 type ownerTable struct {
-	// self is the address of this relay's datagrams.
+	// self is the address of this relay's datagram socket.
 	self string
-	// event begins a line of the log.
+	// event begins a log line.
 	event   func(events.Event) *zerolog.Event
 	current atomic.Pointer[ownership]
 
 	mutex  sync.Mutex
 	relays []string
-	// ranked are the owners of cells by rank for these relays, by the cells' identities.
-	ranked map[uint64][]string
-	view   *view
-	// owned are the cells that are this relay's, by their identities.
-	owned map[uint64]ownedCell
+	// ownersByCell caches the ranked owners of cells for the current relays, by the cells' identities.
+	ownersByCell map[uint64][]string
+	view         *view
+	// ownedCells are the cells of which this relay is owner or deputy, by their identities.
+	ownedCells map[uint64]ownedCell
 }
 
 func newOwnerTable(self string, event func(events.Event) *zerolog.Event) *ownerTable {
-	table := &ownerTable{self: self, event: event, ranked: map[uint64][]string{}}
-	table.current.Store(&ownership{services: map[string]*cells{}})
+	table := &ownerTable{self: self, event: event, ownersByCell: map[uint64][]string{}}
+	table.current.Store(&ownership{services: map[string]*serviceCells{}})
 	return table
 }
 
-// setRelays takes the addresses of all relays; it reports whether they are others than before.
+// setRelays sets the addresses of all relays and reports whether they differ from the earlier ones.
 func (t *ownerTable) setRelays(addresses []string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -97,12 +98,12 @@
 		return false
 	}
 	t.relays = slices.Clone(addresses)
-	t.ranked = map[uint64][]string{}
+	t.ownersByCell = map[uint64][]string{}
 	t.rebuild()
 	return true
 }
 
-// setView takes a list of engines that was put in force.
+// setView sets the view whose engines are divided into cells.
 func (t *ownerTable) setView(next *view) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -110,9 +111,9 @@
 	t.rebuild()
 }
 
-// rebuild divides the engines and ranks the owners. The mutex is held.
+// rebuild divides the engines into cells and ranks the owners. The mutex is held.
 func (t *ownerTable) rebuild() {
-	next := &ownership{services: map[string]*cells{}}
+	next := &ownership{services: map[string]*serviceCells{}}
 	if t.view != nil {
 		for service, backEnds := range t.view.byService {
 			if len(backEnds) > 0 && backEnds[0].isEngine() {
@@ -121,68 +122,67 @@
 		}
 	}
 	t.current.Store(next)
-	t.noteOwned(next)
+	t.logOwnershipChanges(next)
 }
 
-// noteOwned writes a line for each cell that has become this relay's or is no longer. The mutex is
-// held.
-func (t *ownerTable) noteOwned(next *ownership) {
+// logOwnershipChanges writes a log line for each cell that this relay begins or ceases to own. The mutex is held.
+func (t *ownerTable) logOwnershipChanges(next *ownership) {
 	owned := map[uint64]ownedCell{}
 	for name, service := range next.services {
-		for index, divided := range service.division.Cells() {
+		for index, entry := range service.division.Cells() {
 			if rank := service.rankOf(index, t.self); rank >= 0 {
-				owned[divided.ID] = ownedCell{service: name, zone: divided.Zone, standsIn: rank > 0, engines: len(divided.Members)}
+				owned[entry.ID] = ownedCell{service: name, zone: entry.Zone, isDeputy: rank > 0, engines: len(entry.Members)}
 			}
 		}
 	}
 	for id, cell := range owned {
-		if former, had := t.owned[id]; !had || former.standsIn != cell.standsIn {
-			t.cellEvent(events.CellOwned, id, cell)
+		if former, existed := t.ownedCells[id]; !existed || former.isDeputy != cell.isDeputy {
+			t.logCellEvent(events.CellOwned, id, cell)
 		}
 	}
-	for id, cell := range t.owned {
-		if _, has := owned[id]; !has {
-			t.cellEvent(events.CellLeft, id, cell)
+	for id, cell := range t.ownedCells {
+		if _, isStillOwned := owned[id]; !isStillOwned {
+			t.logCellEvent(events.CellLeft, id, cell)
 		}
 	}
-	t.owned = owned
+	t.ownedCells = owned
 }
 
-// cellEvent writes a line on a cell.
-func (t *ownerTable) cellEvent(event events.Event, id uint64, cell ownedCell) {
+// logCellEvent writes a log line about a cell.
+func (t *ownerTable) logCellEvent(event events.Event, id uint64, cell ownedCell) {
 	t.event(event).Str("cell", strconv.FormatUint(id, 16)).Str("service", cell.service).Str("zone", cell.zone).
-		Bool("stands_in", cell.standsIn).Int("engines", cell.engines).Send()
+		Bool("stands_in", cell.isDeputy).Int("engines", cell.engines).Send()
 }
 
-// divide divides the engines of a service. The mutex is held.
-func (t *ownerTable) divide(service string, backEnds []*backEnd) *cells {
+// divide divides the engines of a service into cells. The mutex is held.
+func (t *ownerTable) divide(service string, backEnds []*backEnd) *serviceCells {
 	members := make([]cell.Member, len(backEnds))
 	for index, backEnd := range backEnds {
 		members[index] = cell.Member{Hash: backEnd.hash, Zone: backEnd.Zone, Closed: backEnd.Leaving}
 	}
-	made := &cells{division: cell.Divide(service, members)}
-	for _, divided := range made.division.Cells() {
-		engines := make([]*backEnd, len(divided.Members))
-		for index, member := range divided.Members {
+	result := &serviceCells{division: cell.Divide(service, members)}
+	for _, entry := range result.division.Cells() {
+		engines := make([]*backEnd, len(entry.Members))
+		for index, member := range entry.Members {
 			engines[index] = backEnds[member]
 		}
-		made.members = append(made.members, engines)
-		made.owners = append(made.owners, t.rank(divided.ID))
+		result.members = append(result.members, engines)
+		result.owners = append(result.owners, t.ownersByRank(entry.ID))
 	}
-	return made
+	return result
 }
 
-// rank returns the owners of a cell by rank. The mutex is held.
-func (t *ownerTable) rank(id uint64) []string {
-	ranked, known := t.ranked[id]
-	if !known {
-		ranked = cell.Owners(id, t.relays, rankedOwners)
-		t.ranked[id] = ranked
+// ownersByRank returns the owners of a cell by rank. The mutex is held.
+func (t *ownerTable) ownersByRank(id uint64) []string {
+	ranked, found := t.ownersByCell[id]
+	if !found {
+		ranked = cell.Owners(id, t.relays, rankedOwnersPerCell)
+		t.ownersByCell[id] = ranked
 	}
 	return ranked
 }
 
-// ownedEngines are the engines of the cells that this relay owns or stands in for.
+// ownedEngines returns the engines of the cells of which this relay is owner or deputy.
 func (t *ownerTable) ownedEngines() []*backEnd {
 	var owned []*backEnd
 	for _, service := range t.current.Load().services {
@@ -195,17 +195,17 @@
 	return owned
 }
 
-// homes returns the indexes of the cells in which a prompt had better run, the best first. Only
-// a shared part that is worth fetching ties a prompt to cells of other zones.
-func (c *cells) homes(prompt []placement.PrefixBlock, request, zone string, least, count int) []int {
-	if shared := sharedTokens(prompt); shared >= least {
+// homeCells returns the indexes of the cells in which a prompt should run, the best first. A request is tied to cells of
+// other zones only by a shared prefix of at least the given number of tokens, which is long enough to be worth fetching.
+func (c *serviceCells) homeCells(prompt []placement.PrefixBlock, request, zone string, least, count int) []int {
+	if shared := sharedPrefixTokens(prompt); shared >= least {
 		return c.division.Homes(uint64(prompt[len(prompt)-2].Hash), "", count)
 	}
-	return c.division.Homes(hashOfRequest(request), zone, count)
+	return c.division.Homes(requestHash(request), zone, count)
 }
 
-// sharedTokens is the length of a prompt without its last part, which is its own.
-func sharedTokens(prompt []placement.PrefixBlock) int {
+// sharedPrefixTokens returns the length of a prompt without its last block, which no other request shares.
+func sharedPrefixTokens(prompt []placement.PrefixBlock) int {
 	shared := 0
 	for _, part := range prompt[:max(len(prompt)-1, 0)] {
 		shared += part.Tokens
@@ -213,9 +213,9 @@
 	return shared
 }
 
-// hashOfRequest spreads requests that no part ties to a cell.
-func hashOfRequest(id string) uint64 {
+// requestHash returns the hash by which requests without a shared prefix are spread over cells.
+func requestHash(id string) uint64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(id)) // never fails
+	_, _ = hash.Write([]byte(id)) // never returns an error
 	return hash.Sum64()
 }
--- a/internal/relay/placement_owner.go
+++ b/internal/relay/placement_owner.go
@@ -10,166 +10,166 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// maximumWaiting bounds the questions of other relays that wait for readings at one owner.
-const maximumWaiting = 2048
+// maxWaitingQueries bounds the queries of other relays that wait at this owner for a prefill of another request.
+const maxWaitingQueries = 2048
 
-// placementOwner decides where requests run on the engines of cells, for this relay and for others
-// that ask. It counts what it has assigned, so that each decision sees those before it.
+// placementOwner decides where requests run on the engines of a cell, for this relay and for other relays that query it.
+// It reserves the work that it assigns, so that each decision takes the earlier ones into account.
 type placementOwner struct {
 	relay *Relay
 
-	mutex    sync.Mutex
-	reserved *placement.Reservations
-	// waiting are the questions that wait for another request's reading; closing a channel ends
-	// the wait.
+	mutex        sync.Mutex
+	reservations *placement.Reservations
+	// waiting holds the queries that wait for another request's prefill. Closing a query's channel ends its wait.
 	waiting map[placement.QueryID]chan struct{}
 }
 
 func newPlacementOwner(relay *Relay) *placementOwner {
-	return &placementOwner{relay: relay, reserved: placement.NewReservations(), waiting: map[placement.QueryID]chan struct{}{}}
+	return &placementOwner{relay: relay, reservations: placement.NewReservations(), waiting: map[placement.QueryID]chan struct{}{}}
 }
 
-// decide decides among the engines. The work that it assigns counts from now on when another
-// relay has asked; asker is nil for this relay's own requests, whose work begins at once.
-func (o *placementOwner) decide(query *engineQuery, engines []*backEnd, asker *placement.QueryID) engineAnswer {
+// decide selects one of the engines for a request. When another relay has sent the query, the assigned work is reserved
+// from now on; asker is nil for this relay's own requests, whose work begins at once.
+func (o *placementOwner) decide(query *engineQuery, engines []*backEnd, queryID *placement.QueryID) engineAnswer {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	now := o.relay.clock.now()
-	query.request.Now, query.request.UncachedShare = now, o.relay.pace.usualShare()
-	o.expire(now)
-	seen := o.relay.surveyOf(engines, query.request.Prompt, query.excludes, now)
-	for index := range seen.engines {
-		seen.engines[index].Work = seen.engines[index].Work.Plus(o.reserved.ReservedWork(seen.engines[index].Hash))
+	query.request.Now, query.request.UncachedShare = now, o.relay.prefillSpeed.usualShare()
+	o.expireReservations(now)
+	candidates := o.relay.candidatesOf(engines, query.request.Prompt, query.excludes, now)
+	for index := range candidates.engines {
+		candidates.engines[index].Work = candidates.engines[index].Work.Plus(o.reservations.ReservedWork(candidates.engines[index].Hash))
 	}
-	answer := engineAnswer{holder: seen.holder()}
+	answer := engineAnswer{holder: candidates.bestHolder()}
 	if query.holder != nil {
-		seen = seen.with(query.holder)
+		candidates = candidates.withHolder(query.holder)
 	}
-	answer.decision = query.decideFrom(o.relay.policy, seen, o.relay.draw)
-	answer.chosen = seen.place(answer.decision.Engine)
-	if answer.decision.Action == placement.PrefillSeparately && query.purpose == toBegin {
-		o.relay.pace.observeShare(query.request.Tokens, answer.decision.Engine.PrefillTokens)
+	answer.decision = query.decideAmong(o.relay.policy, candidates, o.relay.draw)
+	answer.selection = candidates.selectionOf(answer.decision.Engine)
+	if answer.decision.Action == placement.PrefillSeparately && query.purpose == purposeBegin {
+		o.relay.prefillSpeed.observeShare(query.request.Tokens, answer.decision.Engine.PrefillTokens)
 	}
-	if asker != nil && o.relay.without.IsEnabled(mechanism.Reservations) {
-		o.reserve(now, *asker, query, answer)
+	if queryID != nil && o.relay.mechanisms.IsEnabled(mechanism.Reservations) {
+		o.reserve(now, *queryID, query, answer)
 	}
 	return answer
 }
 
-// reserve counts the work that an answer gives its engine. The mutex is held.
-func (o *placementOwner) reserve(now time.Duration, asker placement.QueryID, query *engineQuery, answer engineAnswer) {
+// reserve reserves the work that an answer assigns to an engine. The mutex is held.
+func (o *placementOwner) reserve(now time.Duration, queryID placement.QueryID, query *engineQuery, answer engineAnswer) {
 	if action := answer.decision.Action; action != placement.PrefillSeparately && action != placement.PrefillOnDecodeEngine {
 		return
 	}
-	reserved := placement.Reservation{Engine: answer.chosen.backEnd.hash, Work: query.workOf(o.relay.policy, answer.decision)}
-	for _, part := range answer.chosen.backEnd.cache.begin(now, query.request.Prompt) {
-		reserved.PendingBlocks = append(reserved.PendingBlocks, part.Hash)
+	reservation := placement.Reservation{Engine: answer.selection.backEnd.hash, Work: query.workOf(o.relay.policy, answer.decision)}
+	for _, part := range answer.selection.backEnd.cache.beginPrefill(now, query.request.Prompt) {
+		reservation.PendingBlocks = append(reservation.PendingBlocks, part.Hash)
 	}
-	if former, had := o.reserved.Add(now, asker, reserved); had {
-		o.giveUp(former)
+	if replaced, found := o.reservations.Add(now, queryID, reservation); found {
+		o.dropReservedBlocks(replaced)
 	}
 }
 
-// expire ends reservations of which nothing was told in time. The mutex is held.
-func (o *placementOwner) expire(now time.Duration) {
-	for _, reserved := range o.reserved.Expire(now) {
-		o.giveUp(reserved)
+// expireReservations removes reservations whose work was not reported in time. The mutex is held.
+func (o *placementOwner) expireReservations(now time.Duration) {
+	for _, reservation := range o.reservations.Expire(now) {
+		o.dropReservedBlocks(reservation)
 	}
 }
 
-// giveUp forgets what a reservation's engine would have read. The mutex is held.
-func (o *placementOwner) giveUp(reserved placement.Reservation) {
-	if engine := o.relay.view.Load().byHash[reserved.Engine]; engine != nil && len(reserved.PendingBlocks) > 0 {
-		engine.cache.drop(reserved.PendingBlocks)
+// dropReservedBlocks removes the prefix blocks that the engine would have computed for a reservation. The mutex is held.
+func (o *placementOwner) dropReservedBlocks(reservation placement.Reservation) {
+	if engine := o.relay.view.Load().byHash[reservation.Engine]; engine != nil && len(reservation.PendingBlocks) > 0 {
+		engine.cache.dropBlocks(reservation.PendingBlocks)
 	}
 }
 
-// told ends the reservations of questions whose work a relay tells of from now on.
-func (o *placementOwner) told(relay uint64, numbers []uint64) {
+// releaseReservations removes the reservations of queries whose work the relay includes in its notices from now on.
+func (o *placementOwner) releaseReservations(relay uint64, numbers []uint64) {
 	if len(numbers) == 0 {
 		return
 	}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	for _, number := range numbers {
-		o.reserved.Release(placement.QueryID{Relay: relay, Number: number})
+		o.reservations.Release(placement.QueryID{Relay: relay, Number: number})
 	}
 }
 
-// cancel ends a question: its wait, or the reservation that it got.
-func (o *placementOwner) cancel(asked *v1.PlacementCancel) {
-	asker := placement.QueryID{Relay: asked.GetRelay(), Number: asked.GetNumber()}
+// cancel cancels a query: it ends the query's wait or removes its reservation.
+func (o *placementOwner) cancel(request *v1.PlacementCancel) {
+	queryID := placement.QueryID{Relay: request.GetRelay(), Number: request.GetNumber()}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if stop, waits := o.waiting[asker]; waits {
+	if stop, isWaiting := o.waiting[queryID]; isWaiting {
 		close(stop)
-		delete(o.waiting, asker)
+		delete(o.waiting, queryID)
 	}
-	if reserved, had := o.reserved.Release(asker); had {
-		o.giveUp(reserved)
+	if reservation, found := o.reservations.Release(queryID); found {
+		o.dropReservedBlocks(reservation)
 	}
 }
 
-// answer answers another relay's question. One that had better wait for a reading is told so, and
-// answered again after it.
-func (o *placementOwner) answer(asked *v1.PlacementRequest, reply func(*v1.PlacementAnswer)) {
-	current := o.relay.owners.current.Load().services[asked.GetService()]
+// handleQuery answers another relay's query. When the request should wait for another prefill, it first answers that the
+// query waits, and answers again after the wait.
+func (o *placementOwner) handleQuery(request *v1.PlacementRequest, reply func(*v1.PlacementAnswer)) {
+	current := o.relay.owners.current.Load().services[request.GetService()]
 	if current == nil {
-		replyUnknown(asked, reply)
+		replyUnknownCell(request, reply)
 		return
 	}
-	index, known := current.division.IndexByID(asked.GetCell())
-	if !known {
-		replyUnknown(asked, reply)
+	index, found := current.division.IndexByID(request.GetCell())
+	if !found {
+		replyUnknownCell(request, reply)
 		return
 	}
 	engines := current.members[index]
-	query := queryFromWire(asked, o.relay.view.Load())
-	asker := placement.QueryID{Relay: asked.GetRelay(), Number: asked.GetNumber()}
-	decided := o.decide(query, engines, &asker)
-	if decided.decision.Action != placement.AwaitSharedPrefill {
-		reply(answerToWire(asked, decided))
+	query := queryFromWire(request, o.relay.view.Load())
+	queryID := placement.QueryID{Relay: request.GetRelay(), Number: request.GetNumber()}
+	result := o.decide(query, engines, &queryID)
+	if result.decision.Action != placement.AwaitSharedPrefill {
+		reply(answerToWire(request, result))
 		return
 	}
-	stop := o.beginWait(asker)
+	stop := o.registerWait(queryID)
 	if stop == nil {
 		query.request.PrefillWaits = o.relay.policy.MaxPrefillWaits
-		reply(answerToWire(asked, o.decide(query, engines, &asker)))
+		reply(answerToWire(request, o.decide(query, engines, &queryID)))
 		return
 	}
-	go o.answerAfterWait(asked, query, engines, decided, stop, reply)
+	go o.answerAfterWait(request, query, engines, result, stop, reply)
 }
 
-// replyUnknown answers a question about a cell that is not known here. A relay of the first format would take the answer
-// for the word that nothing can be placed, and refuse the request: it gets none, and asks another one.
-func replyUnknown(asked *v1.PlacementRequest, reply func(*v1.PlacementAnswer)) {
-	if formats.FromWire(asked.GetFormats()) != (formats.Range{}) {
-		reply(unplacedAnswer(asked))
+// replyUnknownCell answers a query about a cell that this relay does not know. Relays of the first format do not recognize
+// this answer: they would conclude that the request cannot be placed, and refuse it. They are sent no answer, so that they
+// query another relay.
+func replyUnknownCell(request *v1.PlacementRequest, reply func(*v1.PlacementAnswer)) {
+	if formats.FromWire(request.GetFormats()) != (formats.Range{}) {
+		reply(unknownCellAnswer(request))
 	}
 }
 
-// beginWait notes a question that waits; nil when too many do, or when it does already.
-func (o *placementOwner) beginWait(asker placement.QueryID) (stop chan struct{}) {
+// registerWait registers a waiting query; it returns nil when too many queries wait or this one waits already.
+func (o *placementOwner) registerWait(queryID placement.QueryID) (stop chan struct{}) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if _, waits := o.waiting[asker]; waits || len(o.waiting) >= maximumWaiting {
+	if _, isWaiting := o.waiting[queryID]; isWaiting || len(o.waiting) >= maxWaitingQueries {
 		return nil
 	}
 	stop = make(chan struct{})
-	o.waiting[asker] = stop
+	o.waiting[queryID] = stop
 	return stop
 }
 
-// answerAfterWait waits for readings of other requests, and answers then.
-func (o *placementOwner) answerAfterWait(asked *v1.PlacementRequest, query *engineQuery, engines []*backEnd, decided engineAnswer, stop chan struct{}, reply func(*v1.PlacementAnswer)) {
-	asker := placement.QueryID{Relay: asked.GetRelay(), Number: asked.GetNumber()}
-	for decided.decision.Action == placement.AwaitSharedPrefill {
-		limit := min(o.relay.waitLimit(decided.chosen), query.request.TimeLeft)
-		waiting := answerToWire(asked, decided)
+// answerAfterWait waits for the prefills of other requests, decides again, and answers.
+func (o *placementOwner) answerAfterWait(request *v1.PlacementRequest, query *engineQuery, engines []*backEnd, result engineAnswer, stop chan struct{}, reply func(*v1.PlacementAnswer)) {
+	queryID := placement.QueryID{Relay: request.GetRelay(), Number: request.GetNumber()}
+	for result.decision.Action == placement.AwaitSharedPrefill {
+		limit := min(o.relay.prefillWaitLimit(result.selection), query.request.TimeLeft)
+		waiting := answerToWire(request, result)
 		waiting.WaitingUs = microseconds(limit)
 		reply(waiting)
-		waited := o.relay.awaitKept(&keptWait{
-			chosen: decided.chosen, parts: query.request.Prompt, rank: query.request.Rank, limit: limit, stop: stop,
+		waited := o.relay.awaitCached(&prefillWait{
+			selection: result.selection, prefixBlocks: query.request.Prompt, rank: query.request.Rank, limit: limit, stop: stop,
 		})
 		query.request.PrefillWaits++
 		if !waited {
@@ -180,16 +180,16 @@
 			return
 		default:
 		}
-		decided = o.decide(query, engines, &asker)
+		result = o.decide(query, engines, &queryID)
 	}
 	o.mutex.Lock()
-	if _, waits := o.waiting[asker]; !waits { // it was cancelled meanwhile
-		reserved, _ := o.reserved.Release(asker)
-		o.giveUp(reserved)
+	if _, isWaiting := o.waiting[queryID]; !isWaiting { // cancelled during the decision
+		reservation, _ := o.reservations.Release(queryID)
+		o.dropReservedBlocks(reservation)
 		o.mutex.Unlock()
 		return
 	}
-	delete(o.waiting, asker)
+	delete(o.waiting, queryID)
 	o.mutex.Unlock()
-	reply(answerToWire(asked, decided))
+	reply(answerToWire(request, result))
 }
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -12,14 +12,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// endWait is how long a request waits, before it is sent to another back end, until the controllers have
-// agreed on the end of the one that broke it off.
-const endWait = 300 * time.Millisecond
+// crashReportWait is how long a request waits, before its next attempt, for the controllers to agree that the back end that
+// broke its connection has crashed.
+const crashReportWait = 300 * time.Millisecond
 
-// reasonHeld is why a request is refused under which back ends have ended.
-const reasonHeld = "back ends have ended while they ran this request"
+// reasonQuarantined is the reason for refusing a request that has crashed back ends.
+const reasonQuarantined = "back ends have ended while they ran this request"
 
-// newGuard makes the guard of a relay.
+// newGuard creates the crash guard of a relay.
 func newGuard(relay *Relay) *crashguard.Guard {
 	leader := crashguard.LeaderClient{Client: relay.watcher.LeaderClient}
 	return crashguard.New(crashguard.Options{
@@ -27,70 +27,71 @@
 	})
 }
 
-// admitHeld refuses a request that must not run. It reports whether the request goes on.
-func (r *Relay) admitHeld(request *request, reply *replier) bool {
+// admitQuarantined refuses a quarantined request unless it may run as a trial. It reports whether the request is admitted.
+func (r *Relay) admitQuarantined(request *request, reply *replier) bool {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	switch r.guard.Admit(ctx, request.signature) {
 	case crashguard.Quarantined:
-		r.finishRefused(&attempts{relay: r, request: request, held: true}, reply)
+		r.replyRefused(&attemptTracker{relay: r, request: request, isQuarantined: true}, reply)
 		return false
 	case crashguard.Trial:
-		request.trial = true
-		r.log.trial(request)
+		request.isTrial = true
+		r.log.recordTrial(request)
 	}
 	return true
 }
 
-// noteBroken lets the guard find out whether a back end has ended that broke a request off. Where the
-// request may go on, that is awaited.
-func (a *attempts) noteBroken(backEnd *backEnd, fault *failure) {
+// reportBroken lets the guard find out whether the back end that broke the connection has crashed. It waits for the result
+// when the request may be sent again.
+func (a *attemptTracker) reportBroken(backEnd *backEnd, fault *failure) {
 	relay, request := a.relay, a.request
-	if !fault.arrived || backEnd.leaving() {
+	if !fault.mayHaveArrived || backEnd.isLeaving() {
 		return
 	}
-	if errors.Is(fault, errStalled) || errors.Is(fault, errSilent) {
+	if errors.Is(fault, errStalled) || errors.Is(fault, errPeerTimeout) {
 		relay.guard.RecordSilentRun(request.signature, backEnd.ID)
 		return
 	}
-	if !errors.Is(fault, errBroken) {
+	if !errors.Is(fault, errConnectionBroken) {
 		return
 	}
 	replica := crashguard.Replica{ID: backEnd.ID, Name: backEnd.ExpectedID(), Address: backEnd.Address}
-	if !request.route.Repeatable() || a.sent >= request.route.MaxAttempts {
+	if !request.route.Repeatable() || a.sentCount >= request.route.MaxAttempts {
 		go relay.guard.RecordBrokenRun(request.signature, replica, 0)
 		return
 	}
-	a.held = relay.guard.RecordBrokenRun(request.signature, replica, min(endWait, request.deadline-relay.clock.now()))
+	a.isQuarantined = relay.guard.RecordBrokenRun(request.signature, replica, min(crashReportWait, request.deadline-relay.clock.now()))
 }
 
-// noteEnded tells the guard that nothing serves at a back end's address, or another one.
-func (r *Relay) noteEnded(backEnd *backEnd, fault *failure) {
-	refused := errors.Is(fault, errDial) && errors.Is(fault, syscall.ECONNREFUSED)
-	if refused || errors.Is(fault, errMisdirected) {
+// reportIfCrashed reports a crash to the guard when nothing listens at the back end's address, or another back end does.
+func (r *Relay) reportIfCrashed(backEnd *backEnd, fault *failure) {
+	isRefused := errors.Is(fault, errDial) && errors.Is(fault, syscall.ECONNREFUSED)
+	if isRefused || errors.Is(fault, errMisdirected) {
 		r.guard.RecordCrash(backEnd.ID)
 	}
 }
 
-// probe looks whether a back end takes connections; one that was opened is used later. A start in whose place the
-// list shows another one has ended, whoever serves there: the list may show that before the connections break.
+// probe checks whether a back end accepts connections; an opened connection is kept in the pool. An incarnation that the
+// list shows as replaced has crashed even if its address accepts connections: the list may show the replacement before
+// the connections break.
 func (r *Relay) probe(_ context.Context, replica crashguard.Replica) crashguard.ProbeResult {
-	known := r.backEndOf(replica.ID)
-	if known == nil && r.isReplaced(replica) {
+	record := r.backEndByID(replica.ID)
+	if record == nil && r.isReplaced(replica) {
 		return crashguard.ProbeGone
 	}
-	if known == nil { // the list does not show it any more: its pool is closed
-		known = newBackEnd(serving.BackEnd{ID: replica.ID, Address: replica.Address}, 0)
-		known.pool.Close()
+	if record == nil { // not listed any more: nothing may be kept in its pool
+		record = newBackEnd(serving.BackEnd{ID: replica.ID, Address: replica.Address}, 0)
+		record.pool.Close()
 	}
-	connection, err := r.exchanger.open(known, dialTimeout)
+	connection, err := r.exchanger.open(record, dialTimeout)
 	if err == nil {
-		known.pool.Put(connection, r.clock.now())
+		record.pool.Put(connection, r.clock.now())
 	}
 	return crashguard.ProbeResultOf(err)
 }
 
-// isReplaced reports whether the list shows another start at a back end's address, or under its identity.
+// isReplaced reports whether the list shows another incarnation at the replica's address or under its identity.
 func (r *Relay) isReplaced(replica crashguard.Replica) bool {
 	for _, backEnds := range r.view.Load().byService {
 		for _, backEnd := range backEnds {
@@ -102,25 +103,25 @@
 	return false
 }
 
-// noteReplaced tells the guard of back ends whose address, or whose identity, another start has by now.
-func (r *Relay) noteReplaced(gone []*backEnd, present map[string]*backEnd) {
+// reportReplaced reports to the guard the removed back ends whose address or identity another incarnation has taken over.
+func (r *Relay) reportReplaced(gone []*backEnd, present map[string]*backEnd) {
 	if len(gone) == 0 {
 		return
 	}
-	taken, started := make(map[string]bool, len(present)), make(map[string]bool, len(present))
+	addresses, identities := make(map[string]bool, len(present)), make(map[string]bool, len(present))
 	for _, backEnd := range present {
-		taken[backEnd.Address] = true
-		started[backEnd.ExpectedID()] = true
+		addresses[backEnd.Address] = true
+		identities[backEnd.ExpectedID()] = true
 	}
 	for _, backEnd := range gone {
-		if taken[backEnd.Address] || started[backEnd.ExpectedID()] {
+		if addresses[backEnd.Address] || identities[backEnd.ExpectedID()] {
 			r.guard.RecordCrash(backEnd.ID)
 		}
 	}
 }
 
-// backEndOf returns a back end of the list; nil when the list does not show it.
-func (r *Relay) backEndOf(id string) *backEnd {
+// backEndByID returns a listed back end; nil when it is not listed.
+func (r *Relay) backEndByID(id string) *backEnd {
 	for _, backEnds := range r.view.Load().byService {
 		for _, backEnd := range backEnds {
 			if backEnd.ID == id {
@@ -131,12 +132,12 @@
 	return nil
 }
 
-// guardObserver writes lines and counts of what the guard finds.
+// guardObserver writes log lines and metrics for the guard's findings.
 type guardObserver struct{ relay *Relay }
 
 // ReplicaCrashed implements crashguard.Observer.
 func (o guardObserver) ReplicaCrashed(replica string, requests int) {
-	o.relay.metrics.replicaEnds.Inc()
+	o.relay.metrics.backEndCrashes.Inc()
 	o.relay.event(events.BackEndEnded).Str("back_end", replica).Int("requests", requests).Send()
 }
 
--- a/internal/relay/release.go
+++ b/internal/relay/release.go
@@ -9,41 +9,41 @@
 	"github.com/hazelpitch/hazelpitch/internal/relay/connpool"
 )
 
-// releaseTimeout bounds the giving up of a prompt; it lapses by itself later.
+// releaseTimeout bounds the release of a prefill, which expires later without one.
 const releaseTimeout = time.Second
 
-// release tells an engine that a prompt it holds will not be taken. Once it has answered, it keeps
-// the prompt's parts for any request.
-func (e *exchanger) release(held *heldPrompt, path string) {
+// release tells an engine that a prefill will not be fetched. Once the engine has confirmed, it has the prompt's blocks
+// cached for any request.
+func (e *exchanger) release(prefill *remotePrefill, path string) {
 	now := e.clock.now()
-	if held.engine.resting(now) || !e.permitted(held.engine, ownCallRank, false) {
-		return // the prompt lapses by itself
+	if prefill.engine.inBackoff(now) || !e.acquirePermit(prefill.engine, internalCallRank, false) {
+		return // the prefill expires without a release
 	}
-	connection := held.engine.pool.Get(now, unsafeIdleLimit)
+	connection := prefill.engine.pool.Get(now, unsafeIdleLimit)
 	if connection == nil {
 		var err error
-		if connection, err = e.open(held.engine, releaseTimeout); err != nil {
+		if connection, err = e.open(prefill.engine, releaseTimeout); err != nil {
 			return
 		}
 	}
 	defer connection.Discard()
 	_ = connection.SetDeadline(e.clock.at(now + releaseTimeout))
-	if e.writeCall(connection, held.engine, fasthttp.MethodDelete, path, nil) != nil {
+	if e.writeInternalCall(connection, prefill.engine, fasthttp.MethodDelete, path, nil) != nil {
 		return
 	}
 	head := &fasthttp.ResponseHeader{}
 	if head.Read(connection.Reader) != nil || head.StatusCode() == fasthttp.StatusMisdirectedRequest {
 		return
 	}
-	e.noteAnswer(held.engine, head, noRequest)
+	e.applyAnswerSignals(prefill.engine, head, internalCallSentAt)
 	if head.StatusCode() == fasthttp.StatusOK {
-		e.noteKept(held.engine, held.parts)
+		e.recordCached(prefill.engine, prefill.prefixBlocks)
 	}
 }
 
-// writeCall writes a call of the relay's own to an engine, which refuses it when another one has
-// its address. A body is JSON; nil is none.
-func (e *exchanger) writeCall(connection *connpool.Connection, engine *backEnd, method, path string, body []byte) error {
+// writeInternalCall writes an internal call of the relay to an engine. Another back end at the engine's address refuses it.
+// The body is JSON; nil means no body.
+func (e *exchanger) writeInternalCall(connection *connpool.Connection, engine *backEnd, method, path string, body []byte) error {
 	head := append([]byte(nil), method+" "+path+" HTTP/1.1\r\nHost: "+engine.Address+"\r\n"...)
 	head = appendHeader(head, e.names.ExpectInstance, engine.ExpectedID())
 	if body != nil {
--- a/internal/relay/reply.go
+++ b/internal/relay/reply.go
@@ -7,35 +7,35 @@
 	"github.com/valyala/fasthttp"
 )
 
-// replier writes the answer of one request to its client, once.
+// replier writes the one answer to a request to its client.
 type replier struct {
 	connection *clientConnection
 	names      HeaderNames
 	requestID  string
-	// close tells that the connection ends with this answer.
+	// close reports whether the connection is closed after this answer.
 	close bool
-	// started tells that bytes of an answer may have left.
+	// started reports whether bytes of an answer may have been sent.
 	started bool
-	// status is that of the answer begun, refused the relay's own answer, nil for none.
+	// status is the status of the answer; refusal is the relay's own answer, nil when a back end's answer is sent.
 	status  int
-	refused *refusal
+	refusal *refusal
 	chunked bool
-	// failed is set once the client cannot be written to any more.
-	failed  bool
+	// aborted reports whether the answer cannot be completed: a write failed, or the answer broke off.
+	aborted bool
 	scratch []byte
 }
 
-// refusal is a final answer of the relay's own.
+// refusal is a final answer that the relay itself makes.
 type refusal struct {
 	status int
 	reason string
-	// retryAfter tells when to come back; 0 leaves it out.
+	// retryAfter is the delay after which the client may retry; 0 omits it from the answer.
 	retryAfter time.Duration
-	// challenge names how a client may prove who it is; empty where that is not wanted.
+	// challenge is the authentication scheme that the client must use; empty omits it.
 	challenge string
 }
 
-// promisesNotRun reports whether the answer tells that the request has not run and never will.
+// promisesNotRun reports whether the status promises that the request was not run and will not be run later.
 func (r refusal) promisesNotRun() bool {
 	switch r.status {
 	case fasthttp.StatusServiceUnavailable, fasthttp.StatusTooManyRequests, fasthttp.StatusRequestTimeout, fasthttp.StatusMisdirectedRequest:
@@ -45,50 +45,50 @@
 	}
 }
 
-// refuse sends an answer of the relay's own.
-func (r *replier) refuse(refused refusal) {
-	r.refused = &refused
-	body := refused.reason + "\n"
-	head := r.begin(refused.status)
+// refuse sends an answer that the relay itself makes.
+func (r *replier) refuse(response refusal) {
+	r.refusal = &response
+	body := response.reason + "\n"
+	head := r.beginHead(response.status)
 	head = appendHeader(head, "Content-Type", "text/plain")
 	head = appendHeader(head, "Content-Length", strconv.Itoa(len(body)))
 	if r.requestID != "" {
 		head = appendHeader(head, r.names.RequestID, r.requestID)
 	}
-	if refused.challenge != "" {
-		head = appendHeader(head, "WWW-Authenticate", refused.challenge)
+	if response.challenge != "" {
+		head = appendHeader(head, "WWW-Authenticate", response.challenge)
 	}
-	if refused.retryAfter > 0 {
-		head = appendHeader(head, "Retry-After", strconv.FormatFloat(refused.retryAfter.Seconds(), 'f', 3, 64))
+	if response.retryAfter > 0 {
+		head = appendHeader(head, "Retry-After", strconv.FormatFloat(response.retryAfter.Seconds(), 'f', 3, 64))
 	}
-	r.write(r.end(head, []byte(body)))
+	r.write(r.endHead(head, []byte(body)))
 }
 
-// whole sends a back end's answer whose body has been read whole.
-func (r *replier) whole(answer *answer, body []byte) {
-	head := r.passHead(answer)
-	if !answer.bodiless() {
+// sendWhole sends a back end's answer whose body was read completely.
+func (r *replier) sendWhole(answer *answer, body []byte) {
+	head := r.forwardHead(answer)
+	if !answer.hasNoBody() {
 		head = appendHeader(head, "Content-Length", strconv.Itoa(len(body)))
 	}
-	r.write(r.end(head, body))
+	r.write(r.endHead(head, body))
 }
 
-// beginChunks sends the head of a back end's answer together with the first piece of its
-// body; pieces follow with chunk, and lastChunk.
-func (r *replier) beginChunks(answer *answer, first []byte) {
-	head := r.passHead(answer)
+// sendFirstChunk sends the head of a back end's answer and the first chunk of its body. The caller must continue with
+// sendChunk and end with sendLastChunk.
+func (r *replier) sendFirstChunk(answer *answer, first []byte) {
+	head := r.forwardHead(answer)
 	head = appendHeader(head, "Transfer-Encoding", "chunked")
 	r.chunked = true
-	r.write(appendChunk(r.end(head, nil), first))
+	r.write(appendChunk(r.endHead(head, nil), first))
 }
 
-// chunk sends a piece of the body.
-func (r *replier) chunk(piece []byte) {
+// sendChunk sends one chunk of the body.
+func (r *replier) sendChunk(piece []byte) {
 	r.write(appendChunk(r.scratch[:0], piece))
 }
 
-// lastChunk sends the last piece and tells that the body is whole.
-func (r *replier) lastChunk(piece []byte) {
+// sendLastChunk sends the last chunk and the end of the body.
+func (r *replier) sendLastChunk(piece []byte) {
 	message := appendChunk(r.scratch[:0], piece)
 	r.write(append(message, "0\r\n\r\n"...))
 }
@@ -103,8 +103,8 @@
 	return append(message, "\r\n"...)
 }
 
-// begin returns the status line.
-func (r *replier) begin(status int) []byte {
+// beginHead sets the status and returns the status line.
+func (r *replier) beginHead(status int) []byte {
 	r.status = status
 	head := append(r.scratch[:0], "HTTP/1.1 "...)
 	head = strconv.AppendInt(head, int64(status), 10)
@@ -113,13 +113,13 @@
 	return append(head, "\r\n"...)
 }
 
-// passHead returns the status line and the headers of a back end that are the client's.
-func (r *replier) passHead(answer *answer) []byte {
-	head := r.begin(answer.status)
-	named := connectionNames(answer.head.Peek("Connection"))
+// forwardHead returns the status line and those headers of a back end's answer that are forwarded to the client.
+func (r *replier) forwardHead(answer *answer) []byte {
+	head := r.beginHead(answer.status)
+	connectionHeaderNames := connectionNames(answer.head.Peek("Connection"))
 	for key, value := range answer.head.All() {
 		name := string(key)
-		if connectionHeaders[name] || named[name] {
+		if connectionHeaders[name] || connectionHeaderNames[name] {
 			continue
 		}
 		head = appendHeader(head, name, string(value))
@@ -127,8 +127,8 @@
 	return head
 }
 
-// end ends the head and appends the body.
-func (r *replier) end(head, body []byte) []byte {
+// endHead completes the head and appends the body.
+func (r *replier) endHead(head, body []byte) []byte {
 	if r.close {
 		head = appendHeader(head, "Connection", "close")
 	}
@@ -138,11 +138,11 @@
 
 func (r *replier) write(message []byte) {
 	r.scratch = message[:0]
-	if r.failed {
+	if r.aborted {
 		return
 	}
 	r.started = true
 	if _, err := r.connection.Write(message); err != nil {
-		r.failed = true
+		r.aborted = true
 	}
 }
--- a/internal/relay/request_trace.go
+++ b/internal/relay/request_trace.go
@@ -6,32 +6,32 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// requestTrace is what became of a request, for the line at its end.
+// requestTrace collects the course of a request for the log line at its end.
 type requestTrace struct {
-	// prefillEngine and engine are the back ends that took the request last.
+	// prefillEngine and engine are the back ends to which the request was sent last.
 	prefillEngine, engine string
 	prefillAt, sentAt     time.Duration
-	// toRead and ahead are the tokens that the prefill engine had to read for this request
-	// and for others when it was picked, as far as was known.
-	toRead, ahead, aheadAll int
-	// placed says why the prompt is read where it is.
-	placed string
-	// owner is the relay that decided on the last engine, empty for this one.
+	// tokensToPrefill is how many tokens of this request the prefill engine had to process, as known when it was selected.
+	// tokensAhead counts the tokens of other requests that were queued before this one, tokensAheadAll those of all ranks.
+	tokensToPrefill, tokensAhead, tokensAheadAll int
+	// placementReason is the reason for the place of the prefill.
+	placementReason string
+	// owner is the relay that selected the last engine; empty for this relay.
 	owner string
-	// firstAt is when the first event of a stream was passed on.
+	// firstAt is when the first event of a stream was forwarded.
 	firstAt time.Duration
-	// lastAt is when the last events were passed on, longestGap the longest pause before any.
+	// lastAt is when the last events were forwarded; longestGap is the longest time between two forwards.
 	lastAt, longestGap time.Duration
 }
 
-// prefill notes which engine was asked to read the prompt at a rank, and what it had to do.
-func (t *requestTrace) prefill(chosen *place, now time.Duration, rank int) {
-	t.prefillEngine, t.prefillAt = chosen.backEnd.ID, now
-	t.toRead, t.ahead, t.aheadAll = chosen.PrefillTokens, chosen.ahead.TokensUpTo(rank), chosen.ahead.PromptTokens()
+// recordPrefill records the engine to which the prefill is sent, and the work that is queued there up to the given rank.
+func (t *requestTrace) recordPrefill(selection *backEndSelection, now time.Duration, rank int) {
+	t.prefillEngine, t.prefillAt = selection.backEnd.ID, now
+	t.tokensToPrefill, t.tokensAhead, t.tokensAheadAll = selection.PrefillTokens, selection.queuedWork.TokensUpTo(rank), selection.queuedWork.PromptTokens()
 }
 
-// passed notes that events were passed on.
-func (t *requestTrace) passed(now time.Duration) {
+// recordEvents records that events were forwarded.
+func (t *requestTrace) recordEvents(now time.Duration) {
 	if t.firstAt == 0 {
 		t.firstAt = now
 	} else {
@@ -40,12 +40,12 @@
 	t.lastAt = now
 }
 
-// late reports whether a served request was later than its route's targets.
-func (t *requestTrace) late(request *request, ended time.Duration) bool {
+// isLate reports whether a served request missed its route's targets.
+func (t *requestTrace) isLate(request *request, ended time.Duration) bool {
 	firstAt := t.firstAt
 	if request.route.Kind != serving.KindStream {
 		firstAt = ended
 	}
-	pause := request.route.TargetGap > 0 && t.longestGap > request.route.TargetGap
-	return firstAt-request.arrivedAt > request.route.Target || pause
+	hasLongGap := request.route.TargetGap > 0 && t.longestGap > request.route.TargetGap
+	return firstAt-request.arrivedAt > request.route.Target || hasLongGap
 }
--- a/internal/relay/run_mover.go
+++ b/internal/relay/run_mover.go
@@ -10,43 +10,43 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// moveTimeout bounds the copying of one run.
-const moveTimeout = time.Second
+// runCopyTimeout bounds the KV transfer of one run.
+const runCopyTimeout = time.Second
 
-// movedRun says where a run goes on that was moved from its engine.
-type movedRun struct {
-	place *place
-	held  *heldPrompt
+// migratedRun says where a migrated run continues.
+type migratedRun struct {
+	target  *backEndSelection
+	prefill *remotePrefill
 }
 
-// runMover moves one run to another engine when its own takes no more work: its streams need not
-// hold up the engine's change of stage, nor end with an engine that leaves. It is registered with
-// the engine while events of the run come.
+// runMover migrates one run to another engine when its engine accepts no more work, so that the run neither delays the
+// engine's change of stage nor ends with an engine that leaves. It is registered with the engine while the run produces
+// events.
 type runMover struct {
 	stream *streamReply
 	engine *backEnd
 
 	mutex sync.Mutex
-	// stopping tells that the run has been asked to stop, outcome then gets where it goes on,
-	// nil for nowhere.
-	stopping bool
-	ended    bool
-	outcome  chan *movedRun
+	// stopping reports whether the run has been asked to stop. outcome then receives where the run continues, nil for
+	// nowhere.
+	stopping   bool
+	isFinished bool
+	outcome    chan *migratedRun
 }
 
-// newRunMover registers a run with its engine. Its end must be told.
+// newRunMover registers a run with its engine. The caller must call finish when the run ends.
 func newRunMover(stream *streamReply, engine *backEnd) *runMover {
-	mover := &runMover{stream: stream, engine: engine, outcome: make(chan *movedRun, 1)}
+	mover := &runMover{stream: stream, engine: engine, outcome: make(chan *migratedRun, 1)}
 	engine.addMover(mover)
 	return mover
 }
 
-// end notes that no more events of the run come. It returns where the run goes on; nil when it
-// was not moved.
-func (m *runMover) end() *movedRun {
+// finish records that the run produces no more events. It returns where the run continues, nil when it was not migrated. It
+// blocks while a migration is in progress.
+func (m *runMover) finish() *migratedRun {
 	m.engine.removeMover(m)
 	m.mutex.Lock()
-	m.ended = true
+	m.isFinished = true
 	stopping := m.stopping
 	m.mutex.Unlock()
 	if !stopping {
@@ -55,82 +55,81 @@
 	return <-m.outcome
 }
 
-// stop begins the part of the move in which the run stands still; it reports false when there is
-// nothing to move any more.
-func (m *runMover) stop() bool {
+// beginStop begins the phase of the migration in which the run is paused. It returns false when the run has ended already.
+func (m *runMover) beginStop() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.stopping = !m.ended
+	m.stopping = !m.isFinished
 	return m.stopping
 }
 
-// move copies the run's memory while the run goes on, and then what is new, while it stands
-// still. A run whose memory could not be copied stays where it is.
-func (m *runMover) move() {
+// migrate copies the run's KV cache while the run continues, and then the remainder while the run is paused. A run whose KV
+// cache cannot be copied stays at its engine.
+func (m *runMover) migrate() {
 	relay, request := m.stream.relay, m.stream.request
 	target := relay.pickForRun(m)
 	if target == nil {
 		return
 	}
-	target.backEnd.begin(placement.Work{Streams: 1})
-	defer target.backEnd.end(placement.Work{Streams: 1})
+	target.backEnd.addWork(placement.Work{Streams: 1})
+	defer target.backEnd.removeWork(placement.Work{Streams: 1})
 	copied, handle := relay.exchanger.copyRun(m.engine, relay.dialect, request.id, target.backEnd.Address, false)
 	if !copied {
 		return
 	}
-	if !m.stop() {
-		relay.release(&heldPrompt{engine: m.engine, handle: handle})
+	if !m.beginStop() {
+		relay.release(&remotePrefill{engine: m.engine, handle: handle})
 		return
 	}
 	copied, handle = relay.exchanger.copyRun(m.engine, relay.dialect, request.id, target.backEnd.Address, true)
-	relay.log.moved(request, m.engine, target.backEnd, copied)
-	relay.metrics.moves.WithLabelValues(strconv.FormatBool(copied)).Inc()
+	relay.log.recordMigration(request, m.engine, target.backEnd, copied)
+	relay.metrics.migrations.WithLabelValues(strconv.FormatBool(copied)).Inc()
 	m.outcome <- m.destination(target, copied, handle)
 }
 
-// destination is where a run that has stopped goes on: at the engine that has its copy, or where
-// it was when the rest could not be copied.
-func (m *runMover) destination(target *place, copied bool, handle string) *movedRun {
+// destination returns where a paused run continues: at the engine that has the copy, or at its former engine when the
+// remainder could not be copied.
+func (m *runMover) destination(target *backEndSelection, copied bool, handle string) *migratedRun {
 	if handle == "" {
 		return nil
 	}
 	if !copied {
-		target = ownPlace(m.engine)
-		target.owed = true
+		target = selectionFor(m.engine)
+		target.isOwed = true
 	}
-	return &movedRun{place: target, held: &heldPrompt{engine: m.engine, handle: handle, parts: m.stream.parts}}
+	return &migratedRun{target: target, prefill: &remotePrefill{engine: m.engine, handle: handle, prefixBlocks: m.stream.prefixBlocks}}
 }
 
-// pickForRun picks the engine that takes over a run; nil when none has a slot for it.
-func (r *Relay) pickForRun(mover *runMover) *place {
+// pickForRun selects the engine that takes over a run; nil when none has a free slot.
+func (r *Relay) pickForRun(mover *runMover) *backEndSelection {
 	request, now := mover.stream.request, r.clock.now()
-	tried := &attempts{relay: r, request: request, excluded: []*backEnd{mover.engine}}
-	wanted := placement.Request{Now: now, Stage: answeringStage(request.service), Zone: mover.engine.Zone, Rank: mover.stream.rank()}
-	return r.decide(request, queryOf(toTakeOver, tried, wanted), mover.engine).chosen
+	attempts := &attemptTracker{relay: r, request: request, excluded: []*backEnd{mover.engine}}
+	criteria := placement.Request{Now: now, Stage: answeringStage(request.service), Zone: mover.engine.Zone, Rank: mover.stream.rank()}
+	return r.decide(request, newEngineQuery(purposeTakeOver, attempts, criteria), mover.engine).selection
 }
 
-// copyRun has an engine copy a run to the engine at an address. It reports whether it did, and
-// the handle under which the run goes on.
+// copyRun lets an engine transfer a run to the engine at an address. It reports whether the transfer succeeded, and returns
+// the handle under which the run continues.
 func (e *exchanger) copyRun(engine *backEnd, dialect Dialect, request, address string, stop bool) (copied bool, handle string) {
 	now := e.clock.now()
-	if engine.resting(now) || !e.permitted(engine, ownCallRank, false) {
-		return false, "" // the run stays where it is
+	if engine.inBackoff(now) || !e.acquirePermit(engine, internalCallRank, false) {
+		return false, "" // the run stays at its engine
 	}
-	connection, err := e.open(engine, moveTimeout)
+	connection, err := e.open(engine, runCopyTimeout)
 	if err != nil {
 		return false, ""
 	}
 	defer connection.Discard()
-	_ = connection.SetDeadline(e.clock.at(now + moveTimeout))
-	if e.writeCall(connection, engine, fasthttp.MethodPost, dialect.MovePath, dialect.MoveBody(request, address, stop)) != nil {
+	_ = connection.SetDeadline(e.clock.at(now + runCopyTimeout))
+	if e.writeInternalCall(connection, engine, fasthttp.MethodPost, dialect.MovePath, dialect.MoveBody(request, address, stop)) != nil {
 		return false, ""
 	}
 	answer := fasthttp.Response{}
-	if err := answer.ReadLimitBody(connection.Reader, maximumPrefillAnswer); err != nil {
+	if err := answer.ReadLimitBody(connection.Reader, maxPrefillAnswerBytes); err != nil {
 		return false, ""
 	}
 	if answer.StatusCode() != fasthttp.StatusMisdirectedRequest {
-		e.noteAnswer(engine, &answer.Header, noRequest)
+		e.applyAnswerSignals(engine, &answer.Header, internalCallSentAt)
 	}
 	return answer.StatusCode() == fasthttp.StatusOK, dialect.ParseMoveAnswer(answer.Body())
 }
--- a/internal/relay/serve_connection.go
+++ b/internal/relay/serve_connection.go
@@ -16,29 +16,29 @@
 // connections are the open connections of clients.
 type connections struct {
 	mutex sync.Mutex
-	// open tells for each whether a request is being served on it; requests which, once it is read.
-	open     map[*clientConnection]bool
-	requests map[*clientConnection]*request
-	// tracked are the same connections, to end those that rest.
+	// isServing says for each connection whether it is serving a request; requests holds the request once it was read.
+	isServing map[*clientConnection]bool
+	requests  map[*clientConnection]*request
+	// tracked holds the same connections, so that idle ones can be closed when the relay stops.
 	tracked *closing.Set
 }
 
-func (c *connections) set(connection *clientConnection, serving bool) {
+func (c *connections) setServing(connection *clientConnection, serving bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.open[connection] = serving
+	c.isServing[connection] = serving
 	delete(c.requests, connection)
 }
 
-// setRequest notes which request is being served on a connection.
+// setRequest sets the request that a connection is serving.
 func (c *connections) setRequest(connection *clientConnection, request *request) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.requests[connection] = request
 }
 
-// served are the requests that are being served.
-func (c *connections) served() []*request {
+// activeRequests returns the requests that are being served.
+func (c *connections) activeRequests() []*request {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return slices.Collect(maps.Values(c.requests))
@@ -47,16 +47,16 @@
 func (c *connections) remove(connection *clientConnection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	delete(c.open, connection)
+	delete(c.isServing, connection)
 	delete(c.requests, connection)
 }
 
-// serving counts the connections on which a request is being served.
-func (c *connections) serving() int {
+// servingCount returns the number of connections that are serving a request.
+func (c *connections) servingCount() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	count := 0
-	for _, serving := range c.open {
+	for _, serving := range c.isServing {
 		if serving {
 			count++
 		}
@@ -66,25 +66,25 @@
 
 // serveConnection serves the requests of one connection, one after another.
 func (r *Relay) serveConnection(connection *clientConnection) {
-	r.connections.set(connection, false)
+	r.connections.setServing(connection, false)
 	defer r.connections.remove(connection)
 	defer connection.Close()
 	for {
 		idle := r.clock.at(r.clock.now() + r.limits().IdleTimeout)
-		if connection.await(idle) != nil {
+		if connection.awaitRequest(idle) != nil {
 			return
 		}
 		connection.SetState(closing.Serving)
-		r.connections.set(connection, true)
+		r.connections.setServing(connection, true)
 		if !r.serveNext(connection) {
 			return
 		}
-		r.connections.set(connection, false)
+		r.connections.setServing(connection, false)
 		connection.SetState(closing.Idle)
 	}
 }
 
-// serveNext reads and serves one request; it reports whether the connection goes on.
+// serveNext reads and serves one request; it reports whether the connection can be used further.
 func (r *Relay) serveNext(connection *clientConnection) bool {
 	request, err := r.readRequest(connection)
 	reply := &replier{connection: connection, names: r.dialect.Headers}
@@ -99,26 +99,26 @@
 	}
 	reply.requestID = request.id
 	reply.close = request.header.ConnectionClose() || r.stopping.Load()
-	_ = connection.SetWriteDeadline(r.clock.at(request.arrivedAt + longestRequest))
-	if r.refusesNew() {
+	_ = connection.SetWriteDeadline(r.clock.at(request.arrivedAt + maxAnswerDuration))
+	if r.refusesNewRequests() {
 		reply.close = true
 		reply.refuse(refusal{status: fasthttp.StatusServiceUnavailable, reason: "this relay stops", retryAfter: retryAfterStop})
 		return false
 	}
 	r.connections.setRequest(connection, request)
-	connection.watch(request.canceller.cancel)
+	connection.watchForClose(request.canceller.cancel)
 	r.serveRequest(request, reply)
-	return !reply.close && !reply.failed && !request.canceller.isCancelled()
+	return !reply.close && !reply.aborted && !request.canceller.isCancelled()
 }
 
 const (
-	// longestRequest bounds the time in which an answer can be written to a client.
-	longestRequest = 2 * time.Minute
-	// retryAfterStop sends a client to another relay at once.
+	// maxAnswerDuration bounds the time from a request's arrival to the end of its answer.
+	maxAnswerDuration = 2 * time.Minute
+	// retryAfterStop is short because the client can reach another relay at once.
 	retryAfterStop = 10 * time.Millisecond
 )
 
-// isTimeout reports whether a read or write failed for its deadline.
+// isTimeout reports whether a read or write failed because its deadline had passed.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
--- a/internal/relay/serve_engine.go
+++ b/internal/relay/serve_engine.go
@@ -11,152 +11,150 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// nextEngine picks the decoding engine that goes on with a stream; nil when there is none, or
-// none that may read the prompt itself. One for which a permit was taken before goes first.
-func (r *Relay) nextEngine(stream *streamReply, held *heldPrompt) *place {
-	if reserved := stream.reserved; reserved != nil {
-		stream.reserved = nil
-		return reserved
+// nextDecodeEngine selects the decoding engine that continues a stream. An engine for which a permit was acquired before
+// goes first. It returns nil when no engine is left, or none that may prefill the prompt itself.
+func (r *Relay) nextDecodeEngine(stream *streamReply, prefill *remotePrefill) *backEndSelection {
+	if run := stream.reservedRun; run != nil {
+		stream.reservedRun = nil
+		return run
 	}
 	var near *backEnd
-	if held != nil {
-		near = held.engine
+	if prefill != nil {
+		near = prefill.engine
 	}
-	return r.decide(stream.request, queryOf(toGenerate, stream.tried, stream.wanted(held)), near).chosen
+	return r.decide(stream.request, newEngineQuery(purposeDecode, stream.attempts, stream.placementRequest(prefill)), near).selection
 }
 
-// nextReader picks the prefill engine that reads the prompt; nil when there is none.
-func (r *Relay) nextReader(stream *streamReply) *place {
-	return r.decide(stream.request, queryOf(toRead, stream.tried, stream.wanted(nil)), nil).chosen
+// nextPrefillEngine selects the engine that prefills the prompt; nil when there is none.
+func (r *Relay) nextPrefillEngine(stream *streamReply) *backEndSelection {
+	return r.decide(stream.request, newEngineQuery(purposePrefill, stream.attempts, stream.placementRequest(nil)), nil).selection
 }
 
-// start says where a stream begins: at a decoding engine that reads the prompt itself, with a
-// prompt that a prefill engine has read, or nowhere because too much waits.
-type start struct {
-	direct  *place
-	held    *heldPrompt
-	refused *refusal
+// streamStart says where a stream begins: at a decoding engine that also prefills the prompt, with a prompt that a prefill
+// engine has processed, or nowhere because too much work is queued.
+type streamStart struct {
+	direct  *backEndSelection
+	prefill *remotePrefill
+	refusal *refusal
 }
 
-// beginStream decides where the prompt is read, and has it read there when that is at a
-// prefill engine.
-func (r *Relay) beginStream(stream *streamReply) start {
+// beginStream decides where to prefill the prompt, and lets a prefill engine process it when the decision says so.
+func (r *Relay) beginStream(stream *streamReply) streamStart {
 	request := stream.request
-	if request.service.Engine == nil || request.prompt.PromptTokens == 0 || request.trial {
-		return start{} // a trial reaches one engine, which reads the prompt itself
+	if request.service.Engine == nil || request.prompt.PromptTokens == 0 || request.isTrial {
+		return streamStart{} // a trial must reach a single engine, which also prefills the prompt
 	}
 	if r.allLimited(request.service.Name, answeringStage(request.service)) {
-		if stream.reserved = r.reserve(stream); stream.reserved == nil {
-			refused := stream.tried.refusal()
-			return start{refused: &refused}
+		if stream.reservedRun = r.reserveRun(stream); stream.reservedRun == nil {
+			response := stream.attempts.refusal()
+			return streamStart{refusal: &response}
 		}
 	}
 	for waits := 0; ; waits++ {
-		decision, chosen := r.placeReading(stream, waits)
+		decision, selection := r.decidePrefill(stream, waits)
 		switch decision.Action {
 		case placement.AwaitSharedPrefill:
-			if !r.awaitReading(stream, chosen) {
-				waits = r.policy.MaxPrefillWaits // it goes where it had better not wait any more
+			if !r.awaitPrefill(stream, selection) {
+				waits = r.policy.MaxPrefillWaits // decide again without further waits
 			}
 		case placement.PrefillOnDecodeEngine:
-			return start{direct: chosen}
+			return streamStart{direct: selection}
 		case placement.PrefillSeparately:
-			return start{held: r.readTwice(stream, chosen)}
+			return streamStart{prefill: r.prefillWithRetry(stream, selection)}
 		case placement.Refuse:
-			r.noteRefusedWork(stream, decision, chosen)
-			return start{refused: &refusal{
-				status: fasthttp.StatusServiceUnavailable, reason: stream.request.trace.placed, retryAfter: decision.RetryAfter,
+			r.recordRefusedWork(stream, decision, selection)
+			return streamStart{refusal: &refusal{
+				status: fasthttp.StatusServiceUnavailable, reason: stream.request.trace.placementReason, retryAfter: decision.RetryAfter,
 			}}
 		default:
-			return start{}
+			return streamStart{}
 		}
 	}
 }
 
-// noteRefusedWork counts what is refused as asked for, so that more engines take the stage that is
-// short of them.
-func (r *Relay) noteRefusedWork(stream *streamReply, decision placement.Decision, chosen *place) {
+// recordRefusedWork counts refused work as demand, so that more engines are assigned to the stage that lacks capacity.
+func (r *Relay) recordRefusedWork(stream *streamReply, decision placement.Decision, selection *backEndSelection) {
 	service := stream.request.service.Name
 	if decision.OverloadedStage == serving.StageDecode {
-		r.work.AddDecode(service, r.work.Residence(service)/time.Duration(max(chosen.backEnd.Slots, 1)))
+		r.work.AddDecode(service, r.work.Residence(service)/time.Duration(max(selection.backEnd.Slots, 1)))
 		return
 	}
-	r.noteAskedReading(service, chosen.backEnd, chosen.EffectiveTokens)
+	r.recordPrefillDemand(service, selection.backEnd, selection.EffectiveTokens)
 }
 
-// noteAskedReading counts a reading as work that prefill engines are asked for.
-func (r *Relay) noteAskedReading(service string, engine *backEnd, effort int) {
-	r.work.AddPrefill(service, placement.PrefillTime(r.pace.of(engine.hash), effort))
+// recordPrefillDemand counts a prefill as demand for prefill engines.
+func (r *Relay) recordPrefillDemand(service string, engine *backEnd, effort int) {
+	r.work.AddPrefill(service, placement.PrefillTime(r.prefillSpeed.timePerToken(engine.hash), effort))
 }
 
-// placeReading decides where the prompt is read, after so many waits for others' readings.
-func (r *Relay) placeReading(stream *streamReply, waits int) (placement.Decision, *place) {
-	wanted := stream.wanted(nil)
-	wanted.PrefillWaits = waits
-	wanted.SlotHoldTime = r.work.Residence(stream.request.service.Name)
-	wanted.TimeLeft = stream.request.deadline - wanted.Now
-	answer := r.decide(stream.request, stream.beginning(wanted), nil)
-	if answer.decision.Action == placement.PrefillOnDecodeEngine && stream.reserved != nil {
-		r.asker.cancel(answer.chosen.assigned)
-		answer.chosen, stream.reserved = stream.reserved, nil
+// decidePrefill decides where to prefill the prompt, after the given number of waits for other requests' prefills.
+func (r *Relay) decidePrefill(stream *streamReply, waits int) (placement.Decision, *backEndSelection) {
+	criteria := stream.placementRequest(nil)
+	criteria.PrefillWaits = waits
+	criteria.SlotHoldTime = r.work.Residence(stream.request.service.Name)
+	criteria.TimeLeft = stream.request.deadline - criteria.Now
+	answer := r.decide(stream.request, stream.prefillQuery(criteria), nil)
+	if answer.decision.Action == placement.PrefillOnDecodeEngine && stream.reservedRun != nil {
+		r.placements.cancel(answer.selection.assignment)
+		answer.selection, stream.reservedRun = stream.reservedRun, nil
 	}
-	stream.request.trace.placed = answer.reason()
-	return answer.decision, answer.chosen
+	stream.request.trace.placementReason = answer.reason()
+	return answer.decision, answer.selection
 }
 
-// decide has the owners of the request's home cells decide on its engine. Near an engine, its own cell is the first. An
-// engine that names a limit is taken where it permits the request.
+// decide returns the decision of the owners of the request's home cells. When near is set, its cell is queried first. An
+// engine with a limit is selected only when the limit's owner grants a permit for the request.
 func (r *Relay) decide(request *request, query *engineQuery, near *backEnd) engineAnswer {
 	for {
 		answer := r.decideOnce(request, query, near)
 		action := answer.decision.Action
-		if action != placement.PrefillOnDecodeEngine && action != placement.PrefillSeparately || query.reserved && action == placement.PrefillOnDecodeEngine {
+		if action != placement.PrefillOnDecodeEngine && action != placement.PrefillSeparately || query.hasPermit && action == placement.PrefillOnDecodeEngine {
 			return answer
 		}
-		if r.permitPlace(answer.chosen, request.rank) {
+		if r.acquirePermitFor(answer.selection, request.rank) {
 			return answer
 		}
-		r.asker.cancel(answer.chosen.assigned)
-		if len(query.excluded) >= mostExcluded {
+		r.placements.cancel(answer.selection.assignment)
+		if len(query.excluded) >= maxExcluded {
 			return engineAnswer{decision: decisionFor(placement.Unplaced, nil)}
 		}
-		query.excluded, query.holder = append(query.excluded, answer.chosen.backEnd.hash), nil
+		query.excluded, query.holder = append(query.excluded, answer.selection.backEnd.hash), nil
 	}
 }
 
-// decideOnce has them decide among the engines that are not excluded.
+// decideOnce queries the owners once, without regard to permits.
 func (r *Relay) decideOnce(request *request, query *engineQuery, near *backEnd) engineAnswer {
 	ownership := r.owners.current.Load()
-	known := ownership.services[query.service]
-	if known == nil || request.service.Engine == nil {
+	cells := ownership.services[query.service]
+	if cells == nil || request.service.Engine == nil {
 		return r.owner.decide(query, r.view.Load().byService[query.service], nil)
 	}
-	homes := known.homes(query.request.Prompt, request.id, r.settings.Zone, r.policy.MinSharedTokens, mostHomes)
+	homes := cells.homeCells(query.request.Prompt, request.id, r.settings.Zone, r.policy.MinSharedTokens, maxHomeCells)
 	if near != nil {
-		if of, index := ownership.of(near); of == known {
+		if cellsOfNear, index := ownership.cellOf(near); cellsOfNear == cells {
 			homes = append([]int{index}, slices.DeleteFunc(homes, func(home int) bool { return home == index })...)
 		}
 	}
-	answer := r.asker.decide(known, homes, query, request.canceller.gone())
-	if answer.chosen != nil {
-		request.trace.owner = answer.chosen.assigned.owner
+	answer := r.placements.decide(cells, homes, query, request.canceller.done())
+	if answer.selection != nil {
+		request.trace.owner = answer.selection.assignment.owner
 	}
 	return answer
 }
 
-// rankHeader ranks a request at an engine.
-func (r *Relay) rankHeader(rank int) header {
+// priorityHeader returns the header with the request's rank for an engine's queue.
+func (r *Relay) priorityHeader(rank int) header {
 	return header{r.dialect.Headers.Priority, strconv.Itoa(min(max(rank, 0), placement.RankCount-1))}
 }
 
-// allLimited reports whether all engines of a stage that take work name limits.
+// allLimited reports whether all available engines of a stage have limits.
 func (r *Relay) allLimited(service string, stage serving.Stage) bool {
 	limited := false
 	for _, engine := range r.view.Load().byService[service] {
-		if engine.Stage != stage || engine.leaving() || engine.Changing {
+		if engine.Stage != stage || engine.isLeaving() || engine.Changing {
 			continue
 		}
-		if !engine.limited() {
+		if !engine.hasLimit() {
 			return false
 		}
 		limited = true
@@ -164,12 +162,12 @@
 	return limited
 }
 
-// reserve takes a permit for the run before the prompt is read, where no engine generates without one: a prompt that
-// was read for a run that is then refused was read in vain. The run is owed once that has been done.
-func (r *Relay) reserve(stream *streamReply) *place {
-	reserved := r.nextEngine(stream, nil)
-	if reserved != nil {
-		reserved.owed = true
+// reserveRun acquires a permit for the run before the prefill, where all decoding engines have limits: otherwise a prefill
+// would be wasted when the run is refused. After the prefill, the run is owed.
+func (r *Relay) reserveRun(stream *streamReply) *backEndSelection {
+	run := r.nextDecodeEngine(stream, nil)
+	if run != nil {
+		run.isOwed = true
 	}
-	return reserved
+	return run
 }
--- /dev/null
+++ b/internal/relay/serve_stream.go
@@ -0,0 +1,140 @@
+package relay
+
+import (
+	"io"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"github.com/hazelpitch/hazelpitch/internal/placement"
+)
+
+// maxPrefillAnswerBytes bounds an engine's answer to a prefill.
+const maxPrefillAnswerBytes = 16 << 10
+
+// remotePrefill is a prompt that one engine has prefilled for another engine.
+type remotePrefill struct {
+	engine       *backEnd
+	handle       string
+	prefixBlocks []placement.PrefixBlock
+}
+
+// sourceHeader returns the value of the header that tells a decoding engine where to fetch the prompt's KV cache.
+func (p *remotePrefill) sourceHeader() string { return p.engine.Address + "/" + p.handle }
+
+// serveStream serves a streaming request. With model engines, either a prefill engine processes the prompt and a decoding
+// engine generates the stream, or a decoding engine does both.
+func (r *Relay) serveStream(request *request, reply *replier) {
+	attempts := &attemptTracker{relay: r, request: request}
+	stream := &streamReply{relay: r, request: request, reply: reply, attempts: attempts,
+		prefixBlocks: placement.PrefixBlocksOf(request.prompt), lastEventID: string(request.header.Peek(r.dialect.Headers.LastEventID))}
+	start := r.beginStream(stream)
+	if start.refusal != nil {
+		r.log.recordRefusal(request, *start.refusal, attempts)
+		reply.refuse(*start.refusal)
+		return
+	}
+	selection, prefill := start.direct, start.prefill
+	for stream.migrated != nil || attempts.mayContinue() {
+		if migrated := stream.migrated; migrated != nil {
+			stream.migrated, selection, prefill = nil, migrated.target, migrated.prefill
+		}
+		if selection == nil {
+			selection = r.nextDecodeEngine(stream, prefill)
+		}
+		if selection == nil {
+			break
+		}
+		engine := selection.backEnd
+		fault := stream.runOn(selection, prefill)
+		prefill = nil // a handle can be used only once
+		if fault == nil {
+			return
+		}
+		if stream.migrated != nil {
+			attempts.recordMigration()
+			continue
+		}
+		r.log.recordFailedAttempt(request, engine, fault)
+		attempts.recordFailure(engine, fault)
+		selection = nil
+	}
+	if prefill != nil {
+		r.release(prefill)
+	}
+	r.replyRefused(attempts, reply)
+}
+
+// prefillWithRetry lets a prefill engine process a prompt. After a failure it tries another engine, if the route's attempts
+// leave one for the prefill and one for the run.
+func (r *Relay) prefillWithRetry(stream *streamReply, selection *backEndSelection) *remotePrefill {
+	prefill := r.prefillPrompt(stream, selection)
+	attempts := stream.attempts
+	if prefill != nil || attempts.isOver() || attempts.sentCount+1 >= stream.request.route.MaxAttempts {
+		return prefill
+	}
+	next := r.nextPrefillEngine(stream)
+	if next == nil || !r.trySpendRetry(stream.request) {
+		return nil
+	}
+	attempts.sentCount++ // the second prefill counts as an attempt
+	return r.prefillPrompt(stream, next)
+}
+
+// prefillPrompt lets a prefill engine process a prompt. It returns nil when that failed.
+func (r *Relay) prefillPrompt(stream *streamReply, selection *backEndSelection) *remotePrefill {
+	request, engine, now := stream.request, selection.backEnd, r.clock.now()
+	rank := r.policy.PrefillRank(stream.rank(), selection.PrefillTokens)
+	request.trace.recordPrefill(selection, now, rank)
+	perToken := r.prefillSpeed.timePerToken(engine.hash)
+	r.recordPrefillDemand(request.service.Name, engine, selection.EffectiveTokens)
+	headers := []header{r.priorityHeader(rank), {r.dialect.Headers.Stage, r.dialect.PrefillStage}}
+	if selection.fetchFrom != nil {
+		headers = append(headers, header{r.dialect.Headers.KVFetch, selection.fetchFrom.Address})
+	}
+	answer, fault := r.exchanger.send(&message{
+		request: request, backEnd: engine, deadline: request.deadline, prefixBlocks: stream.prefixBlocks, headers: headers, selection: selection, isPrefill: true,
+		work:     prefillWork(r.policy, stream.rank(), &selection.Candidate),
+		stall:    prefillStallSlack + time.Duration(prefillStallFactor*float64(r.policy.PrefillQueueDelay(selection.queuedWork, placement.RankCount-1, perToken)+placement.PrefillTime(perToken, selection.EffectiveTokens))),
+		mayAbort: true,
+	})
+	if fault != nil {
+		r.log.recordFailedAttempt(request, engine, fault)
+		stream.attempts.recordFailedPrefill(engine, fault)
+		return nil
+	}
+	if selection.queuedWork.Prefills == 0 && selection.fetchFrom == nil {
+		r.recordPrefillSpeed(engine, placement.TimePerToken(selection.EffectiveTokens, r.clock.now()-now))
+	}
+	defer answer.finish()
+	prefill := r.readPrefillAnswer(answer, stream.prefixBlocks)
+	if prefill == nil {
+		stream.attempts.excluded = append(stream.attempts.excluded, engine)
+	}
+	return prefill
+}
+
+// recordPrefillSpeed records, and announces to other relays, an engine's prefill time per token.
+func (r *Relay) recordPrefillSpeed(engine *backEnd, perToken time.Duration) {
+	r.prefillSpeed.observe(engine.hash, perToken)
+	r.notices.queuePrefillSpeed(engine, perToken)
+}
+
+// readPrefillAnswer reads the answer to a prefill; it returns nil for an error or a malformed answer.
+func (r *Relay) readPrefillAnswer(answer *answer, prefixBlocks []placement.PrefixBlock) *remotePrefill {
+	body, err := io.ReadAll(io.LimitReader(answer, maxPrefillAnswerBytes))
+	if err != nil || answer.status != fasthttp.StatusOK {
+		return nil
+	}
+	parsed, err := r.dialect.ParsePrefillAnswer(body)
+	if err != nil {
+		return nil
+	}
+	r.checkIncarnation(answer.message.backEnd, parsed.StartedAtMs)
+	return &remotePrefill{engine: answer.message.backEnd, handle: parsed.Handle, prefixBlocks: prefixBlocks}
+}
+
+// release releases an unused prefill in the background. It would occupy the engine's memory until it expires.
+func (r *Relay) release(prefill *remotePrefill) {
+	go r.exchanger.release(prefill, r.dialect.HandlePath(prefill.handle))
+}
--- a/internal/relay/stall.go
+++ b/internal/relay/stall.go
@@ -10,47 +10,46 @@
 )
 
 const (
-	// streamStall is the least silence of a stream after which its engine counts as failed.
-	streamStall = 900 * time.Millisecond
-	// plainStall is likewise for a back end that answers whole.
-	plainStall = 250 * time.Millisecond
-	// stallTargets is how many targets of its route a silence must last at least.
-	stallTargets = 2
-	// prefillStall is how much longer than expected the reading of a prompt may take, beside
-	// prefillStallShare times the expectation.
-	prefillStall      = 600 * time.Millisecond
-	prefillStallShare = 2.5
+	// minStreamStall is the minimum silence of a stream after which its engine counts as failed.
+	minStreamStall = 900 * time.Millisecond
+	// minPlainStall is the minimum silence for back ends that answer whole.
+	minPlainStall = 250 * time.Millisecond
+	// stallTargetFactor is the minimum silence as a multiple of the route's target.
+	stallTargetFactor = 2
+	// prefillStallSlack and prefillStallFactor bound the silence during a prefill: prefillStallFactor times the expected
+	// duration plus prefillStallSlack.
+	prefillStallSlack  = 600 * time.Millisecond
+	prefillStallFactor = 2.5
 )
 
-// stallLimit is the silence after which the back end of a request counts as failed.
+// stallLimit returns the silence after which the back end of a request counts as failed.
 func stallLimit(route *serving.Route) time.Duration {
 	if route.Kind == serving.KindStream {
-		return max(streamStall, stallTargets*route.TargetGap)
+		return max(minStreamStall, stallTargetFactor*route.TargetGap)
 	}
-	return max(plainStall, stallTargets*route.Target)
+	return max(minPlainStall, stallTargetFactor*route.Target)
 }
 
-// stallWatch looks for the silence of a back end during one answer. When nothing has come
-// from the back end for that long, on this answer or any other, it counts as failed; the
-// answer is broken off only where the request may run elsewhere. A back end that sends
-// other answers is slow and not gone: leaving it would only move its load.
+// stallWatch detects a back end that stalls during one answer. The back end counts as failed when nothing arrived from it
+// for the limit, neither on this answer nor on any other; the answer is aborted only when the request may run elsewhere. A
+// back end that sends other answers is slow but alive: aborting would only move its load.
 type stallWatch struct {
 	exchanger  *exchanger
 	connection *connpool.Connection
 	backEnd    *backEnd
-	mayBreak   bool
+	mayAbort   bool
 	limit      time.Duration
 	timer      *time.Timer
 
 	mutex sync.Mutex
-	// stopped tells that the connection may be another request's.
+	// stopped reports that the connection may carry another request now.
 	stopped bool
 }
 
-// watchStall begins to look. mayBreak says whether the answer may be broken off.
-func (e *exchanger) watchStall(connection *connpool.Connection, backEnd *backEnd, limit time.Duration, mayBreak bool) *stallWatch {
-	mayBreak = mayBreak && e.without.IsEnabled(mechanism.StallWatch)
-	watch := &stallWatch{exchanger: e, connection: connection, backEnd: backEnd, mayBreak: mayBreak, limit: limit}
+// watchStall starts a watch. mayAbort says whether the answer may be aborted.
+func (e *exchanger) watchStall(connection *connpool.Connection, backEnd *backEnd, limit time.Duration, mayAbort bool) *stallWatch {
+	mayAbort = mayAbort && e.mechanisms.IsEnabled(mechanism.StallWatch)
+	watch := &stallWatch{exchanger: e, connection: connection, backEnd: backEnd, mayAbort: mayAbort, limit: limit}
 	watch.mutex.Lock()
 	defer watch.mutex.Unlock()
 	watch.timer = time.AfterFunc(limit, watch.check)
@@ -64,24 +63,24 @@
 	if w.stopped {
 		return
 	}
-	silence := w.exchanger.clock.now() - w.backEnd.look(w.exchanger.clock.now()).heardAt
+	silence := w.exchanger.clock.now() - w.backEnd.currentLoad(w.exchanger.clock.now()).lastReceivedAt
 	if silence < w.limit {
 		w.timer.Reset(w.limit - silence)
 		return
 	}
-	w.exchanger.noteFailure(w.backEnd)
-	if w.mayBreak {
-		_ = w.connection.SetDeadline(time.Unix(1, 0)) // a closed connection fails by itself
+	w.exchanger.recordFailure(w.backEnd)
+	if w.mayAbort {
+		_ = w.connection.SetDeadline(time.Unix(1, 0)) // a closed connection needs no deadline
 	}
 }
 
-// heard notes that something has come.
-func (w *stallWatch) heard() {
-	w.backEnd.heard(w.exchanger.clock.now())
+// recordReceived records that bytes arrived, and restarts the timer.
+func (w *stallWatch) recordReceived() {
+	w.backEnd.recordReceived(w.exchanger.clock.now())
 	w.timer.Reset(w.limit)
 }
 
-// stop ends the look; it waits for one that is under way.
+// stop ends the watch. It waits for a check in progress.
 func (w *stallWatch) stop() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- /dev/null
+++ b/internal/relay/startup_wait.go
@@ -0,0 +1,46 @@
+package relay
+
+import (
+	"sync"
+	"time"
+)
+
+// startupWait is how long a request waits when it arrives before the relay has a configuration and a list of back ends.
+// After a loss of all processes, relays receive both 0.1 s after their start in the median, and 0.6 s at the latest where
+// controllers are slow (291 to 295 relays); a client that was refused and retries later would miss its target.
+const startupWait = 250 * time.Millisecond
+
+// readySignal signals that the relay has a configuration and a list of back ends. Once notified, it stays so.
+type readySignal struct {
+	once  sync.Once
+	ready chan struct{}
+}
+
+func newReadySignal() *readySignal { return &readySignal{ready: make(chan struct{})} }
+
+// notify ends all waits, present and future ones.
+func (s *readySignal) notify() { s.once.Do(func() { close(s.ready) }) }
+
+// setView replaces the view.
+func (r *Relay) setView(next *view) {
+	r.view.Store(next)
+	if next.isReady() {
+		r.viewReady.notify()
+	}
+}
+
+// awaitReadyView waits up to startupWait until the relay can serve requests, and returns the state that is still missing.
+func (r *Relay) awaitReadyView(request *request) missingState {
+	if missing := r.view.Load().missing(); missing == "" {
+		return ""
+	}
+	r.metrics.startupWaits.Inc()
+	timer := time.NewTimer(r.startupWait)
+	defer timer.Stop()
+	select {
+	case <-r.viewReady.ready:
+	case <-timer.C:
+	case <-request.canceller.done():
+	}
+	return r.view.Load().missing()
+}
--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -11,38 +11,37 @@
 )
 
 const (
-	// lastUsageWait is how long a stopping relay waits until what it has counted is told.
-	lastUsageWait = 300 * time.Millisecond
-	lastUsagePoll = 10 * time.Millisecond
+	// finalUsageWait is how long a stopping relay waits for its last counts to be reported.
+	finalUsageWait         = 300 * time.Millisecond
+	finalUsagePollInterval = 10 * time.Millisecond
 )
 
-// noteRun counts a request of a tenant that began to run at a moment, once however many back ends run
-// it.
-func (r *Relay) noteRun(request *request, moment time.Duration) {
-	if request.tenant == nil || request.counted {
+// recordRun counts a tenant's request that began to run at the given moment. A request is counted once, however many back
+// ends run it.
+func (r *Relay) recordRun(request *request, moment time.Duration) {
+	if request.tenant == nil || request.isUsageCounted {
 		return
 	}
-	request.counted = true
+	request.isUsageCounted = true
 	r.usage.CountRequest(moment, request.tenant.Name)
 }
 
-// usageReporter tells the leader what tenants use.
+// usageReporter returns the reporter that sends tenants' usage to the leader.
 func (r *Relay) usageReporter() *usagereport.Reporter {
 	return &usagereport.Reporter{
-		Meter: r.usage, Send: r.reportUsage, OnFailure: r.metrics.usageSentAgain.Inc,
+		Meter: r.usage, Send: r.reportUsage, OnFailure: r.metrics.usageResends.Inc,
 		RelayCount: func() int { return int(r.relayCount.Load()) },
 	}
 }
 
-// awaitUsageReported lets a stopping relay tell what it has counted.
+// awaitUsageReported waits until all counts are reported, for finalUsageWait at most.
 func (r *Relay) awaitUsageReported() {
-	for limit := r.clock.now() + lastUsageWait; r.usage.UnreportedCount() > 0 && r.clock.now() < limit; {
-		time.Sleep(lastUsagePoll)
+	for limit := r.clock.now() + finalUsageWait; r.usage.UnreportedCount() > 0 && r.clock.now() < limit; {
+		time.Sleep(finalUsagePollInterval)
 	}
 }
 
-// reportUsage sends a report to the controller that led last, as far as is known here. One that does not
-// lead passes it on.
+// reportUsage sends a report to the last known leader. A controller that is not the leader forwards it.
 func (r *Relay) reportUsage(ctx context.Context, report *v1.UsageReport) error {
 	_, err := r.watcher.LeaderClient().ReportUsage(ctx, connect.NewRequest(&v1.ReportUsageRequest{Report: report}))
 	return err
