--- a/internal/controller/server_logger_test.go
+++ b/internal/controller/server_logger_test.go
@@ -62,7 +62,7 @@
 		}
 		require.Eventually(t, func() bool {
 			var entries bytes.Buffer
-			require.NoError(t, log.Recent(&entries))
+			require.NoError(t, log.WriteRecent(&entries))
 			return bytes.Contains(entries.Bytes(), []byte(reason))
 		}, time.Minute, 5*time.Millisecond, reason)
 	}
--- a/internal/controller/site.go
+++ b/internal/controller/site.go
@@ -199,7 +199,7 @@
 		}
 		read, err := l.read(ctx, l.client, pages)
 		if fault, isNews := l.faults.Update(read, err); isNews {
-			l.log.Warn().Str(events.FieldEvent, string(events.ListingFault)).Str("fault", fault).Send()
+			l.log.Warn().Str(events.FieldEvent, string(events.ListingFaultChanged)).Str("fault", fault).Send()
 		}
 		received := control.ListingReceived{Failed: err != nil, Calls: read.Calls, Complete: read.Complete}
 		for _, backEnd := range read.BackEnds {
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -15,39 +15,39 @@
 	RequestRefused Event = "request_refused"
 	// KeyRefused: a request was not admitted for want of a key that is known.
 	KeyRefused Event = "key_refused"
-	// BackEndRests: a back end has asked not to be sent requests for a while.
-	BackEndRests Event = "back_end_rests"
-	// BackEndLeaves: a back end has said in an answer that it leaves.
-	BackEndLeaves Event = "back_end_leaves"
-	// BackEndLimits: a back end has named another limit than before for all relays together, or none any more.
-	BackEndLimits Event = "back_end_limits"
-	// BackEndStartedAgain: another start than the listed one has answered under a back end's identity.
-	BackEndStartedAgain Event = "back_end_started_again"
-	// BackEndEnded: a back end ended while it ran requests.
-	BackEndEnded Event = "back_end_ended"
-	// RequestHeld: a request is kept away from back ends, since some have ended under it.
-	RequestHeld Event = "request_held"
-	// RequestTried: a held request is sent to one back end once more.
-	RequestTried Event = "request_tried"
+	// BackEndInBackoff: a back end has asked not to be sent requests for a while.
+	BackEndInBackoff Event = "back_end_rests"
+	// BackEndLeaving: a back end has said in an answer that it leaves.
+	BackEndLeaving Event = "back_end_leaves"
+	// BackEndLimitChanged: a back end has named another limit than before for all relays together, or none any more.
+	BackEndLimitChanged Event = "back_end_limits"
+	// BackEndRestarted: another start than the listed one has answered under a back end's identity.
+	BackEndRestarted Event = "back_end_started_again"
+	// BackEndCrashed: a back end ended while it ran requests.
+	BackEndCrashed Event = "back_end_ended"
+	// RequestQuarantined: a request is kept away from back ends, since some have ended under it.
+	RequestQuarantined Event = "request_held"
+	// QuarantineTrialStarted: a held request is sent to one back end once more.
+	QuarantineTrialStarted Event = "request_tried"
 	// GuardCallFailed: the leader did not take what was found of ended back ends, or did not say
 	// whether a held request may be tried.
 	GuardCallFailed Event = "guard_call_failed"
-	// OwnerDoubted: a relay that owns engines does not answer and is passed over for a while.
-	OwnerDoubted Event = "owner_doubted"
-	// CellOwned and CellLeft: the relay decides from now on, or no longer, on a cell of engines, or
+	// OwnerSuspected: a relay that owns engines does not answer and is passed over for a while.
+	OwnerSuspected Event = "owner_doubted"
+	// CellAcquired and CellLeft: the relay decides from now on, or no longer, on a cell of engines, or
 	// stands in for the one that does.
-	CellOwned Event = "cell_owned"
-	CellLeft  Event = "cell_left"
-	// RunMoved: a run was moved from an engine that takes no more work.
-	RunMoved Event = "run_moved"
-	// ConfigurationInForce: another configuration is in force at the relay.
-	ConfigurationInForce Event = "configuration_in_force"
+	CellAcquired Event = "cell_owned"
+	CellReleased Event = "cell_left"
+	// RunMigrated: a run was moved from an engine that takes no more work.
+	RunMigrated Event = "run_moved"
+	// ConfigurationApplied: another configuration is in force at the relay.
+	ConfigurationApplied Event = "configuration_in_force"
 	// ConfigurationUnreadable: a configuration came that cannot be read.
 	ConfigurationUnreadable Event = "configuration_unreadable"
-	// ListingInForce: another list of back ends is in force at the relay.
-	ListingInForce Event = "listing_in_force"
-	// ListingFault: something else is wrong with the outside list than before, or nothing any more.
-	ListingFault Event = "listing_fault"
+	// ListingApplied: another list of back ends is in force at the relay.
+	ListingApplied Event = "listing_in_force"
+	// ListingFaultChanged: something else is wrong with the outside list than before, or nothing any more.
+	ListingFaultChanged Event = "listing_fault"
 	// LeaderLost and LeaderFound: the relay has lost, or found again, a controller that leads.
 	LeaderLost  Event = "leader_lost"
 	LeaderFound Event = "leader_found"
@@ -57,8 +57,8 @@
 	GatewayStopped  Event = "gateway_stopped"
 	// RelayStopped: a relay has stopped, like GatewayStopped.
 	RelayStopped Event = "relay_stopped"
-	// SignalTaken: the process got a signal, and what it does about it.
-	SignalTaken Event = "signal_taken"
+	// SignalReceived: the process got a signal, and what it does about it.
+	SignalReceived Event = "signal_taken"
 	// RelayStarted and RelayStopping: the process begins to serve, or is asked to stop.
 	RelayStarted  Event = "relay_started"
 	RelayStopping Event = "relay_stopping"
@@ -76,8 +76,8 @@
 	FormatAgreed Event = "format_agreed"
 	// ControllerHalted: the controller ends, since it cannot apply what others have agreed on.
 	ControllerHalted Event = "controller_halted"
-	// NewsNotTaken: a relay asks again for what it was told.
-	NewsNotTaken Event = "news_not_taken"
+	// UpdateNotApplied: a relay asks again for what it was told.
+	UpdateNotApplied Event = "news_not_taken"
 	// DiskFailed: the data directory failed; the controller begins anew.
 	DiskFailed Event = "disk_failed"
 )
@@ -94,9 +94,9 @@
 
 // All lists every event.
 var All = []Event{
-	RequestEnded, AttemptFailed, RequestRefused, KeyRefused, RunMoved, ConfigurationInForce, ConfigurationUnreadable, ListingInForce, ListingFault,
-	BackEndRests, BackEndLeaves, BackEndLimits, BackEndStartedAgain, BackEndEnded, RequestHeld, RequestTried, GuardCallFailed,
-	LeaderLost, LeaderFound, OwnerDoubted, CellOwned, CellLeft, RelayStarted, RelayStopping, RelayStopped, GatewayStopping, GatewayStopped, SignalTaken, StageOrdered, UsageDelivered, ReplicasOrdered, FormatAgreed, ControllerHalted, NewsNotTaken, DiskFailed, SettingsReloaded, MachineSuspended, LogLinesDropped,
+	RequestEnded, AttemptFailed, RequestRefused, KeyRefused, RunMigrated, ConfigurationApplied, ConfigurationUnreadable, ListingApplied, ListingFaultChanged,
+	BackEndInBackoff, BackEndLeaving, BackEndLimitChanged, BackEndRestarted, BackEndCrashed, RequestQuarantined, QuarantineTrialStarted, GuardCallFailed,
+	LeaderLost, LeaderFound, OwnerSuspected, CellAcquired, CellReleased, RelayStarted, RelayStopping, RelayStopped, GatewayStopping, GatewayStopped, SignalReceived, StageOrdered, UsageDelivered, ReplicasOrdered, FormatAgreed, ControllerHalted, UpdateNotApplied, DiskFailed, SettingsReloaded, MachineSuspended, LogLinesDropped,
 }
 
 // Names of fields that lines of several events have.
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -135,7 +135,7 @@
 	if outcome.Completed {
 		outcome.OutputTokens = uint64(asked.OutputTokens)
 	}
-	g.state.Record(outcome)
+	g.state.RecordOutcome(outcome)
 }
 
 func (g *gateway) start(service *admission.Core) {
--- a/internal/gateway/authenticate.go
+++ b/internal/gateway/authenticate.go
@@ -45,7 +45,7 @@
 		return nil, refuse(http.StatusServiceUnavailable, typeServer, codeKeyNotChecked,
 			"the API key could not be checked now").after(time.Second)
 	}
-	tenant.Used(c.clock.now())
+	tenant.MarkUsed(c.clock.now())
 	return tenant, nil
 }
 
--- a/internal/gateway/trial.go
+++ b/internal/gateway/dry_run.go
@@ -15,8 +15,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// Trial is a request of which only the decisions are made: no engine is called.
-type Trial struct {
+// DryRunRequest is a request of which only the decisions are made: no engine is called.
+type DryRunRequest struct {
 	// KeyHash is the SHA-256 of the caller's API key, in lower-case hex.
 	KeyHash string
 	// Kind is the declared kind of the request.
@@ -30,8 +30,8 @@
 	IdempotencyKey string
 }
 
-// TrialRun is a trial that was admitted, claimed and given a back end. It is ended once.
-type TrialRun struct {
+// DryRun is a trial that was admitted, claimed and given a back end. It is ended once.
+type DryRun struct {
 	// BackEnd is the name of the engine that routing chose to answer, Zone its zone.
 	BackEnd string
 	Zone    string
@@ -40,7 +40,7 @@
 	PrefillZone string
 
 	control  *Control
-	trial    Trial
+	trial    DryRunRequest
 	tenant   *gatewaystate.Tenant
 	target   target
 	place    *ticket
@@ -48,9 +48,9 @@
 	claim    *v1.BeginClaim
 }
 
-// BeginTrial authenticates, admits, claims and routes as the request path does. The error
+// BeginDryRun authenticates, admits, claims and routes as the request path does. The error
 // is the refusal that a caller would get.
-func (c *Control) BeginTrial(trial Trial) (*TrialRun, error) {
+func (c *Control) BeginDryRun(trial DryRunRequest) (*DryRun, error) {
 	arrival := c.clock.now()
 	tenant, fault := c.tenantOfKey(trial.KeyHash)
 	if fault != nil {
@@ -60,7 +60,7 @@
 	if fault != nil {
 		return nil, fault
 	}
-	run := &TrialRun{control: c, trial: trial, tenant: tenant, target: target{kind: kind, name: kind.Model}}
+	run := &DryRun{control: c, trial: trial, tenant: tenant, target: target{kind: kind, name: kind.Model}}
 	deadline := arrival + kind.Deadline()
 	interrupter := &upstream.Interrupter{}
 	request := &chatRequest{prompt: []byte(trial.Prompt), maximumTokens: trial.OutputTokens}
@@ -80,7 +80,7 @@
 }
 
 // begin claims the request and picks its back end.
-func (r *TrialRun) begin(routed routing.Request, deadline time.Duration, interrupter *upstream.Interrupter) error {
+func (r *DryRun) begin(routed routing.Request, deadline time.Duration, interrupter *upstream.Interrupter) error {
 	if r.trial.IdempotencyKey != "" && !r.target.kind.Spec.GetRepeatable() {
 		claim := r.control.claimer.claim(r.tenant, r.target.kind, r.trial.IdempotencyKey, []byte(r.trial.Prompt))
 		decision := r.control.claimer.begin(claim, deadline, interrupter)
@@ -114,15 +114,15 @@
 	return nil
 }
 
-// End reports the request as completed.
-func (r *TrialRun) End() {
+// Complete reports the request as completed.
+func (r *DryRun) Complete() {
 	r.control.dispatcher.observe(routing.Completion{BackEnd: r.BackEnd, Exchange: r.exchange, PromptTokens: r.trial.PromptTokens})
 	r.place.finish(admission.Result{PromptTokens: r.trial.PromptTokens, OutputTokens: r.trial.OutputTokens})
 	r.finishClaim(verdict.Ran)
 	r.record(gatewaystate.Outcome{Completed: true})
 }
 
-func (r *TrialRun) finishClaim(ended verdict.Verdict) {
+func (r *DryRun) finishClaim(ended verdict.Verdict) {
 	if r.claim == nil {
 		return
 	}
@@ -133,13 +133,13 @@
 	r.control.claimer.finish(r.claim, ended, outcome)
 }
 
-func (r *TrialRun) record(outcome gatewaystate.Outcome) {
+func (r *DryRun) record(outcome gatewaystate.Outcome) {
 	outcome.Service, outcome.Kind = r.target.kind.Spec.GetService(), r.target.kind.Name
 	outcome.PromptTokens, outcome.OutputTokens = uint64(r.trial.PromptTokens), uint64(r.trial.OutputTokens)
 	r.control.view.offer(recordOutcome{outcome: outcome})
 }
 
-func (r *TrialRun) admissionRequest(shape admission.RequestShape, deadline time.Duration) admissionRequest {
+func (r *DryRun) admissionRequest(shape admission.RequestShape, deadline time.Duration) admissionRequest {
 	return admissionRequest{
 		service: r.target.kind.Spec.GetService(), shape: shape, limit: tenantLimit(r.tenant),
 		request: admission.Request{
--- a/internal/gateway/trial_test.go
+++ b/internal/gateway/dry_run_test.go
@@ -24,18 +24,18 @@
 	t.Cleanup(func() { stop(); <-stopped })
 	require.Eventually(t, func() bool { return control.Revision() == 1 }, 10*time.Second, time.Millisecond)
 
-	once := Trial{KeyHash: hashOf(testKey), Kind: "once", Prompt: "a prompt", PromptTokens: 9, OutputTokens: 4, IdempotencyKey: "k"}
-	run, err := control.BeginTrial(once)
+	once := DryRunRequest{KeyHash: hashOf(testKey), Kind: "once", Prompt: "a prompt", PromptTokens: 9, OutputTokens: 4, IdempotencyKey: "k"}
+	run, err := control.BeginDryRun(once)
 	require.NoError(t, err)
 	require.Equal(t, "e1", run.BackEnd)
-	_, err = control.BeginTrial(once)
+	_, err = control.BeginDryRun(once)
 	require.ErrorContains(t, err, codeStillRunning)
-	run.End()
+	run.Complete()
 	require.True(t, control.claimer.wait(t.Context()))
 	require.Equal(t, 1, controllers.outcomes())
 
-	_, err = control.BeginTrial(Trial{KeyHash: hashOf("no key of anyone"), Kind: "once"})
+	_, err = control.BeginDryRun(DryRunRequest{KeyHash: hashOf("no key of anyone"), Kind: "once"})
 	require.ErrorContains(t, err, codeInvalidKey)
-	_, err = control.BeginTrial(Trial{KeyHash: hashOf(testKey), Kind: "none"})
+	_, err = control.BeginDryRun(DryRunRequest{KeyHash: hashOf(testKey), Kind: "none"})
 	require.ErrorContains(t, err, codeUnknownKind)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,8 +40,8 @@
 	if options.Listen == nil {
 		options.Listen = closing.Listen
 	}
-	if options.NoticeTime == 0 {
-		options.NoticeTime = defaultNoticeTime
+	if options.DrainDelay == 0 {
+		options.DrainDelay = defaultNoticeTime
 	}
 	if options.Log == nil {
 		options.Log = logring.New(config.Name, config.Log)
@@ -103,15 +103,15 @@
 	group.Go(func() error {
 		return trace.Wrap(server.Serve(&stallListener{Listener: callers, limit: g.settings.Limits.WriteTimeout, set: g.connections}))
 	})
-	if options.Started != nil {
-		close(options.Started)
+	if options.Ready != nil {
+		close(options.Ready)
 	}
 	select {
 	case <-ctx.Done():
 	case <-background.Done(): // a duty failed
 	}
-	until := time.Now().Add(options.NoticeTime + g.settings.DrainTimeout + endTime)
-	drained := g.drain(server, callers, options.NoticeTime)
+	until := time.Now().Add(options.DrainDelay + g.settings.DrainTimeout + endTime)
+	drained := g.drain(server, callers, options.DrainDelay)
 	recorded := g.recordOutcomes(until)
 	stop()
 	g.upstream.Close()
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -149,8 +149,8 @@
 		return listener, err
 	}
 	started := make(chan struct{})
-	options.Started = started
-	options.NoticeTime = time.Millisecond
+	options.Ready = started
+	options.DrainDelay = time.Millisecond
 	ctx, stop := context.WithCancel(context.Background())
 	running.stop = stop
 	go func() { running.done <- Run(ctx, config, options) }()
--- a/internal/gateway/options.go
+++ b/internal/gateway/options.go
@@ -19,10 +19,10 @@
 	Safeguards safeguard.Set
 	// Log receives the log; nil means a ring of its own.
 	Log *logring.Log
-	// Started, when not nil, is closed once callers can connect.
-	Started chan<- struct{}
-	// NoticeTime is how long a stopping gateway still takes requests; 0 means 500 ms.
-	NoticeTime time.Duration
+	// Ready, when not nil, is closed once callers can connect.
+	Ready chan<- struct{}
+	// DrainDelay is how long a stopping gateway still takes requests; 0 means 500 ms.
+	DrainDelay time.Duration
 	// KeyCheckTimeout bounds the wait for controllers to say whose key it is; 0 means 2.5 s.
 	KeyCheckTimeout time.Duration
 	// OnRevision, when not nil, is called with each revision as it comes into force
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -134,7 +134,7 @@
 		c.reply <- status
 		return
 	}
-	if len(v.waiting[c.keyHash]) >= maximumWaitingPerKey || !v.state.MeetKey(c.keyHash) {
+	if len(v.waiting[c.keyHash]) >= maximumWaitingPerKey || !v.state.RequestKeyLookup(c.keyHash) {
 		c.reply <- gatewaystate.KeyUnknown
 		return
 	}
@@ -170,7 +170,7 @@
 // recordOutcome counts one finished request for the demand report.
 type recordOutcome struct{ outcome gatewaystate.Outcome }
 
-func (c recordOutcome) run(v *view) { v.state.Record(c.outcome) }
+func (c recordOutcome) run(v *view) { v.state.RecordOutcome(c.outcome) }
 
 // buildReport asks for the next demand report.
 type buildReport struct {
@@ -185,13 +185,13 @@
 // loseReport puts the counts of a lost report back.
 type loseReport struct{ request *v1.ReportRequest }
 
-func (c loseReport) run(v *view) { v.state.ReportLost(c.request) }
+func (c loseReport) run(v *view) { v.state.RestoreReport(c.request) }
 
 // leave makes the next heartbeats say that the gateway is leaving.
 type leave struct{}
 
 func (leave) run(v *view) {
-	v.state.Leave()
+	v.state.MarkLeaving()
 	select {
 	case v.wakeSync <- struct{}{}:
 	default:
--- a/internal/gatewaystate/report.go
+++ b/internal/gatewaystate/report.go
@@ -24,8 +24,8 @@
 	OutputTokens   uint64
 }
 
-// Record counts one finished request.
-func (s *State) Record(outcome Outcome) {
+// RecordOutcome counts one finished request.
+func (s *State) RecordOutcome(outcome Outcome) {
 	demand := s.demand(outcome.Service, outcome.Kind)
 	demand.Arrivals++
 	demand.PromptTokens += outcome.PromptTokens
@@ -70,8 +70,8 @@
 	return request
 }
 
-// ReportLost puts the counts of a lost report back, so that the next one carries them.
-func (s *State) ReportLost(request *v1.ReportRequest) {
+// RestoreReport puts the counts of a lost report back, so that the next one carries them.
+func (s *State) RestoreReport(request *v1.ReportRequest) {
 	for _, lost := range request.GetDemands() {
 		demand := s.demand(lost.GetService(), lost.GetKind())
 		demand.Arrivals += lost.GetArrivals()
--- a/internal/gatewaystate/state.go
+++ b/internal/gatewaystate/state.go
@@ -67,15 +67,15 @@
 	}
 }
 
-// Leave marks the gateway as leaving; later Syncs say so.
-func (s *State) Leave() { s.leaving = true }
+// MarkLeaving marks the gateway as leaving; later Syncs say so.
+func (s *State) MarkLeaving() { s.leaving = true }
 
 // Revision returns the revision in force.
 func (s *State) Revision() uint64 { return s.configuration.revision }
 
-// MeetKey notes an API key's hash that the snapshot does not know, so that the next Sync
+// RequestKeyLookup notes an API key's hash that the snapshot does not know, so that the next Sync
 // asks for it. It reports false when too many are waiting already.
-func (s *State) MeetKey(keyHash string) bool {
+func (s *State) RequestKeyLookup(keyHash string) bool {
 	if _, waiting := s.unknownKeys[keyHash]; waiting {
 		return true
 	}
--- a/internal/gatewaystate/sync_fuzz_test.go
+++ b/internal/gatewaystate/sync_fuzz_test.go
@@ -34,7 +34,7 @@
 				return
 			}
 			now, before := time.Duration(i)*time.Second, state.Revision()
-			state.MeetKey("ab")
+			state.RequestKeyLookup("ab")
 			state.ApplySync(now, now, state.SyncRequest(now), response)
 			require.GreaterOrEqual(t, state.Revision(), before)
 			require.Equal(t, state.Revision(), state.Snapshot().Revision)
--- a/internal/gatewaystate/tenant.go
+++ b/internal/gatewaystate/tenant.go
@@ -16,9 +16,9 @@
 	lastUsed *atomic.Int64
 }
 
-// Used tells that a request of the tenant arrived at now; tenants not used for a while
+// MarkUsed tells that a request of the tenant arrived at now; tenants not used for a while
 // are forgotten. It is safe for concurrent use.
-func (t *Tenant) Used(now time.Duration) { t.lastUsed.Store(int64(now)) }
+func (t *Tenant) MarkUsed(now time.Duration) { t.lastUsed.Store(int64(now)) }
 
 // MayUseModel reports whether the tenant may use the model.
 func (t *Tenant) MayUseModel(model string) bool {
--- a/internal/logring/log.go
+++ b/internal/logring/log.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// Recent writes the entries in memory to the writer, oldest first.
-func (l *Log) Recent(writer io.Writer) error {
+// WriteRecent writes the entries in memory to the writer, oldest first.
+func (l *Log) WriteRecent(writer io.Writer) error {
 	entries, _ := l.sink.ring.snapshot(0)
 	for _, entry := range entries {
 		if _, err := writer.Write(entry); err != nil {
--- a/internal/logring/log_test.go
+++ b/internal/logring/log_test.go
@@ -20,7 +20,7 @@
 		log.Info().Msg(message)
 	}
 	var recent bytes.Buffer
-	require.NoError(t, log.Recent(&recent))
+	require.NoError(t, log.WriteRecent(&recent))
 	require.NotContains(t, recent.String(), `"one"`)
 	require.Equal(t, 3, strings.Count(recent.String(), "\n"))
 	require.Less(t, strings.Index(recent.String(), "two"), strings.Index(recent.String(), "four"))
--- a/internal/metrics/server.go
+++ b/internal/metrics/server.go
@@ -86,7 +86,7 @@
 func (a *AdminServer) serveLog(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set("Content-Type", "application/x-ndjson")
 	// A caller that goes away needs no answer.
-	_ = a.Log.Recent(writer)
+	_ = a.Log.WriteRecent(writer)
 }
 
 func (a *AdminServer) serveLogDump(writer http.ResponseWriter, _ *http.Request) {
--- a/internal/property/gateways.go
+++ b/internal/property/gateways.go
@@ -58,7 +58,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	begun := &process{host: host, stop: stop, done: make(chan error, 1)}
 	ready := make(chan struct{})
-	options := gateway.Options{Listen: g.network.listen, Dial: g.network.dialFrom(host), Safeguards: g.off, Started: ready}
+	options := gateway.Options{Listen: g.network.listen, Dial: g.network.dialFrom(host), Safeguards: g.off, Ready: ready}
 	go func() {
 		begun.done <- gateway.Run(ctx, gatewaySettings(gatewayName(number), host, g.controllers.addresses), options)
 	}()
--- a/internal/relay/back_end_limits.go
+++ b/internal/relay/back_end_limits.go
@@ -35,7 +35,7 @@
 // limitEvent writes a line on a limit that has changed; teller is the relay or controller that told it, empty for the
 // back end itself.
 func (r *Relay) limitEvent(backEnd *backEnd, limit backpressure.Limit, teller string) {
-	r.event(events.BackEndLimits).Str("back_end", backEnd.ID).Bool("named", limit.IsSet).Float64("per_second", limit.PerSecond).Str("teller", teller).Send()
+	r.event(events.BackEndLimitChanged).Str("back_end", backEnd.ID).Bool("named", limit.IsSet).Float64("per_second", limit.PerSecond).Str("teller", teller).Send()
 }
 
 // tellers of limits, as lines name them.
--- a/internal/relay/back_end_signals.go
+++ b/internal/relay/back_end_signals.go
@@ -53,12 +53,12 @@
 	if asked.Backoff > 0 {
 		if !backEnd.resting(now) {
 			r.metrics.rests.Inc()
-			r.event(events.BackEndRests).Str("back_end", backEnd.ID).Int64("rest_ms", asked.Backoff.Milliseconds()).Send()
+			r.event(events.BackEndInBackoff).Str("back_end", backEnd.ID).Int64("rest_ms", asked.Backoff.Milliseconds()).Send()
 		}
 		backEnd.signals.ExtendBackoff(now, asked.Backoff)
 	}
 	if asked.Leaving && backEnd.signals.MarkLeaving(now) {
-		r.event(events.BackEndLeaves).Str("back_end", backEnd.ID).Bool("listed", backEnd.Leaving).Send()
+		r.event(events.BackEndLeaving).Str("back_end", backEnd.ID).Bool("listed", backEnd.Leaving).Send()
 		if !backEnd.Leaving && r.without.IsEnabled(mechanism.RunMigration) {
 			go backEnd.moveRuns()
 		}
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -47,7 +47,7 @@
 func (r *Relay) drain(ctx context.Context, listener net.Listener) {
 	beganAt := r.clock.now()
 	began := r.clock.at(beganAt)
-	share := func(part float64) time.Duration { return time.Duration(part * float64(r.settings.Grace)) }
+	share := func(part float64) time.Duration { return time.Duration(part * float64(r.settings.GracePeriod)) }
 	r.stopAt.Store(int64(beganAt + share(refuseShare)))
 	r.stopping.Store(true)
 	limited, cancel := context.WithDeadline(ctx, began.Add(share(lastShare)))
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -206,7 +206,7 @@
 func newKeyedRelay(t *testing.T, made serving.Route, tenants []serving.Tenant, backEnds ...*scriptedBackEnd) *testRelay {
 	t.Helper()
 	config := settings.Relay{
-		Name: "relay", Zone: "zone", Grace: time.Second,
+		Name: "relay", Zone: "zone", GracePeriod: time.Second,
 		RetryBudget: settings.RetryBudget{Ratio: 1, Window: 10 * time.Second, Slack: 1000},
 	}
 	relay := newRelay(config, Options{
--- a/internal/relay/knowledge.go
+++ b/internal/relay/knowledge.go
@@ -235,7 +235,7 @@
 	k.held = document
 	next.table, next.configuredAt = serving.NewTable(&configuration), k.relay.clock.now()
 	k.resizeCaches(next)
-	k.relay.event(events.ConfigurationInForce).Uint64("number", configuration.Number).Int("tenants", len(configuration.Tenants)).Send()
+	k.relay.event(events.ConfigurationApplied).Uint64("number", configuration.Number).Int("tenants", len(configuration.Tenants)).Send()
 	return true
 }
 
@@ -257,7 +257,7 @@
 	}
 	read, err := k.readListing(ctx, k.platform, 0)
 	if fault, isNews := k.faults.Update(read, err); isNews {
-		k.relay.event(events.ListingFault).Str("fault", fault).Send()
+		k.relay.event(events.ListingFaultChanged).Str("fault", fault).Send()
 	}
 	if err != nil {
 		return
--- a/internal/relay/known_back_ends.go
+++ b/internal/relay/known_back_ends.go
@@ -44,7 +44,7 @@
 	k.closed = closedSince(k.known, known)
 	k.known = known
 	k.signals.RemoveUnlisted(k.relay.clock.now(), func(identity string) bool { return known[identity] != nil })
-	k.relay.event(events.ListingInForce).Uint64("version", next.listingVersion).Int("back_ends", len(listed)).Send()
+	k.relay.event(events.ListingApplied).Uint64("version", next.listingVersion).Int("back_ends", len(listed)).Send()
 	k.relay.notices.table.keep(next.byHash)
 	k.relay.pace.keep(next.byHash)
 	next.listed, next.listedAt = true, k.relay.clock.now()
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -137,12 +137,12 @@
 	}
 	for id, cell := range owned {
 		if former, had := t.owned[id]; !had || former.standsIn != cell.standsIn {
-			t.cellEvent(events.CellOwned, id, cell)
+			t.cellEvent(events.CellAcquired, id, cell)
 		}
 	}
 	for id, cell := range t.owned {
 		if _, has := owned[id]; !has {
-			t.cellEvent(events.CellLeft, id, cell)
+			t.cellEvent(events.CellReleased, id, cell)
 		}
 	}
 	t.owned = owned
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -17,7 +17,7 @@
 	r.notices = newNotices(r, r.datagrams, r.knowledge.incarnation)
 	r.exchanger.notices = r.notices
 	r.peers = peerhealth.New(func(relay string, waited time.Duration) {
-		r.event(events.OwnerDoubted).Str("owner", relay).Int64("waited_ms", waited.Milliseconds()).Send()
+		r.event(events.OwnerSuspected).Str("owner", relay).Int64("waited_ms", waited.Milliseconds()).Send()
 	})
 	r.asker = newAsker(r, r.datagrams, r.knowledge.incarnation, r.peers)
 	r.permits = newPermits(r)
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -137,12 +137,12 @@
 // ReplicaCrashed implements crashguard.Observer.
 func (o guardObserver) ReplicaCrashed(replica string, requests int) {
 	o.relay.metrics.replicaEnds.Inc()
-	o.relay.event(events.BackEndEnded).Str("back_end", replica).Int("requests", requests).Send()
+	o.relay.event(events.BackEndCrashed).Str("back_end", replica).Int("requests", requests).Send()
 }
 
 // RequestQuarantined implements crashguard.Observer.
 func (o guardObserver) RequestQuarantined(signature quarantine.Signature) {
-	o.relay.event(events.RequestHeld).Stringer("content", signature).Send()
+	o.relay.event(events.RequestQuarantined).Stringer("content", signature).Send()
 }
 
 // LeaderCallFailed implements crashguard.Observer.
--- a/internal/relay/request_log.go
+++ b/internal/relay/request_log.go
@@ -32,7 +32,7 @@
 
 // trial notes that a held request is sent to a back end once more.
 func (l requestLog) trial(request *request) {
-	l.line(zerolog.WarnLevel, events.RequestTried, request).Stringer("content", request.signature).Send()
+	l.line(zerolog.WarnLevel, events.QuarantineTrialStarted, request).Stringer("content", request.signature).Send()
 }
 
 // attemptFailed notes a sending to a back end that brought no answer.
@@ -57,7 +57,7 @@
 // moved notes that a run was moved from an engine that takes no more work, or stopped there
 // without a copy.
 func (l requestLog) moved(request *request, from, to *backEnd, copied bool) {
-	l.line(zerolog.InfoLevel, events.RunMoved, request).Str("back_end", from.ID).Str("to", to.ID).Bool("copied", copied).Send()
+	l.line(zerolog.InfoLevel, events.RunMigrated, request).Str("back_end", from.ID).Str("to", to.ID).Bool("copied", copied).Send()
 }
 
 // ended notes how a request ended. Of ordinary requests one in sampled has a line, chosen
--- a/internal/relay/started_again.go
+++ b/internal/relay/started_again.go
@@ -12,7 +12,7 @@
 	if backEnd.StartedAtMs == 0 || born <= backEnd.StartedAtMs || !backEnd.startedAgain.CompareAndSwap(false, true) {
 		return
 	}
-	r.event(events.BackEndStartedAgain).Str("back_end", backEnd.ID).Int64("born", born).Send()
+	r.event(events.BackEndRestarted).Str("back_end", backEnd.ID).Int64("born", born).Send()
 	backEnd.cache.clear(placement.PrefixCacheCapacity(backEnd.Stage, cacheTokens(r.view.Load(), backEnd.Service)))
 	backEnd.pool.CloseIdle()
 	r.guard.RecordCrash(backEnd.ID)
--- a/internal/relay/stopping_test.go
+++ b/internal/relay/stopping_test.go
@@ -97,7 +97,7 @@
 		close(stopped)
 	}()
 	require.Eventually(t, relay.refusesNew, time.Minute, time.Millisecond)
-	time.Sleep(time.Duration(float64(relay.settings.Grace) * (leaveShare - refuseShare + 0.1))) // the port is about to close
+	time.Sleep(time.Duration(float64(relay.settings.GracePeriod) * (leaveShare - refuseShare + 0.1))) // the port is about to close
 	go func() { _ = relay.accept(t.Context(), listener) }()
 	for _, client := range clients {
 		got := client.read()
--- a/internal/requeststory/story.go
+++ b/internal/requeststory/story.go
@@ -39,7 +39,7 @@
 
 // beliefs are the events that change what a relay believes.
 var beliefs = []events.Event{
-	events.ConfigurationInForce, events.ListingInForce, events.LeaderLost, events.LeaderFound, events.RelayStarted, events.RelayStopping,
+	events.ConfigurationApplied, events.ListingApplied, events.LeaderLost, events.LeaderFound, events.RelayStarted, events.RelayStopping,
 }
 
 // Read collects the lines of a log. Text before a line's JSON, such as a collector adds, is
--- a/internal/requeststory/story_test.go
+++ b/internal/requeststory/story_test.go
@@ -27,7 +27,7 @@
 	require.Equal(t, []events.Event{events.AttemptFailed, events.RequestEnded}, []events.Event{story.Lines[0].Event, story.Lines[1].Event})
 	require.Equal(t, "reset", story.Lines[0].Fields["cause"])
 	require.Len(t, story.Before, 2)
-	require.Equal(t, events.ListingInForce, story.Before[0].Event)
+	require.Equal(t, events.ListingApplied, story.Before[0].Event)
 	require.InDelta(t, 8, story.Before[1].Fields["number"], 0)
 	require.Empty(t, Of("unknown", lines).Lines)
 }
--- a/internal/servercommand/relay.go
+++ b/internal/servercommand/relay.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return &settingsError{cause: err}
 	}
-	without, err := mechanism.Without(loaded.Without)
+	without, err := mechanism.Without(loaded.DisabledMechanisms)
 	if err != nil {
 		return &settingsError{cause: trace.Wrap(err, "%s: the key without", r.Settings)}
 	}
--- a/internal/servercommand/site_controller.go
+++ b/internal/servercommand/site_controller.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return &settingsError{cause: err}
 	}
-	without, err := mechanism.Without(loaded.Without)
+	without, err := mechanism.Without(loaded.DisabledMechanisms)
 	if err != nil {
 		return &settingsError{cause: trace.Wrap(err, "%s: the key without", s.Settings)}
 	}
@@ -70,7 +70,7 @@
 		site.OrderReplicas = environment.Site.orderingReplicasAt(loaded.ListingAddress)
 	}
 	if duties.Usage {
-		site.Usage = usage.Config{Window: loaded.UsageWindow, Due: loaded.UsageDue}
+		site.Usage = usage.Config{Window: loaded.UsageWindow, Due: loaded.UsageDeadline}
 		site.ReportUsage = environment.Site.reportingUsageAt(loaded.ListingAddress)
 	}
 	return withLog(ctx, environment, loaded.Name, loaded.Log, func(ctx context.Context, log *logring.Log) error {
--- a/internal/settings/relay.go
+++ b/internal/settings/relay.go
@@ -25,15 +25,15 @@
 	NoticeListen string `yaml:"notice_listen" check:"required,address"`
 	// AdminListen is the IP:port for health, metrics and the log ring; empty for nowhere.
 	AdminListen string `yaml:"admin_listen" check:"address"`
-	// Grace is how long a stopping relay may take; default 8s.
-	Grace       time.Duration `yaml:"grace" default:"8s" check:"positive"`
+	// GracePeriod is how long a stopping relay may take; default 8s.
+	GracePeriod time.Duration `yaml:"grace" default:"8s" check:"positive"`
 	RetryBudget RetryBudget   `yaml:"retry_budget"`
 	// MemoryLimit is the size in MiB that the process must stay under; 0 for no limit.
 	MemoryLimit int `yaml:"memory_limit" check:"not-negative"`
-	// Without names mechanisms that are left out, to measure what they are worth (docs/ABLATION.md);
+	// DisabledMechanisms names mechanisms that are left out, to measure what they are worth (docs/ABLATION.md);
 	// none for users.
-	Without []string `yaml:"without"`
-	Log     Log      `yaml:"log"`
+	DisabledMechanisms []string `yaml:"without"`
+	Log                Log      `yaml:"log"`
 }
 
 // RetryBudget bounds the sendings beyond the first of each request, over all relays.
--- a/internal/settings/site_controller.go
+++ b/internal/settings/site_controller.go
@@ -23,8 +23,8 @@
 	Seeds []string `yaml:"seeds" check:"required,address"`
 	// Bootstrap tells that the fleet starts for the first time, on empty disks.
 	Bootstrap bool `yaml:"bootstrap"`
-	// LossesBorne is how many controllers may be lost at once; default 1.
-	LossesBorne int `yaml:"losses_borne" default:"1" check:"not-negative"`
+	// ToleratedFailures is how many controllers may be lost at once; default 1.
+	ToleratedFailures int `yaml:"losses_borne" default:"1" check:"not-negative"`
 	// ListingAddress is the IP:port of the outside list of back ends. Required.
 	ListingAddress string `yaml:"listing_address" check:"required,address"`
 	// ListingInterval is the time between the leader's readings of it; default 500ms.
@@ -45,15 +45,15 @@
 	// UsageWindow is the length of the windows in which tenants' usage is counted, UsageDue how long
 	// after its end a window has to be told; default 5s and 10s.
 	UsageWindow       time.Duration `yaml:"usage_window" default:"5s" check:"positive"`
-	UsageDue          time.Duration `yaml:"usage_due" default:"10s" check:"positive"`
+	UsageDeadline     time.Duration `yaml:"usage_due" default:"10s" check:"positive"`
 	ElectionTimeout   time.Duration `yaml:"election_timeout" default:"400ms" check:"positive"`
 	HeartbeatInterval time.Duration `yaml:"heartbeat_interval" default:"80ms" check:"positive"`
 	// MemoryLimit is the size in MiB that the process must stay under; 0 for no limit.
 	MemoryLimit int `yaml:"memory_limit" check:"not-negative"`
-	// Without names mechanisms that are left out, to measure what they are worth (docs/ABLATION.md);
+	// DisabledMechanisms names mechanisms that are left out, to measure what they are worth (docs/ABLATION.md);
 	// none for users.
-	Without []string `yaml:"without"`
-	Log     Log      `yaml:"log"`
+	DisabledMechanisms []string `yaml:"without"`
+	Log                Log      `yaml:"log"`
 }
 
 // PeerSeeds are the IP:port at which the controllers named listen for peers.
@@ -63,7 +63,7 @@
 }
 
 // FormationSize is how many controllers the quorum needs at least to bear the losses.
-func (s SiteController) FormationSize() int { return 2*s.LossesBorne + 1 }
+func (s SiteController) FormationSize() int { return 2*s.ToleratedFailures + 1 }
 
 // Controller returns the settings that it shares with every controller.
 func (s SiteController) Controller(fleet string) Controller {
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -138,7 +138,7 @@
 			if _, ok := answer.response.(*v1.ReportResponse); answered && ok {
 				return
 			}
-			g.state.ReportLost(request)
+			g.state.RestoreReport(request)
 			g.noteLeader(answer.err)
 		})
 }
@@ -187,6 +187,6 @@
 			}
 			g.router.Observe(g.local(), routing.AnswerHeaders{BackEnd: name, Exchange: exchange, Incarnation: answer.incarnation, State: answer.state})
 			g.router.Observe(g.local(), routing.Completion{BackEnd: name, Exchange: exchange})
-			g.state.Record(gatewaystate.Outcome{Service: service, Kind: "matching", Completed: answer.accepted, Refused: !answer.accepted})
+			g.state.RecordOutcome(gatewaystate.Outcome{Service: service, Kind: "matching", Completed: answer.accepted, Refused: !answer.accepted})
 		})
 }
