--- a/internal/gateway/accounting.go
+++ b/internal/gateway/accounting.go
@@ -8,22 +8,22 @@
 	"github.com/hazelpitch/hazelpitch/internal/admission"
 )
 
-// Optimistic speeds of an engine that does nothing else. They bound from below how long a
-// request takes, so that admission gives up only on requests that no engine could finish
-// in time, and counts as waiting only what goes beyond a slow prompt.
+// Speeds of an otherwise idle engine, chosen optimistically. They give a lower bound of a request's duration, so that
+// admission refuses only requests that no engine could finish in time, and counts as waiting only the time beyond
+// the prefill of a slow prompt.
 const (
 	fastestTokenInterval      = 5 * time.Millisecond
 	slowPromptTokensPerSecond = 8_000
 )
 
-// usage is what an engine counted for a request.
+// usage holds the token counts that an engine reports for a request.
 type usage struct {
 	promptTokens int
 	outputTokens int
 	cachedTokens int
 }
 
-// readUsage reads the usage member of an engine's event.
+// readUsage parses the usage member of an engine's event.
 func readUsage(raw []byte) usage {
 	parsed := gjson.ParseBytes(raw)
 	return usage{
@@ -33,7 +33,7 @@
 	}
 }
 
-// admissionRequest returns what admission needs to know.
+// admissionRequest returns the input of the admission decision.
 func (c *completion) admissionRequest() admissionRequest {
 	prompt, output := c.routing.PromptTokens, c.routing.OutputTokens
 	return admissionRequest{
@@ -55,17 +55,18 @@
 	}
 }
 
-// tellFirstToken lets admission learn how long back ends take; retries say nothing of that.
-func (c *completion) tellFirstToken() {
-	if c.tried.total() != 1 {
+// recordFirstToken reports the time to the first token to admission. A request with more than one exchange is left
+// out: its time does not show how long a back end takes.
+func (c *completion) recordFirstToken() {
+	if c.attempts.total() != 1 {
 		return
 	}
-	own := time.Duration(float64(c.routing.PromptTokens) / slowPromptTokensPerSecond * float64(time.Second))
-	c.place.firstToken(max(c.firstTokenAt-c.beganAt-own, 0))
+	promptTime := time.Duration(float64(c.routing.PromptTokens) / slowPromptTokensPerSecond * float64(time.Second))
+	c.place.recordFirstToken(max(c.firstTokenAt-c.beganAt-promptTime, 0))
 }
 
-// settle gives the request's place in admission back with what was learned.
-func (c *completion) settle() {
+// finishAdmission returns the request's admission slot and reports the result of the request.
+func (c *completion) finishAdmission() {
 	result := admission.Result{
 		PromptTokens:   c.usage.promptTokens,
 		OutputTokens:   c.sequence.Delivered(),
@@ -74,7 +75,7 @@
 		DeadlineMissed: !c.sequence.Finished() && c.gateway.clock.now() >= c.deadline,
 	}
 	if c.mayHaveRun && result.PromptTokens == 0 {
-		result.PromptTokens = c.routing.PromptTokens // the engine did not live to count them
+		result.PromptTokens = c.routing.PromptTokens // the engine failed before it reported its count
 	}
 	c.place.finish(result)
 }
--- a/internal/gateway/admitter.go
+++ b/internal/gateway/admitter.go
@@ -17,17 +17,16 @@
 )
 
 const (
-	// admissionInterval is the time between two looks for requests that wait too long.
+	// admissionInterval is the time between two checks for queued requests that have waited too long.
 	admissionInterval = 50 * time.Millisecond
-	// estimatorPairs bounds the pairs of tenant and kind whose tokens are remembered.
+	// estimatorPairs bounds the pairs of tenant and kind whose token usage is recorded.
 	estimatorPairs = 4096
-	// tenantWaiterPart is the part of the requests waiting for shares that one tenant may
-	// have: a quarter.
-	tenantWaiterPart = 4
+	// tenantWaiterDivisor limits one tenant to a quarter of the requests that may wait for shares.
+	tenantWaiterDivisor = 4
 )
 
-// admitter decides which requests start: it holds tenants to their limits and lets
-// requests wait in the queue of their service. It is safe for concurrent use.
+// admitter decides which requests start: it enforces the limits of tenants and queues the
+// requests of each service. It is safe for concurrent use.
 type admitter struct {
 	clock  clock
 	config admission.Config
@@ -38,14 +37,14 @@
 	estimator *admission.Estimator
 	services  map[string]*admission.Core
 	waiting   map[uint64]chan<- *refusal
-	// asking are the requests that wait for a share of their tenant's limit.
-	asking map[uint64]*askingRequest
-	// wakeReport asks the report loop for an urgent report.
+	// awaitingShare holds the requests that wait for a share of their tenant's limit, by ID.
+	awaitingShare map[uint64]*shareWaiter
+	// wakeReport makes the report loop send an urgent report.
 	wakeReport chan struct{}
 }
 
 func newAdmitter(clock clock, bounds settings.GatewayLimits) (*admitter, error) {
-	limiter, err := limits.New(limits.Config{Waiters: bounds.QueueLength, TenantWaiters: max(bounds.QueueLength/tenantWaiterPart, 1)})
+	limiter, err := limits.New(limits.Config{Waiters: bounds.QueueLength, TenantWaiters: max(bounds.QueueLength/tenantWaiterDivisor, 1)})
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -54,19 +53,19 @@
 		return nil, trace.Wrap(err)
 	}
 	return &admitter{
-		clock:     clock,
-		config:    admission.Config{QueueLength: bounds.QueueLength, MaxInFlight: bounds.InFlight},
-		limits:    limiter,
-		estimator: estimator,
-		services:  map[string]*admission.Core{},
-		waiting:   map[uint64]chan<- *refusal{},
-		asking:    map[uint64]*askingRequest{},
+		clock:         clock,
+		config:        admission.Config{QueueLength: bounds.QueueLength, MaxInFlight: bounds.InFlight},
+		limits:        limiter,
+		estimator:     estimator,
+		services:      map[string]*admission.Core{},
+		waiting:       map[uint64]chan<- *refusal{},
+		awaitingShare: map[uint64]*shareWaiter{},
 
 		wakeReport: make(chan struct{}, 1),
 	}, nil
 }
 
-// admissionRequest is what the admitter needs to know of a request.
+// admissionRequest is the input of an admission decision.
 type admissionRequest struct {
 	service string
 	shape   admission.RequestShape
@@ -74,7 +73,7 @@
 	request admission.Request
 }
 
-// ticket is an admitted request's place. It is given back once.
+// ticket is the slot of an admitted request. It is returned once, by finish.
 type ticket struct {
 	admitter *admitter
 	service  *admission.Core
@@ -84,15 +83,15 @@
 	once     sync.Once
 }
 
-// estimate returns the tokens that a request is expected to take.
+// estimate returns the number of tokens that a request is expected to use.
 func (a *admitter) estimate(shape admission.RequestShape) admission.Estimate {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.estimator.Estimate(shape)
 }
 
-// admit charges the tenant and waits for the request's turn. A refused request has not
-// run. It ends early when the interrupter fires.
+// admit charges the tenant's limit and blocks until the request may start, is refused or the interrupter fires.
+// A refused request has not run.
 func (a *admitter) admit(wanted admissionRequest, interrupter *upstream.Interrupter) (*ticket, *refusal) {
 	place, started, fault := a.offer(wanted)
 	if fault != nil {
@@ -110,8 +109,8 @@
 	return place, nil
 }
 
-// offer charges the tenant and puts the request into its queue, at once or when a share
-// of the tenant's limit has come. The channel gets nil when the request may start.
+// offer charges the tenant's limit and queues the request, immediately or once a share of the limit has been
+// granted. The channel receives nil when the request may start, or else its refusal.
 func (a *admitter) offer(wanted admissionRequest) (*ticket, <-chan *refusal, *refusal) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -128,8 +127,8 @@
 	switch {
 	case errors.Is(err, limits.ErrWaiting):
 		a.waiting[place.id] = started
-		a.asking[place.id] = &askingRequest{request: wanted.request, place: place}
-		a.askUrgently()
+		a.awaitingShare[place.id] = &shareWaiter{request: wanted.request, place: place}
+		a.requestUrgentReport()
 	case err != nil:
 		return nil, nil, refuseLimit(err)
 	default:
@@ -139,19 +138,19 @@
 	return place, started, nil
 }
 
-// enqueue puts a charged request into the queue of its service; the mutex is held.
+// enqueue puts a charged request into the queue of its service. The caller holds the mutex.
 func (a *admitter) enqueue(now time.Duration, service *admission.Core, request admission.Request) {
-	a.tell(service.Offer(now, request))
+	a.refuseQueued(service.Offer(now, request))
 	a.start(service, now)
 }
 
-// withdraw takes a request that was interrupted out of its queue, unless it has
-// just been started or refused.
+// withdraw removes an interrupted request from its queue. A request that has already started is finished as failed;
+// one that has already been refused keeps its refusal.
 func (a *admitter) withdraw(place *ticket, started <-chan *refusal, cause error) *refusal {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.limits.CancelWait(place.id) || place.service.Remove(place.id) {
-		delete(a.asking, place.id)
+		delete(a.awaitingShare, place.id)
 		delete(a.waiting, place.id)
 		return refuseInterrupted(cause)
 	}
@@ -163,7 +162,7 @@
 	return refuseInterrupted(cause)
 }
 
-// service returns the queue of a service; the mutex is held.
+// service returns the queue of a service and creates it when needed. The caller holds the mutex.
 func (a *admitter) service(name string) (*admission.Core, error) {
 	if service, ok := a.services[name]; ok {
 		return service, nil
@@ -176,12 +175,12 @@
 	return service, nil
 }
 
-// start starts every request whose turn it is; the mutex is held.
+// start starts every request whose turn has come. The caller holds the mutex.
 func (a *admitter) start(service *admission.Core, now time.Duration) {
 	for {
 		next, ok := service.StartNext(now)
 		if !ok {
-			a.tell(service.DrainRefusals())
+			a.refuseQueued(service.DrainRefusals())
 			return
 		}
 		a.waiting[next.ID] <- nil
@@ -189,30 +188,29 @@
 	}
 }
 
-// tell answers the requests that are given up on; the mutex is held.
-func (a *admitter) tell(given []admission.Refusal) {
-	for _, each := range given {
+// refuseQueued sends their refusals to queued requests. The caller holds the mutex.
+func (a *admitter) refuseQueued(refusals []admission.Refusal) {
+	for _, each := range refusals {
 		a.waiting[each.ID] <- refuseAdmission(each)
 		delete(a.waiting, each.ID)
 	}
 }
 
-// settle corrects the tenant's charge by what was used.
+// settle replaces the estimated charge of the tenant's limit by the tokens used.
 func (a *admitter) settle(place *ticket, used int) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.limits.Settle(a.clock.now(), place.charge, used)
 }
 
-// firstToken tells that the started request has brought its first token, wait later than
-// its own work explains.
-func (t *ticket) firstToken(wait time.Duration) {
+// recordFirstToken records that the first token of a started request arrived wait later than its own work explains.
+func (t *ticket) recordFirstToken(wait time.Duration) {
 	t.admitter.mutex.Lock()
 	defer t.admitter.mutex.Unlock()
 	t.service.RecordFirstToken(t.admitter.clock.now(), t.id, wait)
 }
 
-// finish gives a started request's place back. Only the first call counts.
+// finish returns the slot of a started request. Only the first call has an effect.
 func (t *ticket) finish(result admission.Result) {
 	t.once.Do(func() {
 		a := t.admitter
@@ -228,7 +226,7 @@
 	})
 }
 
-// admissionLoop gives up on requests that wait too long, until the context ends.
+// admissionLoop refuses requests that have waited too long, until the context ends.
 func (c *Control) admissionLoop(ctx context.Context) {
 	for pause.For(ctx, admissionInterval) {
 		c.admitter.expire()
@@ -242,14 +240,14 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	now := a.clock.now()
-	a.resolve(now)
+	a.resolveShareWaits(now)
 	for _, service := range a.services {
-		a.tell(service.Expire(now))
+		a.refuseQueued(service.Expire(now))
 		a.start(service, now)
 	}
 }
 
-// counts returns the requests in flight and waiting, over all services.
+// counts returns the requests in flight and the requests waiting, over all services.
 func (a *admitter) counts() (inFlight, waiting int) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -260,28 +258,28 @@
 	return inFlight, waiting + a.limits.WaitingCount()
 }
 
-// refuseLimit translates a tenant's own limit.
+// refuseLimit converts a refusal by the tenant's limit.
 func refuseLimit(err error) *refusal {
-	var known *limits.Refusal
-	if !errors.As(err, &known) {
+	var limitRefusal *limits.Refusal
+	if !errors.As(err, &limitRefusal) {
 		return refuseInternal()
 	}
-	if errors.Is(known.Reason, limits.ErrTooManyTenants) {
-		return refuse(http.StatusServiceUnavailable, typeRateLimit, codeOverloaded, "the gateway has too many tenants at once").after(known.RetryAfter)
+	if errors.Is(limitRefusal.Reason, limits.ErrTooManyTenants) {
+		return refuse(http.StatusServiceUnavailable, typeRateLimit, codeOverloaded, "the gateway has too many tenants at once").after(limitRefusal.RetryAfter)
 	}
-	return refuse(http.StatusTooManyRequests, typeRateLimit, codeRateLimit, known.Reason.Error()).after(known.RetryAfter)
+	return refuse(http.StatusTooManyRequests, typeRateLimit, codeRateLimit, limitRefusal.Reason.Error()).after(limitRefusal.RetryAfter)
 }
 
-// refuseAdmission translates a queue's refusal.
-func refuseAdmission(given admission.Refusal) *refusal {
+// refuseAdmission converts a refusal by a service's queue.
+func refuseAdmission(queueRefusal admission.Refusal) *refusal {
 	switch {
-	case errors.Is(given.Reason, admission.ErrDeadline):
-		return refuseInfeasible().after(given.RetryAfter)
-	case errors.Is(given.Reason, admission.ErrTooLarge):
+	case errors.Is(queueRefusal.Reason, admission.ErrDeadline):
+		return refuseInfeasible().after(queueRefusal.RetryAfter)
+	case errors.Is(queueRefusal.Reason, admission.ErrTooLarge):
 		return refuse(http.StatusRequestEntityTooLarge, typeInvalidRequest, codeTooLarge, "the request is too large to wait")
 	default:
 		return refuse(http.StatusServiceUnavailable, typeRateLimit, codeOverloaded, "too many requests are waiting").
-			after(max(given.RetryAfter, overloadedRetry))
+			after(max(queueRefusal.RetryAfter, overloadedRetry))
 	}
 }
 
--- a/internal/gateway/admitter_shares.go
+++ b/internal/gateway/admitter_shares.go
@@ -8,13 +8,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/limits"
 )
 
-// askingRequest is a request that waits for a share before it joins its queue.
-type askingRequest struct {
+// shareWaiter is a request that waits for a share of its tenant's limit before it joins the queue of its service.
+type shareWaiter struct {
 	request admission.Request
 	place   *ticket
 }
 
-// limitRequest is the request as the tenant's limit sees it.
+// limitRequest returns the request in the form that the tenant's limit expects.
 func limitRequest(wanted admissionRequest) limits.Request {
 	return limits.Request{
 		ID:       wanted.request.ID,
@@ -25,31 +25,31 @@
 	}
 }
 
-// askUrgently wakes the report loop.
-func (a *admitter) askUrgently() {
+// requestUrgentReport wakes the report loop. It never blocks.
+func (a *admitter) requestUrgentReport() {
 	select {
 	case a.wakeReport <- struct{}{}:
 	default:
 	}
 }
 
-// resolve lets the requests that have got their share join their queues, and refuses
-// those that get none in time; the mutex is held.
-func (a *admitter) resolve(now time.Duration) {
+// resolveShareWaits queues the requests whose share has been granted and refuses those that get none in time.
+// The caller holds the mutex.
+func (a *admitter) resolveShareWaits(now time.Duration) {
 	for _, decision := range a.limits.Resolve(now) {
-		asked := a.asking[decision.ID]
-		delete(a.asking, decision.ID)
+		waiter := a.awaitingShare[decision.ID]
+		delete(a.awaitingShare, decision.ID)
 		if decision.Err != nil {
 			a.waiting[decision.ID] <- refuseLimit(decision.Err)
 			delete(a.waiting, decision.ID)
 			continue
 		}
-		asked.place.charge = decision.Charge
-		a.enqueue(now, asked.place.service, asked.request)
+		waiter.place.charge = decision.Charge
+		a.enqueue(now, waiter.place.service, waiter.request)
 	}
 }
 
-// demands returns what to report to the leader, and the time of that, which apply needs.
+// demands returns the share demands to report to the leader and the current time, which applyShares needs.
 func (a *admitter) demands() ([]*v1.ShareDemand, time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -57,8 +57,7 @@
 	return a.limits.Demands(now), now
 }
 
-// urgentDemands returns the demands of tenants whose requests wait for a share, and the
-// time of that.
+// urgentDemands returns the demands of tenants whose requests wait for a share, and the current time.
 func (a *admitter) urgentDemands() ([]*v1.ShareDemand, time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -66,11 +65,11 @@
 	return a.limits.UrgentDemands(now), now
 }
 
-// apply takes the shares granted in answer to the demands of that time.
-func (a *admitter) apply(demandedAt time.Duration, shares []*v1.Share) {
+// applyShares applies the shares granted for the demands of the time demandedAt.
+func (a *admitter) applyShares(demandedAt time.Duration, shares []*v1.Share) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	now := a.clock.now()
 	a.limits.ApplyShares(now, demandedAt, shares)
-	a.resolve(now)
+	a.resolveShareWaits(now)
 }
--- a/internal/gateway/admitter_test.go
+++ b/internal/gateway/admitter_test.go
@@ -14,8 +14,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/upstream"
 )
 
-// TestTenantReturnsAfterIdleTime shows that a tenant whose shares have ended while it sent
-// nothing gets new ones when it comes back: its request waits for them.
+// TestTenantReturnsAfterIdleTime guards against refusing a tenant whose shares expired while it was
+// idle: its next request must wait for a new share and then run.
 func TestTenantReturnsAfterIdleTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		admitter, err := newAdmitter(newClock(), settings.GatewayLimits{InFlight: 8, QueueLength: 8})
@@ -26,8 +26,8 @@
 		}
 		grant := func(demands []*v1.ShareDemand, at time.Duration) {
 			require.Len(t, demands, 1)
-			time.Sleep(5 * time.Millisecond) // the exchange with the leader
-			admitter.apply(at, []*v1.Share{{Tenant: "one", TokensPerSecond: 12_800, Concurrency: 100, ValidMs: 4000}})
+			time.Sleep(5 * time.Millisecond) // the round trip to the leader
+			admitter.applyShares(at, []*v1.Share{{Tenant: "one", TokensPerSecond: 12_800, Concurrency: 100, ValidMs: 4000}})
 		}
 		first, fault := admitter.admit(wanted, &upstream.Interrupter{})
 		require.Nil(t, fault)
@@ -46,7 +46,7 @@
 		synctest.Wait()
 		require.Len(t, admitter.wakeReport, 1, "the request waits for a share")
 		grant(admitter.urgentDemands())
-		time.Sleep(100 * time.Millisecond) // the share yields the tokens
+		time.Sleep(100 * time.Millisecond) // the share accumulates tokens meanwhile
 		admitter.expire()
 		require.Nil(t, <-second)
 	})
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	// defaultDeadline holds for kinds that declare none.
+	// defaultDeadline applies to kinds that declare no deadline.
 	defaultDeadline = 2 * time.Minute
-	// maximumExchanges bounds the exchanges that one request may begin.
+	// maximumExchanges bounds the exchanges that one request may start.
 	maximumExchanges = 4
-	// maximumTurnedAway bounds the exchanges that back ends turned away for a planned
-	// change; each excludes its back end, so that another is asked.
-	maximumTurnedAway = 16
+	// maximumDeclined bounds the exchanges that back ends decline because of a planned change. Each of them
+	// excludes its back end, so that the next attempt goes to another one.
+	maximumDeclined = 16
 )
 
 // attempts counts the exchanges of one request.
 type attempts struct {
-	// begun counts those that back ends took, or that failed.
-	begun int
-	// turnedAway counts those that a back end refused because it leaves or changes: they
-	// did not run, cost it next to nothing, and say nothing of an outage.
-	turnedAway int
+	// started counts exchanges that a back end accepted or that failed.
+	started int
+	// declined counts exchanges that a back end refused because it is leaving or changing. They did not run,
+	// cost the back end very little and are no sign of an outage.
+	declined int
 }
 
-// total is the number of exchanges so far.
-func (a attempts) total() int { return a.begun + a.turnedAway }
+// total returns the number of exchanges so far.
+func (a attempts) total() int { return a.started + a.declined }
 
-// note counts an exchange that ended with the failure.
-func (a *attempts) note(failure *upstream.Failure) {
-	if turnedAway(failure) {
-		a.begun--
-		a.turnedAway++
+// recordFailure counts an exchange as declined when the failure is a planned refusal.
+func (a *attempts) recordFailure(failure *upstream.Failure) {
+	if isPlannedRefusal(failure) {
+		a.started--
+		a.declined++
 	}
 }
 
-// turnedAway reports whether a back end refused to begin because of a planned change.
-func turnedAway(failure *upstream.Failure) bool {
+// isPlannedRefusal reports whether a back end refused an exchange because of a planned change.
+func isPlannedRefusal(failure *upstream.Failure) bool {
 	if failure == nil || failure.Verdict != verdict.NotRun {
 		return false
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-// deadlineOf returns the time by which a request that arrived then must have its answer.
+// deadlineOf returns the time by which a request that arrived at the given time must be answered.
 func deadlineOf(kind *gatewaystate.Kind, arrival time.Duration) time.Duration {
 	if declared := kind.Deadline(); declared > 0 {
 		return arrival + declared
@@ -61,8 +61,8 @@
 	return arrival + defaultDeadline
 }
 
-// claimKey returns the key under which a request is claimed; empty when it is not, since
-// its kind may be repeated or its caller gave no key.
+// claimKey returns the key under which a request is claimed. It is empty for a repeatable kind, whose requests
+// are not claimed, and without a key of the caller.
 func claimKey(kind *gatewaystate.Kind, key string) string {
 	if kind.Spec.GetRepeatable() {
 		return ""
@@ -70,8 +70,8 @@
 	return key
 }
 
-// over returns the refusal of a request that was interrupted or whose deadline has passed.
-func (g *Gateway) over(interrupter *upstream.Interrupter, deadline time.Duration) *refusal {
+// checkActive returns the refusal of a request that was interrupted or whose deadline has passed, else nil.
+func (g *Gateway) checkActive(interrupter *upstream.Interrupter, deadline time.Duration) *refusal {
 	if cause := interrupter.Cause(); cause != nil {
 		return refuseInterrupted(cause)
 	}
@@ -81,17 +81,17 @@
 	return nil
 }
 
-// mayBegin reports whether a request may begin another exchange. All but the first spend
-// the retry budget, which keeps retries from amplifying an outage; being turned away for a
-// planned change spends nothing, so that the change costs no request its answer.
-func (g *Gateway) mayBegin(tried attempts) bool {
-	if tried.turnedAway >= maximumTurnedAway {
+// mayStartExchange reports whether a request may start another exchange. Each exchange after the first spends from
+// the retry budget, which keeps retries from amplifying an outage. Exchanges declined because of a planned change
+// spend nothing, so that the change does not fail any request.
+func (g *Gateway) mayStartExchange(counts attempts) bool {
+	if counts.declined >= maximumDeclined {
 		return false
 	}
-	return tried.begun == 0 || (tried.begun < maximumExchanges && g.retries.spend())
+	return counts.started == 0 || (counts.started < maximumExchanges && g.retries.spend())
 }
 
-// deadlineHeader tells a back end the time left.
-func deadlineHeader(left time.Duration) upstream.Header {
-	return upstream.Header{Name: enginecontract.HeaderDeadline, Value: strconv.FormatInt(max(left.Milliseconds(), 1), 10)}
+// deadlineHeader returns the header with the remaining time, in milliseconds.
+func deadlineHeader(remaining time.Duration) upstream.Header {
+	return upstream.Header{Name: enginecontract.HeaderDeadline, Value: strconv.FormatInt(max(remaining.Milliseconds(), 1), 10)}
 }
--- a/internal/gateway/authenticate.go
+++ b/internal/gateway/authenticate.go
@@ -14,13 +14,13 @@
 
 const (
 	bearerPrefix = "Bearer "
-	// defaultKeyCheckTimeout bounds the wait for controllers to say whose key it is.
+	// defaultKeyCheckTimeout bounds the wait for the controllers to resolve an unknown API key.
 	defaultKeyCheckTimeout = 2500 * time.Millisecond
-	// maximumKeyLength bounds what is hashed.
+	// maximumKeyLength bounds the length in bytes of a key that is hashed.
 	maximumKeyLength = 256
 )
 
-// authenticate returns the tenant that the caller's key belongs to.
+// authenticate returns the tenant that owns the caller's API key.
 func (g *Gateway) authenticate(header *fasthttp.RequestHeader) (*gatewaystate.Tenant, *refusal) {
 	key, ok := strings.CutPrefix(string(header.Peek(fasthttp.HeaderAuthorization)), bearerPrefix)
 	if !ok || key == "" || len(key) > maximumKeyLength {
@@ -30,12 +30,12 @@
 	return g.tenantOfKey(hex.EncodeToString(sum[:]))
 }
 
-// tenantOfKey returns the tenant that a key's hash belongs to; it asks the controllers
-// about a hash that is not known here.
+// tenantOfKey returns the tenant that owns the key with this hash. It queries the controllers when the hash is not
+// in the snapshot.
 func (c *Control) tenantOfKey(keyHash string) (*gatewaystate.Tenant, *refusal) {
 	tenant, status := c.view.snapshot.Load().Tenant(keyHash)
 	if status == gatewaystate.KeyUnknown {
-		status = c.askForKey(keyHash)
+		status = c.lookUpKey(keyHash)
 		tenant, _ = c.view.snapshot.Load().Tenant(keyHash)
 	}
 	switch {
@@ -49,9 +49,9 @@
 	return tenant, nil
 }
 
-// askForKey waits until a controller has said whose key it is, within the control's bound.
-func (c *Control) askForKey(keyHash string) gatewaystate.KeyStatus {
-	command := meetKey{keyHash: keyHash, reply: make(chan gatewaystate.KeyStatus, 1)}
+// lookUpKey queries the controllers for an unknown key and waits for the result, at most keyCheckTimeout.
+func (c *Control) lookUpKey(keyHash string) gatewaystate.KeyStatus {
+	command := keyLookup{keyHash: keyHash, reply: make(chan gatewaystate.KeyStatus, 1)}
 	timer := time.NewTimer(c.keyCheckTimeout)
 	defer timer.Stop()
 	select {
@@ -63,7 +63,7 @@
 	case status := <-command.reply:
 		return status
 	case <-timer.C:
-		c.view.offer(forgetWaiting(command))
+		c.view.trySend(cancelKeyLookup(command))
 		return gatewaystate.KeyUnknown
 	}
 }
--- a/internal/gateway/resting_back_ends_test.go
+++ b/internal/gateway/backoff_test.go
@@ -13,9 +13,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// startResting starts a page service that refuses every request and asks for an hour of rest, and returns its
-// address and how many requests have reached it.
-func startResting(t *testing.T) (address string, arrived *atomic.Int64) {
+// startBackingOff starts a page service that refuses every request with a Retry-After of one hour. It returns its
+// address and the number of requests that have reached it.
+func startBackingOff(t *testing.T) (address string, arrived *atomic.Int64) {
 	t.Helper()
 	arrived = &atomic.Int64{}
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -29,14 +29,14 @@
 	return strings.TrimPrefix(server.URL, "http://"), arrived
 }
 
-// A gateway took a refusal for a sign of load and went on sending to back ends that had asked for rest: nobody
-// read Retry-After beyond the exchange it came with. Here one asks for an hour and must get nothing more,
-// neither as the only one nor beside one that serves.
+// TestABackEndThatAsksForRestIsLeftAlone guards against ignoring Retry-After beyond the exchange that returned it. A gateway
+// treated such a refusal as a sign of load only and kept sending. A back end asks for an hour and must get no further
+// request, neither alone nor beside one that serves.
 func TestABackEndThatAsksForRestIsLeftAlone(t *testing.T) {
 	t.Parallel()
-	t.Run("the only one", func(t *testing.T) {
+	t.Run("the only back end", func(t *testing.T) {
 		t.Parallel()
-		address, arrived := startResting(t)
+		address, arrived := startBackingOff(t)
 		gateway := startGateway(t, testSettings(startController(t, pageBackEnd("p1", address)).address))
 		for range 6 {
 			answer := call(t, http.MethodGet, gateway.url+"/lots/7", "", nil)
@@ -46,9 +46,9 @@
 		}
 		require.EqualValues(t, 1, arrived.Load())
 	})
-	t.Run("another one serves", func(t *testing.T) {
+	t.Run("another back end serves", func(t *testing.T) {
 		t.Parallel()
-		address, arrived := startResting(t)
+		address, arrived := startBackingOff(t)
 		serves := startPage(t, "p2", nil)
 		gateway := startGateway(t, testSettings(startController(t, pageBackEnd("p1", address), pageBackEnd("p2", serves.Address())).address))
 		for range 40 {
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -12,28 +12,28 @@
 	"github.com/hazelpitch/hazelpitch/internal/upstream"
 )
 
-// callerCheckInterval is the time between two looks at the callers' connections.
+// callerCheckInterval is the time between two checks of the callers' connections.
 const callerCheckInterval = 250 * time.Millisecond
 
-// callers looks for callers that went away while their answer is still to come: the
-// server itself notices only when it writes.
-type callers struct {
+// callerWatcher detects callers that disconnect before their answer: the HTTP server
+// itself notices a disconnect only when it writes.
+type callerWatcher struct {
 	mutex   sync.Mutex
 	watched map[*callerWatch]struct{}
 }
 
-// callerWatch is one watched connection.
+// callerWatch is the watch of one caller's connection.
 type callerWatch struct {
-	callers     *callers
+	watcher     *callerWatcher
 	connection  syscall.RawConn
 	interrupter *upstream.Interrupter
 }
 
-func newCallers() *callers { return &callers{watched: map[*callerWatch]struct{}{}} }
+func newCallerWatcher() *callerWatcher { return &callerWatcher{watched: map[*callerWatch]struct{}{}} }
 
-// watch interrupts the exchange once the caller has closed its connection.
-func (c *callers) watch(connection net.Conn, interrupter *upstream.Interrupter) *callerWatch {
-	watch := &callerWatch{callers: c, interrupter: interrupter}
+// watch interrupts the request's exchanges once the caller has closed its connection.
+func (c *callerWatcher) watch(connection net.Conn, interrupter *upstream.Interrupter) *callerWatch {
+	watch := &callerWatch{watcher: c, interrupter: interrupter}
 	system, ok := connection.(syscall.Conn)
 	if !ok {
 		return watch
@@ -49,42 +49,42 @@
 	return watch
 }
 
-func (w *callerWatch) end() {
-	w.callers.mutex.Lock()
-	defer w.callers.mutex.Unlock()
-	delete(w.callers.watched, w)
+func (w *callerWatch) stop() {
+	w.watcher.mutex.Lock()
+	defer w.watcher.mutex.Unlock()
+	delete(w.watcher.watched, w)
 }
 
-// interrupt interrupts the exchange unless the watch has ended: from then on a claimed
-// request runs to its end, whatever a look that had begun before finds.
+// interrupt interrupts the exchanges unless the watch has been stopped. Once the watch of a claimed request is
+// stopped the request runs to its end, even if a check that started before finds the connection closed.
 func (w *callerWatch) interrupt(cause error) {
-	w.callers.mutex.Lock()
-	defer w.callers.mutex.Unlock()
-	if _, watched := w.callers.watched[w]; watched {
+	w.watcher.mutex.Lock()
+	defer w.watcher.mutex.Unlock()
+	if _, watched := w.watcher.watched[w]; watched {
 		w.interrupter.Interrupt(cause)
 	}
 }
 
-// run looks at the connections until the context ends.
-func (c *callers) run(ctx context.Context) {
+// run checks the connections until the context ends.
+func (c *callerWatcher) run(ctx context.Context) {
 	for pause.For(ctx, callerCheckInterval) {
 		for _, watch := range c.list() {
-			if gone(watch.connection) {
+			if isPeerClosed(watch.connection) {
 				watch.interrupt(errCallerGone)
-				watch.end()
+				watch.stop()
 			}
 		}
 	}
 }
 
 // interruptAll interrupts every request whose caller is watched.
-func (c *callers) interruptAll(cause error) {
+func (c *callerWatcher) interruptAll(cause error) {
 	for _, watch := range c.list() {
 		watch.interrupt(cause)
 	}
 }
 
-func (c *callers) list() []*callerWatch {
+func (c *callerWatcher) list() []*callerWatch {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	watches := make([]*callerWatch, 0, len(c.watched))
@@ -94,14 +94,14 @@
 	return watches
 }
 
-// gone reports whether the peer has closed the connection. It leaves bytes that wait to
-// be read where they are.
-func gone(connection syscall.RawConn) bool {
-	closed := false
+// isPeerClosed reports whether the peer has closed the connection. It peeks, so that unread bytes stay in the
+// receive buffer.
+func isPeerClosed(connection syscall.RawConn) bool {
+	isClosed := false
 	err := connection.Control(func(descriptor uintptr) {
 		var one [1]byte
 		n, _, err := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		closed = (n == 0 && err == nil) || errors.Is(err, syscall.ECONNRESET)
+		isClosed = (n == 0 && err == nil) || errors.Is(err, syscall.ECONNRESET)
 	})
-	return closed || err != nil
+	return isClosed || err != nil
 }
--- a/internal/gateway/callers_page_test.go
+++ b/internal/gateway/callers_page_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCallersPageExplainsEachCode holds docs/CALLERS.md to the codes of refusals.
+// TestCallersPageExplainsEachCode checks that the page for callers documents each refusal code and each special header.
 func TestCallersPageExplainsEachCode(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CALLERS.md")
 	require.NoError(t, err)
--- a/internal/gateway/callers_test.go
+++ b/internal/gateway/callers_test.go
@@ -24,7 +24,7 @@
 	often      = 10 * time.Millisecond
 )
 
-// rawRequest is a request as bytes on a connection.
+// rawRequest returns a request as the bytes sent on a connection.
 func rawRequest(method, path, kind, key, body string) string {
 	request := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: gateway\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n", method, path, testKey, len(body))
 	if kind != "" {
@@ -52,24 +52,24 @@
 	for _, row := range []struct {
 		name string
 		body string
-		// holdAfter is the number of tokens that the engine writes before it waits for the
-		// test's end; 0 holds back the head.
-		holdAfter int
+		// blockAfter is the number of tokens that the engine writes before it blocks until the
+		// end of the test; 0 blocks before the response header.
+		blockAfter int
 	}{
 		{name: "streamed, before the first token", body: streamBody},
-		{name: "streamed, after the first token", body: streamBody, holdAfter: 1},
+		{name: "streamed, after the first token", body: streamBody, blockAfter: 1},
 		{name: "whole, before the first token", body: wholeBody},
-		{name: "whole, in the middle", body: wholeBody, holdAfter: 3},
+		{name: "whole, in the middle", body: wholeBody, blockAfter: 3},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
 			engine := startEngine(t)
-			engine.block, engine.holdAfter = make(chan struct{}), row.holdAfter
+			engine.block, engine.blockAfter = make(chan struct{}), row.blockAfter
 			defer close(engine.block)
 			controller := startController(t, engineBackEnd("e1", engine.address(), v1.Role_ROLE_MIXED))
 			gateway := startGateway(t, testSettings(controller.address))
 			connection := dial(t, gateway, rawRequest(http.MethodPost, "/v1/chat/completions", "matching", "", row.body))
-			if row.holdAfter > 0 && row.body == streamBody {
+			if row.blockAfter > 0 && row.body == streamBody {
 				_, err := bufio.NewReader(connection).ReadString('}')
 				require.NoError(t, err)
 			}
@@ -80,14 +80,14 @@
 	}
 }
 
-// waitUntilRunning waits until a service whose first answer is late has the request.
+// waitUntilRunning waits until a service that delays its first answer has received the request.
 func waitUntilRunning(t *testing.T, service *page.Service) {
 	t.Helper()
 	require.Eventually(t, func() bool { return service.Faults().Struck()[fault.Late] == 1 }, eventually, often)
 }
 
-// TestCallerGoneUnderClaim shows that a claimed request runs to its end without its
-// caller, whose resend gets the recorded answer.
+// TestCallerGoneUnderClaim shows that a claimed request runs to its end after its
+// caller disconnects, and that the caller's resend gets the recorded answer.
 func TestCallerGoneUnderClaim(t *testing.T) {
 	t.Parallel()
 	service := startPage(t, "p1", []fault.Fault{{Kind: fault.Late, Count: 1, DelayMs: 700}})
@@ -121,7 +121,7 @@
 	require.Equal(t, 1, service.Runs().Served)
 }
 
-// TestSlowCaller shows that a caller who does not read is dropped and its request
+// TestSlowCaller shows that a caller that does not read is disconnected and its request
 // cancelled.
 func TestSlowCaller(t *testing.T) {
 	t.Parallel()
@@ -138,9 +138,9 @@
 	require.Eventually(t, func() bool { _, _, cancels := engine.counts(); return cancels == 1 }, eventually, often)
 }
 
-// TestEndedWatchInterruptsNothing shows that a look at the callers which began before a
-// claimed request took its right to run does not interrupt it afterwards.
-func TestEndedWatchInterruptsNothing(t *testing.T) {
+// TestStoppedWatchInterruptsNothing shows that a check of the callers' connections that started before a
+// claimed request acquired its claim does not interrupt the request afterwards.
+func TestStoppedWatchInterruptsNothing(t *testing.T) {
 	listener, err := net.Listen("tcp", ownAddress())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -149,12 +149,12 @@
 	t.Cleanup(func() { _ = connection.Close() })
 	for name, ended := range map[string]bool{"watched": false, "ended": true} {
 		t.Run(name, func(t *testing.T) {
-			callers, interrupter := newCallers(), &upstream.Interrupter{}
+			callers, interrupter := newCallerWatcher(), &upstream.Interrupter{}
 			watch := callers.watch(connection, interrupter)
 			looked := callers.list()
 			require.Len(t, looked, 1)
 			if ended {
-				watch.end()
+				watch.stop()
 			}
 			looked[0].interrupt(errCallerGone)
 			require.Equal(t, !ended, interrupter.Interrupted())
--- a/internal/gateway/cancel.go
+++ b/internal/gateway/cancel.go
@@ -14,14 +14,14 @@
 	cancelWorkers     = 4
 )
 
-// cancellation is one exchange to be ended at its engine.
+// cancellation identifies an exchange to cancel at its engine.
 type cancellation struct {
 	backEnd  routing.BackEnd
 	exchange string
 }
 
-// cancelLater asks for an exchange to be ended. When the queue is full it is left to the
-// engine, which ends an exchange without a reader by itself.
+// cancelLater queues the cancellation of an exchange and never blocks. When the queue is full the cancellation is
+// dropped: an engine ends an exchange without a reader by itself.
 func (g *Gateway) cancelLater(backEnd routing.BackEnd, exchange string) {
 	select {
 	case g.cancellations <- cancellation{backEnd: backEnd, exchange: exchange}:
@@ -29,26 +29,26 @@
 	}
 }
 
-// cancelLoop ends abandoned exchanges.
+// cancelLoop cancels abandoned exchanges until the context ends.
 func (g *Gateway) cancelLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case each := <-g.cancellations:
-			g.cancel(each, cancelPatience)
+			g.cancel(each, abandonedCancelTimeout)
 		}
 	}
 }
 
-// cancelPatience is how long the answer to the end of an abandoned exchange is awaited.
-const cancelPatience = time.Second
+// abandonedCancelTimeout bounds the wait for an engine's answer to the cancellation of an abandoned exchange.
+const abandonedCancelTimeout = time.Second
 
-// cancel ends an exchange at its engine. One that has asked to be left alone, or whose limit leaves no room, ends it by
-// itself, since nobody reads it; nothing is known of it then.
-func (g *Gateway) cancel(ended cancellation, patience time.Duration) verdict.Verdict {
-	if g.dispatcher.rests(ended.backEnd) || !g.dispatcher.mayCall(ended.backEnd, fleetlimit.RankCount-1, false) {
+// cancel cancels an exchange at its engine and returns the engine's verdict. It sends nothing to an engine in backoff or
+// without a permit: the engine ends an exchange without a reader by itself, and the result is unknown.
+func (g *Gateway) cancel(request cancellation, timeout time.Duration) verdict.Verdict {
+	if g.dispatcher.isInBackoff(request.backEnd) || !g.dispatcher.mayCall(request.backEnd, fleetlimit.RankCount-1, false) {
 		return verdict.MayHaveRun
 	}
-	return g.upstream.Cancel(ended.backEnd.Address, ended.exchange, time.Now().Add(patience))
+	return g.upstream.Cancel(request.backEnd.Address, request.exchange, time.Now().Add(timeout))
 }
--- a/internal/gateway/chat.go
+++ b/internal/gateway/chat.go
@@ -20,7 +20,7 @@
 )
 
 // serveChat answers one request of the chat or completions protocol. It calls release
-// once the whole answer has been written, which for a stream is after it returns.
+// once the whole answer has been written; for a stream that is after serveChat returns.
 func (g *Gateway) serveChat(context *fasthttp.RequestCtx, format stream.Format, release func()) {
 	arrival := g.clock.now()
 	completion, fault := g.admitChat(context, format, arrival)
@@ -30,17 +30,17 @@
 		return
 	}
 	completion.release = release
-	watch := g.callers.watch(context.Conn(), completion.interrupter)
+	watch := g.callerWatcher.watch(context.Conn(), completion.interrupter)
 	if completion.place, fault = g.admitter.admit(completion.admissionRequest(), completion.interrupter); fault != nil {
-		watch.end()
+		watch.stop()
 		release()
-		g.record(completion, outcomeOf(fault))
+		g.recordChat(completion, outcomeOf(fault))
 		g.refuse(context, fault.beforeClaim(claimKey(completion.target.kind, completion.key)))
 		return
 	}
-	identity := stream.Identity{ID: answerID(format), Created: time.Now().Unix(), Model: completion.name(), Format: format}
-	if decision := completion.claimRun(identity, watch); decision != nil {
-		watch.end()
+	identity := stream.Identity{ID: answerID(format), Created: time.Now().Unix(), Model: completion.modelName(), Format: format}
+	if decision := completion.acquireClaim(identity, watch); decision != nil {
+		watch.stop()
 		completion.close()
 		g.answerUnclaimed(context, completion, decision)
 		return
@@ -49,10 +49,10 @@
 		g.streamChat(context, completion, identity, watch)
 		return
 	}
-	g.wholeChat(context, completion, identity, watch)
+	g.answerChat(context, completion, identity, watch)
 }
 
-// answerUnclaimed answers a request that does not run because of its claim.
+// answerUnclaimed answers a request whose claim was not granted.
 func (g *Gateway) answerUnclaimed(context *fasthttp.RequestCtx, completion *completion, decision *claims.Decision) {
 	if decision.Replay != nil {
 		g.replayChat(context, completion, decision.Replay)
@@ -61,7 +61,7 @@
 	g.refuse(context, refuseClaim(*decision))
 }
 
-// admitChat checks a request and prepares its completion; nothing is sent yet.
+// admitChat checks a request and prepares its completion. It sends nothing yet.
 func (g *Gateway) admitChat(context *fasthttp.RequestCtx, format stream.Format, arrival time.Duration) (*completion, *refusal) {
 	tenant, fault := g.authenticate(&context.Request.Header)
 	if fault != nil {
@@ -71,7 +71,7 @@
 	if fault != nil {
 		return nil, fault
 	}
-	target, fault := resolve(g.view.snapshot.Load(), tenant, &context.Request.Header, request)
+	target, fault := resolveTarget(g.view.snapshot.Load(), tenant, &context.Request.Header, request)
 	if fault != nil {
 		return nil, fault
 	}
@@ -87,27 +87,27 @@
 		key:         idempotencyKey(context),
 		signature:   quarantine.SignatureOf(tenant.Name, http.MethodPost, string(context.Path()), context.PostBody()),
 	}
-	if completion.trial, fault = g.admitHeld(completion.signature); fault != nil {
+	if completion.isTrial, fault = g.checkQuarantine(completion.signature); fault != nil {
 		return nil, fault
 	}
-	completion.wholeOnly = completion.trial // a trial reaches one engine
+	completion.wholeOnly = completion.isTrial // a quarantine trial may reach only one engine
 	completion.shape = target.shape(tenant, request)
 	completion.routing = target.routingRequest(tenant, request, g.admitter.estimate(completion.shape))
 	completion.routing.Deadline = completion.deadline
 	return completion, nil
 }
 
-// name is the model name that the caller sees in the answer.
-func (c *completion) name() string {
+// modelName returns the model name that the caller sees in the answer.
+func (c *completion) modelName() string {
 	if c.request.model != "" {
 		return c.request.model
 	}
 	return c.target.name
 }
 
-// wholeChat answers with one JSON body once the whole answer has come.
-func (g *Gateway) wholeChat(context *fasthttp.RequestCtx, completion *completion, identity stream.Identity, watch *callerWatch) {
-	defer watch.end()
+// answerChat answers with one JSON body once the answer is complete.
+func (g *Gateway) answerChat(context *fasthttp.RequestCtx, completion *completion, identity stream.Identity, watch *callerWatch) {
+	defer watch.stop()
 	defer completion.close()
 	completion.collected = stream.NewAnswer(identity)
 	var err error
@@ -116,32 +116,32 @@
 	}
 	var fault *refusal
 	if errors.As(err, &fault) {
-		g.record(completion, outcomeOf(fault))
+		g.recordChat(completion, outcomeOf(fault))
 		g.refuse(context, fault)
 		return
 	}
 	body, err := completion.collected.JSON()
 	if err != nil {
-		g.log.Error().Err(err).Msg("whole answer cannot be written")
+		g.log.Error().Err(err).Msg("cannot encode the answer; the caller receives an internal error")
 		g.refuse(context, refuseInternal())
 		return
 	}
-	g.record(completion, gatewaystate.Outcome{Completed: true})
+	g.recordChat(completion, gatewaystate.Outcome{Completed: true})
 	g.metrics.answer(http.StatusOK, verdict.Ran)
 	context.Response.Header.SetContentType(contentTypeJSON)
 	context.Response.Header.Set(verdict.Header, verdict.Ran.String())
 	context.Response.SetBody(body)
 }
 
-// streamChat waits for the first event, so that a refusal still has its own status, and
-// then hands the stream to the server, which reads it to its end.
+// streamChat waits for the first event, so that a refusal still has its own HTTP status, and
+// then passes the stream to the server, which reads it to its end.
 func (g *Gateway) streamChat(context *fasthttp.RequestCtx, completion *completion, identity stream.Identity, watch *callerWatch) {
 	event, err := completion.next()
 	var fault *refusal
 	if errors.As(err, &fault) {
-		g.record(completion, outcomeOf(fault))
+		g.recordChat(completion, outcomeOf(fault))
 		completion.close()
-		watch.end()
+		watch.stop()
 		g.refuse(context, fault)
 		return
 	}
@@ -149,31 +149,31 @@
 	response.Header.SetContentType(contentTypeEvents)
 	response.Header.Set("Cache-Control", "no-store")
 	response.Header.Set(verdict.Header, verdict.MayHaveRun.String())
-	_ = response.Header.SetTrailer(verdict.Trailer) // the name is allowed
+	_ = response.Header.SetTrailer(verdict.Trailer) // the trailer's name is allowed
 	reader := &chatStream{
 		completion: completion, watch: watch, header: &response.Header,
 		writer: stream.NewWriter(identity, completion.request.includeUsage),
 	}
-	reader.take(event, err)
+	reader.render(event, err)
 	response.SetBodyStream(reader, -1)
 }
 
-// chatStream is the body of a streamed answer: each Read waits for one event. The server
-// flushes after every Read and closes it when the caller is gone.
+// chatStream is the body of a streamed answer. Each Read waits for one event. The server
+// flushes after every Read and calls Close when the caller disconnects.
 type chatStream struct {
 	completion *completion
 	watch      *callerWatch
 	header     *fasthttp.ResponseHeader
 	writer     *stream.Writer
 	pending    []byte
-	ended      error
+	readErr    error
 }
 
 // Read implements io.Reader.
 func (s *chatStream) Read(buffer []byte) (int, error) {
 	for len(s.pending) == 0 {
-		if s.ended != nil {
-			return 0, s.ended
+		if s.readErr != nil {
+			return 0, s.readErr
 		}
 		s.advance()
 	}
@@ -182,30 +182,30 @@
 	return n, nil
 }
 
-// advance waits for the next event. A panic ends this stream, not the process: the server
-// reads a stream outside its handler.
+// advance waits for the next event. It recovers from panics, because the server reads a stream outside its handler:
+// a panic ends this stream and not the process.
 func (s *chatStream) advance() {
 	defer func() {
 		if cause := recover(); cause != nil {
-			s.completion.gateway.log.Error().Interface("panic", cause).Msg("a stream panicked")
+			s.completion.gateway.log.Error().Interface("panic", cause).Msg("panic in a stream; it ends with an error event")
 			s.fail(refuseInternal())
 		}
 	}()
-	s.take(s.completion.next())
+	s.render(s.completion.next())
 }
 
-// take renders one event, or the end of the answer.
-func (s *chatStream) take(event stream.Event, err error) {
+// render encodes one event or the end of the answer.
+func (s *chatStream) render(event stream.Event, err error) {
 	var fault *refusal
 	if errors.As(err, &fault) {
 		s.fail(fault)
 		return
 	}
 	gateway := s.completion.gateway
-	if errors.Is(err, errWhole) {
+	if errors.Is(err, errAnswerComplete) {
 		s.pending = s.writer.AppendDone(s.pending[:0])
-		s.ended = io.EOF
-		gateway.record(s.completion, gatewaystate.Outcome{Completed: true})
+		s.readErr = io.EOF
+		gateway.recordChat(s.completion, gatewaystate.Outcome{Completed: true})
 		gateway.metrics.answer(http.StatusOK, verdict.Ran)
 		s.header.Set(verdict.Trailer, verdict.Ran.String())
 		return
@@ -216,33 +216,33 @@
 // fail ends the stream with an error event and without [DONE].
 func (s *chatStream) fail(fault *refusal) {
 	s.pending = s.writer.AppendError(s.pending[:0], fault.body())
-	s.ended = io.EOF
-	s.completion.gateway.record(s.completion, outcomeOf(fault))
+	s.readErr = io.EOF
+	s.completion.gateway.recordChat(s.completion, outcomeOf(fault))
 	s.completion.gateway.metrics.answer(fault.status, fault.verdict)
 	s.header.Set(verdict.Trailer, fault.verdict.String())
 }
 
 // Close implements io.Closer.
 func (s *chatStream) Close() error {
-	s.watch.end()
+	s.watch.stop()
 	if s.completion.claim != nil && !s.completion.done {
-		s.completion.gateway.claimer.background(s.completion.runOut)
+		s.completion.gateway.claimer.runInBackground(s.completion.drainAnswer)
 		return nil
 	}
 	s.completion.close()
 	return nil
 }
 
-// record counts one finished request for the demand report.
-func (g *Gateway) record(completion *completion, outcome gatewaystate.Outcome) {
+// recordChat counts a finished request for the demand report.
+func (g *Gateway) recordChat(completion *completion, outcome gatewaystate.Outcome) {
 	outcome.Service = completion.target.kind.Spec.GetService()
 	outcome.Kind = completion.target.kind.Name
 	outcome.PromptTokens = uint64(completion.routing.PromptTokens)
 	outcome.OutputTokens = uint64(completion.sequence.Delivered())
-	g.view.offer(recordOutcome{outcome: outcome})
+	g.view.trySend(recordOutcome{outcome: outcome})
 }
 
-// outcomeOf tells the demand report what a refusal was.
+// outcomeOf classifies a refusal for the demand report.
 func outcomeOf(fault *refusal) gatewaystate.Outcome {
 	return gatewaystate.Outcome{
 		MissedDeadline: fault.code == codeDeadlineExceeded,
@@ -250,11 +250,11 @@
 	}
 }
 
-// answerIDBytes is the number of random bytes in an answer's id.
+// answerIDBytes is the number of random bytes in the ID of an answer.
 const answerIDBytes = 12
 
-// answerID returns the id of an answer as the caller sees it. It has nothing to do with
-// the exchange's.
+// answerID returns the ID of an answer that the caller sees. It is unrelated to the ID of
+// the exchange.
 func answerID(format stream.Format) string {
 	var random [answerIDBytes]byte
 	_, _ = rand.Read(random[:]) // never fails, by its documentation
@@ -271,7 +271,7 @@
 	contentTypeEvents = "text/event-stream"
 )
 
-// chatPaths gives the format of each path of the chat protocol.
+// chatPaths maps each path of the chat protocol to its format.
 var chatPaths = map[string]stream.Format{
 	enginecontract.PathChat:        stream.FormatChat,
 	enginecontract.PathCompletions: stream.FormatCompletions,
--- a/internal/gateway/chat_request.go
+++ b/internal/gateway/chat_request.go
@@ -10,16 +10,16 @@
 	"github.com/hazelpitch/hazelpitch/internal/stream"
 )
 
-// chatRequest is a checked request of the chat or completions protocol.
+// chatRequest is a validated request of the chat or completions protocol.
 type chatRequest struct {
 	format stream.Format
-	// model is the name the caller gave: a base model or an adapter.
+	// model is the name that the caller gave: a base model or an adapter. It may be empty.
 	model        string
 	stream       bool
 	includeUsage bool
-	// maximumTokens is the caller's bound on output; 0 when there is none.
+	// maximumTokens is the caller's limit of output tokens; 0 means none.
 	maximumTokens int
-	// members are the body's members that are passed on as they came.
+	// members are the members of the body that are passed on unchanged, each preceded by a comma.
 	members []byte
 	// prompt is the raw JSON of the messages or the prompt.
 	prompt []byte
@@ -33,8 +33,8 @@
 	return enginecontract.PathChat
 }
 
-// parseChatRequest reads the body once. Members that the gateway sets itself are taken
-// out; a doubled member is refused, because engines may differ on which one counts.
+// parseChatRequest parses and checks the body. It leaves out the members that the gateway sets itself and refuses a
+// duplicate member, because engines may differ in which of the two they use.
 func parseChatRequest(format stream.Format, body []byte) (*chatRequest, *refusal) {
 	if !gjson.ValidBytes(body) {
 		return nil, refuseBody("the body is not valid JSON")
@@ -52,7 +52,7 @@
 			return false
 		}
 		seen[key.Str] = true
-		fault = request.take(key, value)
+		fault = request.parseMember(key, value)
 		return fault == nil
 	})
 	if fault != nil {
@@ -64,8 +64,8 @@
 	return request, nil
 }
 
-// take reads one member of the body.
-func (r *chatRequest) take(key, value gjson.Result) *refusal {
+// parseMember parses one member of the body.
+func (r *chatRequest) parseMember(key, value gjson.Result) *refusal {
 	switch key.Str {
 	case "model":
 		if value.Type != gjson.String {
@@ -89,13 +89,13 @@
 	case "max_tokens", "max_completion_tokens":
 		r.maximumTokens = int(max(value.Int(), 0))
 	case "messages", "prompt":
-		return r.takePrompt(key, value)
+		return r.parsePrompt(key, value)
 	}
-	r.pass(key, value)
+	r.appendMember(key, value)
 	return nil
 }
 
-func (r *chatRequest) takePrompt(key, value gjson.Result) *refusal {
+func (r *chatRequest) parsePrompt(key, value gjson.Result) *refusal {
 	wanted := "messages"
 	if r.format == stream.FormatCompletions {
 		wanted = "prompt"
@@ -107,19 +107,19 @@
 		return refuseBody(wanted + " has the wrong type")
 	}
 	r.prompt = []byte(value.Raw)
-	r.pass(key, value)
+	r.appendMember(key, value)
 	return nil
 }
 
-// pass keeps a member to be passed on.
-func (r *chatRequest) pass(key, value gjson.Result) {
+// appendMember adds a member that is passed on unchanged.
+func (r *chatRequest) appendMember(key, value gjson.Result) {
 	r.members = append(r.members, ',')
 	r.members = append(r.members, key.Raw...)
 	r.members = append(r.members, ':')
 	r.members = append(r.members, value.Raw...)
 }
 
-// engineBody returns the body for an engine; continueText is the text already delivered.
+// engineBody returns the body for an engine; continueText is the text that the caller has already received.
 func (r *chatRequest) engineBody(model, continueText string) []byte {
 	body := make([]byte, 0, len(r.members)+len(model)+len(continueText)+128)
 	body = append(body, `{"model":`...)
--- a/internal/gateway/chat_test.go
+++ b/internal/gateway/chat_test.go
@@ -12,7 +12,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// TestChatLibrary shows that a client of the well-known library gets a whole and a
+// TestChatLibrary shows that a client of a widely used Go library gets a complete and a
 // streamed answer.
 func TestChatLibrary(t *testing.T) {
 	t.Parallel()
--- a/internal/gateway/claimed_chat.go
+++ b/internal/gateway/claimed_chat.go
@@ -11,9 +11,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// claimRun asks for the right to run a request that may run at most once. It returns nil
-// when the request runs now, under a claim or because it needs none.
-func (c *completion) claimRun(identity stream.Identity, watch *callerWatch) *claims.Decision {
+// acquireClaim requests the claim of a request that may run at most once. It returns nil when the request runs now,
+// either under a granted claim or because it needs none.
+func (c *completion) acquireClaim(identity stream.Identity, watch *callerWatch) *claims.Decision {
 	if c.target.kind.Spec.GetRepeatable() || c.key == "" || !c.gateway.safeguards.IsEnabled(ClaimBeforeRun) {
 		return nil
 	}
@@ -23,32 +23,32 @@
 	if !decision.Run {
 		return &decision
 	}
-	// The outcome is worth recording also when the caller goes away: it will ask again.
-	watch.end()
+	// The caller will resend after a disconnect, so that the outcome must be recorded in any case.
+	watch.stop()
 	c.claim = claim
 	c.collected = stream.NewAnswer(identity)
 	return nil
 }
 
-// finishClaim records the outcome of a claimed request.
+// finishClaim records the outcome of a claimed request with the controllers.
 func (c *completion) finishClaim() {
 	if c.claim == nil {
 		return
 	}
-	ended, outcome := verdict.NotRun, claims.Outcome{}
+	runVerdict, outcome := verdict.NotRun, claims.Outcome{}
 	switch body, err := c.collected.JSON(); {
-	case c.whole && err == nil:
-		ended = verdict.Ran
+	case c.isComplete && err == nil:
+		runVerdict = verdict.Ran
 		outcome = claims.Outcome{Status: http.StatusOK, ContentType: contentTypeJSON, Body: body}
-	case c.mayHaveRun || c.whole:
-		ended = verdict.MayHaveRun
+	case c.mayHaveRun || c.isComplete:
+		runVerdict = verdict.MayHaveRun
 	}
-	c.gateway.claimer.finish(c.claim, ended, outcome)
+	c.gateway.claimer.finish(c.claim, runVerdict, outcome)
 }
 
-// runOut reads the rest of a claimed answer whose caller went away, so that its outcome
-// can be recorded. It ends with the request's deadline at the latest.
-func (c *completion) runOut() {
+// drainAnswer reads the rest of the answer of a claimed request whose caller disconnected, so that its outcome
+// can be recorded. It returns by the request's deadline.
+func (c *completion) drainAnswer() {
 	defer c.close()
 	for {
 		if _, err := c.next(); err != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// replayChat answers with the recorded answer of an earlier sending.
+// replayChat answers with the outcome recorded by an earlier attempt.
 func (g *Gateway) replayChat(context *fasthttp.RequestCtx, completion *completion, outcome *claims.Outcome) {
 	response := &context.Response
 	response.Header.Set(headerReplayed, "true")
@@ -73,7 +73,7 @@
 		return
 	}
 	identity := stream.Identity{
-		ID: answerID(completion.request.format), Created: time.Now().Unix(), Model: completion.name(), Format: completion.request.format,
+		ID: answerID(completion.request.format), Created: time.Now().Unix(), Model: completion.modelName(), Format: completion.request.format,
 	}
 	response.Header.SetContentType(contentTypeEvents)
 	response.SetBody(stream.NewWriter(identity, completion.request.includeUsage).AppendComplete(nil, outcome.Body))
--- a/internal/gateway/claimer.go
+++ b/internal/gateway/claimer.go
@@ -19,31 +19,31 @@
 )
 
 const (
-	// claimLifetime is how long controllers remember a claim and its outcome.
+	// claimLifetime is how long controllers keep a claim and its outcome.
 	claimLifetime = time.Hour
-	// maximumFinishes bounds the outcomes that are being recorded at once.
+	// maximumFinishes bounds the outcomes that are recorded concurrently.
 	maximumFinishes = 1024
-	// finishSlotTimeout bounds the wait to begin recording; beyond it the outcome is left
-	// out, and resends are told that the request may have run.
+	// finishSlotTimeout bounds the wait for a slot to record an outcome. After it the outcome is not recorded,
+	// and resends are answered that the request may have run.
 	finishSlotTimeout = time.Second
 )
 
-// claimer carries out the calls that claims ask for. It is safe for concurrent use.
+// claimer calls the controllers to acquire and finish claims. It is safe for concurrent use.
 type claimer struct {
 	clock       clock
 	controllers *controllers
 	identity    *v1.NodeIdentity
 	config      claims.Config
-	slots       chan struct{}
+	finishSlots chan struct{}
 	finishes    sync.WaitGroup
 }
 
 func newClaimer(clock clock, controllers *controllers, identity *v1.NodeIdentity, safeguards safeguard.Set) *claimer {
-	return &claimer{config: claims.Config{Safeguards: safeguards}, clock: clock, controllers: controllers, identity: identity, slots: make(chan struct{}, maximumFinishes)}
+	return &claimer{config: claims.Config{Safeguards: safeguards}, clock: clock, controllers: controllers, identity: identity, finishSlots: make(chan struct{}, maximumFinishes)}
 }
 
-// claim returns the claim of one sending of a request. content is everything that makes
-// two requests with one key the same.
+// claim returns the claim of one attempt of a request. content is everything that two requests with one key must
+// have in common.
 func (c *claimer) claim(tenant *gatewaystate.Tenant, kind *gatewaystate.Kind, key string, content ...[]byte) *v1.BeginClaim {
 	hash := sha256.New()
 	for _, part := range content {
@@ -62,10 +62,10 @@
 	}
 }
 
-// begin asks for the right to run a request, until it is decided, the deadline is too near
-// or the caller goes away.
+// begin requests the right to run a request. It blocks until a controller has decided, the deadline is too near
+// or the caller disconnects.
 func (c *claimer) begin(claim *v1.BeginClaim, deadline time.Duration, interrupter *upstream.Interrupter) claims.Decision {
-	begin := claims.NewBeginOperation(c.config, c.clock.now(), deadline, claim, c.controllers.inOrder(true))
+	begin := claims.NewBeginOperation(c.config, c.clock.now(), deadline, claim, c.controllers.candidates(true))
 	for {
 		step := begin.Next(c.clock.now())
 		switch {
@@ -90,25 +90,26 @@
 	defer cancel()
 	response, err := c.controllers.client(step.Call).BeginClaim(limited, connect.NewRequest(begin.Request()))
 	if err != nil {
-		begin.HandleFailure(c.clock.now(), c.failure(err))
+		begin.HandleFailure(c.clock.now(), c.parseFailure(err))
 		return
 	}
 	c.controllers.setLeader(step.Call)
 	begin.HandleResponse(response.Msg)
 }
 
-// finish records how a claimed request ended, without holding up its answer.
-func (c *claimer) finish(claim *v1.BeginClaim, ended verdict.Verdict, outcome claims.Outcome) {
-	finish := claims.NewFinishOperation(c.config, c.clock.now(), claim, ended, outcome, c.controllers.inOrder(true))
+// finish records how a claimed request ended. It blocks at most for finishSlotTimeout; the calls run in the
+// background.
+func (c *claimer) finish(claim *v1.BeginClaim, runVerdict verdict.Verdict, outcome claims.Outcome) {
+	finish := claims.NewFinishOperation(c.config, c.clock.now(), claim, runVerdict, outcome, c.controllers.candidates(true))
 	timer := time.NewTimer(finishSlotTimeout)
 	defer timer.Stop()
 	select {
-	case c.slots <- struct{}{}:
+	case c.finishSlots <- struct{}{}:
 	case <-timer.C:
 		return
 	}
 	c.finishes.Go(func() {
-		defer func() { <-c.slots }()
+		defer func() { <-c.finishSlots }()
 		c.record(finish)
 	})
 }
@@ -131,23 +132,23 @@
 	limited, cancel := context.WithTimeout(context.Background(), step.Timeout)
 	defer cancel()
 	if _, err := c.controllers.client(step.Call).FinishClaim(limited, connect.NewRequest(finish.Request())); err != nil {
-		finish.HandleFailure(c.clock.now(), c.failure(err))
+		finish.HandleFailure(c.clock.now(), c.parseFailure(err))
 		return
 	}
 	finish.MarkRecorded()
 }
 
-// failure reads what a failed call says of the leader and of trying again.
-func (c *claimer) failure(err error) claims.Failure {
-	var failed *connect.Error
-	if !errors.As(err, &failed) {
+// parseFailure returns what a failed call reports about the leader and about retrying.
+func (c *claimer) parseFailure(err error) claims.Failure {
+	var callError *connect.Error
+	if !errors.As(err, &callError) {
 		return claims.Failure{}
 	}
-	leader := failed.Meta().Get(v1.HeaderLeaderAddress)
+	leader := callError.Meta().Get(v1.HeaderLeaderAddress)
 	if leader != "" {
 		c.controllers.setLeader(leader)
 	}
-	switch failed.Code() {
+	switch callError.Code() {
 	case connect.CodeInvalidArgument, connect.CodePermissionDenied, connect.CodeUnimplemented:
 		return claims.Failure{Leader: leader, Permanent: true}
 	case connect.CodeResourceExhausted:
@@ -157,12 +158,12 @@
 	}
 }
 
-// background runs work that a stopping gateway waits for.
-func (c *claimer) background(work func()) { c.finishes.Go(work) }
+// runInBackground runs work that a stopping gateway waits for.
+func (c *claimer) runInBackground(work func()) { c.finishes.Go(work) }
 
-// wait returns once every outcome has been recorded or given up on; it reports false when
-// the context ended first. Claims without an outcome are told to have maybe run.
-func (c *claimer) wait(ctx context.Context) bool {
+// waitForFinishes waits until every outcome has been recorded or given up. It reports false when the context ended
+// first. Resends under a claim without an outcome are answered that the request may have run.
+func (c *claimer) waitForFinishes(ctx context.Context) bool {
 	done := make(chan struct{})
 	go func() {
 		c.finishes.Wait()
@@ -176,7 +177,7 @@
 	}
 }
 
-// refuseClaim translates a decision not to run a request.
+// refuseClaim converts a decision not to run a request.
 func refuseClaim(decision claims.Decision) *refusal {
 	status, code := http.StatusServiceUnavailable, codeClaimUnreachable
 	switch {
@@ -192,7 +193,7 @@
 	fault := refuse(status, typeInvalidRequest, code, decision.Reason.Error()).after(decision.RetryAfter)
 	fault.verdict = decision.Verdict
 	if code == codeClaimUnreachable || code == codeClaimRefused {
-		return fault.mayHaveRun() // nobody said that no earlier sending ran
+		return fault.mayHaveRun() // no controller confirmed that no earlier attempt ran
 	}
 	return fault
 }
--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -13,7 +13,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// kindClient adds the kind's header to each request.
+// kindClient adds the header with the request kind to each request.
 type kindClient struct{ kind string }
 
 func (c *kindClient) Do(request *http.Request) (*http.Response, error) {
@@ -21,19 +21,19 @@
 	return http.DefaultClient.Do(request)
 }
 
-// callerAnswer is what a caller got.
+// callerAnswer is the answer that a caller received.
 type callerAnswer struct {
 	status  int
 	header  http.Header
 	body    string
 	verdict string
-	// text is the answer's text; whole tells that it came to its end as the protocol says.
+	// text is the text of the answer; whole is set when the answer ended as the protocol requires.
 	text  string
 	whole bool
-	// errorCode and errorVerdict are those of the body or of the stream's error event.
+	// errorCode and errorVerdict come from the body or from the error event of the stream.
 	errorCode    string
 	errorVerdict string
-	// finalVerdict is that of a stream's trailer.
+	// finalVerdict comes from the trailer of a stream.
 	finalVerdict string
 }
 
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -6,8 +6,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/bootclock"
 )
 
-// clock gives the steady time since the process's origin, in which suspensions count, as pure packages
-// want it.
+// clock returns the monotonic time since the start of the process as a duration, including the time for which the
+// machine was suspended. Packages without I/O expect times in this form.
 type clock struct{ steady *bootclock.Clock }
 
 func newClock() clock { return clock{steady: bootclock.New(bootclock.RequestCheckInterval)} }
@@ -15,5 +15,5 @@
 // now returns the time since the origin.
 func (c clock) now() time.Duration { return c.steady.Now() }
 
-// time returns the wall-clock form of a time since the origin, for I/O deadlines.
+// time converts a time since the origin to wall-clock time, for I/O deadlines.
 func (c clock) time(at time.Duration) time.Time { return c.steady.TimerDeadline(at) }
--- a/internal/gateway/closing_port_test.go
+++ b/internal/gateway/closing_port_test.go
@@ -16,24 +16,24 @@
 	"github.com/hazelpitch/hazelpitch/internal/metrics"
 )
 
-// stillness is a process that stands still: while it does, nothing is accepted and nothing read.
-type stillness struct{ moving atomic.Pointer[chan struct{}] }
+// freezer simulates a frozen process: while frozen, its listeners accept and read nothing.
+type freezer struct{ running atomic.Pointer[chan struct{}] }
 
-func newStillness() *stillness {
-	made := &stillness{}
-	made.resume()
-	return made
+func newFreezer() *freezer {
+	created := &freezer{}
+	created.thaw()
+	return created
 }
 
-func (s *stillness) stand() {
-	still := make(chan struct{})
-	s.moving.Store(&still)
+func (s *freezer) freeze() {
+	blocked := make(chan struct{})
+	s.running.Store(&blocked)
 }
 
-func (s *stillness) resume() {
-	moves := make(chan struct{})
-	close(moves)
-	if before := s.moving.Swap(&moves); before != nil {
+func (s *freezer) thaw() {
+	released := make(chan struct{})
+	close(released)
+	if before := s.running.Swap(&released); before != nil {
 		select {
 		case <-*before:
 		default:
@@ -42,81 +42,82 @@
 	}
 }
 
-func (s *stillness) listen(network, address string) (net.Listener, error) {
+func (s *freezer) listen(network, address string) (net.Listener, error) {
 	inner, err := closing.Listen(network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &stillListener{Listener: inner.(*closing.Listener), stillness: s}, nil
+	return &freezableListener{Listener: inner.(*closing.Listener), freezer: s}, nil
 }
 
-type stillListener struct {
+type freezableListener struct {
 	*closing.Listener
-	*stillness
+	*freezer
 }
 
-func (l *stillListener) Accept() (net.Conn, error) {
+func (l *freezableListener) Accept() (net.Conn, error) {
 	connection, err := l.Listener.Accept()
-	<-*l.moving.Load()
+	<-*l.running.Load()
 	if err != nil {
 		return nil, err
 	}
-	return &stillConnection{Conn: connection, stillness: l.stillness}, nil
+	return &freezableConnection{Conn: connection, freezer: l.freezer}, nil
 }
 
-type stillConnection struct {
+type freezableConnection struct {
 	net.Conn
-	*stillness
+	*freezer
 }
 
-func (c *stillConnection) Read(data []byte) (int, error) {
+func (c *freezableConnection) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
-	<-*c.moving.Load()
+	<-*c.running.Load()
 	return n, err
 }
 
-// Guards against requests that had reached a stopping gateway as it closed its port, on connections in use, on new ones and on
-// ones that it had not accepted yet, and got no answer: seen when the machine was so busy that the gateway stood still.
+// TestRequestsThatReachAClosingPortAreAnswered guards against requests without an answer that reached a stopping gateway
+// while it closed its port, on used, new or not yet accepted connections. They were lost when the gateway did not
+// run for a moment on a busy machine.
 func TestRequestsThatReachAClosingPortAreAnswered(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t)
 	controller := startController(t, engineBackEnd("e1", engine.address(), v1.Role_ROLE_MIXED))
-	still := newStillness()
+	process := newFreezer()
 	config := testSettings(controller.address)
-	gateway := startWith(t, config, Options{KeyCheckTimeout: patience, Listen: func(network, address string) (net.Listener, error) {
+	gateway := startWithOptions(t, config, Options{KeyCheckTimeout: patience, Listen: func(network, address string) (net.Listener, error) {
 		if address == config.Listen {
-			return still.listen(network, address)
+			return process.listen(network, address)
 		}
-		return net.Listen(network, address) // administration moves on
+		return net.Listen(network, address) // the admin server is not frozen
 	}})
 	require.Eventually(t, func() bool { return gateway.probe(t, metrics.PathReady) == http.StatusOK }, eventually, often)
 
-	sent := rawRequest(http.MethodPost, "/v1/chat/completions", "matching", "", wholeBody)
-	used, opened := dial(t, gateway, sent), dial(t, gateway, "")
+	request := rawRequest(http.MethodPost, "/v1/chat/completions", "matching", "", wholeBody)
+	used, opened := dial(t, gateway, request), dial(t, gateway, "")
 	usedReader := bufio.NewReader(used)
 	first, err := http.ReadResponse(usedReader, nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, first.StatusCode)
 	require.NoError(t, first.Body.Close())
 
-	still.stand()
+	process.freeze()
 	readers := []*bufio.Reader{usedReader, bufio.NewReader(opened)}
 	for _, connection := range []net.Conn{used, opened} {
-		_, err := connection.Write([]byte(sent))
+		_, err := connection.Write([]byte(request))
 		require.NoError(t, err)
 	}
 	for range 20 {
-		readers = append(readers, bufio.NewReader(dial(t, gateway, sent)))
+		readers = append(readers, bufio.NewReader(dial(t, gateway, request)))
 	}
 	gateway.stop()
 	require.Eventually(t, func() bool { return gateway.probe(t, metrics.PathReady) == http.StatusServiceUnavailable }, eventually, often)
-	time.Sleep(50 * time.Millisecond) // longer than the test's notice: the port is about to close
-	still.resume()
+	time.Sleep(50 * time.Millisecond) // longer than the drain delay of the test: the port is about to close
+	process.thaw()
 	for _, reader := range readers {
 		answer, err := http.ReadResponse(reader, nil)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, answer.StatusCode)
-		require.True(t, answer.Close, "the caller is told that its connection ends")
+		require.True(t, answer.Close, "the answer announces that its connection closes")
 		require.NoError(t, answer.Body.Close())
 	}
 }
--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// maximumResumes bounds the resumes of one exchange without progress between them.
+	// maximumResumes bounds the consecutive resumes of one exchange without progress.
 	maximumResumes = 3
-	// resumePause is the wait before a resume that follows a failed one.
+	// resumePause is the delay before a resume that follows a failed one.
 	resumePause = 100 * time.Millisecond
-	// cancelTimeout bounds the wait for an engine to say what became of a cancelled request.
+	// cancelTimeout bounds the wait for an engine to report the verdict of a cancelled exchange.
 	cancelTimeout = 300 * time.Millisecond
-	// tokenStall is the longest silence between two tokens before the link counts as cut.
-	tokenStall = 5 * time.Second
-	// silenceSlack is how much longer a silence may last, so that the bound moves seldom.
-	silenceSlack = 500 * time.Millisecond
+	// tokenStallTimeout is the longest time between two tokens before the connection counts as broken.
+	tokenStallTimeout = 5 * time.Second
+	// readDeadlineSlack is added to each read deadline, so that the deadline is set less often.
+	readDeadlineSlack = 500 * time.Millisecond
 )
 
-// completion runs one chat request over as many exchanges as its kind allows, and gives
-// out each event of the one answer exactly once and in order. One goroutine uses it.
+// completion runs one chat request over as many exchanges as its kind allows, and returns
+// each event of the answer exactly once and in order. It is not safe for concurrent use.
 type completion struct {
 	gateway  *Gateway
 	tenant   *gatewaystate.Tenant
@@ -39,58 +39,58 @@
 	shape    admission.RequestShape
 	deadline time.Duration
 	sequence *stream.Sequence
-	// interrupter breaks the exchange off when the caller goes away.
+	// interrupter interrupts the exchange when the caller disconnects.
 	interrupter *upstream.Interrupter
 
 	backEnd  routing.BackEnd
 	exchange string
 	answer   *upstream.Answer
-	// silentUntil is the bound set on the answer's next read.
-	silentUntil time.Duration
-	scanner     *stream.Scanner
-	// open tells that the exchange may be running at its engine.
-	open bool
-	// tried counts the exchanges, resumes those of the present exchange since
+	// readDeadline is the deadline set for the next read of the answer.
+	readDeadline time.Duration
+	scanner      *stream.Scanner
+	// mayBeRunning is set while the exchange may be running at its engine.
+	mayBeRunning bool
+	// attempts counts the exchanges; resumes counts the resumes of the current exchange since
 	// the last progress.
-	tried    attempts
+	attempts attempts
 	resumes  int
 	excluded []string
-	// signature tells which other requests are the same to an engine; trial that it is held and may be
-	// sent to one engine once, held that it must not be sent to any again.
-	signature quarantine.Signature
-	trial     bool
-	held      bool
-	// wholeOnly tells that a hand-over was lost: one engine does the rest.
+	// signature identifies equal requests for the quarantine. isTrial is set for a quarantined request that may be
+	// sent to one engine once, isQuarantined for one that must not be sent to any engine again.
+	signature     quarantine.Signature
+	isTrial       bool
+	isQuarantined bool
+	// wholeOnly is set after a failed KV transfer and for a trial: one engine must serve the whole request.
 	wholeOnly bool
-	// mayHaveRun tells that some exchange of this request may have run, promptSent that
-	// one of them may have read the prompt for another engine.
-	mayHaveRun bool
-	promptSent bool
-	done       bool
-	closed     bool
-	// collected gathers the whole answer when it is needed at the end.
+	// mayHaveRun is set when an exchange of this request may have run, mayHavePrefilled when
+	// an engine may have run its prefill for another engine.
+	mayHaveRun       bool
+	mayHavePrefilled bool
+	done             bool
+	closed           bool
+	// collected accumulates the whole answer when it is needed at the end.
 	collected *stream.Answer
-	// key is the caller's idempotency key, claim what was granted for it; the claim is nil
-	// for kinds that may be repeated and for requests without a key.
-	key   string
-	claim *v1.BeginClaim
-	whole bool
-	// place is the request's place in admission, from before the first exchange on.
+	// key is the caller's idempotency key and claim the claim granted for it. The claim is nil
+	// for repeatable kinds and for requests without a key.
+	key        string
+	claim      *v1.BeginClaim
+	isComplete bool
+	// place is the request's admission slot; it is set before the first exchange.
 	place *ticket
-	// release gives back the gateway's slot for the request.
+	// release returns the gateway's in-flight slot of the request.
 	release func()
-	// beganAt is the time of the first exchange, firstTokenAt that of the first token.
+	// beganAt is the start of the first exchange, firstTokenAt the time of the first token.
 	beganAt      time.Duration
 	firstTokenAt time.Duration
 	usage        usage
 	overloaded   bool
 }
 
-// errWhole tells that the answer is whole and no event follows.
-var errWhole = errors.New("answer is whole")
+// errAnswerComplete means that the answer is complete and no event follows.
+var errAnswerComplete = errors.New("answer is whole")
 
-// next returns the next event of the answer. The error is errWhole after the last one, or
-// a *refusal when the answer cannot become whole.
+// next returns the next event of the answer. The error is errAnswerComplete after the last event, or
+// a *refusal when the answer cannot be completed.
 func (c *completion) next() (stream.Event, error) {
 	for {
 		if c.answer == nil {
@@ -98,46 +98,46 @@
 				return stream.Event{}, fault
 			}
 		}
-		c.boundSilence()
+		c.extendReadDeadline()
 		event, err := c.scanner.Next()
 		if err != nil {
-			c.cut(trace.Wrap(err))
+			c.cutStream(trace.Wrap(err))
 			continue
 		}
 		switch c.sequence.Accept(&event) {
 		case stream.StepDeliver:
-			c.note(&event)
+			c.recordEvent(&event)
 			return event, nil
 		case stream.StepDrop:
 			c.gateway.metrics.eventsDropped.Inc()
 		case stream.StepComplete:
-			c.finish()
-			return stream.Event{}, errWhole
+			c.completeAnswer()
+			return stream.Event{}, errAnswerComplete
 		case stream.StepForeign:
 			c.gateway.metrics.foreignAnswers.Inc()
-			c.cut(trace.Wrap(upstream.ErrForeignAnswer))
+			c.cutStream(trace.Wrap(upstream.ErrForeignAnswer))
 		case stream.StepResume:
-			c.cut(trace.Wrap(upstream.ErrTruncated))
+			c.cutStream(trace.Wrap(upstream.ErrTruncated))
 		case stream.StepFail:
-			c.cut(trace.Wrap(errEngineFailed))
+			c.cutStream(trace.Wrap(errEngineFailed))
 			c.resumes = maximumResumes
 		}
 	}
 }
 
-// boundSilence lets the next read fail after tokenStall, or at the deadline. The bound is
-// moved at most twice a second, since each move costs a timer.
-func (c *completion) boundSilence() {
-	needed := min(c.deadline, c.gateway.clock.now()+tokenStall)
-	if c.silentUntil >= needed {
+// extendReadDeadline makes the next read fail after tokenStallTimeout, or at the request's deadline. It sets a new
+// deadline at most twice a second, because each one costs a timer.
+func (c *completion) extendReadDeadline() {
+	wanted := min(c.deadline, c.gateway.clock.now()+tokenStallTimeout)
+	if c.readDeadline >= wanted {
 		return
 	}
-	c.silentUntil = min(c.deadline, needed+silenceSlack)
-	c.answer.SetReadDeadline(c.gateway.clock.time(c.silentUntil))
+	c.readDeadline = min(c.deadline, wanted+readDeadlineSlack)
+	c.answer.SetReadDeadline(c.gateway.clock.time(c.readDeadline))
 }
 
-// note remembers what admission learns from.
-func (c *completion) note(event *stream.Event) {
+// recordEvent updates the state that depends on a delivered event, and the statistics of admission and routing.
+func (c *completion) recordEvent(event *stream.Event) {
 	c.resumes = 0
 	if c.collected != nil {
 		c.collected.Add(event)
@@ -147,7 +147,7 @@
 		c.usage = readUsage(event.Usage)
 	case c.firstTokenAt == 0:
 		c.firstTokenAt = c.gateway.clock.now()
-		c.tellFirstToken()
+		c.recordFirstToken()
 		c.gateway.dispatcher.observe(routing.FirstToken{BackEnd: c.backEnd.Name, Exchange: c.exchange})
 	}
 }
--- a/internal/gateway/completion_connect.go
+++ b/internal/gateway/completion_connect.go
@@ -10,27 +10,27 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// connect makes the completion's answer readable again: by resuming the exchange under
-// way, or by beginning another.
+// connect makes the completion's answer readable again: it resumes the current exchange or
+// starts another one.
 func (c *completion) connect() *refusal {
 	for {
-		if fault := c.checkLimits(); fault != nil {
+		if fault := c.checkActive(); fault != nil {
 			return fault
 		}
-		if c.open && c.resumes < maximumResumes {
+		if c.mayBeRunning && c.resumes < maximumResumes {
 			if c.resume() {
 				return nil
 			}
 			continue
 		}
-		if c.open && !c.target.kind.Spec.GetRepeatable() && c.gateway.safeguards.IsEnabled(RetryOnlyNotRun) {
-			c.noteBroken(c.backEnd, 0)
+		if c.mayBeRunning && !c.target.kind.Spec.GetRepeatable() && c.gateway.safeguards.IsEnabled(RetryOnlyNotRun) {
+			c.reportBrokenRun(c.backEnd, 0)
 			return c.giveUp(refuseBackEnd())
 		}
-		if c.open {
-			c.abandon()
+		if c.mayBeRunning {
+			c.abandonExchange()
 		}
-		if fault := c.begin(); fault != nil {
+		if fault := c.startExchange(); fault != nil {
 			return fault
 		}
 		if c.answer != nil {
@@ -39,18 +39,18 @@
 	}
 }
 
-// checkLimits refuses when the caller is gone or the deadline has passed.
-func (c *completion) checkLimits() *refusal {
-	if fault := c.gateway.over(c.interrupter, c.deadline); fault != nil {
+// checkActive returns a refusal when the caller has disconnected or the deadline has passed.
+func (c *completion) checkActive() *refusal {
+	if fault := c.gateway.checkActive(c.interrupter, c.deadline); fault != nil {
 		return c.giveUp(fault)
 	}
 	return nil
 }
 
-// resume asks the engine for what is left of the exchange under way.
+// resume requests the rest of the current exchange from its engine. It reports whether the answer is readable.
 func (c *completion) resume() bool {
-	if c.gateway.dispatcher.rests(c.backEnd) || !c.gateway.dispatcher.mayCall(c.backEnd, c.routing.Rank, true) {
-		c.resumes = maximumResumes // the engine has asked to be left alone, or its limit leaves no room
+	if c.gateway.dispatcher.isInBackoff(c.backEnd) || !c.gateway.dispatcher.mayCall(c.backEnd, c.routing.Rank, true) {
+		c.resumes = maximumResumes // the engine is in backoff, or its limit grants no permit
 		return false
 	}
 	if c.resumes > 0 {
@@ -63,55 +63,55 @@
 	c.gateway.dispatcher.observeReport(c.backEnd.Name, c.exchange, report)
 	if failure != nil {
 		if failure.Code == enginecontract.CodeExchangeUnknown || failure.Verdict == verdict.NotRun {
-			c.resumes = maximumResumes // the engine does not have it, or does not take connections
+			c.resumes = maximumResumes // the engine does not know the exchange, or refuses connections
 		}
 		return false
 	}
-	c.read(answer)
+	c.startReading(answer)
 	return true
 }
 
-// begin picks engines and sends the request there. Without a refusal and without an
-// answer the caller tries again.
-func (c *completion) begin() *refusal {
-	if c.held = c.held || !c.trial && c.gateway.guard.IsQuarantined(c.signature); c.held {
-		return c.refusal(refuseHeld())
+// startExchange picks engines and sends the request to them. When it leaves no answer to read and returns no
+// refusal, the caller of startExchange tries again.
+func (c *completion) startExchange() *refusal {
+	if c.isQuarantined = c.isQuarantined || !c.isTrial && c.gateway.guard.IsQuarantined(c.signature); c.isQuarantined {
+		return c.refusal(refuseQuarantined())
 	}
-	if c.trial && c.tried.begun > 0 || !c.gateway.mayBegin(c.tried) {
+	if c.isTrial && c.attempts.started > 0 || !c.gateway.mayStartExchange(c.attempts) {
 		return c.refusal(refuseBackEnd())
 	}
 	choice, fault := c.pick()
 	if fault != nil {
 		return c.refusal(fault)
 	}
-	if c.tried.total() == 0 {
+	if c.attempts.total() == 0 {
 		c.beganAt = c.gateway.clock.now()
 	}
-	c.tried.begun++
+	c.attempts.started++
 	if choice.Prefill == nil {
-		return c.send(&choice, nil)
+		return c.sendToEngine(&choice, nil)
 	}
-	cache, fault := c.readPrompt(&choice)
+	cache, fault := c.runPrefill(&choice)
 	if fault != nil || cache == nil {
 		return fault
 	}
-	return c.send(&choice, cache)
+	return c.sendToEngine(&choice, cache)
 }
 
-// send begins an exchange at the engine that writes the output, with the KV cache that a
-// prefill engine keeps for it when there is one.
-func (c *completion) send(choice *routing.Choice, cache *exportedCache) *refusal {
+// sendToEngine starts an exchange at the engine that decodes. cache names the KV cache that a prefill engine
+// exported for it; it is nil when the engine runs the prefill itself.
+func (c *completion) sendToEngine(choice *routing.Choice, cache *exportedCache) *refusal {
 	c.backEnd = choice.BackEnd
 	c.exchange = upstream.NewExchange()
 	c.sequence.Begin(c.exchange)
 	c.resumes = 0
-	sent := routing.Dispatch{BackEnd: c.backEnd.Name, Exchange: c.exchange}
+	dispatch := routing.Dispatch{BackEnd: c.backEnd.Name, Exchange: c.exchange}
 	if cache == nil {
-		sent.PromptTokens = max(c.routing.PromptTokens-choice.CachedTokens, 0)
-		sent.PrefixBlocks = c.routing.PrefixBlocks
-		sent.CachedAtHome = choice.CachedAtHome
+		dispatch.PromptTokens = max(c.routing.PromptTokens-choice.CachedTokens, 0)
+		dispatch.PrefixBlocks = c.routing.PrefixBlocks
+		dispatch.CachedAtHome = choice.CachedAtHome
 	}
-	c.gateway.dispatcher.observe(sent)
+	c.gateway.dispatcher.observe(dispatch)
 	message := c.message(c.backEnd.Address, c.exchange, c.deadline)
 	if cache != nil {
 		message.Headers = append(message.Headers,
@@ -121,29 +121,29 @@
 	answer, report, failure := c.gateway.upstream.Do(message)
 	c.gateway.dispatcher.observeReport(c.backEnd.Name, c.exchange, report)
 	if cache != nil {
-		c.noteImport(failure)
+		c.recordKVTransfer(failure)
 	}
 	if failure != nil {
-		return c.failed(failure)
+		return c.handleFailure(failure)
 	}
-	c.open = true
+	c.mayBeRunning = true
 	c.mayHaveRun = true
-	c.read(answer)
+	c.startReading(answer)
 	return nil
 }
 
-// failed decides after an exchange that brought no answer.
-func (c *completion) failed(failure *upstream.Failure) *refusal {
+// handleFailure decides how the request continues after an exchange that returned no answer.
+func (c *completion) handleFailure(failure *upstream.Failure) *refusal {
 	c.gateway.log.Info().Err(failure).Str("back_end", c.backEnd.Name).Msg("exchange failed")
 	if failure.Verdict != verdict.NotRun {
-		c.open = true // it may be running: resume it, or give up
+		c.mayBeRunning = true // the engine may have started it: resume it, or give up
 		c.mayHaveRun = true
 		return nil
 	}
-	c.tried.note(failure)
+	c.attempts.recordFailure(failure)
 	c.overloaded = c.overloaded || failure.Code == enginecontract.CodeOverloaded
 	if failure.Code != enginecontract.CodeKVImportFailed {
-		c.excluded = append(c.excluded, c.backEnd.Name) // a failed import says nothing against the engine
+		c.excluded = append(c.excluded, c.backEnd.Name) // a failed KV import is not a fault of the engine
 	}
 	if failure.Status == 0 {
 		c.gateway.dispatcher.observe(routing.Failure{BackEnd: c.backEnd.Name, Exchange: c.exchange})
@@ -156,8 +156,8 @@
 	return nil
 }
 
-// pick chooses engines; those with the version in force go first. A prompt read under one
-// version is never handed to another.
+// pick chooses engines and prefers those with the declared model version. A KV cache that was computed by one version is
+// never sent to an engine with another version.
 func (c *completion) pick() (routing.Choice, *refusal) {
 	request := c.routing
 	request.WholeOnly = c.wholeOnly || c.sequence.Delivered() > 0
--- a/internal/gateway/completion_message.go
+++ b/internal/gateway/completion_message.go
@@ -10,13 +10,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/upstream"
 )
 
-// message builds the request of one exchange, which ends at until.
-func (c *completion) message(address, exchange string, until time.Duration) upstream.Request {
+// message builds the request of one exchange with the given deadline.
+func (c *completion) message(address, exchange string, deadline time.Duration) upstream.Request {
 	headers := []upstream.Header{
 		{Name: "Content-Type", Value: "application/json"},
 		{Name: enginecontract.HeaderPriority, Value: strconv.Itoa(int(c.target.kind.Spec.GetPriority()))},
 		{Name: enginecontract.HeaderCacheSalt, Value: c.cacheSalt()},
-		deadlineHeader(until - c.gateway.clock.now()),
+		deadlineHeader(deadline - c.gateway.clock.now()),
 	}
 	continueText := ""
 	if delivered := c.sequence.Delivered(); delivered > 0 {
@@ -30,12 +30,12 @@
 		Headers:     headers,
 		Body:        c.request.engineBody(c.target.name, continueText),
 		Exchange:    exchange,
-		Deadline:    c.gateway.clock.time(until),
+		Deadline:    c.gateway.clock.time(deadline),
 		Interrupter: c.interrupter,
 	}
 }
 
-// cacheSalt keeps the tenant's cached prompts and exported caches from other tenants.
+// cacheSalt returns the salt that separates the tenant's cached prompts and exported caches from those of other tenants.
 func (c *completion) cacheSalt() string {
 	if !c.gateway.safeguards.IsEnabled(SaltPerTenant) {
 		return ""
@@ -43,7 +43,7 @@
 	return c.tenant.Spec.GetCacheSalt()
 }
 
-func (c *completion) read(answer *upstream.Answer) {
-	c.answer, c.silentUntil = answer, 0
+func (c *completion) startReading(answer *upstream.Answer) {
+	c.answer, c.readDeadline = answer, 0
 	c.scanner = stream.NewScanner(answer)
 }
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -19,8 +19,8 @@
 )
 
 // Control is the control runtime of a gateway without its request path: the view of the
-// fleet and its heartbeats, the demand reports, the limits, admission, routing decisions
-// and claims. A Gateway runs on one; the bench runs many of them alone in one process.
+// fleet and its heartbeats, the demand reports, limits, admission, routing decisions
+// and claims. Every Gateway contains one; a benchmark can run many of them in one process.
 // It is safe for concurrent use.
 type Control struct {
 	settings    settings.Gateway
@@ -35,29 +35,29 @@
 	controllers *controllers
 	admitter    *admitter
 	claimer     *claimer
-	// guard keeps requests away from back ends that they would end.
+	// guard keeps quarantined requests away from back ends that they would crash.
 	guard *crashguard.Guard
-	// keyCheckTimeout bounds the wait for controllers to say whose key it is.
+	// keyCheckTimeout bounds the wait for the controllers to resolve an unknown API key.
 	keyCheckTimeout time.Duration
 }
 
-// ControlOptions are what a process may give NewControl besides the settings.
+// ControlOptions are the options of NewControl besides the settings.
 type ControlOptions struct {
-	// Log receives the log. Required; whoever made it runs it.
+	// Log receives the log entries. Required; the code that creates it must run it.
 	Log *logring.Log
-	// Dial opens the connections to controllers, and looks whether back ends serve; nil means TCP from
+	// Dial opens connections to controllers and probes whether back ends accept connections; nil means TCP from
 	// source_address.
 	Dial dialing.Dial
-	// OnRevision, when not nil, is called with each revision as it comes into force
-	// here; it must not block.
+	// OnRevision, when not nil, is called with each configuration revision when it is applied
+	// here. It must not block.
 	OnRevision func(revision uint64)
-	// Safeguards is the zero Set but in tests.
+	// Safeguards is the zero Set except in tests.
 	Safeguards safeguard.Set
-	// KeyCheckTimeout bounds the wait for controllers to say whose key it is; 0 means 2.5 s.
+	// KeyCheckTimeout bounds the wait for the controllers to resolve an unknown API key; 0 means 2.5 s.
 	KeyCheckTimeout time.Duration
 }
 
-// NewControl returns a control runtime that has heard of no controller.
+// NewControl returns a control runtime that has not yet received anything from a controller.
 func NewControl(config settings.Gateway, options ControlOptions) (*Control, error) {
 	clock := newClock()
 	admitter, err := newAdmitter(clock, config.Limits)
@@ -68,18 +68,18 @@
 	identity := &v1.NodeIdentity{
 		Name: config.Name, Zone: config.Zone, Address: config.Listen, Incarnation: uint64(time.Now().UnixNano()),
 	}
-	encryption, err := loadEncryption(config, options.Log, factory)
+	tlsConfig, err := loadTLSConfig(config, options.Log, factory)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	controllers := newControllers(config, options.Dial, encryption)
+	controllers := newControllers(config, options.Dial, tlsConfig)
 	counts := newGatewayMetrics(factory)
 	guard, dispatcher, err := newGuardedDispatcher(clock, config, options, &permits{controllers: controllers, identity: identity, outcomes: counts.permits}, counts)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	view := newView(clock, identity, dispatcher)
-	view.onRevision = counts.tellRevision(options.OnRevision)
+	view.onRevision = counts.revisionListener(options.OnRevision)
 	return &Control{
 		settings:    config,
 		identity:    identity,
@@ -99,28 +99,28 @@
 	}, nil
 }
 
-// Run carries out the control duties until the context ends.
+// Run runs the loops of the control runtime until the context ends.
 func (c *Control) Run(ctx context.Context) {
 	var group errgroup.Group
-	for _, duty := range c.duties() {
-		group.Go(func() error { duty(ctx); return nil })
+	for _, loop := range c.loops() {
+		group.Go(func() error { loop(ctx); return nil })
 	}
-	_ = group.Wait() // no duty fails
+	_ = group.Wait() // the loops return no errors
 	c.controllers.http.CloseIdleConnections()
 }
 
-// duties are the loops of the control runtime, one goroutine each.
-func (c *Control) duties() []func(context.Context) {
+// loops returns the loops of the control runtime; each runs in its own goroutine.
+func (c *Control) loops() []func(context.Context) {
 	return []func(context.Context){c.view.run, c.syncLoop, c.reportLoop, c.admissionLoop, c.guard.Run, c.watchSuspensions}
 }
 
-// watchSuspensions writes down that the machine was suspended. What is believed has aged by then, since
-// the clock counts suspensions.
+// watchSuspensions logs suspensions of the machine. The clock counts them, so that state known before a suspension
+// has aged by its length.
 func (c *Control) watchSuspensions(ctx context.Context) {
 	c.clock.steady.Watch(ctx, func(suspended time.Duration) {
 		c.log.Warn().Int64("suspended_ms", suspended.Milliseconds()).Msg("the machine was suspended")
 	})
 }
 
-// Revision returns the revision of the configuration in force; 0 is none.
+// Revision returns the revision of the applied configuration; 0 means none.
 func (c *Control) Revision() uint64 { return c.view.snapshot.Load().Revision }
--- a/internal/gateway/controller_test.go
+++ b/internal/gateway/controller_test.go
@@ -19,7 +19,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/fleetlimit"
 )
 
-// testController answers as a controller does, from a fixed state.
+// testController is a controller that answers from a fixed state.
 type testController struct {
 	hazelpitchv1connect.UnimplementedNodeServiceHandler
 	address string
@@ -28,18 +28,18 @@
 	revision  uint64
 	objects   []*v1.Object
 	directory *v1.Directory
-	claims    map[string]*heldClaim
+	claims    map[string]*testClaim
 	leaving   atomic.Bool
-	// known is the directory version that the gateway said it has.
+	// known is the directory version that the gateway last reported.
 	known atomic.Uint64
 	down  atomic.Bool
-	// behind makes the answers say that configuration may be missing; synced, when not
+	// behind makes the answers report that configuration may be missing; synced, when not
 	// nil, is called with each heartbeat.
 	behind atomic.Bool
 	synced func()
-	// limits keeps the counts of back ends that name limits, as a leader does.
+	// limits counts the requests to back ends that name limits, as a leader does.
 	limits *fleetlimit.LimitCounters
-	// report answers reports; nil answers without shares.
+	// report answers reports; when nil, the answers contain no shares.
 	report func(*v1.ReportRequest) (*v1.ReportResponse, error)
 }
 
@@ -92,7 +92,7 @@
 	return connect.NewResponse(response), nil
 }
 
-// TakePermit grants permits, as the leader does.
+// TakePermit grants permits as the leader does.
 func (c *testController) TakePermit(_ context.Context, request *connect.Request[v1.TakePermitRequest]) (*connect.Response[v1.TakePermitResponse], error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -100,17 +100,17 @@
 		return nil, connect.NewError(connect.CodeUnavailable, http.ErrServerClosed)
 	}
 	named, _ := fleetlimit.FromWire(request.Msg.GetLimit())
-	ask := fleetlimit.PermitRequest{BackEnd: named.BackEnd, Limit: named.Limit, LimitFromBackEnd: request.Msg.GetHeard(), Rank: int(request.Msg.GetRank()), MustResume: request.Msg.GetOwed()}
-	answer := c.limits.HandleRequest(time.Since(began), ask, fleetlimit.FullFraction, 0)
+	permitRequest := fleetlimit.PermitRequest{BackEnd: named.BackEnd, Limit: named.Limit, LimitFromBackEnd: request.Msg.GetHeard(), Rank: int(request.Msg.GetRank()), MustResume: request.Msg.GetOwed()}
+	answer := c.limits.HandleRequest(time.Since(began), permitRequest, fleetlimit.FullFraction, 0)
 	return connect.NewResponse(&v1.TakePermitResponse{
 		Granted: answer.Granted, WaitUs: uint64(answer.Wait.Microseconds()), Limit: fleetlimit.ToWire(fleetlimit.BackEndLimit{BackEnd: named.BackEnd, Limit: answer.Limit}),
 	}), nil
 }
 
-// began is the origin of the test controller's time.
+// began is the origin of the test controller's clock.
 var began = time.Now()
 
-// BeginClaim grants a claim once, as the replicated state does.
+// BeginClaim grants each claim once, as the replicated state does.
 func (c *testController) BeginClaim(_ context.Context, request *connect.Request[v1.BeginClaimRequest]) (*connect.Response[v1.BeginClaimResponse], error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -119,35 +119,35 @@
 	}
 	claim := request.Msg.GetClaim()
 	name := claim.GetTenant() + "/" + claim.GetKind() + "/" + claim.GetKey()
-	held, ok := c.claims[name]
+	stored, ok := c.claims[name]
 	switch {
 	case !ok:
-		c.claims[name] = &heldClaim{attempt: claim.GetAttempt(), hash: claim.GetBodyHash()}
+		c.claims[name] = &testClaim{attempt: claim.GetAttempt(), hash: claim.GetBodyHash()}
 		return connect.NewResponse(&v1.BeginClaimResponse{State: v1.ClaimState_CLAIM_STATE_GRANTED}), nil
-	case !bytes.Equal(held.hash, claim.GetBodyHash()):
+	case !bytes.Equal(stored.hash, claim.GetBodyHash()):
 		return connect.NewResponse(&v1.BeginClaimResponse{State: v1.ClaimState_CLAIM_STATE_CONFLICT}), nil
-	case held.attempt == claim.GetAttempt() && held.outcome == nil:
+	case stored.attempt == claim.GetAttempt() && stored.outcome == nil:
 		return connect.NewResponse(&v1.BeginClaimResponse{State: v1.ClaimState_CLAIM_STATE_GRANTED}), nil
-	case held.outcome == nil:
+	case stored.outcome == nil:
 		return connect.NewResponse(&v1.BeginClaimResponse{State: v1.ClaimState_CLAIM_STATE_RUNNING}), nil
-	case held.outcome.GetMayHaveRun():
+	case stored.outcome.GetMayHaveRun():
 		return connect.NewResponse(&v1.BeginClaimResponse{State: v1.ClaimState_CLAIM_STATE_UNKNOWN}), nil
 	default:
 		return connect.NewResponse(&v1.BeginClaimResponse{
-			State: v1.ClaimState_CLAIM_STATE_FINISHED, Status: held.outcome.GetStatus(),
-			ContentType: held.outcome.GetContentType(), Body: held.outcome.GetBody(),
+			State: v1.ClaimState_CLAIM_STATE_FINISHED, Status: stored.outcome.GetStatus(),
+			ContentType: stored.outcome.GetContentType(), Body: stored.outcome.GetBody(),
 		}), nil
 	}
 }
 
-// FinishClaim records an outcome, or releases the claim.
+// FinishClaim records an outcome or releases the claim.
 func (c *testController) FinishClaim(_ context.Context, request *connect.Request[v1.FinishClaimRequest]) (*connect.Response[v1.FinishClaimResponse], error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	claim := request.Msg.GetClaim()
 	name := claim.GetTenant() + "/" + claim.GetKind() + "/" + claim.GetKey()
-	if held, ok := c.claims[name]; ok && held.attempt == claim.GetAttempt() {
-		held.outcome = claim
+	if stored, ok := c.claims[name]; ok && stored.attempt == claim.GetAttempt() {
+		stored.outcome = claim
 		if claim.GetNotRun() {
 			delete(c.claims, name)
 		}
@@ -168,16 +168,16 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	recorded := 0
-	for _, held := range c.claims {
-		if held.outcome != nil {
+	for _, stored := range c.claims {
+		if stored.outcome != nil {
 			recorded++
 		}
 	}
 	return recorded
 }
 
-// heldClaim is one claim at the test controller.
-type heldClaim struct {
+// testClaim is one claim at the test controller.
+type testClaim struct {
 	attempt string
 	hash    []byte
 	outcome *v1.FinishClaim
@@ -185,14 +185,14 @@
 
 func startController(t testing.TB, backEnds ...*v1.BackEnd) *testController {
 	controller := &testController{
-		revision: 1, objects: testObjects(), claims: map[string]*heldClaim{},
+		revision: 1, objects: testObjects(), claims: map[string]*testClaim{},
 		directory: &v1.Directory{Version: 1, BackEnds: backEnds}, limits: fleetlimit.NewLimitCounters(),
 	}
 	controller.serveAs(t, controller)
 	return controller
 }
 
-// serveAs serves the node service by a handler, at an address of its own.
+// serveAs serves the node service with the given handler at a new address.
 func (c *testController) serveAs(t testing.TB, service hazelpitchv1connect.NodeServiceHandler) {
 	path, handler := hazelpitchv1connect.NewNodeServiceHandler(service)
 	routes := http.NewServeMux()
--- a/internal/gateway/controllers.go
+++ b/internal/gateway/controllers.go
@@ -21,31 +21,31 @@
 const (
 	controllerCallTimeout = 900 * time.Millisecond
 	controllerIdleTimeout = 30 * time.Second
-	// homeAfter is how long after the last failure a gateway goes back to the order of
-	// its settings: without it one restart of a controller moves its gateways for good.
-	homeAfter = 30 * time.Second
+	// homeOrderDelay is the time after the last failure after which a gateway returns to the order of its
+	// settings. Without it, one restart of a controller would move its gateways permanently.
+	homeOrderDelay = 30 * time.Second
 )
 
-// controllers holds the connections to all controllers. It is safe for concurrent use.
+// controllers holds the clients of all controllers. It is safe for concurrent use.
 type controllers struct {
 	http *http.Client
-	// scheme is https when the fleet uses TLS.
+	// scheme is https when the fleet uses TLS, else http.
 	scheme  string
 	mutex   sync.Mutex
 	clients map[string]hazelpitchv1connect.NodeServiceClient
-	// home is the order of the settings, then of learning; it spreads the gateways over
-	// the controllers. order is the order of trying for calls that any controller answers:
-	// home, with those that lately failed at the end.
-	home  []string
-	order []string
-	// postponedAt is when a controller last failed.
-	postponedAt time.Time
-	// leader is the address last known to lead; empty when unknown.
+	// homeOrder is the order of the settings, followed by addresses in the order of their discovery; it spreads the
+	// gateways over the controllers. order is the order of attempts for calls that any controller answers:
+	// homeOrder, with the controllers that failed within homeOrderDelay at the end.
+	homeOrder []string
+	order     []string
+	// demotedAt is the time of the last failure of a controller; zero when order equals homeOrder.
+	demotedAt time.Time
+	// leader is the last known address of the leader; empty when unknown.
 	leader string
 }
 
-// newControllers calls with TLS when encryption is not nil.
-func newControllers(config settings.Gateway, dial dialing.Dial, encryption *tls.Config) *controllers {
+// newControllers returns the clients of the configured controllers. They use TLS when tlsConfig is not nil.
+func newControllers(config settings.Gateway, dial dialing.Dial, tlsConfig *tls.Config) *controllers {
 	if dial == nil {
 		dialer := &net.Dialer{Timeout: controllerCallTimeout}
 		if config.SourceAddress != "" {
@@ -53,18 +53,18 @@
 		}
 		dial = dialer.DialContext
 	}
-	transport := &http.Transport{DialContext: dial, IdleConnTimeout: controllerIdleTimeout, TLSClientConfig: encryption}
+	transport := &http.Transport{DialContext: dial, IdleConnTimeout: controllerIdleTimeout, TLSClientConfig: tlsConfig}
 	c := &controllers{
 		http:    &http.Client{Transport: transport},
-		scheme:  scheme(encryption),
+		scheme:  scheme(tlsConfig),
 		clients: map[string]hazelpitchv1connect.NodeServiceClient{},
 	}
-	c.learn(config.Controllers)
+	c.addAddresses(config.Controllers)
 	return c
 }
 
-// learn adds addresses that are not known yet.
-func (c *controllers) learn(addresses []string) {
+// addAddresses adds the addresses that are not known yet.
+func (c *controllers) addAddresses(addresses []string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, address := range addresses {
@@ -72,24 +72,24 @@
 			continue
 		}
 		c.clients[address] = hazelpitchv1connect.NewNodeServiceClient(c.http, c.scheme+"://"+address)
-		c.home = append(c.home, address)
+		c.homeOrder = append(c.homeOrder, address)
 		c.order = append(c.order, address)
 	}
 }
 
 func (c *controllers) setLeader(address string) {
-	c.learn([]string{address})
+	c.addAddresses([]string{address})
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.leader = address
 }
 
-// inOrder returns the addresses to try, the leader first when it is needed.
-func (c *controllers) inOrder(leaderFirst bool) []string {
+// candidates returns the addresses in the order of attempts, with the leader first when leaderFirst is set.
+func (c *controllers) candidates(leaderFirst bool) []string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.postponedAt.IsZero() && time.Since(c.postponedAt) >= homeAfter {
-		c.order, c.postponedAt = slices.Clone(c.home), time.Time{}
+	if !c.demotedAt.IsZero() && time.Since(c.demotedAt) >= homeOrderDelay {
+		c.order, c.demotedAt = slices.Clone(c.homeOrder), time.Time{}
 	}
 	order := slices.Clone(c.order)
 	if leaderFirst && c.leader != "" {
@@ -99,13 +99,13 @@
 	return order
 }
 
-// postpone makes an address that failed the last to be tried, for homeAfter.
-func (c *controllers) postpone(address string) {
+// demote moves an address that failed to the end of the order, for homeOrderDelay.
+func (c *controllers) demote(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.order = slices.DeleteFunc(c.order, func(each string) bool { return each == address })
 	c.order = append(c.order, address)
-	c.postponedAt = time.Now()
+	c.demotedAt = time.Now()
 }
 
 func (c *controllers) client(address string) hazelpitchv1connect.NodeServiceClient {
@@ -114,7 +114,7 @@
 	return c.clients[address]
 }
 
-// sync asks one controller.
+// sync sends a heartbeat to one controller.
 func (c *controllers) sync(ctx context.Context, address string, request *v1.SyncRequest) (*v1.SyncResponse, error) {
 	limited, cancel := context.WithTimeout(ctx, controllerCallTimeout)
 	defer cancel()
--- a/internal/gateway/decode_fuzz_test.go
+++ b/internal/gateway/decode_fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/stream"
 )
 
-// FuzzChatRequest reads arbitrary bodies of callers: each is refused or gives a body
-// for the engine that is valid JSON and in which the gateway's own members count.
+// FuzzChatRequest parses arbitrary bodies of callers: each is refused or yields a body
+// for the engine that is valid JSON and in which the gateway's own members take effect.
 func FuzzChatRequest(f *testing.F) {
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"hi"}],"max_tokens":5}`), false)
 	f.Add([]byte(`{"model":"m","prompt":"hi","stream":true,"stream_options":{"include_usage":true}}`), true)
@@ -36,8 +36,8 @@
 	})
 }
 
-// FuzzEngineHeaders reads arbitrary load headers and usage members of engines: none
-// gives a negative count of requests.
+// FuzzEngineHeaders parses arbitrary load headers and usage members of engines: none
+// yields a negative number of requests.
 func FuzzEngineHeaders(f *testing.F) {
 	f.Add("1,2,3", []byte(`{"prompt_tokens":1,"completion_tokens":2}`))
 	f.Add("1,-2,3", []byte(`{`))
--- a/internal/gateway/dispatcher.go
+++ b/internal/gateway/dispatcher.go
@@ -15,40 +15,40 @@
 )
 
 // dispatcher shares one routing.Router among the requests. A decision takes microseconds,
-// so that a mutex costs less than a goroutine of its own.
+// so a mutex costs less than a separate goroutine.
 type dispatcher struct {
 	clock  clock
 	mutex  sync.Mutex
 	router *routing.Router
-	// permits asks whether requests may go to back ends that name limits.
+	// permits requests permits for back ends that name limits.
 	permits *permits
 }
 
-func newDispatcher(clock clock, config settings.Gateway, permits *permits, restarted func(former routing.BackEnd)) (*dispatcher, error) {
+func newDispatcher(clock clock, config settings.Gateway, permits *permits, onRestart func(former routing.BackEnd)) (*dispatcher, error) {
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(config.Name)) // never fails, by its documentation
-	router, err := routing.New(routing.Config{Zone: config.Zone, ZoneLatency: config.ZoneLatency, Seed: seed.Sum64(), OnRestart: restarted})
+	router, err := routing.New(routing.Config{Zone: config.Zone, ZoneLatency: config.ZoneLatency, Seed: seed.Sum64(), OnRestart: onRestart})
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	return &dispatcher{clock: clock, router: router, permits: permits}, nil
 }
 
-// pickOnce chooses where to send a request.
+// pickOnce chooses the back ends of a request, without requesting permits.
 func (d *dispatcher) pickOnce(request routing.Request, excluded []string) (routing.Choice, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.router.Pick(d.clock.now(), request, excluded)
 }
 
-// observe tells the router what happened at a back end.
+// observe reports an event at a back end to the router.
 func (d *dispatcher) observe(observation routing.Observation) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.router.Observe(d.clock.now(), observation)
 }
 
-// observeReport tells the router what a back end said of itself in the answer to an exchange.
+// observeReport passes the state that a back end reports in the headers of an answer to the router.
 func (d *dispatcher) observeReport(backEnd, exchange string, report upstream.Report) {
 	if report.State == "" && report.Load == "" && report.Backoff == 0 && report.Limit == nil {
 		return
@@ -58,8 +58,8 @@
 	})
 }
 
-// rests reports whether a back end has asked this gateway to be left alone for now.
-func (d *dispatcher) rests(backEnd routing.BackEnd) bool {
+// isInBackoff reports whether a back end has asked this gateway to stop sending for now.
+func (d *dispatcher) isInBackoff(backEnd routing.BackEnd) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.router.Backoff(d.clock.now(), backEnd) > 0
@@ -78,7 +78,7 @@
 	d.router.SetBackEnds(backEnds)
 }
 
-func (d *dispatcher) confirm(at time.Duration) {
+func (d *dispatcher) confirmDirectory(at time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.router.Confirm(at)
@@ -87,7 +87,7 @@
 // loadFields is the number of fields of enginecontract.HeaderEngineLoad.
 const loadFields = 3
 
-// parseLoad reads enginecontract.HeaderEngineLoad; nil means absent or malformed.
+// parseLoad parses enginecontract.HeaderEngineLoad. It returns nil when the header is absent or malformed.
 func parseLoad(header string) *routing.Load {
 	fields := strings.Split(header, ",")
 	if len(fields) != loadFields {
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,8 +1,8 @@
-// Package gateway is the runtime of the gateway process. It takes callers' requests,
-// authenticates, admits and routes them, runs the exchanges with back ends and gives each
-// caller the whole answer to its own request, or an answer whose verdict is true.
+// Package gateway is the runtime of the gateway process. It receives callers' requests,
+// authenticates, admits and routes them, and runs the exchanges with back ends. Each caller receives either
+// the complete answer to its own request or an answer with a correct run verdict.
 //
-// Duties, each with its own goroutine: serving callers (fasthttp), owning the view of the
-// fleet, the heartbeat to a controller, the demand report to the leader, watching for
-// callers that went away, and the admin server.
+// Separate goroutines serve callers (fasthttp), own the view of the fleet, send heartbeats to a
+// controller and demand reports to the leader, watch for callers that disconnect, and run the
+// admin server.
 package gateway
--- a/internal/gateway/dry_run.go
+++ b/internal/gateway/dry_run.go
@@ -15,32 +15,32 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// DryRunRequest is a request of which only the decisions are made: no engine is called.
+// DryRunRequest is a request for which only the decisions are made. No engine is called.
 type DryRunRequest struct {
 	// KeyHash is the SHA-256 of the caller's API key, in lower-case hex.
 	KeyHash string
 	// Kind is the declared kind of the request.
 	Kind string
-	// Prompt is what prefix affinity hashes.
+	// Prompt is the text that prefix affinity hashes.
 	Prompt string
-	// PromptTokens and OutputTokens are what the request uses in the end.
+	// PromptTokens and OutputTokens are the numbers of tokens reported as used at the end.
 	PromptTokens int
 	OutputTokens int
-	// IdempotencyKey claims a request of a kind that is not repeatable; empty claims nothing.
+	// IdempotencyKey is the key under which a non-repeatable request is claimed; empty means no claim.
 	IdempotencyKey string
 }
 
-// DryRun is a trial that was admitted, claimed and given a back end. It is ended once.
+// DryRun is a request that was admitted, claimed and routed. It must be completed once.
 type DryRun struct {
-	// BackEnd is the name of the engine that routing chose to answer, Zone its zone.
+	// BackEnd is the name of the engine that routing chose to decode, Zone its zone.
 	BackEnd string
 	Zone    string
-	// PrefillZone is the zone of the engine that reads the prompt and hands its KV cache
-	// over; empty when BackEnd does everything.
+	// PrefillZone is the zone of the engine that runs the prefill and transfers its KV cache;
+	// it is empty when BackEnd runs both stages.
 	PrefillZone string
 
 	control  *Control
-	trial    DryRunRequest
+	request  DryRunRequest
 	tenant   *gatewaystate.Tenant
 	target   target
 	place    *ticket
@@ -48,95 +48,95 @@
 	claim    *v1.BeginClaim
 }
 
-// BeginDryRun authenticates, admits, claims and routes as the request path does. The error
-// is the refusal that a caller would get.
-func (c *Control) BeginDryRun(trial DryRunRequest) (*DryRun, error) {
+// BeginDryRun authenticates, admits, claims and routes a request as the request path does. The error
+// is the refusal that a caller would receive.
+func (c *Control) BeginDryRun(request DryRunRequest) (*DryRun, error) {
 	arrival := c.clock.now()
-	tenant, fault := c.tenantOfKey(trial.KeyHash)
+	tenant, fault := c.tenantOfKey(request.KeyHash)
 	if fault != nil {
 		return nil, fault
 	}
-	kind, fault := resolveKind(c.view.snapshot.Load(), trial.Kind, "")
+	kind, fault := resolveKind(c.view.snapshot.Load(), request.Kind, "")
 	if fault != nil {
 		return nil, fault
 	}
-	run := &DryRun{control: c, trial: trial, tenant: tenant, target: target{kind: kind, name: kind.Model}}
+	run := &DryRun{control: c, request: request, tenant: tenant, target: target{kind: kind, name: kind.Model}}
 	deadline := arrival + kind.Deadline()
 	interrupter := &upstream.Interrupter{}
-	request := &chatRequest{prompt: []byte(trial.Prompt), maximumTokens: trial.OutputTokens}
-	shape := run.target.shape(tenant, request)
-	routed := run.target.routingRequest(tenant, request, c.admitter.estimate(shape))
-	routed.Deadline = deadline
+	body := &chatRequest{prompt: []byte(request.Prompt), maximumTokens: request.OutputTokens}
+	shape := run.target.shape(tenant, body)
+	routingRequest := run.target.routingRequest(tenant, body, c.admitter.estimate(shape))
+	routingRequest.Deadline = deadline
 	run.place, fault = c.admitter.admit(run.admissionRequest(shape, deadline), interrupter)
 	if fault != nil {
 		run.record(outcomeOf(fault))
 		return nil, fault
 	}
-	if err := run.begin(routed, deadline, interrupter); err != nil {
+	if err := run.begin(routingRequest, deadline, interrupter); err != nil {
 		run.place.finish(admission.Result{Failed: true})
 		return nil, trace.Wrap(err)
 	}
 	return run, nil
 }
 
-// begin claims the request and picks its back end.
-func (r *DryRun) begin(routed routing.Request, deadline time.Duration, interrupter *upstream.Interrupter) error {
-	if r.trial.IdempotencyKey != "" && !r.target.kind.Spec.GetRepeatable() {
-		claim := r.control.claimer.claim(r.tenant, r.target.kind, r.trial.IdempotencyKey, []byte(r.trial.Prompt))
+// begin claims the request and picks its back ends.
+func (r *DryRun) begin(routingRequest routing.Request, deadline time.Duration, interrupter *upstream.Interrupter) error {
+	if r.request.IdempotencyKey != "" && !r.target.kind.Spec.GetRepeatable() {
+		claim := r.control.claimer.claim(r.tenant, r.target.kind, r.request.IdempotencyKey, []byte(r.request.Prompt))
 		decision := r.control.claimer.begin(claim, deadline, interrupter)
 		if !decision.Run {
 			return refuseClaim(decision)
 		}
 		r.claim = claim
 	}
-	choice, err := r.control.dispatcher.pick(routed, nil)
+	choice, err := r.control.dispatcher.pick(routingRequest, nil)
 	if err != nil {
 		r.finishClaim(verdict.NotRun)
 		return refusePick(err)
 	}
 	r.BackEnd, r.Zone, r.exchange = choice.BackEnd.Name, choice.BackEnd.Zone, upstream.NewExchange()
-	reader := r.BackEnd
+	prefillEngine := r.BackEnd
 	if choice.Prefill != nil {
-		reader, r.PrefillZone = choice.Prefill.Name, choice.Prefill.Zone
+		prefillEngine, r.PrefillZone = choice.Prefill.Name, choice.Prefill.Zone
 		r.control.dispatcher.observe(routing.Dispatch{BackEnd: r.BackEnd, Exchange: r.exchange})
 	}
-	prompt := upstream.NewExchange()
+	prefillExchange := upstream.NewExchange()
 	if choice.Prefill == nil {
-		prompt = r.exchange
+		prefillExchange = r.exchange
 	}
 	r.control.dispatcher.observe(routing.Dispatch{
-		BackEnd: reader, Exchange: prompt, PromptTokens: max(r.trial.PromptTokens-choice.CachedTokens, 0),
-		PrefixBlocks: routed.PrefixBlocks, CachedAtHome: choice.CachedAtHome,
+		BackEnd: prefillEngine, Exchange: prefillExchange, PromptTokens: max(r.request.PromptTokens-choice.CachedTokens, 0),
+		PrefixBlocks: routingRequest.PrefixBlocks, CachedAtHome: choice.CachedAtHome,
 	})
-	if choice.Prefill != nil { // the prompt is read at once here
-		r.control.dispatcher.observe(routing.Completion{BackEnd: reader, Exchange: prompt, PromptTokens: r.trial.PromptTokens})
+	if choice.Prefill != nil { // a dry run completes the prefill at once
+		r.control.dispatcher.observe(routing.Completion{BackEnd: prefillEngine, Exchange: prefillExchange, PromptTokens: r.request.PromptTokens})
 	}
 	return nil
 }
 
 // Complete reports the request as completed.
 func (r *DryRun) Complete() {
-	r.control.dispatcher.observe(routing.Completion{BackEnd: r.BackEnd, Exchange: r.exchange, PromptTokens: r.trial.PromptTokens})
-	r.place.finish(admission.Result{PromptTokens: r.trial.PromptTokens, OutputTokens: r.trial.OutputTokens})
+	r.control.dispatcher.observe(routing.Completion{BackEnd: r.BackEnd, Exchange: r.exchange, PromptTokens: r.request.PromptTokens})
+	r.place.finish(admission.Result{PromptTokens: r.request.PromptTokens, OutputTokens: r.request.OutputTokens})
 	r.finishClaim(verdict.Ran)
 	r.record(gatewaystate.Outcome{Completed: true})
 }
 
-func (r *DryRun) finishClaim(ended verdict.Verdict) {
+func (r *DryRun) finishClaim(runVerdict verdict.Verdict) {
 	if r.claim == nil {
 		return
 	}
 	outcome := claims.Outcome{}
-	if ended == verdict.Ran {
-		outcome = claims.Outcome{Status: 200, ContentType: contentTypeJSON, Body: []byte(strings.Repeat("x", r.trial.OutputTokens))}
+	if runVerdict == verdict.Ran {
+		outcome = claims.Outcome{Status: 200, ContentType: contentTypeJSON, Body: []byte(strings.Repeat("x", r.request.OutputTokens))}
 	}
-	r.control.claimer.finish(r.claim, ended, outcome)
+	r.control.claimer.finish(r.claim, runVerdict, outcome)
 }
 
 func (r *DryRun) record(outcome gatewaystate.Outcome) {
 	outcome.Service, outcome.Kind = r.target.kind.Spec.GetService(), r.target.kind.Name
-	outcome.PromptTokens, outcome.OutputTokens = uint64(r.trial.PromptTokens), uint64(r.trial.OutputTokens)
-	r.control.view.offer(recordOutcome{outcome: outcome})
+	outcome.PromptTokens, outcome.OutputTokens = uint64(r.request.PromptTokens), uint64(r.request.OutputTokens)
+	r.control.view.trySend(recordOutcome{outcome: outcome})
 }
 
 func (r *DryRun) admissionRequest(shape admission.RequestShape, deadline time.Duration) admissionRequest {
@@ -144,8 +144,8 @@
 		service: r.target.kind.Spec.GetService(), shape: shape, limit: tenantLimit(r.tenant),
 		request: admission.Request{
 			Tenant: r.tenant.Name, Weight: r.tenant.Spec.GetWeight(), Worth: r.target.kind.Spec.GetWorth(),
-			PromptTokens: r.trial.PromptTokens, OutputTokens: r.trial.OutputTokens, Bytes: int64(len(r.trial.Prompt)),
-			Deadline: deadline, MinimumTime: time.Duration(r.trial.OutputTokens) * fastestTokenInterval,
+			PromptTokens: r.request.PromptTokens, OutputTokens: r.request.OutputTokens, Bytes: int64(len(r.request.Prompt)),
+			Deadline: deadline, MinimumTime: time.Duration(r.request.OutputTokens) * fastestTokenInterval,
 		},
 	}
 }
--- a/internal/gateway/dry_run_test.go
+++ b/internal/gateway/dry_run_test.go
@@ -12,9 +12,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// TestControlDecidesWithoutRequestPath runs the control runtime alone: a trial gets the
+// TestDryRunWithoutRequestPath runs the control runtime alone: a dry run gets the
 // back end, the claim and the refusals that a request would get.
-func TestControlDecidesWithoutRequestPath(t *testing.T) {
+func TestDryRunWithoutRequestPath(t *testing.T) {
 	controllers := startController(t, engineBackEnd("e1", "127.0.0.1:1", v1.Role_ROLE_MIXED))
 	control, err := NewControl(testSettings(controllers.address), ControlOptions{Log: logring.New("g1", settings.Log{RingEntries: 16})})
 	require.NoError(t, err)
@@ -31,7 +31,7 @@
 	_, err = control.BeginDryRun(once)
 	require.ErrorContains(t, err, codeStillRunning)
 	run.Complete()
-	require.True(t, control.claimer.wait(t.Context()))
+	require.True(t, control.claimer.waitForFinishes(t.Context()))
 	require.Equal(t, 1, controllers.outcomes())
 
 	_, err = control.BeginDryRun(DryRunRequest{KeyHash: hashOf("no key of anyone"), Kind: "once"})
--- a/internal/gateway/engine_faults_test.go
+++ b/internal/gateway/engine_faults_test.go
@@ -17,17 +17,17 @@
 	crash          = engineFault{cutAfter: 3}
 )
 
-// engineFaultRow is one thing that goes wrong between gateway and engines.
+// engineFaultRow is one fault between the gateway and engines, with the expected answer.
 type engineFaultRow struct {
 	name string
 	kind string // default matching, which is repeatable
-	// first and second are the faults of the two engines. The gateway may choose either
-	// first, so rows that need an order give both the same.
+	// first and second are the faults of the two engines. The gateway may choose either engine
+	// first, so rows that depend on the order give both the same faults.
 	first, second []engineFault
 	resumes       []engineFault
-	// want describes the answer; runs bounds the executions at both engines together.
+	// whole and verdict describe the answer; minRuns and maxRuns bound the executions at both engines together.
 	whole   bool
-	status  int // of an answer that is not whole, when not streamed
+	status  int // of an incomplete answer that is not streamed
 	verdict verdict.Verdict
 	minRuns int
 	maxRuns int
@@ -130,12 +130,12 @@
 	requireFinalVerdict(t, answer, row.verdict, streamed)
 }
 
-// requireFinalVerdict checks what an answer says in the end: a stream in its trailer, a
-// whole answer in its head.
+// requireFinalVerdict checks the final verdict of an answer: a stream carries it in its trailer, a
+// complete answer in its header.
 func requireFinalVerdict(t *testing.T, answer callerAnswer, want verdict.Verdict, streamed bool) {
 	t.Helper()
 	if streamed {
-		require.Equal(t, verdict.MayHaveRun.String(), answer.verdict, "the head of a stream knows no more")
+		require.Equal(t, verdict.MayHaveRun.String(), answer.verdict, "the header of a stream is sent before the outcome is known")
 		require.Equal(t, want.String(), answer.finalVerdict)
 		return
 	}
--- a/internal/gateway/engine_test.go
+++ b/internal/gateway/engine_test.go
@@ -17,66 +17,66 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// answerTokens are the tokens of every answer of a test engine.
+// answerTokens are the tokens of each answer of a test engine.
 var answerTokens = []string{"grade", " B", "+", ",", " hydraulics", " worn", "."}
 
-// wholeText is the whole answer's text.
+// wholeText is the text of the complete answer.
 var wholeText = strings.Join(answerTokens, "")
 
-// engineFault is one thing that a test engine does wrong.
+// engineFault is one fault of a test engine.
 type engineFault struct {
-	// refuse answers with this status, code and run state before running.
+	// refuse answers with this HTTP status, code and run state before the run starts.
 	refuse   int
 	code     string
 	runState string
-	// cutAfter closes the connection after so many tokens on it; resumable tells whether the
-	// exchange lives on. Zero is no cut.
+	// cutAfter closes the connection after this number of tokens; 0 means no cut. resumable keeps the
+	// exchange running.
 	cutAfter  int
 	resumable bool
-	// cutBeforeHead closes the connection before any answer.
+	// cutBeforeHead closes the connection before the response header.
 	cutBeforeHead bool
-	// foreignHead and foreignEvent answer with another exchange's identity, the event after
-	// so many tokens.
+	// foreignHead sends the header, and foreignEvent the event after this number of tokens, with the ID of another
+	// exchange.
 	foreignHead  bool
 	foreignEvent int
 	// duplicate sends each token twice.
 	duplicate bool
-	// skip leaves out the token of this number.
+	// skip omits the token with this number.
 	skip int
-	// endAfter ends the body properly after so many tokens, without finish and [DONE].
+	// endAfter ends the body cleanly after this number of tokens, without a finish event and [DONE].
 	endAfter int
-	// noDone, noFinish and noUsage leave out the end of the stream.
+	// noDone, noFinish and noUsage omit events at the end of the stream.
 	noDone, noFinish, noUsage bool
-	// errorAfter sends an error event after so many tokens.
+	// errorAfter sends an error event after this number of tokens.
 	errorAfter int
-	// stallAfter stops sending after so many tokens until the connection closes.
+	// stallAfter sends nothing after this number of tokens until the connection closes.
 	stallAfter int
 	// noise adds comments, unknown fields and unknown lines.
 	noise bool
 }
 
-// testEngine is an engine that keeps to the contract, but for its faults.
+// testEngine is an engine that follows the engine contract, except for its faults.
 type testEngine struct {
 	server *httptest.Server
 
 	mutex sync.Mutex
-	// faults are used up one by one by new exchanges, resumeFaults by resumes.
+	// New exchanges consume faults one by one, resumes consume resumeFaults.
 	faults       []engineFault
 	resumeFaults []engineFault
-	// runs counts the exchanges that began to run.
+	// runs counts the exchanges that started to run.
 	runs      int
 	cancelled []string
 	requests  []*http.Request
 	bodies    []string
-	exchanges map[string]int // exchange to its first token's number
+	exchanges map[string]int // the number of the first token, by exchange
 	tokenTime time.Duration
-	// tokens are those of each answer; default answerTokens.
+	// tokens are the tokens of each answer; the default is answerTokens.
 	tokens []string
 	role   enginecontract.Role
-	// block, when set, holds every run until it is closed; holdAfter lets so many tokens
-	// pass before.
-	block     chan struct{}
-	holdAfter int
+	// block, when set, blocks every run until it is closed; blockAfter is the number of tokens sent
+	// before.
+	block      chan struct{}
+	blockAfter int
 }
 
 func startEngine(t testing.TB, faults ...engineFault) *testEngine {
@@ -131,14 +131,14 @@
 		e.exchanges[exchange] = first
 	}
 	e.mutex.Unlock()
-	if e.holdAfter == 0 && !e.hold(request) {
+	if e.blockAfter == 0 && !e.waitForUnblock(request) {
 		return
 	}
 	e.answer(writer, request, exchange, first, wrong, string(body))
 }
 
-// hold waits for the block's end; it reports false when the gateway went away.
-func (e *testEngine) hold(request *http.Request) bool {
+// waitForUnblock waits until block is closed. It reports false when the gateway disconnected.
+func (e *testEngine) waitForUnblock(request *http.Request) bool {
 	if e.block == nil {
 		return true
 	}
@@ -178,18 +178,18 @@
 	_ = json.NewEncoder(writer).Encode(enginecontract.ErrorBody{Error: enginecontract.ErrorDetail{Message: "tenant secret", Code: code}})
 }
 
-// answer writes the stream from token first+1 on, with the faults.
-func (e *testEngine) answer(writer http.ResponseWriter, request *http.Request, exchange string, first int, wrong engineFault, body string) {
+// answer writes the stream from token first+1 on, with the given fault.
+func (e *testEngine) answer(writer http.ResponseWriter, request *http.Request, exchange string, first int, fault engineFault, body string) {
 	switch {
-	case wrong.refuse != 0:
-		writeRefusal(writer, wrong.refuse, wrong.code, wrong.runState)
+	case fault.refuse != 0:
+		writeRefusal(writer, fault.refuse, fault.code, fault.runState)
 		return
-	case wrong.cutBeforeHead:
+	case fault.cutBeforeHead:
 		panic(http.ErrAbortHandler)
-	case wrong.foreignHead:
+	case fault.foreignHead:
 		writer.Header().Set(enginecontract.HeaderExchange, "00000000000000000000000000000000")
 	}
-	if wrong.cutAfter > 0 && !wrong.resumable {
+	if fault.cutAfter > 0 && !fault.resumable {
 		e.mutex.Lock()
 		delete(e.exchanges, exchange)
 		e.mutex.Unlock()
@@ -201,66 +201,66 @@
 		if e.tokenTime > 0 {
 			time.Sleep(e.tokenTime)
 		}
-		if !e.token(out, request, number, wrong) {
+		if !e.token(out, request, number, fault) {
 			return
 		}
-		if number-first == wrong.cutAfter {
+		if number-first == fault.cutAfter {
 			panic(http.ErrAbortHandler)
 		}
-		if number == e.holdAfter && !e.hold(request) {
+		if number == e.blockAfter && !e.waitForUnblock(request) {
 			return
 		}
 	}
-	e.end(out, wrong)
+	e.end(out, fault)
 }
 
-// token writes one token with the faults; it reports false when the stream ends here.
-func (e *testEngine) token(out *eventWriter, request *http.Request, number int, wrong engineFault) bool {
-	if wrong.noise {
+// token writes one token with the given fault. It reports false when the stream ends here.
+func (e *testEngine) token(out *eventWriter, request *http.Request, number int, fault engineFault) bool {
+	if fault.noise {
 		out.raw(": comment\nevent: token\nid: 7\nunknown\n")
 	}
-	if wrong.foreignEvent == number {
+	if fault.foreignEvent == number {
 		foreign := *out
 		foreign.exchange = "ffffffffffffffffffffffffffffffff"
 		foreign.token(number, "ANOTHER CALLER'S TEXT")
 	}
-	if wrong.skip != number {
+	if fault.skip != number {
 		out.token(number, e.tokens[number-1])
 	}
-	if wrong.duplicate {
+	if fault.duplicate {
 		out.token(number, e.tokens[number-1])
 	}
 	switch number {
-	case wrong.stallAfter:
+	case fault.stallAfter:
 		<-request.Context().Done()
 		return false
-	case wrong.errorAfter:
+	case fault.errorAfter:
 		out.raw(fmt.Sprintf(`data: {"exchange":%q,"offset":%d,"error":{"message":"internal detail","code":"engine_error"}}`+"\n\n", out.exchange, number))
 		return false
-	case wrong.endAfter:
+	case fault.endAfter:
 		return false
 	}
 	return true
 }
 
-func (e *testEngine) end(out *eventWriter, wrong engineFault) {
+func (e *testEngine) end(out *eventWriter, fault engineFault) {
 	last := len(e.tokens)
-	if !wrong.noFinish {
+	if !fault.noFinish {
 		delta := `"delta":{}`
 		if !out.chat {
 			delta = `"text":""`
 		}
 		out.event(last, fmt.Sprintf(`"choices":[{"index":0,%s,"finish_reason":"stop"}]`, delta))
 	}
-	if !wrong.noUsage {
+	if !fault.noUsage {
 		out.event(last, fmt.Sprintf(`"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":%d,"total_tokens":%d}`, last, last+9))
 	}
-	if !wrong.noDone {
+	if !fault.noDone {
 		out.raw("data: [DONE]\n\n")
 	}
 }
 
-// eventWriter writes events as the contract shapes them.
+// eventWriter writes events in the format of the engine contract.
 type eventWriter struct {
 	writer   http.ResponseWriter
 	exchange string
@@ -268,7 +268,7 @@
 }
 
 func (w *eventWriter) raw(text string) {
-	_, _ = io.WriteString(w.writer, text) // a reader that went away needs no more
+	_, _ = io.WriteString(w.writer, text) // an error means that the reader disconnected
 	w.writer.(http.Flusher).Flush()
 }
 
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -22,23 +22,23 @@
 const (
 	testKey      = "key-of-tenant-one"
 	otherTestKey = "key-of-tenant-two"
-	// generousMs is the deadline of kinds whose tests aren't about deadlines: only a hung
-	// request comes near it, however busy the machine is.
+	// generousMs is the deadline of kinds in tests that do not test deadlines. Only a hung
+	// request comes near it, also on a busy machine.
 	generousMs = 60_000
-	// lateMs is the deadline of the kind that is answered late, late the delay beyond it.
+	// lateMs is the deadline of the kind whose answers are late, and late the delay, which exceeds it.
 	lateMs = 4000
 	late   = lateMs + 500
-	// briskMs is the deadline of the kind whose deadline bounds the wait for a prefill engine.
+	// briskMs is the deadline of the kind whose deadline limits the wait for a prefill engine.
 	briskMs = 8000
-	// patience bounds reading and writing in tests that aren't about slow callers.
+	// patience is the read and write timeout in tests without slow callers.
 	patience = time.Minute
 )
 
-// hostsOfRun counts the addresses that ownAddress has given.
+// hostsOfRun counts the addresses that ownAddress has returned.
 var hostsOfRun atomic.Uint32
 
-// ownAddress is a free port of an address that nobody else in this run listens on: what
-// stops listening there is down, since no other test can take its port.
+// ownAddress returns a free port at an IP address that no other test of this run uses. After
+// its listener stops, no other test can reuse the port, so that connections stay refused.
 func ownAddress() string {
 	number := hostsOfRun.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:0", 33+os.Getpid()%31, number>>8&0xff, number&0xff)
@@ -53,23 +53,23 @@
 	return &v1.Object{Key: &v1.ObjectKey{Type: kind, Name: name}, Revision: revision}
 }
 
-// testObjects is a small configuration: two tenants, a repeatable and a once-only chat
-// kind, and a repeatable and a once-only page kind.
+// testObjects returns a small configuration: two tenants, a repeatable and a non-repeatable chat
+// kind, and a repeatable and a non-repeatable page kind.
 func testObjects() []*v1.Object {
 	tenant := func(name, key, salt string) *v1.Object {
-		made := object(1, v1.ObjectType_OBJECT_TYPE_TENANT, name)
-		made.Spec = &v1.Object_Tenant{Tenant: &v1.Tenant{ApiKeyHashes: []string{hashOf(key)}, Weight: 1, CacheSalt: salt}}
-		return made
+		created := object(1, v1.ObjectType_OBJECT_TYPE_TENANT, name)
+		created.Spec = &v1.Object_Tenant{Tenant: &v1.Tenant{ApiKeyHashes: []string{hashOf(key)}, Weight: 1, CacheSalt: salt}}
+		return created
 	}
 	kind := func(name string, spec *v1.Kind) *v1.Object {
-		made := object(1, v1.ObjectType_OBJECT_TYPE_KIND, name)
-		made.Spec = &v1.Object_Kind{Kind: spec}
-		return made
+		created := object(1, v1.ObjectType_OBJECT_TYPE_KIND, name)
+		created.Spec = &v1.Object_Kind{Kind: spec}
+		return created
 	}
 	service := func(name string, spec *v1.Service) *v1.Object {
-		made := object(1, v1.ObjectType_OBJECT_TYPE_SERVICE, name)
-		made.Spec = &v1.Object_Service{Service: spec}
-		return made
+		created := object(1, v1.ObjectType_OBJECT_TYPE_SERVICE, name)
+		created.Spec = &v1.Object_Service{Service: spec}
+		return created
 	}
 	model := object(1, v1.ObjectType_OBJECT_TYPE_MODEL, "base")
 	model.Spec = &v1.Object_Model{Model: &v1.Model{Version: "v1"}}
@@ -88,7 +88,7 @@
 	}
 }
 
-// engineBackEnd is a directory row of an engine.
+// engineBackEnd returns the directory entry of an engine.
 func engineBackEnd(name, address string, role v1.Role) *v1.BackEnd {
 	return &v1.BackEnd{
 		Name: name, Service: "engines", Zone: "z1", Address: address, Role: role, Model: "base", Version: "v1",
@@ -96,7 +96,7 @@
 	}
 }
 
-// pageBackEnd is a directory row of a page service.
+// pageBackEnd returns the directory entry of a page service.
 func pageBackEnd(name, address string) *v1.BackEnd {
 	return &v1.BackEnd{Name: name, Service: "portal", Zone: "z1", Address: address, State: v1.BackEndState_BACK_END_STATE_SERVING}
 }
@@ -108,7 +108,7 @@
 	admin   string
 	stop    context.CancelFunc
 	done    chan error
-	// cut tells that the test expects a stop that cuts what is in flight.
+	// cut means that the test expects the stop to interrupt requests in flight.
 	cut bool
 }
 
@@ -124,20 +124,20 @@
 	}
 }
 
-// startGateway starts a gateway and waits until callers may be sent there.
+// startGateway starts a gateway and waits until it is ready.
 func startGateway(t testing.TB, config settings.Gateway) *testGateway {
-	running := startWith(t, config, Options{Listen: net.Listen, KeyCheckTimeout: patience})
+	running := startWithOptions(t, config, Options{Listen: net.Listen, KeyCheckTimeout: patience})
 	require.Eventually(t, func() bool { return running.probe(t, metrics.PathReady) == http.StatusOK }, eventually, often)
 	return running
 }
 
-// startUnready starts a gateway that may not have heard of a controller yet.
+// startUnready starts a gateway without waiting until it is ready.
 func startUnready(t testing.TB, config settings.Gateway) *testGateway {
-	return startWith(t, config, Options{Listen: net.Listen})
+	return startWithOptions(t, config, Options{Listen: net.Listen})
 }
 
-// startWith starts one with options of the test's.
-func startWith(t testing.TB, config settings.Gateway, options Options) *testGateway {
+// startWithOptions starts a gateway with the given options, without waiting until it is ready.
+func startWithOptions(t testing.TB, config settings.Gateway, options Options) *testGateway {
 	running := &testGateway{done: make(chan error, 1)}
 	var addresses []string
 	listen := options.Listen
@@ -165,7 +165,7 @@
 	return running
 }
 
-// probe returns the status of a path of the admin server, 0 when it does not answer.
+// probe returns the HTTP status of a path of the admin server, or 0 when the server does not answer.
 func (g *testGateway) probe(t testing.TB, path string) int {
 	answer, err := http.Get("http://" + g.admin + path)
 	if err != nil {
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -11,13 +11,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/wirecheck"
 )
 
-// singleHeaders may appear once: two values would let two readers differ.
+// singleHeaders may appear only once: with two values, two parsers could choose different ones.
 var singleHeaders = []string{
 	"Content-Length", "Transfer-Encoding", "Content-Type", "Host",
 	"Authorization", HeaderKind, enginecontract.HeaderIdempotencyKey,
 }
 
-// checkHeaders refuses headers that readers may understand differently.
+// checkHeaders refuses headers that parsers may interpret differently.
 func checkHeaders(header *fasthttp.RequestHeader) *refusal {
 	if fault := checkHeaderLines(header.RawHeaders()); fault != nil {
 		return fault
@@ -34,16 +34,16 @@
 	return nil
 }
 
-// checkHeaderLines refuses what the server reads leniently and another reader might not:
-// folded lines, names that are no tokens, and two ways of telling the body's length.
+// checkHeaderLines refuses what the server parses leniently and another parser might not:
+// folded lines, names that are not tokens, and two declarations of the body's length.
 func checkHeaderLines(raw []byte) *refusal {
 	var lengths, encodings int
 	for line := range bytes.Lines(raw) {
-		name, _, found := bytes.Cut(bytes.TrimRight(line, "\r\n"), []byte(":"))
+		name, _, hasColon := bytes.Cut(bytes.TrimRight(line, "\r\n"), []byte(":"))
 		switch {
-		case len(name) == 0 && !found:
-			continue // the empty line at the end
-		case !found || !wirecheck.IsToken(name):
+		case len(name) == 0 && !hasColon:
+			continue // the empty line that ends the headers
+		case !hasColon || !wirecheck.IsToken(name):
 			return refuseHeader("a header's name is malformed or its line is folded")
 		case bytes.EqualFold(name, []byte(fasthttp.HeaderContentLength)):
 			lengths++
@@ -61,12 +61,12 @@
 	return refuse(http.StatusBadRequest, typeInvalidRequest, codeInvalidHeader, message)
 }
 
-// idempotencyKey returns the caller's key; empty when there is none.
+// idempotencyKey returns the caller's idempotency key; it is empty when there is none.
 func idempotencyKey(context *fasthttp.RequestCtx) string {
 	return string(context.Request.Header.Peek(enginecontract.HeaderIdempotencyKey))
 }
 
-// maximumIdempotencyKey bounds a key's length in bytes.
+// maximumIdempotencyKey bounds the length of an idempotency key in bytes.
 const maximumIdempotencyKey = 128
 
 func notPrintable(character rune) bool { return character < ' ' || character > '~' }
--- a/internal/gateway/in_flight.go
+++ b/internal/gateway/in_flight.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// inFlight bounds the requests that a gateway works on. It is safe for concurrent use.
+// inFlight bounds the concurrent requests of a gateway. It is safe for concurrent use.
 type inFlight struct {
 	limit int64
 	count atomic.Int64
--- a/internal/gateway/isolation_test.go
+++ b/internal/gateway/isolation_test.go
@@ -12,8 +12,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// as returns headers that send a request in the name of a tenant's key.
-func as(key string, headers map[string]string) map[string]string {
+// withKey returns the headers with the API key added.
+func withKey(key string, headers map[string]string) map[string]string {
 	sent := map[string]string{"Authorization": "Bearer " + key}
 	for name, value := range headers {
 		sent[name] = value
@@ -21,8 +21,8 @@
 	return sent
 }
 
-// requireNothingOfOthers checks that an answer names no tenant, back end or address.
-func requireNothingOfOthers(t *testing.T, answer callerAnswer) {
+// requireNoInternals checks that an answer contains no salt, key, back end name or address.
+func requireNoInternals(t *testing.T, answer callerAnswer) {
 	t.Helper()
 	text := fmt.Sprint(answer.header) + answer.body
 	for _, secret := range []string{"salt-", "engine-one", "page-one", "127.", "X-Engine", "X-Exchange", "secret", otherTestKey, testKey} {
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestAnotherTenantsAdapter shows that the adapter of another tenant is answered in the
-// same bytes as one that does not exist.
+// TestAnotherTenantsAdapter shows that a request for the adapter of another tenant gets the
+// same bytes as one for an adapter that does not exist.
 func TestAnotherTenantsAdapter(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t)
@@ -39,45 +39,45 @@
 	gateway := startGateway(t, testSettings(controller.address))
 	send := func(key, model string) callerAnswer {
 		body := fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":"x"}]}`, model)
-		return call(t, http.MethodPost, gateway.url+"/v1/chat/completions", body, as(key, map[string]string{HeaderKind: "matching"}))
+		return call(t, http.MethodPost, gateway.url+"/v1/chat/completions", body, withKey(key, map[string]string{HeaderKind: "matching"}))
 	}
-	owner, stranger, nobody := send(otherTestKey, "tuned"), send(testKey, "tuned"), send(testKey, "none")
+	owner, stranger, missing := send(otherTestKey, "tuned"), send(testKey, "tuned"), send(testKey, "none")
 	require.Equal(t, http.StatusOK, owner.status, owner.body)
 	require.Equal(t, http.StatusNotFound, stranger.status)
-	require.Equal(t, nobody.body, stranger.body)
-	require.Equal(t, nobody.status, stranger.status)
-	requireNothingOfOthers(t, stranger)
-	requireNothingOfOthers(t, owner)
+	require.Equal(t, missing.body, stranger.body)
+	require.Equal(t, missing.status, stranger.status)
+	requireNoInternals(t, stranger)
+	requireNoInternals(t, owner)
 }
 
-// TestTenantsSalts shows that each tenant's requests reach engines under its own cache salt.
+// TestTenantsSalts shows that each tenant's requests reach engines with the cache salt of that tenant.
 func TestTenantsSalts(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t)
 	controller := startController(t, engineBackEnd("engine-one", engine.address(), v1.Role_ROLE_MIXED))
 	gateway := startGateway(t, testSettings(controller.address))
 	for key, salt := range map[string]string{testKey: "salt-one", otherTestKey: "salt-two"} {
-		answer := call(t, http.MethodPost, gateway.url+"/v1/chat/completions", wholeBody, as(key, map[string]string{HeaderKind: "matching"}))
+		answer := call(t, http.MethodPost, gateway.url+"/v1/chat/completions", wholeBody, withKey(key, map[string]string{HeaderKind: "matching"}))
 		require.Equal(t, http.StatusOK, answer.status, answer.body)
-		requireNothingOfOthers(t, answer)
+		requireNoInternals(t, answer)
 		last := engine.requests[len(engine.requests)-1]
 		require.Equal(t, salt, last.Header.Get(enginecontract.HeaderCacheSalt))
 	}
 }
 
-// TestTenantsKeysAreApart shows that two tenants may use one idempotency key without
-// meeting each other's outcomes.
+// TestTenantsKeysAreApart shows that two tenants may use the same idempotency key without
+// seeing each other's outcomes.
 func TestTenantsKeysAreApart(t *testing.T) {
 	t.Parallel()
 	service := startPage(t, "p1", nil)
 	controller := startController(t, pageBackEnd("page-one", service.Address()))
 	gateway := startGateway(t, testSettings(controller.address))
 	for number, key := range []string{testKey, otherTestKey} {
-		answer := call(t, http.MethodPost, gateway.url+"/registrations", "lot=7", as(key, map[string]string{enginecontract.HeaderIdempotencyKey: "same"}))
+		answer := call(t, http.MethodPost, gateway.url+"/registrations", "lot=7", withKey(key, map[string]string{enginecontract.HeaderIdempotencyKey: "same"}))
 		require.Equal(t, http.StatusOK, answer.status, answer.body)
 		require.Empty(t, answer.header.Get(headerReplayed))
 		require.Equal(t, number+1, service.Runs().Served)
-		requireNothingOfOthers(t, answer)
+		requireNoInternals(t, answer)
 	}
 }
 
@@ -92,7 +92,7 @@
 		headers    map[string]string
 		status     int
 	}{
-		"wrong key":          {"/lots/1", "", as("not a key", nil), 401},
+		"wrong key":          {"/lots/1", "", withKey("not a key", nil), 401},
 		"no key":             {"/lots/1", "", map[string]string{"Authorization": ""}, 401},
 		"back end down":      {"/lots/1", "", nil, 503},
 		"engine refuses":     {"/v1/chat/completions", wholeBody, map[string]string{HeaderKind: "matching"}, 503},
@@ -113,7 +113,7 @@
 			require.Equal(t, verdict.NotRun.String(), answer.verdict)
 			require.Equal(t, verdict.NotRun.String(), answer.errorVerdict)
 			require.NotEmpty(t, answer.errorCode)
-			requireNothingOfOthers(t, answer)
+			requireNoInternals(t, answer)
 		})
 	}
 }
--- a/internal/gateway/hand_over_test.go
+++ b/internal/gateway/kv_transfer_test.go
@@ -21,33 +21,33 @@
 
 const (
 	handOverTokens = 20
-	// standInSpeed makes stand-in engines fast enough for tests.
+	// standInSpeed makes the stand-in engines fast enough for tests.
 	standInSpeed = 5
 )
 
-// once switches a fault on for one request.
+// once enables a fault for one request.
 func once(kind fault.Kind, tokens int) []fault.Fault {
 	return []fault.Fault{{Kind: kind, Count: 1, Tokens: tokens, DelayMs: 5000}}
 }
 
-// handOverRow is one thing that goes wrong while a prompt is read by one engine and the
-// answer written by another. There are one prefill engine and two decode engines, each of
-// which shows the same faults.
-type handOverRow struct {
+// kvTransferRow is one fault while one engine runs the prefill and another one decodes. There are one
+// prefill engine and two decode engines; both decode engines
+// have the same faults.
+type kvTransferRow struct {
 	name            string
 	kind            string // default matching, which is repeatable
 	prefill, decode []fault.Fault
-	// prefillDown stops the prefill engine before the request; prefillDies stops it once a
-	// decode engine has the request and before it fetches the cache.
-	prefillDown, prefillDies bool
-	whole                    bool
-	status                   int
-	verdict                  verdict.Verdict
-	// What the engines ran together.
+	// prefillDown stops the prefill engine before the request; prefillCrashes stops it once a
+	// decode engine has received the request and before it fetches the cache.
+	prefillDown, prefillCrashes bool
+	whole                       bool
+	status                      int
+	verdict                     verdict.Verdict
+	// The runs at all engines together.
 	prefilled, imported, started int
 }
 
-var handOverRows = []handOverRow{
+var handOverRows = []kvTransferRow{
 	{name: "no fault", whole: true, prefilled: 1, imported: 1, started: 1},
 	{name: "no fault, once-only kind", kind: "once", whole: true, prefilled: 1, imported: 1, started: 1},
 	{name: "prefill engine refuses", prefill: once(fault.Refuse, 0), whole: true, started: 1},
@@ -67,14 +67,14 @@
 	{name: "fetch of the cache fails, once-only kind", kind: "once", prefill: once(fault.FailExport, 0), whole: true, prefilled: 1, started: 1},
 	{name: "handle is lost", prefill: once(fault.LoseHandle, 0), whole: true, prefilled: 1, started: 1},
 	{name: "handle belongs to another tenant", prefill: once(fault.ForeignHandle, 0), whole: true, prefilled: 1, started: 1},
-	{name: "prefill engine dies before the fetch", decode: []fault.Fault{{Kind: fault.Late, Count: 1, DelayMs: 2000}}, prefillDies: true, whole: true, prefilled: 1, started: 1},
+	{name: "prefill engine dies before the fetch", decode: []fault.Fault{{Kind: fault.Late, Count: 1, DelayMs: 2000}}, prefillCrashes: true, whole: true, prefilled: 1, started: 1},
 	{name: "decode engines refuse", decode: once(fault.Refuse, 0), status: 502, verdict: verdict.MayHaveRun, prefilled: 2},
 	{name: "decode engine's answer is lost, exchange lives on", decode: once(fault.LoseAnswer, 0), whole: true, prefilled: 1, imported: 1, started: 1},
 	{name: "stream of the decode engine is cut, exchange lives on", decode: once(fault.Cut, 7), whole: true, prefilled: 1, imported: 1, started: 1},
 	{name: "stream of the decode engine is cut, once-only kind", kind: "once", decode: once(fault.Cut, 7), whole: true, prefilled: 1, imported: 1, started: 1},
 }
 
-func TestHandOver(t *testing.T) {
+func TestKVTransfer(t *testing.T) {
 	t.Parallel()
 	for _, row := range handOverRows {
 		t.Run(row.name, func(t *testing.T) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// startStandIn starts an engine of the bench.
+// startStandIn starts a stand-in engine.
 func startStandIn(t testing.TB, name string, role enginecontract.Role, faults ...fault.Fault) *engine.Engine {
 	started, err := engine.Start(engine.Config{
 		Name: name, Service: "engines", Zone: "z1", Address: ownAddress(), Role: role, Model: "base", Version: "v1",
@@ -95,7 +95,7 @@
 	return started
 }
 
-func (row handOverRow) check(t *testing.T) {
+func (row kvTransferRow) check(t *testing.T) {
 	prefill := startStandIn(t, "p1", enginecontract.RolePrefill, row.prefill...)
 	decodes := []*engine.Engine{
 		startStandIn(t, "d1", enginecontract.RoleDecode, row.decode...), startStandIn(t, "d2", enginecontract.RoleDecode, row.decode...),
@@ -106,9 +106,9 @@
 	if row.prefillDown {
 		prefill.Crash()
 	}
-	if row.prefillDies {
+	if row.prefillCrashes {
 		go func() {
-			// A decode engine that has taken its fault has the request, and waits before the fetch.
+			// A decode engine that has consumed its fault has received the request, and waits before the fetch.
 			for len(decodes[0].Faults().Left())+len(decodes[1].Faults().Left()) == 2 && t.Context().Err() == nil {
 				pause.For(t.Context(), often)
 			}
@@ -119,24 +119,24 @@
 	if kind == "" {
 		kind = "matching"
 	}
-	answer := chat(t, gateway, kind, handOverBody)
+	answer := chat(t, gateway, kind, kvTransferBody)
 	row.checkAnswer(t, answer)
 	ran := prefill.Runs().Totals.Plus(decodes[0].Runs().Totals).Plus(decodes[1].Runs().Totals)
 	require.Equal(t, row.started, ran.Started)
 	require.Equal(t, row.imported, ran.Imported)
-	require.LessOrEqual(t, ran.Prefilled, row.prefilled, "a prompt that is given up on may not be read to its end")
+	require.LessOrEqual(t, ran.Prefilled, row.prefilled, "a prefill that was given up may stay incomplete")
 	if row.whole && row.imported > 0 {
 		require.Equal(t, row.prefilled, ran.Prefilled)
 	}
 }
 
-var handOverBody = fmt.Sprintf(`{"model":"base","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`,
-	handOverTokens, handOverPrompt)
+var kvTransferBody = fmt.Sprintf(`{"model":"base","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`,
+	handOverTokens, kvTransferPrompt)
 
-var handOverPrompt = strings.Repeat("The lot's dossier says much of its hydraulics. ", 40)
+var kvTransferPrompt = strings.Repeat("The lot's dossier says much of its hydraulics. ", 40)
 
-func (row handOverRow) checkAnswer(t *testing.T, answer callerAnswer) {
-	prompt := answertext.Prompt([]answertext.Message{{Role: "user", Content: gjson.Get(handOverBody, "messages.0.content").String()}})
+func (row kvTransferRow) checkAnswer(t *testing.T, answer callerAnswer) {
+	prompt := answertext.Prompt([]answertext.Message{{Role: "user", Content: gjson.Get(kvTransferBody, "messages.0.content").String()}})
 	text := answertext.Text(answertext.Hash(prompt), handOverTokens)
 	for name := range answer.header {
 		require.NotContains(t, []string{"X-Kv-Handle", "X-Kv-Source", "X-Cache-Salt", "X-Exchange-Id"}, name)
@@ -156,12 +156,12 @@
 	}
 }
 
-// TestUsableHandle shows that a handle which could end a header or fill one is not passed on.
+// TestUsableHandle shows that a handle that could end or overfill a header is not passed on.
 func TestUsableHandle(t *testing.T) {
 	for handle, usable := range map[string]bool{
 		"": false, "0123abcd": true, "a b": false, "a\r\nX-Cache-Salt: other": false, "a\x00": false, "é": false,
 		strings.Repeat("a", maximumHandleLength): true, strings.Repeat("a", maximumHandleLength+1): false,
 	} {
-		require.Equal(t, usable, usableHandle(handle), "%q", handle)
+		require.Equal(t, usable, isUsableHandle(handle), "%q", handle)
 	}
 }
--- a/internal/gateway/limited_back_ends_test.go
+++ b/internal/gateway/limited_back_ends_test.go
@@ -14,7 +14,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// limitedService is a page service that serves all and names a limit of one request a second until it is lifted.
+// limitedService is a page service that answers every request and names a limit of one request a second until it is lifted.
 type limitedService struct {
 	address string
 	lifted  atomic.Bool
@@ -35,15 +35,15 @@
 			writer.Header().Set(enginecontract.HeaderRequestLimit, "1")
 		}
 		writer.Header().Set("Content-Length", "2")
-		_, _ = writer.Write([]byte("ok")) // the gateway reads it again
+		_, _ = writer.Write([]byte("ok")) // an error shows at the gateway, which reads the body
 	}))
 	t.Cleanup(server.Close)
 	service.address = strings.TrimPrefix(server.URL, "http://")
 	return service
 }
 
-// most is the most requests that have arrived in any four seconds, but for the first ones.
-func (s *limitedService) most(skipped int) int {
+// maximumInFourSeconds returns the largest number of requests that arrived within four seconds, without the first skipped ones.
+func (s *limitedService) maximumInFourSeconds(skipped int) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	most, first := 0, skipped
@@ -56,8 +56,8 @@
 	return most
 }
 
-// Each gateway sent on its own, and nobody read a limit that a back end names for all of them together. Here one names
-// a request a second, and three gateways that have passed that on get forty requests each.
+// TestALimitForAllGatewaysTogetherHolds guards against gateways that apply a back end's limit separately, so that they exceed it
+// together. A back end names one request a second, and each of three gateways that know the limit gets forty requests.
 func TestALimitForAllGatewaysTogetherHolds(t *testing.T) {
 	t.Parallel()
 	service := startLimited(t)
@@ -73,7 +73,7 @@
 		require.Eventually(t, func() bool { return send(gateway) == http.StatusOK }, eventually, often)
 	}
 	service.mutex.Lock()
-	told := len(service.arrived)
+	warmUp := len(service.arrived)
 	service.mutex.Unlock()
 	for range 40 {
 		for _, gateway := range gateways {
@@ -81,14 +81,14 @@
 		}
 	}
 	const allowed = 1.5*1*4 + 5
-	require.LessOrEqual(t, float64(service.most(told)), allowed)
+	require.LessOrEqual(t, float64(service.maximumInFourSeconds(warmUp)), allowed)
 	require.Eventually(t, func() bool {
 		send(gateways[1])
 		service.mutex.Lock()
 		defer service.mutex.Unlock()
-		return len(service.arrived) >= told+4
+		return len(service.arrived) >= warmUp+4
 	}, eventually, often, "the limit is used")
-	require.LessOrEqual(t, float64(service.most(told)), allowed)
+	require.LessOrEqual(t, float64(service.maximumInFourSeconds(warmUp)), allowed)
 
 	service.lifted.Store(true)
 	require.Eventually(t, func() bool {
@@ -100,5 +100,5 @@
 			}
 		}
 		return true
-	}, eventually, often, "it is used as before")
+	}, eventually, often, "the back end is used as before")
 }
--- a/internal/gateway/main_test.go
+++ b/internal/gateway/main_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// testsAtOnce is how many parallel tests run at once, whatever the number of processors:
-// they wait for timers and connections and hardly compute.
+// testsAtOnce is the number of parallel tests, independent of the number of processors: the tests mostly
+// wait for timers and connections and need little CPU time.
 const testsAtOnce = "16"
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	asked := false
-	flag.Visit(func(given *flag.Flag) { asked = asked || given.Name == "test.parallel" })
-	if !asked {
+	isSet := false
+	flag.Visit(func(parsed *flag.Flag) { isSet = isSet || parsed.Name == "test.parallel" })
+	if !isSet {
 		if err := flag.Set("test.parallel", testsAtOnce); err != nil {
 			panic(err)
 		}
--- a/internal/gateway/malformed_test.go
+++ b/internal/gateway/malformed_test.go
@@ -18,22 +18,22 @@
 
 const (
 	lineEnd = "\r\n"
-	// smuggled is a second request that an attacker hides behind the first. No row may
-	// ever have it run.
+	// smuggled is a second request hidden behind the first one. No row may
+	// run it.
 	smuggled = "POST /registrations HTTP/1.1" + lineEnd + "Host: gateway" + lineEnd + "Authorization: Bearer " + testKey + lineEnd +
 		"Content-Length: 0" + lineEnd + lineEnd
 )
 
-// malformedRow is a request that two readers could understand differently, or that is
-// larger than the bounds.
+// malformedRow is a request that two parsers could interpret differently, or that exceeds
+// the size limits.
 type malformedRow struct {
 	name string
-	// line and headers make the request; the key and the host are added.
+	// line and headers form the request; the test adds the API key and the Host header.
 	line    string
 	headers string
 	body    string
 	status  int
-	// noHost leaves the Host header to the row.
+	// noHost means that the test adds no Host header.
 	noHost bool
 }
 
@@ -72,8 +72,8 @@
 	{name: "dots in the path", line: "POST /lots/../registrations HTTP/1.1", headers: "Content-Length: 0\r\n", status: 400},
 }
 
-// TestMalformed shows that what could be read in two ways is refused as not run, with the
-// connection closed, and that nothing of it reaches a back end.
+// TestMalformed shows that ambiguous requests are refused as not run, that the
+// connection is closed, and that no part of them reaches a back end.
 func TestMalformed(t *testing.T) {
 	t.Parallel()
 	service := startPage(t, "p1", nil)
@@ -110,13 +110,13 @@
 	require.Equal(t, row.status, answer.StatusCode, string(body))
 	require.Equal(t, verdict.NotRun.String(), answer.Header.Get(verdict.Header))
 	if row.body == "" {
-		return // it was read to its end: the connection may go on
+		return // the request was read completely, so that the connection may stay open
 	}
 	_, err = http.ReadResponse(reader, nil)
 	require.Error(t, err, "the hidden request was answered")
 }
 
-// TestSlowSender shows that a caller who sends its request byte by byte is dropped.
+// TestSlowSender shows that a caller that sends its request byte by byte is disconnected.
 func TestSlowSender(t *testing.T) {
 	t.Parallel()
 	service := startPage(t, "p1", nil)
@@ -141,7 +141,7 @@
 	}
 }
 
-// TestCallerHeadersStay shows that a caller can't set what only a gateway tells engines.
+// TestCallerHeadersStay shows that a caller cannot set headers that only a gateway may send to engines.
 func TestCallerHeadersStay(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t)
--- a/internal/gateway/overhead_bench_test.go
+++ b/internal/gateway/overhead_bench_test.go
@@ -18,13 +18,13 @@
 
 const (
 	overheadTokens = 200
-	// overheadSpeed makes the engine so fast that the way is what takes time.
+	// overheadSpeed makes the engine so fast that transport takes most of the time.
 	overheadSpeed = 1000
 )
 
-// BenchmarkStream streams answers of a stand-in engine straight from it and through a
-// gateway, in one run: ns/token and µs to the first token of both. All run in one
-// process, so the differences are the gateway's.
+// BenchmarkStream streams answers of a stand-in engine directly and through a
+// gateway, and reports ns/token and µs to the first token of both. Everything runs in one
+// process, so the differences are the overhead of the gateway.
 func BenchmarkStream(b *testing.B) {
 	engine, err := standin.Start(standin.Config{
 		Name: "e1", Service: "engines", Zone: "z1", Address: "127.0.0.1:0", Model: "base", Version: "v1",
@@ -39,7 +39,7 @@
 	b.Run("gateway", func(b *testing.B) { streamAnswers(b, gateway.url, body) })
 }
 
-// streamAnswers asks for answers one after the other and reads each to its end.
+// streamAnswers requests answers one after the other and reads each to its end.
 func streamAnswers(b *testing.B, url string, body []byte) {
 	first, number := time.Duration(0), 0
 	for b.Loop() {
--- a/internal/gateway/page.go
+++ b/internal/gateway/page.go
@@ -22,18 +22,18 @@
 	deadline    time.Duration
 	interrupter *upstream.Interrupter
 	excluded    []string
-	tried       attempts
+	attempts    attempts
 	mayHaveRun  bool
 	watch       *callerWatch
-	// key is the caller's idempotency key; empty when there is none.
+	// key is the caller's idempotency key; it is empty when there is none.
 	key string
-	// signature tells which other requests are the same to a back end; trial that it is held and may
+	// signature identifies equal requests for the quarantine. isTrial is set for a quarantined request that may
 	// be sent to one back end once.
 	signature quarantine.Signature
-	trial     bool
+	isTrial   bool
 }
 
-// pageAnswer is the whole answer of a page service.
+// pageAnswer is the complete answer of a page service.
 type pageAnswer struct {
 	status  int
 	headers []upstream.Header
@@ -48,8 +48,8 @@
 		g.refuse(context, fault.beforeClaim(idempotencyKey(context)))
 		return
 	}
-	page.watch = g.callers.watch(context.Conn(), page.interrupter)
-	defer page.watch.end()
+	page.watch = g.callerWatcher.watch(context.Conn(), page.interrupter)
+	defer page.watch.stop()
 	place, fault := g.admitter.admit(page.admissionRequest(), page.interrupter)
 	if fault != nil {
 		g.recordPage(page, outcomeOf(fault))
@@ -73,7 +73,7 @@
 	context.Response.SetBody(answer.body)
 }
 
-// admitPage checks a request; nothing is sent yet.
+// admitPage checks a request and prepares it. It sends nothing yet.
 func (g *Gateway) admitPage(context *fasthttp.RequestCtx, arrival time.Duration) (*pageRequest, *refusal) {
 	path := string(context.URI().PathOriginal())
 	if fault := checkPath(path); fault != nil {
@@ -101,13 +101,13 @@
 		Interrupter: page.interrupter,
 	}
 	page.signature = quarantine.SignatureOf(tenant.Name, page.message.Method, page.message.Target, page.message.Body)
-	if page.trial, fault = g.admitHeld(page.signature); fault != nil {
+	if page.isTrial, fault = g.checkQuarantine(page.signature); fault != nil {
 		return nil, fault
 	}
 	return page, nil
 }
 
-// admissionRequest returns what admission needs to know.
+// admissionRequest returns the input of the admission decision.
 func (p *pageRequest) admissionRequest() admissionRequest {
 	return admissionRequest{
 		service: p.kind.Spec.GetService(),
@@ -128,5 +128,5 @@
 func (g *Gateway) recordPage(page *pageRequest, outcome gatewaystate.Outcome) {
 	outcome.Service = page.kind.Spec.GetService()
 	outcome.Kind = page.kind.Name
-	g.view.offer(recordOutcome{outcome: outcome})
+	g.view.trySend(recordOutcome{outcome: outcome})
 }
--- a/internal/gateway/page_claim.go
+++ b/internal/gateway/page_claim.go
@@ -6,8 +6,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// runClaimed runs the request; one that may run at most once and carries a key runs only
-// under a claim. Without a key it is sent once, and only a true "not run" is sent again.
+// runClaimed runs the request. A request that may run at most once and has an idempotency key runs only
+// under a claim. Without a key it is sent again only when the verdict is "not run".
 func (p *pageRequest) runClaimed() (*pageAnswer, *refusal) {
 	if p.kind.Spec.GetRepeatable() || p.key == "" || !p.gateway.safeguards.IsEnabled(ClaimBeforeRun) {
 		return p.run()
@@ -21,8 +21,8 @@
 	case !decision.Run:
 		return nil, refuseClaim(decision)
 	}
-	// The outcome is worth recording also when the caller goes away: it will ask again.
-	p.watch.end()
+	// The caller will resend after a disconnect, so that the outcome must be recorded in any case.
+	p.watch.stop()
 	answer, fault := p.run()
 	if fault != nil {
 		claimer.finish(claim, fault.verdict, claims.Outcome{})
@@ -32,13 +32,13 @@
 	return answer, nil
 }
 
-// Headers of answers that were recorded when the request ran earlier.
+// Headers of answers that were recorded by an earlier run of the request.
 const (
 	headerReplayed    = "Idempotency-Replayed"
 	headerBodyOmitted = "Idempotency-Body-Omitted"
 )
 
-// replayedPage returns the recorded answer of an earlier sending.
+// replayedPage returns the answer recorded by an earlier attempt.
 func replayedPage(outcome *claims.Outcome) *pageAnswer {
 	answer := &pageAnswer{status: outcome.Status, body: outcome.Body}
 	answer.headers = append(answer.headers, upstream.Header{Name: "Content-Type", Value: outcome.ContentType})
--- a/internal/gateway/page_exchange.go
+++ b/internal/gateway/page_exchange.go
@@ -8,16 +8,16 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// run tries back ends until one answers or the verdict forbids another try.
+// run tries back ends until one answers or the verdict forbids another attempt.
 func (p *pageRequest) run() (*pageAnswer, *refusal) {
 	for {
-		if fault := p.gateway.over(p.interrupter, p.deadline); fault != nil {
+		if fault := p.gateway.checkActive(p.interrupter, p.deadline); fault != nil {
 			return nil, p.refusal(fault)
 		}
-		if !p.trial && p.gateway.guard.IsQuarantined(p.signature) {
-			return nil, p.refusal(refuseHeld())
+		if !p.isTrial && p.gateway.guard.IsQuarantined(p.signature) {
+			return nil, p.refusal(refuseQuarantined())
 		}
-		if p.trial && p.tried.begun > 0 || !p.gateway.mayBegin(p.tried) {
+		if p.isTrial && p.attempts.started > 0 || !p.gateway.mayStartExchange(p.attempts) {
 			return nil, p.refusal(refuseBackEnd())
 		}
 		choice, err := p.gateway.dispatcher.pick(routing.Request{
@@ -33,34 +33,34 @@
 		}
 		p.gateway.log.Info().Err(failure).Str("back_end", choice.BackEnd.Name).Msg("exchange failed")
 		p.excluded = append(p.excluded, choice.BackEnd.Name)
-		p.tried.note(failure)
+		p.attempts.recordFailure(failure)
 		if failure.Verdict == verdict.NotRun {
 			continue
 		}
 		p.mayHaveRun = true
-		p.noteBroken(choice.BackEnd, failure)
+		p.reportBrokenRun(choice.BackEnd, failure)
 		if p.gateway.clock.now() < p.deadline && !p.kind.Spec.GetRepeatable() && p.gateway.safeguards.IsEnabled(RetryOnlyNotRun) {
 			return nil, p.refusal(refuseBackEnd())
 		}
 	}
 }
 
-// noteBroken lets the guard find out whether a back end has ended that broke the request off, and
-// waits for that where the request may go on.
-func (p *pageRequest) noteBroken(backEnd routing.BackEnd, failure *upstream.Failure) {
+// reportBrokenRun makes the guard find out whether the back end that broke off the request has crashed. It waits for
+// the result when the request may be sent again.
+func (p *pageRequest) reportBrokenRun(backEnd routing.BackEnd, failure *upstream.Failure) {
 	if failure.Status != 0 || p.interrupter.Cause() != nil {
 		return
 	}
-	wait := endWait
+	wait := crashWait
 	if !p.kind.Spec.GetRepeatable() {
 		wait = 0
 	}
 	p.gateway.guard.RecordBrokenRun(p.signature, replicaOf(backEnd), min(wait, p.deadline-p.gateway.clock.now()))
 }
 
-// exchange sends the request to one back end and reads its whole answer.
+// exchange sends the request to one back end and reads the complete answer.
 func (p *pageRequest) exchange(backEnd routing.BackEnd) (*pageAnswer, *upstream.Failure) {
-	p.tried.begun++
+	p.attempts.started++
 	message := p.message
 	message.Address = backEnd.Address
 	message.Exchange = upstream.NewExchange()
@@ -71,10 +71,10 @@
 	p.gateway.dispatcher.observeReport(backEnd.Name, message.Exchange, report)
 	if failure == nil {
 		defer answer.Close()
-		var whole *pageAnswer
-		if whole, failure = readPage(answer); failure == nil {
+		var complete *pageAnswer
+		if complete, failure = readPageAnswer(answer); failure == nil {
 			p.gateway.dispatcher.observe(routing.Completion{BackEnd: backEnd.Name, Exchange: message.Exchange})
-			return whole, nil
+			return complete, nil
 		}
 	}
 	if failure.Status == 0 {
@@ -85,9 +85,9 @@
 	return nil, failure
 }
 
-// readPage reads a whole answer; one without a declared length cannot be known whole, and
-// a server error without a run state may have run.
-func readPage(answer *upstream.Answer) (*pageAnswer, *upstream.Failure) {
+// readPageAnswer reads the complete answer. Without a declared length a truncated answer cannot be detected, so that it
+// fails; a server error without a run state counts as may have run.
+func readPageAnswer(answer *upstream.Answer) (*pageAnswer, *upstream.Failure) {
 	if !answer.HasLength() {
 		return nil, &upstream.Failure{Verdict: verdict.MayHaveRun, Cause: upstream.ErrTruncated}
 	}
@@ -98,14 +98,14 @@
 	if answer.Status >= http.StatusInternalServerError {
 		return nil, &upstream.Failure{Verdict: verdict.MayHaveRun, Status: answer.Status, Cause: upstream.ErrRefused}
 	}
-	whole := &pageAnswer{status: answer.Status, body: body}
+	complete := &pageAnswer{status: answer.Status, body: body}
 	for _, name := range passedResponseHeaders {
 		if value := answer.Header(name); value != "" {
-			whole.headers = append(whole.headers, upstream.Header{Name: name, Value: value})
+			complete.headers = append(complete.headers, upstream.Header{Name: name, Value: value})
 		}
 	}
-	return whole, nil
+	return complete, nil
 }
 
-// refusal gives a refusal the verdict of the whole request.
+// refusal adjusts the verdict of a refusal to all exchanges of the request.
 func (p *pageRequest) refusal(fault *refusal) *refusal { return fault.combine(p.mayHaveRun) }
--- a/internal/gateway/page_faults_test.go
+++ b/internal/gateway/page_faults_test.go
@@ -12,19 +12,19 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// pageFaultRow is one thing that goes wrong between gateway and page services; both
-// replicas show the same faults.
+// pageFaultRow is one fault between the gateway and page services; both
+// replicas have the same faults.
 type pageFaultRow struct {
 	name   string
 	method string
 	path   string
 	key    string
 	faults []fault.Fault
-	// down stops the replicas: connections are refused.
+	// down stops the replicas, so that connections are refused.
 	down    bool
 	status  int
 	verdict verdict.Verdict
-	// executions at both replicas together, at least and at most.
+	// atLeast and atMost bound the executions at both replicas together.
 	atLeast, atMost int
 }
 
@@ -101,14 +101,14 @@
 	require.Empty(t, answer.header.Get(enginecontract.HeaderExchange))
 	require.Empty(t, answer.header.Get(enginecontract.HeaderEngineState))
 	if row.key != "" && row.verdict != verdict.NotRun {
-		// The answer does not wait for its outcome to be recorded.
+		// The gateway answers before the outcome is recorded.
 		require.Eventually(t, func() bool { return controller.outcomes() == 1 }, eventually, often)
 	}
 	row.checkResend(t, gateway, answer, headers, func() int { return first.Runs().Served + second.Runs().Served })
 }
 
-// checkResend sends the request again, as a caller does who lost the answer: under a key
-// it never runs a second time unless it had not run.
+// checkResend sends the request again, as a caller that lost the answer does. With a key it must not
+// run a second time if it has run before.
 func (row pageFaultRow) checkResend(t *testing.T, gateway *testGateway, first callerAnswer, headers map[string]string, executions func() int) {
 	if row.key == "" || row.verdict == verdict.NotRun {
 		return
@@ -130,9 +130,9 @@
 	require.Equal(t, codeOutcomeUnknown, again.errorCode)
 }
 
-// TestClaimNeedsController shows that a request that may run at most once does not run
-// when no controller can grant its claim, and that nobody is told that it has not: an
-// earlier sending under its key may have.
+// TestClaimNeedsController shows that a non-repeatable request with a key does not run when no
+// controller can grant its claim, and that its verdict is then not "not run", because an
+// earlier attempt with its key may have run.
 func TestClaimNeedsController(t *testing.T) {
 	t.Parallel()
 	service := startPage(t, "p1", nil)
@@ -143,10 +143,10 @@
 	}
 	require.Equal(t, http.StatusOK, send("sent before").status)
 	controller.down.Store(true)
-	t.Cleanup(func() { require.Equal(t, 1, service.Runs().Served) }) // once the rows have ended
+	t.Cleanup(func() { require.Equal(t, 1, service.Runs().Served) }) // after the rows have ended
 	for _, key := range []string{"sent before", "new"} {
 		t.Run(key, func(t *testing.T) {
-			t.Parallel() // each waits for as long as a claim is asked for
+			t.Parallel() // each row takes as long as a claim is retried
 			answer := send(key)
 			require.Equal(t, http.StatusServiceUnavailable, answer.status)
 			require.Equal(t, codeClaimUnreachable, answer.errorCode)
@@ -156,8 +156,8 @@
 	}
 }
 
-// TestOverloadBeforeClaim shows what a gateway with too much in flight tells: not run, but
-// to a sending under a key, whose claim it has not looked up.
+// TestOverloadBeforeClaim checks the verdict of a gateway with too many requests in flight: "not run", except for
+// a request with a key, whose claim it has not looked up.
 func TestOverloadBeforeClaim(t *testing.T) {
 	t.Parallel()
 	service := startPage(t, "p1", []fault.Fault{{Kind: fault.Late, Count: fault.Always, DelayMs: generousMs}})
@@ -165,7 +165,7 @@
 	config := testSettings(controller.address)
 	config.Limits.InFlight, config.Limits.QueueLength = 1, 1
 	gateway := startGateway(t, config)
-	// Two of three requests keep both places to the end of the test; the first answer is
+	// Two of three requests occupy both slots until the end of the test; the first answer is
 	// the refusal of the third.
 	answers := make(chan string, 3)
 	for range cap(answers) {
@@ -190,7 +190,7 @@
 	}
 }
 
-// TestBeforeClaim shows which refusals stay not run for a sending under a key.
+// TestBeforeClaim checks which refusals remain "not run" for a request with a key.
 func TestBeforeClaim(t *testing.T) {
 	for status, want := range map[int]verdict.Verdict{
 		400: verdict.NotRun, 404: verdict.NotRun, 405: verdict.NotRun, 413: verdict.NotRun, 422: verdict.NotRun, 431: verdict.NotRun,
--- a/internal/gateway/page_message.go
+++ b/internal/gateway/page_message.go
@@ -10,17 +10,17 @@
 	"github.com/hazelpitch/hazelpitch/internal/upstream"
 )
 
-// passedRequestHeaders go from the caller to a page service, and no others.
+// passedRequestHeaders are the only headers passed from the caller to a page service.
 var passedRequestHeaders = []string{
 	"Content-Type", "Accept", "Accept-Language", enginecontract.HeaderIdempotencyKey,
 }
 
-// passedResponseHeaders go from a page service to the caller, and no others.
+// passedResponseHeaders are the only headers passed from a page service to the caller.
 var passedResponseHeaders = []string{
 	"Content-Type", "Content-Language", "Cache-Control", "Etag", "Last-Modified", "Location",
 }
 
-// pageTarget returns path and query as the caller sent them.
+// pageTarget returns the path and query as the caller sent them.
 func pageTarget(context *fasthttp.RequestCtx) string {
 	target := string(context.URI().PathOriginal())
 	if query := context.URI().QueryString(); len(query) > 0 {
@@ -39,7 +39,7 @@
 	return passed
 }
 
-// checkPath refuses paths that a page service might read otherwise than the gateway.
+// checkPath refuses paths that a page service might interpret differently from the gateway.
 func checkPath(path string) *refusal {
 	lower := strings.ToLower(path)
 	for _, ambiguous := range []string{"//", "/./", "/../", "\\", "%2f", "%5c", "%2e", "%00", "%0d", "%0a"} {
--- a/internal/gateway/panic_test.go
+++ b/internal/gateway/panic_test.go
@@ -16,13 +16,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// TestPanicEndsOneStream shows that a panic in the middle of a stream ends it with a true
-// verdict and leaves the process alone.
+// TestPanicEndsOneStream shows that a panic in the middle of a stream ends that stream with a correct
+// verdict and does not end the process.
 func TestPanicEndsOneStream(t *testing.T) {
 	t.Parallel()
 	gateway, err := newGateway(testSettings(), Options{Log: logring.New("g1", settings.Log{RingEntries: 16})})
 	require.NoError(t, err)
-	broken := &completion{gateway: gateway, sequence: stream.NewSequence(false, safeguard.Set{})} // it has no interrupter
+	broken := &completion{gateway: gateway, sequence: stream.NewSequence(false, safeguard.Set{})} // without an interrupter, next panics
 	broken.target.kind = &gatewaystate.Kind{Name: "matching", Spec: &v1.Kind{}}
 	header := &fasthttp.ResponseHeader{}
 	require.NoError(t, header.SetTrailer(verdict.Trailer))
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -15,42 +15,42 @@
 )
 
 const (
-	// permitTimeout bounds the question for a permit: the leader answers it from memory.
+	// permitTimeout bounds a permit request; the leader answers it from memory.
 	permitTimeout = 300 * time.Millisecond
-	// noLeaderWait is how long a back end is not asked for again for which no leader gave an answer.
-	noLeaderWait = 250 * time.Millisecond
-	// mostPermitTries bounds the back ends for which one request asks.
-	mostPermitTries = 8
-	// comeBackSpread is the least time over which callers are spread that come back when a limit has room again.
-	comeBackSpread = 300 * time.Millisecond
+	// noLeaderRetryDelay is how long no permit is requested for a back end after no leader answered.
+	noLeaderRetryDelay = 250 * time.Millisecond
+	// maximumPermitTries bounds the back ends for which one request asks for permits.
+	maximumPermitTries = 8
+	// minimumRetrySpread is the shortest interval over which retries are spread after a limit has capacity again.
+	minimumRetrySpread = 300 * time.Millisecond
 )
 
-// Outcomes of questions for permits, as metrics name them.
+// Outcomes of permit requests, as reported in the metrics.
 const (
 	permitGranted    = "granted"
 	permitDenied     = "denied"
 	permitUnanswered = "unanswered"
 )
 
-// permits asks the leader whether requests may go to back ends that name limits for all gateways together.
+// permits requests permits from the leader for back ends that name a limit for all gateways together.
 type permits struct {
 	controllers *controllers
 	identity    *v1.NodeIdentity
 	outcomes    *prometheus.CounterVec
 }
 
-// take asks for one permit; it reports false where no leader answers.
-func (p *permits) take(ask fleetlimit.PermitRequest) (fleetlimit.PermitResponse, bool) {
+// request requests one permit. It reports false when no leader answers.
+func (p *permits) request(permitRequest fleetlimit.PermitRequest) (fleetlimit.PermitResponse, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), permitTimeout)
 	defer cancel()
 	request := &v1.TakePermitRequest{
-		Node: p.identity, Limit: fleetlimit.ToWire(fleetlimit.BackEndLimit{BackEnd: ask.BackEnd, Limit: ask.Limit}), Heard: ask.LimitFromBackEnd,
-		Rank: uint32(ask.Rank), Owed: ask.MustResume,
+		Node: p.identity, Limit: fleetlimit.ToWire(fleetlimit.BackEndLimit{BackEnd: permitRequest.BackEnd, Limit: permitRequest.Limit}), Heard: permitRequest.LimitFromBackEnd,
+		Rank: uint32(permitRequest.Rank), Owed: permitRequest.MustResume,
 	}
 	response, err := p.controllers.takePermit(ctx, request)
 	if err != nil {
 		p.outcomes.WithLabelValues(permitUnanswered).Inc()
-		return fleetlimit.PermitResponse{Wait: noLeaderWait/2 + rand.N(noLeaderWait)}, false
+		return fleetlimit.PermitResponse{Wait: noLeaderRetryDelay/2 + rand.N(noLeaderRetryDelay)}, false
 	}
 	outcome := permitDenied
 	if response.GetGranted() {
@@ -59,16 +59,16 @@
 	p.outcomes.WithLabelValues(outcome).Inc()
 	named, valid := fleetlimit.FromWire(response.GetLimit())
 	if !valid {
-		named.Limit = ask.Limit
+		named.Limit = permitRequest.Limit
 	}
 	return fleetlimit.PermitResponse{
 		Granted: response.GetGranted(), Wait: time.Duration(response.GetWaitUs()) * time.Microsecond, Limit: named.Limit,
 	}, true
 }
 
-// takePermit asks the leader, or a controller that passes the question on.
+// takePermit requests a permit from the leader, or from a controller that forwards the request.
 func (c *controllers) takePermit(ctx context.Context, request *v1.TakePermitRequest) (*v1.TakePermitResponse, error) {
-	address := c.inOrder(true)[0]
+	address := c.candidates(true)[0]
 	response, err := c.client(address).TakePermit(ctx, connect.NewRequest(request))
 	if err != nil {
 		return nil, trace.Wrap(err, "ask controller %s for a permit", address)
@@ -76,56 +76,57 @@
 	return response.Msg, nil
 }
 
-// rankOfPriority is the rank of a kind of request, 0 the most urgent; of priorities the larger goes first.
+// rankOfPriority returns the rank of a request kind; rank 0 is the most urgent and belongs to the highest priority.
 func rankOfPriority(priority int32) int {
 	return min(max(fleetlimit.RankCount-1-int(priority), 0), fleetlimit.RankCount-1)
 }
 
-// pick chooses where to send a request, among back ends that name no limit or permit it.
+// pick chooses the back ends of a request among those that name no limit or grant a permit.
 func (d *dispatcher) pick(request routing.Request, excluded []string) (routing.Choice, error) {
-	for range mostPermitTries {
+	for range maximumPermitTries {
 		choice, err := d.pickOnce(request, excluded)
-		if err != nil || d.permitted(choice, request.Rank) {
+		if err != nil || d.arePermitted(choice, request.Rank) {
 			return choice, err
 		}
 	}
-	return routing.Choice{}, &routing.PickError{Reason: routing.ErrAllLimited, Service: request.Service, RetryAfter: comeBackSpread}
+	return routing.Choice{}, &routing.PickError{Reason: routing.ErrAllLimited, Service: request.Service, RetryAfter: minimumRetrySpread}
 }
 
-// permitted reports whether the back ends of a choice name no limits or permit the request. The one that answers is
-// asked first: a prompt that was read for nobody was read in vain.
-func (d *dispatcher) permitted(choice routing.Choice, rank int) bool {
+// arePermitted reports whether every back end of a choice names no limit or grants a permit. It checks the decode engine
+// first, because a prefill without a permit to decode would be wasted.
+func (d *dispatcher) arePermitted(choice routing.Choice, rank int) bool {
 	if !d.mayCall(choice.BackEnd, rank, false) {
 		return false
 	}
 	return choice.Prefill == nil || d.mayCall(*choice.Prefill, rank, false)
 }
 
-// mayCall reports whether one call may go to a back end that may name a limit. One that is owed must go there.
-func (d *dispatcher) mayCall(backEnd routing.BackEnd, rank int, owed bool) bool {
+// mayCall reports whether a call may be sent to a back end, which requires a permit when the back end names a limit.
+// mustResume marks a call that has to go to this back end.
+func (d *dispatcher) mayCall(backEnd routing.BackEnd, rank int, mustResume bool) bool {
 	d.mutex.Lock()
-	ask, needed := d.router.PermitRequest(backEnd)
+	permitRequest, needed := d.router.PermitRequest(backEnd)
 	d.mutex.Unlock()
 	if !needed {
 		return true
 	}
-	ask.Rank, ask.MustResume = rank, owed
-	answer, answered := d.permits.take(ask)
+	permitRequest.Rank, permitRequest.MustResume = rank, mustResume
+	answer, answered := d.permits.request(permitRequest)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.router.ApplyPermitAnswer(d.clock.now(), backEnd, answer, answered)
 	return answer.Granted
 }
 
-// heardLimits returns what back ends have named to this gateway that the leader has not been told.
-func (d *dispatcher) heardLimits() []fleetlimit.BackEndLimit {
+// unreportedLimits returns the limits that back ends have named to this gateway and that the leader does not know yet.
+func (d *dispatcher) unreportedLimits() []fleetlimit.BackEndLimit {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.router.UnreportedLimits()
 }
 
-// limitsReported takes what the leader said of limits to a report that told it some.
-func (d *dispatcher) limitsReported(told []fleetlimit.BackEndLimit, response *v1.ReportResponse) {
+// applyReportLimits applies the leader's answer to a report that contained the given limits.
+func (d *dispatcher) applyReportLimits(reported []fleetlimit.BackEndLimit, response *v1.ReportResponse) {
 	var known []fleetlimit.BackEndLimit
 	for _, limit := range response.GetLimits() {
 		if named, valid := fleetlimit.FromWire(limit); valid {
@@ -134,6 +135,6 @@
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.router.MarkLimitsReported(told)
+	d.router.MarkLimitsReported(reported)
 	d.router.ApplyLimits(d.clock.now(), known)
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -17,12 +17,12 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// endWait is how long a request waits, before it is sent to another back end, until the controllers have
-// agreed on the end of the one that broke it off.
-const endWait = 300 * time.Millisecond
+// crashWait bounds the wait, before a request is sent to another back end, until the controllers have
+// agreed on the crash of the back end that broke it off.
+const crashWait = 300 * time.Millisecond
 
-// newGuardedDispatcher makes the guard of a gateway and its dispatcher, which tell each other of ends: the dispatcher of
-// incarnations that others took the place of, the guard asks it before it looks who serves there.
+// newGuardedDispatcher returns the crash guard of a gateway and its dispatcher. The dispatcher reports replaced
+// incarnations to the guard; the guard asks the dispatcher for a newer incarnation before it probes an address.
 func newGuardedDispatcher(clock clock, config settings.Gateway, options ControlOptions, permits *permits, counts *gatewayMetrics) (*crashguard.Guard, *dispatcher, error) {
 	var guard *crashguard.Guard
 	dispatcher, err := newDispatcher(clock, config, permits, func(former routing.BackEnd) { guard.RecordCrash(replicaOf(former).ID) })
@@ -33,7 +33,7 @@
 	return guard, dispatcher, nil
 }
 
-// newGuard makes the guard of a gateway.
+// newGuard returns the crash guard of a gateway.
 func newGuard(clock clock, config settings.Gateway, options ControlOptions, controllers *controllers, counts *gatewayMetrics, dispatcher *dispatcher) *crashguard.Guard {
 	dial := options.Dial
 	if dial == nil {
@@ -46,15 +46,15 @@
 	return crashguard.New(crashguard.Options{
 		Now: clock.now,
 		Leader: crashguard.LeaderClient{Client: func() hazelpitchv1connect.NodeServiceClient {
-			return controllers.client(controllers.inOrder(true)[0])
+			return controllers.client(controllers.candidates(true)[0])
 		}},
 		Probe: func(ctx context.Context, replica crashguard.Replica) crashguard.ProbeResult {
 			if dispatcher.hasRestarted(backEndOf(replica)) {
-				return crashguard.ProbeGone // whoever serves there now
+				return crashguard.ProbeGone // another incarnation may serve at the address
 			}
 			connection, err := dial(ctx, "tcp", replica.Address)
 			if err == nil {
-				_ = connection.Close() // it was opened to look only
+				_ = connection.Close() // it served only as a probe
 			}
 			return crashguard.ProbeResultOf(err)
 		},
@@ -62,11 +62,11 @@
 	})
 }
 
-// admitHeld refuses a request that must not run, and tells whether it is a trial.
-func (g *Gateway) admitHeld(signature quarantine.Signature) (trial bool, fault *refusal) {
+// checkQuarantine refuses a quarantined request, and reports whether the request may run as a trial.
+func (g *Gateway) checkQuarantine(signature quarantine.Signature) (trial bool, fault *refusal) {
 	switch g.guard.Admit(context.Background(), signature) {
 	case crashguard.Quarantined:
-		return false, refuseHeld()
+		return false, refuseQuarantined()
 	case crashguard.Trial:
 		g.log.Warn().Stringer("content", signature).Msg("a held request is sent to one back end once more")
 		return true, nil
@@ -75,18 +75,18 @@
 	}
 }
 
-// replicaOf names one start of a back end.
+// replicaOf identifies one incarnation of a back end.
 func replicaOf(backEnd routing.BackEnd) crashguard.Replica {
 	return crashguard.Replica{ID: backEnd.Name + "/" + strconv.FormatUint(backEnd.Incarnation, 10), Name: backEnd.Name, Address: backEnd.Address}
 }
 
-// backEndOf is the reverse of replicaOf, as far as a start is known by it.
+// backEndOf is the inverse of replicaOf for the fields that identify an incarnation.
 func backEndOf(replica crashguard.Replica) routing.BackEnd {
-	incarnation, _ := strconv.ParseUint(strings.TrimPrefix(replica.ID, replica.Name+"/"), 10, 64) // written by replicaOf
+	incarnation, _ := strconv.ParseUint(strings.TrimPrefix(replica.ID, replica.Name+"/"), 10, 64) // replicaOf wrote the ID
 	return routing.BackEnd{Name: replica.Name, Incarnation: incarnation, Address: replica.Address}
 }
 
-// guardObserver writes lines and counts of what the guard finds.
+// guardObserver logs and counts the events of the crash guard.
 type guardObserver struct {
 	log     *logring.Log
 	metrics *gatewayMetrics
@@ -94,13 +94,13 @@
 
 // ReplicaCrashed implements crashguard.Observer.
 func (o guardObserver) ReplicaCrashed(replica string, requests int) {
-	o.metrics.replicaEnds.Inc()
+	o.metrics.replicaCrashes.Inc()
 	o.log.Warn().Str("back_end", replica).Int("requests", requests).Msg("a back end ended while it ran requests")
 }
 
 // RequestQuarantined implements crashguard.Observer.
 func (o guardObserver) RequestQuarantined(signature quarantine.Signature) {
-	o.log.Warn().Stringer("content", signature).Msg("a request is held, since back ends have ended while they ran it")
+	o.log.Warn().Stringer("content", signature).Msg("a request is quarantined because back ends crashed while they ran it")
 }
 
 // LeaderCallFailed implements crashguard.Observer.
