--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -24,30 +24,30 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// endingWord is in the body of requests that end every back end that runs them.
-const endingWord = "ends its back end"
+// crashingText is in the body of requests that crash every back end that runs them.
+const crashingText = "ends its back end"
 
-// endingBackEnds are back ends of one service that are gone once they run the ending request.
-type endingBackEnds struct {
-	mutex sync.Mutex
-	ends  int
+// crashingBackEnds are back ends of one service that stop when they run the crashing request.
+type crashingBackEnds struct {
+	mutex   sync.Mutex
+	crashes int
 }
 
-// start starts one of them, which answers other requests by the handler, and returns its address.
-func (e *endingBackEnds) start(t *testing.T, answer http.Handler) string {
+// start starts one of the back ends and returns its address. answer handles all other requests.
+func (e *crashingBackEnds) start(t *testing.T, answer http.Handler) string {
 	server := httptest.NewUnstartedServer(nil)
 	server.Config.Handler = http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
-		if !strings.Contains(string(body), endingWord) {
+		if !strings.Contains(string(body), crashingText) {
 			request.Body = io.NopCloser(strings.NewReader(string(body)))
 			answer.ServeHTTP(writer, request)
 			return
 		}
 		e.mutex.Lock()
-		e.ends++
+		e.crashes++
 		e.mutex.Unlock()
 		_ = server.Listener.Close()
-		go server.CloseClientConnections() // it waits for this handler
+		go server.CloseClientConnections() // it waits for this handler, so it must not run here
 		panic(http.ErrAbortHandler)
 	})
 	server.Start()
@@ -55,27 +55,27 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func (e *endingBackEnds) ended() int {
+func (e *crashingBackEnds) crashCount() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.ends
+	return e.crashes
 }
 
-// holdingController holds requests as controllers do.
-type holdingController struct {
+// quarantiningController quarantines requests as controllers do.
+type quarantiningController struct {
 	*testController
 	ledger *quarantine.Ledger
-	// told are the gateways that have said that they know what is held.
-	told map[string]bool
-	// silent: it says nothing of what is held, as controllers of the first format.
-	silent bool
+	// informed holds the gateways that have reported the current quarantine version.
+	informed map[string]bool
+	// omitsQuarantine makes the answers omit the quarantine, as controllers of the first format do.
+	omitsQuarantine bool
 }
 
-// heldVersion stands for what is held, once there is something.
-const heldVersion = 7
+// quarantineVersion is the version of a quarantine that is not empty.
+const quarantineVersion = 7
 
-// Sync implements the node service: it tells what is held with each heartbeat.
-func (c *holdingController) Sync(ctx context.Context, request *connect.Request[v1.SyncRequest]) (*connect.Response[v1.SyncResponse], error) {
+// Sync implements the node service: each answer contains the quarantined requests.
+func (c *quarantiningController) Sync(ctx context.Context, request *connect.Request[v1.SyncRequest]) (*connect.Response[v1.SyncResponse], error) {
 	response, err := c.testController.Sync(ctx, request)
 	if err != nil {
 		return nil, err
@@ -83,17 +83,17 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, suspect := range c.ledger.Suspects() {
-		if suspect.IsQuarantined() && !c.silent {
-			response.Msg.HeldVersion = heldVersion
+		if suspect.IsQuarantined() && !c.omitsQuarantine {
+			response.Msg.HeldVersion = quarantineVersion
 			response.Msg.Held = append(response.Msg.Held, &v1.HeldRequest{Signature: suspect.Signature[:]})
 		}
 	}
-	c.told[request.Msg.GetNode().GetName()] = request.Msg.GetHeldVersion() == heldVersion
+	c.informed[request.Msg.GetNode().GetName()] = request.Msg.GetHeldVersion() == quarantineVersion
 	return response, nil
 }
 
-// recorded is how many ends it was told of; heldEverywhere whether so many gateways know what is held.
-func (c *holdingController) recorded() int {
+// crashesRecorded returns the number of crashes reported to the controller.
+func (c *quarantiningController) crashesRecorded() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	count := 0
@@ -103,11 +103,12 @@
 	return count
 }
 
-func (c *holdingController) heldEverywhere(gateways int) bool {
+// isKnownTo reports whether this number of gateways has reported the current quarantine version.
+func (c *quarantiningController) isKnownTo(gateways int) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	count := 0
-	for _, knows := range c.told {
+	for _, knows := range c.informed {
 		if knows {
 			count++
 		}
@@ -116,7 +117,7 @@
 }
 
 // ReportReplicaEnds implements the node service.
-func (c *holdingController) ReportReplicaEnds(_ context.Context, request *connect.Request[v1.ReportReplicaEndsRequest]) (*connect.Response[v1.ReportReplicaEndsResponse], error) {
+func (c *quarantiningController) ReportReplicaEnds(_ context.Context, request *connect.Request[v1.ReportReplicaEndsRequest]) (*connect.Response[v1.ReportReplicaEndsResponse], error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	response := &v1.ReportReplicaEndsResponse{}
@@ -130,13 +131,13 @@
 	return connect.NewResponse(response), nil
 }
 
-// The other request plane keeps such requests away from engines and from back ends of pages, also
-// where each attempt comes through another gateway.
+// TestGatewaysKeepRequestsAwayThatEndBackEnds guards against one request that crashes back end after back end, of engines
+// and of page services, also when each attempt comes through another gateway.
 func TestGatewaysKeepRequestsAwayThatEndBackEnds(t *testing.T) {
 	const chat = `{"model":"base","messages":[{"role":"user","content":%q}]}`
 	planes := map[string]struct {
-		// path and kind are those of the ending request, which may run once, so that each is sent to one
-		// back end; soundPath and soundKind those of requests that may be repeated.
+		// path and kind are those of the crashing request, which is not repeatable, so that each is sent to one
+		// back end; soundPath and soundKind are those of repeatable requests.
 		path, body, kind     string
 		soundPath, soundKind string
 		row                  func(number int, address string) *v1.BackEnd
@@ -173,12 +174,12 @@
 	}
 	for name, plane := range planes {
 		t.Run(name, func(t *testing.T) {
-			ending := &endingBackEnds{}
+			ending := &crashingBackEnds{}
 			var backEnds []*v1.BackEnd
 			for number := range 8 {
 				backEnds = append(backEnds, plane.row(number, ending.start(t, plane.sound(t, number))))
 			}
-			controller := &holdingController{testController: startController(t, backEnds...), ledger: quarantine.NewLedger(), told: map[string]bool{}}
+			controller := &quarantiningController{testController: startController(t, backEnds...), ledger: quarantine.NewLedger(), informed: map[string]bool{}}
 			controller.serveAs(t, controller)
 			var gateways []*testGateway
 			for number := range 2 {
@@ -189,31 +190,31 @@
 			send := func(gateway *testGateway, content, path, kind string) callerAnswer {
 				return call(t, http.MethodPost, gateway.url+path, fmt.Sprintf(plane.body, content), map[string]string{HeaderKind: kind})
 			}
-			sendEnding := func(gateway *testGateway) callerAnswer { return send(gateway, endingWord, plane.path, plane.kind) }
+			sendEnding := func(gateway *testGateway) callerAnswer { return send(gateway, crashingText, plane.path, plane.kind) }
 			sendSound := func(gateway *testGateway) int { return send(gateway, "sound", plane.soundPath, plane.soundKind).status }
 			for _, gateway := range gateways {
 				require.Equal(t, http.StatusOK, sendSound(gateway))
 			}
 			for retry := range quarantine.QuarantineThreshold {
 				require.NotEqual(t, http.StatusOK, sendEnding(gateways[retry%2]).status)
-				require.Eventually(t, func() bool { return controller.recorded() == retry+1 }, eventually, often)
+				require.Eventually(t, func() bool { return controller.crashesRecorded() == retry+1 }, eventually, often)
 			}
-			require.Eventually(t, func() bool { return controller.heldEverywhere(len(gateways)) }, eventually, often)
+			require.Eventually(t, func() bool { return controller.isKnownTo(len(gateways)) }, eventually, often)
 			for retry := range 8 {
-				require.Equal(t, codeRequestHeld, sendEnding(gateways[retry%2]).errorCode)
+				require.Equal(t, codeRequestQuarantined, sendEnding(gateways[retry%2]).errorCode)
 			}
-			require.Equal(t, quarantine.QuarantineThreshold, ending.ended())
+			require.Equal(t, quarantine.QuarantineThreshold, ending.crashCount())
 			require.Eventually(t, func() bool {
 				answer := sendEnding(gateways[0])
-				return answer.errorCode == codeRequestHeld && answer.verdict == verdict.NotRun.String() && answer.header.Get("Retry-After") == "3"
+				return answer.errorCode == codeRequestQuarantined && answer.verdict == verdict.NotRun.String() && answer.header.Get("Retry-After") == "3"
 			}, eventually, often)
 			require.Equal(t, http.StatusOK, sendSound(gateways[1]))
 		})
 	}
 }
 
-// A back end that starts again at its address, and is there when the gateway looks, has ended all the same: the directory
-// shows a later incarnation, before the connection breaks or after.
+// TestTheDirectoryTellsThatABackEndHasEnded guards against missing the crash of a back end that restarts at its address
+// and accepts the gateway's probe: the directory shows a later incarnation, before or after the connection breaks.
 func TestTheDirectoryTellsThatABackEndHasEnded(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(server.Close)
@@ -251,37 +252,38 @@
 	}
 }
 
-// A controller of the first format says nothing of held requests. That is not taken for the word that none is held.
+// TestGatewaysHoldRequestsOnUnderAControllerThatKnowsOfNone guards against lifting the quarantine when a controller of the
+// first format, which sends no quarantine, answers.
 func TestGatewaysHoldRequestsOnUnderAControllerThatKnowsOfNone(t *testing.T) {
 	signature := quarantine.SignatureOf("", "", "", []byte("held"))
-	controller := &holdingController{testController: startController(t), ledger: quarantine.NewLedger(), told: map[string]bool{}}
+	controller := &quarantiningController{testController: startController(t), ledger: quarantine.NewLedger(), informed: map[string]bool{}}
 	for replica := range uint64(quarantine.QuarantineThreshold) {
 		controller.ledger.RecordCrash(signature, replica)
 	}
 	controller.serveAs(t, controller)
 	startGateway(t, testSettings(controller.address))
-	require.Eventually(t, func() bool { return controller.heldEverywhere(1) }, eventually, often)
-	controller.setSilent(true)
+	require.Eventually(t, func() bool { return controller.isKnownTo(1) }, eventually, often)
+	controller.setOmitsQuarantine(true)
 	for range 5 {
 		controller.awaitSync(t)
-		require.True(t, controller.heldEverywhere(1), "the gateway knows what was told before")
+		require.True(t, controller.isKnownTo(1), "the gateway keeps the quarantine that it received before")
 	}
 }
 
-func (c *holdingController) setSilent(silent bool) {
+func (c *quarantiningController) setOmitsQuarantine(silent bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.silent = silent
+	c.omitsQuarantine = silent
 }
 
 // awaitSync waits for the next heartbeat.
-func (c *holdingController) awaitSync(t *testing.T) {
+func (c *quarantiningController) awaitSync(t *testing.T) {
 	c.mutex.Lock()
-	clear(c.told)
+	clear(c.informed)
 	c.mutex.Unlock()
 	require.Eventually(t, func() bool {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		return len(c.told) > 0
+		return len(c.informed) > 0
 	}, eventually, often)
 }
--- a/internal/gateway/ready_test.go
+++ b/internal/gateway/ready_test.go
@@ -9,8 +9,8 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// TestGatewayIsReadyOnceItKnowsBackEnds gives a gateway its configuration first and the
-// back ends later: only then can it serve.
+// TestGatewayIsReadyOnceItKnowsBackEnds sends a gateway its configuration first and the
+// directory of back ends later: it must become ready only then.
 func TestGatewayIsReadyOnceItKnowsBackEnds(t *testing.T) {
 	controller := startController(t)
 	backEnds := controller.directory
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -27,33 +27,33 @@
 	typeServer         = "server_error"
 )
 
-// Codes of refusals; docs/CALLERS.md explains each.
+// Codes of refusals; each is documented for callers.
 const (
-	codeInvalidBody      = "invalid_body"
-	codeInvalidHeader    = "invalid_header"
-	codeInvalidPath      = "invalid_path"
-	codeTooLarge         = "too_large"
-	codeInvalidKey       = "invalid_api_key"
-	codeKeyNotChecked    = "api_key_not_checked"
-	codeUnknownKind      = "unknown_kind"
-	codeModelNotFound    = "model_not_found"
-	codeOverloaded       = "overloaded"
-	codeRateLimit        = "rate_limit_exceeded"
-	codeNoBackEnd        = "no_back_end"
-	codeBackEndFailed    = "back_end_failed"
-	codeDeadlineExceeded = "deadline_exceeded"
-	codeClaimUnreachable = "claim_not_made"
-	codeClaimRefused     = "claim_refused"
-	codeStillRunning     = "still_running"
-	codeOutcomeUnknown   = "outcome_unknown"
-	codeKeyReused        = "idempotency_key_reused"
-	codeRequestHeld      = "request_held"
-	codeCallerGone       = "caller_gone"
-	codeStopping         = "gateway_stopping"
-	codeInternal         = "internal_error"
+	codeInvalidBody        = "invalid_body"
+	codeInvalidHeader      = "invalid_header"
+	codeInvalidPath        = "invalid_path"
+	codeTooLarge           = "too_large"
+	codeInvalidKey         = "invalid_api_key"
+	codeKeyNotChecked      = "api_key_not_checked"
+	codeUnknownKind        = "unknown_kind"
+	codeModelNotFound      = "model_not_found"
+	codeOverloaded         = "overloaded"
+	codeRateLimit          = "rate_limit_exceeded"
+	codeNoBackEnd          = "no_back_end"
+	codeBackEndFailed      = "back_end_failed"
+	codeDeadlineExceeded   = "deadline_exceeded"
+	codeClaimUnreachable   = "claim_not_made"
+	codeClaimRefused       = "claim_refused"
+	codeStillRunning       = "still_running"
+	codeOutcomeUnknown     = "outcome_unknown"
+	codeKeyReused          = "idempotency_key_reused"
+	codeRequestQuarantined = "request_held"
+	codeCallerGone         = "caller_gone"
+	codeStopping           = "gateway_stopping"
+	codeInternal           = "internal_error"
 )
 
-// refusal is the end of a request that brings no whole answer. Its message never names
+// refusal is the answer to a request without a complete result. Its message never names
 // another tenant, a back end or their load.
 type refusal struct {
 	status     int
@@ -77,27 +77,27 @@
 	return r
 }
 
-// mayHaveRun lowers the verdict.
+// mayHaveRun changes the verdict to "may have run".
 func (r *refusal) mayHaveRun() *refusal {
 	r.verdict = verdict.MayHaveRun
 	return r
 }
 
-// combine returns the refusal that is true of a request of which an earlier exchange may
+// combine returns the refusal adjusted to a request of which an earlier exchange may
 // have run.
 func (r *refusal) combine(mayHaveRun bool) *refusal {
 	if !mayHaveRun {
 		return r
 	}
 	if r.code == codeNoBackEnd {
-		r = refuseBackEnd() // there was one, and it failed
+		r = refuseBackEnd() // there was a back end, and it failed
 	}
 	return r.mayHaveRun()
 }
 
-// beforeClaim returns the refusal of a sending under an idempotency key whose claim was not
-// looked up: an earlier sending under the key may have run, unless what was sent can never
-// have been taken.
+// beforeClaim returns the refusal of a request with an idempotency key whose claim has not been looked up.
+// An earlier attempt with the key may have run, except when the refused request could never have been
+// accepted.
 func (r *refusal) beforeClaim(key string) *refusal {
 	if key == "" || r.verdict != verdict.NotRun {
 		return r
@@ -111,7 +111,7 @@
 	}
 }
 
-// body returns the refusal in the chat protocol's shape.
+// body returns the refusal in the error format of the chat protocol.
 func (r *refusal) body() stream.ErrorBody {
 	return stream.ErrorBody{
 		Error:      enginecontract.ErrorDetail{Message: r.message, Type: r.errorType, Code: r.code},
@@ -119,7 +119,7 @@
 	}
 }
 
-// write answers the caller with the refusal.
+// write writes the refusal as the answer to the caller.
 func (r *refusal) write(response *fasthttp.Response) {
 	body, _ := json.Marshal(r.body()) // strings always marshal
 	response.SetStatusCode(r.status)
@@ -137,9 +137,9 @@
 		"the deadline of the request's kind has passed").after(time.Second)
 }
 
-// refuseHeld answers a request under which back ends have ended.
-func refuseHeld() *refusal {
-	return refuse(http.StatusServiceUnavailable, typeServer, codeRequestHeld,
+// refuseQuarantined refuses a request that has crashed back ends.
+func refuseQuarantined() *refusal {
+	return refuse(http.StatusServiceUnavailable, typeServer, codeRequestQuarantined,
 		"back ends have ended while they ran this request; it is held for a while").after(crashguard.QuarantineRetryAfter)
 }
 
@@ -149,7 +149,7 @@
 	errStopping   = errors.New("the gateway stops and could not wait for the answer")
 )
 
-// refuseInterrupted ends a request that was interrupted.
+// refuseInterrupted converts the cause of an interruption.
 func refuseInterrupted(cause error) *refusal {
 	if errors.Is(cause, errStopping) {
 		return refuse(http.StatusServiceUnavailable, typeServer, codeStopping, cause.Error()).after(time.Second)
@@ -169,7 +169,7 @@
 	return refuseBody("the engine refuses the request's parameters")
 }
 
-// refusePick translates routing's reason.
+// refusePick converts an error of routing.
 func refusePick(err error) *refusal {
 	fault := refuse(http.StatusServiceUnavailable, typeServer, codeNoBackEnd, "no back end can take the request now")
 	if errors.Is(err, routing.ErrInfeasible) {
@@ -178,8 +178,8 @@
 	var picked *routing.PickError
 	if errors.As(err, &picked) {
 		wait := picked.RetryAfter
-		if errors.Is(err, routing.ErrAllLimited) { // callers come back one by one
-			wait += rand.N(max(wait, comeBackSpread))
+		if errors.Is(err, routing.ErrAllLimited) { // spread the retries of callers
+			wait += rand.N(max(wait, minimumRetrySpread))
 		}
 		fault.after(wait)
 	}
--- a/internal/gateway/repeating_test.go
+++ b/internal/gateway/repeating_test.go
@@ -19,13 +19,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// TestContinueElsewhere shows that after an engine's crash another one continues from the
-// tokens that the caller has, told their number and their text.
+// TestContinueElsewhere shows that after an engine's crash another engine continues after the
+// tokens that the caller has received, and that it receives their number and text.
 func TestContinueElsewhere(t *testing.T) {
 	t.Parallel()
-	const held, delivered = 3, 4
+	const blockAfterTokens, delivered = 3, 4
 	first, second := startEngine(t, engineFault{cutAfter: delivered}), startEngine(t)
-	first.block, first.holdAfter = make(chan struct{}), held
+	first.block, first.blockAfter = make(chan struct{}), blockAfterTokens
 	controller := startController(t, engineBackEnd("e1", first.address(), v1.Role_ROLE_MIXED))
 	gateway := startGateway(t, testSettings(controller.address))
 	answer := openStream(t, gateway)
@@ -47,9 +47,9 @@
 	require.NotEqual(t, first.requests[0].Header.Get(enginecontract.HeaderExchange), continued.Header.Get(enginecontract.HeaderExchange))
 }
 
-// TestResendElsewhere shows that the resend of a once-only request, through another gateway
+// TestResendThroughAnotherGateway shows that the resend of a non-repeatable request, through another gateway
 // or a restarted one, does not run again.
-func TestResendElsewhere(t *testing.T) {
+func TestResendThroughAnotherGateway(t *testing.T) {
 	t.Parallel()
 	service := startPage(t, "p1", []fault.Fault{{Kind: fault.Late, Count: 1, DelayMs: 300}})
 	controller := startController(t, pageBackEnd("p1", service.Address()))
@@ -58,12 +58,12 @@
 	send := func(gateway *testGateway) callerAnswer {
 		return call(t, http.MethodPost, gateway.url+"/registrations", "lot=7", map[string]string{enginecontract.HeaderIdempotencyKey: "k"})
 	}
-	// The caller goes away and asks another gateway while the request still runs.
+	// The caller disconnects and resends through another gateway while the request still runs.
 	lost := dial(t, first, rawRequest(http.MethodPost, "/registrations", "", "k", "lot=7"))
 	waitUntilRunning(t, service)
 	require.NoError(t, lost.Close())
 	early := send(second)
-	if early.status != http.StatusOK { // it may have ended by now
+	if early.status != http.StatusOK { // the run may have ended by now
 		require.Equal(t, http.StatusConflict, early.status, early.body)
 		require.Equal(t, codeStillRunning, early.errorCode)
 		require.Equal(t, verdict.MayHaveRun.String(), early.verdict)
@@ -83,7 +83,7 @@
 }
 
 // TestRetriesDoNotAmplify shows that when every engine fails every request, retries add at
-// most their budget.
+// most their budget to the load.
 func TestRetriesDoNotAmplify(t *testing.T) {
 	t.Parallel()
 	const requests = 200
@@ -106,9 +106,9 @@
 	require.Greater(t, one+two, requests, "some retries are made")
 }
 
-// A planned change that gateways have not heard of yet costs no request its answer, however
-// many requests meet it: being turned away spends no retries.
-func TestPlannedChangesCostNoAnswer(t *testing.T) {
+// TestPlannedChangesSpendNoRetries shows that a planned change that gateways do not know yet fails no request, however
+// many requests it affects: exchanges that are declined spend no retries.
+func TestPlannedChangesSpendNoRetries(t *testing.T) {
 	t.Parallel()
 	const requests = 60
 	turnedAwayBy := []string{enginecontract.CodeDraining, enginecontract.CodeChanging, enginecontract.CodeLeaving, enginecontract.CodeWrongRole, enginecontract.CodeDraining}
@@ -131,5 +131,5 @@
 		_, times, _ := engine.counts()
 		refused += times
 	}
-	require.Greater(t, refused, maximumRetryCredit+int(retryShare*requests), "more were turned away than retries could pay for")
+	require.Greater(t, refused, maximumRetryCredit+int(retryShare*requests), "more exchanges were declined than the retry budget allows")
 }
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -12,11 +12,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/pause"
 )
 
-// urgentInterval is the least time between a report and an urgent one.
+// urgentInterval is the shortest time between an urgent report and the next one.
 const urgentInterval = 100 * time.Millisecond
 
-// reportLoop tells the leader the demand met, each sync interval, and in between what
-// waiting requests need.
+// reportLoop reports demand to the leader at each sync interval, and sends urgent reports in between for
+// requests that wait for shares.
 func (c *Control) reportLoop(ctx context.Context) {
 	ticker := time.NewTicker(c.settings.SyncInterval)
 	defer ticker.Stop()
@@ -31,7 +31,7 @@
 		}
 		if err := reportOnce(ctx); err != nil && ctx.Err() == nil {
 			c.metrics.reportFailures.Inc()
-			c.log.Warn().Err(err).Msg("no leader takes the demand report; its counts go into the next")
+			c.log.Warn().Err(err).Msg("no leader accepted the demand report; its counts are added to the next report")
 		}
 	}
 }
@@ -46,14 +46,14 @@
 	if err != nil {
 		return err
 	}
-	if err := c.exchangeReport(ctx, demandedAt, request); err != nil {
-		c.view.send(ctx, loseReport{request: request})
+	if err := c.sendReport(ctx, demandedAt, request); err != nil {
+		c.view.send(ctx, restoreReport{request: request})
 		return err
 	}
 	return nil
 }
 
-// reportUrgently asks for the shares that requests wait for. It counts no demand.
+// reportUrgently requests the shares that requests wait for. It reports no demand counts.
 func (c *Control) reportUrgently(ctx context.Context) error {
 	demands, demandedAt := c.admitter.urgentDemands()
 	if len(demands) == 0 {
@@ -61,29 +61,29 @@
 	}
 	c.metrics.urgentReports.Inc()
 	request := &v1.ReportRequest{Node: c.identity, ShareDemands: demands, Revision: c.view.snapshot.Load().Revision}
-	err := c.exchangeReport(ctx, demandedAt, request)
+	err := c.sendReport(ctx, demandedAt, request)
 	pause.For(ctx, urgentInterval)
 	return err
 }
 
-// exchangeReport sends a report and takes the shares it brings. Their leases count from
-// the time of the demand, which is before it was sent.
-func (c *Control) exchangeReport(ctx context.Context, demandedAt time.Duration, request *v1.ReportRequest) error {
-	heard := c.dispatcher.heardLimits()
-	request.Limits = fleetlimit.LimitsToWire(heard)
+// sendReport sends a report and applies the granted shares. Their leases count from
+// the time of the demand, which is before the report was sent.
+func (c *Control) sendReport(ctx context.Context, demandedAt time.Duration, request *v1.ReportRequest) error {
+	limits := c.dispatcher.unreportedLimits()
+	request.Limits = fleetlimit.LimitsToWire(limits)
 	response, err := c.controllers.report(ctx, request)
 	if err != nil {
 		return err
 	}
-	c.dispatcher.limitsReported(heard, response)
-	c.admitter.apply(demandedAt, response.GetShares())
+	c.dispatcher.applyReportLimits(limits, response)
+	c.admitter.applyShares(demandedAt, response.GetShares())
 	return nil
 }
 
-// report asks the leader, or else each controller until one turns out to lead.
+// report sends a report to the leader, or else to each controller until one accepts it as the leader.
 func (c *controllers) report(ctx context.Context, request *v1.ReportRequest) (*v1.ReportResponse, error) {
 	var failures []error
-	for _, address := range c.inOrder(true) {
+	for _, address := range c.candidates(true) {
 		limited, cancel := context.WithTimeout(ctx, controllerCallTimeout)
 		response, err := c.client(address).Report(limited, connect.NewRequest(request))
 		cancel()
--- a/internal/gateway/retry_budget.go
+++ b/internal/gateway/retry_budget.go
@@ -3,14 +3,14 @@
 import "sync"
 
 const (
-	// retryShare is the part of a retry that each request earns: retries add at most this
-	// share to the load of back ends, also when all of them fail.
+	// retryShare is the fraction of a retry that each request earns: retries add at most this
+	// share to the load of back ends, even when all of them fail.
 	retryShare = 0.1
-	// maximumRetryCredit bounds what is saved up in quiet times.
+	// maximumRetryCredit bounds the credit, in retries, that accumulates while few requests fail.
 	maximumRetryCredit = 20
 )
 
-// retryBudget is a token bucket filled by requests, not by time, so that retries cannot
+// retryBudget is a token bucket that is refilled by requests and not by time, so that retries cannot
 // amplify an outage. It is safe for concurrent use.
 type retryBudget struct {
 	mutex  sync.Mutex
@@ -19,14 +19,14 @@
 
 func newRetryBudget() *retryBudget { return &retryBudget{credit: maximumRetryCredit} }
 
-// earn notes one request.
+// earn adds the credit of one request.
 func (b *retryBudget) earn() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.credit = min(b.credit+retryShare, maximumRetryCredit)
 }
 
-// spend takes one retry; it reports false when the budget is used up.
+// spend uses the credit of one retry. It reports false when the budget is used up.
 func (b *retryBudget) spend() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/gateway/safeguards.go
+++ b/internal/gateway/safeguards.go
@@ -2,13 +2,13 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/safeguard"
 
-// Safeguards of the gateway's own. Tests switch one off to show that a promise then
-// breaks; processes always run with all of them.
+// Safeguards of the gateway. A test can disable one to show that it is needed;
+// processes always run with all of them.
 const (
-	// ClaimBeforeRun runs a once-only request with a key only under a granted claim.
+	// ClaimBeforeRun runs a non-repeatable request with an idempotency key only under a granted claim.
 	ClaimBeforeRun safeguard.Safeguard = "claim before run"
-	// RetryOnlyNotRun sends a once-only request again only after a true not run.
+	// RetryOnlyNotRun resends a non-repeatable request only after the verdict "not run".
 	RetryOnlyNotRun safeguard.Safeguard = "retry only not run"
-	// SaltPerTenant gives each tenant's prompts a cache salt of their own.
+	// SaltPerTenant gives the prompts of each tenant their own cache salt.
 	SaltPerTenant safeguard.Safeguard = "salt per tenant"
 )
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -12,17 +12,17 @@
 const (
 	callerIdleTimeout = 75 * time.Second
 	overloadedRetry   = time.Second
-	// connectionsPerRequest bounds the connections, most of which are idle, by the requests
-	// that may be in flight: one too many requests gets an answer with a verdict.
+	// connectionsPerRequest is the ratio of connections, most of which are idle, to requests in flight.
+	// With spare connections a request over the limit is answered with a verdict.
 	connectionsPerRequest = 4
 )
 
-// newServer returns the server for callers.
+// newServer returns the HTTP server for callers.
 func (g *Gateway) newServer() *fasthttp.Server {
 	limits := g.settings.Limits
 	return &fasthttp.Server{
 		Handler:                      g.serve,
-		ErrorHandler:                 g.serveFault,
+		ErrorHandler:                 g.serveReadError,
 		ReadBufferSize:               limits.HeaderBytes,
 		MaxRequestBodySize:           limits.BodyBytes,
 		ReadTimeout:                  limits.ReadTimeout,
@@ -32,7 +32,7 @@
 		NoDefaultContentType:         true,
 		DisablePreParseMultipartForm: true,
 		CloseOnShutdown:              true,
-		ConnState:                    noteState,
+		ConnState:                    trackState,
 		SecureErrorLogMessage:        true,
 		Logger:                       serverLogger{log: g.log},
 	}
@@ -40,7 +40,7 @@
 
 // serve answers one request of a caller.
 func (g *Gateway) serve(context *fasthttp.RequestCtx) {
-	defer g.tellEnd(context)
+	defer g.closeWhenDraining(context)
 	if fault := checkHeaders(&context.Request.Header); fault != nil {
 		context.SetConnectionClose()
 		g.refuse(context, fault)
@@ -67,8 +67,8 @@
 	}
 }
 
-// tellEnd tells the caller with its answer that a stopping gateway ends the connection.
-func (g *Gateway) tellEnd(context *fasthttp.RequestCtx) {
+// closeWhenDraining makes the answer announce that a stopping gateway closes the connection.
+func (g *Gateway) closeWhenDraining(context *fasthttp.RequestCtx) {
 	if g.draining.Load() {
 		context.SetConnectionClose()
 	}
@@ -80,8 +80,8 @@
 	fault.write(&context.Response)
 }
 
-// serveFault answers requests that the server itself could not read; none has run.
-func (g *Gateway) serveFault(context *fasthttp.RequestCtx, err error) {
+// serveReadError answers requests that the server could not read. None of them has run.
+func (g *Gateway) serveReadError(context *fasthttp.RequestCtx, err error) {
 	var tooSmall *fasthttp.ErrSmallBuffer
 	fault := refuse(http.StatusBadRequest, typeInvalidRequest, codeInvalidHeader, "the request cannot be read")
 	switch {
@@ -94,13 +94,13 @@
 	g.refuse(context, fault)
 }
 
-// recoverPanic answers for a handler that failed; the process goes on.
+// recoverPanic answers for a handler that panicked, and keeps the process running.
 func (g *Gateway) recoverPanic(context *fasthttp.RequestCtx, release func()) {
 	cause := recover()
 	if cause == nil {
 		return
 	}
 	release()
-	g.log.Error().Interface("panic", cause).Msg("a request's handler panicked")
+	g.log.Error().Interface("panic", cause).Msg("panic in a request handler; the caller receives an internal error")
 	g.refuse(context, refuseInternal())
 }
--- a/internal/gateway/server_logger.go
+++ b/internal/gateway/server_logger.go
@@ -2,7 +2,7 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/logring"
 
-// serverLogger passes fasthttp's messages to the ring.
+// serverLogger writes fasthttp's messages to the log.
 type serverLogger struct{ log *logring.Log }
 
 // Printf implements fasthttp.Logger.
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -12,9 +12,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// TestWaitForShare holds a tenant of 128 tokens a second to its limit at a gateway that
-// newly meets it: the first request uses up the initial share of one token a second, and
-// the next one fares by what the leader answers to the urgent report.
+// TestWaitForShare checks the limit of 128 tokens a second of a tenant that is new to a gateway:
+// the first request uses up the initial share of one token a second, and
+// the result of the next one depends on the leader's answer to the urgent report.
 func TestWaitForShare(t *testing.T) {
 	for _, row := range []struct {
 		name   string
@@ -42,7 +42,7 @@
 				return &v1.ReportResponse{}, nil
 			}
 			config := testSettings(controller.address)
-			config.SyncInterval = time.Minute // no regular report asks for the share first
+			config.SyncInterval = time.Minute // so that no regular report requests the share first
 			gateway := startGateway(t, config)
 			headers := map[string]string{HeaderKind: "matching"}
 			require.Equal(t, http.StatusOK, call(t, http.MethodPost, gateway.url+"/v1/chat/completions", wholeBody, headers).status)
@@ -60,7 +60,7 @@
 	}
 }
 
-// grantShare answers each demand with a share of so many tokens a second.
+// grantShare answers each demand with a share of this number of tokens a second.
 func grantShare(tokens uint64) func(*v1.ReportRequest) (*v1.ReportResponse, error) {
 	return func(request *v1.ReportRequest) (*v1.ReportResponse, error) {
 		response := &v1.ReportResponse{}
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -9,15 +9,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/closing"
 )
 
-// stallSlack is the part of the limit by which a stall may last longer.
-const stallSlack = 4
+// stallSlackDivisor is the divisor of the limit that gives the slack of a write deadline: a quarter.
+const stallSlackDivisor = 4
 
-// stallListener gives every connection a bound on how long one write may stall, so that a
-// slow reader is dropped while a long stream that is read may go on.
+// stallListener bounds how long one write on a connection may stall. A
+// slow reader is disconnected, while a long stream that is being read continues.
 type stallListener struct {
 	net.Listener
 	limit time.Duration
-	// set gets the connections.
+	// set tracks the accepted connections.
 	set *closing.Set
 }
 
@@ -30,30 +30,30 @@
 	return &stallConnection{Connection: l.set.Track(connection), limit: l.limit}, nil
 }
 
-// stallConnection bounds each write by limit, and by a quarter more at most: the bound is
-// moved only when it has come that near, since each move costs a timer. One goroutine writes.
+// stallConnection lets each write take limit, plus at most a quarter of it: the deadline is moved only when
+// less than limit remains, because each move costs a timer. Only one goroutine may write.
 type stallConnection struct {
 	*closing.Connection
-	limit time.Duration
-	until time.Time
+	limit         time.Duration
+	writeDeadline time.Time
 }
 
 // Write implements net.Conn.
 func (c *stallConnection) Write(data []byte) (int, error) {
 	needed := time.Now().Add(c.limit)
-	if c.until.Before(needed) {
-		c.until = needed.Add(c.limit / stallSlack)
-		if err := c.SetWriteDeadline(c.until); err != nil {
+	if c.writeDeadline.Before(needed) {
+		c.writeDeadline = needed.Add(c.limit / stallSlackDivisor)
+		if err := c.SetWriteDeadline(c.writeDeadline); err != nil {
 			return 0, err
 		}
 	}
 	return c.Connection.Write(data)
 }
 
-// noteState tells a connection what the server uses it for.
-func noteState(connection net.Conn, state fasthttp.ConnState) {
-	tracked, is := connection.(*stallConnection)
-	if !is {
+// trackState records whether the server uses a connection or keeps it idle.
+func trackState(connection net.Conn, state fasthttp.ConnState) {
+	tracked, ok := connection.(*stallConnection)
+	if !ok {
 		return
 	}
 	switch state {
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -17,7 +17,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// openStream sends a streamed request and returns once its first token has come.
+// openStream sends a streamed request and returns once its first token has arrived.
 func openStream(t *testing.T, gateway *testGateway) *http.Response {
 	connection := dial(t, gateway, rawRequest(http.MethodPost, "/v1/chat/completions", "matching", "", streamBody))
 	answer, err := http.ReadResponse(bufio.NewReader(connection), nil)
@@ -28,19 +28,19 @@
 	return answer
 }
 
-// TestStopFinishesStreams shows that a stopping gateway says so, takes no new connections
-// and brings the streams in flight to their ends.
+// TestStopFinishesStreams shows that a stopping gateway announces it, refuses new connections
+// and completes the streams in flight.
 func TestStopFinishesStreams(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t)
-	engine.block, engine.holdAfter = make(chan struct{}), 2
+	engine.block, engine.blockAfter = make(chan struct{}), 2
 	controller := startController(t, engineBackEnd("e1", engine.address(), v1.Role_ROLE_MIXED))
 	gateway := startGateway(t, testSettings(controller.address))
 	require.Equal(t, http.StatusOK, gateway.probe(t, metrics.PathHealth))
 	answer := openStream(t, gateway)
 	gateway.stop()
 	require.Eventually(t, func() bool { return gateway.probe(t, metrics.PathReady) == http.StatusServiceUnavailable }, eventually, often)
-	require.Equal(t, http.StatusOK, gateway.probe(t, metrics.PathHealth), "a stopping process is alive")
+	require.Equal(t, http.StatusOK, gateway.probe(t, metrics.PathHealth), "a stopping process is healthy")
 	require.Eventually(t, controller.leaving.Load, eventually, often)
 	require.Eventually(t, func() bool {
 		connection, err := net.Dial("tcp", gateway.address)
@@ -60,12 +60,12 @@
 	require.Zero(t, cancels)
 }
 
-// TestStopGivesUp shows that a stream which outlasts drain_timeout ends with an error that
-// tells why, is cancelled at its engine, and that the process says so.
+// TestStopGivesUp shows that a stream that exceeds drain_timeout ends with an error that names
+// the reason, is cancelled at its engine, and makes Run return an error.
 func TestStopGivesUp(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t)
-	engine.block, engine.holdAfter = make(chan struct{}), 2
+	engine.block, engine.blockAfter = make(chan struct{}), 2
 	t.Cleanup(func() { close(engine.block) })
 	controller := startController(t, engineBackEnd("e1", engine.address(), v1.Role_ROLE_MIXED))
 	config := testSettings(controller.address)
@@ -82,7 +82,7 @@
 	require.Eventually(t, func() bool { _, _, cancels := engine.counts(); return cancels == 1 }, eventually, often)
 }
 
-// TestReadiness shows that a gateway is ready once a controller has given a configuration,
+// TestReadiness shows that a gateway becomes ready once a controller has sent a configuration,
 // and that it is healthy before.
 func TestReadiness(t *testing.T) {
 	t.Parallel()
@@ -99,8 +99,8 @@
 	require.Eventually(t, func() bool { return gateway.probe(t, metrics.PathReady) == http.StatusOK }, eventually, often)
 }
 
-// TestLeavingBackEnds shows that a back end which the directory names as leaving, or no
-// longer names, gets no new work from the next heartbeat on.
+// TestLeavingBackEnds shows that a back end that the directory marks as leaving or changing, or no
+// longer lists, gets no new requests after the next heartbeat.
 func TestLeavingBackEnds(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(first, second *v1.BackEnd) []*v1.BackEnd{
@@ -136,9 +136,9 @@
 	}
 }
 
-// TestUnconfirmedBackEnds shows that a gateway which no controller answers sends no new
-// work to back ends that nobody has confirmed for routing.ConfirmationLimit, since they may
-// have left; and that it goes on as soon as a controller answers.
+// TestUnconfirmedBackEnds shows that a gateway without an answer from a controller sends no new requests to
+// back ends whose entry has not been confirmed for routing.ConfirmationLimit, since they may
+// have left, and that it continues once a controller answers.
 func TestUnconfirmedBackEnds(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t)
--- a/internal/gateway/stream_bench_test.go
+++ b/internal/gateway/stream_bench_test.go
@@ -11,8 +11,8 @@
 // benchmarkTokens is the number of tokens of one streamed answer.
 const benchmarkTokens = 500
 
-// BenchmarkStreamedToken streams answers through a gateway over real HTTP. Engine and
-// caller run in the same process: the profile, not the time, tells what a token costs.
+// BenchmarkStreamedToken streams answers through a gateway over HTTP. Engine and
+// caller run in the same process, so the cost of a token is visible in the profile and not in the time.
 func BenchmarkStreamedToken(b *testing.B) {
 	engine := startEngine(b)
 	engine.tokens = make([]string, benchmarkTokens)
--- a/internal/gateway/sync.go
+++ b/internal/gateway/sync.go
@@ -12,11 +12,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/pause"
 )
 
-// shortestSyncInterval bounds the heartbeats that unknown keys cause.
-const shortestSyncInterval = 50 * time.Millisecond
+// minimumSyncInterval bounds the rate of heartbeats that unknown keys cause.
+const minimumSyncInterval = 50 * time.Millisecond
 
-// syncLoop sends a heartbeat to a controller each interval, and earlier when a request
-// brings an unknown key.
+// syncLoop sends a heartbeat to a controller at each sync interval, and earlier when a request
+// has an unknown key.
 func (c *Control) syncLoop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -29,34 +29,34 @@
 		}
 		if err := c.syncOnce(ctx); err != nil && ctx.Err() == nil {
 			c.metrics.syncFailures.Inc()
-			c.log.Warn().Err(err).Msg("no controller answers; going on with what is known")
+			c.log.Warn().Err(err).Msg("no controller answers; continuing with the last known state")
 		}
 		timer.Reset(c.settings.SyncInterval)
-		if !pause.For(ctx, shortestSyncInterval) {
+		if !pause.For(ctx, minimumSyncInterval) {
 			return
 		}
 	}
 }
 
-// syncOnce asks one controller after the other until one is not behind. All failing is
-// an error; all behind is not, for the directory may still have been confirmed. One that
-// is behind stays first: soon it is not, and were it passed over for good, all gateways
-// would gather at the leader, which never is. Once one that is behind has confirmed the
-// directory only one more is asked, another in each round: when a region is cut off, all
-// others may be out of reach, and waiting for each would leave the directory unconfirmed.
+// syncOnce sends a heartbeat to the controllers in order until one is not behind. It fails only when all
+// calls fail: a controller that is behind may still confirm the directory. A controller that is
+// behind keeps its place in the order, because it will soon catch up; if it were demoted for good, all gateways
+// would gather at the leader, which is never behind. Once a controller that is behind has confirmed the
+// directory, only one more is tried, another one in each round: when a region is cut off, all others may be
+// unreachable, and waiting for each of them would leave the directory unconfirmed for too long.
 func (c *Control) syncOnce(ctx context.Context) error {
 	var failures []error
 	confirmed := false
-	for _, address := range c.controllers.inOrder(false) {
+	for _, address := range c.controllers.candidates(false) {
 		result, err := c.syncWith(ctx, address)
 		if err != nil {
 			failures = append(failures, err)
-			c.controllers.postpone(address)
+			c.controllers.demote(address)
 		} else if !result.Behind {
 			return nil
 		}
 		if confirmed {
-			c.controllers.postpone(address)
+			c.controllers.demote(address)
 			return nil
 		}
 		confirmed = err == nil && result.DirectoryConfirmed
@@ -85,7 +85,7 @@
 	case !response.GetBehind():
 		c.guard.MarkQuarantineUnsupported()
 	}
-	c.controllers.learn(response.GetControllerAddresses())
+	c.controllers.addAddresses(response.GetControllerAddresses())
 	if leader := response.GetLeaderAddress(); leader != "" {
 		c.controllers.setLeader(leader)
 	}
@@ -96,7 +96,7 @@
 	return receive(ctx, apply.reply)
 }
 
-// receive waits for a reply of the view's owner.
+// receive waits for a reply of the view's goroutine.
 func receive[T any](ctx context.Context, reply <-chan T) (T, error) {
 	select {
 	case value := <-reply:
--- a/internal/gateway/sync_test.go
+++ b/internal/gateway/sync_test.go
@@ -12,29 +12,29 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// TestCutOffRegionGoesOn runs a gateway whose own controller lost its quorum while all
-// others are silent: between two silent ones its own is always asked, so that the directory
-// stays confirmed, and it takes a key that it has not met from there.
+// TestCutOffRegionGoesOn guards against a gateway that cannot work in a region that is cut off: its local controller has lost
+// the quorum and all others do not answer. The gateway must call the local one between any two silent ones, so that the
+// directory stays confirmed, and must learn an unknown API key from it.
 func TestCutOffRegionGoesOn(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t)
 	controller := startController(t, engineBackEnd("e1", engine.address(), v1.Role_ROLE_MIXED))
 	var mutex sync.Mutex
-	var asked []string
-	note := func(who string) {
+	var called []string
+	recordCall := func(controllerName string) {
 		mutex.Lock()
 		defer mutex.Unlock()
-		asked = append(asked, who)
+		called = append(called, controllerName)
 	}
-	silent := []string{startSilent(t, func() { note("silent") }), startSilent(t, func() { note("silent") }), startSilent(t, func() { note("silent") })}
-	controller.synced = func() { note("own") }
+	silent := []string{startSilent(t, func() { recordCall("silent") }), startSilent(t, func() { recordCall("silent") }), startSilent(t, func() { recordCall("silent") })}
+	controller.synced = func() { recordCall("own") }
 	gateway := startGateway(t, testSettings(append([]string{controller.address}, silent...)...))
 
 	controller.behind.Store(true)
 	require.Eventually(t, func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
-		return slices.Contains(asked, "silent")
+		return slices.Contains(called, "silent")
 	}, eventually, often)
 	answer := call(t, http.MethodPost, gateway.url+"/v1/chat/completions", wholeBody, map[string]string{HeaderKind: "matching"})
 	require.Equal(t, http.StatusOK, answer.status, answer.body)
@@ -42,17 +42,17 @@
 		mutex.Lock()
 		defer mutex.Unlock()
 		silences := 0
-		for _, who := range asked {
+		for _, who := range called {
 			if who == "silent" {
 				silences++
 			}
 		}
 		return silences >= len(silent)
-	}, eventually, often, "each is asked in its turn")
+	}, eventually, often, "each controller is called in turn")
 	mutex.Lock()
 	defer mutex.Unlock()
-	for i := 1; i < len(asked); i++ {
-		require.False(t, asked[i] == "silent" && asked[i-1] == "silent", "%v", asked)
+	for i := 1; i < len(called); i++ {
+		require.False(t, called[i] == "silent" && called[i-1] == "silent", "%v", called)
 	}
 }
 
--- a/internal/gateway/target.go
+++ b/internal/gateway/target.go
@@ -15,18 +15,18 @@
 // HeaderKind names the kind of a chat or completions request.
 const HeaderKind = "X-Request-Kind"
 
-// target is what a chat request asks for in terms of the configuration in force.
+// target is what a chat request addresses, resolved against the applied configuration.
 type target struct {
 	kind *gatewaystate.Kind
-	// name is what the engine is asked for: the adapter or the base model.
+	// name is the model name sent to the engine: the adapter or the base model.
 	name    string
 	adapter string
 	version string
 }
 
-// resolve finds the kind, model and adapter of a chat request. A model or adapter that the
-// tenant may not use is answered as if it did not exist.
-func resolve(snapshot *gatewaystate.Snapshot, tenant *gatewaystate.Tenant, header *fasthttp.RequestHeader, request *chatRequest) (target, *refusal) {
+// resolveTarget finds the kind, model and adapter of a chat request. A model or adapter that the
+// tenant may not use is refused as if it did not exist.
+func resolveTarget(snapshot *gatewaystate.Snapshot, tenant *gatewaystate.Tenant, header *fasthttp.RequestHeader, request *chatRequest) (target, *refusal) {
 	base, adapter, fault := resolveModel(snapshot, tenant, request.model)
 	if fault != nil {
 		return target{}, fault
@@ -43,14 +43,14 @@
 	if !tenant.MayUseModel(base) {
 		return target{}, refuseModel()
 	}
-	found := target{kind: kind, name: base, adapter: adapter}
+	resolved := target{kind: kind, name: base, adapter: adapter}
 	if adapter != "" {
-		found.name = adapter
+		resolved.name = adapter
 	}
 	if model, ok := snapshot.Model(base); ok {
-		found.version = model.GetVersion()
+		resolved.version = model.GetVersion()
 	}
-	return found, nil
+	return resolved, nil
 }
 
 // resolveModel splits the caller's model name into base model and adapter; both are empty
@@ -62,14 +62,14 @@
 	if _, ok := snapshot.Model(name); ok {
 		return name, "", nil
 	}
-	found, ok := snapshot.Adapter(name)
-	if !ok || !gatewaystate.MayUseAdapter(found, tenant.Name) {
+	declared, ok := snapshot.Adapter(name)
+	if !ok || !gatewaystate.MayUseAdapter(declared, tenant.Name) {
 		return "", "", refuseModel()
 	}
-	return found.GetModel(), name, nil
+	return declared.GetModel(), name, nil
 }
 
-// resolveKind finds the kind that the caller named, or else the only one for the model.
+// resolveKind returns the kind that the caller named, or else the only kind for the model.
 func resolveKind(snapshot *gatewaystate.Snapshot, name, model string) (*gatewaystate.Kind, *refusal) {
 	if name == "" {
 		kind, ok := snapshot.OnlyKindForModel(model)
@@ -91,7 +91,7 @@
 	return refuse(http.StatusNotFound, typeInvalidRequest, codeModelNotFound, "there is no such model")
 }
 
-// shape returns what the estimate of a request's tokens follows from.
+// shape returns the properties of a request from which its tokens are estimated.
 func (t *target) shape(tenant *gatewaystate.Tenant, request *chatRequest) admission.RequestShape {
 	return admission.RequestShape{
 		Tenant:              tenant.Name,
@@ -105,7 +105,7 @@
 	}
 }
 
-// routingRequest returns what routing needs to know of a chat request.
+// routingRequest returns the input of the routing decision for a chat request.
 func (t *target) routingRequest(tenant *gatewaystate.Tenant, request *chatRequest, estimate admission.Estimate) routing.Request {
 	return routing.Request{
 		Service:      t.kind.Spec.GetService(),
@@ -119,7 +119,7 @@
 	}
 }
 
-// tenantLimit returns a tenant's limits over the whole fleet.
+// tenantLimit returns a tenant's fleet-wide limits.
 func tenantLimit(tenant *gatewaystate.Tenant) limits.Limit {
 	return limits.Limit{TokensPerSecond: tenant.Spec.GetTokensPerSecond(), Concurrency: tenant.Spec.GetConcurrency()}
 }
--- a/internal/gateway/encryption.go
+++ b/internal/gateway/tls.go
@@ -11,16 +11,16 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// loadEncryption reads the files that the settings name, for calls to controllers; nil
-// without TLS. Replaced files are taken up with the next connection.
-func loadEncryption(config settings.Gateway, log *logring.Log, factory metrics.Factory) (*tls.Config, error) {
+// loadTLSConfig loads the TLS configuration for calls to controllers from the files named in the settings. It returns nil
+// when TLS is off. Replaced files apply to the next connection.
+func loadTLSConfig(config settings.Gateway, log *logring.Log, factory metrics.Factory) (*tls.Config, error) {
 	if !config.TLS.Enabled() {
 		return nil, nil
 	}
 	credentials, err := keys.Load(
 		keys.Files{Authority: config.TLS.Authority, Certificate: config.TLS.Certificate, Key: config.TLS.Key},
 		keys.Options{OnReloadError: func(err error) {
-			log.Error().Err(err).Msg("the changed certificate files were not taken up; the earlier ones stay in use")
+			log.Error().Err(err).Msg("cannot reload the changed certificate files; the previous certificates stay in use")
 		}})
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -29,9 +29,9 @@
 	return credentials.ClientConfig(config.Fleet, keys.RoleController), nil
 }
 
-// scheme of the controllers' URLs.
-func scheme(encryption *tls.Config) string {
-	if encryption == nil {
+// scheme returns the URL scheme of the controllers.
+func scheme(tlsConfig *tls.Config) string {
+	if tlsConfig == nil {
 		return "http"
 	}
 	return "https"
--- a/internal/gateway/encryption_test.go
+++ b/internal/gateway/tls_test.go
@@ -18,8 +18,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// issueFiles makes an authority of a fleet in a directory of its own, and a
-// certificate for each name.
+// issueFiles creates a new fleet authority in a new directory and issues a
+// certificate for the name.
 func issueFiles(t *testing.T, fleet string, role keys.Role, name string) settings.TLS {
 	t.Helper()
 	directory := t.TempDir()
@@ -39,7 +39,7 @@
 	return settings.TLS{Authority: filepath.Join(directory, keys.AuthorityCertificateFile), Certificate: files.Certificate, Key: files.Key}
 }
 
-// serverErrors keeps what a server logs. It is safe for concurrent use.
+// serverErrors collects the error log of a server. It is safe for concurrent use.
 type serverErrors struct {
 	mutex sync.Mutex
 	text  strings.Builder
@@ -58,7 +58,7 @@
 	return strings.Contains(e.text.String(), text)
 }
 
-// startEncryptedController answers as startController's does, with TLS, to gateways alone.
+// startEncryptedController serves like startController, but with TLS and only for gateways.
 func startEncryptedController(t *testing.T, files settings.TLS) (string, *serverErrors) {
 	t.Helper()
 	credentials, err := keys.Load(keys.Files{Authority: files.Authority, Certificate: files.Certificate, Key: files.Key}, keys.Options{})
@@ -68,34 +68,34 @@
 	routes.Handle(path, handler)
 	server := httptest.NewUnstartedServer(routes)
 	server.Listener = tls.NewListener(server.Listener, credentials.ServerConfig("test", false, keys.RoleGateway))
-	told := &serverErrors{}
-	server.Config.ErrorLog = log.New(told, "", 0)
+	serverLog := &serverErrors{}
+	server.Config.ErrorLog = log.New(serverLog, "", 0)
 	server.Start()
 	t.Cleanup(server.Close)
-	return strings.TrimPrefix(server.URL, "http://"), told
+	return strings.TrimPrefix(server.URL, "http://"), serverLog
 }
 
-// TestGatewayCallsControllersWithTLS syncs with certificates of the fleet, and with
-// ones that either side must refuse.
+// TestGatewayCallsControllersWithTLS sends heartbeats with certificates of the fleet, and with
+// certificates that one of the two sides must refuse.
 func TestGatewayCallsControllersWithTLS(t *testing.T) {
 	controllerFiles := issueFiles(t, "test", keys.RoleController, "c1")
 	directory := filepath.Dir(controllerFiles.Authority)
 	authority, err := keys.ReadAuthority(directory)
 	require.NoError(t, err)
-	address, told := startEncryptedController(t, controllerFiles)
+	address, serverLog := startEncryptedController(t, controllerFiles)
 	tests := []struct {
 		name    string
 		files   settings.TLS
 		refused string
-		// refusedThere is what the controller tells when it is the one that refuses. In TLS
-		// 1.3 a client may write its request before the alert comes, and then sees a broken
-		// connection in place of the alert.
-		refusedThere string
+		// controllerError is what the controller logs when it refuses. In TLS 1.3 a client may
+		// write its request before the alert arrives, and then sees a broken connection instead of
+		// the alert.
+		controllerError string
 	}{
 		{name: "gateway of the fleet", files: issueWith(t, authority, directory, keys.RoleGateway, "g1")},
 		{name: "another authority", files: issueFiles(t, "test", keys.RoleGateway, "g1"), refused: "not of this fleet's authority"},
 		{name: "another role", files: issueWith(t, authority, directory, keys.RoleOperator, "ana"),
-			refused: "sync with controller", refusedThere: "hazelpitch://test/operator/ana refused: its role may not do this"},
+			refused: "sync with controller", controllerError: "hazelpitch://test/operator/ana refused: its role may not do this"},
 		{name: "no TLS", refused: "400 Bad Request"},
 	}
 	for _, test := range tests {
@@ -112,13 +112,13 @@
 				return
 			}
 			require.ErrorContains(t, err, test.refused)
-			require.Eventually(t, func() bool { return told.contain(test.refusedThere) }, eventually, often)
+			require.Eventually(t, func() bool { return serverLog.contain(test.controllerError) }, eventually, often)
 			require.Zero(t, gateway.Revision())
 		})
 	}
 }
 
-// TestCertificateExpiryIsAMetric replaces a gateway's certificate while it runs.
+// TestCertificateExpiryIsAMetric replaces the certificate of a running gateway and reads the metric.
 func TestCertificateExpiryIsAMetric(t *testing.T) {
 	config := testSettings("127.0.0.1:1")
 	config.TLS = issueFiles(t, "test", keys.RoleGateway, "g1")
@@ -146,8 +146,8 @@
 	require.Greater(t, expires(), 90*time.Hour)
 }
 
-// TestGatewayRefusesCertificatesThatDoNotFit starts with files of two authorities.
-func TestGatewayRefusesCertificatesThatDoNotFit(t *testing.T) {
+// TestGatewayRefusesCertificatesOfAnotherAuthority starts a gateway with files of two authorities.
+func TestGatewayRefusesCertificatesOfAnotherAuthority(t *testing.T) {
 	config := testSettings("127.0.0.1:1")
 	config.TLS = issueFiles(t, "test", keys.RoleGateway, "g1")
 	config.TLS.Authority = issueFiles(t, "test", keys.RoleGateway, "g1").Authority
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -9,8 +9,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/gatewaystate"
 )
 
-// viewQueueLength bounds the commands waiting for the view's owner. A full queue blocks
-// the sync and report loops and drops outcomes, which only thin the demand report.
+// viewQueueLength bounds the commands that wait for the view's goroutine. A full queue blocks
+// the sync and report loops and drops outcomes, which only reduces the counts of the demand report.
 const viewQueueLength = 1024
 
 // view owns the gatewaystate.State in one goroutine and publishes its snapshots.
@@ -20,16 +20,16 @@
 	dispatcher *dispatcher
 	commands   chan viewCommand
 	snapshot   atomic.Pointer[gatewaystate.Snapshot]
-	// wakeSync asks the sync loop for a heartbeat before its time.
-	wakeSync chan struct{}
-	waiting  map[string][]chan gatewaystate.KeyStatus
-	// onRevision, when not nil, is told each revision that comes into force.
+	// wakeSync makes the sync loop send a heartbeat early.
+	wakeSync   chan struct{}
+	keyWaiters map[string][]chan gatewaystate.KeyStatus
+	// onRevision, when not nil, is called with each revision that is applied.
 	onRevision func(revision uint64)
-	// knowsBackEnds is set once a controller has said which back ends serve.
-	knowsBackEnds atomic.Bool
+	// hasDirectory is set once a controller has sent or confirmed the directory of back ends.
+	hasDirectory atomic.Bool
 }
 
-// viewCommand is one thing for the owner to do.
+// viewCommand is a command that runs in the view's goroutine.
 type viewCommand interface{ run(*view) }
 
 func newView(clock clock, identity *v1.NodeIdentity, dispatcher *dispatcher) *view {
@@ -39,13 +39,13 @@
 		dispatcher: dispatcher,
 		commands:   make(chan viewCommand, viewQueueLength),
 		wakeSync:   make(chan struct{}, 1),
-		waiting:    map[string][]chan gatewaystate.KeyStatus{},
+		keyWaiters: map[string][]chan gatewaystate.KeyStatus{},
 	}
 	v.snapshot.Store(v.state.Snapshot())
 	return v
 }
 
-// run carries out commands until the context ends.
+// run executes commands until the context ends.
 func (v *view) run(ctx context.Context) {
 	for {
 		select {
@@ -57,7 +57,7 @@
 	}
 }
 
-// send hands a command to the owner; it gives up when the context ends.
+// send queues a command and blocks while the queue is full. It reports false when the context ends first.
 func (v *view) send(ctx context.Context, command viewCommand) bool {
 	select {
 	case v.commands <- command:
@@ -67,20 +67,20 @@
 	}
 }
 
-// offer hands a command to the owner or drops it.
-func (v *view) offer(command viewCommand) {
+// trySend queues a command, or drops it when the queue is full.
+func (v *view) trySend(command viewCommand) {
 	select {
 	case v.commands <- command:
 	default:
 	}
 }
 
-// buildSync asks for the next heartbeat.
+// buildSync builds the next heartbeat.
 type buildSync struct{ reply chan *v1.SyncRequest }
 
 func (c buildSync) run(v *view) { c.reply <- v.state.SyncRequest(v.clock.now()) }
 
-// applySync hands over a controller's answer.
+// applySync applies a controller's answer.
 type applySync struct {
 	sentAt   time.Duration
 	request  *v1.SyncRequest
@@ -94,76 +94,76 @@
 	case result.DirectoryChanged:
 		v.dispatcher.setBackEnds(v.state.BackEnds())
 	case result.DirectoryConfirmed:
-		v.dispatcher.confirm(result.ConfirmedAt)
+		v.dispatcher.confirmDirectory(result.ConfirmedAt)
 	}
 	if result.DirectoryConfirmed {
-		v.knowsBackEnds.Store(true)
+		v.hasDirectory.Store(true)
 	}
 	snapshot := v.state.Snapshot()
-	before := v.snapshot.Swap(snapshot)
-	if v.onRevision != nil && snapshot.Revision != before.Revision {
+	previous := v.snapshot.Swap(snapshot)
+	if v.onRevision != nil && snapshot.Revision != previous.Revision {
 		v.onRevision(snapshot.Revision)
 	}
-	v.answerWaiting(c.request.GetUnknownKeyHashes(), snapshot, result.Behind)
+	v.answerKeyWaiters(c.request.GetUnknownKeyHashes(), snapshot, result.Behind)
 	c.reply <- result
 }
 
-// answerWaiting tells the requests that wait for the asked keys. A controller that may be
-// behind knows whom a key belongs to, but not that it belongs to no one.
-func (v *view) answerWaiting(asked []string, snapshot *gatewaystate.Snapshot, behind bool) {
-	for _, keyHash := range asked {
+// answerKeyWaiters sends the status of the given keys to the requests that wait for them. A controller that may be
+// behind can confirm that a key belongs to a tenant, but not that it belongs to none.
+func (v *view) answerKeyWaiters(keyHashes []string, snapshot *gatewaystate.Snapshot, behind bool) {
+	for _, keyHash := range keyHashes {
 		_, status := snapshot.Tenant(keyHash)
 		if behind && status != gatewaystate.KeyAccepted {
 			continue
 		}
-		for _, reply := range v.waiting[keyHash] {
+		for _, reply := range v.keyWaiters[keyHash] {
 			reply <- status
 		}
-		delete(v.waiting, keyHash)
+		delete(v.keyWaiters, keyHash)
 	}
 }
 
-// meetKey asks the controllers about an API key; the reply channel has room for one.
-type meetKey struct {
+// keyLookup requests the status of an API key from the controllers. The reply channel needs a buffer of one.
+type keyLookup struct {
 	keyHash string
 	reply   chan gatewaystate.KeyStatus
 }
 
-func (c meetKey) run(v *view) {
+func (c keyLookup) run(v *view) {
 	if _, status := v.snapshot.Load().Tenant(c.keyHash); status != gatewaystate.KeyUnknown {
 		c.reply <- status
 		return
 	}
-	if len(v.waiting[c.keyHash]) >= maximumWaitingPerKey || !v.state.RequestKeyLookup(c.keyHash) {
+	if len(v.keyWaiters[c.keyHash]) >= maximumWaitersPerKey || !v.state.RequestKeyLookup(c.keyHash) {
 		c.reply <- gatewaystate.KeyUnknown
 		return
 	}
-	v.waiting[c.keyHash] = append(v.waiting[c.keyHash], c.reply)
+	v.keyWaiters[c.keyHash] = append(v.keyWaiters[c.keyHash], c.reply)
 	select {
 	case v.wakeSync <- struct{}{}:
 	default:
 	}
 }
 
-// maximumWaitingPerKey bounds the requests that wait for one unknown key.
-const maximumWaitingPerKey = 64
+// maximumWaitersPerKey bounds the requests that wait for one unknown key.
+const maximumWaitersPerKey = 64
 
-// forgetWaiting drops a request that no longer waits for a key.
-type forgetWaiting struct {
+// cancelKeyLookup removes a request that no longer waits for a key.
+type cancelKeyLookup struct {
 	keyHash string
 	reply   chan gatewaystate.KeyStatus
 }
 
-func (c forgetWaiting) run(v *view) {
-	replies := v.waiting[c.keyHash]
+func (c cancelKeyLookup) run(v *view) {
+	replies := v.keyWaiters[c.keyHash]
 	for i, reply := range replies {
 		if reply == c.reply {
-			v.waiting[c.keyHash] = append(replies[:i], replies[i+1:]...)
+			v.keyWaiters[c.keyHash] = append(replies[:i], replies[i+1:]...)
 			break
 		}
 	}
-	if len(v.waiting[c.keyHash]) == 0 {
-		delete(v.waiting, c.keyHash)
+	if len(v.keyWaiters[c.keyHash]) == 0 {
+		delete(v.keyWaiters, c.keyHash)
 	}
 }
 
@@ -172,7 +172,7 @@
 
 func (c recordOutcome) run(v *view) { v.state.RecordOutcome(c.outcome) }
 
-// buildReport asks for the next demand report.
+// buildReport builds the next demand report.
 type buildReport struct {
 	shareDemands []*v1.ShareDemand
 	reply        chan *v1.ReportRequest
@@ -182,15 +182,15 @@
 	c.reply <- v.state.ReportRequest(v.clock.now(), c.shareDemands)
 }
 
-// loseReport puts the counts of a lost report back.
-type loseReport struct{ request *v1.ReportRequest }
+// restoreReport adds the counts of a lost report back to the state.
+type restoreReport struct{ request *v1.ReportRequest }
 
-func (c loseReport) run(v *view) { v.state.RestoreReport(c.request) }
+func (c restoreReport) run(v *view) { v.state.RestoreReport(c.request) }
 
-// leave makes the next heartbeats say that the gateway is leaving.
-type leave struct{}
+// markLeaving makes the next heartbeats announce that the gateway is leaving, and triggers one.
+type markLeaving struct{}
 
-func (leave) run(v *view) {
+func (markLeaving) run(v *view) {
 	v.state.MarkLeaving()
 	select {
 	case v.wakeSync <- struct{}{}:
