--- a/internal/gatewaystate/configuration.go
+++ b/internal/gatewaystate/configuration.go
@@ -10,16 +10,16 @@
 	name string
 }
 
-// configuration holds declared objects by key, each with the revision that last
-// changed it. No object ever goes back to an earlier revision.
+// configuration holds the declared objects by key, each with the revision that last
+// changed it. No object ever returns to an earlier revision.
 type configuration struct {
 	revision uint64
 	objects  map[objectKey]*v1.Object
 }
 
-// apply takes the objects of an answer for a revision not below the one held. wanted
-// tells which tenants to hold; others are met again by their keys. With full, what the
-// answer does not name is gone.
+// apply applies the objects of an answer whose revision is not below the current one. wanted
+// reports which new tenants to store; other tenants are loaded when a request presents their key. With full,
+// objects that the answer does not list are removed.
 func (c *configuration) apply(revision uint64, full bool, objects []*v1.Object, wanted func(*v1.Object) bool) {
 	previous := c.objects
 	if full {
@@ -27,14 +27,14 @@
 	}
 	for _, object := range objects {
 		key := objectKey{kind: object.GetKey().GetType(), name: object.GetKey().GetName()}
-		held, isHeld := previous[key]
-		if isHeld && held.GetRevision() > object.GetRevision() {
-			object = held
+		existing, exists := previous[key]
+		if exists && existing.GetRevision() > object.GetRevision() {
+			object = existing
 		}
 		switch {
 		case object.GetDeleted():
 			delete(c.objects, key)
-		case key.kind == v1.ObjectType_OBJECT_TYPE_TENANT && !isHeld && !wanted(object):
+		case key.kind == v1.ObjectType_OBJECT_TYPE_TENANT && !exists && !wanted(object):
 		default:
 			c.objects[key] = object
 		}
--- a/internal/gatewaystate/directory.go
+++ b/internal/gatewaystate/directory.go
@@ -9,15 +9,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/routing"
 )
 
-// directory is what the controllers last said of this gateway's back ends.
+// directory is the list of this gateway's back ends that a controller last sent.
 type directory struct {
 	version  uint64
 	backEnds []routing.BackEnd
 }
 
-// replace takes a directory whose readings were made at readAt or later. now is the time
-// the answer arrived; the ages of loads count from it. Of a back end whose state is
-// unspecified the controller says nothing: what was known of it stays.
+// replace applies a directory that is based on readings made at readAt or later. now is the time at which
+// the answer arrived; the ages of loads count back from it. An unspecified state means that the
+// controller has no current state of the back end: the last known entry is kept and marked as unconfirmed.
 func (d *directory) replace(now, readAt time.Duration, next *v1.Directory) {
 	known := map[string]routing.BackEnd{}
 	for _, backEnd := range d.backEnds {
@@ -28,8 +28,8 @@
 	for _, listed := range next.GetBackEnds() {
 		backEnd := backEndOf(now, readAt, listed)
 		if listed.GetState() == v1.BackEndState_BACK_END_STATE_UNSPECIFIED {
-			if before, was := known[backEnd.Name]; was {
-				backEnd = before
+			if previous, ok := known[backEnd.Name]; ok {
+				backEnd = previous
 			}
 			backEnd.Unconfirmed = true
 		}
@@ -37,7 +37,7 @@
 	}
 }
 
-// confirm tells that readings made at readAt or later still hold the directory.
+// confirm records that readings made at readAt or later still match the directory.
 func (d *directory) confirm(readAt time.Duration) {
 	for i := range d.backEnds {
 		if d.backEnds[i].Unconfirmed {
@@ -70,7 +70,7 @@
 	}
 }
 
-// serviceState translates a state; one that is not known does not serve.
+// serviceState converts a state; an unknown state counts as not serving.
 func serviceState(state v1.BackEndState) enginecontract.ServiceState {
 	switch state {
 	case v1.BackEndState_BACK_END_STATE_SERVING:
--- a/internal/gatewaystate/report.go
+++ b/internal/gatewaystate/report.go
@@ -8,14 +8,14 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// demandKey identifies one count of demand.
+// demandKey identifies the demand counts of one kind at one service.
 type demandKey struct{ service, kind string }
 
-// Outcome is what became of one request, for the demand report.
+// Outcome is the result of one request in the demand report.
 type Outcome struct {
 	Service string
 	Kind    string
-	// Exactly one of Completed, Refused and MissedDeadline is set, or none when the
+	// At most one of Completed, Refused and MissedDeadline is set. None is set when the
 	// request failed otherwise.
 	Completed      bool
 	Refused        bool
@@ -50,8 +50,8 @@
 	return demand
 }
 
-// ReportRequest builds the next report and starts a new window. When the report is lost,
-// hand it to ReportLost.
+// ReportRequest builds the next demand report and starts a new window. When the report is lost,
+// pass it to RestoreReport.
 func (s *State) ReportRequest(now time.Duration, shareDemands []*v1.ShareDemand) *v1.ReportRequest {
 	request := &v1.ReportRequest{
 		Node:         s.config.Identity,
@@ -70,7 +70,7 @@
 	return request
 }
 
-// RestoreReport puts the counts of a lost report back, so that the next one carries them.
+// RestoreReport adds the counts of a lost report back, so that the next report includes them.
 func (s *State) RestoreReport(request *v1.ReportRequest) {
 	for _, lost := range request.GetDemands() {
 		demand := s.demand(lost.GetService(), lost.GetKind())
--- a/internal/gatewaystate/snapshot.go
+++ b/internal/gatewaystate/snapshot.go
@@ -9,9 +9,9 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// Snapshot is an immutable picture of a State, safe for concurrent readers.
+// Snapshot is an immutable view of a State. It is safe for concurrent use.
 type Snapshot struct {
-	// Revision in force; zero before the first answer of a controller.
+	// Revision is the applied revision; zero before the first applied answer of a controller.
 	Revision uint64
 	// SyncedAt is the time of the last applied answer.
 	SyncedAt time.Duration
@@ -24,7 +24,7 @@
 	rejected  map[string]struct{}
 }
 
-// Tenant returns the tenant that an API key's hash (lower-case hex SHA-256) belongs to.
+// Tenant returns the owner of an API key by the key's hash (lower-case hex SHA-256), and the status of the key.
 func (s *Snapshot) Tenant(keyHash string) (*Tenant, KeyStatus) {
 	if tenant, ok := s.keys[keyHash]; ok {
 		return tenant, KeyAccepted
@@ -35,7 +35,7 @@
 	return nil, KeyUnknown
 }
 
-// Kind returns the kind of that name.
+// Kind returns the kind with the given name.
 func (s *Snapshot) Kind(name string) (*Kind, bool) {
 	kind, ok := s.kinds[name]
 	return kind, ok
@@ -51,10 +51,10 @@
 	return nil, false
 }
 
-// OnlyKindForModel returns the one kind without a path whose service serves the base
-// model; none is returned when several do. The empty model matches every engine kind.
+// OnlyKindForModel returns the kind without a path whose service serves the base
+// model. It returns none when several kinds match. The empty model matches every engine kind.
 func (s *Snapshot) OnlyKindForModel(model string) (*Kind, bool) {
-	var found *Kind
+	var match *Kind
 	for _, kind := range s.kinds {
 		if kind.Spec.GetPath() != "" || kind.ServiceType != v1.ServiceType_SERVICE_TYPE_ENGINE {
 			continue
@@ -62,21 +62,21 @@
 		if model != "" && kind.Model != model {
 			continue
 		}
-		if found != nil {
+		if match != nil {
 			return nil, false
 		}
-		found = kind
+		match = kind
 	}
-	return found, found != nil
+	return match, match != nil
 }
 
-// Model returns the declared model of that name.
+// Model returns the declared model with the given name.
 func (s *Snapshot) Model(name string) (*v1.Model, bool) {
 	model, ok := s.models[name]
 	return model, ok
 }
 
-// Adapter returns the declared adapter of that name.
+// Adapter returns the declared adapter with the given name.
 func (s *Snapshot) Adapter(name string) (*v1.Adapter, bool) {
 	adapter, ok := s.adapters[name]
 	return adapter, ok
@@ -87,8 +87,8 @@
 	return slices.Sorted(maps.Keys(s.models))
 }
 
-// fill derives the lookups from the declared objects.
-func (s *Snapshot) fill(objects map[objectKey]*v1.Object, lastUsed func(string) *Tenant) {
+// fill builds the lookup tables from the declared objects.
+func (s *Snapshot) fill(objects map[objectKey]*v1.Object, newTenant func(string) *Tenant) {
 	s.kinds = map[string]*Kind{}
 	s.models = map[string]*v1.Model{}
 	s.adapters = map[string]*v1.Adapter{}
@@ -103,7 +103,7 @@
 		case v1.ObjectType_OBJECT_TYPE_ADAPTER:
 			s.adapters[key.name] = object.GetAdapter()
 		case v1.ObjectType_OBJECT_TYPE_TENANT:
-			tenant := lastUsed(key.name)
+			tenant := newTenant(key.name)
 			tenant.Spec = object.GetTenant()
 			for _, hash := range object.GetTenant().GetApiKeyHashes() {
 				s.keys[hash] = tenant
--- a/internal/gatewaystate/state.go
+++ b/internal/gatewaystate/state.go
@@ -11,27 +11,28 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// Bounds of what a gateway remembers.
+// Limits of the stored state.
 const (
+	// DefaultTenantCapacity is the default of Config.TenantCapacity.
 	DefaultTenantCapacity = 1024
-	// maximumUnknownKeys bounds the keys asked for in one Sync; a flood of made-up keys
-	// costs no more than that.
-	maximumUnknownKeys = 256
-	// maximumRejectedKeys bounds the negative cache.
+	// maximumPendingKeys bounds the keys requested in one Sync, and so the cost of a flood of invented
+	// keys.
+	maximumPendingKeys = 256
+	// maximumRejectedKeys bounds the negative cache of API keys.
 	maximumRejectedKeys = 4096
-	// tenantIdleLimit is how long a tenant without requests is remembered.
+	// tenantIdleLimit is how long a tenant without requests stays stored.
 	tenantIdleLimit = 2 * time.Minute
 )
 
-// Config says who the gateway is and how much it remembers.
+// Config configures a State.
 type Config struct {
 	Identity *v1.NodeIdentity
-	// TenantCapacity is the most tenants remembered; 0 means DefaultTenantCapacity.
+	// TenantCapacity is the maximum number of stored tenants; 0 means DefaultTenantCapacity.
 	TenantCapacity int
 	Safeguards     safeguard.Set
 }
 
-// SafeguardOrderedRevisions takes no configuration below the revision in force.
+// SafeguardOrderedRevisions rejects a configuration below the applied revision.
 const SafeguardOrderedRevisions safeguard.Safeguard = "ordered revisions at a node"
 
 // State is the gateway's view of the fleet.
@@ -39,19 +40,19 @@
 	config        Config
 	configuration configuration
 	directory     directory
-	tenants       map[string]*atomic.Int64 // last use, by tenant
-	unknownKeys   map[string]struct{}
+	tenants       map[string]*atomic.Int64 // time of last use, by tenant
+	pendingKeys   map[string]struct{}
 	rejectedKeys  map[string]struct{}
 	demands       map[demandKey]*v1.Demand
 	reportedAt    time.Duration
 	syncedAt      time.Duration
 	leaving       bool
 	snapshot      *Snapshot
-	// configurationChanged tells that the snapshot's lookups must be derived again.
+	// configurationChanged means that the lookup tables of the snapshot must be rebuilt.
 	configurationChanged bool
 }
 
-// New returns the state of a gateway that has not heard of any controller.
+// New returns the state of a gateway that has received no answer from a controller yet.
 func New(config Config) *State {
 	if config.TenantCapacity == 0 {
 		config.TenantCapacity = DefaultTenantCapacity
@@ -60,67 +61,67 @@
 		config:               config,
 		configuration:        configuration{objects: map[objectKey]*v1.Object{}},
 		tenants:              map[string]*atomic.Int64{},
-		unknownKeys:          map[string]struct{}{},
+		pendingKeys:          map[string]struct{}{},
 		rejectedKeys:         map[string]struct{}{},
 		demands:              map[demandKey]*v1.Demand{},
 		configurationChanged: true,
 	}
 }
 
-// MarkLeaving marks the gateway as leaving; later Syncs say so.
+// MarkLeaving marks the gateway as leaving; later Syncs announce it.
 func (s *State) MarkLeaving() { s.leaving = true }
 
-// Revision returns the revision in force.
+// Revision returns the applied revision.
 func (s *State) Revision() uint64 { return s.configuration.revision }
 
-// RequestKeyLookup notes an API key's hash that the snapshot does not know, so that the next Sync
-// asks for it. It reports false when too many are waiting already.
+// RequestKeyLookup adds the hash of an API key that the snapshot does not contain, so that the next Sync
+// requests it. It reports false when too many keys are already waiting.
 func (s *State) RequestKeyLookup(keyHash string) bool {
-	if _, waiting := s.unknownKeys[keyHash]; waiting {
+	if _, waiting := s.pendingKeys[keyHash]; waiting {
 		return true
 	}
-	if len(s.unknownKeys) >= maximumUnknownKeys {
+	if len(s.pendingKeys) >= maximumPendingKeys {
 		return false
 	}
-	s.unknownKeys[keyHash] = struct{}{}
+	s.pendingKeys[keyHash] = struct{}{}
 	return true
 }
 
-// BackEnds returns the back ends that the controllers last named, with the time of the
-// reading that confirmed them. The slice is the caller's until the next ApplySync.
+// BackEnds returns the back ends of the last directory, each with the time of the
+// reading that confirmed it. The slice is valid until the next ApplySync.
 func (s *State) BackEnds() []routing.BackEnd { return s.directory.backEnds }
 
-// SyncRequest builds the next heartbeat. The tenants held are not listed: controllers
-// then send changes to every tenant, and those not held are dropped here.
+// SyncRequest builds the next heartbeat. It does not list the stored tenants: controllers
+// send the changes of every tenant, and apply drops those that are not stored here.
 func (s *State) SyncRequest(now time.Duration) *v1.SyncRequest {
-	s.forgetIdleTenants(now)
+	s.evictIdleTenants(now)
 	return &v1.SyncRequest{
 		Node:             s.config.Identity,
 		Revision:         s.configuration.revision,
-		UnknownKeyHashes: slices.Sorted(maps.Keys(s.unknownKeys)),
+		UnknownKeyHashes: slices.Sorted(maps.Keys(s.pendingKeys)),
 		Leaving:          s.leaving,
 		DirectoryVersion: s.directory.version,
 	}
 }
 
-// SyncResult tells what an answer brought.
+// SyncResult is the effect of an answer.
 type SyncResult struct {
-	// Behind tells that the controller may miss configuration, so that another one
-	// should be asked; nothing older than this gateway has was taken.
+	// Behind means that the controller may miss configuration and that another one
+	// should be queried. Nothing older than the applied configuration was applied.
 	Behind bool
-	// DirectoryChanged tells that BackEnds holds a new directory.
+	// DirectoryChanged means that BackEnds returns a new directory.
 	DirectoryChanged bool
-	// DirectoryConfirmed tells that the directory is as the controllers' readings of
-	// ConfirmedAt, or later, say.
+	// DirectoryConfirmed means that the directory matches readings of the controllers made at
+	// ConfirmedAt or later.
 	DirectoryConfirmed bool
 	ConfirmedAt        time.Duration
 }
 
-// ApplySync applies the answer to request, which was sent at sentAt and answered at now.
+// ApplySync applies the answer to request, which was sent at sentAt and whose answer arrived at now.
 func (s *State) ApplySync(sentAt, now time.Duration, request *v1.SyncRequest, response *v1.SyncResponse) SyncResult {
 	result := s.applyDirectory(sentAt, now, response)
 	result.Behind = response.GetBehind() || response.GetRevision() < s.configuration.revision
-	if !s.mayTake(response) {
+	if !s.mayApply(response) {
 		return result
 	}
 	s.applyConfiguration(now, request, response)
@@ -128,19 +129,19 @@
 	return result
 }
 
-// mayTake reports whether an answer's configuration may come into force. It never is
-// older than the one in force; and a node that has none may have had a later one before
-// it restarted, so that it begins only with one that is not behind.
-func (s *State) mayTake(response *v1.SyncResponse) bool {
+// mayApply reports whether the configuration of an answer may be applied. It must not be older than the applied one.
+// A node without configuration may have had a later one before it restarted, so that it starts
+// only with an answer that is not behind.
+func (s *State) mayApply(response *v1.SyncResponse) bool {
 	if !s.config.Safeguards.IsEnabled(SafeguardOrderedRevisions) {
 		return true
 	}
-	begins := s.configuration.revision == 0
-	return response.GetRevision() >= s.configuration.revision && !(begins && response.GetBehind())
+	hasNone := s.configuration.revision == 0
+	return response.GetRevision() >= s.configuration.revision && !(hasNone && response.GetBehind())
 }
 
-// applyDirectory counts freshness from the time the request was sent: the readings are
-// at least as young as that, less their age.
+// applyDirectory derives the freshness of the directory from the time at which the request was sent: the readings are
+// at least as recent as that time minus their age.
 func (s *State) applyDirectory(sentAt, now time.Duration, response *v1.SyncResponse) SyncResult {
 	readAt := sentAt - time.Duration(response.GetDirectoryAgeMs())*time.Millisecond
 	switch {
@@ -157,7 +158,7 @@
 
 func (s *State) applyConfiguration(now time.Duration, request *v1.SyncRequest, response *v1.SyncResponse) {
 	if response.GetRevision() > s.configuration.revision || response.GetFull() {
-		// A new revision may give a rejected key to a tenant.
+		// A new revision may assign a rejected key to a tenant.
 		clear(s.rejectedKeys)
 		s.configurationChanged = true
 	}
@@ -165,9 +166,9 @@
 		s.configurationChanged = true
 	}
 	s.configuration.apply(response.GetRevision(), response.GetFull(), response.GetObjects(), func(tenant *v1.Object) bool {
-		return answersKey(tenant, request.GetUnknownKeyHashes())
+		return hasAnyKey(tenant, request.GetUnknownKeyHashes())
 	})
-	s.indexTenants(now)
+	s.trackTenants(now)
 	for _, keyHash := range response.GetRejectedKeyHashes() {
 		if len(s.rejectedKeys) >= maximumRejectedKeys {
 			clear(s.rejectedKeys)
@@ -176,23 +177,23 @@
 		s.configurationChanged = true
 	}
 	if response.GetBehind() {
-		return // another controller may know the keys that this one does not
+		return // another controller may know the keys that this one misses
 	}
 	for _, keyHash := range request.GetUnknownKeyHashes() {
-		delete(s.unknownKeys, keyHash)
+		delete(s.pendingKeys, keyHash)
 	}
 }
 
-// answersKey reports whether one of the asked keys belongs to the tenant.
-func answersKey(tenant *v1.Object, asked []string) bool {
+// hasAnyKey reports whether one of the given keys belongs to the tenant.
+func hasAnyKey(tenant *v1.Object, keyHashes []string) bool {
 	return slices.ContainsFunc(tenant.GetTenant().GetApiKeyHashes(), func(hash string) bool {
-		return slices.Contains(asked, hash)
+		return slices.Contains(keyHashes, hash)
 	})
 }
 
-// indexTenants keeps one record of use for each tenant held, within the capacity.
-func (s *State) indexTenants(now time.Duration) {
-	held := map[string]*atomic.Int64{}
+// trackTenants keeps one time of last use for each stored tenant, within the capacity.
+func (s *State) trackTenants(now time.Duration) {
+	tracked := map[string]*atomic.Int64{}
 	for key := range s.configuration.objects {
 		if key.kind != v1.ObjectType_OBJECT_TYPE_TENANT {
 			continue
@@ -202,14 +203,14 @@
 			used = &atomic.Int64{}
 			used.Store(int64(now))
 		}
-		held[key.name] = used
+		tracked[key.name] = used
 	}
-	s.tenants = held
-	s.forgetLeastUsed()
+	s.tenants = tracked
+	s.evictLeastRecentlyUsed()
 }
 
-// forgetLeastUsed drops the tenants least recently used beyond the capacity.
-func (s *State) forgetLeastUsed() {
+// evictLeastRecentlyUsed removes the least recently used tenants beyond the capacity.
+func (s *State) evictLeastRecentlyUsed() {
 	excess := len(s.tenants) - s.config.TenantCapacity
 	if excess <= 0 {
 		return
@@ -219,25 +220,25 @@
 		return int(s.tenants[a].Load()/int64(time.Millisecond) - s.tenants[b].Load()/int64(time.Millisecond))
 	})
 	for _, name := range names[:excess] {
-		s.forgetTenant(name)
+		s.evictTenant(name)
 	}
 }
 
-func (s *State) forgetIdleTenants(now time.Duration) {
+func (s *State) evictIdleTenants(now time.Duration) {
 	for name, used := range s.tenants {
 		if now-time.Duration(used.Load()) > tenantIdleLimit {
-			s.forgetTenant(name)
+			s.evictTenant(name)
 		}
 	}
 }
 
-func (s *State) forgetTenant(name string) {
+func (s *State) evictTenant(name string) {
 	delete(s.tenants, name)
 	delete(s.configuration.objects, objectKey{v1.ObjectType_OBJECT_TYPE_TENANT, name})
 	s.configurationChanged = true
 }
 
-// Snapshot returns the state as readers may see it.
+// Snapshot returns an immutable view of the current state.
 func (s *State) Snapshot() *Snapshot {
 	next := &Snapshot{}
 	if s.snapshot != nil && !s.configurationChanged {
--- a/internal/gatewaystate/state_test.go
+++ b/internal/gatewaystate/state_test.go
@@ -10,8 +10,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// TestRevisionInForce holds a node to configuration that never goes back, also when
-// it has just restarted.
+// TestRevisionInForce guards against a node that applies an older configuration than it had, also after
+// a restart.
 func TestRevisionInForce(t *testing.T) {
 	answer := func(revision uint64, behind bool) *v1.SyncResponse {
 		return &v1.SyncResponse{Revision: revision, Behind: behind, Full: true}
@@ -20,13 +20,13 @@
 		name    string
 		answers []*v1.SyncResponse
 		want    uint64
-		// unguarded is the revision without SafeguardOrderedRevisions.
+		// unguarded is the resulting revision without SafeguardOrderedRevisions.
 		unguarded uint64
 	}{
-		{"the leader's first answer", []*v1.SyncResponse{answer(4, false)}, 4, 4},
-		{"first answer of one that may be behind", []*v1.SyncResponse{answer(4, true)}, 0, 4},
-		{"a later one after it", []*v1.SyncResponse{answer(4, true), answer(5, false)}, 5, 5},
-		{"newer of one that may be behind", []*v1.SyncResponse{answer(4, false), answer(5, true)}, 5, 5},
+		{"first answer of the leader", []*v1.SyncResponse{answer(4, false)}, 4, 4},
+		{"first answer of a controller that may be behind", []*v1.SyncResponse{answer(4, true)}, 0, 4},
+		{"a later answer after it", []*v1.SyncResponse{answer(4, true), answer(5, false)}, 5, 5},
+		{"newer revision of a controller that may be behind", []*v1.SyncResponse{answer(4, false), answer(5, true)}, 5, 5},
 		{"older", []*v1.SyncResponse{answer(4, false), answer(3, false)}, 4, 3},
 	}
 	for _, row := range rows {
--- a/internal/gatewaystate/sync_fuzz_test.go
+++ b/internal/gatewaystate/sync_fuzz_test.go
@@ -10,8 +10,8 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// FuzzApplySync applies two arbitrary answers of controllers: the node goes on, never
-// back, and can always show what is in force.
+// FuzzApplySync applies two arbitrary answers of controllers: the state must not panic or return to an earlier
+// revision, and its snapshot must show the applied revision.
 func FuzzApplySync(f *testing.F) {
 	seed := func(response *v1.SyncResponse) []byte {
 		data, err := proto.Marshal(response)
--- a/internal/gatewaystate/tenant.go
+++ b/internal/gatewaystate/tenant.go
@@ -8,7 +8,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// Tenant is a tenant this gateway has met.
+// Tenant is a tenant that has sent a request to this gateway.
 type Tenant struct {
 	Name string
 	// Spec is shared and must not be changed.
@@ -16,8 +16,8 @@
 	lastUsed *atomic.Int64
 }
 
-// MarkUsed tells that a request of the tenant arrived at now; tenants not used for a while
-// are forgotten. It is safe for concurrent use.
+// MarkUsed records that a request of the tenant arrived at now. Tenants without requests are removed
+// after a while. It is safe for concurrent use.
 func (t *Tenant) MarkUsed(now time.Duration) { t.lastUsed.Store(int64(now)) }
 
 // MayUseModel reports whether the tenant may use the model.
@@ -25,12 +25,12 @@
 	return len(t.Spec.GetModels()) == 0 || slices.Contains(t.Spec.GetModels(), model)
 }
 
-// KeyStatus is what a gateway knows of an API key.
+// KeyStatus is the known status of an API key.
 type KeyStatus int
 
 // Key statuses.
 const (
-	KeyUnknown  KeyStatus = iota // ask the controllers
+	KeyUnknown  KeyStatus = iota // not known here; the controllers must be queried
 	KeyAccepted                  // belongs to a tenant
 	KeyRejected                  // belongs to no tenant
 )
