--- a/internal/servercommand/command.go
+++ b/internal/servercommand/command.go
@@ -1,6 +1,6 @@
 // Package servercommand is the command line of the servers: the subcommands
-// controller and gateway, their flags, signals and exit codes. cmd/hazelpitch runs
-// it as it is; the bench runs the same code with a listener that injects latency.
+// controller, gateway, site-controller and relay, their flags, signals and exit codes. cmd/hazelpitch runs
+// it unchanged; the bench runs the same code with a listener that injects latency.
 package servercommand
 
 import (
@@ -18,41 +18,41 @@
 
 // Exit codes of the servers.
 const (
-	ExitStopped = 0 // stopped as asked, or the check passed
-	ExitFailed  = 1 // the server could not go on
-	ExitUsage   = 2 // bad flags or bad settings; nothing was started
-	// ExitInterrupted is the end of a server that was interrupted again while it stopped, as shells know it.
+	ExitStopped = 0 // stopped on request, or the settings check passed
+	ExitFailed  = 1 // the server failed
+	ExitUsage   = 2 // invalid flags or settings; nothing was started
+	// ExitInterrupted is the exit code of a server that was interrupted again while it stopped: 128 plus SIGINT.
 	ExitInterrupted = 130
 )
 
-// Environment is what the process around a command decides.
+// Environment is what the process provides to a command.
 type Environment struct {
-	// Program is the name that help and errors show.
+	// Program is the program name shown in help and errors.
 	Program string
 	Stdout  io.Writer
 	Stderr  io.Writer
-	// Listen opens listeners; nil means net.Listen.
+	// Listen opens listeners; nil means the server's default.
 	Listen func(network, address string) (net.Listener, error)
 	// ListenPacket opens a relay's datagram socket; nil means net.ListenPacket.
 	ListenPacket func(network, address string) (net.PacketConn, error)
-	// Dial opens a relay's outgoing connections; nil means the system's.
+	// Dial opens a relay's outgoing connections; nil means the default dialer.
 	Dial dialing.Dial
-	// Site is how relays and their controllers speak with what is around them.
+	// Site connects relays and their controllers with clients, back ends, operators and the platform.
 	Site Site
-	// Signals are the process's, taken in its first line; nil takes them when the command runs.
+	// Signals are the signals of the process, handled since it started; nil means that Run handles them.
 	Signals *lifecycle.Signals
 }
 
 // subcommand is one server with its parsed flags.
 type subcommand interface {
-	// run checks the settings and, unless only a check was asked for, serves until
+	// run checks the settings and, unless only a check was requested, serves until
 	// the context ends.
 	run(ctx context.Context, environment Environment) error
 }
 
-// Run parses the arguments (without the program's name), runs the subcommand until
-// the context ends or SIGINT or SIGTERM arrives, and returns the exit code. A stop goes on whatever
-// signals follow, but for a second SIGINT: then Run returns though the server still stops.
+// Run parses the arguments (without the program name), runs the subcommand until
+// the context ends or SIGINT or SIGTERM arrives, and returns the exit code. Further signals do not cut a stop short,
+// except for a second SIGINT: then Run returns while the server still stops.
 func Run(ctx context.Context, arguments []string, environment Environment) int {
 	if environment.Signals == nil {
 		environment.Signals = lifecycle.HandleSignals()
@@ -74,18 +74,18 @@
 			return ExitFailed
 		}
 	}
-	rest, err := parser.ParseArgs(arguments)
+	extra, err := parser.ParseArgs(arguments)
 	if err != nil {
 		return reportUsage(err, environment)
 	}
-	if len(rest) > 0 {
-		fmt.Fprintf(environment.Stderr, "%s: unexpected argument %q; see %s --help\n", environment.Program, rest[0], environment.Program)
+	if len(extra) > 0 {
+		fmt.Fprintf(environment.Stderr, "%s: unexpected argument %q; see %s --help\n", environment.Program, extra[0], environment.Program)
 		return ExitUsage
 	}
 	return runUntilSignal(ctx, parser.Active.Name, servers[parser.Active.Name], environment)
 }
 
-// reportUsage prints help to standard output and mistakes to standard error.
+// reportUsage prints help to standard output and usage errors to standard error.
 func reportUsage(err error, environment Environment) int {
 	var flagsError *flags.Error
 	if errors.As(err, &flagsError) && flagsError.Type == flags.ErrHelp {
@@ -99,25 +99,25 @@
 func runUntilSignal(ctx context.Context, name string, server subcommand, environment Environment) int {
 	ctx, cancel := environment.Signals.WithStop(ctx)
 	defer cancel()
-	ended := make(chan error, 1)
-	go func() { ended <- server.run(ctx, environment) }()
+	result := make(chan error, 1)
+	go func() { result <- server.run(ctx, environment) }()
 	select {
-	case err := <-ended:
+	case err := <-result:
 		return exitCode(err, name, environment)
 	case <-environment.Signals.Interrupted():
-		fmt.Fprintf(environment.Stderr, "%s %s: interrupted again: it ends before its stop is over\n", environment.Program, name)
+		fmt.Fprintf(environment.Stderr, "%s %s: interrupted again: exiting before the stop has finished\n", environment.Program, name)
 		return ExitInterrupted
 	}
 }
 
-// exitCode tells on standard error why a server failed.
+// exitCode returns the exit code for the result of a server and prints an error to standard error.
 func exitCode(err error, name string, environment Environment) int {
 	if err == nil {
 		return ExitStopped
 	}
 	fmt.Fprintf(environment.Stderr, "%s %s: %v\n", environment.Program, name, err)
-	var settingsFault *settingsError
-	if errors.As(err, &settingsFault) {
+	var invalid *settingsError
+	if errors.As(err, &invalid) {
 		return ExitUsage
 	}
 	return ExitFailed
--- a/internal/servercommand/controller.go
+++ b/internal/servercommand/controller.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// controllerFlags are the flags of the controller.
+// controllerFlags are the flags of the controller subcommand.
 type controllerFlags struct {
 	commonFlags
 	DataDirectory string `long:"data-directory" value-name:"DIR" description:"override data_directory"`
@@ -30,7 +30,7 @@
 		return nil
 	}
 	return withLog(ctx, environment, loaded.Name, loaded.Log, func(ctx context.Context, log *logring.Log) error {
-		go refuseReloads(ctx, log, environment.Signals.Reloads())
+		go warnOnReload(ctx, log, environment.Signals.Reloads())
 		return controller.Run(ctx, loaded, controller.Options{Listen: environment.Listen, Log: log})
 	})
 }
--- a/internal/servercommand/flags.go
+++ b/internal/servercommand/flags.go
@@ -6,7 +6,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// commonFlags are the flags of every server.
+// commonFlags are the flags that controllers and gateways share.
 type commonFlags struct {
 	Settings      string   `long:"settings" value-name:"FILE" required:"true" description:"settings file (YAML)"`
 	Check         bool     `long:"check" description:"check the settings and exit"`
@@ -18,7 +18,7 @@
 	SourceAddress string   `long:"source-address" value-name:"IP" description:"override source_address"`
 }
 
-// source returns where the settings come from: the file, then the flags.
+// source returns the sources of the settings: the file, then the flags.
 func (c *commonFlags) source() (settings.Source, error) {
 	source := settings.Source{Path: c.Settings}
 	for _, argument := range c.Set {
@@ -36,21 +36,21 @@
 	return source, nil
 }
 
-// siteFlags are the flags of the servers of a site, whose settings files are written for
-// them at every start.
+// siteFlags are the flags of the servers of a site, whose settings files are generated
+// at every start.
 type siteFlags struct {
 	Settings string   `long:"settings" value-name:"FILE" required:"true" description:"settings file (YAML)"`
 	Check    bool     `long:"check" description:"check the settings and exit"`
 	Set      []string `long:"set" value-name:"KEY=VALUE" description:"override one key of the settings file; may be given several times"`
 }
 
-// source returns where the settings come from: the file, then the flags.
+// source returns the sources of the settings: the file, then the flags.
 func (s *siteFlags) source() (settings.Source, error) {
 	common := commonFlags{Settings: s.Settings, Set: s.Set}
 	return common.source()
 }
 
-// appendOverride adds an override when its flag was given.
+// appendOverride appends an override when its flag is set.
 func appendOverride(overrides []settings.Override, flag, key, value string) []settings.Override {
 	if value == "" {
 		return overrides
@@ -58,7 +58,7 @@
 	return append(overrides, settings.Override{Flag: flag, Key: key, Value: fmt.Sprintf("%q", value)})
 }
 
-// settingsError marks an error of the settings or overrides: nothing was started.
+// settingsError marks an error in the settings or overrides: nothing was started.
 type settingsError struct{ cause error }
 
 // Error returns the cause's text.
--- a/internal/servercommand/gateway.go
+++ b/internal/servercommand/gateway.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// gatewayFlags are the flags of the gateway.
+// gatewayFlags are the flags of the gateway subcommand.
 type gatewayFlags struct{ commonFlags }
 
 func (g *gatewayFlags) run(ctx context.Context, environment Environment) error {
@@ -26,7 +26,7 @@
 		return nil
 	}
 	return withLog(ctx, environment, loaded.Name, loaded.Log, func(ctx context.Context, log *logring.Log) error {
-		go refuseReloads(ctx, log, environment.Signals.Reloads())
+		go warnOnReload(ctx, log, environment.Signals.Reloads())
 		return gateway.Run(ctx, loaded, gateway.Options{Listen: environment.Listen, Log: log})
 	})
 }
--- a/internal/servercommand/log.go
+++ b/internal/servercommand/log.go
@@ -14,8 +14,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// withLog runs a server whose log goes to standard output, line by line, and to a ring that
-// is written out on errors and signals while the server runs, and when it fails or panics.
+// withLog runs a server that logs line by line to standard output and to a ring in memory. The ring
+// is dumped on errors and signals while the server runs, and when it fails or panics.
 func withLog(ctx context.Context, environment Environment, name string, bounds settings.Log, serve func(context.Context, *logring.Log) error) error {
 	stream := logstream.New(environment.Stdout)
 	streamContext, stopStream := context.WithCancel(context.WithoutCancel(ctx))
--- a/internal/servercommand/relay.go
+++ b/internal/servercommand/relay.go
@@ -12,7 +12,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// relayFlags are the flags of the relay.
+// relayFlags are the flags of the relay subcommand.
 type relayFlags struct{ siteFlags }
 
 func (r *relayFlags) run(ctx context.Context, environment Environment) error {
@@ -36,9 +36,9 @@
 	reloaded := make(chan settings.Relay)
 	return withLog(ctx, environment, loaded.Name, loaded.Log, func(ctx context.Context, log *logring.Log) error {
 		read := func() (settings.Relay, error) { return settings.LoadRelay(source) }
-		go watchSettings(ctx, r.Settings, log, environment.Signals.Reloads(), reloading(ctx, read, reloaded))
+		go watchSettings(ctx, r.Settings, log, environment.Signals.Reloads(), sendReloaded(ctx, read, reloaded))
 		return relay.Run(ctx, loaded, relay.Options{
-			Dialect: environment.Site.Dialect, ReadListing: environment.Site.listingAt(loaded.ListingAddress),
+			Dialect: environment.Site.Dialect, ReadListing: environment.Site.listingReaderAt(loaded.ListingAddress),
 			ReadCache: environment.Site.ReadCache,
 			Listen:    environment.Listen, ListenPacket: environment.ListenPacket, Dial: environment.Dial, Reloaded: reloaded, Without: without, Log: log,
 		})
--- a/internal/servercommand/reload_test.go
+++ b/internal/servercommand/reload_test.go
@@ -17,8 +17,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// SIGHUP, whose default is to end the process, reads the settings again; settings that
-// cannot be read leave the process as it is.
+// TestSettingsAreReadAgain guards against SIGHUP, which ends a process by default: it must read the settings again, and
+// settings that cannot be read must not stop the process.
 func TestSettingsAreReadAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	require.NoError(t, os.WriteFile(path, []byte("a"), 0o600))
@@ -30,26 +30,26 @@
 	watching.Go(func() {
 		close(started)
 		watchSettings(ctx, path, logring.New("relay", settings.Log{RingEntries: 8}), signals.Reloads(), func() error {
-			loads <- modified(path)
+			loads <- modificationTime(path)
 			return errors.New("not readable now")
 		})
 	})
 	<-started
 	require.Eventually(t, func() bool {
-		return signalled(t, loads)
+		return sendHangup(t, loads)
 	}, time.Minute, 10*time.Millisecond)
-	before := modified(path)
+	before := modificationTime(path)
 	later := before.Add(time.Hour)
 	require.NoError(t, os.Chtimes(path, later, later))
-	require.NotEqual(t, before, modified(path))
-	for !(<-loads).Equal(modified(path)) { // loads of the signals may still wait
+	require.NotEqual(t, before, modificationTime(path))
+	for !(<-loads).Equal(modificationTime(path)) { // loads caused by the signals may come first
 	}
 	cancel()
 	watching.Wait()
 }
 
-// signalled sends SIGHUP and reports whether the settings were read.
-func signalled(t *testing.T, loads <-chan time.Time) bool {
+// sendHangup sends SIGHUP and reports whether the settings were read.
+func sendHangup(t *testing.T, loads <-chan time.Time) bool {
 	t.Helper()
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 	select {
@@ -60,16 +60,16 @@
 	}
 }
 
-// What was read again is handed on; what cannot be read is not, and a stopping process waits
-// for nobody.
-func TestReloadingHandsOnWhatWasRead(t *testing.T) {
-	unread := errors.New("not readable now")
+// TestSendReloadedSendsLoadedSettings checks that loaded settings are sent on, that unreadable ones are not, and that
+// a stopping process does not wait for a receiver.
+func TestSendReloadedSendsLoadedSettings(t *testing.T) {
+	errUnreadable := errors.New("not readable now")
 	reloaded := make(chan int, 1)
-	require.NoError(t, reloading(t.Context(), func() (int, error) { return 7, nil }, reloaded)())
+	require.NoError(t, sendReloaded(t.Context(), func() (int, error) { return 7, nil }, reloaded)())
 	require.Equal(t, 7, <-reloaded)
-	require.ErrorIs(t, reloading(t.Context(), func() (int, error) { return 8, unread }, reloaded)(), unread)
+	require.ErrorIs(t, sendReloaded(t.Context(), func() (int, error) { return 8, errUnreadable }, reloaded)(), errUnreadable)
 	require.Empty(t, reloaded)
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.NoError(t, reloading(ended, func() (int, error) { return 9, nil }, make(chan int))())
+	require.NoError(t, sendReloaded(ended, func() (int, error) { return 9, nil }, make(chan int))())
 }
--- a/internal/servercommand/outlive_disk_test.go
+++ b/internal/servercommand/restart_on_disk_error_test.go
@@ -19,7 +19,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := logring.New("controller", settings.Log{RingEntries: 8})
 		runs, began := 0, time.Now()
-		err := outliveDisk(t.Context(), log, func() error {
+		err := restartOnDiskError(t.Context(), log, func() error {
 			runs++
 			if runs < 4 {
 				return trace.Wrap(fmt.Errorf("wrapped: %w", &controller.DiskError{}))
@@ -34,6 +34,6 @@
 
 func TestOtherErrorsEndTheController(t *testing.T) {
 	failure := errors.New("address in use")
-	err := outliveDisk(t.Context(), logring.New("controller", settings.Log{RingEntries: 8}), func() error { return failure })
+	err := restartOnDiskError(t.Context(), logring.New("controller", settings.Log{RingEntries: 8}), func() error { return failure })
 	require.Equal(t, failure, err)
 }
--- a/internal/servercommand/site.go
+++ b/internal/servercommand/site.go
@@ -10,57 +10,57 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// siteFleet is the fleet's name on a site: each site is one fleet of its own.
+// siteFleet is the fleet name of every site: each site is a separate fleet.
 const siteFleet = "site"
 
-// Site is how relays and their controllers speak with clients, back ends, operators and
-// the outside list.
+// Site connects relays and their controllers with clients, back ends, operators and
+// the platform.
 type Site struct {
 	Dialect relay.Dialect
-	// ReadListing reads so many pages of the list of back ends at an address; 0 pages are all.
+	// ReadListing reads this number of pages of the list of back ends at an address; 0 reads all pages.
 	ReadListing func(ctx context.Context, client *http.Client, address string, pages int) (serving.Listing, error)
-	// ReadCache reads what an engine has cached.
+	// ReadCache reads the state of an engine's prefix cache.
 	ReadCache func(ctx context.Context, client *http.Client, engine serving.BackEnd) (serving.CacheReport, error)
-	// OrderStage orders an engine into a role.
+	// OrderStage orders an engine into a stage.
 	OrderStage func(ctx context.Context, client *http.Client, order controller.StageOrder) (controller.StageAnswer, error)
-	// Duties reads the names of the platform's singleton duties.
+	// Duties parses the names of the platform's singleton duties.
 	Duties func(names []string) Duties
-	// ReportUsage tells the platform at an address what tenants used in a window.
+	// ReportUsage reports the tenants' usage in a window to the platform at an address.
 	ReportUsage func(ctx context.Context, client *http.Client, address string, report controller.UsageReport) (duty.Outcome, error)
 	// OrderReplicas orders replicas from the platform at an address.
 	OrderReplicas func(ctx context.Context, client *http.Client, address string, order controller.ReplicaOrder) (duty.Outcome, error)
-	// ReadConfiguration reads the operator's document.
+	// ReadConfiguration parses the operator's configuration document.
 	ReadConfiguration func(content []byte) (serving.Configuration, error)
-	// NamedServices returns the services that the operator's document names, without reading the rest.
+	// NamedServices returns the services that the operator's document names, without parsing the rest.
 	NamedServices func(content []byte) []string
-	// OperatorHandler answers operators; port is the one at which every controller does.
+	// OperatorHandler serves operators; port is the operator port of every controller.
 	OperatorHandler func(store controller.DocumentStore, port string) http.Handler
 }
 
-// Duties are the platform's singleton duties that a deployment asks for.
+// Duties are the platform's singleton duties that are enabled in a deployment.
 type Duties struct {
-	// Usage tells that what tenants use is counted and told.
+	// Usage enables counting and reporting the usage of tenants.
 	Usage bool
-	// Replicas tells that the number of replicas is ours to order.
+	// Replicas enables ordering replicas from the platform.
 	Replicas bool
 }
 
-// listingAt returns a reader of the list at the address.
-func (s Site) listingAt(address string) func(context.Context, *http.Client, int) (serving.Listing, error) {
+// listingReaderAt returns a reader of the list at the address.
+func (s Site) listingReaderAt(address string) func(context.Context, *http.Client, int) (serving.Listing, error) {
 	return func(ctx context.Context, client *http.Client, pages int) (serving.Listing, error) {
 		return s.ReadListing(ctx, client, address, pages)
 	}
 }
 
-// orderingReplicasAt returns what orders replicas from the platform at the address.
-func (s Site) orderingReplicasAt(address string) func(context.Context, *http.Client, controller.ReplicaOrder) (duty.Outcome, error) {
+// replicaOrdererAt returns a function that orders replicas from the platform at the address.
+func (s Site) replicaOrdererAt(address string) func(context.Context, *http.Client, controller.ReplicaOrder) (duty.Outcome, error) {
 	return func(ctx context.Context, client *http.Client, order controller.ReplicaOrder) (duty.Outcome, error) {
 		return s.OrderReplicas(ctx, client, address, order)
 	}
 }
 
-// reportingUsageAt returns what tells the platform at the address what tenants used.
-func (s Site) reportingUsageAt(address string) func(context.Context, *http.Client, controller.UsageReport) (duty.Outcome, error) {
+// usageReporterAt returns a function that reports the tenants' usage to the platform at the address.
+func (s Site) usageReporterAt(address string) func(context.Context, *http.Client, controller.UsageReport) (duty.Outcome, error) {
 	return func(ctx context.Context, client *http.Client, report controller.UsageReport) (duty.Outcome, error) {
 		return s.ReportUsage(ctx, client, address, report)
 	}
--- a/internal/servercommand/site_controller.go
+++ b/internal/servercommand/site_controller.go
@@ -16,15 +16,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/usage"
 )
 
-// siteControllerFlags are the flags of the controller of a site.
+// siteControllerFlags are the flags of the site-controller subcommand.
 type siteControllerFlags struct{ siteFlags }
 
-// orderLife is how long an order to an engine may be under way; it is added to a new leader's
-// wait, so that the orders of two leaders keep that wait between them.
-const orderLife = 500 * time.Millisecond
+// orderLifetime bounds the time that an order to an engine may be in flight. It is added to a new leader's
+// wait, so that the orders of two leaders are at least that wait apart.
+const orderLifetime = 500 * time.Millisecond
 
-// dutyRateShare is the part of the platform's rate of duty calls that a holder uses: its predecessor's
-// last calls may still count.
+// dutyRateShare is the fraction of the platform's rate limit for duty calls that a holder uses, because the
+// last calls of its predecessor may still count against the limit.
 const dutyRateShare = 0.5
 
 func (s *siteControllerFlags) run(ctx context.Context, environment Environment) error {
@@ -51,12 +51,12 @@
 		ReloadedSeeds: seeds,
 		Seeds:         loaded.PeerSeeds(), Bootstrap: loaded.Bootstrap, FormationSize: loaded.FormationSize(),
 		ListingInterval:   loaded.ListingInterval,
-		ReadListing:       environment.Site.listingAt(loaded.ListingAddress),
+		ReadListing:       environment.Site.listingReaderAt(loaded.ListingAddress),
 		Without:           without,
-		PriorPrefillShare: loaded.PrefillShare, OrderWait: loaded.OrderWait + orderLife, OrderLife: orderLife,
+		PriorPrefillShare: loaded.PrefillShare, OrderWait: loaded.OrderWait + orderLifetime, OrderLife: orderLifetime,
 		OrderStage:     environment.Site.OrderStage,
 		NamedServices:  environment.Site.NamedServices,
-		DutyLife:       orderLife,
+		DutyLife:       orderLifetime,
 		DutyInterval:   time.Duration(float64(time.Second) / (loaded.DutyRate * dutyRateShare)),
 		OperatorListen: loaded.OperatorListen,
 		OperatorHandler: func(store controller.DocumentStore) http.Handler {
@@ -67,19 +67,19 @@
 	if duties.Replicas {
 		site.OnDemandShare = loaded.OnDemandShare
 		site.ReadConfiguration = environment.Site.ReadConfiguration
-		site.OrderReplicas = environment.Site.orderingReplicasAt(loaded.ListingAddress)
+		site.OrderReplicas = environment.Site.replicaOrdererAt(loaded.ListingAddress)
 	}
 	if duties.Usage {
 		site.Usage = usage.Config{Window: loaded.UsageWindow, Due: loaded.UsageDeadline}
-		site.ReportUsage = environment.Site.reportingUsageAt(loaded.ListingAddress)
+		site.ReportUsage = environment.Site.usageReporterAt(loaded.ListingAddress)
 	}
 	return withLog(ctx, environment, loaded.Name, loaded.Log, func(ctx context.Context, log *logring.Log) error {
 		readSeeds := func() ([]string, error) {
 			again, err := settings.LoadSiteController(source)
 			return again.PeerSeeds(), err
 		}
-		go watchSettings(ctx, s.Settings, log, environment.Signals.Reloads(), reloading(ctx, readSeeds, seeds))
-		return outliveDisk(ctx, log, func() error {
+		go watchSettings(ctx, s.Settings, log, environment.Signals.Reloads(), sendReloaded(ctx, readSeeds, seeds))
+		return restartOnDiskError(ctx, log, func() error {
 			return controller.Run(ctx, loaded.Controller(siteFleet), controller.Options{Listen: environment.Listen, Site: site, Log: log})
 		})
 	})
