--- a/internal/settings/together.go
+++ b/internal/settings/cross_checks.go
@@ -6,9 +6,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/yamlfile"
 )
 
-// leastHeartbeatsPerElection is how many heartbeats fit into an election timeout
-// at least, so that one late heartbeat does not start an election.
-const leastHeartbeatsPerElection = 4
+// minimumHeartbeatsPerElection is the smallest number of heartbeats in an election timeout:
+// one late heartbeat must not start an election.
+const minimumHeartbeatsPerElection = 4
 
 func checkTLS(document *yamlfile.Document, tls TLS) {
 	named := 0
@@ -23,9 +23,9 @@
 }
 
 func checkTimeouts(document *yamlfile.Document, controller *Controller) {
-	if controller.ElectionTimeout < leastHeartbeatsPerElection*controller.HeartbeatInterval {
+	if controller.ElectionTimeout < minimumHeartbeatsPerElection*controller.HeartbeatInterval {
 		document.Report("election_timeout", fmt.Sprintf("%v is too short for heartbeats every %v", controller.ElectionTimeout, controller.HeartbeatInterval),
-			fmt.Sprintf("make it at least %d heartbeat intervals", leastHeartbeatsPerElection))
+			fmt.Sprintf("make it at least %d heartbeat intervals", minimumHeartbeatsPerElection))
 	}
 }
 
