--- a/internal/metrics/server.go
+++ b/internal/metrics/server.go
@@ -1,5 +1,5 @@
-// Package metrics holds what controllers and gateways share of their admin side:
-// the Prometheus registry and the HTTP server with health, readiness, metrics and
+// Package metrics provides the admin endpoint of the servers:
+// the Prometheus registry and the HTTP server for health, readiness, metrics and
 // the log ring.
 package metrics
 
@@ -25,7 +25,7 @@
 	PathReady   = "/ready"    // 200 when it can serve, else 503 with the reason
 	PathMetrics = "/metrics"  // Prometheus text format
 	PathLog     = "/log"      // GET: the entries in memory
-	PathLogDump = "/log/dump" // POST: write them out as on an error
+	PathLogDump = "/log/dump" // POST: dumps the ring as on an error
 	pathProfile = "/debug/pprof/"
 )
 
@@ -34,16 +34,16 @@
 	shutdownTimeout = time.Second
 )
 
-// AdminServer answers health checks, scrapes and requests for the log ring.
+// AdminServer serves health checks, scrapes and the log ring.
 type AdminServer struct {
 	Registry *prometheus.Registry
 	Log      *logring.Log
-	// Ready returns nil when the process can serve, else why not. It is called
-	// concurrently.
+	// Ready returns nil when the process can serve, else the reason why not. It must be safe
+	// for concurrent use.
 	Ready func() error
 }
 
-// Serve answers on the listener until the context ends; it closes the listener.
+// Serve serves on the listener until the context ends. It closes the listener.
 func (a *AdminServer) Serve(ctx context.Context, listener net.Listener) error {
 	server := &http.Server{Handler: a.Handler(), ReadHeaderTimeout: readTimeout}
 	stopped := context.AfterFunc(ctx, func() {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// Handler returns the admin server's routes.
+// Handler returns the handler of all admin paths.
 func (a *AdminServer) Handler() http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("GET "+PathHealth, func(writer http.ResponseWriter, _ *http.Request) {
@@ -85,7 +85,7 @@
 
 func (a *AdminServer) serveLog(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set("Content-Type", "application/x-ndjson")
-	// A caller that goes away needs no answer.
+	// A write error means that the caller has disconnected.
 	_ = a.Log.WriteRecent(writer)
 }
 
