--- a/internal/logring/dumper.go
+++ b/internal/logring/dumper.go
@@ -11,7 +11,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Causes of a dump, as written into its first line.
+// Causes of a dump, as written in its first line.
 const (
 	causeError   = "error"
 	causeSignal  = "signal"
@@ -20,32 +20,32 @@
 )
 
 const (
-	// errorDumpInterval bounds the rate of dumps that error entries cause.
+	// errorDumpInterval is the shortest time between two dumps that error entries cause.
 	errorDumpInterval = 10 * time.Second
-	// keptDumpFiles is the number of files a dump directory holds per process.
-	keptDumpFiles = 16
+	// maximumDumpFiles is the number of dump files that are kept per process.
+	maximumDumpFiles = 16
 )
 
-// dumper writes the ring's new entries to a file or to standard error. One dump
-// runs at a time; entries already written are not written again.
+// dumper writes the new entries of the ring to a file or to standard error. Dumps do
+// not run concurrently, and an entry is dumped only once.
 type dumper struct {
 	ring      *ring
 	name      string
 	directory string
 	fallback  io.Writer
 	now       func() time.Time
-	// wake asks the dumping goroutine for a dump; a full channel means one is due anyway.
+	// wake requests a dump from the goroutine of Log.Run; when the channel is full, a dump is already pending.
 	wake chan string
-	// signalled asks it for one because of a signal, however short ago the last one was.
-	signalled chan struct{}
+	// signalWake requests a dump because of a signal; it is not subject to errorDumpInterval.
+	signalWake chan struct{}
 
-	mutex     sync.Mutex
-	written   uint64
-	lastError time.Time
+	mutex         sync.Mutex
+	lastWritten   uint64
+	lastErrorDump time.Time
 }
 
-// request asks for a dump in the background. It never blocks.
-func (d *dumper) request(cause string) {
+// requestDump requests a dump in the background. It never blocks.
+func (d *dumper) requestDump(cause string) {
 	select {
 	case d.wake <- cause:
 	default:
@@ -53,22 +53,22 @@
 }
 
 // dump writes the entries that no dump has written yet. It returns the path of
-// the file, or "" when it went to standard error or when there was nothing new.
+// the file, or "" when it wrote to standard error or wrote nothing.
 func (d *dumper) dump(cause string) (string, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if cause == causeError {
-		if now := d.now(); !d.lastError.IsZero() && now.Sub(d.lastError) < errorDumpInterval {
+		if now := d.now(); !d.lastErrorDump.IsZero() && now.Sub(d.lastErrorDump) < errorDumpInterval {
 			return "", nil
 		}
-		d.lastError = d.now()
+		d.lastErrorDump = d.now()
 	}
-	entries, newest := d.ring.snapshot(d.written)
+	entries, newest := d.ring.snapshot(d.lastWritten)
 	if len(entries) == 0 {
 		return "", nil
 	}
-	skipped := newest - d.written - uint64(len(entries))
-	d.written = newest
+	skipped := newest - d.lastWritten - uint64(len(entries))
+	d.lastWritten = newest
 	if d.directory == "" {
 		return "", trace.Wrap(writeDump(d.fallback, d.name, cause, skipped, entries))
 	}
@@ -77,7 +77,7 @@
 
 func (d *dumper) dumpToFile(cause string, skipped uint64, entries [][]byte) (string, error) {
 	if err := os.MkdirAll(d.directory, 0o755); err != nil {
-		return "", trace.Wrap(err, "cannot make log.dump_directory")
+		return "", trace.Wrap(err, "cannot create log.dump_directory")
 	}
 	path := filepath.Join(d.directory, fmt.Sprintf("%s-%020d.log", d.name, d.now().UnixNano()))
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o644)
@@ -91,13 +91,13 @@
 	return path, trace.Wrap(d.removeOldFiles())
 }
 
-// removeOldFiles keeps the newest files of this process. Names sort by time.
+// removeOldFiles removes all but the newest dump files of this process. The file names sort by time.
 func (d *dumper) removeOldFiles() error {
 	paths, err := filepath.Glob(filepath.Join(d.directory, d.name+"-*.log"))
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	for _, path := range paths[:max(len(paths)-keptDumpFiles, 0)] {
+	for _, path := range paths[:max(len(paths)-maximumDumpFiles, 0)] {
 		if err := os.Remove(path); err != nil {
 			return trace.Wrap(err)
 		}
--- a/internal/logring/log.go
+++ b/internal/logring/log.go
@@ -12,27 +12,27 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// Lines of several processes are put in order by their times.
+// The time format has a fixed width, so that the lines of several processes sort by their times.
 func init() { zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00" }
 
-// Log is a process's logger and the ring behind it. It is safe for concurrent use.
+// Log is the logger of a process with a ring in memory. It is safe for concurrent use.
 type Log struct {
 	zerolog.Logger
 	sink *Sink
-	// stream takes the entries as they come; nil for a log without one.
+	// stream receives each entry immediately; nil for a log without a stream.
 	stream zerolog.LevelWriter
 }
 
-// DroppedLines returns how many lines the stream has dropped, 0 without one.
+// DroppedLines returns the number of lines that the stream has dropped, or 0 without a stream.
 func (l *Log) DroppedLines() int64 {
-	if counting, counts := l.stream.(interface{ Dropped() int64 }); counts {
-		return counting.Dropped()
+	if counter, ok := l.stream.(interface{ Dropped() int64 }); ok {
+		return counter.Dropped()
 	}
 	return 0
 }
 
-// NewWithStream returns a log whose entries also go to the writer as they come, which
-// must not block; Run must be called as for New.
+// NewWithStream returns a log whose entries also go to stream immediately. Writes to stream
+// must not block. Run must be called as for New.
 func NewWithStream(name string, bounds settings.Log, stream zerolog.LevelWriter) *Log {
 	log := New(name, bounds)
 	both := zerolog.MultiLevelWriter(log.sink, stream)
@@ -41,8 +41,8 @@
 	return log
 }
 
-// New returns a log for the named process. Run must be called for dumps caused by
-// errors and requests to be written.
+// New returns a log for the named process. Dumps caused by
+// errors, signals and requests are only written while Run runs.
 func New(name string, bounds settings.Log) *Log {
 	return newLog(name, bounds, os.Stderr, time.Now)
 }
@@ -51,7 +51,7 @@
 	ring := newRing(max(bounds.RingEntries, 1))
 	sink := &Sink{ring: ring, dumper: &dumper{
 		ring: ring, name: name, directory: bounds.DumpDirectory,
-		fallback: fallback, now: now, wake: make(chan string, 1), signalled: make(chan struct{}, 1),
+		fallback: fallback, now: now, wake: make(chan string, 1), signalWake: make(chan struct{}, 1),
 	}}
 	return &Log{
 		Logger: zerolog.New(sink).With().Timestamp().Str("process", name).Logger(),
@@ -59,15 +59,15 @@
 	}
 }
 
-// Run writes dumps on error entries and when they are asked for until the context ends, and a
-// last one for an error that came just before.
+// Run writes the requested dumps until the context ends, and then
+// the dumps that are still pending.
 func (l *Log) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
-			l.drain()
+			l.writePendingDumps()
 			return
-		case <-l.sink.dumper.signalled:
+		case <-l.sink.dumper.signalWake:
 			l.dump(causeSignal)
 		case cause := <-l.sink.dumper.wake:
 			l.dump(cause)
@@ -75,34 +75,34 @@
 	}
 }
 
-func (l *Log) drain() {
+func (l *Log) writePendingDumps() {
 	select {
 	case cause := <-l.sink.dumper.wake:
 		l.dump(cause)
 	default:
 	}
 	select {
-	case <-l.sink.dumper.signalled:
+	case <-l.sink.dumper.signalWake:
 		l.dump(causeSignal)
 	default:
 	}
 }
 
-// DumpOnRequest writes the ring out because an operator asked for it, and returns
-// the path of the file ("" means standard error or nothing new).
+// DumpOnRequest dumps the ring on an operator's request, and returns
+// the path of the file ("" means standard error or no new entries).
 func (l *Log) DumpOnRequest() (string, error) {
 	return l.sink.dumper.dump(causeRequest)
 }
 
-// RequestDump asks for a dump on an operator's request in the background; Run writes
+// RequestDump requests a dump in the background, on an operator's request; Run writes
 // it. It never blocks.
-func (l *Log) RequestDump() { l.sink.dumper.request(causeRequest) }
+func (l *Log) RequestDump() { l.sink.dumper.requestDump(causeRequest) }
 
-// DumpOnSignal asks for a dump in the background because of a signal. It never blocks.
+// DumpOnSignal requests a dump in the background because of a signal. It never blocks.
 func (l *Log) DumpOnSignal() {
 	select {
-	case l.sink.dumper.signalled <- struct{}{}:
-	default: // one is due anyway
+	case l.sink.dumper.signalWake <- struct{}{}:
+	default: // a dump is already pending
 	}
 }
 
@@ -117,17 +117,17 @@
 	return nil
 }
 
-// DumpOnPanic, deferred at the top of a goroutine, writes the ring and the stack
-// out and lets the panic go on.
+// DumpOnPanic must be deferred at the top of a goroutine. On a panic it dumps the ring with the
+// stack and panics again.
 func (l *Log) DumpOnPanic() {
 	if cause := recover(); cause != nil {
-		l.WithLevel(zerolog.PanicLevel).Interface("panic", cause).Bytes("stack", debug.Stack()).Msg("the process panics")
+		l.WithLevel(zerolog.PanicLevel).Interface("panic", cause).Bytes("stack", debug.Stack()).Msg("the process panicked; the log ring is dumped")
 		l.dump(causePanic)
 		panic(cause)
 	}
 }
 
-// dump writes the ring; when that fails it says so on standard error, the last resort.
+// dump writes the ring. When that fails, it reports the error on standard error.
 func (l *Log) dump(cause string) {
 	if _, err := l.sink.dumper.dump(cause); err != nil {
 		_, _ = io.WriteString(l.sink.dumper.fallback, "log ring: "+err.Error()+"\n")
--- a/internal/logring/log_test.go
+++ b/internal/logring/log_test.go
@@ -48,7 +48,7 @@
 		log.Error().Msg("third")
 		synctest.Wait()
 		require.Contains(t, output.String(), `"second"`)
-		require.Equal(t, 1, strings.Count(output.String(), `"first"`), "no entry is written twice")
+		require.Equal(t, 1, strings.Count(output.String(), `"first"`), "no entry is dumped twice")
 
 		log.Info().Msg("fourth")
 		log.DumpOnSignal()
@@ -61,7 +61,7 @@
 	directory := filepath.Join(t.TempDir(), "dumps")
 	log := newLog("p", settings.Log{RingEntries: 2, DumpDirectory: directory}, &bytes.Buffer{}, time.Now)
 	var newest string
-	for range keptDumpFiles + 3 {
+	for range maximumDumpFiles + 3 {
 		log.Info().Msg("a")
 		log.Info().Msg("b")
 		log.Info().Msg("c")
@@ -71,21 +71,21 @@
 	}
 	paths, err := filepath.Glob(filepath.Join(directory, "p-*.log"))
 	require.NoError(t, err)
-	require.Len(t, paths, keptDumpFiles)
+	require.Len(t, paths, maximumDumpFiles)
 	require.Equal(t, newest, paths[len(paths)-1])
 	text, err := os.ReadFile(newest)
 	require.NoError(t, err)
 	require.Contains(t, string(text), "cause: request, entries: 2, lost before them: 1")
 }
 
-func TestNothingNewWritesNoFile(t *testing.T) {
+func TestDumpWithoutNewEntriesWritesNoFile(t *testing.T) {
 	log := newLog("p", settings.Log{RingEntries: 2, DumpDirectory: t.TempDir()}, &bytes.Buffer{}, time.Now)
 	path, err := log.DumpOnRequest()
 	require.NoError(t, err)
 	require.Empty(t, path)
 }
 
-func TestPanicIsWrittenOutAndGoesOn(t *testing.T) {
+func TestPanicIsDumpedAndContinues(t *testing.T) {
 	var output bytes.Buffer
 	log := newLog("p", settings.Log{RingEntries: 4}, &output, time.Now)
 	require.PanicsWithValue(t, "broken", func() {
--- a/internal/logring/ring.go
+++ b/internal/logring/ring.go
@@ -1,5 +1,5 @@
-// Package logring keeps the newest log entries in memory and writes them out when
-// something goes wrong: at an error-level event (bounded in rate), on SIGUSR1, on
+// Package logring keeps the newest log entries in memory and dumps them when
+// something fails: on an error entry (at a bounded rate), on SIGUSR1, on
 // an operator's request or on a panic. It is the sink of a zerolog.Logger.
 package logring
 
@@ -12,10 +12,10 @@
 // ring holds the newest entries. It is safe for concurrent use.
 type ring struct {
 	mutex sync.Mutex
-	// entries is a circular buffer; next is where the coming entry goes.
+	// entries is a circular buffer; next is the index of the next entry.
 	entries [][]byte
 	next    int
-	// appended counts all entries ever written.
+	// appended counts all entries ever appended.
 	appended uint64
 }
 
@@ -23,7 +23,7 @@
 	return &ring{entries: make([][]byte, size)}
 }
 
-// append copies one entry into the ring, over the oldest when it is full.
+// append copies one entry into the ring and overwrites the oldest one when the ring is full.
 func (r *ring) append(entry []byte) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -33,12 +33,12 @@
 }
 
 // snapshot returns copies of the entries with numbers from after+1 on, oldest
-// first, and the number of the newest entry. Entries are numbered from 1.
+// first, and the number of the newest entry. Entry numbers start at 1.
 func (r *ring) snapshot(after uint64) (entries [][]byte, newest uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	held := min(r.appended, uint64(len(r.entries)))
-	first := max(r.appended-held, min(after, r.appended))
+	stored := min(r.appended, uint64(len(r.entries)))
+	first := max(r.appended-stored, min(after, r.appended))
 	for number := first; number < r.appended; number++ {
 		entry := r.entries[number%uint64(len(r.entries))]
 		entries = append(entries, append([]byte(nil), entry...))
@@ -58,11 +58,11 @@
 	return len(entry), nil
 }
 
-// WriteLevel stores one entry and asks for a dump when it is an error or worse.
+// WriteLevel stores one entry and requests a dump when its level is error or higher.
 func (s *Sink) WriteLevel(level zerolog.Level, entry []byte) (int, error) {
 	s.ring.append(entry)
 	if level >= zerolog.ErrorLevel && level <= zerolog.PanicLevel {
-		s.dumper.request(causeError)
+		s.dumper.requestDump(causeError)
 	}
 	return len(entry), nil
 }
