--- a/internal/logstream/stream.go
+++ b/internal/logstream/stream.go
@@ -1,7 +1,7 @@
-// Package logstream writes log lines to a process's standard output without ever holding
-// up who logs: lines wait in a bounded ring for one writer, and are dropped when it is
-// full. Ordinary lines go first: they may take only a part of the ring. How many lines of
-// each level were dropped is itself written.
+// Package logstream writes log lines to a process's standard output without ever blocking
+// the code that logs: lines wait in a bounded queue for a single writer, and are dropped when it is
+// full. Lines below the warning level may use only a part of the queue. The number of dropped lines of
+// each class is written to the output.
 package logstream
 
 import (
@@ -15,11 +15,11 @@
 )
 
 const (
-	// ringLines bounds the lines that wait for the writer.
+	// ringLines is the capacity of the queue in lines.
 	ringLines = 1024
-	// ordinaryLines is the part of the ring that lines below the warning level may take.
+	// ordinaryLines is the part of the queue that lines below the warning level may use.
 	ordinaryLines = ringLines * 3 / 4
-	// batchBytes bounds what is written with one call.
+	// batchBytes is the size at which a batch of lines is written.
 	batchBytes = 32 << 10
 )
 
@@ -27,31 +27,31 @@
 type Stream struct {
 	out   io.Writer
 	lines chan []byte
-	// dropped counts the lines dropped since the last count was written.
+	// droppedOrdinary and droppedUrgent count the lines dropped since the last count was written.
 	droppedOrdinary atomic.Int64
 	droppedUrgent   atomic.Int64
-	// total counts every line dropped.
+	// total counts all dropped lines.
 	total atomic.Int64
 }
 
-// New returns a stream to the writer; Run writes what is logged.
+// New returns a stream to the writer. Run must be called for lines to be written.
 func New(out io.Writer) *Stream {
 	return &Stream{out: out, lines: make(chan []byte, ringLines)}
 }
 
-// Write takes a line without a level.
+// Write queues a line without a level.
 func (s *Stream) Write(line []byte) (int, error) { return s.WriteLevel(zerolog.NoLevel, line) }
 
-// WriteLevel takes a line. It never blocks and never fails.
+// WriteLevel queues a line or drops it. It never blocks and never returns an error.
 func (s *Stream) WriteLevel(level zerolog.Level, line []byte) (int, error) {
 	ordinary := level < zerolog.WarnLevel
 	if ordinary && len(s.lines) >= ordinaryLines {
 		s.drop(&s.droppedOrdinary)
 		return len(line), nil
 	}
-	held := append(make([]byte, 0, len(line)), line...)
+	copied := append(make([]byte, 0, len(line)), line...)
 	select {
-	case s.lines <- held:
+	case s.lines <- copied:
 	default:
 		if ordinary {
 			s.drop(&s.droppedOrdinary)
@@ -67,11 +67,11 @@
 	s.total.Add(1)
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (s *Stream) Dropped() int64 { return s.total.Load() }
 
-// Run writes lines until the context ends, and then those that wait. A writer that fails
-// loses the lines: there is no better place to tell.
+// Run writes lines until the context ends, and then the lines still in the queue. Lines are lost
+// when the writer fails: there is no other output to report it on.
 func (s *Stream) Run(ctx context.Context) {
 	for {
 		select {
@@ -88,7 +88,7 @@
 	}
 }
 
-// write writes a line with others that wait, and the number of lines dropped before them.
+// write writes a line together with other waiting lines, and then the number of lines dropped.
 func (s *Stream) write(batch []byte) {
 	for len(batch) < batchBytes {
 		select {
@@ -102,17 +102,17 @@
 	_, _ = s.out.Write(s.appendDropped(batch))
 }
 
-// appendDropped appends a line on lines dropped, if there were any.
+// appendDropped appends a line with the numbers of dropped lines, if there are any.
 func (s *Stream) appendDropped(batch []byte) []byte {
 	ordinary, urgent := s.droppedOrdinary.Swap(0), s.droppedUrgent.Swap(0)
 	if ordinary+urgent == 0 {
 		return batch
 	}
-	counted := writerFunc(func(line []byte) (int, error) {
+	lineBuffer := writerFunc(func(line []byte) (int, error) {
 		batch = append(batch, line...)
 		return len(line), nil
 	})
-	logger := zerolog.New(counted)
+	logger := zerolog.New(lineBuffer)
 	logger.Warn().Str(events.FieldEvent, string(events.LogLinesDropped)).Int64("ordinary", ordinary).Int64("urgent", urgent).Send()
 	return batch
 }
--- a/internal/logstream/stream_test.go
+++ b/internal/logstream/stream_test.go
@@ -26,7 +26,7 @@
 	return s.written.Write(line)
 }
 
-func TestStalledReaderHoldsNobodyUp(t *testing.T) {
+func TestStalledReaderDoesNotBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &stalledWriter{release: make(chan struct{})}
 		stream := New(out)
@@ -45,8 +45,8 @@
 		cancel()
 		running.Wait()
 		lines := out.written.String()
-		require.LessOrEqual(t, strings.Count(lines, "\n"), 2*ringLines, "what is held is bounded")
-		require.GreaterOrEqual(t, strings.Count(lines, `"urgent"`), ringLines-ordinaryLines-1, "urgent lines have room that ordinary ones cannot take")
+		require.LessOrEqual(t, strings.Count(lines, "\n"), 2*ringLines, "the queue is bounded")
+		require.GreaterOrEqual(t, strings.Count(lines, `"urgent"`), ringLines-ordinaryLines-1, "urgent lines have capacity that ordinary lines cannot use")
 		require.Contains(t, lines, "log_lines_dropped")
 	})
 }
