--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,65 +1,65 @@
 // Package events names the events and fields of the log lines of relays and their
-// controllers. docs/EVENTS.md lists them; a test holds the two together.
+// controllers. The reference of events lists them, and a test compares the two.
 package events
 
-// Event is the kind of a log line, in its field "event".
+// Event is the kind of a log line, written in its field "event".
 type Event string
 
 // Events of relays.
 const (
-	// RequestEnded: a request got its final answer, or its client left.
+	// RequestEnded: a request received its final answer, or its client disconnected.
 	RequestEnded Event = "request_ended"
-	// AttemptFailed: a sending to a back end brought no answer.
+	// AttemptFailed: an attempt at a back end returned no answer.
 	AttemptFailed Event = "attempt_failed"
-	// RequestRefused: the relay gave an answer of its own.
+	// RequestRefused: the relay answered a request itself.
 	RequestRefused Event = "request_refused"
-	// KeyRefused: a request was not admitted for want of a key that is known.
+	// KeyRefused: a request was not admitted because it had no known API key.
 	KeyRefused Event = "key_refused"
-	// BackEndInBackoff: a back end has asked not to be sent requests for a while.
+	// BackEndInBackoff: a back end asked with Retry-After not to receive requests for a while.
 	BackEndInBackoff Event = "back_end_rests"
-	// BackEndLeaving: a back end has said in an answer that it leaves.
+	// BackEndLeaving: a back end announced in an answer that it is leaving.
 	BackEndLeaving Event = "back_end_leaves"
-	// BackEndLimitChanged: a back end has named another limit than before for all relays together, or none any more.
+	// BackEndLimitChanged: a back end named a different limit for all relays together, or removed it.
 	BackEndLimitChanged Event = "back_end_limits"
-	// BackEndRestarted: another start than the listed one has answered under a back end's identity.
+	// BackEndRestarted: an incarnation other than the listed one answered under a back end's identity.
 	BackEndRestarted Event = "back_end_started_again"
-	// BackEndCrashed: a back end ended while it ran requests.
+	// BackEndCrashed: a back end crashed while it ran requests.
 	BackEndCrashed Event = "back_end_ended"
-	// RequestQuarantined: a request is kept away from back ends, since some have ended under it.
+	// RequestQuarantined: a request is kept away from back ends because some crashed while they ran it.
 	RequestQuarantined Event = "request_held"
-	// QuarantineTrialStarted: a held request is sent to one back end once more.
+	// QuarantineTrialStarted: a quarantined request is sent to one back end once more.
 	QuarantineTrialStarted Event = "request_tried"
-	// GuardCallFailed: the leader did not take what was found of ended back ends, or did not say
-	// whether a held request may be tried.
+	// GuardCallFailed: a call to the leader failed that reports crashes of back ends or asks whether a quarantined
+	// request may run as a trial.
 	GuardCallFailed Event = "guard_call_failed"
-	// OwnerSuspected: a relay that owns engines does not answer and is passed over for a while.
+	// OwnerSuspected: a relay that owns engines does not answer and is skipped for a while.
 	OwnerSuspected Event = "owner_doubted"
-	// CellAcquired and CellLeft: the relay decides from now on, or no longer, on a cell of engines, or
-	// stands in for the one that does.
+	// CellAcquired and CellReleased: the relay starts, or stops, to decide on a cell of engines, as its owner or as the
+	// owner's deputy.
 	CellAcquired Event = "cell_owned"
 	CellReleased Event = "cell_left"
-	// RunMigrated: a run was moved from an engine that takes no more work.
+	// RunMigrated: a run was migrated from an engine that accepts no more work.
 	RunMigrated Event = "run_moved"
-	// ConfigurationApplied: another configuration is in force at the relay.
+	// ConfigurationApplied: the relay applied a different configuration.
 	ConfigurationApplied Event = "configuration_in_force"
-	// ConfigurationUnreadable: a configuration came that cannot be read.
+	// ConfigurationUnreadable: the relay received a configuration that it cannot parse.
 	ConfigurationUnreadable Event = "configuration_unreadable"
-	// ListingApplied: another list of back ends is in force at the relay.
+	// ListingApplied: the relay applied a different list of back ends.
 	ListingApplied Event = "listing_in_force"
-	// ListingFaultChanged: something else is wrong with the outside list than before, or nothing any more.
+	// ListingFaultChanged: the faults found in the external list changed, or the list has none any more.
 	ListingFaultChanged Event = "listing_fault"
-	// LeaderLost and LeaderFound: the relay has lost, or found again, a controller that leads.
+	// LeaderLost and LeaderFound: the relay lost, or found again, a controller that is the leader.
 	LeaderLost  Event = "leader_lost"
 	LeaderFound Event = "leader_found"
-	// GatewayStopping and GatewayStopped: a gateway is asked to stop, and has stopped: whether nothing was cut, how
-	// long its port was open and the stop took, and the connections that were still open.
+	// GatewayStopping and GatewayStopped: a gateway was asked to stop, and has stopped. The latter has fields for whether
+	// the stop was clean, how long the port stayed open, how long the stop took, and the connections still open.
 	GatewayStopping Event = "gateway_stopping"
 	GatewayStopped  Event = "gateway_stopped"
-	// RelayStopped: a relay has stopped, like GatewayStopped.
+	// RelayStopped: a relay has stopped; it has the fields of GatewayStopped.
 	RelayStopped Event = "relay_stopped"
-	// SignalReceived: the process got a signal, and what it does about it.
+	// SignalReceived: the process received a signal; a field names its action.
 	SignalReceived Event = "signal_taken"
-	// RelayStarted and RelayStopping: the process begins to serve, or is asked to stop.
+	// RelayStarted and RelayStopping: the relay started to serve, or was asked to stop.
 	RelayStarted  Event = "relay_started"
 	RelayStopping Event = "relay_stopping"
 )
@@ -68,17 +68,17 @@
 const (
 	// StageOrdered: an engine was ordered into a stage.
 	StageOrdered Event = "stage_ordered"
-	// UsageDelivered: the platform was told what tenants used in a window.
+	// UsageDelivered: the usage of tenants in a window was reported to the platform.
 	UsageDelivered Event = "usage_delivered"
-	// ReplicasOrdered: the platform was asked for another number of replicas.
+	// ReplicasOrdered: a different number of replicas was ordered from the platform.
 	ReplicasOrdered Event = "replicas_ordered"
-	// FormatAgreed: another format is agreed on, or other members keep a leader from its own.
+	// FormatAgreed: the members agreed on a different format, or other members keep a leader from using its newest one.
 	FormatAgreed Event = "format_agreed"
-	// ControllerHalted: the controller ends, since it cannot apply what others have agreed on.
+	// ControllerHalted: the controller stops because it cannot apply a committed entry.
 	ControllerHalted Event = "controller_halted"
-	// UpdateNotApplied: a relay asks again for what it was told.
+	// UpdateNotApplied: a relay requests an update again that it was sent before.
 	UpdateNotApplied Event = "news_not_taken"
-	// DiskFailed: the data directory failed; the controller begins anew.
+	// DiskFailed: the data directory failed; the controller restarts from its contents.
 	DiskFailed Event = "disk_failed"
 )
 
@@ -88,7 +88,7 @@
 	SettingsReloaded Event = "settings_reloaded"
 	// MachineSuspended: the machine was suspended and has woken up.
 	MachineSuspended Event = "machine_suspended"
-	// LogLinesDropped: the log's ring was full; the counts are lines since the last count.
+	// LogLinesDropped: the queue of log lines was full; the fields count lines since the last such event.
 	LogLinesDropped Event = "log_lines_dropped"
 )
 
@@ -99,7 +99,7 @@
 	LeaderLost, LeaderFound, OwnerSuspected, CellAcquired, CellReleased, RelayStarted, RelayStopping, RelayStopped, GatewayStopping, GatewayStopped, SignalReceived, StageOrdered, UsageDelivered, ReplicasOrdered, FormatAgreed, ControllerHalted, UpdateNotApplied, DiskFailed, SettingsReloaded, MachineSuspended, LogLinesDropped,
 }
 
-// Names of fields that lines of several events have.
+// Names of fields that several events have in common.
 const (
 	FieldEvent   = "event"
 	FieldProcess = "process"
