--- a/internal/gateway/accounting.go
+++ b/internal/gateway/accounting.go
@@ -62,7 +62,7 @@
 		return
 	}
 	promptTime := time.Duration(float64(c.routing.PromptTokens) / slowPromptTokensPerSecond * float64(time.Second))
-	c.place.recordFirstToken(max(c.firstTokenAt-c.beganAt-promptTime, 0))
+	c.slot.recordFirstToken(max(c.firstTokenAt-c.beganAt-promptTime, 0))
 }
 
 // finishAdmission returns the request's admission slot and reports the result of the request.
@@ -77,5 +77,5 @@
 	if c.mayHaveRun && result.PromptTokens == 0 {
 		result.PromptTokens = c.routing.PromptTokens // the engine failed before it reported its count
 	}
-	c.place.finish(result)
+	c.slot.finish(result)
 }
--- a/internal/gateway/admitter.go
+++ b/internal/gateway/admitter.go
@@ -36,7 +36,8 @@
 	limits    *limits.Core
 	estimator *admission.Estimator
 	services  map[string]*admission.Core
-	waiting   map[uint64]chan<- *refusal
+	// waiting holds the channel that receives the decision on each waiting request, by ID.
+	waiting map[uint64]chan<- *refusal
 	// awaitingShare holds the requests that wait for a share of their tenant's limit, by ID.
 	awaitingShare map[uint64]*shareWaiter
 	// wakeReport makes the report loop send an urgent report.
@@ -73,8 +74,9 @@
 	request admission.Request
 }
 
-// ticket is the slot of an admitted request. It is returned once, by finish.
-type ticket struct {
+// admissionSlot is the place of a request in admission, from its submission on. finish returns the slot of a started
+// request.
+type admissionSlot struct {
 	admitter *admitter
 	service  *admission.Core
 	id       uint64
@@ -92,26 +94,26 @@
 
 // admit charges the tenant's limit and blocks until the request may start, is refused or the interrupter fires.
 // A refused request has not run.
-func (a *admitter) admit(wanted admissionRequest, interrupter *upstream.Interrupter) (*ticket, *refusal) {
-	place, started, fault := a.offer(wanted)
+func (a *admitter) admit(wanted admissionRequest, interrupter *upstream.Interrupter) (*admissionSlot, *refusal) {
+	slot, decision, fault := a.submit(wanted)
 	if fault != nil {
 		return nil, fault
 	}
 	select {
-	case fault = <-started:
+	case fault = <-decision:
 	case <-interrupter.Done():
-		fault = a.withdraw(place, started, interrupter.Cause())
+		fault = a.withdraw(slot, decision, interrupter.Cause())
 	}
 	if fault != nil {
-		a.settle(place, 0)
+		a.settle(slot, 0)
 		return nil, fault
 	}
-	return place, nil
+	return slot, nil
 }
 
-// offer charges the tenant's limit and queues the request, immediately or once a share of the limit has been
-// granted. The channel receives nil when the request may start, or else its refusal.
-func (a *admitter) offer(wanted admissionRequest) (*ticket, <-chan *refusal, *refusal) {
+// submit charges the tenant's limit and queues the request, immediately or once a share of the limit has been
+// granted. The channel receives nil when the request may start, or else the refusal of the request.
+func (a *admitter) submit(wanted admissionRequest) (*admissionSlot, <-chan *refusal, *refusal) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	now := a.clock.now()
@@ -121,21 +123,21 @@
 	}
 	a.nextID++
 	wanted.request.ID = a.nextID
-	place := &ticket{admitter: a, service: service, id: a.nextID, shape: wanted.shape}
-	started := make(chan *refusal, 1)
-	place.charge, err = a.limits.Acquire(now, limitRequest(wanted))
+	slot := &admissionSlot{admitter: a, service: service, id: a.nextID, shape: wanted.shape}
+	decision := make(chan *refusal, 1)
+	slot.charge, err = a.limits.Acquire(now, limitRequest(wanted))
 	switch {
 	case errors.Is(err, limits.ErrWaiting):
-		a.waiting[place.id] = started
-		a.awaitingShare[place.id] = &shareWaiter{request: wanted.request, place: place}
+		a.waiting[slot.id] = decision
+		a.awaitingShare[slot.id] = &shareWaiter{request: wanted.request, slot: slot}
 		a.requestUrgentReport()
 	case err != nil:
 		return nil, nil, refuseLimit(err)
 	default:
-		a.waiting[place.id] = started
+		a.waiting[slot.id] = decision
 		a.enqueue(now, service, wanted.request)
 	}
-	return place, started, nil
+	return slot, decision, nil
 }
 
 // enqueue puts a charged request into the queue of its service. The caller holds the mutex.
@@ -146,19 +148,19 @@
 
 // withdraw removes an interrupted request from its queue. A request that has already started is finished as failed;
 // one that has already been refused keeps its refusal.
-func (a *admitter) withdraw(place *ticket, started <-chan *refusal, cause error) *refusal {
+func (a *admitter) withdraw(slot *admissionSlot, decision <-chan *refusal, cause error) *refusal {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if a.limits.CancelWait(place.id) || place.service.Remove(place.id) {
-		delete(a.awaitingShare, place.id)
-		delete(a.waiting, place.id)
+	if a.limits.CancelWait(slot.id) || slot.service.Remove(slot.id) {
+		delete(a.awaitingShare, slot.id)
+		delete(a.waiting, slot.id)
 		return refuseInterrupted(cause)
 	}
-	if fault := <-started; fault != nil {
+	if fault := <-decision; fault != nil {
 		return fault
 	}
-	place.service.Finish(a.clock.now(), place.id, admission.Result{Failed: true})
-	a.start(place.service, a.clock.now())
+	slot.service.Finish(a.clock.now(), slot.id, admission.Result{Failed: true})
+	a.start(slot.service, a.clock.now())
 	return refuseInterrupted(cause)
 }
 
@@ -188,30 +190,30 @@
 	}
 }
 
-// refuseQueued sends their refusals to queued requests. The caller holds the mutex.
+// refuseQueued delivers refusals to the requests that wait for them. The caller holds the mutex.
 func (a *admitter) refuseQueued(refusals []admission.Refusal) {
-	for _, each := range refusals {
-		a.waiting[each.ID] <- refuseAdmission(each)
-		delete(a.waiting, each.ID)
+	for _, queueRefusal := range refusals {
+		a.waiting[queueRefusal.ID] <- refuseAdmission(queueRefusal)
+		delete(a.waiting, queueRefusal.ID)
 	}
 }
 
-// settle replaces the estimated charge of the tenant's limit by the tokens used.
-func (a *admitter) settle(place *ticket, used int) {
+// settle replaces the estimated charge of the tenant's limit with the tokens used.
+func (a *admitter) settle(slot *admissionSlot, used int) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.limits.Settle(a.clock.now(), place.charge, used)
+	a.limits.Settle(a.clock.now(), slot.charge, used)
 }
 
 // recordFirstToken records that the first token of a started request arrived wait later than its own work explains.
-func (t *ticket) recordFirstToken(wait time.Duration) {
+func (t *admissionSlot) recordFirstToken(wait time.Duration) {
 	t.admitter.mutex.Lock()
 	defer t.admitter.mutex.Unlock()
 	t.service.RecordFirstToken(t.admitter.clock.now(), t.id, wait)
 }
 
 // finish returns the slot of a started request. Only the first call has an effect.
-func (t *ticket) finish(result admission.Result) {
+func (t *admissionSlot) finish(result admission.Result) {
 	t.once.Do(func() {
 		a := t.admitter
 		a.mutex.Lock()
--- a/internal/gateway/admitter_shares.go
+++ b/internal/gateway/admitter_shares.go
@@ -11,7 +11,7 @@
 // shareWaiter is a request that waits for a share of its tenant's limit before it joins the queue of its service.
 type shareWaiter struct {
 	request admission.Request
-	place   *ticket
+	slot    *admissionSlot
 }
 
 // limitRequest returns the request in the form that the tenant's limit expects.
@@ -44,8 +44,8 @@
 			delete(a.waiting, decision.ID)
 			continue
 		}
-		waiter.place.charge = decision.Charge
-		a.enqueue(now, waiter.place.service, waiter.request)
+		waiter.slot.charge = decision.Charge
+		a.enqueue(now, waiter.slot.service, waiter.request)
 	}
 }
 
--- a/internal/gateway/cancel.go
+++ b/internal/gateway/cancel.go
@@ -35,8 +35,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case each := <-g.cancellations:
-			g.cancel(each, abandonedCancelTimeout)
+		case next := <-g.cancellations:
+			g.cancel(next, abandonedCancelTimeout)
 		}
 	}
 }
--- a/internal/gateway/chat.go
+++ b/internal/gateway/chat.go
@@ -31,7 +31,7 @@
 	}
 	completion.release = release
 	watch := g.callerWatcher.watch(context.Conn(), completion.interrupter)
-	if completion.place, fault = g.admitter.admit(completion.admissionRequest(), completion.interrupter); fault != nil {
+	if completion.slot, fault = g.admitter.admit(completion.admissionRequest(), completion.interrupter); fault != nil {
 		watch.stop()
 		release()
 		g.recordChat(completion, outcomeOf(fault))
--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -75,8 +75,8 @@
 	key        string
 	claim      *v1.BeginClaim
 	isComplete bool
-	// place is the request's admission slot; it is set before the first exchange.
-	place *ticket
+	// slot is the request's admission slot; it is set before the first exchange.
+	slot *admissionSlot
 	// release returns the gateway's in-flight slot of the request.
 	release func()
 	// beganAt is the start of the first exchange, firstTokenAt the time of the first token.
@@ -87,7 +87,7 @@
 }
 
 // errAnswerComplete means that the answer is complete and no event follows.
-var errAnswerComplete = errors.New("answer is whole")
+var errAnswerComplete = errors.New("the answer is complete")
 
 // next returns the next event of the answer. The error is errAnswerComplete after the last event, or
 // a *refusal when the answer cannot be completed.
--- a/internal/gateway/dry_run.go
+++ b/internal/gateway/dry_run.go
@@ -43,7 +43,7 @@
 	request  DryRunRequest
 	tenant   *gatewaystate.Tenant
 	target   target
-	place    *ticket
+	slot     *admissionSlot
 	exchange string
 	claim    *v1.BeginClaim
 }
@@ -67,13 +67,13 @@
 	shape := run.target.shape(tenant, body)
 	routingRequest := run.target.routingRequest(tenant, body, c.admitter.estimate(shape))
 	routingRequest.Deadline = deadline
-	run.place, fault = c.admitter.admit(run.admissionRequest(shape, deadline), interrupter)
+	run.slot, fault = c.admitter.admit(run.admissionRequest(shape, deadline), interrupter)
 	if fault != nil {
 		run.record(outcomeOf(fault))
 		return nil, fault
 	}
 	if err := run.begin(routingRequest, deadline, interrupter); err != nil {
-		run.place.finish(admission.Result{Failed: true})
+		run.slot.finish(admission.Result{Failed: true})
 		return nil, trace.Wrap(err)
 	}
 	return run, nil
@@ -117,7 +117,7 @@
 // Complete reports the request as completed.
 func (r *DryRun) Complete() {
 	r.control.dispatcher.observe(routing.Completion{BackEnd: r.BackEnd, Exchange: r.exchange, PromptTokens: r.request.PromptTokens})
-	r.place.finish(admission.Result{PromptTokens: r.request.PromptTokens, OutputTokens: r.request.OutputTokens})
+	r.slot.finish(admission.Result{PromptTokens: r.request.PromptTokens, OutputTokens: r.request.OutputTokens})
 	r.finishClaim(verdict.Ran)
 	r.record(gatewaystate.Outcome{Completed: true})
 }
--- a/internal/gateway/page.go
+++ b/internal/gateway/page.go
@@ -50,14 +50,14 @@
 	}
 	page.watch = g.callerWatcher.watch(context.Conn(), page.interrupter)
 	defer page.watch.stop()
-	place, fault := g.admitter.admit(page.admissionRequest(), page.interrupter)
+	slot, fault := g.admitter.admit(page.admissionRequest(), page.interrupter)
 	if fault != nil {
 		g.recordPage(page, outcomeOf(fault))
 		g.refuse(context, fault.beforeClaim(claimKey(page.kind, page.key)))
 		return
 	}
 	answer, fault := page.runClaimed()
-	place.finish(admission.Result{Failed: fault != nil})
+	slot.finish(admission.Result{Failed: fault != nil})
 	if fault != nil {
 		g.recordPage(page, outcomeOf(fault))
 		g.refuse(context, fault)
