--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -15,7 +15,7 @@
 	RequestRefused Event = "request_refused"
 	// KeyRefused: a request was not admitted because it had no known API key.
 	KeyRefused Event = "key_refused"
-	// BackEndInBackoff: a back end asked with Retry-After not to receive requests for a while.
+	// BackEndInBackoff: a back end asked to receive no requests for a while.
 	BackEndInBackoff Event = "back_end_rests"
 	// BackEndLeaving: a back end announced in an answer that it is leaving.
 	BackEndLeaving Event = "back_end_leaves"
@@ -72,7 +72,7 @@
 	UsageDelivered Event = "usage_delivered"
 	// ReplicasOrdered: a different number of replicas was ordered from the platform.
 	ReplicasOrdered Event = "replicas_ordered"
-	// FormatAgreed: the members agreed on a different format, or other members keep a leader from using its newest one.
+	// FormatAgreed: the members agreed on a different format, or other members keep a leader from using its own.
 	FormatAgreed Event = "format_agreed"
 	// ControllerHalted: the controller stops because it cannot apply a committed entry.
 	ControllerHalted Event = "controller_halted"
--- a/internal/gateway/page_exchange.go
+++ b/internal/gateway/page_exchange.go
@@ -85,8 +85,8 @@
 	return nil, failure
 }
 
-// readPageAnswer reads the complete answer. Without a declared length a truncated answer cannot be detected, so that it
-// fails; a server error without a run state counts as may have run.
+// readPageAnswer reads the complete answer. An answer without a declared length is a failure, because truncation could not
+// be detected. A server error without a run state counts as may have run.
 func readPageAnswer(answer *upstream.Answer) (*pageAnswer, *upstream.Failure) {
 	if !answer.HasLength() {
 		return nil, &upstream.Failure{Verdict: verdict.MayHaveRun, Cause: upstream.ErrTruncated}
--- a/internal/logring/log.go
+++ b/internal/logring/log.go
@@ -12,7 +12,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// The time format has a fixed width, so that the lines of several processes sort by their times.
+// Times in milliseconds put the lines of several processes in order.
 func init() { zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00" }
 
 // Log is the logger of a process with a ring in memory. It is safe for concurrent use.
--- a/internal/servercommand/restart_on_disk_error.go
+++ b/internal/servercommand/restart_on_disk_error.go
@@ -18,7 +18,7 @@
 )
 
 // restartOnDiskError runs a controller and runs it again, from the data on its disk, after a disk
-// failure: a full disk may have space again later, and an exit would only lead to a restart by the supervisor.
+// failure: a full disk may have space again later, and a process that exits would only fail again when restarted.
 // It returns when the context ends or run returns without a disk failure.
 func restartOnDiskError(ctx context.Context, log *logring.Log, run func() error) error {
 	wait := minimumDiskPause
--- a/internal/settings/types.go
+++ b/internal/settings/types.go
@@ -12,7 +12,8 @@
 type Controller struct {
 	// Name is unique in the fleet and appears in logs and queries. Required.
 	Name string `yaml:"name" check:"required"`
-	// Fleet is the name of the fleet; processes refuse peers of another fleet. Required.
+	// Fleet is the name of the fleet, equal on all its processes; it guards against a controller of another
+	// fleet. Required.
 	Fleet string `yaml:"fleet" check:"required"`
 	// Zone is the zone of this machine. Required.
 	Zone string `yaml:"zone" check:"required"`
