--- a/internal/gateway/trial_test.go
+++ b/internal/gateway/dry_run_test.go
@@ -12,9 +12,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// TestControlDecidesWithoutRequestPath runs the control runtime alone: a trial gets the
+// TestDryRunWithoutRequestPath runs the control runtime alone: a dry run gets the
 // back end, the claim and the refusals that a request would get.
-func TestControlDecidesWithoutRequestPath(t *testing.T) {
+func TestDryRunWithoutRequestPath(t *testing.T) {
 	controllers := startController(t, engineBackEnd("e1", "127.0.0.1:1", v1.Role_ROLE_MIXED))
 	control, err := NewControl(testSettings(controllers.address), ControlOptions{Log: logring.New("g1", settings.Log{RingEntries: 16})})
 	require.NoError(t, err)
@@ -24,18 +24,18 @@
 	t.Cleanup(func() { stop(); <-stopped })
 	require.Eventually(t, func() bool { return control.Revision() == 1 }, 10*time.Second, time.Millisecond)
 
-	once := Trial{KeyHash: hashOf(testKey), Kind: "once", Prompt: "a prompt", PromptTokens: 9, OutputTokens: 4, IdempotencyKey: "k"}
-	run, err := control.BeginTrial(once)
+	once := DryRunRequest{KeyHash: hashOf(testKey), Kind: "once", Prompt: "a prompt", PromptTokens: 9, OutputTokens: 4, IdempotencyKey: "k"}
+	run, err := control.BeginDryRun(once)
 	require.NoError(t, err)
 	require.Equal(t, "e1", run.BackEnd)
-	_, err = control.BeginTrial(once)
+	_, err = control.BeginDryRun(once)
 	require.ErrorContains(t, err, codeStillRunning)
-	run.End()
-	require.True(t, control.claimer.wait(t.Context()))
+	run.Complete()
+	require.True(t, control.claimer.waitForFinishes(t.Context()))
 	require.Equal(t, 1, controllers.outcomes())
 
-	_, err = control.BeginTrial(Trial{KeyHash: hashOf("no key of anyone"), Kind: "once"})
+	_, err = control.BeginDryRun(DryRunRequest{KeyHash: hashOf("no key of anyone"), Kind: "once"})
 	require.ErrorContains(t, err, codeInvalidKey)
-	_, err = control.BeginTrial(Trial{KeyHash: hashOf(testKey), Kind: "none"})
+	_, err = control.BeginDryRun(DryRunRequest{KeyHash: hashOf(testKey), Kind: "none"})
 	require.ErrorContains(t, err, codeUnknownKind)
 }
--- a/internal/relay/back_end_limits.go
+++ b/internal/relay/back_end_limits.go
@@ -37,7 +37,7 @@
 // logLimitChange writes a log line about a changed limit. source says who reported it: a relay or the leader; it is empty
 // for the back end itself.
 func (r *Relay) logLimitChange(backEnd *backEnd, limit backpressure.Limit, source string) {
-	r.event(events.BackEndLimits).Str("back_end", backEnd.ID).Bool("named", limit.IsSet).Float64("per_second", limit.PerSecond).Str("teller", source).Send()
+	r.event(events.BackEndLimitChanged).Str("back_end", backEnd.ID).Bool("named", limit.IsSet).Float64("per_second", limit.PerSecond).Str("teller", source).Send()
 }
 
 // Sources of limits in log lines.
--- a/internal/relay/back_end_records.go
+++ b/internal/relay/back_end_records.go
@@ -44,7 +44,7 @@
 	f.closedBackEnds = newlyClosed(f.records, records)
 	f.records = records
 	f.signals.RemoveUnlisted(f.relay.clock.now(), func(identity string) bool { return records[identity] != nil })
-	f.relay.event(events.ListingInForce).Uint64("version", next.listingVersion).Int("back_ends", len(listed)).Send()
+	f.relay.event(events.ListingApplied).Uint64("version", next.listingVersion).Int("back_ends", len(listed)).Send()
 	f.relay.notices.table.retain(next.byHash)
 	f.relay.prefillSpeed.retain(next.byHash)
 	next.isListed, next.listedAt = true, f.relay.clock.now()
--- a/internal/relay/back_end_signals.go
+++ b/internal/relay/back_end_signals.go
@@ -53,12 +53,12 @@
 	if signals.Backoff > 0 {
 		if !backEnd.inBackoff(now) {
 			r.metrics.backoffs.Inc()
-			r.event(events.BackEndRests).Str("back_end", backEnd.ID).Int64("rest_ms", signals.Backoff.Milliseconds()).Send()
+			r.event(events.BackEndInBackoff).Str("back_end", backEnd.ID).Int64("rest_ms", signals.Backoff.Milliseconds()).Send()
 		}
 		backEnd.signals.ExtendBackoff(now, signals.Backoff)
 	}
 	if signals.Leaving && backEnd.signals.MarkLeaving(now) {
-		r.event(events.BackEndLeaves).Str("back_end", backEnd.ID).Bool("listed", backEnd.Leaving).Send()
+		r.event(events.BackEndLeaving).Str("back_end", backEnd.ID).Bool("listed", backEnd.Leaving).Send()
 		if !backEnd.Leaving && r.mechanisms.IsEnabled(mechanism.RunMigration) {
 			go backEnd.migrateRuns()
 		}
--- a/internal/relay/fleet_state.go
+++ b/internal/relay/fleet_state.go
@@ -237,7 +237,7 @@
 	f.heldDocument = document
 	next.table, next.configuredAt = serving.NewTable(&configuration), f.relay.clock.now()
 	f.resizeCaches(next)
-	f.relay.event(events.ConfigurationInForce).Uint64("number", configuration.Number).Int("tenants", len(configuration.Tenants)).Send()
+	f.relay.event(events.ConfigurationApplied).Uint64("number", configuration.Number).Int("tenants", len(configuration.Tenants)).Send()
 	return true
 }
 
@@ -259,7 +259,7 @@
 	}
 	result, err := f.readListing(ctx, f.platformClient, 0)
 	if fault, isChanged := f.faults.Update(result, err); isChanged {
-		f.relay.event(events.ListingFault).Str("fault", fault).Send()
+		f.relay.event(events.ListingFaultChanged).Str("fault", fault).Send()
 	}
 	if err != nil {
 		return
--- a/internal/relay/newer_incarnation.go
+++ b/internal/relay/newer_incarnation.go
@@ -12,7 +12,7 @@
 	if backEnd.StartedAtMs == 0 || startedAtMs <= backEnd.StartedAtMs || !backEnd.isSuperseded.CompareAndSwap(false, true) {
 		return
 	}
-	r.event(events.BackEndStartedAgain).Str("back_end", backEnd.ID).Int64("born", startedAtMs).Send()
+	r.event(events.BackEndRestarted).Str("back_end", backEnd.ID).Int64("born", startedAtMs).Send()
 	backEnd.cache.clear(placement.PrefixCacheCapacity(backEnd.Stage, cacheTokens(r.view.Load(), backEnd.Service)))
 	backEnd.pool.CloseIdle()
 	r.guard.RecordCrash(backEnd.ID)
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -137,12 +137,12 @@
 	}
 	for id, cell := range owned {
 		if former, existed := t.ownedCells[id]; !existed || former.isDeputy != cell.isDeputy {
-			t.logCellEvent(events.CellOwned, id, cell)
+			t.logCellEvent(events.CellAcquired, id, cell)
 		}
 	}
 	for id, cell := range t.ownedCells {
 		if _, isStillOwned := owned[id]; !isStillOwned {
-			t.logCellEvent(events.CellLeft, id, cell)
+			t.logCellEvent(events.CellReleased, id, cell)
 		}
 	}
 	t.ownedCells = owned
--- a/internal/relay/request_log.go
+++ b/internal/relay/request_log.go
@@ -32,7 +32,7 @@
 
 // recordTrial logs that a quarantined request is sent to a back end once more.
 func (l requestLog) recordTrial(request *request) {
-	l.line(zerolog.WarnLevel, events.RequestTried, request).Stringer("content", request.signature).Send()
+	l.line(zerolog.WarnLevel, events.QuarantineTrialStarted, request).Stringer("content", request.signature).Send()
 }
 
 // recordFailedAttempt logs an attempt that brought no answer.
@@ -57,7 +57,7 @@
 // recordMigration logs that a run was migrated from an engine that accepts no more work, or that its migration stopped it
 // there without a copy.
 func (l requestLog) recordMigration(request *request, from, to *backEnd, copied bool) {
-	l.line(zerolog.InfoLevel, events.RunMoved, request).Str("back_end", from.ID).Str("to", to.ID).Bool("copied", copied).Send()
+	l.line(zerolog.InfoLevel, events.RunMigrated, request).Str("back_end", from.ID).Str("to", to.ID).Bool("copied", copied).Send()
 }
 
 // recordEnd logs the outcome of a request. Only one in sampleInterval of the ordinary requests is logged, chosen by its
--- a/internal/servercommand/log.go
+++ b/internal/servercommand/log.go
@@ -14,8 +14,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// withLog runs a server whose log goes to standard output, line by line, and to a ring that
-// is written out on errors and signals while the server runs, and when it fails or panics.
+// withLog runs a server that logs line by line to standard output and to a ring in memory. The ring
+// is dumped on errors and signals while the server runs, and when it fails or panics.
 func withLog(ctx context.Context, environment Environment, name string, bounds settings.Log, serve func(context.Context, *logring.Log) error) error {
 	stream := logstream.New(environment.Stdout)
 	streamContext, stopStream := context.WithCancel(context.WithoutCancel(ctx))
@@ -25,7 +25,7 @@
 	defer stopStream()
 	log := logring.NewWithStream(name, bounds, stream)
 	environment.Signals.SetLog(func(signal os.Signal, action lifecycle.Action) {
-		log.Info().Str(events.FieldEvent, string(events.SignalTaken)).Stringer("signal", signal).Str("action", string(action)).Send()
+		log.Info().Str(events.FieldEvent, string(events.SignalReceived)).Stringer("signal", signal).Str("action", string(action)).Send()
 	}, log.DumpOnSignal)
 	return runWithLog(ctx, log, serve)
 }
