--- a/internal/controller/core_config.go
+++ b/internal/controller/core_config.go
@@ -35,10 +35,10 @@
 		built.Seeds, built.Bootstrap, built.FormationSize = site.Seeds, site.Bootstrap, site.FormationSize
 		built.ListingInterval = site.ListingInterval
 		built.Without = site.Without
-		built.Usage, built.DutyInterval, built.DutyLifetime = site.Usage, site.DutyInterval, site.DutyLife
+		built.Usage, built.DutyInterval, built.DutyLifetime = site.Usage, site.DutyInterval, site.DutyLifetime
 		built.ReadConfiguration, built.OnDemandShare = site.ReadConfiguration, site.OnDemandShare
 		built.NamedServices = site.NamedServices
-		built.PriorPrefillShare, built.OrderWait, built.OrderLifetime = site.PriorPrefillShare, site.OrderWait, site.OrderLife
+		built.PriorPrefillShare, built.OrderWait, built.OrderLifetime = site.PriorPrefillShare, site.OrderWait, site.OrderLifetime
 	}
 	return built
 }
--- a/internal/controller/site.go
+++ b/internal/controller/site.go
@@ -37,17 +37,17 @@
 	ReadListing func(ctx context.Context, client *http.Client, pages int) (serving.Listing, error)
 	// Without are mechanisms that are left out; none for users.
 	Without mechanism.Set
-	// PriorPrefillShare, OrderWait and OrderLifetime (OrderLife here): see control.Config.
+	// PriorPrefillShare, OrderWait and OrderLifetime: see control.Config.
 	PriorPrefillShare float64
 	OrderWait         time.Duration
-	OrderLife         time.Duration
+	OrderLifetime     time.Duration
 	// OrderStage orders an engine into a role. The error tells why the outcome is not
 	// control.StageAccepted.
-	OrderStage func(ctx context.Context, client *http.Client, order StageOrder) (StageAnswer, error)
-	// Usage, DutyInterval and DutyLifetime (DutyLife here): see control.Config.
+	OrderStage func(ctx context.Context, client *http.Client, order StageOrder) (StageResult, error)
+	// Usage, DutyInterval and DutyLifetime: see control.Config.
 	Usage        usage.Config
 	DutyInterval time.Duration
-	DutyLife     time.Duration
+	DutyLifetime time.Duration
 	// ReportUsage tells the platform the counts of a window; nil where nobody wants them. The error
 	// tells why the outcome is not duty.Accepted.
 	ReportUsage func(ctx context.Context, client *http.Client, report UsageReport) (duty.Outcome, error)
@@ -92,10 +92,10 @@
 	Fence  uint64
 }
 
-// StageAnswer is what became of a StageOrder, and what the engine asked for in its answer.
-type StageAnswer struct {
-	Outcome control.StageOutcome
-	Asked   backpressure.Directives
+// StageResult is what became of a StageOrder, and what the engine asked for in its answer.
+type StageResult struct {
+	Outcome    control.StageOutcome
+	Directives backpressure.Directives
 }
 
 // takeSeeds hands seeds that were read again to the Core until the context ends.
--- a/internal/controller/stage_orders.go
+++ b/internal/controller/stage_orders.go
@@ -29,7 +29,7 @@
 // engines may take the fence of a former leader, so nothing of it may reach them once its
 // successor may order.
 type stageOrderer struct {
-	order   func(ctx context.Context, client *http.Client, order StageOrder) (StageAnswer, error)
+	order   func(ctx context.Context, client *http.Client, order StageOrder) (StageResult, error)
 	dial    dialing.Dial
 	now     func() time.Duration
 	queue   chan control.ChangeStage
@@ -98,7 +98,7 @@
 	limited, cancel := context.WithTimeout(ctx, remaining())
 	defer cancel()
 	answer, err := s.order(limited, expiringClient(s.dial, remaining), order)
-	s.noteAsked(order.Engine.ID, answer.Asked)
+	s.noteAsked(order.Engine.ID, answer.Directives)
 	return answer.Outcome, err
 }
 
--- a/internal/controller/stage_orders_test.go
+++ b/internal/controller/stage_orders_test.go
@@ -15,7 +15,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-func newTestOrderer(now func() time.Duration, order func(context.Context, *http.Client, StageOrder) (StageAnswer, error)) (*stageOrderer, chan control.Input) {
+func newTestOrderer(now func() time.Duration, order func(context.Context, *http.Client, StageOrder) (StageResult, error)) (*stageOrderer, chan control.Input) {
 	delivered := make(chan control.Input, stageOrderQueue)
 	deliver := func(_ context.Context, input control.Input) error { delivered <- input; return nil }
 	return newStageOrderer(&Site{OrderStage: order}, nil, now, deliver, logring.New("c1", settings.Log{RingEntries: 16})), delivered
@@ -36,11 +36,11 @@
 		t.Run(name, func(t *testing.T) {
 			sent := 0
 			orderer, delivered := newTestOrderer(func() time.Duration { return row.now },
-				func(ctx context.Context, _ *http.Client, _ StageOrder) (StageAnswer, error) {
+				func(ctx context.Context, _ *http.Client, _ StageOrder) (StageResult, error) {
 					sent++
 					_, bounded := ctx.Deadline()
 					require.True(t, bounded)
-					return StageAnswer{Outcome: control.StageAccepted}, nil
+					return StageResult{Outcome: control.StageAccepted}, nil
 				})
 			orderer.carryOut(t.Context(), control.ChangeStage{BackEnd: &v1.ListedBackEnd{Id: "engine"}, NotAfter: 10 * time.Second})
 			require.Equal(t, row.sent, sent)
@@ -53,9 +53,9 @@
 func TestAnEngineThatAsksForRestIsNotOrdered(t *testing.T) {
 	now, sent := time.Duration(0), 0
 	orderer, delivered := newTestOrderer(func() time.Duration { return now },
-		func(context.Context, *http.Client, StageOrder) (StageAnswer, error) {
+		func(context.Context, *http.Client, StageOrder) (StageResult, error) {
 			sent++
-			return StageAnswer{Outcome: control.StageRefused, Asked: backpressure.Directives{Backoff: 3 * time.Second}}, nil
+			return StageResult{Outcome: control.StageRefused, Directives: backpressure.Directives{Backoff: 3 * time.Second}}, nil
 		})
 	order := func(engine string) {
 		orderer.carryOut(t.Context(), control.ChangeStage{BackEnd: &v1.ListedBackEnd{Id: engine}, NotAfter: time.Hour})
@@ -78,9 +78,9 @@
 func TestAnEngineThatNamesALimitIsOrderedSeldom(t *testing.T) {
 	now, sent := time.Duration(0), 0
 	orderer, delivered := newTestOrderer(func() time.Duration { return now },
-		func(context.Context, *http.Client, StageOrder) (StageAnswer, error) {
+		func(context.Context, *http.Client, StageOrder) (StageResult, error) {
 			sent++
-			return StageAnswer{Outcome: control.StageAccepted, Asked: backpressure.Directives{Limit: backpressure.Limit{IsSet: true, PerSecond: 1}}}, nil
+			return StageResult{Outcome: control.StageAccepted, Directives: backpressure.Directives{Limit: backpressure.Limit{IsSet: true, PerSecond: 1}}}, nil
 		})
 	order := func() {
 		orderer.carryOut(t.Context(), control.ChangeStage{BackEnd: &v1.ListedBackEnd{Id: "limited"}, NotAfter: time.Hour})
--- a/internal/servercommand/site.go
+++ b/internal/servercommand/site.go
@@ -22,7 +22,7 @@
 	// ReadCache reads what an engine has cached.
 	ReadCache func(ctx context.Context, client *http.Client, engine serving.BackEnd) (serving.CacheReport, error)
 	// OrderStage orders an engine into a role.
-	OrderStage func(ctx context.Context, client *http.Client, order controller.StageOrder) (controller.StageAnswer, error)
+	OrderStage func(ctx context.Context, client *http.Client, order controller.StageOrder) (controller.StageResult, error)
 	// Duties reads the names of the platform's singleton duties.
 	Duties func(names []string) Duties
 	// ReportUsage tells the platform at an address what tenants used in a window.
--- a/internal/servercommand/site_controller.go
+++ b/internal/servercommand/site_controller.go
@@ -53,10 +53,10 @@
 		ListingInterval:   loaded.ListingInterval,
 		ReadListing:       environment.Site.listingAt(loaded.ListingAddress),
 		Without:           without,
-		PriorPrefillShare: loaded.PrefillShare, OrderWait: loaded.OrderWait + orderLife, OrderLife: orderLife,
+		PriorPrefillShare: loaded.PrefillShare, OrderWait: loaded.OrderWait + orderLife, OrderLifetime: orderLife,
 		OrderStage:     environment.Site.OrderStage,
 		NamedServices:  environment.Site.NamedServices,
-		DutyLife:       orderLife,
+		DutyLifetime:   orderLife,
 		DutyInterval:   time.Duration(float64(time.Second) / (loaded.DutyRate * dutyRateShare)),
 		OperatorListen: loaded.OperatorListen,
 		OperatorHandler: func(store controller.DocumentStore) http.Handler {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -227,17 +227,17 @@
 		if f.site.options.Plain {
 			return
 		}
-		f.strike(history.Rest, replica.Identity(), false, func() { replica.Rest(restLength); time.Sleep(restLength) })
+		f.strike(history.Rest, replica.Identity(), false, func() { replica.RequestBackoff(restLength); time.Sleep(restLength) })
 	case 0:
 		f.strike(history.Crash, replica.Identity(), false, func() { replica.Crash(); time.Sleep(away); _ = replica.Start() })
 	case 1, 2:
 		f.strike(history.Drain, replica.Identity(), false, func() { replica.Drain(drainServes); time.Sleep(away); _ = replica.Start() })
 	case 3:
-		f.strike(history.Reset, replica.Identity(), false, replica.Reset)
+		f.strike(history.Reset, replica.Identity(), false, replica.ResetConnections)
 	case 4:
-		f.strike(history.Silence, replica.Identity(), false, func() { replica.Silence(length); time.Sleep(length) })
+		f.strike(history.Silence, replica.Identity(), false, func() { replica.BlockTraffic(length); time.Sleep(length) })
 	default:
-		f.strike(history.Delay, replica.Identity(), false, func() { replica.Slow(30 * time.Millisecond); time.Sleep(length); replica.Slow(0) })
+		f.strike(history.Delay, replica.Identity(), false, func() { replica.SetDelay(30 * time.Millisecond); time.Sleep(length); replica.SetDelay(0) })
 	}
 }
 
@@ -252,11 +252,11 @@
 		first, second := largestLimit*random.Float64(), largestLimit*random.Float64()
 		length := time.Duration(random.Int64N(int64(longestLimit)))
 		f.strike(history.Limited, replica.Identity()+" limit", false, func() {
-			replica.Limit(first)
+			replica.SetLimit(first)
 			time.Sleep(length)
-			replica.Limit(second)
+			replica.SetLimit(second)
 			time.Sleep(length)
-			replica.Lift()
+			replica.ClearLimit()
 		})
 	}
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -87,7 +87,7 @@
 func (s *site) form(ctx context.Context) error {
 	limited, cancel := context.WithTimeout(ctx, formationLimit)
 	defer cancel()
-	first := history.Change{Number: firstNumber, Services: standin.Services(standin.ServicePages)}
+	first := history.Change{Number: firstNumber, Services: standin.ServicesByRoute(standin.ServicePages)}
 	if s.operator.Put(limited, first, standin.Configuration(firstNumber, standin.ServicePages), 0).Status != http.StatusOK {
 		return trace.ConnectionProblem(nil, "no controller took the first configuration within %s; see the logs in %s", formationLimit, s.options.Directory)
 	}
@@ -97,7 +97,7 @@
 		}
 	}
 	for _, relay := range s.relays {
-		for !standin.Ready(limited, relay.ready) {
+		for !standin.IsReady(limited, relay.ready) {
 			if limited.Err() != nil {
 				return trace.ConnectionProblem(nil, "relay %s was not ready within %s; see the logs in %s", relay.Name, formationLimit, s.options.Directory)
 			}
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -79,9 +79,9 @@
 	}
 	made.list = list
 	if options.Plain {
-		list.LeaveOutOthers()
+		list.OmitForeignEntries()
 		if options.Seed/2%2 == 1 {
-			list.LeaveOutBirths()
+			list.OmitStartTimes()
 		}
 	}
 	if err := made.startReplicas(); err != nil {
@@ -115,7 +115,7 @@
 		service := []string{standin.ServicePages, standin.ServiceOther}[number%2]
 		replica, err := standin.StartReplica(standin.ReplicaOptions{
 			Service: service, Zone: "z", Address: at(address(groupPages, number), portOuter), Slots: 8,
-			Work: 8 * time.Millisecond, Seed: s.options.Seed + uint64(number), List: s.list, Recorder: s.recorder, KeepID: !s.options.Plain && number/2%2 == 0,
+			RunTime: 8 * time.Millisecond, Seed: s.options.Seed + uint64(number), List: s.list, Recorder: s.recorder, ReuseID: !s.options.Plain && number/2%2 == 0,
 		})
 		if err != nil {
 			return trace.Wrap(err)
@@ -126,7 +126,7 @@
 		stage := []string{platform.StageDecode, platform.StagePrefill}[number%2]
 		replica, err := standin.StartReplica(standin.ReplicaOptions{
 			Service: standin.ServiceEngines, Zone: "z", Address: at(address(groupEngines, number), portOuter), Stage: stage, Slots: 16,
-			Work: 5 * time.Millisecond, Pause: 15 * time.Millisecond, Seed: s.options.Seed + uint64(number), List: s.list, Recorder: s.recorder, KeepID: !s.options.Plain && number/2%2 == 0,
+			RunTime: 5 * time.Millisecond, EventInterval: 15 * time.Millisecond, Seed: s.options.Seed + uint64(number), List: s.list, Recorder: s.recorder, ReuseID: !s.options.Plain && number/2%2 == 0,
 		})
 		if err != nil {
 			return trace.Wrap(err)
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -35,7 +35,7 @@
 	for ctx.Err() == nil {
 		for _, relay := range e.site.relays {
 			limited, cancel := context.WithTimeout(ctx, readyPause)
-			ready := standin.Ready(limited, relay.ready)
+			ready := standin.IsReady(limited, relay.ready)
 			cancel()
 			e.mutex.Lock()
 			if e.missed[relay.Name]++; ready {
@@ -109,7 +109,7 @@
 		attempt.PromptTokens = 10 + random.IntN(8000)
 	}
 	if random.Float64() < leaving {
-		attempt.LeaveAfter = time.Duration(1+random.IntN(80)) * time.Millisecond
+		attempt.CloseAfter = time.Duration(1+random.IntN(80)) * time.Millisecond
 	}
 }
 
@@ -122,7 +122,7 @@
 		relay := t.entrance.pick(random)
 		client.Send(context.WithoutCancel(ctx), standin.Attempt{
 			ID: fmt.Sprintf("dead%04x%08x", number, count), Route: route, Front: relay.Name, Address: relay.front,
-			Body: fmt.Sprint(standin.EndingBody, " ", number), PromptTokens: 100,
+			Body: fmt.Sprint(standin.CrashBody, " ", number), PromptTokens: 100,
 		})
 		sleep(ctx, poisonPause)
 	}
@@ -153,10 +153,10 @@
 // change draws a configuration: one in eight must never be taken.
 func (s *site) change(number uint64, random *rand.Rand) drawnChange {
 	if random.IntN(8) == 0 {
-		return drawnChange{history.Change{Number: number, Invalid: true}, standin.Invalid(number)}
+		return drawnChange{history.Change{Number: number, Invalid: true}, standin.InvalidConfiguration(number)}
 	}
 	pages := []string{standin.ServicePages, standin.ServiceOther}[random.IntN(2)]
-	return drawnChange{history.Change{Number: number, Services: standin.Services(pages)}, standin.Configuration(number, pages)}
+	return drawnChange{history.Change{Number: number, Services: standin.ServicesByRoute(pages)}, standin.Configuration(number, pages)}
 }
 
 // sleep waits, or until the context ends.
