--- a/internal/controller/calls.go
+++ b/internal/controller/calls.go
@@ -11,60 +11,60 @@
 	"github.com/hazelpitch/hazelpitch/internal/control"
 )
 
-// pendingCallLimit bounds the calls that wait for the Core's answer.
-const pendingCallLimit = 4096
+// maxPendingCalls limits the number of calls that wait for the Core's answer.
+const maxPendingCalls = 4096
 
-// calls matches the Core's answers with the handlers that wait for them. It is
+// calls routes the Core's answers to the handlers that wait for them. It is
 // safe for concurrent use.
 type calls struct {
 	mutex   sync.Mutex
-	last    control.CallID
-	waiting map[control.CallID]chan control.Answer
+	lastID  control.CallID
+	pending map[control.CallID]chan control.Answer
 }
 
 func newCalls() *calls {
-	return &calls{waiting: make(map[control.CallID]chan control.Answer)}
+	return &calls{pending: make(map[control.CallID]chan control.Answer)}
 }
 
-// begin registers a call. The returned channel gets at most one answer.
-func (c *calls) begin() (control.CallID, <-chan control.Answer, error) {
+// register adds a call. The returned channel receives at most one answer.
+func (c *calls) register() (control.CallID, <-chan control.Answer, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if len(c.waiting) >= pendingCallLimit {
-		// Not ResourceExhausted, which says that the replicated state has no room.
+	if len(c.pending) >= maxPendingCalls {
+		// Not ResourceExhausted: that code means that the replicated state is full.
 		return 0, nil, connect.NewError(connect.CodeUnavailable,
-			trace.LimitExceeded("%d calls are waiting for this controller; try again later", pendingCallLimit))
+			trace.LimitExceeded("%d calls are waiting for this controller; try again later", maxPendingCalls))
 	}
-	c.last++
+	c.lastID++
 	answers := make(chan control.Answer, 1)
-	c.waiting[c.last] = answers
-	return c.last, answers, nil
+	c.pending[c.lastID] = answers
+	return c.lastID, answers, nil
 }
 
-// end forgets a call; a later answer to it is dropped.
-func (c *calls) end(call control.CallID) {
+// unregister removes a call; a later answer to it is dropped.
+func (c *calls) unregister(call control.CallID) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	delete(c.waiting, call)
+	delete(c.pending, call)
 }
 
-// answer hands the Core's answer to the waiting handler. It never blocks.
+// answer passes the Core's answer to the waiting handler. It never blocks.
 func (c *calls) answer(answer control.Answer) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if answers, waits := c.waiting[answer.Call]; waits {
-		delete(c.waiting, answer.Call)
+	if answers, isPending := c.pending[answer.Call]; isPending {
+		delete(c.pending, answer.Call)
 		answers <- answer
 	}
 }
 
-// do sends the input made for a new call to the loop and waits for the answer.
+// do sends the input for a new call to the loop and waits for the answer or the context's end.
 func (c *calls) do(ctx context.Context, loop *loop, input func(control.CallID) control.Input) (proto.Message, error) {
-	call, answers, err := c.begin()
+	call, answers, err := c.register()
 	if err != nil {
 		return nil, err
 	}
-	defer c.end(call)
+	defer c.unregister(call)
 	if err := loop.send(ctx, input(call)); err != nil {
 		return nil, err
 	}
--- a/internal/controller/consensus_service.go
+++ b/internal/controller/consensus_service.go
@@ -10,14 +10,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/control"
 )
 
-// consensusService takes messages of other controllers.
+// consensusService receives consensus messages of other controllers.
 type consensusService struct {
 	loop  *loop
 	fleet string
 }
 
 // Deliver queues the messages for the Core. An error means that some were dropped;
-// the consensus protocol repeats what matters.
+// the consensus protocol resends what it needs.
 func (c consensusService) Deliver(_ context.Context, request *connect.Request[v1.DeliverRequest]) (*connect.Response[v1.DeliverResponse], error) {
 	for _, message := range request.Msg.GetMessages() {
 		if message.GetFleet() != c.fleet {
@@ -25,7 +25,7 @@
 				trace.AccessDenied("this controller belongs to fleet %q, not %q; check the peers in the settings", c.fleet, message.GetFleet()))
 		}
 		if !c.loop.sendPeerMessage(control.PeerMessage{Message: message}) {
-			return nil, connect.NewError(connect.CodeResourceExhausted, trace.LimitExceeded("%d messages are waiting", peerQueue))
+			return nil, connect.NewError(connect.CodeResourceExhausted, trace.LimitExceeded("%d messages are waiting", peerQueueSize))
 		}
 	}
 	return connect.NewResponse(&v1.DeliverResponse{}), nil
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -23,15 +23,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/storage"
 )
 
-// transferTimeout is how long a stopping leader waits for another one.
+// transferTimeout is how long a stopping leader waits for another voter to take over.
 const transferTimeout = 2 * time.Second
 
-// statusInterval is the time between readings of the Core for the metrics.
+// statusInterval is the interval at which the metrics are updated from the Core's status.
 const statusInterval = 100 * time.Millisecond
 
-// Run runs a controller until the context ends; it then hands leadership over,
-// finishes the calls in hand and closes the data directory. It returns an error when
-// the settings cannot work here or when the disk or a listener fails.
+// Run runs a controller until the context ends. It then transfers leadership,
+// finishes the calls in flight and closes the data directory. It returns an error when
+// the settings cannot work on this machine or when the disk or a listener fails.
 func Run(ctx context.Context, config settings.Controller, options Options) error {
 	if options.Listen == nil {
 		options.Listen = net.Listen
@@ -53,41 +53,41 @@
 
 // controller is one running process.
 type controller struct {
-	config      settings.Controller
-	log         *logring.Log
-	disk        *storage.Storage
-	core        *control.Core
-	loop        *loop
-	calls       *calls
-	engines     *engines
-	machines    *machineReader
-	encryption  encryption
-	registry    *prometheus.Registry
-	instruments instruments
-	dial        dialing.Dial
-	listener    net.Listener
-	admin       net.Listener
-	peers       *http.Client
-	site        *Site
-	listing     *listingReader
-	stageOrders *stageOrderer
-	duties      *dutyCaller
-	operator    net.Listener
-	// halted gets why this controller must not go on.
-	halted chan error
-	// steady is the clock that the Core's decisions go by.
-	steady *bootclock.Clock
+	config           settings.Controller
+	log              *logring.Log
+	disk             *storage.Storage
+	core             *control.Core
+	loop             *loop
+	calls            *calls
+	engines          *engines
+	machines         *machineReader
+	encryption       encryption
+	registry         *prometheus.Registry
+	instruments      instruments
+	dial             dialing.Dial
+	listener         net.Listener
+	adminListener    net.Listener
+	peerClient       *http.Client
+	site             *Site
+	listing          *listingReader
+	stageOrders      *stageOrderer
+	duties           *dutyCaller
+	operatorListener net.Listener
+	// haltErrors receives the reason why this controller must stop.
+	haltErrors chan error
+	// bootClock is the clock of the Core's steps; it also counts the time while the machine is suspended.
+	bootClock *bootclock.Clock
 }
 
-// open acquires everything that can fail before the first goroutine starts.
+// open acquires everything that can fail before any goroutine starts.
 func open(config settings.Controller, options Options) (*controller, error) {
 	registry, factory := metrics.NewRegistry("controller", config.Name, config.Zone)
-	c := &controller{config: config, log: options.Log, dial: options.Dial, site: options.Site, registry: registry, instruments: newInstruments(factory), calls: newCalls(), halted: make(chan error, 1)}
+	c := &controller{config: config, log: options.Log, dial: options.Dial, site: options.Site, registry: registry, instruments: newInstruments(factory), calls: newCalls(), haltErrors: make(chan error, 1)}
 	var err error
 	if c.encryption, err = loadEncryption(config, options.Log, factory); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	c.peers = newPeerClient(c.instruments.countingDial(options.Dial, connectionPeers), c.encryption.client)
+	c.peerClient = newPeerClient(c.instruments.countingDial(options.Dial, connectionPeers), c.encryption.client)
 	if err := c.openCore(); err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -95,12 +95,12 @@
 		c.close()
 		return nil, trace.Wrap(err, "cannot listen on %s; check the key listen", config.Listen)
 	}
-	if c.admin, err = options.Listen("tcp", config.AdminListen); err != nil {
+	if c.adminListener, err = options.Listen("tcp", config.AdminListen); err != nil {
 		c.close()
 		return nil, trace.Wrap(err, "cannot listen on %s; check the key admin_listen", config.AdminListen)
 	}
 	if c.site != nil {
-		if c.operator, err = options.Listen("tcp", c.site.OperatorListen); err != nil {
+		if c.operatorListener, err = options.Listen("tcp", c.site.OperatorListen); err != nil {
 			c.close()
 			return nil, trace.Wrap(err, "cannot listen on %s; check the key operator_listen", c.site.OperatorListen)
 		}
@@ -108,92 +108,92 @@
 	return c, nil
 }
 
-// openCore opens the data directory and builds the Core from what it holds.
+// openCore opens the data directory and builds the Core from its contents.
 func (c *controller) openCore() error {
 	disk, restored, err := storage.Open(storage.Options{Directory: c.config.DataDirectory, Fleet: c.config.Fleet, Name: c.config.Name})
 	if err != nil {
 		return &DiskError{cause: trace.Wrap(err)}
 	}
 	c.disk = disk
-	c.steady = bootclock.New(0)
+	c.bootClock = bootclock.New(0)
 	origin := time.Now()
 	c.core, err = control.New(coreConfig(c.config, c.site, origin), restored)
 	if err != nil {
 		c.close()
 		return trace.Wrap(err)
 	}
-	c.loop = newLoop(c.core, c.steady.Now)
+	c.loop = newLoop(c.core, c.bootClock.Now)
 	return nil
 }
 
-// run starts every goroutine and waits for the end. At a planned stop leadership goes
-// first, then the calls in hand are answered, and only then the loop ends.
+// run starts all goroutines and waits until they end. On a planned stop it first transfers
+// leadership, then answers the calls in flight, and stops the loop last.
 func (c *controller) run(ctx context.Context) error {
 	background := context.WithoutCancel(ctx)
-	group, working := errgroup.WithContext(background)
-	working, stopWorking := context.WithCancel(working)
+	group, workContext := errgroup.WithContext(background)
+	workContext, stopWorking := context.WithCancel(workContext)
 	defer stopWorking()
-	serving, stopServing := context.WithCancel(working)
+	serveContext, stopServing := context.WithCancel(workContext)
 	defer stopServing()
-	c.startOutputs(working, group)
-	c.start(group, func() error { c.loop.run(working); return nil })
-	c.start(group, func() error { return c.newSyncer().run(working) })
-	c.start(group, func() error { c.steady.Watch(working, c.noteSuspension); return nil })
-	c.start(group, func() error { return c.awaitHalt(working) })
-	c.startReaders(working, group)
-	c.start(group, func() error { c.watchStatus(working); return nil })
-	c.start(group, func() error { return c.serveAdmin(working) })
-	c.start(group, func() error {
+	c.startOutputs(workContext, group)
+	c.spawn(group, func() error { c.loop.run(workContext); return nil })
+	c.spawn(group, func() error { return c.newSyncer().run(workContext) })
+	c.spawn(group, func() error { c.bootClock.Watch(workContext, c.logSuspension); return nil })
+	c.spawn(group, func() error { return c.awaitHalt(workContext) })
+	c.startReaders(workContext, group)
+	c.spawn(group, func() error { c.watchStatus(workContext); return nil })
+	c.spawn(group, func() error { return c.serveAdmin(workContext) })
+	c.spawn(group, func() error {
 		defer stopWorking()
-		return c.serve(serving)
+		return c.serve(serveContext)
 	})
 	c.log.Info().Str("listen", c.config.Listen).Uint("format", uint(formats.Newest)).Msg("the controller runs")
 	select {
-	case <-working.Done(): // something failed
+	case <-workContext.Done(): // a goroutine failed
 	case <-ctx.Done():
-		c.handOver(working)
+		c.transferLeadership(workContext)
 		stopServing()
 	}
 	return trace.Wrap(group.Wait())
 }
 
-// startReaders starts what reads the outside lists, and on a site the operators' server.
+// startReaders starts the readers of the external lists, and the operators' server if there is a site.
 func (c *controller) startReaders(ctx context.Context, group *errgroup.Group) {
 	if c.config.MachineList != "" {
-		c.start(group, func() error { c.machines.run(ctx); return nil })
+		c.spawn(group, func() error { c.machines.run(ctx); return nil })
 	}
 	if c.site == nil {
 		return
 	}
-	c.start(group, func() error { c.listing.run(ctx); return nil })
-	c.start(group, func() error { c.takeSeeds(ctx); return nil })
+	c.spawn(group, func() error { c.listing.run(ctx); return nil })
+	c.spawn(group, func() error { c.forwardSeeds(ctx); return nil })
 	for range stageOrderWorkers {
-		c.start(group, func() error { c.stageOrders.run(ctx); return nil })
+		c.spawn(group, func() error { c.stageOrders.run(ctx); return nil })
 	}
 	for range dutyWorkers {
-		c.start(group, func() error { c.duties.run(ctx); return nil })
+		c.spawn(group, func() error { c.duties.run(ctx); return nil })
 	}
 	handler := c.site.OperatorHandler(documentStore{loop: c.loop, calls: c.calls})
-	c.start(group, func() error { return serveHTTP(ctx, c.operator, handler, nil, newServerLogger(c.log)) })
+	c.spawn(group, func() error { return serveHTTP(ctx, c.operatorListener, handler, nil, newServerLogger(c.log)) })
 }
 
-// start runs the function in the group; a panic is written out before it ends the process.
-func (c *controller) start(group *errgroup.Group, function func() error) {
+// spawn runs the function in the group; a panic dumps the log before it ends the process.
+func (c *controller) spawn(group *errgroup.Group, function func() error) {
 	group.Go(func() error {
 		defer c.log.DumpOnPanic()
 		return function()
 	})
 }
 
-// noteSuspension writes down that the machine was suspended. The Core's time has gone on meanwhile: a
-// lease that ended is over with its next step.
-func (c *controller) noteSuspension(suspended time.Duration) {
+// logSuspension logs that the machine was suspended. The Core's time includes the suspension: a
+// lease that expired during it is invalid from the Core's next step on.
+func (c *controller) logSuspension(suspended time.Duration) {
 	c.log.Warn().Str(events.FieldEvent, string(events.MachineSuspended)).Int64("suspended_ms", suspended.Milliseconds()).Send()
 }
 
-// handOver gives leadership to another voter, if this controller has it, and waits
-// for the change within transferTimeout.
-func (c *controller) handOver(ctx context.Context) {
+// transferLeadership transfers leadership to another voter if this controller leads, and waits
+// up to transferTimeout for the change.
+func (c *controller) transferLeadership(ctx context.Context) {
 	limited, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	if c.loop.send(limited, control.StopRequested{}) != nil {
@@ -206,19 +206,19 @@
 		}
 		pause.For(limited, control.TickInterval)
 	}
-	c.log.Warn().Msg("leadership was not handed over in time; the others elect a leader after their timeout")
+	c.log.Warn().Msg("leadership was not transferred in time; the other controllers will elect a leader after their election timeout")
 }
 
-// close releases what open acquired. It is safe to call on a half-open controller.
+// close releases what open acquired. It is safe to call after a partial open.
 func (c *controller) close() {
-	for _, listener := range []net.Listener{c.listener, c.admin, c.operator} {
+	for _, listener := range []net.Listener{c.listener, c.adminListener, c.operatorListener} {
 		if listener != nil {
 			_ = listener.Close()
 		}
 	}
 	if c.disk != nil {
 		if err := c.disk.Close(); err != nil {
-			c.log.Error().Err(err).Msg("cannot close the data directory")
+			c.log.Error().Err(err).Msg("failed to close the data directory")
 		}
 	}
 }
--- a/internal/controller/core_config.go
+++ b/internal/controller/core_config.go
@@ -9,10 +9,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// plannerOff switches the planner off in control.Config.
+// plannerOff disables the planner in control.Config.
 const plannerOff = -1
 
-// coreConfig makes the Core's configuration from the settings. Step's time 0 is origin.
+// coreConfig builds the Core's configuration from the settings. Time 0 of Step is origin.
 func coreConfig(config settings.Controller, site *Site, origin time.Time) control.Config {
 	peers := make([]consensus.Peer, len(config.Peers))
 	for index, peer := range config.Peers {
@@ -22,7 +22,7 @@
 	if planInterval == 0 {
 		planInterval = plannerOff
 	}
-	built := control.Config{
+	result := control.Config{
 		Fleet: config.Fleet, Name: config.Name, Zone: config.Zone, Address: config.Listen,
 		Peers:             peers,
 		WallOrigin:        origin.UnixMilli(),
@@ -32,15 +32,15 @@
 		Seed:              newSeed(),
 	}
 	if site != nil {
-		built.Seeds, built.Bootstrap, built.FormationSize = site.Seeds, site.Bootstrap, site.FormationSize
-		built.ListingInterval = site.ListingInterval
-		built.Without = site.Without
-		built.Usage, built.DutyInterval, built.DutyLifetime = site.Usage, site.DutyInterval, site.DutyLifetime
-		built.ReadConfiguration, built.OnDemandShare = site.ReadConfiguration, site.OnDemandShare
-		built.NamedServices = site.NamedServices
-		built.PriorPrefillShare, built.OrderWait, built.OrderLifetime = site.PriorPrefillShare, site.OrderWait, site.OrderLifetime
+		result.Seeds, result.Bootstrap, result.FormationSize = site.Seeds, site.Bootstrap, site.FormationSize
+		result.ListingInterval = site.ListingInterval
+		result.Without = site.Without
+		result.Usage, result.DutyInterval, result.DutyLifetime = site.Usage, site.DutyInterval, site.DutyLifetime
+		result.ReadConfiguration, result.OnDemandShare = site.ReadConfiguration, site.OnDemandShare
+		result.NamedServices = site.NamedServices
+		result.PriorPrefillShare, result.OrderWait, result.OrderLifetime = site.PriorPrefillShare, site.OrderWait, site.OrderLifetime
 	}
-	return built
+	return result
 }
 
 // newSeed draws the Core's seed from the operating system.
--- a/internal/controller/disk.go
+++ b/internal/controller/disk.go
@@ -11,7 +11,7 @@
 type disk struct{ storage *storage.Storage }
 
 // Write saves the batches with as few syncs as their order allows: a snapshot, or
-// entries that leave a hole, begin a new one.
+// entries that do not continue the pending ones, require a new save.
 func (d disk) Write(batches []control.Persist) error {
 	pending := &storage.Batch{}
 	for _, batch := range batches {
@@ -23,7 +23,7 @@
 		}
 		pending = &storage.Batch{}
 		if !pending.Add(batch.HardState, batch.Entries, batch.Snapshot) {
-			return trace.Errorf("batch %d fits into no save", batch.Batch)
+			return trace.Errorf("batch %d cannot be saved on its own", batch.Batch)
 		}
 	}
 	return trace.Wrap(d.storage.SaveBatch(pending))
--- a/internal/controller/disk_error.go
+++ b/internal/controller/disk_error.go
@@ -1,7 +1,7 @@
 package controller
 
-// DiskError is the error of Run when the data directory cannot be opened or written. What
-// was being written may or may not be there: whoever goes on has to read it again.
+// DiskError is the error of Run when the data directory cannot be opened or written. A write
+// in progress may or may not be on disk: the caller must read the directory again to know.
 type DiskError struct{ cause error }
 
 // Error returns the cause's text.
--- a/internal/controller/duty_calls.go
+++ b/internal/controller/duty_calls.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// dutyWorkers is how many calls are under way at once: one for each subject, so that one that is
-	// not answered does not hold up the others.
+	// dutyWorkers is the number of concurrent calls, one for each subject, so that a call without
+	// an answer does not delay the others.
 	dutyWorkers = 8
-	// dutyQueue bounds the calls that wait; the Core has one under way for each subject.
+	// dutyQueue limits the calls that wait; the Core has at most one call in flight for each subject.
 	dutyQueue = 64
-	// dutyAnswerWait is how long beyond its life a call is waited for: what has reached the platform
-	// may be answered late.
+	// dutyAnswerWait is how long after a call's expiry its answer is awaited: a call that reached
+	// the platform in time may be answered late.
 	dutyAnswerWait = 2 * time.Second
 )
 
-// dutyCaller makes the calls of the platform's singleton duties. A call whose time is over is not
-// sent: a successor may call by then.
+// dutyCaller makes the calls of the platform's singleton duties. It does not send an expired call,
+// because a successor may call from then on.
 type dutyCaller struct {
 	site    *Site
 	dial    dialing.Dial
@@ -41,8 +41,8 @@
 	return &dutyCaller{site: site, dial: dial, now: now, queue: make(chan control.Output, dutyQueue), deliver: deliver, log: log}
 }
 
-// accept queues a call; it never blocks and reports false when the queue is full.
-func (d *dutyCaller) accept(call control.Output) bool {
+// enqueue queues a call; it never blocks and reports false when the queue is full.
+func (d *dutyCaller) enqueue(call control.Output) bool {
 	select {
 	case d.queue <- call:
 		return true
@@ -51,27 +51,27 @@
 	}
 }
 
-// run makes calls until the context ends.
+// run executes queued calls until the context ends.
 func (d *dutyCaller) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case call := <-d.queue:
-			_ = d.deliver(ctx, d.carryOut(ctx, call)) // fails only when the process stops
+			_ = d.deliver(ctx, d.execute(ctx, call)) // fails only when the process stops
 		}
 	}
 }
 
-// carryOut makes a call and returns what became of it.
-func (d *dutyCaller) carryOut(ctx context.Context, call control.Output) control.Input {
+// execute makes a call and returns its outcome as an input for the Core.
+func (d *dutyCaller) execute(ctx context.Context, call control.Output) control.Input {
 	switch call := call.(type) {
 	case control.OrderReplicas:
 		return d.orderReplicas(ctx, call)
 	case control.DeliverUsage:
 		return d.reportUsage(ctx, call)
 	default:
-		d.log.Error().Type("call", call).Msg("the controller does not know this call of its core")
+		d.log.Error().Type("call", call).Msg("unknown duty call from the core; the call is ignored")
 		return control.Tick{}
 	}
 }
@@ -99,7 +99,7 @@
 	return control.ReplicaOrderFinished{Order: call, Outcome: outcome}
 }
 
-// send makes a call within its time, on a connection of its own.
+// send makes a call before its expiry, on a new connection.
 func (d *dutyCaller) send(ctx context.Context, call control.DutyCall, exchange func(context.Context, *http.Client) (duty.Outcome, error)) (duty.Outcome, error) {
 	remaining := func() time.Duration { return call.NotAfter - d.now() }
 	if remaining() <= 0 {
@@ -110,7 +110,7 @@
 	return exchange(limited, expiringClient(d.dial, remaining))
 }
 
-// expiringClient is a client for one call that must not arrive late.
+// expiringClient returns an HTTP client for one call that must not arrive after its expiry.
 func expiringClient(dial dialing.Dial, remaining func() time.Duration) *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: dialing.WithExpiry(dial, remaining), DisableKeepAlives: true}}
 }
--- a/internal/controller/encryption.go
+++ b/internal/controller/encryption.go
@@ -17,8 +17,8 @@
 	client *tls.Config
 }
 
-// loadEncryption reads the files that the settings name. Operators may prove
-// themselves by key alone; the routes keep them from the other services.
+// loadEncryption reads the certificate files that the settings name. Operators may authenticate
+// with a key and no certificate; the routes exclude them from the other services.
 func loadEncryption(config settings.Controller, log *logring.Log, factory metrics.Factory) (encryption, error) {
 	if !config.TLS.Enabled() {
 		return encryption{}, nil
@@ -26,7 +26,7 @@
 	credentials, err := keys.Load(
 		keys.Files{Authority: config.TLS.Authority, Certificate: config.TLS.Certificate, Key: config.TLS.Key},
 		keys.Options{OnReloadError: func(err error) {
-			log.Error().Err(err).Msg("the changed certificate files were not taken up; the earlier ones stay in use")
+			log.Error().Err(err).Msg("failed to load the changed certificate files; the previous certificates stay in use")
 		}})
 	if err != nil {
 		return encryption{}, trace.Wrap(err)
--- a/internal/controller/engines.go
+++ b/internal/controller/engines.go
@@ -15,52 +15,52 @@
 )
 
 const (
-	// orderWorkers and pollWorkers bound the exchanges with engines that run at once;
-	// polls have their own, so that silent engines hold up no order. A poll is two round
-	// trips: 930 engines, two thirds of them 50 ms away, keep about 130 workers busy.
+	// orderWorkers and pollWorkers limit the concurrent exchanges with engines. Polls have
+	// their own workers, so that engines that do not answer delay no order. A poll takes two
+	// round trips: 930 engines, two thirds of them 50 ms away, keep about 130 workers busy.
 	orderWorkers = 32
 	pollWorkers  = 512
-	// orderQueue and pollQueue bound what waits for a worker; what does not fit
-	// counts as lost.
+	// orderQueue and pollQueue limit the exchanges that wait for a worker; an exchange that
+	// finds the queue full counts as lost.
 	orderQueue = 4096
 	pollQueue  = 4096
-	// engineTimeout ends an exchange with an engine that does not answer.
+	// engineTimeout limits an exchange with an engine.
 	engineTimeout = 800 * time.Millisecond
-	// engineIdleTimeout closes connections that no exchange has used.
+	// engineIdleTimeout is how long an idle connection is kept open.
 	engineIdleTimeout = 30 * time.Second
-	// maximumControlBody bounds the answers that a controller reads from outside.
-	maximumControlBody = 8 << 20
+	// maxResponseBytes limits the size of a response of an engine or of the machine list.
+	maxResponseBytes = 8 << 20
 )
 
-// engines exchanges orders, fences and readings with engines and turns every
+// engines exchanges orders, fences and polls with engines and turns every
 // exchange, answered or lost, into exactly one input.
 type engines struct {
 	client *fasthttp.Client
 	orders chan control.Output
 	polls  chan control.Output
-	// deliver hands the outcome to the loop.
+	// deliver sends the outcome to the loop.
 	deliver func(context.Context, control.Input) error
-	// exchanged counts exchanges by duty and outcome.
-	exchanged func(duty string, answered bool)
+	// countExchange counts exchanges by duty and by whether they were answered.
+	countExchange func(duty string, answered bool)
 }
 
 func newEngines(dial dialing.Dial, deliver func(context.Context, control.Input) error, exchanged func(string, bool)) *engines {
 	return &engines{
-		client:    newOutsideClient(dial),
-		orders:    make(chan control.Output, orderQueue),
-		polls:     make(chan control.Output, pollQueue),
-		deliver:   deliver,
-		exchanged: exchanged,
+		client:        newExternalClient(dial),
+		orders:        make(chan control.Output, orderQueue),
+		polls:         make(chan control.Output, pollQueue),
+		deliver:       deliver,
+		countExchange: exchanged,
 	}
 }
 
-// newOutsideClient returns the HTTP client towards engines and the machine list.
-func newOutsideClient(dial dialing.Dial) *fasthttp.Client {
+// newExternalClient returns the HTTP client for engines and the machine list.
+func newExternalClient(dial dialing.Dial) *fasthttp.Client {
 	return &fasthttp.Client{
 		NoDefaultUserAgentHeader:  true,
 		MaxConnsPerHost:           orderWorkers,
 		MaxIdleConnDuration:       engineIdleTimeout,
-		MaxResponseBodySize:       maximumControlBody,
+		MaxResponseBodySize:       maxResponseBytes,
 		MaxIdemponentCallAttempts: 1,
 		Dial: func(address string) (net.Conn, error) {
 			ctx, cancel := context.WithTimeout(context.Background(), engineTimeout)
@@ -70,9 +70,9 @@
 	}
 }
 
-// accept queues an exchange; it reports the input that stands for its loss when the
-// queue is full. It never blocks.
-func (e *engines) accept(output control.Output) (lost control.Input) {
+// enqueue queues an exchange. When the queue is full it returns the input that reports
+// the exchange as lost. It never blocks.
+func (e *engines) enqueue(output control.Output) (lost control.Input) {
 	queue := e.orders
 	if _, poll := output.(control.PollEngine); poll {
 		queue = e.polls
@@ -85,8 +85,8 @@
 	}
 }
 
-// work carries out exchanges of one queue until the context ends.
-func (e *engines) work(ctx context.Context, queue <-chan control.Output) {
+// runWorker executes the exchanges of one queue until the context ends.
+func (e *engines) runWorker(ctx context.Context, queue <-chan control.Output) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -99,7 +99,7 @@
 	}
 }
 
-// lostInput is the input that tells that an exchange had no answer.
+// lostInput returns the input that reports an exchange without an answer.
 func lostInput(output control.Output) control.Input {
 	switch request := output.(type) {
 	case control.SendOrder:
@@ -116,11 +116,11 @@
 	switch request := output.(type) {
 	case control.SendOrder:
 		answer := e.post(request.Address, enginecontract.PathOrders, request.Order)
-		e.exchanged("orders", answer != nil)
+		e.countExchange("orders", answer != nil)
 		return control.OrderAnswered{Engine: request.Engine, Fence: request.Order.Fence, Answer: answer}
 	case control.SendFence:
 		answer := e.post(request.Address, enginecontract.PathFence, enginecontract.Fence{Epoch: request.Epoch})
-		e.exchanged("fences", answer != nil)
+		e.countExchange("fences", answer != nil)
 		return control.FenceAnswered{Engine: request.Engine, Epoch: request.Epoch, Answer: answer}
 	case control.PollEngine:
 		return e.poll(request)
@@ -132,7 +132,7 @@
 	received := control.EngineStateReceived{Engine: request.Engine}
 	state := new(enginecontract.EngineState)
 	if err := get(e.client, request.Address, enginecontract.PathState, state); err != nil {
-		e.exchanged("polls", false)
+		e.countExchange("polls", false)
 		return received
 	}
 	received.State = state
@@ -140,11 +140,11 @@
 	if err := get(e.client, request.Address, enginecontract.PathLoad, load); err == nil {
 		received.Load = load
 	}
-	e.exchanged("polls", true)
+	e.countExchange("polls", true)
 	return received
 }
 
-// post sends a body and returns the engine's answer, or nil when it is lost.
+// post sends a body and returns the engine's answer, or nil when there is no valid answer.
 func (e *engines) post(address, path string, body any) *enginecontract.OrderAnswer {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -170,7 +170,7 @@
 	return answer
 }
 
-// get reads a JSON answer of an outside system.
+// get decodes the JSON response of an external system.
 func get(client *fasthttp.Client, address, path string, into any) error {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/internal/controller/engines_test.go
+++ b/internal/controller/engines_test.go
@@ -14,7 +14,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-func TestEveryExchangeBecomesOneInput(t *testing.T) {
+func TestEveryExchangeYieldsOneInput(t *testing.T) {
 	fence := enginecontract.Fence{Epoch: 3, Sequence: 4}
 	answer := &enginecontract.OrderAnswer{Accepted: true, State: enginecontract.EngineState{Engine: "e", Incarnation: 7}}
 	refusal := &enginecontract.OrderAnswer{Refusal: enginecontract.RefusalStaleFence}
@@ -26,10 +26,10 @@
 		"order accepted": {control.SendOrder{Engine: "e", Order: enginecontract.Order{Fence: fence}}, jsonAnswer(200, answer), control.OrderAnswered{Engine: "e", Fence: fence, Answer: answer}},
 		"order refused":  {control.SendOrder{Engine: "e", Order: enginecontract.Order{Fence: fence}}, jsonAnswer(409, refusal), control.OrderAnswered{Engine: "e", Fence: fence, Answer: refusal}},
 		"order failed":   {control.SendOrder{Engine: "e", Order: enginecontract.Order{Fence: fence}}, jsonAnswer(500, answer), control.OrderAnswered{Engine: "e", Fence: fence}},
-		"order garbled":  {control.SendOrder{Engine: "e", Order: enginecontract.Order{Fence: fence}}, garbled, control.OrderAnswered{Engine: "e", Fence: fence}},
-		"order cut":      {control.SendOrder{Engine: "e", Order: enginecontract.Order{Fence: fence}}, cut, control.OrderAnswered{Engine: "e", Fence: fence}},
+		"order garbled":  {control.SendOrder{Engine: "e", Order: enginecontract.Order{Fence: fence}}, serveGarbled, control.OrderAnswered{Engine: "e", Fence: fence}},
+		"order cut":      {control.SendOrder{Engine: "e", Order: enginecontract.Order{Fence: fence}}, abortConnection, control.OrderAnswered{Engine: "e", Fence: fence}},
 		"fence":          {control.SendFence{Engine: "e", Epoch: 3}, jsonAnswer(200, answer), control.FenceAnswered{Engine: "e", Epoch: 3, Answer: answer}},
-		"fence cut":      {control.SendFence{Engine: "e", Epoch: 3}, cut, control.FenceAnswered{Engine: "e", Epoch: 3}},
+		"fence cut":      {control.SendFence{Engine: "e", Epoch: 3}, abortConnection, control.FenceAnswered{Engine: "e", Epoch: 3}},
 		"poll": {control.PollEngine{Engine: "e"}, func(writer http.ResponseWriter, request *http.Request) {
 			if request.URL.Path == enginecontract.PathState {
 				jsonAnswer(200, answer.State)(writer, request)
@@ -44,7 +44,7 @@
 			}
 			writer.WriteHeader(503)
 		}, control.EngineStateReceived{Engine: "e", State: &answer.State}},
-		"poll cut": {control.PollEngine{Engine: "e"}, cut, control.EngineStateReceived{Engine: "e"}},
+		"poll cut": {control.PollEngine{Engine: "e"}, abortConnection, control.EngineStateReceived{Engine: "e"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := httptest.NewServer(row.serve)
@@ -57,13 +57,13 @@
 	}
 }
 
-func TestExchangesThatDoNotFitAreLost(t *testing.T) {
+func TestExchangesAreLostWhenTheQueueIsFull(t *testing.T) {
 	engines := newEngines(nil, func(context.Context, control.Input) error { return nil }, func(string, bool) {})
 	for range orderQueue {
-		require.Nil(t, engines.accept(control.SendFence{Engine: "e", Epoch: 1}))
+		require.Nil(t, engines.enqueue(control.SendFence{Engine: "e", Epoch: 1}))
 	}
-	require.Equal(t, control.FenceAnswered{Engine: "e", Epoch: 1}, engines.accept(control.SendFence{Engine: "e", Epoch: 1}))
-	require.Nil(t, engines.accept(control.PollEngine{Engine: "e"}), "polls have a queue of their own")
+	require.Equal(t, control.FenceAnswered{Engine: "e", Epoch: 1}, engines.enqueue(control.SendFence{Engine: "e", Epoch: 1}))
+	require.Nil(t, engines.enqueue(control.PollEngine{Engine: "e"}), "polls have their own queue")
 }
 
 func withAddress(output control.Output, address string) control.Output {
@@ -88,6 +88,6 @@
 	}
 }
 
-func garbled(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write([]byte("{")) }
+func serveGarbled(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write([]byte("{")) }
 
-func cut(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
--- a/internal/controller/errors.go
+++ b/internal/controller/errors.go
@@ -10,24 +10,24 @@
 	"github.com/hazelpitch/hazelpitch/internal/control"
 )
 
-// HeaderLeaderAddress is set on errors of calls that need the leader, when the
-// answering controller knows it.
+// HeaderLeaderAddress is the header with the leader's address. It is set on errors of calls that
+// need the leader, if the answering controller knows it.
 const HeaderLeaderAddress = "X-Leader-Address"
 
-// headerForwarded marks a call that another controller has passed on; it is not
-// passed on again.
+// headerForwarded marks a call that another controller has forwarded; such a call is not
+// forwarded again.
 const headerForwarded = "X-Forwarded-By-Controller"
 
-// connectError gives an error the code that tells a client what it may do:
-// Unavailable and ResourceExhausted calls had no effect here and may be tried at
-// another controller, InvalidArgument ones will fail again.
+// connectError adds the code that tells a client how to react. Calls with the codes
+// Unavailable and ResourceExhausted had no effect here and may be retried at another
+// controller; calls with InvalidArgument will fail again.
 func connectError(err error) error {
 	if err == nil {
 		return nil
 	}
 	var known *connect.Error
 	if errors.As(err, &known) {
-		return ownError(known)
+		return localError(known)
 	}
 	coded := connect.NewError(codeOf(err), err)
 	var notLeader *control.NotLeaderError
@@ -37,17 +37,17 @@
 	return coded
 }
 
-// ownError makes an error that came from the leader one of this controller's own:
-// the library sends on neither code nor metadata of errors received from a peer.
-func ownError(received *connect.Error) *connect.Error {
+// localError turns an error received from the leader into a new error of this controller:
+// the library forwards neither the code nor the metadata of errors received from a peer.
+func localError(received *connect.Error) *connect.Error {
 	if !connect.IsWireError(received) {
 		return received
 	}
-	own := connect.NewError(received.Code(), errors.New(received.Message()))
+	local := connect.NewError(received.Code(), errors.New(received.Message()))
 	if leader := received.Meta().Get(HeaderLeaderAddress); leader != "" {
-		own.Meta().Set(HeaderLeaderAddress, leader)
+		local.Meta().Set(HeaderLeaderAddress, leader)
 	}
-	return own
+	return local
 }
 
 func codeOf(err error) connect.Code {
--- a/internal/controller/halt.go
+++ b/internal/controller/halt.go
@@ -8,10 +8,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/events"
 )
 
-// awaitHalt returns why this controller must not go on, or nil once it ends anyway.
+// awaitHalt waits for an error that stops this controller and returns it, or nil when the context ends first.
 func (c *controller) awaitHalt(ctx context.Context) error {
 	select {
-	case err := <-c.halted:
+	case err := <-c.haltErrors:
 		c.log.Error().Str(events.FieldEvent, string(events.ControllerHalted)).Err(err).Send()
 		return trace.Wrap(err)
 	case <-ctx.Done():
--- a/internal/controller/input_names.go
+++ b/internal/controller/input_names.go
@@ -2,7 +2,7 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/control"
 
-// inputName is the duty that an input belongs to, as the metrics name it.
+// inputName returns the kind of an input, as the metrics name it.
 func inputName(input control.Input) string {
 	switch input.(type) {
 	case control.Tick:
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -8,59 +8,59 @@
 )
 
 const (
-	// inputQueue bounds the inputs that wait for the Core; a caller whose input does
-	// not fit waits until its deadline.
-	inputQueue = 1024
-	// peerQueue bounds the messages of other controllers that wait for the Core; the
-	// handler refuses what does not fit, and the sender repeats or replaces it.
-	peerQueue = 1024
-	// unwrittenBatches is the number of batches that may wait for the storage before
-	// the loop takes no further input.
-	unwrittenBatches = 4096
+	// inputQueueSize limits the inputs that wait for the Core; a caller that finds the
+	// queue full waits until its deadline.
+	inputQueueSize = 1024
+	// peerQueueSize limits the messages of other controllers that wait for the Core; the
+	// handler refuses further messages, and the sender resends or replaces them.
+	peerQueueSize = 1024
+	// maxUnwrittenBatches limits the batches that wait for the storage; at the limit
+	// the loop accepts no further inputs.
+	maxUnwrittenBatches = 4096
 )
 
-// decider is what the loop drives: control.Core, or a stand-in in tests.
-type decider interface {
+// stepper is the state machine that the loop drives: control.Core, or a fake in tests.
+type stepper interface {
 	Step(now time.Duration, input control.Input) []control.Output
 }
 
-// loop owns the Core. Every other goroutine talks to it through its channels.
+// loop owns the Core. Other goroutines communicate with it through its channels.
 type loop struct {
-	core decider
-	// now returns the monotonic time since the process's origin.
+	core stepper
+	// now returns the monotonic time since the process started.
 	now func() time.Duration
-	// timeOfDay reads this machine's clock, in milliseconds since the start of 1970.
+	// timeOfDay returns the time of this machine's clock in Unix milliseconds.
 	timeOfDay func() int64
-	// peerMessages go before inputs, so that a burst of calls delays no heartbeat.
+	// peerMessages are processed before inputs, so that a burst of calls does not delay heartbeats.
 	peerMessages chan control.Input
 	inputs       chan control.Input
-	// inspections run on the loop between two steps.
+	// inspections are functions that the loop runs between two steps.
 	inspections chan func()
-	// persist hands batches to the storage, all that wait at once.
+	// persist passes batches to the storage, all waiting ones at once.
 	persist chan []control.Persist
-	// persisted returns the number of the newest synced batch.
+	// persisted receives the number of the newest synced batch.
 	persisted chan uint64
-	// carryOut performs every output other than Persist; it must not block.
-	carryOut func(control.Output)
-	// observe is told how long each step took.
+	// execute performs an output other than Persist; it must not block.
+	execute func(control.Output)
+	// observe receives the duration of each step.
 	observe func(input control.Input, took time.Duration)
 
 	unwritten []control.Persist
-	// lost are inputs that stand for exchanges which could not be started.
-	lost []control.Input
+	// lostInputs report exchanges that could not be started.
+	lostInputs []control.Input
 }
 
-func newLoop(core decider, now func() time.Duration) *loop {
+func newLoop(core stepper, now func() time.Duration) *loop {
 	return &loop{
 		core:         core,
 		now:          now,
 		timeOfDay:    timeOfDay,
-		peerMessages: make(chan control.Input, peerQueue),
-		inputs:       make(chan control.Input, inputQueue),
+		peerMessages: make(chan control.Input, peerQueueSize),
+		inputs:       make(chan control.Input, inputQueueSize),
 		inspections:  make(chan func()),
 		persist:      make(chan []control.Persist),
 		persisted:    make(chan uint64),
-		carryOut:     func(control.Output) {},
+		execute:      func(control.Output) {},
 		observe:      func(control.Input, time.Duration) {},
 	}
 }
@@ -69,17 +69,17 @@
 func (l *loop) run(ctx context.Context) {
 	ticker := time.NewTicker(control.TickInterval)
 	defer ticker.Stop()
-	l.tick() // a quorum that was stopped as a whole need not wait for the ticker
+	l.tick() // if all voters were stopped together, a leader can be elected without waiting for the ticker
 	for ctx.Err() == nil {
-		if l.takeUrgent(ticker) || l.takeLost() {
+		if l.handleUrgent(ticker) || l.handleLostInput() {
 			continue
 		}
-		l.takeAny(ctx, ticker)
+		l.awaitNext(ctx, ticker)
 	}
 }
 
-// takeUrgent handles one thing that must not wait behind calls. It never blocks.
-func (l *loop) takeUrgent(ticker *time.Ticker) bool {
+// handleUrgent handles one event that takes precedence over calls, if there is one. It never blocks.
+func (l *loop) handleUrgent(ticker *time.Ticker) bool {
 	select {
 	case <-ticker.C:
 		l.tick()
@@ -93,24 +93,24 @@
 	return true
 }
 
-// takeLost handles one exchange that could not be started.
-func (l *loop) takeLost() bool {
-	if len(l.lost) == 0 {
+// handleLostInput handles one exchange that could not be started, if there is one.
+func (l *loop) handleLostInput() bool {
+	if len(l.lostInputs) == 0 {
 		return false
 	}
-	input := l.lost[0]
-	l.lost = l.lost[1:]
+	input := l.lostInputs[0]
+	l.lostInputs = l.lostInputs[1:]
 	l.step(input)
 	return true
 }
 
-// takeAny waits for the next thing to do.
-func (l *loop) takeAny(ctx context.Context, ticker *time.Ticker) {
+// awaitNext waits for the next event and handles it.
+func (l *loop) awaitNext(ctx context.Context, ticker *time.Ticker) {
 	persist, inputs := l.persist, l.inputs
 	if len(l.unwritten) == 0 {
 		persist = nil
 	}
-	if len(l.unwritten) >= unwrittenBatches {
+	if len(l.unwritten) >= maxUnwrittenBatches {
 		inputs = nil
 	}
 	select {
@@ -139,18 +139,18 @@
 			l.unwritten = append(l.unwritten, persist)
 			continue
 		}
-		l.carryOut(output)
+		l.execute(output)
 	}
 	l.observe(input, l.now()-started)
 }
 
-// addLost queues an input that stands for an exchange which could not be started.
-// It is called by carryOut only.
-func (l *loop) addLost(input control.Input) {
-	l.lost = append(l.lost, input)
+// queueLostInput queues an input that reports an exchange that could not be started.
+// Only execute may call it.
+func (l *loop) queueLostInput(input control.Input) {
+	l.lostInputs = append(l.lostInputs, input)
 }
 
-// send hands an input to the loop; it waits while the queue is full.
+// send passes an input to the loop; it blocks while the queue is full.
 func (l *loop) send(ctx context.Context, input control.Input) error {
 	select {
 	case l.inputs <- input:
@@ -160,7 +160,7 @@
 	}
 }
 
-// sendPeerMessage hands over a peer's message and reports false when the queue is full.
+// sendPeerMessage passes a peer's message to the loop; it reports false when the queue is full.
 func (l *loop) sendPeerMessage(input control.PeerMessage) bool {
 	select {
 	case l.peerMessages <- input:
@@ -170,7 +170,7 @@
 	}
 }
 
-// inspect runs the function between two steps and waits for its end.
+// inspect runs the function on the loop between two steps and waits until it returns.
 func (l *loop) inspect(ctx context.Context, function func()) error {
 	done := make(chan struct{})
 	select {
--- a/internal/controller/loop_test.go
+++ b/internal/controller/loop_test.go
@@ -12,7 +12,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/control"
 )
 
-// scriptedCore records its inputs and answers each with the outputs of a function.
+// scriptedCore records its inputs and answers each with the outputs of respond.
 type scriptedCore struct {
 	inputs  []control.Input
 	respond func(input control.Input) []control.Output
@@ -29,7 +29,7 @@
 	return s.respond(input)
 }
 
-// slowWriter takes a second for each sync and records how many batches it covered.
+// slowWriter takes a second for each sync and records the number of batches in it.
 type slowWriter struct{ groups []int }
 
 func (s *slowWriter) Write(batches []control.Persist) error {
@@ -38,18 +38,18 @@
 	return nil
 }
 
-func startLoop(t *testing.T, core decider) *loop {
+func startLoop(t *testing.T, core stepper) *loop {
 	origin := time.Now()
 	loop := newLoop(core, func() time.Duration { return time.Since(origin) })
 	go loop.run(t.Context())
 	return loop
 }
 
-func TestBatchesThatComeUpDuringASyncShareTheNext(t *testing.T) {
+func TestBatchesQueuedDuringASyncShareTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		batch := uint64(0)
 		core := &scriptedCore{respond: func(input control.Input) []control.Output {
-			if _, ours := input.(control.SyncReceived); !ours {
+			if _, isSync := input.(control.SyncReceived); !isSync {
 				return nil
 			}
 			batch++
@@ -73,7 +73,7 @@
 	})
 }
 
-func TestPeerMessagesGoBeforeCalls(t *testing.T) {
+func TestPeerMessagesPrecedeCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core := &scriptedCore{}
 		loop := newLoop(core, func() time.Duration { return 0 })
@@ -95,12 +95,12 @@
 func TestFullQueues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		loop := newLoop(&scriptedCore{}, func() time.Duration { return 0 })
-		for range peerQueue {
+		for range peerQueueSize {
 			require.True(t, loop.sendPeerMessage(control.PeerMessage{}))
 		}
 		require.False(t, loop.sendPeerMessage(control.PeerMessage{}), "a peer's message is refused")
 
-		for range inputQueue {
+		for range inputQueueSize {
 			require.NoError(t, loop.send(t.Context(), control.SyncReceived{}))
 		}
 		limited, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -133,19 +133,19 @@
 			calls.answer(control.Answer{Call: received.Call, Response: &v1.SyncResponse{LeaderAddress: "late"}})
 		}
 		require.ElementsMatch(t, []string{"first=first", "second=second"}, []string{<-results, <-results})
-		require.Empty(t, calls.waiting)
+		require.Empty(t, calls.pending)
 	})
 }
 
 func TestCallsAreBounded(t *testing.T) {
 	calls := newCalls()
-	for range pendingCallLimit {
-		_, _, err := calls.begin()
+	for range maxPendingCalls {
+		_, _, err := calls.register()
 		require.NoError(t, err)
 	}
-	_, _, err := calls.begin()
+	_, _, err := calls.register()
 	require.ErrorContains(t, err, "try again later")
-	calls.end(1)
-	_, _, err = calls.begin()
+	calls.unregister(1)
+	_, _, err = calls.register()
 	require.NoError(t, err)
 }
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -11,7 +11,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/logring"
 )
 
-// machineReader reads the platform's machine list at a steady interval.
+// machineReader reads the platform's machine list at a fixed interval.
 type machineReader struct {
 	client   *fasthttp.Client
 	address  string
@@ -20,8 +20,8 @@
 	log      *logring.Log
 }
 
-// run reads until the context ends. A failed reading delivers nothing: the Core
-// knows how old its last reading is.
+// run reads the list until the context ends. A failed read delivers nothing: the Core
+// knows the age of its last list.
 func (m *machineReader) run(ctx context.Context) {
 	ticker := time.NewTicker(m.interval)
 	defer ticker.Stop()
@@ -33,7 +33,7 @@
 			err = m.deliver(ctx, control.MachineListReceived{List: list})
 		}
 		if failed := err != nil; failed != failing && ctx.Err() == nil {
-			m.log.Info().Bool("failing", failed).Err(err).Msg("reading the machine list")
+			m.log.Info().Bool("failing", failed).Err(err).Msg("reading the machine list started or stopped failing")
 			failing = failed
 		}
 		select {
--- a/internal/controller/node_service.go
+++ b/internal/controller/node_service.go
@@ -11,7 +11,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/control"
 )
 
-// nodeService answers gateways.
+// nodeService serves gateways and relays.
 type nodeService struct{ *service }
 
 // Sync answers a gateway's heartbeat from the applied state.
@@ -21,7 +21,7 @@
 		forwardToNode(hazelpitchv1connect.NodeServiceClient.Sync))
 }
 
-// Report takes a gateway's demand; the leader answers with its shares.
+// Report processes a gateway's demand report; the leader answers with the gateway's shares.
 func (n nodeService) Report(ctx context.Context, request *connect.Request[v1.ReportRequest]) (*connect.Response[v1.ReportResponse], error) {
 	return serve(ctx, n.service, request,
 		func(call control.CallID) control.Input {
@@ -30,7 +30,8 @@
 		forwardToNode(hazelpitchv1connect.NodeServiceClient.Report))
 }
 
-// Watch tells a relay what is new; it is not passed on, since the relay asks the leader itself.
+// Watch answers a relay when there is an update for it. A controller that does not lead answers the call itself and
+// names the leader, which the relay then calls.
 func (n nodeService) Watch(ctx context.Context, request *connect.Request[v1.WatchRequest]) (*connect.Response[v1.WatchResponse], error) {
 	return serve(ctx, n.service, request,
 		func(call control.CallID) control.Input {
@@ -39,8 +40,8 @@
 		forwardToNode(hazelpitchv1connect.NodeServiceClient.Watch))
 }
 
-// ReportUsage takes a relay's report of what tenants used; it is passed on, since a leader that has
-// just changed must not cost a report.
+// ReportUsage processes a relay's report of the usage of tenants. It is forwarded to the leader, so that no
+// report is lost when the leader has just changed.
 func (n nodeService) ReportUsage(ctx context.Context, request *connect.Request[v1.ReportUsageRequest]) (*connect.Response[v1.ReportUsageResponse], error) {
 	return serve(ctx, n.service, request,
 		func(call control.CallID) control.Input {
@@ -49,7 +50,7 @@
 		forwardToNode(hazelpitchv1connect.NodeServiceClient.ReportUsage))
 }
 
-// ReportReplicaEnds takes a node's word on replicas that ended; it is passed on to the leader.
+// ReportReplicaEnds processes a node's report of replica crashes; it is forwarded to the leader.
 func (n nodeService) ReportReplicaEnds(ctx context.Context, request *connect.Request[v1.ReportReplicaEndsRequest]) (*connect.Response[v1.ReportReplicaEndsResponse], error) {
 	return serve(ctx, n.service, request,
 		func(call control.CallID) control.Input {
@@ -58,7 +59,7 @@
 		forwardToNode(hazelpitchv1connect.NodeServiceClient.ReportReplicaEnds))
 }
 
-// BeginTrial asks for the right to run a held request once more; it is passed on to the leader.
+// BeginTrial requests permission to run a quarantined request once more; it is forwarded to the leader.
 func (n nodeService) BeginTrial(ctx context.Context, request *connect.Request[v1.BeginTrialRequest]) (*connect.Response[v1.BeginTrialResponse], error) {
 	return serve(ctx, n.service, request,
 		func(call control.CallID) control.Input {
@@ -67,7 +68,7 @@
 		forwardToNode(hazelpitchv1connect.NodeServiceClient.BeginTrial))
 }
 
-// TakePermit asks for the right to send a request to a back end that names a limit; it is passed on to the leader.
+// TakePermit requests permission to send a request to a back end that sets a limit; it is forwarded to the leader.
 func (n nodeService) TakePermit(ctx context.Context, request *connect.Request[v1.TakePermitRequest]) (*connect.Response[v1.TakePermitResponse], error) {
 	return serve(ctx, n.service, request,
 		func(call control.CallID) control.Input {
@@ -76,7 +77,7 @@
 		forwardToNode(hazelpitchv1connect.NodeServiceClient.TakePermit))
 }
 
-// ReleaseRequest tells that a held request has run well; it is passed on to the leader.
+// ReleaseRequest reports that a quarantined request has run without a crash; it is forwarded to the leader.
 func (n nodeService) ReleaseRequest(ctx context.Context, request *connect.Request[v1.ReleaseRequestRequest]) (*connect.Response[v1.ReleaseRequestResponse], error) {
 	return serve(ctx, n.service, request,
 		func(call control.CallID) control.Input {
@@ -85,7 +86,7 @@
 		forwardToNode(hazelpitchv1connect.NodeServiceClient.ReleaseRequest))
 }
 
-// BeginClaim asks for the right to run a request that may run at most once.
+// BeginClaim requests permission to run a request that may run at most once.
 func (n nodeService) BeginClaim(ctx context.Context, request *connect.Request[v1.BeginClaimRequest]) (*connect.Response[v1.BeginClaimResponse], error) {
 	return serve(ctx, n.service, request,
 		func(call control.CallID) control.Input {
@@ -103,7 +104,7 @@
 		forwardToNode(hazelpitchv1connect.NodeServiceClient.FinishClaim))
 }
 
-// forwardToNode makes a forwardCall of a method of the node service's client.
+// forwardToNode turns a method of the node service's client into a forwardCall.
 func forwardToNode[Request, Response any](
 	method func(hazelpitchv1connect.NodeServiceClient, context.Context, *connect.Request[Request]) (*connect.Response[Response], error),
 ) forwardCall[Request, Response] {
--- a/internal/controller/operator_service.go
+++ b/internal/controller/operator_service.go
@@ -18,7 +18,7 @@
 const (
 	headerAuthorization = "Authorization"
 	bearerPrefix        = "Bearer "
-	// firstAdministrator is the operator that the settings name by its key's hash.
+	// firstAdministrator is the name of the operator whose key hash is in the settings.
 	firstAdministrator = "first-administrator"
 )
 
@@ -28,12 +28,12 @@
 	role v1.OperatorRole
 }
 
-// operatorService answers operators.
+// operatorService serves operators.
 type operatorService struct {
 	*service
 	// firstKeyHash is the hash of the first administrator's key, from the settings.
 	firstKeyHash string
-	// lookUp finds a declared operator by the hash of its key in the applied state.
+	// lookUp finds a declared operator in the applied state by the hash of its key.
 	// It runs on the loop.
 	lookUp func(keyHash string) (name string, role v1.OperatorRole, found bool)
 }
@@ -59,7 +59,7 @@
 		forwardToOperator(hazelpitchv1connect.OperatorServiceClient.Apply))
 }
 
-// checkRoleToApply demands the role that a declaration needs.
+// checkRoleToApply returns an AccessDenied error if the operator's role does not allow the declaration.
 func checkRoleToApply(operator operatorIdentity, objects []*v1.Object, request *v1.ApplyRequest) error {
 	required := language.RequiredRoleToApply(objects, request.GetPrune())
 	if language.Allowed(operator.role, required) {
@@ -69,7 +69,7 @@
 		operator.name, language.OperatorRoleWord(operator.role), language.OperatorRoleWord(required))
 }
 
-// Plan tells what Apply would change.
+// Plan returns the changes that Apply would make.
 func (o operatorService) Plan(ctx context.Context, request *connect.Request[v1.PlanRequest]) (*connect.Response[v1.PlanResponse], error) {
 	if _, err := o.authenticate(ctx, request.Header()); err != nil {
 		return nil, connectError(err)
@@ -98,8 +98,8 @@
 		forwardToOperator(hazelpitchv1connect.OperatorServiceClient.Execute))
 }
 
-// authenticate finds the operator by the bearer key. Every declared operator may
-// ask; what changes something checks the role as well.
+// authenticate finds the operator by its bearer key. Every declared operator may
+// query; changes check the role as well.
 func (o operatorService) authenticate(ctx context.Context, header http.Header) (operatorIdentity, error) {
 	key, bearer := strings.CutPrefix(header.Get(headerAuthorization), bearerPrefix)
 	if !bearer || key == "" {
@@ -123,7 +123,7 @@
 	return identity, nil
 }
 
-// forwardToOperator makes a forwardCall of a method of the operator service's client.
+// forwardToOperator turns a method of the operator service's client into a forwardCall.
 func forwardToOperator[Request, Response any](
 	method func(hazelpitchv1connect.OperatorServiceClient, context.Context, *connect.Request[Request]) (*connect.Response[Response], error),
 ) forwardCall[Request, Response] {
--- a/internal/controller/operator_service_test.go
+++ b/internal/controller/operator_service_test.go
@@ -18,18 +18,18 @@
 	"github.com/hazelpitch/hazelpitch/internal/keys"
 )
 
-// testController serves the handlers around a scripted core.
+// testController serves the handlers of a controller with a scripted core.
 func testController(t *testing.T, respond func(call control.CallID, input control.Input) control.Answer) *httptest.Server {
 	return testFollower(t, func() string { return "" }, respond)
 }
 
-// testFollower serves the handlers of a controller that knows a leader.
+// testFollower serves the handlers of a controller that knows the leader's address.
 func testFollower(t *testing.T, leaderAddress func() string, respond func(call control.CallID, input control.Input) control.Answer) *httptest.Server {
 	calls := newCalls()
 	core := &scriptedCore{}
 	origin := time.Now()
 	loop := newLoop(core, func() time.Duration { return time.Since(origin) })
-	loop.carryOut = func(output control.Output) { calls.answer(output.(control.Answer)) }
+	loop.execute = func(output control.Output) { calls.answer(output.(control.Answer)) }
 	core.respond = func(input control.Input) []control.Output {
 		switch received := input.(type) {
 		case control.ApplyReceived:
@@ -44,7 +44,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go loop.run(ctx)
-	shared := &service{loop: loop, calls: calls, peers: http.DefaultClient, peerURL: peerURL(false), leaderAddress: leaderAddress, answered: func(string, string) {}}
+	shared := &service{loop: loop, calls: calls, peers: http.DefaultClient, peerURL: peerURL(false), leaderAddress: leaderAddress, countCall: func(string, string) {}}
 	operator := operatorService{
 		service: shared, firstKeyHash: keys.HashBearerKey("first"),
 		lookUp: func(keyHash string) (string, v1.OperatorRole, bool) {
@@ -88,7 +88,7 @@
 		require.Equal(t, row.code, connect.CodeOf(err), row.key)
 	}
 	require.Empty(t, operator)
-	require.Equal(t, "vera r", refused, "the core audits the refusal")
+	require.Equal(t, "vera r", refused, "the core records the refusal in the audit log")
 	response, err := apply(server, "first")
 	require.NoError(t, err)
 	require.Equal(t, uint64(4), response.Msg.GetRevision())
@@ -110,8 +110,8 @@
 	require.NoError(t, err)
 	require.Equal(t, uint64(9), response.Msg.GetRevision())
 
-	misled := testController(t, notLeader(follower.Listener.Addr().String()))
-	_, err = apply(misled, "first")
+	outdatedFollower := testController(t, notLeader(follower.Listener.Addr().String()))
+	_, err = apply(outdatedFollower, "first")
 	require.Equal(t, connect.CodeUnavailable, connect.CodeOf(err))
 	var coded *connect.Error
 	require.ErrorAs(t, err, &coded)
@@ -121,18 +121,17 @@
 	require.Equal(t, connect.CodeUnavailable, connect.CodeOf(err))
 }
 
-// TestPassedOnCallEndsWithItsLeader shows that a call that was passed on to a leader that
-// never answers ends once another one is known to lead.
-func TestPassedOnCallEndsWithItsLeader(t *testing.T) {
+// A call that was forwarded to a leader which never answers must end once another controller is known to lead.
+func TestForwardedCallEndsWhenTheLeaderChanges(t *testing.T) {
 	reached := make(chan struct{})
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
-		_, _ = io.Copy(io.Discard, request.Body) // so that the end of the connection is noticed
+		_, _ = io.Copy(io.Discard, request.Body) // the server detects a closed connection only after reading the body
 		close(reached)
 		<-request.Context().Done()
 	}))
 	t.Cleanup(silent.Close)
-	old := strings.TrimPrefix(silent.URL, "http://")
-	leader := old // read and written on the loop
+	formerLeader := strings.TrimPrefix(silent.URL, "http://")
+	leader := formerLeader // read and written on the loop only
 	follower := testFollower(t, func() string {
 		select {
 		case <-reached:
@@ -141,7 +140,7 @@
 		}
 		return leader
 	}, func(call control.CallID, _ control.Input) control.Answer {
-		return control.Answer{Call: call, Err: &control.NotLeaderError{Leader: old}}
+		return control.Answer{Call: call, Err: &control.NotLeaderError{Leader: formerLeader}}
 	})
 	_, err := apply(follower, "first")
 	require.Equal(t, connect.CodeUnavailable, connect.CodeOf(err), "%v", err)
--- a/internal/controller/outputs.go
+++ b/internal/controller/outputs.go
@@ -12,18 +12,18 @@
 	"github.com/hazelpitch/hazelpitch/internal/duty"
 )
 
-// startOutputs starts the goroutines that carry out what the Core wants.
+// startOutputs starts the goroutines that execute the Core's outputs.
 func (c *controller) startOutputs(ctx context.Context, group *errgroup.Group) {
 	dial := c.instruments.countingDial(c.dial, connectionOutside)
 	c.engines = newEngines(dial, c.loop.send, c.countExchange)
 	for range orderWorkers {
-		c.start(group, func() error { c.engines.work(ctx, c.engines.orders); return nil })
+		c.spawn(group, func() error { c.engines.runWorker(ctx, c.engines.orders); return nil })
 	}
 	for range pollWorkers {
-		c.start(group, func() error { c.engines.work(ctx, c.engines.polls); return nil })
+		c.spawn(group, func() error { c.engines.runWorker(ctx, c.engines.polls); return nil })
 	}
 	c.machines = &machineReader{
-		client: newOutsideClient(dial), address: c.config.MachineList,
+		client: newExternalClient(dial), address: c.config.MachineList,
 		interval: c.config.MachineListInterval, deliver: c.loop.send, log: c.log,
 	}
 	if c.site != nil {
@@ -33,53 +33,53 @@
 	}
 	peers := &senders{lanes: make(map[lane]*sender), start: func(address string) *sender {
 		sender := c.newSender(address)
-		c.start(group, func() error { sender.run(ctx); return nil })
+		c.spawn(group, func() error { sender.run(ctx); return nil })
 		return sender
 	}}
-	c.loop.carryOut = func(output control.Output) { c.carryOut(peers, output) }
+	c.loop.execute = func(output control.Output) { c.execute(peers, output) }
 	c.loop.observe = c.observeStep
 }
 
-// carryOut performs one output on the loop's goroutine; it never blocks.
-func (c *controller) carryOut(peers *senders, output control.Output) {
+// execute performs one output on the loop's goroutine; it never blocks.
+func (c *controller) execute(peers *senders, output control.Output) {
 	switch output := output.(type) {
 	case control.SendPeer:
 		peers.send(output.Address, output.Message)
 	case control.Answer:
 		c.calls.answer(output)
 	case control.SendOrder, control.SendFence, control.PollEngine:
-		if lost := c.engines.accept(output); lost != nil {
-			c.loop.addLost(lost)
+		if lost := c.engines.enqueue(output); lost != nil {
+			c.loop.queueLostInput(lost)
 		}
 	case control.ReadListing:
 		c.listing.request(output.Pages)
 	case control.ChangeStage:
-		if !c.stageOrders.accept(output) {
-			c.loop.addLost(control.StageChangeFinished{ID: output.BackEnd.GetId(), Outcome: control.StageRefused})
+		if !c.stageOrders.enqueue(output) {
+			c.loop.queueLostInput(control.StageChangeFinished{ID: output.BackEnd.GetId(), Outcome: control.StageRefused})
 		}
 	case control.DeliverUsage:
-		if !c.duties.accept(output) {
-			c.loop.addLost(control.UsageDelivered{Call: output, Outcome: duty.Refused})
+		if !c.duties.enqueue(output) {
+			c.loop.queueLostInput(control.UsageDelivered{Call: output, Outcome: duty.Refused})
 		}
 	case control.OrderReplicas:
-		if !c.duties.accept(output) {
-			c.loop.addLost(control.ReplicaOrderFinished{Order: output, Outcome: duty.Refused})
+		if !c.duties.enqueue(output) {
+			c.loop.queueLostInput(control.ReplicaOrderFinished{Order: output, Outcome: duty.Refused})
 		}
 	case control.Halt:
-		c.halted <- output.Err
+		c.haltErrors <- output.Err
 	case control.UpdateNotApplied:
-		logNewsNotTaken(c.log.Logger, output)
+		logUpdateNotApplied(c.log.Logger, output)
 	case control.DumpLogs:
-		c.log.Info().Str("operator", output.Operator).Msg("an operator asked for the log ring")
+		c.log.Info().Str("operator", output.Operator).Msg("an operator requested a dump of the log ring")
 		c.log.RequestDump()
 	default:
-		c.log.Error().Type("output", output).Msg("the controller does not know this output of its core")
+		c.log.Error().Type("output", output).Msg("unknown output of the core; the output is ignored")
 	}
 }
 
 func (c *controller) newSender(address string) *sender {
 	return &sender{
-		client:  hazelpitchv1connect.NewConsensusServiceClient(c.peers, peerURL(c.config.TLS.Enabled())(address)),
+		client:  hazelpitchv1connect.NewConsensusServiceClient(c.peerClient, peerURL(c.config.TLS.Enabled())(address)),
 		queue:   make(chan *v1.ConsensusMessage, senderQueue),
 		sent:    func(messages int) { c.instruments.peerSent.Add(float64(messages)) },
 		dropped: func(messages int) { c.instruments.peerDropped.Add(float64(messages)) },
--- a/internal/controller/outputs_test.go
+++ b/internal/controller/outputs_test.go
@@ -14,15 +14,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// TestDumpLogsWritesTheRing carries out an operator's command: the ring is written to a
-// file, with the operator's name and no error.
+// An operator's command dumps the log ring: the file has the entries and the operator's
+// name, and no error is logged.
 func TestDumpLogsWritesTheRing(t *testing.T) {
 	directory := t.TempDir()
 	log := logring.New("c1", settings.Log{RingEntries: 8, DumpDirectory: directory})
 	go log.Run(t.Context())
 	c := &controller{log: log}
 	log.Info().Msg("earlier")
-	c.carryOut(nil, control.DumpLogs{Operator: "ana"})
+	c.execute(nil, control.DumpLogs{Operator: "ana"})
 	var text []byte
 	require.Eventually(t, func() bool {
 		files, err := filepath.Glob(filepath.Join(directory, "c1-*"))
@@ -30,7 +30,7 @@
 			return false
 		}
 		text, err = os.ReadFile(files[0])
-		return err == nil && bytes.Count(text, []byte("\n")) == 3 // heading and two entries
+		return err == nil && bytes.Count(text, []byte("\n")) == 3 // header and two entries
 	}, time.Minute, 5*time.Millisecond)
 	require.Contains(t, string(text), "cause: request")
 	require.Contains(t, string(text), "earlier")
--- a/internal/controller/poll_workers_test.go
+++ b/internal/controller/poll_workers_test.go
@@ -9,10 +9,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/membership"
 )
 
-// TestPollWorkersCoverTheTarget: 930 engines, two thirds of them in regions 50 ms away, are
-// polled once an interval with two round trips each; too few workers make every reading
-// late, and engines that answer count as changing. Half of the workers must do.
-func TestPollWorkersCoverTheTarget(t *testing.T) {
+// Guards against too few poll workers: 930 engines, two thirds of them in regions 50 ms away, are
+// polled once an interval with two round trips each. If polls are late, engines that answer count
+// as changing. Half of the workers must be enough.
+func TestPollWorkersSufficeForTheTargetFleet(t *testing.T) {
 	const (
 		engines   = 930
 		far       = engines * 2 / 3
--- a/internal/controller/sender.go
+++ b/internal/controller/sender.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// senderQueue bounds the messages that wait for one peer; the oldest is dropped
-	// when it is full, for the consensus protocol repeats what matters.
+	// senderQueue limits the messages that wait for one peer. When it is full the oldest
+	// is dropped, because the consensus protocol resends what it needs.
 	senderQueue = 256
-	// deliverBytes bounds the entries sent with one call.
-	deliverBytes = 1 << 20
-	// deliverTimeout ends a call to a peer that does not answer.
+	// maxDeliverBytes limits the estimated size of the messages in one call.
+	maxDeliverBytes = 1 << 20
+	// deliverTimeout limits a call to a peer.
 	deliverTimeout = 2 * time.Second
-	// retryPause is the wait after a failed call, so that a dead peer costs little.
+	// retryPause is the delay after a failed call, so that calls to a peer that is down cost little.
 	retryPause = 50 * time.Millisecond
 )
 
-// sender carries consensus messages to one peer, several in one call.
+// sender sends consensus messages to one peer, several in one call.
 type sender struct {
 	client hazelpitchv1connect.ConsensusServiceClient
 	queue  chan *v1.ConsensusMessage
@@ -31,8 +31,8 @@
 	sent, dropped func(messages int)
 }
 
-// enqueue adds a message and drops the oldest when the queue is full. It is called
-// by the loop alone and never blocks.
+// enqueue adds a message and drops the oldest when the queue is full. Only the loop
+// calls it. It never blocks.
 func (s *sender) enqueue(message *v1.ConsensusMessage) {
 	for {
 		select {
@@ -55,15 +55,15 @@
 		case <-ctx.Done():
 			return
 		case message := <-s.queue:
-			s.deliver(ctx, s.gather(message))
+			s.deliver(ctx, s.collectMessages(message))
 		}
 	}
 }
 
-// gather adds what else waits, up to deliverBytes.
-func (s *sender) gather(first *v1.ConsensusMessage) []*v1.ConsensusMessage {
+// collectMessages returns the first message and further queued ones, up to maxDeliverBytes.
+func (s *sender) collectMessages(first *v1.ConsensusMessage) []*v1.ConsensusMessage {
 	messages, bytes := []*v1.ConsensusMessage{first}, messageBytes(first)
-	for bytes < deliverBytes {
+	for bytes < maxDeliverBytes {
 		select {
 		case message := <-s.queue:
 			messages = append(messages, message)
@@ -97,14 +97,14 @@
 	return bytes
 }
 
-// lane separates snapshots, which take long to carry, from everything else.
+// lane separates snapshots, which take long to transfer, from other messages.
 type lane struct {
 	address  string
 	snapshot bool
 }
 
-// senders holds one sender per peer and lane and starts it on first use. It is used
-// by the loop alone.
+// senders holds one sender per peer and lane and starts it on first use. Only the loop
+// uses it.
 type senders struct {
 	start func(address string) *sender
 	lanes map[lane]*sender
--- a/internal/controller/sender_test.go
+++ b/internal/controller/sender_test.go
@@ -14,7 +14,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/pause"
 )
 
-// recordingPeer keeps what was delivered and fails while failing is set.
+// recordingPeer records delivered messages, and fails while failing is set.
 type recordingPeer struct {
 	delivered []*v1.DeliverRequest
 	failing   bool
@@ -46,7 +46,7 @@
 		require.Equal(t, 10, *dropped)
 		go sender.run(t.Context())
 		synctest.Wait()
-		require.Len(t, peer.delivered, 1, "what waits goes in one call")
+		require.Len(t, peer.delivered, 1, "queued messages are sent in one call")
 		messages := peer.delivered[0].GetMessages()
 		require.Len(t, messages, senderQueue)
 		require.Equal(t, uint64(10), messages[0].GetLogIndex())
@@ -57,7 +57,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		peer := &recordingPeer{}
 		sender, _ := newTestSender(peer)
-		large := &v1.ConsensusMessage{Entries: []*v1.Entry{{Data: make([]byte, deliverBytes/2)}}}
+		large := &v1.ConsensusMessage{Entries: []*v1.Entry{{Data: make([]byte, maxDeliverBytes/2)}}}
 		for range 6 {
 			sender.enqueue(large)
 		}
@@ -67,7 +67,7 @@
 	})
 }
 
-func TestSenderGoesOnAfterAFailure(t *testing.T) {
+func TestSenderContinuesAfterAFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peer := &recordingPeer{failing: true}
 		sender, dropped := newTestSender(peer)
@@ -87,7 +87,7 @@
 	service := consensusService{loop: newLoop(&scriptedCore{}, nil), fleet: "ours"}
 	_, err := service.Deliver(t.Context(), connect.NewRequest(&v1.DeliverRequest{Messages: []*v1.ConsensusMessage{{Fleet: "theirs"}}}))
 	require.Equal(t, connect.CodePermissionDenied, connect.CodeOf(err))
-	for range peerQueue {
+	for range peerQueueSize {
 		service.loop.sendPeerMessage(control.PeerMessage{})
 	}
 	_, err = service.Deliver(t.Context(), connect.NewRequest(&v1.DeliverRequest{Messages: []*v1.ConsensusMessage{{Fleet: "ours"}}}))
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -13,25 +13,25 @@
 	"github.com/hazelpitch/hazelpitch/internal/metrics"
 )
 
-// serve answers peers, nodes and operators.
+// serve serves peers, nodes and operators until the context ends.
 func (c *controller) serve(ctx context.Context) error {
 	shared := &service{
-		loop: c.loop, calls: c.calls, peers: c.peers, peerURL: peerURL(c.config.TLS.Enabled()), log: c.log,
+		loop: c.loop, calls: c.calls, peers: c.peerClient, peerURL: peerURL(c.config.TLS.Enabled()), log: c.log,
 		leaderAddress: func() string { return c.core.Status().Consensus.LeaderAddress },
-		answered:      func(procedure, code string) { c.instruments.calls.WithLabelValues(procedure, code).Inc() },
+		countCall:     func(procedure, code string) { c.instruments.calls.WithLabelValues(procedure, code).Inc() },
 	}
 	operator := operatorService{service: shared, firstKeyHash: c.config.OperatorKeyHash, lookUp: c.core.Operator}
 	routes := handler(c.config.Fleet, c.instruments.countMessages(), consensusService{loop: c.loop, fleet: c.config.Fleet}, nodeService{shared}, operator)
 	return serveHTTP(ctx, countingListener{Listener: c.listener, instruments: c.instruments}, routes, c.encryption.server, newServerLogger(c.log))
 }
 
-// serveAdmin answers health checks and scrapes.
+// serveAdmin serves health checks and metrics until the context ends.
 func (c *controller) serveAdmin(ctx context.Context) error {
 	admin := metrics.AdminServer{Registry: c.registry, Log: c.log, Ready: c.ready}
-	return admin.Serve(ctx, c.admin)
+	return admin.Serve(ctx, c.adminListener)
 }
 
-// ready returns nil when this controller knows a leader, so that it can answer calls.
+// ready returns nil when this controller knows a leader and can therefore answer calls.
 func (c *controller) ready() error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -51,7 +51,7 @@
 	return status, trace.Wrap(err)
 }
 
-// watchStatus keeps the gauges up to date.
+// watchStatus updates the gauges from the Core's status and logs changes of the leader and of the agreed format.
 func (c *controller) watchStatus(ctx context.Context) {
 	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
@@ -67,30 +67,30 @@
 		if err != nil {
 			return
 		}
-		if told := status.Consensus; told.LeaderAddress != leader || told.Term != term {
-			leader, term = told.LeaderAddress, told.Term
-			c.log.Info().Str("leader", leader).Uint64("term", term).Str("role", told.Role.String()).
-				Str("member", told.ID).Uint64("revision", status.Revision).Msg("the leader has changed; empty means that none is known")
+		if current := status.Consensus; current.LeaderAddress != leader || current.Term != term {
+			leader, term = current.LeaderAddress, current.Term
+			c.log.Info().Str("leader", leader).Uint64("term", term).Str("role", current.Role.String()).
+				Str("member", current.ID).Uint64("revision", status.Revision).Msg("the leader or its term has changed; an empty name means that no leader is known")
 		}
-		if told := fmt.Sprint(status.AgreedFormat, status.AgreementBlockers); told != agreement {
-			agreement = told
+		if currentAgreement := fmt.Sprint(status.AgreedFormat, status.AgreementBlockers); currentAgreement != agreement {
+			agreement = currentAgreement
 			c.log.Info().Str(events.FieldEvent, string(events.FormatAgreed)).Uint("format", uint(status.AgreedFormat)).
 				Uint("own_format", uint(formats.Newest)).Strs("held_back_by", status.AgreementBlockers).Send()
 		}
 		c.instruments.agreedFormat.Set(float64(status.AgreedFormat))
-		c.instruments.heldBack.Set(float64(len(status.AgreementBlockers)))
+		c.instruments.agreementBlockers.Set(float64(len(status.AgreementBlockers)))
 		c.instruments.term.Set(float64(status.Consensus.Term))
 		c.instruments.commitIndex.Set(float64(status.Consensus.Commit))
 		c.instruments.appliedIndex.Set(float64(status.AppliedIndex))
 		c.instruments.revision.Set(float64(status.Revision))
-		c.instruments.leader.Set(boolean(status.LeadsWithLease))
+		c.instruments.leader.Set(boolToFloat(status.LeadsWithLease))
 		c.instruments.gateways.Set(float64(status.Gateways))
 		c.instruments.machines.Set(float64(status.Machines))
 		c.instruments.site.set(status.Site)
 	}
 }
 
-func boolean(value bool) float64 {
+func boolToFloat(value bool) float64 {
 	if value {
 		return 1
 	}
--- a/internal/controller/server_logger.go
+++ b/internal/controller/server_logger.go
@@ -7,11 +7,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/logring"
 )
 
-// serverLogger writes what the HTTP server has to say, such as why a peer was refused
-// in the handshake, into the log ring.
+// serverLogger writes the messages of the HTTP server to the log ring, for example why it refused a peer
+// in the TLS handshake.
 type serverLogger struct{ log *logring.Log }
 
-// newServerLogger returns the logger that net/http wants.
+// newServerLogger returns a logger for net/http that writes to the log ring.
 func newServerLogger(ring *logring.Log) *log.Logger { return log.New(serverLogger{log: ring}, "", 0) }
 
 // Write logs one message of the server.
--- a/internal/controller/server_logger_test.go
+++ b/internal/controller/server_logger_test.go
@@ -17,7 +17,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// credentialsOf issues and reads a certificate of an authority in a directory.
+// credentialsOf issues a certificate of the authority and loads it from the directory.
 func credentialsOf(t *testing.T, authority *keys.Authority, directory string, role keys.Role, name string, issuedAt time.Time) *keys.Credentials {
 	t.Helper()
 	pair, err := authority.Issue(role, name, time.Hour, issuedAt)
@@ -29,8 +29,8 @@
 	return credentials
 }
 
-// TestRefusedPeersAreLoggedWithTheReason lets peers shake hands that a controller must
-// refuse: the log ring says who and why.
+// A controller refuses peers with a wrong role or an expired certificate: the log ring must name
+// the peer and the reason.
 func TestRefusedPeersAreLoggedWithTheReason(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "authority")
 	now := time.Now()
@@ -55,7 +55,7 @@
 		"controller/old refused: its certificate has expired or is": credentialsOf(t, authority, directory, keys.RoleController, "old", now.Add(-24*time.Hour)),
 	} {
 		config := client.ClientConfig("test", keys.RoleController)
-		config.VerifyConnection = nil // the client's own check is not what is tested
+		config.VerifyConnection = nil // the test is about the server's check, not the client's
 		conn, err := tls.Dial("tcp", listener.Addr().String(), config)
 		if err == nil {
 			_ = conn.Close()
--- a/internal/controller/site.go
+++ b/internal/controller/site.go
@@ -21,39 +21,39 @@
 	"github.com/hazelpitch/hazelpitch/internal/usage"
 )
 
-// Site is what a controller needs beside its settings where it serves relays: only some
-// controllers are known, operators send whole documents, and an outside list tells the
-// back ends.
+// Site holds what a controller that serves relays needs in addition to its settings: it knows only
+// some of the other controllers, operators send whole documents, and the back ends are read from an
+// external list.
 type Site struct {
 	// Seeds, Bootstrap and FormationSize form the quorum; see consensus.Config.
 	Seeds         []string
 	Bootstrap     bool
 	FormationSize int
-	// ReloadedSeeds brings seeds that the settings name now; nil for none.
+	// ReloadedSeeds delivers the seeds after a reload of the settings; nil if they are never reloaded.
 	ReloadedSeeds <-chan []string
-	// ListingInterval is the time between the leader's readings of the list.
+	// ListingInterval is the interval at which the leader reads the list.
 	ListingInterval time.Duration
-	// ReadListing reads so many pages of the outside list of back ends; 0 pages are all.
+	// ReadListing reads the first pages of the external list of back ends; 0 pages means the whole list.
 	ReadListing func(ctx context.Context, client *http.Client, pages int) (serving.Listing, error)
-	// Without are mechanisms that are left out; none for users.
+	// Without are the mechanisms that are disabled for measurements; users disable none.
 	Without mechanism.Set
 	// PriorPrefillShare, OrderWait and OrderLifetime: see control.Config.
 	PriorPrefillShare float64
 	OrderWait         time.Duration
 	OrderLifetime     time.Duration
-	// OrderStage orders an engine into a role. The error tells why the outcome is not
+	// OrderStage orders an engine into a role. The error gives the reason if the outcome is not
 	// control.StageAccepted.
 	OrderStage func(ctx context.Context, client *http.Client, order StageOrder) (StageResult, error)
 	// Usage, DutyInterval and DutyLifetime: see control.Config.
 	Usage        usage.Config
 	DutyInterval time.Duration
 	DutyLifetime time.Duration
-	// ReportUsage tells the platform the counts of a window; nil where nobody wants them. The error
-	// tells why the outcome is not duty.Accepted.
+	// ReportUsage reports the counts of a window to the platform; nil if usage is not reported. The error
+	// gives the reason if the outcome is not duty.Accepted.
 	ReportUsage func(ctx context.Context, client *http.Client, report UsageReport) (duty.Outcome, error)
-	// ReadConfiguration and OrderReplicas are set where the number of replicas is ours to order: one
-	// reads the operator's document, the other orders replicas. The error tells why the outcome is
-	// not duty.Accepted.
+	// ReadConfiguration parses the operator's document and OrderReplicas orders replicas. Both are set if
+	// controllers decide the number of replicas. The error of OrderReplicas gives the reason if the outcome
+	// is not duty.Accepted.
 	ReadConfiguration func(content []byte) (serving.Configuration, error)
 	// NamedServices and OnDemandShare: see control.Config.
 	NamedServices func(content []byte) []string
@@ -61,24 +61,24 @@
 	OrderReplicas func(ctx context.Context, client *http.Client, order ReplicaOrder) (duty.Outcome, error)
 	// OperatorListen is the IP:port for operators.
 	OperatorListen string
-	// OperatorHandler answers operators from the store.
+	// OperatorHandler returns the handler that serves operators from the store.
 	OperatorHandler func(store DocumentStore) http.Handler
 }
 
-// UsageReport is what tenants used in a window.
+// UsageReport is the usage of tenants in a window.
 type UsageReport struct {
 	Window usage.Window
 	Counts usage.Counts
-	// Holder and Fence say who tells.
+	// Holder and Fence identify the reporting leader and its fencing token.
 	Holder string
 	Fence  uint64
 }
 
-// ReplicaOrder orders how many replicas a group has.
+// ReplicaOrder sets the number of replicas that a group should have.
 type ReplicaOrder struct {
 	Group   replicaplan.Group
 	Desired int
-	// Holder and Fence say who orders.
+	// Holder and Fence identify the ordering leader and its fencing token.
 	Holder string
 	Fence  uint64
 }
@@ -87,19 +87,19 @@
 type StageOrder struct {
 	Engine serving.BackEnd
 	Stage  serving.Stage
-	// Holder and Fence say who orders.
+	// Holder and Fence identify the ordering leader and its fencing token.
 	Holder string
 	Fence  uint64
 }
 
-// StageResult is what became of a StageOrder, and what the engine asked for in its answer.
+// StageResult is the outcome of a StageOrder and the backpressure directives in the engine's answer.
 type StageResult struct {
 	Outcome    control.StageOutcome
 	Directives backpressure.Directives
 }
 
-// takeSeeds hands seeds that were read again to the Core until the context ends.
-func (c *controller) takeSeeds(ctx context.Context) {
+// forwardSeeds passes reloaded seeds to the Core until the context ends.
+func (c *controller) forwardSeeds(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -112,9 +112,9 @@
 	}
 }
 
-// DocumentStore keeps the operator's document. Errors are control.NotLeaderError when
-// another controller must be asked, bad parameters for documents that are never taken, and
-// anything else when it is not known whether the call had an effect.
+// DocumentStore stores the operator's document. Its errors are control.NotLeaderError when the
+// caller must use another controller, BadParameter for a document that is never accepted, and
+// any other error when the call may or may not have had an effect.
 type DocumentStore interface {
 	// Put returns once the document, or one with a higher number, is committed.
 	Put(ctx context.Context, number uint64, content []byte) error
@@ -122,7 +122,7 @@
 	Read(ctx context.Context) ([]byte, error)
 }
 
-// documentCallTimeout ends a call whose answer no one waits for any more.
+// documentCallTimeout limits a call to the store; clients give up before it.
 const documentCallTimeout = 3 * time.Second
 
 // documentStore is the DocumentStore of a running controller.
@@ -158,47 +158,48 @@
 	return document.GetContent(), nil
 }
 
-// listingReader reads the outside list whenever the Core asks for it.
+// listingReader reads the external list when the Core requests it.
 type listingReader struct {
 	read   func(ctx context.Context, client *http.Client, pages int) (serving.Listing, error)
 	client *http.Client
-	// wanted holds how many pages to read.
-	wanted  chan int
-	deliver func(context.Context, control.Input) error
-	faults  listing.Faults
-	log     *logring.Log
+	// requests holds the number of pages to read.
+	requests chan int
+	deliver  func(context.Context, control.Input) error
+	faults   listing.Faults
+	log      *logring.Log
 }
 
-// listingReadTimeout bounds one reading of the list.
+// listingReadTimeout limits each call that reads the list.
 const listingReadTimeout = time.Second
 
 func newListingReader(site *Site, dial dialing.Dial, deliver func(context.Context, control.Input) error, log *logring.Log) *listingReader {
 	return &listingReader{
-		read:   site.ReadListing,
-		client: &http.Client{Transport: &http.Transport{DialContext: dial}, Timeout: listingReadTimeout},
-		wanted: make(chan int, 1), deliver: deliver, log: log,
+		read:     site.ReadListing,
+		client:   &http.Client{Transport: &http.Transport{DialContext: dial}, Timeout: listingReadTimeout},
+		requests: make(chan int, 1), deliver: deliver, log: log,
 	}
 }
 
-// request asks for a reading of so many pages, 0 for all; it never blocks.
+// request requests a reading of this number of pages, 0 for all. It never blocks: a request is dropped while
+// another one waits.
 func (l *listingReader) request(pages int) {
 	select {
-	case l.wanted <- pages:
+	case l.requests <- pages:
 	default:
 	}
 }
 
-// run reads until the context ends.
+// run serves requests until the context ends.
 func (l *listingReader) run(ctx context.Context) {
 	for {
 		var pages int
 		select {
 		case <-ctx.Done():
 			return
-		case pages = <-l.wanted:
+		case pages = <-l.requests:
 		}
 		read, err := l.read(ctx, l.client, pages)
-		if fault, isNews := l.faults.Update(read, err); isNews {
+		if fault, isNew := l.faults.Update(read, err); isNew {
 			l.log.Warn().Str(events.FieldEvent, string(events.ListingFault)).Str("fault", fault).Send()
 		}
 		received := control.ListingReceived{Failed: err != nil, Calls: read.Calls, Complete: read.Complete}
--- a/internal/controller/site_metrics.go
+++ b/internal/controller/site_metrics.go
@@ -9,35 +9,35 @@
 
 // siteInstruments are the metrics of a leader that serves relays; 0 at other controllers.
 type siteInstruments struct {
-	relays, waitingWatches     prometheus.Gauge
-	formerRelays, toldAgain    prometheus.Gauge
-	backEnds, told, pages      prometheus.Gauge
-	newsPerSecond, quorumHeard prometheus.Gauge
+	relays, waitingWatches             prometheus.Gauge
+	formerRelays, repeatedUpdates      prometheus.Gauge
+	backEnds, publishedBackEnds, pages prometheus.Gauge
+	updatesPerSecond, quorumSilence    prometheus.Gauge
 }
 
 func newSiteInstruments(factory metrics.Factory) siteInstruments {
 	return siteInstruments{
-		relays:         factory.Gauge("relays", "Relays heard of lately."),
-		formerRelays:   factory.Gauge("relays_of_former_formats", "Relays heard of lately that do not know the newest format of this controller."),
-		toldAgain:      factory.Gauge("news_told_again", "Answers with news that a relay was told before and still did not hold, since this process began."),
-		waitingWatches: factory.Gauge("watches_waiting", "Questions of relays that wait for something new or for their turn."),
-		backEnds:       factory.Gauge("back_ends_listed", "Back ends in the last reading of the whole outside list."),
-		told:           factory.Gauge("back_ends_told", "Back ends that relays are told of."),
-		pages:          factory.Gauge("listing_pages", "Pages of the outside list that are read most of the time; 0 is all."),
-		newsPerSecond:  factory.Gauge("news_per_second", "Relays that may be told of news a second."),
-		quorumHeard:    factory.Gauge("quorum_silence_seconds", "Time since a quorum of controllers was heard of."),
+		relays:            factory.Gauge("relays", "Relays heard of lately."),
+		formerRelays:      factory.Gauge("relays_of_former_formats", "Relays heard of lately that do not know the newest format of this controller."),
+		repeatedUpdates:   factory.Gauge("news_told_again", "Answers with news that a relay was told before and still did not hold, since this process began."),
+		waitingWatches:    factory.Gauge("watches_waiting", "Questions of relays that wait for something new or for their turn."),
+		backEnds:          factory.Gauge("back_ends_listed", "Back ends in the last reading of the whole outside list."),
+		publishedBackEnds: factory.Gauge("back_ends_told", "Back ends that relays are told of."),
+		pages:             factory.Gauge("listing_pages", "Pages of the outside list that are read most of the time; 0 is all."),
+		updatesPerSecond:  factory.Gauge("news_per_second", "Relays that may be told of news a second."),
+		quorumSilence:     factory.Gauge("quorum_silence_seconds", "Time since a quorum of controllers was heard of."),
 	}
 }
 
-// set tells how a site stands.
+// set updates the gauges from the status of a site.
 func (s siteInstruments) set(site control.SiteStatus) {
 	s.relays.Set(float64(site.Relays))
 	s.formerRelays.Set(float64(site.FormerRelays))
-	s.toldAgain.Set(float64(site.RepeatedUpdates))
+	s.repeatedUpdates.Set(float64(site.RepeatedUpdates))
 	s.waitingWatches.Set(float64(site.WaitingWatches))
 	s.backEnds.Set(float64(site.BackEnds))
-	s.told.Set(float64(site.PublishedBackEnds))
+	s.publishedBackEnds.Set(float64(site.PublishedBackEnds))
 	s.pages.Set(float64(site.Pages))
-	s.newsPerSecond.Set(site.UpdatesPerSecond)
-	s.quorumHeard.Set(site.QuorumSilence.Seconds())
+	s.updatesPerSecond.Set(site.UpdatesPerSecond)
+	s.quorumSilence.Set(site.QuorumSilence.Seconds())
 }
--- a/internal/controller/stage_orders.go
+++ b/internal/controller/stage_orders.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// stageOrderWorkers is how many orders are under way at once, so that an engine that is
-	// silent does not hold up the orders to others.
+	// stageOrderWorkers is the number of concurrent orders, so that an engine that does not
+	// answer delays no orders to others.
 	stageOrderWorkers = 8
-	// stageOrderQueue bounds the orders that wait; the Core repeats those that are lost.
+	// stageOrderQueue limits the orders that wait; the Core repeats lost orders.
 	stageOrderQueue = 64
 )
 
-// stageOrderer carries orders to listed engines. An order whose time is over is not sent:
-// engines may take the fence of a former leader, so nothing of it may reach them once its
-// successor may order.
+// stageOrderer sends orders to listed engines. It does not send an expired order: engines may
+// accept the fence of a former leader, so no part of an order may reach them once the leader's
+// successor may send orders.
 type stageOrderer struct {
 	order   func(ctx context.Context, client *http.Client, order StageOrder) (StageResult, error)
 	dial    dialing.Dial
@@ -37,7 +37,7 @@
 	log     *logring.Log
 
 	mutex sync.Mutex
-	// signals are what engines have asked of this process.
+	// signals holds the backpressure directives that engines have sent to this process.
 	signals *backpressure.Registry
 }
 
@@ -49,8 +49,8 @@
 	}
 }
 
-// accept queues an order; it never blocks and reports false when the queue is full.
-func (s *stageOrderer) accept(order control.ChangeStage) bool {
+// enqueue queues an order; it never blocks and reports false when the queue is full.
+func (s *stageOrderer) enqueue(order control.ChangeStage) bool {
 	select {
 	case s.queue <- order:
 		return true
@@ -59,19 +59,19 @@
 	}
 }
 
-// run carries out orders until the context ends.
+// run executes queued orders until the context ends.
 func (s *stageOrderer) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case order := <-s.queue:
-			s.carryOut(ctx, order)
+			s.execute(ctx, order)
 		}
 	}
 }
 
-func (s *stageOrderer) carryOut(ctx context.Context, change control.ChangeStage) {
+func (s *stageOrderer) execute(ctx context.Context, change control.ChangeStage) {
 	order := StageOrder{
 		Engine: serving.BackEndFromProto(change.BackEnd), Stage: serving.StageOfRole(change.Role),
 		Holder: change.Holder, Fence: change.Fence,
@@ -82,14 +82,14 @@
 	_ = s.deliver(ctx, control.StageChangeFinished{ID: order.Engine.ID, Outcome: outcome}) // fails only when the process stops
 }
 
-// errEngineRests tells that an engine has asked not to be called for now.
-var errEngineRests = errors.New("the engine has asked to be left alone for now")
+// errEngineInBackoff is the reason for not calling an engine that has asked for a backoff.
+var errEngineInBackoff = errors.New("the engine has asked for a backoff; the core will send the order again later")
 
-// send sends the order within its time, on connections of its own. An engine that has asked for rest is not
-// called: the Core orders it again later.
+// send sends the order before its expiry, on new connections. It does not call an engine in
+// backoff: the Core repeats the order later.
 func (s *stageOrderer) send(ctx context.Context, order StageOrder, notAfter time.Duration) (control.StageOutcome, error) {
-	if s.rests(order.Engine.ID) {
-		return control.StageRefused, trace.Wrap(errEngineRests)
+	if s.inBackoff(order.Engine.ID) {
+		return control.StageRefused, trace.Wrap(errEngineInBackoff)
 	}
 	remaining := func() time.Duration { return notAfter - s.now() }
 	if remaining() <= 0 {
@@ -97,31 +97,31 @@
 	}
 	limited, cancel := context.WithTimeout(ctx, remaining())
 	defer cancel()
-	answer, err := s.order(limited, expiringClient(s.dial, remaining), order)
-	s.noteAsked(order.Engine.ID, answer.Directives)
-	return answer.Outcome, err
+	result, err := s.order(limited, expiringClient(s.dial, remaining), order)
+	s.recordDirectives(order.Engine.ID, result.Directives)
+	return result.Outcome, err
 }
 
-// rests reports whether an engine has asked not to be called for now.
-func (s *stageOrderer) rests(identity string) bool {
+// inBackoff reports whether an engine has asked for a backoff that has not ended.
+func (s *stageOrderer) inBackoff(identity string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.signals.SignalsOf(identity).RemainingBackoff(s.now()) > 0
 }
 
-// limitedOrderPause is the least time between two orders to an engine that names a limit for all processes together: the
-// span over which it looks at what it gets. Its tolerance of five requests beyond the limit covers the two calls of one
-// order in each.
-const limitedOrderPause = 4 * time.Second
+// limitedOrderInterval is the shortest interval between two orders to an engine that sets a limit for all processes
+// together. It is the window in which the engine counts requests. An order takes two calls; the engine tolerates five
+// requests beyond the limit in a window, which covers them.
+const limitedOrderInterval = 4 * time.Second
 
-// noteAsked takes what an engine has asked for, and forgets the engines whose rest is over.
-func (s *stageOrderer) noteAsked(identity string, asked backpressure.Directives) {
+// recordDirectives records an engine's directives and removes the engines whose backoff is over.
+func (s *stageOrderer) recordDirectives(identity string, directives backpressure.Directives) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	rest := asked.Backoff
-	if asked.Limit.IsSet { // relays have the rest of what it allows: its order and the look before it are two calls
-		rest = max(rest, limitedOrderPause)
+	backoff := directives.Backoff
+	if directives.Limit.IsSet { // relays use the rest of the limit: an order takes two calls, one to read the report
+		backoff = max(backoff, limitedOrderInterval)
 	}
-	s.signals.SignalsOf(identity).ExtendBackoff(s.now(), rest)
+	s.signals.SignalsOf(identity).ExtendBackoff(s.now(), backoff)
 	s.signals.RemoveUnlisted(s.now(), func(string) bool { return false })
 }
--- a/internal/controller/stage_orders_test.go
+++ b/internal/controller/stage_orders_test.go
@@ -21,17 +21,17 @@
 	return newStageOrderer(&Site{OrderStage: order}, nil, now, deliver, logring.New("c1", settings.Log{RingEntries: 16})), delivered
 }
 
-// An order that waited in the queue beyond its time is not sent, and the Core is told so.
+// An order that has expired in the queue is not sent, and the Core receives StageRefused.
 func TestExpiredStageOrderIsNotSent(t *testing.T) {
 	for name, row := range map[string]struct {
 		now  time.Duration
 		sent int
 		want control.StageOutcome
 	}{
-		"in time":        {now: 9 * time.Second, sent: 1, want: control.StageAccepted},
-		"at its end":     {now: 10 * time.Second, want: control.StageRefused},
-		"long after it":  {now: time.Hour, want: control.StageRefused},
-		"woken too late": {now: 10*time.Second + 1, want: control.StageRefused},
+		"in time":       {now: 9 * time.Second, sent: 1, want: control.StageAccepted},
+		"at its expiry": {now: 10 * time.Second, want: control.StageRefused},
+		"long after it": {now: time.Hour, want: control.StageRefused},
+		"just too late": {now: 10*time.Second + 1, want: control.StageRefused},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sent := 0
@@ -42,14 +42,14 @@
 					require.True(t, bounded)
 					return StageResult{Outcome: control.StageAccepted}, nil
 				})
-			orderer.carryOut(t.Context(), control.ChangeStage{BackEnd: &v1.ListedBackEnd{Id: "engine"}, NotAfter: 10 * time.Second})
+			orderer.execute(t.Context(), control.ChangeStage{BackEnd: &v1.ListedBackEnd{Id: "engine"}, NotAfter: 10 * time.Second})
 			require.Equal(t, row.sent, sent)
 			require.Equal(t, control.StageChangeFinished{ID: "engine", Outcome: row.want}, <-delivered)
 		})
 	}
 }
 
-// An engine that has asked for rest is not called until the rest is over; the Core is told that nothing was sent.
+// An engine that has asked for a backoff is not called until it ends; the Core receives StageRefused meanwhile.
 func TestAnEngineThatAsksForRestIsNotOrdered(t *testing.T) {
 	now, sent := time.Duration(0), 0
 	orderer, delivered := newTestOrderer(func() time.Duration { return now },
@@ -58,7 +58,7 @@
 			return StageResult{Outcome: control.StageRefused, Directives: backpressure.Directives{Backoff: 3 * time.Second}}, nil
 		})
 	order := func(engine string) {
-		orderer.carryOut(t.Context(), control.ChangeStage{BackEnd: &v1.ListedBackEnd{Id: engine}, NotAfter: time.Hour})
+		orderer.execute(t.Context(), control.ChangeStage{BackEnd: &v1.ListedBackEnd{Id: engine}, NotAfter: time.Hour})
 		require.Equal(t, control.StageChangeFinished{ID: engine, Outcome: control.StageRefused}, <-delivered)
 	}
 	order("rests")
@@ -73,8 +73,8 @@
 	require.Equal(t, 3, sent)
 }
 
-// An engine that names a limit for all processes together gets one order within the span over which it looks at what
-// it gets; orders went out as often as the plan asked for them, whatever the engine's answers said.
+// An engine that sets a limit for all processes together gets one order within the window in which it counts requests.
+// Guards against orders that were sent as often as the plan wanted them, regardless of the engine's limit.
 func TestAnEngineThatNamesALimitIsOrderedSeldom(t *testing.T) {
 	now, sent := time.Duration(0), 0
 	orderer, delivered := newTestOrderer(func() time.Duration { return now },
@@ -83,7 +83,7 @@
 			return StageResult{Outcome: control.StageAccepted, Directives: backpressure.Directives{Limit: backpressure.Limit{IsSet: true, PerSecond: 1}}}, nil
 		})
 	order := func() {
-		orderer.carryOut(t.Context(), control.ChangeStage{BackEnd: &v1.ListedBackEnd{Id: "limited"}, NotAfter: time.Hour})
+		orderer.execute(t.Context(), control.ChangeStage{BackEnd: &v1.ListedBackEnd{Id: "limited"}, NotAfter: time.Hour})
 		<-delivered
 	}
 	for ; now < 20*time.Second; now += time.Second {
--- a/internal/controller/syncer.go
+++ b/internal/controller/syncer.go
@@ -15,17 +15,17 @@
 	Write(batches []control.Persist) error
 }
 
-// syncer writes what the Core wants persisted. Batches that come up while a sync
-// runs are written together with the next one.
+// syncer writes the batches that the Core wants persisted. Batches that arrive during a
+// sync are written together with the next one.
 type syncer struct {
 	writer batchWriter
 	loop   *loop
-	// observe is told how many batches were written together and how long it took.
+	// observe receives the number of batches of a write and its duration.
 	observe func(batches int, took time.Duration)
 }
 
-// run writes until the context ends or the disk fails. A failed disk ends the
-// process: what it holds is unknown, and a restart reads it again.
+// run writes until the context ends or the disk fails. A disk error ends the
+// process: the contents of the disk are unknown, and a restart reads them again.
 func (s *syncer) run(ctx context.Context) error {
 	for {
 		select {
--- a/internal/controller/time_of_day.go
+++ b/internal/controller/time_of_day.go
@@ -2,6 +2,6 @@
 
 import "time"
 
-// timeOfDay reads this machine's clock, in milliseconds since the start of 1970. It may be wrong and
-// jump: only the Core's agreement with other controllers makes a time of it.
+// timeOfDay returns the time of this machine's clock in Unix milliseconds. The clock may be wrong and may
+// jump; the Core derives a reliable time by agreement with other controllers.
 func timeOfDay() int64 { return time.Now().UnixMilli() }
--- a/internal/controller/transport.go
+++ b/internal/controller/transport.go
@@ -21,19 +21,19 @@
 	dialTimeout       = 2 * time.Second
 	headerReadTimeout = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
-	// maximumNodeMessage bounds what gateways and operators may send in one call.
-	maximumNodeMessage = 16 << 20
-	// maximumPeerMessage bounds what controllers send each other; a snapshot is one message.
-	maximumPeerMessage = 256 << 20
-	// compressMinimum is the size from which answers are compressed: heartbeats and
-	// reports stay below it, whole configurations and directories are above.
-	compressMinimum = 4 << 10
-	// shutdownTimeout is how long a stopping controller waits for calls in hand.
+	// maxNodeMessageBytes limits a message of a gateway or operator.
+	maxNodeMessageBytes = 16 << 20
+	// maxPeerMessageBytes limits a message between controllers; a snapshot is one message.
+	maxPeerMessageBytes = 256 << 20
+	// compressMinBytes is the size from which answers are compressed: heartbeats and
+	// reports are smaller, whole configurations and directories are larger.
+	compressMinBytes = 4 << 10
+	// shutdownTimeout is how long a stopping controller waits for calls in flight.
 	shutdownTimeout = time.Second
 )
 
-// protocols are HTTP/1.1 and HTTP/2 without TLS as well: HTTP/2 sends the headers
-// of a repeated call as a few bytes and needs one connection per peer.
+// protocols returns HTTP/1.1 and HTTP/2, the latter also without TLS: HTTP/2 compresses the
+// repeated headers of calls to a few bytes and needs one connection per peer.
 func protocols() *http.Protocols {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -42,7 +42,7 @@
 	return protocols
 }
 
-// newPeerClient returns the HTTP client towards other controllers.
+// newPeerClient returns the HTTP client for other controllers.
 func newPeerClient(dial dialing.Dial, encryption *tls.Config) *http.Client {
 	transport := &http.Transport{
 		DialContext:     dialing.WithTimeout(dial, dialing.PeerTimeout),
@@ -55,7 +55,7 @@
 	return &http.Client{Transport: transport}
 }
 
-// peerURL returns the base URL of a controller.
+// peerURL returns a function that returns the base URL of a controller.
 func peerURL(encrypted bool) func(address string) string {
 	scheme := "http://"
 	if encrypted {
@@ -64,23 +64,23 @@
 	return func(address string) string { return scheme + address }
 }
 
-// handler routes the three services. With TLS each is open to the roles that need it;
-// controllers are among them everywhere, for they pass calls on to the leader.
+// handler routes the three services. With TLS, each is restricted to the roles that need it.
+// Controllers may call all of them, because they forward calls to the leader.
 func handler(fleet string, interceptor connect.Interceptor, consensus consensusService, node nodeService, operator operatorService) http.Handler {
 	routes := http.NewServeMux()
-	intercepted := connect.WithHandlerOptions(connect.WithInterceptors(interceptor), connect.WithCompressMinBytes(compressMinimum))
-	path, service := hazelpitchv1connect.NewConsensusServiceHandler(consensus, connect.WithReadMaxBytes(maximumPeerMessage), intercepted)
+	intercepted := connect.WithHandlerOptions(connect.WithInterceptors(interceptor), connect.WithCompressMinBytes(compressMinBytes))
+	path, service := hazelpitchv1connect.NewConsensusServiceHandler(consensus, connect.WithReadMaxBytes(maxPeerMessageBytes), intercepted)
 	routes.Handle(path, keys.RequireRole(service, fleet, keys.RoleController))
-	path, service = hazelpitchv1connect.NewNodeServiceHandler(node, connect.WithReadMaxBytes(maximumNodeMessage), intercepted)
+	path, service = hazelpitchv1connect.NewNodeServiceHandler(node, connect.WithReadMaxBytes(maxNodeMessageBytes), intercepted)
 	routes.Handle(path, keys.RequireRole(service, fleet, keys.RoleGateway, keys.RoleController))
-	// Operators prove themselves by key in every call, with or without a certificate.
-	routes.Handle(hazelpitchv1connect.NewOperatorServiceHandler(operator, connect.WithReadMaxBytes(maximumNodeMessage), intercepted))
+	// Operators authenticate with a key in every call, with or without a certificate.
+	routes.Handle(hazelpitchv1connect.NewOperatorServiceHandler(operator, connect.WithReadMaxBytes(maxNodeMessageBytes), intercepted))
 	return routes
 }
 
-// serveHTTP answers on the listener until the context ends, and then finishes the
-// calls in hand within shutdownTimeout. It closes the listener. The logger is told of
-// peers that are refused in the handshake, and why.
+// serveHTTP serves on the listener until the context ends, and then finishes the
+// calls in flight within shutdownTimeout. It closes the listener. The logger receives
+// the reasons why peers were refused in the TLS handshake.
 func serveHTTP(ctx context.Context, listener net.Listener, routes http.Handler, encryption *tls.Config, logger *log.Logger) error {
 	server := &http.Server{
 		Handler:           routes,
--- a/internal/controller/wire.go
+++ b/internal/controller/wire.go
@@ -11,40 +11,40 @@
 	"github.com/hazelpitch/hazelpitch/internal/dialing"
 )
 
-// Values of the label connection of the wire byte counters.
+// Values of the metric label connection of the wire byte counters.
 const (
-	connectionAccepted = "accepted" // peers, nodes and operators that called
-	connectionPeers    = "peers"    // controllers called
-	connectionOutside  = "outside"  // engines and the machine list
+	connectionAccepted = "accepted" // from peers, nodes and operators
+	connectionPeers    = "peers"    // to other controllers
+	connectionOutside  = "outside"  // to engines and the machine list
 )
 
-// countingConn counts the bytes on a connection.
+// countingConn is a connection that counts its bytes.
 type countingConn struct {
 	net.Conn
 	received, sent prometheus.Counter
 }
 
-// Read counts what arrived.
+// Read implements net.Conn.
 func (c countingConn) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
 	c.received.Add(float64(count))
 	return count, err
 }
 
-// Write counts what was sent.
+// Write implements net.Conn.
 func (c countingConn) Write(buffer []byte) (int, error) {
 	count, err := c.Conn.Write(buffer)
 	c.sent.Add(float64(count))
 	return count, err
 }
 
-// countingListener counts the bytes on the connections it accepts.
+// countingListener counts the bytes on the connections that it accepts.
 type countingListener struct {
 	net.Listener
 	instruments instruments
 }
 
-// Accept wraps the next connection.
+// Accept implements net.Listener.
 func (c countingListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
@@ -72,8 +72,8 @@
 	}
 }
 
-// countMessages is an interceptor that counts the encoded size of the messages of
-// each procedure, so that bytes can be told apart by duty.
+// countMessages returns an interceptor that counts the encoded size of messages by
+// procedure, so that the traffic can be attributed to duties.
 func (i instruments) countMessages() connect.Interceptor {
 	return connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, request connect.AnyRequest) (connect.AnyResponse, error) {
