--- a/internal/wal/contents.go
+++ b/internal/wal/contents.go
@@ -12,51 +12,51 @@
 	Term  uint64
 }
 
-// Contents is what a log held when it was opened.
+// Contents is the state that a log had when it was opened.
 type Contents struct {
 	Identity  *v1.DiskIdentity
 	HardState *v1.HardState
 	// Snapshot is the position of the newest snapshot; zero when there is none.
 	Snapshot Position
-	// Entries follow the snapshot without a hole.
+	// Entries follow the snapshot without a gap.
 	Entries []*v1.Entry
 }
 
-// contents tracks what replaying the log gives. Once the log is open the entries'
-// data is of no more use, but their positions are.
+// contents is the state that results from replaying the log. Once the log is open, only the
+// positions of the entries are needed, not their data.
 type contents struct {
-	hardState *v1.HardState
-	snapshot  Position
-	entries   []*v1.Entry
-	exported  bool
+	hardState  *v1.HardState
+	snapshot   Position
+	entries    []*v1.Entry
+	isExported bool
 }
 
-// export returns the contents and forgets the entries' data.
+// export returns the contents and drops the entries' data.
 func (c *contents) export(identity *v1.DiskIdentity) Contents {
 	exported := Contents{Identity: identity, HardState: c.hardState, Snapshot: c.snapshot, Entries: c.entries}
-	c.exported = true
+	c.isExported = true
 	c.entries = nil
-	c.remember(exported.Entries)
+	c.appendEntries(exported.Entries)
 	return exported
 }
 
-// remember appends entries, without their data once the log is open.
-func (c *contents) remember(entries []*v1.Entry) {
+// appendEntries appends entries; once the log is open, it drops their data.
+func (c *contents) appendEntries(entries []*v1.Entry) {
 	for _, entry := range entries {
-		if c.exported {
+		if c.isExported {
 			entry = &v1.Entry{Index: entry.GetIndex(), Term: entry.GetTerm()}
 		}
 		c.entries = append(c.entries, entry)
 	}
 }
 
-// header is the record that begins a segment.
+// header returns the record that begins a segment.
 func (c *contents) header() *v1.LogRecord {
 	return &v1.LogRecord{HardState: c.hardState, SnapshotIndex: c.snapshot.Index, SnapshotTerm: c.snapshot.Term}
 }
 
-// replacedBy reports whether the record's snapshot conflicts with the entries held,
-// so that all of them are void.
+// replacedBy reports whether the record's snapshot conflicts with the entries in the log,
+// so that all of them are invalid.
 func (c *contents) replacedBy(record *v1.LogRecord) bool {
 	if record.GetSnapshotIndex() == 0 {
 		return false
@@ -83,12 +83,12 @@
 	}
 	entries := record.GetEntries()
 	for len(entries) > 0 && entries[0].GetIndex() <= c.snapshot.Index {
-		entries = entries[1:] // from before a snapshot that is newer
+		entries = entries[1:] // covered by a newer snapshot
 	}
 	if len(entries) == 0 {
 		return nil
 	}
-	if err := c.cutFrom(entries[0].GetIndex()); err != nil {
+	if err := c.truncateFrom(entries[0].GetIndex()); err != nil {
 		return trace.Wrap(err)
 	}
 	for i, entry := range entries {
@@ -96,11 +96,11 @@
 			return trace.Wrap(ErrCorrupt, "entry %d stands where %d is due", entry.GetIndex(), entries[0].GetIndex()+uint64(i))
 		}
 	}
-	c.remember(entries)
+	c.appendEntries(entries)
 	return nil
 }
 
-// replaySnapshot drops the entries that the snapshot covers or voids.
+// replaySnapshot drops the entries that the snapshot covers or invalidates.
 func (c *contents) replaySnapshot(record *v1.LogRecord) {
 	if record.GetSnapshotIndex() < c.snapshot.Index {
 		return
@@ -117,26 +117,26 @@
 	c.entries = append([]*v1.Entry(nil), c.entries[covered:]...)
 }
 
-// cutFrom drops the entries from index on; index must follow what stays. While the
-// log is read, its beginning may be missing: a snapshot recorded later covers it.
-func (c *contents) cutFrom(index uint64) error {
-	first := c.snapshot.Index + 1
+// truncateFrom drops the entries from index on. The index must be within the log or right after it, except while
+// the log is read: its beginning may then be missing, because a snapshot recorded later covers it.
+func (c *contents) truncateFrom(index uint64) error {
+	firstIndex := c.snapshot.Index + 1
 	if len(c.entries) > 0 {
-		first = c.entries[0].GetIndex()
+		firstIndex = c.entries[0].GetIndex()
 	}
-	end := first + uint64(len(c.entries))
-	if !c.exported && (len(c.entries) == 0 || index < first) {
+	endIndex := firstIndex + uint64(len(c.entries))
+	if !c.isExported && (len(c.entries) == 0 || index < firstIndex) {
 		c.entries = nil
 		return nil
 	}
-	if index < first || index > end {
-		return trace.Wrap(ErrCorrupt, "entry %d does not follow the log, which ends at %d", index, end-1)
+	if index < firstIndex || index > endIndex {
+		return trace.Wrap(ErrCorrupt, "entry %d does not follow the log, which ends at %d", index, endIndex-1)
 	}
-	c.entries = c.entries[:index-first]
+	c.entries = c.entries[:index-firstIndex]
 	return nil
 }
 
-// check reports a hole between the snapshot and the entries once all is read.
+// check returns an error if there is a gap between the snapshot and the entries after the whole log is read.
 func (c *contents) check() error {
 	if len(c.entries) > 0 && c.entries[0].GetIndex() != c.snapshot.Index+1 {
 		return trace.Wrap(ErrCorrupt, "the log begins with entry %d but the snapshot ends at %d; empty the data directory",
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -10,39 +10,39 @@
 	"github.com/hazelpitch/hazelpitch/internal/filesystem"
 )
 
-// DefaultSegmentBytes is the size after which a new segment is started.
+// DefaultSegmentBytes is the default size at which a new segment is started.
 const DefaultSegmentBytes = 16 << 20
 
-// formatVersion is written into every segment; a newer one is refused.
+// formatVersion is the format written into every segment; a log of a newer format is refused.
 const formatVersion = 1
 
-// lockName is the file that keeps two processes off one directory.
+// lockName is the name of the file whose lock keeps other processes out of the directory.
 const lockName = "lock"
 
-// Options tell where and whose the log is.
+// Options say where the log is and to which controller it belongs.
 type Options struct {
 	FileSystem filesystem.FileSystem
 	Directory  string
-	// SegmentBytes is the size after which a new segment is started; zero means the default.
+	// SegmentBytes is the size at which a new segment is started; zero means the default.
 	SegmentBytes int64
-	// Identity is written when the directory holds no log yet.
+	// Identity is written when the directory has no log yet.
 	Identity *v1.DiskIdentity
 }
 
 // Log is the open log of one controller.
 type Log struct {
-	options  Options
-	identity *v1.DiskIdentity
-	lock     io.Closer
-	segments []segment
-	file     filesystem.File
-	next     uint64 // number of the next record
-	contents *contents
-	broken   error
+	options      Options
+	identity     *v1.DiskIdentity
+	lock         io.Closer
+	segments     []segment
+	file         filesystem.File
+	nextSequence uint64 // number of the next record
+	contents     *contents
+	failure      error
 }
 
-// Open reads the log in the directory, or starts one when there is none. It returns
-// what the log held.
+// Open opens the log in the directory, or creates one when there is none. It returns
+// the contents of the log.
 func Open(options Options) (*Log, Contents, error) {
 	if options.SegmentBytes == 0 {
 		options.SegmentBytes = DefaultSegmentBytes
@@ -68,7 +68,7 @@
 		return trace.Wrap(err)
 	}
 	for i := range l.segments {
-		if err := l.readInto(i); err != nil {
+		if err := l.replaySegment(i); err != nil {
 			return trace.Wrap(err)
 		}
 	}
@@ -81,7 +81,7 @@
 	return trace.Wrap(l.reopenLast())
 }
 
-// listSegments finds the segments, which must be numbered without a hole.
+// listSegments lists the segments, whose numbers must have no gap.
 func (l *Log) listSegments() error {
 	names, err := l.options.FileSystem.ReadDirectory(l.options.Directory)
 	if err != nil {
@@ -93,41 +93,41 @@
 			continue
 		}
 		if count := len(l.segments); count > 0 && l.segments[count-1].number+1 != number {
-			return corruption(segmentPath(l.options.Directory, l.segments[count-1].number+1), 0, "the segment is missing")
+			return corruptionError(segmentPath(l.options.Directory, l.segments[count-1].number+1), 0, "the segment is missing")
 		}
 		l.segments = append(l.segments, segment{number: number})
 	}
 	return nil
 }
 
-// readInto replays the segment at the position in the list.
-func (l *Log) readInto(at int) error {
-	current := &l.segments[at]
+// replaySegment reads and applies the segment at the position in the list.
+func (l *Log) replaySegment(position int) error {
+	current := &l.segments[position]
 	file := segmentPath(l.options.Directory, current.number)
 	data, err := l.options.FileSystem.ReadFile(file)
 	if err != nil {
 		return trace.Wrap(err, "read %s", file)
 	}
-	first := true
-	current.size, err = readSegment(file, data, at == len(l.segments)-1, &l.next, func(record *v1.LogRecord) error {
-		if err := l.checkIdentity(record, first); err != nil {
+	isFirst := true
+	current.validBytes, err = readSegment(file, data, position == len(l.segments)-1, &l.nextSequence, func(record *v1.LogRecord) error {
+		if err := l.checkIdentity(record, isFirst); err != nil {
 			return trace.Wrap(err)
 		}
-		first = false
-		current.note(record)
+		isFirst = false
+		current.recordHighestIndex(record)
 		return trace.Wrap(l.contents.replay(record))
 	})
 	return trace.Wrap(err)
 }
 
-// note takes the record's entries into account.
-func (s *segment) note(record *v1.LogRecord) {
+// recordHighestIndex updates the segment's highest index with the record's entries.
+func (s *segment) recordHighestIndex(record *v1.LogRecord) {
 	for _, entry := range record.GetEntries() {
-		s.highest = max(s.highest, entry.GetIndex())
+		s.highestIndex = max(s.highestIndex, entry.GetIndex())
 	}
 }
 
-// checkIdentity refuses a log that is not this controller's.
+// checkIdentity returns an error if the log does not belong to this controller.
 func (l *Log) checkIdentity(record *v1.LogRecord, first bool) error {
 	identity := record.GetIdentity()
 	if identity == nil {
@@ -136,24 +136,24 @@
 		}
 		return nil
 	}
-	wanted := l.options.Identity
+	expected := l.options.Identity
 	switch {
 	case identity.GetFormat() > formatVersion:
 		return trace.BadParameter("the log has format %d; this program reads up to %d: use a newer program",
 			identity.GetFormat(), formatVersion)
-	case identity.GetFleet() != wanted.GetFleet():
+	case identity.GetFleet() != expected.GetFleet():
 		return trace.BadParameter("the data directory belongs to fleet %q, not %q: correct `fleet` or `data_directory`",
-			identity.GetFleet(), wanted.GetFleet())
-	case identity.GetName() != wanted.GetName():
+			identity.GetFleet(), expected.GetFleet())
+	case identity.GetName() != expected.GetName():
 		return trace.BadParameter("the data directory belongs to controller %q, not %q: correct `name` or `data_directory`",
-			identity.GetName(), wanted.GetName())
+			identity.GetName(), expected.GetName())
 	}
 	l.identity = identity
 	return nil
 }
 
-// startEmpty begins a log with a new identity. Segments without a single sound
-// record are leftovers of a first start that crashed before anything was promised.
+// startEmpty creates a log with a new identity. It first removes segments without a valid
+// record: a first start that crashed before it acknowledged anything left them behind.
 func (l *Log) startEmpty() error {
 	for _, leftover := range l.segments {
 		if err := l.options.FileSystem.Remove(segmentPath(l.options.Directory, leftover.number)); err != nil {
@@ -165,15 +165,15 @@
 		DiskId: l.options.Identity.GetDiskId(), Fleet: l.options.Identity.GetFleet(),
 		Name: l.options.Identity.GetName(), Format: formatVersion,
 	}
-	l.next = 1
+	l.nextSequence = 1
 	return trace.Wrap(l.startSegment(1))
 }
 
-// reopenLast opens the last segment and cuts off its torn end. A last segment
-// without a sound record is a crash while it was started.
+// reopenLast opens the last segment and truncates it after its last valid record. If the last
+// segment has no valid record, a crash interrupted its creation and it is started anew.
 func (l *Log) reopenLast() error {
 	last := &l.segments[len(l.segments)-1]
-	if last.size == 0 {
+	if last.validBytes == 0 {
 		number := last.number
 		l.segments = l.segments[:len(l.segments)-1]
 		return trace.Wrap(l.startSegment(number))
@@ -183,13 +183,13 @@
 		return trace.Wrap(err)
 	}
 	l.file = file
-	if err := file.Truncate(last.size); err != nil {
+	if err := file.Truncate(last.validBytes); err != nil {
 		return trace.Wrap(err)
 	}
 	return trace.Wrap(file.Sync())
 }
 
-// startSegment begins a segment with a record of everything but the entries.
+// startSegment creates a segment. Its first record holds the whole state except the entries.
 func (l *Log) startSegment(number uint64) error {
 	if l.file != nil {
 		if err := l.file.Close(); err != nil {
@@ -210,23 +210,23 @@
 	return trace.Wrap(l.options.FileSystem.SyncDirectory(l.options.Directory))
 }
 
-// Append writes and syncs one record. After an error the log is broken: what is on
-// disk is unknown, and every later call returns the same error.
+// Append writes and syncs one record. After an error the state on disk is unknown:
+// every later call returns the same error.
 func (l *Log) Append(record *v1.LogRecord) error {
-	if l.broken != nil {
-		return l.broken
+	if l.failure != nil {
+		return l.failure
 	}
 	if err := l.append(record); err != nil {
-		l.broken = trace.Wrap(err, "the log is unusable until the process restarts")
-		return l.broken
+		l.failure = trace.Wrap(err, "the log is unusable until the process restarts")
+		return l.failure
 	}
 	return nil
 }
 
-// append starts a new segment where one is due and writes the record.
+// append starts a new segment if the last one is full, and writes the record.
 func (l *Log) append(record *v1.LogRecord) error {
 	last := l.segments[len(l.segments)-1]
-	if last.size >= l.options.SegmentBytes {
+	if last.validBytes >= l.options.SegmentBytes {
 		if err := l.startSegment(last.number + 1); err != nil {
 			return trace.Wrap(err)
 		}
@@ -240,7 +240,7 @@
 
 // write writes one record to the last segment and syncs it.
 func (l *Log) write(record *v1.LogRecord) error {
-	record.Sequence = l.next
+	record.Sequence = l.nextSequence
 	encoded, err := encodeRecord(record)
 	if err != nil {
 		return trace.Wrap(err)
@@ -251,17 +251,17 @@
 	if err := l.file.Sync(); err != nil {
 		return trace.Wrap(err, "sync log record %d", record.GetSequence())
 	}
-	l.next++
+	l.nextSequence++
 	last := &l.segments[len(l.segments)-1]
-	last.size += int64(len(encoded))
-	last.note(record)
+	last.validBytes += int64(len(encoded))
+	last.recordHighestIndex(record)
 	return nil
 }
 
-// RemoveCovered removes the segments whose entries the newest snapshot covers, the
-// oldest first, so that a crash leaves no hole. It returns how many it removed.
+// RemoveCovered removes the segments whose entries are all covered by the newest snapshot. It
+// removes the oldest first, so that a crash leaves no gap, and returns their number.
 func (l *Log) RemoveCovered() (removed int, err error) {
-	for len(l.segments) > 1 && l.segments[0].highest <= l.contents.snapshot.Index {
+	for len(l.segments) > 1 && l.segments[0].highestIndex <= l.contents.snapshot.Index {
 		if err := l.options.FileSystem.Remove(segmentPath(l.options.Directory, l.segments[0].number)); err != nil {
 			return removed, trace.Wrap(err)
 		}
@@ -274,7 +274,7 @@
 	return removed, nil
 }
 
-// Close closes the log. It syncs nothing: every record was synced when it was appended.
+// Close closes the log. It does not sync, because Append syncs every record.
 func (l *Log) Close() error {
 	err := l.file.Close()
 	if lockErr := l.lock.Close(); err == nil {
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -11,11 +11,11 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// A record on disk is magic, length of the payload, CRC-32C of length and payload,
-// then the payload: a LogRecord. The numbers are little-endian, four bytes each.
+// A record on disk consists of magic, length of the payload, CRC-32C of length and payload,
+// and the payload: an encoded LogRecord. The numbers are little-endian with four bytes each.
 const (
-	headerBytes        = 12
-	maximumRecordBytes = 256 << 20
+	headerBytes    = 12
+	maxRecordBytes = 256 << 20
 )
 
 var (
@@ -23,7 +23,7 @@
 	castagnoli  = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// encodeRecord returns the record as written to disk.
+// encodeRecord returns the record as it is written to disk.
 func encodeRecord(record *v1.LogRecord) ([]byte, error) {
 	encoded := make([]byte, headerBytes, headerBytes+proto.Size(record))
 	encoded, err := proto.MarshalOptions{}.MarshalAppend(encoded, record)
@@ -31,8 +31,8 @@
 		return nil, trace.Wrap(err, "encode log record %d", record.GetSequence())
 	}
 	payload := len(encoded) - headerBytes
-	if payload > maximumRecordBytes {
-		return nil, trace.LimitExceeded("log record %d has %d bytes; %d are allowed", record.GetSequence(), payload, maximumRecordBytes)
+	if payload > maxRecordBytes {
+		return nil, trace.LimitExceeded("log record %d has %d bytes; %d are allowed", record.GetSequence(), payload, maxRecordBytes)
 	}
 	copy(encoded, recordMagic)
 	binary.LittleEndian.PutUint32(encoded[4:], uint32(payload))
@@ -40,20 +40,20 @@
 	return encoded, nil
 }
 
-// checksum covers the length and the payload of an encoded record.
+// checksum returns the CRC-32C of the length and the payload of an encoded record.
 func checksum(encoded []byte) uint32 {
 	sum := crc32.Update(0, castagnoli, encoded[4:8])
 	return crc32.Update(sum, castagnoli, encoded[headerBytes:])
 }
 
-// decodeRecord reads the record at the start of data and returns how many bytes it
-// takes. It reports false for anything that is not a whole, sound record.
-func decodeRecord(data []byte) (record *v1.LogRecord, size int, sound bool) {
+// decodeRecord decodes the record at the start of data and returns its length in bytes.
+// It reports false for anything but a complete record with a valid checksum.
+func decodeRecord(data []byte) (record *v1.LogRecord, size int, valid bool) {
 	if len(data) < headerBytes || !bytes.Equal(data[:4], recordMagic) {
 		return nil, 0, false
 	}
 	payload := binary.LittleEndian.Uint32(data[4:])
-	if payload > maximumRecordBytes || int(payload) > len(data)-headerBytes {
+	if payload > maxRecordBytes || int(payload) > len(data)-headerBytes {
 		return nil, 0, false
 	}
 	size = headerBytes + int(payload)
@@ -67,17 +67,17 @@
 	return record, size, true
 }
 
-// soundRecordAfter reports whether any sound record with at least the given number
-// starts in data.
-func soundRecordAfter(data []byte, sequence uint64) bool {
+// containsValidRecord reports whether a valid record with at least the given sequence number
+// starts anywhere in data.
+func containsValidRecord(data []byte, sequence uint64) bool {
 	for {
-		at := bytes.Index(data, recordMagic)
-		if at < 0 {
+		offset := bytes.Index(data, recordMagic)
+		if offset < 0 {
 			return false
 		}
-		if record, _, sound := decodeRecord(data[at:]); sound && record.GetSequence() >= sequence {
+		if record, _, sound := decodeRecord(data[offset:]); sound && record.GetSequence() >= sequence {
 			return true
 		}
-		data = data[at+1:]
+		data = data[offset+1:]
 	}
 }
--- a/internal/wal/replay_fuzz_test.go
+++ b/internal/wal/replay_fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/filesystem/memory"
 )
 
-// FuzzReplay opens a log of two records whose checksums are right and whose contents
-// are arbitrary: it opens or refuses with an error, and entries never have a hole.
+// FuzzReplay opens a log of two records with valid checksums and arbitrary
+// contents: Open returns an error or a log whose entries have no gap.
 func FuzzReplay(f *testing.F) {
 	identity := &v1.DiskIdentity{DiskId: "a/1", Fleet: "fleet", Name: "a", Format: formatVersion}
 	seed := func(record *v1.LogRecord) []byte {
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -11,19 +11,19 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// ErrCorrupt tells that acknowledged records are damaged: the disk must be replaced.
+// ErrCorrupt means that acknowledged records are damaged; the disk must be replaced.
 var ErrCorrupt = errors.New("the log is corrupt")
 
-// segmentPattern names segments by their number.
+// segmentPattern is the file name of a segment with its number.
 const segmentPattern = "segment-%016x.log"
 
 // segment is one log file.
 type segment struct {
 	number uint64
-	// size is the length of its sound records in bytes.
-	size int64
-	// highest is the highest index of an entry in it.
-	highest uint64
+	// validBytes is the length of the segment's valid records in bytes.
+	validBytes int64
+	// highestIndex is the highest index of an entry in the segment.
+	highestIndex uint64
 }
 
 // segmentPath returns the path of a segment.
@@ -31,7 +31,7 @@
 	return path.Join(directory, fmt.Sprintf(segmentPattern, number))
 }
 
-// parseSegmentName returns the number of a segment file.
+// parseSegmentName returns the number in the name of a segment file.
 func parseSegmentName(name string) (number uint64, isSegment bool) {
 	if !strings.HasPrefix(name, "segment-") {
 		return 0, false
@@ -40,32 +40,33 @@
 	return number, err == nil && name == fmt.Sprintf(segmentPattern, number)
 }
 
-// corruption describes damage at an offset of a file.
-func corruption(file string, offset int64, what string) error {
+// corruptionError returns an error for damage at an offset of a file.
+func corruptionError(file string, offset int64, problem string) error {
 	return trace.Wrap(ErrCorrupt, "%s at offset %d: %s; empty the data directory so that the controller joins as a new member",
-		file, offset, what)
+		file, offset, problem)
 }
 
-// readSegment hands each record to take, in order. In the last segment a damaged
-// end that no sound record follows is a torn write, and ends the reading; anywhere
-// else it is corruption. next is the number of the record due.
-func readSegment(file string, data []byte, last bool, next *uint64, take func(*v1.LogRecord) error) (size int64, err error) {
+// readSegment passes each record to apply, in order, and returns the length of the valid records.
+// In the last segment, damage that no valid record follows is a torn write and ends the
+// segment; any other damage is corruption. nextSequence is the number of the next expected record;
+// 0 accepts any.
+func readSegment(file string, data []byte, isLast bool, nextSequence *uint64, apply func(*v1.LogRecord) error) (size int64, err error) {
 	offset := int64(0)
 	for int(offset) < len(data) {
-		record, length, sound := decodeRecord(data[offset:])
-		if !sound {
-			if !last || soundRecordAfter(data[offset:], *next) {
-				return 0, corruption(file, offset, "record "+fmt.Sprint(*next)+" is damaged and records follow it")
+		record, length, valid := decodeRecord(data[offset:])
+		if !valid {
+			if !isLast || containsValidRecord(data[offset:], *nextSequence) {
+				return 0, corruptionError(file, offset, "record "+fmt.Sprint(*nextSequence)+" is damaged and records follow it")
 			}
 			return offset, nil
 		}
-		if *next != 0 && record.GetSequence() != *next {
-			return 0, corruption(file, offset, fmt.Sprintf("record %d stands where %d is due", record.GetSequence(), *next))
+		if *nextSequence != 0 && record.GetSequence() != *nextSequence {
+			return 0, corruptionError(file, offset, fmt.Sprintf("record %d stands where %d is due", record.GetSequence(), *nextSequence))
 		}
-		if err := take(record); err != nil {
+		if err := apply(record); err != nil {
 			return 0, trace.Wrap(err, "%s at offset %d", file, offset)
 		}
-		*next = record.GetSequence() + 1
+		*nextSequence = record.GetSequence() + 1
 		offset += int64(length)
 	}
 	return offset, nil
