--- a/internal/storage/batch.go
+++ b/internal/storage/batch.go
@@ -4,27 +4,27 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// Batch gathers what was asked to be saved one after another, so that one sync
-// serves it all. The zero Batch is empty.
+// Batch combines successive writes so that they need only one sync.
+// The zero Batch is empty.
 type Batch struct {
 	hardState *v1.HardState
 	entries   []*v1.Entry
 	snapshot  *v1.Snapshot
-	used      bool
+	isUsed    bool
 }
 
-// Add appends to the batch and reports whether it could: a snapshot only begins a
-// batch. When it could not, save the batch and begin another.
+// Add adds a write to the batch. It reports false if the write needs a batch of its own: a snapshot must
+// be the first write of a batch, and entries must continue or overwrite those in it.
 func (b *Batch) Add(hardState *v1.HardState, entries []*v1.Entry, snapshot *v1.Snapshot) bool {
-	if snapshot != nil && b.used {
+	if snapshot != nil && b.isUsed {
 		return false
 	}
 	if len(entries) > 0 && len(b.entries) > 0 {
-		first, held := entries[0].GetIndex(), b.entries[0].GetIndex()
-		if first < held || first > held+uint64(len(b.entries)) {
+		first, pendingFirst := entries[0].GetIndex(), b.entries[0].GetIndex()
+		if first < pendingFirst || first > pendingFirst+uint64(len(b.entries)) {
 			return false
 		}
-		b.entries = b.entries[: first-held : first-held]
+		b.entries = b.entries[: first-pendingFirst : first-pendingFirst]
 	}
 	b.entries = append(b.entries, entries...)
 	if hardState != nil {
@@ -33,6 +33,6 @@
 	if snapshot != nil {
 		b.snapshot = snapshot
 	}
-	b.used = true
+	b.isUsed = true
 	return true
 }
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -1,5 +1,5 @@
-// Package storage is the disk of one controller: the log and the snapshots in its
-// data directory. What Save has returned for survives a crash.
+// Package storage is the persistent storage of one controller: the log and the snapshots in
+// its data directory. Everything saved survives a crash once Save has returned.
 //
 // A Storage is not safe for concurrent use.
 package storage
@@ -17,20 +17,20 @@
 	"github.com/hazelpitch/hazelpitch/internal/wal"
 )
 
-// identityBytes is the length of the random part of a disk's identity.
-const identityBytes = 8
+// diskIDRandomBytes is the length of the random part of a disk ID.
+const diskIDRandomBytes = 8
 
-// Options tell where and whose the storage is.
+// Options say where the storage is and to which controller it belongs.
 type Options struct {
-	// Directory holds nothing else. It is made where missing.
+	// Directory is the data directory. It must contain nothing else, and is created if missing.
 	Directory string
-	// Fleet and Name must equal those the directory was first used with.
+	// Fleet and Name must equal those with which the directory was first used.
 	Fleet string
 	Name  string
-	// FileSystem is the machine's when nil.
+	// FileSystem is the machine's file system when nil.
 	FileSystem filesystem.FileSystem
-	// NewDiskID names a directory on its first use; nil takes the controller's name
-	// and a random number.
+	// NewDiskID returns the disk ID of a directory on its first use; when nil, the ID consists of the
+	// controller's name and a random number.
 	NewDiskID func() string
 	// SegmentBytes is the size of a log file; zero means the default.
 	SegmentBytes int64
@@ -42,9 +42,9 @@
 	snapshots *snapshot.Snapshotter
 }
 
-// Open opens the data directory, which one process may do at a time, and returns
-// what it holds. An empty directory gets a new identity. Damage to acknowledged
-// state is an error that names file and offset.
+// Open opens the data directory, which only one process may have open, and returns
+// its contents. An empty directory gets a new disk ID. Damage to acknowledged
+// state is an error that names the file and the offset.
 func Open(options Options) (*Storage, consensus.Restored, error) {
 	if options.Directory == "" || options.Fleet == "" || options.Name == "" {
 		return nil, consensus.Restored{}, trace.BadParameter("storage: data directory, fleet and name must be set")
@@ -87,17 +87,17 @@
 	return restored, nil
 }
 
-// newDiskID returns an identity that no other disk has. It is a name in the operators'
-// language, so that commands on members can be given.
+// newDiskID returns a unique disk ID. It is a valid name in the operators'
+// language, so that commands can refer to members by it.
 func newDiskID(name string) string {
-	random := make([]byte, identityBytes)
+	random := make([]byte, diskIDRandomBytes)
 	_, _ = rand.Read(random) // never fails
 	return name + "." + hex.EncodeToString(random)
 }
 
-// Save writes and syncs a batch; what is nil is unchanged. A snapshot is durable
-// before the log refers to it, and only then are the log files it covers removed.
-// After an error the storage is unusable: end the process.
+// Save writes and syncs a batch; nil values mean no change. A snapshot is durable
+// before the log refers to it, and the log files that it covers are removed only after that.
+// After an error the storage is unusable and the process must end.
 func (s *Storage) Save(hardState *v1.HardState, entries []*v1.Entry, snapshot *v1.Snapshot) error {
 	record := &v1.LogRecord{HardState: hardState, Entries: entries}
 	if snapshot != nil {
@@ -124,7 +124,7 @@
 	return trace.Wrap(s.Save(batch.hardState, batch.entries, batch.snapshot))
 }
 
-// Close releases the data directory. Everything saved is on disk already.
+// Close releases the data directory. Everything saved is already on disk.
 func (s *Storage) Close() error {
 	return trace.Wrap(s.log.Close())
 }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -17,7 +17,7 @@
 
 const testDirectory = "/data"
 
-// openTest opens the storage on a file system; each new identity differs.
+// openTest opens the storage in a directory of a file system.
 func openTest(t *testing.T, fileSystem filesystem.FileSystem, directory string) (*Storage, consensus.Restored) {
 	t.Helper()
 	storage, restored, err := Open(Options{Directory: directory, Fleet: "fleet", Name: "controller-1", FileSystem: fileSystem, SegmentBytes: 400})
@@ -25,7 +25,7 @@
 	return storage, restored
 }
 
-// model is what the storage should hold.
+// model is the expected state of the storage.
 type model struct {
 	hardState *v1.HardState
 	snapshot  *v1.Snapshot
@@ -33,24 +33,24 @@
 	first     uint64 // index of entries[0]
 }
 
-// mutate draws a batch and applies it to the model.
+// mutate generates a random batch and applies it to the model.
 func (m *model) mutate(random *rand.Rand) (*v1.HardState, []*v1.Entry, *v1.Snapshot) {
 	m.hardState = &v1.HardState{Term: m.hardState.GetTerm() + random.Uint64N(2), VotedFor: fmt.Sprint(random.IntN(3))}
 	last := m.first + uint64(len(m.entries)) - 1
-	if random.IntN(8) == 0 && len(m.entries) > 0 { // compaction of our own
+	if random.IntN(8) == 0 && len(m.entries) > 0 { // compaction by this controller
 		at := m.entries[random.IntN(len(m.entries))]
 		m.snapshot = &v1.Snapshot{Metadata: &v1.SnapshotMetadata{Index: at.GetIndex(), Term: at.GetTerm()}, Data: []byte("own")}
 		m.entries = m.entries[at.GetIndex()-m.first+1:]
 		m.first = at.GetIndex() + 1
 		return m.hardState, nil, m.snapshot
 	}
-	if random.IntN(15) == 0 { // snapshot of a leader: voids the log
+	if random.IntN(15) == 0 { // snapshot from a leader, which invalidates the log
 		index := m.first + random.Uint64N(20)
 		m.snapshot = &v1.Snapshot{Metadata: &v1.SnapshotMetadata{Index: index, Term: 1000 + m.hardState.GetTerm()}, Data: []byte("leader")}
 		m.entries, m.first = nil, index+1
 		return m.hardState, nil, m.snapshot
 	}
-	if random.IntN(6) == 0 && len(m.entries) > 0 { // conflict
+	if random.IntN(6) == 0 && len(m.entries) > 0 { // conflicting entries are truncated
 		m.entries = m.entries[:random.IntN(len(m.entries))]
 		last = m.first + uint64(len(m.entries)) - 1
 	}
@@ -58,7 +58,7 @@
 	for i := range uint64(random.IntN(4)) {
 		added = append(added, &v1.Entry{Index: last + 1 + i, Term: m.hardState.GetTerm() + 1, Data: []byte(fmt.Sprint("entry", i))})
 	}
-	if len(added) == 0 { // a conflict is known by what replaces the entries
+	if len(added) == 0 { // a truncation is visible only through the entries that follow it
 		m.entries = append(m.entries, &v1.Entry{Index: last + 1, Term: m.hardState.GetTerm() + 1})
 		return m.hardState, m.entries[len(m.entries)-1:], nil
 	}
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestSurvivesCrashes saves random batches and crashes at random: everything saved
-// is there, whatever the crash kept of what was not.
+// TestSurvivesCrashes saves random batches and crashes at random: everything saved must
+// be restored, whatever part of the unsynced data the crash keeps.
 func TestSurvivesCrashes(t *testing.T) {
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 2))
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestTornLastRecord cuts the unsynced end at every byte.
+// TestTornLastRecord truncates the unsynced last record at every byte.
 func TestTornLastRecord(t *testing.T) {
 	entries := []*v1.Entry{{Index: 1, Term: 1, Data: []byte("kept")}}
 	size := 0
@@ -147,20 +147,20 @@
 	require.NoError(t, storage.Close())
 }
 
-// TestRefusals lists the states of a data directory that a controller must not start on.
-func TestRefusals(t *testing.T) {
+// TestOpenRefusesDamagedDirectories lists the states of a data directory with which a controller must not start.
+func TestOpenRefusesDamagedDirectories(t *testing.T) {
 	segment, second := testDirectory+"/segment-0000000000000001.log", testDirectory+"/segment-0000000000000002.log"
 	for _, row := range []struct {
-		name  string
-		spoil func(t *testing.T, disk *memory.Disk)
-		fleet string
-		want  string
+		name    string
+		corrupt func(t *testing.T, disk *memory.Disk)
+		fleet   string
+		want    string
 	}{
-		{name: "damage in the middle", want: "segment-0000000000000001.log at offset", spoil: func(_ *testing.T, disk *memory.Disk) { disk.Damage(segment, 150) }},
-		{name: "damage in the last record before the newest", want: "segment-0000000000000002.log at offset 0", spoil: func(_ *testing.T, disk *memory.Disk) { disk.Damage(second, 20) }},
-		{name: "missing segment", want: "segment-0000000000000002.log at offset 0: the segment is missing", spoil: func(t *testing.T, disk *memory.Disk) { require.NoError(t, disk.Remove(second)) }},
-		{name: "other fleet", fleet: "other", want: `belongs to fleet "fleet"`, spoil: func(*testing.T, *memory.Disk) {}},
-		{name: "damaged snapshot", want: "checksum", spoil: func(t *testing.T, disk *memory.Disk) {
+		{name: "damage in the middle", want: "segment-0000000000000001.log at offset", corrupt: func(_ *testing.T, disk *memory.Disk) { disk.Damage(segment, 150) }},
+		{name: "damage in the last record before the newest", want: "segment-0000000000000002.log at offset 0", corrupt: func(_ *testing.T, disk *memory.Disk) { disk.Damage(second, 20) }},
+		{name: "missing segment", want: "segment-0000000000000002.log at offset 0: the segment is missing", corrupt: func(t *testing.T, disk *memory.Disk) { require.NoError(t, disk.Remove(second)) }},
+		{name: "another fleet", fleet: "other", want: `belongs to fleet "fleet"`, corrupt: func(*testing.T, *memory.Disk) {}},
+		{name: "damaged snapshot", want: "checksum", corrupt: func(t *testing.T, disk *memory.Disk) {
 			storage, _ := openTest(t, disk, testDirectory)
 			require.NoError(t, storage.Save(nil, nil, &v1.Snapshot{Metadata: &v1.SnapshotMetadata{Index: 3, Term: 1}}))
 			require.NoError(t, storage.Close())
@@ -174,7 +174,7 @@
 				require.NoError(t, storage.Save(&v1.HardState{Term: 1}, []*v1.Entry{{Index: i + 1, Term: 1, Data: make([]byte, 20)}}, nil))
 			}
 			require.NoError(t, storage.Close())
-			row.spoil(t, disk)
+			row.corrupt(t, disk)
 			fleet := "fleet"
 			if row.fleet != "" {
 				fleet = row.fleet
@@ -186,7 +186,7 @@
 	}
 }
 
-func TestFailedSyncBreaksTheStorage(t *testing.T) {
+func TestStorageIsUnusableAfterAFailedSync(t *testing.T) {
 	disk := memory.New()
 	storage, _ := openTest(t, disk, testDirectory)
 	disk.SyncError = fmt.Errorf("disk full")
@@ -195,19 +195,19 @@
 	require.ErrorContains(t, storage.Save(&v1.HardState{Term: 6}, nil, nil), "unusable")
 }
 
-func TestEmptiedDirectoryIsANewDisk(t *testing.T) {
+func TestEmptyDirectoryGetsANewDiskID(t *testing.T) {
 	_, first := openTest(t, memory.New(), testDirectory)
 	_, second := openTest(t, memory.New(), testDirectory)
 	require.NotEqual(t, first.DiskID, second.DiskID)
 }
 
-func TestBatchMerges(t *testing.T) {
+func TestBatchMergesWritesIntoOneSync(t *testing.T) {
 	entry := func(index, term uint64) *v1.Entry { return &v1.Entry{Index: index, Term: term} }
 	batch := &Batch{}
 	require.True(t, batch.Add(&v1.HardState{Term: 1}, []*v1.Entry{entry(1, 1), entry(2, 1), entry(3, 1)}, nil))
 	require.True(t, batch.Add(&v1.HardState{Term: 2}, []*v1.Entry{entry(2, 2)}, nil))
-	require.False(t, batch.Add(nil, nil, &v1.Snapshot{}), "a snapshot only begins a batch")
-	require.False(t, batch.Add(nil, []*v1.Entry{entry(9, 2)}, nil), "no holes")
+	require.False(t, batch.Add(nil, nil, &v1.Snapshot{}), "a snapshot must be the first write of a batch")
+	require.False(t, batch.Add(nil, []*v1.Entry{entry(9, 2)}, nil), "a gap is not allowed")
 	disk := memory.New()
 	storage, _ := openTest(t, disk, testDirectory)
 	syncs := disk.Syncs
@@ -219,7 +219,7 @@
 	require.Equal(t, uint64(2), restored.Entries[1].GetTerm())
 }
 
-// TestDiskIdentityIsAName shows that operators can write a disk's identity as a name.
+// TestDiskIdentityIsAName checks that a disk ID is a valid name in the operators' language.
 func TestDiskIdentityIsAName(t *testing.T) {
 	require.Regexp(t, `^controller-amman-hall-a\.[0-9a-f]{16}$`, newDiskID("controller-amman-hall-a"))
 }
