--- a/internal/snapshot/decode_fuzz_test.go
+++ b/internal/snapshot/decode_fuzz_test.go
@@ -11,17 +11,17 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// FuzzDecode reads arbitrary files, with and without the right checksum: each is
-// refused with an error or gives a snapshot that is written as it was read.
+// FuzzDecode decodes arbitrary files, with and without a valid checksum: decode returns an
+// error or a snapshot that is the same after encoding and decoding it again.
 func FuzzDecode(f *testing.F) {
-	sound, err := encode(&v1.Snapshot{Metadata: &v1.SnapshotMetadata{Index: 7, Term: 2}, Data: []byte("state")})
+	valid, err := encode(&v1.Snapshot{Metadata: &v1.SnapshotMetadata{Index: 7, Term: 2}, Data: []byte("state")})
 	require.NoError(f, err)
-	f.Add(sound, false)
-	f.Add(sound[:headerBytes], false)
-	f.Add(sound[:len(sound)-1], true)
+	f.Add(valid, false)
+	f.Add(valid[:headerBytes], false)
+	f.Add(valid[:len(valid)-1], true)
 	f.Add([]byte(magic), true)
-	f.Fuzz(func(t *testing.T, data []byte, mend bool) {
-		if mend && len(data) >= headerBytes {
+	f.Fuzz(func(t *testing.T, data []byte, fixChecksum bool) {
+		if fixChecksum && len(data) >= headerBytes {
 			copy(data, magic)
 			binary.LittleEndian.PutUint32(data[4:], crc32.Checksum(data[headerBytes:], castagnoli))
 		}
@@ -32,8 +32,8 @@
 		}
 		encoded, err := encode(snapshot)
 		require.NoError(t, err)
-		again, err := decode(encoded)
+		decoded, err := decode(encoded)
 		require.NoError(t, err)
-		require.True(t, proto.Equal(snapshot, again))
+		require.True(t, proto.Equal(snapshot, decoded))
 	})
 }
--- a/internal/snapshot/snapshotter.go
+++ b/internal/snapshot/snapshotter.go
@@ -1,6 +1,6 @@
-// Package snapshot keeps the newest snapshots of a controller's state as files. A
-// snapshot is written beside its final name, synced and renamed, so that a crash
-// leaves either the whole file or none; a checksum finds later damage.
+// Package snapshot stores the newest snapshots of a controller's state as files. A
+// snapshot is written to a temporary file, synced and renamed, so that a crash
+// leaves either the complete file or none; a checksum detects later damage.
 //
 // A Snapshotter is not safe for concurrent use.
 package snapshot
@@ -20,13 +20,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/filesystem"
 )
 
-// DefaultKeep is how many snapshots are kept.
+// DefaultKeep is the default number of snapshots that are kept.
 const DefaultKeep = 2
 
-// ErrCorrupt tells that a snapshot file is missing or damaged: the disk must be replaced.
+// ErrCorrupt means that a snapshot file is missing or damaged; the disk must be replaced.
 var ErrCorrupt = errors.New("the snapshot is missing or damaged")
 
-// A file is magic, CRC-32C of the payload (four bytes, little-endian), payload: a Snapshot.
+// A file consists of magic, CRC-32C of the payload (four bytes, little-endian), and the payload: an encoded Snapshot.
 const (
 	magic          = "HPS1"
 	headerBytes    = 8
@@ -41,15 +41,15 @@
 type Snapshotter struct {
 	fileSystem filesystem.FileSystem
 	directory  string
-	keep       int
+	retained   int
 }
 
-// New returns a Snapshotter that keeps the newest keep snapshots.
-func New(fileSystem filesystem.FileSystem, directory string, keep int) *Snapshotter {
-	return &Snapshotter{fileSystem: fileSystem, directory: directory, keep: max(keep, 1)}
+// New returns a Snapshotter that retains this number of newest snapshots, at least one.
+func New(fileSystem filesystem.FileSystem, directory string, retained int) *Snapshotter {
+	return &Snapshotter{fileSystem: fileSystem, directory: directory, retained: max(retained, 1)}
 }
 
-// Save makes the snapshot durable. Older ones stay until RemoveOld.
+// Save writes and syncs the snapshot. Older snapshots stay until RemoveOld.
 func (s *Snapshotter) Save(snapshot *v1.Snapshot) error {
 	encoded, err := encode(snapshot)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return trace.Wrap(s.fileSystem.SyncDirectory(s.directory))
 }
 
-// writeSynced writes a file and syncs it.
+// writeSynced creates a file with the data and syncs it.
 func (s *Snapshotter) writeSynced(name string, data []byte) error {
 	file, err := s.fileSystem.Create(name)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return trace.Wrap(err)
 }
 
-// Load reads the snapshot at the position.
+// Load reads the snapshot at the log position.
 func (s *Snapshotter) Load(index, term uint64) (*v1.Snapshot, error) {
 	name := s.path(index, term)
 	data, err := s.fileSystem.ReadFile(name)
@@ -99,7 +99,7 @@
 	return snapshot, nil
 }
 
-// RemoveOld removes all but the newest snapshots, and what a crash left behind.
+// RemoveOld removes all but the newest snapshots, including old ones that a crash left behind.
 func (s *Snapshotter) RemoveOld() error {
 	names, err := s.fileSystem.ReadDirectory(s.directory)
 	if err != nil {
@@ -108,10 +108,10 @@
 	var snapshots []string
 	for _, name := range names {
 		if strings.HasPrefix(name, snapshotPrefix) {
-			snapshots = append(snapshots, name) // names sort by index
+			snapshots = append(snapshots, name) // the names are sorted by index
 		}
 	}
-	for len(snapshots) > s.keep {
+	for len(snapshots) > s.retained {
 		if err := s.fileSystem.Remove(path.Join(s.directory, snapshots[0])); err != nil {
 			return trace.Wrap(err)
 		}
@@ -120,12 +120,12 @@
 	return nil
 }
 
-// path returns the path of the snapshot at a position.
+// path returns the path of the snapshot at a log position.
 func (s *Snapshotter) path(index, term uint64) string {
 	return path.Join(s.directory, fmt.Sprintf(filePattern, index, term))
 }
 
-// encode returns a snapshot as written to disk.
+// encode returns a snapshot as it is written to disk.
 func encode(snapshot *v1.Snapshot) ([]byte, error) {
 	encoded := make([]byte, headerBytes, headerBytes+proto.Size(snapshot))
 	copy(encoded, magic)
@@ -137,7 +137,7 @@
 	return encoded, nil
 }
 
-// decode reads a snapshot and checks it.
+// decode decodes a snapshot and verifies its checksum.
 func decode(data []byte) (*v1.Snapshot, error) {
 	if len(data) < headerBytes || string(data[:4]) != magic {
 		return nil, trace.Wrap(ErrCorrupt, "no snapshot header at offset 0")
