--- a/internal/filesystem/memory/memory.go
+++ b/internal/filesystem/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory is a file system in memory that can crash: what was not synced is
-// then lost, whole or in part, as on a real disk. A Disk is not safe for concurrent use.
+// Package memory is a file system in memory that can crash: unsynced data is
+// then lost, completely or in part, as on a real disk. A Disk is not safe for concurrent use.
 package memory
 
 import (
@@ -19,47 +19,47 @@
 // content is the content of one file.
 type content struct {
 	data []byte
-	// synced is what a crash keeps for certain.
+	// synced is the data that survives every crash.
 	synced []byte
 }
 
 // Disk is a file system in memory.
 type Disk struct {
-	names  map[string]*content // as processes see them
-	synced map[string]*content // as a crash leaves them
-	locked map[string]bool
-	// generation grows with each crash: files opened before it are dead.
+	files       map[string]*content // the names that processes see
+	syncedFiles map[string]*content // the names that survive every crash
+	locked      map[string]bool
+	// generation counts the crashes; files that were opened before the last one are unusable.
 	generation int
 	// SyncError, when set, is returned by every sync.
 	SyncError error
-	// IgnoreSync makes syncs do nothing, to show what they are for.
+	// IgnoreSync makes syncs succeed without effect, to show that they are needed.
 	IgnoreSync bool
-	// failAfter counts down the changes until the machine stops; zero never stops.
-	failAfter int
-	stopped   bool
+	// changesUntilStop counts down the changes until the machine stops; zero means that it never stops.
+	changesUntilStop int
+	stopped          bool
 	// Syncs counts the syncs of files.
 	Syncs int
 }
 
 // New returns an empty disk.
 func New() *Disk {
-	return &Disk{names: map[string]*content{}, synced: map[string]*content{}, locked: map[string]bool{}}
+	return &Disk{files: map[string]*content{}, syncedFiles: map[string]*content{}, locked: map[string]bool{}}
 }
 
-// errStopped is what a machine that is about to crash gets.
+// errStopped is returned by every change after the machine has stopped.
 var errStopped = errors.New("the machine has stopped")
 
 // StopAfter lets the given number of changes succeed and every later one fail, as if
-// the machine stopped between two of them. A Crash has to follow.
+// the machine stopped between two changes. A Crash must follow.
 func (d *Disk) StopAfter(changes int) {
-	d.failAfter = changes + 1
+	d.changesUntilStop = changes + 1
 }
 
-// change counts a change and tells whether the machine still runs.
-func (d *Disk) change() error {
-	if d.failAfter > 0 {
-		d.failAfter--
-		d.stopped = d.failAfter == 0
+// countChange counts one change and returns errStopped if the machine has stopped.
+func (d *Disk) countChange() error {
+	if d.changesUntilStop > 0 {
+		d.changesUntilStop--
+		d.stopped = d.changesUntilStop == 0
 	}
 	if d.stopped {
 		return errStopped
@@ -67,61 +67,61 @@
 	return nil
 }
 
-// Crash loses what was not synced. Of the unsynced end of each file the random
-// source keeps a part, which may be damaged; of the unsynced names it keeps some.
-// Keeping is nil for the loss of everything unsynced.
-func (d *Disk) Crash(keeping *rand.Rand) {
+// Crash drops unsynced data. It keeps a random part of the unsynced end of each file, which
+// may be damaged, and a random selection of the unsynced names. When random is nil, it
+// drops everything unsynced.
+func (d *Disk) Crash(random *rand.Rand) {
 	d.generation++
-	d.failAfter, d.stopped = 0, false
+	d.changesUntilStop, d.stopped = 0, false
 	clear(d.locked)
-	survivors := maps.Clone(d.synced)
-	for _, name := range slices.Sorted(maps.Keys(d.names)) {
-		if survivors[name] != d.names[name] && keeping != nil && keeping.IntN(2) == 0 {
-			survivors[name] = d.names[name]
+	survivors := maps.Clone(d.syncedFiles)
+	for _, name := range slices.Sorted(maps.Keys(d.files)) {
+		if survivors[name] != d.files[name] && random != nil && random.IntN(2) == 0 {
+			survivors[name] = d.files[name]
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(d.synced)) {
-		if _, removed := d.names[name]; !removed && keeping != nil && keeping.IntN(2) == 0 {
+	for _, name := range slices.Sorted(maps.Keys(d.syncedFiles)) {
+		if _, removed := d.files[name]; !removed && random != nil && random.IntN(2) == 0 {
 			delete(survivors, name)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(survivors)) {
-		survivors[name].crash(keeping)
+		survivors[name].crash(random)
 	}
-	d.names = survivors
-	d.synced = maps.Clone(survivors)
+	d.files = survivors
+	d.syncedFiles = maps.Clone(survivors)
 }
 
-// crash keeps the synced part and perhaps a torn part of the rest.
-func (c *content) crash(keeping *rand.Rand) {
-	tail := []byte(nil)
+// crash keeps the synced data and a random, possibly torn part of the unsynced data.
+func (c *content) crash(random *rand.Rand) {
+	unsynced := []byte(nil)
 	if len(c.data) > len(c.synced) && slices.Equal(c.data[:len(c.synced)], c.synced) {
-		tail = c.data[len(c.synced):]
+		unsynced = c.data[len(c.synced):]
 	}
 	kept := slices.Clone(c.synced)
-	if keeping != nil && len(tail) > 0 {
-		part := slices.Clone(tail[:keeping.IntN(len(tail)+1)])
-		if len(part) > 0 && keeping.IntN(2) == 0 {
-			clear(part[keeping.IntN(len(part)):])
+	if random != nil && len(unsynced) > 0 {
+		torn := slices.Clone(unsynced[:random.IntN(len(unsynced)+1)])
+		if len(torn) > 0 && random.IntN(2) == 0 {
+			clear(torn[random.IntN(len(torn)):])
 		}
-		kept = append(kept, part...)
+		kept = append(kept, torn...)
 	}
 	c.data, c.synced = kept, slices.Clone(kept)
 }
 
-// Damage flips one bit, for tests of corruption.
+// Damage flips one bit of a file, for tests of corruption.
 func (d *Disk) Damage(name string, offset int) {
-	d.names[name].data[offset] ^= 1
-	d.names[name].synced = slices.Clone(d.names[name].data)
+	d.files[name].data[offset] ^= 1
+	d.files[name].synced = slices.Clone(d.files[name].data)
 }
 
-// MakeDirectory implements filesystem.FileSystem; directories need no making here.
+// MakeDirectory implements filesystem.FileSystem; a directory needs no creation here.
 func (d *Disk) MakeDirectory(string) error { return nil }
 
 // ReadDirectory implements filesystem.FileSystem.
 func (d *Disk) ReadDirectory(directory string) ([]string, error) {
 	var found []string
-	for _, name := range slices.Sorted(maps.Keys(d.names)) {
+	for _, name := range slices.Sorted(maps.Keys(d.files)) {
 		if path.Dir(name) == strings.TrimSuffix(directory, "/") {
 			found = append(found, path.Base(name))
 		}
@@ -131,17 +131,17 @@
 
 // Create implements filesystem.FileSystem.
 func (d *Disk) Create(name string) (filesystem.File, error) {
-	if err := d.change(); err != nil {
+	if err := d.countChange(); err != nil {
 		return nil, err
 	}
 	created := &content{}
-	d.names[name] = created
+	d.files[name] = created
 	return &file{disk: d, generation: d.generation, content: created}, nil
 }
 
 // OpenAppend implements filesystem.FileSystem.
 func (d *Disk) OpenAppend(name string) (filesystem.File, error) {
-	existing, found := d.names[name]
+	existing, found := d.files[name]
 	if !found {
 		return nil, trace.NotFound("%s does not exist", name)
 	}
@@ -150,7 +150,7 @@
 
 // ReadFile implements filesystem.FileSystem.
 func (d *Disk) ReadFile(name string) ([]byte, error) {
-	existing, found := d.names[name]
+	existing, found := d.files[name]
 	if !found {
 		return nil, trace.NotFound("%s does not exist", name)
 	}
@@ -159,33 +159,33 @@
 
 // Rename implements filesystem.FileSystem.
 func (d *Disk) Rename(from, to string) error {
-	if err := d.change(); err != nil {
+	if err := d.countChange(); err != nil {
 		return err
 	}
-	existing, found := d.names[from]
+	existing, found := d.files[from]
 	if !found {
 		return trace.NotFound("%s does not exist", from)
 	}
-	delete(d.names, from)
-	d.names[to] = existing
+	delete(d.files, from)
+	d.files[to] = existing
 	return nil
 }
 
 // Remove implements filesystem.FileSystem.
 func (d *Disk) Remove(name string) error {
-	if err := d.change(); err != nil {
+	if err := d.countChange(); err != nil {
 		return err
 	}
-	if _, found := d.names[name]; !found {
+	if _, found := d.files[name]; !found {
 		return trace.NotFound("%s does not exist", name)
 	}
-	delete(d.names, name)
+	delete(d.files, name)
 	return nil
 }
 
 // SyncDirectory implements filesystem.FileSystem.
 func (d *Disk) SyncDirectory(directory string) error {
-	if err := d.change(); err != nil {
+	if err := d.countChange(); err != nil {
 		return err
 	}
 	if d.SyncError != nil {
@@ -194,14 +194,14 @@
 	if d.IgnoreSync {
 		return nil
 	}
-	for name := range d.synced {
+	for name := range d.syncedFiles {
 		if path.Dir(name) == directory {
-			delete(d.synced, name)
+			delete(d.syncedFiles, name)
 		}
 	}
-	for name, existing := range d.names {
+	for name, existing := range d.files {
 		if path.Dir(name) == directory {
-			d.synced[name] = existing
+			d.syncedFiles[name] = existing
 		}
 	}
 	return nil
@@ -216,7 +216,7 @@
 	return &lock{disk: d, name: name}, nil
 }
 
-// lock is a lock that is held.
+// lock is an acquired lock.
 type lock struct {
 	disk *Disk
 	name string
@@ -235,17 +235,17 @@
 	content    *content
 }
 
-// alive refuses the use of a file that a crash has closed.
-func (f *file) alive() error {
+// checkOpen returns an error if the disk has crashed since the file was opened, and counts one change otherwise.
+func (f *file) checkOpen() error {
 	if f.generation != f.disk.generation {
-		return trace.ConnectionProblem(nil, "the file was open when the disk crashed")
+		return trace.ConnectionProblem(nil, "the disk has crashed since the file was opened")
 	}
-	return f.disk.change()
+	return f.disk.countChange()
 }
 
 // Write implements filesystem.File.
 func (f *file) Write(data []byte) (int, error) {
-	if err := f.alive(); err != nil {
+	if err := f.checkOpen(); err != nil {
 		return 0, err
 	}
 	f.content.data = append(f.content.data, data...)
@@ -254,7 +254,7 @@
 
 // Truncate implements filesystem.File.
 func (f *file) Truncate(size int64) error {
-	if err := f.alive(); err != nil {
+	if err := f.checkOpen(); err != nil {
 		return err
 	}
 	f.content.data = f.content.data[:size:size]
@@ -263,7 +263,7 @@
 
 // Sync implements filesystem.File.
 func (f *file) Sync() error {
-	if err := f.alive(); err != nil {
+	if err := f.checkOpen(); err != nil {
 		return err
 	}
 	if f.disk.SyncError != nil {
--- a/internal/filesystem/os.go
+++ b/internal/filesystem/os.go
@@ -8,13 +8,13 @@
 	"github.com/gravitational/trace"
 )
 
-// Permissions of what OS creates: the owner's alone.
+// Permissions of created directories and files: access for the owner only.
 const (
 	directoryMode = 0o700
 	fileMode      = 0o600
 )
 
-// OS is the file system of the machine.
+// OS is the file system of this machine.
 type OS struct{}
 
 // MakeDirectory implements FileSystem.
