--- a/internal/enginecontract/events.go
+++ b/internal/enginecontract/events.go
@@ -1,6 +1,6 @@
 package enginecontract
 
-// Event is one event of an engine's stream, and, without Exchange and Offset, one
+// Event is one event of an engine's stream. Without Exchange and Offset it is one
 // event of a gateway's stream to a caller.
 type Event struct {
 	ID      string `json:"id,omitempty"`
@@ -11,7 +11,7 @@
 	Exchange string `json:"exchange,omitempty"`
 	// Offset is the number of output tokens up to and including this event.
 	Offset int `json:"offset,omitempty"`
-	// Tokens is the number of tokens in a token event; 0 means 1.
+	// Tokens is the number of tokens in this event; 0 means 1.
 	Tokens  int           `json:"tokens,omitempty"`
 	Choices []EventChoice `json:"choices"`
 	Usage   *Usage        `json:"usage,omitempty"`
@@ -41,7 +41,7 @@
 	PromptTokensDetails *PromptTokensDetails `json:"prompt_tokens_details,omitempty"`
 }
 
-// PromptTokensDetails tells how many prompt tokens were found in the prefix cache.
+// PromptTokensDetails reports how many prompt tokens were found in the prefix cache.
 type PromptTokensDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
@@ -51,7 +51,7 @@
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what went wrong, in the usual shape of the chat protocol.
+// ErrorDetail describes an error in the format of the chat protocol.
 type ErrorDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
--- a/internal/enginecontract/headers.go
+++ b/internal/enginecontract/headers.go
@@ -1,45 +1,45 @@
-// Package enginecontract holds the names and message shapes of the published
-// HTTP protocol between hazelpitch and the outside systems it serves: model
-// engines, the weight store and the platform's machine list. It holds no logic.
-// docs/ENGINE-CONTRACT.md is its specification; gateways, controllers and the
-// stand-ins of the bench share these shapes and nothing else.
+// Package enginecontract defines the names and messages of the published
+// HTTP protocol between hazelpitch and the external systems that it uses: model
+// engines, the weight store and the platform's machine list. It contains no logic.
+// docs/ENGINE-CONTRACT.md is its specification. Gateways, controllers and the
+// simulated engines of the bench share these definitions and nothing else.
 package enginecontract
 
 import "time"
 
-// Request and response headers of the request path.
+// Request and response headers of inference requests.
 const (
 	// HeaderExchange carries the unguessable identity of one attempt at one
-	// engine; the engine echoes it in the answer's header and in each event.
+	// engine; the engine repeats it in the response header and in each event.
 	HeaderExchange = "X-Exchange-Id"
-	// HeaderPriority is a decimal integer; larger goes first.
+	// HeaderPriority is a decimal integer; higher priorities are scheduled first.
 	HeaderPriority = "X-Priority"
 	// HeaderCacheSalt separates the prefix cache entries of tenants.
 	HeaderCacheSalt = "X-Cache-Salt"
-	// HeaderDeadline is the time left for the whole answer, in milliseconds.
+	// HeaderDeadline is the time left for the whole response, in milliseconds.
 	HeaderDeadline = "X-Deadline-Ms"
 	// HeaderContinueFrom is the number of output tokens already delivered; the
-	// body carries their text and the engine goes on after them.
+	// body carries their text, and the engine continues after them.
 	HeaderContinueFrom = "X-Continue-From"
-	// HeaderKVHandle names an exported KV cache to import instead of reading the prompt.
+	// HeaderKVHandle names an exported KV cache to import instead of a prefill.
 	HeaderKVHandle = "X-Kv-Handle"
 	// HeaderKVSource is the address (IP:port) of the engine that exported the handle.
 	HeaderKVSource = "X-Kv-Source"
-	// HeaderPrefillOnly asks the engine to read the prompt, export the KV cache
-	// and answer with a PrefillAnswer in place of a completion.
+	// HeaderPrefillOnly asks the engine for the prefill only: it exports the KV cache
+	// and answers with a PrefillAnswer instead of a completion.
 	HeaderPrefillOnly = "X-Prefill-Only"
-	// HeaderRunState is set on every refusal: RunStateNotRun or RunStateMayHaveRun.
+	// HeaderRunState is set on every refusal, to RunStateNotRun or RunStateMayHaveRun.
 	HeaderRunState = "X-Run-State"
-	// HeaderEngineState is the engine's service state on every answer.
+	// HeaderEngineState is the engine's service state, on every answer.
 	HeaderEngineState = "X-Engine-State"
-	// HeaderEngineLoad is "running,waiting,waitingPromptTokens" on every answer.
+	// HeaderEngineLoad is "running,waiting,waitingPromptTokens", on every answer.
 	HeaderEngineLoad = "X-Engine-Load"
-	// HeaderEngineRole is the engine's role on every answer.
+	// HeaderEngineRole is the engine's role, on every answer.
 	HeaderEngineRole = "X-Engine-Role"
-	// HeaderRequestLimit names, in all answers of a back end in need, the requests a second (a decimal number)
-	// that it takes of all gateways together.
+	// HeaderRequestLimit is on every answer of a back end that limits its load: the requests a second (a decimal
+	// number) that it accepts from all gateways together.
 	HeaderRequestLimit = "X-Request-Limit"
-	// HeaderIdempotencyKey is passed on to page services.
+	// HeaderIdempotencyKey is forwarded to page services.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
@@ -53,22 +53,22 @@
 const (
 	PathChat          = "/v1/chat/completions"
 	PathCompletions   = "/v1/completions"
-	PathExchanges     = "/v1/exchanges/" // + id: DELETE cancels, GET ?offset=N resumes the event stream
-	PathKV            = "/v1/kv/"        // + handle: GET exports the cache to another engine
+	PathExchanges     = "/v1/exchanges/" // + exchange: DELETE cancels, GET ?offset=N resumes the event stream
+	PathKV            = "/v1/kv/"        // + handle: GET exports the KV cache to another engine
 	PathLoad          = "/control/load"
 	PathCacheEvents   = "/control/cache-events" // ?after=SEQUENCE
 	PathState         = "/control/state"
 	PathOrders        = "/control/orders"
 	PathFence         = "/control/fence"
 	PathHealth        = "/health"
-	PathMachines      = "/v1/machines"       // machine list
-	PathWeights       = "/v1/weights/"       // weight store: + model/version
-	PathWeightsStatus = "/v1/weights-status" // weight store
+	PathMachines      = "/v1/machines"       // of the machine list
+	PathWeights       = "/v1/weights/"       // of the weight store; + model/version
+	PathWeightsStatus = "/v1/weights-status" // of the weight store
 )
 
-// Times that engines keep to.
+// Durations that engines guarantee.
 const (
-	// ResumeWindow is how long an exchange goes on without a reader.
+	// ResumeWindow is how long an exchange continues without a reader.
 	ResumeWindow = 5 * time.Second
 	// FinishedRetention is how long the events of a finished exchange can be resumed.
 	FinishedRetention = 10 * time.Second
@@ -76,14 +76,14 @@
 	KVHandleLifetime = 30 * time.Second
 )
 
-// FieldContinueText is the body field with the text of the tokens that
-// HeaderContinueFrom counts.
+// FieldContinueText is the body field with the text of the tokens that HeaderContinueFrom
+// counts.
 const FieldContinueText = "continue_text"
 
-// DoneMarker is the data of the last event of a whole stream.
+// DoneMarker is the data of the last event of a complete stream.
 const DoneMarker = "[DONE]"
 
-// Codes of refusals.
+// Error codes of refusals.
 const (
 	CodeInvalidRequest   = "invalid_request"
 	CodeKVForbidden      = "kv_forbidden"
--- a/internal/enginecontract/messages.go
+++ b/internal/enginecontract/messages.go
@@ -1,17 +1,17 @@
 package enginecontract
 
-// ServiceState tells whether an engine takes new work.
+// ServiceState says whether an engine or page service accepts new requests.
 type ServiceState string
 
 // Service states of an engine or page service.
 const (
 	StateServing  ServiceState = "serving"
-	StateDraining ServiceState = "draining" // refuses new work as not run, finishes what it has
+	StateDraining ServiceState = "draining" // refuses new requests as not run, finishes those in flight
 	StateChanging ServiceState = "changing" // out of service while a change is made
-	StateLeaving  ServiceState = "leaving"  // will stop for good
+	StateLeaving  ServiceState = "leaving"  // will stop permanently
 )
 
-// Role is what an engine does.
+// Role is the part of a request that an engine serves: prefill, decode or both.
 type Role string
 
 // Engine roles.
@@ -21,7 +21,7 @@
 	RoleMixed   Role = "mixed"
 )
 
-// Action is what an order asks of an engine.
+// Action is the change that an order requests.
 type Action string
 
 // Order actions.
@@ -35,7 +35,7 @@
 	ActionAbort         Action = "abort"
 )
 
-// Fence orders authority: a higher epoch wins, then a higher sequence.
+// Fence orders the authority of controllers: first by epoch, then by sequence; the highest wins.
 type Fence struct {
 	Epoch    uint64 `json:"epoch"`
 	Sequence uint64 `json:"sequence"`
@@ -49,9 +49,9 @@
 	return f.Sequence < other.Sequence
 }
 
-// Order is the body of POST /control/orders. The engine accepts it only when the
-// fence is above every fence seen, or equal to the order it holds (a resend, which
-// gets the same answer), and when it holds ExpectedRole and no other order.
+// Order is the body of POST /control/orders. The engine accepts it only if its role is
+// ExpectedRole, no other order is in progress, and the fence is either above every fence seen or
+// equal to that of the order in progress (a resend, which gets the same answer).
 type Order struct {
 	Fence        Fence  `json:"fence"`
 	Action       Action `json:"action"`
@@ -60,12 +60,12 @@
 	Version      string `json:"version,omitempty"`
 	Adapter      string `json:"adapter,omitempty"`
 	ExpectedRole Role   `json:"expected_role,omitempty"`
-	// DrainMs is the longest time the engine may drain before it aborts the
-	// order and serves again; nothing in flight is ever cut.
+	// DrainMs is the longest time in milliseconds that the engine may drain before it aborts the
+	// order and serves again; it never cuts a request in flight.
 	DrainMs int64 `json:"drain_ms"`
 }
 
-// OrderPhase is how far an order has come at the engine.
+// OrderPhase is the progress of an order at the engine.
 type OrderPhase string
 
 // Order phases.
@@ -77,7 +77,7 @@
 	PhaseAborted  OrderPhase = "aborted"
 )
 
-// OrderRefusal says why an order had no effect.
+// OrderRefusal is the reason why an order had no effect.
 type OrderRefusal string
 
 // Order refusals.
@@ -89,14 +89,14 @@
 )
 
 // OrderAnswer is the answer to POST /control/orders and POST /control/fence.
-// Status 200 is accepted, 409 refused; State is set in both.
+// The status is 200 if accepted and 409 if refused; State is set in both cases.
 type OrderAnswer struct {
 	Accepted bool         `json:"accepted"`
 	Refusal  OrderRefusal `json:"refusal,omitempty"`
 	State    EngineState  `json:"state"`
 }
 
-// EngineState is the answer to GET /control/state: never lagging.
+// EngineState is the answer to GET /control/state; it is always current.
 type EngineState struct {
 	Engine      string       `json:"engine"`
 	Service     string       `json:"service"`
@@ -107,10 +107,10 @@
 	Model       string       `json:"model"`
 	Version     string       `json:"version"`
 	Adapters    []string     `json:"adapters,omitempty"`
-	// AdapterVersions holds the version of each adapter by name. An adapter that is
-	// missing here counts as having the declared version.
+	// AdapterVersions holds the version of each adapter by name. An adapter without an entry
+	// counts as having the declared version.
 	AdapterVersions map[string]string `json:"adapter_versions,omitempty"`
-	// HighestFence is the highest fence seen; it survives a restart of the engine.
+	// HighestFence is the highest fence seen; it is kept over restarts of the engine.
 	HighestFence Fence `json:"highest_fence"`
 	// OrderFence and OrderPhase describe the last accepted order.
 	OrderFence Fence      `json:"order_fence"`
@@ -118,7 +118,7 @@
 	InFlight   int        `json:"in_flight"`
 }
 
-// LoadReport is the answer to GET /control/load; it lags behind the engine.
+// LoadReport is the answer to GET /control/load; it lags behind the engine's state.
 type LoadReport struct {
 	Engine              string       `json:"engine"`
 	Incarnation         uint64       `json:"incarnation"`
@@ -129,21 +129,21 @@
 	Waiting             int          `json:"waiting"`
 	WaitingPromptTokens int64        `json:"waiting_prompt_tokens"`
 	RunningOutputTokens int64        `json:"running_output_tokens"`
-	KVCacheUsed         float64      `json:"kv_cache_used"` // share of the cache, 0 to 1
+	KVCacheUsed         float64      `json:"kv_cache_used"` // fraction of the cache, 0 to 1
 	// Totals since the engine started.
 	PromptTokensDone int64 `json:"prompt_tokens_done"`
 	OutputTokensDone int64 `json:"output_tokens_done"`
 }
 
-// CacheEvent tells that the engine stored or evicted one block of prefix cache.
+// CacheEvent reports that the engine stored or evicted one block of its prefix cache.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Stored   bool   `json:"stored"`
 	Block    string `json:"block"`
 }
 
-// CacheEvents is the answer to GET /control/cache-events. A hole in the sequence
-// numbers is a gap: events were lost.
+// CacheEvents is the answer to GET /control/cache-events. A gap in the sequence
+// numbers means that events were lost.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
 	Next   uint64       `json:"next"`
@@ -158,7 +158,7 @@
 	CachedTokens int    `json:"cached_tokens"`
 }
 
-// Machine is one row of the platform's machine list.
+// Machine is one entry of the platform's machine list.
 type Machine struct {
 	Name    string       `json:"name"`
 	Service string       `json:"service"`
@@ -167,7 +167,7 @@
 	State   ServiceState `json:"state"`   // serving or leaving
 }
 
-// MachineList is the answer to GET /v1/machines; it lags behind the platform.
+// MachineList is the answer to GET /v1/machines; it lags behind the platform's state.
 type MachineList struct {
 	Version  uint64    `json:"version"`
 	Machines []Machine `json:"machines"`
