--- a/internal/enginemodel/doc.go
+++ b/internal/enginemodel/doc.go
@@ -1,10 +1,10 @@
-// Package enginemodel models one model engine with continuous batching in virtual
-// time: how long prompts take to read, how long each output token takes, what
-// waits for memory, and what a limited prefix cache saves.
+// Package enginemodel simulates one model engine with continuous batching in virtual
+// time: the durations of prefill and of each decoded token, waiting for KV memory, and
+// the savings of a limited prefix cache.
 //
 // The model is pure: it has no clock, no I/O, no goroutine and no random source.
-// Time is a time.Duration since an origin of the caller's choice and never goes
-// back. The HTTP stand-in of an engine drives it with the real clock; the
-// experiment tool drives tens of engines in virtual time. An Engine belongs to
-// one goroutine.
+// Time is a time.Duration since an origin that the caller chooses, and never goes
+// back. The simulated HTTP engine drives the model with the real clock; the
+// experiment tool drives tens of engines in virtual time. An Engine must be used by
+// only one goroutine.
 package enginemodel
--- a/internal/enginemodel/engine.go
+++ b/internal/enginemodel/engine.go
@@ -9,36 +9,36 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Engine is one engine in virtual time. It belongs to one goroutine.
+// Engine is one engine in virtual time. Only one goroutine may use it.
 type Engine struct {
 	profile Profile
 	role    enginecontract.Role
-	// tokenEvents asks for an event for each token; without it only the first
-	// token and the end are told, which the experiments need to be fast.
+	// tokenEvents enables an event for each start and token; without it only the first
+	// token and the end are reported, because experiments need to be fast.
 	tokenEvents bool
 
 	now    time.Duration
 	events []Event
 
-	waiting   []*sequence // by priority, then arrival
-	reading   []*sequence // prompts being read, oldest first
-	importing []*sequence
-	writing   []*sequence
-	byID      map[string]*sequence
-
-	stepping    bool
-	stepEnd     time.Duration
-	stepReads   []read
-	stepWriters int // the first stepWriters of writing take part in the step
-
-	linkFree   time.Duration
-	memoryUsed int64
-	cache      *prefixCache
-	totals     Load
+	waiting    []*sequence // by priority, then arrival
+	prefilling []*sequence // oldest first
+	importing  []*sequence
+	decoding   []*sequence
+	byID       map[string]*sequence
+
+	inStep       bool
+	stepEnd      time.Duration
+	stepPrefills []prefillChunk
+	stepDecodes  int // the first stepDecodes sequences of decoding take part in the step
+
+	linkFreeAt   time.Duration
+	kvTokensUsed int64
+	cache        *prefixCache
+	totals       Load
 }
 
-// read is one prompt's part in a step.
-type read struct {
+// prefillChunk is the number of tokens of one prompt that a step prefills.
+type prefillChunk struct {
 	sequence *sequence
 	tokens   int
 }
@@ -46,10 +46,10 @@
 // Option changes how an Engine reports.
 type Option func(*Engine)
 
-// WithTokenEvents asks for an event for each start and for each token written.
+// WithTokenEvents enables an event for each start and for each generated token.
 func WithTokenEvents() Option { return func(e *Engine) { e.tokenEvents = true } }
 
-// New returns an empty engine in a role. It fails when the profile is unusable.
+// New returns an empty engine in a role. It returns an error for an invalid profile or role.
 func New(profile Profile, role enginecontract.Role, options ...Option) (*Engine, error) {
 	if err := profile.Check(); err != nil {
 		return nil, trace.Wrap(err)
@@ -69,19 +69,19 @@
 	return engine, nil
 }
 
-// Role is the engine's present role.
+// Role returns the engine's current role.
 func (e *Engine) Role() enginecontract.Role { return e.role }
 
-// Profile is what the engine was made with.
+// Profile returns the profile with which the engine was created.
 func (e *Engine) Profile() Profile { return e.profile }
 
-// Empty reports whether the engine holds no sequence.
+// Empty reports whether the engine has no waiting or running sequence.
 func (e *Engine) Empty() bool { return len(e.byID) == 0 }
 
-// SetRole changes the role of an empty engine; the prefix cache is lost. The time
-// the change takes is the caller's to wait (Profile.RoleChange).
+// SetRole changes the role of an empty engine and drops the prefix cache. It takes no time:
+// the caller has to simulate Profile.RoleChange.
 func (e *Engine) SetRole(now time.Duration, role enginecontract.Role) error {
-	e.run(now)
+	e.advance(now)
 	if !e.Empty() {
 		return trace.BadParameter("engine holds %d sequences: drain it before a role change", len(e.byID))
 	}
@@ -102,8 +102,8 @@
 	e.cache.events = append(events, e.cache.takeEvents()...)
 }
 
-// Accepts reports whether an engine in a role does a phase: prefill engines only
-// read prompts; decode engines read a prompt themselves, slowly, when they must.
+// Accepts reports whether an engine in a role serves a phase. Prefill engines serve only
+// prefills; decode engines also serve whole requests, whose prefill is slow there.
 func Accepts(role enginecontract.Role, phase Phase) bool {
 	if role == enginecontract.RolePrefill {
 		return phase == PhasePrefillOnly
@@ -114,24 +114,24 @@
 	return true
 }
 
-// Submit puts a request in the waiting line. An error means that it will not run.
+// Submit adds a request to the waiting queue. An error means that it will not run.
 func (e *Engine) Submit(now time.Duration, request Request) error {
-	e.run(now)
+	e.advance(now)
 	if err := e.check(request); err != nil {
 		return err
 	}
-	added := &sequence{Request: request, written: request.AlreadyDelivered}
-	if added.memory() > e.profile.KVCapacityTokens {
+	added := &sequence{Request: request, generatedTokens: request.AlreadyDelivered}
+	if added.kvTokens() > e.profile.KVCapacityTokens {
 		return ErrTooLarge
 	}
 	e.byID[request.ID] = added
-	place := sort.Search(len(e.waiting), func(index int) bool {
+	position := sort.Search(len(e.waiting), func(index int) bool {
 		return e.waiting[index].Priority < request.Priority
 	})
 	e.waiting = append(e.waiting, nil)
-	copy(e.waiting[place+1:], e.waiting[place:])
-	e.waiting[place] = added
-	if !e.stepping {
+	copy(e.waiting[position+1:], e.waiting[position:])
+	e.waiting[position] = added
+	if !e.inStep {
 		e.startStep()
 	}
 	return nil
@@ -153,74 +153,74 @@
 	return nil
 }
 
-// Cancel removes a sequence and reports whether it was there. Its events end.
+// Cancel removes a sequence and reports whether it existed. No further events of it are added.
 func (e *Engine) Cancel(now time.Duration, id string) bool {
-	e.run(now)
-	gone := e.byID[id]
-	if gone == nil {
+	e.advance(now)
+	cancelled := e.byID[id]
+	if cancelled == nil {
 		return false
 	}
 	delete(e.byID, id)
-	if list, found := without(e.waiting, gone); found {
+	if list, found := removeSequence(e.waiting, cancelled); found {
 		e.waiting = list
 		return true
 	}
-	e.memoryUsed -= gone.memory()
-	e.reading, _ = without(e.reading, gone)
-	e.importing, _ = without(e.importing, gone)
-	for index, writer := range e.writing {
-		if writer == gone && index < e.stepWriters {
-			e.stepWriters--
+	e.kvTokensUsed -= cancelled.kvTokens()
+	e.prefilling, _ = removeSequence(e.prefilling, cancelled)
+	e.importing, _ = removeSequence(e.importing, cancelled)
+	for index, running := range e.decoding {
+		if running == cancelled && index < e.stepDecodes {
+			e.stepDecodes--
 		}
 	}
-	e.writing, _ = without(e.writing, gone)
-	for index := range e.stepReads {
-		if e.stepReads[index].sequence == gone {
-			e.stepReads[index].sequence = nil
+	e.decoding, _ = removeSequence(e.decoding, cancelled)
+	for index := range e.stepPrefills {
+		if e.stepPrefills[index].sequence == cancelled {
+			e.stepPrefills[index].sequence = nil
 		}
 	}
 	return true
 }
 
-func without(list []*sequence, gone *sequence) ([]*sequence, bool) {
+func removeSequence(list []*sequence, target *sequence) ([]*sequence, bool) {
 	for index, present := range list {
-		if present == gone {
+		if present == target {
 			return append(list[:index], list[index+1:]...), true
 		}
 	}
 	return list, false
 }
 
-// Advance moves time to now and returns what happened since the last call, in
+// Advance moves time to now and returns the events since the last call, in
 // order of time.
 func (e *Engine) Advance(now time.Duration) []Event {
-	e.run(now)
+	e.advance(now)
 	events := e.events
 	e.events = nil
 	return events
 }
 
-// NextEvent returns the time of the next step's end, when Advance may have more to
-// tell; false when the engine is idle. Events already due are told at once.
+// NextEvent returns the time at which Advance may return further events: the current time if events are
+// pending, or else the end of the current step or import. It reports false when the engine is idle.
 func (e *Engine) NextEvent() (time.Duration, bool) {
 	switch {
 	case len(e.events) > 0:
 		return e.now, true
-	case e.stepping:
+	case e.inStep:
 		return e.stepEnd, true
 	}
 	return e.nextImport()
 }
 
-// TakeCacheEvents returns the prefix cache's events since the last call.
+// TakeCacheEvents returns the events of the prefix cache since the last call.
 func (e *Engine) TakeCacheEvents() []CacheEvent { return e.cache.takeEvents() }
 
-// CachedTokens tells how many leading tokens of a prompt the prefix cache holds.
+// CachedTokens returns the number of leading prompt tokens that are in the prefix cache.
 func (e *Engine) CachedTokens(blocks []uint64) int {
 	return e.cache.match(blocks) * e.profile.BlockTokens
 }
 
-// Load is the engine's present load.
+// Load returns the engine's current load.
 func (e *Engine) Load() Load {
 	load := e.totals
 	load.Running = len(e.byID) - len(e.waiting)
@@ -228,13 +228,13 @@
 	for _, waiting := range e.waiting {
 		load.WaitingPromptTokens += int64(waiting.PromptTokens)
 	}
-	for _, list := range [][]*sequence{e.reading, e.importing, e.writing} {
+	for _, list := range [][]*sequence{e.prefilling, e.importing, e.decoding} {
 		for _, running := range list {
 			if running.Phase != PhasePrefillOnly {
-				load.RunningOutputTokens += int64(running.left())
+				load.RunningOutputTokens += int64(running.outputLeft())
 			}
 		}
 	}
-	load.KVCacheUsed = float64(e.memoryUsed) / float64(e.profile.KVCapacityTokens)
+	load.KVCacheUsed = float64(e.kvTokensUsed) / float64(e.profile.KVCapacityTokens)
 	return load
 }
--- a/internal/enginemodel/engine_test.go
+++ b/internal/enginemodel/engine_test.go
@@ -13,8 +13,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// plainProfile has round figures: 1000 prompt tokens a second, 10 ms a step.
-func plainProfile() Profile {
+// roundProfile has round numbers: 1000 prompt tokens a second, 10 ms a step.
+func roundProfile() Profile {
 	profile := DefaultProfile()
 	profile.PrefillTokensPerSecond = 1000
 	profile.StepBase = 10 * time.Millisecond
@@ -32,19 +32,19 @@
 }
 
 func newEngine(t require.TestingT, role enginecontract.Role) *Engine {
-	engine, err := New(plainProfile(), role, WithTokenEvents())
+	engine, err := New(roundProfile(), role, WithTokenEvents())
 	require.NoError(t, err)
 	return engine
 }
 
-func TestTimesOfOneSequence(t *testing.T) {
+func TestEventTimesOfOneSequence(t *testing.T) {
 	tests := []struct {
 		name    string
 		role    enginecontract.Role
 		request Request
 		want    []Event
 	}{
-		{"read and write", enginecontract.RoleMixed, Request{PromptTokens: 150, OutputTokens: 3}, []Event{
+		{"prefill and decode", enginecontract.RoleMixed, Request{PromptTokens: 150, OutputTokens: 3}, []Event{
 			{At: 170 * time.Millisecond, Type: EventFirstToken, OutputTokens: 1},
 			{At: 180 * time.Millisecond, Type: EventToken, OutputTokens: 2},
 			{At: 190 * time.Millisecond, Type: EventToken, OutputTokens: 3},
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestSubmitErrors(t *testing.T) {
 	tests := []struct {
 		name    string
 		role    enginecontract.Role
@@ -83,8 +83,8 @@
 		{"no prompt", enginecontract.RoleMixed, Request{OutputTokens: 1}, ErrRequest},
 		{"no output left", enginecontract.RoleMixed, Request{PromptTokens: 1, OutputTokens: 2, AlreadyDelivered: 2}, ErrRequest},
 		{"too large", enginecontract.RoleMixed, Request{PromptTokens: 1000, OutputTokens: 1}, ErrTooLarge},
-		{"whole request at prefill", enginecontract.RolePrefill, Request{PromptTokens: 1, OutputTokens: 1}, ErrRole},
-		{"prefill at decode", enginecontract.RoleDecode, Request{PromptTokens: 1, Phase: PhasePrefillOnly}, ErrRole},
+		{"whole request at a prefill engine", enginecontract.RolePrefill, Request{PromptTokens: 1, OutputTokens: 1}, ErrRole},
+		{"prefill at a decode engine", enginecontract.RoleDecode, Request{PromptTokens: 1, Phase: PhasePrefillOnly}, ErrRole},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestPriorityGoesFirstWhenMemoryIsShort(t *testing.T) {
+func TestHigherPriorityRunsFirstWhenMemoryIsShort(t *testing.T) {
 	engine := newEngine(t, enginecontract.RoleMixed)
 	require.NoError(t, engine.Submit(0, Request{ID: "holder", PromptTokens: 600, OutputTokens: 1}))
 	require.NoError(t, engine.Submit(0, Request{ID: "low", PromptTokens: 600, OutputTokens: 1}))
@@ -111,7 +111,7 @@
 	require.Equal(t, []string{"holder", "high", "low"}, done)
 }
 
-func TestPrefixCacheSavesReadingAndForgetsTheOldest(t *testing.T) {
+func TestPrefixCacheShortensPrefillAndEvictsTheOldest(t *testing.T) {
 	engine := newEngine(t, enginecontract.RoleMixed)
 	blocks := []uint64{1, 2, 3}
 	submit := func(at time.Duration, id string, blocks []uint64) Event {
@@ -141,13 +141,13 @@
 	require.Error(t, engine.SetRole(0, enginecontract.RolePrefill))
 	require.True(t, engine.Cancel(0, "a"))
 	require.NoError(t, engine.SetRole(0, enginecontract.RolePrefill))
-	require.Len(t, engine.Advance(time.Minute), 1, "the start alone")
+	require.Len(t, engine.Advance(time.Minute), 1, "only the event of the start")
 }
 
-// TestAnyScheduleIsWhole submits and cancels at random and checks that each
-// sequence that was not cancelled is told whole and once, whatever the rhythm of
-// Advance, and that all memory comes back.
-func TestAnyScheduleIsWhole(t *testing.T) {
+// Submits and cancels sequences at random. Each sequence that was not cancelled must report all its
+// tokens and its end exactly once, independent of the times of Advance, and the KV cache must be free
+// at the end.
+func TestAnyScheduleCompletesEverySequenceOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		roles := []enginecontract.Role{enginecontract.RoleMixed, enginecontract.RoleDecode}
 		role := rapid.SampledFrom(roles).Draw(t, "role")
@@ -174,32 +174,32 @@
 			require.NoError(t, fine.Submit(now, request))
 			want[request.ID] = request.OutputTokens
 			if rapid.IntRange(0, 4).Draw(t, "cancel") == 0 {
-				gone := fmt.Sprint(rapid.IntRange(0, index).Draw(t, "cancelled"))
-				if coarse.Cancel(now, gone) {
-					delete(want, gone)
+				cancelled := fmt.Sprint(rapid.IntRange(0, index).Draw(t, "cancelled"))
+				if coarse.Cancel(now, cancelled) {
+					delete(want, cancelled)
 				}
-				fine.Cancel(now, gone)
+				fine.Cancel(now, cancelled)
 			}
 		}
 		coarseEvents = coarse.Advance(time.Hour)
 		fineEvents = append(fineEvents, fine.Advance(time.Hour)...)
 		require.Empty(t, cmp.Diff(fineEvents, coarseEvents))
-		written, done := map[string]int{}, map[string]bool{}
+		outputTokens, done := map[string]int{}, map[string]bool{}
 		for _, event := range coarseEvents {
 			if event.Type == EventStarted {
 				continue
 			}
 			if event.Type == EventDone {
-				require.False(t, done[event.ID], "told twice")
+				require.False(t, done[event.ID], "ended twice")
 				done[event.ID] = true
 				continue
 			}
-			written[event.ID]++
-			require.Equal(t, written[event.ID], event.OutputTokens)
+			outputTokens[event.ID]++
+			require.Equal(t, outputTokens[event.ID], event.OutputTokens)
 		}
 		for id, tokens := range want {
 			require.True(t, done[id], "sequence %s has no end", id)
-			require.Equal(t, tokens, written[id])
+			require.Equal(t, tokens, outputTokens[id])
 		}
 		require.True(t, coarse.Empty())
 		require.Zero(t, coarse.Load().KVCacheUsed)
--- a/internal/enginemodel/event.go
+++ b/internal/enginemodel/event.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// EventType tells what happened to a sequence.
+// EventType is the kind of an event of a sequence.
 type EventType int
 
 // Events of a sequence.
 const (
-	// EventFirstToken is the first token this engine writes for the sequence.
+	// EventFirstToken is the first token that this engine decodes for the sequence.
 	EventFirstToken EventType = iota
-	// EventToken is each further token; only WithTokenEvents.
+	// EventToken is each further token; reported only WithTokenEvents.
 	EventToken
-	// EventPrefillDone ends a PhasePrefillOnly sequence.
+	// EventPrefillDone ends a sequence of PhasePrefillOnly.
 	EventPrefillDone
-	// EventDone ends every other sequence; it follows the last token's event.
+	// EventDone ends every other sequence, after the event of its last token.
 	EventDone
-	// EventStarted tells that a sequence left the waiting line; only WithTokenEvents.
+	// EventStarted means that a sequence left the waiting queue; reported only WithTokenEvents.
 	EventStarted
 )
 
-// Event is one thing that happened to one sequence.
+// Event is one event of one sequence.
 type Event struct {
 	At   time.Duration
 	Type EventType
 	ID   string
-	// OutputTokens written so far, including those already delivered on submission.
+	// OutputTokens is the number of output tokens so far, including those already delivered at the submission.
 	OutputTokens int
-	// CachedTokens of the prompt were found in the prefix cache.
+	// CachedTokens is the number of prompt tokens found in the prefix cache.
 	CachedTokens int
 }
 
-// CacheEvent tells that a block entered or left the prefix cache.
+// CacheEvent reports that a block was stored in the prefix cache or evicted from it.
 type CacheEvent struct {
 	Stored bool
 	Block  uint64
 }
 
-// Load is the engine's present load; nothing here lags.
+// Load is the engine's current load, without a lag.
 type Load struct {
 	Running             int
 	Waiting             int
 	WaitingPromptTokens int64
-	// RunningOutputTokens is the output that running sequences have yet to write.
+	// RunningOutputTokens is the number of output tokens that running sequences still have to decode.
 	RunningOutputTokens int64
-	// KVCacheUsed is the share of memory that running sequences hold, 0 to 1.
+	// KVCacheUsed is the fraction of the KV cache that running sequences occupy, 0 to 1.
 	KVCacheUsed float64
-	// Totals since the engine was made.
+	// Totals since the engine was created.
 	PromptTokensDone int64
 	OutputTokensDone int64
 	CachedTokensDone int64
--- a/internal/enginemodel/prefixcache.go
+++ b/internal/enginemodel/prefixcache.go
@@ -2,8 +2,8 @@
 
 import "github.com/hashicorp/golang-lru/v2/simplelru"
 
-// prefixCache holds the blocks of prompts read lately; the block used longest ago
-// leaves first.
+// prefixCache holds the prefix blocks of recent prompts and evicts the least recently
+// used block first.
 type prefixCache struct {
 	blocks *simplelru.LRU[uint64, struct{}]
 	events []CacheEvent
@@ -17,13 +17,13 @@
 	blocks, err := simplelru.NewLRU[uint64, struct{}](capacity, func(block uint64, _ struct{}) {
 		cache.events = append(cache.events, CacheEvent{Block: block})
 	})
-	if err == nil { // it only fails for a capacity of 0
+	if err == nil { // NewLRU fails only for a capacity of 0
 		cache.blocks = blocks
 	}
 	return cache
 }
 
-// match counts the leading blocks that are in the cache and marks them used.
+// match returns the number of leading blocks that are in the cache and marks them as used.
 func (c *prefixCache) match(blocks []uint64) int {
 	if c.blocks == nil {
 		return 0
@@ -36,8 +36,8 @@
 	return len(blocks)
 }
 
-// store adds blocks from the last to the first, so that the start of a prefix
-// outlives its end.
+// store adds the blocks from the last to the first, so that the beginning of a prefix
+// is evicted after its end.
 func (c *prefixCache) store(blocks []uint64) {
 	if c.blocks == nil {
 		return
--- a/internal/enginemodel/profile.go
+++ b/internal/enginemodel/profile.go
@@ -8,45 +8,45 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Profile tells how fast one engine is and how much it holds. The sources of the
-// default's figures are in docs/ENGINE-PROFILE.md.
+// Profile describes the speed and the capacity of one engine. The sources of the
+// default values are in docs/ENGINE-PROFILE.md.
 type Profile struct {
 	Name string
-	// PrefillTokensPerSecond is the rate at which prompt tokens are read.
+	// PrefillTokensPerSecond is the rate of the prefill.
 	PrefillTokensPerSecond float64
 	// StepBase is the fixed time of one step of the batch.
 	StepBase time.Duration
-	// StepPerSequence is added for each sequence that writes a token in the step.
+	// StepPerSequence is added for each sequence that decodes a token in the step.
 	StepPerSequence time.Duration
-	// StepPerContextToken is added for each token of context those sequences hold.
+	// StepPerContextToken is added for each context token of those sequences.
 	StepPerContextToken time.Duration
 	// MaxBatch is the largest number of sequences that run at once.
 	MaxBatch int
-	// MaxWaiting is the largest number of sequences that wait; 0 is no limit.
+	// MaxWaiting is the largest number of sequences that wait; 0 means no limit.
 	MaxWaiting int
-	// PrefillChunk is the largest number of prompt tokens read in one step of an
-	// engine in this role.
+	// PrefillChunk is the largest number of prompt tokens that one step prefills, by the
+	// engine's role.
 	PrefillChunk map[enginecontract.Role]int
-	// KVCapacityTokens is the memory for running sequences, in tokens.
+	// KVCapacityTokens is the KV memory for running sequences, in tokens.
 	KVCapacityTokens int64
 	// KVBytesPerToken is the size of one token's KV cache.
 	KVBytesPerToken int64
 	// KVTransferBytesPerSecond is the rate at which an engine imports KV caches.
 	KVTransferBytesPerSecond float64
-	// BlockTokens is the number of prompt tokens in one block of prefix cache.
+	// BlockTokens is the number of prompt tokens in one prefix block.
 	BlockTokens int
-	// PrefixCacheBlocks is the memory for cached prefixes, in blocks; 0 is no cache.
+	// PrefixCacheBlocks is the capacity of the prefix cache, in blocks; 0 means no cache.
 	PrefixCacheBlocks int
 	// RoleChange is the time an empty engine is out of service to change its role.
 	RoleChange time.Duration
-	// WeightLoad is the time to load a model's weights beyond the weight store's rate.
+	// WeightLoad is the time to load a model's weights in addition to their transfer from the weight store.
 	WeightLoad time.Duration
 	// AdapterLoad is the time to load or unload one adapter.
 	AdapterLoad time.Duration
 }
 
-// DefaultProfile is a 70-billion-parameter model on eight accelerators; the
-// derivation of each figure is in docs/ENGINE-PROFILE.md.
+// DefaultProfile returns the profile of a 70-billion-parameter model on eight accelerators;
+// docs/ENGINE-PROFILE.md derives each value.
 func DefaultProfile() Profile {
 	return Profile{
 		Name:                   "dense-70b-8",
@@ -71,7 +71,7 @@
 	}
 }
 
-// Check returns an error that names the first figure no engine can have.
+// Check returns an error that names the first invalid value.
 func (p Profile) Check() error {
 	switch {
 	case p.PrefillTokensPerSecond <= 0:
@@ -95,32 +95,32 @@
 	return nil
 }
 
-// Faster returns the profile of an engine that is factor times as fast in all; 0 is 1.
+// Faster returns the profile of an engine that is faster by the factor in every respect; 0 counts as 1.
 func (p Profile) Faster(factor float64) Profile {
 	if factor == 0 || factor == 1 {
 		return p
 	}
 	p.PrefillTokensPerSecond *= factor
 	p.KVTransferBytesPerSecond *= factor
-	for _, part := range []*time.Duration{&p.StepBase, &p.StepPerSequence, &p.StepPerContextToken, &p.RoleChange, &p.WeightLoad, &p.AdapterLoad} {
-		*part = time.Duration(float64(*part) / factor)
+	for _, duration := range []*time.Duration{&p.StepBase, &p.StepPerSequence, &p.StepPerContextToken, &p.RoleChange, &p.WeightLoad, &p.AdapterLoad} {
+		*duration = time.Duration(float64(*duration) / factor)
 	}
 	return p
 }
 
-// PrefillTime is the time to read tokens of a prompt without steps' fixed cost.
+// PrefillTime returns the time to prefill the tokens without the fixed cost of the steps.
 func (p Profile) PrefillTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / p.PrefillTokensPerSecond * float64(time.Second))
 }
 
-// TransferTime is the time to import the KV cache of tokens on an idle link.
+// TransferTime returns the time to import the KV cache of the tokens over an idle link.
 func (p Profile) TransferTime(tokens int) time.Duration {
 	bytes := float64(tokens) * float64(p.KVBytesPerToken)
 	return time.Duration(bytes / p.KVTransferBytesPerSecond * float64(time.Second))
 }
 
-// DecodeStep is the time of one step in which sequences with contextTokens of
-// context in all write one token each.
+// DecodeStep returns the duration of one step in which the sequences, with contextTokens of
+// context in total, decode one token each.
 func (p Profile) DecodeStep(sequences int, contextTokens int64) time.Duration {
 	return p.StepBase + time.Duration(sequences)*p.StepPerSequence + time.Duration(contextTokens)*p.StepPerContextToken
 }
--- a/internal/enginemodel/request.go
+++ b/internal/enginemodel/request.go
@@ -2,38 +2,38 @@
 
 import "errors"
 
-// Phase tells which part of a request the engine does.
+// Phase is the part of a request that the engine serves.
 type Phase int
 
 // Phases of a request.
 const (
-	// PhaseFull reads the prompt and writes the output.
+	// PhaseFull is prefill and decode.
 	PhaseFull Phase = iota
-	// PhasePrefillOnly reads the prompt and keeps its KV cache for export.
+	// PhasePrefillOnly is the prefill alone; the KV cache is kept for export.
 	PhasePrefillOnly
-	// PhaseDecodeImported imports the prompt's KV cache and writes the output.
+	// PhaseDecodeImported imports the KV cache of the prompt and decodes.
 	PhaseDecodeImported
 )
 
 // Request is one sequence for the engine.
 type Request struct {
-	// ID is unique among the sequences the engine holds.
+	// ID is unique among the engine's waiting and running sequences.
 	ID           string
 	PromptTokens int
-	// OutputTokens is the whole length of the output, including AlreadyDelivered.
+	// OutputTokens is the length of the whole output, including AlreadyDelivered.
 	OutputTokens int
-	// Priority: larger goes first; equal priorities go in order of arrival.
+	// Priority: higher priorities run first; equal ones run in order of arrival.
 	Priority int
-	// PrefixBlocks are the hashes of the prompt's full blocks of cache, in order.
-	// Each hash covers its block and all before it.
+	// PrefixBlocks are the hashes of the prompt's full prefix blocks, in order.
+	// Each hash covers its block and all blocks before it.
 	PrefixBlocks []uint64
 	Phase        Phase
-	// AlreadyDelivered counts output tokens that were written elsewhere; the engine
-	// reads them with the prompt and goes on after them.
+	// AlreadyDelivered is the number of output tokens that another engine has generated; this
+	// engine prefills them with the prompt and continues after them.
 	AlreadyDelivered int
 }
 
-// Errors of Submit. The request has not run and never will.
+// Errors of Submit. The request has not run and will not run.
 var (
 	ErrDuplicate = errors.New("a sequence with this id is running or waiting")
 	ErrTooLarge  = errors.New("the sequence is larger than the engine's KV memory")
--- a/internal/enginemodel/sequence.go
+++ b/internal/enginemodel/sequence.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// sequence is a request inside the engine.
+// sequence is a request in the engine.
 type sequence struct {
 	Request
-	cached int
-	// unread prompt tokens, counting already delivered output.
-	unread int
-	// written output tokens, counting those already delivered.
-	written int
-	// wroteHere tells that this engine has written at least one token.
-	wroteHere bool
-	// importedAt is when the imported KV cache is whole.
+	cachedTokens int
+	// prefillLeft is the number of tokens still to prefill, including already delivered output.
+	prefillLeft int
+	// generatedTokens is the number of output tokens so far, including those already delivered.
+	generatedTokens int
+	// hasDecoded is true once this engine has generated a token.
+	hasDecoded bool
+	// importedAt is when the import of the KV cache completes.
 	importedAt time.Duration
 }
 
-// memory is what the sequence holds of the KV memory, reserved for its whole life.
-func (s *sequence) memory() int64 {
+// kvTokens returns the KV memory that the sequence occupies from its admission to its end, in tokens.
+func (s *sequence) kvTokens() int64 {
 	if s.Phase == PhasePrefillOnly {
 		return int64(s.PromptTokens)
 	}
 	return int64(s.PromptTokens + s.OutputTokens)
 }
 
-func (s *sequence) context() int64 { return int64(s.PromptTokens + s.written) }
+func (s *sequence) contextTokens() int64 { return int64(s.PromptTokens + s.generatedTokens) }
 
-func (s *sequence) left() int { return s.OutputTokens - s.written }
+func (s *sequence) outputLeft() int { return s.OutputTokens - s.generatedTokens }
--- a/internal/enginemodel/step.go
+++ b/internal/enginemodel/step.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// run moves time to now, one step of the batch after the other.
-func (e *Engine) run(now time.Duration) {
+// advance moves time to now, step by step.
+func (e *Engine) advance(now time.Duration) {
 	for {
-		if e.stepping {
+		if e.inStep {
 			if e.stepEnd > now {
 				break
 			}
@@ -24,62 +24,62 @@
 	e.now = max(e.now, now)
 }
 
-// startStep admits what fits and begins a step if there is anything to do.
+// startStep admits waiting sequences that fit and starts a step if there is work to do.
 func (e *Engine) startStep() {
 	e.admit()
 	e.finishImports()
 	budget := e.profile.PrefillChunk[e.role]
-	e.stepReads = e.stepReads[:0]
-	readTokens := 0
-	for _, reader := range e.reading {
-		tokens := min(reader.unread, budget-readTokens)
+	e.stepPrefills = e.stepPrefills[:0]
+	prefillTokens := 0
+	for _, next := range e.prefilling {
+		tokens := min(next.prefillLeft, budget-prefillTokens)
 		if tokens <= 0 {
 			break
 		}
-		e.stepReads = append(e.stepReads, read{reader, tokens})
-		readTokens += tokens
+		e.stepPrefills = append(e.stepPrefills, prefillChunk{next, tokens})
+		prefillTokens += tokens
 	}
-	e.stepWriters = len(e.writing)
-	if readTokens == 0 && e.stepWriters == 0 {
-		e.stepping = false
+	e.stepDecodes = len(e.decoding)
+	if prefillTokens == 0 && e.stepDecodes == 0 {
+		e.inStep = false
 		return
 	}
-	var context int64
-	for _, writer := range e.writing {
-		context += writer.context()
+	var contextTokens int64
+	for _, each := range e.decoding {
+		contextTokens += each.contextTokens()
 	}
-	e.stepping = true
-	e.stepEnd = e.now + e.profile.DecodeStep(e.stepWriters, context) + e.profile.PrefillTime(readTokens)
+	e.inStep = true
+	e.stepEnd = e.now + e.profile.DecodeStep(e.stepDecodes, contextTokens) + e.profile.PrefillTime(prefillTokens)
 }
 
-// admit moves waiting sequences into the batch while there is room, in order.
+// admit moves waiting sequences into the batch, in order, while there is room.
 func (e *Engine) admit() {
 	for len(e.waiting) > 0 && len(e.byID)-len(e.waiting) < e.profile.MaxBatch {
 		next := e.waiting[0]
-		if e.memoryUsed+next.memory() > e.profile.KVCapacityTokens {
+		if e.kvTokensUsed+next.kvTokens() > e.profile.KVCapacityTokens {
 			return
 		}
 		e.waiting = e.waiting[1:]
-		e.memoryUsed += next.memory()
+		e.kvTokensUsed += next.kvTokens()
 		if e.tokenEvents {
-			e.tell(next, EventStarted)
+			e.addEvent(next, EventStarted)
 		}
 		if next.Phase == PhaseDecodeImported {
-			e.linkFree = max(e.linkFree, e.now) + e.profile.TransferTime(next.PromptTokens)
-			next.importedAt = e.linkFree
+			e.linkFreeAt = max(e.linkFreeAt, e.now) + e.profile.TransferTime(next.PromptTokens)
+			next.importedAt = e.linkFreeAt
 			e.importing = append(e.importing, next)
 			continue
 		}
-		next.cached = min(e.cache.match(next.PrefixBlocks)*e.profile.BlockTokens, next.PromptTokens-1)
-		next.unread = next.PromptTokens - next.cached + next.AlreadyDelivered
-		e.reading = append(e.reading, next)
+		next.cachedTokens = min(e.cache.match(next.PrefixBlocks)*e.profile.BlockTokens, next.PromptTokens-1)
+		next.prefillLeft = next.PromptTokens - next.cachedTokens + next.AlreadyDelivered
+		e.prefilling = append(e.prefilling, next)
 	}
 }
 
-// finishImports moves whole imports to the writers. Imports end in order.
+// finishImports moves sequences with a complete import to decoding. Imports finish in order.
 func (e *Engine) finishImports() {
 	for len(e.importing) > 0 && e.importing[0].importedAt <= e.now {
-		e.writing = append(e.writing, e.importing[0])
+		e.decoding = append(e.decoding, e.importing[0])
 		e.importing = e.importing[1:]
 	}
 }
@@ -91,72 +91,72 @@
 	return e.importing[0].importedAt, true
 }
 
-// finishStep gives each writer of the step its token and moves the readers on.
+// finishStep adds one token to each decoding sequence of the step and advances the prefills.
 func (e *Engine) finishStep() {
-	remaining := e.writing[:0]
-	for index, writer := range e.writing {
-		if index < e.stepWriters {
-			e.write(writer)
+	remaining := e.decoding[:0]
+	for index, running := range e.decoding {
+		if index < e.stepDecodes {
+			e.emitToken(running)
 		}
-		if writer.left() > 0 {
-			remaining = append(remaining, writer)
+		if running.outputLeft() > 0 {
+			remaining = append(remaining, running)
 		}
 	}
-	clear(e.writing[len(remaining):])
-	e.writing = remaining
-	for _, part := range e.stepReads {
-		if part.sequence != nil {
-			e.finishRead(part)
+	clear(e.decoding[len(remaining):])
+	e.decoding = remaining
+	for _, chunk := range e.stepPrefills {
+		if chunk.sequence != nil {
+			e.finishPrefill(chunk)
 		}
 	}
 }
 
-// write adds one token to a sequence and ends it after its last.
-func (e *Engine) write(writer *sequence) {
-	writer.written++
+// emitToken adds one token to a sequence and ends the sequence after its last token.
+func (e *Engine) emitToken(running *sequence) {
+	running.generatedTokens++
 	e.totals.OutputTokensDone++
 	switch {
-	case !writer.wroteHere:
-		writer.wroteHere = true
-		e.tell(writer, EventFirstToken)
+	case !running.hasDecoded:
+		running.hasDecoded = true
+		e.addEvent(running, EventFirstToken)
 	case e.tokenEvents:
-		e.tell(writer, EventToken)
+		e.addEvent(running, EventToken)
 	}
-	if writer.left() == 0 {
-		e.release(writer)
-		e.tell(writer, EventDone)
+	if running.outputLeft() == 0 {
+		e.release(running)
+		e.addEvent(running, EventDone)
 	}
 }
 
-// finishRead counts the tokens read; the end of a prompt gives the first token.
-func (e *Engine) finishRead(part read) {
-	reader := part.sequence
-	reader.unread -= part.tokens
-	e.totals.PromptTokensDone += int64(part.tokens)
-	if reader.unread > 0 {
+// finishPrefill counts the tokens of a prefill chunk; the end of a prefill yields the first token.
+func (e *Engine) finishPrefill(chunk prefillChunk) {
+	prefilled := chunk.sequence
+	prefilled.prefillLeft -= chunk.tokens
+	e.totals.PromptTokensDone += int64(chunk.tokens)
+	if prefilled.prefillLeft > 0 {
 		return
 	}
-	e.totals.CachedTokensDone += int64(reader.cached)
-	e.reading, _ = without(e.reading, reader)
-	e.cache.store(reader.PrefixBlocks)
-	if reader.Phase == PhasePrefillOnly {
-		e.release(reader)
-		e.tell(reader, EventPrefillDone)
+	e.totals.CachedTokensDone += int64(prefilled.cachedTokens)
+	e.prefilling, _ = removeSequence(e.prefilling, prefilled)
+	e.cache.store(prefilled.PrefixBlocks)
+	if prefilled.Phase == PhasePrefillOnly {
+		e.release(prefilled)
+		e.addEvent(prefilled, EventPrefillDone)
 		return
 	}
-	e.write(reader)
-	if reader.left() > 0 {
-		e.writing = append(e.writing, reader)
+	e.emitToken(prefilled)
+	if prefilled.outputLeft() > 0 {
+		e.decoding = append(e.decoding, prefilled)
 	}
 }
 
 func (e *Engine) release(ended *sequence) {
-	e.memoryUsed -= ended.memory()
+	e.kvTokensUsed -= ended.kvTokens()
 	delete(e.byID, ended.ID)
 }
 
-func (e *Engine) tell(about *sequence, what EventType) {
+func (e *Engine) addEvent(subject *sequence, eventType EventType) {
 	e.events = append(e.events, Event{
-		At: e.now, Type: what, ID: about.ID, OutputTokens: about.written, CachedTokens: about.cached,
+		At: e.now, Type: eventType, ID: subject.ID, OutputTokens: subject.generatedTokens, CachedTokens: subject.cachedTokens,
 	})
 }
