--- a/internal/controller/site.go
+++ b/internal/controller/site.go
@@ -35,7 +35,7 @@
 	ListingInterval time.Duration
 	// ReadListing reads the first pages of the external list of back ends; 0 pages means the whole list.
 	ReadListing func(ctx context.Context, client *http.Client, pages int) (serving.Listing, error)
-	// Without are the mechanisms that are disabled for measurements; users disable none.
+	// Without are the mechanisms that are left out; users leave out none.
 	Without mechanism.Set
 	// PriorPrefillShare, OrderWait and OrderLifetime: see control.Config.
 	PriorPrefillShare float64
--- a/internal/controller/syncer.go
+++ b/internal/controller/syncer.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/control"
 )
 
-// batchWriter is the disk of the replicated log.
+// batchWriter writes batches of the replicated log to disk.
 type batchWriter interface {
 	// Write writes the batches in order and returns after one sync of all of them.
 	Write(batches []control.Persist) error
