--- a/internal/servercommand/site.go
+++ b/internal/servercommand/site.go
@@ -22,7 +22,7 @@
 	// ReadCache reads the state of an engine's prefix cache.
 	ReadCache func(ctx context.Context, client *http.Client, engine serving.BackEnd) (serving.CacheReport, error)
 	// OrderStage orders an engine into a stage.
-	OrderStage func(ctx context.Context, client *http.Client, order controller.StageOrder) (controller.StageAnswer, error)
+	OrderStage func(ctx context.Context, client *http.Client, order controller.StageOrder) (controller.StageResult, error)
 	// Duties parses the names of the platform's singleton duties.
 	Duties func(names []string) Duties
 	// ReportUsage reports the tenants' usage in a window to the platform at an address.
--- a/internal/servercommand/site_controller.go
+++ b/internal/servercommand/site_controller.go
@@ -53,10 +53,10 @@
 		ListingInterval:   loaded.ListingInterval,
 		ReadListing:       environment.Site.listingReaderAt(loaded.ListingAddress),
 		Without:           without,
-		PriorPrefillShare: loaded.PrefillShare, OrderWait: loaded.OrderWait + orderLifetime, OrderLife: orderLifetime,
+		PriorPrefillShare: loaded.PrefillShare, OrderWait: loaded.OrderWait + orderLifetime, OrderLifetime: orderLifetime,
 		OrderStage:     environment.Site.OrderStage,
 		NamedServices:  environment.Site.NamedServices,
-		DutyLife:       orderLifetime,
+		DutyLifetime:   orderLifetime,
 		DutyInterval:   time.Duration(float64(time.Second) / (loaded.DutyRate * dutyRateShare)),
 		OperatorListen: loaded.OperatorListen,
 		OperatorHandler: func(store controller.DocumentStore) http.Handler {
