--- a/internal/benchcommand/soak.go
+++ b/internal/benchcommand/soak.go
@@ -27,18 +27,18 @@
 func serveSite(ctx context.Context, arguments []string, environment Environment) int {
 	way := soak.Outgoing()
 	go func() {
-		_ = fleet.ObeyCuts(os.Stdin, way.Gate) // it ends when the soak does
+		_ = fleet.ObeyCuts(os.Stdin, way.Partitioner) // it ends when the soak does
 		os.Exit(ExitFailed)
 	}()
 	return servercommand.Run(ctx, arguments, servercommand.Environment{
 		Program: environment.Program + " " + serveSiteName, Stdout: environment.Stdout, Stderr: environment.Stderr, Site: platform.Site(),
-		Dial: dialing.Dial(way.Dial(zonedelay.DialFunc(dialing.WithDeadPeerDetection()), soak.PeerPort)),
+		Dial: dialing.Dial(way.WrapDial(zonedelay.DialFunc(dialing.WithDeadPeerDetection()), soak.PeerPort)),
 		ListenPacket: func(network, address string) (net.PacketConn, error) {
 			connection, err := net.ListenPacket(network, address)
 			if err != nil {
 				return nil, err
 			}
-			return way.Packets(connection), nil
+			return way.WrapPacketConn(connection), nil
 		},
 	})
 }
--- a/internal/control/declare.go
+++ b/internal/control/declare.go
@@ -52,6 +52,6 @@
 	}
 	c.answer(Answer{Call: received.Call, Response: &v1.PlanResponse{
 		Revision:    c.state.Revision(),
-		Differences: language.Differences(c.state.Objects(), received.Objects, received.Request.Prune),
+		Differences: language.DiffObjects(c.state.Objects(), received.Objects, received.Request.Prune),
 	}})
 }
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -112,7 +112,7 @@
 	c.deferredOrders = map[string]string{}
 	for _, order := range declaredOrders(c.state) {
 		if err := c.issueOrder(order); err != nil {
-			c.deferredOrders[order.Engine] = language.OrderText(order) + ": " + oneLine(err)
+			c.deferredOrders[order.Engine] = language.FormatOrder(order) + ": " + oneLine(err)
 		}
 	}
 }
--- a/internal/control/execute.go
+++ b/internal/control/execute.go
@@ -38,11 +38,11 @@
 // checkRole demands the role that a statement needs.
 func (c *Core) checkRole(received ExecuteReceived, statement language.Statement) error {
 	required := statement.RequiredRole()
-	if language.Allowed(received.Role, required) {
+	if language.RoleAllows(received.Role, required) {
 		return nil
 	}
 	return trace.AccessDenied("operator %q has role %s; this needs %s",
-		received.Operator, language.OperatorRoleWord(received.Role), language.OperatorRoleWord(required))
+		received.Operator, language.OperatorRoleName(received.Role), language.OperatorRoleName(required))
 }
 
 // refuseAudited refuses a command at the leader; the audit trail tells why.
@@ -108,7 +108,7 @@
 	case language.AbortOrder:
 		c.abortForOperator(received, wanted.Engine)
 	case language.ReleaseRequest:
-		c.releaseForOperator(received, wanted.Content)
+		c.releaseForOperator(received, wanted.Signature)
 	case language.PinEngine:
 		c.declareForOperator(received, c.pinObject(wanted))
 	case language.UnpinEngine:
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -46,10 +46,10 @@
 	for i, record := range records {
 		name := record.State.Engine
 		engine := language.EngineView{
-			State: record.State, RoleSinceMs: record.RoleSinceMs, Outstanding: record.Outstanding,
-			Serving:  v.core.tracker.BackEndState(v.core.now, name),
-			Pinned:   v.core.pinOf(name).GetPin().GetRole(),
-			HeldBack: v.core.deferredOrders[name],
+			State: record.State, RoleSinceMs: record.RoleSinceMs, OutstandingOrder: record.Outstanding,
+			ServingState:  v.core.tracker.BackEndState(v.core.now, name),
+			PinnedRole:    v.core.pinOf(name).GetPin().GetRole(),
+			BlockedChange: v.core.deferredOrders[name],
 		}
 		if machine := v.core.tracker.Machine(name); machine != nil && machine.Load != nil {
 			engine.Load = machine.BackEndLoad()
@@ -67,13 +67,13 @@
 		nodes = append(nodes, language.NodeView{
 			Name: gateway.Name, Program: "gateway", Zone: gateway.Zone, Address: gateway.Address,
 			Revision: gateway.Revision, Leaving: gateway.Leaving, Incarnation: gateway.Incarnation,
-			HeardAtMs: v.core.config.WallOrigin + gateway.LastHeartbeatAt.Milliseconds(),
+			LastMessageAtMs: v.core.config.WallOrigin + gateway.LastHeartbeatAt.Milliseconds(),
 		})
 	}
 	for _, member := range v.Members() {
 		node := language.NodeView{
 			Name: member.Member.Name, Program: "controller", Zone: member.Member.Zone,
-			Address: member.Member.Address, HeardAtMs: member.HeardAtMs,
+			Address: member.Member.Address, LastMessageAtMs: member.LastMessageAtMs,
 		}
 		revision, known := v.core.revisions.revisionAt(member.MatchIndex)
 		node.Revision, node.RevisionUnknown = revision, !known
@@ -97,7 +97,7 @@
 	for i, member := range status.Members {
 		members[i] = language.MemberView{
 			Member: member.Member, Leader: member.Member.GetId() == status.Leader, MatchIndex: member.Match,
-			HeardAtMs: v.core.wallMs() - member.Silence.Milliseconds(),
+			LastMessageAtMs: v.core.wallMs() - member.Silence.Milliseconds(),
 		}
 	}
 	return members
@@ -137,7 +137,7 @@
 	var suspects []language.SuspectView
 	for _, suspect := range v.core.suspects().Suspects() {
 		suspects = append(suspects, language.SuspectView{
-			Content: suspect.Signature.String(), Ended: len(suspect.Replicas), Held: suspect.IsQuarantined(), Trials: int(suspect.Trials),
+			Signature: suspect.Signature.String(), Crashes: len(suspect.Replicas), Quarantined: suspect.IsQuarantined(), Trials: int(suspect.Trials),
 		})
 	}
 	return suspects
@@ -172,12 +172,12 @@
 	return shares
 }
 
-// PlannerReasons implements language.View.
-func (v *view) PlannerReasons() []language.PlannerReason {
-	var reasons []language.PlannerReason
+// PlannerDecisions implements language.View.
+func (v *view) PlannerDecisions() []language.PlannerDecision {
+	var reasons []language.PlannerDecision
 	for _, service := range sortedKeys(v.core.planning.reasons) {
 		decision := v.core.planning.reasons[service]
-		reasons = append(reasons, language.PlannerReason{
+		reasons = append(reasons, language.PlannerDecision{
 			Service: service, AtMs: v.core.config.WallOrigin + decision.at.Milliseconds(),
 			Changes: decision.changes, Reason: decision.reason,
 		})
--- a/internal/controller/operator_service.go
+++ b/internal/controller/operator_service.go
@@ -62,11 +62,11 @@
 // checkRoleToApply demands the role that a declaration needs.
 func checkRoleToApply(operator operatorIdentity, objects []*v1.Object, request *v1.ApplyRequest) error {
 	required := language.RequiredRoleToApply(objects, request.GetPrune())
-	if language.Allowed(operator.role, required) {
+	if language.RoleAllows(operator.role, required) {
 		return nil
 	}
 	return trace.AccessDenied("operator %q is %s; this declaration needs %s",
-		operator.name, language.OperatorRoleWord(operator.role), language.OperatorRoleWord(required))
+		operator.name, language.OperatorRoleName(operator.role), language.OperatorRoleName(required))
 }
 
 // Plan tells what Apply would change.
--- a/internal/experiment/faults.go
+++ b/internal/experiment/faults.go
@@ -15,9 +15,9 @@
 		for _, chosen := range fault.Strikes(declared) {
 			struck = append(struck, w.byName[chosen.Name])
 		}
-		w.agenda.Add(fault.At, func() { w.beginFault(fault, struck) })
+		w.agenda.Schedule(fault.At, func() { w.beginFault(fault, struck) })
 		if fault.Length > 0 {
-			w.agenda.Add(fault.At+fault.Length, func() { w.endFault(fault, struck) })
+			w.agenda.Schedule(fault.At+fault.Length, func() { w.endFault(fault, struck) })
 		}
 	}
 }
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -149,7 +149,7 @@
 		delete(g.waiting, next.ID)
 		asked.began = g.world.now
 		if asked.deadline > 0 {
-			g.world.agenda.Add(asked.deadline, func() { g.deadlinePassed(asked) })
+			g.world.agenda.Schedule(asked.deadline, func() { g.deadlinePassed(asked) })
 		}
 		g.begin(asked)
 	}
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -14,7 +14,7 @@
 	options  Options
 	scenario *scenario.Scenario
 	now      time.Duration
-	agenda   virtualtime.Agenda
+	agenda   virtualtime.EventQueue
 	engines  []*engine
 	byName   map[string]*engine
 	gateways []*gateway // one in each zone
@@ -111,7 +111,7 @@
 		return
 	}
 	arrival := &w.options.Arrivals[number]
-	w.agenda.Add(arrival.At, func() {
+	w.agenda.Schedule(arrival.At, func() {
 		w.gateways[arrival.Zone].receive(w.newRequest(arrival))
 		w.enterArrival(number + 1)
 	})
@@ -122,16 +122,16 @@
 	again = func() {
 		action()
 		if w.now+interval <= until {
-			w.agenda.Add(w.now+interval, again)
+			w.agenda.Schedule(w.now+interval, again)
 		}
 	}
-	w.agenda.Add(interval, again)
+	w.agenda.Schedule(interval, again)
 }
 
-func (w *world) after(delay time.Duration, action func()) { w.agenda.Add(w.now+delay, action) }
+func (w *world) after(delay time.Duration, action func()) { w.agenda.Schedule(w.now+delay, action) }
 
 func (w *world) nextTime() (time.Duration, bool) {
-	best, found := w.agenda.Next()
+	best, found := w.agenda.NextTime()
 	for _, engine := range w.engines {
 		if at, busy := engine.nextEvent(); busy && (!found || at < best) {
 			best, found = at, true
--- a/internal/fleet/cuts.go
+++ b/internal/fleet/cuts.go
@@ -22,7 +22,7 @@
 
 // cuts are the groups that are cut off now. It is safe for concurrent use.
 type cuts struct {
-	gate *zonedelay.Gate // of the stand-ins in this process
+	gate *zonedelay.Partitioner // of the stand-ins in this process
 
 	mutex  sync.Mutex
 	number int
@@ -37,7 +37,7 @@
 	command := cutCommand{Number: c.number, Group: group}
 	c.active = append(c.active, command)
 	c.mutex.Unlock()
-	heal := c.gate.Cut(group)
+	heal := c.gate.Isolate(group)
 	end = func() error {
 		heal()
 		c.mutex.Lock()
@@ -84,7 +84,7 @@
 
 // ObeyCuts lets the commands that a fleet writes to a process's standard input take
 // effect on the process's gate, and returns when the input ends.
-func ObeyCuts(input io.Reader, gate *zonedelay.Gate) error {
+func ObeyCuts(input io.Reader, gate *zonedelay.Partitioner) error {
 	heals := map[int]func(){}
 	for commands := json.NewDecoder(input); ; {
 		var command cutCommand
@@ -99,7 +99,7 @@
 			delete(heals, command.Number)
 		}
 		if len(command.Group) > 0 {
-			heals[command.Number] = gate.Cut(command.Group)
+			heals[command.Number] = gate.Isolate(command.Group)
 		}
 	}
 }
--- a/internal/fleet/description.go
+++ b/internal/fleet/description.go
@@ -111,7 +111,7 @@
 		return Description{}, trace.BadParameter("can't read the fleet description: %v; --deployment names a directory such as deploy/rawabi", err)
 	}
 	var description Description
-	err := yamlfile.Load(yamlfile.Source{Path: path, Together: func(document *yamlfile.Document) {
+	err := yamlfile.Load(yamlfile.Source{Path: path, CrossCheck: func(document *yamlfile.Document) {
 		description.check(document)
 	}}, &description)
 	return description, trace.Wrap(err)
--- a/internal/fleet/topology.go
+++ b/internal/fleet/topology.go
@@ -14,17 +14,17 @@
 	clientSubnet byte
 	subnets      map[byte]bool
 	latency      Latency
-	gate         *zonedelay.Gate // nil when nothing is ever cut off
-	unsent       *zonedelay.Unsent
+	gate         *zonedelay.Partitioner // nil when nothing is ever cut off
+	unsent       *zonedelay.PendingFlushes
 }
 
 // NewTopology returns the topology of a description.
 func NewTopology(description Description) Topology {
 	topology := Topology{
-		clientSubnet: byte(description.ClientSubnet), latency: description.Latency, subnets: make(map[byte]bool), unsent: new(zonedelay.Unsent),
+		clientSubnet: byte(description.ClientSubnet), latency: description.Latency, subnets: make(map[byte]bool), unsent: new(zonedelay.PendingFlushes),
 	}
 	if description.cutsOff() {
-		topology.gate = zonedelay.NewGate(description.prefix())
+		topology.gate = zonedelay.NewPartitioner(description.prefix())
 	}
 	for _, zone := range description.Zones {
 		topology.subnets[byte(zone.Subnet)] = true
@@ -34,7 +34,7 @@
 
 // Gate cuts addresses off from the topology's listeners; nil when the description's
 // faults cut nothing off.
-func (t Topology) Gate() *zonedelay.Gate { return t.gate }
+func (t Topology) Gate() *zonedelay.Partitioner { return t.gate }
 
 // unsentLimit is how long a process that ends waits for the last bytes of its connections.
 const unsentLimit = time.Second
@@ -71,5 +71,5 @@
 		return inner, nil
 	}
 	latency := func(remote netip.Addr) time.Duration { return t.Between(local.Addr(), remote.Unmap()) }
-	return zonedelay.WrapGated(inner, latency, t.gate, t.unsent), nil
+	return zonedelay.WrapPartitioned(inner, latency, t.gate, t.unsent), nil
 }
--- a/internal/language/declarations_test.go
+++ b/internal/language/declarations_test.go
@@ -100,10 +100,10 @@
 			schema := rapid.SampledFrom(schemas).Draw(t, "schema")
 			name := rapid.StringMatching(`[A-Za-z0-9_][A-Za-z0-9_.-]{0,12}`).Draw(t, "name")
 			object := &v1.Object{Key: key(schema.objectType, name)}
-			if seen[KeyText(object.Key)] {
+			if seen[FormatKey(object.Key)] {
 				continue
 			}
-			seen[KeyText(object.Key)] = true
+			seen[FormatKey(object.Key)] = true
 			message := schema.message(object, true)
 			if schema.nameField != nil {
 				message.Set(schema.nameField, protoreflect.ValueOfString(name))
@@ -173,8 +173,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		before := objectsGenerator().Draw(t, "before")
 		after := objectsGenerator().Draw(t, "after")
-		require.Empty(t, Differences(before, before, true))
-		pruned := Differences(before, after, true)
+		require.Empty(t, DiffObjects(before, before, true))
+		pruned := DiffObjects(before, after, true)
 		require.Equal(t, len(pruned) == 0, Format(before) == Format(after))
 	})
 }
@@ -187,7 +187,7 @@
 	require.NoError(t, err)
 	describe := func(differences []*v1.Difference) (lines []string) {
 		for _, difference := range differences {
-			line := difference.GetType().String() + " " + KeyText(difference.GetKey())
+			line := difference.GetType().String() + " " + FormatKey(difference.GetKey())
 			for _, field := range difference.GetFields() {
 				line += " " + field.GetField() + ":" + field.GetBefore() + ">" + field.GetAfter()
 			}
@@ -195,8 +195,8 @@
 		}
 		return lines
 	}
-	require.Equal(t, []string{"CHANGE tenant a weight:2>3", `ADD model n version:>"1" weights:>1GiB`}, describe(Differences(before, after, false)))
-	require.Equal(t, []string{"CHANGE tenant a weight:2>3", "DELETE tenant b", `ADD model n version:>"1" weights:>1GiB`}, describe(Differences(before, after, true)))
+	require.Equal(t, []string{"CHANGE tenant a weight:2>3", `ADD model n version:>"1" weights:>1GiB`}, describe(DiffObjects(before, after, false)))
+	require.Equal(t, []string{"CHANGE tenant a weight:2>3", "DELETE tenant b", `ADD model n version:>"1" weights:>1GiB`}, describe(DiffObjects(before, after, true)))
 }
 
 func TestCheckFilesNamesThePlaceOfABrokenReference(t *testing.T) {
--- a/internal/language/differences.go
+++ b/internal/language/differences.go
@@ -4,10 +4,10 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// Differences tells what declaring after over before changes, by type and then by
+// DiffObjects tells what declaring after over before changes, by type and then by
 // name. Objects of before that after does not name stay, unless prune deletes them.
 // Fields that are not declared, such as a tenant's cache salt, do not count.
-func Differences(before, after []*v1.Object, prune bool) []*v1.Difference {
+func DiffObjects(before, after []*v1.Object, prune bool) []*v1.Difference {
 	earlier := byKey(before)
 	later := byKey(after)
 	keys := make([]*v1.Object, 0, len(earlier)+len(later))
@@ -22,7 +22,7 @@
 	SortObjects(keys)
 	var differences []*v1.Difference
 	for _, object := range keys {
-		key := KeyText(object.GetKey())
+		key := FormatKey(object.GetKey())
 		if difference := differenceOf(earlier[key], later[key]); difference != nil {
 			differences = append(differences, difference)
 		}
@@ -34,7 +34,7 @@
 	result := make(map[string]*v1.Object, len(objects))
 	for _, object := range objects {
 		if !object.GetDeleted() && schemaOf(object.GetKey().GetType()) != nil {
-			result[KeyText(object.GetKey())] = object
+			result[FormatKey(object.GetKey())] = object
 		}
 	}
 	return result
--- a/internal/language/evaluate_engine.go
+++ b/internal/language/evaluate_engine.go
@@ -14,18 +14,18 @@
 		return err
 	}
 	state := engine.State
-	e.add("role", RoleWord(state.GetRole()), engine.RoleSinceMs, 0, e.roleReason(engine))
+	e.add("role", RoleName(state.GetRole()), engine.RoleSinceMs, 0, e.roleReason(engine))
 	e.pin(name)
-	e.add("state", stateWord(engine.Serving), 0, 0, e.stateReason(engine))
+	e.add("state", stateWord(engine.ServingState), 0, 0, e.stateReason(engine))
 	e.add("service", state.GetService(), 0, 0, "machine list")
 	e.add("zone", state.GetZone(), 0, 0, "machine list")
 	e.model(state)
 	e.adapters(state)
-	if order := engine.Outstanding; order != nil {
+	if order := engine.OutstandingOrder; order != nil {
 		e.add("order", fenceText(order)+" "+actionText(order), order.GetIssuedAtMs(), 0, order.GetReason())
 	}
-	if engine.HeldBack != "" {
-		e.add("held back", engine.HeldBack, 0, 0, "declared, and not ordered yet")
+	if engine.BlockedChange != "" {
+		e.add("held back", engine.BlockedChange, 0, 0, "declared, and not ordered yet")
 	}
 	e.planner(state.GetService())
 	if load := engine.Load; load != nil {
@@ -56,7 +56,7 @@
 			continue
 		}
 		if order.Order.GetRole() != engine.State.GetRole() {
-			return "reported by the engine; the last order was for " + RoleWord(order.Order.GetRole())
+			return "reported by the engine; the last order was for " + RoleName(order.Order.GetRole())
 		}
 		return "order " + fenceText(order.Order) + ": " + order.Order.GetReason()
 	}
@@ -65,11 +65,11 @@
 
 // stateReason says why an engine gets no new work, as far as an order is the reason.
 func (e *explanation) stateReason(engine EngineView) string {
-	if engine.Serving == v1.BackEndState_BACK_END_STATE_SERVING {
+	if engine.ServingState == v1.BackEndState_BACK_END_STATE_SERVING {
 		return ""
 	}
-	if engine.Outstanding != nil {
-		return "order " + fenceText(engine.Outstanding) + " is under way"
+	if engine.OutstandingOrder != nil {
+		return "order " + fenceText(engine.OutstandingOrder) + " is under way"
 	}
 	orders := e.view.Orders(engine.State.GetEngine())
 	for i := len(orders) - 1; i >= 0; i-- {
@@ -111,7 +111,7 @@
 func (e *explanation) pin(name string) {
 	for _, object := range e.view.Objects() {
 		if pin := object.GetPin(); pin != nil && pin.GetEngine() == name {
-			e.add("pin", RoleWord(pin.GetRole()), object.GetAcceptedAtMs(), object.GetRevision(), e.revisionReason(object.GetRevision()))
+			e.add("pin", RoleName(pin.GetRole()), object.GetAcceptedAtMs(), object.GetRevision(), e.revisionReason(object.GetRevision()))
 		}
 	}
 }
--- a/internal/language/evaluate_explain.go
+++ b/internal/language/evaluate_explain.go
@@ -138,7 +138,7 @@
 		switch {
 		case object.GetBound().GetService() == name, object.GetPolicy().GetService() == name:
 			schema := schemaOf(object.GetKey().GetType())
-			e.add(KeyText(object.GetKey()), summary(schema, schema.message(object, false)), object.GetAcceptedAtMs(), object.GetRevision(), e.revisionReason(object.GetRevision()))
+			e.add(FormatKey(object.GetKey()), summary(schema, schema.message(object, false)), object.GetAcceptedAtMs(), object.GetRevision(), e.revisionReason(object.GetRevision()))
 		}
 	}
 	e.planner(name)
@@ -146,7 +146,7 @@
 
 // planner tells the planner's last decision for a service.
 func (e *explanation) planner(service string) {
-	for _, decision := range e.view.PlannerReasons() {
+	for _, decision := range e.view.PlannerDecisions() {
 		if decision.Service == service {
 			e.add("planner", fmt.Sprintf("%d changes", decision.Changes), decision.AtMs, 0, decision.Reason)
 		}
--- a/internal/language/evaluate_history.go
+++ b/internal/language/evaluate_history.go
@@ -65,7 +65,7 @@
 	}
 	parts := make([]string, len(difference.GetFields()))
 	for i, field := range difference.GetFields() {
-		parts[i] = FieldDifferenceText(field)
+		parts[i] = FormatFieldDifference(field)
 	}
 	verb := "changed"
 	if difference.GetType() == v1.DifferenceType_DIFFERENCE_TYPE_ADD {
@@ -74,8 +74,8 @@
 	return verb + ": " + strings.Join(parts, "; ")
 }
 
-// FieldDifferenceText writes one changed field as "weight = 2 → 3".
-func FieldDifferenceText(field *v1.FieldDifference) string {
+// FormatFieldDifference writes one changed field as "weight = 2 → 3".
+func FormatFieldDifference(field *v1.FieldDifference) string {
 	if field.GetBefore() == "" {
 		return field.GetField() + " = " + field.GetAfter()
 	}
--- a/internal/language/order_text.go
+++ b/internal/language/order_text.go
@@ -12,15 +12,15 @@
 	return fmt.Sprintf("%d/%d", order.GetEpoch(), order.GetSequence())
 }
 
-// OrderText writes what an order asks, such as "set role decode".
-func OrderText(order *v1.Order) string { return actionText(order) }
+// FormatOrder writes what an order asks, such as "set role decode".
+func FormatOrder(order *v1.Order) string { return actionText(order) }
 
 // actionText writes what an order asks, such as "set role decode".
 func actionText(order *v1.Order) string {
 	words := []string{strings.ReplaceAll(enumWord(order.GetAction().String(), "ORDER_ACTION_"), "_", " ")}
 	switch order.GetAction() {
 	case v1.OrderAction_ORDER_ACTION_SET_ROLE:
-		words = append(words, RoleWord(order.GetRole()))
+		words = append(words, RoleName(order.GetRole()))
 	case v1.OrderAction_ORDER_ACTION_LOAD_MODEL:
 		words = append(words, order.GetModel(), order.GetVersion())
 	case v1.OrderAction_ORDER_ACTION_LOAD_ADAPTER, v1.OrderAction_ORDER_ACTION_UNLOAD_ADAPTER:
--- a/internal/language/parse_declarations.go
+++ b/internal/language/parse_declarations.go
@@ -40,11 +40,11 @@
 	objects := objectsOf(declarations)
 	places := map[string]*declaration{}
 	for _, declaration := range declarations {
-		places[KeyText(declaration.object.GetKey())] = declaration
+		places[FormatKey(declaration.object.GetKey())] = declaration
 	}
 	var mistakes Errors
 	for _, fault := range referenceFaults(objects) {
-		declaration := places[KeyText(fault.Key)]
+		declaration := places[FormatKey(fault.Key)]
 		mistake := errorAt(declaration.at(fault.Field), "%s", fault.Message)
 		mistake.Suggestion = fault.Suggestion
 		mistakes = append(mistakes, mistake)
@@ -84,7 +84,7 @@
 		found, fileMistakes := parseFile(file)
 		mistakes = append(mistakes, fileMistakes...)
 		for _, declaration := range found {
-			key := KeyText(declaration.object.GetKey())
+			key := FormatKey(declaration.object.GetKey())
 			if earlier, twice := first[key]; twice {
 				mistakes = append(mistakes, errorAt(declaration.position, "%s is declared twice: first at %s", key, earlier.position))
 				continue
@@ -170,7 +170,7 @@
 			continue
 		}
 		if field.required {
-			mistakes = append(mistakes, errorAt(result.position, "%s lacks %s: expected %s = %s", KeyText(result.object.GetKey()), field.word, field.word, field.shape.describe()))
+			mistakes = append(mistakes, errorAt(result.position, "%s lacks %s: expected %s = %s", FormatKey(result.object.GetKey()), field.word, field.word, field.shape.describe()))
 			continue
 		}
 		field.setStandard(message)
--- a/internal/language/parse_statement.go
+++ b/internal/language/parse_statement.go
@@ -72,7 +72,7 @@
 		{s.Resume, func(name string) Statement { return ResumeEngine{Engine: name} }},
 		{s.Unpin, func(name string) Statement { return UnpinEngine{Engine: name} }},
 		{s.Abort, func(name string) Statement { return AbortOrder{Engine: name} }},
-		{s.Release, func(name string) Statement { return ReleaseRequest{Content: name} }},
+		{s.Release, func(name string) Statement { return ReleaseRequest{Signature: name} }},
 		{s.Promote, func(name string) Statement { return PromoteMember{ID: name} }},
 		{s.Remove, func(name string) Statement { return RemoveMember{ID: name} }},
 	}
--- a/internal/language/reference_test.go
+++ b/internal/language/reference_test.go
@@ -56,7 +56,7 @@
 			objects, err := CheckFiles([]*v1.SourceFile{{Name: referencePath, Text: part[2]}})
 			require.NoError(t, err)
 			for _, object := range objects {
-				seen[TypeWord(object.GetKey().GetType())] = true
+				seen[TypeName(object.GetKey().GetType())] = true
 			}
 			continue
 		}
@@ -145,10 +145,10 @@
 	var text strings.Builder
 	text.WriteString("| statement | lowest role that may run it |\n| --- | --- |\n")
 	for _, row := range statements {
-		fmt.Fprintf(&text, "| `%s` | %s |\n", row.beginning, OperatorRoleWord(row.statement.RequiredRole()))
+		fmt.Fprintf(&text, "| `%s` | %s |\n", row.beginning, OperatorRoleName(row.statement.RequiredRole()))
 	}
-	fmt.Fprintf(&text, "| applying declarations | %s |\n", OperatorRoleWord(RequiredRoleToApply(nil, false)))
-	fmt.Fprintf(&text, "| applying declarations of operators, or with `--prune` | %s |\n", OperatorRoleWord(RequiredRoleToApply(nil, true)))
+	fmt.Fprintf(&text, "| applying declarations | %s |\n", OperatorRoleName(RequiredRoleToApply(nil, false)))
+	fmt.Fprintf(&text, "| applying declarations of operators, or with `--prune` | %s |\n", OperatorRoleName(RequiredRoleToApply(nil, true)))
 	return text.String()
 }
 
--- a/internal/language/references.go
+++ b/internal/language/references.go
@@ -44,7 +44,7 @@
 }
 
 func (f ReferenceFault) text() string {
-	text := KeyText(f.Key) + ": " + f.Message
+	text := FormatKey(f.Key) + ": " + f.Message
 	if f.Suggestion != "" {
 		text += fmt.Sprintf("; did you mean %q?", f.Suggestion)
 	}
@@ -96,9 +96,9 @@
 		}
 		for _, name := range field.names(message) {
 			key := &v1.ObjectKey{Type: field.refers, Name: name}
-			if c.byKey[KeyText(key)] == nil {
+			if c.byKey[FormatKey(key)] == nil {
 				known := c.names[field.refers]
-				c.add(object, field.word, suggest(name, known), "%s names %s, which is not declared", field.word, KeyText(key))
+				c.add(object, field.word, suggest(name, known), "%s names %s, which is not declared", field.word, FormatKey(key))
 			}
 		}
 	}
@@ -149,7 +149,7 @@
 
 // service returns a declared service, or nil.
 func (c *referenceChecker) service(name string) *v1.Service {
-	return c.byKey[KeyText(&v1.ObjectKey{Type: v1.ObjectType_OBJECT_TYPE_SERVICE, Name: name})].GetService()
+	return c.byKey[FormatKey(&v1.ObjectKey{Type: v1.ObjectType_OBJECT_TYPE_SERVICE, Name: name})].GetService()
 }
 
 // checkUnique checks what two objects may not share.
@@ -160,7 +160,7 @@
 			return
 		}
 		if owner := owners[what+" "+value]; owner != nil {
-			c.add(object, field, "", "%s is already that of %s", what, KeyText(owner.GetKey()))
+			c.add(object, field, "", "%s is already that of %s", what, FormatKey(owner.GetKey()))
 			return
 		}
 		owners[what+" "+value] = object
@@ -173,7 +173,7 @@
 		claim(object, "service", "policy of service", object.GetPolicy().GetService())
 		claim(object, "key_hash", "operator key", object.GetOperator().GetKeyHash())
 		if bound := object.GetBound(); bound != nil {
-			claim(object, "service", "bound of this service, zone and role", bound.GetService()+"/"+bound.GetZone()+"/"+RoleWord(bound.GetRole()))
+			claim(object, "service", "bound of this service, zone and role", bound.GetService()+"/"+bound.GetZone()+"/"+RoleName(bound.GetRole()))
 		}
 	}
 }
--- a/internal/language/roles.go
+++ b/internal/language/roles.go
@@ -72,8 +72,8 @@
 	return operator
 }
 
-// Allowed reports whether an operator with role held may do what asks for required.
-func Allowed(held, required v1.OperatorRole) bool {
+// RoleAllows reports whether an operator with role held may do what asks for required.
+func RoleAllows(held, required v1.OperatorRole) bool {
 	return held != v1.OperatorRole_OPERATOR_ROLE_UNSPECIFIED && held >= required
 }
 
--- a/internal/language/rows.go
+++ b/internal/language/rows.go
@@ -31,8 +31,8 @@
 	var rows [][]Value
 	for _, engine := range view.Engines() {
 		order := ""
-		if engine.Outstanding != nil {
-			order = fenceText(engine.Outstanding) + " " + actionText(engine.Outstanding)
+		if engine.OutstandingOrder != nil {
+			order = fenceText(engine.OutstandingOrder) + " " + actionText(engine.OutstandingOrder)
 		}
 		loadAge := Value{Numeric: true, Number: -1}
 		if engine.Load != nil {
@@ -43,9 +43,9 @@
 			TextValue(engine.State.GetService()),
 			TextValue(engine.State.GetZone()),
 			TextValue(engine.State.GetAddress()),
-			TextValue(RoleWord(engine.State.GetRole())),
-			TextValue(RoleWord(engine.Pinned)),
-			TextValue(stateWord(engine.Serving)),
+			TextValue(RoleName(engine.State.GetRole())),
+			TextValue(RoleName(engine.PinnedRole)),
+			TextValue(stateWord(engine.ServingState)),
 			TextValue(engine.State.GetModel()),
 			TextValue(engine.State.GetVersion()),
 			TextValue(adaptersText(engine.State)),
@@ -85,7 +85,7 @@
 			TextValue(node.Zone),
 			TextValue(node.Address),
 			revisionCell(node),
-			silenceCell(view.NowMs(), node.HeardAtMs),
+			silenceCell(view.NowMs(), node.LastMessageAtMs),
 			booleanCell(node.Leaving),
 		})
 	}
@@ -108,7 +108,7 @@
 			TextValue(member.Member.GetZone()),
 			TextValue(part),
 			countCell(member.MatchIndex),
-			silenceCell(view.NowMs(), member.HeardAtMs),
+			silenceCell(view.NowMs(), member.LastMessageAtMs),
 		})
 	}
 	return rows
@@ -152,9 +152,9 @@
 	var rows [][]Value
 	for _, suspect := range view.Suspects() {
 		rows = append(rows, []Value{
-			TextValue(suspect.Content),
-			countCell(uint64(suspect.Ended)),
-			TextValue(strconv.FormatBool(suspect.Held)),
+			TextValue(suspect.Signature),
+			countCell(uint64(suspect.Crashes)),
+			TextValue(strconv.FormatBool(suspect.Quarantined)),
 			countCell(uint64(suspect.Trials)),
 		})
 	}
@@ -193,7 +193,7 @@
 
 func decisionRows(view View) [][]Value {
 	var rows [][]Value
-	for _, decision := range view.PlannerReasons() {
+	for _, decision := range view.PlannerDecisions() {
 		rows = append(rows, []Value{
 			TextValue(decision.Service),
 			timeCell(decision.AtMs),
--- a/internal/language/schema.go
+++ b/internal/language/schema.go
@@ -96,15 +96,15 @@
 	return object.ProtoReflect().Get(s.spec).Message()
 }
 
-// TypeWord is the language's word for a type of object; empty when unspecified.
-func TypeWord(objectType v1.ObjectType) string {
+// TypeName is the language's word for a type of object; empty when unspecified.
+func TypeName(objectType v1.ObjectType) string {
 	if schema := schemaOf(objectType); schema != nil {
 		return schema.word
 	}
 	return ""
 }
 
-// KeyText writes a key as `kind matching`.
-func KeyText(key *v1.ObjectKey) string {
-	return TypeWord(key.GetType()) + " " + quoteName(key.GetName())
+// FormatKey writes a key as `kind matching`.
+func FormatKey(key *v1.ObjectKey) string {
+	return TypeName(key.GetType()) + " " + quoteName(key.GetName())
 }
--- a/internal/language/shape_word.go
+++ b/internal/language/shape_word.go
@@ -44,11 +44,11 @@
 
 func (s enumShape) cell(value protoreflect.Value) Value { return TextValue(s.format(value)) }
 
-// RoleWord is the language's word for an engine role; empty when unspecified.
-func RoleWord(role v1.Role) string { return roleShape.word(int32(role)) }
+// RoleName is the language's word for an engine role; empty when unspecified.
+func RoleName(role v1.Role) string { return roleShape.word(int32(role)) }
 
-// OperatorRoleWord is the language's word for an operator's role.
-func OperatorRoleWord(role v1.OperatorRole) string { return operatorRoleShape.word(int32(role)) }
+// OperatorRoleName is the language's word for an operator's role.
+func OperatorRoleName(role v1.OperatorRole) string { return operatorRoleShape.word(int32(role)) }
 
 // booleanShape is true or false.
 type booleanShape struct{}
--- a/internal/language/statement.go
+++ b/internal/language/statement.go
@@ -76,8 +76,8 @@
 
 // ReleaseRequest forgets under which request replicas have ended, so that it may run again.
 type ReleaseRequest struct {
-	// Content is the request's signature in hexadecimal digits, as logs and `show suspects` name it.
-	Content string
+	// Signature is the request's signature in hexadecimal digits, as logs and `show suspects` name it.
+	Signature string
 }
 
 // DeleteObject deletes one declared object as a new revision.
--- a/internal/language/statements_test.go
+++ b/internal/language/statements_test.go
@@ -97,10 +97,10 @@
 }
 
 func TestRoles(t *testing.T) {
-	require.True(t, Allowed(administrator, operator))
-	require.True(t, Allowed(viewer, viewer))
-	require.False(t, Allowed(viewer, operator))
-	require.False(t, Allowed(v1.OperatorRole_OPERATOR_ROLE_UNSPECIFIED, v1.OperatorRole_OPERATOR_ROLE_UNSPECIFIED))
+	require.True(t, RoleAllows(administrator, operator))
+	require.True(t, RoleAllows(viewer, viewer))
+	require.False(t, RoleAllows(viewer, operator))
+	require.False(t, RoleAllows(v1.OperatorRole_OPERATOR_ROLE_UNSPECIFIED, v1.OperatorRole_OPERATOR_ROLE_UNSPECIFIED))
 	require.Equal(t, operator, RequiredRoleToApply([]*v1.Object{{Key: key(v1.ObjectType_OBJECT_TYPE_TENANT, "a")}}, false))
 	require.Equal(t, administrator, RequiredRoleToApply([]*v1.Object{{Key: key(v1.ObjectType_OBJECT_TYPE_TENANT, "a")}}, true))
 	require.Equal(t, administrator, RequiredRoleToApply([]*v1.Object{{Key: key(v1.ObjectType_OBJECT_TYPE_OPERATOR, "a")}}, false))
--- a/internal/language/view.go
+++ b/internal/language/view.go
@@ -36,9 +36,9 @@
 	// Shares lists the parts of tenants' limits that gateways hold now, by
 	// tenant and gateway; empty on a controller that is not the leader.
 	Shares() []ShareView
-	// PlannerReasons lists the planner's last decision for each service, by
+	// PlannerDecisions lists the planner's last decision for each service, by
 	// service; empty on a controller that is not the leader.
-	PlannerReasons() []PlannerReason
+	PlannerDecisions() []PlannerDecision
 }
 
 // RevisionView is one accepted revision of the configuration.
@@ -56,20 +56,20 @@
 type EngineView struct {
 	// State is what the replicated state records of the engine.
 	State *v1.EngineState
-	// Serving is what back end state gateways are told.
-	Serving v1.BackEndState
+	// ServingState is what back end state gateways are told.
+	ServingState v1.BackEndState
 	// RoleSinceMs is the time the engine took its role.
 	RoleSinceMs int64
-	// Pinned is the role a pin holds the engine in, or unspecified.
-	Pinned v1.Role
-	// Outstanding is the order the engine holds, or nil.
-	Outstanding *v1.Order
+	// PinnedRole is the role a pin holds the engine in, or unspecified.
+	PinnedRole v1.Role
+	// OutstandingOrder is the order the engine holds, or nil.
+	OutstandingOrder *v1.Order
 	// Load is what the engine reported last, LoadAgeMs ago; nil when it never did.
 	Load      *v1.BackEndLoad
 	LoadAgeMs int64
-	// HeldBack says which declared change the engine waits for and why it has not
+	// BlockedChange says which declared change the engine waits for and why it has not
 	// been ordered; empty when nothing waits, or on a controller that is not the leader.
-	HeldBack string
+	BlockedChange string
 }
 
 // NodeView is one gateway or controller.
@@ -83,7 +83,7 @@
 	// does not know it.
 	Revision        uint64
 	RevisionUnknown bool
-	HeardAtMs       int64
+	LastMessageAtMs int64
 	Leaving         bool
 	Incarnation     uint64
 }
@@ -94,8 +94,8 @@
 	Leader bool
 	// MatchIndex is the highest log entry known to be synced at the member;
 	// 0 when the answering controller does not lead.
-	MatchIndex uint64
-	HeardAtMs  int64
+	MatchIndex      uint64
+	LastMessageAtMs int64
 }
 
 // OrderView is one order and how it ended.
@@ -120,10 +120,10 @@
 
 // SuspectView is one request under which replicas have ended.
 type SuspectView struct {
-	Content string
-	Ended   int
-	Held    bool
-	Trials  int
+	Signature   string
+	Crashes     int
+	Quarantined bool
+	Trials      int
 }
 
 // AuditRecord is one submission of an operator, accepted or not.
@@ -148,8 +148,8 @@
 	Concurrency     uint32
 }
 
-// PlannerReason is the planner's last decision for one service and why.
-type PlannerReason struct {
+// PlannerDecision is the planner's last decision for one service and why.
+type PlannerDecision struct {
 	Service string
 	AtMs    int64
 	Changes int
--- a/internal/language/view_test.go
+++ b/internal/language/view_test.go
@@ -31,7 +31,7 @@
 }
 func (v *view) ObjectHistory(key *v1.ObjectKey) (changes []*v1.Object) {
 	for _, object := range v.history {
-		if KeyText(object.GetKey()) == KeyText(key) {
+		if FormatKey(object.GetKey()) == FormatKey(key) {
 			changes = append(changes, object)
 		}
 	}
@@ -40,7 +40,7 @@
 func (v *view) Nodes() []NodeView {
 	return []NodeView{
 		{Name: "controller-a", Program: "controller", RevisionUnknown: true},
-		{Name: "gateway-a", Program: "gateway", Zone: "sala-ate", Revision: 3, HeardAtMs: viewNow - 500},
+		{Name: "gateway-a", Program: "gateway", Zone: "sala-ate", Revision: 3, LastMessageAtMs: viewNow - 500},
 		{Name: "gateway-b", Program: "gateway", Zone: "sala-ate", Revision: 2},
 	}
 }
@@ -51,7 +51,7 @@
 	return []ClaimView{{Tenant: "minera", Kind: "alert", Key: "k", State: v1.ClaimState_CLAIM_STATE_UNKNOWN}}
 }
 func (v *view) Suspects() []SuspectView {
-	return []SuspectView{{Content: "0a1b", Ended: 3, Held: true, Trials: 1}, {Content: "2c3d", Ended: 1}}
+	return []SuspectView{{Signature: "0a1b", Crashes: 3, Quarantined: true, Trials: 1}, {Signature: "2c3d", Crashes: 1}}
 }
 func (v *view) Audit() []AuditRecord {
 	return []AuditRecord{{Sequence: 1, AtMs: viewNow - 2000, Operator: "ana", Text: "apply", Outcome: "accepted", Revision: 1}, {Sequence: 2, AtMs: viewNow - 1000, Operator: "beto", Text: "drain engine motor-1", Outcome: "refused"}}
@@ -59,8 +59,8 @@
 func (v *view) Shares() []ShareView {
 	return []ShareView{{Tenant: "minera", Gateway: "gateway-a", TokensPerSecond: 500, Concurrency: 3}}
 }
-func (v *view) PlannerReasons() []PlannerReason {
-	return []PlannerReason{{Service: "motor", AtMs: viewNow - 1000, Changes: 0, Reason: "no change pays back"}}
+func (v *view) PlannerDecisions() []PlannerDecision {
+	return []PlannerDecision{{Service: "motor", AtMs: viewNow - 1000, Changes: 0, Reason: "no change pays back"}}
 }
 
 // newView holds a small fleet: tenant minera changed twice, one engine that was
@@ -89,9 +89,9 @@
 		objects: []*v1.Object{tenant(3, 500, 3), adapter, service, policy},
 		history: []*v1.Object{tenant(2, 100, 1), tenant(2, 500, 2), tenant(3, 500, 3)},
 		engines: []EngineView{
-			{State: &v1.EngineState{Engine: "motor-1", Service: "motor", Zone: "sala-ate", Role: v1.Role_ROLE_DECODE, Model: "emparejo", Version: "1", Adapters: []string{"minas", "selva"}, AdapterVersions: map[string]string{"minas": "1"}}, Serving: v1.BackEndState_BACK_END_STATE_SERVING, RoleSinceMs: viewNow - 4000, Load: &v1.BackEndLoad{Running: 7}, LoadAgeMs: 1500},
-			{State: &v1.EngineState{Engine: "motor-2", Service: "motor", Zone: "sala-callao", Role: v1.Role_ROLE_DECODE}, Serving: v1.BackEndState_BACK_END_STATE_CHANGING, Outstanding: outstanding, HeldBack: "load adapter minas 2: 2 of 2 loads are under way"},
-			{State: &v1.EngineState{Engine: "motor-3", Service: "motor", Zone: "sala-callao", Role: v1.Role_ROLE_MIXED}, Serving: v1.BackEndState_BACK_END_STATE_CHANGING},
+			{State: &v1.EngineState{Engine: "motor-1", Service: "motor", Zone: "sala-ate", Role: v1.Role_ROLE_DECODE, Model: "emparejo", Version: "1", Adapters: []string{"minas", "selva"}, AdapterVersions: map[string]string{"minas": "1"}}, ServingState: v1.BackEndState_BACK_END_STATE_SERVING, RoleSinceMs: viewNow - 4000, Load: &v1.BackEndLoad{Running: 7}, LoadAgeMs: 1500},
+			{State: &v1.EngineState{Engine: "motor-2", Service: "motor", Zone: "sala-callao", Role: v1.Role_ROLE_DECODE}, ServingState: v1.BackEndState_BACK_END_STATE_CHANGING, OutstandingOrder: outstanding, BlockedChange: "load adapter minas 2: 2 of 2 loads are under way"},
+			{State: &v1.EngineState{Engine: "motor-3", Service: "motor", Zone: "sala-callao", Role: v1.Role_ROLE_MIXED}, ServingState: v1.BackEndState_BACK_END_STATE_CHANGING},
 		},
 		orders: []OrderView{
 			{Order: setRole("motor-1", 7, v1.Role_ROLE_DECODE, "output waits"), Outcome: v1.OrderOutcome_ORDER_OUTCOME_DONE, FinishedAtMs: viewNow - 4000},
--- a/internal/load/document_test.go
+++ b/internal/load/document_test.go
@@ -38,7 +38,7 @@
 			told[row[1]] = row[2]
 		}
 		for _, key := range yamlfile.Keys(of) {
-			if key.Group {
+			if key.IsGroup {
 				continue
 			}
 			path := key.Path
@@ -59,8 +59,8 @@
 		if !strings.HasSuffix(key.Path, ".kind") && !strings.HasSuffix(key.Path, ".fault") {
 			continue
 		}
-		require.NotEmpty(t, key.Words)
-		for _, word := range key.Words {
+		require.NotEmpty(t, key.AllowedValues)
+		for _, word := range key.AllowedValues {
 			require.Contains(t, text, "`"+word+"`", "docs/BENCH.md does not tell of fault %s", word)
 		}
 	}
--- a/internal/load/traffic.go
+++ b/internal/load/traffic.go
@@ -77,7 +77,7 @@
 		return Traffic{}, trace.BadParameter("can't read the traffic: %v; --deployment names a directory such as deploy/rawabi", err)
 	}
 	var traffic Traffic
-	err := yamlfile.Load(yamlfile.Source{Path: path, Together: func(document *yamlfile.Document) {
+	err := yamlfile.Load(yamlfile.Source{Path: path, CrossCheck: func(document *yamlfile.Document) {
 		for index, request := range traffic.Requests {
 			request.check(document, fmt.Sprintf("requests[%d]", index))
 		}
--- a/internal/measure/gateway.go
+++ b/internal/measure/gateway.go
@@ -113,7 +113,7 @@
 		BackEnd: engineName(chosen.engine), Exchange: current.exchange, PromptTokens: asked.prompt - chosen.cached,
 		PrefixBlocks: asked.routingBlocks, CachedAtHome: chosen.home,
 	})
-	w.agenda.Add(w.now+w.latency(g, chosen.engine), func() { g.arrive(current) })
+	w.agenda.Schedule(w.now+w.latency(g, chosen.engine), func() { g.arrive(current) })
 }
 
 func (g *gateway) arrive(current *flight) {
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -41,7 +41,7 @@
 type world struct {
 	setup    setup
 	now      time.Duration
-	agenda   virtualtime.Agenda
+	agenda   virtualtime.EventQueue
 	engines  []*enginemodel.Engine
 	zones    []string // of each engine
 	index    map[string]int
@@ -111,7 +111,7 @@
 	w.report()
 	for i := range w.requests {
 		asked := &w.requests[i]
-		w.agenda.Add(asked.at, func() { w.gateways[asked.gateway].receive(asked) })
+		w.agenda.Schedule(asked.at, func() { w.gateways[asked.gateway].receive(asked) })
 	}
 	for {
 		at, found := w.nextTime()
@@ -131,14 +131,14 @@
 	again = func() {
 		action()
 		if w.now+interval < until {
-			w.agenda.Add(w.now+interval, again)
+			w.agenda.Schedule(w.now+interval, again)
 		}
 	}
-	w.agenda.Add(interval, again)
+	w.agenda.Schedule(interval, again)
 }
 
 func (w *world) nextTime() (time.Duration, bool) {
-	best, found := w.agenda.Next()
+	best, found := w.agenda.NextTime()
 	for _, engine := range w.engines {
 		if at, busy := engine.NextEvent(); busy && (!found || at < best) {
 			best, found = at, true
--- a/internal/operatorcommand/explain_request.go
+++ b/internal/operatorcommand/explain_request.go
@@ -31,12 +31,12 @@
 		}
 		lines = append(lines, read...)
 	}
-	story := requeststory.Of(e.Arguments.ID, lines)
+	story := requeststory.ForRequest(e.Arguments.ID, lines)
 	if len(story.Lines) == 0 {
 		return trace.NotFound("no line of the logs is on request %q: ordinary requests are sampled, and lines may have been dropped (log_lines_dropped)", e.Arguments.ID)
 	}
 	began := story.Lines[0].Time
-	for _, line := range story.Before {
+	for _, line := range story.RelayState {
 		writeStoryLine(environment.Stdout, line, began)
 	}
 	for _, line := range story.Lines {
--- a/internal/operatorcommand/output.go
+++ b/internal/operatorcommand/output.go
@@ -78,9 +78,9 @@
 // writeDifferences prints what a declaration changes.
 func writeDifferences(out io.Writer, differences []*v1.Difference) {
 	for _, difference := range differences {
-		fmt.Fprintln(out, differenceMark(difference.GetType())+" "+language.KeyText(difference.GetKey()))
+		fmt.Fprintln(out, differenceMark(difference.GetType())+" "+language.FormatKey(difference.GetKey()))
 		for _, field := range difference.GetFields() {
-			fmt.Fprintln(out, "    "+language.FieldDifferenceText(field))
+			fmt.Fprintln(out, "    "+language.FormatFieldDifference(field))
 		}
 	}
 }
--- a/internal/requeststory/story.go
+++ b/internal/requeststory/story.go
@@ -30,9 +30,9 @@
 
 // Story is what became of one request.
 type Story struct {
-	// Before are the last lines of each kind in which the request's relay tells what it
+	// RelayState are the last lines of each kind in which the request's relay tells what it
 	// believes, from before the request's first line.
-	Before []Line
+	RelayState []Line
 	// Lines are the request's own, in order.
 	Lines []Line
 }
@@ -79,8 +79,8 @@
 	return line, line.Event != ""
 }
 
-// Of tells the story of one request. Lines of one process keep their order.
-func Of(request string, lines []Line) Story {
+// ForRequest tells the story of one request. Lines of one process keep their order.
+func ForRequest(request string, lines []Line) Story {
 	sorted := slices.Clone(lines)
 	slices.SortStableFunc(sorted, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	story := Story{}
@@ -95,7 +95,7 @@
 		story.Lines = append(story.Lines, line)
 	}
 	if first >= 0 {
-		story.Before = believed(sorted[:first], sorted[first].Process)
+		story.RelayState = believed(sorted[:first], sorted[first].Process)
 	}
 	return story
 }
--- a/internal/requeststory/story_test.go
+++ b/internal/requeststory/story_test.go
@@ -23,11 +23,11 @@
 func TestStoryIsInOrderWithWhatWasBelieved(t *testing.T) {
 	lines, err := Read(strings.NewReader(log))
 	require.NoError(t, err)
-	story := Of("b", lines)
+	story := ForRequest("b", lines)
 	require.Equal(t, []events.Event{events.AttemptFailed, events.RequestEnded}, []events.Event{story.Lines[0].Event, story.Lines[1].Event})
 	require.Equal(t, "reset", story.Lines[0].Fields["cause"])
-	require.Len(t, story.Before, 2)
-	require.Equal(t, events.ListingInForce, story.Before[0].Event)
-	require.InDelta(t, 8, story.Before[1].Fields["number"], 0)
-	require.Empty(t, Of("unknown", lines).Lines)
+	require.Len(t, story.RelayState, 2)
+	require.Equal(t, events.ListingInForce, story.RelayState[0].Event)
+	require.InDelta(t, 8, story.RelayState[1].Fields["number"], 0)
+	require.Empty(t, ForRequest("unknown", lines).Lines)
 }
--- a/internal/scenario/document_test.go
+++ b/internal/scenario/document_test.go
@@ -29,14 +29,14 @@
 	page := formatPage(t)
 	for _, key := range keys() {
 		row := regexp.MustCompile(fmt.Sprintf("(?m)^\\| `%s` \\| (.*?) \\|", regexp.QuoteMeta(key.Path))).FindStringSubmatch(page)
-		if key.Group && row == nil {
+		if key.IsGroup && row == nil {
 			continue // its keys have rows of their own
 		}
 		require.NotNil(t, row, "docs/SCENARIOS.md has no row of %s", key.Path)
 		if key.Default != "" {
 			require.Equal(t, "`"+key.Default+"`", row[1], "default of %s", key.Path)
 		}
-		if !key.Group {
+		if !key.IsGroup {
 			require.Equal(t, key.Required, row[1] == "required", "%s is told to be required", key.Path)
 		}
 	}
@@ -57,7 +57,7 @@
 func TestEveryWordIsDocumented(t *testing.T) {
 	page := formatPage(t)
 	for _, key := range keys() {
-		for _, word := range key.Words {
+		for _, word := range key.AllowedValues {
 			require.Contains(t, page, "`"+word+"`", "a value of %s", key.Path)
 		}
 	}
--- a/internal/scenario/load.go
+++ b/internal/scenario/load.go
@@ -13,8 +13,8 @@
 func Load(path string) (Scenario, error) {
 	var read Scenario
 	err := yamlfile.Load(yamlfile.Source{
-		Path:     path,
-		Together: func(document *yamlfile.Document) { check(document, &read) },
+		Path:       path,
+		CrossCheck: func(document *yamlfile.Document) { check(document, &read) },
 	}, &read)
 	if err != nil {
 		return Scenario{}, trace.Wrap(err)
--- a/internal/scenario/trace.go
+++ b/internal/scenario/trace.go
@@ -168,6 +168,6 @@
 func (r *traceReader) report(column, fault, cure string) {
 	line, _ := r.rows.FieldPos(0)
 	r.problems = append(r.problems, yamlfile.Problem{
-		Place: fmt.Sprintf("%s:%d", r.path, line), Key: column, Fault: fault, Cure: cure,
+		Position: fmt.Sprintf("%s:%d", r.path, line), Key: column, Fault: fault, Fix: cure,
 	})
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -69,9 +69,9 @@
 		return trace.BadParameter("cannot read the settings file: %v; give its path with --settings", err)
 	}
 	return yamlfile.Load(yamlfile.Source{
-		Path:        source.Path,
-		Overrides:   source.Overrides,
-		MissingCure: func(key string) string { return "set it here or with --set " + key + "=VALUE" },
-		Together:    together,
+		Path:          source.Path,
+		Overrides:     source.Overrides,
+		MissingKeyFix: func(key string) string { return "set it here or with --set " + key + "=VALUE" },
+		CrossCheck:    together,
 	}, target)
 }
--- a/internal/soak/cuts.go
+++ b/internal/soak/cuts.go
@@ -15,7 +15,7 @@
 
 // Outgoing is what a process of a soak goes by that can be cut off from others.
 func Outgoing() zonedelay.Outgoing {
-	return zonedelay.Outgoing{Gate: zonedelay.NewGate(netip.MustParsePrefix("127.0.0.0/8")), Self: netip.MustParseAddr("127.255.255.254")}
+	return zonedelay.Outgoing{Partitioner: zonedelay.NewPartitioner(netip.MustParsePrefix("127.0.0.0/8")), LocalAddress: netip.MustParseAddr("127.255.255.254")}
 }
 
 // groupPrefix is the addresses of a group of processes.
--- a/internal/standin/fault/fault_test.go
+++ b/internal/standin/fault/fault_test.go
@@ -35,7 +35,7 @@
 	require.NotEmpty(t, kinds)
 	for _, key := range yamlfile.Keys(reflect.TypeFor[fault.Fault]()) {
 		if key.Path == "kind" {
-			require.ElementsMatch(t, kinds, key.Words)
+			require.ElementsMatch(t, kinds, key.AllowedValues)
 		}
 	}
 	for _, kind := range kinds {
--- a/internal/virtualtime/agenda.go
+++ b/internal/virtualtime/agenda.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Agenda holds what is to be done at later times; equal times go in order of entry.
+// EventQueue holds what is to be done at later times; equal times go in order of entry.
 // The zero value is empty and ready to use. It belongs to one goroutine.
-type Agenda struct {
+type EventQueue struct {
 	items    items
 	sequence int
 }
@@ -44,14 +44,14 @@
 	return popped
 }
 
-// Add enters an action at a time.
-func (a *Agenda) Add(at time.Duration, action func()) {
+// Schedule enters an action at a time.
+func (a *EventQueue) Schedule(at time.Duration, action func()) {
 	a.sequence++
 	heap.Push(&a.items, item{at: at, sequence: a.sequence, action: action})
 }
 
-// Next is the time of the first action; false when there is none.
-func (a *Agenda) Next() (time.Duration, bool) {
+// NextTime is the time of the first action; false when there is none.
+func (a *EventQueue) NextTime() (time.Duration, bool) {
 	if len(a.items) == 0 {
 		return 0, false
 	}
@@ -59,7 +59,7 @@
 }
 
 // RunUntil does everything due up to the time, in order, and what that enters.
-func (a *Agenda) RunUntil(now time.Duration) {
+func (a *EventQueue) RunUntil(now time.Duration) {
 	for len(a.items) > 0 && a.items[0].at <= now {
 		heap.Pop(&a.items).(item).action()
 	}
--- a/internal/yamlfile/document.go
+++ b/internal/yamlfile/document.go
@@ -160,7 +160,7 @@
 		parent = parent[:max(strings.LastIndexAny(parent, ".["), 0)]
 		place, found = d.places[parent]
 	}
-	d.problems = append(d.problems, Problem{Place: place, Key: key, Fault: fault, Cure: cure})
+	d.problems = append(d.problems, Problem{Position: place, Key: key, Fault: fault, Fix: cure})
 }
 
 func (d *Document) place(node ast.Node) string {
--- a/internal/yamlfile/keys.go
+++ b/internal/yamlfile/keys.go
@@ -12,10 +12,10 @@
 	// Default is the value when the key is absent; "" when it has none.
 	Default  string
 	Required bool
-	// Words are the values that the key takes; nil when it takes others.
-	Words []string
-	// Group tells that the key holds other keys, which are listed too.
-	Group bool
+	// AllowedValues are the values that the key takes; nil when it takes others.
+	AllowedValues []string
+	// IsGroup tells that the key holds other keys, which are listed too.
+	IsGroup bool
 }
 
 // Keys lists the keys of a file's struct type, groups before what they hold.
@@ -32,14 +32,14 @@
 		for rule := range strings.SplitSeq(field.Tag.Get("check"), ",") {
 			words, found := strings.CutPrefix(rule, "one-of=")
 			if found {
-				key.Words = strings.Split(words, "|")
+				key.AllowedValues = strings.Split(words, "|")
 			}
 			key.Required = key.Required || rule == "required"
 		}
 		inner, within := group(field.Type, key.Path)
-		key.Group = inner != nil
+		key.IsGroup = inner != nil
 		keys = append(keys, key)
-		if key.Group {
+		if key.IsGroup {
 			keys = appendKeys(keys, inner, within)
 		}
 	}
--- a/internal/yamlfile/load.go
+++ b/internal/yamlfile/load.go
@@ -23,12 +23,12 @@
 	Path string
 	// Overrides are applied in order after the file.
 	Overrides []Override
-	// MissingCure returns the cure of a required key that is absent; nil tells to
+	// MissingKeyFix returns the cure of a required key that is absent; nil tells to
 	// set it in the file.
-	MissingCure func(key string) string
-	// Together reports keys that are right one by one and wrong together. It is
+	MissingKeyFix func(key string) string
+	// CrossCheck reports keys that are right one by one and wrong together. It is
 	// called when every key is known and of its type; single rules may be broken.
-	Together func(*Document)
+	CrossCheck func(*Document)
 }
 
 // Load fills the struct that target points to: file, overrides, defaults, rules.
@@ -53,8 +53,8 @@
 	if len(document.problems) == 0 {
 		document.applyDefaults(value, "")
 		document.checkRules(value, "")
-		if source.Together != nil {
-			source.Together(document)
+		if source.CrossCheck != nil {
+			source.CrossCheck(document)
 		}
 	}
 	if len(document.problems) > 0 {
@@ -83,13 +83,13 @@
 // syntaxProblem tells why a file is not YAML, and where.
 func syntaxProblem(path string, err error) Problem {
 	problem := Problem{
-		Place: path, Key: "the file", Fault: "not valid YAML: " + err.Error(),
-		Cure: "indent keys of one group alike, and quote text that holds a colon and a space",
+		Position: path, Key: "the file", Fault: "not valid YAML: " + err.Error(),
+		Fix: "indent keys of one group alike, and quote text that holds a colon and a space",
 	}
 	var at placed
 	if errors.As(err, &at) && at.GetToken() != nil {
 		position := at.GetToken().Position
-		problem.Place = fmt.Sprintf("%s:%d:%d", path, position.Line, position.Column)
+		problem.Position = fmt.Sprintf("%s:%d:%d", path, position.Line, position.Column)
 		problem.Fault = "not valid YAML: " + at.GetMessage()
 	}
 	return problem
--- a/internal/yamlfile/override.go
+++ b/internal/yamlfile/override.go
@@ -23,8 +23,8 @@
 	key, value, found := strings.Cut(argument, "=")
 	if !found || key == "" {
 		return Override{}, Problem{
-			Place: "--set " + argument, Key: key, Fault: "is not KEY=VALUE",
-			Cure: "write for example --set limits.in_flight=100",
+			Position: "--set " + argument, Key: key, Fault: "is not KEY=VALUE",
+			Fix: "write for example --set limits.in_flight=100",
 		}
 	}
 	return Override{Flag: "--set", Key: key, Value: value}, nil
@@ -63,6 +63,6 @@
 		}
 	}
 	for index := before; index < len(d.problems); index++ {
-		d.problems[index].Place = place
+		d.problems[index].Position = place
 	}
 }
--- a/internal/yamlfile/rules.go
+++ b/internal/yamlfile/rules.go
@@ -210,8 +210,8 @@
 }
 
 func (d *Document) missingCure(key string) string {
-	if d.source.MissingCure == nil {
+	if d.source.MissingKeyFix == nil {
 		return "set it"
 	}
-	return d.source.MissingCure(key)
+	return d.source.MissingKeyFix(key)
 }
--- a/internal/yamlfile/yamlfile_test.go
+++ b/internal/yamlfile/yamlfile_test.go
@@ -39,7 +39,7 @@
 	path := filepath.Join(t.TempDir(), "file.yaml")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	var got file
-	err := yamlfile.Load(yamlfile.Source{Path: path, Together: together}, &got)
+	err := yamlfile.Load(yamlfile.Source{Path: path, CrossCheck: together}, &got)
 	return got, err
 }
 
@@ -105,7 +105,7 @@
 	require.Len(t, keys, 11)
 	require.True(t, keys["name"].Required)
 	require.Equal(t, "3s", keys["items[].wait"].Default)
-	require.True(t, keys["inner"].Group)
+	require.True(t, keys["inner"].IsGroup)
 	require.True(t, keys["inner.count"].Required)
-	require.Equal(t, []string{"red", "green"}, keys["words"].Words)
+	require.Equal(t, []string{"red", "green"}, keys["words"].AllowedValues)
 }
--- a/internal/zonedelay/conn.go
+++ b/internal/zonedelay/conn.go
@@ -42,10 +42,10 @@
 	closeOnce sync.Once
 	closed    chan struct{}
 	// unsent counts the connection from its Close until its last bytes are sent.
-	unsent *Unsent
+	unsent *PendingFlushes
 }
 
-func newConn(inner net.Conn, latency time.Duration, passes func(closed <-chan struct{}) bool, unsent *Unsent) *conn {
+func newConn(inner net.Conn, latency time.Duration, passes func(closed <-chan struct{}) bool, unsent *PendingFlushes) *conn {
 	delayed := &conn{
 		Conn:          inner,
 		latency:       latency,
--- a/internal/zonedelay/gate.go
+++ b/internal/zonedelay/gate.go
@@ -6,10 +6,10 @@
 	"sync"
 )
 
-// Gate cuts groups of addresses off from all others, in silence: bytes between a
+// Partitioner cuts groups of addresses off from all others, in silence: bytes between a
 // group and the rest neither arrive nor fail until the cut ends, as when a network
 // loses every packet and the senders go on resending. It is safe for concurrent use.
-type Gate struct {
+type Partitioner struct {
 	// network holds the addresses that can be cut off; others reach everything.
 	network netip.Prefix
 
@@ -22,14 +22,14 @@
 // cut is one group that is cut off.
 type cut struct{ group []netip.Prefix }
 
-// NewGate returns a gate without cuts. Addresses outside the network are never cut off.
-func NewGate(network netip.Prefix) *Gate {
-	return &Gate{network: network, changed: make(chan struct{})}
+// NewPartitioner returns a gate without cuts. Addresses outside the network are never cut off.
+func NewPartitioner(network netip.Prefix) *Partitioner {
+	return &Partitioner{network: network, changed: make(chan struct{})}
 }
 
-// Cut cuts a group off until the function it returns is called; calling that again
+// Isolate cuts a group off until the function it returns is called; calling that again
 // does nothing. Addresses within the group still reach each other.
-func (g *Gate) Cut(group []netip.Prefix) (heal func()) {
+func (g *Partitioner) Isolate(group []netip.Prefix) (heal func()) {
 	made := &cut{group: group}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -44,14 +44,14 @@
 }
 
 // tell wakes everything that waits. The mutex is held.
-func (g *Gate) tell() {
+func (g *Partitioner) tell() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
 // open reports whether bytes may pass between two addresses, and returns a channel
 // that is closed when that may have changed.
-func (g *Gate) open(one, other netip.Addr) (bool, <-chan struct{}) {
+func (g *Partitioner) open(one, other netip.Addr) (bool, <-chan struct{}) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if !g.network.Contains(one) || !g.network.Contains(other) {
@@ -70,7 +70,7 @@
 }
 
 // pass waits until bytes may pass; false when closed came first. A nil gate is open.
-func (g *Gate) pass(one, other netip.Addr, closed <-chan struct{}) bool {
+func (g *Partitioner) pass(one, other netip.Addr, closed <-chan struct{}) bool {
 	if g == nil {
 		return true
 	}
--- a/internal/zonedelay/gate_test.go
+++ b/internal/zonedelay/gate_test.go
@@ -11,11 +11,11 @@
 )
 
 // gated returns both ends of a connection from 127.0.9.1 to 127.0.9.2.
-func gated(t *testing.T, gate *Gate) (client, server net.Conn) {
+func gated(t *testing.T, gate *Partitioner) (client, server net.Conn) {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.9.2:0")
 	require.NoError(t, err)
-	wrapped := WrapGated(inner, func(netip.Addr) time.Duration { return 0 }, gate, new(Unsent))
+	wrapped := WrapPartitioned(inner, func(netip.Addr) time.Duration { return 0 }, gate, new(PendingFlushes))
 	t.Cleanup(func() { _ = wrapped.Close() })
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP("127.0.9.1")}}
 	client, err = dialer.Dial("tcp", inner.Addr().String())
@@ -59,11 +59,11 @@
 
 func TestCutIsSilentAndHeals(t *testing.T) {
 	for _, group := range [][]netip.Prefix{prefixes("127.0.9.1/32"), prefixes("127.0.9.2/32")} {
-		gate := NewGate(netip.MustParsePrefix("127.0.0.0/16"))
+		gate := NewPartitioner(netip.MustParsePrefix("127.0.0.0/16"))
 		client, server := gated(t, gate)
 		send(t, client, 'a')
 		requireArrives(t, server, 'a')
-		heal := gate.Cut(group)
+		heal := gate.Isolate(group)
 		send(t, client, 'b')
 		send(t, server, 'c')
 		requireSilence(t, server)
@@ -75,18 +75,18 @@
 }
 
 func TestGroupsReachThemselves(t *testing.T) {
-	gate := NewGate(netip.MustParsePrefix("127.0.0.0/16"))
+	gate := NewPartitioner(netip.MustParsePrefix("127.0.0.0/16"))
 	client, server := gated(t, gate)
-	gate.Cut(prefixes("127.0.9.0/24"))
-	gate.Cut(prefixes("127.0.8.0/24"))
+	gate.Isolate(prefixes("127.0.9.0/24"))
+	gate.Isolate(prefixes("127.0.8.0/24"))
 	send(t, client, 'a')
 	requireArrives(t, server, 'a')
 }
 
 func TestCutsAddUp(t *testing.T) {
-	gate := NewGate(netip.MustParsePrefix("127.0.0.0/16"))
+	gate := NewPartitioner(netip.MustParsePrefix("127.0.0.0/16"))
 	client, server := gated(t, gate)
-	first, second := gate.Cut(prefixes("127.0.9.1/32")), gate.Cut(prefixes("127.0.9.1/32"))
+	first, second := gate.Isolate(prefixes("127.0.9.1/32")), gate.Isolate(prefixes("127.0.9.1/32"))
 	send(t, client, 'a')
 	first()
 	first()
@@ -96,9 +96,9 @@
 }
 
 func TestClosingEndsWaiting(t *testing.T) {
-	gate := NewGate(netip.MustParsePrefix("127.0.0.0/16"))
+	gate := NewPartitioner(netip.MustParsePrefix("127.0.0.0/16"))
 	client, server := gated(t, gate)
-	gate.Cut(prefixes("127.0.9.1/32"))
+	gate.Isolate(prefixes("127.0.9.1/32"))
 	send(t, client, 'a')
 	require.NoError(t, server.Close())
 	_, err := server.Read(make([]byte, 1))
@@ -106,9 +106,9 @@
 }
 
 func TestAddressesOutsideTheNetworkAreNeverCutOff(t *testing.T) {
-	gate := NewGate(netip.MustParsePrefix("127.0.9.2/32"))
+	gate := NewPartitioner(netip.MustParsePrefix("127.0.9.2/32"))
 	client, server := gated(t, gate)
-	gate.Cut(prefixes("127.0.9.1/32"))
+	gate.Isolate(prefixes("127.0.9.1/32"))
 	send(t, client, 'a')
 	requireArrives(t, server, 'a')
 }
--- a/internal/zonedelay/listener.go
+++ b/internal/zonedelay/listener.go
@@ -17,20 +17,20 @@
 // Wrap returns a listener whose connections are delayed by latency. Connections
 // without latency are passed on as they are.
 func Wrap(inner net.Listener, latency LatencyFunc) net.Listener {
-	return &listener{Listener: inner, latency: latency, unsent: new(Unsent)}
+	return &listener{Listener: inner, latency: latency, unsent: new(PendingFlushes)}
 }
 
-// WrapGated returns a listener whose connections are delayed by latency and held up
+// WrapPartitioned returns a listener whose connections are delayed by latency and held up
 // by a gate's cuts. What they still have to send counts as unsent.
-func WrapGated(inner net.Listener, latency LatencyFunc, gate *Gate, unsent *Unsent) net.Listener {
+func WrapPartitioned(inner net.Listener, latency LatencyFunc, gate *Partitioner, unsent *PendingFlushes) net.Listener {
 	return &listener{Listener: inner, latency: latency, gate: gate, unsent: unsent}
 }
 
 type listener struct {
 	net.Listener
 	latency LatencyFunc
-	gate    *Gate // nil is always open
-	unsent  *Unsent
+	gate    *Partitioner // nil is always open
+	unsent  *PendingFlushes
 }
 
 // CloseWhenEmpty closes the listener below once its queue is empty.
--- a/internal/zonedelay/outgoing.go
+++ b/internal/zonedelay/outgoing.go
@@ -12,33 +12,33 @@
 // Outgoing holds up what one process sends to and hears from addresses that are cut off from it. Its own address is
 // in no group: whatever group is cut off by the gate is cut off from this process.
 type Outgoing struct {
-	// Gate is the process's.
-	Gate *Gate
-	// Self is an address of the gate's network that no process has.
-	Self netip.Addr
+	// Partitioner is the process's.
+	Partitioner *Partitioner
+	// LocalAddress is an address of the gate's network that no process has.
+	LocalAddress netip.Addr
 }
 
-// Dial returns what opens connections to a port that cuts hold up; others go as they are. While an address is cut off
+// WrapDial returns what opens connections to a port that cuts hold up; others go as they are. While an address is cut off
 // nobody answers there.
-func (o Outgoing) Dial(dial DialFunc, port uint16) DialFunc {
+func (o Outgoing) WrapDial(dial DialFunc, port uint16) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		to, err := netip.ParseAddrPort(address)
 		if err != nil || to.Port() != port {
 			return dial(ctx, network, address)
 		}
-		if !o.Gate.pass(o.Self, to.Addr(), ctx.Done()) {
+		if !o.Partitioner.pass(o.LocalAddress, to.Addr(), ctx.Done()) {
 			return nil, ctx.Err()
 		}
 		opened, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return newConn(opened, 0, func(closed <-chan struct{}) bool { return o.Gate.pass(o.Self, to.Addr(), closed) }, new(Unsent)), nil
+		return newConn(opened, 0, func(closed <-chan struct{}) bool { return o.Partitioner.pass(o.LocalAddress, to.Addr(), closed) }, new(PendingFlushes)), nil
 	}
 }
 
-// Packets returns a connection whose datagrams to and from addresses that are cut off are lost.
-func (o Outgoing) Packets(inner net.PacketConn) net.PacketConn {
+// WrapPacketConn returns a connection whose datagrams to and from addresses that are cut off are lost.
+func (o Outgoing) WrapPacketConn(inner net.PacketConn) net.PacketConn {
 	return &cutPackets{PacketConn: inner, outgoing: o}
 }
 
@@ -54,7 +54,7 @@
 	if !is {
 		return false
 	}
-	open, _ := c.outgoing.Gate.open(c.outgoing.Self, udp.AddrPort().Addr().Unmap())
+	open, _ := c.outgoing.Partitioner.open(c.outgoing.LocalAddress, udp.AddrPort().Addr().Unmap())
 	return !open
 }
 
--- a/internal/zonedelay/unsent.go
+++ b/internal/zonedelay/unsent.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Unsent is what the closed connections of a process have still to send. In a network such bytes are the
+// PendingFlushes is what the closed connections of a process have still to send. In a network such bytes are the
 // system's and outlive the process; here the process has to wait for them.
-type Unsent struct{ sending sync.WaitGroup }
+type PendingFlushes struct{ sending sync.WaitGroup }
 
 // Wait waits until every closed connection has sent its last bytes, or until the limit.
-func (u *Unsent) Wait(limit time.Duration) {
+func (u *PendingFlushes) Wait(limit time.Duration) {
 	sent := make(chan struct{})
 	go func() {
 		u.sending.Wait()
--- a/internal/zonedelay/unsent_test.go
+++ b/internal/zonedelay/unsent_test.go
@@ -16,8 +16,8 @@
 	const latency = 50 * time.Millisecond
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	unsent := new(Unsent)
-	wrapped := WrapGated(inner, func(netip.Addr) time.Duration { return latency }, nil, unsent)
+	unsent := new(PendingFlushes)
+	wrapped := WrapPartitioned(inner, func(netip.Addr) time.Duration { return latency }, nil, unsent)
 	defer func() { require.NoError(t, wrapped.Close()) }()
 	client, err := net.Dial("tcp", inner.Addr().String())
 	require.NoError(t, err)
