--- a/cmd/hazelbench/main.go
+++ b/cmd/hazelbench/main.go
@@ -1,5 +1,5 @@
-// Command hazelbench is the project's test tool: stand-ins of the outside systems,
-// fleets on loopback addresses, load, experiments and simulations.
+// Command hazelbench is the project's test tool. It runs stand-ins of the outside systems, fleets on
+// loopback addresses, load, experiments and simulations.
 package main
 
 import (
--- a/cmd/hazelctl/main.go
+++ b/cmd/hazelctl/main.go
@@ -1,4 +1,4 @@
-// Command hazelctl is the operators' command line of a hazelpitch fleet.
+// Command hazelctl is the operators' command line for a hazelpitch fleet.
 package main
 
 import (
--- a/cmd/hazelctl/main_test.go
+++ b/cmd/hazelctl/main_test.go
@@ -28,21 +28,21 @@
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/script",
 		Setup: func(environment *testscript.Env) error {
-			environment.Setenv("HOST", ownHost(scripts.Add(1)))
+			environment.Setenv("HOST", loopbackHost(scripts.Add(1)))
 			return nil
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){"expand": expand},
 	})
 }
 
-// ownHost is an address of this machine that no other script and no other run uses, so that
-// a script's ports, which are below those of outgoing connections, are free, also while a
+// loopbackHost returns a loopback address that no other script and no other test process uses. The
+// scripts' ports are below the range of outgoing connections, so they stay free even while a
 // controller is down.
-func ownHost(script int32) string {
+func loopbackHost(script int32) string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+script%32, os.Getpid()>>8&0xff, os.Getpid()&0xff)
 }
 
-// expand replaces $NAME in the named files by the environment's values.
+// expand replaces $NAME in the named files with the values of the script's environment.
 func expand(script *testscript.TestScript, negated bool, names []string) {
 	if negated || len(names) == 0 {
 		script.Fatalf("usage: expand file...")
--- a/cmd/hazelpitch/main.go
+++ b/cmd/hazelpitch/main.go
@@ -11,7 +11,7 @@
 )
 
 func main() {
-	signals := lifecycle.HandleSignals() // from the first line: none may end a server but on purpose
+	signals := lifecycle.HandleSignals() // first, so that no signal ends the server by its default action
 	os.Exit(servercommand.Run(context.Background(), os.Args[1:], servercommand.Environment{
 		Program: "hazelpitch",
 		Stdout:  os.Stdout,
