--- a/internal/language/cell.go
+++ b/internal/language/cell.go
@@ -8,10 +8,10 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// timeLayout is UTC with milliseconds; texts in it sort as the times do.
+// timeLayout writes UTC with milliseconds. Texts in this layout sort in the order of their times.
 const timeLayout = "2006-01-02T15:04:05.000Z"
 
-// timeCell writes a time in milliseconds since the Unix epoch; 0 is unknown.
+// timeCell formats a time in milliseconds since the Unix epoch; 0 means unknown and gives an empty cell.
 func timeCell(ms int64) Value { return TextValue(timeText(ms)) }
 
 func timeText(ms int64) string {
@@ -21,17 +21,18 @@
 	return time.UnixMilli(ms).UTC().Format(timeLayout)
 }
 
-// quantityCell writes a number in the first of units.
+// quantityCell formats a number that is in the first (smallest) of units.
 func quantityCell(number int64, units []unit) Value {
 	return Value{Text: formatWithUnit(big.NewInt(number), units), Number: float64(number), Numeric: true}
 }
 
-// silenceCell is the time since a node was heard; unknown for 0.
-func silenceCell(nowMs, heardAtMs int64) Value {
-	if heardAtMs == 0 {
+// elapsedCell is the time since the last message from a node; empty, and below every number, when
+// lastMessageAtMs is 0 (unknown).
+func elapsedCell(nowMs, lastMessageAtMs int64) Value {
+	if lastMessageAtMs == 0 {
 		return Value{Numeric: true, Number: -1}
 	}
-	return quantityCell(max(0, nowMs-heardAtMs), durationUnits)
+	return quantityCell(max(0, nowMs-lastMessageAtMs), durationUnits)
 }
 
 func countCell[T uint32 | uint64 | int](count T) Value { return NumberValue(float64(count)) }
@@ -43,8 +44,8 @@
 	return TextValue("false")
 }
 
-// enumWord turns BACK_END_STATE_SERVING into serving; the zero value gives "".
-func enumWord(name, prefix string) string {
+// enumName turns BACK_END_STATE_SERVING into serving; the zero value gives "".
+func enumName(name, prefix string) string {
 	word := strings.ToLower(strings.TrimPrefix(name, prefix))
 	if word == "unspecified" {
 		return ""
@@ -52,13 +53,13 @@
 	return word
 }
 
-func stateWord(state v1.BackEndState) string { return enumWord(state.String(), "BACK_END_STATE_") }
+func stateName(state v1.BackEndState) string { return enumName(state.String(), "BACK_END_STATE_") }
 
-func claimWord(state v1.ClaimState) string { return enumWord(state.String(), "CLAIM_STATE_") }
+func claimStateName(state v1.ClaimState) string { return enumName(state.String(), "CLAIM_STATE_") }
 
-func outcomeWord(outcome v1.OrderOutcome) string {
+func outcomeName(outcome v1.OrderOutcome) string {
 	if outcome == v1.OrderOutcome_ORDER_OUTCOME_UNSPECIFIED {
 		return "outstanding"
 	}
-	return enumWord(outcome.String(), "ORDER_OUTCOME_")
+	return enumName(outcome.String(), "ORDER_OUTCOME_")
 }
--- a/internal/language/declaration.go
+++ b/internal/language/declaration.go
@@ -6,17 +6,17 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// declaration is one declared object and where its parts stand.
+// declaration is one parsed object with the source positions of its fields.
 type declaration struct {
 	object   *v1.Object
 	schema   *objectSchema
 	position lexer.Position
-	// fields holds the place of each field that was given, by its word.
+	// fields maps each field that was given to the position of its value.
 	fields map[string]lexer.Position
 }
 
-// at is the place of a field, or of the declaration when the field was not given.
-func (d *declaration) at(field string) lexer.Position {
+// positionOf returns the position of a field, or of the whole declaration when the field was not given.
+func (d *declaration) positionOf(field string) lexer.Position {
 	if position, given := d.fields[field]; given {
 		return position
 	}
--- a/internal/language/deployments_test.go
+++ b/internal/language/deployments_test.go
@@ -10,7 +10,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-func TestDeclarationsOfTheDeploymentsFitTogether(t *testing.T) {
+func TestDeploymentDeclarationsAreConsistent(t *testing.T) {
 	for _, deployment := range []string{"empleandes", "rawabi"} {
 		t.Run(deployment, func(t *testing.T) {
 			paths, err := filepath.Glob(filepath.Join("..", "..", "deploy", deployment, "declarations", "*.hzl"))
--- a/internal/language/error.go
+++ b/internal/language/error.go
@@ -16,19 +16,19 @@
 	"github.com/hazelpitch/hazelpitch/internal/nearest"
 )
 
-// Error is one mistake in a text, with its place and, where there is one, the
-// known word nearest to what was written.
+// Error is one mistake in a text, with its position and, if there is one, the known word closest to
+// what was written.
 type Error struct {
 	File   string
 	Line   int
 	Column int
-	// Message says what is wrong and what was expected.
+	// Message says what is wrong and what was expected instead.
 	Message string
-	// Suggestion is a known word, or empty.
+	// Suggestion is the closest known word, or empty.
 	Suggestion string
 }
 
-// Error gives "file:line:column: message".
+// Error returns "file:line:column: message", followed by the suggestion.
 func (e *Error) Error() string {
 	text := fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Message)
 	if e.Suggestion != "" {
@@ -37,10 +37,10 @@
 	return text
 }
 
-// Errors is every mistake found in a set of files, by file, line and column.
+// Errors lists every mistake found in a set of files, sorted by file, line and column.
 type Errors []*Error
 
-// Error gives one line for each mistake.
+// Error returns one line for each mistake.
 func (e Errors) Error() string {
 	lines := make([]string, len(e))
 	for i, mistake := range e {
@@ -49,7 +49,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// As makes trace.IsBadParameter true for the mistakes.
+// As lets trace.IsBadParameter recognize the mistakes.
 func (e Errors) As(target any) bool { return asBadParameter(e, target) }
 
 func asBadParameter(err error, target any) bool {
@@ -60,7 +60,7 @@
 	return wanted
 }
 
-// sorted returns the mistakes in order of place, or nil when there are none.
+// sorted sorts the mistakes by position, in place, and returns them as an error; nil when there are none.
 func (e Errors) sorted() error {
 	if len(e) == 0 {
 		return nil
@@ -86,17 +86,16 @@
 	}
 }
 
-// unknownWord reports a word that is not among the known ones.
-func unknownWord(position lexer.Position, what, word string, known []string) *Error {
-	mistake := errorAt(position, "unknown %s %q: expected %s", what, word, alternatives(known))
-	mistake.Suggestion = suggest(word, known)
+// unknownWordError reports a word that is not one of the known ones.
+func unknownWordError(position lexer.Position, what, word string, known []string) *Error {
+	mistake := errorAt(position, "unknown %s %q: expected %s", what, word, joinAlternatives(known))
+	mistake.Suggestion = suggestWord(word, known)
 	return mistake
 }
 
-// fromSyntaxError turns an error of the parser library into an Error. It suggests
-// the nearest of the known words for an unexpected one; beginnings are the words a
-// text may begin with.
-func fromSyntaxError(err error, known, beginnings []string) *Error {
+// convertSyntaxError converts an error of the parser library into an Error. For an unexpected word it
+// suggests the closest of the known words; leadingKeywords are the words that a text may begin with.
+func convertSyntaxError(err error, known, leadingKeywords []string) *Error {
 	var syntaxError participle.Error
 	if !errors.As(err, &syntaxError) {
 		return &Error{Message: err.Error()}
@@ -105,12 +104,12 @@
 	if !errors.As(err, &unexpected) {
 		return errorAt(syntaxError.Position(), "%s", strings.TrimPrefix(syntaxError.Message(), "lexer: "))
 	}
-	mistake := errorAt(syntaxError.Position(), "unexpected %s: expected %s", foundText(unexpected), expectedText(unexpected, beginnings))
-	mistake.Suggestion = suggest(unexpected.Unexpected.Value, known)
+	mistake := errorAt(syntaxError.Position(), "unexpected %s: expected %s", describeUnexpected(unexpected), describeExpected(unexpected, leadingKeywords))
+	mistake.Suggestion = suggestWord(unexpected.Unexpected.Value, known)
 	return mistake
 }
 
-func foundText(unexpected *participle.UnexpectedTokenError) string {
+func describeUnexpected(unexpected *participle.UnexpectedTokenError) string {
 	if unexpected.Unexpected.EOF() {
 		return "end of text"
 	}
@@ -118,10 +117,10 @@
 }
 
 var (
-	// expectedPart is the end of the parser library's message.
-	expectedPart = regexp.MustCompile(`\(expected (.*)\)$`)
+	// expectedTokensPattern matches the end of the parser library's message.
+	expectedTokensPattern = regexp.MustCompile(`\(expected (.*)\)$`)
 
-	// grammarNames replaces names of the grammar by what an operator calls them.
+	// grammarNames replaces names of the grammar with the terms that operators use.
 	grammarNames = strings.NewReplacer(
 		" ValueSyntax", " and a value",
 		"ScalarSyntax", "a value",
@@ -137,19 +136,19 @@
 	)
 )
 
-// expectedText says what the grammar takes at the place of an unexpected token.
-func expectedText(unexpected *participle.UnexpectedTokenError, beginnings []string) string {
-	if parts := expectedPart.FindStringSubmatch(unexpected.Message()); parts != nil {
+// describeExpected lists the tokens that the grammar accepts at the position of an unexpected token.
+func describeExpected(unexpected *participle.UnexpectedTokenError, leadingKeywords []string) string {
+	if parts := expectedTokensPattern.FindStringSubmatch(unexpected.Message()); parts != nil {
 		return grammarNames.Replace(parts[1])
 	}
 	if unexpected.Unexpected.Pos.Offset == 0 {
-		return alternatives(beginnings)
+		return joinAlternatives(leadingKeywords)
 	}
 	return "end of text"
 }
 
-// alternatives lists words as "a, b or c".
-func alternatives(words []string) string {
+// joinAlternatives joins words as "a, b or c".
+func joinAlternatives(words []string) string {
 	if len(words) < 2 {
 		return strings.Join(words, "")
 	}
@@ -157,9 +156,9 @@
 	return strings.Join(words[:last], ", ") + " or " + words[last]
 }
 
-// suggest returns the known word that is closest to word, or "" when there is none
-// or the word itself is known.
-func suggest(word string, known []string) string {
+// suggestWord returns the known word that is closest to word, or "" when there is none or when word
+// itself is known.
+func suggestWord(word string, known []string) string {
 	if slices.Contains(known, word) {
 		return ""
 	}
--- a/internal/language/evaluate.go
+++ b/internal/language/evaluate.go
@@ -6,9 +6,9 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// Evaluate answers a query from a view. A Command is a trace.BadParameter error:
-// it is carried out by the control core. An unknown name is a trace.NotFound error
-// with the nearest known name.
+// Evaluate runs a query against a view. It returns a trace.BadParameter error for a Command, which the
+// control core executes instead, and a trace.NotFound error with the closest known name for an unknown
+// name.
 func Evaluate(statement Statement, view View) (*v1.ExecuteResponse, error) {
 	var result *result
 	var err error
@@ -25,11 +25,11 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return result.response(inForce(view).Revision), nil
+	return result.response(currentRevision(view).Revision), nil
 }
 
-// inForce is the revision in force; zero before the first declaration.
-func inForce(view View) RevisionView {
+// currentRevision returns the revision in force; the zero value before the first declaration.
+func currentRevision(view View) RevisionView {
 	revisions := view.Revisions()
 	if len(revisions) == 0 {
 		return RevisionView{}
@@ -37,7 +37,7 @@
 	return revisions[len(revisions)-1]
 }
 
-// result is a table on its way to an ExecuteResponse.
+// result is a table before its conversion to an ExecuteResponse.
 type result struct {
 	columns []string
 	rows    [][]Value
@@ -58,9 +58,9 @@
 	return response
 }
 
-// notFound names what is unknown and the nearest known name.
-func notFound(what, name string, known []string) error {
-	if suggestion := suggest(name, known); suggestion != "" {
+// notFoundError reports an unknown name and suggests the closest known one.
+func notFoundError(what, name string, known []string) error {
+	if suggestion := suggestWord(name, known); suggestion != "" {
 		return trace.NotFound("%s %s is not known; did you mean %q?", what, quoteName(name), suggestion)
 	}
 	return trace.NotFound("%s %s is not known", what, quoteName(name))
--- a/internal/language/evaluate_engine.go
+++ b/internal/language/evaluate_engine.go
@@ -7,35 +7,35 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// engine explains one engine: its role, what holds it there, its order, its load.
-func (e *explanation) engine(name string) error {
+// addEngine explains one engine: its role and the reason for it, its state, its order and its load.
+func (e *explanation) addEngine(name string) error {
 	engine, err := findEngine(e.view, name)
 	if err != nil {
 		return err
 	}
 	state := engine.State
-	e.add("role", RoleName(state.GetRole()), engine.RoleSinceMs, 0, e.roleReason(engine))
-	e.pin(name)
-	e.add("state", stateWord(engine.ServingState), 0, 0, e.stateReason(engine))
-	e.add("service", state.GetService(), 0, 0, "machine list")
-	e.add("zone", state.GetZone(), 0, 0, "machine list")
-	e.model(state)
-	e.adapters(state)
+	e.addRow("role", RoleName(state.GetRole()), engine.RoleSinceMs, 0, e.describeRoleReason(engine))
+	e.addPin(name)
+	e.addRow("state", stateName(engine.ServingState), 0, 0, e.describeStateReason(engine))
+	e.addRow("service", state.GetService(), 0, 0, "machine list")
+	e.addRow("zone", state.GetZone(), 0, 0, "machine list")
+	e.addModel(state)
+	e.addAdapters(state)
 	if order := engine.OutstandingOrder; order != nil {
-		e.add("order", fenceText(order)+" "+actionText(order), order.GetIssuedAtMs(), 0, order.GetReason())
+		e.addRow("order", formatFence(order)+" "+formatAction(order), order.GetIssuedAtMs(), 0, order.GetReason())
 	}
 	if engine.BlockedChange != "" {
-		e.add("held back", engine.BlockedChange, 0, 0, "declared, and not ordered yet")
+		e.addRow("held back", engine.BlockedChange, 0, 0, "declared, and not ordered yet")
 	}
-	e.planner(state.GetService())
+	e.addPlannerDecision(state.GetService())
 	if load := engine.Load; load != nil {
 		value := fmt.Sprintf("%d running, %d waiting, %.0f%% of the KV cache", load.GetRunning(), load.GetWaiting(), 100*load.GetKvCacheUsed())
-		e.add("load", value, max(0, e.view.NowMs()-engine.LoadAgeMs), 0, "last report")
+		e.addRow("load", value, max(0, e.view.NowMs()-engine.LoadAgeMs), 0, "last report")
 	}
 	return nil
 }
 
-// findEngine finds an engine the controller knows.
+// findEngine returns the engine with this name, if the controller knows it.
 func findEngine(view View, name string) (EngineView, error) {
 	var known []string
 	for _, engine := range view.Engines() {
@@ -44,11 +44,11 @@
 		}
 		known = append(known, engine.State.GetEngine())
 	}
-	return EngineView{}, notFound(engineWord, name, known)
+	return EngineView{}, notFoundError(engineKeyword, name, known)
 }
 
-// roleReason is the reason of the last order that gave the engine its role.
-func (e *explanation) roleReason(engine EngineView) string {
+// describeRoleReason gives the reason of the last order that set the engine's role.
+func (e *explanation) describeRoleReason(engine EngineView) string {
 	orders := e.view.Orders(engine.State.GetEngine())
 	for i := len(orders) - 1; i >= 0; i-- {
 		order := orders[i]
@@ -58,18 +58,18 @@
 		if order.Order.GetRole() != engine.State.GetRole() {
 			return "reported by the engine; the last order was for " + RoleName(order.Order.GetRole())
 		}
-		return "order " + fenceText(order.Order) + ": " + order.Order.GetReason()
+		return "order " + formatFence(order.Order) + ": " + order.Order.GetReason()
 	}
 	return "reported by the engine; no order is remembered"
 }
 
-// stateReason says why an engine gets no new work, as far as an order is the reason.
-func (e *explanation) stateReason(engine EngineView) string {
+// describeStateReason explains why an engine gets no new work, when an order is the reason.
+func (e *explanation) describeStateReason(engine EngineView) string {
 	if engine.ServingState == v1.BackEndState_BACK_END_STATE_SERVING {
 		return ""
 	}
 	if engine.OutstandingOrder != nil {
-		return "order " + fenceText(engine.OutstandingOrder) + " is under way"
+		return "order " + formatFence(engine.OutstandingOrder) + " is under way"
 	}
 	orders := e.view.Orders(engine.State.GetEngine())
 	for i := len(orders) - 1; i >= 0; i-- {
@@ -78,14 +78,14 @@
 			break
 		}
 		if order.GetAction() == v1.OrderAction_ORDER_ACTION_DRAIN && orders[i].Outcome == v1.OrderOutcome_ORDER_OUTCOME_DONE {
-			return "order " + fenceText(order) + ": " + order.GetReason()
+			return "order " + formatFence(order) + ": " + order.GetReason()
 		}
 	}
 	return "reported by the engine or the machine list"
 }
 
-// adapters explains each adapter that an engine serves.
-func (e *explanation) adapters(state *v1.EngineState) {
+// addAdapters explains each adapter that an engine serves.
+func (e *explanation) addAdapters(state *v1.EngineState) {
 	declared := map[string]*v1.Object{}
 	for _, object := range e.view.Objects() {
 		if object.GetAdapter() != nil {
@@ -96,38 +96,38 @@
 		version := state.GetAdapterVersions()[name]
 		object := declared[name]
 		if object == nil {
-			e.add("adapter", strings.TrimSpace(name+" "+version), 0, 0, "reported by the engine; the adapter is not declared")
+			e.addRow("adapter", strings.TrimSpace(name+" "+version), 0, 0, "reported by the engine; the adapter is not declared")
 			continue
 		}
-		reason := e.revisionReason(object.GetRevision())
+		reason := e.describeRevision(object.GetRevision())
 		if wanted := object.GetAdapter().GetVersion(); version != "" && version != wanted {
 			reason = "version " + wanted + " is declared, not loaded yet; " + reason
 		}
-		e.add("adapter", strings.TrimSpace(name+" "+version), object.GetAcceptedAtMs(), object.GetRevision(), reason)
+		e.addRow("adapter", strings.TrimSpace(name+" "+version), object.GetAcceptedAtMs(), object.GetRevision(), reason)
 	}
 }
 
-// pin explains the pin of an engine, if there is one.
-func (e *explanation) pin(name string) {
+// addPin explains the engine's pin, if it has one.
+func (e *explanation) addPin(name string) {
 	for _, object := range e.view.Objects() {
 		if pin := object.GetPin(); pin != nil && pin.GetEngine() == name {
-			e.add("pin", RoleName(pin.GetRole()), object.GetAcceptedAtMs(), object.GetRevision(), e.revisionReason(object.GetRevision()))
+			e.addRow("pin", RoleName(pin.GetRole()), object.GetAcceptedAtMs(), object.GetRevision(), e.describeRevision(object.GetRevision()))
 		}
 	}
 }
 
-// model compares the version an engine serves with the one declared.
-func (e *explanation) model(state *v1.EngineState) {
+// addModel compares the model version that an engine serves with the declared one.
+func (e *explanation) addModel(state *v1.EngineState) {
 	value := strings.TrimSpace(state.GetModel() + " " + state.GetVersion())
 	for _, object := range e.view.Objects() {
 		if model := object.GetModel(); model != nil && object.GetKey().GetName() == state.GetModel() {
-			reason := e.revisionReason(object.GetRevision())
+			reason := e.describeRevision(object.GetRevision())
 			if model.GetVersion() != state.GetVersion() {
 				reason = "version " + model.GetVersion() + " is declared, not loaded yet; " + reason
 			}
-			e.add("model", value, object.GetAcceptedAtMs(), object.GetRevision(), reason)
+			e.addRow("model", value, object.GetAcceptedAtMs(), object.GetRevision(), reason)
 			return
 		}
 	}
-	e.add("model", value, 0, 0, "reported by the engine; the model is not declared")
+	e.addRow("model", value, 0, 0, "reported by the engine; the model is not declared")
 }
--- a/internal/language/evaluate_history.go
+++ b/internal/language/evaluate_history.go
@@ -8,16 +8,16 @@
 
 var historyColumns = []string{"revision", "at", "operator", "change_number", "source", "change"}
 
-// evaluate lists an engine's orders, or the changes of a declared object; an
-// object that has been deleted keeps its history as long as that is remembered.
+// evaluate lists an engine's orders, or the changes of a declared object. A deleted object keeps its
+// history for as long as the state records it.
 func (h History) evaluate(view View) (*result, error) {
-	if h.Type == engineWord {
+	if h.Type == engineKeyword {
 		if _, err := findEngine(view, h.Name); err != nil && len(view.Orders(h.Name)) == 0 {
 			return nil, err
 		}
-		return &result{columns: tableByWord("orders").columnWords(), rows: orderRowsOf(view.Orders(h.Name))}, nil
+		return &result{columns: tableByName("orders").columnNames(), rows: formatOrders(view.Orders(h.Name))}, nil
 	}
-	schema := schemaByWord(h.Type)
+	schema := schemaByKeyword(h.Type)
 	changes := view.ObjectHistory(&v1.ObjectKey{Type: schema.objectType, Name: h.Name})
 	if len(changes) == 0 {
 		object, err := findObject(view, schema, h.Name)
@@ -44,22 +44,22 @@
 			TextValue(revision.Operator),
 			countCell(revision.ChangeNumber),
 			TextValue(revision.SourceRevision),
-			TextValue(changeText(before, change)),
+			TextValue(describeChange(before, change)),
 		})
 		before = change
 	}
 	return rows
 }
 
-// changeText says what one change did to an object.
-func changeText(before, after *v1.Object) string {
+// describeChange describes what one change did to an object.
+func describeChange(before, after *v1.Object) string {
 	if after.GetDeleted() {
 		return "deleted"
 	}
 	if before.GetDeleted() {
 		before = nil
 	}
-	difference := differenceOf(before, after)
+	difference := diffObject(before, after)
 	if difference == nil {
 		return "unchanged"
 	}
--- a/internal/language/evaluate_show.go
+++ b/internal/language/evaluate_show.go
@@ -9,41 +9,41 @@
 )
 
 func (s Show) evaluate(view View) (*result, error) {
-	table := tableByWord(s.Table)
+	table := tableByName(s.Table)
 	if table == nil {
 		return nil, trace.BadParameter("unknown table %q", s.Table)
 	}
 	rows := table.rows(view)
 	if s.OfType != "" {
-		rows = matching(rows, table, Condition{Column: s.OfType, Operator: "=", Value: TextValue(s.OfName)})
+		rows = filterRows(rows, table, Condition{Column: s.OfType, Operator: "=", Value: TextValue(s.OfName)})
 	}
 	for _, condition := range s.Conditions {
-		rows = matching(rows, table, condition)
+		rows = filterRows(rows, table, condition)
 	}
 	if s.OrderBy != "" {
-		sortRows(rows, table.column(s.OrderBy), s.Descending)
+		sortRows(rows, table.columnIndex(s.OrderBy), s.Descending)
 	}
 	if s.Last > 0 {
 		rows = rows[max(0, len(rows)-s.Last):]
 	}
-	return &result{columns: table.columnWords(), rows: rows}, nil
+	return &result{columns: table.columnNames(), rows: rows}, nil
 }
 
-// matching keeps the rows that fulfil the condition.
-func matching(rows [][]Value, table *table, condition Condition) [][]Value {
-	index := table.column(condition.Column)
-	var kept [][]Value
+// filterRows returns the rows that satisfy the condition.
+func filterRows(rows [][]Value, table *table, condition Condition) [][]Value {
+	index := table.columnIndex(condition.Column)
+	var matched [][]Value
 	for _, row := range rows {
-		if condition.holds(row[index]) {
-			kept = append(kept, row)
+		if condition.matches(row[index]) {
+			matched = append(matched, row)
 		}
 	}
-	return kept
+	return matched
 }
 
-// holds compares a cell with the condition's value. A cell without a known number
-// fulfils no comparison of numbers.
-func (c Condition) holds(cell Value) bool {
+// matches compares a cell with the condition's value. A numeric cell whose number is unknown satisfies
+// no comparison.
+func (c Condition) matches(cell Value) bool {
 	if c.Operator == "~" {
 		return strings.Contains(cell.Text, c.Value.Text)
 	}
@@ -75,7 +75,7 @@
 	return strings.Compare(a.Text, b.Text)
 }
 
-// sortRows sorts in place; rows that are equal keep their order.
+// sortRows sorts rows in place by one column; equal rows keep their order.
 func sortRows(rows [][]Value, index int, descending bool) {
 	slices.SortStableFunc(rows, func(a, b []Value) int {
 		if descending {
--- a/internal/language/evaluate_test.go
+++ b/internal/language/evaluate_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// run evaluates a query and writes its rows as lines of cells.
-func run(t *testing.T, text string) string {
+// evaluateRows evaluates a query and returns its rows as lines of cells.
+func evaluateRows(t *testing.T, text string) string {
 	t.Helper()
 	statement, err := ParseStatement(text)
 	require.NoError(t, err)
@@ -74,18 +74,18 @@
 			"policy calm|change_price 3||1|declared by ana, change 1, source abc123\nplanner|0 changes|2023-11-14T22:14:59.000Z||no change pays back",
 	}
 	for text, want := range tests {
-		t.Run(text, func(t *testing.T) { require.Equal(t, want, run(t, text)) })
+		t.Run(text, func(t *testing.T) { require.Equal(t, want, evaluateRows(t, text)) })
 	}
 }
 
 func TestEvaluateShowsNoSecret(t *testing.T) {
 	for _, table := range tables {
-		require.NotContains(t, run(t, "show "+table.word), "secret-salt")
+		require.NotContains(t, evaluateRows(t, "show "+table.name), "secret-salt")
 	}
-	require.NotContains(t, run(t, "explain tenant minera")+run(t, "history of tenant minera"), "secret-salt")
+	require.NotContains(t, evaluateRows(t, "explain tenant minera")+evaluateRows(t, "history of tenant minera"), "secret-salt")
 }
 
-func TestEvaluateNamesTheNearestKnownName(t *testing.T) {
+func TestEvaluateSuggestsNearestKnownName(t *testing.T) {
 	for text, want := range map[string]string{
 		"explain engine moter-1":    `engine moter-1 is not known; did you mean "motor-1"?`,
 		"explain tenant mineria":    `tenant mineria is not known; did you mean "minera"?`,
--- a/internal/language/field.go
+++ b/internal/language/field.go
@@ -7,23 +7,23 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// parseInto reads a value into the protobuf message.
+// parseInto parses a value and stores it in the protobuf message.
 func (f *fieldSchema) parseInto(message protoreflect.Message, value *valueSyntax) *Error {
 	if f.proto.IsList() != value.IsList {
 		if value.IsList {
-			return errorAt(value.Pos, "%s takes one value: expected %s", f.word, f.shape.describe())
+			return errorAt(value.Pos, "%s takes one value: expected %s", f.name, f.codec.describe())
 		}
-		return errorAt(value.Pos, "%s takes a list: expected [ ... ] of %s", f.word, f.shape.describe())
+		return errorAt(value.Pos, "%s takes a list: expected [ ... ] of %s", f.name, f.codec.describe())
 	}
 	if value.IsList {
 		return f.parseList(message, value)
 	}
-	parsed, mistake := f.shape.parse(value.Scalar, f.proto)
+	parsed, mistake := f.codec.parse(value.Scalar, f.proto)
 	if mistake != nil {
 		return mistake
 	}
-	if f.least > 0 && parsed.Uint() < f.least {
-		return errorAt(value.Pos, "%s is too small: expected %d or more", f.word, f.least)
+	if f.minimum > 0 && parsed.Uint() < f.minimum {
+		return errorAt(value.Pos, "%s is too small: expected %d or more", f.name, f.minimum)
 	}
 	message.Set(f.proto, parsed)
 	return nil
@@ -31,29 +31,29 @@
 
 func (f *fieldSchema) parseList(message protoreflect.Message, value *valueSyntax) *Error {
 	list := message.Mutable(f.proto).List()
-	seen := map[string]bool{}
+	listed := map[string]bool{}
 	for _, scalar := range value.List {
-		parsed, mistake := f.shape.parse(scalar, f.proto)
+		parsed, mistake := f.codec.parse(scalar, f.proto)
 		if mistake != nil {
 			return mistake
 		}
-		if seen[parsed.String()] {
+		if listed[parsed.String()] {
 			return errorAt(scalar.Pos, "%s is listed twice", scalar.source())
 		}
-		seen[parsed.String()] = true
+		listed[parsed.String()] = true
 		list.Append(parsed)
 	}
 	return nil
 }
 
-// setStandard gives the field the value that stands when none is given.
-func (f *fieldSchema) setStandard(message protoreflect.Message) {
-	if f.standard == "" {
+// setDefault stores the field's default value.
+func (f *fieldSchema) setDefault(message protoreflect.Message) {
+	if f.defaultValue == "" {
 		return
 	}
-	parsed, mistake := f.shape.parse(&scalarSyntax{Pos: lexer.Position{}, Quantity: f.standard}, f.proto)
+	parsed, mistake := f.codec.parse(&scalarSyntax{Pos: lexer.Position{}, Quantity: f.defaultValue}, f.proto)
 	if mistake != nil {
-		panic("language: standard of " + f.word + ": " + mistake.Message)
+		panic("language: standard of " + f.name + ": " + mistake.Message)
 	}
 	message.Set(f.proto, parsed)
 }
@@ -62,26 +62,26 @@
 func (f *fieldSchema) format(message protoreflect.Message) string {
 	value := message.Get(f.proto)
 	if !f.proto.IsList() {
-		return f.shape.format(value)
+		return f.codec.format(value)
 	}
 	list := value.List()
 	items := make([]string, list.Len())
 	for i := range items {
-		items[i] = f.shape.format(list.Get(i))
+		items[i] = f.codec.format(list.Get(i))
 	}
 	return "[" + strings.Join(items, ", ") + "]"
 }
 
-// isStandard reports whether the field has the value that stands when none is given.
-func (f *fieldSchema) isStandard(message protoreflect.Message) bool {
-	if f.standard != "" {
-		return f.format(message) == f.standard
+// isDefault reports whether the field has its default value.
+func (f *fieldSchema) isDefault(message protoreflect.Message) bool {
+	if f.defaultValue != "" {
+		return f.format(message) == f.defaultValue
 	}
 	return !message.Has(f.proto)
 }
 
-// names lists the names that a field holds.
-func (f *fieldSchema) names(message protoreflect.Message) []string {
+// referencedNames lists the names in a field's value.
+func (f *fieldSchema) referencedNames(message protoreflect.Message) []string {
 	value := message.Get(f.proto)
 	if !f.proto.IsList() {
 		return []string{value.String()}
@@ -93,15 +93,15 @@
 	return names
 }
 
-// cell gives the field's value as a cell that queries compare.
+// cell returns the field's value as a table cell that queries can compare.
 func (f *fieldSchema) cell(message protoreflect.Message) Value {
 	value := message.Get(f.proto)
 	if !f.proto.IsList() {
-		return f.shape.cell(value)
+		return f.codec.cell(value)
 	}
 	items := make([]string, value.List().Len())
 	for i := range items {
-		items[i] = f.shape.cell(value.List().Get(i)).Text
+		items[i] = f.codec.cell(value.List().Get(i)).Text
 	}
 	return TextValue(strings.Join(items, ", "))
 }
--- a/internal/language/format_source.go
+++ b/internal/language/format_source.go
@@ -12,10 +12,9 @@
 
 const indentation = "  "
 
-// FormatSource lays out one declaration file: two blanks before fields, equals signs
-// in line, one blank line between objects. Order, comments and spelling of values
-// stay as they are. A file that does not parse is an error as ParseDeclarations
-// gives it.
+// FormatSource lays out one declaration file: fields indented by two spaces, equals signs aligned, one
+// blank line between objects. Order, comments and the spelling of values are preserved. For a file that
+// does not parse it returns the error of ParseDeclarations.
 func FormatSource(file *v1.SourceFile) (string, error) {
 	if _, err := ParseDeclarations([]*v1.SourceFile{file}); err != nil {
 		return "", trace.Wrap(err)
@@ -24,7 +23,7 @@
 	if err != nil {
 		return "", trace.Wrap(err)
 	}
-	parts, err := comments(file)
+	parts, err := parseComments(file)
 	if err != nil {
 		return "", trace.Wrap(err)
 	}
@@ -32,40 +31,40 @@
 		parts = append(parts, block.layout()...)
 	}
 	sort.SliceStable(parts, func(i, j int) bool { return parts[i].offset < parts[j].offset })
-	return joinParts(parts), nil
+	return joinSegments(parts), nil
 }
 
-// part is one piece of a laid out file: a line, or a comment that ends one.
-type part struct {
+// segment is one piece of a formatted file: a line, or a trailing comment.
+type segment struct {
 	offset int
-	// line and endLine are where the piece stood in the source.
+	// line and endLine are the segment's first and last line in the source.
 	line, endLine int
 	text          string
-	// trailing pieces go to the end of the line before.
+	// trailing segments are appended to the line before them.
 	trailing bool
-	// opens and closes tell how the piece changes the indentation.
+	// opens and closes tell whether the segment increases or decreases the indentation.
 	opens, closes bool
 }
 
-// layout writes a block as pieces: its head, its fields and its end.
-func (b *blockSyntax) layout() []part {
-	head := b.Type + " " + b.Name.canonical() + " {"
-	parts := []part{{offset: b.Pos.Offset, line: b.Pos.Line, endLine: b.Name.Pos.Line, text: head, opens: true}}
+// layout splits a block into segments: its head, its fields and its closing brace.
+func (b *blockSyntax) layout() []segment {
+	head := b.Type + " " + b.Name.canonicalText() + " {"
+	parts := []segment{{offset: b.Pos.Offset, line: b.Pos.Line, endLine: b.Name.Pos.Line, text: head, opens: true}}
 	width := 0
 	for _, setting := range b.Settings {
 		width = max(width, len(setting.Field))
 	}
 	for _, setting := range b.Settings {
 		text := setting.Field + strings.Repeat(" ", width-len(setting.Field)) + " = " + setting.Value.layout()
-		parts = append(parts, part{offset: setting.Pos.Offset, line: setting.Pos.Line, endLine: setting.EndPos.Line, text: text})
+		parts = append(parts, segment{offset: setting.Pos.Offset, line: setting.Pos.Line, endLine: setting.EndPos.Line, text: text})
 	}
 	// The closing brace is the last character of the block.
-	return append(parts, part{offset: b.EndPos.Offset - 1, line: b.EndPos.Line, endLine: b.EndPos.Line, text: "}", closes: true})
+	return append(parts, segment{offset: b.EndPos.Offset - 1, line: b.EndPos.Line, endLine: b.EndPos.Line, text: "}", closes: true})
 }
 
-// canonical writes a name without quotes where it needs none.
-func (n *nameSyntax) canonical() string {
-	name, mistake := n.text()
+// canonicalText writes a name without quotes where it needs none.
+func (n *nameSyntax) canonicalText() string {
+	name, mistake := n.unquoted()
 	if mistake != nil {
 		return n.Text
 	}
@@ -83,7 +82,7 @@
 	return "[" + strings.Join(items, ", ") + "]"
 }
 
-// layout writes a quantity with the gap that its unit has, and others as they are.
+// layout writes a quantity with its unit's usual spacing, and other scalars as they are.
 func (s *scalarSyntax) layout() string {
 	if s.Quantity == "" {
 		return s.source()
@@ -97,9 +96,9 @@
 	return strings.TrimSpace(number + " " + word)
 }
 
-// comments finds the comments of a file.
-func comments(file *v1.SourceFile) ([]part, error) {
-	lexed, err := tokens.LexString(file.GetName(), file.GetText())
+// parseComments returns the comments of a file.
+func parseComments(file *v1.SourceFile) ([]segment, error) {
+	lexed, err := lexerDefinition.LexString(file.GetName(), file.GetText())
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -107,14 +106,14 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	symbols := tokens.Symbols()
-	var parts []part
+	symbols := lexerDefinition.Symbols()
+	var parts []segment
 	lastLine := 0 // line of the last token that is neither comment nor white space
 	for _, token := range all {
 		switch token.Type {
 		case symbols["Comment"]:
 			text := strings.TrimRight(token.Value, " \t\r")
-			parts = append(parts, part{offset: token.Pos.Offset, line: token.Pos.Line, endLine: token.Pos.Line, text: text, trailing: token.Pos.Line == lastLine})
+			parts = append(parts, segment{offset: token.Pos.Offset, line: token.Pos.Line, endLine: token.Pos.Line, text: text, trailing: token.Pos.Line == lastLine})
 		case symbols["Whitespace"]:
 		default:
 			lastLine = token.Pos.Line
@@ -123,8 +122,8 @@
 	return parts, nil
 }
 
-// joinParts writes the pieces as lines.
-func joinParts(parts []part) string {
+// joinSegments writes the segments as lines.
+func joinSegments(parts []segment) string {
 	var text strings.Builder
 	depth := 0
 	for i, piece := range parts {
@@ -136,7 +135,7 @@
 			continue
 		}
 		if i > 0 {
-			text.WriteString("\n" + gapBetween(parts[i-1], piece, depth))
+			text.WriteString("\n" + separatorBetween(parts[i-1], piece, depth))
 		}
 		text.WriteString(strings.Repeat(indentation, depth) + piece.text)
 		if piece.opens {
@@ -149,8 +148,8 @@
 	return text.String()
 }
 
-// gapBetween is a blank line where the source has one, and between objects.
-func gapBetween(before, after part, depth int) string {
+// separatorBetween returns a blank line between objects and where the source has one.
+func separatorBetween(before, after segment, depth int) string {
 	if after.closes || before.opens {
 		return ""
 	}
--- a/internal/language/format_source_test.go
+++ b/internal/language/format_source_test.go
@@ -47,7 +47,7 @@
 	require.Equal(t, want, formatted)
 }
 
-func TestFormatSourceRefusesWhatDoesNotParse(t *testing.T) {
+func TestFormatSourceRejectsInvalidSource(t *testing.T) {
 	_, err := FormatSource(&v1.SourceFile{Name: "a.hzl", Text: "tenant a { wieght = 2 }"})
 	require.True(t, trace.IsBadParameter(err))
 }
@@ -55,17 +55,17 @@
 func FuzzFormatSource(f *testing.F) {
 	f.Add("# a\ntenant a { weight = 3 # b\n models = [m, \"n\"] }\n# c")
 	f.Fuzz(func(t *testing.T, text string) {
-		objects, err := ParseDeclarations(source(text))
+		objects, err := ParseDeclarations(sourceFiles(text))
 		if err != nil {
 			return
 		}
-		formatted, err := FormatSource(source(text)[0])
+		formatted, err := FormatSource(sourceFiles(text)[0])
 		require.NoError(t, err)
-		again, err := ParseDeclarations(source(formatted))
+		again, err := ParseDeclarations(sourceFiles(formatted))
 		require.NoError(t, err, formatted)
 		requireEqualObjects(t, objects, again)
 		require.Equal(t, strings.Count(text, "#") == 0, strings.Count(formatted, "#") == 0)
-		twice, err := FormatSource(source(formatted)[0])
+		twice, err := FormatSource(sourceFiles(formatted)[0])
 		require.NoError(t, err)
 		require.Equal(t, formatted, twice)
 	})
--- a/internal/language/lexer.go
+++ b/internal/language/lexer.go
@@ -8,8 +8,8 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Token names. A Quantity is a number with its unit, as one token, so that a unit
-// is never taken for the word that follows a plain number.
+// Token names. A Quantity includes its unit, so that a unit is never mistaken for the word that follows
+// a plain number.
 const (
 	tokenAddress  = "Address"
 	tokenQuantity = "Quantity"
@@ -17,7 +17,7 @@
 	tokenString   = "String"
 )
 
-var tokens = lexer.MustSimple([]lexer.SimpleRule{
+var lexerDefinition = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Comment", Pattern: `#[^\n]*`},
 	{Name: "Whitespace", Pattern: `[ \t\r\n]+`},
 	{Name: tokenString, Pattern: `"(\\.|[^"\\\n])*"`},
@@ -29,15 +29,15 @@
 })
 
 var (
-	quantityRegexp = regexp.MustCompile(`^([-+]?\d+(?:\.\d+)?)[ \t]*(.*)$`)
-	bareWord       = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_.-]*$`)
+	quantityTokenPattern = regexp.MustCompile(`^([-+]?\d+(?:\.\d+)?)[ \t]*(.*)$`)
+	bareWordPattern      = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_.-]*$`)
 )
 
-// quantityPattern matches a number followed by any word without a gap, or by a
-// known unit with a gap on the same line.
+// quantityPattern matches a number followed directly by any word, or after blanks on the same line by a
+// known unit.
 func quantityPattern() string {
-	words := unitWords(everyUnit())
-	// Longer words first: the pattern takes the first alternative that matches.
+	words := unitSymbols(allUnits())
+	// Longer units first: the pattern matches the first alternative that fits.
 	sort.Slice(words, func(i, j int) bool { return len(words[i]) > len(words[j]) })
 	for i, word := range words {
 		words[i] = regexp.QuoteMeta(word)
@@ -45,9 +45,9 @@
 	return `[-+]?\d+(\.\d+)?([A-Za-z%]+(/[A-Za-z]+)?|[ \t]+(` + strings.Join(words, "|") + `)\b)?`
 }
 
-// splitQuantity parts a Quantity token into its number and its unit.
+// splitQuantity splits a Quantity token into its number and its unit.
 func splitQuantity(token string) (number, unitWord string) {
-	parts := quantityRegexp.FindStringSubmatch(token)
+	parts := quantityTokenPattern.FindStringSubmatch(token)
 	if parts == nil {
 		return token, ""
 	}
--- a/internal/language/object_tables.go
+++ b/internal/language/object_tables.go
@@ -4,8 +4,8 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// objectTables makes the table of each type of declared object.
-func objectTables() []*table {
+// buildObjectTables returns a table for each type of declared object.
+func buildObjectTables() []*table {
 	var result []*table
 	for _, schema := range schemas {
 		result = append(result, schema.objectTable())
@@ -13,25 +13,25 @@
 	return result
 }
 
-// objectTable has the name, each field, and the revision that changed the object.
+// objectTable has columns for the name, each field, and the revision that last changed the object.
 func (s *objectSchema) objectTable() *table {
-	columns := []column{text("name", "Name of the "+s.word+".")}
+	columns := []column{textColumn("name", "Name of the "+s.keyword+".")}
 	for _, field := range s.fields {
-		column := column{word: field.word, purpose: field.purpose}
+		column := column{name: field.name, purpose: field.purpose}
 		if !field.proto.IsList() {
-			switch shape := field.shape.(type) {
-			case wholeShape:
-				column.numeric, column.units = true, shape.units
-			case decimalShape:
+			switch fieldCodec := field.codec.(type) {
+			case wholeNumberCodec:
+				column.numeric, column.units = true, fieldCodec.units
+			case decimalCodec:
 				column.numeric = true
 			}
 		}
 		columns = append(columns, column)
 	}
 	columns = append(columns,
-		number("revision", "Revision that last changed it."),
-		text("since", "Time of that revision."))
-	return &table{word: s.table, purpose: "Declared " + s.table + " in force.", columns: columns, rows: s.objectRows}
+		numberColumn("revision", "Revision that last changed it."),
+		textColumn("since", "Time of that revision."))
+	return &table{name: s.tableName, purpose: "Declared " + s.tableName + " in force.", columns: columns, rows: s.objectRows}
 }
 
 func (s *objectSchema) objectRows(view View) [][]Value {
--- a/internal/language/order_text.go
+++ b/internal/language/order_text.go
@@ -7,17 +7,17 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// fenceText writes a fence as epoch/sequence.
-func fenceText(order *v1.Order) string {
+// formatFence writes an order's fence as epoch/sequence.
+func formatFence(order *v1.Order) string {
 	return fmt.Sprintf("%d/%d", order.GetEpoch(), order.GetSequence())
 }
 
-// FormatOrder writes what an order asks, such as "set role decode".
-func FormatOrder(order *v1.Order) string { return actionText(order) }
+// FormatOrder writes what an order requests, such as "set role decode".
+func FormatOrder(order *v1.Order) string { return formatAction(order) }
 
-// actionText writes what an order asks, such as "set role decode".
-func actionText(order *v1.Order) string {
-	words := []string{strings.ReplaceAll(enumWord(order.GetAction().String(), "ORDER_ACTION_"), "_", " ")}
+// formatAction writes what an order requests, such as "set role decode".
+func formatAction(order *v1.Order) string {
+	words := []string{strings.ReplaceAll(enumName(order.GetAction().String(), "ORDER_ACTION_"), "_", " ")}
 	switch order.GetAction() {
 	case v1.OrderAction_ORDER_ACTION_SET_ROLE:
 		words = append(words, RoleName(order.GetRole()))
--- a/internal/language/parse_declarations.go
+++ b/internal/language/parse_declarations.go
@@ -11,41 +11,39 @@
 )
 
 const (
-	// MaximumFileBytes is the size of the largest declaration file that is read.
+	// MaximumFileBytes is the size of the largest declaration file that is parsed.
 	MaximumFileBytes = 8 << 20
-	// MaximumStatementBytes is the size of the longest query or command.
+	// MaximumStatementBytes is the length of the longest query or command that is parsed.
 	MaximumStatementBytes = 8 << 10
 )
 
-// ParseDeclarations reads declaration files as one set. It returns the objects by
-// type and then by name, or every mistake found as an Errors inside a
-// trace.BadParameter error. References between objects are not checked: see
-// CheckReferences.
+// ParseDeclarations parses declaration files as one set. It returns the objects sorted by type and then
+// by name, or all mistakes as an Errors inside a trace.BadParameter error. It does not check references
+// between objects: see CheckReferences.
 func ParseDeclarations(files []*v1.SourceFile) ([]*v1.Object, error) {
 	declarations, err := parseFiles(files)
 	if err != nil {
 		return nil, err
 	}
-	return objectsOf(declarations), nil
+	return sortedObjects(declarations), nil
 }
 
-// CheckFiles does what ParseDeclarations does and checks the references between
-// the objects, as if the files were all that is declared. Mistakes in references
-// have their place in the files.
+// CheckFiles parses like ParseDeclarations and also checks the references between the objects, as if
+// the files were the whole configuration. Mistakes in references have their position in the files.
 func CheckFiles(files []*v1.SourceFile) ([]*v1.Object, error) {
 	declarations, err := parseFiles(files)
 	if err != nil {
 		return nil, err
 	}
-	objects := objectsOf(declarations)
+	objects := sortedObjects(declarations)
 	places := map[string]*declaration{}
 	for _, declaration := range declarations {
 		places[FormatKey(declaration.object.GetKey())] = declaration
 	}
 	var mistakes Errors
-	for _, fault := range referenceFaults(objects) {
+	for _, fault := range findReferenceFaults(objects) {
 		declaration := places[FormatKey(fault.Key)]
-		mistake := errorAt(declaration.at(fault.Field), "%s", fault.Message)
+		mistake := errorAt(declaration.positionOf(fault.Field), "%s", fault.Message)
 		mistake.Suggestion = fault.Suggestion
 		mistakes = append(mistakes, mistake)
 	}
@@ -55,7 +53,7 @@
 	return objects, nil
 }
 
-func objectsOf(declarations []*declaration) []*v1.Object {
+func sortedObjects(declarations []*declaration) []*v1.Object {
 	objects := make([]*v1.Object, len(declarations))
 	for i, declaration := range declarations {
 		objects[i] = declaration.object
@@ -105,7 +103,7 @@
 	}
 	syntax, err := fileParser.ParseString(file.GetName(), file.GetText())
 	if err != nil {
-		return nil, Errors{fromSyntaxError(err, schemaWords(), schemaWords())}
+		return nil, Errors{convertSyntaxError(err, schemaKeywords(), schemaKeywords())}
 	}
 	var mistakes Errors
 	var declarations []*declaration
@@ -119,13 +117,13 @@
 	return declarations, mistakes
 }
 
-// parseBlock reads one declared object; it is nil when its type or name is wrong.
+// parseBlock parses one declared object. The declaration is nil when its type or name is invalid.
 func parseBlock(block *blockSyntax) (*declaration, Errors) {
-	schema := schemaByWord(block.Type)
+	schema := schemaByKeyword(block.Type)
 	if schema == nil {
-		return nil, Errors{unknownWord(block.Pos, "declaration", block.Type, schemaWords())}
+		return nil, Errors{unknownWordError(block.Pos, "declaration", block.Type, schemaKeywords())}
 	}
-	name, mistake := block.Name.checked()
+	name, mistake := block.Name.validated()
 	if mistake != nil {
 		return nil, Errors{mistake}
 	}
@@ -147,33 +145,33 @@
 	for _, setting := range settings {
 		field := result.schema.field(setting.Field)
 		if field == nil {
-			mistakes = append(mistakes, unknownWord(setting.Pos, "field of "+result.schema.word, setting.Field, result.schema.fieldWords()))
+			mistakes = append(mistakes, unknownWordError(setting.Pos, "field of "+result.schema.keyword, setting.Field, result.schema.fieldNames()))
 			continue
 		}
-		if earlier, twice := result.fields[field.word]; twice {
-			mistakes = append(mistakes, errorAt(setting.Pos, "%s is given twice: first at line %d", field.word, earlier.Line))
+		if earlier, twice := result.fields[field.name]; twice {
+			mistakes = append(mistakes, errorAt(setting.Pos, "%s is given twice: first at line %d", field.name, earlier.Line))
 			continue
 		}
-		result.fields[field.word] = setting.Value.Pos
+		result.fields[field.name] = setting.Value.Pos
 		if mistake := field.parseInto(message, setting.Value); mistake != nil {
 			mistakes = append(mistakes, mistake)
 		}
 	}
-	return append(mistakes, completeFields(result, message)...)
+	return append(mistakes, applyDefaults(result, message)...)
 }
 
-// completeFields sets the standard values of fields that were not given.
-func completeFields(result *declaration, message protoreflect.Message) Errors {
+// applyDefaults sets the default values of fields that were not given, and reports missing required ones.
+func applyDefaults(result *declaration, message protoreflect.Message) Errors {
 	var mistakes Errors
 	for _, field := range result.schema.fields {
-		if _, given := result.fields[field.word]; given {
+		if _, given := result.fields[field.name]; given {
 			continue
 		}
 		if field.required {
-			mistakes = append(mistakes, errorAt(result.position, "%s lacks %s: expected %s = %s", FormatKey(result.object.GetKey()), field.word, field.word, field.shape.describe()))
+			mistakes = append(mistakes, errorAt(result.position, "%s lacks %s: expected %s = %s", FormatKey(result.object.GetKey()), field.name, field.name, field.codec.describe()))
 			continue
 		}
-		field.setStandard(message)
+		field.setDefault(message)
 	}
 	return mistakes
 }
--- a/internal/language/parse_statement.go
+++ b/internal/language/parse_statement.go
@@ -10,21 +10,21 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// statementName stands for the file in errors of queries and commands.
-const statementName = "statement"
+// statementFileName replaces the file name in errors of queries and commands.
+const statementFileName = "statement"
 
-// engineWord is the type of subjects that are engines, not declared objects.
-const engineWord = "engine"
+// engineKeyword is the subject type of engines, which are not declared objects.
+const engineKeyword = "engine"
 
-// ParseStatement reads one query or command. Its mistakes come as an Errors inside
-// a trace error, as those of ParseDeclarations.
+// ParseStatement parses one query or command. Its mistakes are an Errors inside a trace error, like
+// those of ParseDeclarations.
 func ParseStatement(text string) (Statement, error) {
 	if len(text) > MaximumStatementBytes {
-		return nil, trace.Wrap(Errors{errorAt(lexer.Position{Filename: statementName, Line: 1, Column: 1}, "the statement is longer than %d bytes", MaximumStatementBytes)})
+		return nil, trace.Wrap(Errors{errorAt(lexer.Position{Filename: statementFileName, Line: 1, Column: 1}, "the statement is longer than %d bytes", MaximumStatementBytes)})
 	}
-	syntax, err := statementParser.ParseString(statementName, text)
+	syntax, err := statementParser.ParseString(statementFileName, text)
 	if err != nil {
-		return nil, trace.Wrap(Errors{fromSyntaxError(err, append(tableWords(), keywords...), beginnings)})
+		return nil, trace.Wrap(Errors{convertSyntaxError(err, append(tableNames(), keywords...), leadingKeywords)})
 	}
 	statement, mistake := syntax.statement()
 	if mistake != nil {
@@ -44,12 +44,12 @@
 		subjectType, name, mistake := s.History.subject()
 		return History{Type: subjectType, Name: name}, mistake
 	case s.Delete != nil:
-		return s.Delete.deletion()
+		return s.Delete.deleteStatement()
 	case s.SetRole != nil:
-		engine, role, mistake := s.SetRole.parts()
+		engine, role, mistake := s.SetRole.engineAndRole()
 		return SetEngineRole{Engine: engine, Role: role}, mistake
 	case s.Pin != nil:
-		engine, role, mistake := s.Pin.parts()
+		engine, role, mistake := s.Pin.engineAndRole()
 		return PinEngine{Engine: engine, Role: role}, mistake
 	case s.Add != nil:
 		member, mistake := s.Add.member()
@@ -62,7 +62,7 @@
 	return s.namedStatement()
 }
 
-// namedStatement reads the commands that take one name.
+// namedStatement returns the commands whose only argument is a name.
 func (s *statementSyntax) namedStatement() (Statement, *Error) {
 	commands := []struct {
 		name *nameSyntax
@@ -78,36 +78,36 @@
 	}
 	for _, command := range commands {
 		if command.name != nil {
-			name, mistake := command.name.checked()
+			name, mistake := command.name.validated()
 			return command.make(name), mistake
 		}
 	}
-	return nil, errorAt(lexer.Position{Filename: statementName, Line: 1, Column: 1}, "the statement is empty")
+	return nil, errorAt(lexer.Position{Filename: statementFileName, Line: 1, Column: 1}, "the statement is empty")
 }
 
-// subject reads an engine or declared object.
+// subject returns the type and name of an engine or declared object.
 func (s *subjectSyntax) subject() (subjectType, name string, mistake *Error) {
-	if known := append(schemaWords(), engineWord); s.Type != engineWord && schemaByWord(s.Type) == nil {
-		return "", "", unknownWord(s.Pos, "subject", s.Type, known)
+	if known := append(schemaKeywords(), engineKeyword); s.Type != engineKeyword && schemaByKeyword(s.Type) == nil {
+		return "", "", unknownWordError(s.Pos, "subject", s.Type, known)
 	}
-	name, mistake = s.Name.checked()
+	name, mistake = s.Name.validated()
 	return s.Type, name, mistake
 }
 
-func (s *subjectSyntax) deletion() (Statement, *Error) {
-	schema := schemaByWord(s.Type)
+func (s *subjectSyntax) deleteStatement() (Statement, *Error) {
+	schema := schemaByKeyword(s.Type)
 	if schema == nil {
-		return nil, unknownWord(s.Pos, "type of object", s.Type, schemaWords())
+		return nil, unknownWordError(s.Pos, "type of object", s.Type, schemaKeywords())
 	}
-	name, mistake := s.Name.checked()
+	name, mistake := s.Name.validated()
 	return DeleteObject{Key: &v1.ObjectKey{Type: schema.objectType, Name: name}}, mistake
 }
 
-func (s *roleSyntax) parts() (engine string, role v1.Role, mistake *Error) {
-	if engine, mistake = s.Engine.checked(); mistake != nil {
+func (s *roleSyntax) engineAndRole() (engine string, role v1.Role, mistake *Error) {
+	if engine, mistake = s.Engine.validated(); mistake != nil {
 		return "", 0, mistake
 	}
-	value, mistake := roleShape.parse(s.Role, nil)
+	value, mistake := roleCodec.parse(s.Role, nil)
 	if mistake != nil {
 		return "", 0, mistake
 	}
@@ -115,7 +115,7 @@
 }
 
 func (s *memberSyntax) member() (*v1.Member, *Error) {
-	id, mistake := s.ID.checked()
+	id, mistake := s.ID.validated()
 	if mistake != nil {
 		return nil, mistake
 	}
@@ -131,13 +131,13 @@
 	}
 	member := &v1.Member{Id: id, Address: address, Learner: true}
 	if s.Zone != nil {
-		member.Zone, mistake = s.Zone.checked()
+		member.Zone, mistake = s.Zone.validated()
 	}
 	return member, mistake
 }
 
 func (s *replaceSyntax) statement() (Statement, *Error) {
-	old, mistake := s.Old.checked()
+	old, mistake := s.Old.validated()
 	if mistake != nil {
 		return nil, mistake
 	}
@@ -148,26 +148,26 @@
 	return ReplaceMember{ID: old, Replacement: replacement}, mistake
 }
 
-// statement binds a query to its table and columns.
+// statement resolves a query's table and columns.
 func (s *showSyntax) statement() (Statement, *Error) {
-	table := tableByWord(s.Table)
+	table := tableByName(s.Table)
 	if table == nil {
-		return nil, unknownWord(s.Pos, "table", s.Table, tableWords())
+		return nil, unknownWordError(s.Pos, "table", s.Table, tableNames())
 	}
-	show := Show{Table: table.word}
-	if mistake := s.narrow(table, &show); mistake != nil {
+	show := Show{Table: table.name}
+	if mistake := s.applyOf(table, &show); mistake != nil {
 		return nil, mistake
 	}
 	for _, condition := range s.Conditions {
-		bound, mistake := condition.bind(table)
+		bound, mistake := condition.bindColumn(table)
 		if mistake != nil {
 			return nil, mistake
 		}
 		show.Conditions = append(show.Conditions, bound)
 	}
 	if s.Order != nil {
-		if table.column(s.Order.Column) < 0 {
-			return nil, unknownWord(s.Order.Pos, "column of "+table.word, s.Order.Column, table.columnWords())
+		if table.columnIndex(s.Order.Column) < 0 {
+			return nil, unknownWordError(s.Order.Pos, "column of "+table.name, s.Order.Column, table.columnNames())
 		}
 		show.OrderBy, show.Descending = s.Order.Column, s.Order.Descending
 	}
@@ -182,17 +182,17 @@
 	return show, nil
 }
 
-// narrow reads "of TYPE NAME".
-func (s *showSyntax) narrow(table *table, show *Show) *Error {
+// applyOf applies the clause "of TYPE NAME".
+func (s *showSyntax) applyOf(table *table, show *Show) *Error {
 	if s.Of == nil {
 		return nil
 	}
-	name, mistake := s.Of.Name.checked()
+	name, mistake := s.Of.Name.validated()
 	if mistake != nil {
 		return mistake
 	}
 	if len(table.ofTypes) == 0 {
-		return errorAt(s.Of.Pos, "%s cannot be narrowed by \"of\": use \"where\"", table.word)
+		return errorAt(s.Of.Pos, "%s cannot be narrowed by \"of\": use \"where\"", table.name)
 	}
 	for _, ofType := range table.ofTypes {
 		if ofType == s.Of.Type {
@@ -200,19 +200,19 @@
 			return nil
 		}
 	}
-	return unknownWord(s.Of.Pos, "subject of "+table.word, s.Of.Type, table.ofTypes)
+	return unknownWordError(s.Of.Pos, "subject of "+table.name, s.Of.Type, table.ofTypes)
 }
 
-// bind reads the value as the column's cells are.
-func (c *conditionSyntax) bind(table *table) (Condition, *Error) {
-	index := table.column(c.Column)
+// bindColumn parses the condition's value in the type of its column.
+func (c *conditionSyntax) bindColumn(table *table) (Condition, *Error) {
+	index := table.columnIndex(c.Column)
 	if index < 0 {
-		return Condition{}, unknownWord(c.Pos, "column of "+table.word, c.Column, table.columnWords())
+		return Condition{}, unknownWordError(c.Pos, "column of "+table.name, c.Column, table.columnNames())
 	}
 	column := table.columns[index]
 	condition := Condition{Column: c.Column, Operator: c.Operator}
 	if column.numeric {
-		number, mistake := wholeShape{what: "a number", units: column.units}.number(c.Value)
+		number, mistake := wholeNumberCodec{description: "a number", units: column.units}.parseNumber(c.Value)
 		if mistake != nil {
 			return Condition{}, mistake
 		}
--- a/internal/language/reference_test.go
+++ b/internal/language/reference_test.go
@@ -22,8 +22,8 @@
 	examplePart   = regexp.MustCompile("(?s)```(hzl|query|command)\n(.*?)```")
 )
 
-// TestReferenceIsThatOfTheGrammar holds docs/LANGUAGE.md to the tables and grammar.
-func TestReferenceIsThatOfTheGrammar(t *testing.T) {
+// TestReferenceMatchesGrammar checks docs/LANGUAGE.md against the tables and the grammar.
+func TestReferenceMatchesGrammar(t *testing.T) {
 	page, err := os.ReadFile(referencePath)
 	require.NoError(t, err)
 	generators := map[string]func() string{
@@ -45,8 +45,8 @@
 	require.Equal(t, wanted, string(page), "run: go test ./internal/language -run Reference -update")
 }
 
-// TestReferenceExamplesParse parses every example, and sees one of each statement
-// and of each type of declaration.
+// TestReferenceExamplesParse parses every example of the reference page, and checks that there is one
+// for each statement and each type of declaration.
 func TestReferenceExamplesParse(t *testing.T) {
 	page, err := os.ReadFile(referencePath)
 	require.NoError(t, err)
@@ -68,7 +68,7 @@
 			seen[strings.Fields(line)[0]] = true
 		}
 	}
-	for _, word := range append(beginnings, schemaWords()...) {
+	for _, word := range append(leadingKeywords, schemaKeywords()...) {
 		require.True(t, seen[word] || word == "operator", "no example of %s", word)
 	}
 }
@@ -80,7 +80,7 @@
 		what  string
 		units []unit
 	}{{"durations", durationUnits}, {"sizes", sizeUnits}, {"rates", rateUnits}, {"counts", append(append(append(append([]unit{}, tokenUnits...), requestUnits...), engineUnits...), changeUnits...)}} {
-		fmt.Fprintf(&text, "| %s | `%s` |\n", row.what, strings.Join(unitWords(row.units), "`, `"))
+		fmt.Fprintf(&text, "| %s | `%s` |\n", row.what, strings.Join(unitSymbols(row.units), "`, `"))
 	}
 	return text.String()
 }
@@ -88,26 +88,26 @@
 func declarationReference() string {
 	var text strings.Builder
 	for _, schema := range schemas {
-		fmt.Fprintf(&text, "### %s\n\n%s\n\n| field | value | when not given | meaning |\n| --- | --- | --- | --- |\n", schema.word, schema.purpose)
+		fmt.Fprintf(&text, "### %s\n\n%s\n\n| field | value | when not given | meaning |\n| --- | --- | --- | --- |\n", schema.keyword, schema.purpose)
 		for _, field := range schema.fields {
-			value := field.shape.describe()
+			value := field.codec.describe()
 			if field.proto.IsList() {
 				value = "list of " + value
 			}
-			fmt.Fprintf(&text, "| `%s` | %s | %s | %s |\n", field.word, value, standardText(schema, field), field.purpose)
+			fmt.Fprintf(&text, "| `%s` | %s | %s | %s |\n", field.name, value, defaultText(schema, field), field.purpose)
 		}
 		text.WriteString("\n")
 	}
 	return text.String()
 }
 
-// standardText is the value of a field that is not given.
-func standardText(schema *objectSchema, field *fieldSchema) string {
+// defaultText returns the default value of a field.
+func defaultText(schema *objectSchema, field *fieldSchema) string {
 	if field.required {
 		return "required"
 	}
 	message := schema.message(&v1.Object{}, true)
-	field.setStandard(message)
+	field.setDefault(message)
 	if standard := field.format(message); standard != "" && standard != `""` {
 		return "`" + standard + "`"
 	}
@@ -118,16 +118,16 @@
 	var text strings.Builder
 	text.WriteString("| table | lists | `of` | columns |\n| --- | --- | --- | --- |\n")
 	for _, table := range tables {
-		fmt.Fprintf(&text, "| `%s` | %s | %s | `%s` |\n", table.word, table.purpose, strings.Join(table.ofTypes, ", "), strings.Join(table.columnWords(), "`, `"))
+		fmt.Fprintf(&text, "| `%s` | %s | %s | `%s` |\n", table.name, table.purpose, strings.Join(table.ofTypes, ", "), strings.Join(table.columnNames(), "`, `"))
 	}
 	text.WriteString("\n| column | table | unit | meaning |\n| --- | --- | --- | --- |\n")
 	for _, table := range tables[len(schemas):] {
 		for _, column := range table.columns {
 			unit := ""
 			if len(column.units) > 0 {
-				unit = column.units[0].word
+				unit = column.units[0].symbol
 			}
-			fmt.Fprintf(&text, "| `%s` | %s | %s | %s |\n", column.word, table.word, unit, column.purpose)
+			fmt.Fprintf(&text, "| `%s` | %s | %s | %s |\n", column.name, table.name, unit, column.purpose)
 		}
 	}
 	return text.String()
--- a/internal/language/references.go
+++ b/internal/language/references.go
@@ -9,41 +9,41 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// ReferenceFault is one object that does not fit the other objects in force.
+// ReferenceFault is one object that is inconsistent with the other objects of a configuration.
 type ReferenceFault struct {
 	Key   *v1.ObjectKey
 	Field string
-	// Message says what is wrong; Suggestion is a name that exists, or empty.
+	// Message says what is wrong; Suggestion is the closest declared name, or empty.
 	Message    string
 	Suggestion string
 }
 
-// ReferenceFaults is every fault of one configuration, by type and name of object.
+// ReferenceFaults lists every inconsistency of one configuration, sorted by type and name of the object.
 type ReferenceFaults []ReferenceFault
 
-// Error gives one line for each fault.
+// Error returns one line for each fault.
 func (f ReferenceFaults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
-		lines[i] = fault.text()
+		lines[i] = fault.message()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// As makes trace.IsBadParameter true for the faults.
+// As lets trace.IsBadParameter recognize the faults.
 func (f ReferenceFaults) As(target any) bool { return asBadParameter(f, target) }
 
-// CheckReferences checks that a whole configuration fits together: what objects
-// name exists, keys and paths are not shared, and fields suit the type of service.
-// Tombstones are passed over. The error is a ReferenceFaults inside a trace error.
+// CheckReferences checks that a whole configuration is consistent: referenced objects exist, keys and
+// paths are unique, and fields suit the type of their service. It ignores tombstones. The error is a
+// ReferenceFaults inside a trace error.
 func CheckReferences(objects []*v1.Object) error {
-	if faults := referenceFaults(objects); len(faults) > 0 {
+	if faults := findReferenceFaults(objects); len(faults) > 0 {
 		return trace.Wrap(faults)
 	}
 	return nil
 }
 
-func (f ReferenceFault) text() string {
+func (f ReferenceFault) message() string {
 	text := FormatKey(f.Key) + ": " + f.Message
 	if f.Suggestion != "" {
 		text += fmt.Sprintf("; did you mean %q?", f.Suggestion)
@@ -51,7 +51,7 @@
 	return text
 }
 
-// referenceChecker gathers the faults of one configuration.
+// referenceChecker collects the faults of one configuration.
 type referenceChecker struct {
 	objects []*v1.Object
 	names   map[v1.ObjectType][]string
@@ -59,8 +59,8 @@
 	faults  ReferenceFaults
 }
 
-func referenceFaults(objects []*v1.Object) ReferenceFaults {
-	checker := &referenceChecker{names: map[v1.ObjectType][]string{}, byKey: byKey(objects)}
+func findReferenceFaults(objects []*v1.Object) ReferenceFaults {
+	checker := &referenceChecker{names: map[v1.ObjectType][]string{}, byKey: indexByKey(objects)}
 	for _, object := range checker.byKey {
 		checker.objects = append(checker.objects, object)
 	}
@@ -77,7 +77,7 @@
 	return checker.faults
 }
 
-func (c *referenceChecker) add(object *v1.Object, field, suggestion, format string, arguments ...any) {
+func (c *referenceChecker) addFault(object *v1.Object, field, suggestion, format string, arguments ...any) {
 	c.faults = append(c.faults, ReferenceFault{
 		Key:        object.GetKey(),
 		Field:      field,
@@ -86,25 +86,25 @@
 	})
 }
 
-// checkNames checks that every object a field names is declared.
+// checkNames checks that every object that a field refers to is declared.
 func (c *referenceChecker) checkNames(object *v1.Object) {
-	schema := schemaOf(object.GetKey().GetType())
+	schema := schemaForType(object.GetKey().GetType())
 	message := schema.message(object, false)
 	for _, field := range schema.fields {
-		if field.refers == v1.ObjectType_OBJECT_TYPE_UNSPECIFIED || !message.Has(field.proto) {
+		if field.referencedType == v1.ObjectType_OBJECT_TYPE_UNSPECIFIED || !message.Has(field.proto) {
 			continue
 		}
-		for _, name := range field.names(message) {
-			key := &v1.ObjectKey{Type: field.refers, Name: name}
+		for _, name := range field.referencedNames(message) {
+			key := &v1.ObjectKey{Type: field.referencedType, Name: name}
 			if c.byKey[FormatKey(key)] == nil {
-				known := c.names[field.refers]
-				c.add(object, field.word, suggest(name, known), "%s names %s, which is not declared", field.word, FormatKey(key))
+				known := c.names[field.referencedType]
+				c.addFault(object, field.name, suggestWord(name, known), "%s names %s, which is not declared", field.name, FormatKey(key))
 			}
 		}
 	}
 }
 
-// checkService checks fields that depend on the type of the service they are for.
+// checkService checks the fields that depend on the type of their service.
 func (c *referenceChecker) checkService(object *v1.Object) {
 	switch spec := object.GetSpec().(type) {
 	case *v1.Object_Kind:
@@ -112,15 +112,15 @@
 	case *v1.Object_Service:
 		isEngine := spec.Service.GetType() == v1.ServiceType_SERVICE_TYPE_ENGINE
 		if isEngine && spec.Service.GetModel() == "" {
-			c.add(object, "model", "", "an engine service needs a model")
+			c.addFault(object, "model", "", "an engine service needs a model")
 		}
 		if !isEngine && spec.Service.GetModel() != "" {
-			c.add(object, "model", "", "a page service has no model")
+			c.addFault(object, "model", "", "a page service has no model")
 		}
 	case *v1.Object_Bound:
 		c.checkEngineService(object, spec.Bound.GetService())
 		if spec.Bound.GetMaximum() != 0 && spec.Bound.GetMaximum() < spec.Bound.GetMinimum() {
-			c.add(object, "maximum", "", "maximum %d is below minimum %d", spec.Bound.GetMaximum(), spec.Bound.GetMinimum())
+			c.addFault(object, "maximum", "", "maximum %d is below minimum %d", spec.Bound.GetMaximum(), spec.Bound.GetMinimum())
 		}
 	case *v1.Object_Policy:
 		c.checkEngineService(object, spec.Policy.GetService())
@@ -128,31 +128,31 @@
 }
 
 func (c *referenceChecker) checkKind(object *v1.Object, kind *v1.Kind) {
-	service := c.service(kind.GetService())
+	service := c.serviceNamed(kind.GetService())
 	if service == nil {
 		return
 	}
 	isPage := service.GetType() == v1.ServiceType_SERVICE_TYPE_PAGE
 	if isPage && kind.GetPath() == "" {
-		c.add(object, "path", "", "a kind of the page service %s needs a path", quoteName(kind.GetService()))
+		c.addFault(object, "path", "", "a kind of the page service %s needs a path", quoteName(kind.GetService()))
 	}
 	if !isPage && kind.GetPath() != "" {
-		c.add(object, "path", "", "a kind of the engine service %s has no path: callers name it by header", quoteName(kind.GetService()))
+		c.addFault(object, "path", "", "a kind of the engine service %s has no path: callers name it by header", quoteName(kind.GetService()))
 	}
 }
 
 func (c *referenceChecker) checkEngineService(object *v1.Object, name string) {
-	if service := c.service(name); service != nil && service.GetType() != v1.ServiceType_SERVICE_TYPE_ENGINE {
-		c.add(object, "service", "", "service %s has no engines", quoteName(name))
+	if service := c.serviceNamed(name); service != nil && service.GetType() != v1.ServiceType_SERVICE_TYPE_ENGINE {
+		c.addFault(object, "service", "", "service %s has no engines", quoteName(name))
 	}
 }
 
-// service returns a declared service, or nil.
-func (c *referenceChecker) service(name string) *v1.Service {
+// serviceNamed returns a declared serviceNamed, or nil.
+func (c *referenceChecker) serviceNamed(name string) *v1.Service {
 	return c.byKey[FormatKey(&v1.ObjectKey{Type: v1.ObjectType_OBJECT_TYPE_SERVICE, Name: name})].GetService()
 }
 
-// checkUnique checks what two objects may not share.
+// checkUnique checks the values that only one object may have.
 func (c *referenceChecker) checkUnique() {
 	owners := map[string]*v1.Object{}
 	claim := func(object *v1.Object, field, what, value string) {
@@ -160,7 +160,7 @@
 			return
 		}
 		if owner := owners[what+" "+value]; owner != nil {
-			c.add(object, field, "", "%s is already that of %s", what, FormatKey(owner.GetKey()))
+			c.addFault(object, field, "", "%s is already that of %s", what, FormatKey(owner.GetKey()))
 			return
 		}
 		owners[what+" "+value] = object
--- a/internal/language/roles.go
+++ b/internal/language/roles.go
@@ -58,8 +58,8 @@
 // RequiredRole is operator.
 func (DumpLogs) RequiredRole() v1.OperatorRole { return operator }
 
-// RequiredRoleToApply is the lowest role that may submit these objects: operator,
-// or administrator when operators are among them, or may be among what prune deletes.
+// RequiredRoleToApply returns the lowest role that may submit these objects: operator, or administrator
+// if they include operators or if prune might delete some.
 func RequiredRoleToApply(objects []*v1.Object, prune bool) v1.OperatorRole {
 	if prune {
 		return administrator
@@ -72,7 +72,7 @@
 	return operator
 }
 
-// RoleAllows reports whether an operator with role held may do what asks for required.
+// RoleAllows reports whether an operator with role held may do what requires role required.
 func RoleAllows(held, required v1.OperatorRole) bool {
 	return held != v1.OperatorRole_OPERATOR_ROLE_UNSPECIFIED && held >= required
 }
--- a/internal/language/rows.go
+++ b/internal/language/rows.go
@@ -32,7 +32,7 @@
 	for _, engine := range view.Engines() {
 		order := ""
 		if engine.OutstandingOrder != nil {
-			order = fenceText(engine.OutstandingOrder) + " " + actionText(engine.OutstandingOrder)
+			order = formatFence(engine.OutstandingOrder) + " " + formatAction(engine.OutstandingOrder)
 		}
 		loadAge := Value{Numeric: true, Number: -1}
 		if engine.Load != nil {
@@ -45,7 +45,7 @@
 			TextValue(engine.State.GetAddress()),
 			TextValue(RoleName(engine.State.GetRole())),
 			TextValue(RoleName(engine.PinnedRole)),
-			TextValue(stateWord(engine.ServingState)),
+			TextValue(stateName(engine.ServingState)),
 			TextValue(engine.State.GetModel()),
 			TextValue(engine.State.GetVersion()),
 			TextValue(adaptersText(engine.State)),
@@ -68,7 +68,7 @@
 	return strings.Join(texts, ", ")
 }
 
-// revisionCell is empty, and below every number, when the revision is not known.
+// revisionCell is empty, and below every number, when the node's revision is unknown.
 func revisionCell(node NodeView) Value {
 	if node.RevisionUnknown {
 		return Value{Numeric: true, Number: -1}
@@ -85,7 +85,7 @@
 			TextValue(node.Zone),
 			TextValue(node.Address),
 			revisionCell(node),
-			silenceCell(view.NowMs(), node.LastMessageAtMs),
+			elapsedCell(view.NowMs(), node.LastMessageAtMs),
 			booleanCell(node.Leaving),
 		})
 	}
@@ -95,36 +95,36 @@
 func memberRows(view View) [][]Value {
 	var rows [][]Value
 	for _, member := range view.Members() {
-		part := "voter"
+		membership := "voter"
 		switch {
 		case member.Leader:
-			part = "leader"
+			membership = "leader"
 		case member.Member.GetLearner():
-			part = "learner"
+			membership = "learner"
 		}
 		rows = append(rows, []Value{
 			TextValue(member.Member.GetId()),
 			TextValue(member.Member.GetAddress()),
 			TextValue(member.Member.GetZone()),
-			TextValue(part),
+			TextValue(membership),
 			countCell(member.MatchIndex),
-			silenceCell(view.NowMs(), member.LastMessageAtMs),
+			elapsedCell(view.NowMs(), member.LastMessageAtMs),
 		})
 	}
 	return rows
 }
 
-func orderRows(view View) [][]Value { return orderRowsOf(view.Orders("")) }
+func orderRows(view View) [][]Value { return formatOrders(view.Orders("")) }
 
-func orderRowsOf(orders []OrderView) [][]Value {
+func formatOrders(orders []OrderView) [][]Value {
 	var rows [][]Value
 	for _, order := range orders {
 		rows = append(rows, []Value{
 			TextValue(order.Order.GetEngine()),
-			TextValue(fenceText(order.Order)),
-			TextValue(actionText(order.Order)),
+			TextValue(formatFence(order.Order)),
+			TextValue(formatAction(order.Order)),
 			timeCell(order.Order.GetIssuedAtMs()),
-			TextValue(outcomeWord(order.Outcome)),
+			TextValue(outcomeName(order.Outcome)),
 			timeCell(order.FinishedAtMs),
 			TextValue(order.Order.GetReason()),
 			TextValue(order.Detail),
@@ -141,7 +141,7 @@
 			TextValue(claim.Kind),
 			TextValue(claim.Key),
 			TextValue(claim.Gateway),
-			TextValue(claimWord(claim.State)),
+			TextValue(claimStateName(claim.State)),
 			timeCell(claim.ExpiresAtMs),
 		})
 	}
--- a/internal/language/schema.go
+++ b/internal/language/schema.go
@@ -6,12 +6,12 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// objectSchema says how one type of object is declared.
+// objectSchema describes how one type of object is declared.
 type objectSchema struct {
 	objectType v1.ObjectType
-	// word begins a declaration; table is its plural, for queries.
-	word, table string
-	// spec is the protobuf field of Object that holds the type's message.
+	// keyword begins a declaration; tableName is its plural, for queries.
+	keyword, tableName string
+	// spec is the protobuf field of Object that holds the message of this type.
 	spec    protoreflect.FieldDescriptor
 	purpose string
 	fields  []*fieldSchema
@@ -19,31 +19,31 @@
 	nameField protoreflect.FieldDescriptor
 }
 
-// fieldSchema says how one field is written, and what it may hold.
+// fieldSchema describes how one field is written and which values it accepts.
 type fieldSchema struct {
-	word string
-	// protoName is the field of the protobuf message that keeps the value; not
-	// given it is the word. newSchema binds proto to it.
+	name string
+	// protoName is the field of the protobuf message that stores the value; it defaults to name.
+	// newSchema resolves it to proto.
 	protoName protoreflect.Name
 	proto     protoreflect.FieldDescriptor
-	shape     shape
-	// required fields must be given and not be empty.
+	codec     codec
+	// required fields must be given and must not be empty.
 	required bool
-	// standard is the value of a field that is not given, in canonical
-	// spelling; empty for the zero value.
-	standard string
-	// least is the smallest number allowed.
-	least uint64
-	// refers is the type of object that the value names.
-	refers  v1.ObjectType
-	purpose string
+	// defaultValue is the value of a field that is not given, in canonical spelling; empty for the
+	// zero value.
+	defaultValue string
+	// minimum is the smallest number allowed.
+	minimum uint64
+	// referencedType is the type of the objects that the value names.
+	referencedType v1.ObjectType
+	purpose        string
 }
 
-// schemas lists the types of objects in the order they are written.
+// schemas lists the types of objects in the order in which they are written.
 var schemas = buildSchemas()
 
-// schemaOf returns the schema of a type, or nil.
-func schemaOf(objectType v1.ObjectType) *objectSchema {
+// schemaForType returns the schema of a type, or nil.
+func schemaForType(objectType v1.ObjectType) *objectSchema {
 	for _, schema := range schemas {
 		if schema.objectType == objectType {
 			return schema
@@ -52,43 +52,43 @@
 	return nil
 }
 
-// schemaByWord returns the schema that a word begins, or nil.
-func schemaByWord(word string) *objectSchema {
+// schemaByKeyword returns the schema whose declarations begin with the keyword, or nil.
+func schemaByKeyword(word string) *objectSchema {
 	for _, schema := range schemas {
-		if schema.word == word {
+		if schema.keyword == word {
 			return schema
 		}
 	}
 	return nil
 }
 
-func schemaWords() []string {
+func schemaKeywords() []string {
 	words := make([]string, len(schemas))
 	for i, schema := range schemas {
-		words[i] = schema.word
+		words[i] = schema.keyword
 	}
 	return words
 }
 
-// field returns the field with this word, or nil.
+// field returns the field with this name, or nil.
 func (s *objectSchema) field(word string) *fieldSchema {
 	for _, field := range s.fields {
-		if field.word == word {
+		if field.name == word {
 			return field
 		}
 	}
 	return nil
 }
 
-func (s *objectSchema) fieldWords() []string {
+func (s *objectSchema) fieldNames() []string {
 	words := make([]string, len(s.fields))
 	for i, field := range s.fields {
-		words[i] = field.word
+		words[i] = field.name
 	}
 	return words
 }
 
-// message returns the type's message inside an object; it is made when mutable.
+// message returns the type's message inside an object; with mutable set, it creates a missing one.
 func (s *objectSchema) message(object *v1.Object, mutable bool) protoreflect.Message {
 	if mutable {
 		return object.ProtoReflect().Mutable(s.spec).Message()
@@ -96,10 +96,10 @@
 	return object.ProtoReflect().Get(s.spec).Message()
 }
 
-// TypeName is the language's word for a type of object; empty when unspecified.
+// TypeName returns the language's name for a type of object; empty when unspecified.
 func TypeName(objectType v1.ObjectType) string {
-	if schema := schemaOf(objectType); schema != nil {
-		return schema.word
+	if schema := schemaForType(objectType); schema != nil {
+		return schema.keyword
 	}
 	return ""
 }
--- a/internal/language/schema_build.go
+++ b/internal/language/schema_build.go
@@ -9,19 +9,19 @@
 // pinNameField is the protobuf field of a Pin that repeats the object's name.
 const pinNameField = "engine"
 
-// newSchema binds a type's fields to the protobuf message that keeps them. It
-// panics when the table and the message disagree, which the first test shows.
+// newSchema resolves a type's fields in its protobuf message. It panics during package initialization
+// when a field is missing from the message, so that any test of the package fails.
 func newSchema(objectType v1.ObjectType, word, table, purpose string, fields []*fieldSchema) *objectSchema {
 	spec := (&v1.Object{}).ProtoReflect().Descriptor().Fields().ByName(protoreflect.Name(word))
-	schema := &objectSchema{objectType: objectType, word: word, table: table, spec: spec, purpose: purpose, fields: fields}
+	schema := &objectSchema{objectType: objectType, keyword: word, tableName: table, spec: spec, purpose: purpose, fields: fields}
 	messageFields := spec.Message().Fields()
 	for _, field := range fields {
 		if field.protoName == "" {
-			field.protoName = protoreflect.Name(field.word)
+			field.protoName = protoreflect.Name(field.name)
 		}
 		field.proto = messageFields.ByName(field.protoName)
 		if field.proto == nil {
-			panic("language: no protobuf field for " + word + "." + field.word)
+			panic("language: no protobuf field for " + word + "." + field.name)
 		}
 	}
 	if objectType == v1.ObjectType_OBJECT_TYPE_PIN {
--- a/internal/language/statement.go
+++ b/internal/language/statement.go
@@ -4,8 +4,8 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// Statement is one query or command. ParseStatement makes it; its concrete type is
-// one of the structs of this package.
+// Statement is one query or command. ParseStatement returns it; its concrete type is one of the structs
+// of this package.
 type Statement interface {
 	// RequiredRole is the lowest operator role that may run the statement.
 	RequiredRole() v1.OperatorRole
@@ -18,42 +18,42 @@
 	isQuery()
 }
 
-// Command is a statement that changes something; the control core carries it out.
+// Command is a statement that changes something; the control core executes it.
 type Command interface {
 	Statement
 	isCommand()
 }
 
-// Show lists one table, narrowed and sorted.
+// Show lists one table, filtered and sorted.
 type Show struct {
 	Table string
-	// OfType and OfName narrow the table to one object or engine; may be empty.
+	// OfType and OfName restrict the table to one object or engine; may be empty.
 	OfType, OfName string
 	Conditions     []Condition
 	// OrderBy is a column of the table; empty keeps the table's own order.
 	OrderBy    string
 	Descending bool
-	// Last keeps only the last rows; 0 keeps all.
+	// Last keeps only this many rows at the end; 0 keeps all.
 	Last int
 }
 
-// Explain tells what is in force for one object or engine, since when and why.
+// Explain shows what is in force for one object or engine, since when and why.
 type Explain struct{ Type, Name string }
 
 // History lists the changes of one object, or the orders of one engine.
 type History struct{ Type, Name string }
 
-// Condition narrows the rows of a Show.
+// Condition selects the rows of a Show.
 type Condition struct {
 	Column   string
 	Operator string // = != < <= > >= ~ (contains)
 	Value    Value
 }
 
-// DrainEngine stops new work at an engine until ResumeEngine.
+// DrainEngine stops sending new work to an engine until ResumeEngine.
 type DrainEngine struct{ Engine string }
 
-// ResumeEngine lets a drained engine take work again.
+// ResumeEngine lets a drained engine receive work again.
 type ResumeEngine struct{ Engine string }
 
 // SetEngineRole changes the role of an engine once; the planner may change it again.
@@ -71,12 +71,12 @@
 // UnpinEngine deletes the Pin object of an engine.
 type UnpinEngine struct{ Engine string }
 
-// AbortOrder aborts the order an engine holds, where that is still possible.
+// AbortOrder aborts the outstanding order of an engine, if that is still possible.
 type AbortOrder struct{ Engine string }
 
-// ReleaseRequest forgets under which request replicas have ended, so that it may run again.
+// ReleaseRequest deletes the recorded crashes of replicas that ran a request, so that it may run again.
 type ReleaseRequest struct {
-	// Signature is the request's signature in hexadecimal digits, as logs and `show suspects` name it.
+	// Signature is the request's signature in hexadecimal digits, as in logs and `show suspects`.
 	Signature string
 }
 
@@ -86,18 +86,18 @@
 // AddMember adds a controller to the quorum as a learner.
 type AddMember struct{ Member *v1.Member }
 
-// PromoteMember gives a learner that has caught up a vote.
+// PromoteMember makes a learner that has caught up a voter.
 type PromoteMember struct{ ID string }
 
-// RemoveMember takes a controller out of the quorum.
+// RemoveMember removes a controller from the quorum.
 type RemoveMember struct{ ID string }
 
-// ReplaceMember adds a controller as a learner, promotes it once it has caught up
-// and removes the old one.
+// ReplaceMember adds a controller as a learner, promotes it once it has caught up, and removes the old
+// controller.
 type ReplaceMember struct {
 	ID          string
 	Replacement *v1.Member
 }
 
-// DumpLogs asks the answering controller to write out its log ring.
+// DumpLogs makes the answering controller write out its log ring.
 type DumpLogs struct{}
--- a/internal/language/statement_syntax.go
+++ b/internal/language/statement_syntax.go
@@ -73,29 +73,29 @@
 	Zone    *nameSyntax   `parser:"('zone' @@)?"`
 }
 
-// replaceSyntax names a controller and the one that takes its place.
+// replaceSyntax names a controller and its replacement.
 type replaceSyntax struct {
 	Old *nameSyntax   `parser:"@@ 'with'"`
 	New *memberSyntax `parser:"@@"`
 }
 
-var statementParser = participle.MustBuild[statementSyntax](participle.Lexer(tokens), participle.Elide("Comment", "Whitespace"), participle.UseLookahead(0))
+var statementParser = participle.MustBuild[statementSyntax](participle.Lexer(lexerDefinition), participle.Elide("Comment", "Whitespace"), participle.UseLookahead(0))
 
 var (
-	// grammarWord is a keyword in the text of a grammar.
-	grammarWord = regexp.MustCompile(`"([a-z]+)"`)
+	// grammarKeywordPattern matches a keyword in the text of a grammar.
+	grammarKeywordPattern = regexp.MustCompile(`"([a-z]+)"`)
 
-	// keywords lists the words of the statements' grammar, in its order.
-	keywords = distinctWords(grammarWord.FindAllStringSubmatch(statementParser.String(), -1))
+	// keywords lists the keywords of the statement grammar, in the grammar's order.
+	keywords = distinctKeywords(grammarKeywordPattern.FindAllStringSubmatch(statementParser.String(), -1))
 
-	// beginnings lists the words a statement may begin with.
-	beginnings = distinctWords(firstWord.FindAllStringSubmatch(firstProduction, -1))
+	// leadingKeywords lists the words that a statement may begin with.
+	leadingKeywords = distinctKeywords(leadingKeywordPattern.FindAllStringSubmatch(firstProduction, -1))
 
-	firstWord             = regexp.MustCompile(`\("([a-z]+)"`)
+	leadingKeywordPattern = regexp.MustCompile(`\("([a-z]+)"`)
 	firstProduction, _, _ = strings.Cut(statementParser.String(), "\n")
 )
 
-func distinctWords(matches [][]string) []string {
+func distinctKeywords(matches [][]string) []string {
 	var words []string
 	seen := map[string]bool{}
 	for _, match := range matches {
--- a/internal/language/statements_test.go
+++ b/internal/language/statements_test.go
@@ -36,7 +36,7 @@
 		"abort order of engine motor-3":                            {AbortOrder{"motor-3"}, operator},
 		"release request a1b0":                                     {ReleaseRequest{"a1b0"}, operator},
 		`release request "0a1b"`:                                   {ReleaseRequest{"0a1b"}, operator},
-		"delete tenant minera.sur":                                 {DeleteObject{key(v1.ObjectType_OBJECT_TYPE_TENANT, "minera.sur")}, administrator},
+		"delete tenant minera.sur":                                 {DeleteObject{objectKey(v1.ObjectType_OBJECT_TYPE_TENANT, "minera.sur")}, administrator},
 		"add member d4 at 10.0.0.7:7400 zone sala-ate":             {AddMember{member}, administrator},
 		`add member d4 at "10.0.0.7:7400" zone "sala-ate"`:         {AddMember{member}, administrator},
 		"promote member d4":                                        {PromoteMember{"d4"}, administrator},
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestParseStatementNamesThePlaceAndTheCure(t *testing.T) {
+func TestParseStatementReportsPositionAndExpectedInput(t *testing.T) {
 	tests := map[string]string{
 		"":                                         "1:1: unexpected end of text: expected show, explain,",
 		"shwo tenants":                             `1:1: unexpected "shwo": expected show, explain,`,
@@ -89,7 +89,7 @@
 			require.Contains(t, trace.Unwrap(err).Error(), "statement:"+want)
 		})
 	}
-	require.Equal(t, []string{"show", "explain", "history", "drain", "resume", "set", "pin", "unpin", "abort", "release", "delete", "add", "promote", "remove", "replace", "dump"}, beginnings)
+	require.Equal(t, []string{"show", "explain", "history", "drain", "resume", "set", "pin", "unpin", "abort", "release", "delete", "add", "promote", "remove", "replace", "dump"}, leadingKeywords)
 	_, err := ParseStatement("shwo tenants")
 	require.ErrorContains(t, err, `did you mean "show"?`)
 	_, err = ParseStatement("drain engine a" + strings.Repeat(" ", MaximumStatementBytes))
@@ -101,9 +101,9 @@
 	require.True(t, RoleAllows(viewer, viewer))
 	require.False(t, RoleAllows(viewer, operator))
 	require.False(t, RoleAllows(v1.OperatorRole_OPERATOR_ROLE_UNSPECIFIED, v1.OperatorRole_OPERATOR_ROLE_UNSPECIFIED))
-	require.Equal(t, operator, RequiredRoleToApply([]*v1.Object{{Key: key(v1.ObjectType_OBJECT_TYPE_TENANT, "a")}}, false))
-	require.Equal(t, administrator, RequiredRoleToApply([]*v1.Object{{Key: key(v1.ObjectType_OBJECT_TYPE_TENANT, "a")}}, true))
-	require.Equal(t, administrator, RequiredRoleToApply([]*v1.Object{{Key: key(v1.ObjectType_OBJECT_TYPE_OPERATOR, "a")}}, false))
+	require.Equal(t, operator, RequiredRoleToApply([]*v1.Object{{Key: objectKey(v1.ObjectType_OBJECT_TYPE_TENANT, "a")}}, false))
+	require.Equal(t, administrator, RequiredRoleToApply([]*v1.Object{{Key: objectKey(v1.ObjectType_OBJECT_TYPE_TENANT, "a")}}, true))
+	require.Equal(t, administrator, RequiredRoleToApply([]*v1.Object{{Key: objectKey(v1.ObjectType_OBJECT_TYPE_OPERATOR, "a")}}, false))
 }
 
 func FuzzParseStatement(f *testing.F) {
--- a/internal/language/syntax.go
+++ b/internal/language/syntax.go
@@ -30,7 +30,7 @@
 	Value  *valueSyntax `parser:"@@"`
 }
 
-// valueSyntax is one scalar or a list of them.
+// valueSyntax is one scalar or a list of scalars.
 type valueSyntax struct {
 	Pos    lexer.Position
 	IsList bool            `parser:"@'['"`
@@ -46,15 +46,15 @@
 	Word     string  `parser:"| @(Word | Address)"`
 }
 
-// nameSyntax is a name, bare or in quotes.
+// nameSyntax is a name, as a bare word or in quotes.
 type nameSyntax struct {
 	Pos  lexer.Position
 	Text string `parser:"@(Word | String)"`
 }
 
-var fileParser = participle.MustBuild[fileSyntax](participle.Lexer(tokens), participle.Elide("Comment", "Whitespace"), participle.UseLookahead(0))
+var fileParser = participle.MustBuild[fileSyntax](participle.Lexer(lexerDefinition), participle.Elide("Comment", "Whitespace"), participle.UseLookahead(0))
 
-// unquote reads a String token. Texts must be valid UTF-8, as durable records are.
+// unquote returns the text of a String token. Texts must be valid UTF-8, like all stored records.
 func unquote(position lexer.Position, token string) (string, *Error) {
 	text, err := strconv.Unquote(token)
 	if err != nil || !utf8.ValidString(text) {
@@ -63,17 +63,17 @@
 	return text, nil
 }
 
-// text reads a name in either spelling.
-func (n *nameSyntax) text() (string, *Error) {
+// unquoted returns the name without quotes, in either spelling.
+func (n *nameSyntax) unquoted() (string, *Error) {
 	if len(n.Text) > 0 && n.Text[0] == '"' {
 		return unquote(n.Pos, n.Text)
 	}
 	return n.Text, nil
 }
 
-// checked reads a name and refuses what cannot be one.
-func (n *nameSyntax) checked() (string, *Error) {
-	name, mistake := n.text()
+// validated returns the name, or an error if it is not a valid one.
+func (n *nameSyntax) validated() (string, *Error) {
+	name, mistake := n.unquoted()
 	if mistake == nil && !namePattern.MatchString(name) {
 		mistake = errorAt(n.Pos, "%q is not a name: expected %s", name, nameRule)
 	}
@@ -82,7 +82,7 @@
 
 // quoteName writes a name in its canonical spelling.
 func quoteName(name string) string {
-	if bareWord.MatchString(name) {
+	if bareWordPattern.MatchString(name) {
 		return name
 	}
 	return strconv.Quote(name)
--- a/internal/language/table.go
+++ b/internal/language/table.go
@@ -1,55 +1,55 @@
 package language
 
-// table is what a Show lists.
+// table is one table that Show lists.
 type table struct {
-	word, purpose string
+	name, purpose string
 	columns       []column
-	// ofTypes are the subjects "of" may narrow to; each is also the column that
-	// holds the subject's name.
+	// ofTypes are the subject types that "of" accepts; each is also the column that contains the
+	// subject's name.
 	ofTypes []string
-	// rows reads the table; each row has a cell for each column.
+	// rows returns the table's rows; each row has a cell for each column.
 	rows func(View) [][]Value
 }
 
 // column is one column of a table.
 type column struct {
-	word, purpose string
-	// numeric columns hold numbers, in the first of units where there are some.
+	name, purpose string
+	// numeric columns contain numbers, in the first of units if there are any.
 	numeric bool
 	units   []unit
 }
 
-// column returns the index of a column, or -1.
-func (t *table) column(word string) int {
+// columnIndex returns the index of a column, or -1.
+func (t *table) columnIndex(word string) int {
 	for i, column := range t.columns {
-		if column.word == word {
+		if column.name == word {
 			return i
 		}
 	}
 	return -1
 }
 
-func (t *table) columnWords() []string {
+func (t *table) columnNames() []string {
 	words := make([]string, len(t.columns))
 	for i, column := range t.columns {
-		words[i] = column.word
+		words[i] = column.name
 	}
 	return words
 }
 
-func tableByWord(word string) *table {
+func tableByName(word string) *table {
 	for _, table := range tables {
-		if table.word == word {
+		if table.name == word {
 			return table
 		}
 	}
 	return nil
 }
 
-func tableWords() []string {
+func tableNames() []string {
 	words := make([]string, len(tables))
 	for i, table := range tables {
-		words[i] = table.word
+		words[i] = table.name
 	}
 	return words
 }
--- a/internal/language/unit.go
+++ b/internal/language/unit.go
@@ -2,9 +2,9 @@
 
 import "math/big"
 
-// unit is a word after a number and what it multiplies the number by.
+// unit is a symbol after a number and the factor by which it multiplies the number.
 type unit struct {
-	word   string
+	symbol string
 	factor int64
 }
 
@@ -19,8 +19,7 @@
 	millisecondsPerHour   = 3_600_000
 )
 
-// The units of each measure, from the smallest to the largest; the first is the
-// one that durable records hold.
+// The units of each measure, from the smallest to the largest. Stored records use the first one.
 var (
 	durationUnits = []unit{
 		{"ms", 1},
@@ -42,8 +41,8 @@
 	changeUnits  = []unit{{"changes", 1}}
 )
 
-// everyUnit lists all units, for the lexer and the reference page.
-func everyUnit() []unit {
+// allUnits lists all units, for the lexer and the reference page.
+func allUnits() []unit {
 	var all []unit
 	for _, units := range [][]unit{durationUnits, sizeUnits, rateUnits, tokenUnits, requestUnits, engineUnits, changeUnits} {
 		all = append(all, units...)
@@ -51,17 +50,17 @@
 	return all
 }
 
-func unitWords(units []unit) []string {
+func unitSymbols(units []unit) []string {
 	words := make([]string, len(units))
 	for i, unit := range units {
-		words[i] = unit.word
+		words[i] = unit.symbol
 	}
 	return words
 }
 
 func findUnit(units []unit, word string) (unit, bool) {
 	for _, candidate := range units {
-		if candidate.word == word {
+		if candidate.symbol == word {
 			return candidate, true
 		}
 	}
@@ -79,10 +78,10 @@
 		}
 	}
 	quotient := new(big.Int).Quo(number, big.NewInt(chosen.factor))
-	return quotient.String() + unitSeparator(units) + chosen.word
+	return quotient.String() + unitSeparator(units) + chosen.symbol
 }
 
-// unitSeparator is empty for units written against the number, as in 2s.
+// unitSeparator is empty for units that follow the number directly, as in 2s.
 func unitSeparator(units []unit) string {
 	if len(units) > 1 {
 		return ""
--- a/internal/language/view.go
+++ b/internal/language/view.go
@@ -4,20 +4,18 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// View is what Evaluate reads: the state of one controller at one moment. All
-// slices are sorted as their methods say and belong to the View; Evaluate does not
-// change them. Times are milliseconds since the Unix epoch, 0 when unknown.
+// View is the input of Evaluate: the state of one controller at one moment. Slices are sorted as the
+// methods say and belong to the View; Evaluate does not modify them. Times are milliseconds since the
+// Unix epoch, 0 when unknown.
 type View interface {
 	// NowMs is the time of the evaluation.
 	NowMs() int64
-	// Revisions lists the accepted revisions that are still remembered, oldest
-	// first. The last one is in force; it is empty before the first declaration.
+	// Revisions lists the accepted revisions that the state still records, oldest first. The last one is
+	// in force; the list is empty before the first declaration.
 	Revisions() []RevisionView
-	// Objects lists the declared objects in force, by type and then by name;
-	// no tombstones.
+	// Objects lists the declared objects in force, sorted by type and then by name, without tombstones.
 	Objects() []*v1.Object
-	// ObjectHistory lists the remembered changes of one object, oldest first;
-	// tombstones are among them.
+	// ObjectHistory lists the recorded changes of one object, oldest first, including tombstones.
 	ObjectHistory(*v1.ObjectKey) []*v1.Object
 	// Engines lists the engines the controller knows, by name.
 	Engines() []EngineView
@@ -25,19 +23,19 @@
 	Nodes() []NodeView
 	// Members lists the members of the quorum, by identity.
 	Members() []MemberView
-	// Orders lists the remembered orders, of one engine or (empty) of all, oldest first.
+	// Orders lists the recorded orders of one engine, or of all engines if engine is empty, oldest first.
 	Orders(engine string) []OrderView
-	// Claims lists the claims that are remembered, by tenant, kind and key.
+	// Claims lists the recorded claims, sorted by tenant, kind and key.
 	Claims() []ClaimView
-	// Suspects lists the requests under which replicas have ended, oldest first.
+	// Suspects lists the requests during which replicas crashed, oldest first.
 	Suspects() []SuspectView
-	// Audit lists the audit trail as far as it is remembered, oldest first.
+	// Audit lists the recorded part of the audit trail, oldest first.
 	Audit() []AuditRecord
-	// Shares lists the parts of tenants' limits that gateways hold now, by
-	// tenant and gateway; empty on a controller that is not the leader.
+	// Shares lists the shares of tenants' limits that gateways hold now, sorted by tenant and gateway;
+	// empty on a controller that is not the leader.
 	Shares() []ShareView
-	// PlannerDecisions lists the planner's last decision for each service, by
-	// service; empty on a controller that is not the leader.
+	// PlannerDecisions lists the planner's last decision for each service, sorted by service; empty on a
+	// controller that is not the leader.
 	PlannerDecisions() []PlannerDecision
 }
 
@@ -52,23 +50,23 @@
 	Objects int
 }
 
-// EngineView is one engine: what the log says of it and what it reported last.
+// EngineView is one engine: its replicated state and its last report.
 type EngineView struct {
-	// State is what the replicated state records of the engine.
+	// State is the replicated state of the engine.
 	State *v1.EngineState
-	// ServingState is what back end state gateways are told.
+	// ServingState is the back-end state that gateways receive for the engine.
 	ServingState v1.BackEndState
-	// RoleSinceMs is the time the engine took its role.
+	// RoleSinceMs is the time at which the engine got its current role.
 	RoleSinceMs int64
-	// PinnedRole is the role a pin holds the engine in, or unspecified.
+	// PinnedRole is the role that a pin assigns to the engine, or unspecified.
 	PinnedRole v1.Role
-	// OutstandingOrder is the order the engine holds, or nil.
+	// OutstandingOrder is the order that the engine has not finished, or nil.
 	OutstandingOrder *v1.Order
-	// Load is what the engine reported last, LoadAgeMs ago; nil when it never did.
+	// Load is the engine's last load report, LoadAgeMs old; nil when there is none.
 	Load      *v1.BackEndLoad
 	LoadAgeMs int64
-	// BlockedChange says which declared change the engine waits for and why it has not
-	// been ordered; empty when nothing waits, or on a controller that is not the leader.
+	// BlockedChange names a declared change that has not been ordered yet, and what blocks it; empty when
+	// there is none, or on a controller that is not the leader.
 	BlockedChange string
 }
 
@@ -78,9 +76,8 @@
 	Program string // gateway or controller
 	Zone    string
 	Address string
-	// Revision is the one in force at a gateway when it was last heard, and the one
-	// on a controller's disk. RevisionUnknown tells that the answering controller
-	// does not know it.
+	// Revision is the revision in force at a gateway as of its last message, or the revision on a
+	// controller's disk. RevisionUnknown is set when the answering controller does not know it.
 	Revision        uint64
 	RevisionUnknown bool
 	LastMessageAtMs int64
@@ -92,13 +89,13 @@
 type MemberView struct {
 	Member *v1.Member
 	Leader bool
-	// MatchIndex is the highest log entry known to be synced at the member;
-	// 0 when the answering controller does not lead.
+	// MatchIndex is the highest log entry known to be synced to the member's disk; 0 when the answering
+	// controller is not the leader.
 	MatchIndex      uint64
 	LastMessageAtMs int64
 }
 
-// OrderView is one order and how it ended.
+// OrderView is one order and its outcome.
 type OrderView struct {
 	Order *v1.Order
 	// Outcome is unspecified while the order is outstanding.
@@ -107,8 +104,8 @@
 	FinishedAtMs int64
 }
 
-// ClaimView is one claim of a request that runs at most once. It has neither the
-// idempotency key's body nor the answer's.
+// ClaimView is one claim of a request that runs at most once. It contains neither the body recorded
+// under the idempotency key nor the body of the answer.
 type ClaimView struct {
 	Tenant      string
 	Kind        string
@@ -118,7 +115,7 @@
 	ExpiresAtMs int64
 }
 
-// SuspectView is one request under which replicas have ended.
+// SuspectView is one request during which replicas crashed.
 type SuspectView struct {
 	Signature   string
 	Crashes     int
@@ -132,15 +129,15 @@
 	AtMs      int64
 	Operator  string
 	RequestID string
-	// Text is the command as the operator gave it.
+	// Text is the command as the operator wrote it.
 	Text    string
 	Outcome string
-	// Revision is the one the submission made; 0 when it made none.
+	// Revision is the revision that the submission created; 0 when it created none.
 	Revision       uint64
 	SourceRevision string
 }
 
-// ShareView is one gateway's part of one tenant's limits.
+// ShareView is one gateway's share of one tenant's limits.
 type ShareView struct {
 	Tenant          string
 	Gateway         string
@@ -148,7 +145,7 @@
 	Concurrency     uint32
 }
 
-// PlannerDecision is the planner's last decision for one service and why.
+// PlannerDecision is the planner's last decision for one service and the reason for it.
 type PlannerDecision struct {
 	Service string
 	AtMs    int64
