--- a/internal/operatorclient/client.go
+++ b/internal/operatorclient/client.go
@@ -14,7 +14,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/keys"
 )
 
-// Client asks the controllers of one fleet. It is safe for concurrent use.
+// Client calls the operator service of one fleet's controllers. It is safe for concurrent use.
 type Client struct {
 	config    Config
 	http      *http.Client
@@ -22,11 +22,11 @@
 	scheme    string
 
 	mutex sync.Mutex
-	// preferred is the controller that answered last.
+	// preferred is the controller that answered the last successful call.
 	preferred string
 }
 
-// New makes a client; it connects with the first call.
+// New returns a client; it connects at the first call.
 func New(config Config) (*Client, error) {
 	if err := config.check(); err != nil {
 		return nil, trace.Wrap(err)
@@ -43,11 +43,11 @@
 	return client, nil
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Apply submits a declaration. A request without identity gets one; every attempt
-// carries the same.
+// Apply submits a declaration. It gives a request without an identity a new one, which every attempt
+// carries.
 func (c *Client) Apply(ctx context.Context, request *v1.ApplyRequest) (*v1.ApplyResponse, error) {
 	if request.GetRequestId() == "" {
 		request.RequestId = uuid.NewString()
@@ -55,13 +55,13 @@
 	return call(ctx, c, request, hazelpitchv1connect.OperatorServiceClient.Apply)
 }
 
-// Plan tells what Apply would change.
+// Plan returns what Apply would change.
 func (c *Client) Plan(ctx context.Context, request *v1.PlanRequest) (*v1.PlanResponse, error) {
 	return call(ctx, c, request, hazelpitchv1connect.OperatorServiceClient.Plan)
 }
 
-// Execute runs one query or command. A request without identity gets one; every
-// attempt carries the same.
+// Execute runs one query or command. It gives a request without an identity a new one, which every
+// attempt carries.
 func (c *Client) Execute(ctx context.Context, request *v1.ExecuteRequest) (*v1.ExecuteResponse, error) {
 	if request.GetRequestId() == "" {
 		request.RequestId = uuid.NewString()
@@ -69,11 +69,11 @@
 	return call(ctx, c, request, hazelpitchv1connect.OperatorServiceClient.Execute)
 }
 
-// method is one method of the operator service's client.
-type method[Request, Response any] func(hazelpitchv1connect.OperatorServiceClient, context.Context, *connect.Request[Request]) (*connect.Response[Response], error)
+// serviceMethod is one method of the operator service's client.
+type serviceMethod[Request, Response any] func(hazelpitchv1connect.OperatorServiceClient, context.Context, *connect.Request[Request]) (*connect.Response[Response], error)
 
-// once sends a request to one controller.
-func once[Request, Response any](ctx context.Context, c *Client, controller string, message *Request, method method[Request, Response]) (*Response, error) {
+// callOnce sends a request to one controller and waits for its answer, at most attemptTimeout.
+func callOnce[Request, Response any](ctx context.Context, c *Client, controller string, message *Request, method serviceMethod[Request, Response]) (*Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	service := hazelpitchv1connect.NewOperatorServiceClient(c.http, c.scheme+"://"+controller)
--- a/internal/operatorclient/client_test.go
+++ b/internal/operatorclient/client_test.go
@@ -22,8 +22,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/keys"
 )
 
-// fakeController answers the operator service by a script: one step for each call,
-// the last one for all further calls.
+// fakeController answers the operator service from a script: each call consumes one step, and the last
+// step answers all further calls.
 type fakeController struct {
 	hazelpitchv1connect.UnimplementedOperatorServiceHandler
 	mutex    sync.Mutex
@@ -53,9 +53,9 @@
 	return len(f.requests)
 }
 
-func answers() error { return nil }
+func succeed() error { return nil }
 
-func fails(code connect.Code, leader string) func() error {
+func failWith(code connect.Code, leader string) func() error {
 	return func() error {
 		err := connect.NewError(code, errors.New("scripted"))
 		if leader != "" {
@@ -65,11 +65,11 @@
 	}
 }
 
-// losesAnswer takes the request and breaks the connection.
-func losesAnswer() error { panic(http.ErrAbortHandler) }
+// dropAnswer lets the controller receive the request and breaks the connection before the answer.
+func dropAnswer() error { panic(http.ErrAbortHandler) }
 
-// serve starts a fake controller and returns its address.
-func serve(t *testing.T, steps ...func() error) (*fakeController, string) {
+// startController starts a fake controller and returns it with its address.
+func startController(t *testing.T, steps ...func() error) (*fakeController, string) {
 	t.Helper()
 	fake := &fakeController{steps: steps}
 	mux := http.NewServeMux()
@@ -87,18 +87,18 @@
 	return client
 }
 
-const enough = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-func TestLostAnswerIsAskedForUnderTheSameIdentity(t *testing.T) {
+func TestRetryKeepsRequestIdentity(t *testing.T) {
 	for name, first := range map[string]func() error{
-		"connection broken":  losesAnswer,
-		"unavailable":        fails(connect.CodeUnavailable, ""),
-		"deadline exceeded":  fails(connect.CodeDeadlineExceeded, ""),
-		"leadership changed": fails(connect.CodeAborted, ""),
+		"connection broken":  dropAnswer,
+		"unavailable":        failWith(connect.CodeUnavailable, ""),
+		"deadline exceeded":  failWith(connect.CodeDeadlineExceeded, ""),
+		"leadership changed": failWith(connect.CodeAborted, ""),
 	} {
 		t.Run(name, func(t *testing.T) {
-			fake, address := serve(t, first, answers)
-			response, err := newClient(t, enough, address).Apply(t.Context(), &v1.ApplyRequest{ChangeNumber: 3})
+			fake, address := startController(t, first, succeed)
+			response, err := newClient(t, testTimeout, address).Apply(t.Context(), &v1.ApplyRequest{ChangeNumber: 3})
 			require.NoError(t, err)
 			require.Equal(t, uint64(7), response.GetRevision())
 			require.Len(t, fake.requests, 2)
@@ -109,15 +109,15 @@
 	}
 }
 
-func TestFinalAnswersAreNotAskedForAgain(t *testing.T) {
+func TestFinalErrorsAreNotRetried(t *testing.T) {
 	for _, code := range []connect.Code{
 		connect.CodeInvalidArgument, connect.CodeNotFound, connect.CodePermissionDenied, connect.CodeUnauthenticated,
 		connect.CodeFailedPrecondition, connect.CodeResourceExhausted, connect.CodeInternal, connect.CodeUnimplemented,
 	} {
 		t.Run(code.String(), func(t *testing.T) {
-			fake, address := serve(t, fails(code, ""))
-			other, otherAddress := serve(t, answers)
-			_, err := newClient(t, enough, address, otherAddress).Apply(t.Context(), &v1.ApplyRequest{})
+			fake, address := startController(t, failWith(code, ""))
+			other, otherAddress := startController(t, succeed)
+			_, err := newClient(t, testTimeout, address, otherAddress).Apply(t.Context(), &v1.ApplyRequest{})
 			var refused *RefusedError
 			require.ErrorAs(t, err, &refused)
 			require.Equal(t, code, refused.Code)
@@ -128,11 +128,11 @@
 	}
 }
 
-func TestLeaderIsFollowedAndRemembered(t *testing.T) {
-	leader, leaderAddress := serve(t, answers)
-	follower, followerAddress := serve(t, fails(connect.CodeUnavailable, leaderAddress))
-	other, otherAddress := serve(t, answers)
-	client := newClient(t, enough, followerAddress, otherAddress, leaderAddress)
+func TestLeaderHintIsFollowedAndCached(t *testing.T) {
+	leader, leaderAddress := startController(t, succeed)
+	follower, followerAddress := startController(t, failWith(connect.CodeUnavailable, leaderAddress))
+	other, otherAddress := startController(t, succeed)
+	client := newClient(t, testTimeout, followerAddress, otherAddress, leaderAddress)
 	for range 2 {
 		_, err := client.Apply(t.Context(), &v1.ApplyRequest{})
 		require.NoError(t, err)
@@ -142,14 +142,14 @@
 	require.Zero(t, other.calls())
 }
 
-func TestUnreachableControllersAreAllNamed(t *testing.T) {
+func TestUnreachableErrorNamesAllControllers(t *testing.T) {
 	ctx, giveUp := context.WithCancel(t.Context())
-	fake, silent := serve(t, fails(connect.CodeUnavailable, ""), fails(connect.CodeUnavailable, ""), func() error {
-		giveUp() // both have answered twice
-		return fails(connect.CodeUnavailable, "")()
+	fake, silent := startController(t, failWith(connect.CodeUnavailable, ""), failWith(connect.CodeUnavailable, ""), func() error {
+		giveUp() // the controller has failed twice before
+		return failWith(connect.CodeUnavailable, "")()
 	})
 	const closed = "127.0.0.1:1"
-	_, err := newClient(t, enough, closed, silent).Apply(ctx, &v1.ApplyRequest{})
+	_, err := newClient(t, testTimeout, closed, silent).Apply(ctx, &v1.ApplyRequest{})
 	require.Equal(t, 3, fake.calls())
 	var unreachable *UnreachableError
 	require.ErrorAs(t, err, &unreachable)
@@ -157,18 +157,18 @@
 	require.ErrorContains(t, err, silent+": unavailable: scripted")
 }
 
-func TestStrangerIsRefusedWithTheReason(t *testing.T) {
+func TestControllerOfAnotherFleetIsRefusedWithReason(t *testing.T) {
 	directory := t.TempDir()
-	own, pair, err := keys.NewAuthority("rawabi", time.Now())
+	authority, pair, err := keys.NewAuthority("rawabi", time.Now())
 	require.NoError(t, err)
 	require.NoError(t, keys.WriteAuthority(directory, pair))
-	controllerPair, err := own.Issue(keys.RoleController, "a", time.Hour, time.Now())
+	controllerPair, err := authority.Issue(keys.RoleController, "a", time.Hour, time.Now())
 	require.NoError(t, err)
 	files, err := keys.WriteCertificate(directory, "a", controllerPair)
 	require.NoError(t, err)
 	server, err := keys.Load(files, keys.Options{})
 	require.NoError(t, err)
-	fake := &fakeController{steps: []func() error{answers}}
+	fake := &fakeController{steps: []func() error{succeed}}
 	mux := http.NewServeMux()
 	mux.Handle(hazelpitchv1connect.NewOperatorServiceHandler(fake))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -179,11 +179,11 @@
 		_ = controller.Serve(tls.NewListener(listener, server.ServerConfig("rawabi", true, keys.RoleController)))
 	}()
 
-	trusting, err := keys.Load(keys.Files{Authority: files.Authority}, keys.Options{})
+	credentials, err := keys.Load(keys.Files{Authority: files.Authority}, keys.Options{})
 	require.NoError(t, err)
-	require.Equal(t, "rawabi", trusting.AuthorityFleet())
+	require.Equal(t, "rawabi", credentials.AuthorityFleet())
 	for fleet, want := range map[string]string{"rawabi": "", "empleandes": "it belongs to another fleet"} {
-		client, err := New(Config{Controllers: []string{listener.Addr().String()}, Key: "secret", Credentials: trusting, Fleet: fleet, Timeout: enough})
+		client, err := New(Config{Controllers: []string{listener.Addr().String()}, Key: "secret", Credentials: credentials, Fleet: fleet, Timeout: testTimeout})
 		require.NoError(t, err)
 		t.Cleanup(client.Close)
 		_, err = client.Apply(t.Context(), &v1.ApplyRequest{})
@@ -198,7 +198,7 @@
 	require.Equal(t, 1, fake.calls())
 }
 
-func TestConfigNamesTheCure(t *testing.T) {
+func TestConfigErrorNamesMissingFlag(t *testing.T) {
 	for want, config := range map[string]Config{
 		"--controller IP:port":            {Key: "k"},
 		`controller "localhost:1" is not`: {Key: "k", Controllers: []string{"localhost:1"}},
--- a/internal/operatorclient/config.go
+++ b/internal/operatorclient/config.go
@@ -9,26 +9,25 @@
 	"github.com/hazelpitch/hazelpitch/internal/keys"
 )
 
-// Times between and of attempts, unless the Config says otherwise.
+// Timeouts and intervals of attempts; the Config may override DefaultTimeout.
 const (
-	DefaultTimeout = 30 * time.Second
-	attemptTimeout = 5 * time.Second
-	firstPause     = 100 * time.Millisecond
-	longestPause   = 2 * time.Second
+	DefaultTimeout       = 30 * time.Second
+	attemptTimeout       = 5 * time.Second
+	initialRetryInterval = 100 * time.Millisecond
+	maximumRetryInterval = 2 * time.Second
 )
 
-// Config says whom to ask, and as whom.
+// Config selects the controllers to call and the operator's credentials.
 type Config struct {
-	// Controllers are the IP:port of the controllers, in order of preference. At
-	// least one.
+	// Controllers are the IP:port of the controllers, in order of preference. At least one is required.
 	Controllers []string
 	// Key is the operator's bearer key.
 	Key string
-	// Credentials is nil to speak without TLS.
+	// Credentials is nil for connections without TLS.
 	Credentials *keys.Credentials
-	// Fleet the controllers must belong to; with TLS only.
+	// Fleet is the name of the fleet that the controllers must belong to; required with TLS, else unused.
 	Fleet string
-	// Timeout bounds a call with all its attempts; default DefaultTimeout.
+	// Timeout bounds a call including all its attempts; 0 means DefaultTimeout.
 	Timeout time.Duration
 }
 
--- a/internal/operatorclient/errors.go
+++ b/internal/operatorclient/errors.go
@@ -10,13 +10,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/keys"
 )
 
-// HeaderLeaderAddress is set by controllers on errors of calls that need the leader.
+// HeaderLeaderAddress is the header in which controllers that are not the leader name its address, in
+// errors of calls that need the leader.
 const HeaderLeaderAddress = "X-Leader-Address"
 
-// UnreachableError tells that no controller answered in time. Whether the request
-// took effect is not known; the same request may be sent again.
+// UnreachableError reports that no controller answered in time. It is unknown whether the request took
+// effect; the same request may be sent again.
 type UnreachableError struct {
-	// Attempts holds the last failure at each controller, in order.
+	// Attempts is the last failure at each controller, in the order of their first failures.
 	Attempts []Attempt
 }
 
@@ -35,18 +36,18 @@
 	return strings.Join(lines, "\n")
 }
 
-// RefusedError is a controller's answer that will not change by asking again.
+// RefusedError is a controller's final answer: a retry would not change it.
 type RefusedError struct {
 	Controller string
 	Code       connect.Code
 	Message    string
 }
 
-// Error gives the controller's message.
+// Error returns the controller's message.
 func (e *RefusedError) Error() string { return e.Message }
 
-// refusal returns the error as a final one, or nil when another attempt may help.
-func refusal(controller string, err error) error {
+// asRefusal converts a final error to a RefusedError; it returns nil when a retry may succeed.
+func asRefusal(controller string, err error) error {
 	var peer *keys.PeerError
 	if errors.As(err, &peer) {
 		return &RefusedError{Controller: controller, Code: connect.CodePermissionDenied, Message: peer.Error()}
@@ -57,26 +58,26 @@
 		return nil
 	case connect.CodeUnknown, connect.CodeInternal:
 		if !connect.IsWireError(err) {
-			return nil // the answer broke off on its way
+			return nil // the client made the error itself: the connection broke during the answer
 		}
 	}
 	return &RefusedError{Controller: controller, Code: code, Message: messageOf(err)}
 }
 
-// messageOf is the text that the controller sent.
+// messageOf returns the text that the controller sent.
 func messageOf(err error) string {
-	var known *connect.Error
-	if errors.As(err, &known) {
-		return known.Message()
+	var connectError *connect.Error
+	if errors.As(err, &connectError) {
+		return connectError.Message()
 	}
 	return err.Error()
 }
 
-// leaderHint is the leader's address in an error of a controller, or "".
+// leaderHint returns the leader's address from a controller's error, or "".
 func leaderHint(err error) string {
-	var known *connect.Error
-	if errors.As(err, &known) {
-		return known.Meta().Get(HeaderLeaderAddress)
+	var connectError *connect.Error
+	if errors.As(err, &connectError) {
+		return connectError.Meta().Get(HeaderLeaderAddress)
 	}
 	return ""
 }
--- a/internal/operatorclient/failover.go
+++ b/internal/operatorclient/failover.go
@@ -7,40 +7,40 @@
 	"github.com/hazelpitch/hazelpitch/internal/pause"
 )
 
-// call sends a request to one controller after another until one answers for good
-// or the time is up. A hint at the leader is followed at once.
-func call[Request, Response any](ctx context.Context, c *Client, message *Request, method method[Request, Response]) (*Response, error) {
+// call sends a request to one controller after another until one gives a final answer or the timeout
+// passes. It follows a hint at the leader at once.
+func call[Request, Response any](ctx context.Context, c *Client, message *Request, method serviceMethod[Request, Response]) (*Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
 	failures := &UnreachableError{}
-	between := firstPause
+	interval := initialRetryInterval
 	for {
-		for queue := c.order(); len(queue) > 0; {
+		for queue := c.preferenceOrder(); len(queue) > 0; {
 			controller := queue[0]
 			queue = queue[1:]
-			response, err := once(ctx, c, controller, message, method)
+			response, err := callOnce(ctx, c, controller, message, method)
 			if err == nil {
-				c.prefer(controller)
+				c.setPreferred(controller)
 				return response, nil
 			}
-			if final := refusal(controller, err); final != nil {
-				return nil, final
+			if refused := asRefusal(controller, err); refused != nil {
+				return nil, refused
 			}
 			if ctx.Err() != nil && len(failures.Attempts) > 0 {
 				return nil, failures
 			}
 			failures.record(controller, err)
-			queue = follow(queue, controller, leaderHint(err))
+			queue = moveLeaderFirst(queue, controller, leaderHint(err))
 		}
-		if !pause.For(ctx, between) {
+		if !pause.For(ctx, interval) {
 			return nil, failures
 		}
-		between = min(2*between, longestPause)
+		interval = min(2*interval, maximumRetryInterval)
 	}
 }
 
-// order lists the controllers, the one that answered last first.
-func (c *Client) order() []string {
+// preferenceOrder lists the controllers, beginning with the one that answered last.
+func (c *Client) preferenceOrder() []string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	queue := []string{c.preferred}
@@ -52,15 +52,15 @@
 	return queue
 }
 
-// prefer remembers the controller that answered.
-func (c *Client) prefer(controller string) {
+// setPreferred records the controller that answered.
+func (c *Client) setPreferred(controller string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.preferred = controller
 }
 
-// follow puts the leader that a controller named at the front of the queue.
-func follow(queue []string, controller, leader string) []string {
+// moveLeaderFirst moves the leader that a controller named to the front of the queue, if it is in it.
+func moveLeaderFirst(queue []string, controller, leader string) []string {
 	if leader == "" || leader == controller {
 		return queue
 	}
@@ -71,7 +71,7 @@
 	return queue
 }
 
-// record keeps the last failure at each controller.
+// record stores the last failure at a controller.
 func (e *UnreachableError) record(controller string, err error) {
 	for i := range e.Attempts {
 		if e.Attempts[i].Controller == controller {
--- a/internal/operatorclient/source.go
+++ b/internal/operatorclient/source.go
@@ -11,11 +11,11 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// DeclarationSuffix is the ending of declaration files.
+// DeclarationSuffix is the suffix of declaration files.
 const DeclarationSuffix = ".hzl"
 
-// ReadSources reads one declaration file, or all files named *.hzl in a directory
-// and below it, by path.
+// ReadSources reads one declaration file, or all files named *.hzl in a directory and its
+// subdirectories, sorted by path.
 func ReadSources(path string) ([]*v1.SourceFile, error) {
 	info, err := os.Stat(path)
 	if err != nil {
