--- a/internal/operatorcommand/apply.go
+++ b/internal/operatorcommand/apply.go
@@ -12,7 +12,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// applyCommand is hazelctl apply.
+// applyCommand implements hazelctl apply.
 type applyCommand struct {
 	global         *globalFlags
 	Prune          bool           `long:"prune" description:"delete declared objects that the files do not name"`
@@ -24,7 +24,7 @@
 	Source         sourceArgument `positional-args:"yes" required:"yes"`
 }
 
-// applyResult is what --json prints.
+// applyResult is the output of apply with --json.
 type applyResult struct {
 	RequestID string `json:"request_id"`
 	Outcome   string `json:"outcome"`
@@ -36,7 +36,7 @@
 }
 
 func (a *applyCommand) run(ctx context.Context, environment Environment) error {
-	files, err := a.Source.read()
+	files, err := a.Source.readAndCheck()
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -52,7 +52,8 @@
 	if !a.global.JSON {
 		writePlan(environment, plan)
 	}
-	// A repeated request is sent although nothing changes: it gets its first answer.
+	// A request with a given identity is sent even without changes: it may be a repetition, which gets
+	// the first answer.
 	if len(plan.GetDifferences()) == 0 && a.RequestID == "" {
 		return a.report(environment, &v1.ApplyRequest{}, &v1.ApplyResponse{
 			Outcome: v1.ApplyOutcome_APPLY_OUTCOME_UNCHANGED, Revision: plan.GetRevision(),
@@ -69,8 +70,8 @@
 	return a.report(environment, request, response, len(plan.GetDifferences()))
 }
 
-// request pins the submission to the revision the difference was shown against,
-// unless the caller repeats a request of his own.
+// request builds the submission. It requires the revision that the difference was shown against, unless
+// the operator gave a request identity.
 func (a *applyCommand) request(files []*v1.SourceFile, planned uint64) *v1.ApplyRequest {
 	request := &v1.ApplyRequest{
 		RequestId:      a.RequestID,
@@ -81,7 +82,7 @@
 		Prune:          a.Prune,
 	}
 	if request.RequestId != "" {
-		// A repeated request has to be the same, whatever is in force by then.
+		// A repeated request has to be identical, whichever revision is in force now.
 		return request
 	}
 	request.RequestId = uuid.NewString()
@@ -91,13 +92,13 @@
 	return request
 }
 
-// confirm asks the person at the terminal.
+// confirm asks the operator at the terminal.
 func (a *applyCommand) confirm(environment Environment) error {
 	if a.Yes {
 		return nil
 	}
 	if !environment.Interactive {
-		return usage("nobody is here to confirm: give --yes to apply without a question")
+		return newUsageError("nobody is here to confirm: give --yes to apply without a question")
 	}
 	fmt.Fprint(environment.Stdout, "apply? [y/N] ")
 	answer, _ := bufio.NewReader(environment.Stdin).ReadString('\n')
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// report prints what became of the submission; all but accepted and unchanged fail.
+// report prints the outcome of the submission and returns an error unless it was accepted or unchanged.
 func (a *applyCommand) report(environment Environment, request *v1.ApplyRequest, response *v1.ApplyResponse, changes int) error {
 	outcome := strings.ToLower(strings.TrimPrefix(response.GetOutcome().String(), "APPLY_OUTCOME_"))
 	if a.global.JSON {
@@ -121,24 +122,24 @@
 	}
 	switch response.GetOutcome() {
 	case v1.ApplyOutcome_APPLY_OUTCOME_ACCEPTED:
-		a.say(environment, "accepted as revision %d, change %d", response.GetRevision(), response.GetChangeNumber())
+		a.printLine(environment, "accepted as revision %d, change %d", response.GetRevision(), response.GetChangeNumber())
 		return nil
 	case v1.ApplyOutcome_APPLY_OUTCOME_UNCHANGED:
 		if request.GetRequestId() != "" {
-			a.say(environment, "in force already at revision %d", response.GetRevision())
+			a.printLine(environment, "in force already at revision %d", response.GetRevision())
 		}
 		return nil
 	}
 	return trace.BadParameter("%s: %s", strings.ReplaceAll(outcome, "_", " "), outcomeDetail(request, response))
 }
 
-func (a *applyCommand) say(environment Environment, format string, arguments ...any) {
+func (a *applyCommand) printLine(environment Environment, format string, arguments ...any) {
 	if !a.global.JSON {
 		fmt.Fprintf(environment.Stdout, format+"\n", arguments...)
 	}
 }
 
-// outcomeDetail says why a submission was refused, and the cure.
+// outcomeDetail explains why a submission was refused, and what to do.
 func outcomeDetail(request *v1.ApplyRequest, response *v1.ApplyResponse) string {
 	switch response.GetOutcome() {
 	case v1.ApplyOutcome_APPLY_OUTCOME_NUMBER_TAKEN:
--- a/internal/operatorcommand/bearer_keys.go
+++ b/internal/operatorcommand/bearer_keys.go
@@ -13,14 +13,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/language"
 )
 
-// keyResult is what --json prints.
+// keyResult is the output of key new and tenant-key new with --json.
 type keyResult struct {
 	Key         string `json:"key"`
 	Hash        string `json:"hash"`
 	Instruction string `json:"instruction"`
 }
 
-// operatorKeyCommand is hazelctl key new.
+// operatorKeyCommand implements hazelctl key new.
 type operatorKeyCommand struct {
 	global *globalFlags
 	Name   string `long:"name" required:"yes" value-name:"NAME" description:"name of the operator"`
@@ -34,10 +34,10 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return showKey(environment, o.global, key, "declare:\n"+declaration)
+	return printKey(environment, o.global, key, "declare:\n"+declaration)
 }
 
-// tenantKeyCommand is hazelctl tenant-key new.
+// tenantKeyCommand implements hazelctl tenant-key new.
 type tenantKeyCommand struct {
 	global *globalFlags
 	Name   string `long:"tenant" required:"yes" value-name:"NAME" description:"name of the tenant"`
@@ -45,13 +45,13 @@
 
 func (t *tenantKeyCommand) run(_ context.Context, environment Environment) error {
 	key := keys.NewBearerKey()
-	// Not a whole declaration: applying one would reset the tenant's other fields.
+	// The instruction is not a whole declaration, because applying one would reset the tenant's other fields.
 	instruction := fmt.Sprintf("add to api_key_hashes of tenant %s:\n%q\n", t.Name, keys.HashBearerKey(key))
-	return showKey(environment, t.global, key, instruction)
+	return printKey(environment, t.global, key, instruction)
 }
 
-// showKey prints a new key once, and what to do with its hash.
-func showKey(environment Environment, global *globalFlags, key, instruction string) error {
+// printKey prints a new key, which is shown only this once, and what to do with its hash.
+func printKey(environment Environment, global *globalFlags, key, instruction string) error {
 	result := keyResult{Key: key, Hash: keys.HashBearerKey(key), Instruction: instruction}
 	if global.JSON {
 		return writeJSON(environment.Stdout, result)
@@ -60,14 +60,14 @@
 	return nil
 }
 
-// keyHashCommand is hazelctl key hash.
+// keyHashCommand implements hazelctl key hash.
 type keyHashCommand struct{}
 
 func (keyHashCommand) run(_ context.Context, environment Environment) error {
 	line, _ := bufio.NewReader(environment.Stdin).ReadString('\n')
 	key := strings.TrimSpace(line)
 	if key == "" {
-		return usage("standard input holds no key")
+		return newUsageError("standard input holds no key")
 	}
 	fmt.Fprintln(environment.Stdout, keys.HashBearerKey(key))
 	return nil
--- a/internal/operatorcommand/certificates.go
+++ b/internal/operatorcommand/certificates.go
@@ -14,7 +14,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/keys"
 )
 
-// authorityInitCommand is hazelctl authority init.
+// authorityInitCommand implements hazelctl authority init.
 type authorityInitCommand struct {
 	global *globalFlags
 	Source struct {
@@ -24,7 +24,7 @@
 
 func (a *authorityInitCommand) run(_ context.Context, environment Environment) error {
 	if a.global.Fleet == "" {
-		return usage("name the fleet as in the settings files: give --fleet NAME")
+		return newUsageError("name the fleet as in the settings files: give --fleet NAME")
 	}
 	_, pair, err := keys.NewAuthority(a.global.Fleet, environment.Now())
 	if err != nil {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// certificateIssueCommand is hazelctl certificate issue.
+// certificateIssueCommand implements hazelctl certificate issue.
 type certificateIssueCommand struct {
 	Authority string        `long:"authority" required:"yes" value-name:"DIR" description:"directory of the fleet authority"`
 	Role      string        `long:"role" required:"yes" choice:"controller" choice:"gateway" choice:"operator" description:"what the holder is"`
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// certificateShowCommand is hazelctl certificate show.
+// certificateShowCommand implements hazelctl certificate show.
 type certificateShowCommand struct {
 	global *globalFlags
 	Source struct {
@@ -73,7 +73,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// certificateResult is what --json prints.
+// certificateResult is the output of certificate show with --json.
 type certificateResult struct {
 	Identity  string    `json:"identity"`
 	NotBefore time.Time `json:"not_before"`
--- a/internal/operatorcommand/check.go
+++ b/internal/operatorcommand/check.go
@@ -10,14 +10,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/operatorclient"
 )
 
-// checkCommand is hazelctl check.
+// checkCommand implements hazelctl check.
 type checkCommand struct {
 	global  *globalFlags
 	Partial bool           `long:"partial" description:"the files are a part of what is declared: do not check what they name"`
 	Source  sourceArgument `positional-args:"yes" required:"yes"`
 }
 
-// checkResult is what --json prints.
+// checkResult is the output of check with --json.
 type checkResult struct {
 	Files   int `json:"files"`
 	Objects int `json:"objects"`
@@ -39,6 +39,6 @@
 	if c.global.JSON {
 		return writeJSON(environment.Stdout, checkResult{Files: len(files), Objects: len(objects)})
 	}
-	fmt.Fprintf(environment.Stdout, "%s in %s: no mistake found\n", plural(len(objects), "object"), plural(len(files), "file"))
+	fmt.Fprintf(environment.Stdout, "%s in %s: no mistake found\n", formatCount(len(objects), "object"), formatCount(len(files), "file"))
 	return nil
 }
--- a/internal/operatorcommand/command.go
+++ b/internal/operatorcommand/command.go
@@ -1,5 +1,5 @@
-// Package operatorcommand is the operators' command line: the subcommands of
-// hazelctl, their flags, output and exit codes. cmd/hazelctl runs it as it is.
+// Package operatorcommand implements the command line of hazelctl: its subcommands, flags, output and
+// exit codes. cmd/hazelctl only calls Run.
 package operatorcommand
 
 import (
@@ -18,8 +18,8 @@
 const (
 	ExitDone        = 0 // done, or already in force
 	ExitRefused     = 1 // refused, invalid or failed
-	ExitUsage       = 2 // bad flags; nothing was asked
-	ExitUnreachable = 3 // no controller answered; whether the request took effect is not known
+	ExitUsage       = 2 // bad flags; no request was sent
+	ExitUnreachable = 3 // no controller answered; it is unknown whether the request took effect
 )
 
 const longDescription = `Declares, asks and orders in a hazelpitch fleet.
@@ -31,16 +31,16 @@
   3  no controller answered; whether the request took effect is not
      known: run the same command again`
 
-// Environment is what the process around a command decides.
+// Environment is what the process provides to the command.
 type Environment struct {
 	// Program is the name that help and errors show.
 	Program string
 	Stdin   io.Reader
 	Stdout  io.Writer
 	Stderr  io.Writer
-	// Interactive tells that a person can answer a question on Stdin.
+	// Interactive is set when a person can answer a question on Stdin.
 	Interactive bool
-	// Now is the clock that certificates are dated by.
+	// Now returns the current time, for the validity of certificates.
 	Now func() time.Time
 }
 
@@ -49,45 +49,44 @@
 	run(ctx context.Context, environment Environment) error
 }
 
-// usageError marks a mistake in the use of the command line.
+// usageError is a mistake in the use of the command line.
 type usageError struct{ message string }
 
-// Error gives the mistake and the cure.
+// Error returns the mistake and what to do instead.
 func (e *usageError) Error() string { return e.message }
 
-func usage(format string, arguments ...any) error {
+func newUsageError(format string, arguments ...any) error {
 	return &usageError{message: fmt.Sprintf(format, arguments...)}
 }
 
-// Run parses the arguments (without the program's name), runs the subcommand and
-// returns the exit code.
+// Run parses the arguments (without the program's name), runs the subcommand and returns the exit code.
 func Run(ctx context.Context, arguments []string, environment Environment) int {
 	global := &globalFlags{}
 	parser := flags.NewNamedParser(environment.Program, flags.HelpFlag|flags.PassDoubleDash)
 	parser.LongDescription = longDescription
 	if _, err := parser.AddGroup("Controllers", "", global); err != nil {
-		return report(err, environment)
+		return reportResult(err, environment)
 	}
 	subcommands, err := addCommands(parser, global)
 	if err != nil {
-		return report(err, environment)
+		return reportResult(err, environment)
 	}
 	rest, err := parser.ParseArgs(arguments)
 	if err == nil && len(rest) > 0 {
-		err = usage("unexpected argument %q", rest[0])
+		err = newUsageError("unexpected argument %q", rest[0])
 	}
 	if err != nil {
-		return report(err, environment)
+		return reportResult(err, environment)
 	}
 	active := parser.Active
 	for active.Active != nil {
 		active = active.Active
 	}
-	return report(subcommands[active].run(ctx, environment), environment)
+	return reportResult(subcommands[active].run(ctx, environment), environment)
 }
 
-// report prints help to standard output and failures to standard error.
-func report(err error, environment Environment) int {
+// reportResult prints help to standard output or a failure to standard error, and returns the exit code.
+func reportResult(err error, environment Environment) int {
 	var flagsError *flags.Error
 	var mistake *usageError
 	var unreachable *operatorclient.UnreachableError
@@ -107,7 +106,7 @@
 		fmt.Fprintf(environment.Stderr, "%s: %v\n", environment.Program, unreachable)
 		return ExitUnreachable
 	default:
-		fmt.Fprintf(environment.Stderr, "%s: %s\n", environment.Program, messageOf(err))
+		fmt.Fprintf(environment.Stderr, "%s: %s\n", environment.Program, userMessage(err))
 		return ExitRefused
 	}
 }
--- a/internal/operatorcommand/commands.go
+++ b/internal/operatorcommand/commands.go
@@ -4,40 +4,40 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// entry describes one subcommand; a group has entries of its own.
-type entry struct {
+// commandEntry describes one subcommand, or a group of them.
+type commandEntry struct {
 	name, description string
 	command           subcommand
-	entries           []entry
+	entries           []commandEntry
 }
 
-// noFlags is the data of a command that only groups others.
-type noFlags struct{}
+// groupCommand is the flag data of a command that only groups others.
+type groupCommand struct{}
 
-// addCommands adds every subcommand and returns them by their place in the parser.
+// addCommands adds every subcommand to the parser and returns them by their parser command.
 func addCommands(parser *flags.Parser, global *globalFlags) (map[*flags.Command]subcommand, error) {
-	entries := []entry{
+	entries := []commandEntry{
 		{name: "plan", description: "show what applying declarations would change", command: &planCommand{global: global}},
 		{name: "apply", description: "put declarations in force, after showing what changes", command: &applyCommand{global: global}},
 		{name: "query", description: "ask what is in force, since when and why", command: &queryCommand{global: global}},
 		{name: "run", description: "run a command such as 'drain engine X'", command: &runCommand{global: global}},
 		{name: "check", description: "check declarations without a controller", command: &checkCommand{global: global}},
 		{name: "format", description: "lay out a declaration file", command: &formatCommand{}},
-		{name: "explain", description: "explain from logs what became of something", entries: []entry{
+		{name: "explain", description: "explain from logs what became of something", entries: []commandEntry{
 			{name: "request", description: "tell the story of one request from the logs of relays", command: &explainRequestCommand{}},
 		}},
-		{name: "authority", description: "the fleet authority", entries: []entry{
+		{name: "authority", description: "the fleet authority", entries: []commandEntry{
 			{name: "init", description: "make the fleet authority that issues certificates", command: &authorityInitCommand{global: global}},
 		}},
-		{name: "certificate", description: "certificates of processes and operators", entries: []entry{
+		{name: "certificate", description: "certificates of processes and operators", entries: []commandEntry{
 			{name: "issue", description: "issue a certificate", command: &certificateIssueCommand{}},
 			{name: "show", description: "show whose a certificate is and how long it is valid", command: &certificateShowCommand{global: global}},
 		}},
-		{name: "key", description: "operators' keys", entries: []entry{
+		{name: "key", description: "operators' keys", entries: []commandEntry{
 			{name: "new", description: "make an operator's key, shown once", command: &operatorKeyCommand{global: global}},
 			{name: "hash", description: "hash a key read from standard input", command: &keyHashCommand{}},
 		}},
-		{name: "tenant-key", description: "tenants' API keys", entries: []entry{
+		{name: "tenant-key", description: "tenants' API keys", entries: []commandEntry{
 			{name: "new", description: "make a tenant's API key, shown once", command: &tenantKeyCommand{global: global}},
 		}},
 	}
@@ -45,9 +45,9 @@
 	return subcommands, addEntries(parser.Command, entries, subcommands)
 }
 
-func addEntries(parent *flags.Command, entries []entry, subcommands map[*flags.Command]subcommand) error {
+func addEntries(parent *flags.Command, entries []commandEntry, subcommands map[*flags.Command]subcommand) error {
 	for _, entry := range entries {
-		var data any = &noFlags{}
+		var data any = &groupCommand{}
 		if entry.command != nil {
 			data = entry.command
 		}
--- a/internal/operatorcommand/explain_request.go
+++ b/internal/operatorcommand/explain_request.go
@@ -14,7 +14,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/requeststory"
 )
 
-// explainRequestCommand is hazelctl explain request.
+// explainRequestCommand implements hazelctl explain request.
 type explainRequestCommand struct {
 	Logs      []string `long:"logs" value-name:"FILE" required:"yes" description:"log of one or several processes; may be given several times"`
 	Arguments struct {
@@ -35,12 +35,12 @@
 	if len(story.Lines) == 0 {
 		return trace.NotFound("no line of the logs is on request %q: ordinary requests are sampled, and lines may have been dropped (log_lines_dropped)", e.Arguments.ID)
 	}
-	began := story.Lines[0].Time
+	start := story.Lines[0].Time
 	for _, line := range story.RelayState {
-		writeStoryLine(environment.Stdout, line, began)
+		writeStoryLine(environment.Stdout, line, start)
 	}
 	for _, line := range story.Lines {
-		writeStoryLine(environment.Stdout, line, began)
+		writeStoryLine(environment.Stdout, line, start)
 	}
 	return nil
 }
@@ -54,8 +54,8 @@
 	return requeststory.Read(file)
 }
 
-// writeStoryLine writes a line with its time relative to the request's first.
-func writeStoryLine(out io.Writer, line requeststory.Line, began time.Time) {
+// writeStoryLine prints a log line with its time relative to the request's first line.
+func writeStoryLine(out io.Writer, line requeststory.Line, start time.Time) {
 	names := make([]string, 0, len(line.Fields))
 	for name := range line.Fields {
 		names = append(names, name)
@@ -67,5 +67,5 @@
 			fields = append(fields, fmt.Sprintf("%s=%v", name, value))
 		}
 	}
-	fmt.Fprintf(out, "%+10.3fs %s %s %s\n", line.Time.Sub(began).Seconds(), line.Process, line.Event, strings.Join(fields, " "))
+	fmt.Fprintf(out, "%+10.3fs %s %s %s\n", line.Time.Sub(start).Seconds(), line.Process, line.Event, strings.Join(fields, " "))
 }
--- a/internal/operatorcommand/format.go
+++ b/internal/operatorcommand/format.go
@@ -11,7 +11,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/operatorclient"
 )
 
-// formatCommand is hazelctl format.
+// formatCommand implements hazelctl format.
 type formatCommand struct {
 	Write  bool `long:"write" short:"w" description:"write the file in place of printing it"`
 	Check  bool `long:"check" description:"print nothing, and fail when the file is laid out otherwise"`
--- a/internal/operatorcommand/global_flags.go
+++ b/internal/operatorcommand/global_flags.go
@@ -11,7 +11,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/operatorclient"
 )
 
-// globalFlags say whom to ask, as whom, and how to print.
+// globalFlags select the controllers, the operator's credentials and the output format.
 type globalFlags struct {
 	Controllers    []string      `long:"controller" env:"HAZELCTL_CONTROLLER" env-delim:"," value-name:"IP:PORT" description:"a controller; may be given several times, in order of preference"`
 	KeyFile        string        `long:"key-file" env:"HAZELCTL_KEY_FILE" value-name:"FILE" description:"file that holds the operator's key"`
@@ -23,13 +23,13 @@
 	JSON           bool          `long:"json" description:"print JSON for programs"`
 }
 
-// client makes a client from the flags.
+// client returns a client configured by the flags.
 func (g *globalFlags) client() (*operatorclient.Client, error) {
 	config := operatorclient.Config{Controllers: g.Controllers, Timeout: g.Timeout, Fleet: g.Fleet}
 	if g.KeyFile != "" {
 		key, err := os.ReadFile(g.KeyFile)
 		if err != nil {
-			return nil, usage("can't read the operator's key: %v", err)
+			return nil, newUsageError("can't read the operator's key: %v", err)
 		}
 		config.Key = strings.TrimSpace(string(key))
 	}
@@ -38,7 +38,7 @@
 	}
 	client, err := operatorclient.New(config)
 	if err != nil {
-		return nil, usage("%s", messageOf(err))
+		return nil, newUsageError("%s", userMessage(err))
 	}
 	return client, nil
 }
@@ -46,7 +46,7 @@
 func (g *globalFlags) loadCredentials(config *operatorclient.Config) error {
 	if g.TLSAuthority == "" {
 		if g.TLSCertificate != "" || g.TLSKey != "" {
-			return usage("a certificate is of use with --tls-authority only")
+			return newUsageError("a certificate is of use with --tls-authority only")
 		}
 		return nil
 	}
--- a/internal/operatorcommand/output.go
+++ b/internal/operatorcommand/output.go
@@ -15,8 +15,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/language"
 )
 
-// messageOf is an error's text for people, without the trace.
-func messageOf(err error) string { return trace.UserMessage(err) }
+// userMessage returns an error's text for people, without the stack trace.
+func userMessage(err error) string { return trace.UserMessage(err) }
 
 // writeMessage prints a protocol message as JSON.
 func writeMessage(out io.Writer, message proto.Message) error {
@@ -24,7 +24,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	// protojson varies its white space on purpose.
+	// protojson varies its white space deliberately, so the output is indented again.
 	var compact json.RawMessage = body
 	return writeJSON(out, compact)
 }
@@ -36,7 +36,7 @@
 	return trace.Wrap(encoder.Encode(value))
 }
 
-// writeTable prints a query's answer.
+// writeTable prints the answer to a query.
 func writeTable(out io.Writer, response *v1.ExecuteResponse) {
 	if len(response.GetRows()) > 0 {
 		fmt.Fprintln(out, renderTable(response.GetColumns(), response.GetRows()))
@@ -50,14 +50,14 @@
 	writer := table.NewWriter()
 	writer.SetStyle(plainStyle())
 	writer.SuppressTrailingSpaces()
-	writer.AppendHeader(cells(columns))
+	writer.AppendHeader(tableRow(columns))
 	for _, row := range rows {
-		writer.AppendRow(cells(row.GetCells()))
+		writer.AppendRow(tableRow(row.GetCells()))
 	}
 	return writer.Render()
 }
 
-// plainStyle has no lines, so that other tools can cut the columns.
+// plainStyle draws no lines, so that other tools can split the columns.
 func plainStyle() table.Style {
 	style := table.StyleDefault
 	style.Box.PaddingLeft = ""
@@ -67,7 +67,7 @@
 	return style
 }
 
-func cells(texts []string) table.Row {
+func tableRow(texts []string) table.Row {
 	row := make(table.Row, len(texts))
 	for i, cell := range texts {
 		row[i] = cell
@@ -75,17 +75,17 @@
 	return row
 }
 
-// writeDifferences prints what a declaration changes.
+// writeDifferences prints what a declaration would change.
 func writeDifferences(out io.Writer, differences []*v1.Difference) {
 	for _, difference := range differences {
-		fmt.Fprintln(out, differenceMark(difference.GetType())+" "+language.FormatKey(difference.GetKey()))
+		fmt.Fprintln(out, differenceSymbol(difference.GetType())+" "+language.FormatKey(difference.GetKey()))
 		for _, field := range difference.GetFields() {
 			fmt.Fprintln(out, "    "+language.FormatFieldDifference(field))
 		}
 	}
 }
 
-func differenceMark(differenceType v1.DifferenceType) string {
+func differenceSymbol(differenceType v1.DifferenceType) string {
 	switch differenceType {
 	case v1.DifferenceType_DIFFERENCE_TYPE_ADD:
 		return "+"
@@ -95,8 +95,8 @@
 	return "~"
 }
 
-// plural writes a count with its noun.
-func plural(count int, noun string) string {
+// formatCount writes a count with its noun.
+func formatCount(count int, noun string) string {
 	if count == 1 {
 		return "1 " + noun
 	}
--- a/internal/operatorcommand/plan.go
+++ b/internal/operatorcommand/plan.go
@@ -11,13 +11,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/operatorclient"
 )
 
-// sourceArgument is the declarations that a subcommand reads.
+// sourceArgument is the path of the declarations that a subcommand reads.
 type sourceArgument struct {
 	Path string `positional-arg-name:"FILE|DIR" description:"declaration file, or directory of *.hzl files"`
 }
 
-// read reads and parses the declarations, so that mistakes are told at once.
-func (s sourceArgument) read() ([]*v1.SourceFile, error) {
+// readAndCheck reads the declarations and parses them, so that mistakes are reported before any request.
+func (s sourceArgument) readAndCheck() ([]*v1.SourceFile, error) {
 	files, err := operatorclient.ReadSources(s.Path)
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -28,7 +28,7 @@
 	return files, nil
 }
 
-// planCommand is hazelctl plan.
+// planCommand implements hazelctl plan.
 type planCommand struct {
 	global *globalFlags
 	Prune  bool           `long:"prune" description:"count declared objects that the files do not name as deleted"`
@@ -36,7 +36,7 @@
 }
 
 func (p *planCommand) run(ctx context.Context, environment Environment) error {
-	files, err := p.Source.read()
+	files, err := p.Source.readAndCheck()
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -56,12 +56,12 @@
 	return nil
 }
 
-// writePlan prints a plan and the revision it was made against.
+// writePlan prints a plan and the revision it was computed against.
 func writePlan(environment Environment, plan *v1.PlanResponse) {
 	if len(plan.GetDifferences()) == 0 {
 		fmt.Fprintf(environment.Stdout, "nothing changes: revision %d has it all in force\n", plan.GetRevision())
 		return
 	}
 	writeDifferences(environment.Stdout, plan.GetDifferences())
-	fmt.Fprintf(environment.Stdout, "%s to revision %d\n", plural(len(plan.GetDifferences()), "change"), plan.GetRevision())
+	fmt.Fprintf(environment.Stdout, "%s to revision %d\n", formatCount(len(plan.GetDifferences()), "change"), plan.GetRevision())
 }
--- a/internal/operatorcommand/statements.go
+++ b/internal/operatorcommand/statements.go
@@ -10,31 +10,31 @@
 	"github.com/hazelpitch/hazelpitch/internal/language"
 )
 
-// statementArgument is a query or command, in one argument or in several.
+// statementArgument is a query or command, as one argument or several.
 type statementArgument struct {
 	Words []string `positional-arg-name:"STATEMENT" required:"1" description:"the query or command, best in quotes"`
 }
 
-func (s statementArgument) text() string { return strings.Join(s.Words, " ") }
+func (s statementArgument) joined() string { return strings.Join(s.Words, " ") }
 
-// queryCommand is hazelctl query.
+// queryCommand implements hazelctl query.
 type queryCommand struct {
 	global    *globalFlags
 	Statement statementArgument `positional-args:"yes"`
 }
 
 func (q *queryCommand) run(ctx context.Context, environment Environment) error {
-	statement, err := language.ParseStatement(q.Statement.text())
+	statement, err := language.ParseStatement(q.Statement.joined())
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	if _, isQuery := statement.(language.Query); !isQuery {
-		return usage("%q changes something: use run", q.Statement.text())
+		return newUsageError("%q changes something: use run", q.Statement.joined())
 	}
-	return execute(ctx, environment, q.global, &v1.ExecuteRequest{Text: q.Statement.text()})
+	return execute(ctx, environment, q.global, &v1.ExecuteRequest{Text: q.Statement.joined()})
 }
 
-// runCommand is hazelctl run.
+// runCommand implements hazelctl run.
 type runCommand struct {
 	global    *globalFlags
 	RequestID string            `long:"request-id" value-name:"ID" description:"identity of the request; the same one again gets the first answer; default: a new one"`
@@ -42,14 +42,14 @@
 }
 
 func (r *runCommand) run(ctx context.Context, environment Environment) error {
-	statement, err := language.ParseStatement(r.Statement.text())
+	statement, err := language.ParseStatement(r.Statement.joined())
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	if _, isCommand := statement.(language.Command); !isCommand {
-		return usage("%q changes nothing: use query", r.Statement.text())
+		return newUsageError("%q changes nothing: use query", r.Statement.joined())
 	}
-	return execute(ctx, environment, r.global, &v1.ExecuteRequest{RequestId: r.RequestID, Text: r.Statement.text()})
+	return execute(ctx, environment, r.global, &v1.ExecuteRequest{RequestId: r.RequestID, Text: r.Statement.joined()})
 }
 
 // execute sends a statement and prints the answer.
