--- a/internal/requeststory/story.go
+++ b/internal/requeststory/story.go
@@ -1,5 +1,5 @@
-// Package requeststory reads the log lines of several processes and tells what became of one
-// request, in order, with what its relay last learnt before.
+// Package requeststory reads the log lines of several processes and selects those of one request, in
+// order, together with the last lines on its relay's state before the request.
 package requeststory
 
 import (
@@ -15,8 +15,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/events"
 )
 
-// maximumLine bounds one log line.
-const maximumLine = 1 << 20
+// maximumLineBytes bounds the length of one log line.
+const maximumLineBytes = 1 << 20
 
 // Line is one log line.
 type Line struct {
@@ -24,39 +24,40 @@
 	Process string
 	Event   events.Event
 	Request string
-	// Fields are all fields but those above and the level.
+	// Fields contains all fields except those above and the level.
 	Fields map[string]any
 }
 
-// Story is what became of one request.
+// Story contains the log lines of one request.
 type Story struct {
-	// RelayState are the last lines of each kind in which the request's relay tells what it
-	// believes, from before the request's first line.
+	// RelayState contains the last line of each of the stateEvents that the request's relay logged before
+	// the request's first line.
 	RelayState []Line
-	// Lines are the request's own, in order.
+	// Lines are the request's own lines, sorted by time.
 	Lines []Line
 }
 
-// beliefs are the events that change what a relay believes.
-var beliefs = []events.Event{
+// stateEvents are the events that change a relay's state: its configuration, its list of back ends, its
+// leader and its own start and stop.
+var stateEvents = []events.Event{
 	events.ConfigurationInForce, events.ListingInForce, events.LeaderLost, events.LeaderFound, events.RelayStarted, events.RelayStopping,
 }
 
-// Read collects the lines of a log. Text before a line's JSON, such as a collector adds, is
-// passed over, and so is what is no line of ours.
+// Read parses the lines of a log. It skips text before a line's JSON, such as a log collector's prefix,
+// and lines that are not log lines of this project.
 func Read(source io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(source)
-	scanner.Buffer(nil, maximumLine)
+	scanner.Buffer(nil, maximumLineBytes)
 	var lines []Line
 	for scanner.Scan() {
-		if line, is := parse(scanner.Bytes()); is {
+		if line, is := parseLine(scanner.Bytes()); is {
 			lines = append(lines, line)
 		}
 	}
 	return lines, trace.Wrap(scanner.Err())
 }
 
-func parse(text []byte) (Line, bool) {
+func parseLine(text []byte) (Line, bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
 		return Line{}, false
@@ -79,7 +80,7 @@
 	return line, line.Event != ""
 }
 
-// ForRequest tells the story of one request. Lines of one process keep their order.
+// ForRequest returns the story of one request. Lines with equal times keep their order.
 func ForRequest(request string, lines []Line) Story {
 	sorted := slices.Clone(lines)
 	slices.SortStableFunc(sorted, func(a, b Line) int { return a.Time.Compare(b.Time) })
@@ -95,25 +96,25 @@
 		story.Lines = append(story.Lines, line)
 	}
 	if first >= 0 {
-		story.RelayState = believed(sorted[:first], sorted[first].Process)
+		story.RelayState = lastStateLines(sorted[:first], sorted[first].Process)
 	}
 	return story
 }
 
-// believed returns the last line of each belief of a process.
-func believed(lines []Line, process string) []Line {
+// lastStateLines returns a process's last line of each of the stateEvents, sorted by time.
+func lastStateLines(lines []Line, process string) []Line {
 	last := map[events.Event]Line{}
 	for _, line := range lines {
-		if line.Process == process && slices.Contains(beliefs, line.Event) {
+		if line.Process == process && slices.Contains(stateEvents, line.Event) {
 			last[line.Event] = line
 		}
 	}
-	var found []Line
-	for _, event := range beliefs {
+	var states []Line
+	for _, event := range stateEvents {
 		if line, is := last[event]; is {
-			found = append(found, line)
+			states = append(states, line)
 		}
 	}
-	slices.SortStableFunc(found, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	return found
+	slices.SortStableFunc(states, func(a, b Line) int { return a.Time.Compare(b.Time) })
+	return states
 }
--- a/internal/requeststory/story_test.go
+++ b/internal/requeststory/story_test.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/events"
 )
 
-const log = `   1.2 front-1 {"process":"front-1","event":"configuration_in_force","number":7,"time":"2026-01-01T00:00:01.100Z"}
+const logText = `   1.2 front-1 {"process":"front-1","event":"configuration_in_force","number":7,"time":"2026-01-01T00:00:01.100Z"}
 {"process":"front-2","event":"configuration_in_force","number":9,"time":"2026-01-01T00:00:01.500Z"}
 no line of ours
 {"process":"front-1","event":"listing_in_force","version":3,"time":"2026-01-01T00:00:01.200Z"}
@@ -20,8 +20,8 @@
 {"process":"front-1","event":"configuration_in_force","number":10,"time":"2026-01-01T00:00:03.000Z"}
 `
 
-func TestStoryIsInOrderWithWhatWasBelieved(t *testing.T) {
-	lines, err := Read(strings.NewReader(log))
+func TestStoryIsOrderedAndIncludesRelayState(t *testing.T) {
+	lines, err := Read(strings.NewReader(logText))
 	require.NoError(t, err)
 	story := ForRequest("b", lines)
 	require.Equal(t, []events.Event{events.AttemptFailed, events.RequestEnded}, []events.Event{story.Lines[0].Event, story.Lines[1].Event})
