--- a/internal/yamlfile/document.go
+++ b/internal/yamlfile/document.go
@@ -14,28 +14,28 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// Document collects where each key was set and what is wrong with it.
+// Document is a parsed YAML file: it records the position of each key that was set, and all problems.
 type Document struct {
 	source Source
-	// places maps the dotted path of each key that was set to its place.
-	places   map[string]string
-	problems Problems
+	// positions maps the dotted path of each key that was set to its position.
+	positions map[string]string
+	problems  Problems
 }
 
 func newDocument(source Source) *Document {
-	return &Document{source: source, places: map[string]string{"": source.Path + ":1:1"}}
+	return &Document{source: source, positions: map[string]string{"": source.Path + ":1:1"}}
 }
 
 // IsSet reports whether the file, an override or a default set the key.
 func (d *Document) IsSet(key string) bool {
-	_, set := d.places[key]
+	_, set := d.positions[key]
 	return set
 }
 
-// decode checks one YAML node against the type of the value and stores it there.
+// decode checks a YAML node against the type of the value and stores it in the value.
 func (d *Document) decode(node ast.Node, value reflect.Value, key string) {
 	if key != "" {
-		d.places[key] = d.place(node)
+		d.positions[key] = d.positionOf(node)
 	}
 	if _, null := node.(*ast.NullNode); null {
 		d.Report(key, "has no value", "write a value or remove the key")
@@ -66,14 +66,14 @@
 	}
 	for _, pair := range pairs {
 		name := pair.Key.String()
-		path := join(key, name)
-		field, known := fieldNamed(value, name)
+		path := joinPath(key, name)
+		field, known := fieldByKey(value, name)
 		if !known {
-			d.places[path] = d.place(pair.Key)
-			d.Report(path, "unknown key", unknownKeyCure(name, value.Type()))
+			d.positions[path] = d.positionOf(pair.Key)
+			d.Report(path, "unknown key", unknownKeyFix(name, value.Type()))
 			continue
 		}
-		if _, twice := d.places[path]; twice {
+		if _, twice := d.positions[path]; twice {
 			d.Report(path, "is set twice", "keep one of the two")
 			continue
 		}
@@ -103,7 +103,7 @@
 	entries := reflect.MakeMapWithSize(value.Type(), len(pairs))
 	for _, pair := range pairs {
 		entry := reflect.New(value.Type().Elem()).Elem()
-		d.decode(pair.Value, entry, join(key, pair.Key.String()))
+		d.decode(pair.Value, entry, joinPath(key, pair.Key.String()))
 		entries.SetMapIndex(reflect.ValueOf(pair.Key.String()), entry)
 	}
 	value.Set(entries)
@@ -119,8 +119,8 @@
 	value.SetInt(int64(duration))
 }
 
-// scalarCures tells how to write a value of each kind.
-var scalarCures = map[reflect.Kind]string{
+// scalarFixes describe how to write a value of each kind.
+var scalarFixes = map[reflect.Kind]string{
 	reflect.String:  "write text, in quotes if it looks like a number",
 	reflect.Int64:   "write a whole number without a unit (bytes and entries are counted one by one)",
 	reflect.Int:     "write a whole number without a unit (bytes and entries are counted one by one)",
@@ -129,17 +129,17 @@
 }
 
 func (d *Document) decodeScalar(node ast.Node, value reflect.Value, key string) {
-	if !fits(node, value.Kind()) {
-		d.Report(key, fmt.Sprintf("%s has the wrong type or unit", node), scalarCures[value.Kind()])
+	if !hasKind(node, value.Kind()) {
+		d.Report(key, fmt.Sprintf("%s has the wrong type or unit", node), scalarFixes[value.Kind()])
 		return
 	}
 	if err := yaml.NodeToValue(node, value.Addr().Interface(), yaml.Strict()); err != nil {
-		d.Report(key, fmt.Sprintf("%s cannot be read", node), scalarCures[value.Kind()])
+		d.Report(key, fmt.Sprintf("%s cannot be read", node), scalarFixes[value.Kind()])
 	}
 }
 
-// fits reports whether a scalar of the file can become a value of the kind.
-func fits(node ast.Node, kind reflect.Kind) bool {
+// hasKind reports whether a scalar of the file can be stored as a value of the kind.
+func hasKind(node ast.Node, kind reflect.Kind) bool {
 	switch node.(type) {
 	case *ast.StringNode, *ast.LiteralNode:
 		return kind == reflect.String
@@ -153,22 +153,24 @@
 	return false
 }
 
-// Report adds a problem of a key at the place of the key, or of the nearest group around it.
-func (d *Document) Report(key, fault, cure string) {
-	place, found := d.places[key]
+// Report adds a problem of a key. Its position is that of the key, or of the nearest enclosing group
+// that is set.
+func (d *Document) Report(key, fault, fix string) {
+	position, found := d.positions[key]
 	for parent := key; !found; {
 		parent = parent[:max(strings.LastIndexAny(parent, ".["), 0)]
-		place, found = d.places[parent]
+		position, found = d.positions[parent]
 	}
-	d.problems = append(d.problems, Problem{Position: place, Key: key, Fault: fault, Fix: cure})
+	d.problems = append(d.problems, Problem{Position: position, Key: key, Fault: fault, Fix: fix})
 }
 
-func (d *Document) place(node ast.Node) string {
+func (d *Document) positionOf(node ast.Node) string {
 	position := node.GetToken().Position
 	return fmt.Sprintf("%s:%d:%d", d.source.Path, position.Line, position.Column)
 }
 
-// mappingPairs returns the pairs of a mapping of any length.
+// mappingPairs returns the pairs of a mapping, which the YAML library represents as another node type
+// when there is only one pair.
 func mappingPairs(node ast.Node) ([]*ast.MappingValueNode, bool) {
 	switch mapping := node.(type) {
 	case *ast.MappingNode:
@@ -179,7 +181,7 @@
 	return nil, false
 }
 
-func unknownKeyCure(name string, structType reflect.Type) string {
+func unknownKeyFix(name string, structType reflect.Type) string {
 	keys := keysOf(structType)
 	if suggestion, found := nearest.Word(name, keys); found {
 		return fmt.Sprintf("did you mean %s?", suggestion)
@@ -187,7 +189,7 @@
 	return "known keys are " + strings.Join(keys, ", ")
 }
 
-// keysOf returns the keys of a struct; fields without a key are not the file's.
+// keysOf returns the keys of a struct. Fields without a `yaml` tag cannot be set by a file.
 func keysOf(structType reflect.Type) []string {
 	var keys []string
 	for index := range structType.NumField() {
@@ -198,7 +200,7 @@
 	return keys
 }
 
-func fieldNamed(value reflect.Value, name string) (reflect.Value, bool) {
+func fieldByKey(value reflect.Value, name string) (reflect.Value, bool) {
 	for index := range value.NumField() {
 		if name != "" && value.Type().Field(index).Tag.Get("yaml") == name {
 			return value.Field(index), true
@@ -207,7 +209,7 @@
 	return reflect.Value{}, false
 }
 
-func join(parent, name string) string {
+func joinPath(parent, name string) string {
 	if parent == "" {
 		return name
 	}
--- a/internal/yamlfile/keys.go
+++ b/internal/yamlfile/keys.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// Key is one key that a file may set, as its struct tags state it.
+// Key describes one key that a file may set, according to its struct tags.
 type Key struct {
 	// Path is dotted; [] stands for any item of a list and * for any name of a map.
 	Path string
-	// Default is the value when the key is absent; "" when it has none.
+	// Default is the value of an absent key; "" when there is none.
 	Default  string
 	Required bool
-	// AllowedValues are the values that the key takes; nil when it takes others.
+	// AllowedValues lists the values that the key accepts; nil when it is not limited to a list.
 	AllowedValues []string
-	// IsGroup tells that the key holds other keys, which are listed too.
+	// IsGroup is set when the key contains other keys, which are listed too.
 	IsGroup bool
 }
 
-// Keys lists the keys of a file's struct type, groups before what they hold.
+// Keys lists the keys of a file's struct type; a group comes before its keys.
 func Keys(of reflect.Type) []Key { return appendKeys(nil, of, "") }
 
 func appendKeys(keys []Key, of reflect.Type, prefix string) []Key {
@@ -29,14 +29,14 @@
 			continue
 		}
 		key := Key{Path: prefix + name, Default: field.Tag.Get("default")}
-		for rule := range strings.SplitSeq(field.Tag.Get("check"), ",") {
-			words, found := strings.CutPrefix(rule, "one-of=")
+		for check := range strings.SplitSeq(field.Tag.Get("check"), ",") {
+			words, found := strings.CutPrefix(check, "one-of=")
 			if found {
 				key.AllowedValues = strings.Split(words, "|")
 			}
-			key.Required = key.Required || rule == "required"
+			key.Required = key.Required || check == "required"
 		}
-		inner, within := group(field.Type, key.Path)
+		inner, within := groupType(field.Type, key.Path)
 		key.IsGroup = inner != nil
 		keys = append(keys, key)
 		if key.IsGroup {
@@ -46,18 +46,18 @@
 	return keys
 }
 
-// group returns the struct that a key holds and the prefix of its keys; nil when it
-// holds none.
-func group(of reflect.Type, path string) (reflect.Type, string) {
+// groupType returns the struct type of a key's value and the prefix of the keys in it; nil when the
+// value contains no struct.
+func groupType(of reflect.Type, path string) (reflect.Type, string) {
 	switch of.Kind() {
 	case reflect.Struct:
 		return of, path + "."
 	case reflect.Pointer:
-		return group(of.Elem(), path)
+		return groupType(of.Elem(), path)
 	case reflect.Slice:
-		return group(of.Elem(), path+"[]")
+		return groupType(of.Elem(), path+"[]")
 	case reflect.Map:
-		return group(of.Elem(), path+".*")
+		return groupType(of.Elem(), path+".*")
 	}
 	return nil, ""
 }
--- a/internal/yamlfile/load.go
+++ b/internal/yamlfile/load.go
@@ -1,8 +1,8 @@
-// Package yamlfile reads YAML files into structs whose tags state the rules, and
-// names file, line, key and cure of everything that is wrong with them.
+// Package yamlfile reads YAML files into structs whose tags define the rules. For each problem it
+// reports file, line, key, and how to fix it.
 //
-// The struct tags are: `yaml`, the key; `default`, its value as YAML when the key is
-// absent; `check`, the rules that rules.go defines. Every key of a file must be known.
+// The struct tags are: `yaml`, the key; `default`, the value as YAML of an absent key; `check`, names of
+// rules that rules.go defines. A key that no tag names is a problem.
 package yamlfile
 
 import (
@@ -17,22 +17,22 @@
 	"github.com/gravitational/trace"
 )
 
-// Source is one file and what to add to it.
+// Source is one file and how to load it.
 type Source struct {
 	// Path of the YAML file.
 	Path string
-	// Overrides are applied in order after the file.
+	// Overrides are applied after the file, in order.
 	Overrides []Override
-	// MissingKeyFix returns the cure of a required key that is absent; nil tells to
-	// set it in the file.
+	// MissingKeyFix returns how to fix a required key that is absent; when it is nil, the fix is to set the
+	// key.
 	MissingKeyFix func(key string) string
-	// CrossCheck reports keys that are right one by one and wrong together. It is
-	// called when every key is known and of its type; single rules may be broken.
+	// CrossCheck reports combinations of keys that are invalid together. It is called once all keys are
+	// known and have their types, even if rules of single keys are broken.
 	CrossCheck func(*Document)
 }
 
-// Load fills the struct that target points to: file, overrides, defaults, rules.
-// The error holds Problems when the file could be read and is at fault.
+// Load fills the struct that target points to from the file, the overrides and the defaults, and checks
+// the rules. If the file could be read but is invalid, the error contains Problems.
 func Load(source Source, target any) error {
 	text, err := os.ReadFile(source.Path)
 	if err != nil {
@@ -44,11 +44,11 @@
 	}
 	document := newDocument(source)
 	value := reflect.ValueOf(target).Elem()
-	for _, body := range bodies(file) {
+	for _, body := range documentRoots(file) {
 		document.decode(body, value, "")
 	}
 	for _, override := range source.Overrides {
-		document.override(override, value)
+		document.applyOverride(override, value)
 	}
 	if len(document.problems) == 0 {
 		document.applyDefaults(value, "")
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// bodies returns the roots of the file's documents that are not empty.
-func bodies(file *ast.File) []ast.Node {
+// documentRoots returns the root nodes of the file's documents, without empty documents.
+func documentRoots(file *ast.File) []ast.Node {
 	var roots []ast.Node
 	for _, document := range file.Docs {
 		if document.Body != nil {
@@ -74,23 +74,23 @@
 	return roots
 }
 
-// placed is an error of the YAML library that knows where it is.
-type placed interface {
+// positionedError is an error of the YAML library with a position.
+type positionedError interface {
 	GetToken() *token.Token
 	GetMessage() string
 }
 
-// syntaxProblem tells why a file is not YAML, and where.
+// syntaxProblem describes why a file is not valid YAML, and where.
 func syntaxProblem(path string, err error) Problem {
 	problem := Problem{
 		Position: path, Key: "the file", Fault: "not valid YAML: " + err.Error(),
 		Fix: "indent keys of one group alike, and quote text that holds a colon and a space",
 	}
-	var at placed
-	if errors.As(err, &at) && at.GetToken() != nil {
-		position := at.GetToken().Position
+	var positioned positionedError
+	if errors.As(err, &positioned) && positioned.GetToken() != nil {
+		position := positioned.GetToken().Position
 		problem.Position = fmt.Sprintf("%s:%d:%d", path, position.Line, position.Column)
-		problem.Fault = "not valid YAML: " + at.GetMessage()
+		problem.Fault = "not valid YAML: " + positioned.GetMessage()
 	}
 	return problem
 }
--- a/internal/yamlfile/override.go
+++ b/internal/yamlfile/override.go
@@ -8,9 +8,9 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Override sets one key from a flag, after the file has been read.
+// Override sets one key by a command-line flag, after the file has been read.
 type Override struct {
-	// Flag is how the operator gave it, for error messages: "--listen" or "--set".
+	// Flag is the flag that the operator used, for error messages: "--listen" or "--set".
 	Flag string
 	// Key is the dotted path of the key, such as limits.in_flight.
 	Key string
@@ -30,39 +30,39 @@
 	return Override{Flag: "--set", Key: key, Value: value}, nil
 }
 
-// override stores the value of one flag in the field that its key names.
-func (d *Document) override(override Override, value reflect.Value) {
-	place := fmt.Sprintf("flag %s %s", override.Flag, override.Value)
+// applyOverride stores the value of one flag in the field of its key.
+func (d *Document) applyOverride(override Override, value reflect.Value) {
+	position := fmt.Sprintf("flag %s %s", override.Flag, override.Value)
 	field, path := value, ""
 	for name := range strings.SplitSeq(override.Key, ".") {
-		path = join(path, name)
+		path = joinPath(path, name)
 		if field.Kind() != reflect.Struct {
-			d.places[path] = place
+			d.positions[path] = position
 			d.Report(path, "is not a group of keys", "name a key of the file")
 			return
 		}
-		next, known := fieldNamed(field, name)
+		next, known := fieldByKey(field, name)
 		if !known {
-			d.places[path] = place
-			d.Report(path, "unknown key", unknownKeyCure(name, field.Type()))
+			d.positions[path] = position
+			d.Report(path, "unknown key", unknownKeyFix(name, field.Type()))
 			return
 		}
 		field = next
 	}
 	file, err := parser.ParseBytes([]byte(override.Value), 0)
-	if err != nil || len(bodies(file)) != 1 {
-		d.places[override.Key] = place
+	if err != nil || len(documentRoots(file)) != 1 {
+		d.positions[override.Key] = position
 		d.Report(override.Key, "has no readable value", "write one value, in quotes if it holds spaces")
 		return
 	}
 	before := len(d.problems)
-	d.decode(bodies(file)[0], field, override.Key)
-	for key := range d.places {
+	d.decode(documentRoots(file)[0], field, override.Key)
+	for key := range d.positions {
 		if key == override.Key || strings.HasPrefix(key, override.Key+"[") || strings.HasPrefix(key, override.Key+".") {
-			d.places[key] = place
+			d.positions[key] = position
 		}
 	}
 	for index := before; index < len(d.problems); index++ {
-		d.problems[index].Position = place
+		d.problems[index].Position = position
 	}
 }
--- a/internal/yamlfile/problem.go
+++ b/internal/yamlfile/problem.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Problem is one fault of a file or of an override: where it is, which
-// key it is about, what is wrong and how to cure it.
+// Problem is one mistake in a file or an override: its position, the key, what is wrong and how to fix
+// it.
 type Problem struct {
 	// Position is FILE:LINE:COLUMN, or the flag that set the key.
 	Position string
@@ -16,15 +16,15 @@
 	Fix   string
 }
 
-// Error returns the problem as one line: place, key, fault and cure.
+// Error returns the problem as one line: position, key, fault and fix.
 func (p Problem) Error() string {
 	return fmt.Sprintf("%s: %s: %s; %s", p.Position, p.Key, p.Fault, p.Fix)
 }
 
-// Problems holds every fault that was found, in the order of the file.
+// Problems lists every mistake that was found, in the order of detection.
 type Problems []Problem
 
-// Error returns the problems one a line.
+// Error returns one line for each problem.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for index, problem := range p {
--- a/internal/yamlfile/rules.go
+++ b/internal/yamlfile/rules.go
@@ -14,14 +14,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/nearest"
 )
 
-// sha256HexLength is the length of a SHA-256 hash written in hexadecimal.
+// sha256HexLength is the length of a SHA-256 hash in hexadecimal digits.
 const sha256HexLength = 64
 
-// rule returns what is wrong with a value that was set and how to cure it, or "".
-// The argument is what follows the rule's name and an equals sign.
-type rule func(value reflect.Value, argument string) (fault, cure string)
+// rule returns what is wrong with a value that was set and how to fix it, or "". The argument is the text
+// after the rule's name and an equals sign.
+type rule func(value reflect.Value, argument string) (fault, fix string)
 
-// rules are the names that `check` tags use; "required" is handled by checkRules.
+// rules maps the names in `check` tags to rules; checkRules handles "required".
 var rules = map[string]rule{
 	"address":      checkAddress,
 	"ip":           checkIP,
@@ -33,14 +33,14 @@
 	"one-of":       checkOneOf,
 }
 
-// applyDefaults fills the keys that neither file nor flags set.
+// applyDefaults sets the defaults of keys that neither the file nor a flag set.
 func (d *Document) applyDefaults(value reflect.Value, key string) {
 	for index := range value.NumField() {
 		field := value.Type().Field(index)
 		if field.Tag.Get("yaml") == "" {
 			continue
 		}
-		path := join(key, field.Tag.Get("yaml"))
+		path := joinPath(key, field.Tag.Get("yaml"))
 		switch {
 		case field.Type.Kind() == reflect.Struct:
 			d.applyDefaults(value.Field(index), path)
@@ -57,26 +57,26 @@
 			continue
 		}
 		text, hasDefault := field.Tag.Lookup("default")
-		if _, set := d.places[path]; set || !hasDefault {
+		if _, set := d.positions[path]; set || !hasDefault {
 			continue
 		}
 		file, err := parser.ParseBytes([]byte(text), 0)
 		if err != nil {
 			panic(fmt.Sprintf("the default of %s is not YAML: %v", path, err))
 		}
-		d.decode(bodies(file)[0], value.Field(index), path)
-		d.places[path] = "default"
+		d.decode(documentRoots(file)[0], value.Field(index), path)
+		d.positions[path] = "default"
 	}
 }
 
-// checkRules reports every broken rule of a struct's `check` tags.
+// checkRules checks the `check` tags of a struct's fields and reports every broken rule.
 func (d *Document) checkRules(value reflect.Value, key string) {
 	for index := range value.NumField() {
 		field := value.Type().Field(index)
 		if field.Tag.Get("yaml") == "" {
 			continue
 		}
-		path := join(key, field.Tag.Get("yaml"))
+		path := joinPath(key, field.Tag.Get("yaml"))
 		var names []string
 		if tag := field.Tag.Get("check"); tag != "" {
 			names = strings.Split(tag, ",")
@@ -88,7 +88,7 @@
 func (d *Document) checkField(value reflect.Value, key string, names []string) {
 	if value.IsZero() || (value.Kind() == reflect.Slice && value.Len() == 0) {
 		if len(names) > 0 && names[0] == "required" {
-			d.Report(key, "is missing or empty", d.missingCure(key))
+			d.Report(key, "is missing or empty", d.missingKeyFix(key))
 			return
 		}
 	}
@@ -105,7 +105,7 @@
 		}
 	case reflect.Map:
 		for entry := value.MapRange(); entry.Next(); {
-			d.checkField(entry.Value(), join(key, entry.Key().String()), names)
+			d.checkField(entry.Value(), joinPath(key, entry.Key().String()), names)
 		}
 	default:
 		d.checkValue(value, key, names)
@@ -113,20 +113,20 @@
 }
 
 func (d *Document) checkValue(value reflect.Value, key string, names []string) {
-	if _, set := d.places[key]; !set {
+	if _, set := d.positions[key]; !set {
 		return
 	}
 	for _, name := range names {
 		name, argument, _ := strings.Cut(name, "=")
 		if check, known := rules[name]; known {
-			if fault, cure := check(value, argument); fault != "" {
-				d.Report(key, fault, cure)
+			if fault, fix := check(value, argument); fault != "" {
+				d.Report(key, fault, fix)
 			}
 		}
 	}
 }
 
-func checkAddress(value reflect.Value, _ string) (fault, cure string) {
+func checkAddress(value reflect.Value, _ string) (fault, fix string) {
 	text := value.String()
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
@@ -138,14 +138,14 @@
 	return "", ""
 }
 
-func checkIP(value reflect.Value, _ string) (fault, cure string) {
+func checkIP(value reflect.Value, _ string) (fault, fix string) {
 	if _, err := netip.ParseAddr(value.String()); err != nil {
 		return fmt.Sprintf("%q is not an IP number", value.String()), "write an IP number such as 10.0.0.1; host names are not looked up"
 	}
 	return "", ""
 }
 
-func checkSHA256(value reflect.Value, _ string) (fault, cure string) {
+func checkSHA256(value reflect.Value, _ string) (fault, fix string) {
 	_, err := hex.DecodeString(value.String())
 	if err != nil || len(value.String()) != sha256HexLength {
 		return "is not a SHA-256 hash", fmt.Sprintf("write %d hexadecimal digits, as `hazelctl key` prints them", sha256HexLength)
@@ -153,63 +153,63 @@
 	return "", ""
 }
 
-func checkPositive(value reflect.Value, _ string) (fault, cure string) {
-	if number(value) <= 0 {
-		return display(value) + " is not above zero", "write a value above zero or remove the key for its default"
+func checkPositive(value reflect.Value, _ string) (fault, fix string) {
+	if numericValue(value) <= 0 {
+		return displayValue(value) + " is not above zero", "write a value above zero or remove the key for its default"
 	}
 	return "", ""
 }
 
-func checkNotNegative(value reflect.Value, _ string) (fault, cure string) {
-	if number(value) < 0 {
-		return display(value) + " is below zero", "write zero or more"
+func checkNotNegative(value reflect.Value, _ string) (fault, fix string) {
+	if numericValue(value) < 0 {
+		return displayValue(value) + " is below zero", "write zero or more"
 	}
 	return "", ""
 }
 
-func checkAtLeastOne(value reflect.Value, _ string) (fault, cure string) {
-	if number(value) < 1 {
-		return display(value) + " is below one", "write one or more"
+func checkAtLeastOne(value reflect.Value, _ string) (fault, fix string) {
+	if numericValue(value) < 1 {
+		return displayValue(value) + " is below one", "write one or more"
 	}
 	return "", ""
 }
 
-func checkShare(value reflect.Value, _ string) (fault, cure string) {
-	if share := number(value); share < 0 || share > 1 {
-		return display(value) + " is not a share", "write a number from 0 to 1"
+func checkShare(value reflect.Value, _ string) (fault, fix string) {
+	if share := numericValue(value); share < 0 || share > 1 {
+		return displayValue(value) + " is not a share", "write a number from 0 to 1"
 	}
 	return "", ""
 }
 
-// checkOneOf holds text to the words of the argument, which bars separate.
-func checkOneOf(value reflect.Value, argument string) (fault, cure string) {
-	words := strings.Split(argument, "|")
-	if slices.Contains(words, value.String()) {
+// checkOneOf checks that text is one of the argument's values, which are separated by bars.
+func checkOneOf(value reflect.Value, argument string) (fault, fix string) {
+	allowed := strings.Split(argument, "|")
+	if slices.Contains(allowed, value.String()) {
 		return "", ""
 	}
 	fault = fmt.Sprintf("%q is not known", value.String())
-	if suggestion, found := nearest.Word(value.String(), words); found {
+	if suggestion, found := nearest.Word(value.String(), allowed); found {
 		return fault, fmt.Sprintf("did you mean %s?", suggestion)
 	}
-	return fault, "write one of " + strings.Join(words, ", ")
+	return fault, "write one of " + strings.Join(allowed, ", ")
 }
 
-// number returns a duration, whole number or floating number.
-func number(value reflect.Value) float64 {
+// numericValue returns a duration, integer or floating-point value as a float64.
+func numericValue(value reflect.Value) float64 {
 	if value.CanFloat() {
 		return value.Float()
 	}
 	return float64(value.Int())
 }
 
-func display(value reflect.Value) string {
+func displayValue(value reflect.Value) string {
 	if value.Type() == durationType {
 		return time.Duration(value.Int()).String()
 	}
 	return fmt.Sprint(value.Interface())
 }
 
-func (d *Document) missingCure(key string) string {
+func (d *Document) missingKeyFix(key string) string {
 	if d.source.MissingKeyFix == nil {
 		return "set it"
 	}
--- a/internal/yamlfile/yamlfile_test.go
+++ b/internal/yamlfile/yamlfile_test.go
@@ -34,12 +34,12 @@
 	Count int `yaml:"count" default:"7" check:"required,positive"`
 }
 
-func read(t *testing.T, text string, together func(*yamlfile.Document)) (file, error) {
+func read(t *testing.T, text string, crossCheck func(*yamlfile.Document)) (file, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file.yaml")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	var got file
-	err := yamlfile.Load(yamlfile.Source{Path: path, CrossCheck: together}, &got)
+	err := yamlfile.Load(yamlfile.Source{Path: path, CrossCheck: crossCheck}, &got)
 	return got, err
 }
 
@@ -63,10 +63,10 @@
 		"missing":             {"ratio: 1\n", "file.yaml:1:1: name: is missing or empty; set it"},
 		"share":               {"name: a\nratio: 1.5\n", "file.yaml:2:8: ratio: 1.5 is not a share; write a number from 0 to 1"},
 		"float with unit":     {"name: a\nratio: 5%\n", "ratio: 5% has the wrong type or unit; write a number without a unit"},
-		"float for whole":     {"name: a\nbytes: 1.5\n", "bytes: 1.5 has the wrong type or unit; write a whole number"},
+		"float for integer":   {"name: a\nbytes: 1.5\n", "bytes: 1.5 has the wrong type or unit; write a whole number"},
 		"below one":           {"name: a\nbytes: 0\n", "bytes: 0 is below one"},
 		"word":                {"name: a\nmode: fats\n", `mode: "fats" is not known; did you mean fast?`},
-		"far word":            {"name: a\nmode: medium\n", `mode: "medium" is not known; write one of slow, fast`},
+		"unrelated word":      {"name: a\nmode: medium\n", `mode: "medium" is not known; write one of slow, fast`},
 		"word in a list":      {"name: a\nwords: [red, gren]\n", `words[1]: "gren" is not known; did you mean green?`},
 		"key in a list":       {"name: a\nitems:\n  - {weit: 1s}\n", "file.yaml:3:6: items[0].weit: unknown key; did you mean wait?"},
 		"rule in a list":      {"name: a\nitems: [{wait: 0s}]\n", "items[0].wait: 0s is not above zero"},
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestTogetherReportsAtTheNearestKeySet(t *testing.T) {
+func TestCrossCheckReportsAtNearestKeyThatIsSet(t *testing.T) {
 	_, err := read(t, "name: a\nitems:\n  - {wait: 1s}\n", func(document *yamlfile.Document) {
 		require.True(t, document.IsSet("items[0].wait"))
 		require.False(t, document.IsSet("sizes"))
