--- a/internal/benchcommand/commands.go
+++ b/internal/benchcommand/commands.go
@@ -1,12 +1,12 @@
 package benchcommand
 
-// command is one entry of the command line. Each subcommand's file has a function
-// that returns its entry; add it to commands.
+// command is one subcommand of the command line. Each subcommand's file has a function that returns it;
+// commands calls them.
 type command struct {
 	name  string
 	short string
 	long  string
-	// runner holds the flags as go-flags fields and runs the command.
+	// runner parses the flags, which are its fields with go-flags tags, and runs the command.
 	runner runner
 }
 
--- a/internal/benchcommand/demo.go
+++ b/internal/benchcommand/demo.go
@@ -15,11 +15,12 @@
 )
 
 const (
-	// roleChangeAfter is how long the load runs before the role change.
+	// roleChangeAfter is the time from the start of the load to the role change.
 	roleChangeAfter = 4 * time.Second
-	// roleChangeTimeout bounds the role change: drain and change.
+	// roleChangeTimeout bounds the role change, which first drains the engine.
 	roleChangeTimeout = 40 * time.Second
-	statePoll         = 20 * time.Millisecond
+	// statePollInterval is the time between two checks of the engine's state.
+	statePollInterval = 20 * time.Millisecond
 )
 
 // demoFlags are the flags of `hazelbench demo`.
@@ -42,10 +43,10 @@
 }
 
 func (d *demoFlags) run(ctx context.Context, environment Environment, rest []string) error {
-	if err := noArguments(rest); err != nil {
+	if err := rejectArguments(rest); err != nil {
 		return err
 	}
-	directory, remove, err := runDirectory(d.Directory)
+	directory, remove, err := prepareDirectory(d.Directory)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -75,7 +76,7 @@
 	return report.Failed()
 }
 
-// probe sends one request of each kind and streams one answer to the terminal.
+// probe sends one request of each kind and prints one answer as it streams.
 func (d *demoFlags) probe(options load.Options, out io.Writer) error {
 	results, err := load.Probe(options)
 	if err != nil {
@@ -99,16 +100,16 @@
 	return nil
 }
 
-// changeRoleUnderLoad runs the load and changes one engine's role in its middle.
+// changeRoleUnderLoad runs the load and changes one engine's role while it runs.
 func (d *demoFlags) changeRoleUnderLoad(ctx context.Context, started *fleet.Fleet, options load.Options, out io.Writer) (load.Report, error) {
 	fmt.Fprintf(out, "load for %v:\n", d.Duration)
-	changed := make(chan error, 1)
+	roleChanged := make(chan error, 1)
 	go func() {
 		time.Sleep(min(roleChangeAfter, d.Duration/2))
-		changed <- changeRole(ctx, started, out)
+		roleChanged <- changeRole(ctx, started, out)
 	}()
 	report, err := load.Run(ctx, options)
-	changeErr := <-changed
+	changeErr := <-roleChanged
 	if err != nil {
 		return report, trace.Wrap(err)
 	}
@@ -120,15 +121,15 @@
 	return report, nil
 }
 
-// changeRole orders a busy mixed engine to decode and waits until it serves so.
+// changeRole orders the busiest mixed engine to role decode and waits until it serves in that role.
 func changeRole(ctx context.Context, started *fleet.Fleet, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, roleChangeTimeout)
 	defer cancel()
-	chosen, inFlight := busiest(started.Outside.Engines, enginecontract.RoleMixed)
+	chosen, inFlight := busiestEngine(started.Outside.Engines, enginecontract.RoleMixed)
 	if chosen == nil {
-		return trace.NotFound("no engine is mixed")
+		return trace.NotFound("no running engine has the role mixed")
 	}
-	began := time.Now()
+	start := time.Now()
 	answer, err := started.Operator().Execute(ctx, fmt.Sprintf("set role of engine %s to %s", chosen.Name(), enginecontract.RoleDecode))
 	if err != nil {
 		return trace.Wrap(err, "ordering the role change")
@@ -137,26 +138,26 @@
 	for {
 		state, running := chosen.State()
 		if running && state.Role == enginecontract.RoleDecode && state.State == enginecontract.StateServing {
-			fmt.Fprintf(out, "  role changed after %.1f s\n", time.Since(began).Seconds())
+			fmt.Fprintf(out, "  role changed after %.1f s\n", time.Since(start).Seconds())
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return trace.Errorf("%s is still %s and %s (order %s)", chosen.Name(), state.Role, state.State, state.OrderPhase)
-		case <-time.After(statePoll):
+			return trace.Errorf("role change timed out: %s still has role %s and state %s (order %s)", chosen.Name(), state.Role, state.State, state.OrderPhase)
+		case <-time.After(statePollInterval):
 		}
 	}
 }
 
-// busiest returns the engine of a role with the most in flight.
-func busiest(engines []*engine.Engine, role enginecontract.Role) (*engine.Engine, int) {
-	var found *engine.Engine
+// busiestEngine returns the running engine of a role with the most requests in flight, and their number.
+func busiestEngine(engines []*engine.Engine, role enginecontract.Role) (*engine.Engine, int) {
+	var busiest *engine.Engine
 	most := -1
-	for _, present := range engines {
-		state, running := present.State()
+	for _, candidate := range engines {
+		state, running := candidate.State()
 		if running && state.Role == role && state.InFlight > most {
-			found, most = present, state.InFlight
+			busiest, most = candidate, state.InFlight
 		}
 	}
-	return found, most
+	return busiest, most
 }
--- a/internal/benchcommand/experiment.go
+++ b/internal/benchcommand/experiment.go
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// scenarios reads the files of the arguments or of the suite.
+// scenarios loads the files of the arguments and of the suite.
 func (e *experimentFlags) scenarios(files []string) ([]scenario.Scenario, error) {
 	if e.Suite != "" {
 		found, err := suiteFiles(e.Suite)
@@ -92,7 +92,7 @@
 	return scenarios, nil
 }
 
-// suiteFiles lists the scenario files in a directory and those below it, by path.
+// suiteFiles lists the scenario files in a directory and its subdirectories, sorted by path.
 func suiteFiles(directory string) ([]string, error) {
 	var files []string
 	err := filepath.WalkDir(directory, func(path string, entry fs.DirEntry, err error) error {
@@ -120,7 +120,7 @@
 	return e.Policies, nil
 }
 
-// commandLine is the command that gives the same page again.
+// commandLine returns the command that writes the same page again.
 func (e *experimentFlags) commandLine() string {
 	return fmt.Sprintf("hazelbench experiment --suite %s --seeds %d --write %s", e.Suite, e.Seeds, e.Write)
 }
--- a/internal/benchcommand/experiment_test.go
+++ b/internal/benchcommand/experiment_test.go
@@ -13,7 +13,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/experiment"
 )
 
-// tinyScenario is two engines for 5 s.
+// tinyScenario has two engines and takes 5 s.
 const tinyScenario = `name: tiny
 deployment: test
 duration: 5s
@@ -37,19 +37,19 @@
 	return code, out.String(), errors.String()
 }
 
-func tinyFile(t *testing.T) string {
+func writeTinyScenario(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "tiny.yaml")
 	require.NoError(t, os.WriteFile(path, []byte(tinyScenario), 0o600))
 	return path
 }
 
-func TestExperimentMistakes(t *testing.T) {
-	file := tinyFile(t)
+func TestExperimentUsageErrors(t *testing.T) {
+	file := writeTinyScenario(t)
 	for _, row := range []struct {
-		name      string
-		arguments []string
-		told      string
+		name       string
+		arguments  []string
+		wantStderr string
 	}{
 		{"no scenario", nil, "name a scenario file"},
 		{"no such file", []string{"absent.yaml"}, "absent.yaml"},
@@ -60,13 +60,13 @@
 		t.Run(row.name, func(t *testing.T) {
 			code, _, stderr := runExperiment(t, row.arguments...)
 			require.Equal(t, ExitUsage, code)
-			require.Contains(t, stderr, row.told)
+			require.Contains(t, stderr, row.wantStderr)
 		})
 	}
 }
 
 func TestExperimentPrintsARun(t *testing.T) {
-	code, stdout, stderr := runExperiment(t, tinyFile(t), "--json")
+	code, stdout, stderr := runExperiment(t, writeTinyScenario(t), "--json")
 	require.Equal(t, ExitDone, code, stderr)
 	var run experiment.Run
 	require.NoError(t, json.Unmarshal([]byte(stdout), &run))
@@ -75,9 +75,9 @@
 	require.Positive(t, run.Completed)
 }
 
-// TestExperimentKeepsRuns writes the page twice, the second time from kept runs alone.
-func TestExperimentKeepsRuns(t *testing.T) {
-	file, directory := tinyFile(t), t.TempDir()
+// TestExperimentReusesKeptRuns writes the page twice, the second time only from the runs kept in a file.
+func TestExperimentReusesKeptRuns(t *testing.T) {
+	file, directory := writeTinyScenario(t), t.TempDir()
 	kept, first, second := filepath.Join(directory, "kept"), filepath.Join(directory, "1.md"), filepath.Join(directory, "2.md")
 	code, _, stderr := runExperiment(t, file, "--seeds", "2", "--write", first, "--keep", kept)
 	require.Equal(t, ExitDone, code, stderr)
@@ -89,11 +89,11 @@
 	require.NoError(t, err)
 	require.Contains(t, string(one), "| clairvoyant |")
 	require.Contains(t, string(two), "broken off")
-	require.Equal(t, tablesOf(one), tablesOf(two))
+	require.Equal(t, pageTables(one), pageTables(two))
 }
 
-// tablesOf is a page from its first table on.
-func tablesOf(page []byte) string {
+// pageTables returns a page from its first table on.
+func pageTables(page []byte) string {
 	_, tables, _ := bytes.Cut(page, []byte("## The planner"))
 	return string(tables)
 }
--- a/internal/benchcommand/fleet.go
+++ b/internal/benchcommand/fleet.go
@@ -15,7 +15,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// bootTimeout bounds the time from a fleet's start until its gateways are ready.
+// bootTimeout bounds the time from the start of a fleet until its gateways are ready.
 const bootTimeout = 60 * time.Second
 
 // fleetFlags are the flags of `hazelbench fleet`.
@@ -29,7 +29,7 @@
 	JSON       bool   `long:"json" description:"print the scenario's result as hazelbench experiment does"`
 }
 
-// freeNetwork is the value of --network that takes any free network.
+// freeNetwork is the value of --network that selects any free network.
 const freeNetwork = "free"
 
 func fleetCommand() command {
@@ -37,16 +37,16 @@
 		name:  "fleet",
 		short: "run a whole deployment on loopback addresses until interrupted",
 		long: "Starts the outside systems as stand-ins in this process, controllers and gateways as processes of " +
-			"their own, with the latencies between the zones, and applies the declarations. docs/BENCH.md tells more.",
+			"their own, with the latencies between the zones, and applies the declarations. See docs/BENCH.md.",
 		runner: new(fleetFlags),
 	}
 }
 
 func (f *fleetFlags) run(ctx context.Context, environment Environment, rest []string) error {
-	if err := noArguments(rest); err != nil {
+	if err := rejectArguments(rest); err != nil {
 		return err
 	}
-	directory, remove, err := runDirectory(f.Directory)
+	directory, remove, err := prepareDirectory(f.Directory)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -69,12 +69,12 @@
 	if options.Scenario != nil {
 		return runScenario(ctx, started, *options.Scenario, f.Seed, f.JSON, environment)
 	}
-	describe(started, environment.Stdout)
+	printAddresses(started, environment.Stdout)
 	<-ctx.Done()
 	return nil
 }
 
-// options are what the fleet is started with; an error is a mistake in the files.
+// options returns the options of the fleet's start; an error is a mistake in the files.
 func (f *fleetFlags) options(directory string) (fleet.Options, error) {
 	options := fleet.Options{Deployment: f.Deployment, Directory: directory, Network: f.Network, Serve: serveArguments}
 	if f.Scenario != "" {
@@ -97,16 +97,16 @@
 	return options, nil
 }
 
-// noArguments refuses arguments that are not flags.
-func noArguments(rest []string) error {
+// rejectArguments returns a usage error for arguments that are not flags.
+func rejectArguments(rest []string) error {
 	if len(rest) > 0 {
 		return &usageError{cause: trace.BadParameter("unexpected argument %q", rest[0])}
 	}
 	return nil
 }
 
-// runDirectory returns the directory of a run and what removes it at the end.
-func runDirectory(wanted string) (string, func(), error) {
+// prepareDirectory returns the directory of a run and a function that removes it if it is temporary.
+func prepareDirectory(wanted string) (string, func(), error) {
 	if wanted != "" {
 		return wanted, func() {}, trace.ConvertSystemError(os.MkdirAll(wanted, 0o755))
 	}
@@ -114,18 +114,18 @@
 	if err != nil {
 		return "", nil, trace.ConvertSystemError(err)
 	}
-	return directory, func() { _ = os.RemoveAll(directory) }, nil // a temporary directory may stay
+	return directory, func() { _ = os.RemoveAll(directory) }, nil // a failure only leaves a temporary directory
 }
 
-// boot waits for the controllers, applies the declarations and waits for the gateways.
+// boot waits for the controllers and, with apply, applies the declarations and waits for the gateways.
 func boot(ctx context.Context, started *fleet.Fleet, apply bool, progress io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, bootTimeout)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	if err := started.WaitReady(ctx, fleet.RoleController); err != nil {
 		return trace.Wrap(err)
 	}
-	fmt.Fprintf(progress, "controllers ready after %.1f s\n", time.Since(began).Seconds())
+	fmt.Fprintf(progress, "controllers ready after %.1f s\n", time.Since(start).Seconds())
 	if !apply {
 		return nil
 	}
@@ -140,24 +140,24 @@
 	if answer.GetOutcome() != v1.ApplyOutcome_APPLY_OUTCOME_ACCEPTED && answer.GetOutcome() != v1.ApplyOutcome_APPLY_OUTCOME_UNCHANGED {
 		return trace.Errorf("the declarations were not accepted: %s %s", answer.GetOutcome(), answer.GetDetail())
 	}
-	fmt.Fprintf(progress, "declarations in force as revision %d after %.1f s\n", answer.GetRevision(), time.Since(began).Seconds())
+	fmt.Fprintf(progress, "declarations in force as revision %d after %.1f s\n", answer.GetRevision(), time.Since(start).Seconds())
 	if err := started.WaitReady(ctx, fleet.RoleGateway); err != nil {
 		return trace.Wrap(err)
 	}
-	fmt.Fprintf(progress, "gateways ready after %.1f s\n", time.Since(began).Seconds())
+	fmt.Fprintf(progress, "gateways ready after %.1f s\n", time.Since(start).Seconds())
 	return nil
 }
 
-// describe prints where everything listens.
-func describe(started *fleet.Fleet, out io.Writer) {
+// printAddresses prints the addresses of all processes and stand-ins.
+func printAddresses(started *fleet.Fleet, out io.Writer) {
 	for _, process := range started.Processes {
 		fmt.Fprintf(out, "%-10s %-28s %s  admin %s  log %s\n", process.Role, process.Name, process.Listen, process.AdminListen, process.LogPath)
 	}
-	for _, present := range started.Outside.Engines {
-		fmt.Fprintf(out, "%-10s %-28s %s\n", "engine", present.Name(), present.Address())
+	for _, engine := range started.Outside.Engines {
+		fmt.Fprintf(out, "%-10s %-28s %s\n", "engine", engine.Name(), engine.Address())
 	}
-	for _, present := range started.Outside.Pages {
-		fmt.Fprintf(out, "%-10s %-28s %s\n", "page", present.Name(), present.Address())
+	for _, page := range started.Outside.Pages {
+		fmt.Fprintf(out, "%-10s %-28s %s\n", "page", page.Name(), page.Address())
 	}
 	fmt.Fprintf(out, "machine list %s, weight store %s\n", started.Outside.Machines.Address(), started.Outside.WeightStore.Address())
 }
--- a/internal/benchcommand/fleet_scenario.go
+++ b/internal/benchcommand/fleet_scenario.go
@@ -13,20 +13,20 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// settleTime is how long a fleet that is ready stays without load, so that every
-// gateway has met every back end.
+// settleTime is the time without load after the fleet is ready, in which every gateway contacts every
+// back end.
 const settleTime = 3 * time.Second
 
-// runScenario sends a scenario's requests to a fleet that was started for it, and
-// prints the result. It fails when anything was mixed, run twice or told falsely.
-func runScenario(ctx context.Context, started *fleet.Fleet, of scenario.Scenario, seed uint64, asJSON bool, environment Environment) error {
+// runScenario sends a scenario's requests to a fleet that was started for it, and prints the result. It
+// fails when an answer was mixed, a request ran twice or a verdict was false.
+func runScenario(ctx context.Context, started *fleet.Fleet, definition scenario.Scenario, seed uint64, asJSON bool, environment Environment) error {
 	select {
 	case <-ctx.Done():
 		return trace.Wrap(ctx.Err())
 	case <-time.After(settleTime):
 	}
 	options := processrun.Options{
-		Fleet: started, Scenario: of,
+		Fleet: started, Scenario: definition,
 		Load: loadOptions(started.Deployment, started.Description, started.Addresses(fleet.RoleGateway)),
 	}
 	options.Load.Seed = seed
@@ -48,6 +48,6 @@
 	if report.Mixed > 0 || !report.Audit.Clean() {
 		return trace.Wrap(report.Failed())
 	}
-	fmt.Fprintf(environment.Stderr, "%s ran on %d processes and %d engines\n", of.Name, len(started.Processes), len(started.Outside.Engines))
+	fmt.Fprintf(environment.Stderr, "%s ran on %d processes and %d engines\n", definition.Name, len(started.Processes), len(started.Outside.Engines))
 	return nil
 }
--- a/internal/benchcommand/gateway_cost.go
+++ b/internal/benchcommand/gateway_cost.go
@@ -11,8 +11,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/gatewaycost"
 )
 
-// callerHost is the last number of the address that measuring callers call from.
-const callerHost = 200
+// callerHostNumber is the last number of the source address of the measuring callers.
+const callerHostNumber = 200
 
 // gatewayCostFlags are the flags of `hazelbench gateway-cost`.
 type gatewayCostFlags struct {
@@ -36,17 +36,17 @@
 }
 
 func (g *gatewayCostFlags) run(ctx context.Context, environment Environment, rest []string) error {
-	if err := noArguments(rest); err != nil {
+	if err := rejectArguments(rest); err != nil {
 		return err
 	}
 	if g.PageRequests < 1 || g.Streams < 1 || g.Tokens < 1 {
 		return &usageError{cause: trace.BadParameter("--page-requests, --streams and --tokens must be above 0")}
 	}
-	started, end, err := ownFleet(ctx, g.Deployment, g.Directory, environment.Stderr)
+	started, stop, err := startFleet(ctx, g.Deployment, g.Directory, environment.Stderr)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	defer end()
+	defer stop()
 	options, err := g.options(started)
 	if err != nil {
 		return trace.Wrap(err)
@@ -58,7 +58,7 @@
 	return printReport(environment.Stdout, g.JSON, report)
 }
 
-// options takes the first gateway in whose zone there is a page service.
+// options selects the first gateway whose zone has a page service.
 func (g *gatewayCostFlags) options(started *fleet.Fleet) (gatewaycost.Options, error) {
 	description := started.Description
 	for _, gateway := range started.Of(fleet.RoleGateway) {
@@ -71,7 +71,7 @@
 		}
 		return gatewaycost.Options{
 			Fleet: started, Gateway: gateway, Page: description.Replicas()[page].Address, Key: description.Tenants[0].Key,
-			Source:       fmt.Sprintf("%s.%d.%d", description.Network, description.Zones[zone].Subnet, callerHost),
+			Source:       fmt.Sprintf("%s.%d.%d", description.Network, description.Zones[zone].Subnet, callerHostNumber),
 			PageRequests: g.PageRequests, Streams: g.Streams, Tokens: g.Tokens,
 		}, nil
 	}
--- a/internal/benchcommand/gateway_loss.go
+++ b/internal/benchcommand/gateway_loss.go
@@ -28,7 +28,7 @@
 		name:  "gateway-loss",
 		short: "kill and stop gateways and kill engines of a real fleet under load, judge every answer",
 		long: "Boots a deployment on a free loopback network and, under load, kills a gateway's process (SIGKILL), " +
-			"breaks an engine and stops a gateway (SIGTERM), each while streams and registrations are in flight. Callers " +
+			"crashes an engine and stops a gateway (SIGTERM), each while streams and registrations are in flight. Callers " +
 			"send registrations without an answer again through another gateway. It fails when an answer was cut that " +
 			"no killed gateway accounts for, when one was mixed or short, a verdict was false or a key ran twice.",
 		runner: new(gatewayLossFlags),
@@ -36,19 +36,19 @@
 }
 
 func (g *gatewayLossFlags) run(ctx context.Context, environment Environment, rest []string) error {
-	if err := noArguments(rest); err != nil {
+	if err := rejectArguments(rest); err != nil {
 		return err
 	}
 	if g.Rounds < 1 || g.Scale <= 0 || g.OnceScale <= 0 || g.Calm < 0 || g.PageTime < 0 {
 		return &usageError{cause: trace.BadParameter("--rounds, --scale and --once-scale must be above 0")}
 	}
-	started, end, err := ownFleet(ctx, g.Deployment, g.Directory, environment.Stderr)
+	started, stop, err := startFleet(ctx, g.Deployment, g.Directory, environment.Stderr)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	defer end()
+	defer stop()
 	options := loadOptions(g.Deployment, started.Description, started.Addresses(fleet.RoleGateway))
-	options.Length, options.Scale, options.OnceScale, options.Seed, options.Insist = longestLoad, g.Scale, g.OnceScale, g.Seed, true
+	options.Length, options.Scale, options.OnceScale, options.Seed, options.Insist = maximumLoadTime, g.Scale, g.OnceScale, g.Seed, true
 	report, err := gatewayloss.Run(ctx, gatewayloss.Options{
 		Fleet: started, Load: options, Rounds: g.Rounds, Calm: g.Calm, PageTime: g.PageTime, Progress: environment.Stderr,
 	})
--- a/internal/benchcommand/leader_loss.go
+++ b/internal/benchcommand/leader_loss.go
@@ -10,8 +10,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/leaderloss"
 )
 
-// longestLoad bounds the load under a run of `hazelbench leader-loss`.
-const longestLoad = 15 * time.Minute
+// maximumLoadTime bounds the load during a run of `hazelbench leader-loss` or `gateway-loss`.
+const maximumLoadTime = 15 * time.Minute
 
 // leaderLossFlags are the flags of `hazelbench leader-loss`.
 type leaderLossFlags struct {
@@ -40,19 +40,19 @@
 }
 
 func (l *leaderLossFlags) run(ctx context.Context, environment Environment, rest []string) error {
-	if err := noArguments(rest); err != nil {
+	if err := rejectArguments(rest); err != nil {
 		return err
 	}
 	if l.Rounds < 1 || l.Missed < 1 || l.Orderers < 1 || l.Pause <= 0 || l.Scale <= 0 {
 		return &usageError{cause: trace.BadParameter("--rounds, --missed, --orderers, --pause and --scale must be above 0")}
 	}
-	started, end, err := ownFleet(ctx, l.Deployment, l.Directory, environment.Stderr)
+	started, stop, err := startFleet(ctx, l.Deployment, l.Directory, environment.Stderr)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	defer end()
+	defer stop()
 	options := loadOptions(l.Deployment, started.Description, started.Addresses(fleet.RoleGateway))
-	options.Length, options.Scale, options.Seed = longestLoad, l.Scale, l.Seed
+	options.Length, options.Scale, options.Seed = maximumLoadTime, l.Scale, l.Seed
 	report, err := leaderloss.Run(ctx, leaderloss.Options{
 		Fleet: started, Load: options, Rounds: l.Rounds, Missed: l.Missed, Pause: l.Pause, Orderers: l.Orderers,
 		Progress: environment.Stderr,
--- a/internal/benchcommand/load.go
+++ b/internal/benchcommand/load.go
@@ -34,7 +34,7 @@
 }
 
 func (l *loadFlags) run(ctx context.Context, environment Environment, rest []string) error {
-	if err := noArguments(rest); err != nil {
+	if err := rejectArguments(rest); err != nil {
 		return err
 	}
 	if l.Duration <= 0 || l.Scale <= 0 {
@@ -59,7 +59,7 @@
 	bar := progressbar.NewOptions(-1, progressbar.OptionSetWriter(environment.Stderr), progressbar.OptionSetDescription("requests"), progressbar.OptionShowCount(), progressbar.OptionThrottle(200*time.Millisecond))
 	options.Progress = func(done, all int) {
 		bar.ChangeMax(max(done, all))
-		_ = bar.Set(done) // a bar that can't be drawn changes nothing
+		_ = bar.Set(done) // a failure to draw the progress bar is harmless
 	}
 	report, err := load.Run(ctx, options)
 	_ = bar.Finish()
@@ -72,7 +72,7 @@
 	return report.Failed()
 }
 
-// loadOptions aims a run of load at a fleet.
+// loadOptions returns the options of a load run against a fleet.
 func loadOptions(deployment string, description fleet.Description, gateways []string) load.Options {
 	options := load.Options{
 		Deployment: deployment,
--- a/internal/benchcommand/measure.go
+++ b/internal/benchcommand/measure.go
@@ -20,12 +20,12 @@
 		short: "measure the request path's decisions: " + strings.Join(measurementNames(), ", "),
 		long: "Measures decisions of the request path and prints a table for each subject named; without names, for all: " +
 			"routing against random, naive and clairvoyant choices, decision time against the fleet's size, a neighbour's " +
-			"goodput beside a flooding tenant, which kinds are given up under overload, and the cost of claims.",
+			"goodput beside a flooding tenant, which kinds are shed under overload, and the cost of claims.",
 		runner: new(measureFlags),
 	}
 }
 
-// measurement is one subject.
+// measurement is one subject of `hazelbench measure`.
 type measurement struct {
 	name string
 	run  func(io.Writer) error
@@ -43,8 +43,8 @@
 
 func measurementNames() []string {
 	var names []string
-	for _, each := range measurements() {
-		names = append(names, each.name)
+	for _, subject := range measurements() {
+		names = append(names, subject.name)
 	}
 	return names
 }
@@ -52,15 +52,15 @@
 func (m *measureFlags) run(_ context.Context, environment Environment, wanted []string) error {
 	for _, name := range wanted {
 		if !slices.Contains(measurementNames(), name) {
-			return &usageError{cause: trace.BadParameter("%q is not measured; name some of %s", name, strings.Join(measurementNames(), ", "))}
+			return &usageError{cause: trace.BadParameter("%q is not a measurement; choose from %s", name, strings.Join(measurementNames(), ", "))}
 		}
 	}
-	for _, each := range measurements() {
-		if len(wanted) > 0 && !slices.Contains(wanted, each.name) {
+	for _, subject := range measurements() {
+		if len(wanted) > 0 && !slices.Contains(wanted, subject.name) {
 			continue
 		}
-		if err := each.run(environment.Stdout); err != nil {
-			return trace.Wrap(err, "measuring %s", each.name)
+		if err := subject.run(environment.Stdout); err != nil {
+			return trace.Wrap(err, "measuring %s", subject.name)
 		}
 	}
 	return nil
--- a/internal/benchcommand/output.go
+++ b/internal/benchcommand/output.go
@@ -7,7 +7,7 @@
 	"github.com/gravitational/trace"
 )
 
-// table is a report that prints itself for people.
+// table is a report that can print itself as tables.
 type table interface{ Write(out io.Writer) }
 
 // printReport prints a report as indented JSON or as tables.
--- a/internal/benchcommand/report.go
+++ b/internal/benchcommand/report.go
@@ -23,7 +23,7 @@
 		name:  "report",
 		short: "compare results of experiments",
 		long: "Reads result files that `hazelbench experiment --json` wrote, prints a summary, and writes one " +
-			"self-contained HTML page with plots and tables, and a CSV file. docs/REPORT.md tells how to read them.",
+			"self-contained HTML page with plots and tables, and a CSV file. docs/REPORT.md explains how to read them.",
 		runner: new(reportFlags),
 	}
 }
@@ -52,14 +52,14 @@
 	return nil
 }
 
-// writeFile writes a file and tells where.
+// writeFile writes a file and prints its path to progress.
 func writeFile(path string, progress io.Writer, write func(io.Writer) error) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
 	if err := write(file); err != nil {
-		_ = file.Close() // the write's error is the one to tell
+		_ = file.Close() // the write error is the one to report
 		return trace.Wrap(err, "writing %s", path)
 	}
 	if err := file.Close(); err != nil {
--- a/internal/benchcommand/run.go
+++ b/internal/benchcommand/run.go
@@ -1,5 +1,5 @@
-// Package benchcommand is the command line of hazelbench: one file for each
-// subcommand, with its flags. commands.go lists them.
+// Package benchcommand implements the command line of hazelbench. Each subcommand and its flags have
+// their own file; commands.go lists them.
 package benchcommand
 
 import (
@@ -15,12 +15,12 @@
 
 // Exit codes of hazelbench.
 const (
-	ExitDone   = 0 // the run did what it promises
-	ExitFailed = 1 // the run failed, or something was cut, lost or mixed
+	ExitDone   = 0 // success
+	ExitFailed = 1 // the run failed, or a request was cut, lost or mixed
 	ExitUsage  = 2 // bad flags or bad files; nothing was started
 )
 
-// Environment is what the process around a command decides.
+// Environment is what the process provides to the command.
 type Environment struct {
 	// Program is the name that help and errors show.
 	Program string
@@ -30,12 +30,12 @@
 
 // runner is a subcommand with its parsed flags.
 type runner interface {
-	// run does the command's work until the context ends. rest is the arguments
-	// that are not flags.
+	// run executes the command until it is done or the context ends. rest contains the arguments that
+	// are not flags.
 	run(ctx context.Context, environment Environment, rest []string) error
 }
 
-// usageError marks a mistake in flags or files: nothing was started.
+// usageError is a mistake in flags or files: nothing was started.
 type usageError struct{ cause error }
 
 // Error returns the cause's text.
@@ -44,13 +44,13 @@
 // Unwrap returns the cause.
 func (u *usageError) Unwrap() error { return u.cause }
 
-// Run parses the arguments (without the program's name), runs the subcommand until
-// it is done or SIGINT or SIGTERM arrives, and returns the exit code.
+// Run parses the arguments (without the program's name), runs the subcommand until it is done or SIGINT or
+// SIGTERM arrives, and returns the exit code.
 func Run(ctx context.Context, arguments []string, environment Environment) int {
-	if len(arguments) > 0 && arguments[0] == serveName {
+	if len(arguments) > 0 && arguments[0] == serveSubcommand {
 		return serve(ctx, arguments[1:], environment)
 	}
-	if len(arguments) > 0 && arguments[0] == serveSiteName {
+	if len(arguments) > 0 && arguments[0] == serveSiteSubcommand {
 		return serveSite(ctx, arguments[1:], environment)
 	}
 	parser := flags.NewNamedParser(environment.Program, flags.HelpFlag|flags.PassDoubleDash)
@@ -69,10 +69,10 @@
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	return exitCode(runners[parser.Active.Name].run(ctx, environment, rest), parser.Active.Name, environment)
+	return reportError(runners[parser.Active.Name].run(ctx, environment, rest), parser.Active.Name, environment)
 }
 
-// reportUsage prints help to standard output and mistakes to standard error.
+// reportUsage prints help to standard output or a mistake to standard error, and returns the exit code.
 func reportUsage(err error, environment Environment) int {
 	var flagsError *flags.Error
 	if errors.As(err, &flagsError) && flagsError.Type == flags.ErrHelp {
@@ -83,7 +83,7 @@
 	return ExitUsage
 }
 
-func exitCode(err error, name string, environment Environment) int {
+func reportError(err error, name string, environment Environment) int {
 	if err == nil {
 		return ExitDone
 	}
--- a/internal/benchcommand/serve.go
+++ b/internal/benchcommand/serve.go
@@ -10,18 +10,18 @@
 	"github.com/hazelpitch/hazelpitch/internal/servercommand"
 )
 
-// serveName is the hidden subcommand that a fleet starts this program with:
-// serve DESCRIPTION controller|gateway FLAGS. It runs the server's own code with
-// listeners that are as slow as the description's zones are far.
-const serveName = "serve"
+// serveSubcommand is the hidden subcommand with which a fleet starts this program:
+// serve DESCRIPTION controller|gateway FLAGS. It runs the server's own code with listeners that have the
+// latencies between the description's zones.
+const serveSubcommand = "serve"
 
-// serveArguments are the arguments that a fleet starts a server with.
+// serveArguments returns the arguments with which a fleet starts a server.
 func serveArguments(role fleet.Role, settingsPath, descriptionPath string, more ...string) []string {
-	return append([]string{serveName, descriptionPath, string(role), "--settings", settingsPath}, more...)
+	return append([]string{serveSubcommand, descriptionPath, string(role), "--settings", settingsPath}, more...)
 }
 
-// serve runs one server until it ends, or until its standard input does: a fleet
-// holds the other end, so that its servers end with it.
+// serve runs one server until it stops or its standard input is closed. The fleet holds the other end of
+// the standard input, so its servers stop with it.
 func serve(ctx context.Context, arguments []string, environment Environment) int {
 	if len(arguments) < 2 {
 		fmt.Fprintf(environment.Stderr, "%s serve: the fleet description and the server are missing; only fleets start this\n", environment.Program)
@@ -34,12 +34,12 @@
 	}
 	topology := fleet.NewTopology(description)
 	go func() {
-		_ = fleet.ObeyCuts(os.Stdin, topology.Gate()) // it ends when the fleet does
+		_ = fleet.ObeyCuts(os.Stdin, topology.Gate()) // returns when the fleet closes standard input
 		os.Exit(ExitFailed)
 	}()
 	defer topology.Flush()
 	return servercommand.Run(ctx, arguments[1:], servercommand.Environment{
-		Program: environment.Program + " " + serveName,
+		Program: environment.Program + " " + serveSubcommand,
 		Stdout:  environment.Stdout,
 		Stderr:  environment.Stderr,
 		Listen:  topology.Listen,
--- a/internal/benchcommand/simulate.go
+++ b/internal/benchcommand/simulate.go
@@ -14,7 +14,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/simulation"
 )
 
-// shownTraceLines is how many lines of a trace are printed on a violation.
+// shownTraceLines is the number of trace lines that are printed for a violation.
 const shownTraceLines = 120
 
 // simulateFlags are the flags of `hazelbench simulate`.
@@ -25,7 +25,7 @@
 	Workers    int    `long:"workers" description:"seeds run at once; default: GOMAXPROCS"`
 	JSON       bool   `long:"json" description:"print the totals as JSON"`
 
-	// safeguards is empty but in tests that want a broken promise.
+	// safeguards is empty except in tests that provoke a violation.
 	safeguards safeguard.Set
 }
 
@@ -41,7 +41,7 @@
 }
 
 func (s *simulateFlags) run(ctx context.Context, environment Environment, rest []string) error {
-	if err := noArguments(rest); err != nil {
+	if err := rejectArguments(rest); err != nil {
 		return err
 	}
 	options, first, last, err := s.options()
@@ -56,14 +56,14 @@
 	if err := summary.write(environment.Stdout, s.JSON); err != nil {
 		return trace.Wrap(err)
 	}
-	if summary.broken != nil {
-		writeBroken(environment.Stderr, s, summary.broken)
-		return trace.Errorf("seed %d breaks a promise: %v", summary.broken.Seed, summary.broken.Violation)
+	if summary.firstFailure != nil {
+		writeViolation(environment.Stderr, s, summary.firstFailure)
+		return trace.Errorf("seed %d breaks a promise: %v", summary.firstFailure.Seed, summary.firstFailure.Violation)
 	}
 	return trace.Wrap(ctx.Err(), "interrupted after %d seeds", summary.Seeds)
 }
 
-// options checks the flags.
+// options checks the flags and converts them.
 func (s *simulateFlags) options() (options simulation.Options, first, last uint64, err error) {
 	first, last, err = parseSeeds(s.Seeds)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return simulation.Options{Steps: s.Steps, Deployment: deployment, Safeguards: s.safeguards}, first, last, nil
 }
 
-// workers returns how many seeds run at once.
+// workers returns the number of seeds to run at the same time.
 func (s *simulateFlags) workers() int {
 	if s.Workers > 0 {
 		return s.Workers
@@ -90,7 +90,7 @@
 	return runtime.GOMAXPROCS(0)
 }
 
-// parseSeeds reads A..B or one number.
+// parseSeeds parses A..B or a single number.
 func parseSeeds(text string) (first, last uint64, err error) {
 	from, to, isRange := strings.Cut(text, "..")
 	if !isRange {
@@ -107,13 +107,13 @@
 	return first, last, nil
 }
 
-// writeBroken prints the seed, how to run it again, and the end of its trace.
-func writeBroken(out io.Writer, flags *simulateFlags, broken *simulation.Result) {
-	lines := broken.Trace[max(0, len(broken.Trace)-shownTraceLines):]
-	fmt.Fprintf(out, "the last %d lines of seed %d (seconds, who, what):\n", len(lines), broken.Seed)
+// writeViolation prints the end of the failed seed's trace and how to run the seed again.
+func writeViolation(out io.Writer, flags *simulateFlags, failed *simulation.Result) {
+	lines := failed.Trace[max(0, len(failed.Trace)-shownTraceLines):]
+	fmt.Fprintf(out, "the last %d lines of seed %d (seconds, who, what):\n", len(lines), failed.Seed)
 	for _, line := range lines {
 		fmt.Fprintln(out, line)
 	}
 	fmt.Fprintf(out, "trace hash of the seed %016x; run it again with --seeds %d --steps %d --deployment %s\n",
-		broken.TraceHash, broken.Seed, flags.Steps, flags.Deployment)
+		failed.TraceHash, failed.Seed, flags.Steps, flags.Deployment)
 }
--- a/internal/benchcommand/simulate_test.go
+++ b/internal/benchcommand/simulate_test.go
@@ -11,13 +11,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// TestSimulateTellsABrokenPromise switches a safeguard off: the command fails and
-// prints the seed, what was broken, and the trace up to it.
-func TestSimulateTellsABrokenPromise(t *testing.T) {
+// TestSimulateReportsViolation disables a safeguard: the command must fail and print the seed, the broken
+// promise and the end of the trace.
+func TestSimulateReportsViolation(t *testing.T) {
 	for _, row := range []struct {
-		name  string
-		json  bool
-		shown string
+		name       string
+		json       bool
+		wantStdout string
 	}{
 		{"text", false, "seed 1 breaks a promise: one winner at "},
 		{"JSON", true, `"check": "one winner"`},
@@ -30,8 +30,8 @@
 			}
 			err := flags.run(context.Background(), Environment{Stdout: &stdout, Stderr: &stderr}, nil)
 			require.ErrorContains(t, err, "seed 1 breaks a promise: one winner")
-			require.Equal(t, ExitFailed, exitCode(err, "simulate", Environment{Stderr: &stderr}))
-			require.Contains(t, stdout.String(), row.shown)
+			require.Equal(t, ExitFailed, reportError(err, "simulate", Environment{Stderr: &stderr}))
+			require.Contains(t, stdout.String(), row.wantStdout)
 			require.Contains(t, stderr.String(), "VIOLATION")
 			require.Contains(t, stderr.String(), "operator-1")
 			require.Contains(t, stderr.String(), "--seeds 1 --steps 3000 --deployment small")
--- a/internal/benchcommand/simulation_summary.go
+++ b/internal/benchcommand/simulation_summary.go
@@ -13,8 +13,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/simulation"
 )
 
-// simulationSummary sums up the seeds of `hazelbench simulate`. Its exported fields
-// are the JSON report.
+// simulationSummary totals the results of the seeds of `hazelbench simulate`. Its exported fields are the
+// JSON report.
 type simulationSummary struct {
 	Deployment         string                       `json:"deployment"`
 	FirstSeed          uint64                       `json:"first_seed"`
@@ -29,13 +29,13 @@
 	OperatorOperations int                          `json:"operator_operations"`
 	FaultsBegun        int                          `json:"faults_begun"`
 	Faults             map[simulation.FaultKind]int `json:"faults"`
-	// TraceHash is the hash over the trace hashes of all seeds, in their order.
+	// TraceHash is the hash of the trace hashes of all seeds, in the order of the seeds.
 	TraceHash string               `json:"trace_hash"`
 	Violation *simulationViolation `json:"violation,omitempty"`
 
 	digest *xxhash.Digest
-	// broken is the first run that broke a promise.
-	broken *simulation.Result
+	// firstFailure is the first run that broke a promise, or nil.
+	firstFailure *simulation.Result
 }
 
 // simulationViolation is the broken promise in the JSON report.
@@ -53,7 +53,7 @@
 	}
 }
 
-// add takes the result of the next seed.
+// add adds the result of the next seed.
 func (s *simulationSummary) add(result simulation.Result) {
 	s.Seeds++
 	s.Steps += result.Steps
@@ -68,8 +68,8 @@
 		s.FaultsBegun += count
 	}
 	_, _ = s.digest.Write(binary.BigEndian.AppendUint64(nil, result.TraceHash)) // never fails
-	if result.Violation != nil && s.broken == nil {
-		s.broken = &result
+	if result.Violation != nil && s.firstFailure == nil {
+		s.firstFailure = &result
 		s.Violation = &simulationViolation{
 			Seed: result.Seed, Check: result.Violation.Check, Detail: result.Violation.Detail,
 			AtSeconds: result.Violation.At.Seconds(),
--- a/internal/benchcommand/soak.go
+++ b/internal/benchcommand/soak.go
@@ -18,27 +18,27 @@
 	"github.com/hazelpitch/hazelpitch/platform"
 )
 
-// serveSiteName is the hidden subcommand that a soak starts this program with:
+// serveSiteSubcommand is the hidden subcommand with which a soak starts this program:
 // serve-site relay|site-controller FLAGS. It runs the server's own code.
-const serveSiteName = "serve-site"
+const serveSiteSubcommand = "serve-site"
 
-// serveSite runs one server until it ends, or until its standard input does: a soak holds the other end,
-// so that its servers end with it.
+// serveSite runs one server until it stops or its standard input is closed. The soak holds the other end
+// of the standard input, so its servers stop with it.
 func serveSite(ctx context.Context, arguments []string, environment Environment) int {
-	way := soak.Outgoing()
+	outgoing := soak.Outgoing()
 	go func() {
-		_ = fleet.ObeyCuts(os.Stdin, way.Partitioner) // it ends when the soak does
+		_ = fleet.ObeyCuts(os.Stdin, outgoing.Partitioner) // it ends when the soak does
 		os.Exit(ExitFailed)
 	}()
 	return servercommand.Run(ctx, arguments, servercommand.Environment{
-		Program: environment.Program + " " + serveSiteName, Stdout: environment.Stdout, Stderr: environment.Stderr, Site: platform.Site(),
-		Dial: dialing.Dial(way.WrapDial(zonedelay.DialFunc(dialing.WithDeadPeerDetection()), soak.PeerPort)),
+		Program: environment.Program + " " + serveSiteSubcommand, Stdout: environment.Stdout, Stderr: environment.Stderr, Site: platform.Site(),
+		Dial: dialing.Dial(outgoing.WrapDial(zonedelay.DialFunc(dialing.WithDeadPeerDetection()), soak.PeerPort)),
 		ListenPacket: func(network, address string) (net.PacketConn, error) {
 			connection, err := net.ListenPacket(network, address)
 			if err != nil {
 				return nil, err
 			}
-			return way.WrapPacketConn(connection), nil
+			return outgoing.WrapPacketConn(connection), nil
 		},
 	})
 }
@@ -68,7 +68,7 @@
 		name:  "soak",
 		short: "run relays and controllers as real processes under faults from outside, and check every rule",
 		long: "For each seed: starts controllers and relays on loopback with stand-ins of the users' platform around them, sends " +
-			"requests of all kinds, some of which end their back ends, changes the configuration, kills, freezes, stops, restarts " +
+			"requests of all kinds, some of which crash their back ends, changes the configuration, kills, freezes, stops, restarts " +
 			"and wipes processes, crashes, drains, resets, silences and slows back ends, and checks the rules on what clients, " +
 			"back ends and the operator saw. It fails when a rule was broken, and prints the command that runs the seed again.",
 		runner: new(soakFlags),
@@ -76,7 +76,7 @@
 }
 
 func (s *soakFlags) run(ctx context.Context, environment Environment, rest []string) error {
-	if err := noArguments(rest); err != nil {
+	if err := rejectArguments(rest); err != nil {
 		return err
 	}
 	if s.Controllers < 1 || s.Relays < 1 || s.Pages < 2 || s.Engines < 2 || s.Clients < 1 || s.Seeds < 1 || s.Poisons < 0 || s.Length <= 0 || s.Calm < 0 {
@@ -94,9 +94,9 @@
 	return trace.NewAggregate(failures...)
 }
 
-// runSeed runs one seed; its files stay where a rule was broken.
+// runSeed runs one seed. It keeps the seed's files if a rule was broken.
 func (s *soakFlags) runSeed(ctx context.Context, environment Environment, seed uint64) error {
-	directory, err := s.directory(seed)
+	directory, err := s.makeDirectory(seed)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -107,7 +107,7 @@
 	fmt.Fprintln(environment.Stdout, report)
 	if err := report.Failed(); err != nil {
 		fmt.Fprintf(environment.Stdout, "  again: %s soak --seed %d --length %s --calm %s --controllers %d --relays %d --pages %d --engines %d --clients %d --poisons %d%s\n  logs: %s\n",
-			environment.Program, seed, s.Length, s.Calm, s.Controllers, s.Relays, s.Pages, s.Engines, s.Clients, s.Poisons, s.otherFlags(), directory)
+			environment.Program, seed, s.Length, s.Calm, s.Controllers, s.Relays, s.Pages, s.Engines, s.Clients, s.Poisons, s.buildFlags(), directory)
 		return trace.Wrap(err)
 	}
 	if s.Directory == "" {
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// otherFlags are the flags of a run with two builds, as they are written.
-func (s *soakFlags) otherFlags() string {
+// buildFlags returns the flags of a run with two builds, as text.
+func (s *soakFlags) buildFlags() string {
 	flags := ""
 	if s.Other != "" {
 		flags += " --other " + s.Other
@@ -128,20 +128,20 @@
 	return flags
 }
 
-// directory is where a seed's files go.
-func (s *soakFlags) directory(seed uint64) (string, error) {
+// makeDirectory creates the directory of a seed's files.
+func (s *soakFlags) makeDirectory(seed uint64) (string, error) {
 	if s.Directory == "" {
-		made, err := os.MkdirTemp("", fmt.Sprintf("hazelbench-soak-%d-", seed))
-		return made, trace.ConvertSystemError(err)
+		temporary, err := os.MkdirTemp("", fmt.Sprintf("hazelbench-soak-%d-", seed))
+		return temporary, trace.ConvertSystemError(err)
 	}
-	made := filepath.Join(s.Directory, fmt.Sprint("seed-", seed))
-	return made, trace.ConvertSystemError(os.MkdirAll(made, 0o755))
+	path := filepath.Join(s.Directory, fmt.Sprint("seed-", seed))
+	return path, trace.ConvertSystemError(os.MkdirAll(path, 0o755))
 }
 
 func (s *soakFlags) options(environment Environment, seed uint64, directory string) soak.Options {
 	options := soak.Options{
 		Seed: seed, Controllers: s.Controllers, Relays: s.Relays, Pages: s.Pages, Engines: s.Engines, Clients: s.Clients, Poisons: s.Poisons,
-		Length: s.Length, Calm: s.Calm, Directory: directory, Program: s.Program, Serve: serveSiteName, Timed: !s.Untimed,
+		Length: s.Length, Calm: s.Calm, Directory: directory, Program: s.Program, Serve: serveSiteSubcommand, Timed: !s.Untimed,
 		Other: s.Other, Plain: s.Plain,
 	}
 	if s.Verbose {
--- a/internal/benchcommand/own_fleet.go
+++ b/internal/benchcommand/start_fleet.go
@@ -9,11 +9,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/fleet"
 )
 
-// ownFleet starts the fleet of a deployment for one run and waits until it serves. The
-// run's files go to the directory, or to a temporary one when that is empty; end stops
-// the fleet and removes the temporary one.
-func ownFleet(ctx context.Context, deployment, directory string, progress io.Writer) (started *fleet.Fleet, end func(), err error) {
-	directory, remove, err := runDirectory(directory)
+// startFleet starts the fleet of a deployment for one run and waits until its gateways are ready. The
+// run's files go to the directory, or to a temporary one if it is empty. stop stops the fleet and removes
+// a temporary directory.
+func startFleet(ctx context.Context, deployment, directory string, progress io.Writer) (started *fleet.Fleet, stop func(), err error) {
+	directory, remove, err := prepareDirectory(directory)
 	if err != nil {
 		return nil, nil, trace.Wrap(err)
 	}
@@ -22,13 +22,13 @@
 		remove()
 		return nil, nil, trace.Wrap(err)
 	}
-	end = func() {
+	stop = func() {
 		started.Close()
 		remove()
 	}
 	if err := boot(ctx, started, true, progress); err != nil {
-		end()
+		stop()
 		return nil, nil, trace.Wrap(err)
 	}
-	return started, end, nil
+	return started, stop, nil
 }
