--- a/internal/importrules/doc.go
+++ b/internal/importrules/doc.go
@@ -1,4 +1,5 @@
-// Package importrules holds no code of its own: its test fails when a product
-// package imports the bench, or when a package of pure decision logic imports
-// I/O, a clock or a random source. docs/ARCHITECTURE.md lists the rules.
+// Package importrules contains only tests. They fail when a product package imports the bench, when a
+// package of pure decision logic does I/O, reads a clock or uses a random source, when a platform name
+// appears outside the platform package, or when a decision uses the time of day. docs/ARCHITECTURE.md
+// lists the rules.
 package importrules
--- a/internal/importrules/importrules_test.go
+++ b/internal/importrules/importrules_test.go
@@ -16,7 +16,7 @@
 
 const modulePath = "github.com/hazelpitch/hazelpitch/"
 
-// purePackages decide without I/O, clock, goroutine or unseeded randomness.
+// purePackages contain decision logic without I/O, clocks, goroutines or unseeded randomness.
 var purePackages = []string{
 	"internal/admission",
 	"internal/authority",
@@ -54,7 +54,7 @@
 	"internal/verdict",
 }
 
-// benchPackages may be imported by the bench alone.
+// benchPackages may be imported only by the bench.
 var benchPackages = []string{
 	"internal/benchcommand",
 	"internal/enginemodel",
@@ -76,15 +76,15 @@
 	"platform/standin",
 }
 
-// impureImports may not appear in a pure package.
+// impureImports must not appear in a pure package.
 var impureImports = []string{"net", "net/http", "os", "crypto/rand", "sync", "github.com/valyala/fasthttp"}
 
-// impureCalls may not appear in a pure package.
+// impureCalls must not appear in a pure package.
 var impureCalls = []string{"time.Now", "time.Since", "time.After", "time.Sleep", "time.NewTimer", "time.NewTicker"}
 
-// sourceFile is one parsed Go file that is not a test.
+// sourceFile is one parsed Go file other than a test.
 type sourceFile struct {
-	directory string // relative to the root, with slashes
+	directory string // relative to the repository's root, with slashes
 	path      string
 	syntax    *ast.File
 }
@@ -94,9 +94,9 @@
 		if isBench(file.directory) {
 			continue
 		}
-		for _, imported := range imports(t, file.syntax) {
-			local, isLocal := strings.CutPrefix(imported, modulePath)
-			require.False(t, isLocal && isBench(local), "%s imports %s, which belongs to the bench", file.path, imported)
+		for _, imported := range importPaths(t, file.syntax) {
+			localPath, isLocal := strings.CutPrefix(imported, modulePath)
+			require.False(t, isLocal && isBench(localPath), "%s imports %s, which belongs to the bench", file.path, imported)
 		}
 	}
 }
@@ -106,10 +106,10 @@
 		if !slices.Contains(purePackages, file.directory) {
 			continue
 		}
-		for _, imported := range imports(t, file.syntax) {
+		for _, imported := range importPaths(t, file.syntax) {
 			require.NotContains(t, impureImports, imported, "%s is pure and may not import it", file.path)
 		}
-		for _, problem := range impureSyntax(file.syntax) {
+		for _, problem := range findImpureSyntax(file.syntax) {
 			t.Errorf("%s is pure and may not use %s", file.path, problem)
 		}
 	}
@@ -121,7 +121,7 @@
 func f() { go f(); _ = time.Now() }`
 	syntax, err := parser.ParseFile(token.NewFileSet(), "p.go", source, 0)
 	require.NoError(t, err)
-	require.Equal(t, []string{"a goroutine", "time.Now"}, impureSyntax(syntax))
+	require.Equal(t, []string{"a goroutine", "time.Now"}, findImpureSyntax(syntax))
 }
 
 func isBench(directory string) bool {
@@ -133,7 +133,7 @@
 	})
 }
 
-func impureSyntax(file *ast.File) []string {
+func findImpureSyntax(file *ast.File) []string {
 	var found []string
 	ast.Inspect(file, func(node ast.Node) bool {
 		switch typed := node.(type) {
@@ -150,7 +150,7 @@
 	return found
 }
 
-func imports(t *testing.T, file *ast.File) []string {
+func importPaths(t *testing.T, file *ast.File) []string {
 	t.Helper()
 	var paths []string
 	for _, spec := range file.Imports {
@@ -167,7 +167,7 @@
 	var files []sourceFile
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if path == filepath.Join(root, "target") {
-			return fs.SkipDir // what builds leave there is no source of this tree
+			return fs.SkipDir // build output, not source code
 		}
 		if err != nil || entry.IsDir() {
 			return err
--- a/internal/importrules/platform_test.go
+++ b/internal/importrules/platform_test.go
@@ -10,16 +10,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// platformFolder alone knows how the users' platform speaks; standInFolder in it has the stand-ins that
-// speak it from the other side, which no product code imports (TestProductDoesNotImportBench).
+// platformFolder is the only package that knows the protocol of the users' platform. standInFolder
+// contains the stand-ins that implement the platform's side of it; no product code imports them
+// (TestProductDoesNotImportBench).
 const (
 	platformFolder = "platform"
 	standInFolder  = "platform/standin"
 )
 
-// platformNames are names of the platform that no other code may hold: headers, paths and
-// fields of its documents. X-Kv-Source is left out: the product's own contract with engines
-// has a header of that name.
+// platformNames are the platform's headers, paths and document fields, which must not appear in other
+// packages. X-Kv-Source is left out, because the product's own contract with engines has a header of that
+// name.
 var platformNames = []string{
 	"X-Tenant", "X-Duty-Holder", "X-Fencing-Token", "ApiKeys", "AllowAnonymous", "UsageWindowS", "usage_report", "/usage", "/scale",
 	"X-Request-Id", "X-Request-Deadline-Ms", "X-Prompt-Prefix", "X-Server-Seal", "X-Expect-Instance", "X-Server-Load",
@@ -30,12 +31,12 @@
 	"StageSwitchS", "HandleTtlS", "KvTokenBytes",
 }
 
-func TestOnlyThePlatformFolderKnowsThePlatformsNames(t *testing.T) {
+func TestPlatformNamesStayInPlatformFolder(t *testing.T) {
 	for _, file := range sourceFiles(t) {
 		if file.directory == platformFolder || file.directory == standInFolder {
 			continue
 		}
-		for _, text := range literals(t, file.syntax) {
+		for _, text := range stringLiterals(t, file.syntax) {
 			for _, name := range platformNames {
 				require.False(t, strings.Contains(strings.ToLower(text), strings.ToLower(name)),
 					"%s holds %q, which only %s/ may know", file.path, name, platformFolder)
@@ -44,25 +45,25 @@
 	}
 }
 
-func TestThePlatformFolderDecidesNothing(t *testing.T) {
+func TestPlatformFolderOnlyTranslates(t *testing.T) {
 	found := false
 	for _, file := range sourceFiles(t) {
 		if file.directory != platformFolder {
 			continue
 		}
 		found = true
-		for _, imported := range imports(t, file.syntax) {
+		for _, imported := range importPaths(t, file.syntax) {
 			require.NotContains(t, []string{"math/rand", "math/rand/v2", "crypto/rand", "sync"}, imported, "%s only translates", file.path)
 		}
-		for _, problem := range impureSyntax(file.syntax) {
+		for _, problem := range findImpureSyntax(file.syntax) {
 			t.Errorf("%s only translates and may not use %s", file.path, problem)
 		}
 	}
 	require.True(t, found)
 }
 
-// literals returns the strings of a file, without its imports.
-func literals(t *testing.T, file *ast.File) []string {
+// stringLiterals returns the string literals of a file, without its imports.
+func stringLiterals(t *testing.T, file *ast.File) []string {
 	t.Helper()
 	var texts []string
 	ast.Inspect(file, func(node ast.Node) bool {
