--- a/internal/processrun/doc.go
+++ b/internal/processrun/doc.go
@@ -1,6 +1,6 @@
-// Package processrun runs a scenario on a fleet of processes and records it in the
-// form of an experiment's result, so that `hazelbench report` shows both side by side.
+// Package processrun runs a scenario on a fleet of processes and records it in the format of an
+// experiment's result, so that `hazelbench report` can compare both.
 //
-// Requests and their times are those of the experiment with the same seed. What
-// happens to them is measured at the callers, the engines' states at the stand-ins.
+// The requests and their times are those of the experiment with the same seed. Outcomes are measured at
+// the callers, and the engines' states at the stand-ins.
 package processrun
--- a/internal/processrun/faults.go
+++ b/internal/processrun/faults.go
@@ -10,53 +10,53 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// checkFaults refuses faults that a fleet of processes cannot show at a time.
-func checkFaults(of scenario.Scenario) error {
-	for _, fault := range of.Faults {
+// validateFaults rejects faults that only exist in virtual time.
+func validateFaults(definition scenario.Scenario) error {
+	for _, fault := range definition.Faults {
 		switch fault.Fault {
 		case scenario.FaultEngineCrash, scenario.FaultEnginePause:
 		default:
 			return trace.BadParameter("scenario %s: fault %s can be run in virtual time alone; on processes there are %s and %s",
-				of.Name, fault.Fault, scenario.FaultEngineCrash, scenario.FaultEnginePause)
+				definition.Name, fault.Fault, scenario.FaultEngineCrash, scenario.FaultEnginePause)
 		}
 	}
 	return nil
 }
 
-// strike lets the scenario's faults happen at their times, until the context ends.
-func strike(ctx context.Context, outside *fleet.Outside, of scenario.Scenario, began time.Time) {
-	for _, fault := range of.Faults {
+// scheduleFaults starts the scenario's faults at their times, until the context ends. It does not block.
+func scheduleFaults(ctx context.Context, outside *fleet.Outside, definition scenario.Scenario, start time.Time) {
+	for _, fault := range definition.Faults {
 		go func() {
-			if !sleepUntil(ctx, began.Add(fault.At)) {
+			if !sleepUntil(ctx, start.Add(fault.At)) {
 				return
 			}
-			strikeOne(ctx, outside, of, fault)
+			injectFault(ctx, outside, definition, fault)
 		}()
 	}
 }
 
-func strikeOne(ctx context.Context, outside *fleet.Outside, of scenario.Scenario, fault scenario.Fault) {
-	for _, declared := range fault.Strikes(of.Engines()) {
-		struck := outside.Engine(declared.Name)
-		if struck == nil {
+func injectFault(ctx context.Context, outside *fleet.Outside, definition scenario.Scenario, fault scenario.Fault) {
+	for _, declared := range fault.Strikes(definition.Engines()) {
+		target := outside.Engine(declared.Name)
+		if target == nil {
 			continue
 		}
 		if fault.Fault == scenario.FaultEnginePause {
-			struck.Freeze(fault.Length)
+			target.Freeze(fault.Length)
 			continue
 		}
-		struck.Crash()
+		target.Crash()
 		if fault.Length > 0 {
 			go func() {
 				if sleepUntil(ctx, time.Now().Add(fault.Length)) {
-					_ = struck.Restart() // its address is free: the same engine held it
+					_ = target.Restart() // cannot fail: the engine's address is still free
 				}
 			}()
 		}
 	}
 }
 
-// sleepUntil waits for a time; false when the context ended first.
+// sleepUntil waits until a time; it returns false if the context ended first.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/processrun/record.go
+++ b/internal/processrun/record.go
@@ -12,45 +12,45 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// codeDeadline is the code of answers that ended at their deadlines.
+// codeDeadline is the error code of answers that ended at their deadlines.
 const codeDeadline = "deadline_exceeded"
 
-// recorder turns the ends of requests into an experiment's result.
+// recorder converts the outcomes of requests into an experiment's result.
 type recorder struct {
 	run     experiment.Run
 	kinds   map[string]scenario.Kind
-	tenants map[string]int // position in run.Tenants
+	tenants map[string]int // index in run.Tenants
 
 	firstToken    []time.Duration
 	betweenTokens []time.Duration
-	whole         []time.Duration
+	total         []time.Duration
 }
 
-// record returns the result of a run: what the watcher saw and how requests ended.
-func record(of scenario.Scenario, seed uint64, seen *watcher, results []load.Result) experiment.Run {
-	made := &recorder{
+// record builds the result of a run from the watcher's observations and the requests' outcomes.
+func record(definition scenario.Scenario, seed uint64, observed *watcher, results []load.Result) experiment.Run {
+	recording := &recorder{
 		run: experiment.Run{
-			Scenario: of.Name, Deployment: of.Deployment, Policy: PolicyName, Seed: seed,
-			LengthSeconds: of.Duration.Seconds(), RoleChanges: seen.changed, RoleChangesOrdered: seen.ordered,
-			Series: seen.samples, Events: seen.events,
+			Scenario: definition.Name, Deployment: definition.Deployment, Policy: PolicyName, Seed: seed,
+			LengthSeconds: definition.Duration.Seconds(), RoleChanges: observed.changesFinished, RoleChangesOrdered: observed.changesStarted,
+			Series: observed.samples, Events: observed.events,
 		},
 		kinds:   map[string]scenario.Kind{},
 		tenants: map[string]int{},
 	}
-	for _, kind := range of.Kinds {
-		made.kinds[kind.Name] = kind
+	for _, kind := range definition.Kinds {
+		recording.kinds[kind.Name] = kind
 	}
-	for _, arrival := range of.Arrivals(seed) {
-		made.arrived(arrival, of.Kinds[arrival.Kind])
+	for _, arrival := range definition.Arrivals(seed) {
+		recording.countArrival(arrival, definition.Kinds[arrival.Kind])
 	}
 	for _, result := range results {
-		made.ended(result)
+		recording.countResult(result)
 	}
-	made.finish()
-	return made.run
+	recording.finish()
+	return recording.run
 }
 
-func (r *recorder) arrived(arrival scenario.Arrival, kind scenario.Kind) {
+func (r *recorder) countArrival(arrival scenario.Arrival, kind scenario.Kind) {
 	r.run.Requests++
 	r.run.OfferedWorth += kind.Worth
 	tenant := r.tenant(arrival.Tenant)
@@ -63,7 +63,7 @@
 	}
 }
 
-// sampleAt is the sample of the second that a time falls in; nil beyond the last.
+// sampleAt returns the sample of the second that contains a time; nil after the last sample.
 func (r *recorder) sampleAt(at time.Duration) *experiment.Sample {
 	second := int(at / time.Second)
 	if second >= len(r.run.Series) {
@@ -72,7 +72,7 @@
 	return &r.run.Series[second]
 }
 
-// tenant is the row of a tenant, numbered from 1 as in experiments.
+// tenant returns the row of a tenant. Names count from 1, as in experiments.
 func (r *recorder) tenant(number int) *experiment.Tenant {
 	name := fmt.Sprintf("tenant-%d", number+1)
 	index, found := r.tenants[name]
@@ -84,7 +84,7 @@
 	return &r.run.Tenants[index]
 }
 
-func (r *recorder) ended(result load.Result) {
+func (r *recorder) countResult(result load.Result) {
 	kind := r.kinds[result.Kind]
 	late := kind.Deadline > 0 && result.Total > kind.Deadline
 	switch result.Outcome {
@@ -93,17 +93,17 @@
 			r.run.DeadlineMisses++
 			return
 		}
-		r.completed(result, kind)
+		r.countCompleted(result, kind)
 	case load.Expired:
 		r.run.DeadlineMisses++
 	case load.Refused:
-		r.refused(result)
+		r.countRefused(result)
 	default:
 		r.run.Cut++
 	}
 }
 
-func (r *recorder) completed(result load.Result, kind scenario.Kind) {
+func (r *recorder) countCompleted(result load.Result, kind scenario.Kind) {
 	r.run.Completed++
 	r.run.Goodput += kind.Worth
 	tenant := r.tenant(result.Tenant)
@@ -113,15 +113,15 @@
 		sample.Goodput += kind.Worth
 	}
 	r.firstToken = append(r.firstToken, result.FirstByte)
-	r.whole = append(r.whole, result.Total)
+	r.total = append(r.total, result.Total)
 	if result.Tokens > 1 {
 		r.betweenTokens = append(r.betweenTokens, (result.Total-result.FirstByte)/time.Duration(result.Tokens-1))
 	}
 }
 
-// refused counts a refusal by its verdict. One that came at the deadline, after the
-// request had begun, is a miss; one that began and failed is cut.
-func (r *recorder) refused(result load.Result) {
+// countRefused counts a refusal according to its verdict. A refusal after the request had begun is a
+// deadline miss if it came at the deadline; otherwise the request was cut.
+func (r *recorder) countRefused(result load.Result) {
 	switch {
 	case result.Verdict == verdict.NotRun.String():
 		r.run.Refused++
@@ -135,8 +135,8 @@
 }
 
 func (r *recorder) addRefusal(tenant, reason string) {
-	index := slices.IndexFunc(r.run.Refusals, func(present experiment.Refusal) bool {
-		return present.Tenant == tenant && present.Reason == reason
+	index := slices.IndexFunc(r.run.Refusals, func(entry experiment.Refusal) bool {
+		return entry.Tenant == tenant && entry.Reason == reason
 	})
 	if index < 0 {
 		index = len(r.run.Refusals)
@@ -153,6 +153,6 @@
 	r.run.Latencies = experiment.Latencies{
 		FirstToken:    experiment.PercentilesOf(r.firstToken),
 		BetweenTokens: experiment.PercentilesOf(r.betweenTokens),
-		Whole:         experiment.PercentilesOf(r.whole),
+		Whole:         experiment.PercentilesOf(r.total),
 	}
 }
--- a/internal/processrun/record_test.go
+++ b/internal/processrun/record_test.go
@@ -16,7 +16,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-const text = `name: small
+const scenarioText = `name: small
 deployment: rawabi
 duration: 3s
 zones: [{name: hall-a}]
@@ -32,16 +32,16 @@
     arrivals: {process: constant, rate: 1}
 `
 
-func small(t *testing.T, more string) scenario.Scenario {
+func loadScenario(t *testing.T, faults string) scenario.Scenario {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "small.yaml")
-	require.NoError(t, os.WriteFile(path, []byte(text+more), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(scenarioText+faults), 0o600))
 	read, err := scenario.Load(path)
 	require.NoError(t, err)
 	return read
 }
 
-func TestRecordCountsEachEnd(t *testing.T) {
+func TestRecordCountsEachOutcome(t *testing.T) {
 	notRun, mayHaveRun := verdict.NotRun.String(), verdict.MayHaveRun.String()
 	tests := []struct {
 		name   string
@@ -61,8 +61,8 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			test.result.Kind = "assessment"
-			run := record(small(t, ""), 1, &watcher{}, []load.Result{test.result})
-			require.Equal(t, 3, run.Requests, "those of the scenario, whatever came back")
+			run := record(loadScenario(t, ""), 1, &watcher{}, []load.Result{test.result})
+			require.Equal(t, 3, run.Requests, "all requests of the scenario count, whatever their outcome")
 			require.Equal(t, 30.0, run.OfferedWorth)
 			got := experiment.Run{
 				Completed: run.Completed, Goodput: run.Goodput, DeadlineMisses: run.DeadlineMisses, Refused: run.Refused, Cut: run.Cut,
@@ -72,9 +72,9 @@
 	}
 }
 
-func TestRecordPlacesWorthInItsSecond(t *testing.T) {
-	seen := &watcher{samples: []experiment.Sample{{AtSeconds: 1}, {AtSeconds: 2}, {AtSeconds: 3}}}
-	run := record(small(t, ""), 1, seen, []load.Result{
+func TestRecordAddsWorthToItsSecond(t *testing.T) {
+	observed := &watcher{samples: []experiment.Sample{{AtSeconds: 1}, {AtSeconds: 2}, {AtSeconds: 3}}}
+	run := record(loadScenario(t, ""), 1, observed, []load.Result{
 		{Kind: "assessment", Outcome: load.Completed, Due: 500 * time.Millisecond, FirstByte: 200 * time.Millisecond, Total: 1200 * time.Millisecond, Tokens: 11},
 		{Kind: "assessment", Outcome: load.Refused, Verdict: verdict.NotRun.String(), Code: "overloaded"},
 		{Kind: "assessment", Outcome: load.Refused, Verdict: verdict.NotRun.String(), Code: "overloaded"},
@@ -89,36 +89,36 @@
 	require.Equal(t, []experiment.Tenant{{Tenant: "tenant-1", Requests: 3, Completed: 1, Refused: 2, OfferedWorth: 30, Goodput: 10}}, run.Tenants)
 }
 
-func TestFaultsOfVirtualTimeAloneAreRefused(t *testing.T) {
-	require.NoError(t, checkFaults(small(t, "faults: [{fault: engine-crash, at: 1s}, {fault: engine-pause, at: 1s, length: 1s}]\n")))
+func TestVirtualTimeFaultsAreRejected(t *testing.T) {
+	require.NoError(t, validateFaults(loadScenario(t, "faults: [{fault: engine-crash, at: 1s}, {fault: engine-pause, at: 1s, length: 1s}]\n")))
 	for _, fault := range []string{"stale-reports", "lost-reports", "planner-pause", "planner-crash"} {
-		err := checkFaults(small(t, "faults: [{fault: "+fault+", at: 1s, length: 1s}]\n"))
+		err := validateFaults(loadScenario(t, "faults: [{fault: "+fault+", at: 1s, length: 1s}]\n"))
 		require.ErrorContains(t, err, "fault "+fault+" can be run in virtual time alone")
 	}
 }
 
-func TestWatcherSeesACrashAndTheReturn(t *testing.T) {
-	of := small(t, "")
+func TestWatcherRecordsCrashAndRestart(t *testing.T) {
+	definition := loadScenario(t, "")
 	started, err := engine.Start(engine.Config{
-		Name: "assessor-hall-a-1", Service: "assessor", Zone: "hall-a", Address: "127.0.0.4:0", // nobody dials from there: the port stays free for the restart
+		Name: "assessor-hall-a-1", Service: "assessor", Zone: "hall-a", Address: "127.0.0.4:0", // outgoing connections do not use this address, so the port stays free for the restart
 		Role: enginecontract.RoleMixed, Model: "assessor",
 	})
 	require.NoError(t, err)
 	t.Cleanup(started.Close)
-	watcher := newWatcher([]*engine.Engine{started}, of, time.Now())
-	look := func(since time.Duration) experiment.RoleCount {
-		watcher.look(watcher.engines[0], since)
-		watcher.sample()
+	watcher := newWatcher([]*engine.Engine{started}, definition, time.Now())
+	observe := func(since time.Duration) experiment.RoleCount {
+		watcher.update(watcher.engines[0], since)
+		watcher.addSample()
 		return watcher.samples[len(watcher.samples)-1].Roles[0]
 	}
 	count := experiment.RoleCount{Service: "assessor", Zone: "hall-a"}
 	mixed, out := count, count
 	mixed.Mixed, out.Out = 1, 1
-	require.Equal(t, mixed, look(time.Second))
+	require.Equal(t, mixed, observe(time.Second))
 	started.Crash()
-	require.Equal(t, out, look(2*time.Second))
+	require.Equal(t, out, observe(2*time.Second))
 	require.NoError(t, started.Restart())
-	require.Equal(t, mixed, look(3*time.Second))
+	require.Equal(t, mixed, observe(3*time.Second))
 	require.Len(t, watcher.events, 2)
 	require.Equal(t, experiment.EventFault, watcher.events[0].Type)
 	require.Equal(t, experiment.EventRecovered, watcher.events[1].Type)
--- a/internal/processrun/run.go
+++ b/internal/processrun/run.go
@@ -12,41 +12,41 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// PolicyName is the policy that results of runs on processes carry: the product's
-// planner, as the experiments' policy "planner".
+// PolicyName is the policy name in results of runs on processes. It is the product's planner, which
+// experiments name "planner".
 const PolicyName = "planner on processes"
 
-// Options are what a run is started with.
+// Options configure a run.
 type Options struct {
-	// Fleet is a running fleet that was started with the scenario and is ready.
+	// Fleet is a running and ready fleet that was started with the scenario.
 	Fleet    *fleet.Fleet
 	Scenario scenario.Scenario
-	// Load aims the requests; its Seed draws them.
+	// Load selects where to send the requests; its Seed determines them.
 	Load load.Options
 }
 
-// Run sends the scenario's requests, lets its faults happen, and returns the result
-// and the report of the load. It ends when every request has its answer.
+// Run sends the scenario's requests, injects its faults, and returns the result and the load report. It
+// blocks until every request has an outcome.
 func Run(ctx context.Context, options Options) (experiment.Run, load.Report, error) {
-	if err := checkFaults(options.Scenario); err != nil {
+	if err := validateFaults(options.Scenario); err != nil {
 		return experiment.Run{}, load.Report{}, trace.Wrap(err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	began := time.Now()
-	seen := newWatcher(options.Fleet.Outside.Engines, options.Scenario, began)
-	watching, stopWatching := context.WithCancel(ctx)
-	watched := make(chan struct{})
+	start := time.Now()
+	engineWatcher := newWatcher(options.Fleet.Outside.Engines, options.Scenario, start)
+	watchContext, stopWatching := context.WithCancel(ctx)
+	watcherDone := make(chan struct{})
 	go func() {
-		defer close(watched)
-		seen.run(watching)
+		defer close(watcherDone)
+		engineWatcher.run(watchContext)
 	}()
-	strike(ctx, options.Fleet.Outside, options.Scenario, began)
+	scheduleFaults(ctx, options.Fleet.Outside, options.Scenario, start)
 	report, results, err := load.RunScenario(ctx, options.Load, options.Scenario)
 	stopWatching()
-	<-watched
+	<-watcherDone
 	if err != nil {
 		return experiment.Run{}, report, trace.Wrap(err)
 	}
-	return record(options.Scenario, options.Load.Seed, seen, results), report, nil
+	return record(options.Scenario, options.Load.Seed, engineWatcher, results), report, nil
 }
--- a/internal/processrun/watch.go
+++ b/internal/processrun/watch.go
@@ -12,50 +12,50 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/engine"
 )
 
-// watchInterval is the time between looks at the engines; events are as exact.
-const watchInterval = 50 * time.Millisecond
+// pollInterval is the time between two polls of the engines; it is also the precision of event times.
+const pollInterval = 50 * time.Millisecond
 
-// watched is one engine as last seen.
-type watched struct {
+// engineStatus is the state of one engine at the last poll.
+type engineStatus struct {
 	engine  *engine.Engine
 	service string
 	zone    string
-	// role is the last role in which it served.
-	role     enginecontract.Role
-	up       bool
-	state    enginecontract.ServiceState
-	changing bool // a change has started and not ended
-	load     enginecontract.LoadReport
+	// role is the last role in which the engine served.
+	role       enginecontract.Role
+	isUp       bool
+	state      enginecontract.ServiceState
+	isChanging bool // a role change has started and not finished
+	load       enginecontract.LoadReport
 }
 
-// watcher follows the engines of a run. It belongs to one goroutine.
+// watcher polls the engines of a run. It must be used by one goroutine only.
 type watcher struct {
-	engines []*watched
-	began   time.Time
-	events  []experiment.Event
-	samples []experiment.Sample
-	ordered int
-	changed int
+	engines         []*engineStatus
+	start           time.Time
+	events          []experiment.Event
+	samples         []experiment.Sample
+	changesStarted  int
+	changesFinished int
 }
 
-func newWatcher(engines []*engine.Engine, of scenario.Scenario, began time.Time) *watcher {
-	made := &watcher{began: began}
-	for _, declared := range of.Engines() {
-		index := slices.IndexFunc(engines, func(present *engine.Engine) bool { return present.Name() == declared.Name })
+func newWatcher(engines []*engine.Engine, definition scenario.Scenario, start time.Time) *watcher {
+	created := &watcher{start: start}
+	for _, declared := range definition.Engines() {
+		index := slices.IndexFunc(engines, func(candidate *engine.Engine) bool { return candidate.Name() == declared.Name })
 		if index < 0 {
 			continue
 		}
-		made.engines = append(made.engines, &watched{
+		created.engines = append(created.engines, &engineStatus{
 			engine: engines[index], service: declared.Service, zone: declared.Zone, role: declared.Role,
-			up: true, state: enginecontract.StateServing,
+			isUp: true, state: enginecontract.StateServing,
 		})
 	}
-	return made
+	return created
 }
 
-// run looks at the engines until the context ends, and takes a sample each second.
+// run polls the engines until the context ends, and adds a sample each second.
 func (w *watcher) run(ctx context.Context) {
-	ticker := time.NewTicker(watchInterval)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -63,65 +63,65 @@
 			return
 		case <-ticker.C:
 		}
-		since := time.Since(w.began)
-		for _, present := range w.engines {
-			w.look(present, since)
+		since := time.Since(w.start)
+		for _, status := range w.engines {
+			w.update(status, since)
 		}
 		if since >= time.Duration(len(w.samples)+1)*time.Second {
-			w.sample()
+			w.addSample()
 		}
 	}
 }
 
-// look compares an engine with how it was last seen.
-func (w *watcher) look(present *watched, since time.Duration) {
-	state, up := present.engine.State()
-	if up != present.up {
-		present.up = up
+// update polls an engine and records the events since its last poll.
+func (w *watcher) update(status *engineStatus, since time.Duration) {
+	state, up := status.engine.State()
+	if up != status.isUp {
+		status.isUp = up
 		event := experiment.Event{Type: experiment.EventFault, Detail: "engine is down"}
 		if up {
 			event = experiment.Event{Type: experiment.EventRecovered, Detail: "engine is back"}
 		}
-		w.event(present, since, event)
+		w.addEvent(status, since, event)
 	}
 	if !up {
-		present.changing = false
+		status.isChanging = false
 		return
 	}
-	present.load, _ = present.engine.Load()
-	present.state = state.State
+	status.load, _ = status.engine.Load()
+	status.state = state.State
 	out := state.State == enginecontract.StateDraining || state.State == enginecontract.StateChanging
-	if out && !present.changing {
-		present.changing = true
-		w.ordered++
-		w.event(present, since, experiment.Event{Type: experiment.EventChangeStarted, From: string(present.role)})
+	if out && !status.isChanging {
+		status.isChanging = true
+		w.changesStarted++
+		w.addEvent(status, since, experiment.Event{Type: experiment.EventChangeStarted, From: string(status.role)})
 	}
 	if state.State != enginecontract.StateServing {
 		return
 	}
-	if state.Role != present.role {
-		w.changed++
-		w.event(present, since, experiment.Event{
-			Type: experiment.EventChangeFinished, From: string(present.role), To: string(state.Role),
+	if state.Role != status.role {
+		w.changesFinished++
+		w.addEvent(status, since, experiment.Event{
+			Type: experiment.EventChangeFinished, From: string(status.role), To: string(state.Role),
 		})
-		present.role = state.Role
+		status.role = state.Role
 	}
-	present.changing = false
+	status.isChanging = false
 }
 
-func (w *watcher) event(of *watched, since time.Duration, event experiment.Event) {
+func (w *watcher) addEvent(status *engineStatus, since time.Duration, event experiment.Event) {
 	event.AtSeconds = since.Seconds()
-	event.Service, event.Engine, event.Zone = of.service, of.engine.Name(), of.zone
+	event.Service, event.Engine, event.Zone = status.service, status.engine.Name(), status.zone
 	w.events = append(w.events, event)
 }
 
-// sample counts the roles and the requests at the engines.
-func (w *watcher) sample() {
+// addSample records the number of engines in each role and the requests at the engines.
+func (w *watcher) addSample() {
 	sample := experiment.Sample{AtSeconds: float64(len(w.samples) + 1)}
-	for _, present := range w.engines {
-		sample.Waiting += present.load.Waiting
-		sample.Running += present.load.Running
-		sample.Roles = countRole(sample.Roles, present)
+	for _, status := range w.engines {
+		sample.Waiting += status.load.Waiting
+		sample.Running += status.load.Running
+		sample.Roles = countRole(sample.Roles, status)
 	}
 	slices.SortFunc(sample.Roles, func(one, other experiment.RoleCount) int {
 		return cmp.Or(cmp.Compare(one.Service, other.Service), cmp.Compare(one.Zone, other.Zone))
@@ -129,21 +129,21 @@
 	w.samples = append(w.samples, sample)
 }
 
-func countRole(counts []experiment.RoleCount, present *watched) []experiment.RoleCount {
+func countRole(counts []experiment.RoleCount, status *engineStatus) []experiment.RoleCount {
 	index := slices.IndexFunc(counts, func(count experiment.RoleCount) bool {
-		return count.Service == present.service && count.Zone == present.zone
+		return count.Service == status.service && count.Zone == status.zone
 	})
 	if index < 0 {
 		index = len(counts)
-		counts = append(counts, experiment.RoleCount{Service: present.service, Zone: present.zone})
+		counts = append(counts, experiment.RoleCount{Service: status.service, Zone: status.zone})
 	}
 	count := &counts[index]
 	switch {
-	case !present.up || present.state != enginecontract.StateServing:
+	case !status.isUp || status.state != enginecontract.StateServing:
 		count.Out++
-	case present.role == enginecontract.RolePrefill:
+	case status.role == enginecontract.RolePrefill:
 		count.Prefill++
-	case present.role == enginecontract.RoleDecode:
+	case status.role == enginecontract.RoleDecode:
 		count.Decode++
 	default:
 		count.Mixed++
