--- a/internal/zonedelay/conn.go
+++ b/internal/zonedelay/conn.go
@@ -9,69 +9,69 @@
 )
 
 const (
-	// queueLength bounds the chunks under way in one direction; a full queue blocks,
-	// as a full socket buffer does.
+	// queueLength is the maximum number of chunks in flight in one direction. A full queue blocks, as a
+	// full socket buffer does.
 	queueLength = 256
 	chunkBytes  = 16 << 10
-	// flushLimit is how long a closed connection may take to send its last bytes.
-	flushLimit = 5 * time.Second
+	// flushTimeout bounds the time in which a closed connection sends its last bytes.
+	flushTimeout = 5 * time.Second
 )
 
-// chunk is bytes under way and the time they arrive.
+// chunk is a piece of data in flight and the time at which it arrives.
 type chunk struct {
 	bytes []byte
 	due   time.Time
 	err   error
 }
 
-// conn delays both directions of a connection.
+// conn is a connection with a latency in both directions.
 type conn struct {
 	net.Conn
 	latency time.Duration
-	// passes waits until bytes may pass; false when the connection closed first.
-	passes  func(closed <-chan struct{}) bool
-	arrived chan chunk
-	leaving chan chunk
+	// waitOpen blocks until data may pass; it returns false if the connection is closed first.
+	waitOpen func(closed <-chan struct{}) bool
+	incoming chan chunk
+	outgoing chan chunk
 
 	readMutex sync.Mutex
-	rest      chunk
+	unread    chunk
 
 	readDeadline  deadline
 	writeDeadline deadline
 
 	closeOnce sync.Once
 	closed    chan struct{}
-	// unsent counts the connection from its Close until its last bytes are sent.
-	unsent *PendingFlushes
+	// flushes counts the connection from Close until its last bytes are sent.
+	flushes *PendingFlushes
 }
 
-func newConn(inner net.Conn, latency time.Duration, passes func(closed <-chan struct{}) bool, unsent *PendingFlushes) *conn {
+func newConn(inner net.Conn, latency time.Duration, waitOpen func(closed <-chan struct{}) bool, flushes *PendingFlushes) *conn {
 	delayed := &conn{
 		Conn:          inner,
 		latency:       latency,
-		passes:        passes,
-		arrived:       make(chan chunk, queueLength),
-		leaving:       make(chan chunk, queueLength),
+		waitOpen:      waitOpen,
+		incoming:      make(chan chunk, queueLength),
+		outgoing:      make(chan chunk, queueLength),
 		readDeadline:  newDeadline(),
 		writeDeadline: newDeadline(),
 		closed:        make(chan struct{}),
-		unsent:        unsent,
+		flushes:       flushes,
 	}
 	go delayed.receive()
 	go delayed.send()
 	return delayed
 }
 
-// receive reads from the socket and queues what came with the time it arrives.
+// receive reads from the socket and queues the data with its arrival time.
 func (c *conn) receive() {
 	for {
 		buffer := make([]byte, chunkBytes)
 		count, err := c.Conn.Read(buffer)
-		if !c.passes(c.closed) {
+		if !c.waitOpen(c.closed) {
 			return
 		}
 		select {
-		case c.arrived <- chunk{buffer[:count], time.Now().Add(c.latency), err}:
+		case c.incoming <- chunk{buffer[:count], time.Now().Add(c.latency), err}:
 		case <-c.closed:
 			return
 		}
@@ -81,25 +81,25 @@
 	}
 }
 
-// send writes queued bytes to the socket when they are due. After Close it sends
-// what is left and closes the socket.
+// send writes queued data to the socket when it is due. After Close it sends the rest of the queue and
+// closes the socket.
 func (c *conn) send() {
 	defer func() {
 		_ = c.Close()
 		_ = c.Conn.Close()
-		c.unsent.sending.Done()
+		c.flushes.running.Done()
 	}()
 	for {
 		select {
-		case next := <-c.leaving:
-			if !c.passes(c.closed) || !c.write(next) {
+		case next := <-c.outgoing:
+			if !c.waitOpen(c.closed) || !c.write(next) {
 				return
 			}
 		case <-c.closed:
-			_ = c.Conn.SetWriteDeadline(time.Now().Add(flushLimit))
+			_ = c.Conn.SetWriteDeadline(time.Now().Add(flushTimeout))
 			for {
 				select {
-				case next := <-c.leaving:
+				case next := <-c.outgoing:
 					if !c.write(next) {
 						return
 					}
@@ -117,11 +117,11 @@
 	return err == nil
 }
 
-// Read returns bytes that have arrived.
+// Read returns data whose latency has passed.
 func (c *conn) Read(buffer []byte) (int, error) {
 	c.readMutex.Lock()
 	defer c.readMutex.Unlock()
-	if len(c.rest.bytes) == 0 && c.rest.err == nil {
+	if len(c.unread.bytes) == 0 && c.unread.err == nil {
 		select {
 		case <-c.closed:
 			return 0, net.ErrClosed
@@ -130,23 +130,23 @@
 		select {
 		case <-c.closed:
 			return 0, net.ErrClosed
-		case <-c.readDeadline.passed():
+		case <-c.readDeadline.expired():
 			return 0, os.ErrDeadlineExceeded
-		case c.rest = <-c.arrived:
+		case c.unread = <-c.incoming:
 		}
 	}
-	if wait := time.Until(c.rest.due); wait > 0 {
+	if wait := time.Until(c.unread.due); wait > 0 {
 		time.Sleep(wait)
 	}
-	if len(c.rest.bytes) == 0 {
-		return 0, c.rest.err
+	if len(c.unread.bytes) == 0 {
+		return 0, c.unread.err
 	}
-	count := copy(buffer, c.rest.bytes)
-	c.rest.bytes = c.rest.bytes[count:]
+	count := copy(buffer, c.unread.bytes)
+	c.unread.bytes = c.unread.bytes[count:]
 	return count, nil
 }
 
-// Write queues bytes; it blocks while too many are under way.
+// Write queues data; it blocks while too much is in flight.
 func (c *conn) Write(buffer []byte) (int, error) {
 	written := 0
 	for written < len(buffer) {
@@ -160,25 +160,25 @@
 		select {
 		case <-c.closed:
 			return written, net.ErrClosed
-		case <-c.writeDeadline.passed():
+		case <-c.writeDeadline.expired():
 			return written, os.ErrDeadlineExceeded
-		case c.leaving <- next:
+		case c.outgoing <- next:
 			written += len(part)
 		}
 	}
 	return written, nil
 }
 
-// Close closes the connection after what was written has been sent.
+// Close closes the connection once all written data has been sent. It does not wait for that.
 func (c *conn) Close() error {
 	c.closeOnce.Do(func() {
-		c.unsent.sending.Add(1)
+		c.flushes.running.Add(1)
 		close(c.closed)
 	})
 	return nil
 }
 
-// SetLinger resets the connection on Close when seconds is 0: bytes under way are lost.
+// SetLinger with 0 seconds makes Close reset the connection: data in flight is lost.
 func (c *conn) SetLinger(seconds int) error {
 	abrupt, ok := c.Conn.(*net.TCPConn)
 	if !ok {
@@ -187,20 +187,20 @@
 	return abrupt.SetLinger(seconds)
 }
 
-// SetDeadline sets both deadlines.
+// SetDeadline sets the deadlines of Read and Write.
 func (c *conn) SetDeadline(at time.Time) error {
 	c.readDeadline.set(at)
 	c.writeDeadline.set(at)
 	return nil
 }
 
-// SetReadDeadline bounds Read.
+// SetReadDeadline sets the deadline of Read.
 func (c *conn) SetReadDeadline(at time.Time) error {
 	c.readDeadline.set(at)
 	return nil
 }
 
-// SetWriteDeadline bounds Write.
+// SetWriteDeadline sets the deadline of Write.
 func (c *conn) SetWriteDeadline(at time.Time) error {
 	c.writeDeadline.set(at)
 	return nil
--- a/internal/zonedelay/deadline.go
+++ b/internal/zonedelay/deadline.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// deadline closes a channel when a time set from elsewhere has come.
+// deadline is a deadline that can be changed while others wait for it.
 type deadline struct {
 	mutex *sync.Mutex
 	timer *time.Timer
@@ -16,14 +16,14 @@
 	return deadline{mutex: &sync.Mutex{}, done: make(chan struct{})}
 }
 
-// passed is closed once the deadline has passed.
-func (d *deadline) passed() <-chan struct{} {
+// expired returns a channel that is closed once the deadline has passed.
+func (d *deadline) expired() <-chan struct{} {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.done
 }
 
-// set moves the deadline; the zero time is none.
+// set changes the deadline; the zero time means none.
 func (d *deadline) set(at time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/zonedelay/listener.go
+++ b/internal/zonedelay/listener.go
@@ -1,6 +1,6 @@
-// Package zonedelay makes connections of one machine as slow as those between zones:
-// a listener whose connections deliver and send each byte a one-way latency later.
-// The latency follows from the remote address, so that only servers are wrapped.
+// Package zonedelay gives connections on one machine the latency between zones, and simulates network
+// partitions. Its listener's connections deliver and send all data after a one-way latency, which depends
+// on the remote address, so that only servers have to be wrapped.
 package zonedelay
 
 import (
@@ -14,31 +14,31 @@
 // LatencyFunc returns the one-way latency to a remote address.
 type LatencyFunc func(remote netip.Addr) time.Duration
 
-// Wrap returns a listener whose connections are delayed by latency. Connections
-// without latency are passed on as they are.
+// Wrap returns a listener whose connections are delayed by latency. Connections with a latency of zero
+// are returned unchanged.
 func Wrap(inner net.Listener, latency LatencyFunc) net.Listener {
-	return &listener{Listener: inner, latency: latency, unsent: new(PendingFlushes)}
+	return &listener{Listener: inner, latency: latency, flushes: new(PendingFlushes)}
 }
 
-// WrapPartitioned returns a listener whose connections are delayed by latency and held up
-// by a gate's cuts. What they still have to send counts as unsent.
-func WrapPartitioned(inner net.Listener, latency LatencyFunc, gate *Partitioner, unsent *PendingFlushes) net.Listener {
-	return &listener{Listener: inner, latency: latency, gate: gate, unsent: unsent}
+// WrapPartitioned returns a listener whose connections are delayed by latency and blocked by the
+// Partitioner's partitions. flushes counts closed connections that still have data to send.
+func WrapPartitioned(inner net.Listener, latency LatencyFunc, partitioner *Partitioner, flushes *PendingFlushes) net.Listener {
+	return &listener{Listener: inner, latency: latency, partitioner: partitioner, flushes: flushes}
 }
 
 type listener struct {
 	net.Listener
-	latency LatencyFunc
-	gate    *Partitioner // nil is always open
-	unsent  *PendingFlushes
+	latency     LatencyFunc
+	partitioner *Partitioner // nil never blocks
+	flushes     *PendingFlushes
 }
 
-// CloseWhenEmpty closes the listener below once its queue is empty.
+// CloseWhenEmpty closes the wrapped listener once its queue is empty, or after the limit.
 func (l *listener) CloseWhenEmpty(limit time.Duration) error {
 	return closing.CloseWhenEmpty(l.Listener, limit)
 }
 
-// Accept returns the next connection, delayed by its remote address.
+// Accept returns the next connection, with the latency of its remote address.
 func (l *listener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
@@ -49,19 +49,19 @@
 		return accepted, nil
 	}
 	latency := l.latency(remote.Addr())
-	if latency <= 0 && l.gate == nil {
+	if latency <= 0 && l.partitioner == nil {
 		return accepted, nil
 	}
-	return newConn(accepted, latency, l.passes(accepted, remote.Addr()), l.unsent), nil
+	return newConn(accepted, latency, l.waitFunc(accepted, remote.Addr()), l.flushes), nil
 }
 
-// passes returns what holds a connection up while its ends are cut from each other.
-func (l *listener) passes(accepted net.Conn, remote netip.Addr) func(closed <-chan struct{}) bool {
+// waitFunc returns the function that blocks a connection while its ends are partitioned from each other.
+func (l *listener) waitFunc(accepted net.Conn, remote netip.Addr) func(closed <-chan struct{}) bool {
 	local, err := netip.ParseAddrPort(accepted.LocalAddr().String())
 	if err != nil {
 		return func(<-chan struct{}) bool { return true }
 	}
 	return func(closed <-chan struct{}) bool {
-		return l.gate.pass(local.Addr().Unmap(), remote.Unmap(), closed)
+		return l.partitioner.waitOpen(local.Addr().Unmap(), remote.Unmap(), closed)
 	}
 }
--- a/internal/zonedelay/listener_test.go
+++ b/internal/zonedelay/listener_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func connected(t *testing.T, latency time.Duration) (client, server net.Conn) {
+func delayedPair(t *testing.T, latency time.Duration) (client, server net.Conn) {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -29,11 +29,11 @@
 	return client, server
 }
 
-// TestRoundTripTakesBothLatencies measures the shortest of several round trips: it can't be
-// faster than twice the latency.
-func TestRoundTripTakesBothLatencies(t *testing.T) {
+// TestRoundTripTakesTwiceTheLatency checks that no round trip is faster than the latency in both
+// directions.
+func TestRoundTripTakesTwiceTheLatency(t *testing.T) {
 	const latency = 5 * time.Millisecond
-	client, server := connected(t, latency)
+	client, server := delayedPair(t, latency)
 	go func() { _, _ = io.Copy(server, server) }()
 	for range 3 {
 		began := time.Now()
@@ -45,8 +45,8 @@
 	}
 }
 
-func TestBytesArriveWholeAndInOrderAndCloseSendsTheRest(t *testing.T) {
-	client, server := connected(t, time.Millisecond)
+func TestBytesArriveInOrderAndCloseFlushes(t *testing.T) {
+	client, server := delayedPair(t, time.Millisecond)
 	sent := bytes.Repeat([]byte("0123456789"), 200_000)
 	go func() {
 		_, _ = server.Write(sent)
@@ -58,13 +58,13 @@
 }
 
 func TestDeadlines(t *testing.T) {
-	_, server := connected(t, time.Millisecond)
+	_, server := delayedPair(t, time.Millisecond)
 	require.NoError(t, server.SetReadDeadline(time.Now().Add(time.Millisecond)))
 	_, err := server.Read(make([]byte, 1))
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	require.NoError(t, server.SetWriteDeadline(time.Now().Add(time.Millisecond)))
 	for err = nil; err == nil; {
-		_, err = server.Write(make([]byte, 1<<20)) // nobody reads: it blocks in the end
+		_, err = server.Write(make([]byte, 1<<20)) // nobody reads, so that the queue fills and Write blocks
 	}
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	require.NoError(t, server.Close())
