--- a/internal/benchcommand/experiment.go
+++ b/internal/benchcommand/experiment.go
@@ -72,11 +72,11 @@
 // scenarios loads the files of the arguments and of the suite.
 func (e *experimentFlags) scenarios(files []string) ([]scenario.Scenario, error) {
 	if e.Suite != "" {
-		found, err := suiteFiles(e.Suite)
+		suite, err := suiteFiles(e.Suite)
 		if err != nil {
 			return nil, err
 		}
-		files = append(files, found...)
+		files = append(files, suite...)
 	}
 	if len(files) == 0 {
 		return nil, trace.BadParameter("name a scenario file, or a directory of them with --suite")
--- a/internal/importrules/importrules_test.go
+++ b/internal/importrules/importrules_test.go
@@ -134,20 +134,20 @@
 }
 
 func findImpureSyntax(file *ast.File) []string {
-	var found []string
+	var problems []string
 	ast.Inspect(file, func(node ast.Node) bool {
 		switch typed := node.(type) {
 		case *ast.GoStmt:
-			found = append(found, "a goroutine")
+			problems = append(problems, "a goroutine")
 		case *ast.SelectorExpr:
 			name, isName := typed.X.(*ast.Ident)
 			if isName && slices.Contains(impureCalls, name.Name+"."+typed.Sel.Name) {
-				found = append(found, name.Name+"."+typed.Sel.Name)
+				problems = append(problems, name.Name+"."+typed.Sel.Name)
 			}
 		}
 		return true
 	})
-	return found
+	return problems
 }
 
 func importPaths(t *testing.T, file *ast.File) []string {
--- a/internal/language/declarations_test.go
+++ b/internal/language/declarations_test.go
@@ -94,16 +94,16 @@
 // objectsGenerator generates valid objects of every type from the schemas.
 func objectsGenerator() *rapid.Generator[[]*v1.Object] {
 	return rapid.Custom(func(t *rapid.T) []*v1.Object {
-		seen := map[string]bool{}
+		drawn := map[string]bool{}
 		var objects []*v1.Object
 		for range rapid.IntRange(0, 6).Draw(t, "count") {
 			schema := rapid.SampledFrom(schemas).Draw(t, "schema")
 			name := rapid.StringMatching(`[A-Za-z0-9_][A-Za-z0-9_.-]{0,12}`).Draw(t, "name")
 			object := &v1.Object{Key: objectKey(schema.objectType, name)}
-			if seen[FormatKey(object.Key)] {
+			if drawn[FormatKey(object.Key)] {
 				continue
 			}
-			seen[FormatKey(object.Key)] = true
+			drawn[FormatKey(object.Key)] = true
 			message := schema.message(object, true)
 			if schema.nameField != nil {
 				message.Set(schema.nameField, protoreflect.ValueOfString(name))
--- a/internal/language/parse_declarations.go
+++ b/internal/language/parse_declarations.go
@@ -79,9 +79,9 @@
 	var declarations []*declaration
 	first := map[string]*declaration{}
 	for _, file := range files {
-		found, fileMistakes := parseFile(file)
+		parsed, fileMistakes := parseFile(file)
 		mistakes = append(mistakes, fileMistakes...)
-		for _, declaration := range found {
+		for _, declaration := range parsed {
 			key := FormatKey(declaration.object.GetKey())
 			if earlier, twice := first[key]; twice {
 				mistakes = append(mistakes, errorAt(declaration.position, "%s is declared twice: first at %s", key, earlier.position))
--- a/internal/language/reference_test.go
+++ b/internal/language/reference_test.go
@@ -30,14 +30,14 @@
 		"units": unitReference, "declarations": declarationReference, "tables": tableReference,
 		"statements": statementReference, "grammar": grammarReference,
 	}
-	seen := 0
+	replaced := 0
 	wanted := generatedPart.ReplaceAllStringFunc(string(page), func(part string) string {
 		name := generatedPart.FindStringSubmatch(part)[1]
 		require.Contains(t, generators, name)
-		seen++
+		replaced++
 		return "<!-- generated: " + name + " -->\n" + generators[name]() + "<!-- end -->"
 	})
-	require.Equal(t, len(generators), seen)
+	require.Equal(t, len(generators), replaced)
 	if *update {
 		require.NoError(t, os.WriteFile(referencePath, []byte(wanted), 0o644))
 		return
@@ -50,13 +50,13 @@
 func TestReferenceExamplesParse(t *testing.T) {
 	page, err := os.ReadFile(referencePath)
 	require.NoError(t, err)
-	seen := map[string]bool{}
+	covered := map[string]bool{}
 	for _, part := range examplePart.FindAllStringSubmatch(string(page), -1) {
 		if part[1] == "hzl" {
 			objects, err := CheckFiles([]*v1.SourceFile{{Name: referencePath, Text: part[2]}})
 			require.NoError(t, err)
 			for _, object := range objects {
-				seen[TypeName(object.GetKey().GetType())] = true
+				covered[TypeName(object.GetKey().GetType())] = true
 			}
 			continue
 		}
@@ -65,11 +65,11 @@
 			require.NoError(t, err)
 			_, isQuery := statement.(Query)
 			require.Equal(t, part[1] == "query", isQuery, line)
-			seen[strings.Fields(line)[0]] = true
+			covered[strings.Fields(line)[0]] = true
 		}
 	}
 	for _, word := range append(leadingKeywords, schemaKeywords()...) {
-		require.True(t, seen[word] || word == "operator", "no example of %s", word)
+		require.True(t, covered[word] || word == "operator", "no example of %s", word)
 	}
 }
 
@@ -155,10 +155,10 @@
 func grammarReference() string {
 	both := fileParser.String() + "\n" + statementParser.String()
 	var lines []string
-	seen := map[string]bool{}
+	listed := map[string]bool{}
 	for _, line := range strings.Split(strings.ReplaceAll(both, "Syntax", ""), "\n") {
-		if !seen[line] {
-			seen[line] = true
+		if !listed[line] {
+			listed[line] = true
 			lines = append(lines, "    "+line)
 		}
 	}
--- a/internal/language/roles.go
+++ b/internal/language/roles.go
@@ -10,52 +10,52 @@
 	administrator = v1.OperatorRole_OPERATOR_ROLE_ADMINISTRATOR
 )
 
-// RequiredRole is viewer.
+// RequiredRole returns viewer.
 func (Show) RequiredRole() v1.OperatorRole { return viewer }
 
-// RequiredRole is viewer.
+// RequiredRole returns viewer.
 func (Explain) RequiredRole() v1.OperatorRole { return viewer }
 
-// RequiredRole is viewer.
+// RequiredRole returns viewer.
 func (History) RequiredRole() v1.OperatorRole { return viewer }
 
-// RequiredRole is operator.
+// RequiredRole returns operator.
 func (DrainEngine) RequiredRole() v1.OperatorRole { return operator }
 
-// RequiredRole is operator.
+// RequiredRole returns operator.
 func (ResumeEngine) RequiredRole() v1.OperatorRole { return operator }
 
-// RequiredRole is operator.
+// RequiredRole returns operator.
 func (SetEngineRole) RequiredRole() v1.OperatorRole { return operator }
 
-// RequiredRole is operator.
+// RequiredRole returns operator.
 func (PinEngine) RequiredRole() v1.OperatorRole { return operator }
 
-// RequiredRole is operator.
+// RequiredRole returns operator.
 func (UnpinEngine) RequiredRole() v1.OperatorRole { return operator }
 
-// RequiredRole is operator.
+// RequiredRole returns operator.
 func (AbortOrder) RequiredRole() v1.OperatorRole { return operator }
 
-// RequiredRole is operator.
+// RequiredRole returns operator.
 func (ReleaseRequest) RequiredRole() v1.OperatorRole { return operator }
 
-// RequiredRole is administrator.
+// RequiredRole returns administrator.
 func (DeleteObject) RequiredRole() v1.OperatorRole { return administrator }
 
-// RequiredRole is administrator.
+// RequiredRole returns administrator.
 func (AddMember) RequiredRole() v1.OperatorRole { return administrator }
 
-// RequiredRole is administrator.
+// RequiredRole returns administrator.
 func (PromoteMember) RequiredRole() v1.OperatorRole { return administrator }
 
-// RequiredRole is administrator.
+// RequiredRole returns administrator.
 func (RemoveMember) RequiredRole() v1.OperatorRole { return administrator }
 
-// RequiredRole is administrator.
+// RequiredRole returns administrator.
 func (ReplaceMember) RequiredRole() v1.OperatorRole { return administrator }
 
-// RequiredRole is operator.
+// RequiredRole returns operator.
 func (DumpLogs) RequiredRole() v1.OperatorRole { return operator }
 
 // RequiredRoleToApply returns the lowest role that may submit these objects: operator, or administrator
@@ -72,9 +72,9 @@
 	return operator
 }
 
-// RoleAllows reports whether an operator with role held may do what requires role required.
-func RoleAllows(held, required v1.OperatorRole) bool {
-	return held != v1.OperatorRole_OPERATOR_ROLE_UNSPECIFIED && held >= required
+// RoleAllows reports whether an operator with role actual may do what requires role required.
+func RoleAllows(actual, required v1.OperatorRole) bool {
+	return actual != v1.OperatorRole_OPERATOR_ROLE_UNSPECIFIED && actual >= required
 }
 
 func (Show) isStatement()           {}
--- a/internal/language/statement_syntax.go
+++ b/internal/language/statement_syntax.go
@@ -97,10 +97,10 @@
 
 func distinctKeywords(matches [][]string) []string {
 	var words []string
-	seen := map[string]bool{}
+	added := map[string]bool{}
 	for _, match := range matches {
-		if !seen[match[1]] {
-			seen[match[1]] = true
+		if !added[match[1]] {
+			added[match[1]] = true
 			words = append(words, match[1])
 		}
 	}
