--- a/internal/control/execute.go
+++ b/internal/control/execute.go
@@ -38,11 +38,11 @@
 // checkRole returns an error unless the operator has the role that a statement requires.
 func (c *Core) checkRole(received ExecuteReceived, statement language.Statement) error {
 	required := statement.RequiredRole()
-	if language.Allowed(received.Role, required) {
+	if language.RoleAllows(received.Role, required) {
 		return nil
 	}
 	return trace.AccessDenied("operator %q has role %s; this needs %s",
-		received.Operator, language.OperatorRoleWord(received.Role), language.OperatorRoleWord(required))
+		received.Operator, language.OperatorRoleName(received.Role), language.OperatorRoleName(required))
 }
 
 // refuseAudited refuses a command at the leader and records the refusal in the audit trail.
@@ -108,7 +108,7 @@
 	case language.AbortOrder:
 		c.abortForOperator(received, requested.Engine)
 	case language.ReleaseRequest:
-		c.releaseForOperator(received, requested.Content)
+		c.releaseForOperator(received, requested.Signature)
 	case language.PinEngine:
 		c.declareForOperator(received, c.pinObject(requested))
 	case language.UnpinEngine:
