--- a/internal/benchcommand/soak.go
+++ b/internal/benchcommand/soak.go
@@ -25,7 +25,7 @@
 // serveSite runs one server until it ends, or until its standard input does: a soak holds the other end,
 // so that its servers end with it.
 func serveSite(ctx context.Context, arguments []string, environment Environment) int {
-	way := soak.Outgoing()
+	way := soak.NewOutgoing()
 	go func() {
 		_ = fleet.ObeyCuts(os.Stdin, way.Gate) // it ends when the soak does
 		os.Exit(ExitFailed)
@@ -105,7 +105,7 @@
 		return trace.Wrap(err, "seed %d; its logs are in %s", seed, directory)
 	}
 	fmt.Fprintln(environment.Stdout, report)
-	if err := report.Failed(); err != nil {
+	if err := report.Err(); err != nil {
 		fmt.Fprintf(environment.Stdout, "  again: %s soak --seed %d --length %s --calm %s --controllers %d --relays %d --pages %d --engines %d --clients %d --poisons %d%s\n  logs: %s\n",
 			environment.Program, seed, s.Length, s.Calm, s.Controllers, s.Relays, s.Pages, s.Engines, s.Clients, s.Poisons, s.otherFlags(), directory)
 		return trace.Wrap(err)
@@ -141,8 +141,8 @@
 func (s *soakFlags) options(environment Environment, seed uint64, directory string) soak.Options {
 	options := soak.Options{
 		Seed: seed, Controllers: s.Controllers, Relays: s.Relays, Pages: s.Pages, Engines: s.Engines, Clients: s.Clients, Poisons: s.Poisons,
-		Length: s.Length, Calm: s.Calm, Directory: directory, Program: s.Program, Serve: serveSiteName, Timed: !s.Untimed,
-		Other: s.Other, Plain: s.Plain,
+		FaultDuration: s.Length, QuietDuration: s.Calm, Directory: directory, Program: s.Program, Serve: serveSiteName, CheckTimeBounds: !s.Untimed,
+		OtherProgram: s.Other, FirstFormatOnly: s.Plain,
 	}
 	if s.Verbose {
 		options.Progress = func(line string) { fmt.Fprintln(environment.Stderr, line) }
--- a/internal/measure/admission_test.go
+++ b/internal/measure/admission_test.go
@@ -51,7 +51,7 @@
 }
 
 func TestClaimCostsAreCounted(t *testing.T) {
-	cost, err := costOfClaims(100)
+	cost, err := measureClaims(100)
 	require.NoError(t, err)
 	require.Positive(t, cost.logBytes)
 	require.Greater(t, cost.snapshotBytes, 100*claimOutcomeBytes)
--- a/internal/measure/chooser.go
+++ b/internal/measure/chooser.go
@@ -16,22 +16,22 @@
 	chooserClairvoyant = "clairvoyant"
 )
 
-// pick is the engine chosen for a request and what is expected of its cache.
-type pick struct {
-	engine int // -1 for none
-	cached int
-	home   bool
+// engineChoice is the engine chosen for a request and what is expected of its cache.
+type engineChoice struct {
+	engine         int // -1 for none
+	cached         int
+	isCachedAtHome bool
 }
 
-var nowhere = pick{engine: -1}
+var noEngine = engineChoice{engine: -1}
 
 // chooser picks an engine for a request at one gateway.
 type chooser interface {
-	choose(now time.Duration, asked *request, excluded []int) pick
+	choose(now time.Duration, asked *request, excluded []int) engineChoice
 	// observe passes on what the gateway sees.
 	observe(now time.Duration, observation routing.Observation)
-	// reported passes on the lagging load reports of all engines.
-	reported(now time.Duration, directory []routing.BackEnd)
+	// setReports passes on the lagging load reports of all engines.
+	setReports(now time.Duration, directory []routing.BackEnd)
 }
 
 // routerChooser is the product's own routing.
@@ -40,7 +40,7 @@
 	router *routing.Router
 }
 
-func (c *routerChooser) choose(now time.Duration, asked *request, excluded []int) pick {
+func (c *routerChooser) choose(now time.Duration, asked *request, excluded []int) engineChoice {
 	names := make([]string, len(excluded))
 	for i, index := range excluded {
 		names[i] = engineName(index)
@@ -50,54 +50,54 @@
 		PrefixBlocks: asked.routingBlocks,
 	}, names)
 	if err != nil {
-		return nowhere
+		return noEngine
 	}
-	return pick{engine: c.world.index[choice.BackEnd.Name], cached: choice.CachedTokens, home: choice.CachedAtHome}
+	return engineChoice{engine: c.world.index[choice.BackEnd.Name], cached: choice.CachedTokens, isCachedAtHome: choice.CachedAtHome}
 }
 
 func (c *routerChooser) observe(now time.Duration, observation routing.Observation) {
 	c.router.Observe(now, observation)
 }
 
-func (c *routerChooser) reported(now time.Duration, directory []routing.BackEnd) {
+func (c *routerChooser) setReports(now time.Duration, directory []routing.BackEnd) {
 	c.router.SetBackEnds(directory)
 	c.router.Confirm(now)
 }
 
-// deaf is the part of a chooser that listens to nothing.
-type deaf struct{}
+// ignoresObservations is the part of a chooser that listens to nothing.
+type ignoresObservations struct{}
 
-func (deaf) observe(time.Duration, routing.Observation) {}
+func (ignoresObservations) observe(time.Duration, routing.Observation) {}
 
-func (deaf) reported(time.Duration, []routing.BackEnd) {}
+func (ignoresObservations) setReports(time.Duration, []routing.BackEnd) {}
 
 // randomChooser picks any engine.
 type randomChooser struct {
-	deaf
+	ignoresObservations
 	random  *rand.Rand
 	engines int
 }
 
-func (c *randomChooser) choose(_ time.Duration, _ *request, excluded []int) pick {
-	return pick{engine: anyOf(c.random, c.engines, excluded)}
+func (c *randomChooser) choose(_ time.Duration, _ *request, excluded []int) engineChoice {
+	return engineChoice{engine: drawEngine(c.random, c.engines, excluded)}
 }
 
 // leastLoadChooser picks the engine with the least reported load, as simple
 // balancers do: it corrects nothing and knows of no cache.
 type leastLoadChooser struct {
-	deaf
+	ignoresObservations
 	random *rand.Rand
 	loads  []int
 }
 
-func (c *leastLoadChooser) reported(_ time.Duration, directory []routing.BackEnd) {
+func (c *leastLoadChooser) setReports(_ time.Duration, directory []routing.BackEnd) {
 	c.loads = c.loads[:0]
 	for _, backEnd := range directory {
 		c.loads = append(c.loads, backEnd.Load.Running+backEnd.Load.Waiting)
 	}
 }
 
-func (c *leastLoadChooser) choose(_ time.Duration, _ *request, excluded []int) pick {
+func (c *leastLoadChooser) choose(_ time.Duration, _ *request, excluded []int) engineChoice {
 	best, ties := -1, 0
 	for i, load := range c.loads {
 		switch {
@@ -111,40 +111,40 @@
 			}
 		}
 	}
-	return pick{engine: best}
+	return engineChoice{engine: best}
 }
 
 // clairvoyantChooser sees every engine's present load and cache, and picks the one
 // that would begin to write soonest.
 type clairvoyantChooser struct {
-	deaf
+	ignoresObservations
 	world *world
 }
 
-func (c *clairvoyantChooser) choose(_ time.Duration, asked *request, excluded []int) pick {
+func (c *clairvoyantChooser) choose(_ time.Duration, asked *request, excluded []int) engineChoice {
 	best, least := -1, 0.0
 	for i, engine := range c.world.engines {
 		if contains(excluded, i) {
 			continue
 		}
-		cost := trueCost(engine, asked)
+		cost := prefillCost(engine, asked)
 		if best < 0 || cost < least {
 			best, least = i, cost
 		}
 	}
-	return pick{engine: best}
+	return engineChoice{engine: best}
 }
 
-// trueCost is the prompt tokens to read before the request is written, with the
+// prefillCost is the prompt tokens to read before the request is written, with the
 // slower output beside running requests expressed in tokens.
-func trueCost(engine *enginemodel.Engine, asked *request) float64 {
+func prefillCost(engine *enginemodel.Engine, asked *request) float64 {
 	load, profile := engine.Load(), engine.Profile()
 	unread := float64(load.WaitingPromptTokens) + float64(asked.prompt-engine.CachedTokens(asked.engineBlocks))
 	slower := float64(asked.output*(load.Running+load.Waiting)) * profile.StepPerSequence.Seconds()
 	return unread + slower*profile.PrefillTokensPerSecond
 }
 
-func anyOf(random *rand.Rand, engines int, excluded []int) int {
+func drawEngine(random *rand.Rand, engines int, excluded []int) int {
 	if len(excluded) >= engines {
 		return -1
 	}
--- a/internal/measure/claims.go
+++ b/internal/measure/claims.go
@@ -45,7 +45,7 @@
 	rows.SetTitle("claims at one controller, 33,000 tenants, outcomes of 200 bytes, on one core")
 	rows.AppendHeader(table.Row{"claims held", "begin", "finish", "log bytes per claim", "heap bytes per claim", "snapshot", "snapshot bytes per claim"})
 	for _, count := range claimCounts {
-		cost, err := costOfClaims(count)
+		cost, err := measureClaims(count)
 		if err != nil {
 			return trace.Wrap(err)
 		}
@@ -57,7 +57,7 @@
 	return trace.Wrap(err)
 }
 
-func costOfClaims(count int) (claimCost, error) {
+func measureClaims(count int) (claimCost, error) {
 	var cost claimCost
 	before := heapInUse()
 	state := controlstate.New(safeguard.Set{})
--- a/internal/measure/gateway.go
+++ b/internal/measure/gateway.go
@@ -22,32 +22,32 @@
 }
 
 func newGateway(w *world, number int) (*gateway, error) {
-	made := &gateway{world: w, zone: zoneName(number % w.setup.zones), waiting: map[uint64]*request{}}
+	created := &gateway{world: w, zone: zoneName(number % w.setup.zones), waiting: map[uint64]*request{}}
 	if w.setup.admission != nil {
 		core, err := admission.New(*w.setup.admission)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		made.admission = core
+		created.admission = core
 	}
 	random := rand.New(rand.NewPCG(w.setup.seed, uint64(100+number)))
 	switch w.setup.chooser {
 	case chooserRandom:
-		made.chooser = &randomChooser{random: random, engines: w.setup.engines}
+		created.chooser = &randomChooser{random: random, engines: w.setup.engines}
 	case chooserLeastLoad:
-		made.chooser = &leastLoadChooser{random: random}
+		created.chooser = &leastLoadChooser{random: random}
 	case chooserClairvoyant:
-		made.chooser = &clairvoyantChooser{world: w}
+		created.chooser = &clairvoyantChooser{world: w}
 	default:
 		router, err := routing.New(routing.Config{
-			Zone: made.zone, OtherZoneLatency: max(w.setup.zoneDelay, 1), Seed: w.setup.seed + uint64(number),
+			Zone: created.zone, OtherZoneLatency: max(w.setup.zoneDelay, 1), Seed: w.setup.seed + uint64(number),
 		})
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		made.chooser = &routerChooser{world: w, router: router}
+		created.chooser = &routerChooser{world: w, router: router}
 	}
-	return made, nil
+	return created, nil
 }
 
 // receive takes in a request of a caller.
@@ -71,7 +71,7 @@
 	return profile.PrefillTime(asked.prompt) + time.Duration(asked.output)*profile.StepBase
 }
 
-func (g *gateway) expire() {
+func (g *gateway) expireWaiting() {
 	if g.admission == nil {
 		return
 	}
@@ -81,7 +81,7 @@
 
 func (g *gateway) refuse(refusals []admission.Refusal) {
 	for _, refusal := range refusals {
-		g.world.results.refused(g.waiting[refusal.ID])
+		g.world.results.addRefused(g.waiting[refusal.ID])
 		delete(g.waiting, refusal.ID)
 	}
 }
@@ -104,50 +104,50 @@
 	w := g.world
 	chosen := g.chooser.choose(w.now, asked, nil)
 	if chosen.engine < 0 {
-		g.end(asked, admission.Result{Failed: true})
-		w.results.refused(asked)
+		g.finishAdmission(asked, admission.Result{Failed: true})
+		w.results.addRefused(asked)
 		return
 	}
-	current := &flight{request: asked, gateway: g, engine: chosen.engine, exchange: strconv.Itoa(asked.number), started: w.now}
+	current := &exchange{request: asked, gateway: g, engine: chosen.engine, exchangeID: strconv.Itoa(asked.number), started: w.now}
 	g.chooser.observe(w.now, routing.Dispatch{
-		BackEnd: engineName(chosen.engine), Exchange: current.exchange, PromptTokens: asked.prompt - chosen.cached,
-		PrefixBlocks: asked.routingBlocks, CachedAtHome: chosen.home,
+		BackEnd: engineName(chosen.engine), Exchange: current.exchangeID, PromptTokens: asked.prompt - chosen.cached,
+		PrefixBlocks: asked.routingBlocks, CachedAtHome: chosen.isCachedAtHome,
 	})
-	w.agenda.Add(w.now+w.latency(g, chosen.engine), func() { g.arrive(current) })
+	w.agenda.Add(w.now+w.latency(g, chosen.engine), func() { g.submit(current) })
 }
 
-func (g *gateway) arrive(current *flight) {
+func (g *gateway) submit(current *exchange) {
 	w := g.world
 	err := w.engines[current.engine].Submit(w.now, enginemodel.Request{
-		ID: current.exchange, PromptTokens: current.prompt, OutputTokens: current.output, PrefixBlocks: current.engineBlocks,
+		ID: current.exchangeID, PromptTokens: current.prompt, OutputTokens: current.output, PrefixBlocks: current.engineBlocks,
 	})
 	if err != nil {
-		g.finished(current)
-		g.end(current.request, admission.Result{Overloaded: true})
-		w.results.refused(current.request)
+		g.observeCompletion(current)
+		g.finishAdmission(current.request, admission.Result{Overloaded: true})
+		w.results.addRefused(current.request)
 		return
 	}
-	w.running[current.engine][current.exchange] = current
+	w.running[current.engine][current.exchangeID] = current
 }
 
-func (g *gateway) firstToken(current *flight, event enginemodel.Event) {
+func (g *gateway) recordFirstToken(current *exchange, event enginemodel.Event) {
 	current.first = event.At
 	current.cached = event.CachedTokens
-	g.world.results.cached(current.request, event.CachedTokens)
+	g.world.results.addCached(current.request, event.CachedTokens)
 	if g.admission != nil {
 		own := enginemodel.DefaultProfile().PrefillTime(current.prompt)
 		g.admission.RecordFirstToken(g.world.now, uint64(current.number), max(g.world.now-current.started-own, 0))
 	}
-	g.chooser.observe(g.world.now, routing.FirstToken{BackEnd: engineName(current.engine), Exchange: current.exchange})
-	g.answered(current)
+	g.chooser.observe(g.world.now, routing.FirstToken{BackEnd: engineName(current.engine), Exchange: current.exchangeID})
+	g.observeHeaders(current)
 }
 
-func (g *gateway) done(current *flight) {
-	g.answered(current)
-	g.finished(current)
+func (g *gateway) complete(current *exchange) {
+	g.observeHeaders(current)
+	g.observeCompletion(current)
 	w := g.world
-	w.results.done(current, w.now+w.latency(g, current.engine))
-	g.end(current.request, admission.Result{
+	w.results.addCompleted(current, w.now+w.latency(g, current.engine))
+	g.finishAdmission(current.request, admission.Result{
 		PromptTokens: current.prompt, OutputTokens: current.output,
 	})
 	if g.admission != nil {
@@ -155,20 +155,20 @@
 	}
 }
 
-func (g *gateway) end(asked *request, result admission.Result) {
+func (g *gateway) finishAdmission(asked *request, result admission.Result) {
 	if g.admission != nil {
 		g.admission.Finish(g.world.now, uint64(asked.number), result)
 	}
 }
 
-// answered passes on the headers of an answer.
-func (g *gateway) answered(current *flight) {
+// observeHeaders passes on the headers of an answer.
+func (g *gateway) observeHeaders(current *exchange) {
 	load := loadOf(g.world.engines[current.engine])
 	g.chooser.observe(g.world.now, routing.AnswerHeaders{BackEnd: engineName(current.engine), Incarnation: 1, Load: &load})
 }
 
-func (g *gateway) finished(current *flight) {
+func (g *gateway) observeCompletion(current *exchange) {
 	g.chooser.observe(g.world.now, routing.Completion{
-		BackEnd: engineName(current.engine), Exchange: current.exchange, PromptTokens: current.prompt, CachedTokens: current.cached,
+		BackEnd: engineName(current.engine), Exchange: current.exchangeID, PromptTokens: current.prompt, CachedTokens: current.cached,
 	})
 }
--- a/internal/measure/isolation.go
+++ b/internal/measure/isolation.go
@@ -49,14 +49,14 @@
 }
 
 func isolationWorld(row admissionRow, length time.Duration) (*world, error) {
-	made := setup{
+	chosen := setup{
 		seed: isolationSeed, engines: 12, zones: 4, gateways: 4, reportLag: 2 * time.Second, zoneDelay: 1500 * time.Microsecond,
 		chooser: chooserRouter, admission: row.admission, workloads: []workload{neighbourLoad(length)},
 	}
 	if row.flood {
-		made.workloads = append(made.workloads, floodLoad(length))
+		chosen.workloads = append(chosen.workloads, floodLoad(length))
 	}
-	return newWorld(made)
+	return newWorld(chosen)
 }
 
 // Isolation measures a tenant's goodput beside a tenant that sends ten times what the
--- a/internal/measure/results.go
+++ b/internal/measure/results.go
@@ -31,36 +31,36 @@
 	return results{tenants: map[string]*tenantResult{}, kinds: map[string]*tenantResult{}}
 }
 
-func (r *results) tenant(name string) *tenantResult { return counted(r.tenants, name) }
+func (r *results) tenant(name string) *tenantResult { return resultOf(r.tenants, name) }
 
-func (r *results) kind(name string) *tenantResult { return counted(r.kinds, name) }
+func (r *results) kind(name string) *tenantResult { return resultOf(r.kinds, name) }
 
-func counted(of map[string]*tenantResult, name string) *tenantResult {
+func resultOf(of map[string]*tenantResult, name string) *tenantResult {
 	if of[name] == nil {
 		of[name] = &tenantResult{}
 	}
 	return of[name]
 }
 
-func (r *results) refused(asked *request) {
+func (r *results) addRefused(asked *request) {
 	for _, of := range []*tenantResult{r.tenant(asked.tenant), r.kind(asked.kind)} {
 		of.refused++
 		of.offered += asked.worth
 	}
 }
 
-func (r *results) cached(asked *request, tokens int) {
+func (r *results) addCached(asked *request, tokens int) {
 	r.promptTokens += int64(asked.prompt)
 	r.cachedTokens += int64(tokens)
 }
 
-func (r *results) done(current *flight, at time.Duration) {
+func (r *results) addCompleted(current *exchange, at time.Duration) {
 	r.firstTokens = append(r.firstTokens, current.first-current.at)
-	r.tenant(current.tenant).done(current, at)
-	r.kind(current.kind).done(current, at)
+	r.tenant(current.tenant).addCompleted(current, at)
+	r.kind(current.kind).addCompleted(current, at)
 }
 
-func (t *tenantResult) done(current *flight, at time.Duration) {
+func (t *tenantResult) addCompleted(current *exchange, at time.Duration) {
 	t.offered += current.worth
 	if at > current.deadline {
 		t.late++
--- a/internal/measure/shedding.go
+++ b/internal/measure/shedding.go
@@ -21,17 +21,17 @@
 // sheddingWorld loads the engines with three kinds of one tenant, each for two thirds of
 // what the engines can do.
 func sheddingWorld(config *admission.Config, length time.Duration) (*world, error) {
-	made := setup{
+	chosen := setup{
 		seed: sheddingSeed, engines: 12, zones: 4, gateways: 4, reportLag: 2 * time.Second, zoneDelay: 1500 * time.Microsecond,
 		chooser: chooserRouter, admission: config,
 	}
 	for _, worth := range sheddingWorths {
-		made.workloads = append(made.workloads, workload{
+		chosen.workloads = append(chosen.workloads, workload{
 			tenant: "one", kind: worthName(worth), worth: worth, requestsPerSecond: 21, to: length, deadline: 10 * time.Second,
 			ownTokens: 4096, outputTokens: 30,
 		})
 	}
-	return newWorld(made)
+	return newWorld(chosen)
 }
 
 // Shedding measures which requests are given up under twice the load that the engines can
--- a/internal/measure/workload.go
+++ b/internal/measure/workload.go
@@ -70,14 +70,14 @@
 		if subjects != nil {
 			subject = subjects.Uint64()
 		}
-		made := request{
+		created := request{
 			at: at, gateway: random.IntN(gateways), tenant: w.tenant, kind: w.kind, weight: 1, worth: w.worth,
 			prompt:   w.sharedTokens + w.subjectTokens + w.ownTokens,
 			output:   1 + int(float64(w.outputTokens)*(0.5+random.Float64())),
 			deadline: at + w.deadline,
 		}
-		made.routingBlocks, made.engineBlocks = w.blocks(subject, random.Uint64())
-		requests = append(requests, made)
+		created.routingBlocks, created.engineBlocks = w.blocks(subject, random.Uint64())
+		requests = append(requests, created)
 	}
 }
 
@@ -90,11 +90,11 @@
 		start := chunk * chunkTokens
 		switch {
 		case start < w.sharedTokens:
-			chain = mix(chain, 0)
+			chain = hashChain(chain, 0)
 		case start < w.sharedTokens+w.subjectTokens:
-			chain = mix(chain, subject+1)
+			chain = hashChain(chain, subject+1)
 		default:
-			chain = mix(chain, own)
+			chain = hashChain(chain, own)
 		}
 		routing = append(routing, chain)
 		if (chunk+1)%chunksPerBlock == 0 {
@@ -104,7 +104,7 @@
 	return routing, engine
 }
 
-func mix(chain, next uint64) uint64 {
+func hashChain(chain, next uint64) uint64 {
 	var bytes [16]byte
 	binary.LittleEndian.PutUint64(bytes[:8], chain)
 	binary.LittleEndian.PutUint64(bytes[8:], next)
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -19,8 +19,8 @@
 	serviceName    = "service"
 	reportInterval = time.Second
 	expireInterval = 50 * time.Millisecond
-	// grace is the time after the last arrival in which requests may still end.
-	grace = time.Minute
+	// drainTime is the time after the last arrival in which requests may still end.
+	drainTime = time.Minute
 )
 
 // setup is what one run is made of.
@@ -45,23 +45,23 @@
 	engines  []*enginemodel.Engine
 	zones    []string // of each engine
 	index    map[string]int
-	running  []map[string]*flight // of each engine
+	running  []map[string]*exchange // of each engine
 	gateways []*gateway
 	requests []request
-	// lagged holds the load reports that have not reached the gateways yet.
-	lagged  [][]routing.BackEnd
-	results results
+	// delayedReports holds the load reports that have not reached the gateways yet.
+	delayedReports [][]routing.BackEnd
+	results        results
 }
 
-// flight is one request on its way.
-type flight struct {
+// exchange is one request on its way.
+type exchange struct {
 	*request
-	gateway  *gateway
-	engine   int
-	exchange string
-	started  time.Duration
-	first    time.Duration
-	cached   int
+	gateway    *gateway
+	engine     int
+	exchangeID string
+	started    time.Duration
+	first      time.Duration
+	cached     int
 }
 
 func newWorld(setup setup) (*world, error) {
@@ -75,7 +75,7 @@
 		w.engines = append(w.engines, engine)
 		w.zones = append(w.zones, zoneName(i%setup.zones))
 		w.index[engineName(i)] = i
-		w.running = append(w.running, map[string]*flight{})
+		w.running = append(w.running, map[string]*exchange{})
 	}
 	for i := range setup.gateways {
 		gateway, err := newGateway(w, i)
@@ -101,26 +101,26 @@
 // run lets the whole workload pass.
 func (w *world) run() *results {
 	last := w.requests[len(w.requests)-1].at
-	w.every(reportInterval, last+grace, w.report)
-	w.every(expireInterval, last+grace, func() {
+	w.every(reportInterval, last+drainTime, w.refreshReports)
+	w.every(expireInterval, last+drainTime, func() {
 		for _, gateway := range w.gateways {
-			gateway.expire()
+			gateway.expireWaiting()
 		}
 	})
 	w.every(100*time.Millisecond, last, w.sampleBalance)
-	w.report()
+	w.refreshReports()
 	for i := range w.requests {
 		asked := &w.requests[i]
 		w.agenda.Add(asked.at, func() { w.gateways[asked.gateway].receive(asked) })
 	}
 	for {
-		at, found := w.nextTime()
-		if !found || at > last+grace {
+		at, found := w.nextEventTime()
+		if !found || at > last+drainTime {
 			return &w.results
 		}
 		w.now = at
 		for i := range w.engines {
-			w.advance(i)
+			w.advanceEngine(i)
 		}
 		w.agenda.RunUntil(at)
 	}
@@ -137,7 +137,7 @@
 	w.agenda.Add(interval, again)
 }
 
-func (w *world) nextTime() (time.Duration, bool) {
+func (w *world) nextEventTime() (time.Duration, bool) {
 	best, found := w.agenda.Next()
 	for _, engine := range w.engines {
 		if at, busy := engine.NextEvent(); busy && (!found || at < best) {
@@ -147,7 +147,7 @@
 	return max(best, w.now), found
 }
 
-func (w *world) advance(index int) {
+func (w *world) advanceEngine(index int) {
 	engine := w.engines[index]
 	if at, busy := engine.NextEvent(); !busy || at > w.now {
 		return
@@ -159,16 +159,16 @@
 		}
 		switch event.Type {
 		case enginemodel.EventFirstToken:
-			current.gateway.firstToken(current, event)
+			current.gateway.recordFirstToken(current, event)
 		case enginemodel.EventDone:
 			delete(w.running[index], event.ID)
-			current.gateway.done(current)
+			current.gateway.complete(current)
 		}
 	}
 }
 
-// report reads every engine's load and gives the gateways the reading of reportLag ago.
-func (w *world) report() {
+// refreshReports reads every engine's load and gives the gateways the reading of reportLag ago.
+func (w *world) refreshReports() {
 	directory := make([]routing.BackEnd, len(w.engines))
 	for i, engine := range w.engines {
 		directory[i] = routing.BackEnd{
@@ -177,12 +177,12 @@
 			Load: loadOf(engine), LoadAt: w.now, HasLoad: true,
 		}
 	}
-	w.lagged = append(w.lagged, directory)
-	for len(w.lagged) > 1 && w.lagged[1][0].LoadAt <= w.now-w.setup.reportLag {
-		w.lagged = w.lagged[1:]
+	w.delayedReports = append(w.delayedReports, directory)
+	for len(w.delayedReports) > 1 && w.delayedReports[1][0].LoadAt <= w.now-w.setup.reportLag {
+		w.delayedReports = w.delayedReports[1:]
 	}
 	for _, gateway := range w.gateways {
-		gateway.chooser.reported(w.now, w.lagged[0])
+		gateway.chooser.setReports(w.now, w.delayedReports[0])
 	}
 }
 
--- a/internal/property/sending.go
+++ b/internal/property/attempt.go
@@ -16,29 +16,29 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// sending is what a caller was told about one sending of a request.
-type sending struct {
+// attempt is what a caller was told about one attempt of a request.
+type attempt struct {
 	request *request
 	// began and ended bound the time in which it was under way.
 	began, ended time.Time
 	status       int
-	// told is the verdict; empty when the caller got no answer or not its end.
-	told string
-	// whole tells that the answer came to its end as the protocol says.
-	whole bool
-	text  string
+	// verdict is the verdict; empty when the caller got no answer or not its end.
+	verdict string
+	// complete tells that the answer came to its end as the protocol says.
+	complete bool
+	text     string
 	// cachedTokens is the part of the prompt that was cached.
 	cachedTokens int
 	code         string
 }
 
-// final tells that the caller has its outcome.
-func (s *sending) final() bool { return s.whole }
+// isFinal tells that the caller has its outcome.
+func (s *attempt) isFinal() bool { return s.complete }
 
 // send sends a request to a gateway and reads what comes back.
-func send(ctx context.Context, client *http.Client, address string, of *request) *sending {
-	got := &sending{request: of, began: time.Now()}
-	defer func() { got.ended = time.Now() }()
+func send(ctx context.Context, client *http.Client, address string, of *request) *attempt {
+	result := &attempt{request: of, began: time.Now()}
+	defer func() { result.ended = time.Now() }()
 	call, err := http.NewRequestWithContext(ctx, of.method, "http://"+address+of.path, strings.NewReader(of.body))
 	if err != nil { // the addresses and paths of a run always parse
 		panic(trace.Wrap(err))
@@ -52,30 +52,30 @@
 	}
 	answer, err := client.Do(call)
 	if err != nil {
-		return got
+		return result
 	}
 	defer func() { _ = answer.Body.Close() }()
-	got.status = answer.StatusCode
+	result.status = answer.StatusCode
 	if strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream") {
-		got.readEvents(answer.Body)
-		return got
+		result.readEvents(answer.Body)
+		return result
 	}
 	body, err := io.ReadAll(answer.Body)
 	if err != nil {
-		got.text = strings.TrimSpace(string(body)) // a part, without a verdict
-		return got
+		result.text = strings.TrimSpace(string(body)) // a part, without a verdict
+		return result
 	}
-	got.told = answer.Header.Get(verdict.Header)
-	got.readWhole(string(body))
-	return got
+	result.verdict = answer.Header.Get(verdict.Header)
+	result.readCompleteBody(string(body))
+	return result
 }
 
-func (s *sending) readWhole(body string) {
+func (s *attempt) readCompleteBody(body string) {
 	if s.status != http.StatusOK {
 		s.code = gjson.Get(body, "error.code").String()
 		return
 	}
-	s.whole = true
+	s.complete = true
 	if s.request.path != enginecontract.PathChat {
 		s.text = body
 		return
@@ -85,17 +85,17 @@
 }
 
 // readEvents reads a stream; its verdict is known at its end alone.
-func (s *sending) readEvents(body io.Reader) {
+func (s *attempt) readEvents(body io.Reader) {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		data, found := strings.CutPrefix(lines.Text(), "data: ")
 		switch {
 		case !found:
 		case data == enginecontract.DoneMarker:
-			s.whole, s.told = true, verdict.Ran.String()
+			s.complete, s.verdict = true, verdict.Ran.String()
 		case gjson.Get(data, "error").Exists():
 			s.code = gjson.Get(data, "error.code").String()
-			s.told = gjson.Get(data, "run_verdict").String()
+			s.verdict = gjson.Get(data, "run_verdict").String()
 		default:
 			s.text += gjson.Get(data, "choices.0.delta.content").String()
 			s.cachedTokens += int(gjson.Get(data, "usage.prompt_tokens_details.cached_tokens").Int())
--- a/internal/property/backends.go
+++ b/internal/property/backends.go
@@ -31,7 +31,7 @@
 
 // startBackEnds starts the stand-ins and returns their rows of the directory.
 func startBackEnds(joined *network, engines, pages int) (*backEnds, []*v1.BackEnd, error) {
-	started := &backEnds{}
+	created := &backEnds{}
 	var rows []*v1.BackEnd
 	for number := range engines {
 		name, address := fmt.Sprintf("engine-%d", number+1), engineHost(number)+":8100"
@@ -43,7 +43,7 @@
 		if err != nil {
 			return nil, nil, trace.Wrap(err)
 		}
-		started.engines = append(started.engines, opened)
+		created.engines = append(created.engines, opened)
 		rows = append(rows, &v1.BackEnd{
 			Name: name, Service: engineService, Zone: zone, Address: address, Role: engineroles.FromContract(engineRoles[number%len(engineRoles)]), Model: model,
 			Version: modelVersion, State: v1.BackEndState_BACK_END_STATE_SERVING,
@@ -57,12 +57,12 @@
 		if err != nil {
 			return nil, nil, trace.Wrap(err)
 		}
-		started.pages = append(started.pages, opened)
+		created.pages = append(created.pages, opened)
 		rows = append(rows, &v1.BackEnd{
 			Name: name, Service: pageService, Zone: zone, Address: address, State: v1.BackEndState_BACK_END_STATE_SERVING,
 		})
 	}
-	return started, rows, nil
+	return created, rows, nil
 }
 
 func engineHost(number int) string { return fmt.Sprintf("10.2.0.%d", number+1) }
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// handOvers counts the caches that engines took over.
-func (b *backEnds) handOvers() int {
+// kvTransfers counts the caches that engines took over.
+func (b *backEnds) kvTransfers() int {
 	sum := 0
 	for _, each := range b.engines {
 		sum += each.Runs().Totals.Imported
@@ -112,16 +112,16 @@
 
 // executions counts what ran, by the marks of requests.
 func (b *backEnds) executions() map[string]int {
-	counted := map[string]int{}
+	counts := map[string]int{}
 	for _, each := range b.engines {
 		for prompt, run := range each.Runs().Prompts {
-			counted[prompt] += run.Started
+			counts[prompt] += run.Started
 		}
 	}
 	for _, each := range b.pages {
 		for key, count := range each.Runs().Executions {
-			counted[key] += count
+			counts[key] += count
 		}
 	}
-	return counted
+	return counts
 }
--- a/internal/property/caller.go
+++ b/internal/property/caller.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// maximumSendings bounds how often a caller sends one request.
-	maximumSendings = 5
+	// maximumAttempts bounds how often a caller sends one request.
+	maximumAttempts = 5
 	// answerTimeout bounds a caller's wait for one answer.
 	answerTimeout = 60 * time.Second
 	longestPause  = 2 * time.Second
-	// sentTwiceOneIn: one in so many sendings of a claimed request goes to two gateways at
+	// doubleSendOneIn: one in so many sendings of a claimed request goes to two gateways at
 	// once.
-	sentTwiceOneIn = 5
+	doubleSendOneIn = 5
 )
 
 // caller sends requests one after the other, and resends those without an outcome.
 type caller struct {
-	client   *http.Client
-	gateways *gateways
-	count    int // of gateways
-	random   *rand.Rand
-	ledger   *ledger
+	client       *http.Client
+	gateways     *gateways
+	gatewayCount int // of gateways
+	random       *rand.Rand
+	ledger       *ledger
 }
 
-func newCaller(joined *network, served *gateways, gatewayCount, number int, seed uint64, told *ledger) *caller {
+func newCaller(joined *network, targets *gateways, gatewayCount, number int, seed uint64, outcomes *ledger) *caller {
 	host := callerHost(number)
 	return &caller{
-		gateways: served, count: gatewayCount, ledger: told,
+		gateways: targets, gatewayCount: gatewayCount, ledger: outcomes,
 		random: rand.New(rand.NewPCG(seed, uint64(number))),
 		client: &http.Client{Transport: &http.Transport{
 			DialContext: joined.dialFrom(host), DisableKeepAlives: true, DisableCompression: true,
@@ -42,31 +42,31 @@
 
 func callerHost(number int) string { return fmt.Sprintf("10.9.0.%d", number+1) }
 
-// carry sends a request until it has an outcome or the sendings are used up.
-func (c *caller) carry(of *request) {
-	for sent := 0; sent < maximumSendings; sent++ {
+// sendUntilComplete sends a request until it has an outcome or the sendings are used up.
+func (c *caller) sendUntilComplete(of *request) {
+	for sent := 0; sent < maximumAttempts; sent++ {
 		if sent > 0 {
 			time.Sleep(time.Duration(c.random.Int64N(int64(longestPause))))
 		}
-		if of.claimed() && c.random.IntN(sentTwiceOneIn) == 0 {
-			var other sync.WaitGroup
-			address := c.gateways.address(c.random.IntN(c.count))
-			other.Go(func() { c.send(address, of) })
-			c.send(c.gateways.address(c.random.IntN(c.count)), of)
-			other.Wait()
+		if of.isClaimed() && c.random.IntN(doubleSendOneIn) == 0 {
+			var second sync.WaitGroup
+			address := c.gateways.address(c.random.IntN(c.gatewayCount))
+			second.Go(func() { c.send(address, of) })
+			c.send(c.gateways.address(c.random.IntN(c.gatewayCount)), of)
+			second.Wait()
 			sent++
 			continue
 		}
-		if c.send(c.gateways.address(c.random.IntN(c.count)), of).final() {
+		if c.send(c.gateways.address(c.random.IntN(c.gatewayCount)), of).isFinal() {
 			return
 		}
 	}
 }
 
-func (c *caller) send(address string, of *request) *sending {
+func (c *caller) send(address string, of *request) *attempt {
 	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
 	defer cancel()
-	got := send(ctx, c.client, address, of)
-	c.ledger.add(got)
-	return got
+	sent := send(ctx, c.client, address, of)
+	c.ledger.add(sent)
+	return sent
 }
--- a/internal/property/configuration.go
+++ b/internal/property/configuration.go
@@ -36,7 +36,7 @@
 }
 
 func newConfiguration(backEnds []*v1.BackEnd) configuration {
-	declared := configuration{
+	created := configuration{
 		tenants:   map[string]*v1.Object{},
 		directory: &v1.Directory{Version: 1, BackEnds: backEnds},
 		objects: []*v1.Object{
@@ -52,16 +52,16 @@
 	for _, key := range tenantKeys {
 		sum := sha256.Sum256([]byte(key))
 		hash := hex.EncodeToString(sum[:])
-		declared.tenants[hash] = object(v1.ObjectType_OBJECT_TYPE_TENANT, "tenant-of-"+key, &v1.Object{Spec: &v1.Object_Tenant{
+		created.tenants[hash] = object(v1.ObjectType_OBJECT_TYPE_TENANT, "tenant-of-"+key, &v1.Object{Spec: &v1.Object_Tenant{
 			Tenant: &v1.Tenant{ApiKeyHashes: []string{hash}, Weight: 1, CacheSalt: "salt-of-" + key},
 		}})
 	}
-	return declared
+	return created
 }
 
-func object(of v1.ObjectType, name string, made *v1.Object) *v1.Object {
-	made.Key, made.Revision = &v1.ObjectKey{Type: of, Name: name}, 1
-	return made
+func object(of v1.ObjectType, name string, created *v1.Object) *v1.Object {
+	created.Key, created.Revision = &v1.ObjectKey{Type: of, Name: name}, 1
+	return created
 }
 
 func service(name string, spec *v1.Service) *v1.Object {
--- a/internal/property/controllers.go
+++ b/internal/property/controllers.go
@@ -24,9 +24,9 @@
 	configuration configuration
 	server        *http.Server
 	addresses     []string
-	// toLose is the number of claim calls whose answers are still to be lost.
-	toLose      atomic.Int64
-	answersLost atomic.Int64
+	// answersToLose is the number of claim calls whose answers are still to be lost.
+	answersToLose atomic.Int64
+	answersLost   atomic.Int64
 
 	mutex sync.Mutex
 	state *controlstate.State
@@ -36,19 +36,19 @@
 var errAnswerLost = errors.New("the answer is lost")
 
 func startControllers(joined *network, addresses []string, declared configuration, off safeguard.Set) (*controllers, error) {
-	started := &controllers{configuration: declared, addresses: addresses, state: controlstate.New(off)}
-	path, handler := hazelpitchv1connect.NewNodeServiceHandler(started)
+	created := &controllers{configuration: declared, addresses: addresses, state: controlstate.New(off)}
+	path, handler := hazelpitchv1connect.NewNodeServiceHandler(created)
 	routes := http.NewServeMux()
 	routes.Handle(path, handler)
-	started.server = &http.Server{Handler: routes, ReadHeaderTimeout: time.Minute}
+	created.server = &http.Server{Handler: routes, ReadHeaderTimeout: time.Minute}
 	for _, address := range addresses {
 		listener, err := joined.listen("tcp", address)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		go func() { _ = started.server.Serve(listener) }() // it returns when the server closes
+		go func() { _ = created.server.Serve(listener) }() // it returns when the server closes
 	}
-	return started, nil
+	return created, nil
 }
 
 func (c *controllers) close() { _ = c.server.Close() } // its listeners close without errors
@@ -62,8 +62,8 @@
 	return c.state.Apply(c.index, command)
 }
 
-// loseGateway tells the state that a gateway's process is gone.
-func (c *controllers) loseGateway(name string) {
+// markGatewayLost tells the state that a gateway's process is gone.
+func (c *controllers) markGatewayLost(name string) {
 	c.apply(&v1.Command{Body: &v1.Command_LoseGateway{LoseGateway: &v1.LoseGateway{
 		Gateway: name, Incarnation: uint64(time.Now().UnixNano()),
 	}}})
@@ -96,7 +96,7 @@
 // BeginClaim applies a claim to the replicated state.
 func (c *controllers) BeginClaim(_ context.Context, request *connect.Request[v1.BeginClaimRequest]) (*connect.Response[v1.BeginClaimResponse], error) {
 	result := c.apply(&v1.Command{Body: &v1.Command_BeginClaim{BeginClaim: request.Msg.GetClaim()}})
-	if err := c.answer(result.Err); err != nil {
+	if err := c.answerError(result.Err); err != nil {
 		return nil, err
 	}
 	return connect.NewResponse(result.Claim), nil
@@ -105,15 +105,15 @@
 // FinishClaim applies an outcome to the replicated state.
 func (c *controllers) FinishClaim(_ context.Context, request *connect.Request[v1.FinishClaimRequest]) (*connect.Response[v1.FinishClaimResponse], error) {
 	result := c.apply(&v1.Command{Body: &v1.Command_FinishClaim{FinishClaim: request.Msg.GetClaim()}})
-	if err := c.answer(result.Err); err != nil {
+	if err := c.answerError(result.Err); err != nil {
 		return nil, err
 	}
 	return connect.NewResponse(&v1.FinishClaimResponse{}), nil
 }
 
-// answer fails a call whose command was refused, and one whose answer is to be lost.
-func (c *controllers) answer(refused error) error {
-	if c.toLose.Add(-1) >= 0 {
+// answerError fails a call whose command was refused, and one whose answerError is to be lost.
+func (c *controllers) answerError(refused error) error {
+	if c.answersToLose.Add(-1) >= 0 {
 		c.answersLost.Add(1)
 		return connect.NewError(connect.CodeUnavailable, errAnswerLost)
 	}
--- a/internal/property/faults.go
+++ b/internal/property/faults.go
@@ -18,9 +18,9 @@
 	// longestDown bounds crashes, pauses and isolation.
 	longestDown = 4 * time.Second
 	// Bounds of the faults that stand-ins are told to show.
-	maximumStrikes     = 3
+	maximumFaultCount  = 3
 	maximumFaultTokens = 12
-	maximumLate        = 3 * time.Second
+	maximumFaultDelay  = 3 * time.Second
 	maximumLostAnswers = 4
 )
 
@@ -44,8 +44,8 @@
 	gateways    *gateways
 	controllers *controllers
 	options     Options
-	// later waits for what ends by itself: restarts and healing.
-	later sync.WaitGroup
+	// pending waits for what ends by itself: restarts and healing.
+	pending sync.WaitGroup
 }
 
 // Counts of the kinds of actors in a run.
@@ -53,37 +53,37 @@
 	Callers, Gateways, Engines, Pages int
 }
 
-// run strikes until the context ends, and returns what struck by name.
-func (f *faults) run(ctx context.Context) map[string]int {
-	struck := map[string]int{}
+// injectUntilDone strikes until the context ends, and returns what struck by name.
+func (f *faults) injectUntilDone(ctx context.Context) map[string]int {
+	counts := map[string]int{}
 	for ctx.Err() == nil {
 		time.Sleep(shortestCalm + time.Duration(f.random.Int64N(int64(longestCalm-shortestCalm))))
-		if name := f.strike(); name != "" {
-			struck[name]++
+		if name := f.injectOne(); name != "" {
+			counts[name]++
 		}
 	}
-	f.later.Wait()
+	f.pending.Wait()
 	for _, each := range f.backEnds.engines {
-		collect(struck, "engine ", each.Faults())
+		addFaultCounts(counts, "engine ", each.Faults())
 	}
 	for _, each := range f.backEnds.pages {
-		collect(struck, "page ", each.Faults())
+		addFaultCounts(counts, "page ", each.Faults())
 	}
-	struck[claimsLost] += int(f.controllers.answersLost.Load())
-	return struck
+	counts[claimsLost] += int(f.controllers.answersLost.Load())
+	return counts
 }
 
-// collect adds what a stand-in showed.
-func collect(struck map[string]int, whose string, shown *fault.Set) {
+// addFaultCounts adds what a stand-in showed.
+func addFaultCounts(struck map[string]int, prefix string, shown *fault.Set) {
 	for kind, count := range shown.Struck() {
-		struck[whose+string(kind)] += count
+		struck[prefix+string(kind)] += count
 	}
 }
 
 // Names of the faults that processes and links may show.
 const (
-	toldEngine     = "told to an engine"
-	toldPage       = "told to a page service"
+	engineFaultSet = "told to an engine"
+	pageFaultSet   = "told to a page service"
 	engineCrashed  = "engine crashed"
 	pageCrashed    = "page service crashed"
 	enginePaused   = "engine paused"
@@ -94,41 +94,41 @@
 	controlLost    = "controllers out of reach"
 )
 
-// strikes are the faults that may be drawn, with their weights. Each reports whether it
-// struck at once; what a stand-in is told is counted when it strikes.
-var strikes = []struct {
+// faultChoices are the faults that may be drawn, with their weights. Each reports whether it
+// struck at once; what a stand-in is told is counted when it faultChoices.
+var faultChoices = []struct {
 	name   string
 	weight int
-	strike func(*faults) bool
+	inject func(*faults) bool
 }{
-	{toldEngine, 9, (*faults).tellEngine},
-	{toldPage, 3, (*faults).tellPage},
+	{engineFaultSet, 9, (*faults).addEngineFault},
+	{pageFaultSet, 3, (*faults).addPageFault},
 	{engineCrashed, 1, (*faults).crashEngine},
 	{pageCrashed, 1, (*faults).crashPage},
 	{enginePaused, 1, (*faults).pauseEngine},
 	{linksCut, 1, (*faults).cutLinks},
 	{gatewayKilled, 1, (*faults).killGateway},
 	{gatewayStopped, 1, (*faults).stopGateway},
-	{claimsLost, 1, (*faults).loseClaims},
+	{claimsLost, 1, (*faults).loseClaimAnswers},
 	{controlLost, 1, (*faults).isolateControllers},
 }
 
-// likelyWeight is the weight of the fault that a run is to show most.
-const likelyWeight = 20
+// likelyFaultWeight is the weight of the fault that a run is to show most.
+const likelyFaultWeight = 20
 
-// strike draws one fault and returns its name, or nothing when none struck at once.
-func (f *faults) strike() string {
+// injectOne draws one fault and returns its name, or nothing when none struck at once.
+func (f *faults) injectOne() string {
 	sum := 0
-	for _, each := range strikes {
+	for _, each := range faultChoices {
 		sum += f.weight(each.name, each.weight)
 	}
 	draw := f.random.IntN(sum)
-	for _, each := range strikes {
+	for _, each := range faultChoices {
 		draw -= f.weight(each.name, each.weight)
 		if draw >= 0 {
 			continue
 		}
-		if each.strike(f) {
+		if each.inject(f) {
 			return each.name
 		}
 		return ""
@@ -137,77 +137,79 @@
 }
 
 func (f *faults) weight(name string, weight int) int {
-	if name == f.options.Likely {
-		return likelyWeight
+	if name == f.options.LikelyFault {
+		return likelyFaultWeight
 	}
 	return weight
 }
 
-func (f *faults) down() time.Duration { return time.Duration(f.random.Int64N(int64(longestDown))) }
+func (f *faults) drawDowntime() time.Duration {
+	return time.Duration(f.random.Int64N(int64(longestDown)))
+}
 
 // after does something once a drawn time has passed.
 func (f *faults) after(do func()) {
-	pause := f.down()
-	f.later.Go(func() {
+	pause := f.drawDowntime()
+	f.pending.Go(func() {
 		time.Sleep(pause)
 		do()
 	})
 }
 
-// tell adds one fault to those that a stand-in has still to show.
-func (f *faults) tell(set *fault.Set, kinds []fault.Kind) {
-	if f.options.Only != "" {
-		kinds = []fault.Kind{f.options.Only}
+// addFault adds one fault to those that a stand-in has still to show.
+func (f *faults) addFault(set *fault.Set, kinds []fault.Kind) {
+	if f.options.OnlyFault != "" {
+		kinds = []fault.Kind{f.options.OnlyFault}
 	}
 	left := set.Left()
 	set.Replace(append(left, fault.Fault{
-		Kind: kinds[f.random.IntN(len(kinds))], Count: 1 + f.random.IntN(maximumStrikes),
-		Tokens: f.random.IntN(maximumFaultTokens), DelayMs: f.random.Int64N(maximumLate.Milliseconds()),
+		Kind: kinds[f.random.IntN(len(kinds))], Count: 1 + f.random.IntN(maximumFaultCount),
+		Tokens: f.random.IntN(maximumFaultTokens), DelayMs: f.random.Int64N(maximumFaultDelay.Milliseconds()),
 	}))
 }
 
-func (f *faults) tellEngine() bool {
-	f.tell(f.engine().Faults(), engineFaults)
+func (f *faults) addEngineFault() bool {
+	f.addFault(f.drawEngine().Faults(), engineFaults)
 	return false
 }
 
-func (f *faults) tellPage() bool {
-	f.tell(f.page().Faults(), pageFaults)
+func (f *faults) addPageFault() bool {
+	f.addFault(f.drawPage().Faults(), pageFaults)
 	return false
 }
 
-func (f *faults) engine() *engine.Engine {
+func (f *faults) drawEngine() *engine.Engine {
 	return f.backEnds.engines[f.random.IntN(f.options.Counts.Engines)]
 }
 
-func (f *faults) page() *page.Service {
+func (f *faults) drawPage() *page.Service {
 	return f.backEnds.pages[f.random.IntN(f.options.Counts.Pages)]
 }
 
-func (f *faults) gateway() int { return f.random.IntN(f.options.Counts.Gateways) }
+func (f *faults) drawGateway() int { return f.random.IntN(f.options.Counts.Gateways) }
 
 func (f *faults) crashEngine() bool {
-	struck := f.engine()
-	struck.Crash()
-	f.after(func() { _ = struck.Restart() }) // clear starts it again in any case
+	crashed := f.drawEngine()
+	crashed.Crash()
+	f.after(func() { _ = crashed.Restart() }) // clear starts it again in any case
 	return true
 }
 
 func (f *faults) crashPage() bool {
-	struck := f.page()
-	struck.Crash()
-	f.after(func() { _ = struck.Restart() }) // clear starts it again in any case
+	crashed := f.drawPage()
+	crashed.Crash()
+	f.after(func() { _ = crashed.Restart() }) // clear starts it again in any case
 	return true
 }
 
 func (f *faults) pauseEngine() bool {
-	f.engine().Freeze(f.down())
+	f.drawEngine().Freeze(f.drawDowntime())
 	return true
 }
 
 // cutLinks breaks the connections between one gateway and one engine, or one caller.
 func (f *faults) cutLinks() bool {
-	host := f.gateways.present(f.gateway()).host
+	host := f.gateways.current(f.drawGateway()).host
 	other := engineHost(f.random.IntN(f.options.Counts.Engines))
 	if f.random.IntN(3) == 0 {
 		other = callerHost(f.random.IntN(f.options.Counts.Callers))
@@ -216,17 +218,17 @@
 }
 
 func (f *faults) killGateway() bool {
-	f.gateways.kill(f.gateway())
+	f.gateways.kill(f.drawGateway())
 	return true
 }
 
 func (f *faults) stopGateway() bool {
-	f.gateways.replace(f.gateway())
+	f.gateways.replace(f.drawGateway())
 	return true
 }
 
-func (f *faults) loseClaims() bool {
-	f.controllers.toLose.Store(1 + f.random.Int64N(maximumLostAnswers))
+func (f *faults) loseClaimAnswers() bool {
+	f.controllers.answersToLose.Store(1 + f.random.Int64N(maximumLostAnswers))
 	return false
 }
 
--- a/internal/property/gateways.go
+++ b/internal/property/gateways.go
@@ -82,10 +82,10 @@
 
 // address is where callers reach a gateway now.
 func (g *gateways) address(number int) string {
-	return g.present(number).host + ":8080"
+	return g.current(number).host + ":8080"
 }
 
-func (g *gateways) present(number int) *process {
+func (g *gateways) current(number int) *process {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	all := g.processes[number]
@@ -95,19 +95,19 @@
 // kill ends a gateway's process as seen from outside: every connection breaks at once and
 // nothing of it is heard again; then another process of that gateway starts.
 func (g *gateways) kill(number int) {
-	dying := g.present(number)
-	dying.killed = true
-	g.network.isolate(dying.host)
-	dying.stop()
+	killed := g.current(number)
+	killed.killed = true
+	g.network.isolate(killed.host)
+	killed.stop()
 	time.Sleep(restartPause)
-	g.controllers.loseGateway(gatewayName(number))
+	g.controllers.markGatewayLost(gatewayName(number))
 	time.Sleep(restartPause)
 	g.start(number)
 }
 
 // replace stops a gateway's process in good order while another one starts.
 func (g *gateways) replace(number int) {
-	leaving := g.present(number)
+	leaving := g.current(number)
 	time.Sleep(restartPause)
 	g.start(number)
 	leaving.stop()
--- a/internal/property/ledger.go
+++ b/internal/property/ledger.go
@@ -10,8 +10,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// maximumExchanges is how often a gateway may begin one repeatable request.
-const maximumExchanges = 4
+// maximumGatewayAttempts is how often a gateway may begin one repeatable request.
+const maximumGatewayAttempts = 4
 
 // epoch is when a bubble's time begins; histories count from it.
 var epoch = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -19,21 +19,21 @@
 // ledger keeps what callers were told. It is safe for concurrent use.
 type ledger struct {
 	mutex    sync.Mutex
-	sendings map[*request][]*sending
+	attempts map[*request][]*attempt
 }
 
-func newLedger() *ledger { return &ledger{sendings: map[*request][]*sending{}} }
+func newLedger() *ledger { return &ledger{attempts: map[*request][]*attempt{}} }
 
-func (l *ledger) add(told *sending) {
+func (l *ledger) add(told *attempt) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.sendings[told.request] = append(l.sendings[told.request], told)
+	l.attempts[told.request] = append(l.attempts[told.request], told)
 }
 
 // requests lists the requests in their order.
 func (l *ledger) requests() []*request {
-	listed := make([]*request, 0, len(l.sendings))
-	for each := range l.sendings {
+	listed := make([]*request, 0, len(l.attempts))
+	for each := range l.attempts {
 		listed = append(listed, each)
 	}
 	slices.SortFunc(listed, func(a, b *request) int { return a.number - b.number })
@@ -45,7 +45,7 @@
 	var found []Violation
 	for _, each := range l.requests() {
 		found = append(found, l.checkRuns(each, executions[each.mark])...)
-		for _, told := range l.sendings[each] {
+		for _, told := range l.attempts[each] {
 			found = append(found, checkAnswer(told)...)
 		}
 	}
@@ -53,39 +53,39 @@
 }
 
 // checkRuns holds the verdicts on all sendings of one request against its executions.
-func (l *ledger) checkRuns(of *request, runs int) []Violation {
+func (l *ledger) checkRuns(sent *request, runs int) []Violation {
 	var found []Violation
 	notRun, ran, history := 0, 0, ""
-	for _, told := range l.sendings[of] {
-		switch told.told {
+	for _, told := range l.attempts[sent] {
+		switch told.verdict {
 		case verdict.NotRun.String():
 			notRun++
 		case verdict.Ran.String():
 			ran++
 		}
 	}
-	for _, told := range l.sendings[of] {
-		history += fmt.Sprintf("; %v to %v: %d %s %s", told.began.Sub(epoch), told.ended.Sub(epoch), told.status, told.told, told.code)
+	for _, told := range l.attempts[sent] {
+		history += fmt.Sprintf("; %v to %v: %d %s %s", told.began.Sub(epoch), told.ended.Sub(epoch), told.status, told.verdict, told.code)
 	}
-	mayRun := len(l.sendings[of]) - notRun
+	mayRun := len(l.attempts[sent]) - notRun
 	summary := fmt.Sprintf("request %d (%s, key %q): %d sendings, %d told not run, %d told ran; it ran %d times%s",
-		of.number, of.kind, of.key, len(l.sendings[of]), notRun, ran, runs, history)
+		sent.number, sent.kind, sent.key, len(l.attempts[sent]), notRun, ran, runs, history)
 	bound := mayRun
 	switch {
-	case of.claimed():
+	case sent.isClaimed():
 		bound = min(mayRun, 1)
-	case !of.once():
-		bound = mayRun * maximumExchanges
+	case !sent.runsAtMostOnce():
+		bound = mayRun * maximumGatewayAttempts
 	}
 	switch {
 	case runs > 0 && mayRun == 0:
 		found = append(found, Violation{FalseNotRun, summary})
-	case runs > bound && !of.once():
+	case runs > bound && !sent.runsAtMostOnce():
 		found = append(found, Violation{RepeatedTooOften, summary})
 	case runs > bound:
 		found = append(found, Violation{RunTwice, summary})
 	}
-	if runs > 0 && mayRun > 0 && of.claimed() && l.hidesRun(of) {
+	if runs > 0 && mayRun > 0 && sent.isClaimed() && l.deniesEarlierRun(sent) {
 		found = append(found, Violation{FalseNotRun, summary + ", before one that was told not run"})
 	}
 	if ran > 0 && runs == 0 {
@@ -94,31 +94,31 @@
 	return found
 }
 
-// hidesRun tells that a sending was told not run although all that may have run had ended
+// deniesEarlierRun tells that a sending was told not run although all that may have run had ended
 // before it began. Under a key the verdict covers the earlier sendings too.
-func (l *ledger) hidesRun(of *request) bool {
+func (l *ledger) deniesEarlierRun(of *request) bool {
 	var last time.Time // end of the last sending that may have run
-	for _, told := range l.sendings[of] {
-		if told.told != verdict.NotRun.String() && told.ended.After(last) {
+	for _, told := range l.attempts[of] {
+		if told.verdict != verdict.NotRun.String() && told.ended.After(last) {
 			last = told.ended
 		}
 	}
-	return slices.ContainsFunc(l.sendings[of], func(told *sending) bool {
-		return told.told == verdict.NotRun.String() && told.began.After(last)
+	return slices.ContainsFunc(l.attempts[of], func(told *attempt) bool {
+		return told.verdict == verdict.NotRun.String() && told.began.After(last)
 	})
 }
 
 // checkAnswer holds one answer against the request's own.
-func checkAnswer(told *sending) []Violation {
+func checkAnswer(told *attempt) []Violation {
 	of := told.request
 	what := fmt.Sprintf("request %d (%s): got %q of %q", of.number, of.kind, told.text, of.expected)
 	switch {
 	case told.text == of.expected:
 		return nil
 	case !strings.HasPrefix(of.expected, told.text):
-		return []Violation{{Mixed, what}}
-	case told.whole:
-		return []Violation{{Short, what}}
+		return []Violation{{MixedAnswer, what}}
+	case told.complete:
+		return []Violation{{ShortAnswer, what}}
 	default:
 		return nil
 	}
--- a/internal/property/ledger_test.go
+++ b/internal/property/ledger_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// told is what a caller was told about one sending.
-func told(verdict, text string, whole bool) sending {
-	return sending{told: verdict, text: text, whole: whole}
+// attemptWith is what a caller was attemptWith about one sending.
+func attemptWith(verdict, text string, whole bool) attempt {
+	return attempt{verdict: verdict, text: text, complete: whole}
 }
 
 // TestLedgerFindsEachBreach holds what callers were told against numbers of executions.
@@ -20,25 +20,25 @@
 		kind     string
 		key      string
 		runs     int
-		sendings []sending // one after the other
+		sendings []attempt // one after the other
 		want     []Breach
 	}{
-		{"ran once", kindOnce, "k", 1, []sending{told("ran", answer, true)}, nil},
-		{"replayed", kindOnce, "k", 1, []sending{told("ran", answer, true), told("ran", answer, true)}, nil},
-		{"without a verdict", kindOnce, "k", 1, []sending{told("", "one", false)}, nil},
-		{"not run, then ran", kindOnce, "k", 1, []sending{told("not-run", "", false), told("ran", answer, true)}, nil},
+		{"ran once", kindOnce, "k", 1, []attempt{attemptWith("ran", answer, true)}, nil},
+		{"replayed", kindOnce, "k", 1, []attempt{attemptWith("ran", answer, true), attemptWith("ran", answer, true)}, nil},
+		{"without a verdict", kindOnce, "k", 1, []attempt{attemptWith("", "one", false)}, nil},
+		{"not run, then ran", kindOnce, "k", 1, []attempt{attemptWith("not-run", "", false), attemptWith("ran", answer, true)}, nil},
 		{"may have run, then not run", kindOnce, "k", 1,
-			[]sending{told("may-have-run", "", false), told("not-run", "", false)}, []Breach{FalseNotRun}},
-		{"not run alone, and ran", kindOnce, "k", 1, []sending{told("not-run", "", false)}, []Breach{FalseNotRun}},
-		{"ran, and did not", kindOnce, "k", 0, []sending{told("ran", answer, true)}, []Breach{FalseRan}},
-		{"ran twice under a key", kindOnce, "k", 2, []sending{told("", "", false), told("ran", answer, true)}, []Breach{RunTwice}},
-		{"sent twice without a key", kindOnce, "", 2, []sending{told("", "", false), told("ran", answer, true)}, nil},
-		{"sent once without a key and ran twice", kindOnce, "", 2, []sending{told("ran", answer, true)}, []Breach{RunTwice}},
-		{"repeated", kindRepeatable, "", maximumExchanges, []sending{told("ran", answer, true)}, nil},
-		{"repeated too often", kindRepeatable, "", maximumExchanges + 1, []sending{told("ran", answer, true)}, []Breach{RepeatedTooOften}},
-		{"another's text", kindRepeatable, "", 1, []sending{told("ran", "one three", true)}, []Breach{Mixed}},
-		{"another's text in a part", kindRepeatable, "", 1, []sending{told("", "three", false)}, []Breach{Mixed}},
-		{"called whole too early", kindRepeatable, "", 1, []sending{told("ran", "one", true)}, []Breach{Short}},
+			[]attempt{attemptWith("may-have-run", "", false), attemptWith("not-run", "", false)}, []Breach{FalseNotRun}},
+		{"not run alone, and ran", kindOnce, "k", 1, []attempt{attemptWith("not-run", "", false)}, []Breach{FalseNotRun}},
+		{"ran, and did not", kindOnce, "k", 0, []attempt{attemptWith("ran", answer, true)}, []Breach{FalseRan}},
+		{"ran twice under a key", kindOnce, "k", 2, []attempt{attemptWith("", "", false), attemptWith("ran", answer, true)}, []Breach{RunTwice}},
+		{"sent twice without a key", kindOnce, "", 2, []attempt{attemptWith("", "", false), attemptWith("ran", answer, true)}, nil},
+		{"sent once without a key and ran twice", kindOnce, "", 2, []attempt{attemptWith("ran", answer, true)}, []Breach{RunTwice}},
+		{"repeated", kindRepeatable, "", maximumGatewayAttempts, []attempt{attemptWith("ran", answer, true)}, nil},
+		{"repeated too often", kindRepeatable, "", maximumGatewayAttempts + 1, []attempt{attemptWith("ran", answer, true)}, []Breach{RepeatedTooOften}},
+		{"another's text", kindRepeatable, "", 1, []attempt{attemptWith("ran", "one three", true)}, []Breach{MixedAnswer}},
+		{"another's text in a part", kindRepeatable, "", 1, []attempt{attemptWith("", "three", false)}, []Breach{MixedAnswer}},
+		{"called whole too early", kindRepeatable, "", 1, []attempt{attemptWith("ran", "one", true)}, []Breach{ShortAnswer}},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
--- a/internal/property/network.go
+++ b/internal/property/network.go
@@ -86,7 +86,7 @@
 	var broken []*link
 	n.mutex.Lock()
 	for each := range n.links {
-		if joins(each, one, other) || joins(each, other, one) {
+		if connects(each, one, other) || connects(each, other, one) {
 			broken = append(broken, each)
 		}
 	}
@@ -98,7 +98,7 @@
 	return len(broken)
 }
 
-func joins(l *link, from, to string) bool {
+func connects(l *link, from, to string) bool {
 	return (from == "" || l.from == from) && (to == "" || l.to == to)
 }
 
--- a/internal/property/property_test.go
+++ b/internal/property/property_test.go
@@ -43,7 +43,7 @@
 )
 
 func TestPromisesHold(t *testing.T) {
-	total := &Report{Faults: map[string]int{}, Told: map[string]int{}}
+	total := &Report{Faults: map[string]int{}, Verdicts: map[string]int{}}
 	for seed := range uint64(*seeds) {
 		report := run(t, Options{Seed: seed + 1, Requests: *requests, Counts: DrawCounts(seed + 1)})
 		require.Empty(t, report.Violations, "seed %d", seed+1)
--- a/internal/property/report.go
+++ b/internal/property/report.go
@@ -20,10 +20,10 @@
 	RunTwice Breach = "run twice"
 	// RepeatedTooOften: a repeatable request ran more often than gateways may begin it.
 	RepeatedTooOften Breach = "repeated too often"
-	// Mixed: an answer has text that is not its own.
-	Mixed Breach = "mixed answer"
-	// Short: an answer was called whole and is not.
-	Short Breach = "short answer"
+	// MixedAnswer: an answer has text that is not its own.
+	MixedAnswer Breach = "mixed answer"
+	// ShortAnswer: an answer was called whole and is not.
+	ShortAnswer Breach = "short answer"
 	// SharedCache: a tenant was served from another tenant's cache.
 	SharedCache Breach = "shared cache"
 	// CutByStop: a gateway that stopped in good order left requests behind.
@@ -40,16 +40,16 @@
 type Report struct {
 	Seed uint64
 	// Requests of callers and their sendings; Whole answers among those.
-	Requests int
-	Sendings int
-	Whole    int
-	// Told counts sendings by the verdict that callers were told; the empty verdict
+	Requests        int
+	Attempts        int
+	CompleteAnswers int
+	// Verdicts counts sendings by the verdict that callers were told; the empty verdict
 	// counts those that ended without one.
-	Told map[string]int
+	Verdicts map[string]int
 	// Executions at engines and page services.
 	Executions int
-	// HandOvers are the caches that decode engines took over from prefill engines.
-	HandOvers int
+	// KVTransfers are the caches that decode engines took over from prefill engines.
+	KVTransfers int
 	// Faults counts what struck, by name.
 	Faults     map[string]int
 	Violations []Violation
@@ -67,12 +67,12 @@
 // Add adds the counts of another run.
 func (r *Report) Add(other *Report) {
 	r.Requests += other.Requests
-	r.Sendings += other.Sendings
-	r.Whole += other.Whole
+	r.Attempts += other.Attempts
+	r.CompleteAnswers += other.CompleteAnswers
 	r.Executions += other.Executions
-	r.HandOvers += other.HandOvers
-	for verdict, count := range other.Told {
-		r.Told[verdict] += count
+	r.KVTransfers += other.KVTransfers
+	for verdict, count := range other.Verdicts {
+		r.Verdicts[verdict] += count
 	}
 	for fault, count := range other.Faults {
 		r.Faults[fault] += count
@@ -84,9 +84,9 @@
 func (r *Report) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d requests in %d sendings, %d whole answers, %d executions, %d hand-overs, %d faults, %d violations\n",
-		r.Requests, r.Sendings, r.Whole, r.Executions, r.HandOvers, r.FaultCount(), len(r.Violations))
-	for _, verdict := range slices.Sorted(maps.Keys(r.Told)) {
-		fmt.Fprintf(&text, "  told %-28q %d\n", verdict, r.Told[verdict])
+		r.Requests, r.Attempts, r.CompleteAnswers, r.Executions, r.KVTransfers, r.FaultCount(), len(r.Violations))
+	for _, verdict := range slices.Sorted(maps.Keys(r.Verdicts)) {
+		fmt.Fprintf(&text, "  told %-28q %d\n", verdict, r.Verdicts[verdict])
 	}
 	for _, fault := range slices.Sorted(maps.Keys(r.Faults)) {
 		fmt.Fprintf(&text, "  %-32s  %d\n", fault, r.Faults[fault])
--- a/internal/property/request.go
+++ b/internal/property/request.go
@@ -29,11 +29,11 @@
 	expected string
 }
 
-// once tells that the request may run at most once.
-func (r *request) once() bool { return r.kind == kindOnce || r.kind == kindRegister }
+// runsAtMostOnce tells that the request may run at most runsAtMostOnce.
+func (r *request) runsAtMostOnce() bool { return r.kind == kindOnce || r.kind == kindRegister }
 
-// claimed tells that the request may run at most once over all of its sendings.
-func (r *request) claimed() bool { return r.once() && r.key != "" }
+// isClaimed tells that the request may run at most once over all of its sendings.
+func (r *request) isClaimed() bool { return r.runsAtMostOnce() && r.key != "" }
 
 // shares of the kinds among a run's requests, in percent.
 const (
@@ -46,35 +46,35 @@
 )
 
 func drawRequest(random *rand.Rand, seed uint64, number int) *request {
-	made := &request{number: number, tenant: random.IntN(len(tenantKeys)), stream: random.IntN(2) == 0}
+	created := &request{number: number, tenant: random.IntN(len(tenantKeys)), stream: random.IntN(2) == 0}
 	name := fmt.Sprintf("run %d request %d", seed, number)
 	switch draw := random.IntN(100); {
 	case draw < shareQuestion:
-		made.kind = kindRepeatable
+		created.kind = kindRepeatable
 	case draw < shareQuestion+shareOrder:
-		made.kind, made.key = kindOnce, name
+		created.kind, created.key = kindOnce, name
 	case draw < shareQuestion+shareOrder+shareUnkeyed:
-		made.kind = kindOnce
+		created.kind = kindOnce
 	case draw < shareQuestion+shareOrder+shareUnkeyed+shareListing:
-		made.kind, made.key = kindListing, name
+		created.kind, created.key = kindListing, name
 	default:
-		made.kind, made.key = kindRegister, name
+		created.kind, created.key = kindRegister, name
 	}
-	switch made.kind {
+	switch created.kind {
 	case kindListing:
-		made.method, made.path = "GET", fmt.Sprintf("%s/%d", pathListing, number)
-		made.mark, made.expected = name, page.Page(made.path)
+		created.method, created.path = "GET", fmt.Sprintf("%s/%d", pathListing, number)
+		created.mark, created.expected = name, page.Page(created.path)
 	case kindRegister:
-		made.method, made.path, made.body = "POST", pathRegister, "deposit of "+name
-		made.mark, made.expected = name, page.Receipt(made.path, made.key, []byte(made.body))
+		created.method, created.path, created.body = "POST", pathRegister, "deposit of "+name
+		created.mark, created.expected = name, page.Receipt(created.path, created.key, []byte(created.body))
 	default:
-		made.chat(name+strings.Repeat(" lot", random.IntN(longestPromptPad)), 1+random.IntN(maximumOutput))
+		created.setChat(name+strings.Repeat(" lot", random.IntN(longestPromptPad)), 1+random.IntN(maximumOutput))
 	}
-	return made
+	return created
 }
 
-// chat makes the request one to an engine.
-func (r *request) chat(prompt string, output int) {
+// setChat makes the request one to an engine.
+func (r *request) setChat(prompt string, output int) {
 	messages := []map[string]string{{"role": "user", "content": prompt}}
 	body, _ := json.Marshal(map[string]any{ // strings and numbers always marshal
 		"model": model, "stream": r.stream, "max_tokens": output, "messages": messages,
--- a/internal/property/run.go
+++ b/internal/property/run.go
@@ -32,12 +32,12 @@
 	// Requests is how many each caller sends.
 	Requests int
 	Counts   Counts
-	// Only, when not empty, is the only fault that stand-ins are told to show.
-	Only fault.Kind
-	// Likely, when not empty, is the name of the fault that strikes most.
-	Likely string
-	// Off are the safeguards that are switched off.
-	Off safeguard.Set
+	// OnlyFault, when not empty, is the only fault that stand-ins are told to show.
+	OnlyFault fault.Kind
+	// LikelyFault, when not empty, is the name of the fault that strikes most.
+	LikelyFault string
+	// DisabledSafeguards are the safeguards that are switched off.
+	DisabledSafeguards safeguard.Set
 }
 
 // DefaultCounts are the actors of a run.
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	w.underFaults()
+	w.runUnderFaults()
 	if err := w.backEnds.clear(); err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -71,8 +71,8 @@
 	}
 	executions := w.backEnds.executions()
 	w.report.Violations = append(w.report.Violations, w.ledger.check(executions)...)
-	w.count(executions)
-	w.report.HandOvers = w.backEnds.handOvers()
+	w.fillReport(executions)
+	w.report.KVTransfers = w.backEnds.kvTransfers()
 	w.backEnds.close()
 	w.controllers.close()
 	time.Sleep(quietTime)
@@ -97,40 +97,40 @@
 		return nil, trace.Wrap(err)
 	}
 	addresses := []string{controllerHost + ":7000", controllerHost + ":7001"}
-	quorum, err := startControllers(joined, addresses, newConfiguration(rows), options.Off)
+	quorum, err := startControllers(joined, addresses, newConfiguration(rows), options.DisabledSafeguards)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	return &world{
 		options: options, network: joined, backEnds: served, controllers: quorum,
-		gateways: startGateways(joined, quorum, options.Counts.Gateways, options.Off),
+		gateways: startGateways(joined, quorum, options.Counts.Gateways, options.DisabledSafeguards),
 		ledger:   newLedger(),
-		report:   &Report{Seed: options.Seed, Told: map[string]int{}},
+		report:   &Report{Seed: options.Seed, Verdicts: map[string]int{}},
 	}, nil
 }
 
-// underFaults lets all callers send while faults strike.
-func (w *world) underFaults() {
+// runUnderFaults lets all callers send while faults strike.
+func (w *world) runUnderFaults() {
 	ctx, stop := context.WithCancel(context.Background())
-	striking := &faults{
+	injected := &faults{
 		random:  rand.New(rand.NewPCG(w.options.Seed, faultStream)),
 		network: w.network, backEnds: w.backEnds, gateways: w.gateways, controllers: w.controllers, options: w.options,
 	}
 	var callers, others sync.WaitGroup
-	others.Go(func() { w.report.Faults = striking.run(ctx) })
+	others.Go(func() { w.report.Faults = injected.injectUntilDone(ctx) })
 	for number := range w.options.Counts.Callers {
-		callers.Go(func() { w.call(number) })
+		callers.Go(func() { w.runCaller(number) })
 	}
 	callers.Wait()
 	stop()
 	others.Wait()
 }
 
-// call sends the requests of one caller.
-func (w *world) call(number int) {
+// runCaller sends the requests of one caller.
+func (w *world) runCaller(number int) {
 	sender := newCaller(w.network, w.gateways, w.options.Counts.Gateways, number, w.options.Seed, w.ledger)
 	for sent := range w.options.Requests {
-		sender.carry(drawRequest(sender.random, w.options.Seed, number*w.options.Requests+sent))
+		sender.sendUntilComplete(drawRequest(sender.random, w.options.Seed, number*w.options.Requests+sent))
 	}
 }
 
@@ -145,7 +145,7 @@
 		prompt := fmt.Sprintf("run %d prompt %d", w.options.Seed, number) + strings.Repeat(" of the same dossier", 200)
 		for tenant := range tenantKeys {
 			asked := &request{kind: kindRepeatable, tenant: tenant}
-			asked.chat(prompt, 1)
+			asked.setChat(prompt, 1)
 			got := sender.send(w.gateways.address(0), asked)
 			w.report.Violations = append(w.report.Violations, checkAnswer(got)...)
 			if tenant > 0 && got.cachedTokens > 0 {
@@ -156,16 +156,16 @@
 	}
 }
 
-// count fills in the report's figures.
-func (w *world) count(executions map[string]int) {
-	w.report.Requests = len(w.ledger.sendings)
+// fillReport fills in the report's figures.
+func (w *world) fillReport(executions map[string]int) {
+	w.report.Requests = len(w.ledger.attempts)
 	for _, each := range w.ledger.requests() {
 		w.report.Executions += executions[each.mark]
-		for _, told := range w.ledger.sendings[each] {
-			w.report.Sendings++
-			w.report.Told[told.told]++
-			if told.whole {
-				w.report.Whole++
+		for _, told := range w.ledger.attempts[each] {
+			w.report.Attempts++
+			w.report.Verdicts[told.verdict]++
+			if told.complete {
+				w.report.CompleteAnswers++
 			}
 		}
 	}
--- a/internal/property/safeguards_test.go
+++ b/internal/property/safeguards_test.go
@@ -27,11 +27,11 @@
 		// likely is the fault of processes and links that it stands against most.
 		likely string
 	}{
-		{upstream.EchoCheck, Mixed, fault.WrongEcho, ""},
+		{upstream.EchoCheck, MixedAnswer, fault.WrongEcho, ""},
 		{upstream.SentMayHaveRun, RunTwice, fault.LoseAnswer, ""},
-		{stream.EventEchoCheck, Mixed, fault.Crossed, ""},
-		{stream.OffsetCheck, Mixed, fault.Duplicate, ""},
-		{stream.CompletionCheck, Short, fault.EarlyDone, ""},
+		{stream.EventEchoCheck, MixedAnswer, fault.Crossed, ""},
+		{stream.OffsetCheck, MixedAnswer, fault.Duplicate, ""},
+		{stream.CompletionCheck, ShortAnswer, fault.EarlyDone, ""},
 		{claims.GrantRequired, RunTwice, fault.LoseAnswer, controlLost},
 		{claims.ReleaseOnlyNotRun, RunTwice, fault.LoseAnswer, ""},
 		{controlstate.ClaimCheck, RunTwice, "", ""},
@@ -45,7 +45,7 @@
 				for seed := range uint64(seedsUntilFound) {
 					report := run(t, Options{
 						Seed: seed + 1, Requests: *requests, Counts: DefaultCounts(),
-						Only: row.only, Likely: row.likely, Off: safeguard.Without(row.off),
+						OnlyFault: row.only, LikelyFault: row.likely, DisabledSafeguards: safeguard.Without(row.off),
 					})
 					at := slices.IndexFunc(report.Violations, func(v Violation) bool { return v.Breach == row.breach })
 					if at >= 0 {
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -24,21 +24,21 @@
 // checks watch a run. Each method compares one thing that has happened with what
 // must always hold; the first violation ends the run.
 type checks struct {
-	world     *world
-	violation *Violation
-	logs      logChecks
-	orders    orderChecks
-	spread    spreadChecks
-	answers   answerChecks
-	leases    leaseChecks
-	claims    map[string]string // attempt that ran, by key
+	world       *world
+	violation   *Violation
+	logs        logChecks
+	orders      orderChecks
+	propagation propagationChecks
+	answers     answerChecks
+	leases      leaseChecks
+	claims      map[string]string // attempt that ran, by key
 }
 
 func newChecks(w *world) *checks {
 	c := &checks{world: w, claims: map[string]string{}}
 	c.logs = newLogChecks(c)
 	c.orders = newOrderChecks(c)
-	c.spread = newSpreadChecks(c)
+	c.propagation = newPropagationChecks(c)
 	c.answers = newAnswerChecks(c)
 	c.leases = newLeaseChecks(c)
 	return c
@@ -53,29 +53,29 @@
 	c.world.trace.add(c.world.now, "VIOLATION", "%s: %s", check, c.violation.Detail)
 }
 
-// controllerStarted checks what a controller's disk holds.
-func (c *checks) controllerStarted(of *controller, restored consensus.Restored) {
-	c.logs.started(of, restored)
-	c.spread.controllerStarted(of)
+// checkControllerStarted checks what a controller's disk holds.
+func (c *checks) checkControllerStarted(of *controller, restored consensus.Restored) {
+	c.logs.checkRestored(of, restored)
+	c.propagation.forgetController(of)
 }
 
-// controllerStepped watches what one step of a core has done, before it is carried out.
-func (c *checks) controllerStepped(of *controller, outputs []control.Output) {
+// checkControllerStep watches what one step of a core has done, before it is carried out.
+func (c *checks) checkControllerStep(of *controller, outputs []control.Output) {
 	for _, output := range outputs {
-		switch wanted := output.(type) {
+		switch action := output.(type) {
 		case control.Persist:
-			c.logs.persisting(of, wanted)
+			c.logs.checkPersist(of, action)
 		case control.SendPeer:
-			c.logs.sent(of, wanted.Message)
+			c.logs.checkMessage(of, action.Message)
 		}
 	}
-	c.logs.stepped(of, of.status())
-	c.spread.controllerAt(of)
-	c.leases.stepped(of)
+	c.logs.afterStep(of, of.status())
+	c.propagation.checkController(of)
+	c.leases.afterStep(of)
 }
 
-// claimRan checks that a key's request runs at most once.
-func (c *checks) claimRan(g *gateway, key, attempt string) {
+// checkClaimRan checks that a key's request runs at most once.
+func (c *checks) checkClaimRan(g *gateway, key, attempt string) {
 	c.world.trace.add(c.world.now, g.name, "runs %s as %s", key, attempt)
 	if earlier, ran := c.claims[key]; ran {
 		c.fail("at most once", "the request of %s ran as %s and again as %s", key, earlier, attempt)
@@ -87,19 +87,19 @@
 // be sent new work: the router's limit, on a clock that may be slow, and a margin.
 const leavingBound = 4200 * time.Millisecond
 
-// workSent checks that a leaving engine gets no new work after the bound.
-func (c *checks) workSent(g *gateway, e *engine) {
-	if e.leaving && c.world.now-e.leftAt > leavingBound {
+// checkWorkSent checks that a leaving engine gets no new work after the bound.
+func (c *checks) checkWorkSent(g *gateway, e *engine) {
+	if e.isLeaving && c.world.now-e.leftAt > leavingBound {
 		c.fail("no work to the leaving", "%s sends work to %s, which has been leaving for %v",
 			g.name, e.name, c.world.now-e.leftAt)
 	}
 }
 
-// engineChanged checks that no change begins while requests are in flight.
-func (c *checks) engineChanged(e *engine) {
+// checkEngineChange checks that no change begins while requests are in flight.
+func (c *checks) checkEngineChange(e *engine) {
 	order := e.durable.Order
-	takesOut := order.Action == enginecontract.ActionSetRole || order.Action == enginecontract.ActionLoadModel
-	if e.durable.Phase == enginecontract.PhaseChanging && takesOut && e.inFlight > 0 {
+	takesOutOfService := order.Action == enginecontract.ActionSetRole || order.Action == enginecontract.ActionLoadModel
+	if e.durable.Phase == enginecontract.PhaseChanging && takesOutOfService && e.inFlight > 0 {
 		c.fail("no request is cut", "%s changes by %v with %d requests in flight", e.name, order.Fence, e.inFlight)
 	}
 }
--- a/internal/simulation/checks_answers.go
+++ b/internal/simulation/checks_answers.go
@@ -34,15 +34,15 @@
 	}
 }
 
-// committed takes note of a committed command.
-func (a *answerChecks) committed(command *v1.Command) {
+// recordCommitted takes note of a recordCommitted command.
+func (a *answerChecks) recordCommitted(command *v1.Command) {
 	if declaration := command.GetApplyDeclaration(); declaration != nil {
 		a.durable[submissionKey{declaration.GetOperator(), declaration.GetRequestId()}] = true
 	}
 }
 
-// applyAnswered checks an answer to a submission.
-func (c *checks) applyAnswered(sent *submission, response *v1.ApplyResponse) {
+// checkApplyAnswered checks an answer to a submission.
+func (c *checks) checkApplyAnswered(sent *submission, response *v1.ApplyResponse) {
 	c.world.trace.add(c.world.now, sent.operator, "%s is %s at revision %d, number %d", sent.request.GetRequestId(),
 		response.GetOutcome(), response.GetRevision(), response.GetChangeNumber())
 	key := submissionKey{sent.operator, sent.request.GetRequestId()}
@@ -52,12 +52,12 @@
 	}
 	c.answers.first[key] = answer
 	if response.GetOutcome() == v1.ApplyOutcome_APPLY_OUTCOME_ACCEPTED {
-		c.answers.accept(key, response)
+		c.answers.checkAccepted(key, response)
 	}
 }
 
-// commandAnswered checks the answer to a command that was carried out.
-func (c *checks) commandAnswered(by *operatorClient, request *v1.ExecuteRequest, response *v1.ExecuteResponse) {
+// checkCommandAnswered checks the answer to a command that was carried out.
+func (c *checks) checkCommandAnswered(by *operatorClient, request *v1.ExecuteRequest, response *v1.ExecuteResponse) {
 	c.world.trace.add(c.world.now, by.name, "%s: %s", request.GetRequestId(), response.GetMessage())
 	key := submissionKey{by.name, request.GetRequestId()}
 	if first, known := c.answers.messages[key]; known && first != response.GetMessage() {
@@ -66,15 +66,15 @@
 	c.answers.messages[key] = response.GetMessage()
 }
 
-// accept checks an accepted submission.
-func (a *answerChecks) accept(key submissionKey, response *v1.ApplyResponse) {
+// checkAccepted checks an accepted submission.
+func (a *answerChecks) checkAccepted(key submissionKey, response *v1.ApplyResponse) {
 	if !a.durable[key] {
 		a.checks.fail("accepted is durable", "%s was accepted and is not committed", key.request)
 	}
-	if other, taken := a.winners[response.GetChangeNumber()]; taken && other != key {
+	if other, isTaken := a.winners[response.GetChangeNumber()]; isTaken && other != key {
 		a.checks.fail("one winner", "%s and %s both won number %d", other.request, key.request, response.GetChangeNumber())
 	}
-	if other, taken := a.revisions[response.GetRevision()]; taken && other != key {
+	if other, isTaken := a.revisions[response.GetRevision()]; isTaken && other != key {
 		a.checks.fail("one winner", "%s and %s are both revision %d", other.request, key.request, response.GetRevision())
 	}
 	if _, known := a.winners[response.GetChangeNumber()]; !known {
--- a/internal/simulation/checks_leases.go
+++ b/internal/simulation/checks_leases.go
@@ -11,9 +11,9 @@
 // clock, and a margin.
 const isolationBound = slowDelay + consensus.DefaultElectionTimeout + 500*time.Millisecond
 
-// stepGap is a time without a step after which a controller must have been paused: it
+// maximumStepGap is a time without a step after which a controller must have been paused: it
 // then still has to take what had arrived before the cut.
-const stepGap = 200 * time.Millisecond
+const maximumStepGap = 200 * time.Millisecond
 
 // isolation is a controller that no peer reaches and that reaches none.
 type isolation struct {
@@ -22,8 +22,8 @@
 	// generation is that of the process.
 	generation int
 	// term is the controller's once the bound has passed; settled tells that it has.
-	term    uint64
-	settled bool
+	term        uint64
+	boundPassed bool
 }
 
 // leaseChecks watch who may act as the leader: never two at once, and no one who is
@@ -38,14 +38,14 @@
 	return leaseChecks{checks: c, isolated: map[string]*isolation{}}
 }
 
-// stepped checks one controller after a step.
-func (l *leaseChecks) stepped(c *controller) {
-	l.oneLease(c)
-	l.cutOff(c)
+// afterStep checks one controller after a step.
+func (l *leaseChecks) afterStep(c *controller) {
+	l.checkOneLease(c)
+	l.checkCutOff(c)
 }
 
-// oneLease checks that no other controller may lead while this one may.
-func (l *leaseChecks) oneLease(c *controller) {
+// checkOneLease checks that no other controller may lead while this one may.
+func (l *leaseChecks) checkOneLease(c *controller) {
 	if !c.core.HoldsLease(c.local()) {
 		return
 	}
@@ -56,35 +56,35 @@
 	}
 }
 
-// cutOff checks a controller that has been cut off for longer than the bound.
-func (l *leaseChecks) cutOff(c *controller) {
-	if !l.checks.world.cutFromPeers(c) {
+// checkCutOff checks a controller that has been cut off for longer than the bound.
+func (l *leaseChecks) checkCutOff(c *controller) {
+	if !l.checks.world.isCutFromPeers(c) {
 		delete(l.isolated, c.name)
 		return
 	}
 	now, status := l.checks.world.now, c.status()
-	known := l.isolated[c.name]
-	if known == nil || now-known.lastStep > stepGap || known.generation != c.generation {
-		known = &isolation{since: now, generation: c.generation}
-		l.isolated[c.name] = known
+	current := l.isolated[c.name]
+	if current == nil || now-current.lastStep > maximumStepGap || current.generation != c.generation {
+		current = &isolation{since: now, generation: c.generation}
+		l.isolated[c.name] = current
 	}
-	known.lastStep = now
-	if now-known.since < isolationBound {
+	current.lastStep = now
+	if now-current.since < isolationBound {
 		return
 	}
-	if !known.settled {
-		known.settled, known.term = true, status.Term
+	if !current.boundPassed {
+		current.boundPassed, current.term = true, status.Term
 	}
 	if status.Role == consensus.RoleLeader {
-		l.checks.fail("no leader without a quorum", "%s leads term %d after %v without any peer", c.name, status.Term, now-known.since)
+		l.checks.fail("no leader without a quorum", "%s leads term %d after %v without any peer", c.name, status.Term, now-current.since)
 	}
-	if status.Term != known.term {
-		l.checks.fail("no term without a quorum", "%s goes from term %d to %d without any peer", c.name, known.term, status.Term)
+	if status.Term != current.term {
+		l.checks.fail("no term without a quorum", "%s goes from term %d to %d without any peer", c.name, current.term, status.Term)
 	}
 }
 
-// cutFromPeers reports whether a controller and its peers cannot reach each other.
-func (w *world) cutFromPeers(c *controller) bool {
+// isCutFromPeers reports whether a controller and its peers cannot reach each other.
+func (w *world) isCutFromPeers(c *controller) bool {
 	for _, cut := range w.peerLinks(c) {
 		if w.network.cuts[cut] == 0 {
 			return false
--- a/internal/simulation/checks_log.go
+++ b/internal/simulation/checks_log.go
@@ -14,8 +14,8 @@
 	term uint64
 }
 
-// place is an index and a term.
-type place struct{ index, term uint64 }
+// entryPosition is an index and a term.
+type entryPosition struct{ index, term uint64 }
 
 // logChecks watch the replicated log: election safety, one vote a term, log
 // matching, agreement, durability on a quorum, and who may become a voter.
@@ -25,7 +25,7 @@
 	leaders map[uint64]string
 	votes   map[ballot]string
 	// written is the content of every entry that any log held.
-	written map[place]uint64
+	written map[entryPosition]uint64
 	// committed is the mark of every entry that any controller applied.
 	committed map[uint64]entryMark
 	highest   uint64
@@ -48,19 +48,19 @@
 
 func newLogChecks(c *checks) logChecks {
 	return logChecks{
-		checks: c, leaders: map[uint64]string{}, votes: map[ballot]string{}, written: map[place]uint64{},
+		checks: c, leaders: map[uint64]string{}, votes: map[ballot]string{}, written: map[entryPosition]uint64{},
 		committed: map[uint64]entryMark{}, synced: map[string]*shadowLog{}, hardStates: map[string]*v1.HardState{},
 		led: map[string]uint64{}, digests: map[uint64]stateDigest{},
 	}
 }
 
-// started checks that a disk still holds what it acknowledged.
-func (l *logChecks) started(c *controller, restored consensus.Restored) {
-	had, hardState := l.synced[restored.DiskID], l.hardStates[restored.DiskID]
-	found := &shadowLog{}
-	found.load(restored)
-	l.synced[restored.DiskID] = found
-	if had == nil {
+// checkRestored checks that a disk still holds what it acknowledged.
+func (l *logChecks) checkRestored(c *controller, restored consensus.Restored) {
+	before, hardState := l.synced[restored.DiskID], l.hardStates[restored.DiskID]
+	restoredLog := &shadowLog{}
+	restoredLog.load(restored)
+	l.synced[restored.DiskID] = restoredLog
+	if before == nil {
 		return
 	}
 	if restored.HardState.GetTerm() < hardState.GetTerm() ||
@@ -68,31 +68,31 @@
 		l.checks.fail("durable state", "%s had synced term %d and vote %q and has term %d and vote %q", restored.DiskID,
 			hardState.GetTerm(), hardState.GetVotedFor(), restored.HardState.GetTerm(), restored.HardState.GetVotedFor())
 	}
-	for index := max(had.first, found.first); index <= had.last; index++ {
+	for index := max(before.first, restoredLog.first); index <= before.last; index++ {
 		mark, known := l.committed[index]
-		if known && mark == had.marks[index] && found.marks[index] != mark {
+		if known && mark == before.marks[index] && restoredLog.marks[index] != mark {
 			l.checks.fail("durable state", "%s had synced the committed entry %d and lost it", restored.DiskID, index)
 			return
 		}
 	}
 }
 
-// saved takes note of what a disk has acknowledged.
-func (l *logChecks) saved(c *controller, batches []control.Persist) {
+// recordSynced takes note of what a disk has acknowledged.
+func (l *logChecks) recordSynced(c *controller, batches []control.Persist) {
 	log := l.synced[c.diskID]
 	for _, batch := range batches {
-		log.take(batch)
+		log.apply(batch)
 		if batch.HardState != nil {
 			l.hardStates[c.diskID] = batch.HardState
 		}
 	}
 }
 
-// sent watches the messages between controllers.
-func (l *logChecks) sent(c *controller, message *v1.ConsensusMessage) {
+// checkMessage watches the messages between controllers.
+func (l *logChecks) checkMessage(c *controller, message *v1.ConsensusMessage) {
 	switch message.GetType() {
 	case v1.MessageType_MESSAGE_TYPE_APPEND, v1.MessageType_MESSAGE_TYPE_SNAPSHOT:
-		l.leads(c, message.GetTerm())
+		l.checkLeader(c, message.GetTerm())
 	case v1.MessageType_MESSAGE_TYPE_VOTE_ANSWER:
 		if message.GetReject() {
 			return
@@ -105,52 +105,52 @@
 	}
 }
 
-// leads checks that a term has one leader.
-func (l *logChecks) leads(c *controller, term uint64) {
+// checkLeader checks that a term has one leader.
+func (l *logChecks) checkLeader(c *controller, term uint64) {
 	if other, known := l.leaders[term]; known && other != c.diskID {
 		l.checks.fail("election safety", "%s and %s both lead term %d", other, c.diskID, term)
 	}
 	l.leaders[term] = c.diskID
 }
 
-// persisting watches what a core writes to its log.
-func (l *logChecks) persisting(c *controller, batch control.Persist) {
+// checkPersist watches what a core writes to its log.
+func (l *logChecks) checkPersist(c *controller, batch control.Persist) {
 	for _, entry := range batch.Entries {
-		at := place{index: entry.GetIndex(), term: entry.GetTerm()}
+		position := entryPosition{index: entry.GetIndex(), term: entry.GetTerm()}
 		content := markOf(entry).content
-		if other, known := l.written[at]; known && other != content {
+		if other, known := l.written[position]; known && other != content {
 			l.checks.fail("log matching", "%s writes another entry %s than was written before", c.name, entryText(entry))
 		}
-		l.written[at] = content
+		l.written[position] = content
 	}
-	c.shadow.take(batch)
+	c.shadow.apply(batch)
 }
 
-// stepped compares what a core has applied with every other's.
-func (l *logChecks) stepped(c *controller, status consensus.Status) {
+// afterStep compares what a core has applied with every other's.
+func (l *logChecks) afterStep(c *controller, status consensus.Status) {
 	for index := c.shadow.checked + 1; index <= status.Applied; index++ {
-		l.applied(c, index)
+		l.checkApplied(c, index)
 	}
 	c.shadow.checked = max(c.shadow.checked, status.Applied)
 	if status.Role == consensus.RoleLeader {
-		l.promoted(c, status)
-		l.leads(c, status.Term)
-		l.complete(c, status)
-		l.durableOnQuorum(c, status)
+		l.checkPromoted(c, status)
+		l.checkLeader(c, status.Term)
+		l.checkComplete(c, status)
+		l.checkDurableOnQuorum(c, status)
 	}
-	l.agree(c)
+	l.compareStates(c)
 }
 
-// applied checks one applied entry.
-func (l *logChecks) applied(c *controller, index uint64) {
-	mark, held := c.shadow.marks[index]
-	if !held {
+// checkApplied checks one checkApplied entry.
+func (l *logChecks) checkApplied(c *controller, index uint64) {
+	mark, isHeld := c.shadow.marks[index]
+	if !isHeld {
 		return // covered by a snapshot
 	}
-	if settled, known := l.committed[index]; known {
-		if settled != mark {
+	if committed, known := l.committed[index]; known {
+		if committed != mark {
 			l.checks.fail("agreement", "%s applies entry %d of term %d where one of term %d was committed",
-				c.name, index, mark.term, settled.term)
+				c.name, index, mark.term, committed.term)
 		}
 		return
 	}
@@ -165,46 +165,46 @@
 		l.checks.fail("agreement", "entry %d cannot be read: %v", index, err)
 		return
 	}
-	l.checks.orders.committed(index, command)
-	l.checks.answers.committed(command)
+	l.checks.orders.recordCommitted(index, command)
+	l.checks.answers.recordCommitted(command)
 }
 
-// complete checks once a term that a leader holds every committed entry.
-func (l *logChecks) complete(c *controller, status consensus.Status) {
+// checkComplete checks once a term that a leader holds every committed entry.
+func (l *logChecks) checkComplete(c *controller, status consensus.Status) {
 	if l.led[c.diskID] == status.Term {
 		return
 	}
 	l.led[c.diskID] = status.Term
 	l.checks.world.trace.add(l.checks.world.now, c.name, "leads term %d, log ends at %d", status.Term, status.LastIndex)
 	for index := c.shadow.first; index <= l.highest; index++ {
-		settled, known := l.committed[index]
-		if known && c.shadow.marks[index] != settled {
+		committed, known := l.committed[index]
+		if known && c.shadow.marks[index] != committed {
 			l.checks.fail("committed entries stay", "%s leads term %d without the committed entry %d", c.name, status.Term, index)
 			return
 		}
 	}
 }
 
-// durableOnQuorum checks that what a leader counts as committed is synced on more
+// checkDurableOnQuorum checks that what a leader counts as committed is synced on more
 // than half of the voters' disks.
-func (l *logChecks) durableOnQuorum(c *controller, status consensus.Status) {
-	mark, held := c.shadow.marks[status.Commit]
-	if !held || status.Commit <= c.quorumChecked {
+func (l *logChecks) checkDurableOnQuorum(c *controller, status consensus.Status) {
+	mark, isHeld := c.shadow.marks[status.Commit]
+	if !isHeld || status.Commit <= c.quorumChecked {
 		return
 	}
 	c.quorumChecked = status.Commit
-	voters, have := 0, 0
+	voters, synced := 0, 0
 	for _, member := range status.Membership.GetMembers() {
 		if member.GetLearner() {
 			continue
 		}
 		voters++
 		if l.diskHolds(member.GetId(), status.Commit, mark) {
-			have++
+			synced++
 		}
 	}
-	if have*2 <= voters {
-		l.checks.fail("durable on a quorum", "%s commits entry %d, synced on %d of %d disks", c.name, status.Commit, have, voters)
+	if synced*2 <= voters {
+		l.checks.fail("durable on a quorum", "%s commits entry %d, synced on %d of %d disks", c.name, status.Commit, synced, voters)
 	}
 }
 
@@ -214,19 +214,19 @@
 	return log != nil && (log.marks[index] == mark || index < log.first)
 }
 
-// promoted checks that a member that becomes a voter holds all that is committed.
-func (l *logChecks) promoted(c *controller, status consensus.Status) {
+// checkPromoted checks that a member that becomes a voter holds all that is committed.
+func (l *logChecks) checkPromoted(c *controller, status consensus.Status) {
 	before, after := c.membership, status.Membership
 	c.membership = after
 	if before == nil || before == after || l.led[c.diskID] != status.Term {
 		return // members that an earlier leader made voters
 	}
-	voted := map[string]bool{}
+	wasVoter := map[string]bool{}
 	for _, member := range before.GetMembers() {
-		voted[member.GetId()] = !member.GetLearner()
+		wasVoter[member.GetId()] = !member.GetLearner()
 	}
 	for _, member := range after.GetMembers() {
-		if member.GetLearner() || voted[member.GetId()] {
+		if member.GetLearner() || wasVoter[member.GetId()] {
 			continue
 		}
 		log := l.synced[member.GetId()]
@@ -242,8 +242,8 @@
 // whole states.
 const fullDigestInterval = 16
 
-// agree compares the state with the others' at the same applied index.
-func (l *logChecks) agree(c *controller) {
+// compareStates compares the state with the others' at the same applied index.
+func (l *logChecks) compareStates(c *controller) {
 	applied := c.status().Applied
 	if applied == c.digestAt {
 		return
--- a/internal/simulation/checks_orders.go
+++ b/internal/simulation/checks_orders.go
@@ -22,44 +22,44 @@
 	// must not be sent. ended are the outcomes of those that have ended.
 	overlapping map[engineFence]enginecontract.Fence
 	ended       map[engineFence]v1.OrderOutcome
-	// held are the orders that engines have accepted.
-	held map[engineFence]enginecontract.Order
+	// acceptedOrders are the orders that engines have accepted.
+	acceptedOrders map[engineFence]enginecontract.Order
 	// epochs are the highest epochs that engines have answered.
 	epochs map[string]uint64
-	// accepted counts the orders that took effect.
-	accepted int
+	// acceptedCount counts the orders that took effect.
+	acceptedCount int
 }
 
 func newOrderChecks(c *checks) orderChecks {
 	return orderChecks{
 		checks: c, issued: map[engineFence]bool{}, unended: map[string]enginecontract.Fence{},
 		overlapping: map[engineFence]enginecontract.Fence{}, ended: map[engineFence]v1.OrderOutcome{},
-		held: map[engineFence]enginecontract.Order{}, epochs: map[string]uint64{},
+		acceptedOrders: map[engineFence]enginecontract.Order{}, epochs: map[string]uint64{},
 	}
 }
 
-// committed takes note of a committed command.
-func (o *orderChecks) committed(index uint64, command *v1.Command) {
+// recordCommitted takes note of a recordCommitted command.
+func (o *orderChecks) recordCommitted(index uint64, command *v1.Command) {
 	if issue := command.GetIssueOrder(); issue != nil {
-		o.issue(issue.GetOrder().GetEngine(), enginecontract.Fence{Epoch: issue.GetOrder().GetEpoch(), Sequence: index})
+		o.recordIssued(issue.GetOrder().GetEngine(), enginecontract.Fence{Epoch: issue.GetOrder().GetEpoch(), Sequence: index})
 	}
 	if finish := command.GetFinishOrder(); finish != nil {
-		o.finish(finish.GetEngine(), enginecontract.Fence{Epoch: finish.GetEpoch(), Sequence: finish.GetSequence()}, finish.GetOutcome())
+		o.recordFinished(finish.GetEngine(), enginecontract.Fence{Epoch: finish.GetEpoch(), Sequence: finish.GetSequence()}, finish.GetOutcome())
 	}
 }
 
-// issue takes note of a committed order.
-func (o *orderChecks) issue(engine string, fence enginecontract.Fence) {
+// recordIssued takes note of a committed order.
+func (o *orderChecks) recordIssued(engine string, fence enginecontract.Fence) {
 	o.issued[engineFence{engine, fence}] = true
-	if before, some := o.unended[engine]; some {
+	if before, hasUnended := o.unended[engine]; hasUnended {
 		o.overlapping[engineFence{engine, fence}] = before
 		return
 	}
 	o.unended[engine] = fence
 }
 
-// finish takes note of a committed end of an order.
-func (o *orderChecks) finish(engine string, fence enginecontract.Fence, outcome v1.OrderOutcome) {
+// recordFinished takes note of a committed end of an order.
+func (o *orderChecks) recordFinished(engine string, fence enginecontract.Fence, outcome v1.OrderOutcome) {
 	if o.unended[engine] != fence {
 		return
 	}
@@ -67,8 +67,8 @@
 	o.ended[engineFence{engine, fence}] = outcome
 }
 
-// orderSent checks that an order is committed before it leaves.
-func (c *checks) orderSent(from *controller, order enginecontract.Order, engine string) {
+// checkOrderSent checks that an order is committed before it leaves.
+func (c *checks) checkOrderSent(from *controller, order enginecontract.Order, engine string) {
 	if order.Action != enginecontract.ActionAbort && !c.orders.issued[engineFence{engine, order.Fence}] {
 		c.fail("committed before sent", "%s sends order %v to %s, which is not committed", from.name, order.Fence, engine)
 	}
@@ -77,19 +77,19 @@
 	}
 }
 
-// orderTaken checks what an engine did with an order.
-func (c *checks) orderTaken(e *engine, order enginecontract.Order, before enginecontract.EngineState, answer enginecontract.OrderAnswer) {
+// checkOrderAnswered checks what an engine did with an order.
+func (c *checks) checkOrderAnswered(e *engine, order enginecontract.Order, before enginecontract.EngineState, answer enginecontract.OrderAnswer) {
 	if !answer.Accepted || order.Fence == before.OrderFence {
 		return
 	}
-	c.orders.accepted++
+	c.orders.acceptedCount++
 	at := engineFence{e.name, order.Fence}
-	if held, known := c.orders.held[at]; known && held != order {
+	if earlier, known := c.orders.acceptedOrders[at]; known && earlier != order {
 		c.fail("no conflicting orders", "%s accepts two orders with fence %v", e.name, order.Fence)
 	}
-	c.orders.held[at] = order
-	underWay := before.OrderPhase == enginecontract.PhaseDraining || before.OrderPhase == enginecontract.PhaseChanging
-	if underWay && order.Action != enginecontract.ActionAbort {
+	c.orders.acceptedOrders[at] = order
+	isUnderWay := before.OrderPhase == enginecontract.PhaseDraining || before.OrderPhase == enginecontract.PhaseChanging
+	if isUnderWay && order.Action != enginecontract.ActionAbort {
 		c.fail("no conflicting orders", "%s accepts order %v while %v is %s", e.name, order.Fence, before.OrderFence, before.OrderPhase)
 	}
 	if highest := c.orders.epochs[e.name]; order.Fence.Epoch < highest {
@@ -103,30 +103,30 @@
 		c.fail("ended orders stay ended", "%s accepts order %v, which the log has ended as %s", e.name, order.Fence, outcome)
 	}
 	c.orders.epochs[e.name] = max(c.orders.epochs[e.name], order.Fence.Epoch)
-	c.engineTakenOut(e, order)
+	c.checkOutOfService(e, order)
 }
 
-// mostOut is how many engines of a service may be out by orders at once: the default,
+// maximumOutOfService is how many engines of a service may be out by orders at once: the default,
 // for the simulated fleet declares no bound.
-const mostOut = 1
+const maximumOutOfService = 1
 
-// engineTakenOut checks the bound on engines out at once. Engines whose orders were
+// checkOutOfService checks the bound on engines out at once. Engines whose orders were
 // given up as lost do not count: no one knows what has become of them.
-func (c *checks) engineTakenOut(e *engine, order enginecontract.Order) {
+func (c *checks) checkOutOfService(e *engine, order enginecontract.Order) {
 	out := 0
 	for _, other := range c.world.engines {
 		lost := c.orders.ended[engineFence{other.name, other.durable.Order.Fence}] == v1.OrderOutcome_ORDER_OUTCOME_ENGINE_LOST
-		if other.service == e.service && (other == e || other.underWay()) && !lost {
+		if other.service == e.service && (other == e || other.hasOrderUnderWay()) && !lost {
 			out++
 		}
 	}
-	if out > mostOut && order.Action == enginecontract.ActionSetRole {
+	if out > maximumOutOfService && order.Action == enginecontract.ActionSetRole {
 		c.fail("bounded engines out", "%s takes order %v as number %d out of its service", e.name, order.Fence, out)
 	}
 }
 
-// fenceTaken takes note of a fence that an engine has accepted.
-func (c *checks) fenceTaken(e *engine, fence enginecontract.Fence, answer enginecontract.OrderAnswer) {
+// recordFence takes note of a fence that an engine has accepted.
+func (c *checks) recordFence(e *engine, fence enginecontract.Fence, answer enginecontract.OrderAnswer) {
 	if answer.Accepted {
 		c.orders.epochs[e.name] = max(c.orders.epochs[e.name], fence.Epoch)
 	}
--- a/internal/simulation/checks_spread.go
+++ b/internal/simulation/checks_propagation.go
@@ -4,8 +4,8 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// spreadChecks watch how the configuration reaches the nodes.
-type spreadChecks struct {
+// propagationChecks watch how the configuration reaches the nodes.
+type propagationChecks struct {
 	checks *checks
 	// worths is the worth of the registration kind at each revision.
 	worths map[uint64]float64
@@ -14,13 +14,13 @@
 	controllers map[string]uint64
 }
 
-func newSpreadChecks(c *checks) spreadChecks {
-	return spreadChecks{checks: c, worths: map[uint64]float64{}, gateways: map[string]uint64{}, controllers: map[string]uint64{}}
+func newPropagationChecks(c *checks) propagationChecks {
+	return propagationChecks{checks: c, worths: map[uint64]float64{}, gateways: map[string]uint64{}, controllers: map[string]uint64{}}
 }
 
-// controllerAt takes note of the configuration that a controller is at and checks
+// checkController takes note of the configuration that a controller is at and checks
 // that it does not go back.
-func (s *spreadChecks) controllerAt(c *controller) {
+func (s *propagationChecks) checkController(c *controller) {
 	state := c.core.State()
 	revision := state.Revision()
 	if revision < s.controllers[c.name] {
@@ -37,23 +37,23 @@
 	s.worths[revision] = worth
 }
 
-// controllerStarted takes note of a new process, which begins at its snapshot.
-func (s *spreadChecks) controllerStarted(c *controller) { delete(s.controllers, c.name) }
+// forgetController takes note of a new process, which begins at its snapshot.
+func (s *propagationChecks) forgetController(c *controller) { delete(s.controllers, c.name) }
 
-// gatewaySynced checks that a gateway never goes back, over restarts too, and that
+// checkGatewaySynced checks that a gateway never goes back, over restarts too, and that
 // what it has in force is what was accepted as its revision. A gateway without any
 // configuration serves no one.
-func (c *checks) gatewaySynced(g *gateway) {
+func (c *checks) checkGatewaySynced(g *gateway) {
 	revision := g.state.Revision()
 	if revision == 0 {
 		return
 	}
-	if revision < c.spread.gateways[g.name] {
-		c.fail("revisions never revert", "%s goes from revision %d to %d", g.name, c.spread.gateways[g.name], revision)
+	if revision < c.propagation.gateways[g.name] {
+		c.fail("revisions never revert", "%s goes from revision %d to %d", g.name, c.propagation.gateways[g.name], revision)
 	}
-	c.spread.gateways[g.name] = revision
-	kind, held := g.state.Snapshot().Kind(registrationKind)
-	if worth, known := c.spread.worths[revision]; held && known && kind.Spec.GetWorth() != worth {
+	c.propagation.gateways[g.name] = revision
+	kind, isDeclared := g.state.Snapshot().Kind(registrationKind)
+	if worth, known := c.propagation.worths[revision]; isDeclared && known && kind.Spec.GetWorth() != worth {
 		c.fail("revisions never revert", "%s has worth %v in force at revision %d, which says %v",
 			g.name, kind.Spec.GetWorth(), revision, worth)
 	}
--- a/internal/simulation/claimant.go
+++ b/internal/simulation/claimant.go
@@ -24,8 +24,8 @@
 
 func newClaimant(g *gateway) *claimant { return &claimant{gateway: g} }
 
-// next begins a request with a key that others may use at the same time.
-func (c *claimant) next() {
+// runNext begins a request with a key that others may use at the same time.
+func (c *claimant) runNext() {
 	world := c.gateway.world
 	if world.lulls > 0 {
 		return
@@ -34,11 +34,11 @@
 	key := fmt.Sprintf("key-%d-%d", epoch, world.random.IntN(claimKeys))
 	c.attempts++
 	attempt := fmt.Sprintf("%s/%d/%d", c.gateway.name, c.gateway.incarnation, c.attempts)
-	c.begin(key, attempt, 3)
+	c.beginClaim(key, attempt, 3)
 }
 
-// begin claims the key; a lost answer is asked for again with the same attempt.
-func (c *claimant) begin(key, attempt string, tries int) {
+// beginClaim claims the key; a lost answer is asked for again with the same attempt.
+func (c *claimant) beginClaim(key, attempt string, tries int) {
 	g := c.gateway
 	now := g.clock.wallOriginMs + g.local().Milliseconds()
 	request := &v1.BeginClaimRequest{Claim: &v1.BeginClaim{
@@ -54,8 +54,8 @@
 				c.run(key, attempt)
 			case answered && ok:
 			case tries > 0:
-				g.noteLeader(answer.err)
-				c.begin(key, attempt, tries-1)
+				g.followLeader(answer.err)
+				c.beginClaim(key, attempt, tries-1)
 			}
 		})
 }
@@ -63,12 +63,12 @@
 // run runs the request and records the outcome.
 func (c *claimant) run(key, attempt string) {
 	g := c.gateway
-	g.world.checks.claimRan(g, key, attempt)
-	g.after(g.world.duration(time.Second), func() { c.finish(key, attempt, 3) })
+	g.world.checks.checkClaimRan(g, key, attempt)
+	g.after(g.world.drawDuration(time.Second), func() { c.finishClaim(key, attempt, 3) })
 }
 
-// finish records the outcome; a lost answer is asked for again.
-func (c *claimant) finish(key, attempt string, tries int) {
+// finishClaim records the outcome; a lost answer is asked for again.
+func (c *claimant) finishClaim(key, attempt string, tries int) {
 	g := c.gateway
 	request := &v1.FinishClaimRequest{Claim: &v1.FinishClaim{
 		Tenant: "tenant-0", Kind: "registration", Key: key, Attempt: attempt, Status: 200, Body: []byte(attempt),
@@ -77,8 +77,8 @@
 		func(id control.CallID) control.Input { return control.FinishClaimReceived{Call: id, Request: request} },
 		func(answer controllerAnswer, answered bool) {
 			if (!answered || answer.err != nil) && tries > 0 {
-				g.noteLeader(answer.err)
-				c.finish(key, attempt, tries-1)
+				g.followLeader(answer.err)
+				c.finishClaim(key, attempt, tries-1)
 			}
 		})
 }
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -42,13 +42,13 @@
 // simulated disk.
 type controller struct {
 	host
-	zone    string
-	peers   []consensus.Peer
-	build   build
-	disk    *memory.Disk
-	disks   int // disks this machine has had
-	storage *storage.Storage
-	core    *control.Core
+	zone      string
+	peers     []consensus.Peer
+	build     build
+	disk      *memory.Disk
+	diskCount int // disks this machine has had
+	storage   *storage.Storage
+	core      *control.Core
 	// diskID is the identity of the disk in use.
 	diskID   string
 	syncing  bool
@@ -56,8 +56,8 @@
 	unsaved  []control.Persist
 	nextCall control.CallID
 	calls    map[control.CallID]func(proto.Message, error)
-	// stalled holds what leaves only at the end of a pause that began in mid-step.
-	stalled bool
+	// isStalled holds what leaves only at the end of a pause that began in mid-step.
+	isStalled bool
 	// stallsBeforeOrder tells that the next step that sends an order stalls.
 	stallsBeforeOrder bool
 	// quorumChecked and digestAt are how far the checks have come.
@@ -71,7 +71,7 @@
 // start starts the process on what its disk holds.
 func (c *controller) start() {
 	c.boot()
-	c.syncing, c.stalled, c.stallsBeforeOrder, c.unsaved = false, false, false, nil
+	c.syncing, c.isStalled, c.stallsBeforeOrder, c.unsaved = false, false, false, nil
 	c.calls = map[control.CallID]func(proto.Message, error){}
 	c.disk.IgnoreSync = !c.world.safeguards.IsEnabled(SafeguardDiskSync)
 	opened, restored, err := storage.Open(storage.Options{
@@ -86,8 +86,8 @@
 	c.storage, c.diskID = opened, restored.DiskID
 	c.shadow.load(restored)
 	c.quorumChecked, c.digestAt, c.membership = 0, 0, nil
-	c.world.checks.controllerStarted(c, restored)
-	c.core, err = control.New(c.config(), c.finds(restored))
+	c.world.checks.checkControllerStarted(c, restored)
+	c.core, err = control.New(c.config(), c.readRestored(restored))
 	if err != nil {
 		c.world.checks.fail("durable state", "%s cannot start: %v", c.name, err)
 		c.kill()
@@ -101,7 +101,7 @@
 
 // startIfDown starts the process unless something else has done so already.
 func (c *controller) startIfDown() {
-	if !c.alive {
+	if !c.isAlive {
 		c.start()
 	}
 }
@@ -111,7 +111,7 @@
 	if !c.world.safeguards.IsEnabled(SafeguardDiskIdentity) {
 		return c.name + ".1"
 	}
-	return fmt.Sprintf("%s.%d", c.name, c.disks)
+	return fmt.Sprintf("%s.%d", c.name, c.diskCount)
 }
 
 // config is the configuration of the core.
@@ -125,7 +125,7 @@
 	}
 	plannerSeed := c.world.random.Uint64()
 	config.NewPlanner = func(string) planner.Planner {
-		return &restlessPlanner{world: c.world, random: rand.New(rand.NewPCG(plannerSeed, 1))}
+		return &randomPlanner{world: c.world, random: rand.New(rand.NewPCG(plannerSeed, 1))}
 	}
 	return config
 }
@@ -135,20 +135,20 @@
 	if c.core == nil {
 		return
 	}
-	outputs := c.writes(c.core.Step(c.local(), input))
-	c.world.checks.controllerStepped(c, outputs)
+	outputs := c.writeOutputs(c.core.Step(c.local(), input))
+	c.world.checks.checkControllerStep(c, outputs)
 	if c.stallsBeforeOrder && sendsOrder(outputs) {
-		c.stalled, c.stallsBeforeOrder = true, false
+		c.isStalled, c.stallsBeforeOrder = true, false
 	}
 	for _, output := range outputs {
-		if c.stalled {
-			c.waiting = append(c.waiting, func() { c.carryOut(output) })
+		if c.isStalled {
+			c.waiting = append(c.waiting, func() { c.execute(output) })
 			continue
 		}
-		c.carryOut(output)
+		c.execute(output)
 	}
-	if c.stalled {
-		c.stalled = false
+	if c.isStalled {
+		c.isStalled = false
 		c.pause()
 	}
 }
@@ -156,33 +156,33 @@
 // sendsOrder reports whether a step sends an order.
 func sendsOrder(outputs []control.Output) bool {
 	return slices.ContainsFunc(outputs, func(output control.Output) bool {
-		_, order := output.(control.SendOrder)
-		return order
+		_, isOrder := output.(control.SendOrder)
+		return isOrder
 	})
 }
 
-// carryOut does what one output asks for.
-func (c *controller) carryOut(output control.Output) {
-	switch wanted := output.(type) {
+// execute does what one output asks for.
+func (c *controller) execute(output control.Output) {
+	switch action := output.(type) {
 	case control.Persist:
-		c.unsaved = append(c.unsaved, wanted)
+		c.unsaved = append(c.unsaved, action)
 		c.startSync()
 	case control.SendPeer:
-		if peer := c.world.controllerAt(wanted.Address); peer != nil {
-			message := proto.CloneOf(wanted.Message)
-			c.world.network.send(&c.host, &peer.host, func() { peer.step(control.PeerMessage{Message: peer.reads(message)}) })
+		if peer := c.world.controllerAt(action.Address); peer != nil {
+			message := proto.CloneOf(action.Message)
+			c.world.network.send(&c.host, &peer.host, func() { peer.step(control.PeerMessage{Message: peer.readMessage(message)}) })
 		}
 	case control.Answer:
-		if reply, waits := c.calls[wanted.Call]; waits {
-			delete(c.calls, wanted.Call)
-			reply(wanted.Response, wanted.Err)
+		if reply, waits := c.calls[action.Call]; waits {
+			delete(c.calls, action.Call)
+			reply(action.Response, action.Err)
 		}
 	case control.SendOrder:
-		c.sendOrder(wanted)
+		c.sendOrder(action)
 	case control.SendFence:
-		c.sendFence(wanted)
+		c.sendFence(action)
 	case control.PollEngine:
-		c.pollEngine(wanted)
+		c.pollEngine(action)
 	}
 }
 
@@ -200,7 +200,7 @@
 func (c *controller) readMachineList() {
 	platform := c.world.platform
 	call(c.world.network, &c.host, &platform.host, engineCallTimeout,
-		func(reply func(enginecontract.MachineList)) { reply(platform.read()) },
+		func(reply func(enginecontract.MachineList)) { reply(platform.currentList()) },
 		func(list enginecontract.MachineList, answered bool) {
 			if answered {
 				c.step(control.MachineListReceived{List: list})
--- a/internal/simulation/controller_build.go
+++ b/internal/simulation/controller_build.go
@@ -13,28 +13,28 @@
 
 // build is which build a controller's process is of: this one, or one of the first format.
 type build struct {
-	former     bool
+	isFormer   bool
 	translator *formerbuild.Translator
 }
 
 // mixesBuilds reports whether controllers are replaced by those of another build in this run.
 func (w *world) mixesBuilds() bool { return slices.Contains(w.options.Emphasis, FaultReplaceBuild) }
 
-// finds returns what a controller that starts reads of its disk.
-func (c *controller) finds(restored consensus.Restored) consensus.Restored {
-	if !c.build.former {
+// readRestored returns what a controller that starts reads of its disk.
+func (c *controller) readRestored(restored consensus.Restored) consensus.Restored {
+	if !c.build.isFormer {
 		return restored
 	}
 	c.build.translator = formerbuild.New()
-	found := restored
-	read := c.reads(&v1.ConsensusMessage{Entries: restored.Entries, Snapshot: restored.Snapshot})
-	found.Entries, found.Snapshot = read.GetEntries(), read.GetSnapshot()
-	return found
+	result := restored
+	read := c.readMessage(&v1.ConsensusMessage{Entries: restored.Entries, Snapshot: restored.Snapshot})
+	result.Entries, result.Snapshot = read.GetEntries(), read.GetSnapshot()
+	return result
 }
 
-// reads returns another controller's message as this one reads it.
-func (c *controller) reads(message *v1.ConsensusMessage) *v1.ConsensusMessage {
-	if !c.build.former {
+// readMessage returns another controller's message as this one readMessage it.
+func (c *controller) readMessage(message *v1.ConsensusMessage) *v1.ConsensusMessage {
+	if !c.build.isFormer {
 		return message
 	}
 	read, err := c.build.translator.ReadMessage(message)
@@ -44,27 +44,27 @@
 	return read
 }
 
-// writes returns what the process writes of a step's outputs.
-func (c *controller) writes(outputs []control.Output) []control.Output {
-	if !c.build.former {
+// writeOutputs returns what the process writeOutputs of a step's outputs.
+func (c *controller) writeOutputs(outputs []control.Output) []control.Output {
+	if !c.build.isFormer {
 		return outputs
 	}
 	written := slices.Clone(outputs)
 	for index, output := range written {
-		switch wanted := output.(type) {
+		switch action := output.(type) {
 		case control.SendPeer:
-			wanted.Message = c.writesMessage(wanted.Message)
-			written[index] = wanted
+			action.Message = c.writeMessage(action.Message)
+			written[index] = action
 		case control.Persist:
-			message := c.writesMessage(&v1.ConsensusMessage{Entries: wanted.Entries, Snapshot: wanted.Snapshot})
-			wanted.Entries, wanted.Snapshot = message.GetEntries(), message.GetSnapshot()
-			written[index] = wanted
+			message := c.writeMessage(&v1.ConsensusMessage{Entries: action.Entries, Snapshot: action.Snapshot})
+			action.Entries, action.Snapshot = message.GetEntries(), message.GetSnapshot()
+			written[index] = action
 		}
 	}
 	return written
 }
 
-func (c *controller) writesMessage(message *v1.ConsensusMessage) *v1.ConsensusMessage {
+func (c *controller) writeMessage(message *v1.ConsensusMessage) *v1.ConsensusMessage {
 	written, err := c.build.translator.WriteMessage(message)
 	if err != nil {
 		c.world.checks.fail("formats", "%s cannot write a message: %v", c.name, err)
@@ -86,14 +86,14 @@
 
 // replaceBuild stops a controller, as planned or at once, and starts it as the other build at the end.
 func (f *faults) replaceBuild(kind FaultKind, c *controller) func() {
-	if !c.alive {
+	if !c.isAlive {
 		return nil
 	}
-	f.note(kind, "%s", c.name)
+	f.traceFault(kind, "%s", c.name)
 	c.crash()
 	return func() {
-		if !c.alive {
-			c.build = build{former: !c.build.former, translator: formerbuild.New()}
+		if !c.isAlive {
+			c.build = build{isFormer: !c.build.isFormer, translator: formerbuild.New()}
 			c.start()
 		}
 	}
--- a/internal/simulation/controller_disk.go
+++ b/internal/simulation/controller_disk.go
@@ -12,9 +12,9 @@
 		return
 	}
 	c.syncing = true
-	delay := c.world.duration(quickSync)
+	delay := c.world.drawDuration(quickSync)
 	if c.slowDisk {
-		delay = c.world.duration(slowSync)
+		delay = c.world.drawDuration(slowSync)
 	}
 	c.after(delay, c.save)
 }
@@ -31,29 +31,29 @@
 		c.world.checks.fail("durable state", "%s cannot save: %v", c.name, err)
 		return
 	}
-	c.world.checks.logs.saved(c, batches)
+	c.world.checks.logs.recordSynced(c, batches)
 	c.step(control.Persisted{Batch: batches[len(batches)-1].Batch})
 }
 
 // saveAll saves batches with as few syncs as can be.
 func saveAll(target *storage.Storage, batches []control.Persist) error {
 	batch := &storage.Batch{}
-	for _, wanted := range batches {
-		if batch.Add(wanted.HardState, wanted.Entries, wanted.Snapshot) {
+	for _, persist := range batches {
+		if batch.Add(persist.HardState, persist.Entries, persist.Snapshot) {
 			continue
 		}
 		if err := target.SaveBatch(batch); err != nil {
 			return err
 		}
 		batch = &storage.Batch{}
-		batch.Add(wanted.HardState, wanted.Entries, wanted.Snapshot)
+		batch.Add(persist.HardState, persist.Entries, persist.Snapshot)
 	}
 	return target.SaveBatch(batch)
 }
 
 // crash ends the process between two changes of the disk, which loses what was not synced.
 func (c *controller) crash() {
-	if !c.alive {
+	if !c.isAlive {
 		return
 	}
 	if len(c.unsaved) > 0 {
@@ -68,7 +68,7 @@
 
 // replaceDisk puts an empty disk into a machine that is down.
 func (c *controller) replaceDisk() {
-	c.disks++
+	c.diskCount++
 	c.disk = memory.New()
 	c.diskID = "" // known once the process has started on it
 	c.world.trace.add(c.world.now, c.name, "gets an empty disk")
--- a/internal/simulation/controller_engines.go
+++ b/internal/simulation/controller_engines.go
@@ -6,20 +6,20 @@
 )
 
 // sendOrder sends an order to an engine.
-func (c *controller) sendOrder(wanted control.SendOrder) {
-	c.world.checks.orderSent(c, wanted.Order, wanted.Engine)
-	c.callEngine(wanted.Address, func(e *engine) enginecontract.OrderAnswer { return e.order(wanted.Order) },
+func (c *controller) sendOrder(action control.SendOrder) {
+	c.world.checks.checkOrderSent(c, action.Order, action.Engine)
+	c.callEngine(action.Address, func(e *engine) enginecontract.OrderAnswer { return e.receiveOrder(action.Order) },
 		func(answer *enginecontract.OrderAnswer) {
-			c.step(control.OrderAnswered{Engine: wanted.Engine, Fence: wanted.Order.Fence, Answer: answer})
+			c.step(control.OrderAnswered{Engine: action.Engine, Fence: action.Order.Fence, Answer: answer})
 		})
 }
 
 // sendFence raises the fence at an engine.
-func (c *controller) sendFence(wanted control.SendFence) {
-	fence := enginecontract.Fence{Epoch: wanted.Epoch}
-	c.callEngine(wanted.Address, func(e *engine) enginecontract.OrderAnswer { return e.fence(fence) },
+func (c *controller) sendFence(action control.SendFence) {
+	fence := enginecontract.Fence{Epoch: action.Epoch}
+	c.callEngine(action.Address, func(e *engine) enginecontract.OrderAnswer { return e.receiveFence(fence) },
 		func(answer *enginecontract.OrderAnswer) {
-			c.step(control.FenceAnswered{Engine: wanted.Engine, Epoch: wanted.Epoch, Answer: answer})
+			c.step(control.FenceAnswered{Engine: action.Engine, Epoch: action.Epoch, Answer: answer})
 		})
 }
 
@@ -41,22 +41,22 @@
 		})
 }
 
-// polled is what an engine answers to a poll.
-type polled struct {
+// pollAnswer is what an engine answers to a poll.
+type pollAnswer struct {
 	state *enginecontract.EngineState
 	load  *enginecontract.LoadReport
 }
 
 // pollEngine asks an engine for state and load.
-func (c *controller) pollEngine(wanted control.PollEngine) {
-	target := c.world.engineAt(wanted.Address)
+func (c *controller) pollEngine(action control.PollEngine) {
+	target := c.world.engineAt(action.Address)
 	if target == nil {
-		c.after(engineCallTimeout, func() { c.step(control.EngineStateReceived{Engine: wanted.Engine}) })
+		c.after(engineCallTimeout, func() { c.step(control.EngineStateReceived{Engine: action.Engine}) })
 		return
 	}
 	call(c.world.network, &c.host, &target.host, engineCallTimeout,
-		func(reply func(polled)) { reply(polled{state: target.state(), load: target.load()}) },
-		func(answer polled, _ bool) {
-			c.step(control.EngineStateReceived{Engine: wanted.Engine, State: answer.state, Load: answer.load})
+		func(reply func(pollAnswer)) { reply(pollAnswer{state: target.state(), load: target.load()}) },
+		func(answer pollAnswer, _ bool) {
+			c.step(control.EngineStateReceived{Engine: action.Engine, State: answer.state, Load: answer.load})
 		})
 }
--- a/internal/simulation/declaration.go
+++ b/internal/simulation/declaration.go
@@ -35,14 +35,14 @@
 // fleetObjects are the objects that the fleet begins with.
 func (w *world) fleetObjects() []*v1.Object {
 	objects := []*v1.Object{
-		declared(v1.ObjectType_OBJECT_TYPE_MODEL, modelName, &v1.Object{Spec: &v1.Object_Model{
+		withKey(v1.ObjectType_OBJECT_TYPE_MODEL, modelName, &v1.Object{Spec: &v1.Object_Model{
 			Model: &v1.Model{Version: modelVersion, WeightBytes: 1 << 30, Profile: "standard"}}}),
-		declared(v1.ObjectType_OBJECT_TYPE_SERVICE, pageService, &v1.Object{Spec: &v1.Object_Service{
+		withKey(v1.ObjectType_OBJECT_TYPE_SERVICE, pageService, &v1.Object{Spec: &v1.Object_Service{
 			Service: &v1.Service{Type: v1.ServiceType_SERVICE_TYPE_PAGE}}}),
 		registrationObject(1),
 	}
 	for _, service := range w.options.Deployment.Services {
-		objects = append(objects, declared(v1.ObjectType_OBJECT_TYPE_SERVICE, service.Name, &v1.Object{Spec: &v1.Object_Service{
+		objects = append(objects, withKey(v1.ObjectType_OBJECT_TYPE_SERVICE, service.Name, &v1.Object{Spec: &v1.Object_Service{
 			Service: &v1.Service{Type: v1.ServiceType_SERVICE_TYPE_ENGINE, Model: modelName}}}))
 	}
 	for i := range tenants {
@@ -51,8 +51,8 @@
 	return objects
 }
 
-// declared gives an object its key.
-func declared(objectType v1.ObjectType, name string, object *v1.Object) *v1.Object {
+// withKey gives an object its key.
+func withKey(objectType v1.ObjectType, name string, object *v1.Object) *v1.Object {
 	object.Key = &v1.ObjectKey{Type: objectType, Name: name}
 	return object
 }
@@ -60,11 +60,11 @@
 // registrationObject declares the kind that runs at most once; its worth changes
 // with each declaration.
 func registrationObject(worth float64) *v1.Object {
-	return declared(v1.ObjectType_OBJECT_TYPE_KIND, registrationKind, &v1.Object{Spec: &v1.Object_Kind{Kind: &v1.Kind{
+	return withKey(v1.ObjectType_OBJECT_TYPE_KIND, registrationKind, &v1.Object{Spec: &v1.Object_Kind{Kind: &v1.Kind{
 		Worth: worth, DeadlineMs: 5000, Service: pageService, Path: "/registration"}}})
 }
 
 // tenantObject declares a tenant whose weight is the value that operators write.
 func tenantObject(name string, weight uint32) *v1.Object {
-	return declared(v1.ObjectType_OBJECT_TYPE_TENANT, name, &v1.Object{Spec: &v1.Object_Tenant{Tenant: &v1.Tenant{Weight: weight}}})
+	return withKey(v1.ObjectType_OBJECT_TYPE_TENANT, name, &v1.Object{Spec: &v1.Object_Tenant{Tenant: &v1.Tenant{Weight: weight}}})
 }
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -24,12 +24,12 @@
 	incarnation uint64
 	machine     *orders.Machine
 	// durable is what the engine has written before it answered.
-	durable  orders.Durable
-	inFlight int
-	leaving  bool
+	durable   orders.Durable
+	inFlight  int
+	isLeaving bool
 	// leftAt is when the platform began to take the machine away.
 	leftAt time.Duration
-	gone   bool
+	isGone bool
 }
 
 // start starts the engine's process.
@@ -42,18 +42,18 @@
 		RoleChange: roleChangeTime, WeightLoad: weightLoadTime, AdapterLoad: adapterLoadTime,
 		Safeguards: e.world.safeguards,
 	}, e.durable)
-	if e.leaving {
+	if e.isLeaving {
 		e.machine.Leave()
 	}
-	e.keep()
+	e.saveAndSchedule()
 	e.world.trace.add(e.world.now, e.name, "starts, incarnation %d", e.incarnation)
 }
 
-// keep writes what must survive and arranges the machine's next event.
-func (e *engine) keep() {
+// saveAndSchedule writes what must survive and arranges the machine's next event.
+func (e *engine) saveAndSchedule() {
 	e.durable = e.machine.Durable()
-	e.world.checks.engineChanged(e)
-	if at, some := e.machine.NextEvent(); some {
+	e.world.checks.checkEngineChange(e)
+	if at, hasEvent := e.machine.NextEvent(); hasEvent {
 		e.after(at-e.world.now, e.advance)
 	}
 }
@@ -64,34 +64,34 @@
 	e.machine.Advance(e.world.now, e.inFlight)
 	if after := e.machine.Durable().Phase; after != before {
 		e.world.trace.add(e.world.now, e.name, "order %v is %s, role %s", e.durable.Order.Fence, after, e.machine.Role())
-		e.keep()
+		e.saveAndSchedule()
 	}
 }
 
-// order takes an order.
-func (e *engine) order(order enginecontract.Order) enginecontract.OrderAnswer {
+// receiveOrder takes an receiveOrder.
+func (e *engine) receiveOrder(order enginecontract.Order) enginecontract.OrderAnswer {
 	before := e.machine.State(e.inFlight)
 	answer := e.machine.Order(e.world.now, order, e.inFlight)
 	e.world.trace.add(e.world.now, e.name, "gets %s %v role %s: accepted %t %s, phase %s",
 		order.Action, order.Fence, order.Role, answer.Accepted, answer.Refusal, answer.State.OrderPhase)
-	e.world.checks.orderTaken(e, order, before, answer)
-	e.keep()
+	e.world.checks.checkOrderAnswered(e, order, before, answer)
+	e.saveAndSchedule()
 	return answer
 }
 
-// fence raises the engine's fence.
-func (e *engine) fence(fence enginecontract.Fence) enginecontract.OrderAnswer {
+// receiveFence raises the engine's receiveFence.
+func (e *engine) receiveFence(fence enginecontract.Fence) enginecontract.OrderAnswer {
 	answer := e.machine.Fence(e.world.now, fence, e.inFlight)
 	e.world.trace.add(e.world.now, e.name, "fence %v: accepted %t", fence, answer.Accepted)
-	e.world.checks.fenceTaken(e, fence, answer)
-	e.keep()
+	e.world.checks.recordFence(e, fence, answer)
+	e.saveAndSchedule()
 	return answer
 }
 
 // state is the engine's own word, which never lags.
 func (e *engine) state() *enginecontract.EngineState {
 	e.machine.Advance(e.world.now, e.inFlight)
-	e.keep()
+	e.saveAndSchedule()
 	state := e.machine.State(e.inFlight)
 	return &state
 }
@@ -104,31 +104,31 @@
 	}
 }
 
-// work takes one request and reports the engine's state with the answer.
-func (e *engine) work() (accepted bool, state enginecontract.ServiceState) {
+// serve takes one request and reports the engine's state with the answer.
+func (e *engine) serve() (accepted bool, state enginecontract.ServiceState) {
 	e.advance()
 	state = e.machine.ServiceState()
 	if state != enginecontract.StateServing {
 		return false, state
 	}
 	e.inFlight++
-	e.after(shortestWork+e.world.duration(longestWork), func() {
+	e.after(shortestWork+e.world.drawDuration(longestWork), func() {
 		e.inFlight--
 		e.advance()
 	})
 	return true, state
 }
 
-// underWay reports whether the engine carries out an order.
-func (e *engine) underWay() bool {
+// hasOrderUnderWay reports whether the engine carries out an order.
+func (e *engine) hasOrderUnderWay() bool {
 	return e.durable.Phase == enginecontract.PhaseDraining || e.durable.Phase == enginecontract.PhaseChanging
 }
 
 // leave begins the machine's removal.
 func (e *engine) leave() {
-	e.leaving = true
+	e.isLeaving = true
 	e.leftAt = e.world.now
 	e.machine.Leave()
-	e.keep()
+	e.saveAndSchedule()
 	e.world.trace.add(e.world.now, e.name, "is leaving")
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -75,8 +75,8 @@
 	longestGap   = 1600 * time.Millisecond
 	longestFault = 6 * time.Second
 	// longestStop is how long a controller that was killed with all others stays down.
-	longestStop = 300 * time.Millisecond
-	emphasised  = 12
+	longestStop    = 300 * time.Millisecond
+	emphasisWeight = 12
 	// A long fault lasts between these.
 	shortestLongFault = 10 * time.Second
 	longestLongFault  = 25 * time.Second
@@ -86,62 +86,62 @@
 type faults struct {
 	world   *world
 	weights map[FaultKind]float64
-	// active are the ends of the faults under way, by number.
-	active map[int]func()
-	begun  int
-	over   bool
+	// activeEnds are the ends of the faults under way, by number.
+	activeEnds map[int]func()
+	begun      int
+	isOver     bool
 	// counts are the faults begun, by kind.
 	counts map[FaultKind]int
 }
 
 // newFaults draws which kinds this run meets often: every run differs.
 func newFaults(w *world) *faults {
-	f := &faults{world: w, weights: map[FaultKind]float64{}, active: map[int]func(){}, counts: map[FaultKind]int{}}
+	f := &faults{world: w, weights: map[FaultKind]float64{}, activeEnds: map[int]func(){}, counts: map[FaultKind]int{}}
 	for _, kind := range faultKinds {
 		draw := w.random.Float64()
 		f.weights[kind] = draw * draw
 	}
 	for _, kind := range w.options.Emphasis {
-		f.weights[kind] = emphasised
+		f.weights[kind] = emphasisWeight
 	}
 	return f
 }
 
-// begin starts the time of faults.
-func (f *faults) begin() {
-	f.world.after(f.world.duration(longestGap), f.next)
+// scheduleNext starts the time of faults.
+func (f *faults) scheduleNext() {
+	f.world.after(f.world.drawDuration(longestGap), f.beginNext)
 }
 
-// next begins one fault and arranges the one after it.
-func (f *faults) next() {
-	if f.over {
+// beginNext begins one fault and arranges the one after it.
+func (f *faults) beginNext() {
+	if f.isOver {
 		return
 	}
-	kind := f.draw()
+	kind := f.drawKind()
 	if end := f.start(kind); end != nil {
 		f.counts[kind]++
 		number := f.begun
 		f.begun++
-		f.active[number] = end
-		f.world.after(f.length(kind), func() { f.end(number) })
+		f.activeEnds[number] = end
+		f.world.after(f.drawLength(kind), func() { f.end(number) })
 	}
-	f.begin()
+	f.scheduleNext()
 }
 
-// length draws how long a fault of a kind lasts.
-func (f *faults) length(kind FaultKind) time.Duration {
+// drawLength draws how long a fault of a kind lasts.
+func (f *faults) drawLength(kind FaultKind) time.Duration {
 	switch kind {
 	case FaultCutOffController, FaultCutPeers, FaultSecondLoss, FaultStallOrder:
-		return shortestLongFault + f.world.duration(longestLongFault-shortestLongFault)
+		return shortestLongFault + f.world.drawDuration(longestLongFault-shortestLongFault)
 	case FaultRestartTogether:
-		return f.world.duration(longestStop)
+		return f.world.drawDuration(longestStop)
 	default:
-		return f.world.duration(longestFault)
+		return f.world.drawDuration(longestFault)
 	}
 }
 
-// draw chooses a kind by its weight.
-func (f *faults) draw() FaultKind {
+// drawKind chooses a kind by its weight.
+func (f *faults) drawKind() FaultKind {
 	kinds := slices.Concat(faultKinds, emphasisedKinds)
 	total := 0.0
 	for _, kind := range kinds {
@@ -159,22 +159,22 @@
 
 // end ends one fault.
 func (f *faults) end(number int) {
-	if end, active := f.active[number]; active {
-		delete(f.active, number)
+	if end, active := f.activeEnds[number]; active {
+		delete(f.activeEnds, number)
 		end()
 	}
 }
 
 // heal ends all faults, for good.
 func (f *faults) heal() {
-	f.over = true
-	for _, number := range slices.Sorted(maps.Keys(f.active)) {
+	f.isOver = true
+	for _, number := range slices.Sorted(maps.Keys(f.activeEnds)) {
 		f.end(number)
 	}
 	f.world.trace.add(f.world.now, "faults", "all healed")
 }
 
-// note writes a fault into the trace.
-func (f *faults) note(kind FaultKind, format string, arguments ...any) {
+// traceFault writes a fault into the trace.
+func (f *faults) traceFault(kind FaultKind, format string, arguments ...any) {
 	f.world.trace.add(f.world.now, "faults", "%s: %s", kind, fmt.Sprintf(format, arguments...))
 }
--- a/internal/simulation/faults_members.go
+++ b/internal/simulation/faults_members.go
@@ -18,13 +18,13 @@
 // stopController asks a controller to stop, which lets a leader hand over, and ends
 // its process soon after.
 func (f *faults) stopController(kind FaultKind, c *controller) func() {
-	if !c.alive || c.paused || c.stalled {
+	if !c.isAlive || c.isPaused || c.isStalled {
 		return nil
 	}
-	f.note(kind, "%s", c.name)
+	f.traceFault(kind, "%s", c.name)
 	over := false
 	c.step(control.StopRequested{})
-	c.after(f.world.duration(stopGrace), func() {
+	c.after(f.world.drawDuration(stopGrace), func() {
 		if !over {
 			c.crash()
 		}
@@ -39,23 +39,23 @@
 // empty disk and becomes a standby.
 func (f *faults) swapVoter(kind FaultKind) func() {
 	w := f.world
-	if w.options.Deployment.Standbys == 0 || w.swapping || !w.everyDiskVotes() {
+	if w.options.Deployment.Standbys == 0 || w.isSwapping || !w.isMembershipComplete() {
 		return nil
 	}
-	w.swapping = true
-	promoted, removed := w.drawMember(true), w.drawMember(false)
+	w.isSwapping = true
+	promoted, removed := w.drawMemberDisk(true), w.drawMemberDisk(false)
 	machine := w.controllerWithDisk(removed)
-	f.note(kind, "%s for %s", promoted, removed)
-	w.administrate("promote member "+promoted, func(members map[string]bool) bool {
+	f.traceFault(kind, "%s for %s", promoted, removed)
+	w.runUntilReached("promote member "+promoted, func(members map[string]bool) bool {
 		learner, member := members[promoted]
 		return member && !learner
 	}, func() {
-		w.administrate("remove member "+removed, func(members map[string]bool) bool {
+		w.runUntilReached("remove member "+removed, func(members map[string]bool) bool {
 			_, member := members[removed]
 			return !member
 		}, func() {
-			w.swapping = false
-			running := machine.alive
+			w.isSwapping = false
+			running := machine.isAlive
 			machine.crash()
 			machine.replaceDisk()
 			if running {
@@ -66,15 +66,15 @@
 	return func() {}
 }
 
-// drawMember draws the disk of a learner or of a voter.
-func (w *world) drawMember(learner bool) string {
-	var found []string
+// drawMemberDisk draws the disk of a learner or of a voter.
+func (w *world) drawMemberDisk(learner bool) string {
+	var disks []string
 	for _, member := range w.leaderMembership().GetMembers() {
 		if member.GetLearner() == learner {
-			found = append(found, member.GetId())
+			disks = append(disks, member.GetId())
 		}
 	}
-	return found[w.random.IntN(len(found))]
+	return disks[w.random.IntN(len(disks))]
 }
 
 // controllerWithDisk returns the controller whose disk it is.
@@ -87,9 +87,9 @@
 	return nil
 }
 
-// administrate gives a command until the committed membership is as wanted; members
+// runUntilReached gives a command until the committed membership is as wanted; members
 // tells of each disk whether it is a learner.
-func (w *world) administrate(text string, reached func(members map[string]bool) bool, then func()) {
+func (w *world) runUntilReached(text string, reached func(members map[string]bool) bool, then func()) {
 	members := map[string]bool{}
 	for _, member := range w.leaderMembership().GetMembers() {
 		members[member.GetId()] = member.GetLearner()
@@ -98,11 +98,11 @@
 		then()
 		return
 	}
-	w.administrations++
-	request := &v1.ExecuteRequest{RequestId: fmt.Sprintf("administrator-%d", w.administrations), Text: text}
+	w.administratorCommands++
+	request := &v1.ExecuteRequest{RequestId: fmt.Sprintf("administrator-%d", w.administratorCommands), Text: text}
 	w.operators[0].callController(func(id control.CallID) control.Input {
 		return control.ExecuteReceived{Call: id, Operator: "administrator", Role: v1.OperatorRole_OPERATOR_ROLE_ADMINISTRATOR, Request: request}
 	}, func(controllerAnswer, bool) {
-		w.operators[0].after(administratorPause, func() { w.administrate(text, reached, then) })
+		w.operators[0].after(administratorPause, func() { w.runUntilReached(text, reached, then) })
 	})
 }
--- a/internal/simulation/faults_network.go
+++ b/internal/simulation/faults_network.go
@@ -15,7 +15,7 @@
 		victim = &c.host
 		cut = w.linksOf(victim)
 	case FaultCutPeers:
-		if slices.ContainsFunc(w.controllers, w.cutFromPeers) {
+		if slices.ContainsFunc(w.controllers, w.isCutFromPeers) {
 			return nil // the others keep their quorum, as far as this kind goes
 		}
 		victim = &c.host
@@ -41,7 +41,7 @@
 	case FaultSplit:
 		cut = w.splitZones()
 	}
-	f.note(kind, "%s, %d links", victim.name, len(cut))
+	f.traceFault(kind, "%s, %d links", victim.name, len(cut))
 	return f.cutLinks(cut)
 }
 
@@ -62,7 +62,7 @@
 func (f *faults) badNetwork(kind FaultKind) func() {
 	w := f.world
 	loss, duplication, slowness := w.random.Float64()*0.3, w.random.Float64()*0.2, w.random.Float64()*0.2
-	f.note(kind, "loss %.2f, duplication %.2f, slowness %.2f", loss, duplication, slowness)
+	f.traceFault(kind, "loss %.2f, duplication %.2f, slowness %.2f", loss, duplication, slowness)
 	w.network.loss += loss
 	w.network.duplication += duplication
 	w.network.slowness += slowness
--- a/internal/simulation/faults_process.go
+++ b/internal/simulation/faults_process.go
@@ -16,21 +16,21 @@
 	case FaultPauseEngine:
 		return f.pause(kind, &engine.host)
 	case FaultEngineLeaves:
-		return f.engineLeaves(kind, engine)
+		return f.removeEngine(kind, engine)
 	case FaultCrashGateway:
 		return f.crashGateway(kind, gateway)
 	case FaultPauseGateway:
 		return f.pause(kind, &gateway.host)
 	case FaultLull:
-		f.note(kind, "begins")
+		f.traceFault(kind, "begins")
 		w.lulls++
 		return func() { w.lulls-- }
 	case FaultListLag:
-		w.platform.lag = w.duration(longestListLag)
-		f.note(kind, "%v", w.platform.lag)
+		w.platform.lag = w.drawDuration(longestListLag)
+		f.traceFault(kind, "%v", w.platform.lag)
 		return func() { w.platform.lag = 0 }
 	default:
-		if end, ours := f.startAtController(kind, controller); ours {
+		if end, isHandled := f.startAtController(kind, controller); isHandled {
 			return end
 		}
 		return f.startNetwork(kind, controller, engine, gateway)
@@ -39,7 +39,7 @@
 
 // startAtController begins a fault of a controller's process or disk; it reports false
 // for other kinds.
-func (f *faults) startAtController(kind FaultKind, controller *controller) (end func(), ours bool) {
+func (f *faults) startAtController(kind FaultKind, controller *controller) (end func(), isHandled bool) {
 	switch kind {
 	case FaultCrashController:
 		return f.crashController(kind, controller), true
@@ -58,11 +58,11 @@
 	case FaultPauseController:
 		return f.pause(kind, &controller.host), true
 	case FaultStallController:
-		return f.stall(kind, controller), true
+		return f.stallInStep(kind, controller), true
 	case FaultStallOrder:
 		return f.stallBeforeOrder(kind, controller), true
 	case FaultSlowDisk:
-		f.note(kind, "%s", controller.name)
+		f.traceFault(kind, "%s", controller.name)
 		controller.slowDisk = true
 		return func() { controller.slowDisk = false }, true
 	default:
@@ -72,31 +72,31 @@
 
 // crashController kills a controller and starts it again at the end.
 func (f *faults) crashController(kind FaultKind, c *controller) func() {
-	if !c.alive {
+	if !c.isAlive {
 		return nil
 	}
-	f.note(kind, "%s", c.name)
+	f.traceFault(kind, "%s", c.name)
 	c.crash()
 	return c.startIfDown
 }
 
 // restartTogether kills all controllers at once and starts them again at the end. Half of the
 // time one of them goes on, cut off from the others until they have had the time to elect.
-func (f *faults) restartTogether(kind FaultKind, spared *controller) func() {
+func (f *faults) restartTogether(kind FaultKind, survivor *controller) func() {
 	w := f.world
 	var cuts []link
 	if w.random.IntN(2) == 0 {
-		spared = nil
-		f.note(kind, "all")
+		survivor = nil
+		f.traceFault(kind, "all")
 	} else {
-		f.note(kind, "all but %s", spared.name)
-		cuts = w.peerLinks(spared)
+		f.traceFault(kind, "all but %s", survivor.name)
+		cuts = w.peerLinks(survivor)
 	}
 	for _, cut := range cuts {
 		w.network.cuts[cut]++
 	}
 	for _, each := range w.controllers {
-		if each != spared && each.alive {
+		if each != survivor && each.isAlive {
 			each.crash()
 		}
 	}
@@ -116,10 +116,10 @@
 // until every earlier replacement is complete: more lost disks than a minority are
 // more than any replicated log can bear.
 func (f *faults) replaceDisk(kind FaultKind, c *controller) func() {
-	if !c.alive || f.world.swapping || !f.world.everyDiskVotes() {
+	if !c.isAlive || f.world.isSwapping || !f.world.isMembershipComplete() {
 		return nil
 	}
-	f.note(kind, "%s", c.name)
+	f.traceFault(kind, "%s", c.name)
 	c.crash()
 	c.replaceDisk()
 	return c.startIfDown
@@ -140,12 +140,12 @@
 	second := f.world.controllers[f.world.random.IntN(len(f.world.controllers))]
 	end := func() {}
 	ended := false
-	var look func()
-	look = func() {
+	var poll func()
+	poll = func() {
 		switch {
 		case ended || second == first:
-		case !f.world.everyDiskVotes():
-			f.world.after(repairPoll, look)
+		case !f.world.isMembershipComplete():
+			f.world.after(repairPoll, poll)
 		default:
 			if restart := f.replaceDisk(kind, second); restart != nil {
 				f.counts[FaultSecondLost]++
@@ -153,7 +153,7 @@
 			}
 		}
 	}
-	look()
+	poll()
 	return func() {
 		ended = true
 		end()
@@ -162,23 +162,23 @@
 
 // pause stops a process for a while.
 func (f *faults) pause(kind FaultKind, h *host) func() {
-	if !h.alive || h.paused {
+	if !h.isAlive || h.isPaused {
 		return nil
 	}
-	f.note(kind, "%s", h.name)
+	f.traceFault(kind, "%s", h.name)
 	h.pause()
 	return h.resume
 }
 
-// stall pauses a controller between deciding and acting.
-func (f *faults) stall(kind FaultKind, c *controller) func() {
-	if !c.alive || c.paused || c.stalled {
+// stallInStep pauses a controller between deciding and acting.
+func (f *faults) stallInStep(kind FaultKind, c *controller) func() {
+	if !c.isAlive || c.isPaused || c.isStalled {
 		return nil
 	}
-	f.note(kind, "%s", c.name)
-	c.stalled = true
+	f.traceFault(kind, "%s", c.name)
+	c.isStalled = true
 	return func() {
-		c.stalled = false
+		c.isStalled = false
 		c.resume()
 	}
 }
@@ -186,26 +186,26 @@
 // stallBeforeOrder pauses a controller when it next wants to send an order; the order
 // leaves only at the end of the pause, when another may lead.
 func (f *faults) stallBeforeOrder(kind FaultKind, c *controller) func() {
-	if !c.alive || c.paused || c.stalled || c.stallsBeforeOrder {
+	if !c.isAlive || c.isPaused || c.isStalled || c.stallsBeforeOrder {
 		return nil
 	}
-	f.note(kind, "%s", c.name)
+	f.traceFault(kind, "%s", c.name)
 	c.stallsBeforeOrder = true
 	return func() {
-		c.stallsBeforeOrder, c.stalled = false, false
+		c.stallsBeforeOrder, c.isStalled = false, false
 		c.resume()
 	}
 }
 
 // crashEngine kills an engine, whatever it is doing.
 func (f *faults) crashEngine(kind FaultKind, e *engine) func() {
-	if !e.alive {
+	if !e.isAlive {
 		return nil
 	}
-	f.note(kind, "%s in phase %s", e.name, e.durable.Phase)
+	f.traceFault(kind, "%s in phase %s", e.name, e.durable.Phase)
 	e.kill()
 	return func() {
-		if !e.gone {
+		if !e.isGone {
 			e.start()
 		}
 	}
@@ -214,23 +214,23 @@
 // crashChanging crashes an engine in the middle of an order.
 func (f *faults) crashChanging(kind FaultKind) func() {
 	for _, e := range f.world.engines {
-		if e.underWay() {
+		if e.hasOrderUnderWay() {
 			return f.crashEngine(kind, e)
 		}
 	}
 	return nil
 }
 
-// engineLeaves takes a machine away; another one of the same name comes later.
-func (f *faults) engineLeaves(kind FaultKind, e *engine) func() {
-	if !e.alive || e.paused || e.leaving {
+// removeEngine takes a machine away; another one of the same name comes later.
+func (f *faults) removeEngine(kind FaultKind, e *engine) func() {
+	if !e.isAlive || e.isPaused || e.isLeaving {
 		return nil
 	}
-	f.note(kind, "%s", e.name)
+	f.traceFault(kind, "%s", e.name)
 	e.leave()
 	f.world.platform.update()
 	return func() {
-		e.leaving = false
+		e.isLeaving = false
 		e.machine = nil
 		e.kill()
 		e.start()
@@ -240,10 +240,10 @@
 
 // crashGateway kills a gateway.
 func (f *faults) crashGateway(kind FaultKind, g *gateway) func() {
-	if !g.alive {
+	if !g.isAlive {
 		return nil
 	}
-	f.note(kind, "%s", g.name)
+	f.traceFault(kind, "%s", g.name)
 	g.kill()
 	return g.start
 }
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -31,9 +31,9 @@
 	incarnation uint64
 	state       *gatewaystate.State
 	router      *routing.Router
-	// asked is the controller that the next Sync goes to; leader the last one named.
-	asked  int
-	leader string
+	// syncTarget is the controller that the next Sync goes to; leader the last one named.
+	syncTarget int
+	leader     string
 	// exchanges numbers the requests sent.
 	exchanges int
 	claims    *claimant
@@ -51,14 +51,14 @@
 		return
 	}
 	g.router = router
-	g.asked = g.world.random.IntN(len(g.world.controllers))
+	g.syncTarget = g.world.random.IntN(len(g.world.controllers))
 	g.claims = newClaimant(g)
 	g.world.trace.add(g.world.now, g.name, "starts, incarnation %d", g.incarnation)
 	g.sync()
 	g.every(syncInterval, g.sync)
 	g.every(syncInterval, g.report)
-	g.every(workInterval, g.work)
-	g.every(claimInterval, g.claims.next)
+	g.every(workInterval, g.sendWork)
+	g.every(claimInterval, g.claims.runNext)
 }
 
 // SafeguardConfirmation sends new work only to back ends that were confirmed lately;
@@ -96,13 +96,13 @@
 func (g *gateway) sync() {
 	sentAt := g.local()
 	request := proto.CloneOf(g.state.SyncRequest(sentAt))
-	target := g.world.controllers[g.asked]
+	target := g.world.controllers[g.syncTarget]
 	g.world.callController(&g.host, target, controlTimeout,
 		func(id control.CallID) control.Input { return control.SyncReceived{Call: id, Request: request} },
 		func(answer controllerAnswer, answered bool) {
 			response, ok := answer.response.(*v1.SyncResponse)
 			if !answered || !ok || !g.applySync(sentAt, request, response) {
-				g.asked = (g.asked + 1) % len(g.world.controllers)
+				g.syncTarget = (g.syncTarget + 1) % len(g.world.controllers)
 			}
 		})
 }
@@ -117,7 +117,7 @@
 	if result.DirectoryConfirmed {
 		g.router.Confirm(result.ConfirmedAt)
 	}
-	g.world.checks.gatewaySynced(g)
+	g.world.checks.checkGatewaySynced(g)
 	return !result.Behind
 }
 
@@ -139,12 +139,12 @@
 				return
 			}
 			g.state.ReportLost(request)
-			g.noteLeader(answer.err)
+			g.followLeader(answer.err)
 		})
 }
 
-// noteLeader follows a refusal that names the leader.
-func (g *gateway) noteLeader(err error) {
+// followLeader follows a refusal that names the leader.
+func (g *gateway) followLeader(err error) {
 	var notLeader *control.NotLeaderError
 	if errors.As(err, &notLeader) {
 		g.leader = notLeader.Leader
@@ -153,15 +153,15 @@
 	}
 }
 
-// worked is what an engine answers to a request.
-type worked struct {
+// workAnswer is what an engine answers to a request.
+type workAnswer struct {
 	accepted    bool
 	state       enginecontract.ServiceState
 	incarnation uint64
 }
 
-// work sends one request to the engine that the router picks.
-func (g *gateway) work() {
+// sendWork sends one request to the engine that the router picks.
+func (g *gateway) sendWork() {
 	service := g.world.options.Deployment.Services[0].Name
 	choice, err := g.router.Pick(g.local(), routing.Request{Service: service, PromptTokens: 100, OutputTokens: 20, WholeOnly: true}, nil)
 	if err != nil {
@@ -173,14 +173,14 @@
 	}
 	g.exchanges++
 	name, exchange := choice.BackEnd.Name, fmt.Sprint(g.exchanges)
-	g.world.checks.workSent(g, target)
+	g.world.checks.checkWorkSent(g, target)
 	g.router.Observe(g.local(), routing.Dispatch{BackEnd: name, Exchange: exchange, PromptTokens: 100})
 	call(g.world.network, &g.host, &target.host, 2*time.Second,
-		func(reply func(worked)) {
-			accepted, state := target.work()
-			reply(worked{accepted: accepted, state: state, incarnation: target.incarnation})
+		func(reply func(workAnswer)) {
+			accepted, state := target.serve()
+			reply(workAnswer{accepted: accepted, state: state, incarnation: target.incarnation})
 		},
-		func(answer worked, answered bool) {
+		func(answer workAnswer, answered bool) {
 			if !answered {
 				g.router.Observe(g.local(), routing.Failure{BackEnd: name, Exchange: exchange})
 				return
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -22,14 +22,14 @@
 	number   uint64
 	calledAt time.Duration
 	endedAt  time.Duration
-	ended    bool
+	isEnded  bool
 	result   operationResult
 }
 
 // operationResult is what a command was answered.
 type operationResult struct {
-	// lost tells that no answer came: a write may have happened at any time.
-	lost     bool
+	// isLost tells that no answer came: a write may have happened at any time.
+	isLost   bool
 	outcome  v1.ApplyOutcome
 	revision uint64
 	number   uint64
@@ -42,32 +42,32 @@
 
 // begin records the call of a command.
 func (h *history) begin(client int, now time.Duration, tenant string, weight uint32, number uint64) *operation {
-	begun := &operation{client: client, tenant: tenant, weight: weight, number: number, calledAt: now}
-	h.operations = append(h.operations, begun)
-	return begun
+	call := &operation{client: client, tenant: tenant, weight: weight, number: number, calledAt: now}
+	h.operations = append(h.operations, call)
+	return call
 }
 
-// applied records the first answer to a write.
-func (h *history) applied(begun *operation, now time.Duration, response *v1.ApplyResponse) {
-	if begun == nil || begun.ended {
+// recordApplied records the first answer to a write.
+func (h *history) recordApplied(call *operation, now time.Duration, response *v1.ApplyResponse) {
+	if call == nil || call.isEnded {
 		return
 	}
-	begun.ended, begun.endedAt = true, now
-	begun.result = operationResult{outcome: response.GetOutcome(), revision: response.GetRevision(), number: response.GetChangeNumber()}
+	call.isEnded, call.endedAt = true, now
+	call.result = operationResult{outcome: response.GetOutcome(), revision: response.GetRevision(), number: response.GetChangeNumber()}
 }
 
-// read records the answer to a read.
-func (h *history) read(begun *operation, now time.Duration, response *v1.PlanResponse) {
-	begun.ended, begun.endedAt = true, now
-	begun.result.revision = response.GetRevision()
+// recordRead records the answer to a recordRead.
+func (h *history) recordRead(call *operation, now time.Duration, response *v1.PlanResponse) {
+	call.isEnded, call.endedAt = true, now
+	call.result.revision = response.GetRevision()
 	for _, difference := range response.GetDifferences() {
-		if difference.GetKey().GetName() != begun.tenant {
+		if difference.GetKey().GetName() != call.tenant {
 			continue
 		}
 		for _, field := range difference.GetFields() {
 			if field.GetField() == "weight" && difference.GetType() == v1.DifferenceType_DIFFERENCE_TYPE_CHANGE {
 				weight, _ := strconv.ParseUint(field.GetBefore(), 10, 32)
-				begun.result.weight = uint32(weight)
+				call.result.weight = uint32(weight)
 			}
 		}
 	}
@@ -82,21 +82,21 @@
 	weights  [tenants]uint32
 }
 
-// linearizable reports whether the commands can be put into one order that agrees
+// isLinearizable reports whether the commands can be put into one order that agrees
 // with their times and their answers.
-func (h *history) linearizable(first fleetValue) bool {
+func (h *history) isLinearizable(first fleetValue) bool {
 	operations := make([]porcupine.Operation, 0, len(h.operations))
-	for _, made := range h.operations {
-		end := made.endedAt
-		result := made.result
-		if !made.ended {
-			if made.weight == 0 {
+	for _, call := range h.operations {
+		end := call.endedAt
+		result := call.result
+		if !call.isEnded {
+			if call.weight == 0 {
 				continue // a read without an answer tells nothing
 			}
-			end, result.lost = time.Duration(1<<62), true
+			end, result.isLost = time.Duration(1<<62), true
 		}
 		operations = append(operations, porcupine.Operation{
-			ClientId: made.client, Input: made, Output: result, Call: int64(made.calledAt), Return: int64(end),
+			ClientId: call.client, Input: call, Output: result, Call: int64(call.calledAt), Return: int64(end),
 		})
 	}
 	return porcupine.CheckOperations(fleetModel(first), operations)
@@ -113,25 +113,25 @@
 }
 
 // stepModel tells whether an answer is right in a state, and the state after it.
-func stepModel(value fleetValue, made *operation, result operationResult) (bool, fleetValue) {
-	tenant := tenantNumber(made.tenant)
-	if made.weight == 0 {
+func stepModel(value fleetValue, call *operation, result operationResult) (bool, fleetValue) {
+	tenant := tenantNumber(call.tenant)
+	if call.weight == 0 {
 		return result.revision == value.revision && result.weight == value.weights[tenant], value
 	}
 	written := value
 	written.revision++
 	written.number++
-	written.weights[tenant] = made.weight
-	taken := made.number != 0 && made.number <= value.number
+	written.weights[tenant] = call.weight
+	isTaken := call.number != 0 && call.number <= value.number
 	switch {
-	case result.lost && taken:
+	case result.isLost && isTaken:
 		return true, value
-	case result.lost:
+	case result.isLost:
 		return true, written
 	case result.outcome == v1.ApplyOutcome_APPLY_OUTCOME_ACCEPTED:
-		return !taken && result.revision == written.revision && result.number == written.number, written
+		return !isTaken && result.revision == written.revision && result.number == written.number, written
 	case result.outcome == v1.ApplyOutcome_APPLY_OUTCOME_NUMBER_TAKEN:
-		return taken && result.revision == value.revision, value
+		return isTaken && result.revision == value.revision, value
 	default:
 		return false, value
 	}
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -4,39 +4,39 @@
 
 // host is a machine with one process on it: it can be killed and paused.
 type host struct {
-	name  string
-	world *world
-	alive bool
+	name    string
+	world   *world
+	isAlive bool
 	// generation grows with each start: what was meant for an earlier process is dropped.
 	generation int
-	paused     bool
+	isPaused   bool
 	// waiting is what has arrived while the process was paused.
 	waiting []func()
 	clock   clock
 }
 
-// here wraps something of this process: it does not happen after a crash, and waits
+// guard wraps something of this process: it does not happen after a crash, and waits
 // for the end of a pause.
-func (h *host) here(do func()) func() {
-	return h.in(h.generation, do)
+func (h *host) guard(do func()) func() {
+	return h.guardGeneration(h.generation, do)
 }
 
-// in is here for the process of a generation.
-func (h *host) in(generation int, do func()) func() {
+// guardGeneration is here for the process of a generation.
+func (h *host) guardGeneration(generation int, do func()) func() {
 	return func() {
 		if generation != h.generation {
 			return
 		}
-		h.arrive(do)
+		h.runOrDefer(do)
 	}
 }
 
-// arrive lets something happen at this host as soon as its process runs.
-func (h *host) arrive(do func()) {
-	if !h.alive {
+// runOrDefer lets something happen at this host as soon as its process runs.
+func (h *host) runOrDefer(do func()) {
+	if !h.isAlive {
 		return
 	}
-	if h.paused {
+	if h.isPaused {
 		h.waiting = append(h.waiting, do)
 		return
 	}
@@ -45,7 +45,7 @@
 
 // after lets something happen in this process after a delay.
 func (h *host) after(delay time.Duration, do func()) {
-	h.world.after(delay, h.here(do))
+	h.world.after(delay, h.guard(do))
 }
 
 // every repeats something in this process until it ends.
@@ -58,8 +58,8 @@
 
 // boot starts a process with a new clock.
 func (h *host) boot() {
-	h.alive = true
-	h.paused = false
+	h.isAlive = true
+	h.isPaused = false
 	h.waiting = nil
 	h.generation++
 	h.clock = h.world.newClock()
@@ -67,32 +67,32 @@
 
 // kill ends the process.
 func (h *host) kill() {
-	h.alive = false
-	h.paused = false
+	h.isAlive = false
+	h.isPaused = false
 	h.waiting = nil
 	h.generation++
 }
 
 // pause stops the process until resume.
 func (h *host) pause() {
-	if h.alive {
-		h.paused = true
+	if h.isAlive {
+		h.isPaused = true
 	}
 }
 
 // resume lets the process go on with everything that has arrived meanwhile.
 func (h *host) resume() {
-	if !h.paused {
+	if !h.isPaused {
 		return
 	}
-	h.paused = false
+	h.isPaused = false
 	waiting := h.waiting
 	h.waiting = nil
 	for i, do := range waiting {
-		if !h.alive {
+		if !h.isAlive {
 			return
 		}
-		if h.paused {
+		if h.isPaused {
 			h.waiting = append(h.waiting, waiting[i:]...)
 			return
 		}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -36,11 +36,11 @@
 
 // carry delivers one copy after a random delay.
 func (n *network) carry(to *host, deliver func()) {
-	delay := shortestDelay + n.world.duration(delaySpread)
+	delay := shortestDelay + n.world.drawDuration(delaySpread)
 	if n.world.random.Float64() < n.slowness {
-		delay += n.world.duration(slowDelay)
+		delay += n.world.drawDuration(slowDelay)
 	}
-	n.world.after(delay, func() { to.arrive(deliver) })
+	n.world.after(delay, func() { to.runOrDefer(deliver) })
 }
 
 // call carries a request and its answer. handle gets a function that sends the
@@ -58,7 +58,7 @@
 	generation := from.generation
 	n.send(from, to, func() {
 		handle(func(answer Answer) {
-			n.send(to, from, from.in(generation, func() { finish(answer, true) }))
+			n.send(to, from, from.guardGeneration(generation, func() { finish(answer, true) }))
 		})
 	})
 	from.after(timeout, func() {
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -38,56 +38,56 @@
 // until it is answered.
 type operatorClient struct {
 	host
-	number  int
-	made    int
-	leader  string
-	weight  uint32
-	highest uint64 // highest change number heard of
+	number    int
+	submitted int
+	leader    string
+	weight    uint32
+	highest   uint64 // highest change number heard of
 	// firstNumber is the change number of the fleet's first declaration.
 	firstNumber uint64
-	// answered are submissions that have an answer; now and then one is sent again.
-	answered []*submission
-	// commands are those that were carried out; now and then one is sent again.
-	commands []*v1.ExecuteRequest
+	// answeredSubmissions are submissions that have an answer; now and then one is sent again.
+	answeredSubmissions []*submission
+	// answeredCommands are those that were carried out; now and then one is sent again.
+	answeredCommands []*v1.ExecuteRequest
 }
 
 // start starts the operator's work.
 func (o *operatorClient) start() {
 	o.boot()
-	o.after(o.world.duration(operatorPause), o.next)
+	o.after(o.world.drawDuration(operatorPause), o.runNext)
 }
 
-// next begins the next command.
-func (o *operatorClient) next() {
+// runNext begins the runNext command.
+func (o *operatorClient) runNext() {
 	random := o.world.random
 	switch {
 	case o.world.lulls > 0:
-		o.rest()
-	case o.world.healed && random.IntN(2) == 0:
+		o.scheduleNext()
+	case o.world.isHealed && random.IntN(2) == 0:
 		o.read()
-	case len(o.answered) > 0 && random.Float64() < resendShare:
-		o.submit(o.answered[random.IntN(len(o.answered))])
+	case len(o.answeredSubmissions) > 0 && random.Float64() < resendShare:
+		o.submit(o.answeredSubmissions[random.IntN(len(o.answeredSubmissions))])
 	case random.Float64() < readShare:
 		o.read()
-	case len(o.commands) > 0 && random.Float64() < resendShare:
-		o.execute(o.commands[random.IntN(len(o.commands))], commandTries)
+	case len(o.answeredCommands) > 0 && random.Float64() < resendShare:
+		o.execute(o.answeredCommands[random.IntN(len(o.answeredCommands))], commandTries)
 	case random.Float64() < commandShare:
-		o.command()
+		o.runCommand()
 	default:
 		o.submit(o.newSubmission())
 	}
 }
 
-// rest waits before the next command.
-func (o *operatorClient) rest() { o.after(o.world.duration(operatorPause), o.next) }
+// scheduleNext waits before the next command.
+func (o *operatorClient) scheduleNext() { o.after(o.world.drawDuration(operatorPause), o.runNext) }
 
 // newSubmission changes one tenant. Operators choose the number after the highest
 // they have heard of, so that they race each other.
 func (o *operatorClient) newSubmission() *submission {
-	o.made++
-	o.weight = uint32(o.number*1_000_000 + o.made)
+	o.submitted++
+	o.weight = uint32(o.number*1_000_000 + o.submitted)
 	tenant := tenantName(o.world.random.IntN(tenants))
-	request := &v1.ApplyRequest{RequestId: fmt.Sprintf("%s-%d", o.name, o.made), SourceRevision: "simulated"}
+	request := &v1.ApplyRequest{RequestId: fmt.Sprintf("%s-%d", o.name, o.submitted), SourceRevision: "simulated"}
 	if o.world.random.IntN(4) > 0 {
 		request.ChangeNumber = o.highest + 1
 	}
@@ -102,8 +102,8 @@
 func (o *operatorClient) submit(sent *submission) {
 	o.submitThen(sent, func(response *v1.ApplyResponse) {
 		o.highest = max(o.highest, response.GetChangeNumber(), sent.request.GetChangeNumber())
-		o.answered = append(o.answered, sent)
-		o.rest()
+		o.answeredSubmissions = append(o.answeredSubmissions, sent)
+		o.scheduleNext()
 	})
 }
 
@@ -116,11 +116,11 @@
 		response, ok := answer.response.(*v1.ApplyResponse)
 		switch {
 		case answered && ok:
-			o.world.checks.applyAnswered(sent, response)
-			o.world.history.applied(sent.operation, o.world.now, response)
+			o.world.checks.checkApplyAnswered(sent, response)
+			o.world.history.recordApplied(sent.operation, o.world.now, response)
 			done(response)
 		default:
-			o.after(o.world.duration(resendPause), func() { o.submitThen(sent, done) })
+			o.after(o.world.drawDuration(resendPause), func() { o.submitThen(sent, done) })
 		}
 	})
 }
@@ -128,14 +128,14 @@
 // read asks for the value of a tenant: a plan tells the difference to another value.
 func (o *operatorClient) read() {
 	tenant := tenantName(o.world.random.IntN(tenants))
-	asked := o.world.history.begin(o.number, o.world.now, tenant, 0, 0)
+	call := o.world.history.begin(o.number, o.world.now, tenant, 0, 0)
 	o.callController(func(id control.CallID) control.Input {
 		return control.PlanReceived{Call: id, Request: &v1.PlanRequest{}, Objects: []*v1.Object{tenantObject(tenant, unusedWeight)}}
 	}, func(answer controllerAnswer, answered bool) {
 		if response, ok := answer.response.(*v1.PlanResponse); answered && ok {
-			o.world.history.read(asked, o.world.now, response)
+			o.world.history.recordRead(call, o.world.now, response)
 		}
-		o.rest()
+		o.scheduleNext()
 	})
 }
 
--- a/internal/simulation/operator_commands.go
+++ b/internal/simulation/operator_commands.go
@@ -11,10 +11,10 @@
 // commandTries bounds the copies of one command: an operator gives up at last.
 const commandTries = 4
 
-// command gives an engine an order, as an operator at a command line does.
-func (o *operatorClient) command() {
-	o.made++
-	request := &v1.ExecuteRequest{RequestId: fmt.Sprintf("%s-%d", o.name, o.made), Text: o.commandText()}
+// runCommand gives an engine an order, as an operator at a runCommand line does.
+func (o *operatorClient) runCommand() {
+	o.submitted++
+	request := &v1.ExecuteRequest{RequestId: fmt.Sprintf("%s-%d", o.name, o.submitted), Text: o.commandText()}
 	o.execute(request, commandTries)
 }
 
@@ -44,16 +44,16 @@
 	o.callController(func(id control.CallID) control.Input {
 		return control.ExecuteReceived{Call: id, Operator: o.name, Role: v1.OperatorRole_OPERATOR_ROLE_OPERATOR, Request: request}
 	}, func(answer controllerAnswer, answered bool) {
-		response, carriedOut := answer.response.(*v1.ExecuteResponse)
+		response, ok := answer.response.(*v1.ExecuteResponse)
 		switch {
-		case answered && carriedOut:
-			o.world.checks.commandAnswered(o, request, response)
-			o.commands = append(o.commands, request)
-			o.rest()
+		case answered && ok:
+			o.world.checks.checkCommandAnswered(o, request, response)
+			o.answeredCommands = append(o.answeredCommands, request)
+			o.scheduleNext()
 		case tries > 0:
-			o.after(o.world.duration(resendPause), func() { o.execute(request, tries-1) })
+			o.after(o.world.drawDuration(resendPause), func() { o.execute(request, tries-1) })
 		default:
-			o.rest()
+			o.scheduleNext()
 		}
 	})
 }
--- a/internal/simulation/platform.go
+++ b/internal/simulation/platform.go
@@ -27,11 +27,11 @@
 func (p *platform) update() {
 	list := enginecontract.MachineList{Version: uint64(len(p.versions) + 1)}
 	for _, engine := range p.world.engines {
-		if engine.gone {
+		if engine.isGone {
 			continue
 		}
 		state := enginecontract.StateServing
-		if engine.leaving {
+		if engine.isLeaving {
 			state = enginecontract.StateLeaving
 		}
 		list.Machines = append(list.Machines, enginecontract.Machine{
@@ -41,13 +41,13 @@
 	p.versions = append(p.versions, listVersion{at: p.world.now, list: list})
 }
 
-// read returns the list as it was a lag ago.
-func (p *platform) read() enginecontract.MachineList {
-	seen := p.versions[0].list
+// currentList returns the list as it was a lag ago.
+func (p *platform) currentList() enginecontract.MachineList {
+	list := p.versions[0].list
 	for _, version := range p.versions {
 		if version.at <= p.world.now-p.lag {
-			seen = version.list
+			list = version.list
 		}
 	}
-	return seen
+	return list
 }
--- a/internal/simulation/quorum.go
+++ b/internal/simulation/quorum.go
@@ -16,9 +16,9 @@
 	return nil
 }
 
-// everyDiskVotes reports whether the committed membership holds the disks in use and
+// isMembershipComplete reports whether the committed membership holds the disks in use and
 // no other, as many of them with a vote as there were initial controllers.
-func (w *world) everyDiskVotes() bool {
+func (w *world) isMembershipComplete() bool {
 	members := w.leaderMembership().GetMembers()
 	known, voters := map[string]bool{}, 0
 	for _, member := range members {
--- a/internal/simulation/restless_planner.go
+++ b/internal/simulation/random_planner.go
@@ -7,8 +7,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/planner"
 )
 
-// restlessPlanner changes roles at random, so that many changes meet faults.
-type restlessPlanner struct {
+// randomPlanner changes roles at random, so that many changes meet faults.
+type randomPlanner struct {
 	world  *world
 	random *rand.Rand
 }
@@ -17,7 +17,7 @@
 const changeShare = 0.5
 
 // Plan implements planner.Planner.
-func (p *restlessPlanner) Plan(observation planner.Observation) planner.Decision {
+func (p *randomPlanner) Plan(observation planner.Observation) planner.Decision {
 	if len(observation.Engines) == 0 || p.world.lulls > 0 || p.random.Float64() >= changeShare {
 		return planner.Decision{Reason: "at rest"}
 	}
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -58,7 +58,7 @@
 		return 0
 	}
 	w.faults.heal()
-	w.healed = true
+	w.isHealed = true
 	accepted := w.checks.answers.accepted
 	target := w.checks.answers.highest
 	steps := 0
@@ -69,13 +69,13 @@
 		}
 		if w.now >= nextCheck {
 			nextCheck = w.now + settleCheck
-			if w.checks.answers.accepted > accepted && w.unsettled(target) == "" {
+			if w.checks.answers.accepted > accepted && w.unsettledReason(target) == "" {
 				return steps
 			}
 		}
 	}
 	if w.checks.violation == nil {
-		reason := w.unsettled(target)
+		reason := w.unsettledReason(target)
 		if reason == "" {
 			reason = "no change has been accepted since"
 		}
@@ -84,9 +84,9 @@
 	return steps
 }
 
-// unsettled tells what is not yet as it has to be after the faults; empty when all is.
-func (w *world) unsettled(target uint64) string {
-	if !w.everyDiskVotes() {
+// unsettledReason tells what is not yet as it has to be after the faults; empty when all is.
+func (w *world) unsettledReason(target uint64) string {
+	if !w.isMembershipComplete() {
 		return "not every disk is a member in its place: " + w.membership()
 	}
 	for _, c := range w.controllers {
@@ -124,7 +124,7 @@
 	for i := range first.weights {
 		first.weights[i] = firstWeight
 	}
-	if !w.history.linearizable(first) {
+	if !w.history.isLinearizable(first) {
 		w.checks.fail("linearizable", "the %d commands of operators fit into no order", len(w.history.operations))
 	}
 }
@@ -134,7 +134,7 @@
 	return Result{
 		Seed: w.options.Seed, Violation: w.checks.violation, TraceHash: w.trace.hash(), Trace: w.trace.last(),
 		Steps: steps, VirtualTime: w.now, Faults: w.faults.counts, Accepted: w.checks.answers.accepted,
-		Orders: w.checks.orders.accepted, Claims: len(w.checks.claims), Operations: len(w.history.operations),
+		Orders: w.checks.orders.acceptedCount, Claims: len(w.checks.claims), Operations: len(w.history.operations),
 		Leaders: len(w.checks.logs.leaders),
 	}
 }
--- a/internal/simulation/safeguards_test.go
+++ b/internal/simulation/safeguards_test.go
@@ -15,8 +15,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/engine/orders"
 )
 
-// mostSeeds is within how many seeds a missing safeguard has to be noticed.
-const mostSeeds = 100
+// seedsUntilFound is within how many seeds a missing safeguard has to be noticed.
+const seedsUntilFound = 100
 
 // safeguardRow is one safeguard, with those that would hide that it is missing.
 type safeguardRow struct {
@@ -29,47 +29,47 @@
 
 var safeguardRows = []safeguardRow{
 	// The replicated log.
-	{off: off(consensus.SafeguardSyncBeforeAnswer), check: "durable on a quorum", emphasis: kinds(FaultCrashController, FaultSlowDisk)},
-	{off: off(consensus.SafeguardLogComparison), check: "committed entries stay", emphasis: kinds(FaultCrashController, FaultIsolate)},
-	{off: off(consensus.SafeguardLearnerCatchUp), check: "caught up before voting", emphasis: kinds(FaultReplaceDisk, FaultSlowDisk)},
-	{off: off(consensus.SafeguardConflictCheck), check: "agreement", emphasis: kinds(FaultCrashController, FaultIsolate)},
-	{off: off(consensus.SafeguardLeaseWait), check: "one leader at a time", emphasis: kinds(FaultCutLink, FaultLull)},
-	{off: off(consensus.SafeguardAllRestarted), check: "one leader at a time", emphasis: kinds(FaultRestartTogether)},
-	{off: off(consensus.SafeguardQuorumCheck), check: "no leader without a quorum"},
-	{off: off(consensus.SafeguardPreVote), check: "no term without a quorum"},
-	{off: off(SafeguardDiskSync), check: "durable state", emphasis: kinds(FaultCrashController)},
-	{off: off(SafeguardDiskIdentity), check: "durable state", emphasis: kinds(FaultReplaceDisk)},
+	{off: disabled(consensus.SafeguardSyncBeforeAnswer), check: "durable on a quorum", emphasis: kinds(FaultCrashController, FaultSlowDisk)},
+	{off: disabled(consensus.SafeguardLogComparison), check: "committed entries stay", emphasis: kinds(FaultCrashController, FaultIsolate)},
+	{off: disabled(consensus.SafeguardLearnerCatchUp), check: "caught up before voting", emphasis: kinds(FaultReplaceDisk, FaultSlowDisk)},
+	{off: disabled(consensus.SafeguardConflictCheck), check: "agreement", emphasis: kinds(FaultCrashController, FaultIsolate)},
+	{off: disabled(consensus.SafeguardLeaseWait), check: "one leader at a time", emphasis: kinds(FaultCutLink, FaultLull)},
+	{off: disabled(consensus.SafeguardAllRestarted), check: "one leader at a time", emphasis: kinds(FaultRestartTogether)},
+	{off: disabled(consensus.SafeguardQuorumCheck), check: "no leader without a quorum"},
+	{off: disabled(consensus.SafeguardPreVote), check: "no term without a quorum"},
+	{off: disabled(SafeguardDiskSync), check: "durable state", emphasis: kinds(FaultCrashController)},
+	{off: disabled(SafeguardDiskIdentity), check: "durable state", emphasis: kinds(FaultReplaceDisk)},
 
 	// Authority over engines.
-	{off: off(authority.SafeguardCommitBeforeSend), check: "committed before sent"},
-	{off: off(authority.SafeguardFence), check: "ended orders stay ended", emphasis: kinds(FaultStallOrder)},
-	{off: off(authority.SafeguardOutOfServiceBound), check: "bounded engines out"},
-	{off: off(orders.FenceCheck), check: "no order of the deposed", emphasis: kinds(FaultStallOrder)},
-	{off: off(orders.DurableFence), check: "no order of the deposed", emphasis: kinds(FaultStallOrder, FaultCrashEngine)},
-	{off: off(orders.DrainFirst), check: "no request is cut"},
+	{off: disabled(authority.SafeguardCommitBeforeSend), check: "committed before sent"},
+	{off: disabled(authority.SafeguardFence), check: "ended orders stay ended", emphasis: kinds(FaultStallOrder)},
+	{off: disabled(authority.SafeguardOutOfServiceBound), check: "bounded engines out"},
+	{off: disabled(orders.FenceCheck), check: "no order of the deposed", emphasis: kinds(FaultStallOrder)},
+	{off: disabled(orders.DurableFence), check: "no order of the deposed", emphasis: kinds(FaultStallOrder, FaultCrashEngine)},
+	{off: disabled(orders.DrainFirst), check: "no request is cut"},
 	// The bound on engines out would keep a second order back as well.
-	{off: off(controlstate.OneOrderAtATime, authority.SafeguardOutOfServiceBound), check: "one order at a time", emphasis: kinds(FaultPauseEngine)},
-	{off: off(controlstate.OneOrderAtATime, authority.SafeguardOutOfServiceBound, orders.OneOrder), check: "no conflicting orders", emphasis: kinds(FaultPauseEngine)},
+	{off: disabled(controlstate.OneOrderAtATime, authority.SafeguardOutOfServiceBound), check: "one order at a time", emphasis: kinds(FaultPauseEngine)},
+	{off: disabled(controlstate.OneOrderAtATime, authority.SafeguardOutOfServiceBound, orders.OneOrder), check: "no conflicting orders", emphasis: kinds(FaultPauseEngine)},
 
 	// Configuration and membership at the nodes.
 	// Controllers never send what is older, and nodes never take it.
-	{off: off(control.SafeguardRevisionOrder, gatewaystate.SafeguardOrderedRevisions), check: "revisions never revert"},
-	{off: off(SafeguardConfirmation), check: "no work to the leaving", emphasis: kinds(FaultEngineLeaves, FaultIsolate)},
+	{off: disabled(control.SafeguardRevisionOrder, gatewaystate.SafeguardOrderedRevisions), check: "revisions never revert"},
+	{off: disabled(SafeguardConfirmation), check: "no work to the leaving", emphasis: kinds(FaultEngineLeaves, FaultIsolate)},
 
 	// What operators and callers are told.
-	{off: off(controlstate.ResendDeduplication), check: "resends get the first answer"},
-	{off: off(controlstate.ChangeNumberCheck), check: "one winner"},
-	{off: off(controlstate.ClaimCheck), check: "at most once"},
+	{off: disabled(controlstate.ResendDeduplication), check: "resends get the first answer"},
+	{off: disabled(controlstate.ChangeNumberCheck), check: "one winner"},
+	{off: disabled(controlstate.ClaimCheck), check: "at most once"},
 
 	// The same, seen by the linearizability checker alone.
-	{off: off(controlstate.ResendDeduplication), check: "linearizable"},
-	{off: off(controlstate.ChangeNumberCheck), check: "linearizable"},
-	{off: off(SafeguardDiskSync), check: "linearizable", emphasis: kinds(FaultCrashController)},
+	{off: disabled(controlstate.ResendDeduplication), check: "linearizable"},
+	{off: disabled(controlstate.ChangeNumberCheck), check: "linearizable"},
+	{off: disabled(SafeguardDiskSync), check: "linearizable", emphasis: kinds(FaultCrashController)},
 	// A leader that steps down without a quorum answers no one for long.
-	{off: off(control.SafeguardLeaseRead, consensus.SafeguardQuorumCheck), check: "linearizable", emphasis: kinds(FaultCutPeers)},
+	{off: disabled(control.SafeguardLeaseRead, consensus.SafeguardQuorumCheck), check: "linearizable", emphasis: kinds(FaultCutPeers)},
 }
 
-func off(safeguards ...safeguard.Safeguard) []safeguard.Safeguard { return safeguards }
+func disabled(safeguards ...safeguard.Safeguard) []safeguard.Safeguard { return safeguards }
 
 func kinds(emphasis ...FaultKind) []FaultKind { return emphasis }
 
@@ -89,14 +89,14 @@
 		t.Run(row.name(), func(t *testing.T) {
 			t.Parallel()
 			options := Options{Steps: 6000, Safeguards: safeguard.Without(row.off...), Emphasis: row.emphasis, OnlyCheck: row.check}
-			for seed := range uint64(mostSeeds) {
+			for seed := range uint64(seedsUntilFound) {
 				options.Seed = seed
 				if result := Run(options); result.Violation != nil {
 					t.Logf("seed %d: %v", seed, result.Violation)
 					return
 				}
 			}
-			require.Fail(t, "the simulator did not notice", "%d seeds", mostSeeds)
+			require.Fail(t, "the simulator did not notice", "%d seeds", seedsUntilFound)
 		})
 	}
 }
--- a/internal/simulation/scheduler.go
+++ b/internal/simulation/scheduler.go
@@ -38,15 +38,15 @@
 
 // scheduler is virtual time: it jumps from event to event.
 type scheduler struct {
-	now    time.Duration
-	events eventHeap
-	made   uint64
+	now     time.Duration
+	events  eventHeap
+	created uint64
 }
 
 // after lets something happen after a delay.
 func (s *scheduler) after(delay time.Duration, do func()) {
-	s.made++
-	heap.Push(&s.events, event{at: s.now + max(delay, 0), order: s.made, do: do})
+	s.created++
+	heap.Push(&s.events, event{at: s.now + max(delay, 0), order: s.created, do: do})
 }
 
 // step lets the next event happen and reports whether there was one.
--- a/internal/simulation/shadow_log.go
+++ b/internal/simulation/shadow_log.go
@@ -37,12 +37,12 @@
 	l.add(restored.Entries)
 }
 
-// take follows a batch.
-func (l *shadowLog) take(batch control.Persist) {
+// apply follows a batch.
+func (l *shadowLog) apply(batch control.Persist) {
 	if metadata := batch.Snapshot.GetMetadata(); metadata != nil {
 		index := metadata.GetIndex()
-		mark, held := l.marks[index]
-		if index > l.last || held && mark.term != metadata.GetTerm() {
+		mark, isHeld := l.marks[index]
+		if index > l.last || isHeld && mark.term != metadata.GetTerm() {
 			l.truncate(l.first)
 			l.first, l.last = index+1, index
 			l.checked = max(l.checked, index)
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -27,14 +27,14 @@
 	operators   []*operatorClient
 	platform    *platform
 	faults      *faults
-	// administrations numbers the administrators' commands.
-	administrations int
-	// swapping tells that an administrator is giving a vote to another machine.
-	swapping bool
+	// administratorCommands numbers the administrators' commands.
+	administratorCommands int
+	// isSwapping tells that an administrator is giving a vote to another machine.
+	isSwapping bool
 	// lulls counts the lulls under way.
 	lulls int
-	// healed tells that the time of faults is over.
-	healed bool
+	// isHealed tells that the time of faults is over.
+	isHealed bool
 	// firstRevision is the revision of the fleet's first declaration.
 	firstRevision uint64
 }
@@ -72,13 +72,13 @@
 	}
 	for _, peer := range peers {
 		w.controllers = append(w.controllers, &controller{
-			host: w.newHost(peer.Name), zone: peer.Zone, peers: peers, disk: memory.New(), disks: 1,
+			host: w.newHost(peer.Name), zone: peer.Zone, peers: peers, disk: memory.New(), diskCount: 1,
 		})
 	}
 	for i := range w.options.Deployment.Standbys {
 		w.controllers = append(w.controllers, &controller{
 			host: w.newHost(numbered("standby", i)), zone: w.options.Deployment.zone(i), peers: peers,
-			disk: memory.New(), disks: 1,
+			disk: memory.New(), diskCount: 1,
 		})
 	}
 }
@@ -118,12 +118,12 @@
 		for _, operator := range w.operators {
 			operator.start()
 		}
-		w.faults.begin()
+		w.faults.scheduleNext()
 	})
 }
 
-// duration draws a time between zero and the given one.
-func (w *world) duration(longest time.Duration) time.Duration {
+// drawDuration draws a time between zero and the given one.
+func (w *world) drawDuration(longest time.Duration) time.Duration {
 	return time.Duration(w.random.Int64N(int64(longest)))
 }
 
--- a/internal/soak/check/budget.go
+++ b/internal/soak/check/budget.go
@@ -11,12 +11,12 @@
 	// others after that.
 	crashesAllowed = 3
 	retriesAllowed = 3
-	// overAttempts is how many requests may run on more back ends than their route allows.
-	overAttempts = 3
+	// toleratedOverAttempts is how many requests may run on more back ends than their route allows.
+	toleratedOverAttempts = 3
 )
 
-// crashers finds requests that reach back ends though three have ended under them.
-func crashers(seen *history.History) []Finding {
+// overCrashLimit finds requests that reach back ends though three have ended under them.
+func overCrashLimit(seen *history.History) []Finding {
 	contents := map[string]string{}
 	for _, sending := range seen.Sendings {
 		contents[sending.ID] = sending.Content
@@ -29,10 +29,10 @@
 			continue
 		}
 		since, known := third[content]
-		if known && arrival.At > since+seen.Bounds.Contact && seen.InTouch(arrival.Machine, arrival.At) {
+		if known && arrival.At > since+seen.Bounds.Contact && seen.IsInContact(arrival.Machine, arrival.At) {
 			later[content]++
 			if later[content] == retriesAllowed+1 {
-				findings = append(findings, found(Budget, arrival.At, "request %s, under which %d back ends had ended, reached %s: retry %d", arrival.ID, ended[content], arrival.Replica, later[content]))
+				findings = append(findings, newFinding(Budget, arrival.At, "request %s, under which %d back ends had ended, reached %s: retry %d", arrival.ID, ended[content], arrival.Replica, later[content]))
 			}
 		}
 		if arrival.Crashed {
@@ -45,9 +45,9 @@
 	return findings
 }
 
-// attemptsOver finds requests that ran on more back ends than their route allows. Back ends that ended
+// overAttemptLimit finds requests that ran on more back ends than their route allows. Back ends that ended
 // meanwhile are left out.
-func attemptsOver(seen *history.History) []Finding {
+func overAttemptLimit(seen *history.History) []Finding {
 	arrivals := arrivalsByID(seen)
 	var findings []Finding
 	over := 0
@@ -60,16 +60,16 @@
 		}
 		if most := seen.Routes[sending.Route].MaxAttempts; most > 0 && ran > most {
 			over++
-			if over == overAttempts+1 {
-				findings = append(findings, found(Budget, sending.SentAt, "request %s ran on %d back ends, its route allows %d; %d such requests", sending.ID, ran, most, over))
+			if over == toleratedOverAttempts+1 {
+				findings = append(findings, newFinding(Budget, sending.SentAt, "request %s ran on %d back ends, its route allows %d; %d such requests", sending.ID, ran, most, over))
 			}
 		}
 	}
 	return findings
 }
 
-// retriesOver finds windows with more sendings beyond the first than the budget.
-func retriesOver(seen *history.History) []Finding {
+// overRetryBudget finds windows with more sendings beyond the first than the budget.
+func overRetryBudget(seen *history.History) []Finding {
 	window := seen.Bounds.RetryWindow
 	if window <= 0 {
 		return nil
@@ -96,7 +96,7 @@
 		}
 		allowed := seen.Bounds.RetryRatio*float64(most) + seen.Bounds.RetrySlack
 		if count := last - begin + 1; float64(count) > allowed {
-			return []Finding{found(Budget, at, "%d sendings beyond the first within %s, %.1f are allowed", count, window, allowed)}
+			return []Finding{newFinding(Budget, at, "%d sendings beyond the first within %s, %.1f are allowed", count, window, allowed)}
 		}
 	}
 	return nil
--- a/internal/soak/check/check_test.go
+++ b/internal/soak/check/check_test.go
@@ -23,22 +23,22 @@
 		h.Arrivals = []history.Arrival{ranAt("1", "x", 0)}
 	}},
 	{"the answer to another request", Mixed, func(h *history.History) {
-		h.Sendings = []history.Sending{sentAnd(request("1", "safe", 0), func(s *history.Sending) { s.AnswerID = "2" })}
+		h.Sendings = []history.Sending{changedSending(request("1", "safe", 0), func(s *history.Sending) { s.AnswerID = "2" })}
 		h.Arrivals = []history.Arrival{ranAt("1", "x", 0)}
 	}},
 	{"a success without a seal", Mixed, func(h *history.History) {
-		h.Sendings = []history.Sending{sentAnd(request("1", "safe", 0), func(s *history.Sending) { s.Seal = "" })}
+		h.Sendings = []history.Sending{changedSending(request("1", "safe", 0), func(s *history.Sending) { s.Seal = "" })}
 	}},
 	{"a body that no back end made", Mixed, func(h *history.History) {
-		h.Sendings = []history.Sending{sentAnd(request("1", "safe", 0), func(s *history.Sending) { s.Body = "other" })}
+		h.Sendings = []history.Sending{changedSending(request("1", "safe", 0), func(s *history.Sending) { s.Body = "other" })}
 		h.Arrivals = []history.Arrival{ranAt("1", "x", 0)}
 	}},
 	{"a failure with another status than its back end's", Mixed, func(h *history.History) {
-		h.Sendings = []history.Sending{sentAnd(request("1", "safe", 0), func(s *history.Sending) { s.Status = 500 })}
+		h.Sendings = []history.Sending{changedSending(request("1", "safe", 0), func(s *history.Sending) { s.Status = 500 })}
 		h.Arrivals = []history.Arrival{ranAt("1", "x", 0)}
 	}},
 	{"an answer that breaks off", "", func(h *history.History) {
-		h.Sendings = []history.Sending{sentAnd(request("1", "safe", 0), func(s *history.Sending) { s.Body, s.Whole = "ot", false })}
+		h.Sendings = []history.Sending{changedSending(request("1", "safe", 0), func(s *history.Sending) { s.Body, s.Whole = "ot", false })}
 		h.Arrivals = []history.Arrival{ranAt("1", "x", 0)}
 	}},
 	{"a request that may not be repeated runs twice", Twice, func(h *history.History) {
@@ -51,20 +51,20 @@
 	}},
 	{"the second back end has not run it", "", func(h *history.History) {
 		h.Sendings = []history.Sending{request("1", "unsafe", 0)}
-		h.Arrivals = []history.Arrival{ranAnd(ranAt("1", "x", 0), func(a *history.Arrival) { a.Ran, a.Status = false, 503 }), ranAt("1", "y", second)}
+		h.Arrivals = []history.Arrival{changedArrival(ranAt("1", "x", 0), func(a *history.Arrival) { a.Ran, a.Status = false, 503 }), ranAt("1", "y", second)}
 	}},
 	{"refused as not run, and it ran", Refused, func(h *history.History) {
-		h.Sendings = []history.Sending{sentAnd(request("1", "unsafe", 0), func(s *history.Sending) { s.Status, s.Seal = 503, "" })}
+		h.Sendings = []history.Sending{changedSending(request("1", "unsafe", 0), func(s *history.Sending) { s.Status, s.Seal = 503, "" })}
 		h.Arrivals = []history.Arrival{ranAt("1", "x", 5*second)}
 	}},
 	{"failed without a promise, and it ran", "", func(h *history.History) {
-		h.Sendings = []history.Sending{sentAnd(request("1", "unsafe", 0), func(s *history.Sending) { s.Status, s.Seal = 502, "" })}
+		h.Sendings = []history.Sending{changedSending(request("1", "unsafe", 0), func(s *history.Sending) { s.Status, s.Seal = 502, "" })}
 		h.Arrivals = []history.Arrival{ranAt("1", "x", 0)}
 	}},
 	{"a request that nobody sent", Unasked, func(h *history.History) { h.Arrivals = []history.Arrival{ranAt("1", "x", 0)} }},
 	{"a request with another body", Unasked, func(h *history.History) {
 		h.Sendings = []history.Sending{request("1", "safe", 0)}
-		h.Arrivals = []history.Arrival{ranAnd(ranAt("1", "x", 0), func(a *history.Arrival) { a.BodyHash = "other" })}
+		h.Arrivals = []history.Arrival{changedArrival(ranAt("1", "x", 0), func(a *history.Arrival) { a.BodyHash = "other" })}
 	}},
 	{"a whole stream", "", streamOf("id: 1\ndata: x a\n\nid: 2\ndata: x end\n\n", "stream", true)},
 	{"a stream that lacks an event", Order, streamOf("id: 1\ndata: x a\n\nid: 3\ndata: x end\n\n", "stream", true)},
@@ -95,10 +95,10 @@
 		crashes(h, 4, 10*second, second/2)
 		h.Faults = []history.Fault{{Kind: history.Freeze, Target: "core", From: 9 * second, To: 13 * second}}
 	}},
-	{"requests on more back ends than their route allows", Budget, attempted(4)},
-	{"few of them", "", attempted(3)},
-	{"more sendings beyond the first than the budget", Budget, func(h *history.History) { sendingsAgain(h, 8, second/10) }},
-	{"as many over a longer time", "", func(h *history.History) { sendingsAgain(h, 8, 3*second) }},
+	{"requests on more back ends than their route allows", Budget, onThreeBackEnds(4)},
+	{"few of them", "", onThreeBackEnds(3)},
+	{"more sendings beyond the first than the budget", Budget, func(h *history.History) { addRetriedRequests(h, 8, second/10) }},
+	{"as many over a longer time", "", func(h *history.History) { addRetriedRequests(h, 8, 3*second) }},
 	{"two holders with one token", One, ordersOf(history.Order{Holder: "a", Fence: 1}, history.Order{Holder: "b", Fence: 1, At: 9 * second})},
 	{"a lower token after a higher one", One, ordersOf(history.Order{Holder: "a", Fence: 2}, history.Order{Holder: "b", Fence: 1, At: 9 * second})},
 	{"holders that take turns", One, ordersOf(history.Order{Holder: "a", Fence: 1}, history.Order{Holder: "b", Fence: 2, At: second}, history.Order{Holder: "a", Fence: 3, At: 2 * second})},
@@ -131,8 +131,8 @@
 		h.Changes = []history.Change{{Number: 7, SentAt: second, AckedAt: 2 * second}}
 		h.Reads = []history.Read{{SentAt: 3 * second, At: 3 * second, Status: 200, Number: 5}}
 	}},
-	{"new work long after a back end was listed as leaving", Drain, leaving(4 * second)},
-	{"new work soon after", "", leaving(2 * second)},
+	{"new work long after a back end was listed as leaving", Drain, listedAsLeaving(4 * second)},
+	{"new work soon after", "", listedAsLeaving(2 * second)},
 	{"a request at the service of an older configuration", Config, reconfigured(5 * second)},
 	{"a request before the new one must be in force", "", reconfigured(3 * second)},
 	{"an old configuration is read", Config, func(h *history.History) {
@@ -149,26 +149,26 @@
 		outlastingBy(4 * second)(h)
 		h.Faults = []history.Fault{{Kind: history.Freeze, Target: "front", From: second / 10, To: 4 * second}}
 	}},
-	{"back ends work on for clients that have left", Gone, left(2 * second)},
-	{"back ends stop soon", "", left(second / 4)},
+	{"back ends work on for clients that have left", Gone, abandoned(2 * second)},
+	{"back ends stop soon", "", abandoned(second / 4)},
 	{"requests reach back ends after their clients have left", Gone, func(h *history.History) {
 		for number := range 5 {
 			id := fmt.Sprint(number)
-			h.Sendings = append(h.Sendings, sentAnd(request(id, "safe", 0), func(s *history.Sending) { s.ClosedAt, s.Status = second, 0 }))
+			h.Sendings = append(h.Sendings, changedSending(request(id, "safe", 0), func(s *history.Sending) { s.ClosedAt, s.Status = second, 0 }))
 			h.Arrivals = append(h.Arrivals, ranAt(id, "x", 2*second))
 		}
 	}},
-	{"three requests in a rest that was asked for", Budget, resting(3, 2*second/3, "front")},
-	{"two of them", "", resting(2, 2*second/3, "front")},
-	{"three within the first half second", "", resting(3, second/10, "front")},
-	{"three after the rest", "", resting(3, 4*second, "front")},
-	{"three of a relay that was not asked", "", resting(3, 2*second/3, "other")},
+	{"three requests in a rest that was asked for", Budget, inBackoff(3, 2*second/3, "front")},
+	{"two of them", "", inBackoff(2, 2*second/3, "front")},
+	{"three within the first half second", "", inBackoff(3, second/10, "front")},
+	{"three after the rest", "", inBackoff(3, 4*second, "front")},
+	{"three of a relay that was not asked", "", inBackoff(3, 2*second/3, "other")},
 	{"three of a relay that was killed meanwhile", "", func(h *history.History) {
-		resting(3, 2*second/3, "front")(h)
+		inBackoff(3, 2*second/3, "front")(h)
 		h.Faults = []history.Fault{{Kind: history.Kill, Target: "front", From: second / 2, To: second / 2}}
 	}},
 	{"three by a relay that only read its settings again", Budget, func(h *history.History) {
-		resting(3, 2*second/3, "front")(h)
+		inBackoff(3, 2*second/3, "front")(h)
 		h.Faults = []history.Fault{{Kind: history.Reload, Target: "front", From: second / 2, To: second / 2}}
 	}},
 	{"new work long after a back end said that it leaves", Drain, saidToLeave(4*second, "front")},
@@ -202,16 +202,16 @@
 	}},
 	{"a request at a place that only another writer names", Route, func(h *history.History) {
 		h.Sendings = []history.Sending{request("1", "safe", 0)}
-		h.Arrivals = []history.Arrival{ranAt("1", "x", 0), ranAnd(ranAt("1", "odd", 0), func(a *history.Arrival) { a.Service, a.Ran = history.NoService, false })}
+		h.Arrivals = []history.Arrival{ranAt("1", "x", 0), changedArrival(ranAt("1", "odd", 0), func(a *history.Arrival) { a.Service, a.Ran = history.NoService, false })}
 	}},
 	{"nothing is served after the last fault", Recover, recovering(0)},
 	{"a third is served", "", recovering(3)},
 }
 
-func TestEachRuleIsFoundAndNoOther(t *testing.T) {
+func TestEachRowBreaksOnlyItsRule(t *testing.T) {
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			findings := All(seen(row.change))
+			findings := All(historyWith(row.change))
 			if row.rule == "" {
 				require.Empty(t, findings)
 				return
--- a/internal/soak/check/config.go
+++ b/internal/soak/check/config.go
@@ -6,42 +6,42 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// longAnswers is how many requests may get their final answer later than half a second after their time.
+// minLateAnswers is how many requests may get their final answer later than half a second after their time.
 const (
-	longAnswers = 8
-	answerSlack = 500 * time.Millisecond
+	minLateAnswers = 8
+	answerSlack    = 500 * time.Millisecond
 )
 
 // config finds requests that relays in touch handled as only an older configuration allows, readings that
 // are older than what was acknowledged, invalid configurations that were taken, and requests that
 // outlast their route's time.
 func config(seen *history.History) []Finding {
-	findings := handledAsBefore(seen)
+	findings := onReplacedServices(seen)
 	for _, read := range seen.Reads {
 		if newest := newestAcked(seen, read.SentAt-seen.Bounds.ConfigApply); read.Status == 200 && read.Number < newest {
-			findings = append(findings, found(Config, read.At, "configuration %d was read, %d had been acknowledged", read.Number, newest))
+			findings = append(findings, newFinding(Config, read.At, "configuration %d was read, %d had been acknowledged", read.Number, newest))
 		}
 	}
 	for _, change := range seen.Changes {
 		if change.Invalid && change.AckedAt > 0 {
-			findings = append(findings, found(Config, change.AckedAt, "invalid configuration %d was acknowledged", change.Number))
+			findings = append(findings, newFinding(Config, change.AckedAt, "invalid configuration %d was acknowledged", change.Number))
 		}
 	}
-	return append(findings, outlasting(seen)...)
+	return append(findings, overdueAnswers(seen)...)
 }
 
-// handledAsBefore finds arrivals at a service that only an older configuration names.
-func handledAsBefore(seen *history.History) []Finding {
+// onReplacedServices finds arrivals at a service that only an older configuration names.
+func onReplacedServices(seen *history.History) []Finding {
 	sent := sendingsByID(seen)
 	var findings []Finding
 	for _, arrival := range seen.Arrivals {
 		sending, known := sent[arrival.ID]
-		if !known || !arrival.Ran || !seen.InTouch(arrival.Machine, arrival.At) {
+		if !known || !arrival.Ran || !seen.IsInContact(arrival.Machine, arrival.At) {
 			continue
 		}
 		allowed := servicesOf(seen, sending)
 		if len(allowed) > 0 && !allowed[arrival.Service] {
-			findings = append(findings, found(Config, arrival.At, "request %s of %s ran at service %s, which was replaced before", arrival.ID, sending.Route, arrival.Service))
+			findings = append(findings, newFinding(Config, arrival.At, "request %s of %s ran at service %s, which was replaced before", arrival.ID, sending.Route, arrival.Service))
 		}
 	}
 	return findings
@@ -60,13 +60,13 @@
 	return allowed
 }
 
-// outlasting finds requests without a final answer half a second after their route's time.
-func outlasting(seen *history.History) []Finding {
+// overdueAnswers finds requests without a final answer half a second after their route's time.
+func overdueAnswers(seen *history.History) []Finding {
 	late, asked := 0, 0
 	var last time.Duration
 	for _, sending := range seen.Sendings {
 		route := seen.Routes[sending.Route]
-		inTouch := seen.InTouch(sending.Front, sending.SentAt) && seen.InTouch(sending.Front, sending.EndedAt)
+		inTouch := seen.IsInContact(sending.Front, sending.SentAt) && seen.IsInContact(sending.Front, sending.EndedAt)
 		if route.Timeout <= 0 || sending.ClosedAt != 0 || !inTouch {
 			continue
 		}
@@ -77,8 +77,8 @@
 			}
 		}
 	}
-	if late >= longAnswers && 4*late > asked {
-		return []Finding{found(Config, last, "%d of %d requests that outlast their route's time got no final answer half a second after it", late, asked)}
+	if late >= minLateAnswers && 4*late > asked {
+		return []Finding{newFinding(Config, last, "%d of %d requests that outlast their route's time got no final answer half a second after it", late, asked)}
 	}
 	return nil
 }
--- a/internal/soak/check/drain.go
+++ b/internal/soak/check/drain.go
@@ -18,8 +18,8 @@
 	var findings []Finding
 	for _, arrival := range seen.Arrivals {
 		left, leaving := leftAt[arrival.Replica]
-		if leaving && arrival.Status != 421 && arrival.At > left+seen.Bounds.Drain && seen.InTouch(arrival.Machine, arrival.At) {
-			findings = append(findings, found(Drain, arrival.At, "request %s reached %s %s after it was listed as leaving", arrival.ID, arrival.Replica, arrival.At-left))
+		if leaving && arrival.Status != 421 && arrival.At > left+seen.Bounds.Drain && seen.IsInContact(arrival.Machine, arrival.At) {
+			findings = append(findings, newFinding(Drain, arrival.At, "request %s reached %s %s after it was listed as leaving", arrival.ID, arrival.Replica, arrival.At-left))
 		}
 	}
 	return findings
--- a/internal/soak/check/finding.go
+++ b/internal/soak/check/finding.go
@@ -48,8 +48,8 @@
 // safety are the rules that hold whatever happens and however slow the machine is; timed those with a
 // time bound.
 var (
-	safety = []checker{mixed, twice, refused, unasked, order, attemptsOver, one, nowhere, unansweredByStopping}
-	timed  = []checker{lost, drain, config, gone, recovered, crashers, retriesOver, rests, saidLeaving, limits}
+	safety = []checker{mixed, twice, refused, unasked, order, overAttemptLimit, one, atUnknownPlaces, unansweredByStopping}
+	timed  = []checker{lost, drain, config, gone, recovered, overCrashLimit, overRetryBudget, sentDuringBackoff, sentAfterLeavingAnswer, limits}
 )
 
 // Safety finds broken rules that hang on no time.
@@ -60,14 +60,14 @@
 
 func run(checkers []checker, seen *history.History) []Finding {
 	var findings []Finding
-	for _, look := range checkers {
-		findings = append(findings, look(seen)...)
+	for _, check := range checkers {
+		findings = append(findings, check(seen)...)
 	}
 	return slices.SortedStableFunc(slices.Values(findings), func(a, b Finding) int { return cmp.Compare(a.At, b.At) })
 }
 
-// found makes a finding.
-func found(rule Rule, at time.Duration, format string, arguments ...any) Finding {
+// newFinding makes a finding.
+func newFinding(rule Rule, at time.Duration, format string, arguments ...any) Finding {
 	return Finding{Rule: rule, At: at, Text: fmt.Sprintf(format, arguments...)}
 }
 
