--- a/internal/soak/check/gone.go
+++ b/internal/soak/check/gone.go
@@ -10,10 +10,10 @@
 	// goneSlack is how long after a client has left its request may still reach back ends, and how long
 	// these may work on it.
 	goneSlack = 500 * time.Millisecond
-	// goneArrivals is how many requests may reach back ends later than that.
-	goneArrivals = 3
-	// goneLeast is from how many requests on the share counts that is still worked on.
-	goneLeast = 8
+	// toleratedGoneArrivals is how many requests may reach back ends later than that.
+	toleratedGoneArrivals = 3
+	// goneMinSample is from how many requests on the share counts that is still worked on.
+	goneMinSample = 8
 )
 
 // gone finds requests of clients that have left: some that reach back ends half a second later, or more
@@ -21,7 +21,7 @@
 func gone(seen *history.History) []Finding {
 	left := map[string]history.Sending{}
 	for _, sending := range seen.Sendings {
-		if sending.ClosedAt > 0 && seen.Routes[sending.Route].Repeatable && seen.InTouch(sending.Front, sending.ClosedAt+goneSlack) {
+		if sending.ClosedAt > 0 && seen.Routes[sending.Route].Repeatable && seen.IsInContact(sending.Front, sending.ClosedAt+goneSlack) {
 			left[sending.ID] = sending
 		}
 	}
@@ -34,8 +34,8 @@
 		}
 		due := sending.ClosedAt + goneSlack
 		if arrival.At > due {
-			if late++; late == goneArrivals+1 {
-				findings = append(findings, found(Gone, arrival.At, "request %s reached %s %s after its client had left; %d such requests", arrival.ID, arrival.Replica, arrival.At-sending.ClosedAt, late))
+			if late++; late == toleratedGoneArrivals+1 {
+				findings = append(findings, newFinding(Gone, arrival.At, "request %s reached %s %s after its client had left; %d such requests", arrival.ID, arrival.Replica, arrival.At-sending.ClosedAt, late))
 			}
 			continue
 		}
@@ -46,8 +46,8 @@
 			}
 		}
 	}
-	if lasting >= goneLeast && 4*working > lasting {
-		findings = append(findings, found(Gone, 0, "%d of %d requests were still worked on half a second after their clients had left", working, lasting))
+	if lasting >= goneMinSample && 4*working > lasting {
+		findings = append(findings, newFinding(Gone, 0, "%d of %d requests were still worked on half a second after their clients had left", working, lasting))
 	}
 	return findings
 }
--- a/internal/soak/check/histories_test.go
+++ b/internal/soak/check/histories_test.go
@@ -7,9 +7,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// seen is a history with the usual bounds and routes, changed by a row of a table.
-func seen(change func(*history.History)) *history.History {
-	made := &history.History{
+// historyWith is a history with the usual bounds and routes, changed by a row of a table.
+func historyWith(change func(*history.History)) *history.History {
+	created := &history.History{
 		Bounds: history.Bounds{
 			Contact: 3 * second, LossSlack: second / 20, ConfigApply: 2 * second, Drain: 3 * second, Lease: 3 * second, Recovery: 12 * second,
 			RetryRatio: 0.2, RetryWindow: 10 * second, RetrySlack: 5,
@@ -22,8 +22,8 @@
 		},
 		Controllers: map[string]bool{"core": true},
 	}
-	change(made)
-	return made
+	change(created)
+	return created
 }
 
 // request is an attempt with the usual answer.
@@ -42,38 +42,38 @@
 	}
 }
 
-// sentAnd changes a request.
-func sentAnd(sending history.Sending, change func(*history.Sending)) history.Sending {
+// changedSending changes a request.
+func changedSending(sending history.Sending, change func(*history.Sending)) history.Sending {
 	change(&sending)
 	return sending
 }
 
-// ranAnd changes a run.
-func ranAnd(arrival history.Arrival, change func(*history.Arrival)) history.Arrival {
+// changedArrival changes a run.
+func changedArrival(arrival history.Arrival, change func(*history.Arrival)) history.Arrival {
 	change(&arrival)
 	return arrival
 }
 
-func crashed(arrival *history.Arrival) { arrival.Crashed, arrival.Status = true, 0 }
+func setCrashed(arrival *history.Arrival) { arrival.Crashed, arrival.Status = true, 0 }
 
 // crashes are runs of one request under identities of their own, each of which ends its back end.
-func crashes(made *history.History, count int, from, step time.Duration) {
+func crashes(recorded *history.History, count int, from, step time.Duration) {
 	for number := range count {
-		id := fmt.Sprint("poison-", len(made.Sendings))
+		id := fmt.Sprint("poison-", len(recorded.Sendings))
 		at := from + time.Duration(number)*step
-		made.Sendings = append(made.Sendings, sentAnd(request(id, "safe", at), func(s *history.Sending) { s.Content, s.Status, s.Seal = "poison", 502, "" }))
-		made.Arrivals = append(made.Arrivals, ranAnd(ranAt(id, fmt.Sprint("replica-", id), at), crashed))
+		recorded.Sendings = append(recorded.Sendings, changedSending(request(id, "safe", at), func(s *history.Sending) { s.Content, s.Status, s.Seal = "poison", 502, "" }))
+		recorded.Arrivals = append(recorded.Arrivals, changedArrival(ranAt(id, fmt.Sprint("replica-", id), at), setCrashed))
 	}
 }
 
 func streamOf(body, route string, whole bool) func(*history.History) {
 	return func(h *history.History) {
-		h.Sendings = []history.Sending{sentAnd(request("1", route, 0), func(s *history.Sending) { s.Body, s.Whole = body, whole })}
+		h.Sendings = []history.Sending{changedSending(request("1", route, 0), func(s *history.Sending) { s.Body, s.Whole = body, whole })}
 		h.Arrivals = []history.Arrival{ranAt("1", "x", 0)}
 	}
 }
 
-func attempted(requests int) func(*history.History) {
+func onThreeBackEnds(requests int) func(*history.History) {
 	return func(h *history.History) {
 		h.Bounds.RetryWindow = 0
 		for number := range requests {
@@ -84,7 +84,7 @@
 	}
 }
 
-func sendingsAgain(h *history.History, count int, step time.Duration) {
+func addRetriedRequests(h *history.History, count int, step time.Duration) {
 	for number := range count {
 		id, at := fmt.Sprint(number), time.Duration(number)*step
 		h.Sendings = append(h.Sendings, request(id, "safe", at))
@@ -103,7 +103,7 @@
 
 func cutBy(kind history.FaultKind, target string) func(*history.History) {
 	return func(h *history.History) {
-		h.Sendings = []history.Sending{sentAnd(request("1", "safe", 5*second), func(s *history.Sending) { s.Status, s.Seal, s.AnswerID, s.Whole = 0, "", "", false })}
+		h.Sendings = []history.Sending{changedSending(request("1", "safe", 5*second), func(s *history.Sending) { s.Status, s.Seal, s.AnswerID, s.Whole = 0, "", "", false })}
 		h.Faults = []history.Fault{{Kind: kind, Target: target, From: 5 * second, To: 6 * second}}
 	}
 }
@@ -120,7 +120,7 @@
 	}
 }
 
-func leaving(after time.Duration) func(*history.History) {
+func listedAsLeaving(after time.Duration) func(*history.History) {
 	return func(h *history.History) {
 		h.Listings = []history.Listing{{At: second, Replica: "x", State: history.Draining}}
 		h.Sendings = []history.Sending{request("1", "safe", second+after)}
@@ -128,13 +128,13 @@
 	}
 }
 
-// resting is a back end that asks the relay for three seconds of rest, and gets further requests from a time on.
-func resting(count int, after time.Duration, front string) func(*history.History) {
+// inBackoff is a back end that asks the relay for three seconds of rest, and gets further requests from a time on.
+func inBackoff(count int, after time.Duration, front string) func(*history.History) {
 	return func(h *history.History) {
 		h.Bounds.RetryWindow = 0
 		shed := func(id, machine string, at time.Duration, rest time.Duration) {
-			h.Sendings = append(h.Sendings, sentAnd(request(id, "safe", at), func(s *history.Sending) { s.Front, s.Status, s.Seal = machine, 503, "" }))
-			h.Arrivals = append(h.Arrivals, ranAnd(ranAt(id, "x", at), func(a *history.Arrival) {
+			h.Sendings = append(h.Sendings, changedSending(request(id, "safe", at), func(s *history.Sending) { s.Front, s.Status, s.Seal = machine, 503, "" }))
+			h.Arrivals = append(h.Arrivals, changedArrival(ranAt(id, "x", at), func(a *history.Arrival) {
 				a.Machine, a.Ran, a.Status, a.Seal, a.Rest, a.EndedAt = machine, false, 503, "", rest, at
 			}))
 		}
@@ -147,17 +147,17 @@
 
 // limited is a back end that names a limit, tells some relays, and gets requests of two relays from a time on, in seconds:
 // three times within a second each of them, the rest spread over that second.
-func limited(perSecond, after float64, count int, told ...string) func(*history.History) {
+func limited(perSecond, after float64, count int, informed ...string) func(*history.History) {
 	return func(h *history.History) {
 		h.Bounds.RetryWindow = 0
 		h.Limits = []history.Limit{{Replica: "x", At: second, Named: true, PerSecond: perSecond}}
 		arrive := func(id, front string, at time.Duration) {
-			h.Sendings = append(h.Sendings, sentAnd(request(id, "safe", at), func(s *history.Sending) { s.Front, s.Seal = front, "s"+id }))
-			h.Arrivals = append(h.Arrivals, ranAnd(ranAt(id, "x", at), func(a *history.Arrival) {
+			h.Sendings = append(h.Sendings, changedSending(request(id, "safe", at), func(s *history.Sending) { s.Front, s.Seal = front, "s"+id }))
+			h.Arrivals = append(h.Arrivals, changedArrival(ranAt(id, "x", at), func(a *history.Arrival) {
 				a.Machine, a.Seal, a.Limited = front, "s"+id, at >= second
 			}))
 		}
-		for number, front := range told {
+		for number, front := range informed {
 			arrive(fmt.Sprint("told", number), front, second+second/10)
 		}
 		for number := range count {
@@ -170,10 +170,10 @@
 // saidToLeave is a back end that says that it leaves, and gets a request some time after.
 func saidToLeave(after time.Duration, front string) func(*history.History) {
 	return func(h *history.History) {
-		h.Sendings = []history.Sending{request("1", "safe", second), sentAnd(request("2", "safe", second+after), func(s *history.Sending) { s.Front = front })}
+		h.Sendings = []history.Sending{request("1", "safe", second), changedSending(request("2", "safe", second+after), func(s *history.Sending) { s.Front = front })}
 		h.Arrivals = []history.Arrival{
-			ranAnd(ranAt("1", "x", second), func(a *history.Arrival) { a.Leaving = true }),
-			ranAnd(ranAt("2", "x", second+after), func(a *history.Arrival) { a.Machine = front }),
+			changedArrival(ranAt("1", "x", second), func(a *history.Arrival) { a.Leaving = true }),
+			changedArrival(ranAt("2", "x", second+after), func(a *history.Arrival) { a.Machine = front }),
 		}
 	}
 }
@@ -192,19 +192,19 @@
 func outlastingBy(took time.Duration) func(*history.History) {
 	return func(h *history.History) {
 		for number := range 10 {
-			h.Sendings = append(h.Sendings, sentAnd(request(fmt.Sprint(number), "safe", 0), func(s *history.Sending) {
+			h.Sendings = append(h.Sendings, changedSending(request(fmt.Sprint(number), "safe", 0), func(s *history.Sending) {
 				s.Status, s.Seal, s.EndedAt = 504, "", took
 			}))
 		}
 	}
 }
 
-func left(working time.Duration) func(*history.History) {
+func abandoned(working time.Duration) func(*history.History) {
 	return func(h *history.History) {
 		for number := range 10 {
 			id := fmt.Sprint(number)
-			h.Sendings = append(h.Sendings, sentAnd(request(id, "safe", 0), func(s *history.Sending) { s.ClosedAt, s.Status = second, 0 }))
-			h.Arrivals = append(h.Arrivals, ranAnd(ranAt(id, "x", 0), func(a *history.Arrival) { a.EndedAt = second + working }))
+			h.Sendings = append(h.Sendings, changedSending(request(id, "safe", 0), func(s *history.Sending) { s.ClosedAt, s.Status = second, 0 }))
+			h.Arrivals = append(h.Arrivals, changedArrival(ranAt(id, "x", 0), func(a *history.Arrival) { a.EndedAt = second + working }))
 		}
 	}
 }
--- a/internal/soak/check/limit.go
+++ b/internal/soak/check/limit.go
@@ -12,11 +12,11 @@
 	limitWindow = 4 * time.Second
 	limitShare  = 1.5
 	limitSlack  = 5
-	// limitTold is how long after a relay has passed on an answer that names a limit its requests count.
-	limitTold = 500 * time.Millisecond
-	// limitLowered is how long after a back end has lowered its limit the larger one still counts: relays hear of it by
+	// limitInformedAfter is how long after a relay has passed on an answer that names a limit its requests count.
+	limitInformedAfter = 500 * time.Millisecond
+	// limitLoweredGrace is how long after a back end has lowered its limit the larger one still counts: relays hear of it by
 	// their next answers.
-	limitLowered = time.Second
+	limitLoweredGrace = time.Second
 )
 
 // limits finds back ends that named a limit for all relays together and got more than that of those that had passed on
@@ -42,8 +42,8 @@
 				next++
 			}
 			if changes[first].Named {
-				need := limitedNeed{seen: seen, replica: replica, changes: changes[first:next]}
-				findings = append(findings, need.findings(arrivals[replica], sent)...)
+				period := limitPeriod{seen: seen, replica: replica, changes: changes[first:next]}
+				findings = append(findings, period.findings(arrivals[replica], sent)...)
 			}
 			first = next
 		}
@@ -51,15 +51,15 @@
 	return findings
 }
 
-// limitedNeed is one time in which a back end named limits, from the first to its end.
-type limitedNeed struct {
+// limitPeriod is one time in which a back end named limits, from the first to its end.
+type limitPeriod struct {
 	seen    *history.History
 	replica string
 	changes []history.Limit
 }
 
 // end is when the back end named no limit any more; the end of the run where it did not come to that.
-func (n *limitedNeed) end() time.Duration {
+func (n *limitPeriod) end() time.Duration {
 	if last := n.changes[len(n.changes)-1]; !last.Named {
 		return last.At
 	}
@@ -68,47 +68,47 @@
 }
 
 // findings looks at each window that ends with an arrival.
-func (n *limitedNeed) findings(arrivals []history.Arrival, sent map[string]history.Sending) []Finding {
-	counted := n.counted(arrivals, sent)
+func (n *limitPeriod) findings(arrivals []history.Arrival, sent map[string]history.Sending) []Finding {
+	counted := n.countedArrivals(arrivals, sent)
 	first := 0
 	for last, at := range counted {
 		for at-counted[first] > limitWindow {
 			first++
 		}
-		if at < n.changes[0].At+n.seen.Bounds.Contact || n.seen.Disturbed(at-limitWindow, at, n.replica) {
+		if at < n.changes[0].At+n.seen.Bounds.Contact || n.seen.WasDisturbed(at-limitWindow, at, n.replica) {
 			continue
 		}
 		if allowed := limitShare*n.allowed(at-limitWindow, at) + limitSlack; float64(last-first+1) > allowed {
-			return []Finding{found(Limit, at, "%s had named a limit at %.3f s and got %d requests in %s from relays that it had told; allowed %.1f",
+			return []Finding{newFinding(Limit, at, "%s had named a limit at %.3f s and got %d requests in %s from relays that it had told; allowed %.1f",
 				n.replica, n.changes[0].At.Seconds(), last-first+1, limitWindow, allowed)}
 		}
 	}
 	return nil
 }
 
-// counted are the times of the arrivals that count.
-func (n *limitedNeed) counted(arrivals []history.Arrival, sent map[string]history.Sending) []time.Duration {
-	told := map[string][]time.Duration{}
+// countedArrivals are the times of the arrivals that count.
+func (n *limitPeriod) countedArrivals(arrivals []history.Arrival, sent map[string]history.Sending) []time.Duration {
+	informedAt := map[string][]time.Duration{}
 	for _, arrival := range arrivals {
 		sending := sent[arrival.ID]
 		passedOn := arrival.Limited && arrival.Seal != "" && sending.Seal == arrival.Seal && sending.EndedAt >= n.changes[0].At
 		if passedOn && arrival.At >= n.changes[0].At && arrival.At < n.end() {
-			told[arrival.Machine] = append(told[arrival.Machine], sending.EndedAt)
+			informedAt[arrival.Machine] = append(informedAt[arrival.Machine], sending.EndedAt)
 		}
 	}
 	var counted []time.Duration
 	for _, arrival := range arrivals {
-		if arrival.At >= n.changes[0].At && arrival.At < n.end() && n.knows(told[arrival.Machine], arrival) {
+		if arrival.At >= n.changes[0].At && arrival.At < n.end() && n.isInformed(informedAt[arrival.Machine], arrival) {
 			counted = append(counted, arrival.At)
 		}
 	}
 	return counted
 }
 
-// knows reports whether the relay that sent an arrival had been told since it was struck last.
-func (n *limitedNeed) knows(told []time.Duration, arrival history.Arrival) bool {
-	for _, at := range told {
-		if at+limitTold <= arrival.At && !n.seen.Disturbed(at, arrival.At, arrival.Machine) {
+// isInformed reports whether the relay that sent an arrival had been told since it was struck last.
+func (n *limitPeriod) isInformed(informedAt []time.Duration, arrival history.Arrival) bool {
+	for _, at := range informedAt {
+		if at+limitInformedAfter <= arrival.At && !n.seen.WasDisturbed(at, arrival.At, arrival.Machine) {
 			return true
 		}
 	}
@@ -117,17 +117,17 @@
 
 // allowed is how many requests the limits allow in a span; before the first of them was named, and for a moment after
 // one was lowered, the larger one counts.
-func (n *limitedNeed) allowed(from, to time.Duration) float64 {
+func (n *limitPeriod) allowed(from, to time.Duration) float64 {
 	const step = 10 * time.Millisecond
 	sum := 0.0
 	for at := from; at < to; at += step {
-		sum += max(n.limitAt(at), n.limitAt(at-limitLowered)) * step.Seconds()
+		sum += max(n.limitAt(at), n.limitAt(at-limitLoweredGrace)) * step.Seconds()
 	}
 	return sum
 }
 
 // limitAt is the limit at a time.
-func (n *limitedNeed) limitAt(at time.Duration) float64 {
+func (n *limitPeriod) limitAt(at time.Duration) float64 {
 	limit := n.changes[0].PerSecond
 	for _, change := range n.changes {
 		if change.Named && change.At <= at {
--- a/internal/soak/check/lost.go
+++ b/internal/soak/check/lost.go
@@ -9,12 +9,12 @@
 // lost finds requests that planned work cut, though nothing unplanned happened near them, and
 // acknowledged configurations that do not exist at the end.
 func lost(seen *history.History) []Finding {
-	findings := cutByPlans(seen)
+	findings := cutByPlannedWork(seen)
 	newest := newestAcked(seen, 1<<62)
 	for index := len(seen.Reads) - 1; index >= 0; index-- {
 		if read := seen.Reads[index]; read.Status == 200 {
 			if read.Number < newest {
-				findings = append(findings, found(Lost, read.At, "configuration %d was acknowledged, the last one that was read is %d", newest, read.Number))
+				findings = append(findings, newFinding(Lost, read.At, "configuration %d was acknowledged, the last one that was read is %d", newest, read.Number))
 			}
 			break
 		}
@@ -22,24 +22,24 @@
 	return findings
 }
 
-func cutByPlans(seen *history.History) []Finding {
+func cutByPlannedWork(seen *history.History) []Finding {
 	arrivals := arrivalsByID(seen)
 	var findings []Finding
 	for _, sending := range seen.Sendings {
 		took := sending.EndedAt - sending.SentAt
 		read := len(arrivals[sending.ID]) > 0 || took > seen.Bounds.LossSlack
-		if sending.Status != 0 || !read || sending.ClosedAt != 0 || took >= sending.Deadline || brokenOff(arrivals[sending.ID]) {
+		if sending.Status != 0 || !read || sending.ClosedAt != 0 || took >= sending.Deadline || hasCrashed(arrivals[sending.ID]) {
 			continue
 		}
 		if planned, unplanned := faultsNear(seen, sending); planned && !unplanned {
-			findings = append(findings, found(Lost, sending.EndedAt, "request %s at %s was cut by planned work", sending.ID, sending.Front))
+			findings = append(findings, newFinding(Lost, sending.EndedAt, "request %s at %s was cut by planned work", sending.ID, sending.Front))
 		}
 	}
 	return findings
 }
 
-// brokenOff reports whether a back end broke the request off.
-func brokenOff(arrivals []history.Arrival) bool {
+// hasCrashed reports whether a back end broke the request off.
+func hasCrashed(arrivals []history.Arrival) bool {
 	for _, arrival := range arrivals {
 		if arrival.Crashed {
 			return true
@@ -55,7 +55,7 @@
 		overlaps := fault.From <= sending.EndedAt && fault.To+seen.Bounds.Contact >= sending.SentAt
 		switch {
 		case !overlaps:
-		case !fault.Kind.Planned():
+		case !fault.Kind.IsPlanned():
 			unplanned = true
 		case fault.Target == sending.Front:
 			planned = true
--- a/internal/soak/check/mixed.go
+++ b/internal/soak/check/mixed.go
@@ -12,18 +12,18 @@
 		switch {
 		case sending.Status == 0:
 		case sending.AnswerID != "" && sending.AnswerID != sending.ID:
-			findings = append(findings, found(Mixed, sending.EndedAt, "request %s got the answer to %s", sending.ID, sending.AnswerID))
+			findings = append(findings, newFinding(Mixed, sending.EndedAt, "request %s got the answer to %s", sending.ID, sending.AnswerID))
 		case sending.Succeeded() && sending.Seal == "":
-			findings = append(findings, found(Mixed, sending.EndedAt, "request %s got a success without a seal", sending.ID))
-		case sending.Seal != "" && sending.Whole && !seen.Routes[sending.Route].Stream && !anyAnswered(arrivals[sending.ID], sending):
-			findings = append(findings, found(Mixed, sending.EndedAt, "request %s got an answer that its back ends did not make", sending.ID))
+			findings = append(findings, newFinding(Mixed, sending.EndedAt, "request %s got a success without a seal", sending.ID))
+		case sending.Seal != "" && sending.Whole && !seen.Routes[sending.Route].Stream && !hasReturned(arrivals[sending.ID], sending):
+			findings = append(findings, newFinding(Mixed, sending.EndedAt, "request %s got an answer that its back ends did not make", sending.ID))
 		}
 	}
 	return findings
 }
 
-// anyAnswered reports whether one of the back ends made the answer.
-func anyAnswered(arrivals []history.Arrival, sending history.Sending) bool {
+// hasReturned reports whether one of the back ends made the answer.
+func hasReturned(arrivals []history.Arrival, sending history.Sending) bool {
 	for _, arrival := range arrivals {
 		if arrival.Status == sending.Status && arrival.Seal == sending.Seal && arrival.Body == sending.Body {
 			return true
--- a/internal/soak/check/one.go
+++ b/internal/soak/check/one.go
@@ -9,16 +9,16 @@
 	var findings []Finding
 	for _, order := range seen.Orders {
 		before := byReplica[order.Replica]
-		if fault := turn(before, order, seen.Bounds); fault != "" {
-			findings = append(findings, found(One, order.At, "back end %s got an order of %s with token %d: %s", order.Replica, order.Holder, order.Fence, fault))
+		if fault := orderFault(before, order, seen.Bounds); fault != "" {
+			findings = append(findings, newFinding(One, order.At, "back end %s got an order of %s with token %d: %s", order.Replica, order.Holder, order.Fence, fault))
 		}
 		byReplica[order.Replica] = append(before, order)
 	}
 	return findings
 }
 
-// turn says what is wrong with an order after others; empty for nothing.
-func turn(before []history.Order, order history.Order, bounds history.Bounds) string {
+// orderFault says what is wrong with an order after others; empty for nothing.
+func orderFault(before []history.Order, order history.Order, bounds history.Bounds) string {
 	for index := len(before) - 1; index >= 0; index-- {
 		earlier := before[index]
 		switch {
@@ -30,15 +30,15 @@
 			return "another holder has the same token"
 		case earlier.Fence > order.Fence:
 			return "another holder's token was higher before"
-		case order.At-earlier.At < bounds.Lease && turnsBack(before[:index], order.Holder, order, bounds):
+		case order.At-earlier.At < bounds.Lease && hadOrderWithinLease(before[:index], order.Holder, order, bounds):
 			return "holders take turns within the lease"
 		}
 	}
 	return ""
 }
 
-// turnsBack reports whether a holder gave an order before within the lease.
-func turnsBack(before []history.Order, holder string, order history.Order, bounds history.Bounds) bool {
+// hadOrderWithinLease reports whether a holder gave an order before within the lease.
+func hadOrderWithinLease(before []history.Order, holder string, order history.Order, bounds history.Bounds) bool {
 	for _, earlier := range before {
 		if earlier.Holder == holder && order.At-earlier.At < bounds.Lease {
 			return true
--- a/internal/soak/check/order.go
+++ b/internal/soak/check/order.go
@@ -19,16 +19,16 @@
 		if !route.Stream || !sending.Succeeded() {
 			continue
 		}
-		if fault := faultOfStream(sending, route); fault != "" {
-			findings = append(findings, found(Order, sending.EndedAt, "stream %s %s", sending.ID, fault))
+		if fault := streamFault(sending, route); fault != "" {
+			findings = append(findings, newFinding(Order, sending.EndedAt, "stream %s %s", sending.ID, fault))
 		}
 	}
 	return findings
 }
 
-// faultOfStream says what is wrong with a stream; empty for nothing. Events are "id: N", then
+// streamFault says what is wrong with a stream; empty for nothing. Events are "id: N", then
 // "data: RUN TEXT", where RUN is the identity of the back end.
-func faultOfStream(sending history.Sending, route history.Route) string {
+func streamFault(sending history.Sending, route history.Route) string {
 	expected, run, ended := 1, "", false
 	for event := range strings.SplitSeq(strings.TrimSuffix(sending.Body, "\n\n"), "\n\n") {
 		var number int
--- a/internal/soak/check/recover.go
+++ b/internal/soak/check/recover.go
@@ -6,8 +6,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// recoverLeast is from how many requests on the share that is served counts.
-const recoverLeast = 20
+// recoverMinSample is from how many requests on the share that is served counts.
+const recoverMinSample = 20
 
 // recovered finds that less than a quarter of the requests is served once the last fault is over for the
 // recovery time, though a quarter was before.
@@ -33,8 +33,8 @@
 			}
 		}
 	}
-	if sent >= recoverLeast && 4*served < sent && 4*servedBefore >= before {
-		return []Finding{found(Recover, after, "%d of %d requests were served after the last fault", served, sent)}
+	if sent >= recoverMinSample && 4*served < sent && 4*servedBefore >= before {
+		return []Finding{newFinding(Recover, after, "%d of %d requests were served after the last fault", served, sent)}
 	}
 	return nil
 }
--- a/internal/soak/check/refused.go
+++ b/internal/soak/check/refused.go
@@ -12,7 +12,7 @@
 			continue
 		}
 		if runs := runsOf(arrivals[sending.ID]); len(runs) > 0 {
-			findings = append(findings, found(Refused, sending.EndedAt, "request %s was answered %d and ran at %s", sending.ID, sending.Status, runs[0].Replica))
+			findings = append(findings, newFinding(Refused, sending.EndedAt, "request %s was answered %d and ran at %s", sending.ID, sending.Status, runs[0].Replica))
 		}
 	}
 	return findings
--- a/internal/soak/check/twice.go
+++ b/internal/soak/check/twice.go
@@ -11,7 +11,7 @@
 			continue
 		}
 		if runs := runsOf(arrivals[sending.ID]); len(runs) > 1 {
-			findings = append(findings, found(Twice, runs[1].At, "request %s ran %d times, at %s and %s", sending.ID, len(runs), runs[0].Replica, runs[1].Replica))
+			findings = append(findings, newFinding(Twice, runs[1].At, "request %s ran %d times, at %s and %s", sending.ID, len(runs), runs[0].Replica, runs[1].Replica))
 		}
 	}
 	return findings
--- a/internal/soak/check/unasked.go
+++ b/internal/soak/check/unasked.go
@@ -10,9 +10,9 @@
 		sending, known := sent[arrival.ID]
 		switch {
 		case !known && arrival.Ran:
-			findings = append(findings, found(Unasked, arrival.At, "back end %s ran request %q, which no client sent", arrival.Replica, arrival.ID))
+			findings = append(findings, newFinding(Unasked, arrival.At, "back end %s ran request %q, which no client sent", arrival.Replica, arrival.ID))
 		case known && (arrival.Method != sending.Method || arrival.Target != sending.Target || arrival.BodyHash != sending.BodyHash):
-			findings = append(findings, found(Unasked, arrival.At, "request %s reached %s changed: %s %s", arrival.ID, arrival.Replica, arrival.Method, arrival.Target))
+			findings = append(findings, newFinding(Unasked, arrival.At, "request %s reached %s changed: %s %s", arrival.ID, arrival.Replica, arrival.Method, arrival.Target))
 		}
 	}
 	return findings
--- a/internal/soak/cuts.go
+++ b/internal/soak/cuts.go
@@ -13,8 +13,8 @@
 // PeerPort is the port at which controllers take calls of relays, and relays each other's datagrams.
 const PeerPort = portPeers
 
-// Outgoing is what a process of a soak goes by that can be cut off from others.
-func Outgoing() zonedelay.Outgoing {
+// NewOutgoing is what a process of a soak goes by that can be cut off from others.
+func NewOutgoing() zonedelay.Outgoing {
 	return zonedelay.Outgoing{Gate: zonedelay.NewGate(netip.MustParsePrefix("127.0.0.0/8")), Self: netip.MustParseAddr("127.255.255.254")}
 }
 
@@ -37,7 +37,7 @@
 		if f.isOther(relay.Name) {
 			continue // it cannot be told of cuts
 		}
-		f.strike(history.Cut, relay.Name, false, func() {
+		f.inject(history.Cut, relay.Name, false, func() {
 			heal, err := relay.CutOff(number, groups)
 			if err != nil {
 				return // it has ended meanwhile
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -19,10 +19,10 @@
 	// longestFreeze is the longest time for which a process stands still, longestAway for which it is gone.
 	longestFreeze = 5 * time.Second
 	longestAway   = 2500 * time.Millisecond
-	// drainServes is how long a back end that leaves serves on.
-	drainServes = 3500 * time.Millisecond
-	// restLength is how long a back end turns requests away and asks for rest.
-	restLength = 4 * time.Second
+	// drainServingTime is how long a back end that leaves serves on.
+	drainServingTime = 3500 * time.Millisecond
+	// backoffLength is how long a back end turns requests away and asks for rest.
+	backoffLength = 4 * time.Second
 	// longestLimitGap is the longest time between two back ends that name limits, longestLimit the longest time for which
 	// one names the same limit; largestLimit is the largest, in requests a second.
 	longestLimitGap = 2 * time.Second
@@ -42,35 +42,35 @@
 	random  *rand.Rand
 	running sync.WaitGroup
 
-	mutex  sync.Mutex
-	struck map[string]bool
-	// lost counts the controllers that are struck.
-	lost  int
-	kinds map[history.FaultKind]int
-	// other are the processes of the other build, by their names.
-	other map[string]bool
+	mutex         sync.Mutex
+	struckTargets map[string]bool
+	// lostControllers counts the controllers that are struck.
+	lostControllers int
+	kinds           map[history.FaultKind]int
+	// onOtherBuild are the processes of the onOtherBuild build, by their names.
+	onOtherBuild map[string]bool
 	// signals draws series of signals; signalsMutex guards it.
 	signalsMutex sync.Mutex
 	signals      *rand.Rand
 }
 
 func newFaults(site *site) *faults {
-	made := &faults{
-		site: site, random: rand.New(rand.NewPCG(site.options.Seed, 3000)), struck: map[string]bool{}, kinds: map[history.FaultKind]int{}, other: map[string]bool{},
+	created := &faults{
+		site: site, random: rand.New(rand.NewPCG(site.options.Seed, 3000)), struckTargets: map[string]bool{}, kinds: map[history.FaultKind]int{}, onOtherBuild: map[string]bool{},
 		signals: rand.New(rand.NewPCG(site.options.Seed, 7000)),
 	}
-	for _, process := range made.processes() {
-		made.other[process.Name] = site.beginsWithOther()
+	for _, process := range created.processes() {
+		created.onOtherBuild[process.Name] = site.startsOnOtherBuild()
 	}
-	return made
+	return created
 }
 
 // run strikes until the context ends, and returns when all faults are over.
 func (f *faults) run(ctx context.Context) {
-	if !f.site.options.Plain {
+	if !f.site.options.FirstFormatOnly {
 		f.running.Go(func() { f.limitReplicas(ctx) })
 	}
-	if f.site.options.Other != "" {
+	if f.site.options.OtherProgram != "" {
 		f.running.Go(func() { f.replaceProcesses(ctx) })
 	}
 	if f.site.options.Program == "" { // only this program can be told of cuts
@@ -80,37 +80,37 @@
 		sleep(ctx, time.Duration(f.random.Int64N(int64(longestGap))))
 		switch f.random.IntN(10) {
 		case 0, 1, 2:
-			f.strikeController()
+			f.injectControllerFault()
 		case 3, 4, 5:
-			f.strikeRelay()
+			f.injectRelayFault()
 		case 6:
 			if f.random.IntN(4) == 0 {
 				f.killAllControllers()
 			}
 		default:
-			f.strikeReplica()
+			f.injectReplicaFault()
 		}
 	}
 	f.running.Wait()
 }
 
-// begin takes a target for a fault; false when it is struck already, or too many controllers are.
-func (f *faults) begin(target string, controller bool) bool {
+// claimTarget takes a target for a fault; false when it is struck already, or too many controllers are.
+func (f *faults) claimTarget(target string, controller bool) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.struck[target] || controller && f.lost >= (f.site.options.Controllers-1)/2 {
+	if f.struckTargets[target] || controller && f.lostControllers >= (f.site.options.Controllers-1)/2 {
 		return false
 	}
-	f.struck[target] = true
+	f.struckTargets[target] = true
 	if controller {
-		f.lost++
+		f.lostControllers++
 	}
 	return true
 }
 
-// strike carries a fault out beside the others, and takes it down when it is over.
-func (f *faults) strike(kind history.FaultKind, target string, controller bool, carryOut func()) {
-	if !f.begin(target, controller) {
+// inject carries a fault out beside the others, and takes it down when it is over.
+func (f *faults) inject(kind history.FaultKind, target string, controller bool, execute func()) {
+	if !f.claimTarget(target, controller) {
 		return
 	}
 	f.mutex.Lock()
@@ -121,52 +121,52 @@
 		f.site.options.Progress(fmt.Sprintf("%7.3f s %s %s", from.Seconds(), kind, target))
 	}
 	f.running.Go(func() {
-		carryOut()
-		f.site.recorder.Fault(history.Fault{Kind: kind, Target: target, OtherBuild: isOther, From: from, To: f.site.recorder.Now()})
+		execute()
+		f.site.recorder.AddFault(history.Fault{Kind: kind, Target: target, OtherBuild: isOther, From: from, To: f.site.recorder.Now()})
 		if controller {
-			time.Sleep(catchUp) // it counts as lost until it has caught up
+			time.Sleep(catchUpTime) // it counts as lost until it has caught up
 		}
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		delete(f.struck, target)
+		delete(f.struckTargets, target)
 		if controller {
-			f.lost--
+			f.lostControllers--
 		}
 	})
 }
 
-// catchUp is how long a controller takes to catch up.
-const catchUp = 2 * time.Second
+// catchUpTime is how long a controller takes to catch up.
+const catchUpTime = 2 * time.Second
 
-func (f *faults) strikeController() {
+func (f *faults) injectControllerFault() {
 	process := f.site.controllers[f.random.IntN(len(f.site.controllers))]
-	away, freeze := f.drawn(longestAway), f.drawn(longestFreeze)
+	away, freeze := f.drawDuration(longestAway), f.drawDuration(longestFreeze)
 	switch f.random.IntN(5) {
 	case 0:
-		f.strike(history.Freeze, process.Name, true, func() { process.Suspend(); time.Sleep(freeze); process.Resume() })
+		f.inject(history.Freeze, process.Name, true, func() { process.Suspend(); time.Sleep(freeze); process.Resume() })
 	case 1:
-		f.strike(history.Wipe, process.Name, true, func() {
+		f.inject(history.Wipe, process.Name, true, func() {
 			process.Kill()
 			_ = process.ReplaceDisk() // it does not run
 			time.Sleep(away)
 			_ = process.Start() // a start that fails shows as a controller that is away
 		})
 	case 2:
-		f.strike(history.Terminate, process.Name, true, func() { f.terminate(process, f.isOther(process.Name), away) })
+		f.inject(history.Terminate, process.Name, true, func() { f.terminate(process, f.isOther(process.Name), away) })
 	default:
-		f.strike(history.Kill, process.Name, true, func() { process.Kill(); time.Sleep(away); _ = process.Start() })
+		f.inject(history.Kill, process.Name, true, func() { process.Kill(); time.Sleep(away); _ = process.Start() })
 	}
 }
 
 // killAllControllers kills all controllers at once; they are back within a second with their disks.
 func (f *faults) killAllControllers() {
 	f.mutex.Lock()
-	free := f.lost == 0
+	free := f.lostControllers == 0
 	f.mutex.Unlock()
 	if !free {
 		return
 	}
-	away := f.drawn(time.Second)
+	away := f.drawDuration(time.Second)
 	from := f.site.recorder.Now()
 	f.running.Go(func() {
 		for _, process := range f.site.controllers {
@@ -175,7 +175,7 @@
 		time.Sleep(away)
 		for _, process := range f.site.controllers {
 			_ = process.Start()
-			f.site.recorder.Fault(history.Fault{Kind: history.Kill, Target: process.Name, From: from, To: f.site.recorder.Now()})
+			f.site.recorder.AddFault(history.Fault{Kind: history.Kill, Target: process.Name, From: from, To: f.site.recorder.Now()})
 		}
 	})
 	f.mutex.Lock()
@@ -183,18 +183,18 @@
 	f.mutex.Unlock()
 }
 
-func (f *faults) strikeRelay() {
+func (f *faults) injectRelayFault() {
 	relay := f.site.relays[f.random.IntN(len(f.site.relays))]
-	away, freeze := f.drawn(longestAway), f.drawn(longestFreeze)
+	away, freeze := f.drawDuration(longestAway), f.drawDuration(longestFreeze)
 	switch f.random.IntN(5) {
 	case 0:
-		f.strike(history.Freeze, relay.Name, false, func() { relay.Suspend(); time.Sleep(freeze); relay.Resume() })
+		f.inject(history.Freeze, relay.Name, false, func() { relay.Suspend(); time.Sleep(freeze); relay.Resume() })
 	case 1:
-		f.strike(history.Reload, relay.Name, false, func() { f.reloads(relay.Process) })
+		f.inject(history.Reload, relay.Name, false, func() { f.sendReloads(relay.Process) })
 	case 2, 3:
-		f.strike(history.Terminate, relay.Name, false, func() { f.terminate(relay.Process, f.isOther(relay.Name), away) })
+		f.inject(history.Terminate, relay.Name, false, func() { f.terminate(relay.Process, f.isOther(relay.Name), away) })
 	default:
-		f.strike(history.Kill, relay.Name, false, func() { relay.Kill(); time.Sleep(away); _ = relay.Start() })
+		f.inject(history.Kill, relay.Name, false, func() { relay.Kill(); time.Sleep(away); _ = relay.Start() })
 	}
 }
 
@@ -204,7 +204,7 @@
 	process.Terminate()
 	var signalling sync.WaitGroup
 	if !isOther {
-		signalling.Go(func() { f.signalOn(process) })
+		signalling.Go(func() { f.sendSignals(process) })
 	}
 	for waited := time.Duration(0); process.Running() && waited < stopGrace; waited += stopPoll {
 		time.Sleep(stopPoll)
@@ -218,26 +218,26 @@
 // stopPoll is the time between two looks at whether a process has ended.
 const stopPoll = 20 * time.Millisecond
 
-func (f *faults) strikeReplica() {
+func (f *faults) injectReplicaFault() {
 	replicas := append(append([]*standin.Replica(nil), f.site.pages...), f.site.engines...)
 	replica := replicas[f.random.IntN(len(replicas))]
-	away, length := f.drawn(longestAway), f.drawn(longestAway)
+	away, length := f.drawDuration(longestAway), f.drawDuration(longestAway)
 	switch f.random.IntN(7) {
 	case 6:
-		if f.site.options.Plain {
+		if f.site.options.FirstFormatOnly {
 			return
 		}
-		f.strike(history.Rest, replica.Identity(), false, func() { replica.Rest(restLength); time.Sleep(restLength) })
+		f.inject(history.Rest, replica.Identity(), false, func() { replica.Rest(backoffLength); time.Sleep(backoffLength) })
 	case 0:
-		f.strike(history.Crash, replica.Identity(), false, func() { replica.Crash(); time.Sleep(away); _ = replica.Start() })
+		f.inject(history.Crash, replica.Identity(), false, func() { replica.Crash(); time.Sleep(away); _ = replica.Start() })
 	case 1, 2:
-		f.strike(history.Drain, replica.Identity(), false, func() { replica.Drain(drainServes); time.Sleep(away); _ = replica.Start() })
+		f.inject(history.Drain, replica.Identity(), false, func() { replica.Drain(drainServingTime); time.Sleep(away); _ = replica.Start() })
 	case 3:
-		f.strike(history.Reset, replica.Identity(), false, replica.Reset)
+		f.inject(history.Reset, replica.Identity(), false, replica.Reset)
 	case 4:
-		f.strike(history.Silence, replica.Identity(), false, func() { replica.Silence(length); time.Sleep(length) })
+		f.inject(history.Silence, replica.Identity(), false, func() { replica.Silence(length); time.Sleep(length) })
 	default:
-		f.strike(history.Delay, replica.Identity(), false, func() { replica.Slow(30 * time.Millisecond); time.Sleep(length); replica.Slow(0) })
+		f.inject(history.Delay, replica.Identity(), false, func() { replica.Slow(30 * time.Millisecond); time.Sleep(length); replica.Slow(0) })
 	}
 }
 
@@ -251,7 +251,7 @@
 		replica := replicas[random.IntN(len(replicas))]
 		first, second := largestLimit*random.Float64(), largestLimit*random.Float64()
 		length := time.Duration(random.Int64N(int64(longestLimit)))
-		f.strike(history.Limited, replica.Identity()+" limit", false, func() {
+		f.inject(history.Limited, replica.Identity()+" limit", false, func() {
 			replica.Limit(first)
 			time.Sleep(length)
 			replica.Limit(second)
@@ -261,7 +261,7 @@
 	}
 }
 
-// drawn draws a time up to the longest.
-func (f *faults) drawn(longest time.Duration) time.Duration {
+// drawDuration draws a time up to the longest.
+func (f *faults) drawDuration(longest time.Duration) time.Duration {
 	return time.Duration(f.random.Int64N(int64(longest)))
 }
--- a/internal/soak/history/fault.go
+++ b/internal/soak/history/fault.go
@@ -36,8 +36,8 @@
 	Delay   FaultKind = "delay"
 )
 
-// Planned reports whether the fault is work that an operator plans.
-func (k FaultKind) Planned() bool { return k == Terminate || k == Reload || k == Drain }
+// IsPlanned reports whether the fault is work that an operator plans.
+func (k FaultKind) IsPlanned() bool { return k == Terminate || k == Reload || k == Drain }
 
 // Fault is what happened to a process or to its connections.
 type Fault struct {
@@ -54,9 +54,9 @@
 	return f.Target == target && f.From <= at && f.To+span >= at
 }
 
-// InTouch reports whether nothing has struck a relay, and none of the controllers, within the contact
+// IsInContact reports whether nothing has struck a relay, and none of the controllers, within the contact
 // time before a moment.
-func (h *History) InTouch(relay string, at time.Duration) bool {
+func (h *History) IsInContact(relay string, at time.Duration) bool {
 	for _, fault := range h.Faults {
 		struck := fault.Target == relay || h.Controllers[fault.Target]
 		if struck && fault.From <= at && fault.To+h.Bounds.Contact >= at {
@@ -66,12 +66,12 @@
 	return true
 }
 
-// Disturbed reports whether one of the targets was struck within a span of time by anything but a sign to read its
+// WasDisturbed reports whether one of the targets was struck within a span of time by anything but a sign to read its
 // settings again, or by a back end's own rest, drain or limit.
-func (h *History) Disturbed(from, to time.Duration, targets ...string) bool {
+func (h *History) WasDisturbed(from, to time.Duration, targets ...string) bool {
 	for _, fault := range h.Faults {
-		isNone := fault.Kind == Reload || fault.Kind == Rest || fault.Kind == Drain || fault.Kind == Limited
-		if isNone || fault.From > to || fault.To < from {
+		isExempt := fault.Kind == Reload || fault.Kind == Rest || fault.Kind == Drain || fault.Kind == Limited
+		if isExempt || fault.From > to || fault.To < from {
 			continue
 		}
 		if slices.Contains(targets, fault.Target) {
--- a/internal/soak/history/recorder.go
+++ b/internal/soak/history/recorder.go
@@ -9,45 +9,45 @@
 
 // Recorder takes down what is seen while a run goes on.
 type Recorder struct {
-	origin time.Time
-	mutex  sync.Mutex
-	kept   History
+	origin  time.Time
+	mutex   sync.Mutex
+	history History
 }
 
 // NewRecorder begins a history now.
 func NewRecorder(bounds Bounds, routes map[string]Route, controllers map[string]bool) *Recorder {
-	return &Recorder{origin: time.Now(), kept: History{Bounds: bounds, Routes: routes, Controllers: controllers}}
+	return &Recorder{origin: time.Now(), history: History{Bounds: bounds, Routes: routes, Controllers: controllers}}
 }
 
 // Now is the time since the run began.
 func (r *Recorder) Now() time.Duration { return time.Since(r.origin) }
 
-// Sending takes an attempt that has ended.
-func (r *Recorder) Sending(sending Sending) { add(r, &r.kept.Sendings, sending) }
+// AddSending takes an attempt that has ended.
+func (r *Recorder) AddSending(sending Sending) { appendEntry(r, &r.history.Sendings, sending) }
 
-// Arrival takes a request that a back end has done with.
-func (r *Recorder) Arrival(arrival Arrival) { add(r, &r.kept.Arrivals, arrival) }
+// AddArrival takes a request that a back end has done with.
+func (r *Recorder) AddArrival(arrival Arrival) { appendEntry(r, &r.history.Arrivals, arrival) }
 
-// Change takes a configuration whose sending has ended.
-func (r *Recorder) Change(change Change) { add(r, &r.kept.Changes, change) }
+// AddChange takes a configuration whose sending has ended.
+func (r *Recorder) AddChange(change Change) { appendEntry(r, &r.history.Changes, change) }
 
-// Read takes a reading of the configuration.
-func (r *Recorder) Read(read Read) { add(r, &r.kept.Reads, read) }
+// AddRead takes a reading of the configuration.
+func (r *Recorder) AddRead(read Read) { appendEntry(r, &r.history.Reads, read) }
 
-// Order takes an order as it reached a back end.
-func (r *Recorder) Order(order Order) { add(r, &r.kept.Orders, order) }
+// AddOrder takes an order as it reached a back end.
+func (r *Recorder) AddOrder(order Order) { appendEntry(r, &r.history.Orders, order) }
 
-// Listed takes a change of the list.
-func (r *Recorder) Listed(listing Listing) { add(r, &r.kept.Listings, listing) }
+// AddListing takes a change of the list.
+func (r *Recorder) AddListing(listing Listing) { appendEntry(r, &r.history.Listings, listing) }
 
-// Limited takes the limit that a back end names from now on.
-func (r *Recorder) Limited(limit Limit) { add(r, &r.kept.Limits, limit) }
+// AddLimit takes the limit that a back end names from now on.
+func (r *Recorder) AddLimit(limit Limit) { appendEntry(r, &r.history.Limits, limit) }
 
-// Fault takes a fault that has ended.
-func (r *Recorder) Fault(fault Fault) { add(r, &r.kept.Faults, fault) }
+// AddFault takes a fault that has ended.
+func (r *Recorder) AddFault(fault Fault) { appendEntry(r, &r.history.Faults, fault) }
 
-// add takes an entry of one kind.
-func add[Entry any](r *Recorder, kept *[]Entry, entry Entry) {
+// appendEntry takes an entry of one kind.
+func appendEntry[Entry any](r *Recorder, kept *[]Entry, entry Entry) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	*kept = append(*kept, entry)
@@ -57,21 +57,21 @@
 func (r *Recorder) History() *History {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	kept := r.kept
-	kept.Sendings = sorted(kept.Sendings, func(s Sending) time.Duration { return s.SentAt })
-	kept.Arrivals = sorted(kept.Arrivals, func(a Arrival) time.Duration { return a.At })
-	noteMachines(&kept)
-	kept.Changes = sorted(kept.Changes, func(c Change) time.Duration { return c.SentAt })
-	kept.Reads = sorted(kept.Reads, func(r Read) time.Duration { return r.At })
-	kept.Orders = sorted(kept.Orders, func(o Order) time.Duration { return o.At })
-	kept.Listings = sorted(kept.Listings, func(l Listing) time.Duration { return l.At })
-	kept.Limits = sorted(kept.Limits, func(l Limit) time.Duration { return l.At })
-	kept.Faults = sorted(kept.Faults, func(f Fault) time.Duration { return f.From })
+	kept := r.history
+	kept.Sendings = sortedByTime(kept.Sendings, func(s Sending) time.Duration { return s.SentAt })
+	kept.Arrivals = sortedByTime(kept.Arrivals, func(a Arrival) time.Duration { return a.At })
+	setMachines(&kept)
+	kept.Changes = sortedByTime(kept.Changes, func(c Change) time.Duration { return c.SentAt })
+	kept.Reads = sortedByTime(kept.Reads, func(r Read) time.Duration { return r.At })
+	kept.Orders = sortedByTime(kept.Orders, func(o Order) time.Duration { return o.At })
+	kept.Listings = sortedByTime(kept.Listings, func(l Listing) time.Duration { return l.At })
+	kept.Limits = sortedByTime(kept.Limits, func(l Limit) time.Duration { return l.At })
+	kept.Faults = sortedByTime(kept.Faults, func(f Fault) time.Duration { return f.From })
 	return &kept
 }
 
-// noteMachines notes for each arrival which relay took it: an attempt is sent to one relay.
-func noteMachines(kept *History) {
+// setMachines notes for each arrival which relay took it: an attempt is sent to one relay.
+func setMachines(kept *History) {
 	fronts := make(map[string]string, len(kept.Sendings))
 	for _, sending := range kept.Sendings {
 		fronts[sending.ID] = sending.Front
@@ -81,7 +81,7 @@
 	}
 }
 
-// sorted returns a copy in the order of time.
-func sorted[Entry any](entries []Entry, at func(Entry) time.Duration) []Entry {
+// sortedByTime returns a copy in the order of time.
+func sortedByTime[Entry any](entries []Entry, at func(Entry) time.Duration) []Entry {
 	return slices.SortedStableFunc(slices.Values(entries), func(a, b Entry) int { return cmp.Compare(at(a), at(b)) })
 }
--- a/internal/soak/options.go
+++ b/internal/soak/options.go
@@ -15,18 +15,18 @@
 	// Clients is how many clients send at the same time, Poisons how many different requests that end
 	// their back ends are sent again and again.
 	Clients, Poisons int
-	// Length is how long faults go on; Calm how long the run goes on after the last one.
-	Length, Calm time.Duration
+	// FaultDuration is how long faults go on; QuietDuration how long the run goes on after the last one.
+	FaultDuration, QuietDuration time.Duration
 	// Directory is where settings, disks and logs go.
 	Directory string
 	// Program is the server that is run; empty for this program itself with Serve as its first argument.
 	Program, Serve string
-	// Other is the server of another build, empty for none: processes are replaced by it and back, in any order. Plain
+	// OtherProgram is the server of another build, empty for none: processes are replaced by it and back, in any order. Plain
 	// leaves out what back ends ask for that the first format knows nothing of: rests, limits, starts under one identity.
-	Other string
-	Plain bool
-	// Timed also checks the rules that have time bounds: not on a machine that is busy with other work.
-	Timed bool
+	OtherProgram    string
+	FirstFormatOnly bool
+	// CheckTimeBounds also checks the rules that have time bounds: not on a machine that is busy with other work.
+	CheckTimeBounds bool
 	// Progress is told each fault; nil for nobody.
 	Progress func(line string)
 }
--- a/internal/soak/replacements.go
+++ b/internal/soak/replacements.go
@@ -13,8 +13,8 @@
 const (
 	// longestReplaceGap is the longest time between two replacements.
 	longestReplaceGap = 2 * time.Second
-	// longestHalfWay is the longest time for which the fleet stays as it is: a landing is stopped half way.
-	longestHalfWay = 6 * time.Second
+	// longestPartialUpgrade is the longest time for which the fleet stays as it is: a landing is stopped half way.
+	longestPartialUpgrade = 6 * time.Second
 	// longestSwap is the longest time between the end of one build's process and the start of the other's.
 	longestSwap = time.Second
 )
@@ -27,7 +27,7 @@
 	for ctx.Err() == nil {
 		sleep(ctx, time.Duration(random.Int64N(int64(longestReplaceGap))))
 		if random.IntN(8) == 0 {
-			sleep(ctx, time.Duration(random.Int64N(int64(longestHalfWay))))
+			sleep(ctx, time.Duration(random.Int64N(int64(longestPartialUpgrade))))
 		}
 		process := processes[random.IntN(len(processes))]
 		away := time.Duration(random.Int64N(int64(longestSwap)))
@@ -42,9 +42,9 @@
 // replace replaces one process by that of the other build, unless it is struck by another fault.
 func (f *faults) replace(process *fleet.Process, kind history.FaultKind, away time.Duration) {
 	isController := slices.Contains(f.site.controllers, process)
-	f.strike(kind, process.Name, isController, func() {
+	f.inject(kind, process.Name, isController, func() {
 		wasOther := f.isOther(process.Name)
-		f.site.build(process, f.swap(process.Name))
+		f.site.chooseBuild(process, f.switchBuild(process.Name))
 		if kind == history.Kill {
 			process.Kill()
 			time.Sleep(away)
@@ -55,21 +55,21 @@
 	})
 }
 
-// swap notes that a process is of the other of the two builds from its next start on; it reports whether that is the
+// switchBuild notes that a process is of the other of the two builds from its next start on; it reports whether that is the
 // other one.
-func (f *faults) swap(name string) bool {
+func (f *faults) switchBuild(name string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.other[name] = !f.other[name]
+	f.onOtherBuild[name] = !f.onOtherBuild[name]
 	f.kinds[history.Replace]++
-	return f.other[name]
+	return f.onOtherBuild[name]
 }
 
 // isOther reports whether a process is of the other build.
 func (f *faults) isOther(name string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.other[name]
+	return f.onOtherBuild[name]
 }
 
 // processes are all controllers and relays.
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -31,11 +31,11 @@
 }
 
 // reportOf counts what was seen.
-func reportOf(options Options, seen *history.History, faults map[history.FaultKind]int, findings []check.Finding) Report {
+func reportOf(options Options, recorded *history.History, faults map[history.FaultKind]int, findings []check.Finding) Report {
 	report := Report{
-		Seed: options.Seed, Sendings: len(seen.Sendings), Arrivals: len(seen.Arrivals), Orders: len(seen.Orders), Faults: faults, Findings: findings,
+		Seed: options.Seed, Sendings: len(recorded.Sendings), Arrivals: len(recorded.Arrivals), Orders: len(recorded.Orders), Faults: faults, Findings: findings,
 	}
-	for _, sending := range seen.Sendings {
+	for _, sending := range recorded.Sendings {
 		switch {
 		case sending.Succeeded():
 			report.Served++
@@ -43,12 +43,12 @@
 			report.Refused++
 		}
 	}
-	for _, arrival := range seen.Arrivals {
+	for _, arrival := range recorded.Arrivals {
 		if arrival.Crashed {
 			report.Crashed++
 		}
 	}
-	for _, change := range seen.Changes {
+	for _, change := range recorded.Changes {
 		if change.AckedAt > 0 {
 			report.Changes++
 		}
@@ -81,8 +81,8 @@
 // mostPrinted bounds the findings of one rule that a report writes out; history.json has what shows the others.
 const mostPrinted = 10
 
-// Failed returns an error when a rule was broken.
-func (r Report) Failed() error {
+// Err returns an error when a rule was broken.
+func (r Report) Err() error {
 	if len(r.Findings) == 0 {
 		return nil
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// formationLimit bounds the wait until a site serves for the first time.
-	formationLimit = time.Minute
-	// revivalPause is the time between two looks for back ends that have ended under a request; they
+	// formationTimeout bounds the wait until a site serves for the first time.
+	formationTimeout = time.Minute
+	// restartPause is the time between two looks for back ends that have ended under a request; they
 	// come back after it.
-	revivalPause = 1200 * time.Millisecond
-	// operatedCalm is the share of the calm, in percent, in which configurations still change: only then are all relays in
+	restartPause = 1200 * time.Millisecond
+	// operatorCalmPercent is the share of the calm, in percent, in which configurations still change: only then are all relays in
 	// touch, whatever builds they are of.
-	operatedCalm = 70
+	operatorCalmPercent = 70
 	// finalReads is how often the configuration is read at the end until a controller tells it.
 	finalReads = 200
 )
@@ -31,75 +31,75 @@
 // Run runs one seed and reports what was seen. An error means that the run could not go on; broken rules
 // are in the report.
 func Run(ctx context.Context, options Options) (Report, error) {
-	made, err := newSite(options)
+	created, err := newSite(options)
 	if err != nil {
 		return Report{}, trace.Wrap(err)
 	}
-	defer made.close()
-	if err := made.start(); err != nil {
+	defer created.close()
+	if err := created.start(); err != nil {
 		return Report{}, trace.Wrap(err)
 	}
-	if err := made.form(ctx); err != nil {
+	if err := created.waitUntilReady(ctx); err != nil {
 		return Report{}, trace.Wrap(err)
 	}
-	whole, endWhole := context.WithCancel(ctx)
-	defer endWhole()
-	sending := &traffic{site: made, entrance: &entrance{site: made, missed: map[string]int{}}}
-	sending.start(whole)
-	go made.revive(whole)
-	striking := newFaults(made)
-	disturbed, endDisturbed := context.WithTimeout(ctx, options.Length)
-	defer endDisturbed()
-	operating, endOperating := context.WithTimeout(ctx, options.Length+options.Calm*operatedCalm/100)
-	defer endOperating()
-	operated := make(chan struct{})
-	go func() { defer close(operated); made.operate(operating) }()
-	striking.run(disturbed)
-	sleep(ctx, options.Calm)
-	<-operated
-	endWhole()
+	runContext, cancelRun := context.WithCancel(ctx)
+	defer cancelRun()
+	sending := &traffic{site: created, loadBalancer: &loadBalancer{site: created, missedProbes: map[string]int{}}}
+	sending.start(runContext)
+	go created.restartCrashed(runContext)
+	injected := newFaults(created)
+	faultContext, cancelFaults := context.WithTimeout(ctx, options.FaultDuration)
+	defer cancelFaults()
+	operatorContext, cancelOperator := context.WithTimeout(ctx, options.FaultDuration+options.QuietDuration*operatorCalmPercent/100)
+	defer cancelOperator()
+	operatorDone := make(chan struct{})
+	go func() { defer close(operatorDone); created.operate(operatorContext) }()
+	injected.run(faultContext)
+	sleep(ctx, options.QuietDuration)
+	<-operatorDone
+	cancelRun()
 	sending.running.Wait()
-	made.readAtTheEnd(ctx)
-	seen := made.recorder.History()
-	if err := writeHistory(options, seen); err != nil {
+	created.readFinalConfiguration(ctx)
+	recorded := created.recorder.History()
+	if err := writeHistory(options, recorded); err != nil {
 		return Report{}, trace.Wrap(err)
 	}
-	return reportOf(options, seen, striking.kinds, findings(options, seen)), trace.Wrap(ctx.Err())
+	return reportOf(options, recorded, injected.kinds, findings(options, recorded)), trace.Wrap(ctx.Err())
 }
 
 // writeHistory leaves what was seen beside the logs.
-func writeHistory(options Options, seen *history.History) error {
-	content, err := json.Marshal(seen)
+func writeHistory(options Options, recorded *history.History) error {
+	content, err := json.Marshal(recorded)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	return trace.ConvertSystemError(os.WriteFile(filepath.Join(options.Directory, "history.json"), content, 0o600))
 }
 
-func findings(options Options, seen *history.History) []check.Finding {
-	if options.Timed {
-		return check.All(seen)
+func findings(options Options, recorded *history.History) []check.Finding {
+	if options.CheckTimeBounds {
+		return check.All(recorded)
 	}
-	return check.Safety(seen)
+	return check.Safety(recorded)
 }
 
-// form has the first configuration taken, and waits until all relays are ready.
-func (s *site) form(ctx context.Context) error {
-	limited, cancel := context.WithTimeout(ctx, formationLimit)
+// waitUntilReady has the first configuration taken, and waits until all relays are ready.
+func (s *site) waitUntilReady(ctx context.Context) error {
+	limited, cancel := context.WithTimeout(ctx, formationTimeout)
 	defer cancel()
 	first := history.Change{Number: firstNumber, Services: standin.Services(standin.ServicePages)}
 	if s.operator.Put(limited, first, standin.Configuration(firstNumber, standin.ServicePages), 0).Status != http.StatusOK {
-		return trace.ConnectionProblem(nil, "no controller took the first configuration within %s; see the logs in %s", formationLimit, s.options.Directory)
+		return trace.ConnectionProblem(nil, "no controller took the first configuration within %s; see the logs in %s", formationTimeout, s.options.Directory)
 	}
 	for _, process := range s.controllers {
-		if err := startedBefore(process); err != nil {
+		if err := disableBootstrap(process); err != nil {
 			return trace.Wrap(err)
 		}
 	}
 	for _, relay := range s.relays {
 		for !standin.Ready(limited, relay.ready) {
 			if limited.Err() != nil {
-				return trace.ConnectionProblem(nil, "relay %s was not ready within %s; see the logs in %s", relay.Name, formationLimit, s.options.Directory)
+				return trace.ConnectionProblem(nil, "relay %s was not ready within %s; see the logs in %s", relay.Name, formationTimeout, s.options.Directory)
 			}
 			sleep(limited, stopPoll)
 		}
@@ -107,18 +107,18 @@
 	return nil
 }
 
-// revive starts back ends again that ended under a request.
-func (s *site) revive(ctx context.Context) {
+// restartCrashed starts back ends again that ended under a request.
+func (s *site) restartCrashed(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, revivalPause)
+		sleep(ctx, restartPause)
 		for _, replica := range append(append([]*standin.Replica(nil), s.pages...), s.engines...) {
 			_ = replica.Start() // one that runs stays; an address that is still taken is tried again
 		}
 	}
 }
 
-// readAtTheEnd reads the configuration until a controller tells it.
-func (s *site) readAtTheEnd(ctx context.Context) {
+// readFinalConfiguration reads the configuration until a controller tells it.
+func (s *site) readFinalConfiguration(ctx context.Context) {
 	for count := range finalReads {
 		if s.operator.Read(ctx, count).Status == http.StatusOK || ctx.Err() != nil {
 			return
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -33,8 +33,8 @@
 	return series
 }
 
-// signalOn sends signals to a process that was asked to stop, for as long as it runs.
-func (f *faults) signalOn(process *fleet.Process) {
+// sendSignals sends signals to a process that was asked to stop, for as long as it runs.
+func (f *faults) sendSignals(process *fleet.Process) {
 	for _, next := range f.drawSeries(process.Terminate, process.Reload, process.Dump) {
 		if !process.Running() {
 			return
@@ -44,8 +44,8 @@
 	}
 }
 
-// reloads tells a process, once and then again, that its settings have changed, or to write its log out.
-func (f *faults) reloads(process *fleet.Process) {
+// sendReloads tells a process, once and then again, that its settings have changed, or to write its log out.
+func (f *faults) sendReloads(process *fleet.Process) {
 	process.Reload()
 	for _, next := range f.drawSeries(process.Reload, process.Dump) {
 		next.send()
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -46,16 +46,16 @@
 	front, ready string
 }
 
-// networkParts divide the loopback network: runs of other processes, and what is started in one.
-const networkParts = 200
+// networkRanges divide the loopback network: runs of other processes, and what is started in one.
+const networkRanges = 200
 
 // address returns the loopback IP of a process of this run.
 func address(group, number int) string {
-	return fmt.Sprintf("127.%d.%d.%d", 50+os.Getpid()%networkParts, group, number+1)
+	return fmt.Sprintf("127.%d.%d.%d", 50+os.Getpid()%networkRanges, group, number+1)
 }
 
-// at is an IP:port.
-func at(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
+// hostPort is an IP:port.
+func hostPort(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
 // Groups of addresses.
 const (
@@ -72,39 +72,39 @@
 	for number := range options.Controllers {
 		names[controllerName(number)] = true
 	}
-	made := &site{options: options, servers: map[string][]string{}, recorder: history.NewRecorder(bounds, standin.Routes(), names)}
-	list, err := standin.StartList(at(address(groupList, 0), portOuter), made.recorder)
+	created := &site{options: options, servers: map[string][]string{}, recorder: history.NewRecorder(bounds, standin.Routes(), names)}
+	list, err := standin.StartList(hostPort(address(groupList, 0), portOuter), created.recorder)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	made.list = list
-	if options.Plain {
+	created.list = list
+	if options.FirstFormatOnly {
 		list.LeaveOutOthers()
 		if options.Seed/2%2 == 1 {
 			list.LeaveOutBirths()
 		}
 	}
-	if err := made.startReplicas(); err != nil {
-		made.close()
+	if err := created.startReplicas(); err != nil {
+		created.close()
 		return nil, trace.Wrap(err)
 	}
-	made.operator = &standin.Operator{Recorder: made.recorder}
+	created.operator = &standin.Operator{Recorder: created.recorder}
 	for number := range options.Controllers {
-		made.operator.Controllers = append(made.operator.Controllers, at(address(groupControllers, number), portOuter))
+		created.operator.Controllers = append(created.operator.Controllers, hostPort(address(groupControllers, number), portOuter))
 	}
 	for number := range options.Controllers {
-		if err := made.addController(number); err != nil {
-			made.close()
+		if err := created.addController(number); err != nil {
+			created.close()
 			return nil, trace.Wrap(err)
 		}
 	}
 	for number := range options.Relays {
-		if err := made.addRelay(number); err != nil {
-			made.close()
+		if err := created.addRelay(number); err != nil {
+			created.close()
 			return nil, trace.Wrap(err)
 		}
 	}
-	return made, nil
+	return created, nil
 }
 
 func controllerName(number int) string { return fmt.Sprint("core-", number+1) }
@@ -114,8 +114,8 @@
 	for number := range s.options.Pages {
 		service := []string{standin.ServicePages, standin.ServiceOther}[number%2]
 		replica, err := standin.StartReplica(standin.ReplicaOptions{
-			Service: service, Zone: "z", Address: at(address(groupPages, number), portOuter), Slots: 8,
-			Work: 8 * time.Millisecond, Seed: s.options.Seed + uint64(number), List: s.list, Recorder: s.recorder, KeepID: !s.options.Plain && number/2%2 == 0,
+			Service: service, Zone: "z", Address: hostPort(address(groupPages, number), portOuter), Slots: 8,
+			Work: 8 * time.Millisecond, Seed: s.options.Seed + uint64(number), List: s.list, Recorder: s.recorder, KeepID: !s.options.FirstFormatOnly && number/2%2 == 0,
 		})
 		if err != nil {
 			return trace.Wrap(err)
@@ -125,8 +125,8 @@
 	for number := range s.options.Engines {
 		stage := []string{platform.StageDecode, platform.StagePrefill}[number%2]
 		replica, err := standin.StartReplica(standin.ReplicaOptions{
-			Service: standin.ServiceEngines, Zone: "z", Address: at(address(groupEngines, number), portOuter), Stage: stage, Slots: 16,
-			Work: 5 * time.Millisecond, Pause: 15 * time.Millisecond, Seed: s.options.Seed + uint64(number), List: s.list, Recorder: s.recorder, KeepID: !s.options.Plain && number/2%2 == 0,
+			Service: standin.ServiceEngines, Zone: "z", Address: hostPort(address(groupEngines, number), portOuter), Stage: stage, Slots: 16,
+			Work: 5 * time.Millisecond, Pause: 15 * time.Millisecond, Seed: s.options.Seed + uint64(number), List: s.list, Recorder: s.recorder, KeepID: !s.options.FirstFormatOnly && number/2%2 == 0,
 		})
 		if err != nil {
 			return trace.Wrap(err)
@@ -145,9 +145,9 @@
 	if err := os.MkdirAll(data, 0o755); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	process, err := s.process(name, "site-controller", data, map[string]any{
-		"name": name, "zone": "z", "listen": at(ip, portPeers), "operator_listen": s.operator.Controllers[number],
-		"admin_listen": at(ip, portAdmin), "data_directory": data, "seeds": s.seeds(), "bootstrap": true,
+	process, err := s.newProcess(name, "site-controller", data, map[string]any{
+		"name": name, "zone": "z", "listen": hostPort(ip, portPeers), "operator_listen": s.operator.Controllers[number],
+		"admin_listen": hostPort(ip, portAdmin), "data_directory": data, "seeds": s.seeds(), "bootstrap": true,
 		"losses_borne": (s.options.Controllers - 1) / 2, "listing_address": s.list.Address(),
 	})
 	s.controllers = append(s.controllers, process)
@@ -156,11 +156,11 @@
 
 func (s *site) addRelay(number int) error {
 	name, ip := fmt.Sprint("front-", number+1), address(groupRelays, number)
-	relay := &relayProcess{front: at(ip, portOuter), ready: at(ip, portReady)}
+	relay := &relayProcess{front: hostPort(ip, portOuter), ready: hostPort(ip, portReady)}
 	var err error
-	relay.Process, err = s.process(name, "relay", "", map[string]any{
-		"name": name, "zone": "z", "listen": relay.front, "ready_listen": relay.ready, "notice_listen": at(ip, portPeers),
-		"admin_listen": at(ip, portAdmin), "controllers": s.seeds(), "controller_port": portPeers,
+	relay.Process, err = s.newProcess(name, "relay", "", map[string]any{
+		"name": name, "zone": "z", "listen": relay.front, "ready_listen": relay.ready, "notice_listen": hostPort(ip, portPeers),
+		"admin_listen": hostPort(ip, portAdmin), "controllers": s.seeds(), "controller_port": portPeers,
 		"listing_address": s.list.Address(), "grace": relayGrace.String(),
 		"retry_budget": map[string]any{"ratio": bounds.RetryRatio, "window": bounds.RetryWindow.String(), "slack": bounds.RetrySlack},
 	})
@@ -171,8 +171,8 @@
 // relayGrace is how long a stopping relay may take.
 const relayGrace = 4 * time.Second
 
-// process writes a process's settings file.
-func (s *site) process(name, server, data string, config map[string]any) (*fleet.Process, error) {
+// newProcess writes a newProcess's settings file.
+func (s *site) newProcess(name, server, data string, config map[string]any) (*fleet.Process, error) {
 	path := filepath.Join(s.options.Directory, name+".yaml")
 	content, err := yaml.Marshal(config)
 	if err != nil {
@@ -183,19 +183,21 @@
 	}
 	s.servers[name] = []string{server, "--settings", path}
 	process := fleet.NewProcess(name, "", nil, path, filepath.Join(s.options.Directory, name+".log"), data)
-	s.build(process, s.beginsWithOther())
+	s.chooseBuild(process, s.startsOnOtherBuild())
 	return process, nil
 }
 
-// beginsWithOther reports whether all processes are of the other build at first: every second seed is an upgrade.
-func (s *site) beginsWithOther() bool { return s.options.Other != "" && s.options.Seed%2 == 1 }
+// startsOnOtherBuild reports whether all processes are of the other build at first: every second seed is an upgrade.
+func (s *site) startsOnOtherBuild() bool {
+	return s.options.OtherProgram != "" && s.options.Seed%2 == 1
+}
 
-// build chooses the build of a process's next start.
-func (s *site) build(process *fleet.Process, other bool) {
+// chooseBuild chooses the chooseBuild of a process's next start.
+func (s *site) chooseBuild(process *fleet.Process, other bool) {
 	arguments := s.servers[process.Name]
 	switch {
 	case other:
-		process.Replace(s.options.Other, arguments)
+		process.Replace(s.options.OtherProgram, arguments)
 	case s.options.Program == "":
 		process.Replace("", append([]string{s.options.Serve}, arguments...))
 	default:
@@ -203,8 +205,8 @@
 	}
 }
 
-// startedBefore writes into a controller's settings that the fleet has started before.
-func startedBefore(process *fleet.Process) error {
+// disableBootstrap writes into a controller's settings that the fleet has started before.
+func disableBootstrap(process *fleet.Process) error {
 	content, err := os.ReadFile(process.SettingsPath)
 	if err != nil {
 		return trace.ConvertSystemError(err)
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -17,29 +17,29 @@
 	readyPause = 500 * time.Millisecond
 	// longestPause is the longest time between two attempts of a client.
 	longestPause = 60 * time.Millisecond
-	// leaving is the part of a client's attempts that it gives up.
-	leaving = 0.05
+	// abandonShare is the part of a client's attempts that it gives up.
+	abandonShare = 0.05
 	// poisonPause is the time between two attempts of a request that ends its back ends.
 	poisonPause = 300 * time.Millisecond
 )
 
-// entrance gives out relays that want connections, as the platform's does.
-type entrance struct {
-	site   *site
-	mutex  sync.Mutex
-	missed map[string]int
+// loadBalancer gives out relays that want connections, as the platform's does.
+type loadBalancer struct {
+	site         *site
+	mutex        sync.Mutex
+	missedProbes map[string]int
 }
 
-// watch asks all relays until the context ends.
-func (e *entrance) watch(ctx context.Context) {
+// probeRelays asks all relays until the context ends.
+func (e *loadBalancer) probeRelays(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, relay := range e.site.relays {
 			limited, cancel := context.WithTimeout(ctx, readyPause)
 			ready := standin.Ready(limited, relay.ready)
 			cancel()
 			e.mutex.Lock()
-			if e.missed[relay.Name]++; ready {
-				e.missed[relay.Name] = 0
+			if e.missedProbes[relay.Name]++; ready {
+				e.missedProbes[relay.Name] = 0
 			}
 			e.mutex.Unlock()
 		}
@@ -47,79 +47,79 @@
 	}
 }
 
-// pick picks a relay for a client's next connection.
-func (e *entrance) pick(random *rand.Rand) *relayProcess {
+// pickRelay picks a relay for a client's next connection.
+func (e *loadBalancer) pickRelay(random *rand.Rand) *relayProcess {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	var wanted []*relayProcess
+	var ready []*relayProcess
 	for _, relay := range e.site.relays {
-		if e.missed[relay.Name] < 2 {
-			wanted = append(wanted, relay)
+		if e.missedProbes[relay.Name] < 2 {
+			ready = append(ready, relay)
 		}
 	}
-	if 2*len(wanted) < len(e.site.relays) {
-		wanted = e.site.relays
+	if 2*len(ready) < len(e.site.relays) {
+		ready = e.site.relays
 	}
-	return wanted[random.IntN(len(wanted))]
+	return ready[random.IntN(len(ready))]
 }
 
 // traffic is all clients of a run.
 type traffic struct {
-	site     *site
-	entrance *entrance
-	running  sync.WaitGroup
+	site         *site
+	loadBalancer *loadBalancer
+	running      sync.WaitGroup
 }
 
 // start starts the clients, which send until the context ends.
 func (t *traffic) start(ctx context.Context) {
-	t.running.Go(func() { t.entrance.watch(ctx) })
+	t.running.Go(func() { t.loadBalancer.probeRelays(ctx) })
 	for number := range t.site.options.Clients {
-		t.running.Go(func() { t.client(ctx, number) })
+		t.running.Go(func() { t.runClient(ctx, number) })
 	}
 	for number := range t.site.options.Poisons {
-		t.running.Go(func() { t.poison(ctx, number) })
+		t.running.Go(func() { t.sendPoison(ctx, number) })
 	}
 }
 
-// client sends requests of all kinds, mostly to the relay that it was given, until that one is gone.
-func (t *traffic) client(ctx context.Context, number int) {
+// runClient sends requests of all kinds, mostly to the relay that it was given, until that one is gone.
+func (t *traffic) runClient(ctx context.Context, number int) {
 	random := rand.New(rand.NewPCG(t.site.options.Seed, uint64(number)))
 	client := standin.NewClient(t.site.recorder)
-	relay := t.entrance.pick(random)
+	relay := t.loadBalancer.pickRelay(random)
 	for count := 0; ctx.Err() == nil; count++ {
 		attempt := standin.Attempt{
 			ID: fmt.Sprintf("%04x%012x", number, count), Front: relay.Name, Address: relay.front,
 			Route: []string{standin.RoutePage, standin.RouteUnsafe, standin.RouteStream, standin.RouteOnce}[random.IntN(4)],
 		}
-		t.fill(&attempt, random)
+		t.drawContent(&attempt, random)
 		sent := client.Send(context.WithoutCancel(ctx), attempt)
 		if sent.Status == 0 && sent.ClosedAt == 0 || random.Float64() < 0.05 {
-			relay = t.entrance.pick(random)
+			relay = t.loadBalancer.pickRelay(random)
 		}
 		sleep(ctx, time.Duration(random.Int64N(int64(longestPause))))
 	}
 }
 
-// fill draws what an attempt carries.
-func (t *traffic) fill(attempt *standin.Attempt, random *rand.Rand) {
+// drawContent draws what an attempt carries.
+func (t *traffic) drawContent(attempt *standin.Attempt, random *rand.Rand) {
 	if attempt.Route != standin.RoutePage {
 		attempt.Body = fmt.Sprint("request ", random.Uint64())
 	}
 	if standin.Routes()[attempt.Route].Stream {
 		attempt.PromptTokens = 10 + random.IntN(8000)
 	}
-	if random.Float64() < leaving {
+	if random.Float64() < abandonShare {
 		attempt.LeaveAfter = time.Duration(1+random.IntN(80)) * time.Millisecond
 	}
 }
 
-// poison sends one request that ends its back ends again and again, at any relay.
-func (t *traffic) poison(ctx context.Context, number int) {
+// sendPoison sends one request that ends its back ends again and again, at any relay.
+func (t *traffic) sendPoison(ctx context.Context, number int) {
 	random := rand.New(rand.NewPCG(t.site.options.Seed, uint64(1000+number)))
 	client := standin.NewClient(t.site.recorder)
 	route := []string{standin.RouteStream, standin.RouteUnsafe, standin.RouteOnce}[number%3]
 	for count := 0; ctx.Err() == nil; count++ {
-		relay := t.entrance.pick(random)
+		relay := t.loadBalancer.pickRelay(random)
 		client.Send(context.WithoutCancel(ctx), standin.Attempt{
 			ID: fmt.Sprintf("dead%04x%08x", number, count), Route: route, Front: relay.Name, Address: relay.front,
 			Body: fmt.Sprint(standin.EndingBody, " ", number), PromptTokens: 100,
@@ -135,7 +135,7 @@
 	for ctx.Err() == nil {
 		sleep(ctx, time.Duration(300+random.IntN(1200))*time.Millisecond)
 		number += uint64(1 + random.IntN(3))
-		change := s.change(number, random)
+		change := s.drawChange(number, random)
 		s.operator.Put(ctx, change.Change, change.content, random.IntN(s.options.Controllers))
 		s.operator.Read(ctx, random.IntN(s.options.Controllers))
 	}
@@ -150,8 +150,8 @@
 	content string
 }
 
-// change draws a configuration: one in eight must never be taken.
-func (s *site) change(number uint64, random *rand.Rand) drawnChange {
+// drawChange draws a configuration: one in eight must never be taken.
+func (s *site) drawChange(number uint64, random *rand.Rand) drawnChange {
 	if random.IntN(8) == 0 {
 		return drawnChange{history.Change{Number: number, Invalid: true}, standin.Invalid(number)}
 	}
