--- a/internal/soak/check/backoff.go
+++ b/internal/soak/check/backoff.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// backoffSlack is how long after a back end has asked for rest requests may still reach it, and restArrivals how
-	// many may after that, until the rest is over.
+	// backoffSlack is how long after a back end has asked for backoff requests may still reach it. After that,
+	// toleratedBackoffArrivals requests are tolerated until the backoff ends.
 	backoffSlack             = 500 * time.Millisecond
 	toleratedBackoffArrivals = 2
 )
 
-// relayAndReplica is one relay at one start of a back end.
+// relayAndReplica identifies a relay and one incarnation of a back end.
 type relayAndReplica struct{ machine, replica string }
 
-// arrivalsByRelayAndReplica are the arrivals that each relay sent to each start of a back end.
+// arrivalsByRelayAndReplica returns the arrivals that each relay sent to each incarnation of a back end.
 func arrivalsByRelayAndReplica(seen *history.History) map[relayAndReplica][]history.Arrival {
 	arrivals := map[relayAndReplica][]history.Arrival{}
 	for _, arrival := range seen.Arrivals {
@@ -28,8 +28,8 @@
 	return arrivals
 }
 
-// sentDuringBackoff finds back ends that had asked a relay for rest and got more than two requests of it meanwhile. A relay that
-// was struck, or cut off from the back end, need not know.
+// sentDuringBackoff finds back ends that received more than two requests from a relay while they were in backoff for
+// it. A relay that had a fault, or was cut off from the back end, may not know of the backoff and is left out.
 func sentDuringBackoff(seen *history.History) []Finding {
 	var findings []Finding
 	for at, arrivals := range arrivalsByRelayAndReplica(seen) {
@@ -43,7 +43,7 @@
 					continue
 				}
 				if count++; count == toleratedBackoffArrivals+1 && !seen.WasDisturbed(asked.At, arrival.At, at.machine, at.replica) {
-					findings = append(findings, newFinding(Budget, arrival.At, "%s had asked %s for %s of rest at %.3f s, and got %d requests of it meanwhile", at.replica, at.machine, asked.Rest, asked.EndedAt.Seconds(), count))
+					findings = append(findings, newFinding(Budget, arrival.At, "%s had asked %s for %s of backoff at %.3f s and received %d requests from it before the end", at.replica, at.machine, asked.Rest, asked.EndedAt.Seconds(), count))
 				}
 			}
 		}
--- a/internal/soak/check/budget.go
+++ b/internal/soak/check/budget.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// crashesAllowed is how many back ends one request may end, retriesAllowed how often it may reach
-	// others after that.
+	// crashesAllowed is how many back ends one request may crash, retriesAllowed how many further back ends it may reach
+	// after that.
 	crashesAllowed = 3
 	retriesAllowed = 3
 	// toleratedOverAttempts is how many requests may run on more back ends than their route allows.
 	toleratedOverAttempts = 3
 )
 
-// overCrashLimit finds requests that reach back ends though three have ended under them.
+// overCrashLimit finds requests that reach further back ends although three have crashed under them.
 func overCrashLimit(seen *history.History) []Finding {
 	contents := map[string]string{}
 	for _, sending := range seen.Sendings {
@@ -45,8 +45,8 @@
 	return findings
 }
 
-// overAttemptLimit finds requests that ran on more back ends than their route allows. Back ends that ended
-// meanwhile are left out.
+// overAttemptLimit finds requests that ran on more back ends than their route allows. Back ends that crashed under the
+// request do not count.
 func overAttemptLimit(seen *history.History) []Finding {
 	arrivals := arrivalsByID(seen)
 	var findings []Finding
@@ -68,7 +68,7 @@
 	return findings
 }
 
-// overRetryBudget finds windows with more sendings beyond the first than the budget.
+// overRetryBudget finds time windows with more attempts beyond the first of each request than the retry budget allows.
 func overRetryBudget(seen *history.History) []Finding {
 	window := seen.Bounds.RetryWindow
 	if window <= 0 {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// sentBetween counts the attempts of clients in a span.
+// sentBetween counts the attempts that clients sent after from and not later than to.
 func sentBetween(seen *history.History, from, to time.Duration) int {
 	count := 0
 	for _, sending := range seen.Sendings {
--- a/internal/soak/check/check_test.go
+++ b/internal/soak/check/check_test.go
@@ -12,32 +12,32 @@
 
 const second = time.Second
 
-// rows are histories that break a rule, or just do not.
+// rows are histories that break one rule, or that come close to it and break none.
 var rows = []struct {
 	name   string
-	rule   Rule // empty for none
+	rule   Rule // the rule that is broken; empty for none
 	change func(*history.History)
 }{
-	{"a whole answer of its own back end", "", func(h *history.History) {
+	{"a complete response of the request's back end", "", func(h *history.History) {
 		h.Sendings = []history.Sending{request("1", "safe", 0)}
 		h.Arrivals = []history.Arrival{ranAt("1", "x", 0)}
 	}},
-	{"the answer to another request", Mixed, func(h *history.History) {
+	{"the response to another request", Mixed, func(h *history.History) {
 		h.Sendings = []history.Sending{changedSending(request("1", "safe", 0), func(s *history.Sending) { s.AnswerID = "2" })}
 		h.Arrivals = []history.Arrival{ranAt("1", "x", 0)}
 	}},
 	{"a success without a seal", Mixed, func(h *history.History) {
 		h.Sendings = []history.Sending{changedSending(request("1", "safe", 0), func(s *history.Sending) { s.Seal = "" })}
 	}},
-	{"a body that no back end made", Mixed, func(h *history.History) {
+	{"a body that no back end returned", Mixed, func(h *history.History) {
 		h.Sendings = []history.Sending{changedSending(request("1", "safe", 0), func(s *history.Sending) { s.Body = "other" })}
 		h.Arrivals = []history.Arrival{ranAt("1", "x", 0)}
 	}},
-	{"a failure with another status than its back end's", Mixed, func(h *history.History) {
+	{"a failure whose status differs from the back end's", Mixed, func(h *history.History) {
 		h.Sendings = []history.Sending{changedSending(request("1", "safe", 0), func(s *history.Sending) { s.Status = 500 })}
 		h.Arrivals = []history.Arrival{ranAt("1", "x", 0)}
 	}},
-	{"an answer that breaks off", "", func(h *history.History) {
+	{"a response that breaks off", "", func(h *history.History) {
 		h.Sendings = []history.Sending{changedSending(request("1", "safe", 0), func(s *history.Sending) { s.Body, s.Whole = "ot", false })}
 		h.Arrivals = []history.Arrival{ranAt("1", "x", 0)}
 	}},
@@ -53,104 +53,104 @@
 		h.Sendings = []history.Sending{request("1", "unsafe", 0)}
 		h.Arrivals = []history.Arrival{changedArrival(ranAt("1", "x", 0), func(a *history.Arrival) { a.Ran, a.Status = false, 503 }), ranAt("1", "y", second)}
 	}},
-	{"refused as not run, and it ran", Refused, func(h *history.History) {
+	{"a refusal that promises not run, and it ran", Refused, func(h *history.History) {
 		h.Sendings = []history.Sending{changedSending(request("1", "unsafe", 0), func(s *history.Sending) { s.Status, s.Seal = 503, "" })}
 		h.Arrivals = []history.Arrival{ranAt("1", "x", 5*second)}
 	}},
-	{"failed without a promise, and it ran", "", func(h *history.History) {
+	{"a failure without that promise, and it ran", "", func(h *history.History) {
 		h.Sendings = []history.Sending{changedSending(request("1", "unsafe", 0), func(s *history.Sending) { s.Status, s.Seal = 502, "" })}
 		h.Arrivals = []history.Arrival{ranAt("1", "x", 0)}
 	}},
-	{"a request that nobody sent", Unasked, func(h *history.History) { h.Arrivals = []history.Arrival{ranAt("1", "x", 0)} }},
+	{"a request that no client sent", Unasked, func(h *history.History) { h.Arrivals = []history.Arrival{ranAt("1", "x", 0)} }},
 	{"a request with another body", Unasked, func(h *history.History) {
 		h.Sendings = []history.Sending{request("1", "safe", 0)}
 		h.Arrivals = []history.Arrival{changedArrival(ranAt("1", "x", 0), func(a *history.Arrival) { a.BodyHash = "other" })}
 	}},
-	{"a whole stream", "", streamOf("id: 1\ndata: x a\n\nid: 2\ndata: x end\n\n", "stream", true)},
-	{"a stream that lacks an event", Order, streamOf("id: 1\ndata: x a\n\nid: 3\ndata: x end\n\n", "stream", true)},
+	{"a complete stream", "", streamOf("id: 1\ndata: x a\n\nid: 2\ndata: x end\n\n", "stream", true)},
+	{"a stream with a missing event", Order, streamOf("id: 1\ndata: x a\n\nid: 3\ndata: x end\n\n", "stream", true)},
 	{"a stream with an event twice", Order, streamOf("id: 1\ndata: x a\n\nid: 1\ndata: x a\n\nid: 2\ndata: x end\n\n", "stream", true)},
-	{"a stream that ends too early as whole", Order, streamOf("id: 1\ndata: x a\n\n", "stream", true)},
-	{"a stream that is cut", "", streamOf("id: 1\ndata: x a\n\nid: 2\nda", "stream", false)},
-	{"two runs joined where that is allowed", "", streamOf("id: 1\ndata: x a\n\nid: 2\ndata: y end\n\n", "stream", true)},
-	{"two runs joined where it is not", Order, streamOf("id: 1\ndata: x a\n\nid: 2\ndata: y end\n\n", "once", true)},
-	{"three back ends end, and three retries reach others later", "", func(h *history.History) {
+	{"a stream that ends as complete too early", Order, streamOf("id: 1\ndata: x a\n\n", "stream", true)},
+	{"a stream that is cut off", "", streamOf("id: 1\ndata: x a\n\nid: 2\nda", "stream", false)},
+	{"a stream of two runs on a resumable route", "", streamOf("id: 1\ndata: x a\n\nid: 2\ndata: y end\n\n", "stream", true)},
+	{"a stream of two runs on another route", Order, streamOf("id: 1\ndata: x a\n\nid: 2\ndata: y end\n\n", "once", true)},
+	{"three crashes, then three retries", "", func(h *history.History) {
 		crashes(h, 3, 0, second)
 		crashes(h, 3, 10*second, second)
 	}},
-	{"a fourth retry", Budget, func(h *history.History) {
+	{"three crashes, then four retries", Budget, func(h *history.History) {
 		crashes(h, 3, 0, second)
 		crashes(h, 4, 10*second, second)
 	}},
-	{"many at once, before anybody can know", "", func(h *history.History) {
+	{"many crashes at once, before relays can know", "", func(h *history.History) {
 		h.Bounds.RetryWindow = 0
 		crashes(h, 12, 0, second/10)
 	}},
-	{"a fourth retry by a relay that was killed just before", "", func(h *history.History) {
+	{"four retries by a relay that was just killed", "", func(h *history.History) {
 		crashes(h, 3, 0, second)
 		crashes(h, 4, 10*second, second/2)
 		h.Faults = []history.Fault{{Kind: history.Kill, Target: "front", From: 9 * second, To: 9 * second}}
 	}},
-	{"four retries while the controllers are away", "", func(h *history.History) {
+	{"four retries while the controllers are frozen", "", func(h *history.History) {
 		crashes(h, 3, 0, second)
 		crashes(h, 4, 10*second, second/2)
 		h.Faults = []history.Fault{{Kind: history.Freeze, Target: "core", From: 9 * second, To: 13 * second}}
 	}},
 	{"requests on more back ends than their route allows", Budget, onThreeBackEnds(4)},
-	{"few of them", "", onThreeBackEnds(3)},
-	{"more sendings beyond the first than the budget", Budget, func(h *history.History) { addRetriedRequests(h, 8, second/10) }},
-	{"as many over a longer time", "", func(h *history.History) { addRetriedRequests(h, 8, 3*second) }},
-	{"two holders with one token", One, ordersOf(history.Order{Holder: "a", Fence: 1}, history.Order{Holder: "b", Fence: 1, At: 9 * second})},
+	{"tolerated requests on more back ends", "", onThreeBackEnds(3)},
+	{"more retries than the budget allows", Budget, func(h *history.History) { addRetriedRequests(h, 8, second/10) }},
+	{"as many retries over a longer time", "", func(h *history.History) { addRetriedRequests(h, 8, 3*second) }},
+	{"two holders with the same token", One, ordersOf(history.Order{Holder: "a", Fence: 1}, history.Order{Holder: "b", Fence: 1, At: 9 * second})},
 	{"a lower token after a higher one", One, ordersOf(history.Order{Holder: "a", Fence: 2}, history.Order{Holder: "b", Fence: 1, At: 9 * second})},
-	{"holders that take turns", One, ordersOf(history.Order{Holder: "a", Fence: 1}, history.Order{Holder: "b", Fence: 2, At: second}, history.Order{Holder: "a", Fence: 3, At: 2 * second})},
-	{"holders that take turns after the lease", "", ordersOf(history.Order{Holder: "a", Fence: 1}, history.Order{Holder: "b", Fence: 2, At: 4 * second}, history.Order{Holder: "a", Fence: 3, At: 8 * second})},
+	{"holders that alternate within the lease", One, ordersOf(history.Order{Holder: "a", Fence: 1}, history.Order{Holder: "b", Fence: 2, At: second}, history.Order{Holder: "a", Fence: 3, At: 2 * second})},
+	{"holders that alternate after the lease", "", ordersOf(history.Order{Holder: "a", Fence: 1}, history.Order{Holder: "b", Fence: 2, At: 4 * second}, history.Order{Holder: "a", Fence: 3, At: 8 * second})},
 	{"a successor", "", ordersOf(history.Order{Holder: "a", Fence: 1}, history.Order{Holder: "b", Fence: 2, At: second}, history.Order{Holder: "b", Fence: 2, At: 2 * second})},
-	{"a planned stop cuts a request", Lost, cutBy(history.Terminate, "front")},
-	{"a kill cuts a request", "", cutBy(history.Kill, "front")},
-	{"a planned stop of another relay", "", cutBy(history.Terminate, "other")},
-	{"a stopping relay that closes its port on a request", Lost, unanswered(history.Terminate, "front", second/100)},
-	{"one that is not connected", "", func(h *history.History) {
+	{"a planned stop cuts off a request", Lost, cutBy(history.Terminate, "front")},
+	{"a kill cuts off a request", "", cutBy(history.Kill, "front")},
+	{"a request cut off during a planned stop of another relay", "", cutBy(history.Terminate, "other")},
+	{"a stopping relay that closes a connection without a response", Lost, unanswered(history.Terminate, "front", second/100)},
+	{"no response without a connection to a stopping relay", "", func(h *history.History) {
 		unanswered(history.Terminate, "front", second/100)(h)
 		h.Sendings[0].Connected = false
 	}},
-	{"one that is killed", "", unanswered(history.Kill, "front", second/100)},
-	{"one beside another that stops", "", unanswered(history.Terminate, "other", second/100)},
-	{"one that is asked to read its settings again", Lost, func(h *history.History) {
+	{"no response from a relay that is killed", "", unanswered(history.Kill, "front", second/100)},
+	{"no response while another relay stops", "", unanswered(history.Terminate, "other", second/100)},
+	{"no response from a stopping relay that also reloads its settings", Lost, func(h *history.History) {
 		unanswered(history.Terminate, "front", second/100)(h)
 		h.Faults = append(h.Faults, history.Fault{Kind: history.Reload, Target: "front", From: 5 * second, To: 5 * second})
 	}},
-	{"one that stands still as it stops", "", func(h *history.History) {
+	{"no response from a stopping relay that freezes", "", func(h *history.History) {
 		unanswered(history.Terminate, "front", second/100)(h)
 		h.Faults = append(h.Faults, history.Fault{Kind: history.Freeze, Target: "front", From: 5 * second, To: 6 * second})
 	}},
-	{"one of another build", "", func(h *history.History) {
+	{"no response from a stopping relay of another build", "", func(h *history.History) {
 		unanswered(history.Terminate, "front", second/100)(h)
 		h.Faults[0].OtherBuild = true
 	}},
-	{"what a stopping relay gives up at the end of its grace", "", unanswered(history.Terminate, "front", 4*second)},
+	{"a request that a stopping relay aborts at the end of its grace", "", unanswered(history.Terminate, "front", 4*second)},
 	{"a configuration that is gone at the end", Lost, func(h *history.History) {
 		h.Changes = []history.Change{{Number: 7, SentAt: second, AckedAt: 2 * second}}
 		h.Reads = []history.Read{{SentAt: 3 * second, At: 3 * second, Status: 200, Number: 5}}
 	}},
-	{"new work long after a back end was listed as leaving", Drain, listedAsLeaving(4 * second)},
-	{"new work soon after", "", listedAsLeaving(2 * second)},
-	{"a request at the service of an older configuration", Config, reconfigured(5 * second)},
-	{"a request before the new one must be in force", "", reconfigured(3 * second)},
+	{"a request long after a back end was listed as leaving", Drain, listedAsLeaving(4 * second)},
+	{"a request soon after a back end was listed as leaving", "", listedAsLeaving(2 * second)},
+	{"a request to the service of an older configuration", Config, reconfigured(5 * second)},
+	{"a request before the new configuration must be applied", "", reconfigured(3 * second)},
 	{"an old configuration is read", Config, func(h *history.History) {
 		h.Changes = []history.Change{{Number: 7, SentAt: second, AckedAt: second}}
 		h.Reads = []history.Read{{SentAt: 4 * second, At: 4 * second, Status: 200, Number: 5}, {SentAt: 5 * second, At: 5 * second, Status: 200, Number: 7}}
 	}},
-	{"an invalid configuration is taken", Config, func(h *history.History) {
+	{"an invalid configuration is acknowledged", Config, func(h *history.History) {
 		h.Changes = []history.Change{{Number: 7, SentAt: second, AckedAt: second, Invalid: true}}
 		h.Reads = []history.Read{{SentAt: 2 * second, At: 2 * second, Status: 200, Number: 7}}
 	}},
-	{"requests that outlast their time without an answer", Config, outlastingBy(2 * second)},
-	{"requests that end with their time", "", outlastingBy(second)},
-	{"requests whose relay freezes just after it took them", "", func(h *history.History) {
+	{"requests without a response long after their timeout", Config, outlastingBy(2 * second)},
+	{"requests that end at their timeout", "", outlastingBy(second)},
+	{"requests whose relay freezes just after it received them", "", func(h *history.History) {
 		outlastingBy(4 * second)(h)
 		h.Faults = []history.Fault{{Kind: history.Freeze, Target: "front", From: second / 10, To: 4 * second}}
 	}},
-	{"back ends work on for clients that have left", Gone, abandoned(2 * second)},
-	{"back ends stop soon", "", abandoned(second / 4)},
+	{"back ends keep working for clients that have left", Gone, abandoned(2 * second)},
+	{"back ends stop soon after clients have left", "", abandoned(second / 4)},
 	{"requests reach back ends after their clients have left", Gone, func(h *history.History) {
 		for number := range 5 {
 			id := fmt.Sprint(number)
@@ -158,54 +158,54 @@
 			h.Arrivals = append(h.Arrivals, ranAt(id, "x", 2*second))
 		}
 	}},
-	{"three requests in a rest that was asked for", Budget, inBackoff(3, 2*second/3, "front")},
-	{"two of them", "", inBackoff(2, 2*second/3, "front")},
-	{"three within the first half second", "", inBackoff(3, second/10, "front")},
-	{"three after the rest", "", inBackoff(3, 4*second, "front")},
-	{"three of a relay that was not asked", "", inBackoff(3, 2*second/3, "other")},
-	{"three of a relay that was killed meanwhile", "", func(h *history.History) {
+	{"three requests to a back end in backoff", Budget, inBackoff(3, 2*second/3, "front")},
+	{"two requests to a back end in backoff", "", inBackoff(2, 2*second/3, "front")},
+	{"three requests just after backoff was asked for", "", inBackoff(3, second/10, "front")},
+	{"three requests after the backoff", "", inBackoff(3, 4*second, "front")},
+	{"three requests from a relay that was not asked for backoff", "", inBackoff(3, 2*second/3, "other")},
+	{"three requests during backoff from a relay that was killed", "", func(h *history.History) {
 		inBackoff(3, 2*second/3, "front")(h)
 		h.Faults = []history.Fault{{Kind: history.Kill, Target: "front", From: second / 2, To: second / 2}}
 	}},
-	{"three by a relay that only read its settings again", Budget, func(h *history.History) {
+	{"three requests during backoff from a relay that only reloaded", Budget, func(h *history.History) {
 		inBackoff(3, 2*second/3, "front")(h)
 		h.Faults = []history.Fault{{Kind: history.Reload, Target: "front", From: second / 2, To: second / 2}}
 	}},
-	{"new work long after a back end said that it leaves", Drain, saidToLeave(4*second, "front")},
-	{"new work soon after that", "", saidToLeave(2*second, "front")},
-	{"new work from a relay that was not told", "", saidToLeave(4*second, "other")},
-	{"new work from a relay that was frozen since", "", func(h *history.History) {
+	{"a request long after a back end announced that it leaves", Drain, saidToLeave(4*second, "front")},
+	{"a request soon after a back end announced that it leaves", "", saidToLeave(2*second, "front")},
+	{"a request from a relay that did not receive the announcement", "", saidToLeave(4*second, "other")},
+	{"a request from a relay that was frozen since", "", func(h *history.History) {
 		saidToLeave(4*second, "front")(h)
 		h.Faults = []history.Fault{{Kind: history.Freeze, Target: "front", From: 2 * second, To: 3 * second}}
 	}},
 	{"more requests than a limit allows", Limit, limited(1, 5, 13, "front", "other")},
-	{"as many as it allows", "", limited(1, 5, 8, "front", "other")},
-	{"more, of relays that were not told", "", limited(1, 5, 13, "front", "front")},
-	{"more, soon after it was named", "", limited(1, second.Seconds(), 13, "front", "other")},
-	{"more, of a relay that was killed since", "", func(h *history.History) {
+	{"as many requests as a limit allows", "", limited(1, 5, 8, "front", "other")},
+	{"more requests from relays that did not receive the limit", "", limited(1, 5, 13, "front", "front")},
+	{"more requests soon after the limit was announced", "", limited(1, second.Seconds(), 13, "front", "other")},
+	{"more requests from a relay that was killed since", "", func(h *history.History) {
 		limited(1, 5, 13, "front", "other")(h)
 		for _, front := range []string{"front", "other"} {
 			h.Faults = append(h.Faults, history.Fault{Kind: history.Kill, Target: front, From: 3 * second, To: 3 * second})
 		}
 	}},
-	{"more, once none is named any more", "", func(h *history.History) {
+	{"more requests after the limit was withdrawn", "", func(h *history.History) {
 		limited(1, 5, 13, "front", "other")(h)
 		h.Limits = append(h.Limits, history.Limit{Replica: "x", At: 4 * second})
 	}},
-	{"more, while the limit was larger", "", func(h *history.History) {
+	{"more requests while the limit was larger", "", func(h *history.History) {
 		limited(1, 5, 13, "front", "other")(h)
 		h.Limits = append(h.Limits, history.Limit{Replica: "x", At: 3 * second, Named: true, PerSecond: 6})
 	}},
-	{"as many as a larger limit allowed before", Limit, func(h *history.History) {
+	{"as many requests as a larger limit allowed before", Limit, func(h *history.History) {
 		limited(6, 9, 14, "front", "other")(h)
 		h.Limits = append(h.Limits, history.Limit{Replica: "x", At: 4 * second, Named: true, PerSecond: 1})
 	}},
-	{"a request at a place that only another writer names", Route, func(h *history.History) {
+	{"a request to an address that only another writer lists", Route, func(h *history.History) {
 		h.Sendings = []history.Sending{request("1", "safe", 0)}
 		h.Arrivals = []history.Arrival{ranAt("1", "x", 0), changedArrival(ranAt("1", "odd", 0), func(a *history.Arrival) { a.Service, a.Ran = history.NoService, false })}
 	}},
 	{"nothing is served after the last fault", Recover, recovering(0)},
-	{"a third is served", "", recovering(3)},
+	{"three of ten requests are served after the last fault", "", recovering(3)},
 }
 
 func TestEachRowBreaksOnlyItsRule(t *testing.T) {
--- a/internal/soak/check/config.go
+++ b/internal/soak/check/config.go
@@ -6,15 +6,16 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// minLateAnswers is how many requests may get their final answer later than half a second after their time.
+// minLateAnswers is the number of requests without a final response at answerSlack after their timeout from which the
+// share of such requests counts.
 const (
 	minLateAnswers = 8
 	answerSlack    = 500 * time.Millisecond
 )
 
-// config finds requests that relays in touch handled as only an older configuration allows, readings that
-// are older than what was acknowledged, invalid configurations that were taken, and requests that
-// outlast their route's time.
+// config finds requests that relays in contact handled as only an older configuration allows, reads that return an
+// older configuration than was acknowledged, invalid configurations that were accepted, and requests that outlast
+// their route's timeout.
 func config(seen *history.History) []Finding {
 	findings := onReplacedServices(seen)
 	for _, read := range seen.Reads {
@@ -30,7 +31,7 @@
 	return append(findings, overdueAnswers(seen)...)
 }
 
-// onReplacedServices finds arrivals at a service that only an older configuration names.
+// onReplacedServices finds requests that ran on a service that only an older configuration names.
 func onReplacedServices(seen *history.History) []Finding {
 	sent := sendingsByID(seen)
 	var findings []Finding
@@ -41,14 +42,14 @@
 		}
 		allowed := servicesOf(seen, sending)
 		if len(allowed) > 0 && !allowed[arrival.Service] {
-			findings = append(findings, newFinding(Config, arrival.At, "request %s of %s ran at service %s, which was replaced before", arrival.ID, sending.Route, arrival.Service))
+			findings = append(findings, newFinding(Config, arrival.At, "request %s of %s ran on service %s, which had been replaced before", arrival.ID, sending.Route, arrival.Service))
 		}
 	}
 	return findings
 }
 
-// servicesOf are the services to which a request may go: by the newest configuration that must be in
-// force when it was sent, and by all that were sent before it ended.
+// servicesOf returns the services to which a request may be routed: that of the newest configuration that must be
+// applied when it was sent, and those of all newer ones that were submitted before it ended.
 func servicesOf(seen *history.History, sending history.Sending) map[string]bool {
 	must := newestAcked(seen, sending.SentAt-seen.Bounds.ConfigApply)
 	allowed := map[string]bool{}
@@ -60,7 +61,7 @@
 	return allowed
 }
 
-// overdueAnswers finds requests without a final answer half a second after their route's time.
+// overdueAnswers finds requests without a final response half a second after their route's timeout.
 func overdueAnswers(seen *history.History) []Finding {
 	late, asked := 0, 0
 	var last time.Duration
@@ -78,7 +79,7 @@
 		}
 	}
 	if late >= minLateAnswers && 4*late > asked {
-		return []Finding{newFinding(Config, last, "%d of %d requests that outlast their route's time got no final answer half a second after it", late, asked)}
+		return []Finding{newFinding(Config, last, "%d of %d requests that outlast their route's timeout got no final response half a second after it", late, asked)}
 	}
 	return nil
 }
--- a/internal/soak/check/drain.go
+++ b/internal/soak/check/drain.go
@@ -6,7 +6,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// drain finds requests that relays in touch sent to a back end later than allowed after it was listed as
+// drain finds requests that relays in contact sent to a back end later than the drain bound after it was listed as
 // leaving.
 func drain(seen *history.History) []Finding {
 	leftAt := map[string]time.Duration{}
--- a/internal/soak/check/finding.go
+++ b/internal/soak/check/finding.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// Rule names a rule.
+// Rule is the name of a rule.
 type Rule string
 
 // Rules.
@@ -30,32 +30,32 @@
 	Limit   Rule = "LIMIT"
 )
 
-// Finding is a rule that was broken.
+// Finding is one violation of a rule.
 type Finding struct {
 	Rule Rule
 	At   time.Duration
 	Text string
 }
 
-// String writes the finding on a line.
+// String formats the finding on one line.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s at %.3f s: %s", f.Rule, f.At.Seconds(), f.Text)
 }
 
-// checker looks for one rule.
+// checker finds the violations of one rule.
 type checker func(*history.History) []Finding
 
-// safety are the rules that hold whatever happens and however slow the machine is; timed those with a
-// time bound.
+// safety holds the checkers of rules that hold at any speed of the machine, timed those of rules with a time
+// bound.
 var (
 	safety = []checker{mixed, twice, refused, unasked, order, overAttemptLimit, one, atUnknownPlaces, unansweredByStopping}
 	timed  = []checker{lost, drain, config, gone, recovered, overCrashLimit, overRetryBudget, sentDuringBackoff, sentAfterLeavingAnswer, limits}
 )
 
-// Safety finds broken rules that hang on no time.
+// Safety returns the violations of rules without time bounds, sorted by time.
 func Safety(seen *history.History) []Finding { return run(safety, seen) }
 
-// All finds every broken rule.
+// All returns the violations of all rules, sorted by time.
 func All(seen *history.History) []Finding { return run(append(slices.Clone(safety), timed...), seen) }
 
 func run(checkers []checker, seen *history.History) []Finding {
@@ -66,12 +66,12 @@
 	return slices.SortedStableFunc(slices.Values(findings), func(a, b Finding) int { return cmp.Compare(a.At, b.At) })
 }
 
-// newFinding makes a finding.
+// newFinding returns a finding with a formatted text.
 func newFinding(rule Rule, at time.Duration, format string, arguments ...any) Finding {
 	return Finding{Rule: rule, At: at, Text: fmt.Sprintf(format, arguments...)}
 }
 
-// sendingsByID are the attempts by their identities.
+// sendingsByID returns the attempts by request identity.
 func sendingsByID(seen *history.History) map[string]history.Sending {
 	sendings := make(map[string]history.Sending, len(seen.Sendings))
 	for _, sending := range seen.Sendings {
@@ -80,7 +80,7 @@
 	return sendings
 }
 
-// arrivalsByID are the arrivals of each request.
+// arrivalsByID returns the arrivals by request identity.
 func arrivalsByID(seen *history.History) map[string][]history.Arrival {
 	arrivals := map[string][]history.Arrival{}
 	for _, arrival := range seen.Arrivals {
--- a/internal/soak/check/gone.go
+++ b/internal/soak/check/gone.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// goneSlack is how long after a client has left its request may still reach back ends, and how long
-	// these may work on it.
+	// goneSlack is how long after a client has left its request may still reach back ends, and how long back ends may
+	// still work on it.
 	goneSlack = 500 * time.Millisecond
-	// toleratedGoneArrivals is how many requests may reach back ends later than that.
+	// toleratedGoneArrivals is how many requests may reach back ends after goneSlack.
 	toleratedGoneArrivals = 3
-	// goneMinSample is from how many requests on the share counts that is still worked on.
+	// goneMinSample is the number of requests that outlast their clients from which the share still worked on counts.
 	goneMinSample = 8
 )
 
-// gone finds requests of clients that have left: some that reach back ends half a second later, or more
-// than a quarter of those that would last so long still being worked on.
+// gone finds requests whose clients have left and that reach back ends more than half a second later. It also reports
+// when back ends still work, half a second later, on more than a quarter of the requests that outlast their clients.
 func gone(seen *history.History) []Finding {
 	left := map[string]history.Sending{}
 	for _, sending := range seen.Sendings {
--- a/internal/soak/check/histories_test.go
+++ b/internal/soak/check/histories_test.go
@@ -7,7 +7,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// historyWith is a history with the usual bounds and routes, changed by a row of a table.
+// historyWith returns a history with the default bounds and routes, changed by a row of the table.
 func historyWith(change func(*history.History)) *history.History {
 	created := &history.History{
 		Bounds: history.Bounds{
@@ -26,7 +26,7 @@
 	return created
 }
 
-// request is an attempt with the usual answer.
+// request returns an attempt with a successful response.
 func request(id, route string, at time.Duration) history.Sending {
 	return history.Sending{
 		ID: id, Content: "c-" + id, Route: route, Method: "GET", Target: "/", Front: "front", SentAt: at, EndedAt: at + second/10,
@@ -34,7 +34,7 @@
 	}
 }
 
-// ranAt is a back end's run of a request.
+// ranAt returns a back end's run of a request, with the same response.
 func ranAt(id, replica string, at time.Duration) history.Arrival {
 	return history.Arrival{
 		ID: id, Replica: replica, Service: "a", Machine: "front", At: at, Method: "GET", Target: "/", Ran: true, EndedAt: at + second/10,
@@ -42,13 +42,13 @@
 	}
 }
 
-// changedSending changes a request.
+// changedSending returns a changed attempt.
 func changedSending(sending history.Sending, change func(*history.Sending)) history.Sending {
 	change(&sending)
 	return sending
 }
 
-// changedArrival changes a run.
+// changedArrival returns a changed arrival.
 func changedArrival(arrival history.Arrival, change func(*history.Arrival)) history.Arrival {
 	change(&arrival)
 	return arrival
@@ -56,7 +56,7 @@
 
 func setCrashed(arrival *history.Arrival) { arrival.Crashed, arrival.Status = true, 0 }
 
-// crashes are runs of one request under identities of their own, each of which ends its back end.
+// crashes adds attempts of one request under different identities, each of which crashes its back end.
 func crashes(recorded *history.History, count int, from, step time.Duration) {
 	for number := range count {
 		id := fmt.Sprint("poison-", len(recorded.Sendings))
@@ -108,7 +108,7 @@
 	}
 }
 
-// unanswered is a request that got no answer, so long after something was done to a relay.
+// unanswered returns a history in which a request ends without a response, at a given time after a fault.
 func unanswered(kind history.FaultKind, target string, after time.Duration) func(*history.History) {
 	return func(h *history.History) {
 		cutBy(kind, target)(h)
@@ -128,7 +128,8 @@
 	}
 }
 
-// inBackoff is a back end that asks the relay for three seconds of rest, and gets further requests from a time on.
+// inBackoff returns a history in which a back end asks the relay "front" for three seconds of backoff and then receives
+// further requests from the given relay, starting at the given time.
 func inBackoff(count int, after time.Duration, front string) func(*history.History) {
 	return func(h *history.History) {
 		h.Bounds.RetryWindow = 0
@@ -145,8 +146,8 @@
 	}
 }
 
-// limited is a back end that names a limit, tells some relays, and gets requests of two relays from a time on, in seconds:
-// three times within a second each of them, the rest spread over that second.
+// limited returns a history in which a back end announces a limit to some relays and, from a time in seconds on,
+// receives requests from two relays, spread evenly over one second.
 func limited(perSecond, after float64, count int, informed ...string) func(*history.History) {
 	return func(h *history.History) {
 		h.Bounds.RetryWindow = 0
@@ -167,7 +168,7 @@
 	}
 }
 
-// saidToLeave is a back end that says that it leaves, and gets a request some time after.
+// saidToLeave returns a history in which a back end announces that it leaves and receives a request some time later.
 func saidToLeave(after time.Duration, front string) func(*history.History) {
 	return func(h *history.History) {
 		h.Sendings = []history.Sending{request("1", "safe", second), changedSending(request("2", "safe", second+after), func(s *history.Sending) { s.Front = front })}
--- a/internal/soak/check/leaving.go
+++ b/internal/soak/check/leaving.go
@@ -6,9 +6,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// sentAfterLeavingAnswer finds requests that a relay sent to a back end though their clients sent them later than allowed after
-// the relay had passed on an answer which said that the back end leaves. Relays that were killed, stopped or frozen
-// since need not know.
+// sentAfterLeavingAnswer finds requests that a relay sent to a back end although it had forwarded a response in which
+// the back end announced that it leaves. Only requests that clients sent later than the drain bound after that response
+// count. Relays that were killed, stopped or frozen since are left out, as they may have lost the announcement.
 func sentAfterLeavingAnswer(seen *history.History) []Finding {
 	sent := sendingsByID(seen)
 	var findings []Finding
@@ -25,7 +25,7 @@
 			if informedAt == 0 || sending.SentAt <= informedAt+seen.Bounds.Drain || arrival.Status == 421 || seen.WasDisturbed(informedAt, arrival.At, at.machine) {
 				continue
 			}
-			findings = append(findings, newFinding(Drain, arrival.At, "request %s reached %s from %s, which had passed on %s before that it leaves", arrival.ID, at.replica, at.machine, sending.SentAt-informedAt))
+			findings = append(findings, newFinding(Drain, arrival.At, "request %s reached %s from %s, which had forwarded %s before that the back end leaves", arrival.ID, at.replica, at.machine, sending.SentAt-informedAt))
 		}
 	}
 	return findings
--- a/internal/soak/check/limit.go
+++ b/internal/soak/check/limit.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// limitWindow is the span over which a back end's limit is looked at. In it limitSlack requests more than limitShare
-	// of what the limit allows may come.
+	// limitWindow is the time window over which a back end's limit is checked. In each window, limitShare times the limit
+	// plus limitSlack requests may arrive.
 	limitWindow = 4 * time.Second
 	limitShare  = 1.5
 	limitSlack  = 5
-	// limitInformedAfter is how long after a relay has passed on an answer that names a limit its requests count.
+	// limitInformedAfter is how long after a relay has forwarded a response that announces a limit its requests count.
 	limitInformedAfter = 500 * time.Millisecond
-	// limitLoweredGrace is how long after a back end has lowered its limit the larger one still counts: relays hear of it by
-	// their next answers.
+	// limitLoweredGrace is how long after a back end has lowered its limit the larger one still counts: relays receive
+	// the new limit with the next response of the back end.
 	limitLoweredGrace = time.Second
 )
 
-// limits finds back ends that named a limit for all relays together and got more than that of those that had passed on
-// such an answer. What a relay sent counts from its last restart, freeze or cut on; spans in which the back end itself
-// was struck do not.
+// limits finds back ends that announced a limit for all relays together and received more requests from relays that had
+// forwarded the announcement. The requests of a relay count from its last restart, freeze or cut on. Windows in which
+// the back end itself had a fault are left out.
 func limits(seen *history.History) []Finding {
 	sent := sendingsByID(seen)
 	arrivals := map[string][]history.Arrival{}
@@ -51,14 +51,14 @@
 	return findings
 }
 
-// limitPeriod is one time in which a back end named limits, from the first to its end.
+// limitPeriod is a period in which a back end announced limits, from the first announcement to the withdrawal.
 type limitPeriod struct {
 	seen    *history.History
 	replica string
 	changes []history.Limit
 }
 
-// end is when the back end named no limit any more; the end of the run where it did not come to that.
+// end returns when the back end withdrew its limit; if it never did, a time after the end of the run.
 func (n *limitPeriod) end() time.Duration {
 	if last := n.changes[len(n.changes)-1]; !last.Named {
 		return last.At
@@ -67,7 +67,7 @@
 	return never
 }
 
-// findings looks at each window that ends with an arrival.
+// findings checks each window that ends with an arrival, and returns the first violation.
 func (n *limitPeriod) findings(arrivals []history.Arrival, sent map[string]history.Sending) []Finding {
 	counted := n.countedArrivals(arrivals, sent)
 	first := 0
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// countedArrivals are the times of the arrivals that count.
+// countedArrivals returns the times of the arrivals from relays that had to know the limit.
 func (n *limitPeriod) countedArrivals(arrivals []history.Arrival, sent map[string]history.Sending) []time.Duration {
 	informedAt := map[string][]time.Duration{}
 	for _, arrival := range arrivals {
@@ -105,7 +105,7 @@
 	return counted
 }
 
-// isInformed reports whether the relay that sent an arrival had been told since it was struck last.
+// isInformed reports whether the relay that sent an arrival has forwarded an announcement since its last fault.
 func (n *limitPeriod) isInformed(informedAt []time.Duration, arrival history.Arrival) bool {
 	for _, at := range informedAt {
 		if at+limitInformedAfter <= arrival.At && !n.seen.WasDisturbed(at, arrival.At, arrival.Machine) {
@@ -115,8 +115,8 @@
 	return false
 }
 
-// allowed is how many requests the limits allow in a span; before the first of them was named, and for a moment after
-// one was lowered, the larger one counts.
+// allowed returns how many requests the limits allow between from and to. Before the first announcement, and for
+// limitLoweredGrace after a limit was lowered, the larger limit counts.
 func (n *limitPeriod) allowed(from, to time.Duration) float64 {
 	const step = 10 * time.Millisecond
 	sum := 0.0
@@ -126,7 +126,7 @@
 	return sum
 }
 
-// limitAt is the limit at a time.
+// limitAt returns the limit in requests per second at a time.
 func (n *limitPeriod) limitAt(at time.Duration) float64 {
 	limit := n.changes[0].PerSecond
 	for _, change := range n.changes {
--- a/internal/soak/check/lost.go
+++ b/internal/soak/check/lost.go
@@ -6,8 +6,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// lost finds requests that planned work cut, though nothing unplanned happened near them, and
-// acknowledged configurations that do not exist at the end.
+// lost finds requests that maintenance cut off although no other fault happened near them, and acknowledged
+// configurations that are gone at the end.
 func lost(seen *history.History) []Finding {
 	findings := cutByPlannedWork(seen)
 	newest := newestAcked(seen, 1<<62)
@@ -38,7 +38,7 @@
 	return findings
 }
 
-// hasCrashed reports whether a back end broke the request off.
+// hasCrashed reports whether a back end crashed under the request.
 func hasCrashed(arrivals []history.Arrival) bool {
 	for _, arrival := range arrivals {
 		if arrival.Crashed {
@@ -48,8 +48,8 @@
 	return false
 }
 
-// faultsNear tells whether planned work went on at a request's relay, and whether anything unplanned
-// happened from the contact time before the request until its end.
+// faultsNear reports whether maintenance was under way at a request's relay, and whether any other fault happened
+// between the contact time before the request and its end.
 func faultsNear(seen *history.History, sending history.Sending) (planned, unplanned bool) {
 	for _, fault := range seen.Faults {
 		overlaps := fault.From <= sending.EndedAt && fault.To+seen.Bounds.Contact >= sending.SentAt
@@ -64,7 +64,7 @@
 	return planned, unplanned
 }
 
-// newestAcked is the highest number that was acknowledged by a moment.
+// newestAcked returns the highest number of a configuration that was acknowledged by the given time.
 func newestAcked(seen *history.History, by time.Duration) uint64 {
 	newest := uint64(0)
 	for _, change := range seen.Changes {
--- a/internal/soak/check/mixed.go
+++ b/internal/soak/check/mixed.go
@@ -2,9 +2,9 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/soak/history"
 
-// mixed finds answers that are not the back end's own answer to the client's own request: another
-// request's, a success without a seal, a body that no back end of the request made whole, a failure whose
-// status is not its back end's.
+// mixed finds responses that are not the back end's own response to the client's own request: the response to another
+// request, a success without a seal, a complete body that no back end of the request returned, or a failure whose status
+// is not that of its back end.
 func mixed(seen *history.History) []Finding {
 	arrivals := arrivalsByID(seen)
 	var findings []Finding
@@ -22,7 +22,7 @@
 	return findings
 }
 
-// hasReturned reports whether one of the back ends made the answer.
+// hasReturned reports whether one of the back ends returned the response.
 func hasReturned(arrivals []history.Arrival, sending history.Sending) bool {
 	for _, arrival := range arrivals {
 		if arrival.Status == sending.Status && arrival.Seal == sending.Seal && arrival.Body == sending.Body {
--- a/internal/soak/check/one.go
+++ b/internal/soak/check/one.go
@@ -2,8 +2,8 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/soak/history"
 
-// one finds back ends that get orders of two holders with one fencing token, a lower token after a higher
-// one, or orders of holders that take turns within the lease.
+// one finds back ends that receive orders of two holders with the same fencing token, a lower token after a higher
+// one, or orders of holders that alternate within the lease.
 func one(seen *history.History) []Finding {
 	byReplica := map[string][]history.Order{}
 	var findings []Finding
@@ -17,7 +17,7 @@
 	return findings
 }
 
-// orderFault says what is wrong with an order after others; empty for nothing.
+// orderFault describes what is wrong with an order after the earlier ones; empty for nothing.
 func orderFault(before []history.Order, order history.Order, bounds history.Bounds) string {
 	for index := len(before) - 1; index >= 0; index-- {
 		earlier := before[index]
@@ -37,7 +37,7 @@
 	return ""
 }
 
-// hadOrderWithinLease reports whether a holder gave an order before within the lease.
+// hadOrderWithinLease reports whether the holder gave an earlier order within the lease.
 func hadOrderWithinLease(before []history.Order, holder string, order history.Order, bounds history.Bounds) bool {
 	for _, earlier := range before {
 		if earlier.Holder == holder && order.At-earlier.At < bounds.Lease {
--- a/internal/soak/check/order.go
+++ b/internal/soak/check/order.go
@@ -7,11 +7,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// streamEnd is the last event's data in every stream of a run's back ends.
+// streamEnd is the data of the last event in every stream of a run's back ends.
 const streamEnd = "end"
 
-// order finds streams that lack a piece, hold one twice or out of order, join two runs where that is not
-// allowed, or end as whole before their last piece.
+// order finds streams in which an event is missing, repeated or out of order, streams that join two runs where the
+// route does not allow it, and streams that end as complete before their last event.
 func order(seen *history.History) []Finding {
 	var findings []Finding
 	for _, sending := range seen.Sendings {
@@ -26,8 +26,8 @@
 	return findings
 }
 
-// streamFault says what is wrong with a stream; empty for nothing. Events are "id: N", then
-// "data: RUN TEXT", where RUN is the identity of the back end.
+// streamFault describes what is wrong with a stream; empty for nothing. Each event is "id: N", then "data: RUN TEXT",
+// where RUN is the identity of the back end.
 func streamFault(sending history.Sending, route history.Route) string {
 	expected, run, ended := 1, "", false
 	for event := range strings.SplitSeq(strings.TrimSuffix(sending.Body, "\n\n"), "\n\n") {
@@ -37,7 +37,7 @@
 			if sending.Whole {
 				return fmt.Sprintf("holds %q, which is no event", event)
 			}
-			return "" // it broke off in the middle of an event
+			return "" // the stream broke off within an event
 		}
 		switch {
 		case number != expected:
--- a/internal/soak/check/recover.go
+++ b/internal/soak/check/recover.go
@@ -6,11 +6,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// recoverMinSample is from how many requests on the share that is served counts.
+// recoverMinSample is the number of requests after the recovery time from which the served share counts.
 const recoverMinSample = 20
 
-// recovered finds that less than a quarter of the requests is served once the last fault is over for the
-// recovery time, though a quarter was before.
+// recovered finds that less than a quarter of the requests are served once the recovery time after the last fault is
+// over, although at least a quarter were served before.
 func recovered(seen *history.History) []Finding {
 	var last time.Duration
 	for _, fault := range seen.Faults {
--- a/internal/soak/check/refused.go
+++ b/internal/soak/check/refused.go
@@ -2,8 +2,8 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/soak/history"
 
-// refused finds requests that may not be repeated and ran although an answer said that they have not run
-// and never will.
+// refused finds requests that must not be repeated and that ran although the response said that they have not run and
+// never will.
 func refused(seen *history.History) []Finding {
 	arrivals := arrivalsByID(seen)
 	var findings []Finding
--- a/internal/soak/check/route.go
+++ b/internal/soak/check/route.go
@@ -2,13 +2,13 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/soak/history"
 
-// atUnknownPlaces finds requests that reached a place that no back end of the site has: an entry of another writer on the
-// list names it.
+// atUnknownPlaces finds requests that reached an address at which the site has no back end: only list entries of other
+// writers name it.
 func atUnknownPlaces(seen *history.History) []Finding {
 	var findings []Finding
 	for _, arrival := range seen.Arrivals {
 		if arrival.Service == history.NoService {
-			findings = append(findings, newFinding(Route, arrival.At, "request %q reached %s, which only entries of other writers name", arrival.ID, arrival.Replica))
+			findings = append(findings, newFinding(Route, arrival.At, "request %q reached %s, which only list entries of other writers name", arrival.ID, arrival.Replica))
 		}
 	}
 	return findings
--- a/internal/soak/check/stopping.go
+++ b/internal/soak/check/stopping.go
@@ -4,12 +4,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// graceShare is the part of the grace at whose end a stopping relay may give up what is under way.
+// graceShare is the share of the grace after which a stopping relay may abort requests under way.
 const graceShare = 5.0 / 6
 
-// unansweredByStopping finds requests that reached a relay which stops as planned, on a connection that was just
-// opened or in use, and got no answer at all: the relay serves them or refuses them. What a relay of another
-// build does is that build's.
+// unansweredByStopping finds requests that reached a relay that was asked to stop, on an open connection, and got no
+// response at all: the relay must serve or refuse them. Relays of another build are left out.
 func unansweredByStopping(seen *history.History) []Finding {
 	var findings []Finding
 	for _, sending := range seen.Sendings {
@@ -21,7 +20,8 @@
 	return findings
 }
 
-// reachedStoppingRelay reports whether a request's relay was asked to stop, and nothing else was done to it.
+// reachedStoppingRelay reports whether a request's relay was asked to stop and had no other fault that may cut the
+// request.
 func reachedStoppingRelay(seen *history.History, sending history.Sending) bool {
 	stops := false
 	for _, fault := range seen.Faults {
--- a/internal/soak/check/twice.go
+++ b/internal/soak/check/twice.go
@@ -2,7 +2,7 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/soak/history"
 
-// twice finds requests that may not be repeated and ran more than once.
+// twice finds requests that must not be repeated and that ran more than once.
 func twice(seen *history.History) []Finding {
 	arrivals := arrivalsByID(seen)
 	var findings []Finding
@@ -17,7 +17,7 @@
 	return findings
 }
 
-// runsOf are the arrivals that ran.
+// runsOf returns the arrivals that ran.
 func runsOf(arrivals []history.Arrival) []history.Arrival {
 	var runs []history.Arrival
 	for _, arrival := range arrivals {
--- a/internal/soak/check/unasked.go
+++ b/internal/soak/check/unasked.go
@@ -2,7 +2,7 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/soak/history"
 
-// unasked finds requests at back ends that no client sent, or that were changed on the way.
+// unasked finds requests at back ends that no client sent, or that differ from what the client sent.
 func unasked(seen *history.History) []Finding {
 	sent := sendingsByID(seen)
 	var findings []Finding
--- a/internal/soak/cuts.go
+++ b/internal/soak/cuts.go
@@ -10,22 +10,22 @@
 	"github.com/hazelpitch/hazelpitch/internal/zonedelay"
 )
 
-// PeerPort is the port at which controllers take calls of relays, and relays each other's datagrams.
+// PeerPort is the port on which controllers accept calls from relays and relays accept each other's datagrams.
 const PeerPort = portPeers
 
-// NewOutgoing is what a process of a soak goes by that can be cut off from others.
+// NewOutgoing returns the outgoing connections of a process whose traffic to other processes of the run can be cut.
 func NewOutgoing() zonedelay.Outgoing {
 	return zonedelay.Outgoing{Gate: zonedelay.NewGate(netip.MustParsePrefix("127.0.0.0/8")), Self: netip.MustParseAddr("127.255.255.254")}
 }
 
-// groupPrefix is the addresses of a group of processes.
+// groupPrefix returns the address range of a group of processes.
 func groupPrefix(group int) netip.Prefix {
 	const bits = 24
 	return netip.PrefixFrom(netip.MustParseAddr(address(group, 0)), bits).Masked()
 }
 
-// cutRelays cuts relays off from controllers, from other relays, or from both. It draws from a source of its own, so
-// that other faults do not depend on it.
+// cutRelays cuts the network between relays and controllers, other relays, or both, until the context ends. It draws
+// from its own random source, so that it does not change which other faults are drawn.
 func (f *faults) cutRelays(ctx context.Context) {
 	random := rand.New(rand.NewPCG(f.site.options.Seed, 5000))
 	controllers, relays := groupPrefix(groupControllers), groupPrefix(groupRelays)
@@ -35,15 +35,15 @@
 		length := time.Duration(random.Int64N(int64(longestCut)))
 		groups := [][]netip.Prefix{{controllers}, {relays}, {controllers, relays}}[random.IntN(3)]
 		if f.isOther(relay.Name) {
-			continue // it cannot be told of cuts
+			continue // the other build has no command to cut its network
 		}
 		f.inject(history.Cut, relay.Name, false, func() {
 			heal, err := relay.CutOff(number, groups)
 			if err != nil {
-				return // it has ended meanwhile
+				return // the process has exited in the meantime
 			}
 			time.Sleep(length)
-			_ = heal() // one that has ended is cut off from nobody
+			_ = heal() // an error means that the process has exited, and the cut with it
 		})
 	}
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -12,31 +12,31 @@
 	"github.com/hazelpitch/hazelpitch/platform/standin"
 )
 
-// Times of faults.
+// Durations and sizes of faults.
 const (
 	// longestGap is the longest time between two faults.
 	longestGap = 900 * time.Millisecond
-	// longestFreeze is the longest time for which a process stands still, longestAway for which it is gone.
+	// longestFreeze is the longest time for which a process is suspended, longestAway the longest time for which it is down.
 	longestFreeze = 5 * time.Second
 	longestAway   = 2500 * time.Millisecond
-	// drainServingTime is how long a back end that leaves serves on.
+	// drainServingTime is how long a draining back end keeps serving.
 	drainServingTime = 3500 * time.Millisecond
-	// backoffLength is how long a back end turns requests away and asks for rest.
+	// backoffLength is how long a back end refuses requests and asks for backoff.
 	backoffLength = 4 * time.Second
-	// longestLimitGap is the longest time between two back ends that name limits, longestLimit the longest time for which
-	// one names the same limit; largestLimit is the largest, in requests a second.
+	// longestLimitGap is the longest time between two back ends that announce limits, longestLimit the longest time for
+	// which one announces the same limit, largestLimit the largest limit in requests per second.
 	longestLimitGap = 2 * time.Second
 	longestLimit    = 6 * time.Second
 	largestLimit    = 6.0
-	// longestCutGap is the longest time between two cuts of relays, longestCut the longest for which one lasts.
+	// longestCutGap is the longest time between two network cuts of relays, longestCut the longest duration of one.
 	longestCutGap = 4 * time.Second
 	longestCut    = 5 * time.Second
-	// stopGrace is how long a process may take to end after it was asked to.
+	// stopGrace is how long a process may take to exit after it was asked to stop.
 	stopGrace = 6 * time.Second
 )
 
-// faults strike processes and back ends by a seed; those of controllers never more at once than may be
-// lost, but where all are killed together.
+// faults injects faults into processes and back ends, drawn from a seed. At most as many controllers are down at
+// once as the quorum tolerates, except when all controllers are killed together.
 type faults struct {
 	site    *site
 	random  *rand.Rand
@@ -44,12 +44,12 @@
 
 	mutex         sync.Mutex
 	struckTargets map[string]bool
-	// lostControllers counts the controllers that are struck.
+	// lostControllers counts the controllers with a fault under way.
 	lostControllers int
 	kinds           map[history.FaultKind]int
-	// onOtherBuild are the processes of the onOtherBuild build, by their names.
+	// onOtherBuild holds, by process name, whether the process runs the other build.
 	onOtherBuild map[string]bool
-	// signals draws series of signals; signalsMutex guards it.
+	// signals draws the series of signals; signalsMutex guards it.
 	signalsMutex sync.Mutex
 	signals      *rand.Rand
 }
@@ -65,7 +65,7 @@
 	return created
 }
 
-// run strikes until the context ends, and returns when all faults are over.
+// run injects faults until the context ends, and returns when all of them are over.
 func (f *faults) run(ctx context.Context) {
 	if !f.site.options.FirstFormatOnly {
 		f.running.Go(func() { f.limitReplicas(ctx) })
@@ -73,7 +73,7 @@
 	if f.site.options.OtherProgram != "" {
 		f.running.Go(func() { f.replaceProcesses(ctx) })
 	}
-	if f.site.options.Program == "" { // only this program can be told of cuts
+	if f.site.options.Program == "" { // only this program accepts commands that cut its network
 		f.running.Go(func() { f.cutRelays(ctx) })
 	}
 	for ctx.Err() == nil {
@@ -94,7 +94,8 @@
 	f.running.Wait()
 }
 
-// claimTarget takes a target for a fault; false when it is struck already, or too many controllers are.
+// claimTarget reserves a target for a fault. It returns false when another fault is under way at the target, or when
+// no further controller may be lost.
 func (f *faults) claimTarget(target string, controller bool) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -108,7 +109,7 @@
 	return true
 }
 
-// inject carries a fault out beside the others, and takes it down when it is over.
+// inject runs a fault in the background and records it when it is over. It does nothing when the target is not free.
 func (f *faults) inject(kind history.FaultKind, target string, controller bool, execute func()) {
 	if !f.claimTarget(target, controller) {
 		return
@@ -124,7 +125,7 @@
 		execute()
 		f.site.recorder.AddFault(history.Fault{Kind: kind, Target: target, OtherBuild: isOther, From: from, To: f.site.recorder.Now()})
 		if controller {
-			time.Sleep(catchUpTime) // it counts as lost until it has caught up
+			time.Sleep(catchUpTime) // the controller counts as lost until it has caught up
 		}
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
@@ -135,7 +136,7 @@
 	})
 }
 
-// catchUpTime is how long a controller takes to catch up.
+// catchUpTime is how long a controller takes to catch up with the log after a fault.
 const catchUpTime = 2 * time.Second
 
 func (f *faults) injectControllerFault() {
@@ -147,9 +148,9 @@
 	case 1:
 		f.inject(history.Wipe, process.Name, true, func() {
 			process.Kill()
-			_ = process.ReplaceDisk() // it does not run
+			_ = process.ReplaceDisk() // the process is not running; a failure leaves the old disk
 			time.Sleep(away)
-			_ = process.Start() // a start that fails shows as a controller that is away
+			_ = process.Start() // a failed start shows as a controller that is down
 		})
 	case 2:
 		f.inject(history.Terminate, process.Name, true, func() { f.terminate(process, f.isOther(process.Name), away) })
@@ -158,7 +159,7 @@
 	}
 }
 
-// killAllControllers kills all controllers at once; they are back within a second with their disks.
+// killAllControllers kills all controllers at once and restarts them with their disks within a second.
 func (f *faults) killAllControllers() {
 	f.mutex.Lock()
 	free := f.lostControllers == 0
@@ -198,8 +199,8 @@
 	}
 }
 
-// terminate asks a process to stop, waits for its end, and starts it again. Signals follow unless it is of the other
-// build, which they may end.
+// terminate asks a process to stop, waits until it exits, and starts it again. While it stops, it is sent further
+// signals, unless it runs the other build, which they may kill.
 func (f *faults) terminate(process *fleet.Process, isOther bool, away time.Duration) {
 	process.Terminate()
 	var signalling sync.WaitGroup
@@ -210,12 +211,12 @@
 		time.Sleep(stopPoll)
 	}
 	process.Kill()
-	signalling.Wait() // none of the series reaches the next start
+	signalling.Wait() // no signal of the series may reach the restarted process
 	time.Sleep(away)
 	_ = process.Start()
 }
 
-// stopPoll is the time between two looks at whether a process has ended.
+// stopPoll is the time between two checks whether a process has exited.
 const stopPoll = 20 * time.Millisecond
 
 func (f *faults) injectReplicaFault() {
@@ -241,8 +242,8 @@
 	}
 }
 
-// limitReplicas has back ends name limits for all relays together, change them and take them back. It draws from a source
-// of its own, so that other faults do not depend on it.
+// limitReplicas makes back ends announce limits for all relays together, change and withdraw them, until the context
+// ends. It draws from its own random source, so that it does not change which other faults are drawn.
 func (f *faults) limitReplicas(ctx context.Context) {
 	random := rand.New(rand.NewPCG(f.site.options.Seed, 4000))
 	replicas := append(append([]*standin.Replica(nil), f.site.pages...), f.site.engines...)
@@ -261,7 +262,7 @@
 	}
 }
 
-// drawDuration draws a time up to the longest.
+// drawDuration draws a duration below longest.
 func (f *faults) drawDuration(longest time.Duration) time.Duration {
 	return time.Duration(f.random.Int64N(int64(longest)))
 }
--- a/internal/soak/history/arrival.go
+++ b/internal/soak/history/arrival.go
@@ -2,36 +2,35 @@
 
 import "time"
 
-// Arrival is a request at a back end.
+// Arrival is a request that reached a back end.
 type Arrival struct {
 	ID string
-	// Replica is the start of the back end; two starts of one replica may bear one identity.
+	// Replica identifies the incarnation of the back end; two incarnations of one replica may share an identity.
 	Replica string
-	// Service is the back end's; NoService where only entries of other writers name the place.
+	// Service is the back end's service; NoService for an address that only list entries of other writers name.
 	Service string
-	// Machine is the name of the relay that took the request from its client; empty where no client
-	// sent it.
+	// Machine is the name of the relay that received the request from its client; empty when no client sent it.
 	Machine                  string
 	At                       time.Duration
 	Method, Target, BodyHash string
-	// Deadline is the time that the back end was given; 0 for none.
+	// Deadline is the time that the relay gave the back end; 0 for none.
 	Deadline time.Duration
-	// ReadOnly tells that only its prompt was to be read.
+	// ReadOnly reports that the back end was asked for the prefill only.
 	ReadOnly bool
-	// Ran tells that the back end began to run it, Crashed that it ended under it.
+	// Ran reports that the back end began to run the request, Crashed that it crashed while it ran.
 	Ran, Crashed bool
 	EndedAt      time.Duration
 	Status       int
 	Seal, Body   string
-	// Rest is how long the answer asked the relay to send nothing; 0 for none. Leaving tells that the answer said
+	// Rest is the backoff that the response asked the relay for; 0 for none. Leaving reports that the response announced
 	// that the back end leaves.
 	Rest    time.Duration
 	Leaving bool
-	// Limited tells that the answer names a limit for all relays together.
+	// Limited reports that the response announced a limit for all relays together.
 	Limited bool
-	// Cancelled tells that the back end saw its connection close before the end, at EndedAt.
+	// Cancelled reports that the back end saw its connection close before the end, at EndedAt.
 	Cancelled bool
 }
 
-// NoService is the service of places that no back end of the site has.
+// NoService is the service of an address at which the site has no back end.
 const NoService = ""
--- a/internal/soak/history/fault.go
+++ b/internal/soak/history/fault.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// FaultKind is what was done to a process.
+// FaultKind is a kind of fault.
 type FaultKind string
 
 // Kinds of faults.
 const (
-	// Kill ends a process at once; it is started again when the fault ends.
+	// Kill kills a process at once; it is started again when the fault ends.
 	Kill FaultKind = "kill"
-	// Freeze stops its execution, Terminate asks it to stop, Reload tells it that its settings changed.
+	// Freeze suspends a process, Terminate asks it to stop, Reload signals it that its settings have changed.
 	Freeze    FaultKind = "freeze"
 	Terminate FaultKind = "terminate"
 	Reload    FaultKind = "reload"
-	// Replace counts the processes that were replaced by those of another build. Each is a Terminate or a Kill, too.
+	// Replace counts the processes that were replaced by one of another build. Each of them also counts as Terminate or Kill.
 	Replace FaultKind = "replace"
-	// Cut cuts a relay off from controllers and other relays, in silence.
+	// Cut drops all packets between a relay and controllers or other relays.
 	Cut FaultKind = "cut"
-	// Wipe ends it at once and empties its disk.
+	// Wipe kills a controller at once and replaces its disk by an empty one.
 	Wipe FaultKind = "wipe"
-	// Crash ends a back end, Drain takes it away as planned.
+	// Crash crashes a back end, Drain makes it drain and leave as planned.
 	Crash FaultKind = "crash"
 	Drain FaultKind = "drain"
-	// Rest makes a back end turn requests away and ask for rest.
+	// Rest makes a back end refuse requests and ask for backoff.
 	Rest FaultKind = "rest"
-	// Limited makes a back end name limits for all relays together.
+	// Limited makes a back end announce limits for all relays together.
 	Limited FaultKind = "limit"
-	// Reset resets the connections between relays and a back end, Silence drops what they carry, Delay
-	// slows them.
+	// Reset resets the connections between relays and a back end, Silence drops what they carry, Delay slows them
+	// down.
 	Reset   FaultKind = "reset"
 	Silence FaultKind = "silence"
 	Delay   FaultKind = "delay"
 )
 
-// IsPlanned reports whether the fault is work that an operator plans.
+// IsPlanned reports whether the fault is maintenance that an operator plans.
 func (k FaultKind) IsPlanned() bool { return k == Terminate || k == Reload || k == Drain }
 
-// Fault is what happened to a process or to its connections.
+// Fault is one fault at a process or at its connections.
 type Fault struct {
 	Kind   FaultKind
 	Target string
-	// OtherBuild tells that the process was of the other build that a run has, when it was struck.
+	// OtherBuild reports that the process ran the other build of the run when the fault began.
 	OtherBuild bool
-	// From and To are when it began and ended: a process that was stopped runs again at To.
+	// From and To are when the fault began and ended: a process that was stopped runs again at To.
 	From, To time.Duration
 }
 
-// Strikes reports whether the fault touched a target within a span before a moment, or still does.
+// Strikes reports whether the fault was under way at the target at the given time, or ended at most span before it.
 func (f Fault) Strikes(target string, at, span time.Duration) bool {
 	return f.Target == target && f.From <= at && f.To+span >= at
 }
 
-// IsInContact reports whether nothing has struck a relay, and none of the controllers, within the contact
-// time before a moment.
+// IsInContact reports whether no fault was under way at the relay or at any controller at the given time, and none
+// ended within the contact time before it.
 func (h *History) IsInContact(relay string, at time.Duration) bool {
 	for _, fault := range h.Faults {
 		struck := fault.Target == relay || h.Controllers[fault.Target]
@@ -66,8 +66,8 @@
 	return true
 }
 
-// WasDisturbed reports whether one of the targets was struck within a span of time by anything but a sign to read its
-// settings again, or by a back end's own rest, drain or limit.
+// WasDisturbed reports whether a fault was under way at one of the targets between from and to. Reloads, and back ends
+// that drain, ask for backoff or announce limits, do not count.
 func (h *History) WasDisturbed(from, to time.Duration, targets ...string) bool {
 	for _, fault := range h.Faults {
 		isExempt := fault.Kind == Reload || fault.Kind == Rest || fault.Kind == Drain || fault.Kind == Limited
--- a/internal/soak/history/history.go
+++ b/internal/soak/history/history.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Bounds are the times that the rules give to machines that are in touch.
+// Bounds are the time bounds that the rules set for machines that are in contact.
 type Bounds struct {
-	// Contact is how long a machine must have been left alone to be in touch.
+	// Contact is how long a machine must be free of faults to count as in contact.
 	Contact time.Duration
-	// ConfigApply is how long after its acknowledgement a configuration is in force everywhere.
+	// ConfigApply is how long after its acknowledgement a configuration is applied everywhere.
 	ConfigApply time.Duration
-	// Grace is how long a relay that is asked to stop may take.
+	// Grace is how long a relay that was asked to stop may take.
 	Grace time.Duration
-	// LossSlack is how long after its last byte was sent a request counts as read.
+	// LossSlack is how long after its last byte was sent a request counts as read by the relay.
 	LossSlack time.Duration
-	// Drain is how long after it is listed as leaving a back end may get new work.
+	// Drain is for how long after it was listed as leaving a back end may receive new requests.
 	Drain time.Duration
-	// Lease is the least time between orders of two holders.
+	// Lease is the shortest time between orders of two holders.
 	Lease time.Duration
-	// Recovery is how long after the last fault requests are served again.
+	// Recovery is how long after the last fault requests must be served again.
 	Recovery time.Duration
-	// RetryRatio, RetryWindow and RetrySlack bound sendings beyond the first of each request.
+	// RetryRatio, RetryWindow and RetrySlack bound the attempts beyond the first of each request.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
 }
 
-// History is what was seen in one run, each list in the order of its times.
+// History is what was observed in one run; each list is sorted by time.
 type History struct {
 	Bounds Bounds
 	Routes map[string]Route
-	// Controllers names the processes that agree on everything.
+	// Controllers holds the names of the controllers.
 	Controllers map[string]bool
 	Sendings    []Sending
 	Arrivals    []Arrival
@@ -40,7 +40,7 @@
 	Faults      []Fault
 }
 
-// Route is what the operator says of a kind of request.
+// Route is the declaration of a kind of request.
 type Route struct {
 	Name        string
 	Repeatable  bool
--- a/internal/soak/history/limit.go
+++ b/internal/soak/history/limit.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// Limit is what a start of a back end names from a time on for all relays together, in requests a second.
+// Limit is a limit, in requests per second for all relays together, that one incarnation of a back end announces from
+// a given time on.
 type Limit struct {
 	Replica string
 	At      time.Duration
-	// Named is false where it names none any more.
+	// Named is false when the back end withdraws its limit.
 	Named     bool
 	PerSecond float64
 }
--- a/internal/soak/history/operator.go
+++ b/internal/soak/history/operator.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Change is a configuration that an operator sent.
+// Change is a configuration that the operator submitted.
 type Change struct {
 	Number uint64
 	SentAt time.Duration
 	// AckedAt is when it was acknowledged; 0 for never.
 	AckedAt time.Duration
-	// Status is the last answer's, 0 for none.
+	// Status is the status code of the last response, 0 for none.
 	Status int
-	// Services are the services by route.
+	// Services maps each route to its service.
 	Services map[string]string
-	// Invalid tells that it must never be taken.
+	// Invalid reports that the configuration must never be accepted.
 	Invalid bool
 }
 
-// Read is a reading of the configuration.
+// Read is one read of the configuration by the operator.
 type Read struct {
 	SentAt, At time.Duration
 	Status     int
 	Number     uint64
 }
 
-// Order is an order to a back end, as that one got it.
+// Order is an order as a back end received it.
 type Order struct {
 	At      time.Duration
 	Replica string
@@ -38,7 +38,7 @@
 	State   ReplicaState
 }
 
-// ReplicaState is how a back end stands on the list.
+// ReplicaState is the state of a back end on the platform's list.
 type ReplicaState string
 
 // States of back ends.
--- a/internal/soak/history/recorder.go
+++ b/internal/soak/history/recorder.go
@@ -7,53 +7,53 @@
 	"time"
 )
 
-// Recorder takes down what is seen while a run goes on.
+// Recorder records events while a run is under way.
 type Recorder struct {
 	origin  time.Time
 	mutex   sync.Mutex
 	history History
 }
 
-// NewRecorder begins a history now.
+// NewRecorder returns a recorder whose history begins now.
 func NewRecorder(bounds Bounds, routes map[string]Route, controllers map[string]bool) *Recorder {
 	return &Recorder{origin: time.Now(), history: History{Bounds: bounds, Routes: routes, Controllers: controllers}}
 }
 
-// Now is the time since the run began.
+// Now returns the time since the run began.
 func (r *Recorder) Now() time.Duration { return time.Since(r.origin) }
 
-// AddSending takes an attempt that has ended.
+// AddSending records a client's attempt that has ended.
 func (r *Recorder) AddSending(sending Sending) { appendEntry(r, &r.history.Sendings, sending) }
 
-// AddArrival takes a request that a back end has done with.
+// AddArrival records a request that a back end has finished.
 func (r *Recorder) AddArrival(arrival Arrival) { appendEntry(r, &r.history.Arrivals, arrival) }
 
-// AddChange takes a configuration whose sending has ended.
+// AddChange records a configuration whose submission has ended.
 func (r *Recorder) AddChange(change Change) { appendEntry(r, &r.history.Changes, change) }
 
-// AddRead takes a reading of the configuration.
+// AddRead records a read of the configuration.
 func (r *Recorder) AddRead(read Read) { appendEntry(r, &r.history.Reads, read) }
 
-// AddOrder takes an order as it reached a back end.
+// AddOrder records an order that reached a back end.
 func (r *Recorder) AddOrder(order Order) { appendEntry(r, &r.history.Orders, order) }
 
-// AddListing takes a change of the list.
+// AddListing records a change of the platform's list.
 func (r *Recorder) AddListing(listing Listing) { appendEntry(r, &r.history.Listings, listing) }
 
-// AddLimit takes the limit that a back end names from now on.
+// AddLimit records the limit that a back end announces from now on.
 func (r *Recorder) AddLimit(limit Limit) { appendEntry(r, &r.history.Limits, limit) }
 
-// AddFault takes a fault that has ended.
+// AddFault records a fault that has ended.
 func (r *Recorder) AddFault(fault Fault) { appendEntry(r, &r.history.Faults, fault) }
 
-// appendEntry takes an entry of one kind.
+// appendEntry appends an entry of one kind.
 func appendEntry[Entry any](r *Recorder, kept *[]Entry, entry Entry) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	*kept = append(*kept, entry)
 }
 
-// History returns what was taken down, sorted by time.
+// History returns a copy of the recorded events, sorted by time.
 func (r *Recorder) History() *History {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -70,7 +70,7 @@
 	return &kept
 }
 
-// setMachines notes for each arrival which relay took it: an attempt is sent to one relay.
+// setMachines sets the relay of each arrival: each attempt is sent to exactly one relay.
 func setMachines(kept *History) {
 	fronts := make(map[string]string, len(kept.Sendings))
 	for _, sending := range kept.Sendings {
@@ -81,7 +81,7 @@
 	}
 }
 
-// sortedByTime returns a copy in the order of time.
+// sortedByTime returns a copy of the entries, sorted by time; entries of the same time keep their order.
 func sortedByTime[Entry any](entries []Entry, at func(Entry) time.Duration) []Entry {
 	return slices.SortedStableFunc(slices.Values(entries), func(a, b Entry) int { return cmp.Compare(at(a), at(b)) })
 }
--- a/internal/soak/replacements.go
+++ b/internal/soak/replacements.go
@@ -13,14 +13,15 @@
 const (
 	// longestReplaceGap is the longest time between two replacements.
 	longestReplaceGap = 2 * time.Second
-	// longestPartialUpgrade is the longest time for which the fleet stays as it is: a landing is stopped half way.
+	// longestPartialUpgrade is the longest time for which an upgrade stops half way, with both builds in the fleet.
 	longestPartialUpgrade = 6 * time.Second
-	// longestSwap is the longest time between the end of one build's process and the start of the other's.
+	// longestSwap is the longest time between the exit of one build's process and the start of the other's.
 	longestSwap = time.Second
 )
 
-// replaceProcesses replaces controllers and relays by those of the other build and back, one at a time, in any order:
-// some are asked to stop, some are killed. It draws from a source of its own, so that other faults do not depend on it.
+// replaceProcesses replaces controllers and relays by processes of the other build and back, one at a time, in any
+// order: some are asked to stop, some are killed. It draws from its own random source, so that it does not change which
+// other faults are drawn.
 func (f *faults) replaceProcesses(ctx context.Context) {
 	random := rand.New(rand.NewPCG(f.site.options.Seed, 6000))
 	processes := f.processes()
@@ -39,7 +40,7 @@
 	}
 }
 
-// replace replaces one process by that of the other build, unless it is struck by another fault.
+// replace replaces one process by one of the other build, unless another fault is under way at it.
 func (f *faults) replace(process *fleet.Process, kind history.FaultKind, away time.Duration) {
 	isController := slices.Contains(f.site.controllers, process)
 	f.inject(kind, process.Name, isController, func() {
@@ -48,15 +49,15 @@
 		if kind == history.Kill {
 			process.Kill()
 			time.Sleep(away)
-			_ = process.Start() // one that does not start shows as one that is away
+			_ = process.Start() // a failed start shows as a process that is down
 			return
 		}
 		f.terminate(process, wasOther, away)
 	})
 }
 
-// switchBuild notes that a process is of the other of the two builds from its next start on; it reports whether that is the
-// other one.
+// switchBuild records that a process runs the other of the two builds from its next start on. It reports whether that
+// is the build of Options.OtherProgram.
 func (f *faults) switchBuild(name string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -65,14 +66,14 @@
 	return f.onOtherBuild[name]
 }
 
-// isOther reports whether a process is of the other build.
+// isOther reports whether a process runs the build of Options.OtherProgram.
 func (f *faults) isOther(name string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.onOtherBuild[name]
 }
 
-// processes are all controllers and relays.
+// processes returns all controllers and relays.
 func (f *faults) processes() []*fleet.Process {
 	processes := slices.Clone(f.site.controllers)
 	for _, relay := range f.site.relays {
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -12,25 +12,25 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// Report is what one seed showed.
+// Report is the result of one seed.
 type Report struct {
 	Seed uint64 `json:"seed"`
-	// Sendings are the clients' attempts, Served those that got a success, Refused those that were told
-	// that they have not run.
+	// Sendings counts the clients' attempts, Served those that succeeded, Refused those whose response promised that
+	// the request has not run.
 	Sendings int `json:"sendings"`
 	Served   int `json:"served"`
 	Refused  int `json:"refused"`
-	// Arrivals are requests at back ends, Crashed those under which one ended.
+	// Arrivals counts the requests that reached back ends, Crashed those whose back end crashed while it ran them.
 	Arrivals int `json:"arrivals"`
 	Crashed  int `json:"crashed"`
-	// Changes are the configurations that were acknowledged.
+	// Changes counts the configurations that were acknowledged.
 	Changes  int                       `json:"changes"`
 	Orders   int                       `json:"orders"`
 	Faults   map[history.FaultKind]int `json:"faults"`
 	Findings []check.Finding           `json:"findings"`
 }
 
-// reportOf counts what was seen.
+// reportOf counts the events of a recorded history.
 func reportOf(options Options, recorded *history.History, faults map[history.FaultKind]int, findings []check.Finding) Report {
 	report := Report{
 		Seed: options.Seed, Sendings: len(recorded.Sendings), Arrivals: len(recorded.Arrivals), Orders: len(recorded.Orders), Faults: faults, Findings: findings,
@@ -56,7 +56,7 @@
 	return report
 }
 
-// String writes the report on a few lines.
+// String formats the report on a few lines.
 func (r Report) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "seed %d: %d attempts, %d served, %d refused; %d arrivals, %d ended their back end; %d configurations, %d orders; faults:",
@@ -78,10 +78,10 @@
 	return text.String()
 }
 
-// mostPrinted bounds the findings of one rule that a report writes out; history.json has what shows the others.
+// mostPrinted bounds the findings of one rule that a report prints; history.json holds the evidence of the others.
 const mostPrinted = 10
 
-// Err returns an error when a rule was broken.
+// Err returns an error when a rule was broken, otherwise nil.
 func (r Report) Err() error {
 	if len(r.Findings) == 0 {
 		return nil
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -18,18 +18,17 @@
 const (
 	// formationTimeout bounds the wait until a site serves for the first time.
 	formationTimeout = time.Minute
-	// restartPause is the time between two looks for back ends that have ended under a request; they
-	// come back after it.
+	// restartPause is the time between two rounds in which back ends that crashed under a request are restarted.
 	restartPause = 1200 * time.Millisecond
-	// operatorCalmPercent is the share of the calm, in percent, in which configurations still change: only then are all relays in
-	// touch, whatever builds they are of.
+	// operatorCalmPercent is the share of the quiet phase, in percent, in which configurations still change: only in that
+	// phase are all relays in contact with the controllers, whatever builds they run.
 	operatorCalmPercent = 70
-	// finalReads is how often the configuration is read at the end until a controller tells it.
+	// finalReads is how often the configuration is read at the end of the run until a controller returns it.
 	finalReads = 200
 )
 
-// Run runs one seed and reports what was seen. An error means that the run could not go on; broken rules
-// are in the report.
+// Run runs one seed and returns its report. It blocks until the run is over. An error means that the run could not
+// be completed; broken rules are in the report.
 func Run(ctx context.Context, options Options) (Report, error) {
 	created, err := newSite(options)
 	if err != nil {
@@ -67,7 +66,7 @@
 	return reportOf(options, recorded, injected.kinds, findings(options, recorded)), trace.Wrap(ctx.Err())
 }
 
-// writeHistory leaves what was seen beside the logs.
+// writeHistory writes the recorded history to history.json, beside the logs.
 func writeHistory(options Options, recorded *history.History) error {
 	content, err := json.Marshal(recorded)
 	if err != nil {
@@ -83,13 +82,13 @@
 	return check.Safety(recorded)
 }
 
-// waitUntilReady has the first configuration taken, and waits until all relays are ready.
+// waitUntilReady submits the first configuration and waits until all relays are ready.
 func (s *site) waitUntilReady(ctx context.Context) error {
 	limited, cancel := context.WithTimeout(ctx, formationTimeout)
 	defer cancel()
 	first := history.Change{Number: firstNumber, Services: standin.Services(standin.ServicePages)}
 	if s.operator.Put(limited, first, standin.Configuration(firstNumber, standin.ServicePages), 0).Status != http.StatusOK {
-		return trace.ConnectionProblem(nil, "no controller took the first configuration within %s; see the logs in %s", formationTimeout, s.options.Directory)
+		return trace.ConnectionProblem(nil, "no controller accepted the first configuration within %s; see the logs in %s", formationTimeout, s.options.Directory)
 	}
 	for _, process := range s.controllers {
 		if err := disableBootstrap(process); err != nil {
@@ -107,17 +106,17 @@
 	return nil
 }
 
-// restartCrashed starts back ends again that ended under a request.
+// restartCrashed restarts back ends that crashed under a request, until the context ends.
 func (s *site) restartCrashed(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, restartPause)
 		for _, replica := range append(append([]*standin.Replica(nil), s.pages...), s.engines...) {
-			_ = replica.Start() // one that runs stays; an address that is still taken is tried again
+			_ = replica.Start() // a no-op when it runs; when its address is still in use, the next round retries
 		}
 	}
 }
 
-// readFinalConfiguration reads the configuration until a controller tells it.
+// readFinalConfiguration reads the configuration until a controller returns it, at most finalReads times.
 func (s *site) readFinalConfiguration(ctx context.Context) {
 	for count := range finalReads {
 		if s.operator.Read(ctx, count).Status == http.StatusOK || ctx.Err() != nil {
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// longestSeries is the most signals in a series, longestSignalGap the longest time between two of them.
+	// longestSeries is the largest number of signals in a series, longestSignalGap the longest time between two of them.
 	longestSeries    = 10
 	longestSignalGap = 400 * time.Millisecond
 )
 
-// signal is something that a process is told and that must not end it.
+// signal is a signal to a process that must not kill it.
 type signal struct {
 	send func()
-	// after is the time until the next one.
+	// after is the time until the next signal.
 	after time.Duration
 }
 
-// drawSeries draws a series of signals out of some. It draws from a source of its own, so that other faults do not depend on it.
+// drawSeries draws a series of signals from the given kinds. It draws from its own random source, so that it does not
+// change which other faults are drawn.
 func (f *faults) drawSeries(kinds ...func()) []signal {
 	f.signalsMutex.Lock()
 	defer f.signalsMutex.Unlock()
@@ -27,7 +28,7 @@
 	for number := range series {
 		series[number] = signal{send: kinds[f.signals.IntN(len(kinds))], after: time.Duration(f.signals.Int64N(int64(longestSignalGap)))}
 		if f.signals.IntN(3) == 0 {
-			series[number].after = 0 // doubled
+			series[number].after = 0 // the next signal follows at once
 		}
 	}
 	return series
@@ -44,7 +45,7 @@
 	}
 }
 
-// sendReloads tells a process, once and then again, that its settings have changed, or to write its log out.
+// sendReloads signals a process that its settings have changed, followed by further reload and log dump signals.
 func (f *faults) sendReloads(process *fleet.Process) {
 	process.Reload()
 	for _, next := range f.drawSeries(process.Reload, process.Dump) {
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -18,7 +18,7 @@
 	"github.com/hazelpitch/hazelpitch/platform/standin"
 )
 
-// Ports of all processes, each of which has an IP of its own.
+// Ports of all processes. Each process has its own IP.
 const (
 	portPeers = 7101
 	portAdmin = 7102
@@ -26,7 +26,7 @@
 	portReady = 7104
 )
 
-// site is the processes that are looked at, and what stands around them.
+// site holds the processes under test and the stand-ins around them.
 type site struct {
 	options     Options
 	recorder    *history.Recorder
@@ -36,17 +36,18 @@
 	controllers []*fleet.Process
 	relays      []*relayProcess
 	operator    *standin.Operator
-	// servers are the arguments of each process, without those that choose the build, by its name.
+	// servers holds, by process name, the arguments without those that select the build.
 	servers map[string][]string
 }
 
-// relayProcess is a relay and where it is reached.
+// relayProcess is a relay with the addresses at which clients and readiness probes reach it.
 type relayProcess struct {
 	*fleet.Process
 	front, ready string
 }
 
-// networkRanges divide the loopback network: runs of other processes, and what is started in one.
+// networkRanges is the number of ranges into which the loopback network is divided, so that concurrent runs of
+// different processes do not collide.
 const networkRanges = 200
 
 // address returns the loopback IP of a process of this run.
@@ -54,7 +55,7 @@
 	return fmt.Sprintf("127.%d.%d.%d", 50+os.Getpid()%networkRanges, group, number+1)
 }
 
-// hostPort is an IP:port.
+// hostPort joins an IP and a port.
 func hostPort(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
 // Groups of addresses.
@@ -66,7 +67,7 @@
 	groupList
 )
 
-// newSite prepares everything and starts the stand-ins; no process runs yet.
+// newSite creates the settings of all processes and starts the stand-ins; no process runs yet.
 func newSite(options Options) (*site, error) {
 	names := map[string]bool{}
 	for number := range options.Controllers {
@@ -109,7 +110,7 @@
 
 func controllerName(number int) string { return fmt.Sprint("core-", number+1) }
 
-// startReplicas starts the back ends: pages, half of them at each service, and engines.
+// startReplicas starts the back ends: page services, half of them for each service, and engines.
 func (s *site) startReplicas() error {
 	for number := range s.options.Pages {
 		service := []string{standin.ServicePages, standin.ServiceOther}[number%2]
@@ -136,7 +137,7 @@
 	return nil
 }
 
-// seeds are the controllers that all settings name.
+// seeds returns the controllers that the settings of all processes name.
 func (s *site) seeds() []string { return s.operator.Controllers[:min(3, len(s.operator.Controllers))] }
 
 func (s *site) addController(number int) error {
@@ -171,7 +172,7 @@
 // relayGrace is how long a stopping relay may take.
 const relayGrace = 4 * time.Second
 
-// newProcess writes a newProcess's settings file.
+// newProcess writes the settings file of a process and returns the process, which is not running yet.
 func (s *site) newProcess(name, server, data string, config map[string]any) (*fleet.Process, error) {
 	path := filepath.Join(s.options.Directory, name+".yaml")
 	content, err := yaml.Marshal(config)
@@ -187,12 +188,13 @@
 	return process, nil
 }
 
-// startsOnOtherBuild reports whether all processes are of the other build at first: every second seed is an upgrade.
+// startsOnOtherBuild reports whether all processes run the other build at first: every second seed is an upgrade from
+// that build.
 func (s *site) startsOnOtherBuild() bool {
 	return s.options.OtherProgram != "" && s.options.Seed%2 == 1
 }
 
-// chooseBuild chooses the chooseBuild of a process's next start.
+// chooseBuild selects the build of a process's next start.
 func (s *site) chooseBuild(process *fleet.Process, other bool) {
 	arguments := s.servers[process.Name]
 	switch {
@@ -205,7 +207,7 @@
 	}
 }
 
-// disableBootstrap writes into a controller's settings that the fleet has started before.
+// disableBootstrap records in a controller's settings that the fleet has started before.
 func disableBootstrap(process *fleet.Process) error {
 	content, err := os.ReadFile(process.SettingsPath)
 	if err != nil {
@@ -230,7 +232,7 @@
 	return nil
 }
 
-// close ends all processes and stand-ins that run.
+// close stops all processes and stand-ins.
 func (s *site) close() {
 	for _, relay := range s.relays {
 		relay.Kill()
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// readyPause is the time between two questions whether relays want connections; after two that were
-	// missed a relay gets none.
+	// readyPause is the time between two readiness probes of the relays; after two failed probes a relay gets no new
+	// connections.
 	readyPause = 500 * time.Millisecond
 	// longestPause is the longest time between two attempts of a client.
 	longestPause = 60 * time.Millisecond
-	// abandonShare is the part of a client's attempts that it gives up.
+	// abandonShare is the share of a client's attempts that it abandons.
 	abandonShare = 0.05
-	// poisonPause is the time between two attempts of a request that ends its back ends.
+	// poisonPause is the time between two attempts of a request that crashes its back ends.
 	poisonPause = 300 * time.Millisecond
 )
 
-// loadBalancer gives out relays that want connections, as the platform's does.
+// loadBalancer assigns clients to relays that are ready, as the platform's load balancer does.
 type loadBalancer struct {
 	site         *site
 	mutex        sync.Mutex
 	missedProbes map[string]int
 }
 
-// probeRelays asks all relays until the context ends.
+// probeRelays probes the readiness of all relays until the context ends.
 func (e *loadBalancer) probeRelays(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, relay := range e.site.relays {
@@ -47,7 +47,8 @@
 	}
 }
 
-// pickRelay picks a relay for a client's next connection.
+// pickRelay picks a relay for a client's next connection. When fewer than half of the relays are ready, it picks among
+// all of them.
 func (e *loadBalancer) pickRelay(random *rand.Rand) *relayProcess {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -63,7 +64,7 @@
 	return ready[random.IntN(len(ready))]
 }
 
-// traffic is all clients of a run.
+// traffic runs all clients of a run.
 type traffic struct {
 	site         *site
 	loadBalancer *loadBalancer
@@ -81,7 +82,8 @@
 	}
 }
 
-// runClient sends requests of all kinds, mostly to the relay that it was given, until that one is gone.
+// runClient sends requests of all kinds. The client keeps its relay until that one is unreachable, and now and then
+// picks another.
 func (t *traffic) runClient(ctx context.Context, number int) {
 	random := rand.New(rand.NewPCG(t.site.options.Seed, uint64(number)))
 	client := standin.NewClient(t.site.recorder)
@@ -100,7 +102,7 @@
 	}
 }
 
-// drawContent draws what an attempt carries.
+// drawContent draws the body, the prompt length and the abandonment of an attempt.
 func (t *traffic) drawContent(attempt *standin.Attempt, random *rand.Rand) {
 	if attempt.Route != standin.RoutePage {
 		attempt.Body = fmt.Sprint("request ", random.Uint64())
@@ -113,7 +115,7 @@
 	}
 }
 
-// sendPoison sends one request that ends its back ends again and again, at any relay.
+// sendPoison sends one request that crashes its back ends, again and again, to any relay.
 func (t *traffic) sendPoison(ctx context.Context, number int) {
 	random := rand.New(rand.NewPCG(t.site.options.Seed, uint64(1000+number)))
 	client := standin.NewClient(t.site.recorder)
@@ -128,7 +130,7 @@
 	}
 }
 
-// operate sends configurations, one after another and sometimes two at once, and reads them back.
+// operate submits configurations one after another until the context ends, and reads each back from a random controller.
 func (s *site) operate(ctx context.Context) {
 	random := rand.New(rand.NewPCG(s.options.Seed, 2000))
 	number := uint64(firstNumber)
@@ -144,13 +146,13 @@
 // firstNumber is the number of the first configuration.
 const firstNumber = 1
 
-// drawnChange is a configuration with its content.
+// drawnChange is a drawn configuration with its content.
 type drawnChange struct {
 	history.Change
 	content string
 }
 
-// drawChange draws a configuration: one in eight must never be taken.
+// drawChange draws a configuration; one in eight is invalid and must never be accepted.
 func (s *site) drawChange(number uint64, random *rand.Rand) drawnChange {
 	if random.IntN(8) == 0 {
 		return drawnChange{history.Change{Number: number, Invalid: true}, standin.Invalid(number)}
@@ -159,7 +161,7 @@
 	return drawnChange{history.Change{Number: number, Services: standin.Services(pages)}, standin.Configuration(number, pages)}
 }
 
-// sleep waits, or until the context ends.
+// sleep blocks for the given time, or until the context ends.
 func sleep(ctx context.Context, length time.Duration) {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
