--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -9,20 +9,20 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Violation is a promise that was broken.
+// Violation is a broken invariant.
 type Violation struct {
 	Check  string
 	Detail string
 	At     time.Duration
 }
 
-// Error tells what was broken.
+// Error describes the broken invariant.
 func (v *Violation) Error() string {
 	return fmt.Sprintf("%s at %.6f s: %s", v.Check, v.At.Seconds(), v.Detail)
 }
 
-// checks watch a run. Each method compares one thing that has happened with what
-// must always hold; the first violation ends the run.
+// checks verify the invariants during a run. Each method compares one event with what must always hold; the first
+// violation ends the run.
 type checks struct {
 	world       *world
 	violation   *Violation
@@ -31,7 +31,7 @@
 	propagation propagationChecks
 	answers     answerChecks
 	leases      leaseChecks
-	claims      map[string]string // attempt that ran, by key
+	claims      map[string]string // by key, the attempt that ran
 }
 
 func newChecks(w *world) *checks {
@@ -53,13 +53,13 @@
 	c.world.trace.add(c.world.now, "VIOLATION", "%s: %s", check, c.violation.Detail)
 }
 
-// checkControllerStarted checks what a controller's disk holds.
+// checkControllerStarted checks the content of a starting controller's disk.
 func (c *checks) checkControllerStarted(of *controller, restored consensus.Restored) {
 	c.logs.checkRestored(of, restored)
 	c.propagation.forgetController(of)
 }
 
-// checkControllerStep watches what one step of a core has done, before it is carried out.
+// checkControllerStep checks the outputs of one step of a core before they are executed.
 func (c *checks) checkControllerStep(of *controller, outputs []control.Output) {
 	for _, output := range outputs {
 		switch action := output.(type) {
@@ -74,7 +74,7 @@
 	c.leases.afterStep(of)
 }
 
-// checkClaimRan checks that a key's request runs at most once.
+// checkClaimRan checks that the request of a key runs at most once.
 func (c *checks) checkClaimRan(g *gateway, key, attempt string) {
 	c.world.trace.add(c.world.now, g.name, "runs %s as %s", key, attempt)
 	if earlier, ran := c.claims[key]; ran {
@@ -83,11 +83,11 @@
 	c.claims[key] = attempt
 }
 
-// leavingBound is how long after the beginning of its removal an engine may still
-// be sent new work: the router's limit, on a clock that may be slow, and a margin.
+// leavingBound is how long after its removal began an engine may still be sent new work: the router's limit on a
+// slow clock, plus a margin.
 const leavingBound = 4200 * time.Millisecond
 
-// checkWorkSent checks that a leaving engine gets no new work after the bound.
+// checkWorkSent checks that a leaving engine receives no new work after leavingBound.
 func (c *checks) checkWorkSent(g *gateway, e *engine) {
 	if e.isLeaving && c.world.now-e.leftAt > leavingBound {
 		c.fail("no work to the leaving", "%s sends work to %s, which has been leaving for %v",
@@ -95,7 +95,7 @@
 	}
 }
 
-// checkEngineChange checks that no change begins while requests are in flight.
+// checkEngineChange checks that no change of role or model begins while requests are in flight.
 func (c *checks) checkEngineChange(e *engine) {
 	order := e.durable.Order
 	takesOutOfService := order.Action == enginecontract.ActionSetRole || order.Action == enginecontract.ActionLoadModel
--- a/internal/simulation/checks_answers.go
+++ b/internal/simulation/checks_answers.go
@@ -7,22 +7,22 @@
 // submissionKey identifies a submission.
 type submissionKey struct{ operator, request string }
 
-// firstAnswer is what a submission was answered first.
+// firstAnswer is the first response to a submission.
 type firstAnswer struct {
 	outcome  v1.ApplyOutcome
 	revision uint64
 	number   uint64
 }
 
-// answerChecks watch what operators are told.
+// answerChecks verify the responses to operators.
 type answerChecks struct {
 	checks    *checks
 	durable   map[submissionKey]bool
 	first     map[submissionKey]firstAnswer
-	messages  map[submissionKey]string // first answers to commands
+	messages  map[submissionKey]string // first responses to commands
 	winners   map[uint64]submissionKey
 	revisions map[uint64]submissionKey
-	// accepted counts the changes that were accepted, highest is the last revision.
+	// accepted counts the accepted changes; highest is the latest revision.
 	accepted int
 	highest  uint64
 }
@@ -34,14 +34,14 @@
 	}
 }
 
-// recordCommitted takes note of a recordCommitted command.
+// recordCommitted records a committed command.
 func (a *answerChecks) recordCommitted(command *v1.Command) {
 	if declaration := command.GetApplyDeclaration(); declaration != nil {
 		a.durable[submissionKey{declaration.GetOperator(), declaration.GetRequestId()}] = true
 	}
 }
 
-// checkApplyAnswered checks an answer to a submission.
+// checkApplyAnswered checks the response to a submission.
 func (c *checks) checkApplyAnswered(sent *submission, response *v1.ApplyResponse) {
 	c.world.trace.add(c.world.now, sent.operator, "%s is %s at revision %d, number %d", sent.request.GetRequestId(),
 		response.GetOutcome(), response.GetRevision(), response.GetChangeNumber())
@@ -56,7 +56,7 @@
 	}
 }
 
-// checkCommandAnswered checks the answer to a command that was carried out.
+// checkCommandAnswered checks the response to an executed command.
 func (c *checks) checkCommandAnswered(by *operatorClient, request *v1.ExecuteRequest, response *v1.ExecuteResponse) {
 	c.world.trace.add(c.world.now, by.name, "%s: %s", request.GetRequestId(), response.GetMessage())
 	key := submissionKey{by.name, request.GetRequestId()}
@@ -66,7 +66,7 @@
 	c.answers.messages[key] = response.GetMessage()
 }
 
-// checkAccepted checks an accepted submission.
+// checkAccepted checks that an accepted submission is committed and that no other one has its number or revision.
 func (a *answerChecks) checkAccepted(key submissionKey, response *v1.ApplyResponse) {
 	if !a.durable[key] {
 		a.checks.fail("accepted is durable", "%s was accepted and is not committed", key.request)
--- a/internal/simulation/checks_leases.go
+++ b/internal/simulation/checks_leases.go
@@ -6,29 +6,27 @@
 	"github.com/hazelpitch/hazelpitch/internal/consensus"
 )
 
-// isolationBound is how long a controller may take to notice that it is cut off from
-// its peers: the slowest message that was under way, the election timeout on a slow
-// clock, and a margin.
+// isolationBound is how long a controller may take to detect that it is cut off from its peers: the delay of the
+// slowest message under way, the election timeout on a slow clock, and a margin.
 const isolationBound = slowDelay + consensus.DefaultElectionTimeout + 500*time.Millisecond
 
-// maximumStepGap is a time without a step after which a controller must have been paused: it
-// then still has to take what had arrived before the cut.
+// maximumStepGap is the time without a step after which a controller must have been paused. After the pause it still
+// processes what had arrived before the cut, so that the bound starts again.
 const maximumStepGap = 200 * time.Millisecond
 
-// isolation is a controller that no peer reaches and that reaches none.
+// isolation is the state of a controller that is cut off from all peers in both directions.
 type isolation struct {
 	since    time.Duration
 	lastStep time.Duration
-	// generation is that of the process.
+	// generation is the generation of the process.
 	generation int
-	// term is the controller's once the bound has passed; settled tells that it has.
+	// term is the controller's term when the bound passed; boundPassed reports that it has.
 	term        uint64
 	boundPassed bool
 }
 
-// leaseChecks watch who may act as the leader: never two at once, and no one who is
-// cut off. A controller that is cut off also raises no term, so that its return
-// disturbs no one.
+// leaseChecks verify who acts as the leader: never two controllers at once, and none that is cut off. A controller
+// that is cut off must not raise its term either, so that its return does not depose the leader.
 type leaseChecks struct {
 	checks   *checks
 	isolated map[string]*isolation
@@ -44,7 +42,7 @@
 	l.checkCutOff(c)
 }
 
-// checkOneLease checks that no other controller may lead while this one may.
+// checkOneLease checks that no other controller holds a lease while this one does.
 func (l *leaseChecks) checkOneLease(c *controller) {
 	if !c.core.HoldsLease(c.local()) {
 		return
@@ -56,7 +54,7 @@
 	}
 }
 
-// checkCutOff checks a controller that has been cut off for longer than the bound.
+// checkCutOff checks a controller that has been cut off for longer than isolationBound.
 func (l *leaseChecks) checkCutOff(c *controller) {
 	if !l.checks.world.isCutFromPeers(c) {
 		delete(l.isolated, c.name)
@@ -83,7 +81,7 @@
 	}
 }
 
-// isCutFromPeers reports whether a controller and its peers cannot reach each other.
+// isCutFromPeers reports whether a controller and all its peers are cut off from each other in both directions.
 func (w *world) isCutFromPeers(c *controller) bool {
 	for _, cut := range w.peerLinks(c) {
 		if w.network.cuts[cut] == 0 {
--- a/internal/simulation/checks_log.go
+++ b/internal/simulation/checks_log.go
@@ -8,38 +8,38 @@
 	"github.com/hazelpitch/hazelpitch/internal/control"
 )
 
-// ballot is one disk's vote in one term.
+// ballot identifies one disk's vote in one term.
 type ballot struct {
 	disk string
 	term uint64
 }
 
-// entryPosition is an index and a term.
+// entryPosition is the index and term of an entry.
 type entryPosition struct{ index, term uint64 }
 
-// logChecks watch the replicated log: election safety, one vote a term, log
-// matching, agreement, durability on a quorum, and who may become a voter.
+// logChecks verify the replicated log: election safety, one vote per term, log matching, agreement, durability on a
+// quorum, and that only members that have caught up become voters.
 type logChecks struct {
 	checks *checks
-	// leaders and votes are who led and who was voted for.
+	// leaders holds the leader of each term, votes the recipient of each vote.
 	leaders map[uint64]string
 	votes   map[ballot]string
-	// written is the content of every entry that any log held.
+	// written holds the content hash of every entry that was written to any log.
 	written map[entryPosition]uint64
-	// committed is the mark of every entry that any controller applied.
+	// committed holds the mark of every entry that any controller has applied.
 	committed map[uint64]entryMark
 	highest   uint64
-	// synced is what each disk, also a lost one, has acknowledged.
+	// synced holds what each disk has acknowledged, including lost disks.
 	synced map[string]*shadowLog
-	// hardStates are the last acknowledged by each disk.
+	// hardStates holds the last hard state that each disk has acknowledged.
 	hardStates map[string]*v1.HardState
-	// led is the last term in which each process was seen to lead, digests the state
-	// at applied indexes.
+	// led is the last term in which each disk's controller led; digests holds the digest of the state at each applied
+	// index.
 	led     map[string]uint64
 	digests map[uint64]stateDigest
 }
 
-// stateDigest stands for a replicated state.
+// stateDigest summarizes a replicated state.
 type stateDigest struct {
 	revision uint64
 	epoch    uint64
@@ -77,7 +77,7 @@
 	}
 }
 
-// recordSynced takes note of what a disk has acknowledged.
+// recordSynced records what a disk has acknowledged.
 func (l *logChecks) recordSynced(c *controller, batches []control.Persist) {
 	log := l.synced[c.diskID]
 	for _, batch := range batches {
@@ -88,7 +88,7 @@
 	}
 }
 
-// checkMessage watches the messages between controllers.
+// checkMessage checks a message between controllers.
 func (l *logChecks) checkMessage(c *controller, message *v1.ConsensusMessage) {
 	switch message.GetType() {
 	case v1.MessageType_MESSAGE_TYPE_APPEND, v1.MessageType_MESSAGE_TYPE_SNAPSHOT:
@@ -113,7 +113,7 @@
 	l.leaders[term] = c.diskID
 }
 
-// checkPersist watches what a core writes to its log.
+// checkPersist checks what a core writes to its log.
 func (l *logChecks) checkPersist(c *controller, batch control.Persist) {
 	for _, entry := range batch.Entries {
 		position := entryPosition{index: entry.GetIndex(), term: entry.GetTerm()}
@@ -126,7 +126,7 @@
 	c.shadow.apply(batch)
 }
 
-// afterStep compares what a core has applied with every other's.
+// afterStep compares the entries and the state that a core has applied with those of the other cores.
 func (l *logChecks) afterStep(c *controller, status consensus.Status) {
 	for index := c.shadow.checked + 1; index <= status.Applied; index++ {
 		l.checkApplied(c, index)
@@ -141,7 +141,7 @@
 	l.compareStates(c)
 }
 
-// checkApplied checks one checkApplied entry.
+// checkApplied checks one applied entry.
 func (l *logChecks) checkApplied(c *controller, index uint64) {
 	mark, isHeld := c.shadow.marks[index]
 	if !isHeld {
@@ -169,7 +169,7 @@
 	l.checks.answers.recordCommitted(command)
 }
 
-// checkComplete checks once a term that a leader holds every committed entry.
+// checkComplete checks, once per term, that the leader's log holds every committed entry.
 func (l *logChecks) checkComplete(c *controller, status consensus.Status) {
 	if l.led[c.diskID] == status.Term {
 		return
@@ -185,8 +185,8 @@
 	}
 }
 
-// checkDurableOnQuorum checks that what a leader counts as committed is synced on more
-// than half of the voters' disks.
+// checkDurableOnQuorum checks that the entry that a leader counts as committed is synced on more than half of the
+// voters' disks.
 func (l *logChecks) checkDurableOnQuorum(c *controller, status consensus.Status) {
 	mark, isHeld := c.shadow.marks[status.Commit]
 	if !isHeld || status.Commit <= c.quorumChecked {
@@ -208,18 +208,18 @@
 	}
 }
 
-// diskHolds reports whether a disk has acknowledged the entry.
+// diskHolds reports whether a disk has acknowledged the entry or a snapshot that covers it.
 func (l *logChecks) diskHolds(disk string, index uint64, mark entryMark) bool {
 	log := l.synced[disk]
 	return log != nil && (log.marks[index] == mark || index < log.first)
 }
 
-// checkPromoted checks that a member that becomes a voter holds all that is committed.
+// checkPromoted checks that a member that becomes a voter holds all committed entries.
 func (l *logChecks) checkPromoted(c *controller, status consensus.Status) {
 	before, after := c.membership, status.Membership
 	c.membership = after
 	if before == nil || before == after || l.led[c.diskID] != status.Term {
-		return // members that an earlier leader made voters
+		return // voters that were promoted under an earlier leader
 	}
 	wasVoter := map[string]bool{}
 	for _, member := range before.GetMembers() {
@@ -238,11 +238,10 @@
 	}
 }
 
-// fullDigestInterval is how many applied entries lie between two comparisons of
-// whole states.
+// fullDigestInterval is the number of applied entries between two comparisons of whole states.
 const fullDigestInterval = 16
 
-// compareStates compares the state with the others' at the same applied index.
+// compareStates compares the state with those of the other controllers at the same applied index.
 func (l *logChecks) compareStates(c *controller) {
 	applied := c.status().Applied
 	if applied == c.digestAt {
--- a/internal/simulation/checks_orders.go
+++ b/internal/simulation/checks_orders.go
@@ -5,26 +5,25 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// engineFence is one fence at one engine.
+// engineFence identifies an order by its engine and its fence.
 type engineFence struct {
 	engine string
 	fence  enginecontract.Fence
 }
 
-// orderChecks watch the engines' orders.
+// orderChecks verify the orders to engines.
 type orderChecks struct {
 	checks *checks
-	// issued are the orders that were committed, unended those of each engine that no
-	// later entry has ended.
+	// issued holds the committed orders, unended the order of each engine that no later entry has ended.
 	issued  map[engineFence]bool
 	unended map[string]enginecontract.Fence
-	// overlapping are orders that were committed while another was not ended: they
-	// must not be sent. ended are the outcomes of those that have ended.
+	// overlapping holds the orders that were committed before an earlier one had ended: they must not be sent. ended
+	// holds the outcomes of ended orders.
 	overlapping map[engineFence]enginecontract.Fence
 	ended       map[engineFence]v1.OrderOutcome
-	// acceptedOrders are the orders that engines have accepted.
+	// acceptedOrders holds the orders that engines have accepted.
 	acceptedOrders map[engineFence]enginecontract.Order
-	// epochs are the highest epochs that engines have answered.
+	// epochs holds the highest epoch that each engine has accepted.
 	epochs map[string]uint64
 	// acceptedCount counts the orders that took effect.
 	acceptedCount int
@@ -38,7 +37,7 @@
 	}
 }
 
-// recordCommitted takes note of a recordCommitted command.
+// recordCommitted records a committed command.
 func (o *orderChecks) recordCommitted(index uint64, command *v1.Command) {
 	if issue := command.GetIssueOrder(); issue != nil {
 		o.recordIssued(issue.GetOrder().GetEngine(), enginecontract.Fence{Epoch: issue.GetOrder().GetEpoch(), Sequence: index})
@@ -48,7 +47,7 @@
 	}
 }
 
-// recordIssued takes note of a committed order.
+// recordIssued records a committed order.
 func (o *orderChecks) recordIssued(engine string, fence enginecontract.Fence) {
 	o.issued[engineFence{engine, fence}] = true
 	if before, hasUnended := o.unended[engine]; hasUnended {
@@ -58,7 +57,7 @@
 	o.unended[engine] = fence
 }
 
-// recordFinished takes note of a committed end of an order.
+// recordFinished records the committed end of an order.
 func (o *orderChecks) recordFinished(engine string, fence enginecontract.Fence, outcome v1.OrderOutcome) {
 	if o.unended[engine] != fence {
 		return
@@ -67,7 +66,7 @@
 	o.ended[engineFence{engine, fence}] = outcome
 }
 
-// checkOrderSent checks that an order is committed before it leaves.
+// checkOrderSent checks that an order is committed before it is sent, and that no earlier order is unended.
 func (c *checks) checkOrderSent(from *controller, order enginecontract.Order, engine string) {
 	if order.Action != enginecontract.ActionAbort && !c.orders.issued[engineFence{engine, order.Fence}] {
 		c.fail("committed before sent", "%s sends order %v to %s, which is not committed", from.name, order.Fence, engine)
@@ -77,7 +76,7 @@
 	}
 }
 
-// checkOrderAnswered checks what an engine did with an order.
+// checkOrderAnswered checks an engine's response to an order.
 func (c *checks) checkOrderAnswered(e *engine, order enginecontract.Order, before enginecontract.EngineState, answer enginecontract.OrderAnswer) {
 	if !answer.Accepted || order.Fence == before.OrderFence {
 		return
@@ -106,12 +105,12 @@
 	c.checkOutOfService(e, order)
 }
 
-// maximumOutOfService is how many engines of a service may be out by orders at once: the default,
-// for the simulated fleet declares no bound.
+// maximumOutOfService is the bound on engines of a service that are out of service by orders at once. It is the
+// product's default, because the simulated fleet declares no bound.
 const maximumOutOfService = 1
 
-// checkOutOfService checks the bound on engines out at once. Engines whose orders were
-// given up as lost do not count: no one knows what has become of them.
+// checkOutOfService checks the bound on engines out of service. Engines whose orders have ended as lost do not count,
+// because their state is unknown.
 func (c *checks) checkOutOfService(e *engine, order enginecontract.Order) {
 	out := 0
 	for _, other := range c.world.engines {
@@ -125,7 +124,7 @@
 	}
 }
 
-// recordFence takes note of a fence that an engine has accepted.
+// recordFence records a fence that an engine has accepted.
 func (c *checks) recordFence(e *engine, fence enginecontract.Fence, answer enginecontract.OrderAnswer) {
 	if answer.Accepted {
 		c.orders.epochs[e.name] = max(c.orders.epochs[e.name], fence.Epoch)
--- a/internal/simulation/checks_propagation.go
+++ b/internal/simulation/checks_propagation.go
@@ -4,12 +4,12 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// propagationChecks watch how the configuration reaches the nodes.
+// propagationChecks verify how the configuration reaches controllers and gateways.
 type propagationChecks struct {
 	checks *checks
-	// worths is the worth of the registration kind at each revision.
+	// worths holds the worth of the registration kind at each revision.
 	worths map[uint64]float64
-	// gateways and controllers are the highest revisions that processes have been at.
+	// gateways and controllers hold the highest revision that each process has reached.
 	gateways    map[string]uint64
 	controllers map[string]uint64
 }
@@ -18,8 +18,8 @@
 	return propagationChecks{checks: c, worths: map[uint64]float64{}, gateways: map[string]uint64{}, controllers: map[string]uint64{}}
 }
 
-// checkController takes note of the configuration that a controller is at and checks
-// that it does not go back.
+// checkController checks that a controller's revision never reverts, and that all controllers agree on the content of
+// each revision.
 func (s *propagationChecks) checkController(c *controller) {
 	state := c.core.State()
 	revision := state.Revision()
@@ -37,12 +37,11 @@
 	s.worths[revision] = worth
 }
 
-// forgetController takes note of a new process, which begins at its snapshot.
+// forgetController drops the revision of a controller whose process restarts, since it begins at its snapshot.
 func (s *propagationChecks) forgetController(c *controller) { delete(s.controllers, c.name) }
 
-// checkGatewaySynced checks that a gateway never goes back, over restarts too, and that
-// what it has in force is what was accepted as its revision. A gateway without any
-// configuration serves no one.
+// checkGatewaySynced checks that a gateway's revision never reverts, also over restarts, and that the gateway applies
+// what was accepted as its revision. A gateway without any configuration serves no requests and is left out.
 func (c *checks) checkGatewaySynced(g *gateway) {
 	revision := g.state.Revision()
 	if revision == 0 {
@@ -54,7 +53,7 @@
 	c.propagation.gateways[g.name] = revision
 	kind, isDeclared := g.state.Snapshot().Kind(registrationKind)
 	if worth, known := c.propagation.worths[revision]; isDeclared && known && kind.Spec.GetWorth() != worth {
-		c.fail("revisions never revert", "%s has worth %v in force at revision %d, which says %v",
+		c.fail("revisions never revert", "%s applies worth %v at revision %d, whose worth is %v",
 			g.name, kind.Spec.GetWorth(), revision, worth)
 	}
 }
--- a/internal/simulation/claimant.go
+++ b/internal/simulation/claimant.go
@@ -8,15 +8,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/control"
 )
 
-// claimLifetime is how long a claim is remembered.
+// claimLifetime is how long a claim is stored.
 const claimLifetime = 10 * time.Minute
 
-// claimKeys is the number of keys that callers draw from: several gateways meet the
-// same ones.
+// claimKeys is the number of keys that callers draw from at a time, small enough that several gateways receive the
+// same key.
 const claimKeys = 8
 
-// claimant lets a gateway run requests that may run at most once. Callers send each
-// key through several gateways.
+// claimant makes a gateway run requests that may run at most once. Callers send each key through several gateways.
 type claimant struct {
 	gateway  *gateway
 	attempts int
@@ -24,7 +23,7 @@
 
 func newClaimant(g *gateway) *claimant { return &claimant{gateway: g} }
 
-// runNext begins a request with a key that others may use at the same time.
+// runNext begins a request with a key that other gateways may use at the same time.
 func (c *claimant) runNext() {
 	world := c.gateway.world
 	if world.lulls > 0 {
@@ -37,7 +36,7 @@
 	c.beginClaim(key, attempt, 3)
 }
 
-// beginClaim claims the key; a lost answer is asked for again with the same attempt.
+// beginClaim claims the key; after a lost or failed response it repeats the call with the same attempt.
 func (c *claimant) beginClaim(key, attempt string, tries int) {
 	g := c.gateway
 	now := g.clock.wallOriginMs + g.local().Milliseconds()
@@ -67,7 +66,7 @@
 	g.after(g.world.drawDuration(time.Second), func() { c.finishClaim(key, attempt, 3) })
 }
 
-// finishClaim records the outcome; a lost answer is asked for again.
+// finishClaim records the outcome; after a lost or failed response it repeats the call.
 func (c *claimant) finishClaim(key, attempt string, tries int) {
 	g := c.gateway
 	request := &v1.FinishClaimRequest{Claim: &v1.FinishClaim{
--- a/internal/simulation/clock.go
+++ b/internal/simulation/clock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// maximumDrift bounds how far a clock's rate is off real time; it is within the
-// bound that controllers reckon with.
+// maximumDrift bounds how far the rate of a clock differs from real time. It is within the drift that controllers
+// allow for.
 const maximumDrift = 0.015
 
 // wallSkew bounds how far a wall clock is off.
@@ -13,11 +13,11 @@
 // virtual time is zero.
 const wallStart = 1_700_000_000_000
 
-// clock is the monotonic clock of one process: it starts at zero with the process.
+// clock is the monotonic clock of one process; it is zero at the start of the process.
 type clock struct {
 	startedAt time.Duration
 	rate      float64
-	// wallOriginMs is what the process takes for the wall-clock time of its start.
+	// wallOriginMs is the wall-clock time of the start of the process by its own, possibly wrong, wall clock.
 	wallOriginMs int64
 }
 
@@ -31,7 +31,7 @@
 	}
 }
 
-// read returns the time on the clock.
+// read returns the time on the clock at the virtual time now.
 func (c clock) read(now time.Duration) time.Duration {
 	return time.Duration(float64(now-c.startedAt) * c.rate)
 }
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -18,15 +18,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/storage"
 )
 
-// Safeguards of a controller's disk that only the simulator can switch off.
+// Safeguards of a controller's disk that can be disabled in the simulator only.
 const (
-	// SafeguardDiskSync syncs the log before a batch counts as persisted.
+	// SafeguardDiskSync makes a batch count as persisted only after the log is synced.
 	SafeguardDiskSync safeguard.Safeguard = "disk-sync"
 	// SafeguardDiskIdentity gives an emptied disk a new identity.
 	SafeguardDiskIdentity safeguard.Safeguard = "disk-identity"
 )
 
-// Settings of a controller that make the simulation meet more in less time.
+// Settings of a controller. Segments, snapshots and intervals are small so that a short run covers many of them.
 const (
 	fleetName         = "simulated"
 	dataDirectory     = "/data"
@@ -38,15 +38,14 @@
 	slowSync          = 400 * time.Millisecond
 )
 
-// controller is one controller: the product's core over the product's log on a
-// simulated disk.
+// controller is one controller: the product's core over the product's log on a simulated disk.
 type controller struct {
 	host
 	zone      string
 	peers     []consensus.Peer
 	build     build
 	disk      *memory.Disk
-	diskCount int // disks this machine has had
+	diskCount int // number of disks that this machine has had
 	storage   *storage.Storage
 	core      *control.Core
 	// diskID is the identity of the disk in use.
@@ -56,19 +55,19 @@
 	unsaved  []control.Persist
 	nextCall control.CallID
 	calls    map[control.CallID]func(proto.Message, error)
-	// isStalled holds what leaves only at the end of a pause that began in mid-step.
+	// isStalled reports that the outputs of the next step are held back until the end of a pause.
 	isStalled bool
-	// stallsBeforeOrder tells that the next step that sends an order stalls.
+	// stallsBeforeOrder reports that the next step that sends an order stalls.
 	stallsBeforeOrder bool
-	// quorumChecked and digestAt are how far the checks have come.
+	// quorumChecked and digestAt are the last log indexes that checks have covered.
 	quorumChecked uint64
 	digestAt      uint64
 	membership    *v1.Membership
-	// shadow is what the core has handed out for its log.
+	// shadow is a copy of the log as the core has written it.
 	shadow shadowLog
 }
 
-// start starts the process on what its disk holds.
+// start starts the process from the content of its disk.
 func (c *controller) start() {
 	c.boot()
 	c.syncing, c.isStalled, c.stallsBeforeOrder, c.unsaved = false, false, false, nil
@@ -99,14 +98,14 @@
 	c.readMachineList()
 }
 
-// startIfDown starts the process unless something else has done so already.
+// startIfDown starts the process unless it is already running.
 func (c *controller) startIfDown() {
 	if !c.isAlive {
 		c.start()
 	}
 }
 
-// newDiskID names a new disk.
+// newDiskID returns the identity of a new disk.
 func (c *controller) newDiskID() string {
 	if !c.world.safeguards.IsEnabled(SafeguardDiskIdentity) {
 		return c.name + ".1"
@@ -114,7 +113,7 @@
 	return fmt.Sprintf("%s.%d", c.name, c.diskCount)
 }
 
-// config is the configuration of the core.
+// config returns the configuration of the core.
 func (c *controller) config() control.Config {
 	config := control.Config{
 		Fleet: fleetName, Name: c.name, Zone: c.zone, Address: c.name, Peers: c.peers,
@@ -130,7 +129,7 @@
 	return config
 }
 
-// step hands one input to the core and carries out what it wants.
+// step passes one input to the core and executes its outputs.
 func (c *controller) step(input control.Input) {
 	if c.core == nil {
 		return
@@ -161,7 +160,7 @@
 	})
 }
 
-// execute does what one output asks for.
+// execute executes one output.
 func (c *controller) execute(output control.Output) {
 	switch action := output.(type) {
 	case control.Persist:
@@ -186,7 +185,7 @@
 	}
 }
 
-// receive hands a call to the core; reply gets its answer.
+// receive passes a call to the core; reply is called with its response.
 func (c *controller) receive(input func(control.CallID) control.Input, reply func(proto.Message, error)) {
 	if c.core == nil {
 		return
@@ -196,7 +195,7 @@
 	c.step(input(c.nextCall))
 }
 
-// readMachineList asks the platform.
+// readMachineList reads the machine list of the platform and passes it to the core.
 func (c *controller) readMachineList() {
 	platform := c.world.platform
 	call(c.world.network, &c.host, &platform.host, engineCallTimeout,
@@ -208,10 +207,10 @@
 		})
 }
 
-// status returns what the core tells of the replicated log.
+// status returns the core's status of the replicated log.
 func (c *controller) status() consensus.Status { return c.core.Consensus() }
 
-// entryText names an entry for the trace.
+// entryText formats the position of an entry for the trace.
 func entryText(entry *v1.Entry) string {
 	return fmt.Sprintf("%d of term %d", entry.GetIndex(), entry.GetTerm())
 }
--- a/internal/simulation/controller_build.go
+++ b/internal/simulation/controller_build.go
@@ -11,16 +11,16 @@
 	"github.com/hazelpitch/hazelpitch/internal/formats/formerbuild"
 )
 
-// build is which build a controller's process is of: this one, or one of the first format.
+// build is the build of a controller's process: this build, or one that reads and writes only the first format.
 type build struct {
 	isFormer   bool
 	translator *formerbuild.Translator
 }
 
-// mixesBuilds reports whether controllers are replaced by those of another build in this run.
+// mixesBuilds reports whether this run replaces controllers by ones of the other build.
 func (w *world) mixesBuilds() bool { return slices.Contains(w.options.Emphasis, FaultReplaceBuild) }
 
-// readRestored returns what a controller that starts reads of its disk.
+// readRestored returns the content of the disk as the controller's build reads it.
 func (c *controller) readRestored(restored consensus.Restored) consensus.Restored {
 	if !c.build.isFormer {
 		return restored
@@ -32,7 +32,7 @@
 	return result
 }
 
-// readMessage returns another controller's message as this one readMessage it.
+// readMessage returns another controller's message as this controller's build reads it.
 func (c *controller) readMessage(message *v1.ConsensusMessage) *v1.ConsensusMessage {
 	if !c.build.isFormer {
 		return message
@@ -44,7 +44,7 @@
 	return read
 }
 
-// writeOutputs returns what the process writeOutputs of a step's outputs.
+// writeOutputs returns the outputs of a step as the controller's build writes them.
 func (c *controller) writeOutputs(outputs []control.Output) []control.Output {
 	if !c.build.isFormer {
 		return outputs
@@ -72,7 +72,7 @@
 	return written
 }
 
-// digest returns the hash of the replicated state; where builds are mixed, of what all of them hold.
+// digest returns the hash of the replicated state. In runs that mix builds it covers only what both builds store.
 func (c *controller) digest() uint64 {
 	data, err := c.core.State().Snapshot()
 	if err == nil && c.world.mixesBuilds() {
@@ -84,7 +84,7 @@
 	return xxhash.Sum64(data)
 }
 
-// replaceBuild stops a controller, as planned or at once, and starts it as the other build at the end.
+// replaceBuild crashes a controller and starts it as the other build when the fault ends.
 func (f *faults) replaceBuild(kind FaultKind, c *controller) func() {
 	if !c.isAlive {
 		return nil
--- a/internal/simulation/controller_disk.go
+++ b/internal/simulation/controller_disk.go
@@ -6,7 +6,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/storage"
 )
 
-// startSync writes all that waits after the time that a disk takes.
+// startSync schedules a write of all waiting batches after a drawn disk delay.
 func (c *controller) startSync() {
 	if c.syncing {
 		return
@@ -19,7 +19,7 @@
 	c.after(delay, c.save)
 }
 
-// save writes and syncs what waits and tells the core.
+// save writes and syncs the waiting batches and reports them to the core as persisted.
 func (c *controller) save() {
 	c.syncing = false
 	batches := c.unsaved
@@ -35,7 +35,7 @@
 	c.step(control.Persisted{Batch: batches[len(batches)-1].Batch})
 }
 
-// saveAll saves batches with as few syncs as can be.
+// saveAll saves batches with as few syncs as possible.
 func saveAll(target *storage.Storage, batches []control.Persist) error {
 	batch := &storage.Batch{}
 	for _, persist := range batches {
@@ -51,14 +51,14 @@
 	return target.SaveBatch(batch)
 }
 
-// crash ends the process between two changes of the disk, which loses what was not synced.
+// crash kills the process between two changes of the disk. Changes that were not synced are lost.
 func (c *controller) crash() {
 	if !c.isAlive {
 		return
 	}
 	if len(c.unsaved) > 0 {
 		c.disk.StopAfter(c.world.random.IntN(8))
-		_ = saveAll(c.storage, c.unsaved) // stops somewhere
+		_ = saveAll(c.storage, c.unsaved) // the disk stops after a drawn number of changes
 	}
 	c.disk.Crash(c.world.random)
 	c.core, c.storage = nil, nil
@@ -66,10 +66,10 @@
 	c.world.trace.add(c.world.now, c.name, "crashes")
 }
 
-// replaceDisk puts an empty disk into a machine that is down.
+// replaceDisk replaces the disk of a machine that is down by an empty one.
 func (c *controller) replaceDisk() {
 	c.diskCount++
 	c.disk = memory.New()
-	c.diskID = "" // known once the process has started on it
+	c.diskID = "" // set when the process starts on the new disk
 	c.world.trace.add(c.world.now, c.name, "gets an empty disk")
 }
--- a/internal/simulation/controller_engines.go
+++ b/internal/simulation/controller_engines.go
@@ -23,7 +23,8 @@
 		})
 }
 
-// callEngine makes a call that an engine answers with an OrderAnswer.
+// callEngine makes a call to which an engine responds with an OrderAnswer; done receives nil when the response is
+// lost.
 func (c *controller) callEngine(address string, handle func(*engine) enginecontract.OrderAnswer, done func(*enginecontract.OrderAnswer)) {
 	target := c.world.engineAt(address)
 	if target == nil {
@@ -41,13 +42,13 @@
 		})
 }
 
-// pollAnswer is what an engine answers to a poll.
+// pollAnswer is the response of an engine to a poll.
 type pollAnswer struct {
 	state *enginecontract.EngineState
 	load  *enginecontract.LoadReport
 }
 
-// pollEngine asks an engine for state and load.
+// pollEngine requests the state and load of an engine.
 func (c *controller) pollEngine(action control.PollEngine) {
 	target := c.world.engineAt(action.Address)
 	if target == nil {
--- a/internal/simulation/declaration.go
+++ b/internal/simulation/declaration.go
@@ -15,7 +15,7 @@
 	firstWeight      = 7
 )
 
-// declareFleet submits the first declaration and goes on once it is accepted.
+// declareFleet submits the first declaration until it is accepted, then calls done.
 func (o *operatorClient) declareFleet(done func()) {
 	sent := &submission{
 		operator: o.name, objects: o.world.fleetObjects(),
@@ -32,7 +32,7 @@
 	})
 }
 
-// fleetObjects are the objects that the fleet begins with.
+// fleetObjects returns the objects of the first declaration.
 func (w *world) fleetObjects() []*v1.Object {
 	objects := []*v1.Object{
 		withKey(v1.ObjectType_OBJECT_TYPE_MODEL, modelName, &v1.Object{Spec: &v1.Object_Model{
@@ -51,20 +51,19 @@
 	return objects
 }
 
-// withKey gives an object its key.
+// withKey sets the key of an object.
 func withKey(objectType v1.ObjectType, name string, object *v1.Object) *v1.Object {
 	object.Key = &v1.ObjectKey{Type: objectType, Name: name}
 	return object
 }
 
-// registrationObject declares the kind that runs at most once; its worth changes
-// with each declaration.
+// registrationObject returns the kind that runs at most once; each declaration gives it another worth.
 func registrationObject(worth float64) *v1.Object {
 	return withKey(v1.ObjectType_OBJECT_TYPE_KIND, registrationKind, &v1.Object{Spec: &v1.Object_Kind{Kind: &v1.Kind{
 		Worth: worth, DeadlineMs: 5000, Service: pageService, Path: "/registration"}}})
 }
 
-// tenantObject declares a tenant whose weight is the value that operators write.
+// tenantObject returns a tenant whose weight is the value that operators write.
 func tenantObject(name string, weight uint32) *v1.Object {
 	return withKey(v1.ObjectType_OBJECT_TYPE_TENANT, name, &v1.Object{Spec: &v1.Object_Tenant{Tenant: &v1.Tenant{Weight: weight}}})
 }
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -7,7 +7,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/engine/orders"
 )
 
-// Times of an engine.
+// Durations of engine operations.
 const (
 	roleChangeTime  = 4 * time.Second
 	weightLoadTime  = 6 * time.Second
@@ -16,18 +16,18 @@
 	shortestWork    = 200 * time.Millisecond
 )
 
-// engine is one model engine: the stand-in's order machine and requests in flight.
+// engine is one model engine: the order state machine of the stand-in, and a count of requests in flight.
 type engine struct {
 	host
 	service     string
 	zone        string
 	incarnation uint64
 	machine     *orders.Machine
-	// durable is what the engine has written before it answered.
+	// durable is the state that the engine has written to disk before it responded.
 	durable   orders.Durable
 	inFlight  int
 	isLeaving bool
-	// leftAt is when the platform began to take the machine away.
+	// leftAt is when the platform began to remove the machine.
 	leftAt time.Duration
 	isGone bool
 }
@@ -49,7 +49,7 @@
 	e.world.trace.add(e.world.now, e.name, "starts, incarnation %d", e.incarnation)
 }
 
-// saveAndSchedule writes what must survive and arranges the machine's next event.
+// saveAndSchedule saves the durable state and schedules the state machine's next event.
 func (e *engine) saveAndSchedule() {
 	e.durable = e.machine.Durable()
 	e.world.checks.checkEngineChange(e)
@@ -58,7 +58,7 @@
 	}
 }
 
-// advance lets the machine take notice of the time.
+// advance advances the state machine to the current time.
 func (e *engine) advance() {
 	before := e.machine.Durable().Phase
 	e.machine.Advance(e.world.now, e.inFlight)
@@ -68,7 +68,7 @@
 	}
 }
 
-// receiveOrder takes an receiveOrder.
+// receiveOrder passes an order to the state machine and returns its response.
 func (e *engine) receiveOrder(order enginecontract.Order) enginecontract.OrderAnswer {
 	before := e.machine.State(e.inFlight)
 	answer := e.machine.Order(e.world.now, order, e.inFlight)
@@ -79,7 +79,7 @@
 	return answer
 }
 
-// receiveFence raises the engine's receiveFence.
+// receiveFence raises the engine's fence.
 func (e *engine) receiveFence(fence enginecontract.Fence) enginecontract.OrderAnswer {
 	answer := e.machine.Fence(e.world.now, fence, e.inFlight)
 	e.world.trace.add(e.world.now, e.name, "fence %v: accepted %t", fence, answer.Accepted)
@@ -88,7 +88,7 @@
 	return answer
 }
 
-// state is the engine's own word, which never lags.
+// state returns the engine's state at the current time; unlike the machine list it has no delay.
 func (e *engine) state() *enginecontract.EngineState {
 	e.machine.Advance(e.world.now, e.inFlight)
 	e.saveAndSchedule()
@@ -96,7 +96,7 @@
 	return &state
 }
 
-// load is the engine's load report.
+// load returns a load report with a drawn age.
 func (e *engine) load() *enginecontract.LoadReport {
 	return &enginecontract.LoadReport{
 		Engine: e.name, Incarnation: e.incarnation, State: e.machine.ServiceState(), Role: e.machine.Role(),
@@ -104,7 +104,7 @@
 	}
 }
 
-// serve takes one request and reports the engine's state with the answer.
+// serve accepts one request if the engine is serving, and returns the engine's state with the response.
 func (e *engine) serve() (accepted bool, state enginecontract.ServiceState) {
 	e.advance()
 	state = e.machine.ServiceState()
@@ -119,12 +119,12 @@
 	return true, state
 }
 
-// hasOrderUnderWay reports whether the engine carries out an order.
+// hasOrderUnderWay reports whether the engine is executing an order.
 func (e *engine) hasOrderUnderWay() bool {
 	return e.durable.Phase == enginecontract.PhaseDraining || e.durable.Phase == enginecontract.PhaseChanging
 }
 
-// leave begins the machine's removal.
+// leave begins the removal of the machine.
 func (e *engine) leave() {
 	e.isLeaving = true
 	e.leftAt = e.world.now
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// FaultKind is one way in which the fleet breaks.
+// FaultKind is a kind of fault.
 type FaultKind string
 
 // Kinds of faults.
@@ -27,38 +27,37 @@
 	FaultCrashGateway    FaultKind = "crash-gateway"
 	FaultPauseGateway    FaultKind = "pause-gateway"
 	FaultListLag         FaultKind = "machine-list-lag"
-	// FaultCrashChanging crashes an engine that carries out an order.
+	// FaultCrashChanging crashes an engine that is executing an order.
 	FaultCrashChanging FaultKind = "crash-engine-in-change"
 	// FaultStallOrder pauses a controller at the moment it is about to send an order.
 	FaultStallOrder FaultKind = "stall-before-order"
-	// FaultCutPeers cuts a controller off from the other controllers alone.
+	// FaultCutPeers cuts a controller off from the other controllers only.
 	FaultCutPeers FaultKind = "cut-from-peers"
-	// FaultCutLink cuts one controller's way to one other, in one direction or both.
+	// FaultCutLink cuts the link from one controller to another, in one direction or both.
 	FaultCutLink FaultKind = "cut-link"
-	// FaultLull is no fault by itself: callers, operators and the planner want nothing
-	// for a while, so that a controller that hears nothing misses nothing.
+	// FaultLull is no fault by itself: callers, operators and the planner send nothing for a while, so that a
+	// controller without messages has no pending requests either.
 	FaultLull FaultKind = "lull"
-	// FaultCutOffController cuts one controller off from everyone, for long.
+	// FaultCutOffController cuts one controller off from all hosts for a long time.
 	FaultCutOffController FaultKind = "cut-off-controller"
 	// FaultSecondLoss loses a second disk as soon as the first loss is repaired.
 	FaultSecondLoss FaultKind = "second-loss-after-repair"
-	// FaultStopController stops a controller as planned: a leader hands over first.
+	// FaultStopController stops a controller as planned: a leader transfers its leadership first.
 	FaultStopController FaultKind = "stop-controller"
-	// FaultSwapVoter lets an administrator give a standby the vote of another machine,
-	// which then comes back with an empty disk.
+	// FaultSwapVoter makes an administrator move the vote of one machine to a standby; the machine then restarts with an
+	// empty disk.
 	FaultSwapVoter FaultKind = "swap-voter"
-	// FaultSecondLost counts the second disks that were lost so: it is never begun by
-	// itself.
+	// FaultSecondLost counts the second disks that FaultSecondLoss lost. It is never drawn.
 	FaultSecondLost FaultKind = "second-disk-lost"
-	// FaultRestartTogether kills all controllers at once, or all but one that is cut off from
-	// them, and starts them again soon. It happens only where it is emphasised.
+	// FaultRestartTogether kills all controllers at once, or all but one that is cut off from them, and restarts them
+	// soon after. It happens only in runs that emphasise it.
 	FaultRestartTogether FaultKind = "restart-together"
-	// FaultReplaceBuild replaces a controller by one of the first format, or one of those by this build. It happens only
-	// where it is emphasised.
+	// FaultReplaceBuild replaces a controller by one of the first format, and one of the first format by one of this
+	// build. It happens only in runs that emphasise it.
 	FaultReplaceBuild FaultKind = "replace-build"
 )
 
-// faultKinds lists all kinds in a fixed order.
+// faultKinds lists the kinds of every run in a fixed order, since the order decides the draws.
 var faultKinds = []FaultKind{
 	FaultCrashController, FaultReplaceDisk, FaultPauseController, FaultStallController, FaultSlowDisk,
 	FaultIsolate, FaultOneWay, FaultSplit, FaultBadNetwork, FaultCrashEngine, FaultPauseEngine,
@@ -67,34 +66,34 @@
 	FaultStopController, FaultSwapVoter,
 }
 
-// emphasisedKinds lists kinds that only happen where they are emphasised.
+// emphasisedKinds lists the kinds that happen only in runs that emphasise them.
 var emphasisedKinds = []FaultKind{FaultRestartTogether, FaultReplaceBuild}
 
-// Times of faults. A pause may be much longer than a leader's lease.
+// Durations and weight of faults. A pause may be much longer than a leader's lease.
 const (
 	longestGap   = 1600 * time.Millisecond
 	longestFault = 6 * time.Second
-	// longestStop is how long a controller that was killed with all others stays down.
+	// longestStop is how long controllers that were killed together stay down.
 	longestStop    = 300 * time.Millisecond
 	emphasisWeight = 12
-	// A long fault lasts between these.
+	// Bounds of the duration of a long fault.
 	shortestLongFault = 10 * time.Second
 	longestLongFault  = 25 * time.Second
 )
 
-// faults breaks the fleet at random, several things at once.
+// faults injects faults at random, several at the same time.
 type faults struct {
 	world   *world
 	weights map[FaultKind]float64
-	// activeEnds are the ends of the faults under way, by number.
+	// activeEnds holds the functions that end the faults under way, by number.
 	activeEnds map[int]func()
 	begun      int
 	isOver     bool
-	// counts are the faults begun, by kind.
+	// counts holds the number of faults begun, by kind.
 	counts map[FaultKind]int
 }
 
-// newFaults draws which kinds this run meets often: every run differs.
+// newFaults draws a weight for each kind, so that each run meets other faults often.
 func newFaults(w *world) *faults {
 	f := &faults{world: w, weights: map[FaultKind]float64{}, activeEnds: map[int]func(){}, counts: map[FaultKind]int{}}
 	for _, kind := range faultKinds {
@@ -107,12 +106,12 @@
 	return f
 }
 
-// scheduleNext starts the time of faults.
+// scheduleNext schedules the next fault.
 func (f *faults) scheduleNext() {
 	f.world.after(f.world.drawDuration(longestGap), f.beginNext)
 }
 
-// beginNext begins one fault and arranges the one after it.
+// beginNext begins one fault and schedules the one after it.
 func (f *faults) beginNext() {
 	if f.isOver {
 		return
@@ -128,7 +127,7 @@
 	f.scheduleNext()
 }
 
-// drawLength draws how long a fault of a kind lasts.
+// drawLength draws the duration of a fault of a kind.
 func (f *faults) drawLength(kind FaultKind) time.Duration {
 	switch kind {
 	case FaultCutOffController, FaultCutPeers, FaultSecondLoss, FaultStallOrder:
@@ -140,7 +139,7 @@
 	}
 }
 
-// drawKind chooses a kind by its weight.
+// drawKind draws a kind by weight.
 func (f *faults) drawKind() FaultKind {
 	kinds := slices.Concat(faultKinds, emphasisedKinds)
 	total := 0.0
@@ -157,7 +156,7 @@
 	return faultKinds[0]
 }
 
-// end ends one fault.
+// end ends one fault, unless it has ended already.
 func (f *faults) end(number int) {
 	if end, active := f.activeEnds[number]; active {
 		delete(f.activeEnds, number)
@@ -165,7 +164,7 @@
 	}
 }
 
-// heal ends all faults, for good.
+// heal ends all faults and begins no further ones.
 func (f *faults) heal() {
 	f.isOver = true
 	for _, number := range slices.Sorted(maps.Keys(f.activeEnds)) {
@@ -174,7 +173,7 @@
 	f.world.trace.add(f.world.now, "faults", "all healed")
 }
 
-// traceFault writes a fault into the trace.
+// traceFault adds a fault to the trace.
 func (f *faults) traceFault(kind FaultKind, format string, arguments ...any) {
 	f.world.trace.add(f.world.now, "faults", "%s: %s", kind, fmt.Sprintf(format, arguments...))
 }
--- a/internal/simulation/faults_members.go
+++ b/internal/simulation/faults_members.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// stopGrace is the longest time between the request to stop and the end.
+	// stopGrace is the longest time between the request to stop and the exit of the process.
 	stopGrace = 300 * time.Millisecond
-	// administratorPause is the time between two tries of an administrator's command.
+	// administratorPause is the time between two attempts of an administrator's command.
 	administratorPause = 500 * time.Millisecond
 )
 
-// stopController asks a controller to stop, which lets a leader hand over, and ends
-// its process soon after.
+// stopController asks a controller to stop, which makes a leader transfer its leadership, and kills the process soon
+// after.
 func (f *faults) stopController(kind FaultKind, c *controller) func() {
 	if !c.isAlive || c.isPaused || c.isStalled {
 		return nil
@@ -35,8 +35,8 @@
 	}
 }
 
-// swapVoter promotes a standby and removes a voter, whose machine then starts on an
-// empty disk and becomes a standby.
+// swapVoter promotes a standby and removes a voter, whose machine then restarts with an empty disk and becomes a
+// standby.
 func (f *faults) swapVoter(kind FaultKind) func() {
 	w := f.world
 	if w.options.Deployment.Standbys == 0 || w.isSwapping || !w.isMembershipComplete() {
@@ -77,7 +77,7 @@
 	return disks[w.random.IntN(len(disks))]
 }
 
-// controllerWithDisk returns the controller whose disk it is.
+// controllerWithDisk returns the controller that uses the disk, or nil.
 func (w *world) controllerWithDisk(disk string) *controller {
 	for _, c := range w.controllers {
 		if c.diskID == disk {
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// runUntilReached gives a command until the committed membership is as wanted; members
-// tells of each disk whether it is a learner.
+// runUntilReached repeats an administrator's command until the committed membership is as wanted, then calls then.
+// members maps each member's disk to whether it is a learner.
 func (w *world) runUntilReached(text string, reached func(members map[string]bool) bool, then func()) {
 	members := map[string]bool{}
 	for _, member := range w.leaderMembership().GetMembers() {
--- a/internal/simulation/faults_network.go
+++ b/internal/simulation/faults_network.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// startNetwork begins a fault of the network.
+// startNetwork begins a network fault and returns the function that ends it.
 func (f *faults) startNetwork(kind FaultKind, c *controller, e *engine, g *gateway) func() {
 	w := f.world
 	hosts := []*host{&c.host, &c.host, &e.host, &g.host}
@@ -16,7 +16,7 @@
 		cut = w.linksOf(victim)
 	case FaultCutPeers:
 		if slices.ContainsFunc(w.controllers, w.isCutFromPeers) {
-			return nil // the others keep their quorum, as far as this kind goes
+			return nil // at most one controller is cut off by this kind, so that the others keep their quorum
 		}
 		victim = &c.host
 		cut = w.peerLinks(c)
@@ -45,7 +45,7 @@
 	return f.cutLinks(cut)
 }
 
-// cutLinks cuts links and returns what mends those that were whole.
+// cutLinks cuts links and returns the function that restores them. A link stays cut while another fault cuts it.
 func (f *faults) cutLinks(links []link) func() {
 	network := f.world.network
 	for _, cut := range links {
@@ -58,7 +58,7 @@
 	}
 }
 
-// badNetwork loses, doubles and delays messages everywhere.
+// badNetwork loses, duplicates and delays messages on all links.
 func (f *faults) badNetwork(kind FaultKind) func() {
 	w := f.world
 	loss, duplication, slowness := w.random.Float64()*0.3, w.random.Float64()*0.2, w.random.Float64()*0.2
@@ -73,7 +73,7 @@
 	}
 }
 
-// linksOf lists the links of a host, both ways.
+// linksOf returns the links of a host in both directions.
 func (w *world) linksOf(victim *host) []link {
 	var links []link
 	for _, other := range w.hostNames() {
@@ -82,7 +82,7 @@
 	return links
 }
 
-// peerLinks lists the links between a controller and the others, both ways.
+// peerLinks returns the links between a controller and the others in both directions.
 func (w *world) peerLinks(c *controller) []link {
 	var links []link
 	for _, other := range w.controllers {
@@ -93,7 +93,7 @@
 	return links
 }
 
-// hostNames lists all hosts.
+// hostNames returns the names of all hosts in a fixed order.
 func (w *world) hostNames() []string {
 	names := []string{w.platform.name}
 	for _, c := range w.controllers {
@@ -111,7 +111,7 @@
 	return names
 }
 
-// splitZones cuts one zone off from the others, both ways and in silence.
+// splitZones returns the links between one drawn zone and the others in both directions.
 func (w *world) splitZones() []link {
 	zone := w.options.Deployment.zone(w.random.IntN(len(w.options.Deployment.Zones)))
 	var inside, outside []string
--- a/internal/simulation/faults_process.go
+++ b/internal/simulation/faults_process.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// start begins a fault and returns what ends it, or nil when it cannot be begun now.
+// start begins a fault and returns the function that ends it, or nil when the fault is not possible now. It draws the
+// same values for all kinds.
 func (f *faults) start(kind FaultKind) func() {
 	w := f.world
 	controller := w.controllers[w.random.IntN(len(w.controllers))]
@@ -37,8 +38,7 @@
 	}
 }
 
-// startAtController begins a fault of a controller's process or disk; it reports false
-// for other kinds.
+// startAtController begins a fault of a controller's process or disk. It returns false for other kinds.
 func (f *faults) startAtController(kind FaultKind, controller *controller) (end func(), isHandled bool) {
 	switch kind {
 	case FaultCrashController:
@@ -70,7 +70,7 @@
 	}
 }
 
-// crashController kills a controller and starts it again at the end.
+// crashController crashes a controller and restarts it when the fault ends.
 func (f *faults) crashController(kind FaultKind, c *controller) func() {
 	if !c.isAlive {
 		return nil
@@ -80,8 +80,8 @@
 	return c.startIfDown
 }
 
-// restartTogether kills all controllers at once and starts them again at the end. Half of the
-// time one of them goes on, cut off from the others until they have had the time to elect.
+// restartTogether crashes all controllers at once and restarts them when the fault ends. In half of the cases one
+// controller keeps running, cut off from the others until they have had time for an election.
 func (f *faults) restartTogether(kind FaultKind, survivor *controller) func() {
 	w := f.world
 	var cuts []link
@@ -112,9 +112,8 @@
 	}
 }
 
-// replaceDisk kills a controller and starts it on an empty disk at the end. It waits
-// until every earlier replacement is complete: more lost disks than a minority are
-// more than any replicated log can bear.
+// replaceDisk crashes a controller and restarts it with an empty disk when the fault ends. It does so only when every
+// earlier replacement is complete, since no replicated log survives the loss of more disks than a minority.
 func (f *faults) replaceDisk(kind FaultKind, c *controller) func() {
 	if !c.isAlive || f.world.isSwapping || !f.world.isMembershipComplete() {
 		return nil
@@ -125,12 +124,11 @@
 	return c.startIfDown
 }
 
-// repairPoll is how often the end of a repair is looked for: a second loss comes that
-// soon after it.
+// repairPoll is the time between two checks whether a repair is complete. The second loss follows within this time.
 const repairPoll = 5 * time.Millisecond
 
-// loseSecondDisk replaces the disk of one controller and, as soon as that is a voter
-// and the lost one is not, that of another, which stays down until the end.
+// loseSecondDisk replaces the disk of one controller. As soon as the new disk is a voter and the lost one no longer a
+// member, it replaces the disk of another controller, which stays down until the fault ends.
 func (f *faults) loseSecondDisk(kind FaultKind, first *controller) func() {
 	start := f.replaceDisk(kind, first)
 	if start == nil {
@@ -160,7 +158,7 @@
 	}
 }
 
-// pause stops a process for a while.
+// pause pauses a process until the fault ends.
 func (f *faults) pause(kind FaultKind, h *host) func() {
 	if !h.isAlive || h.isPaused {
 		return nil
@@ -170,7 +168,7 @@
 	return h.resume
 }
 
-// stallInStep pauses a controller between deciding and acting.
+// stallInStep pauses a controller between a step and the execution of its outputs.
 func (f *faults) stallInStep(kind FaultKind, c *controller) func() {
 	if !c.isAlive || c.isPaused || c.isStalled {
 		return nil
@@ -183,8 +181,8 @@
 	}
 }
 
-// stallBeforeOrder pauses a controller when it next wants to send an order; the order
-// leaves only at the end of the pause, when another may lead.
+// stallBeforeOrder pauses a controller when it next sends an order. The order is sent only at the end of the pause, when
+// another controller may lead.
 func (f *faults) stallBeforeOrder(kind FaultKind, c *controller) func() {
 	if !c.isAlive || c.isPaused || c.isStalled || c.stallsBeforeOrder {
 		return nil
@@ -197,7 +195,7 @@
 	}
 }
 
-// crashEngine kills an engine, whatever it is doing.
+// crashEngine kills an engine in whatever phase it is, and restarts it when the fault ends.
 func (f *faults) crashEngine(kind FaultKind, e *engine) func() {
 	if !e.isAlive {
 		return nil
@@ -211,7 +209,7 @@
 	}
 }
 
-// crashChanging crashes an engine in the middle of an order.
+// crashChanging crashes an engine that is executing an order.
 func (f *faults) crashChanging(kind FaultKind) func() {
 	for _, e := range f.world.engines {
 		if e.hasOrderUnderWay() {
@@ -221,7 +219,7 @@
 	return nil
 }
 
-// removeEngine takes a machine away; another one of the same name comes later.
+// removeEngine removes a machine; one with the same name replaces it when the fault ends.
 func (f *faults) removeEngine(kind FaultKind, e *engine) func() {
 	if !e.isAlive || e.isPaused || e.isLeaving {
 		return nil
@@ -238,7 +236,7 @@
 	}
 }
 
-// crashGateway kills a gateway.
+// crashGateway kills a gateway and restarts it when the fault ends.
 func (f *faults) crashGateway(kind FaultKind, g *gateway) func() {
 	if !g.isAlive {
 		return nil
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -24,14 +24,15 @@
 	controlTimeout = 900 * time.Millisecond
 )
 
-// gateway is one gateway: the product's view of the fleet and router, with requests.
+// gateway is one gateway: the product's view of the fleet and its router, with drawn requests.
 type gateway struct {
 	host
 	zone        string
 	incarnation uint64
 	state       *gatewaystate.State
 	router      *routing.Router
-	// syncTarget is the controller that the next Sync goes to; leader the last one named.
+	// syncTarget is the index of the controller that receives the next Sync; leader is the address of the last one that
+	// was named as leader.
 	syncTarget int
 	leader     string
 	// exchanges numbers the requests sent.
@@ -39,7 +40,7 @@
 	claims    *claimant
 }
 
-// start starts the process, which knows nothing of the fleet.
+// start starts the process, which has no view of the fleet yet.
 func (g *gateway) start() {
 	g.boot()
 	g.incarnation++
@@ -61,11 +62,11 @@
 	g.every(claimInterval, g.claims.runNext)
 }
 
-// SafeguardConfirmation sends new work only to back ends that were confirmed lately;
-// only the simulator can switch it off.
+// SafeguardConfirmation makes a gateway send new work only to recently confirmed back ends. It can be disabled in the
+// simulator only.
 const SafeguardConfirmation safeguard.Safeguard = "confirmation"
 
-// filters are the router's own; nil stands for the standard ones.
+// filters returns the filters of the router; nil selects the standard ones.
 func (g *gateway) filters() []routing.Filter {
 	if g.world.safeguards.IsEnabled(SafeguardConfirmation) {
 		return nil
@@ -75,14 +76,14 @@
 	})
 }
 
-// controllerAnswer is what a controller answers to a call.
+// controllerAnswer is the response of a controller to a call.
 type controllerAnswer struct {
 	response proto.Message
 	err      error
 }
 
-// callController calls one controller and hands its answer to done; answered is
-// false when it was lost.
+// callController calls one controller and passes its response to done; answered is false when the response was lost or
+// late.
 func (w *world) callController(from *host, target *controller, timeout time.Duration,
 	input func(control.CallID) control.Input, done func(answer controllerAnswer, answered bool)) {
 	call(w.network, from, &target.host, timeout, func(reply func(controllerAnswer)) {
@@ -92,7 +93,7 @@
 	}, done)
 }
 
-// sync sends a heartbeat and takes what is new.
+// sync sends a heartbeat and applies the updates in the response.
 func (g *gateway) sync() {
 	sentAt := g.local()
 	request := proto.CloneOf(g.state.SyncRequest(sentAt))
@@ -107,7 +108,7 @@
 		})
 }
 
-// applySync applies an answer and reports whether the controller is worth asking again.
+// applySync applies a response and reports whether the controller is up to date, so that the next Sync may go to it.
 func (g *gateway) applySync(sentAt time.Duration, request *v1.SyncRequest, response *v1.SyncResponse) bool {
 	result := g.state.ApplySync(sentAt, g.local(), request, proto.CloneOf(response))
 	g.leader = response.GetLeaderAddress()
@@ -121,7 +122,7 @@
 	return !result.Behind
 }
 
-// leaderOrAny returns the controller that leads as far as the gateway knows.
+// leaderOrAny returns the leader as far as the gateway knows it, otherwise a drawn controller.
 func (g *gateway) leaderOrAny() *controller {
 	if leader := g.world.controllerAt(g.leader); leader != nil {
 		return leader
@@ -129,7 +130,7 @@
 	return g.world.controllers[g.world.random.IntN(len(g.world.controllers))]
 }
 
-// report tells the leader the demand.
+// report sends the demand of the gateway to the leader.
 func (g *gateway) report() {
 	request := proto.CloneOf(g.state.ReportRequest(g.local(), nil))
 	g.world.callController(&g.host, g.leaderOrAny(), controlTimeout,
@@ -143,7 +144,7 @@
 		})
 }
 
-// followLeader follows a refusal that names the leader.
+// followLeader sets the leader to the one that an error names, if any.
 func (g *gateway) followLeader(err error) {
 	var notLeader *control.NotLeaderError
 	if errors.As(err, &notLeader) {
@@ -153,7 +154,7 @@
 	}
 }
 
-// workAnswer is what an engine answers to a request.
+// workAnswer is the response of an engine to a request.
 type workAnswer struct {
 	accepted    bool
 	state       enginecontract.ServiceState
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -9,7 +9,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// unusedWeight is a weight that no operator writes: a plan to it tells the weight in force.
+// unusedWeight is a weight that no operator writes, so that a plan with it shows the weight that is applied.
 const unusedWeight = 999
 
 // operation is one command of an operator: a write of a tenant's weight or, with
@@ -18,7 +18,7 @@
 	client int
 	tenant string
 	weight uint32
-	// number is the change number asked for; zero leaves it to the controllers.
+	// number is the requested change number; zero lets the controllers choose it.
 	number   uint64
 	calledAt time.Duration
 	endedAt  time.Duration
@@ -26,18 +26,18 @@
 	result   operationResult
 }
 
-// operationResult is what a command was answered.
+// operationResult is the response to a command.
 type operationResult struct {
-	// isLost tells that no answer came: a write may have happened at any time.
+	// isLost reports that no response came: a write may have been applied at any time.
 	isLost   bool
 	outcome  v1.ApplyOutcome
 	revision uint64
 	number   uint64
-	// weight is what a read saw; zero for none.
+	// weight is the weight that a read returned; zero for none.
 	weight uint32
 }
 
-// history is what operators did and were answered.
+// history records the commands of operators and their responses.
 type history struct{ operations []*operation }
 
 // begin records the call of a command.
@@ -47,7 +47,7 @@
 	return call
 }
 
-// recordApplied records the first answer to a write.
+// recordApplied records the first response to a write.
 func (h *history) recordApplied(call *operation, now time.Duration, response *v1.ApplyResponse) {
 	if call == nil || call.isEnded {
 		return
@@ -56,7 +56,7 @@
 	call.result = operationResult{outcome: response.GetOutcome(), revision: response.GetRevision(), number: response.GetChangeNumber()}
 }
 
-// recordRead records the answer to a recordRead.
+// recordRead records the response to a read.
 func (h *history) recordRead(call *operation, now time.Duration, response *v1.PlanResponse) {
 	call.isEnded, call.endedAt = true, now
 	call.result.revision = response.GetRevision()
@@ -73,17 +73,16 @@
 	}
 }
 
-// fleetValue is the sequential state that operators see: a revision, the highest
-// change number taken, and the weights. Operators choose numbers without leaving
-// holes, so that every number up to the highest is taken.
+// fleetValue is the sequential state that operators see: a revision, the highest change number in use, and the
+// weights. Operators choose consecutive numbers, so that every number up to the highest is in use.
 type fleetValue struct {
 	revision uint64
 	number   uint64
 	weights  [tenants]uint32
 }
 
-// isLinearizable reports whether the commands can be put into one order that agrees
-// with their times and their answers.
+// isLinearizable reports whether there is one sequential order of the commands that agrees with their times and
+// responses.
 func (h *history) isLinearizable(first fleetValue) bool {
 	operations := make([]porcupine.Operation, 0, len(h.operations))
 	for _, call := range h.operations {
@@ -91,7 +90,7 @@
 		result := call.result
 		if !call.isEnded {
 			if call.weight == 0 {
-				continue // a read without an answer tells nothing
+				continue // a read without a response constrains nothing
 			}
 			end, result.isLost = time.Duration(1<<62), true
 		}
@@ -102,7 +101,7 @@
 	return porcupine.CheckOperations(fleetModel(first), operations)
 }
 
-// fleetModel is the sequential specification.
+// fleetModel returns the sequential specification.
 func fleetModel(first fleetValue) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return first },
@@ -112,7 +111,7 @@
 	}
 }
 
-// stepModel tells whether an answer is right in a state, and the state after it.
+// stepModel reports whether a response is possible in a state, and returns the state after it.
 func stepModel(value fleetValue, call *operation, result operationResult) (bool, fleetValue) {
 	tenant := tenantNumber(call.tenant)
 	if call.weight == 0 {
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -2,26 +2,25 @@
 
 import "time"
 
-// host is a machine with one process on it: it can be killed and paused.
+// host is a machine with one process that can be killed and paused.
 type host struct {
 	name    string
 	world   *world
 	isAlive bool
-	// generation grows with each start: what was meant for an earlier process is dropped.
+	// generation grows with each start and kill, so that events for an earlier process are dropped.
 	generation int
 	isPaused   bool
-	// waiting is what has arrived while the process was paused.
+	// waiting holds the events that arrived while the process was paused.
 	waiting []func()
 	clock   clock
 }
 
-// guard wraps something of this process: it does not happen after a crash, and waits
-// for the end of a pause.
+// guard wraps an event of this process: it is dropped after a crash and deferred during a pause.
 func (h *host) guard(do func()) func() {
 	return h.guardGeneration(h.generation, do)
 }
 
-// guardGeneration is here for the process of a generation.
+// guardGeneration is guard for the process of a given generation.
 func (h *host) guardGeneration(generation int, do func()) func() {
 	return func() {
 		if generation != h.generation {
@@ -31,7 +30,7 @@
 	}
 }
 
-// runOrDefer lets something happen at this host as soon as its process runs.
+// runOrDefer runs an event now, defers it when the process is paused, and drops it when no process is alive.
 func (h *host) runOrDefer(do func()) {
 	if !h.isAlive {
 		return
@@ -43,12 +42,12 @@
 	do()
 }
 
-// after lets something happen in this process after a delay.
+// after schedules an event of this process after a delay.
 func (h *host) after(delay time.Duration, do func()) {
 	h.world.after(delay, h.guard(do))
 }
 
-// every repeats something in this process until it ends.
+// every repeats an event of this process until the process ends.
 func (h *host) every(interval time.Duration, do func()) {
 	h.after(interval, func() {
 		do()
@@ -56,7 +55,7 @@
 	})
 }
 
-// boot starts a process with a new clock.
+// boot begins a new process with a new clock.
 func (h *host) boot() {
 	h.isAlive = true
 	h.isPaused = false
@@ -65,7 +64,7 @@
 	h.clock = h.world.newClock()
 }
 
-// kill ends the process.
+// kill ends the process; its pending events are dropped.
 func (h *host) kill() {
 	h.isAlive = false
 	h.isPaused = false
@@ -80,7 +79,7 @@
 	}
 }
 
-// resume lets the process go on with everything that has arrived meanwhile.
+// resume ends a pause and runs the deferred events in the order of their arrival.
 func (h *host) resume() {
 	if !h.isPaused {
 		return
@@ -100,5 +99,5 @@
 	}
 }
 
-// local returns the time on this process's own clock.
+// local returns the time on this process's clock.
 func (h *host) local() time.Duration { return h.clock.read(h.world.now) }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// link is one direction between two hosts.
+// link is the connection from one host to another, in one direction.
 type link struct{ from, to string }
 
-// network loses, delays, duplicates and reorders messages, and cuts links.
+// network delivers messages; it loses, delays, duplicates and reorders them, and can cut links.
 type network struct {
 	world *world
-	// cuts counts the faults that make a link lose everything.
+	// cuts counts, by link, the faults that drop all its messages.
 	cuts map[link]int
-	// loss, duplication and slowness are shares of the messages.
+	// loss, duplication and slowness are the shares of messages that are lost, duplicated and delayed.
 	loss        float64
 	duplication float64
 	slowness    float64
 }
 
-// Times of a message under way. Differing delays reorder messages.
+// Delays of a message. Different delays reorder messages.
 const (
 	shortestDelay = 500 * time.Microsecond
 	delaySpread   = 3 * time.Millisecond
 	slowDelay     = 1500 * time.Millisecond
 )
 
-// send carries a message; what it does at the receiver may happen never, once or twice.
+// send sends a message; deliver is run at the receiver never, once or twice.
 func (n *network) send(from, to *host, deliver func()) {
 	if n.cuts[link{from.name, to.name}] > 0 || n.world.random.Float64() < n.loss {
 		return
@@ -34,7 +34,7 @@
 	}
 }
 
-// carry delivers one copy after a random delay.
+// carry delivers one copy of a message after a drawn delay.
 func (n *network) carry(to *host, deliver func()) {
 	delay := shortestDelay + n.world.drawDuration(delaySpread)
 	if n.world.random.Float64() < n.slowness {
@@ -43,9 +43,8 @@
 	n.world.after(delay, func() { to.runOrDefer(deliver) })
 }
 
-// call carries a request and its answer. handle gets a function that sends the
-// answer; done is called once at the caller, with answered false when the time-out
-// passed first.
+// call sends a request and its response. handle runs at the receiver and gets a function that sends the response. done
+// runs once at the caller; answered is false when the timeout passed before a response came.
 func call[Answer any](n *network, from, to *host, timeout time.Duration,
 	handle func(reply func(Answer)), done func(answer Answer, answered bool)) {
 	finished := false
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/control"
 )
 
-// Habits of an operator.
+// Pauses and shares of an operator's commands.
 const (
 	operatorPause   = 1500 * time.Millisecond
 	operatorTimeout = 1200 * time.Millisecond
@@ -25,39 +25,38 @@
 // tenantName names a tenant.
 func tenantName(number int) string { return fmt.Sprintf("tenant-%d", number) }
 
-// submission is one declaration of an operator, with the identity it is resent under.
+// submission is one declaration of an operator, with the identity that its copies share.
 type submission struct {
 	operator string
 	request  *v1.ApplyRequest
 	objects  []*v1.Object
-	// operation is its record for the linearizability check; nil for the first declaration.
+	// operation is its entry in the linearizability check; nil for the first declaration.
 	operation *operation
 }
 
-// operatorClient is an operator at a command line: one command at a time, resent
-// until it is answered.
+// operatorClient is an operator at a command line. It runs one command at a time and repeats it until a response comes.
 type operatorClient struct {
 	host
 	number    int
 	submitted int
 	leader    string
 	weight    uint32
-	highest   uint64 // highest change number heard of
+	highest   uint64 // highest change number seen
 	// firstNumber is the change number of the fleet's first declaration.
 	firstNumber uint64
-	// answeredSubmissions are submissions that have an answer; now and then one is sent again.
+	// answeredSubmissions are submissions that got a response; some of them are sent again.
 	answeredSubmissions []*submission
-	// answeredCommands are those that were carried out; now and then one is sent again.
+	// answeredCommands are commands that were executed; some of them are sent again.
 	answeredCommands []*v1.ExecuteRequest
 }
 
-// start starts the operator's work.
+// start starts the operator, which runs its first command after a pause.
 func (o *operatorClient) start() {
 	o.boot()
 	o.after(o.world.drawDuration(operatorPause), o.runNext)
 }
 
-// runNext begins the runNext command.
+// runNext draws and begins the next command.
 func (o *operatorClient) runNext() {
 	random := o.world.random
 	switch {
@@ -78,11 +77,11 @@
 	}
 }
 
-// scheduleNext waits before the next command.
+// scheduleNext schedules the next command after a pause.
 func (o *operatorClient) scheduleNext() { o.after(o.world.drawDuration(operatorPause), o.runNext) }
 
-// newSubmission changes one tenant. Operators choose the number after the highest
-// they have heard of, so that they race each other.
+// newSubmission returns a change of one tenant. Operators choose the number after the highest that they have seen, so
+// that they compete for numbers.
 func (o *operatorClient) newSubmission() *submission {
 	o.submitted++
 	o.weight = uint32(o.number*1_000_000 + o.submitted)
@@ -98,7 +97,7 @@
 	}
 }
 
-// submit sends a submission until it is answered, and goes on to the next command.
+// submit sends a submission until a response comes, and then schedules the next command.
 func (o *operatorClient) submit(sent *submission) {
 	o.submitThen(sent, func(response *v1.ApplyResponse) {
 		o.highest = max(o.highest, response.GetChangeNumber(), sent.request.GetChangeNumber())
@@ -107,7 +106,7 @@
 	})
 }
 
-// submitThen sends a submission until it is answered.
+// submitThen sends a submission until a response comes, and then calls done.
 func (o *operatorClient) submitThen(sent *submission, done func(*v1.ApplyResponse)) {
 	o.world.trace.add(o.world.now, o.name, "applies %s number %d", sent.request.GetRequestId(), sent.request.GetChangeNumber())
 	o.callController(func(id control.CallID) control.Input {
@@ -125,7 +124,7 @@
 	})
 }
 
-// read asks for the value of a tenant: a plan tells the difference to another value.
+// read reads the weight of a tenant: a plan returns the difference to another value.
 func (o *operatorClient) read() {
 	tenant := tenantName(o.world.random.IntN(tenants))
 	call := o.world.history.begin(o.number, o.world.now, tenant, 0, 0)
@@ -139,7 +138,7 @@
 	})
 }
 
-// callController calls the leader as far as the operator knows it.
+// callController calls the leader as far as the operator knows it, otherwise a drawn controller.
 func (o *operatorClient) callController(input func(control.CallID) control.Input, done func(controllerAnswer, bool)) {
 	target := o.world.controllerAt(o.leader)
 	if target == nil {
--- a/internal/simulation/operator_commands.go
+++ b/internal/simulation/operator_commands.go
@@ -8,10 +8,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// commandTries bounds the copies of one command: an operator gives up at last.
+// commandTries bounds the repetitions of one command, after which the operator gives up.
 const commandTries = 4
 
-// runCommand gives an engine an order, as an operator at a runCommand line does.
+// runCommand gives an engine an order, as an operator at a command line does.
 func (o *operatorClient) runCommand() {
 	o.submitted++
 	request := &v1.ExecuteRequest{RequestId: fmt.Sprintf("%s-%d", o.name, o.submitted), Text: o.commandText()}
@@ -38,7 +38,7 @@
 	}
 }
 
-// execute sends a command; one whose answer is lost is sent again as it was.
+// execute sends a command; when its response is lost, it sends the same request again.
 func (o *operatorClient) execute(request *v1.ExecuteRequest, tries int) {
 	o.world.trace.add(o.world.now, o.name, "%s: %s", request.GetRequestId(), request.GetText())
 	o.callController(func(id control.CallID) control.Input {
--- a/internal/simulation/options.go
+++ b/internal/simulation/options.go
@@ -11,26 +11,26 @@
 // DefaultSteps is the number of steps of one run.
 const DefaultSteps = 20_000
 
-// Options say what is simulated.
+// Options are the settings of a run.
 type Options struct {
 	Seed uint64
 	// Steps is the number of events until the faults end; zero means the default.
 	Steps int
-	// Deployment is the fleet.
+	// Deployment is the simulated fleet; the default is the small one.
 	Deployment Deployment
-	// Safeguards that are switched off, to see their check fail.
+	// Safeguards states which safeguards are disabled, to show that their check fails.
 	Safeguards safeguard.Set
-	// OnlyCheck, when set, leaves every other check out, to see what this one finds.
+	// OnlyCheck, when not empty, is the name of the only check that may fail the run.
 	OnlyCheck string
-	// Emphasis chooses faults that happen more often; empty leaves them alike.
+	// Emphasis lists faults that happen more often; empty for none.
 	Emphasis []FaultKind
 }
 
-// Deployment is the fleet that is simulated.
+// Deployment is a fleet to simulate.
 type Deployment struct {
 	Name  string
 	Zones []string
-	// Controllers are the initial voters, Standbys the learners beside them.
+	// Controllers is the number of initial voters, Standbys the number of learners beside them.
 	Controllers int
 	Standbys    int
 	Gateways    int
@@ -72,7 +72,7 @@
 	},
 }
 
-// FindDeployment returns the fleet of a name.
+// FindDeployment returns the fleet with a name.
 func FindDeployment(name string) (Deployment, error) {
 	deployment, found := Deployments[name]
 	if !found {
--- a/internal/simulation/page_test.go
+++ b/internal/simulation/page_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPageNamesEverything holds docs/SIMULATION.md to the faults, fleets and checks.
+// TestPageNamesEverything checks that docs/SIMULATION.md names all faults, fleets and checks.
 func TestPageNamesEverything(t *testing.T) {
 	page, err := os.ReadFile("../../docs/SIMULATION.md")
 	require.NoError(t, err)
--- a/internal/simulation/platform.go
+++ b/internal/simulation/platform.go
@@ -6,24 +6,24 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// longestListLag bounds how old the machine list is.
+// longestListLag bounds the age of the machine list.
 const longestListLag = 8 * time.Second
 
-// platform is the machine list: it tells of machines as they were some time ago.
+// platform serves the machine list, which shows the machines as they were some time ago.
 type platform struct {
 	host
-	// versions holds the lists by the time they became true.
+	// versions holds all states of the list, sorted by time.
 	versions []listVersion
 	lag      time.Duration
 }
 
-// listVersion is one state of the list.
+// listVersion is one state of the list and the time from which it holds.
 type listVersion struct {
 	at   time.Duration
 	list enginecontract.MachineList
 }
 
-// update takes note of the machines as they are.
+// update adds the current state of the machines to the versions of the list.
 func (p *platform) update() {
 	list := enginecontract.MachineList{Version: uint64(len(p.versions) + 1)}
 	for _, engine := range p.world.engines {
@@ -41,7 +41,7 @@
 	p.versions = append(p.versions, listVersion{at: p.world.now, list: list})
 }
 
-// currentList returns the list as it was a lag ago.
+// currentList returns the list as it was one lag ago.
 func (p *platform) currentList() enginecontract.MachineList {
 	list := p.versions[0].list
 	for _, version := range p.versions {
--- a/internal/simulation/quorum.go
+++ b/internal/simulation/quorum.go
@@ -16,8 +16,8 @@
 	return nil
 }
 
-// isMembershipComplete reports whether the committed membership holds the disks in use and
-// no other, as many of them with a vote as there were initial controllers.
+// isMembershipComplete reports whether the committed membership holds exactly the disks in use, and has as many voters
+// as there were initial controllers.
 func (w *world) isMembershipComplete() bool {
 	members := w.leaderMembership().GetMembers()
 	known, voters := map[string]bool{}, 0
--- a/internal/simulation/random_planner.go
+++ b/internal/simulation/random_planner.go
@@ -7,13 +7,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/planner"
 )
 
-// randomPlanner changes roles at random, so that many changes meet faults.
+// randomPlanner changes roles at random, so that many changes coincide with faults.
 type randomPlanner struct {
 	world  *world
 	random *rand.Rand
 }
 
-// changeShare is the share of decisions in which one engine is changed.
+// changeShare is the share of decisions that change one engine.
 const changeShare = 0.5
 
 // Plan implements planner.Planner.
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -6,22 +6,22 @@
 	"github.com/hazelpitch/hazelpitch/internal/consensus"
 )
 
-// Result is what became of one run.
+// Result is the result of one run.
 type Result struct {
 	Seed uint64
-	// Violation is nil when every promise was kept.
+	// Violation is nil when every check passed.
 	Violation *Violation
 	// TraceHash is equal for equal seeds and options.
 	TraceHash uint64
-	// Trace holds the last lines.
+	// Trace holds the last lines of the trace, the oldest first.
 	Trace []string
 	Steps int
-	// VirtualTime is how long the run took on its own clock.
+	// VirtualTime is the duration of the run in virtual time.
 	VirtualTime time.Duration
-	// Faults counts the faults begun, by kind.
+	// Faults counts the faults that began, by kind.
 	Faults map[FaultKind]int
-	// Accepted counts accepted changes, Orders the orders that took effect, Claims
-	// the requests that ran under a claim, Operations the operators' commands.
+	// Accepted counts accepted changes, Orders the orders that engines accepted, Claims the requests that ran under a
+	// claim, Operations the operators' commands, Leaders the terms with a leader.
 	Accepted   int
 	Orders     int
 	Claims     int
@@ -29,7 +29,7 @@
 	Leaders    int
 }
 
-// Bounds of the time after the faults have healed.
+// Bounds of the time after the faults have ended.
 const (
 	settleTime  = 60 * time.Second
 	settleCheck = 100 * time.Millisecond
@@ -51,8 +51,8 @@
 	return w.result(steps)
 }
 
-// settle ends the faults and lets the fleet come to rest, which it has to do in
-// bounded time. It returns the number of steps.
+// settle ends the faults and runs until the fleet has recovered, which it must do within settleTime. It returns the
+// number of steps.
 func (w *world) settle() int {
 	if w.checks.violation != nil {
 		return 0
@@ -84,7 +84,7 @@
 	return steps
 }
 
-// unsettledReason tells what is not yet as it has to be after the faults; empty when all is.
+// unsettledReason describes what has not recovered after the faults; empty when the fleet has.
 func (w *world) unsettledReason(target uint64) string {
 	if !w.isMembershipComplete() {
 		return "not every disk is a member in its place: " + w.membership()
@@ -99,13 +99,13 @@
 	}
 	for _, g := range w.gateways {
 		if g.state.Revision() < target {
-			return g.name + " does not have the accepted configuration in force"
+			return g.name + " has not applied the accepted configuration"
 		}
 	}
 	return ""
 }
 
-// membership describes the members as the leader sees them.
+// membership describes the members as the leader knows them.
 func (w *world) membership() string {
 	for _, c := range w.controllers {
 		if c.core == nil {
@@ -129,7 +129,7 @@
 	}
 }
 
-// result gathers what became of the run.
+// result returns the counts and the outcome of the run.
 func (w *world) result(steps int) Result {
 	return Result{
 		Seed: w.options.Seed, Violation: w.checks.violation, TraceHash: w.trace.hash(), Trace: w.trace.last(),
@@ -139,7 +139,7 @@
 	}
 }
 
-// add sums up the counts of several runs.
+// add adds the counts of another run.
 func (r *Result) add(other Result) {
 	r.Steps += other.Steps
 	r.VirtualTime += other.VirtualTime
--- a/internal/simulation/run_test.go
+++ b/internal/simulation/run_test.go
@@ -10,8 +10,8 @@
 // workers is the number of seeds simulated at once.
 const workers = 4
 
-// TestSeeds runs a few hundred seeds; none may break a promise, and together they
-// must have met every kind of fault and done work.
+// TestSeeds runs 300 seeds. No check may fail, and together the seeds must cover every kind of fault and all kinds of
+// work.
 func TestSeeds(t *testing.T) {
 	total := Result{Faults: map[FaultKind]int{}}
 	Sweep(Options{Steps: 5000}, 1, 300, workers, func(result Result) bool {
@@ -24,7 +24,7 @@
 	})
 	for _, kind := range faultKinds {
 		if kind == FaultSwapVoter {
-			continue // there are no standbys; see TestDeployments
+			continue // the default fleet has no standbys; TestDeployments covers this kind
 		}
 		require.Positive(t, total.Faults[kind], "no seed had a %s", kind)
 	}
@@ -36,7 +36,7 @@
 	t.Logf("%+v", total)
 }
 
-// TestRestartsTogether runs seeds in which all controllers are killed at once again and again.
+// TestRestartsTogether runs seeds in which all controllers are repeatedly killed at once.
 func TestRestartsTogether(t *testing.T) {
 	total := Result{Faults: map[FaultKind]int{}}
 	Sweep(Options{Steps: 5000, Emphasis: kinds(FaultRestartTogether)}, 1, 100, workers, func(result Result) bool {
@@ -51,8 +51,8 @@
 	require.Positive(t, total.Operations)
 }
 
-// TestBuildsSideBySide runs seeds in which controllers are replaced by those of the first format and back, under all other
-// faults. What all of them hold stays one state, on disks, in snapshots and on the way.
+// TestBuildsSideBySide runs seeds in which controllers are replaced by ones of the first format and back, beside all other
+// faults. Both builds must hold the same state, on disk, in snapshots and in messages.
 func TestBuildsSideBySide(t *testing.T) {
 	total := Result{Faults: map[FaultKind]int{}}
 	Sweep(Options{Steps: 5000, Emphasis: kinds(FaultReplaceBuild)}, 1, 60, workers, func(result Result) bool {
@@ -67,7 +67,7 @@
 	require.Positive(t, total.Operations)
 }
 
-// TestDeployments runs the fleets of the users.
+// TestDeployments runs every fleet of Deployments.
 func TestDeployments(t *testing.T) {
 	for name, deployment := range Deployments {
 		t.Run(name, func(t *testing.T) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestSeedsThatFailed runs the seeds in which long sweeps found faults.
+// TestSeedsThatFailed runs seeds in which long sweeps found faults of the product that have been fixed.
 func TestSeedsThatFailed(t *testing.T) {
 	for _, row := range []struct {
 		deployment string
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestSameSeedSameTrace runs seeds twice: nothing but the seed decides.
+// TestSameSeedSameTrace runs seeds twice: the seed alone must determine the trace.
 func TestSameSeedSameTrace(t *testing.T) {
 	for seed := range uint64(5) {
 		first, second := Run(Options{Seed: seed, Steps: 4000}), Run(Options{Seed: seed, Steps: 4000})
--- a/internal/simulation/safeguards_test.go
+++ b/internal/simulation/safeguards_test.go
@@ -15,15 +15,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/engine/orders"
 )
 
-// seedsUntilFound is within how many seeds a missing safeguard has to be noticed.
+// seedsUntilFound is the number of seeds within which a check must detect a disabled safeguard.
 const seedsUntilFound = 100
 
-// safeguardRow is one safeguard, with those that would hide that it is missing.
+// safeguardRow is a safeguard, disabled together with others that would hide that it is missing.
 type safeguardRow struct {
 	off []safeguard.Safeguard
-	// check is the check that has to notice; only it is in force.
+	// check is the name of the check that must fail; the others are off.
 	check string
-	// emphasis are the faults that it takes.
+	// emphasis lists the faults that provoke the failure.
 	emphasis []FaultKind
 }
 
@@ -47,25 +47,25 @@
 	{off: disabled(orders.FenceCheck), check: "no order of the deposed", emphasis: kinds(FaultStallOrder)},
 	{off: disabled(orders.DurableFence), check: "no order of the deposed", emphasis: kinds(FaultStallOrder, FaultCrashEngine)},
 	{off: disabled(orders.DrainFirst), check: "no request is cut"},
-	// The bound on engines out would keep a second order back as well.
+	// The bound on engines out of service would prevent a second order as well.
 	{off: disabled(controlstate.OneOrderAtATime, authority.SafeguardOutOfServiceBound), check: "one order at a time", emphasis: kinds(FaultPauseEngine)},
 	{off: disabled(controlstate.OneOrderAtATime, authority.SafeguardOutOfServiceBound, orders.OneOrder), check: "no conflicting orders", emphasis: kinds(FaultPauseEngine)},
 
 	// Configuration and membership at the nodes.
-	// Controllers never send what is older, and nodes never take it.
+	// Controllers never send an older revision, and nodes never apply one.
 	{off: disabled(control.SafeguardRevisionOrder, gatewaystate.SafeguardOrderedRevisions), check: "revisions never revert"},
 	{off: disabled(SafeguardConfirmation), check: "no work to the leaving", emphasis: kinds(FaultEngineLeaves, FaultIsolate)},
 
-	// What operators and callers are told.
+	// Responses to operators and callers.
 	{off: disabled(controlstate.ResendDeduplication), check: "resends get the first answer"},
 	{off: disabled(controlstate.ChangeNumberCheck), check: "one winner"},
 	{off: disabled(controlstate.ClaimCheck), check: "at most once"},
 
-	// The same, seen by the linearizability checker alone.
+	// The same safeguards, detected by the linearizability checker alone.
 	{off: disabled(controlstate.ResendDeduplication), check: "linearizable"},
 	{off: disabled(controlstate.ChangeNumberCheck), check: "linearizable"},
 	{off: disabled(SafeguardDiskSync), check: "linearizable", emphasis: kinds(FaultCrashController)},
-	// A leader that steps down without a quorum answers no one for long.
+	// A leader that steps down without a quorum does not serve reads for long.
 	{off: disabled(control.SafeguardLeaseRead, consensus.SafeguardQuorumCheck), check: "linearizable", emphasis: kinds(FaultCutPeers)},
 }
 
@@ -73,7 +73,7 @@
 
 func kinds(emphasis ...FaultKind) []FaultKind { return emphasis }
 
-// name names the row's test.
+// name returns the name of the row's subtest.
 func (r safeguardRow) name() string {
 	var names []string
 	for _, each := range r.off {
@@ -82,8 +82,8 @@
 	return strings.Join(names, " and ") + ": " + r.check
 }
 
-// TestEveryCheckCanFail switches a safeguard off in each row: the check that it is
-// for has to notice, alone, within a bounded number of seeds.
+// TestEveryCheckCanFail disables a safeguard in each row. The check for that safeguard must fail on its own within a
+// bounded number of seeds, which shows that the check works.
 func TestEveryCheckCanFail(t *testing.T) {
 	for _, row := range safeguardRows {
 		t.Run(row.name(), func(t *testing.T) {
--- a/internal/simulation/scheduler.go
+++ b/internal/simulation/scheduler.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is a function that runs at a virtual time.
 type event struct {
 	at    time.Duration
-	order uint64 // events of one time happen in the order of their making
+	order uint64 // events with the same time run in the order in which they were scheduled
 	do    func()
 }
 
@@ -36,20 +36,20 @@
 	return value
 }
 
-// scheduler is virtual time: it jumps from event to event.
+// scheduler keeps the virtual time, which jumps from event to event.
 type scheduler struct {
 	now     time.Duration
 	events  eventHeap
 	created uint64
 }
 
-// after lets something happen after a delay.
+// after schedules an event after a delay.
 func (s *scheduler) after(delay time.Duration, do func()) {
 	s.created++
 	heap.Push(&s.events, event{at: s.now + max(delay, 0), order: s.created, do: do})
 }
 
-// step lets the next event happen and reports whether there was one.
+// step runs the next event and reports whether there was one.
 func (s *scheduler) step() bool {
 	if len(s.events) == 0 {
 		return false
--- a/internal/simulation/shadow_log.go
+++ b/internal/simulation/shadow_log.go
@@ -19,25 +19,25 @@
 	return entryMark{term: entry.GetTerm(), content: xxhash.Sum64(entry.GetData()) + uint64(entry.GetType())}
 }
 
-// shadowLog is one controller's log as its core has handed it out.
+// shadowLog is a copy of one controller's log as its core has written it.
 type shadowLog struct {
-	// first is the index of the first entry held, last that of the last.
+	// first and last are the indexes of the first and the last entry in the copy.
 	first   uint64
 	last    uint64
 	marks   map[uint64]entryMark
 	entries map[uint64]*v1.Entry
-	// checked is how far what was applied has been compared.
+	// checked is the index up to which applied entries have been compared.
 	checked uint64
 }
 
-// load begins with what a disk held.
+// load sets the copy to the content of a disk.
 func (l *shadowLog) load(restored consensus.Restored) {
 	index := restored.Snapshot.GetMetadata().GetIndex()
 	*l = shadowLog{first: index + 1, last: index, marks: map[uint64]entryMark{}, entries: map[uint64]*v1.Entry{}, checked: index}
 	l.add(restored.Entries)
 }
 
-// apply follows a batch.
+// apply applies a batch to the copy.
 func (l *shadowLog) apply(batch control.Persist) {
 	if metadata := batch.Snapshot.GetMetadata(); metadata != nil {
 		index := metadata.GetIndex()
@@ -61,7 +61,7 @@
 	}
 }
 
-// truncate drops the entries from index on.
+// truncate removes the entries from index on.
 func (l *shadowLog) truncate(index uint64) {
 	for ; l.last >= index && l.last >= l.first; l.last-- {
 		delete(l.marks, l.last)
--- a/internal/simulation/sweep.go
+++ b/internal/simulation/sweep.go
@@ -6,9 +6,9 @@
 	"sync"
 )
 
-// Sweep runs the seeds from first to last, several at once, each in one thread, and
-// hands the results to report in the order of the seeds. It ends early, with the
-// seeds under way, when report returns false.
+// Sweep runs the seeds from first to last, with the given number of workers, each run in one thread. It passes the
+// results to report in the order of the seeds. When report returns false, Sweep waits for the runs under way and
+// returns early.
 func Sweep(options Options, first, last uint64, workers int, report func(Result) bool) {
 	seeds := make(chan uint64, workers)
 	results := make(chan Result, workers)
@@ -40,7 +40,7 @@
 	reportInOrder(results, first, stop, report)
 }
 
-// reportInOrder hands on the results in the order of their seeds.
+// reportInOrder passes the results to report in the order of their seeds.
 func reportInOrder(results <-chan Result, next uint64, stop chan<- struct{}, report func(Result) bool) {
 	var early []Result
 	stopped := false
--- a/internal/simulation/trace.go
+++ b/internal/simulation/trace.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// traceLines is how many of the last lines of a trace are kept for reading.
+// traceLines is the number of trace lines that are kept, the last ones.
 const traceLines = 400
 
-// runTrace is the record of a run: a hash of everything and the last lines.
+// runTrace is the trace of a run: a hash of all lines, and the last lines.
 type runTrace struct {
 	digest *xxhash.Digest
 	lines  []string
@@ -21,7 +21,7 @@
 	return &runTrace{digest: xxhash.New(), lines: make([]string, 0, traceLines)}
 }
 
-// add records a line.
+// add adds a line.
 func (t *runTrace) add(at time.Duration, who, format string, arguments ...any) {
 	line := fmt.Sprintf("%12.6f %-13s %s", at.Seconds(), who, fmt.Sprintf(format, arguments...))
 	_, _ = t.digest.WriteString(line) // never fails
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -11,7 +11,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/engine/orders"
 )
 
-// world is everything that is simulated.
+// world is the whole simulated system.
 type world struct {
 	scheduler
 	options     Options
@@ -27,19 +27,19 @@
 	operators   []*operatorClient
 	platform    *platform
 	faults      *faults
-	// administratorCommands numbers the administrators' commands.
+	// administratorCommands counts the administrators' commands, to number their requests.
 	administratorCommands int
-	// isSwapping tells that an administrator is giving a vote to another machine.
+	// isSwapping reports that an administrator is moving a vote to another machine.
 	isSwapping bool
 	// lulls counts the lulls under way.
 	lulls int
-	// isHealed tells that the time of faults is over.
+	// isHealed reports that the phase of faults is over.
 	isHealed bool
 	// firstRevision is the revision of the fleet's first declaration.
 	firstRevision uint64
 }
 
-// newWorld makes the fleet; nothing has started yet.
+// newWorld creates the fleet; no process has started yet.
 func newWorld(options Options) *world {
 	w := &world{
 		options: options, random: rand.New(rand.NewPCG(options.Seed, 0x68617a656c)), trace: newTrace(),
@@ -60,10 +60,10 @@
 	return w
 }
 
-// newHost makes a host.
+// newHost returns a host without a running process.
 func (w *world) newHost(name string) host { return host{name: name, world: w} }
 
-// addControllers makes the controllers, which know each other as the initial voters.
+// addControllers adds the controllers, which know each other as the initial voters, and the standbys.
 func (w *world) addControllers() {
 	var peers []consensus.Peer
 	for i := range w.options.Deployment.Controllers {
@@ -83,7 +83,7 @@
 	}
 }
 
-// addEngines makes the engines, all of them mixed.
+// addEngines adds the engines, all in the mixed role.
 func (w *world) addEngines() {
 	for _, service := range w.options.Deployment.Services {
 		for i := range service.Engines {
@@ -92,7 +92,7 @@
 	}
 }
 
-// newEngine makes an engine.
+// newEngine returns an engine that has not started.
 func (w *world) newEngine(name, service, zone string) *engine {
 	return &engine{
 		host: w.newHost(name), service: service, zone: zone,
@@ -122,7 +122,7 @@
 	})
 }
 
-// drawDuration draws a time between zero and the given one.
+// drawDuration draws a duration below longest.
 func (w *world) drawDuration(longest time.Duration) time.Duration {
 	return time.Duration(w.random.Int64N(int64(longest)))
 }
