--- a/internal/property/attempt.go
+++ b/internal/property/attempt.go
@@ -16,26 +16,26 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// attempt is what a caller was told about one attempt of a request.
+// attempt is one attempt of a request and its outcome as the caller observed it.
 type attempt struct {
 	request *request
-	// began and ended bound the time in which it was under way.
+	// began and ended are when the attempt began and ended.
 	began, ended time.Time
 	status       int
-	// verdict is the verdict; empty when the caller got no answer or not its end.
+	// verdict is the verdict in the response; empty when no response came or its end is missing.
 	verdict string
-	// complete tells that the answer came to its end as the protocol says.
+	// complete reports that the response was complete by the protocol.
 	complete bool
 	text     string
-	// cachedTokens is the part of the prompt that was cached.
+	// cachedTokens is the number of prompt tokens that came from the prefix cache.
 	cachedTokens int
 	code         string
 }
 
-// isFinal tells that the caller has its outcome.
+// isFinal reports whether the caller has an outcome and sends no further attempt.
 func (s *attempt) isFinal() bool { return s.complete }
 
-// send sends a request to a gateway and reads what comes back.
+// send sends a request to a gateway and reads the response.
 func send(ctx context.Context, client *http.Client, address string, of *request) *attempt {
 	result := &attempt{request: of, began: time.Now()}
 	defer func() { result.ended = time.Now() }()
@@ -62,7 +62,7 @@
 	}
 	body, err := io.ReadAll(answer.Body)
 	if err != nil {
-		result.text = strings.TrimSpace(string(body)) // a part, without a verdict
+		result.text = strings.TrimSpace(string(body)) // a partial response, which has no verdict
 		return result
 	}
 	result.verdict = answer.Header.Get(verdict.Header)
@@ -84,7 +84,7 @@
 	s.cachedTokens = int(gjson.Get(body, "usage.prompt_tokens_details.cached_tokens").Int())
 }
 
-// readEvents reads a stream; its verdict is known at its end alone.
+// readEvents reads a stream, whose verdict comes at its end.
 func (s *attempt) readEvents(body io.Reader) {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
--- a/internal/property/backends.go
+++ b/internal/property/backends.go
@@ -15,10 +15,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/page"
 )
 
-// pageTime is how long a page service takes for one request.
+// pageTime is the service time of a page service per request.
 const pageTime = 5 * time.Millisecond
 
-// engineRoles are the roles of a run's engines, in turn.
+// engineRoles are the roles of a run's engines, assigned in turn.
 var engineRoles = []enginecontract.Role{
 	enginecontract.RoleMixed, enginecontract.RolePrefill, enginecontract.RoleDecode, enginecontract.RoleMixed, enginecontract.RoleDecode,
 }
@@ -29,16 +29,16 @@
 	pages   []*page.Service
 }
 
-// startBackEnds starts the stand-ins and returns their rows of the directory.
-func startBackEnds(joined *network, engines, pages int) (*backEnds, []*v1.BackEnd, error) {
+// startBackEnds starts the stand-ins and returns them with their directory entries.
+func startBackEnds(memoryNet *network, engines, pages int) (*backEnds, []*v1.BackEnd, error) {
 	created := &backEnds{}
 	var rows []*v1.BackEnd
 	for number := range engines {
 		name, address := fmt.Sprintf("engine-%d", number+1), engineHost(number)+":8100"
 		opened, err := engine.Start(engine.Config{
 			Name: name, Service: engineService, Zone: zone, Address: address, Model: model, Version: modelVersion,
-			Role: engineRoles[number%len(engineRoles)], Profile: profile(), Listen: joined.listen,
-			Dial: func(to string) (net.Conn, error) { return joined.dial(engineHost(number), to) },
+			Role: engineRoles[number%len(engineRoles)], Profile: profile(), Listen: memoryNet.listen,
+			Dial: func(to string) (net.Conn, error) { return memoryNet.dial(engineHost(number), to) },
 		})
 		if err != nil {
 			return nil, nil, trace.Wrap(err)
@@ -52,7 +52,7 @@
 	for number := range pages {
 		name, address := fmt.Sprintf("page-%d", number+1), fmt.Sprintf("10.3.0.%d:8200", number+1)
 		opened, err := page.Start(page.Config{
-			Name: name, Service: pageService, Zone: zone, Address: address, ServiceTime: pageTime, Listen: joined.listen,
+			Name: name, Service: pageService, Zone: zone, Address: address, ServiceTime: pageTime, Listen: memoryNet.listen,
 		})
 		if err != nil {
 			return nil, nil, trace.Wrap(err)
@@ -67,7 +67,7 @@
 
 func engineHost(number int) string { return fmt.Sprintf("10.2.0.%d", number+1) }
 
-// profile writes a token each 20 ms, so that faults meet streams.
+// profile returns an engine profile with one token per 20 ms, slow enough that faults hit open streams.
 func profile() enginemodel.Profile {
 	chosen := enginemodel.DefaultProfile()
 	chosen.PrefillTokensPerSecond = 1e5
@@ -84,7 +84,7 @@
 	}
 }
 
-// clear switches every fault off and starts what is down.
+// clear removes all faults and restarts the back ends that are down.
 func (b *backEnds) clear() error {
 	for _, each := range b.engines {
 		each.Faults().Replace(nil)
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// kvTransfers counts the caches that engines took over.
+// kvTransfers returns the number of KV caches that engines imported.
 func (b *backEnds) kvTransfers() int {
 	sum := 0
 	for _, each := range b.engines {
@@ -110,7 +110,7 @@
 	return sum
 }
 
-// executions counts what ran, by the marks of requests.
+// executions counts the executions by the marks of the requests.
 func (b *backEnds) executions() map[string]int {
 	counts := map[string]int{}
 	for _, each := range b.engines {
--- a/internal/property/caller.go
+++ b/internal/property/caller.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// maximumAttempts bounds how often a caller sends one request.
+	// maximumAttempts bounds the attempts of one request.
 	maximumAttempts = 5
-	// answerTimeout bounds a caller's wait for one answer.
+	// answerTimeout bounds a caller's wait for one response.
 	answerTimeout = 60 * time.Second
 	longestPause  = 2 * time.Second
-	// doubleSendOneIn: one in so many sendings of a claimed request goes to two gateways at
+	// doubleSendOneIn is the number of attempts of a claimed request of which one, on average, goes to two gateways at
 	// once.
 	doubleSendOneIn = 5
 )
 
-// caller sends requests one after the other, and resends those without an outcome.
+// caller sends requests one after the other and repeats those without an outcome.
 type caller struct {
 	client       *http.Client
 	gateways     *gateways
@@ -29,20 +29,20 @@
 	ledger       *ledger
 }
 
-func newCaller(joined *network, targets *gateways, gatewayCount, number int, seed uint64, outcomes *ledger) *caller {
+func newCaller(memoryNet *network, targets *gateways, gatewayCount, number int, seed uint64, outcomes *ledger) *caller {
 	host := callerHost(number)
 	return &caller{
 		gateways: targets, gatewayCount: gatewayCount, ledger: outcomes,
 		random: rand.New(rand.NewPCG(seed, uint64(number))),
 		client: &http.Client{Transport: &http.Transport{
-			DialContext: joined.dialFrom(host), DisableKeepAlives: true, DisableCompression: true,
+			DialContext: memoryNet.dialFrom(host), DisableKeepAlives: true, DisableCompression: true,
 		}},
 	}
 }
 
 func callerHost(number int) string { return fmt.Sprintf("10.9.0.%d", number+1) }
 
-// sendUntilComplete sends a request until it has an outcome or the sendings are used up.
+// sendUntilComplete sends a request until it has an outcome or maximumAttempts is reached.
 func (c *caller) sendUntilComplete(of *request) {
 	for sent := 0; sent < maximumAttempts; sent++ {
 		if sent > 0 {
--- a/internal/property/configuration.go
+++ b/internal/property/configuration.go
@@ -7,7 +7,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// Names of the run's configuration.
+// Names in the run's configuration.
 const (
 	model          = "base"
 	modelVersion   = "1"
@@ -22,13 +22,13 @@
 	zone           = "zone"
 )
 
-// deadlineMs is each kind's deadline.
+// deadlineMs is the deadline of every kind.
 const deadlineMs = 20_000
 
 // tenantKeys are the API keys of the run's tenants.
 var tenantKeys = []string{"key-of-tenant-one", "key-of-tenant-two"}
 
-// configuration is what the controllers hand out.
+// configuration is what the controllers send to gateways.
 type configuration struct {
 	objects   []*v1.Object
 	tenants   map[string]*v1.Object // by the hash of their key
--- a/internal/property/controllers.go
+++ b/internal/property/controllers.go
@@ -17,14 +17,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// controllers stand for a quorum: two addresses before one replicated state, whose claims
-// are the real ones. It is safe for concurrent use.
+// controllers stands in for a quorum of controllers: two addresses in front of one replicated state, whose claims are
+// those of the product. It is safe for concurrent use.
 type controllers struct {
 	hazelpitchv1connect.UnimplementedNodeServiceHandler
 	configuration configuration
 	server        *http.Server
 	addresses     []string
-	// answersToLose is the number of claim calls whose answers are still to be lost.
+	// answersToLose is the number of further claim calls whose responses are dropped.
 	answersToLose atomic.Int64
 	answersLost   atomic.Int64
 
@@ -35,14 +35,14 @@
 
 var errAnswerLost = errors.New("the answer is lost")
 
-func startControllers(joined *network, addresses []string, declared configuration, off safeguard.Set) (*controllers, error) {
+func startControllers(memoryNet *network, addresses []string, declared configuration, off safeguard.Set) (*controllers, error) {
 	created := &controllers{configuration: declared, addresses: addresses, state: controlstate.New(off)}
 	path, handler := hazelpitchv1connect.NewNodeServiceHandler(created)
 	routes := http.NewServeMux()
 	routes.Handle(path, handler)
 	created.server = &http.Server{Handler: routes, ReadHeaderTimeout: time.Minute}
 	for _, address := range addresses {
-		listener, err := joined.listen("tcp", address)
+		listener, err := memoryNet.listen("tcp", address)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
@@ -51,9 +51,9 @@
 	return created, nil
 }
 
-func (c *controllers) close() { _ = c.server.Close() } // its listeners close without errors
+func (c *controllers) close() { _ = c.server.Close() } // closing its in-memory listeners never fails
 
-// apply carries out one command, as the log's leader does.
+// apply applies one command to the replicated state, as the leader of the log does.
 func (c *controllers) apply(command *v1.Command) controlstate.Result {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -62,14 +62,14 @@
 	return c.state.Apply(c.index, command)
 }
 
-// markGatewayLost tells the state that a gateway's process is gone.
+// markGatewayLost records in the replicated state that a gateway's process has exited.
 func (c *controllers) markGatewayLost(name string) {
 	c.apply(&v1.Command{Body: &v1.Command_LoseGateway{LoseGateway: &v1.LoseGateway{
 		Gateway: name, Incarnation: uint64(time.Now().UnixNano()),
 	}}})
 }
 
-// Sync answers with the whole configuration that the gateway does not have yet.
+// Sync returns the configuration as far as the gateway does not have it yet.
 func (c *controllers) Sync(_ context.Context, request *connect.Request[v1.SyncRequest]) (*connect.Response[v1.SyncResponse], error) {
 	response := &v1.SyncResponse{Revision: 1, LeaderAddress: c.addresses[0], DirectoryVersion: 1}
 	if request.Msg.GetDirectoryVersion() != 1 {
@@ -88,12 +88,12 @@
 	return connect.NewResponse(response), nil
 }
 
-// Report takes a report and grants nothing: no tenant of a run has limits.
+// Report accepts a report and grants no permits, since no tenant of a run has limits.
 func (c *controllers) Report(context.Context, *connect.Request[v1.ReportRequest]) (*connect.Response[v1.ReportResponse], error) {
 	return connect.NewResponse(&v1.ReportResponse{}), nil
 }
 
-// BeginClaim applies a claim to the replicated state.
+// BeginClaim applies the beginning of a claim to the replicated state.
 func (c *controllers) BeginClaim(_ context.Context, request *connect.Request[v1.BeginClaimRequest]) (*connect.Response[v1.BeginClaimResponse], error) {
 	result := c.apply(&v1.Command{Body: &v1.Command_BeginClaim{BeginClaim: request.Msg.GetClaim()}})
 	if err := c.answerError(result.Err); err != nil {
@@ -102,7 +102,7 @@
 	return connect.NewResponse(result.Claim), nil
 }
 
-// FinishClaim applies an outcome to the replicated state.
+// FinishClaim applies the outcome of a claim to the replicated state.
 func (c *controllers) FinishClaim(_ context.Context, request *connect.Request[v1.FinishClaimRequest]) (*connect.Response[v1.FinishClaimResponse], error) {
 	result := c.apply(&v1.Command{Body: &v1.Command_FinishClaim{FinishClaim: request.Msg.GetClaim()}})
 	if err := c.answerError(result.Err); err != nil {
@@ -111,7 +111,7 @@
 	return connect.NewResponse(&v1.FinishClaimResponse{}), nil
 }
 
-// answerError fails a call whose command was refused, and one whose answerError is to be lost.
+// answerError returns the error of a call whose response is dropped or whose command was refused; otherwise nil.
 func (c *controllers) answerError(refused error) error {
 	if c.answersToLose.Add(-1) >= 0 {
 		c.answersLost.Add(1)
--- a/internal/property/faults.go
+++ b/internal/property/faults.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// Times between two faults.
+	// Bounds of the time between two faults.
 	shortestCalm = 20 * time.Millisecond
 	longestCalm  = 400 * time.Millisecond
-	// longestDown bounds crashes, pauses and isolation.
+	// longestDown bounds the duration of crashes, pauses and isolation.
 	longestDown = 4 * time.Second
-	// Bounds of the faults that stand-ins are told to show.
+	// Bounds of the faults that stand-ins show.
 	maximumFaultCount  = 3
 	maximumFaultTokens = 12
 	maximumFaultDelay  = 3 * time.Second
 	maximumLostAnswers = 4
 )
 
-// engineFaults and pageFaults are what stand-ins may be told to show.
+// engineFaults and pageFaults are the faults that stand-ins can show.
 var (
 	engineFaults = []fault.Kind{
 		fault.Refuse, fault.Error, fault.LoseAnswer, fault.Cut, fault.Truncate, fault.EarlyDone, fault.Stall,
@@ -36,7 +36,7 @@
 	}
 )
 
-// faults strikes a run. One goroutine calls strike until stop.
+// faults injects the faults of a run. One goroutine calls injectUntilDone.
 type faults struct {
 	random      *rand.Rand
 	network     *network
@@ -44,16 +44,16 @@
 	gateways    *gateways
 	controllers *controllers
 	options     Options
-	// pending waits for what ends by itself: restarts and healing.
+	// pending waits for the delayed ends of faults: restarts and reconnections.
 	pending sync.WaitGroup
 }
 
-// Counts of the kinds of actors in a run.
+// Counts are the numbers of actors in a run.
 type Counts struct {
 	Callers, Gateways, Engines, Pages int
 }
 
-// injectUntilDone strikes until the context ends, and returns what struck by name.
+// injectUntilDone injects faults until the context ends, and returns their counts by name.
 func (f *faults) injectUntilDone(ctx context.Context) map[string]int {
 	counts := map[string]int{}
 	for ctx.Err() == nil {
@@ -73,14 +73,14 @@
 	return counts
 }
 
-// addFaultCounts adds what a stand-in showed.
+// addFaultCounts adds the counts of the faults that a stand-in has shown.
 func addFaultCounts(struck map[string]int, prefix string, shown *fault.Set) {
 	for kind, count := range shown.Struck() {
 		struck[prefix+string(kind)] += count
 	}
 }
 
-// Names of the faults that processes and links may show.
+// Names of faults.
 const (
 	engineFaultSet = "told to an engine"
 	pageFaultSet   = "told to a page service"
@@ -94,8 +94,8 @@
 	controlLost    = "controllers out of reach"
 )
 
-// faultChoices are the faults that may be drawn, with their weights. Each reports whether it
-// struck at once; what a stand-in is told is counted when it faultChoices.
+// faultChoices are the faults to draw from, with their weights. inject reports whether the fault is to be counted now;
+// faults that a stand-in shows later are counted then.
 var faultChoices = []struct {
 	name   string
 	weight int
@@ -113,10 +113,10 @@
 	{controlLost, 1, (*faults).isolateControllers},
 }
 
-// likelyFaultWeight is the weight of the fault that a run is to show most.
+// likelyFaultWeight is the weight of Options.LikelyFault.
 const likelyFaultWeight = 20
 
-// injectOne draws one fault and returns its name, or nothing when none struck at once.
+// injectOne draws and injects one fault. It returns its name, or an empty string when none is to be counted now.
 func (f *faults) injectOne() string {
 	sum := 0
 	for _, each := range faultChoices {
@@ -147,7 +147,7 @@
 	return time.Duration(f.random.Int64N(int64(longestDown)))
 }
 
-// after does something once a drawn time has passed.
+// after runs a function in the background after a drawn time.
 func (f *faults) after(do func()) {
 	pause := f.drawDowntime()
 	f.pending.Go(func() {
@@ -156,7 +156,7 @@
 	})
 }
 
-// addFault adds one fault to those that a stand-in has still to show.
+// addFault adds a drawn fault to the ones that a stand-in is going to show.
 func (f *faults) addFault(set *fault.Set, kinds []fault.Kind) {
 	if f.options.OnlyFault != "" {
 		kinds = []fault.Kind{f.options.OnlyFault}
@@ -191,14 +191,14 @@
 func (f *faults) crashEngine() bool {
 	crashed := f.drawEngine()
 	crashed.Crash()
-	f.after(func() { _ = crashed.Restart() }) // clear starts it again in any case
+	f.after(func() { _ = crashed.Restart() }) // on failure, clear restarts it at the end of the run
 	return true
 }
 
 func (f *faults) crashPage() bool {
 	crashed := f.drawPage()
 	crashed.Crash()
-	f.after(func() { _ = crashed.Restart() }) // clear starts it again in any case
+	f.after(func() { _ = crashed.Restart() }) // on failure, clear restarts it at the end of the run
 	return true
 }
 
@@ -207,7 +207,7 @@
 	return true
 }
 
-// cutLinks breaks the connections between one gateway and one engine, or one caller.
+// cutLinks breaks the connections between one gateway and either one engine or one caller.
 func (f *faults) cutLinks() bool {
 	host := f.gateways.current(f.drawGateway()).host
 	other := engineHost(f.random.IntN(f.options.Counts.Engines))
--- a/internal/property/gateways.go
+++ b/internal/property/gateways.go
@@ -15,11 +15,11 @@
 
 const (
 	drainTimeout = 40 * time.Second
-	// restartPause keeps the incarnations of one gateway's processes apart.
+	// restartPause separates the start times, and so the incarnations, of one gateway's processes.
 	restartPause = 100 * time.Millisecond
 )
 
-// process is one run of a gateway's process.
+// process is one process of a gateway.
 type process struct {
 	host   string
 	killed bool
@@ -27,21 +27,21 @@
 	done   chan error
 }
 
-// gateways are the gateways of a run, each over any number of processes. The methods
-// that change processes are called from one goroutine.
+// gateways are the gateways of a run, each with one process after another. The methods that start and stop processes
+// are called from one goroutine.
 type gateways struct {
 	network     *network
 	controllers *controllers
 	off         safeguard.Set
 
 	mutex sync.Mutex
-	// processes holds all processes of each gateway, the present one last.
+	// processes holds all processes of each gateway, the current one last.
 	processes [][]*process
 	started   int
 }
 
-func startGateways(joined *network, served *controllers, count int, off safeguard.Set) *gateways {
-	g := &gateways{network: joined, controllers: served, off: off, processes: make([][]*process, count)}
+func startGateways(memoryNet *network, quorum *controllers, count int, off safeguard.Set) *gateways {
+	g := &gateways{network: memoryNet, controllers: quorum, off: off, processes: make([][]*process, count)}
 	for number := range count {
 		g.start(number)
 	}
@@ -50,22 +50,21 @@
 
 func gatewayName(number int) string { return fmt.Sprintf("gateway-%d", number+1) }
 
-// start starts a process of one gateway on a host of its own, and waits until callers can
-// connect.
+// start starts a process of one gateway on a new host, and waits until callers can connect.
 func (g *gateways) start(number int) {
 	g.started++
 	host := fmt.Sprintf("10.1.%d.%d", g.started/250, g.started%250+1)
 	ctx, stop := context.WithCancel(context.Background())
-	begun := &process{host: host, stop: stop, done: make(chan error, 1)}
+	created := &process{host: host, stop: stop, done: make(chan error, 1)}
 	ready := make(chan struct{})
 	options := gateway.Options{Listen: g.network.listen, Dial: g.network.dialFrom(host), Safeguards: g.off, Started: ready}
 	go func() {
-		begun.done <- gateway.Run(ctx, gatewaySettings(gatewayName(number), host, g.controllers.addresses), options)
+		created.done <- gateway.Run(ctx, gatewaySettings(gatewayName(number), host, g.controllers.addresses), options)
 	}()
 	<-ready
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.processes[number] = append(g.processes[number], begun)
+	g.processes[number] = append(g.processes[number], created)
 }
 
 func gatewaySettings(name, host string, controllers []string) settings.Gateway {
@@ -80,7 +79,7 @@
 	}
 }
 
-// address is where callers reach a gateway now.
+// address returns the address at which callers currently reach a gateway.
 func (g *gateways) address(number int) string {
 	return g.current(number).host + ":8080"
 }
@@ -92,8 +91,8 @@
 	return all[len(all)-1]
 }
 
-// kill ends a gateway's process as seen from outside: every connection breaks at once and
-// nothing of it is heard again; then another process of that gateway starts.
+// kill kills a gateway's process as seen from outside: all its connections break and it can open no new ones. Then it
+// starts another process of that gateway.
 func (g *gateways) kill(number int) {
 	killed := g.current(number)
 	killed.killed = true
@@ -105,7 +104,7 @@
 	g.start(number)
 }
 
-// replace stops a gateway's process in good order while another one starts.
+// replace starts another process of a gateway and stops the current one gracefully.
 func (g *gateways) replace(number int) {
 	leaving := g.current(number)
 	time.Sleep(restartPause)
@@ -113,7 +112,7 @@
 	leaving.stop()
 }
 
-// close stops every process. A process that was not killed must end in good order.
+// close stops every process. It returns the errors of processes that were not killed, since these must stop gracefully.
 func (g *gateways) close() error {
 	var failures []error
 	for _, processes := range g.processes {
--- a/internal/property/ledger.go
+++ b/internal/property/ledger.go
@@ -13,10 +13,10 @@
 // maximumGatewayAttempts is how often a gateway may begin one repeatable request.
 const maximumGatewayAttempts = 4
 
-// epoch is when a bubble's time begins; histories count from it.
+// epoch is when the time of a synctest bubble begins; histories are relative to it.
 var epoch = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// ledger keeps what callers were told. It is safe for concurrent use.
+// ledger records the outcomes that callers observed. It is safe for concurrent use.
 type ledger struct {
 	mutex    sync.Mutex
 	attempts map[*request][]*attempt
@@ -24,100 +24,100 @@
 
 func newLedger() *ledger { return &ledger{attempts: map[*request][]*attempt{}} }
 
-func (l *ledger) add(told *attempt) {
+func (l *ledger) add(finished *attempt) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.attempts[told.request] = append(l.attempts[told.request], told)
+	l.attempts[finished.request] = append(l.attempts[finished.request], finished)
 }
 
-// requests lists the requests in their order.
+// requests returns the requests sorted by number.
 func (l *ledger) requests() []*request {
-	listed := make([]*request, 0, len(l.attempts))
+	sorted := make([]*request, 0, len(l.attempts))
 	for each := range l.attempts {
-		listed = append(listed, each)
+		sorted = append(sorted, each)
 	}
-	slices.SortFunc(listed, func(a, b *request) int { return a.number - b.number })
-	return listed
+	slices.SortFunc(sorted, func(a, b *request) int { return a.number - b.number })
+	return sorted
 }
 
-// check holds what callers were told against what ran, and returns what does not agree.
+// check compares the outcomes with the executions and returns the violations.
 func (l *ledger) check(executions map[string]int) []Violation {
-	var found []Violation
+	var violations []Violation
 	for _, each := range l.requests() {
-		found = append(found, l.checkRuns(each, executions[each.mark])...)
-		for _, told := range l.attempts[each] {
-			found = append(found, checkAnswer(told)...)
+		violations = append(violations, l.checkRuns(each, executions[each.mark])...)
+		for _, sent := range l.attempts[each] {
+			violations = append(violations, checkAnswer(sent)...)
 		}
 	}
-	return found
+	return violations
 }
 
-// checkRuns holds the verdicts on all sendings of one request against its executions.
-func (l *ledger) checkRuns(sent *request, runs int) []Violation {
-	var found []Violation
+// checkRuns compares the verdicts on all attempts of one request with its executions.
+func (l *ledger) checkRuns(of *request, runs int) []Violation {
+	var violations []Violation
 	notRun, ran, history := 0, 0, ""
-	for _, told := range l.attempts[sent] {
-		switch told.verdict {
+	for _, sent := range l.attempts[of] {
+		switch sent.verdict {
 		case verdict.NotRun.String():
 			notRun++
 		case verdict.Ran.String():
 			ran++
 		}
 	}
-	for _, told := range l.attempts[sent] {
-		history += fmt.Sprintf("; %v to %v: %d %s %s", told.began.Sub(epoch), told.ended.Sub(epoch), told.status, told.verdict, told.code)
+	for _, sent := range l.attempts[of] {
+		history += fmt.Sprintf("; %v to %v: %d %s %s", sent.began.Sub(epoch), sent.ended.Sub(epoch), sent.status, sent.verdict, sent.code)
 	}
-	mayRun := len(l.attempts[sent]) - notRun
-	summary := fmt.Sprintf("request %d (%s, key %q): %d sendings, %d told not run, %d told ran; it ran %d times%s",
-		sent.number, sent.kind, sent.key, len(l.attempts[sent]), notRun, ran, runs, history)
+	mayRun := len(l.attempts[of]) - notRun
+	summary := fmt.Sprintf("request %d (%s, key %q): %d attempts, %d with verdict not run, %d with verdict ran; it ran %d times%s",
+		of.number, of.kind, of.key, len(l.attempts[of]), notRun, ran, runs, history)
 	bound := mayRun
 	switch {
-	case sent.isClaimed():
+	case of.isClaimed():
 		bound = min(mayRun, 1)
-	case !sent.runsAtMostOnce():
+	case !of.runsAtMostOnce():
 		bound = mayRun * maximumGatewayAttempts
 	}
 	switch {
 	case runs > 0 && mayRun == 0:
-		found = append(found, Violation{FalseNotRun, summary})
-	case runs > bound && !sent.runsAtMostOnce():
-		found = append(found, Violation{RepeatedTooOften, summary})
+		violations = append(violations, Violation{FalseNotRun, summary})
+	case runs > bound && !of.runsAtMostOnce():
+		violations = append(violations, Violation{RepeatedTooOften, summary})
 	case runs > bound:
-		found = append(found, Violation{RunTwice, summary})
+		violations = append(violations, Violation{RunTwice, summary})
 	}
-	if runs > 0 && mayRun > 0 && sent.isClaimed() && l.deniesEarlierRun(sent) {
-		found = append(found, Violation{FalseNotRun, summary + ", before one that was told not run"})
+	if runs > 0 && mayRun > 0 && of.isClaimed() && l.deniesEarlierRun(of) {
+		violations = append(violations, Violation{FalseNotRun, summary + ", before an attempt with verdict not run"})
 	}
 	if ran > 0 && runs == 0 {
-		found = append(found, Violation{FalseRan, summary})
+		violations = append(violations, Violation{FalseRan, summary})
 	}
-	return found
+	return violations
 }
 
-// deniesEarlierRun tells that a sending was told not run although all that may have run had ended
-// before it began. Under a key the verdict covers the earlier sendings too.
+// deniesEarlierRun reports whether an attempt got the verdict "not run" although all attempts that may have run had
+// ended before it began. Under a key the verdict covers the earlier attempts too.
 func (l *ledger) deniesEarlierRun(of *request) bool {
-	var last time.Time // end of the last sending that may have run
-	for _, told := range l.attempts[of] {
-		if told.verdict != verdict.NotRun.String() && told.ended.After(last) {
-			last = told.ended
+	var last time.Time // end of the last attempt that may have run
+	for _, sent := range l.attempts[of] {
+		if sent.verdict != verdict.NotRun.String() && sent.ended.After(last) {
+			last = sent.ended
 		}
 	}
-	return slices.ContainsFunc(l.attempts[of], func(told *attempt) bool {
-		return told.verdict == verdict.NotRun.String() && told.began.After(last)
+	return slices.ContainsFunc(l.attempts[of], func(sent *attempt) bool {
+		return sent.verdict == verdict.NotRun.String() && sent.began.After(last)
 	})
 }
 
-// checkAnswer holds one answer against the request's own.
-func checkAnswer(told *attempt) []Violation {
-	of := told.request
-	what := fmt.Sprintf("request %d (%s): got %q of %q", of.number, of.kind, told.text, of.expected)
+// checkAnswer compares the text of one response with the expected text.
+func checkAnswer(sent *attempt) []Violation {
+	of := sent.request
+	what := fmt.Sprintf("request %d (%s): got %q, expected %q", of.number, of.kind, sent.text, of.expected)
 	switch {
-	case told.text == of.expected:
+	case sent.text == of.expected:
 		return nil
-	case !strings.HasPrefix(of.expected, told.text):
+	case !strings.HasPrefix(of.expected, sent.text):
 		return []Violation{{MixedAnswer, what}}
-	case told.complete:
+	case sent.complete:
 		return []Violation{{ShortAnswer, what}}
 	default:
 		return nil
--- a/internal/property/network.go
+++ b/internal/property/network.go
@@ -10,11 +10,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/dialing"
 )
 
-// backlog bounds the connections that wait to be accepted.
+// backlog bounds the connections that wait to be accepted at one listener.
 const backlog = 256
 
-// network joins the parties of a run by connections in memory. A party is named by the
-// host of its addresses. It is safe for concurrent use.
+// network connects the hosts of a run by in-memory connections. A host is identified by the host part of its addresses.
+// It is safe for concurrent use.
 type network struct {
 	mutex     sync.Mutex
 	listeners map[string]*listener // by address
@@ -37,7 +37,7 @@
 	_ = l.far.Close()
 }
 
-// listen opens a listener at an address that nobody listens on.
+// listen opens a listener. It fails when the address is in use.
 func (n *network) listen(_, address string) (net.Listener, error) {
 	parsed, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
@@ -46,14 +46,14 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.listeners[address] != nil {
-		return nil, trace.AlreadyExists("%s is listened on", address)
+		return nil, trace.AlreadyExists("address %s is already in use", address)
 	}
 	opened := &listener{network: n, address: parsed, accepted: make(chan net.Conn, backlog), closed: make(chan struct{})}
 	n.listeners[address] = opened
 	return opened, nil
 }
 
-// dialFrom returns the dialer of one host.
+// dialFrom returns a dialer for connections of one host.
 func (n *network) dialFrom(host string) dialing.Dial {
 	return func(_ context.Context, _, address string) (net.Conn, error) { return n.dial(host, address) }
 }
@@ -74,14 +74,13 @@
 	select {
 	case target.accepted <- &conn{Conn: far, network: n, link: opened, local: target.address}:
 	default:
-		return nil, trace.ConnectionProblem(nil, "%s has too many connections waiting", address)
+		return nil, trace.ConnectionProblem(nil, "%s has too many connections that wait to be accepted", address)
 	}
 	n.links[opened] = struct{}{}
 	return &conn{Conn: near, network: n, link: opened, local: &net.TCPAddr{IP: net.ParseIP(from)}}, nil
 }
 
-// cut breaks the open connections between two hosts and returns their number. An empty
-// second host stands for all.
+// cut breaks the open connections between two hosts and returns their number. An empty second host means all hosts.
 func (n *network) cut(one, other string) int {
 	var broken []*link
 	n.mutex.Lock()
@@ -102,7 +101,7 @@
 	return (from == "" || l.from == from) && (to == "" || l.to == to)
 }
 
-// isolate breaks every connection of a host and refuses new ones until heal.
+// isolate breaks every connection of a host and refuses new ones until heal is called.
 func (n *network) isolate(host string) {
 	n.mutex.Lock()
 	n.isolated[host] = true
@@ -144,7 +143,7 @@
 	return c.Conn.Close()
 }
 
-// listener is an open address.
+// listener is an open listener at one address.
 type listener struct {
 	network  *network
 	address  *net.TCPAddr
@@ -163,7 +162,7 @@
 	}
 }
 
-// Close implements net.Listener; connections that nobody accepted break.
+// Close implements net.Listener. It closes the connections that were not accepted.
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		l.network.mutex.Lock()
--- a/internal/property/property_test.go
+++ b/internal/property/property_test.go
@@ -13,8 +13,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// warmUp starts, outside of all bubbles, the goroutines that a process has once: fasthttp's
-// clock for the Date header and the runtime's for signals.
+// warmUp starts, outside of all bubbles, the goroutines that a process starts only once: fasthttp's clock for the Date
+// header, and the runtime's for signals. A goroutine that starts within a bubble would belong to it.
 var warmUp = sync.OnceFunc(func() {
 	_ = (&fasthttp.ResponseHeader{}).Header()
 	signals := make(chan os.Signal, 1)
@@ -22,7 +22,7 @@
 	signal.Stop(signals)
 })
 
-// run carries out one run in a bubble.
+// run does one run in a bubble.
 func run(t *testing.T, options Options) *Report {
 	warmUp()
 	var report *Report
@@ -34,7 +34,7 @@
 	return report
 }
 
-// seeds are the runs of TestPromisesHold. A longer run:
+// seeds is the number of runs of TestPromisesHold. A longer run:
 //
 //	go test ./internal/property -run TestPromisesHold -v -seeds 200 -requests 25
 var (
--- a/internal/property/report.go
+++ b/internal/property/report.go
@@ -7,55 +7,55 @@
 	"strings"
 )
 
-// Breach is one way to break a promise.
+// Breach is a kind of violation.
 type Breach string
 
-// Breaches.
+// Kinds of violations.
 const (
-	// FalseNotRun: callers were told "not run" and the request ran.
+	// FalseNotRun is a request with the verdict "not run" that ran.
 	FalseNotRun Breach = "false not run"
-	// FalseRan: callers were told "ran" and the request did not run.
+	// FalseRan is a request with the verdict "ran" that did not run.
 	FalseRan Breach = "false ran"
-	// RunTwice: a request that may run once ran more often.
+	// RunTwice is a request that may run once and ran more often.
 	RunTwice Breach = "run twice"
-	// RepeatedTooOften: a repeatable request ran more often than gateways may begin it.
+	// RepeatedTooOften is a repeatable request that ran more often than gateways may begin it.
 	RepeatedTooOften Breach = "repeated too often"
-	// MixedAnswer: an answer has text that is not its own.
+	// MixedAnswer is a response with text that is not the request's own.
 	MixedAnswer Breach = "mixed answer"
-	// ShortAnswer: an answer was called whole and is not.
+	// ShortAnswer is a response that was marked as complete and is not.
 	ShortAnswer Breach = "short answer"
-	// SharedCache: a tenant was served from another tenant's cache.
+	// SharedCache is a request that was served from another tenant's cache.
 	SharedCache Breach = "shared cache"
-	// CutByStop: a gateway that stopped in good order left requests behind.
+	// CutByStop is a gateway that did not finish its requests when it stopped gracefully.
 	CutByStop Breach = "cut by a stop"
 )
 
-// Violation is one breach that a run found.
+// Violation is one violation that a run found.
 type Violation struct {
 	Breach Breach
 	Detail string
 }
 
-// Report is what a run counted.
+// Report holds the counts and violations of one or more runs.
 type Report struct {
 	Seed uint64
-	// Requests of callers and their sendings; Whole answers among those.
+	// Requests counts requests, Attempts their attempts, CompleteAnswers the attempts with a complete response.
 	Requests        int
 	Attempts        int
 	CompleteAnswers int
-	// Verdicts counts sendings by the verdict that callers were told; the empty verdict
-	// counts those that ended without one.
+	// Verdicts counts attempts by the verdict that the caller got; the empty verdict counts attempts that ended without
+	// one.
 	Verdicts map[string]int
-	// Executions at engines and page services.
+	// Executions counts executions at engines and page services.
 	Executions int
-	// KVTransfers are the caches that decode engines took over from prefill engines.
+	// KVTransfers counts the KV caches that decode engines imported from prefill engines.
 	KVTransfers int
-	// Faults counts what struck, by name.
+	// Faults counts the injected faults by name.
 	Faults     map[string]int
 	Violations []Violation
 }
 
-// FaultCount is the number of faults that struck.
+// FaultCount returns the number of injected faults.
 func (r *Report) FaultCount() int {
 	sum := 0
 	for _, count := range r.Faults {
@@ -64,7 +64,7 @@
 	return sum
 }
 
-// Add adds the counts of another run.
+// Add adds the counts and violations of another run.
 func (r *Report) Add(other *Report) {
 	r.Requests += other.Requests
 	r.Attempts += other.Attempts
@@ -80,7 +80,7 @@
 	r.Violations = append(r.Violations, other.Violations...)
 }
 
-// String lists the counts.
+// String formats the counts.
 func (r *Report) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d requests in %d sendings, %d whole answers, %d executions, %d hand-overs, %d faults, %d violations\n",
--- a/internal/property/request.go
+++ b/internal/property/request.go
@@ -12,30 +12,30 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/page"
 )
 
-// request is one request of a caller; each of its sendings carries the same bytes.
+// request is one request of a caller; all its attempts carry the same bytes.
 type request struct {
 	number int
 	kind   string
-	// mark is what back ends count it by.
+	// mark identifies the request in the counts of the back ends.
 	mark   string
 	method string
 	path   string
 	body   string
-	// key is the idempotency key; empty when there is none.
+	// key is the idempotency key; empty for none.
 	key    string
 	tenant int
 	stream bool
-	// expected is the text of its whole answer.
+	// expected is the text of its complete response.
 	expected string
 }
 
-// runsAtMostOnce tells that the request may run at most runsAtMostOnce.
+// runsAtMostOnce reports whether one attempt of the request may run at most once.
 func (r *request) runsAtMostOnce() bool { return r.kind == kindOnce || r.kind == kindRegister }
 
-// isClaimed tells that the request may run at most once over all of its sendings.
+// isClaimed reports whether the request may run at most once over all of its attempts.
 func (r *request) isClaimed() bool { return r.runsAtMostOnce() && r.key != "" }
 
-// shares of the kinds among a run's requests, in percent.
+// Shares of the kinds among a run's requests, in percent, and bounds of their sizes.
 const (
 	shareQuestion    = 35
 	shareOrder       = 25
@@ -73,7 +73,7 @@
 	return created
 }
 
-// setChat makes the request one to an engine.
+// setChat makes the request a chat request to an engine.
 func (r *request) setChat(prompt string, output int) {
 	messages := []map[string]string{{"role": "user", "content": prompt}}
 	body, _ := json.Marshal(map[string]any{ // strings and numbers always marshal
--- a/internal/property/run.go
+++ b/internal/property/run.go
@@ -16,45 +16,44 @@
 
 const (
 	controllerHost = "10.4.0.1"
-	// settleTime lets every outcome be recorded and every abandoned exchange end.
+	// settleTime is long enough for every outcome to be recorded and every abandoned exchange to end.
 	settleTime = 45 * time.Second
-	// quietTime lets the processes' last goroutines end once everything is closed.
+	// quietTime is long enough for the last goroutines of the processes to end after everything is closed.
 	quietTime = 5 * time.Minute
-	// faultStream and countStream keep the draws of faults and actors apart from the
-	// callers'.
+	// faultStream and countStream separate the random streams of faults and actors from those of the callers.
 	faultStream = 1 << 32
 	countStream = 1 << 33
 )
 
-// Options are what a run is made of.
+// Options are the settings of a run.
 type Options struct {
 	Seed uint64
-	// Requests is how many each caller sends.
+	// Requests is how many requests each caller sends.
 	Requests int
 	Counts   Counts
-	// OnlyFault, when not empty, is the only fault that stand-ins are told to show.
+	// OnlyFault, when not empty, is the only fault that stand-ins show.
 	OnlyFault fault.Kind
-	// LikelyFault, when not empty, is the name of the fault that strikes most.
+	// LikelyFault, when not empty, is the name of the fault that is drawn most often.
 	LikelyFault string
-	// DisabledSafeguards are the safeguards that are switched off.
+	// DisabledSafeguards states which safeguards are disabled.
 	DisabledSafeguards safeguard.Set
 }
 
-// DefaultCounts are the actors of a run.
+// DefaultCounts returns the default numbers of actors.
 func DefaultCounts() Counts { return Counts{Callers: 8, Gateways: 3, Engines: 5, Pages: 2} }
 
-// DrawCounts draws the actors of a run from its seed.
+// DrawCounts draws the numbers of actors from a seed.
 func DrawCounts(seed uint64) Counts {
 	random := rand.New(rand.NewPCG(seed, countStream))
 	return Counts{
 		Callers: 2 + random.IntN(11), Gateways: 1 + random.IntN(5),
-		// Three engines have a role each.
+		// At least three engines, so that each role is present.
 		Engines: 3 + random.IntN(6), Pages: 1 + random.IntN(3),
 	}
 }
 
-// Run carries out one run. It is meant for a synctest bubble. The error tells that the
-// run could not be carried out; what it found is in the report.
+// Run does one run and returns its report. It is meant for a synctest bubble. An error means that the run could not be
+// completed; violations are in the report.
 func Run(options Options) (*Report, error) {
 	w, err := newWorld(options)
 	if err != nil {
@@ -79,7 +78,7 @@
 	return w.report, nil
 }
 
-// world is everything of one run.
+// world holds all parts of one run.
 type world struct {
 	options     Options
 	network     *network
@@ -91,25 +90,25 @@
 }
 
 func newWorld(options Options) (*world, error) {
-	joined := newNetwork()
-	served, rows, err := startBackEnds(joined, options.Counts.Engines, options.Counts.Pages)
+	memoryNet := newNetwork()
+	started, rows, err := startBackEnds(memoryNet, options.Counts.Engines, options.Counts.Pages)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	addresses := []string{controllerHost + ":7000", controllerHost + ":7001"}
-	quorum, err := startControllers(joined, addresses, newConfiguration(rows), options.DisabledSafeguards)
+	quorum, err := startControllers(memoryNet, addresses, newConfiguration(rows), options.DisabledSafeguards)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	return &world{
-		options: options, network: joined, backEnds: served, controllers: quorum,
-		gateways: startGateways(joined, quorum, options.Counts.Gateways, options.DisabledSafeguards),
+		options: options, network: memoryNet, backEnds: started, controllers: quorum,
+		gateways: startGateways(memoryNet, quorum, options.Counts.Gateways, options.DisabledSafeguards),
 		ledger:   newLedger(),
 		report:   &Report{Seed: options.Seed, Verdicts: map[string]int{}},
 	}, nil
 }
 
-// runUnderFaults lets all callers send while faults strike.
+// runUnderFaults runs all callers while faults are injected.
 func (w *world) runUnderFaults() {
 	ctx, stop := context.WithCancel(context.Background())
 	injected := &faults{
@@ -134,11 +133,11 @@
 	}
 }
 
-// cachedPrompts is the number of prompts that two tenants send one after the other.
+// cachedPrompts is the number of prompts that the tenants send one after the other.
 const cachedPrompts = 4
 
-// checkCaches lets the second tenant send prompts that the first has just sent, without
-// faults: nothing of them may be cached for it.
+// checkCaches lets each tenant send the same prompts in turn, without faults: the second tenant must not be served from
+// the cache entries of the first.
 func (w *world) checkCaches() {
 	sender := newCaller(w.network, w.gateways, w.options.Counts.Gateways, 0, w.options.Seed, newLedger())
 	for number := range cachedPrompts {
@@ -146,25 +145,25 @@
 		for tenant := range tenantKeys {
 			asked := &request{kind: kindRepeatable, tenant: tenant}
 			asked.setChat(prompt, 1)
-			got := sender.send(w.gateways.address(0), asked)
-			w.report.Violations = append(w.report.Violations, checkAnswer(got)...)
-			if tenant > 0 && got.cachedTokens > 0 {
-				detail := fmt.Sprintf("%d tokens of prompt %d were cached for another tenant", got.cachedTokens, number)
+			answered := sender.send(w.gateways.address(0), asked)
+			w.report.Violations = append(w.report.Violations, checkAnswer(answered)...)
+			if tenant > 0 && answered.cachedTokens > 0 {
+				detail := fmt.Sprintf("%d tokens of prompt %d were cached for another tenant", answered.cachedTokens, number)
 				w.report.Violations = append(w.report.Violations, Violation{SharedCache, detail})
 			}
 		}
 	}
 }
 
-// fillReport fills in the report's figures.
+// fillReport sets the counts of the report.
 func (w *world) fillReport(executions map[string]int) {
 	w.report.Requests = len(w.ledger.attempts)
 	for _, each := range w.ledger.requests() {
 		w.report.Executions += executions[each.mark]
-		for _, told := range w.ledger.attempts[each] {
+		for _, sent := range w.ledger.attempts[each] {
 			w.report.Attempts++
-			w.report.Verdicts[told.verdict]++
-			if told.complete {
+			w.report.Verdicts[sent.verdict]++
+			if sent.complete {
 				w.report.CompleteAnswers++
 			}
 		}
--- a/internal/property/safeguards_test.go
+++ b/internal/property/safeguards_test.go
@@ -15,16 +15,16 @@
 	"github.com/hazelpitch/hazelpitch/internal/upstream"
 )
 
-// seedsUntilFound bounds the runs in which a missing safeguard has to be found.
+// seedsUntilFound is the number of seeds within which a disabled safeguard must be detected.
 const seedsUntilFound = 12
 
 func TestEachSafeguardIsNeeded(t *testing.T) {
 	rows := []struct {
 		off    safeguard.Safeguard
 		breach Breach
-		// only is the fault that the safeguard stands against; empty for all of them.
+		// only is the fault of stand-ins against which the safeguard protects; empty for all of them.
 		only fault.Kind
-		// likely is the fault of processes and links that it stands against most.
+		// likely is the fault of processes and links against which it protects most.
 		likely string
 	}{
 		{upstream.EchoCheck, MixedAnswer, fault.WrongEcho, ""},
@@ -41,7 +41,7 @@
 	}
 	for _, row := range rows {
 		t.Run(string(row.off), func(t *testing.T) {
-			found := func() (uint64, string) {
+			findBreach := func() (uint64, string) {
 				for seed := range uint64(seedsUntilFound) {
 					report := run(t, Options{
 						Seed: seed + 1, Requests: *requests, Counts: DefaultCounts(),
@@ -54,7 +54,7 @@
 				}
 				return 0, ""
 			}
-			seed, detail := found()
+			seed, detail := findBreach()
 			require.NotZero(t, seed, "no run shows that the safeguard is needed")
 			t.Logf("seed %d: %s: %s", seed, row.breach, detail)
 		})
