--- a/internal/measure/admission_test.go
+++ b/internal/measure/admission_test.go
@@ -12,10 +12,10 @@
 
 const testLength = 20 * time.Second
 
-// TestNeighbourKeepsItsGoodput holds what fair queues promise: a tenant within its part
-// does not feel a flood. The last rows show that the flood is one.
-func TestNeighbourKeepsItsGoodput(t *testing.T) {
-	want := map[string]struct{ least, most float64 }{
+// TestFloodLeavesNeighbourItsGoodput checks that fair queues isolate tenants: a tenant within its share loses nearly no
+// goodput when another one floods. The rows without fair queues show that the flood is large enough to matter.
+func TestFloodLeavesNeighbourItsGoodput(t *testing.T) {
+	want := map[string]struct{ minimum, maximum float64 }{
 		"product, no flood":                   {0.99, 1},
 		"product, flood":                      {0.95, 1},
 		"one queue first in first out, flood": {0, 0.5},
@@ -28,15 +28,15 @@
 			counted := world.run().tenant(neighbour)
 			share := counted.worth / counted.offered
 			require.Contains(t, want, row.name)
-			require.GreaterOrEqual(t, share, want[row.name].least)
-			require.LessOrEqual(t, share, want[row.name].most)
+			require.GreaterOrEqual(t, share, want[row.name].minimum)
+			require.LessOrEqual(t, share, want[row.name].maximum)
 		})
 	}
 }
 
-// TestLeastWorthIsGivenUpFirst holds the order under overload, and that nearly nothing
-// that was started is late.
-func TestLeastWorthIsGivenUpFirst(t *testing.T) {
+// TestLowestWorthIsShedFirst checks that under overload requests of low worth are refused first, and that nearly all
+// requests that were admitted complete in time.
+func TestLowestWorthIsShedFirst(t *testing.T) {
 	world, err := sheddingWorld(&admission.Config{}, testLength)
 	require.NoError(t, err)
 	results := world.run()
--- a/internal/measure/chooser.go
+++ b/internal/measure/chooser.go
@@ -8,7 +8,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/routing"
 )
 
-// Choosers that are compared.
+// Names of the choosers that are compared.
 const (
 	chooserRouter      = "hazelpitch"
 	chooserRandom      = "random"
@@ -16,43 +16,43 @@
 	chooserClairvoyant = "clairvoyant"
 )
 
-// engineChoice is the engine chosen for a request and what is expected of its cache.
+// engineChoice is the engine chosen for a request, and how much of the prompt its prefix cache is expected to hold.
 type engineChoice struct {
 	engine         int // -1 for none
-	cached         int
+	cachedTokens   int
 	isCachedAtHome bool
 }
 
 var noEngine = engineChoice{engine: -1}
 
-// chooser picks an engine for a request at one gateway.
+// chooser chooses an engine for a request at one gateway.
 type chooser interface {
-	choose(now time.Duration, asked *request, excluded []int) engineChoice
-	// observe passes on what the gateway sees.
+	choose(now time.Duration, req *request, excluded []int) engineChoice
+	// observe passes an observation of the gateway to the chooser.
 	observe(now time.Duration, observation routing.Observation)
-	// setReports passes on the lagging load reports of all engines.
+	// setReports passes the delayed load reports of all engines to the chooser.
 	setReports(now time.Duration, directory []routing.BackEnd)
 }
 
-// routerChooser is the product's own routing.
+// routerChooser uses the product's router.
 type routerChooser struct {
 	world  *world
 	router *routing.Router
 }
 
-func (c *routerChooser) choose(now time.Duration, asked *request, excluded []int) engineChoice {
+func (c *routerChooser) choose(now time.Duration, req *request, excluded []int) engineChoice {
 	names := make([]string, len(excluded))
 	for i, index := range excluded {
 		names[i] = engineName(index)
 	}
 	choice, err := c.router.Pick(now, routing.Request{
-		Service: serviceName, PromptTokens: asked.prompt, OutputTokens: asked.output,
-		PrefixBlocks: asked.routingBlocks,
+		Service: serviceName, PromptTokens: req.promptTokens, OutputTokens: req.outputTokens,
+		PrefixBlocks: req.routingBlocks,
 	}, names)
 	if err != nil {
 		return noEngine
 	}
-	return engineChoice{engine: c.world.index[choice.BackEnd.Name], cached: choice.CachedTokens, isCachedAtHome: choice.CachedAtHome}
+	return engineChoice{engine: c.world.index[choice.BackEnd.Name], cachedTokens: choice.CachedTokens, isCachedAtHome: choice.CachedAtHome}
 }
 
 func (c *routerChooser) observe(now time.Duration, observation routing.Observation) {
@@ -64,14 +64,14 @@
 	c.router.Confirm(now)
 }
 
-// ignoresObservations is the part of a chooser that listens to nothing.
+// ignoresObservations is embedded by choosers that use no observations and no reports.
 type ignoresObservations struct{}
 
 func (ignoresObservations) observe(time.Duration, routing.Observation) {}
 
 func (ignoresObservations) setReports(time.Duration, []routing.BackEnd) {}
 
-// randomChooser picks any engine.
+// randomChooser chooses any engine with equal probability.
 type randomChooser struct {
 	ignoresObservations
 	random  *rand.Rand
@@ -82,8 +82,8 @@
 	return engineChoice{engine: drawEngine(c.random, c.engines, excluded)}
 }
 
-// leastLoadChooser picks the engine with the least reported load, as simple
-// balancers do: it corrects nothing and knows of no cache.
+// leastLoadChooser chooses the engine with the least reported load, as simple balancers do: it does not correct the
+// reports for its own requests and does not consider prefix caches.
 type leastLoadChooser struct {
 	ignoresObservations
 	random *rand.Rand
@@ -114,20 +114,20 @@
 	return engineChoice{engine: best}
 }
 
-// clairvoyantChooser sees every engine's present load and cache, and picks the one
-// that would begin to write soonest.
+// clairvoyantChooser knows the current load and prefix cache of every engine, and chooses the engine with the lowest
+// cost.
 type clairvoyantChooser struct {
 	ignoresObservations
 	world *world
 }
 
-func (c *clairvoyantChooser) choose(_ time.Duration, asked *request, excluded []int) engineChoice {
+func (c *clairvoyantChooser) choose(_ time.Duration, req *request, excluded []int) engineChoice {
 	best, least := -1, 0.0
 	for i, engine := range c.world.engines {
 		if contains(excluded, i) {
 			continue
 		}
-		cost := prefillCost(engine, asked)
+		cost := costInTokens(engine, req)
 		if best < 0 || cost < least {
 			best, least = i, cost
 		}
@@ -135,12 +135,12 @@
 	return engineChoice{engine: best}
 }
 
-// prefillCost is the prompt tokens to read before the request is written, with the
-// slower output beside running requests expressed in tokens.
-func prefillCost(engine *enginemodel.Engine, asked *request) float64 {
+// costInTokens returns the cost of a request at an engine, in prefill tokens: the tokens to prefill before decoding
+// starts, plus the slower decoding beside the other requests, converted at the prefill rate.
+func costInTokens(engine *enginemodel.Engine, req *request) float64 {
 	load, profile := engine.Load(), engine.Profile()
-	unread := float64(load.WaitingPromptTokens) + float64(asked.prompt-engine.CachedTokens(asked.engineBlocks))
-	slower := float64(asked.output*(load.Running+load.Waiting)) * profile.StepPerSequence.Seconds()
+	unread := float64(load.WaitingPromptTokens) + float64(req.promptTokens-engine.CachedTokens(req.engineBlocks))
+	slower := float64(req.outputTokens*(load.Running+load.Waiting)) * profile.StepPerSequence.Seconds()
 	return unread + slower*profile.PrefillTokensPerSecond
 }
 
--- a/internal/measure/claims.go
+++ b/internal/measure/claims.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	// claimTenants is the number of tenants at the target size.
+	// claimTenants is the number of tenants at the size that the product is designed for.
 	claimTenants = 33_000
-	// claimOutcomeBytes is the body of a recorded outcome: a registration's receipt.
+	// claimOutcomeBytes is the size of the body of a recorded outcome: a registration's receipt.
 	claimOutcomeBytes = 200
 	claimHashBytes    = 32
 	claimStartMs      = 1_000_000
 	claimLifetimeMs   = 3_600_000
 )
 
-// claimCounts are the numbers of claims that the state holds at once.
+// claimCounts are the numbers of claims in the state that are measured.
 var claimCounts = []int{1_000, 50_000, 200_000}
 
-// claimCost is what a number of claims cost one controller.
+// claimCost is the cost of a number of claims at one controller.
 type claimCost struct {
-	begin, finish time.Duration // to apply one command
+	begin, finish time.Duration // to apply one command, mean
 	logBytes      int           // of both commands of one claim
-	heapBytes     uint64        // of one claim held
+	heapBytes     uint64        // of one claim in the state, mean
 	snapshot      time.Duration
 	snapshotBytes int
 }
 
-// Claims measures what claims cost a controller's replicated state, and writes a table.
-// Times are those of this machine; the log's round trip and its disk are not part of them.
+// Claims measures the cost of claims in a controller's replicated state, and writes a table. The times are those of this
+// machine; they include neither the round trip of the log nor its disk.
 func Claims(output io.Writer) error {
 	rows := table.NewWriter()
 	rows.SetTitle("claims at one controller, 33,000 tenants, outcomes of 200 bytes, on one core")
--- a/internal/measure/decisions.go
+++ b/internal/measure/decisions.go
@@ -15,19 +15,19 @@
 const (
 	// decisionCount is the number of decisions timed for each size.
 	decisionCount = 20_000
-	// decisionPrompts is the number of prompts that take turns.
+	// decisionPrompts is the number of different prompts, used in turn.
 	decisionPrompts = 500
 	decisionTokens  = 4096
 )
 
-// decisionSizes are the fleets' sizes in replicas.
+// decisionSizes are the sizes of the fleets, in replicas.
 var decisionSizes = []int{10, 100, 1000}
 
-// Decisions times routing decisions with the observations that go with them, and writes a
-// table. Its times are those of this machine; the work per decision does not depend on it.
+// Decisions measures the time of routing decisions, including the observations of each request, and writes a table. The
+// times are those of this machine; the work per decision does not depend on it.
 func Decisions(output io.Writer) error {
 	rows := table.NewWriter()
-	rows.SetTitle("one routing decision, with Sent and Finished, on one core")
+	rows.SetTitle("one routing decision, with Dispatch and Completion, on one core")
 	rows.AppendHeader(table.Row{"replicas", "mixed engines", "prefill and decode pairs"})
 	for _, size := range decisionSizes {
 		mixed, err := decisionTime(size, []enginecontract.Role{enginecontract.RoleMixed})
@@ -44,7 +44,7 @@
 	return trace.Wrap(err)
 }
 
-// decisionTime is the mean time of one decision.
+// decisionTime returns the mean time of one decision.
 func decisionTime(size int, roles []enginecontract.Role) (time.Duration, error) {
 	router, err := routing.New(routing.Config{Zone: zoneName(0), Seed: routingSeed})
 	if err != nil {
@@ -58,19 +58,19 @@
 		}
 	}
 	router.SetBackEnds(backEnds)
-	prompts := workload{tenant: "one", sharedTokens: 512, ownTokens: decisionTokens - 512}
+	prompts := workload{tenant: "one", sharedTokens: 512, uniqueTokens: decisionTokens - 512}
 	blocks := make([][]uint64, decisionPrompts)
 	for i := range blocks {
 		blocks[i], _ = prompts.blocks(0, uint64(i))
 	}
 	began := time.Now()
 	for i := range decisionCount {
-		asked := routing.Request{Service: serviceName, PromptTokens: decisionTokens, OutputTokens: 100, PrefixBlocks: blocks[i%decisionPrompts]}
-		choice, err := router.Pick(0, asked, nil)
+		req := routing.Request{Service: serviceName, PromptTokens: decisionTokens, OutputTokens: 100, PrefixBlocks: blocks[i%decisionPrompts]}
+		choice, err := router.Pick(0, req, nil)
 		if err != nil {
 			return 0, trace.Wrap(err)
 		}
-		router.Observe(0, routing.Dispatch{BackEnd: choice.BackEnd.Name, Exchange: "x", PromptTokens: decisionTokens, PrefixBlocks: asked.PrefixBlocks})
+		router.Observe(0, routing.Dispatch{BackEnd: choice.BackEnd.Name, Exchange: "x", PromptTokens: decisionTokens, PrefixBlocks: req.PrefixBlocks})
 		router.Observe(0, routing.Completion{BackEnd: choice.BackEnd.Name, Exchange: "x"})
 	}
 	return time.Since(began) / decisionCount, nil
--- a/internal/measure/gateway.go
+++ b/internal/measure/gateway.go
@@ -17,7 +17,7 @@
 	world     *world
 	zone      string
 	chooser   chooser
-	admission *admission.Core // nil: every request starts at once
+	admission *admission.Core // nil: every request is sent at once
 	waiting   map[uint64]*request
 }
 
@@ -50,68 +50,68 @@
 	return created, nil
 }
 
-// receive takes in a request of a caller.
-func (g *gateway) receive(asked *request) {
+// receive accepts a request of a caller.
+func (g *gateway) receive(req *request) {
 	if g.admission == nil {
-		g.send(asked)
+		g.send(req)
 		return
 	}
-	g.waiting[uint64(asked.number)] = asked
-	g.refuse(g.admission.Offer(g.world.now, admission.Request{
-		ID: uint64(asked.number), Tenant: asked.tenant, Class: asked.tenant + "/" + asked.kind, Weight: asked.weight, Worth: asked.worth,
-		PromptTokens: asked.prompt, OutputTokens: asked.output, Bytes: int64(4 * asked.prompt),
-		Deadline: asked.deadline, MinimumTime: minimumTime(asked),
+	g.waiting[uint64(req.number)] = req
+	g.recordRefusals(g.admission.Offer(g.world.now, admission.Request{
+		ID: uint64(req.number), Tenant: req.tenant, Class: req.tenant + "/" + req.kind, Weight: req.weight, Worth: req.worth,
+		PromptTokens: req.promptTokens, OutputTokens: req.outputTokens, Bytes: int64(4 * req.promptTokens),
+		Deadline: req.deadline, MinimumTime: minimumTime(req),
 	}))
-	g.startWaiting()
+	g.startAdmitted()
 }
 
-// minimumTime is how long a request takes at an idle engine.
-func minimumTime(asked *request) time.Duration {
+// minimumTime returns how long a request takes at an idle engine with an empty prefix cache.
+func minimumTime(req *request) time.Duration {
 	profile := enginemodel.DefaultProfile()
-	return profile.PrefillTime(asked.prompt) + time.Duration(asked.output)*profile.StepBase
+	return profile.PrefillTime(req.promptTokens) + time.Duration(req.outputTokens)*profile.StepBase
 }
 
 func (g *gateway) expireWaiting() {
 	if g.admission == nil {
 		return
 	}
-	g.refuse(g.admission.Expire(g.world.now))
-	g.startWaiting()
+	g.recordRefusals(g.admission.Expire(g.world.now))
+	g.startAdmitted()
 }
 
-func (g *gateway) refuse(refusals []admission.Refusal) {
+func (g *gateway) recordRefusals(refusals []admission.Refusal) {
 	for _, refusal := range refusals {
 		g.world.results.addRefused(g.waiting[refusal.ID])
 		delete(g.waiting, refusal.ID)
 	}
 }
 
-func (g *gateway) startWaiting() {
+func (g *gateway) startAdmitted() {
 	for {
 		next, found := g.admission.StartNext(g.world.now)
 		if !found {
-			g.refuse(g.admission.DrainRefusals())
+			g.recordRefusals(g.admission.DrainRefusals())
 			return
 		}
-		asked := g.waiting[next.ID]
+		req := g.waiting[next.ID]
 		delete(g.waiting, next.ID)
-		g.send(asked)
+		g.send(req)
 	}
 }
 
-// send routes a request and hands it to the engine after the way there.
-func (g *gateway) send(asked *request) {
+// send routes a request and submits it to the engine after the network latency.
+func (g *gateway) send(req *request) {
 	w := g.world
-	chosen := g.chooser.choose(w.now, asked, nil)
+	chosen := g.chooser.choose(w.now, req, nil)
 	if chosen.engine < 0 {
-		g.finishAdmission(asked, admission.Result{Failed: true})
-		w.results.addRefused(asked)
+		g.finishAdmission(req, admission.Result{Failed: true})
+		w.results.addRefused(req)
 		return
 	}
-	current := &exchange{request: asked, gateway: g, engine: chosen.engine, exchangeID: strconv.Itoa(asked.number), started: w.now}
+	current := &exchange{request: req, gateway: g, engine: chosen.engine, exchangeID: strconv.Itoa(req.number), startedAt: w.now}
 	g.chooser.observe(w.now, routing.Dispatch{
-		BackEnd: engineName(chosen.engine), Exchange: current.exchangeID, PromptTokens: asked.prompt - chosen.cached,
-		PrefixBlocks: asked.routingBlocks, CachedAtHome: chosen.isCachedAtHome,
+		BackEnd: engineName(chosen.engine), Exchange: current.exchangeID, PromptTokens: req.promptTokens - chosen.cachedTokens,
+		PrefixBlocks: req.routingBlocks, CachedAtHome: chosen.isCachedAtHome,
 	})
 	w.agenda.Add(w.now+w.latency(g, chosen.engine), func() { g.submit(current) })
 }
@@ -119,7 +119,7 @@
 func (g *gateway) submit(current *exchange) {
 	w := g.world
 	err := w.engines[current.engine].Submit(w.now, enginemodel.Request{
-		ID: current.exchangeID, PromptTokens: current.prompt, OutputTokens: current.output, PrefixBlocks: current.engineBlocks,
+		ID: current.exchangeID, PromptTokens: current.promptTokens, OutputTokens: current.outputTokens, PrefixBlocks: current.engineBlocks,
 	})
 	if err != nil {
 		g.observeCompletion(current)
@@ -131,12 +131,12 @@
 }
 
 func (g *gateway) recordFirstToken(current *exchange, event enginemodel.Event) {
-	current.first = event.At
-	current.cached = event.CachedTokens
+	current.firstTokenAt = event.At
+	current.cachedTokens = event.CachedTokens
 	g.world.results.addCached(current.request, event.CachedTokens)
 	if g.admission != nil {
-		own := enginemodel.DefaultProfile().PrefillTime(current.prompt)
-		g.admission.RecordFirstToken(g.world.now, uint64(current.number), max(g.world.now-current.started-own, 0))
+		idlePrefill := enginemodel.DefaultProfile().PrefillTime(current.promptTokens)
+		g.admission.RecordFirstToken(g.world.now, uint64(current.number), max(g.world.now-current.startedAt-idlePrefill, 0))
 	}
 	g.chooser.observe(g.world.now, routing.FirstToken{BackEnd: engineName(current.engine), Exchange: current.exchangeID})
 	g.observeHeaders(current)
@@ -148,20 +148,20 @@
 	w := g.world
 	w.results.addCompleted(current, w.now+w.latency(g, current.engine))
 	g.finishAdmission(current.request, admission.Result{
-		PromptTokens: current.prompt, OutputTokens: current.output,
+		PromptTokens: current.promptTokens, OutputTokens: current.outputTokens,
 	})
 	if g.admission != nil {
-		g.startWaiting()
+		g.startAdmitted()
 	}
 }
 
-func (g *gateway) finishAdmission(asked *request, result admission.Result) {
+func (g *gateway) finishAdmission(req *request, result admission.Result) {
 	if g.admission != nil {
-		g.admission.Finish(g.world.now, uint64(asked.number), result)
+		g.admission.Finish(g.world.now, uint64(req.number), result)
 	}
 }
 
-// observeHeaders passes on the headers of an answer.
+// observeHeaders passes the load in the response headers to the chooser.
 func (g *gateway) observeHeaders(current *exchange) {
 	load := loadOf(g.world.engines[current.engine])
 	g.chooser.observe(g.world.now, routing.AnswerHeaders{BackEnd: engineName(current.engine), Incarnation: 1, Load: &load})
@@ -169,6 +169,6 @@
 
 func (g *gateway) observeCompletion(current *exchange) {
 	g.chooser.observe(g.world.now, routing.Completion{
-		BackEnd: engineName(current.engine), Exchange: current.exchangeID, PromptTokens: current.prompt, CachedTokens: current.cached,
+		BackEnd: engineName(current.engine), Exchange: current.exchangeID, PromptTokens: current.promptTokens, CachedTokens: current.cachedTokens,
 	})
 }
--- a/internal/measure/isolation.go
+++ b/internal/measure/isolation.go
@@ -17,22 +17,22 @@
 	flooding      = "flooding"
 )
 
-// neighbourLoad is a tenant's steady load, a third of what the engines can do.
+// neighbourLoad returns a steady load of a third of the engines' capacity.
 func neighbourLoad(length time.Duration) workload {
 	return workload{
 		tenant: neighbour, worth: 1, requestsPerSecond: 10, to: length, deadline: 10 * time.Second,
-		ownTokens: 4096, outputTokens: 30,
+		uniqueTokens: 4096, outputTokens: 30,
 	}
 }
 
-// floodLoad is ten times what the engines can do.
+// floodLoad returns a load of ten times the engines' capacity.
 func floodLoad(length time.Duration) workload {
 	flood := neighbourLoad(length)
 	flood.tenant, flood.requestsPerSecond = flooding, 320
 	return flood
 }
 
-// admissionRow is one way to admit, with or without the flood.
+// admissionRow is one kind of admission, with or without the flood.
 type admissionRow struct {
 	name      string
 	admission *admission.Config
@@ -59,8 +59,7 @@
 	return newWorld(chosen)
 }
 
-// Isolation measures a tenant's goodput beside a tenant that sends ten times what the
-// engines can do, and writes a table.
+// Isolation measures a tenant's goodput beside a tenant that sends ten times the engines' capacity, and writes a table.
 func Isolation(output io.Writer) error {
 	const length = 2 * time.Minute
 	rows := table.NewWriter()
@@ -78,12 +77,13 @@
 	return trace.Wrap(err)
 }
 
-// shares renders the worth in time, the requests refused and those late, as parts of all.
-func shares(of *tenantResult) table.Row {
-	if of.offered == 0 {
+// shares formats the share of the offered worth that completed in time, and the shares of requests that were refused and
+// that were late.
+func shares(result *tenantResult) table.Row {
+	if result.offered == 0 {
 		return table.Row{"-", "-", "-"}
 	}
-	all := float64(of.completed + of.refused + of.late)
+	all := float64(result.completed + result.refused + result.late)
 	share := func(part float64) string { return fmt.Sprintf("%.3f", part) }
-	return table.Row{share(of.worth / of.offered), share(float64(of.refused) / all), share(float64(of.late) / all)}
+	return table.Row{share(result.worth / result.offered), share(float64(result.refused) / all), share(float64(result.late) / all)}
 }
--- a/internal/measure/results.go
+++ b/internal/measure/results.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// results are what one run came to, by tenant where it says so.
+// results holds the counts of one run, in total, by tenant and by kind.
 type results struct {
 	tenants      map[string]*tenantResult
 	kinds        map[string]*tenantResult
 	promptTokens int64
 	cachedTokens int64
 	firstTokens  []time.Duration
-	// imbalance holds samples of the standard deviation of the engines' requests
-	// over their mean.
+	// imbalance holds samples of the coefficient of variation of the engines' requests: their standard deviation over
+	// their mean.
 	imbalance []float64
 }
 
@@ -23,7 +23,7 @@
 	refused   int
 	completed int
 	late      int
-	worth     float64 // of what completed in time
+	worth     float64 // worth of the requests that completed in time
 	offered   float64 // worth of all requests
 }
 
@@ -35,27 +35,27 @@
 
 func (r *results) kind(name string) *tenantResult { return resultOf(r.kinds, name) }
 
-func resultOf(of map[string]*tenantResult, name string) *tenantResult {
-	if of[name] == nil {
-		of[name] = &tenantResult{}
+func resultOf(byName map[string]*tenantResult, name string) *tenantResult {
+	if byName[name] == nil {
+		byName[name] = &tenantResult{}
 	}
-	return of[name]
+	return byName[name]
 }
 
-func (r *results) addRefused(asked *request) {
-	for _, of := range []*tenantResult{r.tenant(asked.tenant), r.kind(asked.kind)} {
-		of.refused++
-		of.offered += asked.worth
+func (r *results) addRefused(req *request) {
+	for _, result := range []*tenantResult{r.tenant(req.tenant), r.kind(req.kind)} {
+		result.refused++
+		result.offered += req.worth
 	}
 }
 
-func (r *results) addCached(asked *request, tokens int) {
-	r.promptTokens += int64(asked.prompt)
+func (r *results) addCached(req *request, tokens int) {
+	r.promptTokens += int64(req.promptTokens)
 	r.cachedTokens += int64(tokens)
 }
 
 func (r *results) addCompleted(current *exchange, at time.Duration) {
-	r.firstTokens = append(r.firstTokens, current.first-current.at)
+	r.firstTokens = append(r.firstTokens, current.firstTokenAt-current.arrivesAt)
 	r.tenant(current.tenant).addCompleted(current, at)
 	r.kind(current.kind).addCompleted(current, at)
 }
@@ -70,11 +70,11 @@
 	t.worth += current.worth
 }
 
-// hitShare is the part of all prompt tokens that was found in prefix caches.
-func (r *results) hitShare() float64 { return float64(r.cachedTokens) / float64(r.promptTokens) }
+// hitShare returns the share of all prompt tokens that prefix caches held.
+func (r *results) cacheHitShare() float64 { return float64(r.cachedTokens) / float64(r.promptTokens) }
 
-// firstToken is a quantile of the time to the first token.
-func (r *results) firstToken(quantile float64) time.Duration {
+// firstToken returns a quantile of the time to first token.
+func (r *results) firstTokenQuantile(quantile float64) time.Duration {
 	if len(r.firstTokens) == 0 {
 		return 0
 	}
@@ -82,7 +82,7 @@
 	return r.firstTokens[int(quantile*float64(len(r.firstTokens)-1))]
 }
 
-// meanImbalance is the mean over the run.
+// meanImbalance returns the mean of the samples of imbalance.
 func (r *results) meanImbalance() float64 {
 	var sum float64
 	for _, sample := range r.imbalance {
@@ -91,7 +91,7 @@
 	return sum / float64(max(len(r.imbalance), 1))
 }
 
-func (w *world) sampleBalance() {
+func (w *world) sampleImbalance() {
 	var sum, squares float64
 	for _, engine := range w.engines {
 		load := engine.Load()
--- a/internal/measure/routing.go
+++ b/internal/measure/routing.go
@@ -12,7 +12,7 @@
 // routingSeed is the seed of all routing runs.
 const routingSeed = 7
 
-// routingScenario is one load under which choosers are compared.
+// routingScenario is one load for which choosers are compared.
 type routingScenario struct {
 	name  string
 	setup setup
@@ -23,11 +23,11 @@
 	const length = 2 * time.Minute
 	matching := workload{
 		tenant: "matching", worth: 1, requestsPerSecond: 45, to: length, deadline: 10 * time.Second,
-		sharedTokens: 512, subjectTokens: 3072, ownTokens: 512, outputTokens: 30, subjects: 3000, zipf: 1.2,
+		sharedTokens: 512, subjectTokens: 3072, uniqueTokens: 512, outputTokens: 30, subjects: 3000, zipf: 1.2,
 	}
 	unshared := workload{
 		tenant: "unshared", worth: 1, requestsPerSecond: 32, to: length, deadline: 10 * time.Second,
-		ownTokens: 4096, outputTokens: 30,
+		uniqueTokens: 4096, outputTokens: 30,
 	}
 	prompted := matching
 	prompted.sharedTokens, prompted.subjectTokens = 2048, 1536
@@ -45,8 +45,7 @@
 	}
 }
 
-// Routing compares the product's routing with other choosers and writes a table
-// for each scenario.
+// Routing compares the product's routing with other choosers, and writes a table for each scenario.
 func Routing(output io.Writer) error {
 	for _, scenario := range routingScenarios() {
 		rows := table.NewWriter()
@@ -62,8 +61,8 @@
 			results := world.run()
 			tenant := results.tenant(setup.workloads[0].tenant)
 			rows.AppendRow(table.Row{
-				name, fmt.Sprintf("%.3f", results.hitShare()),
-				results.firstToken(0.5).Round(time.Millisecond), results.firstToken(0.99).Round(time.Millisecond),
+				name, fmt.Sprintf("%.3f", results.cacheHitShare()),
+				results.firstTokenQuantile(0.5).Round(time.Millisecond), results.firstTokenQuantile(0.99).Round(time.Millisecond),
 				fmt.Sprintf("%.3f", tenant.worth/tenant.offered), fmt.Sprintf("%.2f", results.meanImbalance()),
 			})
 		}
--- a/internal/measure/routing_test.go
+++ b/internal/measure/routing_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRoutingBeatsBlindChoices holds the order of the choosers on a short run: it
-// fails when routing stops using the caches or the loads.
+// TestRoutingBeatsBlindChoices compares choosers on a short run. It fails when the router no longer uses the prefix
+// caches or the loads.
 func TestRoutingBeatsBlindChoices(t *testing.T) {
 	scenario := routingScenarios()[0].setup
 	scenario.workloads[0].to /= 4
@@ -18,9 +18,9 @@
 		return world.run()
 	}
 	random, least, router := run(chooserRandom), run(chooserLeastLoad), run(chooserRouter)
-	require.Greater(t, router.hitShare(), random.hitShare()*1.2)
-	require.Less(t, router.firstToken(0.5), random.firstToken(0.5))
-	require.Less(t, router.firstToken(0.99), least.firstToken(0.99))
+	require.Greater(t, router.cacheHitShare(), random.cacheHitShare()*1.2)
+	require.Less(t, router.firstTokenQuantile(0.5), random.firstTokenQuantile(0.5))
+	require.Less(t, router.firstTokenQuantile(0.99), least.firstTokenQuantile(0.99))
 }
 
 func TestRunsAreReproducible(t *testing.T) {
@@ -30,7 +30,7 @@
 	for range 2 {
 		world, err := newWorld(scenario)
 		require.NoError(t, err)
-		shares = append(shares, world.run().hitShare())
+		shares = append(shares, world.run().cacheHitShare())
 	}
 	require.Equal(t, shares[0], shares[1])
 }
--- a/internal/measure/shedding.go
+++ b/internal/measure/shedding.go
@@ -13,13 +13,13 @@
 
 const sheddingSeed = 13
 
-// sheddingWorths are the worths of three kinds that are otherwise alike.
+// sheddingWorths are the worths of three kinds that are equal otherwise.
 var sheddingWorths = []float64{12, 3, 0.5}
 
 func worthName(worth float64) string { return fmt.Sprintf("worth %v", worth) }
 
-// sheddingWorld loads the engines with three kinds of one tenant, each for two thirds of
-// what the engines can do.
+// sheddingWorld returns a world in which one tenant sends requests of three kinds, each at two thirds of the engines'
+// capacity.
 func sheddingWorld(config *admission.Config, length time.Duration) (*world, error) {
 	chosen := setup{
 		seed: sheddingSeed, engines: 12, zones: 4, gateways: 4, reportLag: 2 * time.Second, zoneDelay: 1500 * time.Microsecond,
@@ -28,14 +28,13 @@
 	for _, worth := range sheddingWorths {
 		chosen.workloads = append(chosen.workloads, workload{
 			tenant: "one", kind: worthName(worth), worth: worth, requestsPerSecond: 21, to: length, deadline: 10 * time.Second,
-			ownTokens: 4096, outputTokens: 30,
+			uniqueTokens: 4096, outputTokens: 30,
 		})
 	}
 	return newWorld(chosen)
 }
 
-// Shedding measures which requests are given up under twice the load that the engines can
-// do, and writes a table.
+// Shedding measures which requests are refused at twice the engines' capacity, and writes a table.
 func Shedding(output io.Writer) error {
 	const length = 2 * time.Minute
 	rows := table.NewWriter()
--- a/internal/measure/workload.go
+++ b/internal/measure/workload.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// chunkTokens is the length of prompt that one routing block covers.
+	// chunkTokens is the number of prompt tokens in one block for routing.
 	chunkTokens = 128
-	// chunksPerBlock is the number of chunks in one block of the engines' cache.
+	// chunksPerBlock is the number of routing blocks in one block of the engines' prefix cache.
 	chunksPerBlock = 2
 )
 
 // request is one request of a workload.
 type request struct {
-	number   int
-	at       time.Duration
-	gateway  int
-	tenant   string
-	kind     string
-	weight   uint32
-	worth    float64
-	prompt   int
-	output   int
-	deadline time.Duration // time of the last byte
-	// routingBlocks and engineBlocks identify the prompt's prefix for routing and
-	// for the engines' caches.
+	number       int
+	arrivesAt    time.Duration
+	gateway      int
+	tenant       string
+	kind         string
+	weight       uint32
+	worth        float64
+	promptTokens int
+	outputTokens int
+	deadline     time.Duration // time of the last byte
+	// routingBlocks and engineBlocks identify the prefix blocks of the prompt, for routing and for the engines' prefix
+	// caches.
 	routingBlocks []uint64
 	engineBlocks  []uint64
 }
 
-// workload describes requests of one sort.
+// workload describes the requests of one tenant and kind.
 type workload struct {
 	tenant            string
 	kind              string
@@ -41,19 +41,18 @@
 	requestsPerSecond float64
 	from, to          time.Duration
 	deadline          time.Duration
-	// sharedTokens begin every prompt of the tenant, subjectTokens are equal in all
-	// prompts about one subject, ownTokens are each prompt's own.
+	// A prompt consists of sharedTokens, equal in all prompts of the tenant, then subjectTokens, equal in all prompts
+	// about one subject, then uniqueTokens.
 	sharedTokens  int
 	subjectTokens int
-	ownTokens     int
+	uniqueTokens  int
 	outputTokens  int
-	// subjects is the number of subjects, chosen by a Zipf law of this exponent.
+	// subjects is the number of subjects, drawn from a Zipf distribution with this exponent.
 	subjects int
 	zipf     float64
 }
 
-// generate returns the workload's requests in order of time, dealt out to gateways
-// at random.
+// generate returns the workload's requests sorted by time, distributed to gateways at random.
 func (w *workload) generate(random *rand.Rand, gateways int) []request {
 	var subjects *rand.Zipf
 	if w.subjects > 1 {
@@ -71,20 +70,19 @@
 			subject = subjects.Uint64()
 		}
 		created := request{
-			at: at, gateway: random.IntN(gateways), tenant: w.tenant, kind: w.kind, weight: 1, worth: w.worth,
-			prompt:   w.sharedTokens + w.subjectTokens + w.ownTokens,
-			output:   1 + int(float64(w.outputTokens)*(0.5+random.Float64())),
-			deadline: at + w.deadline,
+			arrivesAt: at, gateway: random.IntN(gateways), tenant: w.tenant, kind: w.kind, weight: 1, worth: w.worth,
+			promptTokens: w.sharedTokens + w.subjectTokens + w.uniqueTokens,
+			outputTokens: 1 + int(float64(w.outputTokens)*(0.5+random.Float64())),
+			deadline:     at + w.deadline,
 		}
 		created.routingBlocks, created.engineBlocks = w.blocks(subject, random.Uint64())
 		requests = append(requests, created)
 	}
 }
 
-// blocks returns the identities of a prompt's blocks, each of which covers all
-// before it.
-func (w *workload) blocks(subject, own uint64) (routing, engine []uint64) {
-	chunks := (w.sharedTokens + w.subjectTokens + w.ownTokens) / chunkTokens
+// blocks returns the identities of a prompt's blocks. Each identity covers its block and all blocks before it.
+func (w *workload) blocks(subject, unique uint64) (routing, engine []uint64) {
+	chunks := (w.sharedTokens + w.subjectTokens + w.uniqueTokens) / chunkTokens
 	chain := xxhash.Sum64String(w.tenant)
 	for chunk := range chunks {
 		start := chunk * chunkTokens
@@ -94,7 +92,7 @@
 		case start < w.sharedTokens+w.subjectTokens:
 			chain = hashChain(chain, subject+1)
 		default:
-			chain = hashChain(chain, own)
+			chain = hashChain(chain, unique)
 		}
 		routing = append(routing, chain)
 		if (chunk+1)%chunksPerBlock == 0 {
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -19,11 +19,11 @@
 	serviceName    = "service"
 	reportInterval = time.Second
 	expireInterval = 50 * time.Millisecond
-	// drainTime is the time after the last arrival in which requests may still end.
+	// drainTime is how long after the last arrival requests may still complete.
 	drainTime = time.Minute
 )
 
-// setup is what one run is made of.
+// setup holds the settings of one run.
 type setup struct {
 	seed      uint64
 	engines   int
@@ -32,36 +32,36 @@
 	reportLag time.Duration
 	zoneDelay time.Duration // one way
 	chooser   string
-	// admission is nil when every request is sent at once.
+	// admission is nil when every request is sent at once, without admission.
 	admission *admission.Config
 	workloads []workload
 }
 
-// world is one run: engines, gateways and the requests between them.
+// world is the state of one run: engines, gateways and the requests between them.
 type world struct {
 	setup    setup
 	now      time.Duration
 	agenda   virtualtime.Agenda
 	engines  []*enginemodel.Engine
-	zones    []string // of each engine
+	zones    []string // by engine
 	index    map[string]int
-	running  []map[string]*exchange // of each engine
+	running  []map[string]*exchange // by engine, then by exchange ID
 	gateways []*gateway
 	requests []request
-	// delayedReports holds the load reports that have not reached the gateways yet.
+	// delayedReports holds the load reports that have not reached the gateways yet, the oldest first.
 	delayedReports [][]routing.BackEnd
 	results        results
 }
 
-// exchange is one request on its way.
+// exchange is one request that a gateway has sent to an engine.
 type exchange struct {
 	*request
-	gateway    *gateway
-	engine     int
-	exchangeID string
-	started    time.Duration
-	first      time.Duration
-	cached     int
+	gateway      *gateway
+	engine       int
+	exchangeID   string
+	startedAt    time.Duration
+	firstTokenAt time.Duration
+	cachedTokens int
 }
 
 func newWorld(setup setup) (*world, error) {
@@ -87,7 +87,7 @@
 	for _, workload := range setup.workloads {
 		w.requests = append(w.requests, workload.generate(random, setup.gateways)...)
 	}
-	slices.SortStableFunc(w.requests, func(a, b request) int { return int(a.at - b.at) })
+	slices.SortStableFunc(w.requests, func(a, b request) int { return int(a.arrivesAt - b.arrivesAt) })
 	for i := range w.requests {
 		w.requests[i].number = i
 	}
@@ -98,20 +98,20 @@
 
 func zoneName(index int) string { return fmt.Sprintf("zone-%d", index) }
 
-// run lets the whole workload pass.
+// run simulates the whole workload and returns the results.
 func (w *world) run() *results {
-	last := w.requests[len(w.requests)-1].at
-	w.every(reportInterval, last+drainTime, w.refreshReports)
-	w.every(expireInterval, last+drainTime, func() {
+	last := w.requests[len(w.requests)-1].arrivesAt
+	w.repeatUntil(reportInterval, last+drainTime, w.refreshReports)
+	w.repeatUntil(expireInterval, last+drainTime, func() {
 		for _, gateway := range w.gateways {
 			gateway.expireWaiting()
 		}
 	})
-	w.every(100*time.Millisecond, last, w.sampleBalance)
+	w.repeatUntil(100*time.Millisecond, last, w.sampleImbalance)
 	w.refreshReports()
 	for i := range w.requests {
-		asked := &w.requests[i]
-		w.agenda.Add(asked.at, func() { w.gateways[asked.gateway].receive(asked) })
+		req := &w.requests[i]
+		w.agenda.Add(req.arrivesAt, func() { w.gateways[req.gateway].receive(req) })
 	}
 	for {
 		at, found := w.nextEventTime()
@@ -126,7 +126,7 @@
 	}
 }
 
-func (w *world) every(interval, until time.Duration, action func()) {
+func (w *world) repeatUntil(interval, until time.Duration, action func()) {
 	var again func()
 	again = func() {
 		action()
@@ -167,7 +167,7 @@
 	}
 }
 
-// refreshReports reads every engine's load and gives the gateways the reading of reportLag ago.
+// refreshReports reads every engine's load and passes the load of reportLag ago to the gateways.
 func (w *world) refreshReports() {
 	directory := make([]routing.BackEnd, len(w.engines))
 	for i, engine := range w.engines {
@@ -191,7 +191,7 @@
 	return routing.Load{Running: load.Running, Waiting: load.Waiting, WaitingPromptTokens: load.WaitingPromptTokens}
 }
 
-// latency is one way between a gateway and an engine.
+// latency returns the one-way latency between a gateway and an engine.
 func (w *world) latency(gateway *gateway, engine int) time.Duration {
 	if gateway.zone == w.zones[engine] {
 		return 0
