--- a/internal/property/run.go
+++ b/internal/property/run.go
@@ -143,9 +143,9 @@
 	for number := range cachedPrompts {
 		prompt := fmt.Sprintf("run %d prompt %d", w.options.Seed, number) + strings.Repeat(" of the same dossier", 200)
 		for tenant := range tenantKeys {
-			asked := &request{kind: kindRepeatable, tenant: tenant}
-			asked.setChat(prompt, 1)
-			answered := sender.send(w.gateways.address(0), asked)
+			req := &request{kind: kindRepeatable, tenant: tenant}
+			req.setChat(prompt, 1)
+			answered := sender.send(w.gateways.address(0), req)
 			w.report.Violations = append(w.report.Violations, checkAnswer(answered)...)
 			if tenant > 0 && answered.cachedTokens > 0 {
 				detail := fmt.Sprintf("%d tokens of prompt %d were cached for another tenant", answered.cachedTokens, number)
--- a/internal/simulation/checks_orders.go
+++ b/internal/simulation/checks_orders.go
@@ -114,8 +114,8 @@
 func (c *checks) checkOutOfService(e *engine, order enginecontract.Order) {
 	out := 0
 	for _, other := range c.world.engines {
-		lost := c.orders.ended[engineFence{other.name, other.durable.Order.Fence}] == v1.OrderOutcome_ORDER_OUTCOME_ENGINE_LOST
-		if other.service == e.service && (other == e || other.hasOrderUnderWay()) && !lost {
+		isLost := c.orders.ended[engineFence{other.name, other.durable.Order.Fence}] == v1.OrderOutcome_ORDER_OUTCOME_ENGINE_LOST
+		if other.service == e.service && (other == e || other.hasOrderUnderWay()) && !isLost {
 			out++
 		}
 	}
--- a/internal/simulation/faults_members.go
+++ b/internal/simulation/faults_members.go
@@ -22,15 +22,15 @@
 		return nil
 	}
 	f.traceFault(kind, "%s", c.name)
-	over := false
+	isOver := false
 	c.step(control.StopRequested{})
 	c.after(f.world.drawDuration(stopGrace), func() {
-		if !over {
+		if !isOver {
 			c.crash()
 		}
 	})
 	return func() {
-		over = true
+		isOver = true
 		c.startIfDown()
 	}
 }
--- a/internal/simulation/quorum.go
+++ b/internal/simulation/quorum.go
@@ -20,15 +20,15 @@
 // as there were initial controllers.
 func (w *world) isMembershipComplete() bool {
 	members := w.leaderMembership().GetMembers()
-	known, voters := map[string]bool{}, 0
+	memberDisks, voters := map[string]bool{}, 0
 	for _, member := range members {
-		known[member.GetId()] = true
+		memberDisks[member.GetId()] = true
 		if !member.GetLearner() {
 			voters++
 		}
 	}
 	for _, c := range w.controllers {
-		if !known[c.diskID] {
+		if !memberDisks[c.diskID] {
 			return false
 		}
 	}
--- a/internal/soak/check/backoff.go
+++ b/internal/soak/check/backoff.go
@@ -17,9 +17,9 @@
 type relayAndReplica struct{ machine, replica string }
 
 // arrivalsByRelayAndReplica returns the arrivals that each relay sent to each incarnation of a back end.
-func arrivalsByRelayAndReplica(seen *history.History) map[relayAndReplica][]history.Arrival {
+func arrivalsByRelayAndReplica(recorded *history.History) map[relayAndReplica][]history.Arrival {
 	arrivals := map[relayAndReplica][]history.Arrival{}
-	for _, arrival := range seen.Arrivals {
+	for _, arrival := range recorded.Arrivals {
 		if arrival.Machine != "" {
 			at := relayAndReplica{arrival.Machine, arrival.Replica}
 			arrivals[at] = append(arrivals[at], arrival)
@@ -30,20 +30,20 @@
 
 // sentDuringBackoff finds back ends that received more than two requests from a relay while they were in backoff for
 // it. A relay that had a fault, or was cut off from the back end, may not know of the backoff and is left out.
-func sentDuringBackoff(seen *history.History) []Finding {
+func sentDuringBackoff(recorded *history.History) []Finding {
 	var findings []Finding
-	for at, arrivals := range arrivalsByRelayAndReplica(seen) {
-		for _, asked := range arrivals {
-			if asked.Rest == 0 {
+	for at, arrivals := range arrivalsByRelayAndReplica(recorded) {
+		for _, refusal := range arrivals {
+			if refusal.Rest == 0 {
 				continue
 			}
-			end, count := asked.EndedAt+asked.Rest, 0
+			end, count := refusal.EndedAt+refusal.Rest, 0
 			for _, arrival := range arrivals {
-				if arrival.At <= asked.EndedAt+backoffSlack || arrival.At >= end {
+				if arrival.At <= refusal.EndedAt+backoffSlack || arrival.At >= end {
 					continue
 				}
-				if count++; count == toleratedBackoffArrivals+1 && !seen.WasDisturbed(asked.At, arrival.At, at.machine, at.replica) {
-					findings = append(findings, newFinding(Budget, arrival.At, "%s had asked %s for %s of backoff at %.3f s and received %d requests from it before the end", at.replica, at.machine, asked.Rest, asked.EndedAt.Seconds(), count))
+				if count++; count == toleratedBackoffArrivals+1 && !recorded.WasDisturbed(refusal.At, arrival.At, at.machine, at.replica) {
+					findings = append(findings, newFinding(Budget, arrival.At, "%s had asked %s for %s of backoff at %.3f s and received %d requests from it before the end", at.replica, at.machine, refusal.Rest, refusal.EndedAt.Seconds(), count))
 				}
 			}
 		}
--- a/internal/soak/check/budget.go
+++ b/internal/soak/check/budget.go
@@ -16,29 +16,29 @@
 )
 
 // overCrashLimit finds requests that reach further back ends although three have crashed under them.
-func overCrashLimit(seen *history.History) []Finding {
+func overCrashLimit(recorded *history.History) []Finding {
 	contents := map[string]string{}
-	for _, sending := range seen.Sendings {
+	for _, sending := range recorded.Sendings {
 		contents[sending.ID] = sending.Content
 	}
-	ended, later, third := map[string]int{}, map[string]int{}, map[string]time.Duration{}
+	crashCounts, retryCounts, thirdCrashAt := map[string]int{}, map[string]int{}, map[string]time.Duration{}
 	var findings []Finding
-	for _, arrival := range seen.Arrivals {
+	for _, arrival := range recorded.Arrivals {
 		content := contents[arrival.ID]
 		if content == "" {
 			continue
 		}
-		since, known := third[content]
-		if known && arrival.At > since+seen.Bounds.Contact && seen.IsInContact(arrival.Machine, arrival.At) {
-			later[content]++
-			if later[content] == retriesAllowed+1 {
-				findings = append(findings, newFinding(Budget, arrival.At, "request %s, under which %d back ends had ended, reached %s: retry %d", arrival.ID, ended[content], arrival.Replica, later[content]))
+		since, known := thirdCrashAt[content]
+		if known && arrival.At > since+recorded.Bounds.Contact && recorded.IsInContact(arrival.Machine, arrival.At) {
+			retryCounts[content]++
+			if retryCounts[content] == retriesAllowed+1 {
+				findings = append(findings, newFinding(Budget, arrival.At, "request %s, under which %d back ends had ended, reached %s: retry %d", arrival.ID, crashCounts[content], arrival.Replica, retryCounts[content]))
 			}
 		}
 		if arrival.Crashed {
-			ended[content]++
-			if ended[content] == crashesAllowed {
-				third[content] = arrival.EndedAt
+			crashCounts[content]++
+			if crashCounts[content] == crashesAllowed {
+				thirdCrashAt[content] = arrival.EndedAt
 			}
 		}
 	}
@@ -47,21 +47,21 @@
 
 // overAttemptLimit finds requests that ran on more back ends than their route allows. Back ends that crashed under the
 // request do not count.
-func overAttemptLimit(seen *history.History) []Finding {
-	arrivals := arrivalsByID(seen)
+func overAttemptLimit(recorded *history.History) []Finding {
+	arrivals := arrivalsByID(recorded)
 	var findings []Finding
-	over := 0
-	for _, sending := range seen.Sendings {
+	overCount := 0
+	for _, sending := range recorded.Sendings {
 		ran := 0
 		for _, run := range runsOf(arrivals[sending.ID]) {
 			if !run.Crashed {
 				ran++
 			}
 		}
-		if most := seen.Routes[sending.Route].MaxAttempts; most > 0 && ran > most {
-			over++
-			if over == toleratedOverAttempts+1 {
-				findings = append(findings, newFinding(Budget, sending.SentAt, "request %s ran on %d back ends, its route allows %d; %d such requests", sending.ID, ran, most, over))
+		if most := recorded.Routes[sending.Route].MaxAttempts; most > 0 && ran > most {
+			overCount++
+			if overCount == toleratedOverAttempts+1 {
+				findings = append(findings, newFinding(Budget, sending.SentAt, "request %s ran on %d back ends, its route allows %d; %d such requests", sending.ID, ran, most, overCount))
 			}
 		}
 	}
@@ -69,32 +69,32 @@
 }
 
 // overRetryBudget finds time windows with more attempts beyond the first of each request than the retry budget allows.
-func overRetryBudget(seen *history.History) []Finding {
-	window := seen.Bounds.RetryWindow
+func overRetryBudget(recorded *history.History) []Finding {
+	window := recorded.Bounds.RetryWindow
 	if window <= 0 {
 		return nil
 	}
-	first := map[string]bool{}
-	var again []time.Duration
-	for _, arrival := range seen.Arrivals {
+	reached := map[string]bool{}
+	var retriedAt []time.Duration
+	for _, arrival := range recorded.Arrivals {
 		if arrival.ReadOnly {
 			continue
 		}
-		if first[arrival.ID] {
-			again = append(again, arrival.At)
+		if reached[arrival.ID] {
+			retriedAt = append(retriedAt, arrival.At)
 		}
-		first[arrival.ID] = true
+		reached[arrival.ID] = true
 	}
-	for last, at := range again {
+	for last, at := range retriedAt {
 		begin := last
-		for begin > 0 && again[begin-1] > at-window {
+		for begin > 0 && retriedAt[begin-1] > at-window {
 			begin--
 		}
 		most := 0
 		for _, since := range []time.Duration{at - window, at - window - window/2, at - 2*window} {
-			most = max(most, sentBetween(seen, since, since+window))
+			most = max(most, sentBetween(recorded, since, since+window))
 		}
-		allowed := seen.Bounds.RetryRatio*float64(most) + seen.Bounds.RetrySlack
+		allowed := recorded.Bounds.RetryRatio*float64(most) + recorded.Bounds.RetrySlack
 		if count := last - begin + 1; float64(count) > allowed {
 			return []Finding{newFinding(Budget, at, "%d sendings beyond the first within %s, %.1f are allowed", count, window, allowed)}
 		}
@@ -103,9 +103,9 @@
 }
 
 // sentBetween counts the attempts that clients sent after from and not later than to.
-func sentBetween(seen *history.History, from, to time.Duration) int {
+func sentBetween(recorded *history.History, from, to time.Duration) int {
 	count := 0
-	for _, sending := range seen.Sendings {
+	for _, sending := range recorded.Sendings {
 		if sending.SentAt > from && sending.SentAt <= to {
 			count++
 		}
--- a/internal/soak/check/config.go
+++ b/internal/soak/check/config.go
@@ -16,31 +16,31 @@
 // config finds requests that relays in contact handled as only an older configuration allows, reads that return an
 // older configuration than was acknowledged, invalid configurations that were accepted, and requests that outlast
 // their route's timeout.
-func config(seen *history.History) []Finding {
-	findings := onReplacedServices(seen)
-	for _, read := range seen.Reads {
-		if newest := newestAcked(seen, read.SentAt-seen.Bounds.ConfigApply); read.Status == 200 && read.Number < newest {
+func config(recorded *history.History) []Finding {
+	findings := onReplacedServices(recorded)
+	for _, read := range recorded.Reads {
+		if newest := newestAcked(recorded, read.SentAt-recorded.Bounds.ConfigApply); read.Status == 200 && read.Number < newest {
 			findings = append(findings, newFinding(Config, read.At, "configuration %d was read, %d had been acknowledged", read.Number, newest))
 		}
 	}
-	for _, change := range seen.Changes {
+	for _, change := range recorded.Changes {
 		if change.Invalid && change.AckedAt > 0 {
 			findings = append(findings, newFinding(Config, change.AckedAt, "invalid configuration %d was acknowledged", change.Number))
 		}
 	}
-	return append(findings, overdueAnswers(seen)...)
+	return append(findings, overdueAnswers(recorded)...)
 }
 
 // onReplacedServices finds requests that ran on a service that only an older configuration names.
-func onReplacedServices(seen *history.History) []Finding {
-	sent := sendingsByID(seen)
+func onReplacedServices(recorded *history.History) []Finding {
+	sent := sendingsByID(recorded)
 	var findings []Finding
-	for _, arrival := range seen.Arrivals {
+	for _, arrival := range recorded.Arrivals {
 		sending, known := sent[arrival.ID]
-		if !known || !arrival.Ran || !seen.IsInContact(arrival.Machine, arrival.At) {
+		if !known || !arrival.Ran || !recorded.IsInContact(arrival.Machine, arrival.At) {
 			continue
 		}
-		allowed := servicesOf(seen, sending)
+		allowed := servicesOf(recorded, sending)
 		if len(allowed) > 0 && !allowed[arrival.Service] {
 			findings = append(findings, newFinding(Config, arrival.At, "request %s of %s ran on service %s, which had been replaced before", arrival.ID, sending.Route, arrival.Service))
 		}
@@ -50,11 +50,11 @@
 
 // servicesOf returns the services to which a request may be routed: that of the newest configuration that must be
 // applied when it was sent, and those of all newer ones that were submitted before it ended.
-func servicesOf(seen *history.History, sending history.Sending) map[string]bool {
-	must := newestAcked(seen, sending.SentAt-seen.Bounds.ConfigApply)
+func servicesOf(recorded *history.History, sending history.Sending) map[string]bool {
+	newest := newestAcked(recorded, sending.SentAt-recorded.Bounds.ConfigApply)
 	allowed := map[string]bool{}
-	for _, change := range seen.Changes {
-		if change.Number >= must && !change.Invalid && change.SentAt <= sending.EndedAt {
+	for _, change := range recorded.Changes {
+		if change.Number >= newest && !change.Invalid && change.SentAt <= sending.EndedAt {
 			allowed[change.Services[sending.Route]] = true
 		}
 	}
@@ -62,24 +62,24 @@
 }
 
 // overdueAnswers finds requests without a final response half a second after their route's timeout.
-func overdueAnswers(seen *history.History) []Finding {
-	late, asked := 0, 0
+func overdueAnswers(recorded *history.History) []Finding {
+	late, outlasted := 0, 0
 	var last time.Duration
-	for _, sending := range seen.Sendings {
-		route := seen.Routes[sending.Route]
-		inTouch := seen.IsInContact(sending.Front, sending.SentAt) && seen.IsInContact(sending.Front, sending.EndedAt)
+	for _, sending := range recorded.Sendings {
+		route := recorded.Routes[sending.Route]
+		inTouch := recorded.IsInContact(sending.Front, sending.SentAt) && recorded.IsInContact(sending.Front, sending.EndedAt)
 		if route.Timeout <= 0 || sending.ClosedAt != 0 || !inTouch {
 			continue
 		}
 		if sending.EndedAt-sending.SentAt >= route.Timeout {
-			asked++
+			outlasted++
 			if sending.EndedAt-sending.SentAt > route.Timeout+answerSlack {
 				late, last = late+1, sending.EndedAt
 			}
 		}
 	}
-	if late >= minLateAnswers && 4*late > asked {
-		return []Finding{newFinding(Config, last, "%d of %d requests that outlast their route's timeout got no final response half a second after it", late, asked)}
+	if late >= minLateAnswers && 4*late > outlasted {
+		return []Finding{newFinding(Config, last, "%d of %d requests that outlast their route's timeout got no final response half a second after it", late, outlasted)}
 	}
 	return nil
 }
--- a/internal/soak/check/drain.go
+++ b/internal/soak/check/drain.go
@@ -8,17 +8,17 @@
 
 // drain finds requests that relays in contact sent to a back end later than the drain bound after it was listed as
 // leaving.
-func drain(seen *history.History) []Finding {
+func drain(recorded *history.History) []Finding {
 	leftAt := map[string]time.Duration{}
-	for _, listing := range seen.Listings {
+	for _, listing := range recorded.Listings {
 		if _, known := leftAt[listing.Replica]; !known && listing.State != history.Ready {
 			leftAt[listing.Replica] = listing.At
 		}
 	}
 	var findings []Finding
-	for _, arrival := range seen.Arrivals {
+	for _, arrival := range recorded.Arrivals {
 		left, leaving := leftAt[arrival.Replica]
-		if leaving && arrival.Status != 421 && arrival.At > left+seen.Bounds.Drain && seen.IsInContact(arrival.Machine, arrival.At) {
+		if leaving && arrival.Status != 421 && arrival.At > left+recorded.Bounds.Drain && recorded.IsInContact(arrival.Machine, arrival.At) {
 			findings = append(findings, newFinding(Drain, arrival.At, "request %s reached %s %s after it was listed as leaving", arrival.ID, arrival.Replica, arrival.At-left))
 		}
 	}
--- a/internal/soak/check/finding.go
+++ b/internal/soak/check/finding.go
@@ -45,23 +45,25 @@
 // checker finds the violations of one rule.
 type checker func(*history.History) []Finding
 
-// safety holds the checkers of rules that hold at any speed of the machine, timed those of rules with a time
+// safetyCheckers holds the checkers of rules that hold at any speed of the machine, timedCheckers those of rules with a time
 // bound.
 var (
-	safety = []checker{mixed, twice, refused, unasked, order, overAttemptLimit, one, atUnknownPlaces, unansweredByStopping}
-	timed  = []checker{lost, drain, config, gone, recovered, overCrashLimit, overRetryBudget, sentDuringBackoff, sentAfterLeavingAnswer, limits}
+	safetyCheckers = []checker{mixed, twice, refused, unasked, order, overAttemptLimit, one, atUnknownPlaces, unansweredByStopping}
+	timedCheckers  = []checker{lost, drain, config, gone, recovered, overCrashLimit, overRetryBudget, sentDuringBackoff, sentAfterLeavingAnswer, limits}
 )
 
 // Safety returns the violations of rules without time bounds, sorted by time.
-func Safety(seen *history.History) []Finding { return run(safety, seen) }
+func Safety(recorded *history.History) []Finding { return run(safetyCheckers, recorded) }
 
 // All returns the violations of all rules, sorted by time.
-func All(seen *history.History) []Finding { return run(append(slices.Clone(safety), timed...), seen) }
+func All(recorded *history.History) []Finding {
+	return run(append(slices.Clone(safetyCheckers), timedCheckers...), recorded)
+}
 
-func run(checkers []checker, seen *history.History) []Finding {
+func run(checkers []checker, recorded *history.History) []Finding {
 	var findings []Finding
 	for _, check := range checkers {
-		findings = append(findings, check(seen)...)
+		findings = append(findings, check(recorded)...)
 	}
 	return slices.SortedStableFunc(slices.Values(findings), func(a, b Finding) int { return cmp.Compare(a.At, b.At) })
 }
@@ -72,18 +74,18 @@
 }
 
 // sendingsByID returns the attempts by request identity.
-func sendingsByID(seen *history.History) map[string]history.Sending {
-	sendings := make(map[string]history.Sending, len(seen.Sendings))
-	for _, sending := range seen.Sendings {
+func sendingsByID(recorded *history.History) map[string]history.Sending {
+	sendings := make(map[string]history.Sending, len(recorded.Sendings))
+	for _, sending := range recorded.Sendings {
 		sendings[sending.ID] = sending
 	}
 	return sendings
 }
 
 // arrivalsByID returns the arrivals by request identity.
-func arrivalsByID(seen *history.History) map[string][]history.Arrival {
+func arrivalsByID(recorded *history.History) map[string][]history.Arrival {
 	arrivals := map[string][]history.Arrival{}
-	for _, arrival := range seen.Arrivals {
+	for _, arrival := range recorded.Arrivals {
 		arrivals[arrival.ID] = append(arrivals[arrival.ID], arrival)
 	}
 	return arrivals
--- a/internal/soak/check/gone.go
+++ b/internal/soak/check/gone.go
@@ -18,17 +18,17 @@
 
 // gone finds requests whose clients have left and that reach back ends more than half a second later. It also reports
 // when back ends still work, half a second later, on more than a quarter of the requests that outlast their clients.
-func gone(seen *history.History) []Finding {
-	left := map[string]history.Sending{}
-	for _, sending := range seen.Sendings {
-		if sending.ClosedAt > 0 && seen.Routes[sending.Route].Repeatable && seen.IsInContact(sending.Front, sending.ClosedAt+goneSlack) {
-			left[sending.ID] = sending
+func gone(recorded *history.History) []Finding {
+	abandoned := map[string]history.Sending{}
+	for _, sending := range recorded.Sendings {
+		if sending.ClosedAt > 0 && recorded.Routes[sending.Route].Repeatable && recorded.IsInContact(sending.Front, sending.ClosedAt+goneSlack) {
+			abandoned[sending.ID] = sending
 		}
 	}
-	late, lasting, working := 0, 0, 0
+	late, outlasting, stillRunning := 0, 0, 0
 	var findings []Finding
-	for _, arrival := range seen.Arrivals {
-		sending, known := left[arrival.ID]
+	for _, arrival := range recorded.Arrivals {
+		sending, known := abandoned[arrival.ID]
 		if !known {
 			continue
 		}
@@ -40,14 +40,14 @@
 			continue
 		}
 		if arrival.Ran && arrival.EndedAt > sending.ClosedAt {
-			lasting++
+			outlasting++
 			if arrival.EndedAt > due {
-				working++
+				stillRunning++
 			}
 		}
 	}
-	if lasting >= goneMinSample && 4*working > lasting {
-		findings = append(findings, newFinding(Gone, 0, "%d of %d requests were still worked on half a second after their clients had left", working, lasting))
+	if outlasting >= goneMinSample && 4*stillRunning > outlasting {
+		findings = append(findings, newFinding(Gone, 0, "%d of %d requests were still worked on half a second after their clients had left", stillRunning, outlasting))
 	}
 	return findings
 }
--- a/internal/soak/check/limit.go
+++ b/internal/soak/check/limit.go
@@ -22,27 +22,27 @@
 // limits finds back ends that announced a limit for all relays together and received more requests from relays that had
 // forwarded the announcement. The requests of a relay count from its last restart, freeze or cut on. Windows in which
 // the back end itself had a fault are left out.
-func limits(seen *history.History) []Finding {
-	sent := sendingsByID(seen)
+func limits(recorded *history.History) []Finding {
+	sent := sendingsByID(recorded)
 	arrivals := map[string][]history.Arrival{}
-	for _, arrival := range seen.Arrivals {
+	for _, arrival := range recorded.Arrivals {
 		if arrival.Machine != "" {
 			arrivals[arrival.Replica] = append(arrivals[arrival.Replica], arrival)
 		}
 	}
-	named := map[string][]history.Limit{}
-	for _, limit := range seen.Limits {
-		named[limit.Replica] = append(named[limit.Replica], limit)
+	announced := map[string][]history.Limit{}
+	for _, limit := range recorded.Limits {
+		announced[limit.Replica] = append(announced[limit.Replica], limit)
 	}
 	var findings []Finding
-	for replica, changes := range named {
+	for replica, changes := range announced {
 		for first := 0; first < len(changes); {
 			next := first + 1
 			for next < len(changes) && changes[next-1].Named {
 				next++
 			}
 			if changes[first].Named {
-				period := limitPeriod{seen: seen, replica: replica, changes: changes[first:next]}
+				period := limitPeriod{recorded: recorded, replica: replica, changes: changes[first:next]}
 				findings = append(findings, period.findings(arrivals[replica], sent)...)
 			}
 			first = next
@@ -53,9 +53,9 @@
 
 // limitPeriod is a period in which a back end announced limits, from the first announcement to the withdrawal.
 type limitPeriod struct {
-	seen    *history.History
-	replica string
-	changes []history.Limit
+	recorded *history.History
+	replica  string
+	changes  []history.Limit
 }
 
 // end returns when the back end withdrew its limit; if it never did, a time after the end of the run.
@@ -75,7 +75,7 @@
 		for at-counted[first] > limitWindow {
 			first++
 		}
-		if at < n.changes[0].At+n.seen.Bounds.Contact || n.seen.WasDisturbed(at-limitWindow, at, n.replica) {
+		if at < n.changes[0].At+n.recorded.Bounds.Contact || n.recorded.WasDisturbed(at-limitWindow, at, n.replica) {
 			continue
 		}
 		if allowed := limitShare*n.allowed(at-limitWindow, at) + limitSlack; float64(last-first+1) > allowed {
@@ -91,8 +91,8 @@
 	informedAt := map[string][]time.Duration{}
 	for _, arrival := range arrivals {
 		sending := sent[arrival.ID]
-		passedOn := arrival.Limited && arrival.Seal != "" && sending.Seal == arrival.Seal && sending.EndedAt >= n.changes[0].At
-		if passedOn && arrival.At >= n.changes[0].At && arrival.At < n.end() {
+		isForwarded := arrival.Limited && arrival.Seal != "" && sending.Seal == arrival.Seal && sending.EndedAt >= n.changes[0].At
+		if isForwarded && arrival.At >= n.changes[0].At && arrival.At < n.end() {
 			informedAt[arrival.Machine] = append(informedAt[arrival.Machine], sending.EndedAt)
 		}
 	}
@@ -108,7 +108,7 @@
 // isInformed reports whether the relay that sent an arrival has forwarded an announcement since its last fault.
 func (n *limitPeriod) isInformed(informedAt []time.Duration, arrival history.Arrival) bool {
 	for _, at := range informedAt {
-		if at+limitInformedAfter <= arrival.At && !n.seen.WasDisturbed(at, arrival.At, arrival.Machine) {
+		if at+limitInformedAfter <= arrival.At && !n.recorded.WasDisturbed(at, arrival.At, arrival.Machine) {
 			return true
 		}
 	}
--- a/internal/soak/check/lost.go
+++ b/internal/soak/check/lost.go
@@ -8,11 +8,11 @@
 
 // lost finds requests that maintenance cut off although no other fault happened near them, and acknowledged
 // configurations that are gone at the end.
-func lost(seen *history.History) []Finding {
-	findings := cutByPlannedWork(seen)
-	newest := newestAcked(seen, 1<<62)
-	for index := len(seen.Reads) - 1; index >= 0; index-- {
-		if read := seen.Reads[index]; read.Status == 200 {
+func lost(recorded *history.History) []Finding {
+	findings := cutByPlannedWork(recorded)
+	newest := newestAcked(recorded, 1<<62)
+	for index := len(recorded.Reads) - 1; index >= 0; index-- {
+		if read := recorded.Reads[index]; read.Status == 200 {
 			if read.Number < newest {
 				findings = append(findings, newFinding(Lost, read.At, "configuration %d was acknowledged, the last one that was read is %d", newest, read.Number))
 			}
@@ -22,16 +22,16 @@
 	return findings
 }
 
-func cutByPlannedWork(seen *history.History) []Finding {
-	arrivals := arrivalsByID(seen)
+func cutByPlannedWork(recorded *history.History) []Finding {
+	arrivals := arrivalsByID(recorded)
 	var findings []Finding
-	for _, sending := range seen.Sendings {
+	for _, sending := range recorded.Sendings {
 		took := sending.EndedAt - sending.SentAt
-		read := len(arrivals[sending.ID]) > 0 || took > seen.Bounds.LossSlack
-		if sending.Status != 0 || !read || sending.ClosedAt != 0 || took >= sending.Deadline || hasCrashed(arrivals[sending.ID]) {
+		wasRead := len(arrivals[sending.ID]) > 0 || took > recorded.Bounds.LossSlack
+		if sending.Status != 0 || !wasRead || sending.ClosedAt != 0 || took >= sending.Deadline || hasCrashed(arrivals[sending.ID]) {
 			continue
 		}
-		if planned, unplanned := faultsNear(seen, sending); planned && !unplanned {
+		if planned, unplanned := faultsNear(recorded, sending); planned && !unplanned {
 			findings = append(findings, newFinding(Lost, sending.EndedAt, "request %s at %s was cut by planned work", sending.ID, sending.Front))
 		}
 	}
@@ -50,9 +50,9 @@
 
 // faultsNear reports whether maintenance was under way at a request's relay, and whether any other fault happened
 // between the contact time before the request and its end.
-func faultsNear(seen *history.History, sending history.Sending) (planned, unplanned bool) {
-	for _, fault := range seen.Faults {
-		overlaps := fault.From <= sending.EndedAt && fault.To+seen.Bounds.Contact >= sending.SentAt
+func faultsNear(recorded *history.History, sending history.Sending) (planned, unplanned bool) {
+	for _, fault := range recorded.Faults {
+		overlaps := fault.From <= sending.EndedAt && fault.To+recorded.Bounds.Contact >= sending.SentAt
 		switch {
 		case !overlaps:
 		case !fault.Kind.IsPlanned():
@@ -65,9 +65,9 @@
 }
 
 // newestAcked returns the highest number of a configuration that was acknowledged by the given time.
-func newestAcked(seen *history.History, by time.Duration) uint64 {
+func newestAcked(recorded *history.History, by time.Duration) uint64 {
 	newest := uint64(0)
-	for _, change := range seen.Changes {
+	for _, change := range recorded.Changes {
 		if change.AckedAt > 0 && change.AckedAt <= by {
 			newest = max(newest, change.Number)
 		}
--- a/internal/soak/check/mixed.go
+++ b/internal/soak/check/mixed.go
@@ -5,17 +5,17 @@
 // mixed finds responses that are not the back end's own response to the client's own request: the response to another
 // request, a success without a seal, a complete body that no back end of the request returned, or a failure whose status
 // is not that of its back end.
-func mixed(seen *history.History) []Finding {
-	arrivals := arrivalsByID(seen)
+func mixed(recorded *history.History) []Finding {
+	arrivals := arrivalsByID(recorded)
 	var findings []Finding
-	for _, sending := range seen.Sendings {
+	for _, sending := range recorded.Sendings {
 		switch {
 		case sending.Status == 0:
 		case sending.AnswerID != "" && sending.AnswerID != sending.ID:
 			findings = append(findings, newFinding(Mixed, sending.EndedAt, "request %s got the answer to %s", sending.ID, sending.AnswerID))
 		case sending.Succeeded() && sending.Seal == "":
 			findings = append(findings, newFinding(Mixed, sending.EndedAt, "request %s got a success without a seal", sending.ID))
-		case sending.Seal != "" && sending.Whole && !seen.Routes[sending.Route].Stream && !hasReturned(arrivals[sending.ID], sending):
+		case sending.Seal != "" && sending.Whole && !recorded.Routes[sending.Route].Stream && !hasReturned(arrivals[sending.ID], sending):
 			findings = append(findings, newFinding(Mixed, sending.EndedAt, "request %s got an answer that its back ends did not make", sending.ID))
 		}
 	}
--- a/internal/soak/check/one.go
+++ b/internal/soak/check/one.go
@@ -4,12 +4,12 @@
 
 // one finds back ends that receive orders of two holders with the same fencing token, a lower token after a higher
 // one, or orders of holders that alternate within the lease.
-func one(seen *history.History) []Finding {
+func one(recorded *history.History) []Finding {
 	byReplica := map[string][]history.Order{}
 	var findings []Finding
-	for _, order := range seen.Orders {
+	for _, order := range recorded.Orders {
 		before := byReplica[order.Replica]
-		if fault := orderFault(before, order, seen.Bounds); fault != "" {
+		if fault := orderFault(before, order, recorded.Bounds); fault != "" {
 			findings = append(findings, newFinding(One, order.At, "back end %s got an order of %s with token %d: %s", order.Replica, order.Holder, order.Fence, fault))
 		}
 		byReplica[order.Replica] = append(before, order)
--- a/internal/soak/check/order.go
+++ b/internal/soak/check/order.go
@@ -12,10 +12,10 @@
 
 // order finds streams in which an event is missing, repeated or out of order, streams that join two runs where the
 // route does not allow it, and streams that end as complete before their last event.
-func order(seen *history.History) []Finding {
+func order(recorded *history.History) []Finding {
 	var findings []Finding
-	for _, sending := range seen.Sendings {
-		route := seen.Routes[sending.Route]
+	for _, sending := range recorded.Sendings {
+		route := recorded.Routes[sending.Route]
 		if !route.Stream || !sending.Succeeded() {
 			continue
 		}
--- a/internal/soak/check/recover.go
+++ b/internal/soak/check/recover.go
@@ -11,14 +11,14 @@
 
 // recovered finds that less than a quarter of the requests are served once the recovery time after the last fault is
 // over, although at least a quarter were served before.
-func recovered(seen *history.History) []Finding {
+func recovered(recorded *history.History) []Finding {
 	var last time.Duration
-	for _, fault := range seen.Faults {
+	for _, fault := range recorded.Faults {
 		last = max(last, fault.To)
 	}
-	after := last + seen.Bounds.Recovery
+	after := last + recorded.Bounds.Recovery
 	var sent, served, before, servedBefore int
-	for _, sending := range seen.Sendings {
+	for _, sending := range recorded.Sendings {
 		switch {
 		case sending.ClosedAt > 0:
 		case sending.SentAt > after:
--- a/internal/soak/check/refused.go
+++ b/internal/soak/check/refused.go
@@ -4,11 +4,11 @@
 
 // refused finds requests that must not be repeated and that ran although the response said that they have not run and
 // never will.
-func refused(seen *history.History) []Finding {
-	arrivals := arrivalsByID(seen)
+func refused(recorded *history.History) []Finding {
+	arrivals := arrivalsByID(recorded)
 	var findings []Finding
-	for _, sending := range seen.Sendings {
-		if seen.Routes[sending.Route].Repeatable || !sending.PromisesNotRun() {
+	for _, sending := range recorded.Sendings {
+		if recorded.Routes[sending.Route].Repeatable || !sending.PromisesNotRun() {
 			continue
 		}
 		if runs := runsOf(arrivals[sending.ID]); len(runs) > 0 {
--- a/internal/soak/check/route.go
+++ b/internal/soak/check/route.go
@@ -4,9 +4,9 @@
 
 // atUnknownPlaces finds requests that reached an address at which the site has no back end: only list entries of other
 // writers name it.
-func atUnknownPlaces(seen *history.History) []Finding {
+func atUnknownPlaces(recorded *history.History) []Finding {
 	var findings []Finding
-	for _, arrival := range seen.Arrivals {
+	for _, arrival := range recorded.Arrivals {
 		if arrival.Service == history.NoService {
 			findings = append(findings, newFinding(Route, arrival.At, "request %q reached %s, which only list entries of other writers name", arrival.ID, arrival.Replica))
 		}
--- a/internal/soak/check/stopping.go
+++ b/internal/soak/check/stopping.go
@@ -9,11 +9,11 @@
 
 // unansweredByStopping finds requests that reached a relay that was asked to stop, on an open connection, and got no
 // response at all: the relay must serve or refuse them. Relays of another build are left out.
-func unansweredByStopping(seen *history.History) []Finding {
+func unansweredByStopping(recorded *history.History) []Finding {
 	var findings []Finding
-	for _, sending := range seen.Sendings {
+	for _, sending := range recorded.Sendings {
 		unanswered := sending.Connected && sending.Status == 0 && sending.ClosedAt == 0 && sending.EndedAt-sending.SentAt < sending.Deadline
-		if unanswered && reachedStoppingRelay(seen, sending) {
+		if unanswered && reachedStoppingRelay(recorded, sending) {
 			findings = append(findings, newFinding(Lost, sending.EndedAt, "request %s at %s, which was asked to stop, got no answer", sending.ID, sending.Front))
 		}
 	}
@@ -22,9 +22,9 @@
 
 // reachedStoppingRelay reports whether a request's relay was asked to stop and had no other fault that may cut the
 // request.
-func reachedStoppingRelay(seen *history.History, sending history.Sending) bool {
-	stops := false
-	for _, fault := range seen.Faults {
+func reachedStoppingRelay(recorded *history.History, sending history.Sending) bool {
+	isStopping := false
+	for _, fault := range recorded.Faults {
 		if fault.Target != sending.Front || fault.From > sending.EndedAt || fault.To < sending.SentAt {
 			continue
 		}
@@ -32,9 +32,9 @@
 		case fault.Kind == history.Reload || fault.Kind == history.Cut:
 		case fault.Kind != history.Terminate || fault.OtherBuild:
 			return false
-		case float64(sending.EndedAt-fault.From) < graceShare*float64(seen.Bounds.Grace):
-			stops = true
+		case float64(sending.EndedAt-fault.From) < graceShare*float64(recorded.Bounds.Grace):
+			isStopping = true
 		}
 	}
-	return stops
+	return isStopping
 }
--- a/internal/soak/check/twice.go
+++ b/internal/soak/check/twice.go
@@ -3,11 +3,11 @@
 import "github.com/hazelpitch/hazelpitch/internal/soak/history"
 
 // twice finds requests that must not be repeated and that ran more than once.
-func twice(seen *history.History) []Finding {
-	arrivals := arrivalsByID(seen)
+func twice(recorded *history.History) []Finding {
+	arrivals := arrivalsByID(recorded)
 	var findings []Finding
-	for _, sending := range seen.Sendings {
-		if seen.Routes[sending.Route].Repeatable {
+	for _, sending := range recorded.Sendings {
+		if recorded.Routes[sending.Route].Repeatable {
 			continue
 		}
 		if runs := runsOf(arrivals[sending.ID]); len(runs) > 1 {
--- a/internal/soak/check/unasked.go
+++ b/internal/soak/check/unasked.go
@@ -3,10 +3,10 @@
 import "github.com/hazelpitch/hazelpitch/internal/soak/history"
 
 // unasked finds requests at back ends that no client sent, or that differ from what the client sent.
-func unasked(seen *history.History) []Finding {
-	sent := sendingsByID(seen)
+func unasked(recorded *history.History) []Finding {
+	sent := sendingsByID(recorded)
 	var findings []Finding
-	for _, arrival := range seen.Arrivals {
+	for _, arrival := range recorded.Arrivals {
 		sending, known := sent[arrival.ID]
 		switch {
 		case !known && arrival.Ran:
--- a/internal/soak/history/fault.go
+++ b/internal/soak/history/fault.go
@@ -58,8 +58,8 @@
 // ended within the contact time before it.
 func (h *History) IsInContact(relay string, at time.Duration) bool {
 	for _, fault := range h.Faults {
-		struck := fault.Target == relay || h.Controllers[fault.Target]
-		if struck && fault.From <= at && fault.To+h.Bounds.Contact >= at {
+		isAffected := fault.Target == relay || h.Controllers[fault.Target]
+		if isAffected && fault.From <= at && fault.To+h.Bounds.Contact >= at {
 			return false
 		}
 	}
--- a/internal/soak/history/recorder.go
+++ b/internal/soak/history/recorder.go
@@ -47,37 +47,37 @@
 func (r *Recorder) AddFault(fault Fault) { appendEntry(r, &r.history.Faults, fault) }
 
 // appendEntry appends an entry of one kind.
-func appendEntry[Entry any](r *Recorder, kept *[]Entry, entry Entry) {
+func appendEntry[Entry any](r *Recorder, entries *[]Entry, entry Entry) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	*kept = append(*kept, entry)
+	*entries = append(*entries, entry)
 }
 
 // History returns a copy of the recorded events, sorted by time.
 func (r *Recorder) History() *History {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	kept := r.history
-	kept.Sendings = sortedByTime(kept.Sendings, func(s Sending) time.Duration { return s.SentAt })
-	kept.Arrivals = sortedByTime(kept.Arrivals, func(a Arrival) time.Duration { return a.At })
-	setMachines(&kept)
-	kept.Changes = sortedByTime(kept.Changes, func(c Change) time.Duration { return c.SentAt })
-	kept.Reads = sortedByTime(kept.Reads, func(r Read) time.Duration { return r.At })
-	kept.Orders = sortedByTime(kept.Orders, func(o Order) time.Duration { return o.At })
-	kept.Listings = sortedByTime(kept.Listings, func(l Listing) time.Duration { return l.At })
-	kept.Limits = sortedByTime(kept.Limits, func(l Limit) time.Duration { return l.At })
-	kept.Faults = sortedByTime(kept.Faults, func(f Fault) time.Duration { return f.From })
-	return &kept
+	sortedHistory := r.history
+	sortedHistory.Sendings = sortedByTime(sortedHistory.Sendings, func(s Sending) time.Duration { return s.SentAt })
+	sortedHistory.Arrivals = sortedByTime(sortedHistory.Arrivals, func(a Arrival) time.Duration { return a.At })
+	setMachines(&sortedHistory)
+	sortedHistory.Changes = sortedByTime(sortedHistory.Changes, func(c Change) time.Duration { return c.SentAt })
+	sortedHistory.Reads = sortedByTime(sortedHistory.Reads, func(r Read) time.Duration { return r.At })
+	sortedHistory.Orders = sortedByTime(sortedHistory.Orders, func(o Order) time.Duration { return o.At })
+	sortedHistory.Listings = sortedByTime(sortedHistory.Listings, func(l Listing) time.Duration { return l.At })
+	sortedHistory.Limits = sortedByTime(sortedHistory.Limits, func(l Limit) time.Duration { return l.At })
+	sortedHistory.Faults = sortedByTime(sortedHistory.Faults, func(f Fault) time.Duration { return f.From })
+	return &sortedHistory
 }
 
 // setMachines sets the relay of each arrival: each attempt is sent to exactly one relay.
-func setMachines(kept *History) {
-	fronts := make(map[string]string, len(kept.Sendings))
-	for _, sending := range kept.Sendings {
+func setMachines(recorded *History) {
+	fronts := make(map[string]string, len(recorded.Sendings))
+	for _, sending := range recorded.Sendings {
 		fronts[sending.ID] = sending.Front
 	}
-	for index, arrival := range kept.Arrivals {
-		kept.Arrivals[index].Machine = fronts[arrival.ID]
+	for index, arrival := range recorded.Arrivals {
+		recorded.Arrivals[index].Machine = fronts[arrival.ID]
 	}
 }
 
