--- a/internal/measure/results.go
+++ b/internal/measure/results.go
@@ -70,10 +70,10 @@
 	t.worth += current.worth
 }
 
-// hitShare returns the share of all prompt tokens that prefix caches held.
+// cacheHitShare returns the share of all prompt tokens that prefix caches held.
 func (r *results) cacheHitShare() float64 { return float64(r.cachedTokens) / float64(r.promptTokens) }
 
-// firstToken returns a quantile of the time to first token.
+// firstTokenQuantile returns a quantile of the time to first token.
 func (r *results) firstTokenQuantile(quantile float64) time.Duration {
 	if len(r.firstTokens) == 0 {
 		return 0
