--- a/internal/measure/gateway.go
+++ b/internal/measure/gateway.go
@@ -17,158 +17,158 @@
 	world     *world
 	zone      string
 	chooser   chooser
-	admission *admission.Core // nil: every request starts at once
+	admission *admission.Core // nil: every request is sent at once
 	waiting   map[uint64]*request
 }
 
 func newGateway(w *world, number int) (*gateway, error) {
-	made := &gateway{world: w, zone: zoneName(number % w.setup.zones), waiting: map[uint64]*request{}}
+	created := &gateway{world: w, zone: zoneName(number % w.setup.zones), waiting: map[uint64]*request{}}
 	if w.setup.admission != nil {
 		core, err := admission.New(*w.setup.admission)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		made.admission = core
+		created.admission = core
 	}
 	random := rand.New(rand.NewPCG(w.setup.seed, uint64(100+number)))
 	switch w.setup.chooser {
 	case chooserRandom:
-		made.chooser = &randomChooser{random: random, engines: w.setup.engines}
+		created.chooser = &randomChooser{random: random, engines: w.setup.engines}
 	case chooserLeastLoad:
-		made.chooser = &leastLoadChooser{random: random}
+		created.chooser = &leastLoadChooser{random: random}
 	case chooserClairvoyant:
-		made.chooser = &clairvoyantChooser{world: w}
+		created.chooser = &clairvoyantChooser{world: w}
 	default:
 		router, err := routing.New(routing.Config{
-			Zone: made.zone, OtherZoneLatency: max(w.setup.zoneDelay, 1), Seed: w.setup.seed + uint64(number),
+			Zone: created.zone, OtherZoneLatency: max(w.setup.zoneDelay, 1), Seed: w.setup.seed + uint64(number),
 		})
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		made.chooser = &routerChooser{world: w, router: router}
+		created.chooser = &routerChooser{world: w, router: router}
 	}
-	return made, nil
+	return created, nil
 }
 
-// receive takes in a request of a caller.
-func (g *gateway) receive(asked *request) {
+// receive accepts a request of a caller.
+func (g *gateway) receive(req *request) {
 	if g.admission == nil {
-		g.send(asked)
+		g.send(req)
 		return
 	}
-	g.waiting[uint64(asked.number)] = asked
-	g.refuse(g.admission.Offer(g.world.now, admission.Request{
-		ID: uint64(asked.number), Tenant: asked.tenant, Class: asked.tenant + "/" + asked.kind, Weight: asked.weight, Worth: asked.worth,
-		PromptTokens: asked.prompt, OutputTokens: asked.output, Bytes: int64(4 * asked.prompt),
-		Deadline: asked.deadline, MinimumTime: minimumTime(asked),
+	g.waiting[uint64(req.number)] = req
+	g.recordRefusals(g.admission.Offer(g.world.now, admission.Request{
+		ID: uint64(req.number), Tenant: req.tenant, Class: req.tenant + "/" + req.kind, Weight: req.weight, Worth: req.worth,
+		PromptTokens: req.promptTokens, OutputTokens: req.outputTokens, Bytes: int64(4 * req.promptTokens),
+		Deadline: req.deadline, MinimumTime: minimumTime(req),
 	}))
-	g.startWaiting()
+	g.startAdmitted()
 }
 
-// minimumTime is how long a request takes at an idle engine.
-func minimumTime(asked *request) time.Duration {
+// minimumTime returns how long a request takes at an idle engine with an empty prefix cache.
+func minimumTime(req *request) time.Duration {
 	profile := enginemodel.DefaultProfile()
-	return profile.PrefillTime(asked.prompt) + time.Duration(asked.output)*profile.StepBase
+	return profile.PrefillTime(req.promptTokens) + time.Duration(req.outputTokens)*profile.StepBase
 }
 
-func (g *gateway) expire() {
+func (g *gateway) expireWaiting() {
 	if g.admission == nil {
 		return
 	}
-	g.refuse(g.admission.Expire(g.world.now))
-	g.startWaiting()
+	g.recordRefusals(g.admission.Expire(g.world.now))
+	g.startAdmitted()
 }
 
-func (g *gateway) refuse(refusals []admission.Refusal) {
+func (g *gateway) recordRefusals(refusals []admission.Refusal) {
 	for _, refusal := range refusals {
-		g.world.results.refused(g.waiting[refusal.ID])
+		g.world.results.addRefused(g.waiting[refusal.ID])
 		delete(g.waiting, refusal.ID)
 	}
 }
 
-func (g *gateway) startWaiting() {
+func (g *gateway) startAdmitted() {
 	for {
 		next, found := g.admission.StartNext(g.world.now)
 		if !found {
-			g.refuse(g.admission.DrainRefusals())
+			g.recordRefusals(g.admission.DrainRefusals())
 			return
 		}
-		asked := g.waiting[next.ID]
+		req := g.waiting[next.ID]
 		delete(g.waiting, next.ID)
-		g.send(asked)
+		g.send(req)
 	}
 }
 
-// send routes a request and hands it to the engine after the way there.
-func (g *gateway) send(asked *request) {
+// send routes a request and submits it to the engine after the network latency.
+func (g *gateway) send(req *request) {
 	w := g.world
-	chosen := g.chooser.choose(w.now, asked, nil)
+	chosen := g.chooser.choose(w.now, req, nil)
 	if chosen.engine < 0 {
-		g.end(asked, admission.Result{Failed: true})
-		w.results.refused(asked)
+		g.finishAdmission(req, admission.Result{Failed: true})
+		w.results.addRefused(req)
 		return
 	}
-	current := &flight{request: asked, gateway: g, engine: chosen.engine, exchange: strconv.Itoa(asked.number), started: w.now}
+	current := &exchange{request: req, gateway: g, engine: chosen.engine, exchangeID: strconv.Itoa(req.number), startedAt: w.now}
 	g.chooser.observe(w.now, routing.Dispatch{
-		BackEnd: engineName(chosen.engine), Exchange: current.exchange, PromptTokens: asked.prompt - chosen.cached,
-		PrefixBlocks: asked.routingBlocks, CachedAtHome: chosen.home,
+		BackEnd: engineName(chosen.engine), Exchange: current.exchangeID, PromptTokens: req.promptTokens - chosen.cachedTokens,
+		PrefixBlocks: req.routingBlocks, CachedAtHome: chosen.isCachedAtHome,
 	})
-	w.agenda.Schedule(w.now+w.latency(g, chosen.engine), func() { g.arrive(current) })
+	w.agenda.Schedule(w.now+w.latency(g, chosen.engine), func() { g.submit(current) })
 }
 
-func (g *gateway) arrive(current *flight) {
+func (g *gateway) submit(current *exchange) {
 	w := g.world
 	err := w.engines[current.engine].Submit(w.now, enginemodel.Request{
-		ID: current.exchange, PromptTokens: current.prompt, OutputTokens: current.output, PrefixBlocks: current.engineBlocks,
+		ID: current.exchangeID, PromptTokens: current.promptTokens, OutputTokens: current.outputTokens, PrefixBlocks: current.engineBlocks,
 	})
 	if err != nil {
-		g.finished(current)
-		g.end(current.request, admission.Result{Overloaded: true})
-		w.results.refused(current.request)
+		g.observeCompletion(current)
+		g.finishAdmission(current.request, admission.Result{Overloaded: true})
+		w.results.addRefused(current.request)
 		return
 	}
-	w.running[current.engine][current.exchange] = current
+	w.running[current.engine][current.exchangeID] = current
 }
 
-func (g *gateway) firstToken(current *flight, event enginemodel.Event) {
-	current.first = event.At
-	current.cached = event.CachedTokens
-	g.world.results.cached(current.request, event.CachedTokens)
+func (g *gateway) recordFirstToken(current *exchange, event enginemodel.Event) {
+	current.firstTokenAt = event.At
+	current.cachedTokens = event.CachedTokens
+	g.world.results.addCached(current.request, event.CachedTokens)
 	if g.admission != nil {
-		own := enginemodel.DefaultProfile().PrefillTime(current.prompt)
-		g.admission.RecordFirstToken(g.world.now, uint64(current.number), max(g.world.now-current.started-own, 0))
+		idlePrefill := enginemodel.DefaultProfile().PrefillTime(current.promptTokens)
+		g.admission.RecordFirstToken(g.world.now, uint64(current.number), max(g.world.now-current.startedAt-idlePrefill, 0))
 	}
-	g.chooser.observe(g.world.now, routing.FirstToken{BackEnd: engineName(current.engine), Exchange: current.exchange})
-	g.answered(current)
+	g.chooser.observe(g.world.now, routing.FirstToken{BackEnd: engineName(current.engine), Exchange: current.exchangeID})
+	g.observeHeaders(current)
 }
 
-func (g *gateway) done(current *flight) {
-	g.answered(current)
-	g.finished(current)
+func (g *gateway) complete(current *exchange) {
+	g.observeHeaders(current)
+	g.observeCompletion(current)
 	w := g.world
-	w.results.done(current, w.now+w.latency(g, current.engine))
-	g.end(current.request, admission.Result{
-		PromptTokens: current.prompt, OutputTokens: current.output,
+	w.results.addCompleted(current, w.now+w.latency(g, current.engine))
+	g.finishAdmission(current.request, admission.Result{
+		PromptTokens: current.promptTokens, OutputTokens: current.outputTokens,
 	})
 	if g.admission != nil {
-		g.startWaiting()
+		g.startAdmitted()
 	}
 }
 
-func (g *gateway) end(asked *request, result admission.Result) {
+func (g *gateway) finishAdmission(req *request, result admission.Result) {
 	if g.admission != nil {
-		g.admission.Finish(g.world.now, uint64(asked.number), result)
+		g.admission.Finish(g.world.now, uint64(req.number), result)
 	}
 }
 
-// answered passes on the headers of an answer.
-func (g *gateway) answered(current *flight) {
+// observeHeaders passes the load in the response headers to the chooser.
+func (g *gateway) observeHeaders(current *exchange) {
 	load := loadOf(g.world.engines[current.engine])
 	g.chooser.observe(g.world.now, routing.AnswerHeaders{BackEnd: engineName(current.engine), Incarnation: 1, Load: &load})
 }
 
-func (g *gateway) finished(current *flight) {
+func (g *gateway) observeCompletion(current *exchange) {
 	g.chooser.observe(g.world.now, routing.Completion{
-		BackEnd: engineName(current.engine), Exchange: current.exchange, PromptTokens: current.prompt, CachedTokens: current.cached,
+		BackEnd: engineName(current.engine), Exchange: current.exchangeID, PromptTokens: current.promptTokens, CachedTokens: current.cachedTokens,
 	})
 }
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -19,11 +19,11 @@
 	serviceName    = "service"
 	reportInterval = time.Second
 	expireInterval = 50 * time.Millisecond
-	// grace is the time after the last arrival in which requests may still end.
-	grace = time.Minute
+	// drainTime is how long after the last arrival requests may still complete.
+	drainTime = time.Minute
 )
 
-// setup is what one run is made of.
+// setup holds the settings of one run.
 type setup struct {
 	seed      uint64
 	engines   int
@@ -32,36 +32,36 @@
 	reportLag time.Duration
 	zoneDelay time.Duration // one way
 	chooser   string
-	// admission is nil when every request is sent at once.
+	// admission is nil when every request is sent at once, without admission.
 	admission *admission.Config
 	workloads []workload
 }
 
-// world is one run: engines, gateways and the requests between them.
+// world is the state of one run: engines, gateways and the requests between them.
 type world struct {
 	setup    setup
 	now      time.Duration
 	agenda   virtualtime.EventQueue
 	engines  []*enginemodel.Engine
-	zones    []string // of each engine
+	zones    []string // by engine
 	index    map[string]int
-	running  []map[string]*flight // of each engine
+	running  []map[string]*exchange // by engine, then by exchange ID
 	gateways []*gateway
 	requests []request
-	// lagged holds the load reports that have not reached the gateways yet.
-	lagged  [][]routing.BackEnd
-	results results
+	// delayedReports holds the load reports that have not reached the gateways yet, the oldest first.
+	delayedReports [][]routing.BackEnd
+	results        results
 }
 
-// flight is one request on its way.
-type flight struct {
+// exchange is one request that a gateway has sent to an engine.
+type exchange struct {
 	*request
-	gateway  *gateway
-	engine   int
-	exchange string
-	started  time.Duration
-	first    time.Duration
-	cached   int
+	gateway      *gateway
+	engine       int
+	exchangeID   string
+	startedAt    time.Duration
+	firstTokenAt time.Duration
+	cachedTokens int
 }
 
 func newWorld(setup setup) (*world, error) {
@@ -75,7 +75,7 @@
 		w.engines = append(w.engines, engine)
 		w.zones = append(w.zones, zoneName(i%setup.zones))
 		w.index[engineName(i)] = i
-		w.running = append(w.running, map[string]*flight{})
+		w.running = append(w.running, map[string]*exchange{})
 	}
 	for i := range setup.gateways {
 		gateway, err := newGateway(w, i)
@@ -87,7 +87,7 @@
 	for _, workload := range setup.workloads {
 		w.requests = append(w.requests, workload.generate(random, setup.gateways)...)
 	}
-	slices.SortStableFunc(w.requests, func(a, b request) int { return int(a.at - b.at) })
+	slices.SortStableFunc(w.requests, func(a, b request) int { return int(a.arrivesAt - b.arrivesAt) })
 	for i := range w.requests {
 		w.requests[i].number = i
 	}
@@ -98,35 +98,35 @@
 
 func zoneName(index int) string { return fmt.Sprintf("zone-%d", index) }
 
-// run lets the whole workload pass.
+// run simulates the whole workload and returns the results.
 func (w *world) run() *results {
-	last := w.requests[len(w.requests)-1].at
-	w.every(reportInterval, last+grace, w.report)
-	w.every(expireInterval, last+grace, func() {
+	last := w.requests[len(w.requests)-1].arrivesAt
+	w.repeatUntil(reportInterval, last+drainTime, w.refreshReports)
+	w.repeatUntil(expireInterval, last+drainTime, func() {
 		for _, gateway := range w.gateways {
-			gateway.expire()
+			gateway.expireWaiting()
 		}
 	})
-	w.every(100*time.Millisecond, last, w.sampleBalance)
-	w.report()
+	w.repeatUntil(100*time.Millisecond, last, w.sampleImbalance)
+	w.refreshReports()
 	for i := range w.requests {
-		asked := &w.requests[i]
-		w.agenda.Schedule(asked.at, func() { w.gateways[asked.gateway].receive(asked) })
+		req := &w.requests[i]
+		w.agenda.Schedule(req.arrivesAt, func() { w.gateways[req.gateway].receive(req) })
 	}
 	for {
-		at, found := w.nextTime()
-		if !found || at > last+grace {
+		at, found := w.nextEventTime()
+		if !found || at > last+drainTime {
 			return &w.results
 		}
 		w.now = at
 		for i := range w.engines {
-			w.advance(i)
+			w.advanceEngine(i)
 		}
 		w.agenda.RunUntil(at)
 	}
 }
 
-func (w *world) every(interval, until time.Duration, action func()) {
+func (w *world) repeatUntil(interval, until time.Duration, action func()) {
 	var again func()
 	again = func() {
 		action()
@@ -137,7 +137,7 @@
 	w.agenda.Schedule(interval, again)
 }
 
-func (w *world) nextTime() (time.Duration, bool) {
+func (w *world) nextEventTime() (time.Duration, bool) {
 	best, found := w.agenda.NextTime()
 	for _, engine := range w.engines {
 		if at, busy := engine.NextEvent(); busy && (!found || at < best) {
@@ -147,7 +147,7 @@
 	return max(best, w.now), found
 }
 
-func (w *world) advance(index int) {
+func (w *world) advanceEngine(index int) {
 	engine := w.engines[index]
 	if at, busy := engine.NextEvent(); !busy || at > w.now {
 		return
@@ -159,16 +159,16 @@
 		}
 		switch event.Type {
 		case enginemodel.EventFirstToken:
-			current.gateway.firstToken(current, event)
+			current.gateway.recordFirstToken(current, event)
 		case enginemodel.EventDone:
 			delete(w.running[index], event.ID)
-			current.gateway.done(current)
+			current.gateway.complete(current)
 		}
 	}
 }
 
-// report reads every engine's load and gives the gateways the reading of reportLag ago.
-func (w *world) report() {
+// refreshReports reads every engine's load and passes the load of reportLag ago to the gateways.
+func (w *world) refreshReports() {
 	directory := make([]routing.BackEnd, len(w.engines))
 	for i, engine := range w.engines {
 		directory[i] = routing.BackEnd{
@@ -177,12 +177,12 @@
 			Load: loadOf(engine), LoadAt: w.now, HasLoad: true,
 		}
 	}
-	w.lagged = append(w.lagged, directory)
-	for len(w.lagged) > 1 && w.lagged[1][0].LoadAt <= w.now-w.setup.reportLag {
-		w.lagged = w.lagged[1:]
+	w.delayedReports = append(w.delayedReports, directory)
+	for len(w.delayedReports) > 1 && w.delayedReports[1][0].LoadAt <= w.now-w.setup.reportLag {
+		w.delayedReports = w.delayedReports[1:]
 	}
 	for _, gateway := range w.gateways {
-		gateway.chooser.reported(w.now, w.lagged[0])
+		gateway.chooser.setReports(w.now, w.delayedReports[0])
 	}
 }
 
@@ -191,7 +191,7 @@
 	return routing.Load{Running: load.Running, Waiting: load.Waiting, WaitingPromptTokens: load.WaitingPromptTokens}
 }
 
-// latency is one way between a gateway and an engine.
+// latency returns the one-way latency between a gateway and an engine.
 func (w *world) latency(gateway *gateway, engine int) time.Duration {
 	if gateway.zone == w.zones[engine] {
 		return 0
--- a/internal/simulation/checks_answers.go
+++ b/internal/simulation/checks_answers.go
@@ -7,22 +7,22 @@
 // submissionKey identifies a submission.
 type submissionKey struct{ operator, request string }
 
-// firstAnswer is what a submission was answered first.
+// firstAnswer is the first response to a submission.
 type firstAnswer struct {
 	outcome  v1.ApplyOutcome
 	revision uint64
 	number   uint64
 }
 
-// answerChecks watch what operators are told.
+// answerChecks verify the responses to operators.
 type answerChecks struct {
 	checks    *checks
 	durable   map[submissionKey]bool
 	first     map[submissionKey]firstAnswer
-	messages  map[submissionKey]string // first answers to commands
+	messages  map[submissionKey]string // first responses to commands
 	winners   map[uint64]submissionKey
 	revisions map[uint64]submissionKey
-	// accepted counts the changes that were accepted, highest is the last revision.
+	// accepted counts the accepted changes; highest is the latest revision.
 	accepted int
 	highest  uint64
 }
@@ -34,15 +34,15 @@
 	}
 }
 
-// committed takes note of a committed command.
-func (a *answerChecks) committed(command *v1.Command) {
+// recordCommitted records a committed command.
+func (a *answerChecks) recordCommitted(command *v1.Command) {
 	if declaration := command.GetApplyDeclaration(); declaration != nil {
 		a.durable[submissionKey{declaration.GetOperator(), declaration.GetRequestId()}] = true
 	}
 }
 
-// applyAnswered checks an answer to a submission.
-func (c *checks) applyAnswered(sent *submission, response *v1.ApplyResponse) {
+// checkApplyAnswered checks the response to a submission.
+func (c *checks) checkApplyAnswered(sent *submission, response *v1.ApplyResponse) {
 	c.world.trace.add(c.world.now, sent.operator, "%s is %s at revision %d, number %d", sent.request.GetRequestId(),
 		response.GetOutcome(), response.GetRevision(), response.GetChangeNumber())
 	key := submissionKey{sent.operator, sent.request.GetRequestId()}
@@ -52,12 +52,12 @@
 	}
 	c.answers.first[key] = answer
 	if response.GetOutcome() == v1.ApplyOutcome_APPLY_OUTCOME_ACCEPTED {
-		c.answers.accept(key, response)
+		c.answers.checkAccepted(key, response)
 	}
 }
 
-// commandAnswered checks the answer to a command that was carried out.
-func (c *checks) commandAnswered(by *operatorClient, request *v1.ExecuteRequest, response *v1.ExecuteResponse) {
+// checkCommandAnswered checks the response to an executed command.
+func (c *checks) checkCommandAnswered(by *operatorClient, request *v1.ExecuteRequest, response *v1.ExecuteResponse) {
 	c.world.trace.add(c.world.now, by.name, "%s: %s", request.GetRequestId(), response.GetMessage())
 	key := submissionKey{by.name, request.GetRequestId()}
 	if first, known := c.answers.messages[key]; known && first != response.GetMessage() {
@@ -66,15 +66,15 @@
 	c.answers.messages[key] = response.GetMessage()
 }
 
-// accept checks an accepted submission.
-func (a *answerChecks) accept(key submissionKey, response *v1.ApplyResponse) {
+// checkAccepted checks that an accepted submission is committed and that no other one has its number or revision.
+func (a *answerChecks) checkAccepted(key submissionKey, response *v1.ApplyResponse) {
 	if !a.durable[key] {
 		a.checks.fail("accepted is durable", "%s was accepted and is not committed", key.request)
 	}
-	if other, taken := a.winners[response.GetChangeNumber()]; taken && other != key {
+	if other, isTaken := a.winners[response.GetChangeNumber()]; isTaken && other != key {
 		a.checks.fail("one winner", "%s and %s both won number %d", other.request, key.request, response.GetChangeNumber())
 	}
-	if other, taken := a.revisions[response.GetRevision()]; taken && other != key {
+	if other, isTaken := a.revisions[response.GetRevision()]; isTaken && other != key {
 		a.checks.fail("one winner", "%s and %s are both revision %d", other.request, key.request, response.GetRevision())
 	}
 	if _, known := a.winners[response.GetChangeNumber()]; !known {
--- a/internal/simulation/checks_leases.go
+++ b/internal/simulation/checks_leases.go
@@ -6,29 +6,27 @@
 	"github.com/hazelpitch/hazelpitch/internal/consensus"
 )
 
-// isolationBound is how long a controller may take to notice that it is cut off from
-// its peers: the slowest message that was under way, the election timeout on a slow
-// clock, and a margin.
+// isolationBound is how long a controller may take to detect that it is cut off from its peers: the delay of the
+// slowest message under way, the election timeout on a slow clock, and a margin.
 const isolationBound = slowDelay + consensus.DefaultElectionTimeout + 500*time.Millisecond
 
-// stepGap is a time without a step after which a controller must have been paused: it
-// then still has to take what had arrived before the cut.
-const stepGap = 200 * time.Millisecond
+// maximumStepGap is the time without a step after which a controller must have been paused. After the pause it still
+// processes what had arrived before the cut, so that the bound starts again.
+const maximumStepGap = 200 * time.Millisecond
 
-// isolation is a controller that no peer reaches and that reaches none.
+// isolation is the state of a controller that is cut off from all peers in both directions.
 type isolation struct {
 	since    time.Duration
 	lastStep time.Duration
-	// generation is that of the process.
+	// generation is the generation of the process.
 	generation int
-	// term is the controller's once the bound has passed; settled tells that it has.
-	term    uint64
-	settled bool
+	// term is the controller's term when the bound passed; boundPassed reports that it has.
+	term        uint64
+	boundPassed bool
 }
 
-// leaseChecks watch who may act as the leader: never two at once, and no one who is
-// cut off. A controller that is cut off also raises no term, so that its return
-// disturbs no one.
+// leaseChecks verify who acts as the leader: never two controllers at once, and none that is cut off. A controller
+// that is cut off must not raise its term either, so that its return does not depose the leader.
 type leaseChecks struct {
 	checks   *checks
 	isolated map[string]*isolation
@@ -38,14 +36,14 @@
 	return leaseChecks{checks: c, isolated: map[string]*isolation{}}
 }
 
-// stepped checks one controller after a step.
-func (l *leaseChecks) stepped(c *controller) {
-	l.oneLease(c)
-	l.cutOff(c)
+// afterStep checks one controller after a step.
+func (l *leaseChecks) afterStep(c *controller) {
+	l.checkOneLease(c)
+	l.checkCutOff(c)
 }
 
-// oneLease checks that no other controller may lead while this one may.
-func (l *leaseChecks) oneLease(c *controller) {
+// checkOneLease checks that no other controller holds a lease while this one does.
+func (l *leaseChecks) checkOneLease(c *controller) {
 	if !c.core.HoldsLease(c.local()) {
 		return
 	}
@@ -56,35 +54,35 @@
 	}
 }
 
-// cutOff checks a controller that has been cut off for longer than the bound.
-func (l *leaseChecks) cutOff(c *controller) {
-	if !l.checks.world.cutFromPeers(c) {
+// checkCutOff checks a controller that has been cut off for longer than isolationBound.
+func (l *leaseChecks) checkCutOff(c *controller) {
+	if !l.checks.world.isCutFromPeers(c) {
 		delete(l.isolated, c.name)
 		return
 	}
 	now, status := l.checks.world.now, c.status()
-	known := l.isolated[c.name]
-	if known == nil || now-known.lastStep > stepGap || known.generation != c.generation {
-		known = &isolation{since: now, generation: c.generation}
-		l.isolated[c.name] = known
+	current := l.isolated[c.name]
+	if current == nil || now-current.lastStep > maximumStepGap || current.generation != c.generation {
+		current = &isolation{since: now, generation: c.generation}
+		l.isolated[c.name] = current
 	}
-	known.lastStep = now
-	if now-known.since < isolationBound {
+	current.lastStep = now
+	if now-current.since < isolationBound {
 		return
 	}
-	if !known.settled {
-		known.settled, known.term = true, status.Term
+	if !current.boundPassed {
+		current.boundPassed, current.term = true, status.Term
 	}
 	if status.Role == consensus.RoleLeader {
-		l.checks.fail("no leader without a quorum", "%s leads term %d after %v without any peer", c.name, status.Term, now-known.since)
+		l.checks.fail("no leader without a quorum", "%s leads term %d after %v without any peer", c.name, status.Term, now-current.since)
 	}
-	if status.Term != known.term {
-		l.checks.fail("no term without a quorum", "%s goes from term %d to %d without any peer", c.name, known.term, status.Term)
+	if status.Term != current.term {
+		l.checks.fail("no term without a quorum", "%s goes from term %d to %d without any peer", c.name, current.term, status.Term)
 	}
 }
 
-// cutFromPeers reports whether a controller and its peers cannot reach each other.
-func (w *world) cutFromPeers(c *controller) bool {
+// isCutFromPeers reports whether a controller and all its peers are cut off from each other in both directions.
+func (w *world) isCutFromPeers(c *controller) bool {
 	for _, cut := range w.peerLinks(c) {
 		if w.network.cuts[cut] == 0 {
 			return false
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -18,15 +18,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/storage"
 )
 
-// Safeguards of a controller's disk that only the simulator can switch off.
+// Safeguards of a controller's disk that can be disabled in the simulator only.
 const (
-	// SafeguardDiskSync syncs the log before a batch counts as persisted.
+	// SafeguardDiskSync makes a batch count as persisted only after the log is synced.
 	SafeguardDiskSync safeguard.Safeguard = "disk-sync"
 	// SafeguardDiskIdentity gives an emptied disk a new identity.
 	SafeguardDiskIdentity safeguard.Safeguard = "disk-identity"
 )
 
-// Settings of a controller that make the simulation meet more in less time.
+// Settings of a controller. Segments, snapshots and intervals are small so that a short run covers many of them.
 const (
 	fleetName         = "simulated"
 	dataDirectory     = "/data"
@@ -38,17 +38,16 @@
 	slowSync          = 400 * time.Millisecond
 )
 
-// controller is one controller: the product's core over the product's log on a
-// simulated disk.
+// controller is one controller: the product's core over the product's log on a simulated disk.
 type controller struct {
 	host
-	zone    string
-	peers   []consensus.Peer
-	build   build
-	disk    *memory.Disk
-	disks   int // disks this machine has had
-	storage *storage.Storage
-	core    *control.Core
+	zone      string
+	peers     []consensus.Peer
+	build     build
+	disk      *memory.Disk
+	diskCount int // number of disks that this machine has had
+	storage   *storage.Storage
+	core      *control.Core
 	// diskID is the identity of the disk in use.
 	diskID   string
 	syncing  bool
@@ -56,22 +55,22 @@
 	unsaved  []control.Persist
 	nextCall control.CallID
 	calls    map[control.CallID]func(proto.Message, error)
-	// stalled holds what leaves only at the end of a pause that began in mid-step.
-	stalled bool
-	// stallsBeforeOrder tells that the next step that sends an order stalls.
+	// isStalled reports that the outputs of the next step are held back until the end of a pause.
+	isStalled bool
+	// stallsBeforeOrder reports that the next step that sends an order stalls.
 	stallsBeforeOrder bool
-	// quorumChecked and digestAt are how far the checks have come.
+	// quorumChecked and digestAt are the last log indexes that checks have covered.
 	quorumChecked uint64
 	digestAt      uint64
 	membership    *v1.Membership
-	// shadow is what the core has handed out for its log.
+	// shadow is a copy of the log as the core has written it.
 	shadow shadowLog
 }
 
-// start starts the process on what its disk holds.
+// start starts the process from the content of its disk.
 func (c *controller) start() {
 	c.boot()
-	c.syncing, c.stalled, c.stallsBeforeOrder, c.unsaved = false, false, false, nil
+	c.syncing, c.isStalled, c.stallsBeforeOrder, c.unsaved = false, false, false, nil
 	c.calls = map[control.CallID]func(proto.Message, error){}
 	c.disk.IgnoreSync = !c.world.safeguards.IsEnabled(SafeguardDiskSync)
 	opened, restored, err := storage.Open(storage.Options{
@@ -86,8 +85,8 @@
 	c.storage, c.diskID = opened, restored.DiskID
 	c.shadow.load(restored)
 	c.quorumChecked, c.digestAt, c.membership = 0, 0, nil
-	c.world.checks.controllerStarted(c, restored)
-	c.core, err = control.New(c.config(), c.finds(restored))
+	c.world.checks.checkControllerStarted(c, restored)
+	c.core, err = control.New(c.config(), c.readRestored(restored))
 	if err != nil {
 		c.world.checks.fail("durable state", "%s cannot start: %v", c.name, err)
 		c.kill()
@@ -99,22 +98,22 @@
 	c.readMachineList()
 }
 
-// startIfDown starts the process unless something else has done so already.
+// startIfDown starts the process unless it is already running.
 func (c *controller) startIfDown() {
-	if !c.alive {
+	if !c.isAlive {
 		c.start()
 	}
 }
 
-// newDiskID names a new disk.
+// newDiskID returns the identity of a new disk.
 func (c *controller) newDiskID() string {
 	if !c.world.safeguards.IsEnabled(SafeguardDiskIdentity) {
 		return c.name + ".1"
 	}
-	return fmt.Sprintf("%s.%d", c.name, c.disks)
+	return fmt.Sprintf("%s.%d", c.name, c.diskCount)
 }
 
-// config is the configuration of the core.
+// config returns the configuration of the core.
 func (c *controller) config() control.Config {
 	config := control.Config{
 		Fleet: fleetName, Name: c.name, Zone: c.zone, Address: c.name, Peers: c.peers,
@@ -125,30 +124,30 @@
 	}
 	plannerSeed := c.world.random.Uint64()
 	config.NewPlanner = func(string) planner.Planner {
-		return &restlessPlanner{world: c.world, random: rand.New(rand.NewPCG(plannerSeed, 1))}
+		return &randomPlanner{world: c.world, random: rand.New(rand.NewPCG(plannerSeed, 1))}
 	}
 	return config
 }
 
-// step hands one input to the core and carries out what it wants.
+// step passes one input to the core and executes its outputs.
 func (c *controller) step(input control.Input) {
 	if c.core == nil {
 		return
 	}
-	outputs := c.writes(c.core.Step(c.local(), input))
-	c.world.checks.controllerStepped(c, outputs)
+	outputs := c.writeOutputs(c.core.Step(c.local(), input))
+	c.world.checks.checkControllerStep(c, outputs)
 	if c.stallsBeforeOrder && sendsOrder(outputs) {
-		c.stalled, c.stallsBeforeOrder = true, false
+		c.isStalled, c.stallsBeforeOrder = true, false
 	}
 	for _, output := range outputs {
-		if c.stalled {
-			c.waiting = append(c.waiting, func() { c.carryOut(output) })
+		if c.isStalled {
+			c.waiting = append(c.waiting, func() { c.execute(output) })
 			continue
 		}
-		c.carryOut(output)
+		c.execute(output)
 	}
-	if c.stalled {
-		c.stalled = false
+	if c.isStalled {
+		c.isStalled = false
 		c.pause()
 	}
 }
@@ -156,37 +155,37 @@
 // sendsOrder reports whether a step sends an order.
 func sendsOrder(outputs []control.Output) bool {
 	return slices.ContainsFunc(outputs, func(output control.Output) bool {
-		_, order := output.(control.SendOrder)
-		return order
+		_, isOrder := output.(control.SendOrder)
+		return isOrder
 	})
 }
 
-// carryOut does what one output asks for.
-func (c *controller) carryOut(output control.Output) {
-	switch wanted := output.(type) {
+// execute executes one output.
+func (c *controller) execute(output control.Output) {
+	switch action := output.(type) {
 	case control.Persist:
-		c.unsaved = append(c.unsaved, wanted)
+		c.unsaved = append(c.unsaved, action)
 		c.startSync()
 	case control.SendPeer:
-		if peer := c.world.controllerAt(wanted.Address); peer != nil {
-			message := proto.CloneOf(wanted.Message)
-			c.world.network.send(&c.host, &peer.host, func() { peer.step(control.PeerMessage{Message: peer.reads(message)}) })
+		if peer := c.world.controllerAt(action.Address); peer != nil {
+			message := proto.CloneOf(action.Message)
+			c.world.network.send(&c.host, &peer.host, func() { peer.step(control.PeerMessage{Message: peer.readMessage(message)}) })
 		}
 	case control.Answer:
-		if reply, waits := c.calls[wanted.Call]; waits {
-			delete(c.calls, wanted.Call)
-			reply(wanted.Response, wanted.Err)
+		if reply, waits := c.calls[action.Call]; waits {
+			delete(c.calls, action.Call)
+			reply(action.Response, action.Err)
 		}
 	case control.SendOrder:
-		c.sendOrder(wanted)
+		c.sendOrder(action)
 	case control.SendFence:
-		c.sendFence(wanted)
+		c.sendFence(action)
 	case control.PollEngine:
-		c.pollEngine(wanted)
+		c.pollEngine(action)
 	}
 }
 
-// receive hands a call to the core; reply gets its answer.
+// receive passes a call to the core; reply is called with its response.
 func (c *controller) receive(input func(control.CallID) control.Input, reply func(proto.Message, error)) {
 	if c.core == nil {
 		return
@@ -196,11 +195,11 @@
 	c.step(input(c.nextCall))
 }
 
-// readMachineList asks the platform.
+// readMachineList reads the machine list of the platform and passes it to the core.
 func (c *controller) readMachineList() {
 	platform := c.world.platform
 	call(c.world.network, &c.host, &platform.host, engineCallTimeout,
-		func(reply func(enginecontract.MachineList)) { reply(platform.read()) },
+		func(reply func(enginecontract.MachineList)) { reply(platform.currentList()) },
 		func(list enginecontract.MachineList, answered bool) {
 			if answered {
 				c.step(control.MachineListReceived{List: list})
@@ -208,10 +207,10 @@
 		})
 }
 
-// status returns what the core tells of the replicated log.
+// status returns the core's status of the replicated log.
 func (c *controller) status() consensus.Status { return c.core.Consensus() }
 
-// entryText names an entry for the trace.
+// entryText formats the position of an entry for the trace.
 func entryText(entry *v1.Entry) string {
 	return fmt.Sprintf("%d of term %d", entry.GetIndex(), entry.GetTerm())
 }
--- a/internal/simulation/faults_members.go
+++ b/internal/simulation/faults_members.go
@@ -9,53 +9,53 @@
 )
 
 const (
-	// stopGrace is the longest time between the request to stop and the end.
+	// stopGrace is the longest time between the request to stop and the exit of the process.
 	stopGrace = 300 * time.Millisecond
-	// administratorPause is the time between two tries of an administrator's command.
+	// administratorPause is the time between two attempts of an administrator's command.
 	administratorPause = 500 * time.Millisecond
 )
 
-// stopController asks a controller to stop, which lets a leader hand over, and ends
-// its process soon after.
+// stopController asks a controller to stop, which makes a leader transfer its leadership, and kills the process soon
+// after.
 func (f *faults) stopController(kind FaultKind, c *controller) func() {
-	if !c.alive || c.paused || c.stalled {
+	if !c.isAlive || c.isPaused || c.isStalled {
 		return nil
 	}
-	f.note(kind, "%s", c.name)
-	over := false
+	f.traceFault(kind, "%s", c.name)
+	isOver := false
 	c.step(control.StopRequested{})
-	c.after(f.world.duration(stopGrace), func() {
-		if !over {
+	c.after(f.world.drawDuration(stopGrace), func() {
+		if !isOver {
 			c.crash()
 		}
 	})
 	return func() {
-		over = true
+		isOver = true
 		c.startIfDown()
 	}
 }
 
-// swapVoter promotes a standby and removes a voter, whose machine then starts on an
-// empty disk and becomes a standby.
+// swapVoter promotes a standby and removes a voter, whose machine then restarts with an empty disk and becomes a
+// standby.
 func (f *faults) swapVoter(kind FaultKind) func() {
 	w := f.world
-	if w.options.Deployment.Standbys == 0 || w.swapping || !w.everyDiskVotes() {
+	if w.options.Deployment.Standbys == 0 || w.isSwapping || !w.isMembershipComplete() {
 		return nil
 	}
-	w.swapping = true
-	promoted, removed := w.drawMember(true), w.drawMember(false)
+	w.isSwapping = true
+	promoted, removed := w.drawMemberDisk(true), w.drawMemberDisk(false)
 	machine := w.controllerWithDisk(removed)
-	f.note(kind, "%s for %s", promoted, removed)
-	w.administrate("promote member "+promoted, func(members map[string]bool) bool {
+	f.traceFault(kind, "%s for %s", promoted, removed)
+	w.runUntilReached("promote member "+promoted, func(members map[string]bool) bool {
 		learner, member := members[promoted]
 		return member && !learner
 	}, func() {
-		w.administrate("remove member "+removed, func(members map[string]bool) bool {
+		w.runUntilReached("remove member "+removed, func(members map[string]bool) bool {
 			_, member := members[removed]
 			return !member
 		}, func() {
-			w.swapping = false
-			running := machine.alive
+			w.isSwapping = false
+			running := machine.isAlive
 			machine.crash()
 			machine.replaceDisk()
 			if running {
@@ -66,18 +66,18 @@
 	return func() {}
 }
 
-// drawMember draws the disk of a learner or of a voter.
-func (w *world) drawMember(learner bool) string {
-	var found []string
+// drawMemberDisk draws the disk of a learner or of a voter.
+func (w *world) drawMemberDisk(learner bool) string {
+	var disks []string
 	for _, member := range w.leaderMembership().GetMembers() {
 		if member.GetLearner() == learner {
-			found = append(found, member.GetId())
+			disks = append(disks, member.GetId())
 		}
 	}
-	return found[w.random.IntN(len(found))]
+	return disks[w.random.IntN(len(disks))]
 }
 
-// controllerWithDisk returns the controller whose disk it is.
+// controllerWithDisk returns the controller that uses the disk, or nil.
 func (w *world) controllerWithDisk(disk string) *controller {
 	for _, c := range w.controllers {
 		if c.diskID == disk {
@@ -87,9 +87,9 @@
 	return nil
 }
 
-// administrate gives a command until the committed membership is as wanted; members
-// tells of each disk whether it is a learner.
-func (w *world) administrate(text string, reached func(members map[string]bool) bool, then func()) {
+// runUntilReached repeats an administrator's command until the committed membership is as wanted, then calls then.
+// members maps each member's disk to whether it is a learner.
+func (w *world) runUntilReached(text string, reached func(members map[string]bool) bool, then func()) {
 	members := map[string]bool{}
 	for _, member := range w.leaderMembership().GetMembers() {
 		members[member.GetId()] = member.GetLearner()
@@ -98,11 +98,11 @@
 		then()
 		return
 	}
-	w.administrations++
-	request := &v1.ExecuteRequest{RequestId: fmt.Sprintf("administrator-%d", w.administrations), Text: text}
+	w.administratorCommands++
+	request := &v1.ExecuteRequest{RequestId: fmt.Sprintf("administrator-%d", w.administratorCommands), Text: text}
 	w.operators[0].callController(func(id control.CallID) control.Input {
 		return control.ExecuteReceived{Call: id, Operator: "administrator", Role: v1.OperatorRole_OPERATOR_ROLE_ADMINISTRATOR, Request: request}
 	}, func(controllerAnswer, bool) {
-		w.operators[0].after(administratorPause, func() { w.administrate(text, reached, then) })
+		w.operators[0].after(administratorPause, func() { w.runUntilReached(text, reached, then) })
 	})
 }
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -24,22 +24,23 @@
 	controlTimeout = 900 * time.Millisecond
 )
 
-// gateway is one gateway: the product's view of the fleet and router, with requests.
+// gateway is one gateway: the product's view of the fleet and its router, with drawn requests.
 type gateway struct {
 	host
 	zone        string
 	incarnation uint64
 	state       *gatewaystate.State
 	router      *routing.Router
-	// asked is the controller that the next Sync goes to; leader the last one named.
-	asked  int
-	leader string
+	// syncTarget is the index of the controller that receives the next Sync; leader is the address of the last one that
+	// was named as leader.
+	syncTarget int
+	leader     string
 	// exchanges numbers the requests sent.
 	exchanges int
 	claims    *claimant
 }
 
-// start starts the process, which knows nothing of the fleet.
+// start starts the process, which has no view of the fleet yet.
 func (g *gateway) start() {
 	g.boot()
 	g.incarnation++
@@ -51,21 +52,21 @@
 		return
 	}
 	g.router = router
-	g.asked = g.world.random.IntN(len(g.world.controllers))
+	g.syncTarget = g.world.random.IntN(len(g.world.controllers))
 	g.claims = newClaimant(g)
 	g.world.trace.add(g.world.now, g.name, "starts, incarnation %d", g.incarnation)
 	g.sync()
 	g.every(syncInterval, g.sync)
 	g.every(syncInterval, g.report)
-	g.every(workInterval, g.work)
-	g.every(claimInterval, g.claims.next)
+	g.every(workInterval, g.sendWork)
+	g.every(claimInterval, g.claims.runNext)
 }
 
-// SafeguardConfirmation sends new work only to back ends that were confirmed lately;
-// only the simulator can switch it off.
+// SafeguardConfirmation makes a gateway send new work only to recently confirmed back ends. It can be disabled in the
+// simulator only.
 const SafeguardConfirmation safeguard.Safeguard = "confirmation"
 
-// filters are the router's own; nil stands for the standard ones.
+// filters returns the filters of the router; nil selects the standard ones.
 func (g *gateway) filters() []routing.Filter {
 	if g.world.safeguards.IsEnabled(SafeguardConfirmation) {
 		return nil
@@ -75,14 +76,14 @@
 	})
 }
 
-// controllerAnswer is what a controller answers to a call.
+// controllerAnswer is the response of a controller to a call.
 type controllerAnswer struct {
 	response proto.Message
 	err      error
 }
 
-// callController calls one controller and hands its answer to done; answered is
-// false when it was lost.
+// callController calls one controller and passes its response to done; answered is false when the response was lost or
+// late.
 func (w *world) callController(from *host, target *controller, timeout time.Duration,
 	input func(control.CallID) control.Input, done func(answer controllerAnswer, answered bool)) {
 	call(w.network, from, &target.host, timeout, func(reply func(controllerAnswer)) {
@@ -92,22 +93,22 @@
 	}, done)
 }
 
-// sync sends a heartbeat and takes what is new.
+// sync sends a heartbeat and applies the updates in the response.
 func (g *gateway) sync() {
 	sentAt := g.local()
 	request := proto.CloneOf(g.state.SyncRequest(sentAt))
-	target := g.world.controllers[g.asked]
+	target := g.world.controllers[g.syncTarget]
 	g.world.callController(&g.host, target, controlTimeout,
 		func(id control.CallID) control.Input { return control.SyncReceived{Call: id, Request: request} },
 		func(answer controllerAnswer, answered bool) {
 			response, ok := answer.response.(*v1.SyncResponse)
 			if !answered || !ok || !g.applySync(sentAt, request, response) {
-				g.asked = (g.asked + 1) % len(g.world.controllers)
+				g.syncTarget = (g.syncTarget + 1) % len(g.world.controllers)
 			}
 		})
 }
 
-// applySync applies an answer and reports whether the controller is worth asking again.
+// applySync applies a response and reports whether the controller is up to date, so that the next Sync may go to it.
 func (g *gateway) applySync(sentAt time.Duration, request *v1.SyncRequest, response *v1.SyncResponse) bool {
 	result := g.state.ApplySync(sentAt, g.local(), request, proto.CloneOf(response))
 	g.leader = response.GetLeaderAddress()
@@ -117,11 +118,11 @@
 	if result.DirectoryConfirmed {
 		g.router.Confirm(result.ConfirmedAt)
 	}
-	g.world.checks.gatewaySynced(g)
+	g.world.checks.checkGatewaySynced(g)
 	return !result.Behind
 }
 
-// leaderOrAny returns the controller that leads as far as the gateway knows.
+// leaderOrAny returns the leader as far as the gateway knows it, otherwise a drawn controller.
 func (g *gateway) leaderOrAny() *controller {
 	if leader := g.world.controllerAt(g.leader); leader != nil {
 		return leader
@@ -129,7 +130,7 @@
 	return g.world.controllers[g.world.random.IntN(len(g.world.controllers))]
 }
 
-// report tells the leader the demand.
+// report sends the demand of the gateway to the leader.
 func (g *gateway) report() {
 	request := proto.CloneOf(g.state.ReportRequest(g.local(), nil))
 	g.world.callController(&g.host, g.leaderOrAny(), controlTimeout,
@@ -139,12 +140,12 @@
 				return
 			}
 			g.state.RestoreReport(request)
-			g.noteLeader(answer.err)
+			g.followLeader(answer.err)
 		})
 }
 
-// noteLeader follows a refusal that names the leader.
-func (g *gateway) noteLeader(err error) {
+// followLeader sets the leader to the one that an error names, if any.
+func (g *gateway) followLeader(err error) {
 	var notLeader *control.NotLeaderError
 	if errors.As(err, &notLeader) {
 		g.leader = notLeader.Leader
@@ -153,15 +154,15 @@
 	}
 }
 
-// worked is what an engine answers to a request.
-type worked struct {
+// workAnswer is the response of an engine to a request.
+type workAnswer struct {
 	accepted    bool
 	state       enginecontract.ServiceState
 	incarnation uint64
 }
 
-// work sends one request to the engine that the router picks.
-func (g *gateway) work() {
+// sendWork sends one request to the engine that the router picks.
+func (g *gateway) sendWork() {
 	service := g.world.options.Deployment.Services[0].Name
 	choice, err := g.router.Pick(g.local(), routing.Request{Service: service, PromptTokens: 100, OutputTokens: 20, WholeOnly: true}, nil)
 	if err != nil {
@@ -173,14 +174,14 @@
 	}
 	g.exchanges++
 	name, exchange := choice.BackEnd.Name, fmt.Sprint(g.exchanges)
-	g.world.checks.workSent(g, target)
+	g.world.checks.checkWorkSent(g, target)
 	g.router.Observe(g.local(), routing.Dispatch{BackEnd: name, Exchange: exchange, PromptTokens: 100})
 	call(g.world.network, &g.host, &target.host, 2*time.Second,
-		func(reply func(worked)) {
-			accepted, state := target.work()
-			reply(worked{accepted: accepted, state: state, incarnation: target.incarnation})
+		func(reply func(workAnswer)) {
+			accepted, state := target.serve()
+			reply(workAnswer{accepted: accepted, state: state, incarnation: target.incarnation})
 		},
-		func(answer worked, answered bool) {
+		func(answer workAnswer, answered bool) {
 			if !answered {
 				g.router.Observe(g.local(), routing.Failure{BackEnd: name, Exchange: exchange})
 				return
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -2,53 +2,52 @@
 
 import "time"
 
-// host is a machine with one process on it: it can be killed and paused.
+// host is a machine with one process that can be killed and paused.
 type host struct {
-	name  string
-	world *world
-	alive bool
-	// generation grows with each start: what was meant for an earlier process is dropped.
+	name    string
+	world   *world
+	isAlive bool
+	// generation grows with each start and kill, so that events for an earlier process are dropped.
 	generation int
-	paused     bool
-	// waiting is what has arrived while the process was paused.
+	isPaused   bool
+	// waiting holds the events that arrived while the process was paused.
 	waiting []func()
 	clock   clock
 }
 
-// here wraps something of this process: it does not happen after a crash, and waits
-// for the end of a pause.
-func (h *host) here(do func()) func() {
-	return h.in(h.generation, do)
+// guard wraps an event of this process: it is dropped after a crash and deferred during a pause.
+func (h *host) guard(do func()) func() {
+	return h.guardGeneration(h.generation, do)
 }
 
-// in is here for the process of a generation.
-func (h *host) in(generation int, do func()) func() {
+// guardGeneration is guard for the process of a given generation.
+func (h *host) guardGeneration(generation int, do func()) func() {
 	return func() {
 		if generation != h.generation {
 			return
 		}
-		h.arrive(do)
+		h.runOrDefer(do)
 	}
 }
 
-// arrive lets something happen at this host as soon as its process runs.
-func (h *host) arrive(do func()) {
-	if !h.alive {
+// runOrDefer runs an event now, defers it when the process is paused, and drops it when no process is alive.
+func (h *host) runOrDefer(do func()) {
+	if !h.isAlive {
 		return
 	}
-	if h.paused {
+	if h.isPaused {
 		h.waiting = append(h.waiting, do)
 		return
 	}
 	do()
 }
 
-// after lets something happen in this process after a delay.
+// after schedules an event of this process after a delay.
 func (h *host) after(delay time.Duration, do func()) {
-	h.world.after(delay, h.here(do))
+	h.world.after(delay, h.guard(do))
 }
 
-// every repeats something in this process until it ends.
+// every repeats an event of this process until the process ends.
 func (h *host) every(interval time.Duration, do func()) {
 	h.after(interval, func() {
 		do()
@@ -56,43 +55,43 @@
 	})
 }
 
-// boot starts a process with a new clock.
+// boot begins a new process with a new clock.
 func (h *host) boot() {
-	h.alive = true
-	h.paused = false
+	h.isAlive = true
+	h.isPaused = false
 	h.waiting = nil
 	h.generation++
 	h.clock = h.world.newClock()
 }
 
-// kill ends the process.
+// kill ends the process; its pending events are dropped.
 func (h *host) kill() {
-	h.alive = false
-	h.paused = false
+	h.isAlive = false
+	h.isPaused = false
 	h.waiting = nil
 	h.generation++
 }
 
 // pause stops the process until resume.
 func (h *host) pause() {
-	if h.alive {
-		h.paused = true
+	if h.isAlive {
+		h.isPaused = true
 	}
 }
 
-// resume lets the process go on with everything that has arrived meanwhile.
+// resume ends a pause and runs the deferred events in the order of their arrival.
 func (h *host) resume() {
-	if !h.paused {
+	if !h.isPaused {
 		return
 	}
-	h.paused = false
+	h.isPaused = false
 	waiting := h.waiting
 	h.waiting = nil
 	for i, do := range waiting {
-		if !h.alive {
+		if !h.isAlive {
 			return
 		}
-		if h.paused {
+		if h.isPaused {
 			h.waiting = append(h.waiting, waiting[i:]...)
 			return
 		}
@@ -100,5 +99,5 @@
 	}
 }
 
-// local returns the time on this process's own clock.
+// local returns the time on this process's clock.
 func (h *host) local() time.Duration { return h.clock.read(h.world.now) }
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/control"
 )
 
-// Habits of an operator.
+// Pauses and shares of an operator's commands.
 const (
 	operatorPause   = 1500 * time.Millisecond
 	operatorTimeout = 1200 * time.Millisecond
@@ -25,69 +25,68 @@
 // tenantName names a tenant.
 func tenantName(number int) string { return fmt.Sprintf("tenant-%d", number) }
 
-// submission is one declaration of an operator, with the identity it is resent under.
+// submission is one declaration of an operator, with the identity that its copies share.
 type submission struct {
 	operator string
 	request  *v1.ApplyRequest
 	objects  []*v1.Object
-	// operation is its record for the linearizability check; nil for the first declaration.
+	// operation is its entry in the linearizability check; nil for the first declaration.
 	operation *operation
 }
 
-// operatorClient is an operator at a command line: one command at a time, resent
-// until it is answered.
+// operatorClient is an operator at a command line. It runs one command at a time and repeats it until a response comes.
 type operatorClient struct {
 	host
-	number  int
-	made    int
-	leader  string
-	weight  uint32
-	highest uint64 // highest change number heard of
+	number    int
+	submitted int
+	leader    string
+	weight    uint32
+	highest   uint64 // highest change number seen
 	// firstNumber is the change number of the fleet's first declaration.
 	firstNumber uint64
-	// answered are submissions that have an answer; now and then one is sent again.
-	answered []*submission
-	// commands are those that were carried out; now and then one is sent again.
-	commands []*v1.ExecuteRequest
+	// answeredSubmissions are submissions that got a response; some of them are sent again.
+	answeredSubmissions []*submission
+	// answeredCommands are commands that were executed; some of them are sent again.
+	answeredCommands []*v1.ExecuteRequest
 }
 
-// start starts the operator's work.
+// start starts the operator, which runs its first command after a pause.
 func (o *operatorClient) start() {
 	o.boot()
-	o.after(o.world.duration(operatorPause), o.next)
+	o.after(o.world.drawDuration(operatorPause), o.runNext)
 }
 
-// next begins the next command.
-func (o *operatorClient) next() {
+// runNext draws and begins the next command.
+func (o *operatorClient) runNext() {
 	random := o.world.random
 	switch {
 	case o.world.lulls > 0:
-		o.rest()
-	case o.world.healed && random.IntN(2) == 0:
+		o.scheduleNext()
+	case o.world.isHealed && random.IntN(2) == 0:
 		o.read()
-	case len(o.answered) > 0 && random.Float64() < resendShare:
-		o.submit(o.answered[random.IntN(len(o.answered))])
+	case len(o.answeredSubmissions) > 0 && random.Float64() < resendShare:
+		o.submit(o.answeredSubmissions[random.IntN(len(o.answeredSubmissions))])
 	case random.Float64() < readShare:
 		o.read()
-	case len(o.commands) > 0 && random.Float64() < resendShare:
-		o.execute(o.commands[random.IntN(len(o.commands))], commandTries)
+	case len(o.answeredCommands) > 0 && random.Float64() < resendShare:
+		o.execute(o.answeredCommands[random.IntN(len(o.answeredCommands))], commandTries)
 	case random.Float64() < commandShare:
-		o.command()
+		o.runCommand()
 	default:
 		o.submit(o.newSubmission())
 	}
 }
 
-// rest waits before the next command.
-func (o *operatorClient) rest() { o.after(o.world.duration(operatorPause), o.next) }
+// scheduleNext schedules the next command after a pause.
+func (o *operatorClient) scheduleNext() { o.after(o.world.drawDuration(operatorPause), o.runNext) }
 
-// newSubmission changes one tenant. Operators choose the number after the highest
-// they have heard of, so that they race each other.
+// newSubmission returns a change of one tenant. Operators choose the number after the highest that they have seen, so
+// that they compete for numbers.
 func (o *operatorClient) newSubmission() *submission {
-	o.made++
-	o.weight = uint32(o.number*1_000_000 + o.made)
+	o.submitted++
+	o.weight = uint32(o.number*1_000_000 + o.submitted)
 	tenant := tenantName(o.world.random.IntN(tenants))
-	request := &v1.ApplyRequest{RequestId: fmt.Sprintf("%s-%d", o.name, o.made), SourceRevision: "simulated"}
+	request := &v1.ApplyRequest{RequestId: fmt.Sprintf("%s-%d", o.name, o.submitted), SourceRevision: "simulated"}
 	if o.world.random.IntN(4) > 0 {
 		request.ChangeNumber = o.highest + 1
 	}
@@ -98,16 +97,16 @@
 	}
 }
 
-// submit sends a submission until it is answered, and goes on to the next command.
+// submit sends a submission until a response comes, and then schedules the next command.
 func (o *operatorClient) submit(sent *submission) {
 	o.submitThen(sent, func(response *v1.ApplyResponse) {
 		o.highest = max(o.highest, response.GetChangeNumber(), sent.request.GetChangeNumber())
-		o.answered = append(o.answered, sent)
-		o.rest()
+		o.answeredSubmissions = append(o.answeredSubmissions, sent)
+		o.scheduleNext()
 	})
 }
 
-// submitThen sends a submission until it is answered.
+// submitThen sends a submission until a response comes, and then calls done.
 func (o *operatorClient) submitThen(sent *submission, done func(*v1.ApplyResponse)) {
 	o.world.trace.add(o.world.now, o.name, "applies %s number %d", sent.request.GetRequestId(), sent.request.GetChangeNumber())
 	o.callController(func(id control.CallID) control.Input {
@@ -116,30 +115,30 @@
 		response, ok := answer.response.(*v1.ApplyResponse)
 		switch {
 		case answered && ok:
-			o.world.checks.applyAnswered(sent, response)
-			o.world.history.applied(sent.operation, o.world.now, response)
+			o.world.checks.checkApplyAnswered(sent, response)
+			o.world.history.recordApplied(sent.operation, o.world.now, response)
 			done(response)
 		default:
-			o.after(o.world.duration(resendPause), func() { o.submitThen(sent, done) })
+			o.after(o.world.drawDuration(resendPause), func() { o.submitThen(sent, done) })
 		}
 	})
 }
 
-// read asks for the value of a tenant: a plan tells the difference to another value.
+// read reads the weight of a tenant: a plan returns the difference to another value.
 func (o *operatorClient) read() {
 	tenant := tenantName(o.world.random.IntN(tenants))
-	asked := o.world.history.begin(o.number, o.world.now, tenant, 0, 0)
+	call := o.world.history.begin(o.number, o.world.now, tenant, 0, 0)
 	o.callController(func(id control.CallID) control.Input {
 		return control.PlanReceived{Call: id, Request: &v1.PlanRequest{}, Objects: []*v1.Object{tenantObject(tenant, unusedWeight)}}
 	}, func(answer controllerAnswer, answered bool) {
 		if response, ok := answer.response.(*v1.PlanResponse); answered && ok {
-			o.world.history.read(asked, o.world.now, response)
+			o.world.history.recordRead(call, o.world.now, response)
 		}
-		o.rest()
+		o.scheduleNext()
 	})
 }
 
-// callController calls the leader as far as the operator knows it.
+// callController calls the leader as far as the operator knows it, otherwise a drawn controller.
 func (o *operatorClient) callController(input func(control.CallID) control.Input, done func(controllerAnswer, bool)) {
 	target := o.world.controllerAt(o.leader)
 	if target == nil {
--- a/internal/simulation/operator_commands.go
+++ b/internal/simulation/operator_commands.go
@@ -8,13 +8,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// commandTries bounds the copies of one command: an operator gives up at last.
+// commandTries bounds the repetitions of one command, after which the operator gives up.
 const commandTries = 4
 
-// command gives an engine an order, as an operator at a command line does.
-func (o *operatorClient) command() {
-	o.made++
-	request := &v1.ExecuteRequest{RequestId: fmt.Sprintf("%s-%d", o.name, o.made), Text: o.commandText()}
+// runCommand gives an engine an order, as an operator at a command line does.
+func (o *operatorClient) runCommand() {
+	o.submitted++
+	request := &v1.ExecuteRequest{RequestId: fmt.Sprintf("%s-%d", o.name, o.submitted), Text: o.commandText()}
 	o.execute(request, commandTries)
 }
 
@@ -38,22 +38,22 @@
 	}
 }
 
-// execute sends a command; one whose answer is lost is sent again as it was.
+// execute sends a command; when its response is lost, it sends the same request again.
 func (o *operatorClient) execute(request *v1.ExecuteRequest, tries int) {
 	o.world.trace.add(o.world.now, o.name, "%s: %s", request.GetRequestId(), request.GetText())
 	o.callController(func(id control.CallID) control.Input {
 		return control.ExecuteReceived{Call: id, Operator: o.name, Role: v1.OperatorRole_OPERATOR_ROLE_OPERATOR, Request: request}
 	}, func(answer controllerAnswer, answered bool) {
-		response, carriedOut := answer.response.(*v1.ExecuteResponse)
+		response, ok := answer.response.(*v1.ExecuteResponse)
 		switch {
-		case answered && carriedOut:
-			o.world.checks.commandAnswered(o, request, response)
-			o.commands = append(o.commands, request)
-			o.rest()
+		case answered && ok:
+			o.world.checks.checkCommandAnswered(o, request, response)
+			o.answeredCommands = append(o.answeredCommands, request)
+			o.scheduleNext()
 		case tries > 0:
-			o.after(o.world.duration(resendPause), func() { o.execute(request, tries-1) })
+			o.after(o.world.drawDuration(resendPause), func() { o.execute(request, tries-1) })
 		default:
-			o.rest()
+			o.scheduleNext()
 		}
 	})
 }
--- a/internal/simulation/quorum.go
+++ b/internal/simulation/quorum.go
@@ -16,19 +16,19 @@
 	return nil
 }
 
-// everyDiskVotes reports whether the committed membership holds the disks in use and
-// no other, as many of them with a vote as there were initial controllers.
-func (w *world) everyDiskVotes() bool {
+// isMembershipComplete reports whether the committed membership holds exactly the disks in use, and has as many voters
+// as there were initial controllers.
+func (w *world) isMembershipComplete() bool {
 	members := w.leaderMembership().GetMembers()
-	known, voters := map[string]bool{}, 0
+	memberDisks, voters := map[string]bool{}, 0
 	for _, member := range members {
-		known[member.GetId()] = true
+		memberDisks[member.GetId()] = true
 		if !member.GetLearner() {
 			voters++
 		}
 	}
 	for _, c := range w.controllers {
-		if !known[c.diskID] {
+		if !memberDisks[c.diskID] {
 			return false
 		}
 	}
--- a/internal/soak/check/config.go
+++ b/internal/soak/check/config.go
@@ -6,79 +6,80 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// longAnswers is how many requests may get their final answer later than half a second after their time.
+// minLateAnswers is the number of requests without a final response at answerSlack after their timeout from which the
+// share of such requests counts.
 const (
-	longAnswers = 8
-	answerSlack = 500 * time.Millisecond
+	minLateAnswers = 8
+	answerSlack    = 500 * time.Millisecond
 )
 
-// config finds requests that relays in touch handled as only an older configuration allows, readings that
-// are older than what was acknowledged, invalid configurations that were taken, and requests that
-// outlast their route's time.
-func config(seen *history.History) []Finding {
-	findings := handledAsBefore(seen)
-	for _, read := range seen.Reads {
-		if newest := newestAcked(seen, read.SentAt-seen.Bounds.ConfigApply); read.Status == 200 && read.Number < newest {
-			findings = append(findings, found(Config, read.At, "configuration %d was read, %d had been acknowledged", read.Number, newest))
+// config finds requests that relays in contact handled as only an older configuration allows, reads that return an
+// older configuration than was acknowledged, invalid configurations that were accepted, and requests that outlast
+// their route's timeout.
+func config(recorded *history.History) []Finding {
+	findings := onReplacedServices(recorded)
+	for _, read := range recorded.Reads {
+		if newest := newestAcked(recorded, read.SentAt-recorded.Bounds.ConfigApply); read.Status == 200 && read.Number < newest {
+			findings = append(findings, newFinding(Config, read.At, "configuration %d was read, %d had been acknowledged", read.Number, newest))
 		}
 	}
-	for _, change := range seen.Changes {
+	for _, change := range recorded.Changes {
 		if change.Invalid && change.AckedAt > 0 {
-			findings = append(findings, found(Config, change.AckedAt, "invalid configuration %d was acknowledged", change.Number))
+			findings = append(findings, newFinding(Config, change.AckedAt, "invalid configuration %d was acknowledged", change.Number))
 		}
 	}
-	return append(findings, outlasting(seen)...)
+	return append(findings, overdueAnswers(recorded)...)
 }
 
-// handledAsBefore finds arrivals at a service that only an older configuration names.
-func handledAsBefore(seen *history.History) []Finding {
-	sent := sendingsByID(seen)
+// onReplacedServices finds requests that ran on a service that only an older configuration names.
+func onReplacedServices(recorded *history.History) []Finding {
+	sent := sendingsByID(recorded)
 	var findings []Finding
-	for _, arrival := range seen.Arrivals {
+	for _, arrival := range recorded.Arrivals {
 		sending, known := sent[arrival.ID]
-		if !known || !arrival.Ran || !seen.InTouch(arrival.Machine, arrival.At) {
+		if !known || !arrival.Ran || !recorded.IsInContact(arrival.Machine, arrival.At) {
 			continue
 		}
-		allowed := servicesOf(seen, sending)
+		allowed := servicesOf(recorded, sending)
 		if len(allowed) > 0 && !allowed[arrival.Service] {
-			findings = append(findings, found(Config, arrival.At, "request %s of %s ran at service %s, which was replaced before", arrival.ID, sending.Route, arrival.Service))
+			findings = append(findings, newFinding(Config, arrival.At, "request %s of %s ran on service %s, which had been replaced before", arrival.ID, sending.Route, arrival.Service))
 		}
 	}
 	return findings
 }
 
-// servicesOf are the services to which a request may go: by the newest configuration that must be in
-// force when it was sent, and by all that were sent before it ended.
-func servicesOf(seen *history.History, sending history.Sending) map[string]bool {
-	must := newestAcked(seen, sending.SentAt-seen.Bounds.ConfigApply)
+// servicesOf returns the services to which a request may be routed: that of the newest configuration that must be
+// applied when it was sent, and those of all newer ones that were submitted before it ended.
+func servicesOf(recorded *history.History, sending history.Sending) map[string]bool {
+	newest := newestAcked(recorded, sending.SentAt-recorded.Bounds.ConfigApply)
 	allowed := map[string]bool{}
-	for _, change := range seen.Changes {
-		if change.Number >= must && !change.Invalid && change.SentAt <= sending.EndedAt {
+	for _, change := range recorded.Changes {
+		if change.Number >= newest && !change.Invalid && change.SentAt <= sending.EndedAt {
 			allowed[change.Services[sending.Route]] = true
 		}
 	}
 	return allowed
 }
 
-// outlasting finds requests without a final answer half a second after their route's time.
-func outlasting(seen *history.History) []Finding {
-	late, asked := 0, 0
+// overdueAnswers finds requests without a final response half a second after their route's timeout.
+func overdueAnswers(recorded *history.History) []Finding {
+	late, outlasted := 0, 0
 	var last time.Duration
-	for _, sending := range seen.Sendings {
-		route := seen.Routes[sending.Route]
-		inTouch := seen.InTouch(sending.Front, sending.SentAt) && seen.InTouch(sending.Front, sending.EndedAt)
+	for _, sending := range recorded.Sendings {
+		route := recorded.Routes[sending.Route]
+		inTouch := recorded.IsInContact(sending.Front, sending.SentAt) && recorded.IsInContact(sending.Front, sending.EndedAt)
 		if route.Timeout <= 0 || sending.ClosedAt != 0 || !inTouch {
 			continue
 		}
 		if sending.EndedAt-sending.SentAt >= route.Timeout {
-			asked++
+			outlasted++
 			if sending.EndedAt-sending.SentAt > route.Timeout+answerSlack {
 				late, last = late+1, sending.EndedAt
 			}
 		}
 	}
-	if late >= longAnswers && 4*late > asked {
-		return []Finding{found(Config, last, "%d of %d requests that outlast their route's time got no final answer half a second after it", late, asked)}
+	if late >= minLateAnswers && 4*late > outlasted {
+		return []Finding{newFinding(Config, last, "%d of %d requests that outlast their route's timeout got no final response half a second after it", late, outlasted)}
 	}
 	return nil
 }
--- a/internal/soak/check/finding.go
+++ b/internal/soak/check/finding.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// Rule names a rule.
+// Rule is the name of a rule.
 type Rule string
 
 // Rules.
@@ -30,60 +30,62 @@
 	Limit   Rule = "LIMIT"
 )
 
-// Finding is a rule that was broken.
+// Finding is one violation of a rule.
 type Finding struct {
 	Rule Rule
 	At   time.Duration
 	Text string
 }
 
-// String writes the finding on a line.
+// String formats the finding on one line.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s at %.3f s: %s", f.Rule, f.At.Seconds(), f.Text)
 }
 
-// checker looks for one rule.
+// checker finds the violations of one rule.
 type checker func(*history.History) []Finding
 
-// safety are the rules that hold whatever happens and however slow the machine is; timed those with a
-// time bound.
+// safetyCheckers holds the checkers of rules that hold at any speed of the machine, timedCheckers those of rules with a time
+// bound.
 var (
-	safety = []checker{mixed, twice, refused, unasked, order, attemptsOver, one, nowhere, unansweredByStopping}
-	timed  = []checker{lost, drain, config, gone, recovered, crashers, retriesOver, rests, saidLeaving, limits}
+	safetyCheckers = []checker{mixed, twice, refused, unasked, order, overAttemptLimit, one, atUnknownPlaces, unansweredByStopping}
+	timedCheckers  = []checker{lost, drain, config, gone, recovered, overCrashLimit, overRetryBudget, sentDuringBackoff, sentAfterLeavingAnswer, limits}
 )
 
-// Safety finds broken rules that hang on no time.
-func Safety(seen *history.History) []Finding { return run(safety, seen) }
+// Safety returns the violations of rules without time bounds, sorted by time.
+func Safety(recorded *history.History) []Finding { return run(safetyCheckers, recorded) }
 
-// All finds every broken rule.
-func All(seen *history.History) []Finding { return run(append(slices.Clone(safety), timed...), seen) }
+// All returns the violations of all rules, sorted by time.
+func All(recorded *history.History) []Finding {
+	return run(append(slices.Clone(safetyCheckers), timedCheckers...), recorded)
+}
 
-func run(checkers []checker, seen *history.History) []Finding {
+func run(checkers []checker, recorded *history.History) []Finding {
 	var findings []Finding
-	for _, look := range checkers {
-		findings = append(findings, look(seen)...)
+	for _, check := range checkers {
+		findings = append(findings, check(recorded)...)
 	}
 	return slices.SortedStableFunc(slices.Values(findings), func(a, b Finding) int { return cmp.Compare(a.At, b.At) })
 }
 
-// found makes a finding.
-func found(rule Rule, at time.Duration, format string, arguments ...any) Finding {
+// newFinding returns a finding with a formatted text.
+func newFinding(rule Rule, at time.Duration, format string, arguments ...any) Finding {
 	return Finding{Rule: rule, At: at, Text: fmt.Sprintf(format, arguments...)}
 }
 
-// sendingsByID are the attempts by their identities.
-func sendingsByID(seen *history.History) map[string]history.Sending {
-	sendings := make(map[string]history.Sending, len(seen.Sendings))
-	for _, sending := range seen.Sendings {
+// sendingsByID returns the attempts by request identity.
+func sendingsByID(recorded *history.History) map[string]history.Sending {
+	sendings := make(map[string]history.Sending, len(recorded.Sendings))
+	for _, sending := range recorded.Sendings {
 		sendings[sending.ID] = sending
 	}
 	return sendings
 }
 
-// arrivalsByID are the arrivals of each request.
-func arrivalsByID(seen *history.History) map[string][]history.Arrival {
+// arrivalsByID returns the arrivals by request identity.
+func arrivalsByID(recorded *history.History) map[string][]history.Arrival {
 	arrivals := map[string][]history.Arrival{}
-	for _, arrival := range seen.Arrivals {
+	for _, arrival := range recorded.Arrivals {
 		arrivals[arrival.ID] = append(arrivals[arrival.ID], arrival)
 	}
 	return arrivals
--- a/internal/soak/check/gone.go
+++ b/internal/soak/check/gone.go
@@ -7,47 +7,47 @@
 )
 
 const (
-	// goneSlack is how long after a client has left its request may still reach back ends, and how long
-	// these may work on it.
+	// goneSlack is how long after a client has left its request may still reach back ends, and how long back ends may
+	// still work on it.
 	goneSlack = 500 * time.Millisecond
-	// goneArrivals is how many requests may reach back ends later than that.
-	goneArrivals = 3
-	// goneLeast is from how many requests on the share counts that is still worked on.
-	goneLeast = 8
+	// toleratedGoneArrivals is how many requests may reach back ends after goneSlack.
+	toleratedGoneArrivals = 3
+	// goneMinSample is the number of requests that outlast their clients from which the share still worked on counts.
+	goneMinSample = 8
 )
 
-// gone finds requests of clients that have left: some that reach back ends half a second later, or more
-// than a quarter of those that would last so long still being worked on.
-func gone(seen *history.History) []Finding {
-	left := map[string]history.Sending{}
-	for _, sending := range seen.Sendings {
-		if sending.ClosedAt > 0 && seen.Routes[sending.Route].Repeatable && seen.InTouch(sending.Front, sending.ClosedAt+goneSlack) {
-			left[sending.ID] = sending
+// gone finds requests whose clients have left and that reach back ends more than half a second later. It also reports
+// when back ends still work, half a second later, on more than a quarter of the requests that outlast their clients.
+func gone(recorded *history.History) []Finding {
+	abandoned := map[string]history.Sending{}
+	for _, sending := range recorded.Sendings {
+		if sending.ClosedAt > 0 && recorded.Routes[sending.Route].Repeatable && recorded.IsInContact(sending.Front, sending.ClosedAt+goneSlack) {
+			abandoned[sending.ID] = sending
 		}
 	}
-	late, lasting, working := 0, 0, 0
+	late, outlasting, stillRunning := 0, 0, 0
 	var findings []Finding
-	for _, arrival := range seen.Arrivals {
-		sending, known := left[arrival.ID]
+	for _, arrival := range recorded.Arrivals {
+		sending, known := abandoned[arrival.ID]
 		if !known {
 			continue
 		}
 		due := sending.ClosedAt + goneSlack
 		if arrival.At > due {
-			if late++; late == goneArrivals+1 {
-				findings = append(findings, found(Gone, arrival.At, "request %s reached %s %s after its client had left; %d such requests", arrival.ID, arrival.Replica, arrival.At-sending.ClosedAt, late))
+			if late++; late == toleratedGoneArrivals+1 {
+				findings = append(findings, newFinding(Gone, arrival.At, "request %s reached %s %s after its client had left; %d such requests", arrival.ID, arrival.Replica, arrival.At-sending.ClosedAt, late))
 			}
 			continue
 		}
 		if arrival.Ran && arrival.EndedAt > sending.ClosedAt {
-			lasting++
+			outlasting++
 			if arrival.EndedAt > due {
-				working++
+				stillRunning++
 			}
 		}
 	}
-	if lasting >= goneLeast && 4*working > lasting {
-		findings = append(findings, found(Gone, 0, "%d of %d requests were still worked on half a second after their clients had left", working, lasting))
+	if outlasting >= goneMinSample && 4*stillRunning > outlasting {
+		findings = append(findings, newFinding(Gone, 0, "%d of %d requests were still worked on half a second after their clients had left", stillRunning, outlasting))
 	}
 	return findings
 }
--- a/internal/soak/check/limit.go
+++ b/internal/soak/check/limit.go
@@ -7,43 +7,43 @@
 )
 
 const (
-	// limitWindow is the span over which a back end's limit is looked at. In it limitSlack requests more than limitShare
-	// of what the limit allows may come.
+	// limitWindow is the time window over which a back end's limit is checked. In each window, limitShare times the limit
+	// plus limitSlack requests may arrive.
 	limitWindow = 4 * time.Second
 	limitShare  = 1.5
 	limitSlack  = 5
-	// limitTold is how long after a relay has passed on an answer that names a limit its requests count.
-	limitTold = 500 * time.Millisecond
-	// limitLowered is how long after a back end has lowered its limit the larger one still counts: relays hear of it by
-	// their next answers.
-	limitLowered = time.Second
+	// limitInformedAfter is how long after a relay has forwarded a response that announces a limit its requests count.
+	limitInformedAfter = 500 * time.Millisecond
+	// limitLoweredGrace is how long after a back end has lowered its limit the larger one still counts: relays receive
+	// the new limit with the next response of the back end.
+	limitLoweredGrace = time.Second
 )
 
-// limits finds back ends that named a limit for all relays together and got more than that of those that had passed on
-// such an answer. What a relay sent counts from its last restart, freeze or cut on; spans in which the back end itself
-// was struck do not.
-func limits(seen *history.History) []Finding {
-	sent := sendingsByID(seen)
+// limits finds back ends that announced a limit for all relays together and received more requests from relays that had
+// forwarded the announcement. The requests of a relay count from its last restart, freeze or cut on. Windows in which
+// the back end itself had a fault are left out.
+func limits(recorded *history.History) []Finding {
+	sent := sendingsByID(recorded)
 	arrivals := map[string][]history.Arrival{}
-	for _, arrival := range seen.Arrivals {
+	for _, arrival := range recorded.Arrivals {
 		if arrival.Machine != "" {
 			arrivals[arrival.Replica] = append(arrivals[arrival.Replica], arrival)
 		}
 	}
-	named := map[string][]history.Limit{}
-	for _, limit := range seen.Limits {
-		named[limit.Replica] = append(named[limit.Replica], limit)
+	announced := map[string][]history.Limit{}
+	for _, limit := range recorded.Limits {
+		announced[limit.Replica] = append(announced[limit.Replica], limit)
 	}
 	var findings []Finding
-	for replica, changes := range named {
+	for replica, changes := range announced {
 		for first := 0; first < len(changes); {
 			next := first + 1
 			for next < len(changes) && changes[next-1].Named {
 				next++
 			}
 			if changes[first].Named {
-				need := limitedNeed{seen: seen, replica: replica, changes: changes[first:next]}
-				findings = append(findings, need.findings(arrivals[replica], sent)...)
+				period := limitPeriod{recorded: recorded, replica: replica, changes: changes[first:next]}
+				findings = append(findings, period.findings(arrivals[replica], sent)...)
 			}
 			first = next
 		}
@@ -51,15 +51,15 @@
 	return findings
 }
 
-// limitedNeed is one time in which a back end named limits, from the first to its end.
-type limitedNeed struct {
-	seen    *history.History
-	replica string
-	changes []history.Limit
+// limitPeriod is a period in which a back end announced limits, from the first announcement to the withdrawal.
+type limitPeriod struct {
+	recorded *history.History
+	replica  string
+	changes  []history.Limit
 }
 
-// end is when the back end named no limit any more; the end of the run where it did not come to that.
-func (n *limitedNeed) end() time.Duration {
+// end returns when the back end withdrew its limit; if it never did, a time after the end of the run.
+func (n *limitPeriod) end() time.Duration {
 	if last := n.changes[len(n.changes)-1]; !last.Named {
 		return last.At
 	}
@@ -67,67 +67,67 @@
 	return never
 }
 
-// findings looks at each window that ends with an arrival.
-func (n *limitedNeed) findings(arrivals []history.Arrival, sent map[string]history.Sending) []Finding {
-	counted := n.counted(arrivals, sent)
+// findings checks each window that ends with an arrival, and returns the first violation.
+func (n *limitPeriod) findings(arrivals []history.Arrival, sent map[string]history.Sending) []Finding {
+	counted := n.countedArrivals(arrivals, sent)
 	first := 0
 	for last, at := range counted {
 		for at-counted[first] > limitWindow {
 			first++
 		}
-		if at < n.changes[0].At+n.seen.Bounds.Contact || n.seen.Disturbed(at-limitWindow, at, n.replica) {
+		if at < n.changes[0].At+n.recorded.Bounds.Contact || n.recorded.WasDisturbed(at-limitWindow, at, n.replica) {
 			continue
 		}
 		if allowed := limitShare*n.allowed(at-limitWindow, at) + limitSlack; float64(last-first+1) > allowed {
-			return []Finding{found(Limit, at, "%s had named a limit at %.3f s and got %d requests in %s from relays that it had told; allowed %.1f",
+			return []Finding{newFinding(Limit, at, "%s had named a limit at %.3f s and got %d requests in %s from relays that it had told; allowed %.1f",
 				n.replica, n.changes[0].At.Seconds(), last-first+1, limitWindow, allowed)}
 		}
 	}
 	return nil
 }
 
-// counted are the times of the arrivals that count.
-func (n *limitedNeed) counted(arrivals []history.Arrival, sent map[string]history.Sending) []time.Duration {
-	told := map[string][]time.Duration{}
+// countedArrivals returns the times of the arrivals from relays that had to know the limit.
+func (n *limitPeriod) countedArrivals(arrivals []history.Arrival, sent map[string]history.Sending) []time.Duration {
+	informedAt := map[string][]time.Duration{}
 	for _, arrival := range arrivals {
 		sending := sent[arrival.ID]
-		passedOn := arrival.Limited && arrival.Seal != "" && sending.Seal == arrival.Seal && sending.EndedAt >= n.changes[0].At
-		if passedOn && arrival.At >= n.changes[0].At && arrival.At < n.end() {
-			told[arrival.Machine] = append(told[arrival.Machine], sending.EndedAt)
+		isForwarded := arrival.Limited && arrival.Seal != "" && sending.Seal == arrival.Seal && sending.EndedAt >= n.changes[0].At
+		if isForwarded && arrival.At >= n.changes[0].At && arrival.At < n.end() {
+			informedAt[arrival.Machine] = append(informedAt[arrival.Machine], sending.EndedAt)
 		}
 	}
 	var counted []time.Duration
 	for _, arrival := range arrivals {
-		if arrival.At >= n.changes[0].At && arrival.At < n.end() && n.knows(told[arrival.Machine], arrival) {
+		if arrival.At >= n.changes[0].At && arrival.At < n.end() && n.isInformed(informedAt[arrival.Machine], arrival) {
 			counted = append(counted, arrival.At)
 		}
 	}
 	return counted
 }
 
-// knows reports whether the relay that sent an arrival had been told since it was struck last.
-func (n *limitedNeed) knows(told []time.Duration, arrival history.Arrival) bool {
-	for _, at := range told {
-		if at+limitTold <= arrival.At && !n.seen.Disturbed(at, arrival.At, arrival.Machine) {
+// isInformed reports whether the relay that sent an arrival has forwarded an announcement since its last fault.
+func (n *limitPeriod) isInformed(informedAt []time.Duration, arrival history.Arrival) bool {
+	for _, at := range informedAt {
+		if at+limitInformedAfter <= arrival.At && !n.recorded.WasDisturbed(at, arrival.At, arrival.Machine) {
 			return true
 		}
 	}
 	return false
 }
 
-// allowed is how many requests the limits allow in a span; before the first of them was named, and for a moment after
-// one was lowered, the larger one counts.
-func (n *limitedNeed) allowed(from, to time.Duration) float64 {
+// allowed returns how many requests the limits allow between from and to. Before the first announcement, and for
+// limitLoweredGrace after a limit was lowered, the larger limit counts.
+func (n *limitPeriod) allowed(from, to time.Duration) float64 {
 	const step = 10 * time.Millisecond
 	sum := 0.0
 	for at := from; at < to; at += step {
-		sum += max(n.limitAt(at), n.limitAt(at-limitLowered)) * step.Seconds()
+		sum += max(n.limitAt(at), n.limitAt(at-limitLoweredGrace)) * step.Seconds()
 	}
 	return sum
 }
 
-// limitAt is the limit at a time.
-func (n *limitedNeed) limitAt(at time.Duration) float64 {
+// limitAt returns the limit in requests per second at a time.
+func (n *limitPeriod) limitAt(at time.Duration) float64 {
 	limit := n.changes[0].PerSecond
 	for _, change := range n.changes {
 		if change.Named && change.At <= at {
--- a/internal/soak/check/mixed.go
+++ b/internal/soak/check/mixed.go
@@ -2,28 +2,28 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/soak/history"
 
-// mixed finds answers that are not the back end's own answer to the client's own request: another
-// request's, a success without a seal, a body that no back end of the request made whole, a failure whose
-// status is not its back end's.
-func mixed(seen *history.History) []Finding {
-	arrivals := arrivalsByID(seen)
+// mixed finds responses that are not the back end's own response to the client's own request: the response to another
+// request, a success without a seal, a complete body that no back end of the request returned, or a failure whose status
+// is not that of its back end.
+func mixed(recorded *history.History) []Finding {
+	arrivals := arrivalsByID(recorded)
 	var findings []Finding
-	for _, sending := range seen.Sendings {
+	for _, sending := range recorded.Sendings {
 		switch {
 		case sending.Status == 0:
 		case sending.AnswerID != "" && sending.AnswerID != sending.ID:
-			findings = append(findings, found(Mixed, sending.EndedAt, "request %s got the answer to %s", sending.ID, sending.AnswerID))
+			findings = append(findings, newFinding(Mixed, sending.EndedAt, "request %s got the answer to %s", sending.ID, sending.AnswerID))
 		case sending.Succeeded() && sending.Seal == "":
-			findings = append(findings, found(Mixed, sending.EndedAt, "request %s got a success without a seal", sending.ID))
-		case sending.Seal != "" && sending.Whole && !seen.Routes[sending.Route].Stream && !anyAnswered(arrivals[sending.ID], sending):
-			findings = append(findings, found(Mixed, sending.EndedAt, "request %s got an answer that its back ends did not make", sending.ID))
+			findings = append(findings, newFinding(Mixed, sending.EndedAt, "request %s got a success without a seal", sending.ID))
+		case sending.Seal != "" && sending.Whole && !recorded.Routes[sending.Route].Stream && !hasReturned(arrivals[sending.ID], sending):
+			findings = append(findings, newFinding(Mixed, sending.EndedAt, "request %s got an answer that its back ends did not make", sending.ID))
 		}
 	}
 	return findings
 }
 
-// anyAnswered reports whether one of the back ends made the answer.
-func anyAnswered(arrivals []history.Arrival, sending history.Sending) bool {
+// hasReturned reports whether one of the back ends returned the response.
+func hasReturned(arrivals []history.Arrival, sending history.Sending) bool {
 	for _, arrival := range arrivals {
 		if arrival.Status == sending.Status && arrival.Seal == sending.Seal && arrival.Body == sending.Body {
 			return true
--- a/internal/soak/check/recover.go
+++ b/internal/soak/check/recover.go
@@ -6,19 +6,19 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// recoverLeast is from how many requests on the share that is served counts.
-const recoverLeast = 20
+// recoverMinSample is the number of requests after the recovery time from which the served share counts.
+const recoverMinSample = 20
 
-// recovered finds that less than a quarter of the requests is served once the last fault is over for the
-// recovery time, though a quarter was before.
-func recovered(seen *history.History) []Finding {
+// recovered finds that less than a quarter of the requests are served once the recovery time after the last fault is
+// over, although at least a quarter were served before.
+func recovered(recorded *history.History) []Finding {
 	var last time.Duration
-	for _, fault := range seen.Faults {
+	for _, fault := range recorded.Faults {
 		last = max(last, fault.To)
 	}
-	after := last + seen.Bounds.Recovery
+	after := last + recorded.Bounds.Recovery
 	var sent, served, before, servedBefore int
-	for _, sending := range seen.Sendings {
+	for _, sending := range recorded.Sendings {
 		switch {
 		case sending.ClosedAt > 0:
 		case sending.SentAt > after:
@@ -33,8 +33,8 @@
 			}
 		}
 	}
-	if sent >= recoverLeast && 4*served < sent && 4*servedBefore >= before {
-		return []Finding{found(Recover, after, "%d of %d requests were served after the last fault", served, sent)}
+	if sent >= recoverMinSample && 4*served < sent && 4*servedBefore >= before {
+		return []Finding{newFinding(Recover, after, "%d of %d requests were served after the last fault", served, sent)}
 	}
 	return nil
 }
--- a/internal/soak/check/stopping.go
+++ b/internal/soak/check/stopping.go
@@ -4,27 +4,27 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// lastPart is the part of the grace at whose end a stopping relay may give up what is under way.
-const lastPart = 5.0 / 6
+// graceShare is the share of the grace after which a stopping relay may abort requests under way.
+const graceShare = 5.0 / 6
 
-// unansweredByStopping finds requests that reached a relay which stops as planned, on a connection that was just
-// opened or in use, and got no answer at all: the relay serves them or refuses them. What a relay of another
-// build does is that build's.
-func unansweredByStopping(seen *history.History) []Finding {
+// unansweredByStopping finds requests that reached a relay that was asked to stop, on an open connection, and got no
+// response at all: the relay must serve or refuse them. Relays of another build are left out.
+func unansweredByStopping(recorded *history.History) []Finding {
 	var findings []Finding
-	for _, sending := range seen.Sendings {
+	for _, sending := range recorded.Sendings {
 		unanswered := sending.Connected && sending.Status == 0 && sending.ClosedAt == 0 && sending.EndedAt-sending.SentAt < sending.Deadline
-		if unanswered && reachedClosingPort(seen, sending) {
-			findings = append(findings, found(Lost, sending.EndedAt, "request %s at %s, which was asked to stop, got no answer", sending.ID, sending.Front))
+		if unanswered && reachedStoppingRelay(recorded, sending) {
+			findings = append(findings, newFinding(Lost, sending.EndedAt, "request %s at %s, which was asked to stop, got no answer", sending.ID, sending.Front))
 		}
 	}
 	return findings
 }
 
-// reachedClosingPort reports whether a request's relay was asked to stop, and nothing else was done to it.
-func reachedClosingPort(seen *history.History, sending history.Sending) bool {
-	stops := false
-	for _, fault := range seen.Faults {
+// reachedStoppingRelay reports whether a request's relay was asked to stop and had no other fault that may cut the
+// request.
+func reachedStoppingRelay(recorded *history.History, sending history.Sending) bool {
+	isStopping := false
+	for _, fault := range recorded.Faults {
 		if fault.Target != sending.Front || fault.From > sending.EndedAt || fault.To < sending.SentAt {
 			continue
 		}
@@ -32,9 +32,9 @@
 		case fault.Kind == history.Reload || fault.Kind == history.Cut:
 		case fault.Kind != history.Terminate || fault.OtherBuild:
 			return false
-		case float64(sending.EndedAt-fault.From) < lastPart*float64(seen.Bounds.Grace):
-			stops = true
+		case float64(sending.EndedAt-fault.From) < graceShare*float64(recorded.Bounds.Grace):
+			isStopping = true
 		}
 	}
-	return stops
+	return isStopping
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -12,105 +12,106 @@
 	"github.com/hazelpitch/hazelpitch/platform/standin"
 )
 
-// Times of faults.
+// Durations and sizes of faults.
 const (
 	// longestGap is the longest time between two faults.
 	longestGap = 900 * time.Millisecond
-	// longestFreeze is the longest time for which a process stands still, longestAway for which it is gone.
+	// longestFreeze is the longest time for which a process is suspended, longestAway the longest time for which it is down.
 	longestFreeze = 5 * time.Second
 	longestAway   = 2500 * time.Millisecond
-	// drainServes is how long a back end that leaves serves on.
-	drainServes = 3500 * time.Millisecond
-	// restLength is how long a back end turns requests away and asks for rest.
-	restLength = 4 * time.Second
-	// longestLimitGap is the longest time between two back ends that name limits, longestLimit the longest time for which
-	// one names the same limit; largestLimit is the largest, in requests a second.
+	// drainServingTime is how long a draining back end keeps serving.
+	drainServingTime = 3500 * time.Millisecond
+	// backoffLength is how long a back end refuses requests and asks for backoff.
+	backoffLength = 4 * time.Second
+	// longestLimitGap is the longest time between two back ends that announce limits, longestLimit the longest time for
+	// which one announces the same limit, largestLimit the largest limit in requests per second.
 	longestLimitGap = 2 * time.Second
 	longestLimit    = 6 * time.Second
 	largestLimit    = 6.0
-	// longestCutGap is the longest time between two cuts of relays, longestCut the longest for which one lasts.
+	// longestCutGap is the longest time between two network cuts of relays, longestCut the longest duration of one.
 	longestCutGap = 4 * time.Second
 	longestCut    = 5 * time.Second
-	// stopGrace is how long a process may take to end after it was asked to.
+	// stopGrace is how long a process may take to exit after it was asked to stop.
 	stopGrace = 6 * time.Second
 )
 
-// faults strike processes and back ends by a seed; those of controllers never more at once than may be
-// lost, but where all are killed together.
+// faults injects faults into processes and back ends, drawn from a seed. At most as many controllers are down at
+// once as the quorum tolerates, except when all controllers are killed together.
 type faults struct {
 	site    *site
 	random  *rand.Rand
 	running sync.WaitGroup
 
-	mutex  sync.Mutex
-	struck map[string]bool
-	// lost counts the controllers that are struck.
-	lost  int
-	kinds map[history.FaultKind]int
-	// other are the processes of the other build, by their names.
-	other map[string]bool
-	// signals draws series of signals; signalsMutex guards it.
+	mutex         sync.Mutex
+	struckTargets map[string]bool
+	// lostControllers counts the controllers with a fault under way.
+	lostControllers int
+	kinds           map[history.FaultKind]int
+	// onOtherBuild holds, by process name, whether the process runs the other build.
+	onOtherBuild map[string]bool
+	// signals draws the series of signals; signalsMutex guards it.
 	signalsMutex sync.Mutex
 	signals      *rand.Rand
 }
 
 func newFaults(site *site) *faults {
-	made := &faults{
-		site: site, random: rand.New(rand.NewPCG(site.options.Seed, 3000)), struck: map[string]bool{}, kinds: map[history.FaultKind]int{}, other: map[string]bool{},
+	created := &faults{
+		site: site, random: rand.New(rand.NewPCG(site.options.Seed, 3000)), struckTargets: map[string]bool{}, kinds: map[history.FaultKind]int{}, onOtherBuild: map[string]bool{},
 		signals: rand.New(rand.NewPCG(site.options.Seed, 7000)),
 	}
-	for _, process := range made.processes() {
-		made.other[process.Name] = site.beginsWithOther()
+	for _, process := range created.processes() {
+		created.onOtherBuild[process.Name] = site.startsOnOtherBuild()
 	}
-	return made
+	return created
 }
 
-// run strikes until the context ends, and returns when all faults are over.
+// run injects faults until the context ends, and returns when all of them are over.
 func (f *faults) run(ctx context.Context) {
-	if !f.site.options.Plain {
+	if !f.site.options.FirstFormatOnly {
 		f.running.Go(func() { f.limitReplicas(ctx) })
 	}
-	if f.site.options.Other != "" {
+	if f.site.options.OtherProgram != "" {
 		f.running.Go(func() { f.replaceProcesses(ctx) })
 	}
-	if f.site.options.Program == "" { // only this program can be told of cuts
+	if f.site.options.Program == "" { // only this program accepts commands that cut its network
 		f.running.Go(func() { f.cutRelays(ctx) })
 	}
 	for ctx.Err() == nil {
 		sleep(ctx, time.Duration(f.random.Int64N(int64(longestGap))))
 		switch f.random.IntN(10) {
 		case 0, 1, 2:
-			f.strikeController()
+			f.injectControllerFault()
 		case 3, 4, 5:
-			f.strikeRelay()
+			f.injectRelayFault()
 		case 6:
 			if f.random.IntN(4) == 0 {
 				f.killAllControllers()
 			}
 		default:
-			f.strikeReplica()
+			f.injectReplicaFault()
 		}
 	}
 	f.running.Wait()
 }
 
-// begin takes a target for a fault; false when it is struck already, or too many controllers are.
-func (f *faults) begin(target string, controller bool) bool {
+// claimTarget reserves a target for a fault. It returns false when another fault is under way at the target, or when
+// no further controller may be lost.
+func (f *faults) claimTarget(target string, controller bool) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.struck[target] || controller && f.lost >= (f.site.options.Controllers-1)/2 {
+	if f.struckTargets[target] || controller && f.lostControllers >= (f.site.options.Controllers-1)/2 {
 		return false
 	}
-	f.struck[target] = true
+	f.struckTargets[target] = true
 	if controller {
-		f.lost++
+		f.lostControllers++
 	}
 	return true
 }
 
-// strike carries a fault out beside the others, and takes it down when it is over.
-func (f *faults) strike(kind history.FaultKind, target string, controller bool, carryOut func()) {
-	if !f.begin(target, controller) {
+// inject runs a fault in the background and records it when it is over. It does nothing when the target is not free.
+func (f *faults) inject(kind history.FaultKind, target string, controller bool, execute func()) {
+	if !f.claimTarget(target, controller) {
 		return
 	}
 	f.mutex.Lock()
@@ -121,52 +122,52 @@
 		f.site.options.Progress(fmt.Sprintf("%7.3f s %s %s", from.Seconds(), kind, target))
 	}
 	f.running.Go(func() {
-		carryOut()
-		f.site.recorder.Fault(history.Fault{Kind: kind, Target: target, OtherBuild: isOther, From: from, To: f.site.recorder.Now()})
+		execute()
+		f.site.recorder.AddFault(history.Fault{Kind: kind, Target: target, OtherBuild: isOther, From: from, To: f.site.recorder.Now()})
 		if controller {
-			time.Sleep(catchUp) // it counts as lost until it has caught up
+			time.Sleep(catchUpTime) // the controller counts as lost until it has caught up
 		}
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		delete(f.struck, target)
+		delete(f.struckTargets, target)
 		if controller {
-			f.lost--
+			f.lostControllers--
 		}
 	})
 }
 
-// catchUp is how long a controller takes to catch up.
-const catchUp = 2 * time.Second
+// catchUpTime is how long a controller takes to catch up with the log after a fault.
+const catchUpTime = 2 * time.Second
 
-func (f *faults) strikeController() {
+func (f *faults) injectControllerFault() {
 	process := f.site.controllers[f.random.IntN(len(f.site.controllers))]
-	away, freeze := f.drawn(longestAway), f.drawn(longestFreeze)
+	away, freeze := f.drawDuration(longestAway), f.drawDuration(longestFreeze)
 	switch f.random.IntN(5) {
 	case 0:
-		f.strike(history.Freeze, process.Name, true, func() { process.Suspend(); time.Sleep(freeze); process.Resume() })
+		f.inject(history.Freeze, process.Name, true, func() { process.Suspend(); time.Sleep(freeze); process.Resume() })
 	case 1:
-		f.strike(history.Wipe, process.Name, true, func() {
+		f.inject(history.Wipe, process.Name, true, func() {
 			process.Kill()
-			_ = process.ReplaceDisk() // it does not run
+			_ = process.ReplaceDisk() // the process is not running; a failure leaves the old disk
 			time.Sleep(away)
-			_ = process.Start() // a start that fails shows as a controller that is away
+			_ = process.Start() // a failed start shows as a controller that is down
 		})
 	case 2:
-		f.strike(history.Terminate, process.Name, true, func() { f.terminate(process, f.isOther(process.Name), away) })
+		f.inject(history.Terminate, process.Name, true, func() { f.terminate(process, f.isOther(process.Name), away) })
 	default:
-		f.strike(history.Kill, process.Name, true, func() { process.Kill(); time.Sleep(away); _ = process.Start() })
+		f.inject(history.Kill, process.Name, true, func() { process.Kill(); time.Sleep(away); _ = process.Start() })
 	}
 }
 
-// killAllControllers kills all controllers at once; they are back within a second with their disks.
+// killAllControllers kills all controllers at once and restarts them with their disks within a second.
 func (f *faults) killAllControllers() {
 	f.mutex.Lock()
-	free := f.lost == 0
+	free := f.lostControllers == 0
 	f.mutex.Unlock()
 	if !free {
 		return
 	}
-	away := f.drawn(time.Second)
+	away := f.drawDuration(time.Second)
 	from := f.site.recorder.Now()
 	f.running.Go(func() {
 		for _, process := range f.site.controllers {
@@ -175,7 +176,7 @@
 		time.Sleep(away)
 		for _, process := range f.site.controllers {
 			_ = process.Start()
-			f.site.recorder.Fault(history.Fault{Kind: history.Kill, Target: process.Name, From: from, To: f.site.recorder.Now()})
+			f.site.recorder.AddFault(history.Fault{Kind: history.Kill, Target: process.Name, From: from, To: f.site.recorder.Now()})
 		}
 	})
 	f.mutex.Lock()
@@ -183,66 +184,66 @@
 	f.mutex.Unlock()
 }
 
-func (f *faults) strikeRelay() {
+func (f *faults) injectRelayFault() {
 	relay := f.site.relays[f.random.IntN(len(f.site.relays))]
-	away, freeze := f.drawn(longestAway), f.drawn(longestFreeze)
+	away, freeze := f.drawDuration(longestAway), f.drawDuration(longestFreeze)
 	switch f.random.IntN(5) {
 	case 0:
-		f.strike(history.Freeze, relay.Name, false, func() { relay.Suspend(); time.Sleep(freeze); relay.Resume() })
+		f.inject(history.Freeze, relay.Name, false, func() { relay.Suspend(); time.Sleep(freeze); relay.Resume() })
 	case 1:
-		f.strike(history.Reload, relay.Name, false, func() { f.reloads(relay.Process) })
+		f.inject(history.Reload, relay.Name, false, func() { f.sendReloads(relay.Process) })
 	case 2, 3:
-		f.strike(history.Terminate, relay.Name, false, func() { f.terminate(relay.Process, f.isOther(relay.Name), away) })
+		f.inject(history.Terminate, relay.Name, false, func() { f.terminate(relay.Process, f.isOther(relay.Name), away) })
 	default:
-		f.strike(history.Kill, relay.Name, false, func() { relay.Kill(); time.Sleep(away); _ = relay.Start() })
+		f.inject(history.Kill, relay.Name, false, func() { relay.Kill(); time.Sleep(away); _ = relay.Start() })
 	}
 }
 
-// terminate asks a process to stop, waits for its end, and starts it again. Signals follow unless it is of the other
-// build, which they may end.
+// terminate asks a process to stop, waits until it exits, and starts it again. While it stops, it is sent further
+// signals, unless it runs the other build, which they may kill.
 func (f *faults) terminate(process *fleet.Process, isOther bool, away time.Duration) {
 	process.Terminate()
 	var signalling sync.WaitGroup
 	if !isOther {
-		signalling.Go(func() { f.signalOn(process) })
+		signalling.Go(func() { f.sendSignals(process) })
 	}
 	for waited := time.Duration(0); process.Running() && waited < stopGrace; waited += stopPoll {
 		time.Sleep(stopPoll)
 	}
 	process.Kill()
-	signalling.Wait() // none of the series reaches the next start
+	signalling.Wait() // no signal of the series may reach the restarted process
 	time.Sleep(away)
 	_ = process.Start()
 }
 
-// stopPoll is the time between two looks at whether a process has ended.
+// stopPoll is the time between two checks whether a process has exited.
 const stopPoll = 20 * time.Millisecond
 
-func (f *faults) strikeReplica() {
+func (f *faults) injectReplicaFault() {
 	replicas := append(append([]*standin.Replica(nil), f.site.pages...), f.site.engines...)
 	replica := replicas[f.random.IntN(len(replicas))]
-	away, length := f.drawn(longestAway), f.drawn(longestAway)
+	away, length := f.drawDuration(longestAway), f.drawDuration(longestAway)
 	switch f.random.IntN(7) {
 	case 6:
-		if f.site.options.Plain {
+		if f.site.options.FirstFormatOnly {
 			return
 		}
-		f.strike(history.Rest, replica.Identity(), false, func() { replica.RequestBackoff(restLength); time.Sleep(restLength) })
+		f.inject(history.Rest, replica.Identity(), false, func() { replica.RequestBackoff(backoffLength); time.Sleep(backoffLength) })
 	case 0:
-		f.strike(history.Crash, replica.Identity(), false, func() { replica.Crash(); time.Sleep(away); _ = replica.Start() })
+		f.inject(history.Crash, replica.Identity(), false, func() { replica.Crash(); time.Sleep(away); _ = replica.Start() })
 	case 1, 2:
-		f.strike(history.Drain, replica.Identity(), false, func() { replica.Drain(drainServes); time.Sleep(away); _ = replica.Start() })
+		f.inject(history.Drain, replica.Identity(), false, func() { replica.Drain(drainServingTime); time.Sleep(away); _ = replica.Start() })
 	case 3:
-		f.strike(history.Reset, replica.Identity(), false, replica.ResetConnections)
+		f.inject(history.Reset, replica.Identity(), false, replica.ResetConnections)
 	case 4:
-		f.strike(history.Silence, replica.Identity(), false, func() { replica.BlockTraffic(length); time.Sleep(length) })
+		f.inject(history.Silence, replica.Identity(), false, func() { replica.BlockTraffic(length); time.Sleep(length) })
 	default:
-		f.strike(history.Delay, replica.Identity(), false, func() { replica.SetDelay(30 * time.Millisecond); time.Sleep(length); replica.SetDelay(0) })
+		f.inject(history.Delay, replica.Identity(), false, func() { replica.SetDelay(30 * time.Millisecond); time.Sleep(length); replica.SetDelay(0) })
 	}
 }
 
-// limitReplicas has back ends name limits for all relays together, change them and take them back. It draws from a source
-// of its own, so that other faults do not depend on it.
+// limitReplicas makes back ends announce limits for all relays together, change and withdraw them, until the context
+// ends. It draws from its own random source, so that it does not change which other faults are drawn.
 func (f *faults) limitReplicas(ctx context.Context) {
 	random := rand.New(rand.NewPCG(f.site.options.Seed, 4000))
 	replicas := append(append([]*standin.Replica(nil), f.site.pages...), f.site.engines...)
@@ -251,7 +252,7 @@
 		replica := replicas[random.IntN(len(replicas))]
 		first, second := largestLimit*random.Float64(), largestLimit*random.Float64()
 		length := time.Duration(random.Int64N(int64(longestLimit)))
-		f.strike(history.Limited, replica.Identity()+" limit", false, func() {
+		f.inject(history.Limited, replica.Identity()+" limit", false, func() {
 			replica.SetLimit(first)
 			time.Sleep(length)
 			replica.SetLimit(second)
@@ -261,7 +262,7 @@
 	}
 }
 
-// drawn draws a time up to the longest.
-func (f *faults) drawn(longest time.Duration) time.Duration {
+// drawDuration draws a duration below longest.
+func (f *faults) drawDuration(longest time.Duration) time.Duration {
 	return time.Duration(f.random.Int64N(int64(longest)))
 }
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -18,7 +18,7 @@
 	"github.com/hazelpitch/hazelpitch/platform/standin"
 )
 
-// Ports of all processes, each of which has an IP of its own.
+// Ports of all processes. Each process has its own IP.
 const (
 	portPeers = 7101
 	portAdmin = 7102
@@ -26,7 +26,7 @@
 	portReady = 7104
 )
 
-// site is the processes that are looked at, and what stands around them.
+// site holds the processes under test and the stand-ins around them.
 type site struct {
 	options     Options
 	recorder    *history.Recorder
@@ -36,26 +36,27 @@
 	controllers []*fleet.Process
 	relays      []*relayProcess
 	operator    *standin.Operator
-	// servers are the arguments of each process, without those that choose the build, by its name.
+	// servers holds, by process name, the arguments without those that select the build.
 	servers map[string][]string
 }
 
-// relayProcess is a relay and where it is reached.
+// relayProcess is a relay with the addresses at which clients and readiness probes reach it.
 type relayProcess struct {
 	*fleet.Process
 	front, ready string
 }
 
-// networkParts divide the loopback network: runs of other processes, and what is started in one.
-const networkParts = 200
+// networkRanges is the number of ranges into which the loopback network is divided, so that concurrent runs of
+// different processes do not collide.
+const networkRanges = 200
 
 // address returns the loopback IP of a process of this run.
 func address(group, number int) string {
-	return fmt.Sprintf("127.%d.%d.%d", 50+os.Getpid()%networkParts, group, number+1)
+	return fmt.Sprintf("127.%d.%d.%d", 50+os.Getpid()%networkRanges, group, number+1)
 }
 
-// at is an IP:port.
-func at(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
+// hostPort joins an IP and a port.
+func hostPort(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
 // Groups of addresses.
 const (
@@ -66,56 +67,56 @@
 	groupList
 )
 
-// newSite prepares everything and starts the stand-ins; no process runs yet.
+// newSite creates the settings of all processes and starts the stand-ins; no process runs yet.
 func newSite(options Options) (*site, error) {
 	names := map[string]bool{}
 	for number := range options.Controllers {
 		names[controllerName(number)] = true
 	}
-	made := &site{options: options, servers: map[string][]string{}, recorder: history.NewRecorder(bounds, standin.Routes(), names)}
-	list, err := standin.StartList(at(address(groupList, 0), portOuter), made.recorder)
+	created := &site{options: options, servers: map[string][]string{}, recorder: history.NewRecorder(bounds, standin.Routes(), names)}
+	list, err := standin.StartList(hostPort(address(groupList, 0), portOuter), created.recorder)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	made.list = list
-	if options.Plain {
+	created.list = list
+	if options.FirstFormatOnly {
 		list.OmitForeignEntries()
 		if options.Seed/2%2 == 1 {
 			list.OmitStartTimes()
 		}
 	}
-	if err := made.startReplicas(); err != nil {
-		made.close()
+	if err := created.startReplicas(); err != nil {
+		created.close()
 		return nil, trace.Wrap(err)
 	}
-	made.operator = &standin.Operator{Recorder: made.recorder}
+	created.operator = &standin.Operator{Recorder: created.recorder}
 	for number := range options.Controllers {
-		made.operator.Controllers = append(made.operator.Controllers, at(address(groupControllers, number), portOuter))
+		created.operator.Controllers = append(created.operator.Controllers, hostPort(address(groupControllers, number), portOuter))
 	}
 	for number := range options.Controllers {
-		if err := made.addController(number); err != nil {
-			made.close()
+		if err := created.addController(number); err != nil {
+			created.close()
 			return nil, trace.Wrap(err)
 		}
 	}
 	for number := range options.Relays {
-		if err := made.addRelay(number); err != nil {
-			made.close()
+		if err := created.addRelay(number); err != nil {
+			created.close()
 			return nil, trace.Wrap(err)
 		}
 	}
-	return made, nil
+	return created, nil
 }
 
 func controllerName(number int) string { return fmt.Sprint("core-", number+1) }
 
-// startReplicas starts the back ends: pages, half of them at each service, and engines.
+// startReplicas starts the back ends: page services, half of them for each service, and engines.
 func (s *site) startReplicas() error {
 	for number := range s.options.Pages {
 		service := []string{standin.ServicePages, standin.ServiceOther}[number%2]
 		replica, err := standin.StartReplica(standin.ReplicaOptions{
-			Service: service, Zone: "z", Address: at(address(groupPages, number), portOuter), Slots: 8,
-			RunTime: 8 * time.Millisecond, Seed: s.options.Seed + uint64(number), List: s.list, Recorder: s.recorder, ReuseID: !s.options.Plain && number/2%2 == 0,
+			Service: service, Zone: "z", Address: hostPort(address(groupPages, number), portOuter), Slots: 8,
+			RunTime: 8 * time.Millisecond, Seed: s.options.Seed + uint64(number), List: s.list, Recorder: s.recorder, ReuseID: !s.options.FirstFormatOnly && number/2%2 == 0,
 		})
 		if err != nil {
 			return trace.Wrap(err)
@@ -125,8 +126,8 @@
 	for number := range s.options.Engines {
 		stage := []string{platform.StageDecode, platform.StagePrefill}[number%2]
 		replica, err := standin.StartReplica(standin.ReplicaOptions{
-			Service: standin.ServiceEngines, Zone: "z", Address: at(address(groupEngines, number), portOuter), Stage: stage, Slots: 16,
-			RunTime: 5 * time.Millisecond, EventInterval: 15 * time.Millisecond, Seed: s.options.Seed + uint64(number), List: s.list, Recorder: s.recorder, ReuseID: !s.options.Plain && number/2%2 == 0,
+			Service: standin.ServiceEngines, Zone: "z", Address: hostPort(address(groupEngines, number), portOuter), Stage: stage, Slots: 16,
+			RunTime: 5 * time.Millisecond, EventInterval: 15 * time.Millisecond, Seed: s.options.Seed + uint64(number), List: s.list, Recorder: s.recorder, ReuseID: !s.options.FirstFormatOnly && number/2%2 == 0,
 		})
 		if err != nil {
 			return trace.Wrap(err)
@@ -136,7 +137,7 @@
 	return nil
 }
 
-// seeds are the controllers that all settings name.
+// seeds returns the controllers that the settings of all processes name.
 func (s *site) seeds() []string { return s.operator.Controllers[:min(3, len(s.operator.Controllers))] }
 
 func (s *site) addController(number int) error {
@@ -145,9 +146,9 @@
 	if err := os.MkdirAll(data, 0o755); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	process, err := s.process(name, "site-controller", data, map[string]any{
-		"name": name, "zone": "z", "listen": at(ip, portPeers), "operator_listen": s.operator.Controllers[number],
-		"admin_listen": at(ip, portAdmin), "data_directory": data, "seeds": s.seeds(), "bootstrap": true,
+	process, err := s.newProcess(name, "site-controller", data, map[string]any{
+		"name": name, "zone": "z", "listen": hostPort(ip, portPeers), "operator_listen": s.operator.Controllers[number],
+		"admin_listen": hostPort(ip, portAdmin), "data_directory": data, "seeds": s.seeds(), "bootstrap": true,
 		"losses_borne": (s.options.Controllers - 1) / 2, "listing_address": s.list.Address(),
 	})
 	s.controllers = append(s.controllers, process)
@@ -156,11 +157,11 @@
 
 func (s *site) addRelay(number int) error {
 	name, ip := fmt.Sprint("front-", number+1), address(groupRelays, number)
-	relay := &relayProcess{front: at(ip, portOuter), ready: at(ip, portReady)}
+	relay := &relayProcess{front: hostPort(ip, portOuter), ready: hostPort(ip, portReady)}
 	var err error
-	relay.Process, err = s.process(name, "relay", "", map[string]any{
-		"name": name, "zone": "z", "listen": relay.front, "ready_listen": relay.ready, "notice_listen": at(ip, portPeers),
-		"admin_listen": at(ip, portAdmin), "controllers": s.seeds(), "controller_port": portPeers,
+	relay.Process, err = s.newProcess(name, "relay", "", map[string]any{
+		"name": name, "zone": "z", "listen": relay.front, "ready_listen": relay.ready, "notice_listen": hostPort(ip, portPeers),
+		"admin_listen": hostPort(ip, portAdmin), "controllers": s.seeds(), "controller_port": portPeers,
 		"listing_address": s.list.Address(), "grace": relayGrace.String(),
 		"retry_budget": map[string]any{"ratio": bounds.RetryRatio, "window": bounds.RetryWindow.String(), "slack": bounds.RetrySlack},
 	})
@@ -171,8 +172,8 @@
 // relayGrace is how long a stopping relay may take.
 const relayGrace = 4 * time.Second
 
-// process writes a process's settings file.
-func (s *site) process(name, server, data string, config map[string]any) (*fleet.Process, error) {
+// newProcess writes the settings file of a process and returns the process, which is not running yet.
+func (s *site) newProcess(name, server, data string, config map[string]any) (*fleet.Process, error) {
 	path := filepath.Join(s.options.Directory, name+".yaml")
 	content, err := yaml.Marshal(config)
 	if err != nil {
@@ -183,19 +184,22 @@
 	}
 	s.servers[name] = []string{server, "--settings", path}
 	process := fleet.NewProcess(name, "", nil, path, filepath.Join(s.options.Directory, name+".log"), data)
-	s.build(process, s.beginsWithOther())
+	s.chooseBuild(process, s.startsOnOtherBuild())
 	return process, nil
 }
 
-// beginsWithOther reports whether all processes are of the other build at first: every second seed is an upgrade.
-func (s *site) beginsWithOther() bool { return s.options.Other != "" && s.options.Seed%2 == 1 }
+// startsOnOtherBuild reports whether all processes run the other build at first: every second seed is an upgrade from
+// that build.
+func (s *site) startsOnOtherBuild() bool {
+	return s.options.OtherProgram != "" && s.options.Seed%2 == 1
+}
 
-// build chooses the build of a process's next start.
-func (s *site) build(process *fleet.Process, other bool) {
+// chooseBuild selects the build of a process's next start.
+func (s *site) chooseBuild(process *fleet.Process, other bool) {
 	arguments := s.servers[process.Name]
 	switch {
 	case other:
-		process.Replace(s.options.Other, arguments)
+		process.Replace(s.options.OtherProgram, arguments)
 	case s.options.Program == "":
 		process.Replace("", append([]string{s.options.Serve}, arguments...))
 	default:
@@ -203,8 +207,8 @@
 	}
 }
 
-// startedBefore writes into a controller's settings that the fleet has started before.
-func startedBefore(process *fleet.Process) error {
+// disableBootstrap records in a controller's settings that the fleet has started before.
+func disableBootstrap(process *fleet.Process) error {
 	content, err := os.ReadFile(process.SettingsPath)
 	if err != nil {
 		return trace.ConvertSystemError(err)
@@ -228,7 +232,7 @@
 	return nil
 }
 
-// close ends all processes and stand-ins that run.
+// close stops all processes and stand-ins.
 func (s *site) close() {
 	for _, relay := range s.relays {
 		relay.Kill()
