--- a/internal/authority/answers_test.go
+++ b/internal/authority/answers_test.go
@@ -81,7 +81,7 @@
 			b.engines["engine"] = b.machine("engine", "zone-a", 1, durable)
 		}, refused, enginecontract.RolePrefill},
 		{"the engine has a higher fence", func(b *bench) {
-			b.engines["engine"].Fence(b.now, enginecontract.Fence{Epoch: 9}, 0)
+			b.engines["engine"].RaiseFence(b.now, enginecontract.Fence{Epoch: 9}, 0)
 		}, refused, enginecontract.RoleMixed},
 		{"engine is gone", func(b *bench) {
 			delete(b.engines, "engine")
--- a/internal/authority/harness_test.go
+++ b/internal/authority/harness_test.go
@@ -125,9 +125,9 @@
 func (b *bench) exchange(action Action) engineAnswer {
 	switch message := action.(type) {
 	case SendFence:
-		return engineAnswer{action, b.engines[message.Engine].Fence(b.now, enginecontract.Fence{Epoch: message.Epoch}, b.inFlight[message.Engine])}
+		return engineAnswer{action, b.engines[message.Engine].RaiseFence(b.now, enginecontract.Fence{Epoch: message.Epoch}, b.inFlight[message.Engine])}
 	case SendOrder:
-		return engineAnswer{action, b.engines[message.Engine].Order(b.now, message.Order, b.inFlight[message.Engine])}
+		return engineAnswer{action, b.engines[message.Engine].Submit(b.now, message.Order, b.inFlight[message.Engine])}
 	}
 	b.t.Fatalf("%T is no message to an engine", action)
 	return engineAnswer{}
--- a/internal/authority/newer_fence_test.go
+++ b/internal/authority/newer_fence_test.go
@@ -29,7 +29,7 @@
 			for i, epoch := range test.epochs {
 				name := string(rune('a' + i))
 				b.addEngine(name, "zone-a", enginecontract.RoleMixed)
-				b.engines[name].Fence(b.now, enginecontract.Fence{Epoch: epoch}, 0)
+				b.engines[name].RaiseFence(b.now, enginecontract.Fence{Epoch: epoch}, 0)
 				b.poll(name)
 			}
 			epoch, overtaken := b.commander.NewerFenceEpoch()
--- a/internal/benchcommand/demo.go
+++ b/internal/benchcommand/demo.go
@@ -57,8 +57,8 @@
 	}
 	defer started.Close()
 	fmt.Fprintf(out, "%s on %s: %d controllers, %d gateways, %d engines, %d page services in %d zones\n",
-		started.Description.Name, started.Description.Network, len(started.Of(fleet.RoleController)), len(started.Of(fleet.RoleGateway)),
-		len(started.Outside.Engines), len(started.Outside.Pages), len(started.Description.Zones))
+		started.Description.Name, started.Description.Network, len(started.ProcessesOf(fleet.RoleController)), len(started.ProcessesOf(fleet.RoleGateway)),
+		len(started.StandIns.Engines), len(started.StandIns.Pages), len(started.Description.Zones))
 	if err := boot(ctx, started, true, out); err != nil {
 		return trace.Wrap(err)
 	}
@@ -89,7 +89,7 @@
 		}
 	}
 	fmt.Fprint(out, "one answer as it streams:")
-	result, err := load.Show(options, out)
+	result, err := load.StreamOne(options, out)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -116,7 +116,7 @@
 		report.Write(out)
 		return report, trace.Wrap(changeErr)
 	}
-	report.Engines.RoleChanges = started.Outside.Totals().RoleChanges
+	report.Engines.RoleChanges = started.StandIns.Totals().RoleChanges
 	return report, nil
 }
 
@@ -124,7 +124,7 @@
 func changeRole(ctx context.Context, started *fleet.Fleet, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, roleChangeTimeout)
 	defer cancel()
-	chosen, inFlight := busiest(started.Outside.Engines, enginecontract.RoleMixed)
+	chosen, inFlight := busiest(started.StandIns.Engines, enginecontract.RoleMixed)
 	if chosen == nil {
 		return trace.NotFound("no engine is mixed")
 	}
--- a/internal/benchcommand/experiment.go
+++ b/internal/benchcommand/experiment.go
@@ -53,7 +53,7 @@
 	}
 	suite := experiment.Suite{
 		Scenarios: scenarios, Policies: policies, FirstSeed: e.Seed, Seeds: e.Seeds,
-		Bound: e.Bound || e.Write != "", WholeOnly: e.WholeOnly, Parallel: e.Parallel, Keep: e.Keep, KeptOnly: e.KeptOnly,
+		Bound: e.Bound || e.Write != "", WholeOnly: e.WholeOnly, Parallel: e.Parallel, RunFile: e.Keep, RunFileOnly: e.KeptOnly,
 	}
 	runs, err := suite.Run(ctx)
 	if err != nil {
--- a/internal/benchcommand/fleet.go
+++ b/internal/benchcommand/fleet.go
@@ -63,7 +63,7 @@
 	if err := boot(ctx, started, !f.NoApply, environment.Stderr); err != nil {
 		return trace.Wrap(err)
 	}
-	if err := started.StrikeFaults(ctx, environment.Stderr); err != nil {
+	if err := started.InjectFaults(ctx, environment.Stderr); err != nil {
 		return trace.Wrap(err)
 	}
 	if options.Scenario != nil {
@@ -153,11 +153,11 @@
 	for _, process := range started.Processes {
 		fmt.Fprintf(out, "%-10s %-28s %s  admin %s  log %s\n", process.Role, process.Name, process.Listen, process.AdminListen, process.LogPath)
 	}
-	for _, present := range started.Outside.Engines {
+	for _, present := range started.StandIns.Engines {
 		fmt.Fprintf(out, "%-10s %-28s %s\n", "engine", present.Name(), present.Address())
 	}
-	for _, present := range started.Outside.Pages {
+	for _, present := range started.StandIns.Pages {
 		fmt.Fprintf(out, "%-10s %-28s %s\n", "page", present.Name(), present.Address())
 	}
-	fmt.Fprintf(out, "machine list %s, weight store %s\n", started.Outside.Machines.Address(), started.Outside.WeightStore.Address())
+	fmt.Fprintf(out, "machine list %s, weight store %s\n", started.StandIns.Machines.Address(), started.StandIns.WeightStore.Address())
 }
--- a/internal/benchcommand/fleet_scenario.go
+++ b/internal/benchcommand/fleet_scenario.go
@@ -30,7 +30,7 @@
 		Load: loadOptions(started.Deployment, started.Description, started.Addresses(fleet.RoleGateway)),
 	}
 	options.Load.Seed = seed
-	for _, gateway := range started.Of(fleet.RoleGateway) {
+	for _, gateway := range started.ProcessesOf(fleet.RoleGateway) {
 		options.Load.Target.GatewayZones = append(options.Load.Target.GatewayZones, gateway.Zone)
 	}
 	run, report, err := processrun.Run(ctx, options)
@@ -48,6 +48,6 @@
 	if report.Mixed > 0 || !report.Audit.Clean() {
 		return trace.Wrap(report.Failed())
 	}
-	fmt.Fprintf(environment.Stderr, "%s ran on %d processes and %d engines\n", of.Name, len(started.Processes), len(started.Outside.Engines))
+	fmt.Fprintf(environment.Stderr, "%s ran on %d processes and %d engines\n", of.Name, len(started.Processes), len(started.StandIns.Engines))
 	return nil
 }
--- a/internal/benchcommand/gateway_cost.go
+++ b/internal/benchcommand/gateway_cost.go
@@ -61,7 +61,7 @@
 // options takes the first gateway in whose zone there is a page service.
 func (g *gatewayCostFlags) options(started *fleet.Fleet) (gatewaycost.Options, error) {
 	description := started.Description
-	for _, gateway := range started.Of(fleet.RoleGateway) {
+	for _, gateway := range started.ProcessesOf(fleet.RoleGateway) {
 		page := slices.IndexFunc(description.Replicas(), func(replica fleet.Replica) bool {
 			return replica.Type == fleet.TypePage && replica.Zone == gateway.Zone
 		})
--- a/internal/benchcommand/gateway_loss.go
+++ b/internal/benchcommand/gateway_loss.go
@@ -48,9 +48,9 @@
 	}
 	defer end()
 	options := loadOptions(g.Deployment, started.Description, started.Addresses(fleet.RoleGateway))
-	options.Length, options.Scale, options.OnceScale, options.Seed, options.Insist = longestLoad, g.Scale, g.OnceScale, g.Seed, true
+	options.Length, options.Scale, options.OnceScale, options.Seed, options.ResendUntilSettled = longestLoad, g.Scale, g.OnceScale, g.Seed, true
 	report, err := gatewayloss.Run(ctx, gatewayloss.Options{
-		Fleet: started, Load: options, Rounds: g.Rounds, Calm: g.Calm, PageTime: g.PageTime, Progress: environment.Stderr,
+		Fleet: started, Load: options, Rounds: g.Rounds, FaultInterval: g.Calm, PageDelay: g.PageTime, Progress: environment.Stderr,
 	})
 	if err != nil {
 		return trace.Wrap(err)
--- a/internal/benchcommand/leader_loss.go
+++ b/internal/benchcommand/leader_loss.go
@@ -54,7 +54,7 @@
 	options := loadOptions(l.Deployment, started.Description, started.Addresses(fleet.RoleGateway))
 	options.Length, options.Scale, options.Seed = longestLoad, l.Scale, l.Seed
 	report, err := leaderloss.Run(ctx, leaderloss.Options{
-		Fleet: started, Load: options, Rounds: l.Rounds, Missed: l.Missed, Pause: l.Pause, Orderers: l.Orderers,
+		Fleet: started, Load: options, Rounds: l.Rounds, MissedChanges: l.Missed, LeaderPause: l.Pause, OrderedEngines: l.Orderers,
 		Progress: environment.Stderr,
 	})
 	if err != nil {
--- a/internal/benchcommand/load.go
+++ b/internal/benchcommand/load.go
@@ -45,7 +45,7 @@
 		return &usageError{cause: err}
 	}
 	if l.Network != "" {
-		description = description.On(l.Network)
+		description = description.OnNetwork(l.Network)
 	}
 	gateways, err := fleet.GatewayAddresses(l.Deployment, description)
 	if err != nil {
@@ -57,7 +57,7 @@
 		options.Target.Gateways = nil
 	}
 	bar := progressbar.NewOptions(-1, progressbar.OptionSetWriter(environment.Stderr), progressbar.OptionSetDescription("requests"), progressbar.OptionShowCount(), progressbar.OptionThrottle(200*time.Millisecond))
-	options.Progress = func(done, all int) {
+	options.OnProgress = func(done, all int) {
 		bar.ChangeMax(max(done, all))
 		_ = bar.Set(done) // a bar that can't be drawn changes nothing
 	}
--- a/internal/benchcommand/serve.go
+++ b/internal/benchcommand/serve.go
@@ -34,10 +34,10 @@
 	}
 	topology := fleet.NewTopology(description)
 	go func() {
-		_ = fleet.ObeyCuts(os.Stdin, topology.Gate()) // it ends when the fleet does
+		_ = fleet.ApplyCutCommands(os.Stdin, topology.Gate()) // it ends when the fleet does
 		os.Exit(ExitFailed)
 	}()
-	defer topology.Flush()
+	defer topology.WaitUnsent()
 	return servercommand.Run(ctx, arguments[1:], servercommand.Environment{
 		Program: environment.Program + " " + serveName,
 		Stdout:  environment.Stdout,
--- a/internal/benchcommand/soak.go
+++ b/internal/benchcommand/soak.go
@@ -27,7 +27,7 @@
 func serveSite(ctx context.Context, arguments []string, environment Environment) int {
 	way := soak.Outgoing()
 	go func() {
-		_ = fleet.ObeyCuts(os.Stdin, way.Gate) // it ends when the soak does
+		_ = fleet.ApplyCutCommands(os.Stdin, way.Gate) // it ends when the soak does
 		os.Exit(ExitFailed)
 	}()
 	return servercommand.Run(ctx, arguments, servercommand.Environment{
--- a/internal/control/declared_test.go
+++ b/internal/control/declared_test.go
@@ -81,7 +81,7 @@
 	const lastEpoch = 90
 	w := newTestCluster(t, 3, nil)
 	engine := w.addEngine("engine-1", "assessor", "zone-a", enginecontract.RoleMixed)
-	engine.machine.Fence(0, enginecontract.Fence{Epoch: lastEpoch, Sequence: 7}, 0)
+	engine.machine.RaiseFence(0, enginecontract.Fence{Epoch: lastEpoch, Sequence: 7}, 0)
 	w.apply("services", append(serviceObjects(), pinObjectFor("engine-1", v1.Role_ROLE_DECODE))...)
 	w.until("pinned role", func() bool { return engine.machine.Role() == enginecontract.RoleDecode })
 	w.until("end in the log", func() bool { return w.waitLeader().core.state.Engine("engine-1").Outstanding == nil })
--- a/internal/control/harness_test.go
+++ b/internal/control/harness_test.go
@@ -233,7 +233,7 @@
 		w.answers[wanted.Call] = wanted
 	case SendOrder:
 		w.toEngine(controller, incarnation, wanted.Engine, func(engine *testEngine) Input {
-			answer := engine.machine.Order(w.now, wanted.Order, engine.inFlight)
+			answer := engine.machine.Submit(w.now, wanted.Order, engine.inFlight)
 			if answer.Accepted && (len(w.accepted) == 0 || w.accepted[len(w.accepted)-1] != wanted.Order) {
 				w.accepted = append(w.accepted, wanted.Order)
 			}
@@ -241,7 +241,7 @@
 		}, OrderAnswered{Engine: wanted.Engine, Fence: wanted.Order.Fence})
 	case SendFence:
 		w.toEngine(controller, incarnation, wanted.Engine, func(engine *testEngine) Input {
-			answer := engine.machine.Fence(w.now, enginecontract.Fence{Epoch: wanted.Epoch}, engine.inFlight)
+			answer := engine.machine.RaiseFence(w.now, enginecontract.Fence{Epoch: wanted.Epoch}, engine.inFlight)
 			return FenceAnswered{Engine: wanted.Engine, Epoch: wanted.Epoch, Answer: &answer}
 		}, FenceAnswered{Engine: wanted.Engine, Epoch: wanted.Epoch})
 	case PollEngine:
--- a/internal/experiment/faults.go
+++ b/internal/experiment/faults.go
@@ -12,7 +12,7 @@
 	}
 	for _, fault := range w.scenario.Faults {
 		struck := make([]*engine, 0, len(declared))
-		for _, chosen := range fault.Strikes(declared) {
+		for _, chosen := range fault.Targets(declared) {
 			struck = append(struck, w.byName[chosen.Name])
 		}
 		w.agenda.Add(fault.At, func() { w.beginFault(fault, struck) })
--- a/internal/experiment/outages.go
+++ b/internal/experiment/outages.go
@@ -15,7 +15,7 @@
 		windows[i].up = 1
 		for _, fault := range declared.Faults {
 			if fault.Fault == scenario.FaultEngineCrash && overlaps(fault, windows[i].from, windows[i].to) {
-				windows[i].up -= float64(countOf(service.Name, fault.Strikes(declared.Engines()))) / total
+				windows[i].up -= float64(countOf(service.Name, fault.Targets(declared.Engines()))) / total
 			}
 		}
 	}
--- a/internal/experiment/suite.go
+++ b/internal/experiment/suite.go
@@ -20,15 +20,15 @@
 	WholeOnly bool
 	// Parallel is the number of studies at the same time.
 	Parallel int
-	// Keep is a file of finished runs that are not run again; empty for none.
-	Keep string
-	// KeptOnly takes only what is in that file and runs nothing.
-	KeptOnly bool
+	// RunFile is a file of finished runs that are not run again; empty for none.
+	RunFile string
+	// RunFileOnly takes only what is in that file and runs nothing.
+	RunFileOnly bool
 }
 
 // Run returns the runs by scenario, seed and policy, in that order.
 func (s Suite) Run(ctx context.Context) ([]*Run, error) {
-	kept, err := openKeptRuns(s.Keep)
+	kept, err := openKeptRuns(s.RunFile)
 	if err != nil {
 		return nil, err
 	}
@@ -62,7 +62,7 @@
 	var runs []*Run
 	for _, policy := range s.Policies {
 		run, found := kept.find(&declared, policy, seed)
-		if !found && s.KeptOnly {
+		if !found && s.RunFileOnly {
 			continue
 		}
 		if !found {
@@ -95,7 +95,7 @@
 			return nil
 		}
 	}
-	if s.KeptOnly {
+	if s.RunFileOnly {
 		return nil
 	}
 	bound, err := study.Bound()
--- a/internal/fleet/cuts.go
+++ b/internal/fleet/cuts.go
@@ -82,9 +82,9 @@
 	return trace.NewAggregate(problems...)
 }
 
-// ObeyCuts lets the commands that a fleet writes to a process's standard input take
+// ApplyCutCommands lets the commands that a fleet writes to a process's standard input take
 // effect on the process's gate, and returns when the input ends.
-func ObeyCuts(input io.Reader, gate *zonedelay.Gate) error {
+func ApplyCutCommands(input io.Reader, gate *zonedelay.Gate) error {
 	heals := map[int]func(){}
 	for commands := json.NewDecoder(input); ; {
 		var command cutCommand
--- a/internal/fleet/description.go
+++ b/internal/fleet/description.go
@@ -117,8 +117,8 @@
 	return description, trace.Wrap(err)
 }
 
-// On returns the description on another network.
-func (d Description) On(network string) Description {
+// OnNetwork returns the description on another network.
+func (d Description) OnNetwork(network string) Description {
 	moved := d
 	moved.Network = network
 	moved.MachineList.Address = network + strings.TrimPrefix(d.MachineList.Address, d.Network)
--- a/internal/fleet/description_test.go
+++ b/internal/fleet/description_test.go
@@ -75,7 +75,7 @@
 func TestTopologyOfRawabi(t *testing.T) {
 	description, err := LoadDescription(filepath.Join(deployments, "rawabi"))
 	require.NoError(t, err)
-	topology := NewTopology(description.On("127.9"))
+	topology := NewTopology(description.OnNetwork("127.9"))
 	for _, test := range []struct {
 		one, other string
 		want       time.Duration
@@ -85,7 +85,7 @@
 		{"127.9.100.1", "127.9.3.10", 3 * time.Millisecond},
 		{"127.0.0.1", "127.9.3.10", 0},
 	} {
-		require.Equal(t, test.want, topology.Between(netip.MustParseAddr(test.one), netip.MustParseAddr(test.other)))
+		require.Equal(t, test.want, topology.LatencyBetween(netip.MustParseAddr(test.one), netip.MustParseAddr(test.other)))
 	}
 }
 
--- a/internal/fleet/fault_test.go
+++ b/internal/fleet/fault_test.go
@@ -25,11 +25,11 @@
 	require.NoError(t, err)
 	t.Cleanup(reserved.release)
 	description.Faults = []Fault{{Fault: FaultCutOff, Zone: "amman-hall-a", Length: time.Hour}}
-	description = description.On(reserved.network)
-	outside, err := StartOutside(description, enginemodel.DefaultProfile())
+	description = description.OnNetwork(reserved.network)
+	outside, err := StartStandIns(description, enginemodel.DefaultProfile())
 	require.NoError(t, err)
 	t.Cleanup(outside.Close)
-	return &Fleet{Description: description, Outside: outside, cuts: &cuts{gate: outside.topology.Gate()}}
+	return &Fleet{Description: description, StandIns: outside, cuts: &cuts{gate: outside.topology.Gate()}}
 }
 
 func TestTargets(t *testing.T) {
@@ -54,7 +54,7 @@
 	fault := Fault{Fault: FaultKill, Process: "lot-assessor-amman-hall-a-1", Length: time.Millisecond}
 	targets, err := started.targets(fault)
 	require.NoError(t, err)
-	struck := started.Outside.Engine(fault.Process)
+	struck := started.StandIns.Engine(fault.Process)
 	before, _ := struck.State()
 	require.NoError(t, started.strike(t.Context(), fault, targets))
 	after, running := struck.State()
@@ -71,11 +71,11 @@
 // TestObeyCuts cuts an engine off by the commands that a fleet writes to processes.
 func TestObeyCuts(t *testing.T) {
 	started := standIns(t)
-	target := started.Outside.Engine("lot-assessor-amman-hall-a-1").Address()
+	target := started.StandIns.Engine("lot-assessor-amman-hall-a-1").Address()
 	address := netip.MustParseAddrPort(target).Addr().String()
 	commands, input := io.Pipe()
 	obeyed := make(chan error, 1)
-	go func() { obeyed <- ObeyCuts(commands, started.Outside.topology.Gate()) }()
+	go func() { obeyed <- ApplyCutCommands(commands, started.StandIns.topology.Gate()) }()
 
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(started.Description.ClientAddress())}}
 	connection, err := dialer.Dial("tcp", target)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -41,11 +41,11 @@
 // Fleet is a running deployment.
 type Fleet struct {
 	Description Description
-	Outside     *Outside
+	StandIns    *StandIns
 	Processes   []*Process
 	Directory   string
 	Deployment  string
-	reserved    *reservation
+	reserved    *networkReservation
 	cuts        *cuts
 }
 
@@ -61,7 +61,7 @@
 			return nil, trace.Wrap(err)
 		}
 	}
-	var reserved *reservation
+	var reserved *networkReservation
 	if options.Network == "" {
 		reserved, err = reserveAny()
 	} else {
@@ -71,7 +71,7 @@
 		return nil, trace.Wrap(err)
 	}
 	fleet := &Fleet{
-		Description: description.On(reserved.network), Directory: options.Directory,
+		Description: description.OnNetwork(reserved.network), Directory: options.Directory,
 		Deployment: options.Deployment, reserved: reserved,
 	}
 	if err := fleet.start(options, description); err != nil {
@@ -94,11 +94,11 @@
 	if options.Profile.Name == "" {
 		options.Profile = enginemodel.DefaultProfile()
 	}
-	f.Outside, err = StartOutside(f.Description, options.Profile)
+	f.StandIns, err = StartStandIns(f.Description, options.Profile)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	f.cuts = &cuts{gate: f.Outside.topology.Gate()}
+	f.cuts = &cuts{gate: f.StandIns.topology.Gate()}
 	f.Processes = processes
 	for _, process := range processes {
 		if process.Role == RoleController {
@@ -116,7 +116,7 @@
 // WaitReady waits until the processes of a role say that they can serve.
 func (f *Fleet) WaitReady(ctx context.Context, role Role) error {
 	group, ctx := errgroup.WithContext(ctx)
-	for _, process := range f.Of(role) {
+	for _, process := range f.ProcessesOf(role) {
 		group.Go(func() error { return process.WaitReady(ctx) })
 	}
 	return trace.Wrap(group.Wait())
@@ -142,8 +142,8 @@
 	}
 }
 
-// Of returns the processes of a role.
-func (f *Fleet) Of(role Role) []*Process {
+// ProcessesOf returns the processes of a role.
+func (f *Fleet) ProcessesOf(role Role) []*Process {
 	var found []*Process
 	for _, process := range f.Processes {
 		if process.Role == role {
@@ -156,7 +156,7 @@
 // Addresses returns where the processes of a role listen.
 func (f *Fleet) Addresses(role Role) []string {
 	var addresses []string
-	for _, process := range f.Of(role) {
+	for _, process := range f.ProcessesOf(role) {
 		addresses = append(addresses, process.Listen)
 	}
 	return addresses
@@ -166,7 +166,7 @@
 func (f *Fleet) Close() {
 	for _, role := range []Role{RoleGateway, RoleController} {
 		var group errgroup.Group
-		for _, process := range f.Of(role) {
+		for _, process := range f.ProcessesOf(role) {
 			group.Go(func() error {
 				process.Stop()
 				return nil
@@ -174,8 +174,8 @@
 		}
 		_ = group.Wait() // none of them fails
 	}
-	if f.Outside != nil {
-		f.Outside.Close()
+	if f.StandIns != nil {
+		f.StandIns.Close()
 	}
 	f.reserved.release()
 }
--- a/internal/fleet/free_network.go
+++ b/internal/fleet/free_network.go
@@ -16,23 +16,23 @@
 	guardPort = 6999
 )
 
-// reservation keeps other fleets of this machine off a network.
-type reservation struct {
+// networkReservation keeps other fleets of this machine off a network.
+type networkReservation struct {
 	network string
 	guard   net.Listener
 }
 
 // reserve takes a network for one fleet; it fails when another fleet has it.
-func reserve(network string) (*reservation, error) {
+func reserve(network string) (*networkReservation, error) {
 	guard, err := net.Listen("tcp", fmt.Sprintf("%s.0.1:%d", network, guardPort))
 	if err != nil {
 		return nil, trace.Wrap(err, "network %s is in use by another fleet; choose one with --network 127.N", network)
 	}
-	return &reservation{network: network, guard: guard}, nil
+	return &networkReservation{network: network, guard: guard}, nil
 }
 
 // reserveAny takes the first network that no other fleet has.
-func reserveAny() (*reservation, error) {
+func reserveAny() (*networkReservation, error) {
 	for number := firstNetwork; number <= lastNetwork; number++ {
 		taken, err := reserve(fmt.Sprintf("127.%d", number))
 		if err == nil {
@@ -42,4 +42,4 @@
 	return nil, trace.LimitExceeded("every network from 127.%d to 127.%d is in use", firstNetwork, lastNetwork)
 }
 
-func (r *reservation) release() { _ = r.guard.Close() }
+func (r *networkReservation) release() { _ = r.guard.Close() }
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -33,21 +33,21 @@
 			},
 		})
 	}
-	for _, engine := range f.Outside.Engines {
+	for _, engine := range f.StandIns.Engines {
 		found = append(found, member{
 			name: engine.Name(), zone: engine.Config().Zone, address: engine.Address(),
 			kill: engine.Crash, start: engine.Restart, pause: engine.Freeze,
 		})
 	}
-	for _, page := range f.Outside.Pages {
+	for _, page := range f.StandIns.Pages {
 		found = append(found, member{
 			name: page.Name(), zone: page.Config().Zone, address: page.Address(),
 			kill: page.Crash, start: page.Restart, pause: page.Freeze,
 		})
 	}
 	return append(found,
-		member{name: MachineListName, address: f.Outside.Machines.Address()},
-		member{name: WeightStoreName, address: f.Outside.WeightStore.Address()},
+		member{name: MachineListName, address: f.StandIns.Machines.Address()},
+		member{name: WeightStoreName, address: f.StandIns.WeightStore.Address()},
 	)
 }
 
--- a/internal/fleet/operator.go
+++ b/internal/fleet/operator.go
@@ -30,11 +30,13 @@
 }
 
 // Operator returns the fleet's administrator.
-func (f *Fleet) Operator() *Operator { return f.OperatorWith(operatorTimeout, operatorRetryPause) }
+func (f *Fleet) Operator() *Operator {
+	return f.OperatorWithTimeouts(operatorTimeout, operatorRetryPause)
+}
 
-// OperatorWith returns the fleet's administrator, who waits so long for the answer of
+// OperatorWithTimeouts returns the fleet's administrator, who waits so long for the answer of
 // one controller and, after a failure, so long before the next is asked.
-func (f *Fleet) OperatorWith(attempt, between time.Duration) *Operator {
+func (f *Fleet) OperatorWithTimeouts(attempt, between time.Duration) *Operator {
 	return NewOperator(f.Description.Operator.Key, f.Addresses(RoleController), attempt, between)
 }
 
--- a/internal/fleet/outside.go
+++ b/internal/fleet/outside.go
@@ -13,8 +13,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/weightstore"
 )
 
-// Outside is the stand-ins of a fleet, all in this process.
-type Outside struct {
+// StandIns is the stand-ins of a fleet, all in this process.
+type StandIns struct {
 	Engines     []*engine.Engine
 	Pages       []*page.Service
 	Machines    *machinelist.Server
@@ -23,9 +23,9 @@
 	topology Topology
 }
 
-// StartOutside starts the stand-ins of a description.
-func StartOutside(description Description, profile enginemodel.Profile) (*Outside, error) {
-	outside := &Outside{topology: NewTopology(description)}
+// StartStandIns starts the stand-ins of a description.
+func StartStandIns(description Description, profile enginemodel.Profile) (*StandIns, error) {
+	outside := &StandIns{topology: NewTopology(description)}
 	if err := outside.start(description, profile); err != nil {
 		outside.Close()
 		return nil, trace.Wrap(err)
@@ -33,7 +33,7 @@
 	return outside, nil
 }
 
-func (o *Outside) start(description Description, profile enginemodel.Profile) error {
+func (o *StandIns) start(description Description, profile enginemodel.Profile) error {
 	topology := o.topology
 	var err error
 	o.WeightStore, err = weightstore.Start(weightstore.Config{
@@ -59,7 +59,7 @@
 	return trace.Wrap(err)
 }
 
-func (o *Outside) startReplica(description Description, replica Replica, profile enginemodel.Profile) error {
+func (o *StandIns) startReplica(description Description, replica Replica, profile enginemodel.Profile) error {
 	listen := o.topology.Listen
 	service := replica.Service
 	if replica.Type == TypePage {
@@ -90,7 +90,7 @@
 }
 
 // Engine returns the engine of a name, or nil.
-func (o *Outside) Engine(name string) *engine.Engine {
+func (o *StandIns) Engine(name string) *engine.Engine {
 	index := slices.IndexFunc(o.Engines, func(present *engine.Engine) bool { return present.Name() == name })
 	if index < 0 {
 		return nil
@@ -99,7 +99,7 @@
 }
 
 // Totals sums up what all engines ran.
-func (o *Outside) Totals() engine.Totals {
+func (o *StandIns) Totals() engine.Totals {
 	var sum engine.Totals
 	for _, present := range o.Engines {
 		sum = sum.Plus(present.Runs().Totals)
@@ -108,7 +108,7 @@
 }
 
 // Close stops all stand-ins, in parallel.
-func (o *Outside) Close() {
+func (o *StandIns) Close() {
 	stops := []func(){}
 	for _, present := range o.Engines {
 		stops = append(stops, present.Close)
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Replace lets the process be another program from its next start on, empty for this one itself.
-func (p *Process) Replace(program string, arguments []string) {
+// ReplaceProgram lets the process be another program from its next start on, empty for this one itself.
+func (p *Process) ReplaceProgram(program string, arguments []string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.program, p.arguments = program, arguments
@@ -116,8 +116,8 @@
 // Reload tells the process that its settings have changed (SIGHUP).
 func (p *Process) Reload() { p.signal(syscall.SIGHUP) }
 
-// Dump asks the process to write its log out (SIGUSR1).
-func (p *Process) Dump() { p.signal(syscall.SIGUSR1) }
+// DumpLogs asks the process to write its log out (SIGUSR1).
+func (p *Process) DumpLogs() { p.signal(syscall.SIGUSR1) }
 
 // Terminate asks the process to stop (SIGTERM) and does not wait for it.
 func (p *Process) Terminate() { p.signal(syscall.SIGTERM) }
--- a/internal/fleet/scenario_test.go
+++ b/internal/fleet/scenario_test.go
@@ -90,7 +90,7 @@
 	for _, name := range []string{"rawabi", "empleandes"} {
 		description, err := LoadDescription(filepath.Join(deployments, name))
 		require.NoError(t, err)
-		moved := description.On("127.77")
+		moved := description.OnNetwork("127.77")
 		text, err := yaml.Marshal(moved)
 		require.NoError(t, err)
 		directory := t.TempDir()
--- a/internal/fleet/timeline.go
+++ b/internal/fleet/timeline.go
@@ -10,9 +10,9 @@
 	"github.com/gravitational/trace"
 )
 
-// StrikeFaults lets the description's faults happen at their times from now on, until
+// InjectFaults lets the description's faults happen at their times from now on, until
 // the context ends. It checks them all before the first and tells each on progress.
-func (f *Fleet) StrikeFaults(ctx context.Context, progress io.Writer) error {
+func (f *Fleet) InjectFaults(ctx context.Context, progress io.Writer) error {
 	struck := make([][]member, len(f.Description.Faults))
 	for index, fault := range f.Description.Faults {
 		targets, err := f.targets(fault)
--- a/internal/fleet/topology.go
+++ b/internal/fleet/topology.go
@@ -39,12 +39,12 @@
 // unsentLimit is how long a process that ends waits for the last bytes of its connections.
 const unsentLimit = time.Second
 
-// Flush waits until what connections had to send when they were closed is sent.
-func (t Topology) Flush() { t.unsent.Wait(unsentLimit) }
+// WaitUnsent waits until what connections had to send when they were closed is sent.
+func (t Topology) WaitUnsent() { t.unsent.Wait(unsentLimit) }
 
-// Between is the one-way latency between two addresses. Addresses outside the fleet
+// LatencyBetween is the one-way latency between two addresses. Addresses outside the fleet
 // (the bench's own controls) are next door.
-func (t Topology) Between(one, other netip.Addr) time.Duration {
+func (t Topology) LatencyBetween(one, other netip.Addr) time.Duration {
 	if !one.Is4() || !other.Is4() {
 		return 0
 	}
@@ -70,6 +70,6 @@
 	if err != nil {
 		return inner, nil
 	}
-	latency := func(remote netip.Addr) time.Duration { return t.Between(local.Addr(), remote.Unmap()) }
+	latency := func(remote netip.Addr) time.Duration { return t.LatencyBetween(local.Addr(), remote.Unmap()) }
 	return zonedelay.WrapGated(inner, latency, t.gate, t.unsent), nil
 }
--- a/internal/gateway/callers_test.go
+++ b/internal/gateway/callers_test.go
@@ -83,7 +83,7 @@
 // waitUntilRunning waits until a service whose first answer is late has the request.
 func waitUntilRunning(t *testing.T, service *page.Service) {
 	t.Helper()
-	require.Eventually(t, func() bool { return service.Faults().Struck()[fault.Late] == 1 }, eventually, often)
+	require.Eventually(t, func() bool { return service.Faults().StrikeCounts()[fault.Late] == 1 }, eventually, often)
 }
 
 // TestCallerGoneUnderClaim shows that a claimed request runs to its end without its
--- a/internal/gateway/hand_over_test.go
+++ b/internal/gateway/hand_over_test.go
@@ -109,7 +109,7 @@
 	if row.prefillDies {
 		go func() {
 			// A decode engine that has taken its fault has the request, and waits before the fetch.
-			for len(decodes[0].Faults().Left())+len(decodes[1].Faults().Left()) == 2 && t.Context().Err() == nil {
+			for len(decodes[0].Faults().Remaining())+len(decodes[1].Faults().Remaining()) == 2 && t.Context().Err() == nil {
 				pause.For(t.Context(), often)
 			}
 			prefill.Crash()
--- a/internal/gatewaycost/run.go
+++ b/internal/gatewaycost/run.go
@@ -144,12 +144,12 @@
 
 // measureCuts cuts each link to an engine after cutAfter tokens, the resumed ones too.
 func (r *run) measureCuts(ctx context.Context, report *Report) error {
-	for _, present := range r.Fleet.Outside.Engines {
+	for _, present := range r.Fleet.StandIns.Engines {
 		present.Faults().Replace([]fault.Fault{{Kind: fault.Cut, Count: cutsOf(r.Streams, r.Tokens), Tokens: cutAfter}})
 	}
 	streams, err := r.streams(ctx, r.Streams)
-	for _, present := range r.Fleet.Outside.Engines {
-		report.Cuts += cutsOf(r.Streams, r.Tokens) - left(present.Faults().Left())
+	for _, present := range r.Fleet.StandIns.Engines {
+		report.Cuts += cutsOf(r.Streams, r.Tokens) - left(present.Faults().Remaining())
 		present.Faults().Replace(nil)
 	}
 	report.GapAfterCut = gaps(streams)
--- a/internal/gatewayloss/run.go
+++ b/internal/gatewayloss/run.go
@@ -40,10 +40,10 @@
 	Load load.Options
 	// Rounds is how often each fault is repeated.
 	Rounds int
-	// Calm is the time between two faults.
-	Calm time.Duration
-	// PageTime is how much longer page services take, so that faults meet registrations.
-	PageTime time.Duration
+	// FaultInterval is the time between two faults.
+	FaultInterval time.Duration
+	// PageDelay is how much longer page services take, so that faults meet registrations.
+	PageDelay time.Duration
 	// Progress gets a line for each fault.
 	Progress io.Writer
 }
@@ -62,14 +62,14 @@
 // Run loses gateways and engines, one after the other, and reports. An error means that
 // the run could not go on; broken promises are in the report.
 func Run(ctx context.Context, options Options) (Report, error) {
-	r := &run{options: options, gateways: options.Fleet.Of(fleet.RoleGateway)}
+	r := &run{options: options, gateways: options.Fleet.ProcessesOf(fleet.RoleGateway)}
 	if len(r.gateways) < 2 {
 		return Report{}, trace.BadParameter("the deployment has %d gateways; at least 2 are needed", len(r.gateways))
 	}
-	for _, page := range options.Fleet.Outside.Pages {
-		page.Faults().Replace([]fault.Fault{{Kind: fault.Late, Count: fault.Always, DelayMs: options.PageTime.Milliseconds()}})
+	for _, page := range options.Fleet.StandIns.Pages {
+		page.Faults().Replace([]fault.Fault{{Kind: fault.Late, Count: fault.Always, DelayMs: options.PageDelay.Milliseconds()}})
 	}
-	options.Load.Result = r.take
+	options.Load.OnResult = r.take
 	sending, stopSending := context.WithCancel(ctx)
 	defer stopSending()
 	type outcome struct {
@@ -113,7 +113,7 @@
 			if err := strike(); err != nil {
 				return trace.Wrap(err)
 			}
-			if !pause.For(ctx, r.options.Calm) {
+			if !pause.For(ctx, r.options.FaultInterval) {
 				return trace.Wrap(ctx.Err())
 			}
 		}
@@ -163,7 +163,7 @@
 
 // busiestEngine returns the engine that writes the most answers.
 func (r *run) busiestEngine() (*engine.Engine, int) {
-	engines := r.options.Fleet.Outside.Engines
+	engines := r.options.Fleet.StandIns.Engines
 	chosen, most := engines[0], 0
 	for _, present := range engines {
 		state, running := present.State()
--- a/internal/leaderloss/conclude.go
+++ b/internal/leaderloss/conclude.go
@@ -19,7 +19,7 @@
 		return trace.Wrap(err)
 	}
 	r.measureInForce(accepted)
-	for _, ordered := range r.fleet.Outside.Engines {
+	for _, ordered := range r.fleet.StandIns.Engines {
 		if err := r.checkOrders(ctx, ordered); err != nil {
 			return trace.Wrap(err)
 		}
--- a/internal/leaderloss/faults.go
+++ b/internal/leaderloss/faults.go
@@ -30,7 +30,7 @@
 			}
 		}
 	}
-	r.begin(fmt.Sprintf("restart a controller that missed %d changes", r.options.Missed))
+	r.begin(fmt.Sprintf("restart a controller that missed %d changes", r.options.MissedChanges))
 	return trace.Wrap(r.missChanges(ctx))
 }
 
@@ -58,7 +58,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	resumeAt := time.Now().Add(r.options.Pause)
+	resumeAt := time.Now().Add(r.options.LeaderPause)
 	lost := r.lose(ctx, leader.Suspend)
 	sleep(ctx, time.Until(resumeAt))
 	leader.Resume()
@@ -129,7 +129,7 @@
 	}
 	follower.Kill()
 	first := r.changes.last()
-	if err := r.submitMany(ctx, first+uint64(r.options.Missed)); err != nil {
+	if err := r.submitMany(ctx, first+uint64(r.options.MissedChanges)); err != nil {
 		return trace.Wrap(err)
 	}
 	began := time.Now()
@@ -170,7 +170,7 @@
 // lose takes the leader away and measures until another leader has a change accepted,
 // its fence at every engine, and an order accepted by an engine that waits for one.
 func (r *run) lose(ctx context.Context, takeAway func()) error {
-	engines := r.fleet.Outside.Engines
+	engines := r.fleet.StandIns.Engines
 	if err := r.until(ctx, r.spare.Name()+" serves", func() bool { return serves(r.spare) }); err != nil {
 		return trace.Wrap(err)
 	}
@@ -190,7 +190,7 @@
 		seen     func() (time.Time, bool)
 	}{
 		{lossToChange, func() (time.Time, bool) { return r.changes.acceptedAfter(began) }},
-		{lossToFence, func() (time.Time, bool) { return time.Now(), fencedAbove(r.fleet.Outside.Engines, epoch) }},
+		{lossToFence, func() (time.Time, bool) { return time.Now(), fencedAbove(r.fleet.StandIns.Engines, epoch) }},
 		{lossToOrder, func() (time.Time, bool) { return orderAbove(r.spare, epoch) }},
 	}
 	waits, ctx := errgroup.WithContext(ctx)
--- a/internal/leaderloss/options.go
+++ b/internal/leaderloss/options.go
@@ -17,12 +17,12 @@
 	Load load.Options
 	// Rounds is how often each fault is repeated.
 	Rounds int
-	// Missed is the number of changes that a controller misses before it restarts.
-	Missed int
-	// Pause is how long a leader is stopped; it must exceed the lease and the election.
-	Pause time.Duration
-	// Orderers is the number of engines whose roles are changed all the time.
-	Orderers int
+	// MissedChanges is the number of changes that a controller misses before it restarts.
+	MissedChanges int
+	// LeaderPause is how long a leader is stopped; it must exceed the lease and the election.
+	LeaderPause time.Duration
+	// OrderedEngines is the number of engines whose roles are changed all the time.
+	OrderedEngines int
 	// Progress gets a line for each fault.
 	Progress io.Writer
 }
--- a/internal/leaderloss/run.go
+++ b/internal/leaderloss/run.go
@@ -84,21 +84,21 @@
 }
 
 func newRun(options Options) (*run, error) {
-	chosen := chooseEngines(options.Fleet.Outside.Engines, options.Orderers+1)
+	chosen := chooseEngines(options.Fleet.StandIns.Engines, options.OrderedEngines+1)
 	if len(chosen) < 2 {
 		return nil, trace.BadParameter("the deployment has %d mixed engines; at least 2 are needed", len(chosen))
 	}
 	r := &run{
 		options: options, fleet: options.Fleet, recorder: newRecorder(),
-		operator:    options.Fleet.OperatorWith(attemptTimeout, attemptPause),
-		controllers: options.Fleet.Of(fleet.RoleController),
+		operator:    options.Fleet.OperatorWithTimeouts(attemptTimeout, attemptPause),
+		controllers: options.Fleet.ProcessesOf(fleet.RoleController),
 		spare:       chosen[0],
 		changed:     chosen[1:],
 		inForce:     make(map[string]*revisions),
 	}
 	r.orders = &orders{operator: r.operator}
 	r.changes = &changes{operator: r.operator, recorder: r.recorder, number: 1}
-	for _, gateway := range options.Fleet.Of(fleet.RoleGateway) {
+	for _, gateway := range options.Fleet.ProcessesOf(fleet.RoleGateway) {
 		r.inForce[gateway.Name] = &revisions{}
 	}
 	return r, nil
@@ -139,7 +139,7 @@
 	for _, changed := range r.changed {
 		duties.Go(func() error { r.orders.run(ctx, changed); return nil })
 	}
-	for _, gateway := range r.fleet.Of(fleet.RoleGateway) {
+	for _, gateway := range r.fleet.ProcessesOf(fleet.RoleGateway) {
 		duties.Go(func() error { r.inForce[gateway.Name].follow(ctx, gateway, r.recorder); return nil })
 	}
 	duties.Go(func() error { r.readRevision(ctx); return nil })
--- a/internal/load/probe.go
+++ b/internal/load/probe.go
@@ -32,9 +32,9 @@
 	return results, nil
 }
 
-// Show sends one chat request of the kind with the shortest prompts and writes its
+// StreamOne sends one chat request of the kind with the shortest prompts and writes its
 // answer to out as it arrives.
-func Show(options Options, out io.Writer) (Result, error) {
+func StreamOne(options Options, out io.Writer) (Result, error) {
 	traffic, kinds, err := describe(options.Deployment)
 	if err != nil {
 		return Result{}, trace.Wrap(err)
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -28,13 +28,13 @@
 	// OnceScale multiplies the rates of kinds that run at most once on top; 0 is 1.
 	OnceScale float64
 	Seed      uint64
-	// Insist makes callers send a once-only request that got no answer again, through the
+	// ResendUntilSettled makes callers send a once-only request that got no answer again, through the
 	// next gateway, until they know how it ended.
-	Insist bool
-	// Result, when not nil, is called with each request's end, from one goroutine.
-	Result func(Result)
-	// Progress, when not nil, is called after each request's end.
-	Progress func(done, all int)
+	ResendUntilSettled bool
+	// OnResult, when not nil, is called with each request's end, from one goroutine.
+	OnResult func(Result)
+	// OnProgress, when not nil, is called after each request's end.
+	OnProgress func(done, all int)
 }
 
 // plan is all requests of a run.
@@ -120,9 +120,9 @@
 			}
 			sending.Go(func() {
 				defer func() { <-slots }()
-				sender.sendOn(ctx, built, due, options.Insist, collected)
+				sender.sendOn(ctx, built, due, options.ResendUntilSettled, collected)
 				if built.resend {
-					sender.sendOn(ctx, built, time.Now(), options.Insist, collected)
+					sender.sendOn(ctx, built, time.Now(), options.ResendUntilSettled, collected)
 				}
 			})
 		}
@@ -130,11 +130,11 @@
 	var results []Result
 	for result := range collected {
 		results = append(results, result)
-		if options.Result != nil {
-			options.Result(result)
+		if options.OnResult != nil {
+			options.OnResult(result)
 		}
-		if options.Progress != nil {
-			options.Progress(len(results), len(planned.arrivals))
+		if options.OnProgress != nil {
+			options.OnProgress(len(results), len(planned.arrivals))
 		}
 	}
 	return results
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -68,6 +68,6 @@
 		arrival: asked, kind: kind.Name, tenant: drawn.Tenant, zone: of.Zones[drawn.Zone].Name, deadline: kind.Deadline,
 	}
 	dossier := fmt.Sprintf("%s-%d-%d", kind.Name, drawn.Tenant, drawn.Subject)
-	made.chatBody(of.ModelOf(kind), texts.text(dossier, drawn.SharedTokens, drawn.Number, drawn.PromptTokens), drawn.OutputTokens)
+	made.chatBody(of.ModelName(kind), texts.text(dossier, drawn.SharedTokens, drawn.Number, drawn.PromptTokens), drawn.OutputTokens)
 	return made
 }
--- a/internal/processrun/faults.go
+++ b/internal/processrun/faults.go
@@ -24,7 +24,7 @@
 }
 
 // strike lets the scenario's faults happen at their times, until the context ends.
-func strike(ctx context.Context, outside *fleet.Outside, of scenario.Scenario, began time.Time) {
+func strike(ctx context.Context, outside *fleet.StandIns, of scenario.Scenario, began time.Time) {
 	for _, fault := range of.Faults {
 		go func() {
 			if !sleepUntil(ctx, began.Add(fault.At)) {
@@ -35,8 +35,8 @@
 	}
 }
 
-func strikeOne(ctx context.Context, outside *fleet.Outside, of scenario.Scenario, fault scenario.Fault) {
-	for _, declared := range fault.Strikes(of.Engines()) {
+func strikeOne(ctx context.Context, outside *fleet.StandIns, of scenario.Scenario, fault scenario.Fault) {
+	for _, declared := range fault.Targets(of.Engines()) {
 		struck := outside.Engine(declared.Name)
 		if struck == nil {
 			continue
--- a/internal/processrun/run.go
+++ b/internal/processrun/run.go
@@ -34,14 +34,14 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	began := time.Now()
-	seen := newWatcher(options.Fleet.Outside.Engines, options.Scenario, began)
+	seen := newWatcher(options.Fleet.StandIns.Engines, options.Scenario, began)
 	watching, stopWatching := context.WithCancel(ctx)
 	watched := make(chan struct{})
 	go func() {
 		defer close(watched)
 		seen.run(watching)
 	}()
-	strike(ctx, options.Fleet.Outside, options.Scenario, began)
+	strike(ctx, options.Fleet.StandIns, options.Scenario, began)
 	report, results, err := load.RunScenario(ctx, options.Load, options.Scenario)
 	stopWatching()
 	<-watched
--- a/internal/property/faults.go
+++ b/internal/property/faults.go
@@ -75,7 +75,7 @@
 
 // collect adds what a stand-in showed.
 func collect(struck map[string]int, whose string, shown *fault.Set) {
-	for kind, count := range shown.Struck() {
+	for kind, count := range shown.StrikeCounts() {
 		struck[whose+string(kind)] += count
 	}
 }
@@ -159,7 +159,7 @@
 	if f.options.Only != "" {
 		kinds = []fault.Kind{f.options.Only}
 	}
-	left := set.Left()
+	left := set.Remaining()
 	set.Replace(append(left, fault.Fault{
 		Kind: kinds[f.random.IntN(len(kinds))], Count: 1 + f.random.IntN(maximumStrikes),
 		Tokens: f.random.IntN(maximumFaultTokens), DelayMs: f.random.Int64N(maximumLate.Milliseconds()),
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -109,7 +109,7 @@
 	if ofPlanner && (fault.Zone != "" || fault.Engine != "" || fault.Count > 0) {
 		document.Report(key, fmt.Sprintf("%s strikes no engine", fault.Fault), "remove zone, engine and count")
 	}
-	if !ofPlanner && len(fault.Strikes(engines)) == 0 {
+	if !ofPlanner && len(fault.Targets(engines)) == 0 {
 		document.Report(key, "strikes no engine", "choose a service, zone and engine that belong together")
 	}
 }
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -39,8 +39,8 @@
 	Count int `yaml:"count" default:"0" check:"not-negative"`
 }
 
-// Strikes returns the engines that the fault is about, in their order.
-func (f Fault) Strikes(engines []Engine) []Engine {
+// Targets returns the engines that the fault is about, in their order.
+func (f Fault) Targets(engines []Engine) []Engine {
 	var struck []Engine
 	for _, engine := range engines {
 		if !f.chooses(engine) {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -68,7 +68,7 @@
 		{Name: "assessor-hall-a-2", Service: "assessor", Zone: "hall-a", Role: enginecontract.RoleDecode},
 		{Name: "assessor-hall-b-1", Service: "assessor", Zone: "hall-b", Role: enginecontract.RolePrefill},
 	}, read.Engines())
-	require.Len(t, read.Faults[0].Strikes(read.Engines()), 1)
+	require.Len(t, read.Faults[0].Targets(read.Engines()), 1)
 }
 
 func TestFaultsOfFiles(t *testing.T) {
--- a/internal/scenario/service.go
+++ b/internal/scenario/service.go
@@ -70,8 +70,8 @@
 	return profile
 }
 
-// ModelOf is the model that callers of a kind name.
-func (s Scenario) ModelOf(kind Kind) string {
+// ModelName is the model that callers of a kind name.
+func (s Scenario) ModelName(kind Kind) string {
 	for _, service := range s.Services {
 		if service.Name == kind.Service && service.Model != "" {
 			return service.Model
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -43,7 +43,7 @@
 		Safeguards: e.world.safeguards,
 	}, e.durable)
 	if e.leaving {
-		e.machine.Leave()
+		e.machine.StartLeaving()
 	}
 	e.keep()
 	e.world.trace.add(e.world.now, e.name, "starts, incarnation %d", e.incarnation)
@@ -71,7 +71,7 @@
 // order takes an order.
 func (e *engine) order(order enginecontract.Order) enginecontract.OrderAnswer {
 	before := e.machine.State(e.inFlight)
-	answer := e.machine.Order(e.world.now, order, e.inFlight)
+	answer := e.machine.Submit(e.world.now, order, e.inFlight)
 	e.world.trace.add(e.world.now, e.name, "gets %s %v role %s: accepted %t %s, phase %s",
 		order.Action, order.Fence, order.Role, answer.Accepted, answer.Refusal, answer.State.OrderPhase)
 	e.world.checks.orderTaken(e, order, before, answer)
@@ -81,7 +81,7 @@
 
 // fence raises the engine's fence.
 func (e *engine) fence(fence enginecontract.Fence) enginecontract.OrderAnswer {
-	answer := e.machine.Fence(e.world.now, fence, e.inFlight)
+	answer := e.machine.RaiseFence(e.world.now, fence, e.inFlight)
 	e.world.trace.add(e.world.now, e.name, "fence %v: accepted %t", fence, answer.Accepted)
 	e.world.checks.fenceTaken(e, fence, answer)
 	e.keep()
@@ -128,7 +128,7 @@
 func (e *engine) leave() {
 	e.leaving = true
 	e.leftAt = e.world.now
-	e.machine.Leave()
+	e.machine.StartLeaving()
 	e.keep()
 	e.world.trace.add(e.world.now, e.name, "is leaving")
 }
--- a/internal/simulation/operator_commands.go
+++ b/internal/simulation/operator_commands.go
@@ -22,7 +22,7 @@
 func (o *operatorClient) commandText() string {
 	random, engines := o.world.random, o.world.engines
 	for _, engine := range engines {
-		if engine.durable.Held {
+		if engine.durable.Drained {
 			return "resume engine " + engine.name
 		}
 	}
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -35,7 +35,7 @@
 
 // signalOn sends signals to a process that was asked to stop, for as long as it runs.
 func (f *faults) signalOn(process *fleet.Process) {
-	for _, next := range f.drawSeries(process.Terminate, process.Reload, process.Dump) {
+	for _, next := range f.drawSeries(process.Terminate, process.Reload, process.DumpLogs) {
 		if !process.Running() {
 			return
 		}
@@ -47,7 +47,7 @@
 // reloads tells a process, once and then again, that its settings have changed, or to write its log out.
 func (f *faults) reloads(process *fleet.Process) {
 	process.Reload()
-	for _, next := range f.drawSeries(process.Reload, process.Dump) {
+	for _, next := range f.drawSeries(process.Reload, process.DumpLogs) {
 		next.send()
 		time.Sleep(next.after)
 	}
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -195,11 +195,11 @@
 	arguments := s.servers[process.Name]
 	switch {
 	case other:
-		process.Replace(s.options.Other, arguments)
+		process.ReplaceProgram(s.options.Other, arguments)
 	case s.options.Program == "":
-		process.Replace("", append([]string{s.options.Serve}, arguments...))
+		process.ReplaceProgram("", append([]string{s.options.Serve}, arguments...))
 	default:
-		process.Replace(s.options.Program, arguments)
+		process.ReplaceProgram(s.options.Program, arguments)
 	}
 }
 
--- a/internal/standin/crashable/server.go
+++ b/internal/standin/crashable/server.go
@@ -97,15 +97,15 @@
 	}
 	l.mutex.Unlock()
 	for _, connection := range broken {
-		Break(connection)
+		ResetConnection(connection)
 	}
 }
 
 // lingerer is a connection that can be reset in place of closed in good order.
 type lingerer interface{ SetLinger(seconds int) error }
 
-// Break resets a connection: what was not sent is lost.
-func Break(connection net.Conn) {
+// ResetConnection resets a connection: what was not sent is lost.
+func ResetConnection(connection net.Conn) {
 	if tracked, ok := connection.(*trackedConn); ok {
 		if abrupt, ok := tracked.Conn.(lingerer); ok {
 			_ = abrupt.SetLinger(0)
--- a/internal/standin/engine/control.go
+++ b/internal/standin/engine/control.go
@@ -37,7 +37,7 @@
 
 func (l *life) serveLoad(ctx *fasthttp.RequestCtx) {
 	lag := l.engine.config.LoadLag
-	if more, found := l.engine.faults.Present(fault.LoadLag); found {
+	if more, found := l.engine.faults.Peek(fault.LoadLag); found {
 		lag += more.Delay()
 	}
 	l.lockThawed()
@@ -54,7 +54,7 @@
 		return
 	}
 	lag := l.engine.config.CacheEventLag
-	if more, found := l.engine.faults.Present(fault.CacheEventLag); found {
+	if more, found := l.engine.faults.Peek(fault.CacheEventLag); found {
 		lag += more.Delay()
 	}
 	l.lockThawed()
@@ -73,7 +73,7 @@
 	l.lockThawed()
 	l.advance()
 	before := l.machine.State(l.inFlight())
-	answer := l.machine.Order(l.now(), order, l.inFlight())
+	answer := l.machine.Submit(l.now(), order, l.inFlight())
 	if answer.Accepted {
 		l.engine.accepted.add(order, before)
 	}
@@ -81,7 +81,7 @@
 	l.mutex.Unlock()
 	l.poke()
 	if _, strikes := l.takeFault(fault.LoseOrderAnswer); strikes {
-		crashable.Break(ctx.Conn())
+		crashable.ResetConnection(ctx.Conn())
 		return
 	}
 	writeOrderAnswer(ctx, answer)
@@ -95,7 +95,7 @@
 	}
 	l.lockThawed()
 	l.advance()
-	answer := l.machine.Fence(l.now(), fence, l.inFlight())
+	answer := l.machine.RaiseFence(l.now(), fence, l.inFlight())
 	l.mutex.Unlock()
 	writeOrderAnswer(ctx, answer)
 }
--- a/internal/standin/engine/drive.go
+++ b/internal/standin/engine/drive.go
@@ -66,7 +66,7 @@
 }
 
 func (l *life) gap() int {
-	if present, found := l.engine.faults.Present(fault.CacheEventGap); found {
+	if present, found := l.engine.faults.Peek(fault.CacheEventGap); found {
 		return present.Tokens
 	}
 	return 0
@@ -170,7 +170,7 @@
 		go l.engine.crashFor(crash.Delay())
 		return
 	}
-	if order, waits := l.machine.WantsWeights(); waits {
+	if order, waits := l.machine.PendingWeightLoad(); waits {
 		go l.fetchWeights(order)
 	}
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -109,11 +109,11 @@
 	}
 }
 
-// Leave makes the engine refuse new work for good.
-func (e *Engine) Leave() {
+// StartLeaving makes the engine refuse new work for good.
+func (e *Engine) StartLeaving() {
 	if present := e.current(); present != nil {
 		present.mutex.Lock()
-		present.machine.Leave()
+		present.machine.StartLeaving()
 		present.mutex.Unlock()
 	}
 }
--- a/internal/standin/engine/life.go
+++ b/internal/standin/engine/life.go
@@ -143,7 +143,7 @@
 	}
 }
 
-func (l *life) takeFault(kind fault.Kind) (fault.Fault, bool) { return l.engine.faults.Take(kind) }
+func (l *life) takeFault(kind fault.Kind) (fault.Fault, bool) { return l.engine.faults.Strike(kind) }
 
 // dialFrom dials from the IP of an address, so that the fleet knows the caller's zone.
 func dialFrom(address string) fasthttp.DialFunc {
--- a/internal/standin/engine/orders/durable.go
+++ b/internal/standin/engine/orders/durable.go
@@ -15,12 +15,12 @@
 	// Order is the last accepted order and Phase how far it has come.
 	Order enginecontract.Order
 	Phase enginecontract.OrderPhase
-	// Refused is the fence of the last refused order, and Refusal the answer that a
+	// RefusedFence is the fence of the last refused order, and Refusal the answer that a
 	// resend of it gets again.
-	Refused enginecontract.Fence
-	Refusal enginecontract.OrderRefusal
-	// Held tells that a drain order keeps the engine out of service.
-	Held bool
+	RefusedFence enginecontract.Fence
+	LastRefusal  enginecontract.OrderRefusal
+	// Drained tells that a drain order keeps the engine out of service.
+	Drained bool
 }
 
 // afterRestart is the known state an engine comes back in: a change that was under
--- a/internal/standin/engine/orders/machine.go
+++ b/internal/standin/engine/orders/machine.go
@@ -55,8 +55,8 @@
 	return kept
 }
 
-// Order takes one order. A refused order changes nothing but the highest fence.
-func (m *Machine) Order(now time.Duration, order enginecontract.Order, inFlight int) enginecontract.OrderAnswer {
+// Submit takes one order. A refused order changes nothing but the highest fence.
+func (m *Machine) Submit(now time.Duration, order enginecontract.Order, inFlight int) enginecontract.OrderAnswer {
 	m.Advance(now, inFlight)
 	refusal := m.refuse(order)
 	if refusal == "" && order != m.durable.Order {
@@ -73,8 +73,8 @@
 		return enginecontract.RefusalInvalid
 	case order.Fence == m.durable.Order.Fence && order == m.durable.Order:
 		return "" // a resend of the order held
-	case order.Fence == m.durable.Refused && m.durable.Refused != none:
-		return m.durable.Refusal
+	case order.Fence == m.durable.RefusedFence && m.durable.RefusedFence != none:
+		return m.durable.LastRefusal
 	case m.config.Safeguards.IsEnabled(FenceCheck) && !m.durable.HighestFence.Less(order.Fence):
 		return enginecontract.RefusalStaleFence
 	}
@@ -83,7 +83,7 @@
 	}
 	refusal := m.refuseByState(order)
 	if refusal != "" {
-		m.durable.Refused, m.durable.Refusal = order.Fence, refusal
+		m.durable.RefusedFence, m.durable.LastRefusal = order.Fence, refusal
 	}
 	return refusal
 }
@@ -102,8 +102,8 @@
 	return ""
 }
 
-// Fence raises the highest fence seen to an epoch's start and does nothing else.
-func (m *Machine) Fence(now time.Duration, fence enginecontract.Fence, inFlight int) enginecontract.OrderAnswer {
+// RaiseFence raises the highest fence seen to an epoch's start and does nothing else.
+func (m *Machine) RaiseFence(now time.Duration, fence enginecontract.Fence, inFlight int) enginecontract.OrderAnswer {
 	m.Advance(now, inFlight)
 	answer := enginecontract.OrderAnswer{Accepted: true}
 	switch {
@@ -128,7 +128,7 @@
 	case enginecontract.ActionAbort:
 		m.durable.Phase = enginecontract.PhaseDone
 	case enginecontract.ActionResume:
-		m.durable.Held = false
+		m.durable.Drained = false
 		m.durable.Phase = enginecontract.PhaseDone
 	case enginecontract.ActionLoadAdapter, enginecontract.ActionUnloadAdapter:
 		m.beginChange(now)
@@ -201,7 +201,7 @@
 		m.durable.AdapterVersions = maps.Clone(m.durable.AdapterVersions)
 		delete(m.durable.AdapterVersions, order.Adapter)
 	case enginecontract.ActionDrain:
-		m.durable.Held = true
+		m.durable.Drained = true
 	}
 }
 
@@ -230,15 +230,15 @@
 	return 0, false
 }
 
-// WantsWeights returns the order that waits for weights, if one does.
-func (m *Machine) WantsWeights() (enginecontract.Order, bool) {
+// PendingWeightLoad returns the order that waits for weights, if one does.
+func (m *Machine) PendingWeightLoad() (enginecontract.Order, bool) {
 	return m.durable.Order, m.weightsMissing && m.durable.Phase == enginecontract.PhaseChanging
 }
 
-// WeightsArrived tells that the weights of the order are here, or that they can't
+// FinishWeightLoad tells that the weights of the order are here, or that they can't
 // be had, which aborts it: the engine goes on with the model it had.
-func (m *Machine) WeightsArrived(now time.Duration, order enginecontract.Order, whole bool) {
-	if wanted, waits := m.WantsWeights(); !waits || wanted != order {
+func (m *Machine) FinishWeightLoad(now time.Duration, order enginecontract.Order, whole bool) {
+	if wanted, waits := m.PendingWeightLoad(); !waits || wanted != order {
 		return
 	}
 	m.weightsMissing = false
@@ -250,8 +250,8 @@
 	m.Advance(now, 0)
 }
 
-// Leave makes the engine refuse new work and orders for good.
-func (m *Machine) Leave() { m.leaving = true }
+// StartLeaving makes the engine refuse new work and orders for good.
+func (m *Machine) StartLeaving() { m.leaving = true }
 
 // ServiceState tells whether the engine takes new work: only when serving.
 func (m *Machine) ServiceState() enginecontract.ServiceState {
@@ -261,7 +261,7 @@
 		return enginecontract.StateLeaving
 	case m.durable.Phase == enginecontract.PhaseChanging && !hot:
 		return enginecontract.StateChanging
-	case m.durable.Phase == enginecontract.PhaseDraining || m.durable.Held:
+	case m.durable.Phase == enginecontract.PhaseDraining || m.durable.Drained:
 		return enginecontract.StateDraining
 	}
 	return enginecontract.StateServing
--- a/internal/standin/engine/orders/machine_test.go
+++ b/internal/standin/engine/orders/machine_test.go
@@ -28,7 +28,7 @@
 func TestOrderDrainsChangesAndEnds(t *testing.T) {
 	machine := newMachine()
 	order := setRole(1, 1, enginecontract.RolePrefill)
-	answer := machine.Order(0, order, 2)
+	answer := machine.Submit(0, order, 2)
 	require.True(t, answer.Accepted)
 	require.Equal(t, enginecontract.StateDraining, answer.State.State)
 	machine.Advance(time.Second, 1)
@@ -42,7 +42,7 @@
 	machine.Advance(at, 0)
 	require.Equal(t, enginecontract.StateServing, machine.ServiceState())
 	require.Equal(t, enginecontract.RolePrefill, machine.Role())
-	require.True(t, machine.Order(at, order, 0).Accepted, "a resend gets the same answer")
+	require.True(t, machine.Submit(at, order, 0).Accepted, "a resend gets the same answer")
 }
 
 func TestAnswers(t *testing.T) {
@@ -72,11 +72,11 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			machine := newMachine(test.off...)
-			require.True(t, machine.Order(0, held, test.inFlight).Accepted)
-			answer := machine.Order(time.Second, test.order, test.inFlight)
+			require.True(t, machine.Submit(0, held, test.inFlight).Accepted)
+			answer := machine.Submit(time.Second, test.order, test.inFlight)
 			require.Equal(t, test.want, answer.Refusal)
 			require.Equal(t, test.want == "", answer.Accepted)
-			again := machine.Order(time.Second, test.order, test.inFlight)
+			again := machine.Submit(time.Second, test.order, test.inFlight)
 			require.Equal(t, answer, again, "a resend gets the same answer")
 		})
 	}
@@ -84,7 +84,7 @@
 
 func TestDrainThatTakesTooLongIsAborted(t *testing.T) {
 	machine := newMachine()
-	machine.Order(0, setRole(1, 1, enginecontract.RolePrefill), 1)
+	machine.Submit(0, setRole(1, 1, enginecontract.RolePrefill), 1)
 	machine.Advance(10*time.Second, 1)
 	state := machine.State(1)
 	require.Equal(t, enginecontract.PhaseAborted, state.OrderPhase)
@@ -96,7 +96,7 @@
 	for _, inFlight := range []int{0, 1} {
 		machine := newMachine()
 		order := setRole(7, 1, enginecontract.RolePrefill)
-		machine.Order(0, order, inFlight)
+		machine.Submit(0, order, inFlight)
 		config := machine.config
 		config.Incarnation = 2
 		restarted := New(config, machine.Durable())
@@ -105,22 +105,22 @@
 		require.Equal(t, enginecontract.StateServing, state.State)
 		require.Equal(t, enginecontract.RoleMixed, state.Role)
 		require.Equal(t, order.Fence, state.HighestFence)
-		stale := restarted.Order(0, setRole(6, 1, enginecontract.RoleDecode), 0)
+		stale := restarted.Submit(0, setRole(6, 1, enginecontract.RoleDecode), 0)
 		require.Equal(t, enginecontract.RefusalStaleFence, stale.Refusal)
 
 		config.Safeguards = safeguard.Without(DurableFence)
 		forgetful := New(config, machine.Durable())
-		require.True(t, forgetful.Order(0, setRole(6, 1, enginecontract.RoleDecode), 0).Accepted)
+		require.True(t, forgetful.Submit(0, setRole(6, 1, enginecontract.RoleDecode), 0).Accepted)
 	}
 }
 
 func TestFenceRaisesAndShutsOutOldEpochs(t *testing.T) {
 	machine := newMachine()
-	require.True(t, machine.Fence(0, enginecontract.Fence{Epoch: 5}, 0).Accepted)
-	require.True(t, machine.Fence(0, enginecontract.Fence{Epoch: 5}, 0).Accepted)
-	require.Equal(t, enginecontract.RefusalStaleFence, machine.Fence(0, enginecontract.Fence{Epoch: 4}, 0).Refusal)
-	require.Equal(t, enginecontract.RefusalStaleFence, machine.Order(0, setRole(4, 9, enginecontract.RoleDecode), 0).Refusal)
-	require.True(t, machine.Order(0, setRole(5, 1, enginecontract.RoleDecode), 0).Accepted)
+	require.True(t, machine.RaiseFence(0, enginecontract.Fence{Epoch: 5}, 0).Accepted)
+	require.True(t, machine.RaiseFence(0, enginecontract.Fence{Epoch: 5}, 0).Accepted)
+	require.Equal(t, enginecontract.RefusalStaleFence, machine.RaiseFence(0, enginecontract.Fence{Epoch: 4}, 0).Refusal)
+	require.Equal(t, enginecontract.RefusalStaleFence, machine.Submit(0, setRole(4, 9, enginecontract.RoleDecode), 0).Refusal)
+	require.True(t, machine.Submit(0, setRole(5, 1, enginecontract.RoleDecode), 0).Accepted)
 }
 
 func TestWeightsThatCannotBeHadAbortTheChange(t *testing.T) {
@@ -128,10 +128,10 @@
 		machine := newMachine()
 		machine.config.ExternalWeights = true
 		order := enginecontract.Order{Fence: enginecontract.Fence{Epoch: 1}, Action: enginecontract.ActionLoadModel, Model: "m", Version: "2"}
-		require.True(t, machine.Order(0, order, 0).Accepted)
+		require.True(t, machine.Submit(0, order, 0).Accepted)
 		machine.Advance(time.Hour, 0)
 		require.Equal(t, enginecontract.StateChanging, machine.ServiceState())
-		machine.WeightsArrived(time.Hour, order, whole)
+		machine.FinishWeightLoad(time.Hour, order, whole)
 		require.Equal(t, enginecontract.StateServing, machine.ServiceState())
 		require.Equal(t, map[bool]string{true: "2", false: "1"}[whole], machine.State(0).Version)
 	}
@@ -140,13 +140,13 @@
 func TestAdaptersChangeWhileServing(t *testing.T) {
 	machine := newMachine()
 	load := enginecontract.Order{Fence: enginecontract.Fence{Epoch: 1, Sequence: 1}, Action: enginecontract.ActionLoadAdapter, Adapter: "a"}
-	require.True(t, machine.Order(0, load, 3).Accepted)
+	require.True(t, machine.Submit(0, load, 3).Accepted)
 	require.Equal(t, enginecontract.StateServing, machine.ServiceState())
 	require.False(t, machine.Serves("a"))
 	machine.Advance(time.Second, 3)
 	require.True(t, machine.Serves("a"))
 	unload := enginecontract.Order{Fence: enginecontract.Fence{Epoch: 1, Sequence: 2}, Action: enginecontract.ActionUnloadAdapter, Adapter: "a"}
-	require.True(t, machine.Order(time.Second, unload, 3).Accepted)
+	require.True(t, machine.Submit(time.Second, unload, 3).Accepted)
 	require.False(t, machine.Serves("a"))
 }
 
@@ -158,9 +158,9 @@
 	}
 	for _, restart := range []bool{false, true} {
 		machine := newMachine()
-		require.True(t, machine.Order(0, load(1, "1"), 0).Accepted)
+		require.True(t, machine.Submit(0, load(1, "1"), 0).Accepted)
 		machine.Advance(time.Second, 0)
-		require.True(t, machine.Order(time.Second, load(2, "2"), 0).Accepted)
+		require.True(t, machine.Submit(time.Second, load(2, "2"), 0).Accepted)
 		require.True(t, machine.Serves("a"))
 		require.Equal(t, map[string]string{"a": "1"}, machine.State(0).AdapterVersions)
 		if restart {
@@ -193,7 +193,7 @@
 				before := machine.State(inFlight)
 				order := setRole(rapid.Uint64Range(1, 3).Draw(t, "epoch"), rapid.Uint64Range(1, 20).Draw(t, "sequence"), rapid.SampledFrom([]enginecontract.Role{enginecontract.RolePrefill, enginecontract.RoleDecode}).Draw(t, "role"))
 				order.ExpectedRole = before.Role
-				answer := machine.Order(now, order, inFlight)
+				answer := machine.Submit(now, order, inFlight)
 				fresh := answer.Accepted && order.Fence != before.OrderFence
 				if fresh {
 					require.True(t, highest.Less(order.Fence))
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -66,7 +66,7 @@
 		ended, cancelled, dead := s.about.ended, s.about.cancelled, s.life.dead
 		s.life.mutex.Unlock()
 		if replaced || dead {
-			crashable.Break(s.conn)
+			crashable.ResetConnection(s.conn)
 			return
 		}
 		s.buffer = s.buffer[:0]
@@ -84,7 +84,7 @@
 		}
 		switch struck {
 		case fault.Cut:
-			crashable.Break(s.conn)
+			crashable.ResetConnection(s.conn)
 			return
 		case fault.Stall:
 			s.stall()
--- a/internal/standin/engine/weights.go
+++ b/internal/standin/engine/weights.go
@@ -29,7 +29,7 @@
 		}
 	}
 	l.lockThawed()
-	l.machine.WeightsArrived(l.now(), order, whole)
+	l.machine.FinishWeightLoad(l.now(), order, whole)
 	l.mutex.Unlock()
 	l.poke()
 }
--- a/internal/standin/engine/work.go
+++ b/internal/standin/engine/work.go
@@ -135,7 +135,7 @@
 func (l *life) answer(ctx *fasthttp.RequestCtx, begun *exchange, stream *reader, request work) {
 	if _, strikes := l.takeFault(fault.LoseAnswer); strikes {
 		l.detach(begun, stream)
-		crashable.Break(ctx.Conn())
+		crashable.ResetConnection(ctx.Conn())
 		return
 	}
 	if _, strikes := l.takeFault(fault.Error); strikes {
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// Take reports whether a fault strikes now, and counts it.
-func (s *Set) Take(kind Kind) (Fault, bool) {
+// Strike reports whether a fault strikes now, and counts it.
+func (s *Set) Strike(kind Kind) (Fault, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	fault, found := s.faults[kind]
@@ -138,23 +138,23 @@
 	return fault, true
 }
 
-// Struck returns how often each fault has struck.
-func (s *Set) Struck() map[Kind]int {
+// StrikeCounts returns how often each fault has struck.
+func (s *Set) StrikeCounts() map[Kind]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return maps.Clone(s.struck)
 }
 
-// Present returns a fault without counting it.
-func (s *Set) Present(kind Kind) (Fault, bool) {
+// Peek returns a fault without counting it.
+func (s *Set) Peek(kind Kind) (Fault, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	fault, found := s.faults[kind]
 	return fault, found && fault.Count != 0
 }
 
-// Left returns the faults that can still strike.
-func (s *Set) Left() []Fault {
+// Remaining returns the faults that can still strike.
+func (s *Set) Remaining() []Fault {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	left := make([]Fault, 0, len(s.faults))
--- a/internal/standin/fault/fault_test.go
+++ b/internal/standin/fault/fault_test.go
@@ -65,25 +65,25 @@
 		status, _ = ask("PUT", wrong)
 		require.Equal(t, fasthttp.StatusBadRequest, status, wrong)
 	}
-	require.Len(t, set.Left(), 1, "wrong lists change nothing")
+	require.Len(t, set.Remaining(), 1, "wrong lists change nothing")
 }
 
 func TestTakeCounts(t *testing.T) {
 	set := fault.NewSet(fault.Fault{Kind: fault.Refuse, Count: 2}, fault.Fault{Kind: fault.Late, Count: fault.Always, DelayMs: 3})
 	for _, want := range []bool{true, true, false} {
-		_, strikes := set.Take(fault.Refuse)
+		_, strikes := set.Strike(fault.Refuse)
 		require.Equal(t, want, strikes)
 	}
 	for range 5 {
-		late, strikes := set.Take(fault.Late)
+		late, strikes := set.Strike(fault.Late)
 		require.True(t, strikes)
 		require.Equal(t, int64(3), late.Delay().Milliseconds())
 	}
-	require.Equal(t, map[fault.Kind]int{fault.Refuse: 2, fault.Late: 5}, set.Struck())
-	require.Len(t, set.Left(), 1)
-	_, found := set.Present(fault.Refuse)
+	require.Equal(t, map[fault.Kind]int{fault.Refuse: 2, fault.Late: 5}, set.StrikeCounts())
+	require.Len(t, set.Remaining(), 1)
+	_, found := set.Peek(fault.Refuse)
 	require.False(t, found)
 	set.Replace(nil)
-	_, strikes := set.Take(fault.Late)
+	_, strikes := set.Strike(fault.Late)
 	require.False(t, strikes)
 }
--- a/internal/standin/fault/serve.go
+++ b/internal/standin/fault/serve.go
@@ -10,7 +10,7 @@
 // can still strike, PUT switches on exactly those of its body.
 func (s *Set) Serve(ctx *fasthttp.RequestCtx) {
 	if !ctx.IsPut() {
-		text, err := json.Marshal(s.Left())
+		text, err := json.Marshal(s.Remaining())
 		if err != nil { // the shape always marshals
 			panic(err)
 		}
--- a/internal/standin/machinelist/machinelist.go
+++ b/internal/standin/machinelist/machinelist.go
@@ -90,16 +90,16 @@
 	})
 }
 
-// Remove takes a machine off the list; false when it isn't listed.
-func (s *Server) Remove(name string) bool {
+// RemoveMachine takes a machine off the list; false when it isn't listed.
+func (s *Server) RemoveMachine(name string) bool {
 	return s.change(func(machines []enginecontract.Machine) ([]enginecontract.Machine, bool) {
 		left := slices.DeleteFunc(slices.Clone(machines), func(machine enginecontract.Machine) bool { return machine.Name == name })
 		return left, len(left) < len(machines)
 	})
 }
 
-// Add puts a machine on the list.
-func (s *Server) Add(machine enginecontract.Machine) {
+// AddMachine puts a machine on the list.
+func (s *Server) AddMachine(machine enginecontract.Machine) {
 	s.change(func(machines []enginecontract.Machine) ([]enginecontract.Machine, bool) {
 		return append(machines, machine), true
 	})
--- a/internal/standin/machinelist/machinelist_test.go
+++ b/internal/standin/machinelist/machinelist_test.go
@@ -42,9 +42,9 @@
 	told := read(t, list)
 	require.Equal(t, uint64(2), told.Version)
 	require.Equal(t, enginecontract.StateLeaving, told.Machines[1].State)
-	require.True(t, list.Remove("b"))
-	require.False(t, list.Remove("b"))
-	list.Add(enginecontract.Machine{Name: "c"})
+	require.True(t, list.RemoveMachine("b"))
+	require.False(t, list.RemoveMachine("b"))
+	list.AddMachine(enginecontract.Machine{Name: "c"})
 	told = read(t, list)
 	require.Equal(t, uint64(4), told.Version)
 	require.Equal(t, []string{"a", "c"}, []string{told.Machines[0].Name, told.Machines[1].Name})
@@ -52,7 +52,7 @@
 
 func TestTheListLags(t *testing.T) {
 	list := start(t, time.Hour)
-	require.True(t, list.Remove("a"))
+	require.True(t, list.RemoveMachine("a"))
 	require.Equal(t, uint64(1), read(t, list).Version, "the change is not an hour old")
 	list.SetLag(-1)
 	require.Equal(t, uint64(2), read(t, list).Version)
--- a/internal/standin/page/page.go
+++ b/internal/standin/page/page.go
@@ -136,8 +136,8 @@
 	s.frozenUntil = time.Now().Add(pause)
 }
 
-// Leave makes the replica refuse new work for good.
-func (s *Service) Leave() {
+// StartLeaving makes the replica refuse new work for good.
+func (s *Service) StartLeaving() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.leaving = true
--- a/internal/standin/page/page_test.go
+++ b/internal/standin/page/page_test.go
@@ -102,7 +102,7 @@
 
 func TestLeavingRefusesAsNotRun(t *testing.T) {
 	service := start(t)
-	service.Leave()
+	service.StartLeaving()
 	got := register(t, service)
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.Equal(t, enginecontract.RunStateNotRun, got.header.Get(enginecontract.HeaderRunState))
--- a/internal/standin/page/serve.go
+++ b/internal/standin/page/serve.go
@@ -40,29 +40,29 @@
 func (s *Service) serveRequest(ctx *fasthttp.RequestCtx) {
 	ctx.Response.Header.SetBytesV(enginecontract.HeaderExchange, ctx.Request.Header.Peek(enginecontract.HeaderExchange))
 	s.setState(ctx)
-	if late, strikes := s.faults.Take(fault.Late); strikes {
+	if late, strikes := s.faults.Strike(fault.Late); strikes {
 		time.Sleep(late.Delay())
 	}
 	if s.isLeaving() {
 		s.refuse(ctx, "leaving")
 		return
 	}
-	if _, strikes := s.faults.Take(fault.Refuse); strikes {
+	if _, strikes := s.faults.Strike(fault.Refuse); strikes {
 		s.refuse(ctx, "refused on demand")
 		return
 	}
 	body := s.run(ctx)
-	if _, strikes := s.faults.Take(fault.LoseAnswer); strikes {
-		crashable.Break(ctx.Conn())
+	if _, strikes := s.faults.Strike(fault.LoseAnswer); strikes {
+		crashable.ResetConnection(ctx.Conn())
 		return
 	}
-	if _, strikes := s.faults.Take(fault.Error); strikes {
+	if _, strikes := s.faults.Strike(fault.Error); strikes {
 		ctx.Response.Header.Set(enginecontract.HeaderRunState, enginecontract.RunStateMayHaveRun)
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 		ctx.SetBodyString("failed on demand")
 		return
 	}
-	if _, strikes := s.faults.Take(fault.WrongEcho); strikes {
+	if _, strikes := s.faults.Strike(fault.WrongEcho); strikes {
 		ctx.Response.Header.Set(enginecontract.HeaderExchange, otherExchange)
 		body = Receipt("/another", "of another caller", nil)
 	}
@@ -91,9 +91,9 @@
 	if ctx.IsPost() {
 		ctx.Response.Header.SetContentType("application/json")
 	}
-	cut, strikes := s.faults.Take(fault.Truncate)
+	cut, strikes := s.faults.Strike(fault.Truncate)
 	if !strikes {
-		cut, strikes = s.faults.Take(fault.Cut)
+		cut, strikes = s.faults.Strike(fault.Cut)
 	}
 	if !strikes {
 		ctx.SetBodyString(body)
@@ -103,7 +103,7 @@
 	ctx.Response.SetBodyStreamWriter(func(out *bufio.Writer) {
 		_, _ = out.WriteString(body[:min(cut.Tokens, len(body))]) // the connection breaks in any case
 		_ = out.Flush()
-		crashable.Break(connection)
+		crashable.ResetConnection(connection)
 	})
 	ctx.Response.Header.SetContentLength(len(body))
 }
