--- a/internal/standin/answertext/answertext.go
+++ b/internal/standin/answertext/answertext.go
@@ -1,6 +1,6 @@
-// Package answertext says what the stand-in engines write: an output that follows
-// from the prompt and the token's number alone, so that a caller can tell whether
-// an answer is whole and whether it is its own.
+// Package answertext defines the output of the stand-in engines. It depends on the prompt
+// and the token's index alone, so that a caller can check whether an answer is complete and
+// belongs to its request.
 package answertext
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bytesPerToken is the stand-ins' tokenizer: four bytes of prompt are one token.
+// bytesPerToken is the stand-ins' tokenizer: every four bytes of a prompt are one token.
 const bytesPerToken = 4
 
-// DefaultOutputTokens is written when a request sets no limit.
+// DefaultOutputTokens is the output length of a request that sets no limit.
 const DefaultOutputTokens = 64
 
 // Message is one message of a chat.
@@ -22,7 +22,7 @@
 	Content string
 }
 
-// Prompt is the whole text of a chat as the stand-ins read it.
+// Prompt returns the text of a chat as the stand-ins prefill it.
 func Prompt(messages []Message) string {
 	var text strings.Builder
 	for _, message := range messages {
@@ -34,20 +34,20 @@
 	return text.String()
 }
 
-// Hash identifies a prompt.
+// Hash returns the hash that identifies a prompt.
 func Hash(prompt string) uint64 { return xxhash.Sum64String(prompt) }
 
-// PromptTokens counts a prompt's tokens; at least 1.
+// PromptTokens returns a prompt's length in tokens, at least 1.
 func PromptTokens(prompt string) int { return max(1, len(prompt)/bytesPerToken) }
 
-// AppendToken appends the text of an output's token number index, from 0.
+// AppendToken appends the text of the output token at index, from 0.
 func AppendToken(buffer []byte, hash uint64, index int) []byte {
 	mixed := (hash ^ uint64(index+1)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
 	buffer = append(buffer, ' ')
 	return strconv.AppendUint(buffer, (mixed>>32)&0xffffff, 36)
 }
 
-// Text is the first tokens of the output that belongs to a prompt.
+// Text returns the first tokens of the output for a prompt.
 func Text(hash uint64, tokens int) string {
 	var buffer []byte
 	for index := range tokens {
@@ -56,8 +56,9 @@
 	return string(buffer)
 }
 
-// Blocks are the hashes of a prompt's full blocks of blockTokens tokens; each covers
-// all text before its end, and the salt, so that salts share nothing.
+// Blocks returns the hashes of a prompt's full prefix blocks of blockTokens tokens. Each
+// covers the salt and all text up to its end, so that prompts with different salts share
+// no block.
 func Blocks(salt, prompt string, blockTokens int) []uint64 {
 	size := blockTokens * bytesPerToken
 	if size <= 0 {
--- a/internal/standin/crashable/server.go
+++ b/internal/standin/crashable/server.go
@@ -1,5 +1,5 @@
-// Package crashable serves HTTP so that the server can die as a killed process
-// does: its connections break at once and its address refuses new ones.
+// Package crashable provides an HTTP server that can end like a killed process: its
+// connections are reset at once and its address refuses new ones.
 package crashable
 
 import (
@@ -16,14 +16,14 @@
 	readBuffer     = 32 << 10
 )
 
-// Server is one HTTP server on one listener.
+// Server is an HTTP server on one listener.
 type Server struct {
 	listener *trackingListener
 	server   *fasthttp.Server
 	done     chan struct{}
 }
 
-// Start serves handler on a listener until Crash or Close.
+// Start serves handler on listener until Crash or Close is called.
 func Start(listener net.Listener, handler fasthttp.RequestHandler) *Server {
 	server := &Server{
 		listener: &trackingListener{Listener: listener, open: make(map[net.Conn]struct{})},
@@ -32,24 +32,25 @@
 			NoDefaultServerHeader: true,
 			MaxRequestBodySize:    maxRequestBody,
 			ReadBufferSize:        readBuffer,
-			Logger:                silent{},
+			Logger:                discardLogger{},
 		},
 		done: make(chan struct{}),
 	}
 	go func() {
 		defer close(server.done)
-		_ = server.server.Serve(server.listener) // it returns when the listener closes
+		_ = server.server.Serve(server.listener) // it returns when the listener is closed
 	}()
 	return server
 }
 
-// Crash breaks every connection and stops listening, as a killed process does.
+// Crash resets every connection and stops listening, as a killed process does.
 func (s *Server) Crash() {
-	s.listener.breakAll()
+	s.listener.resetAll()
 	<-s.done
 }
 
-// Close stops listening, lets requests end for at most patience, then breaks them.
+// Close stops listening, waits at most patience for requests to finish, and resets the
+// remaining connections.
 func (s *Server) Close(patience time.Duration) error {
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.server.Shutdown() }()
@@ -58,12 +59,12 @@
 	case err = <-stopped:
 	case <-time.After(patience):
 	}
-	s.listener.breakAll()
+	s.listener.resetAll()
 	<-s.done
 	return trace.Wrap(err)
 }
 
-// trackingListener remembers the open connections.
+// trackingListener tracks its open connections.
 type trackingListener struct {
 	net.Listener
 	mutex sync.Mutex
@@ -87,7 +88,7 @@
 	return tracked, nil
 }
 
-func (l *trackingListener) breakAll() {
+func (l *trackingListener) resetAll() {
 	_ = l.Listener.Close()
 	l.mutex.Lock()
 	l.dead = true
@@ -101,10 +102,10 @@
 	}
 }
 
-// lingerer is a connection that can be reset in place of closed in good order.
+// lingerer is a connection that can be reset rather than closed gracefully.
 type lingerer interface{ SetLinger(seconds int) error }
 
-// ResetConnection resets a connection: what was not sent is lost.
+// ResetConnection closes a connection with a reset; unsent data is lost.
 func ResetConnection(connection net.Conn) {
 	if tracked, ok := connection.(*trackedConn); ok {
 		if abrupt, ok := tracked.Conn.(lingerer); ok {
@@ -126,7 +127,7 @@
 	return c.Conn.Close()
 }
 
-// silent drops the server's messages about broken connections: they are wanted here.
-type silent struct{}
+// discardLogger drops the server's messages about reset connections, which are expected here.
+type discardLogger struct{}
 
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/internal/standin/engine/accepted.go
+++ b/internal/standin/engine/accepted.go
@@ -7,10 +7,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// maxAcceptedOrders bounds the accepted orders that an engine remembers for the bench.
+// maxAcceptedOrders limits the accepted orders that an engine records for the bench.
 const maxAcceptedOrders = 1 << 14
 
-// AcceptedOrder is one order that an engine accepted; resends are left out.
+// AcceptedOrder is one order that an engine accepted; resends are omitted.
 type AcceptedOrder struct {
 	At    time.Time
 	Order enginecontract.Order
@@ -18,14 +18,14 @@
 	Before enginecontract.EngineState
 }
 
-// acceptedOrders is what an engine accepted over all its lives. It is safe for
-// concurrent use; the oldest orders are forgotten.
+// acceptedOrders records what an engine accepted over all its incarnations. It is safe for
+// concurrent use; beyond maxAcceptedOrders the oldest orders are dropped.
 type acceptedOrders struct {
 	mutex sync.Mutex
 	list  []AcceptedOrder
 }
 
-// add records an accepted order unless the engine held it already.
+// add records an accepted order unless it is a resend of the current one.
 func (a *acceptedOrders) add(order enginecontract.Order, before enginecontract.EngineState) {
 	if order.Fence == before.OrderFence {
 		return
@@ -38,7 +38,7 @@
 	a.list = append(a.list, AcceptedOrder{At: time.Now(), Order: order, Before: before})
 }
 
-// AcceptedOrders lists the orders that the engine accepted, in order of arrival.
+// AcceptedOrders returns the orders that the engine accepted, in order of arrival.
 func (e *Engine) AcceptedOrders() []AcceptedOrder {
 	e.accepted.mutex.Lock()
 	defer e.accepted.mutex.Unlock()
--- a/internal/standin/engine/cacheevents.go
+++ b/internal/standin/engine/cacheevents.go
@@ -8,10 +8,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginemodel"
 )
 
-// cacheHistoryLength bounds the events kept; older ones become a gap.
+// cacheHistoryLength limits the stored events; older ones are dropped and leave a gap.
 const cacheHistoryLength = 4096
 
-// cacheHistory keeps cache events until they may be told, late and with gaps.
+// cacheHistory stores cache events until the lag has passed.
 type cacheHistory struct {
 	events []timedCacheEvent
 	next   uint64
@@ -22,7 +22,7 @@
 	event enginecontract.CacheEvent
 }
 
-// add numbers new events; every event whose number divides by gap is lost.
+// add numbers and stores new events; an event whose number is a multiple of gap is dropped.
 func (h *cacheHistory) add(now time.Duration, events []enginemodel.CacheEvent, gap int) {
 	for _, event := range events {
 		h.next++
--- a/internal/standin/engine/client_test.go
+++ b/internal/standin/engine/client_test.go
@@ -17,10 +17,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/fault"
 )
 
-// exchangeID makes a well-formed identity out of a number.
+// exchangeID returns a well-formed exchange ID for a number.
 func exchangeID(number int) string { return fmt.Sprintf("%032x", number) }
 
-// quickProfile is fast enough for tests that wait for states.
+// quickProfile has short durations, for tests that wait for states.
 func quickProfile() enginemodel.Profile {
 	profile := enginemodel.DefaultProfile()
 	profile.PrefillTokensPerSecond = 1e6
@@ -35,7 +35,7 @@
 func startEngine(t *testing.T, change func(*Config)) *Engine {
 	t.Helper()
 	config := Config{
-		// Nobody dials from 127.0.0.3: the port of a crashed engine stays free for its restart.
+		// No client uses 127.0.0.3 as its source address, so a crashed engine's port stays free for its restart.
 		Name: "e1", Service: "judge", Zone: "a", Address: "127.0.0.3:0", Model: "m", Version: "1",
 		Profile: quickProfile(), LoadLag: time.Millisecond, CacheEventLag: time.Millisecond,
 	}
@@ -48,7 +48,7 @@
 	return started
 }
 
-// chunk is one event of a stream as a client reads it.
+// chunk is one event of a stream.
 type chunk struct {
 	Exchange string `json:"exchange"`
 	Offset   int    `json:"offset"`
@@ -65,11 +65,11 @@
 	} `json:"usage"`
 }
 
-// answer is what came back for one call.
+// answer is the result of one call.
 type answer struct {
 	status   int
 	header   http.Header
-	code     string // of an error
+	code     string // of an error body
 	body     string
 	text     string
 	offsets  []int
@@ -194,6 +194,6 @@
 	}
 }
 
-func one(kind fault.Kind) fault.Fault {
+func faultOnce(kind fault.Kind) fault.Fault {
 	return fault.Fault{Kind: kind, Count: 1, Tokens: 3, DelayMs: 5}
 }
--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -13,36 +13,36 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/fault"
 )
 
-// Defaults of an engine's lags.
+// Default lags of an engine's reports.
 const (
 	DefaultLoadLag       = 500 * time.Millisecond
 	DefaultCacheEventLag = 300 * time.Millisecond
 )
 
-// Times of the contract.
+// Durations that the engine contract specifies.
 const (
 	ResumeWindow      = 5 * time.Second
 	FinishedRetention = 10 * time.Second
 	KVHandleLifetime  = 30 * time.Second
 )
 
-// ListenFunc opens a listener; the fleet's delays connections by zone.
+// ListenFunc opens a listener; the one of the fleet delays connections by zone.
 type ListenFunc func(network, address string) (net.Listener, error)
 
-// Config is what one engine is.
+// Config configures one engine.
 type Config struct {
 	Name    string
 	Service string
 	Zone    string
-	// Address is the IP:port to listen on; port 0 takes a free one.
+	// Address is the IP:port to listen on; port 0 selects a free port.
 	Address string
 	Role    enginecontract.Role
 	Model   string
 	Version string
-	// Adapters loaded at the first start.
+	// Adapters are loaded at the first start.
 	Adapters []string
 	Profile  enginemodel.Profile
-	// WeightStore is the IP:port that load-model orders fetch from; empty is none.
+	// WeightStore is the IP:port from which load-model orders fetch weights; empty for none.
 	WeightStore   string
 	LoadLag       time.Duration
 	CacheEventLag time.Duration
--- a/internal/standin/engine/contract_test.go
+++ b/internal/standin/engine/contract_test.go
@@ -15,8 +15,8 @@
 
 var promptHash = answertext.Hash(answertext.Prompt([]answertext.Message{{Role: "user", Content: promptText}}))
 
-// requireWhole checks an answer of tokens tokens from offset on.
-func requireWhole(t *testing.T, got answer, offset, tokens int) {
+// requireComplete checks that an answer has all tokens from offset on and its end.
+func requireComplete(t *testing.T, got answer, offset, tokens int) {
 	t.Helper()
 	require.NoError(t, got.err)
 	require.Equal(t, http.StatusOK, got.status, got.body)
@@ -25,7 +25,7 @@
 	require.Equal(t, tokens, got.usage)
 }
 
-func TestWholeAnswers(t *testing.T) {
+func TestCompleteAnswers(t *testing.T) {
 	engine := startEngine(t, nil)
 	completion := chat(engine, 2, 5).set("prompt", answertext.Prompt([]answertext.Message{{Role: "user", Content: promptText}}))
 	completion.path = enginecontract.PathCompletions
@@ -42,7 +42,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			got := test.call.do(t)
-			requireWhole(t, got, test.offset, test.tokens)
+			requireComplete(t, got, test.offset, test.tokens)
 			require.Equal(t, test.call.headers[enginecontract.HeaderExchange], got.header.Get(enginecontract.HeaderExchange))
 			require.Equal(t, "serving", got.header.Get(enginecontract.HeaderEngineState))
 			require.NotEmpty(t, got.header.Get(enginecontract.HeaderEngineLoad))
@@ -51,7 +51,7 @@
 	require.Equal(t, 3, engine.Runs().Totals.Finished)
 }
 
-func TestRefusalsAreTrue(t *testing.T) {
+func TestRefusalsReportNotRun(t *testing.T) {
 	engine := startEngine(t, nil)
 	decode := startEngine(t, func(config *Config) { config.Role = enginecontract.RoleDecode })
 	prefill := startEngine(t, func(config *Config) { config.Role = enginecontract.RolePrefill })
@@ -84,7 +84,7 @@
 
 func TestExchangeIsUsedOnce(t *testing.T) {
 	engine := startEngine(t, nil)
-	requireWhole(t, chat(engine, 1, 5).do(t), 0, 5)
+	requireComplete(t, chat(engine, 1, 5).do(t), 0, 5)
 	again := chat(engine, 1, 5).do(t)
 	require.Equal(t, http.StatusConflict, again.status)
 	require.Equal(t, "exchange_exists", again.code)
@@ -92,8 +92,8 @@
 	require.Equal(t, 1, engine.Runs().Prompts[PromptKey(promptHash)].Started)
 }
 
-// TestFaults shows what each fault does to an answer, and that the exchange can be
-// resumed to a whole answer where the contract says so.
+// TestFaults checks what each fault does to an answer, and that the exchange can be resumed
+// to a complete answer where the contract says so.
 func TestFaults(t *testing.T) {
 	const tokens = 12
 	tests := []struct {
@@ -124,13 +124,13 @@
 			require.False(t, got.finished)
 			require.Len(t, got.offsets, 3)
 		}, true, 1},
-		{fault.Late, func(t *testing.T, got answer) { requireWhole(t, got, 0, tokens) }, true, 1},
+		{fault.Late, func(t *testing.T, got answer) { requireComplete(t, got, 0, tokens) }, true, 1},
 		{fault.Crossed, func(t *testing.T, got answer) {
-			requireWhole(t, got, 0, tokens)
+			requireComplete(t, got, 0, tokens)
 			require.Equal(t, 1, got.others)
 		}, true, 1},
 		{fault.WrongEcho, func(t *testing.T, got answer) {
-			require.Equal(t, otherExchange, got.header.Get(enginecontract.HeaderExchange))
+			require.Equal(t, foreignExchange, got.header.Get(enginecontract.HeaderExchange))
 		}, true, 1},
 		{fault.Duplicate, func(t *testing.T, got answer) { require.Len(t, got.offsets, 2*tokens) }, true, 1},
 		{fault.Skip, func(t *testing.T, got answer) {
@@ -140,13 +140,13 @@
 	}
 	for _, test := range tests {
 		t.Run(string(test.fault), func(t *testing.T) {
-			engine := startEngine(t, func(config *Config) { config.Faults = []fault.Fault{one(test.fault)} })
+			engine := startEngine(t, func(config *Config) { config.Faults = []fault.Fault{faultOnce(test.fault)} })
 			test.check(t, chat(engine, 1, tokens).do(t))
 			require.Equal(t, test.started, engine.Runs().Prompts[PromptKey(promptHash)].Started)
 			if test.resumable {
-				requireWhole(t, resume(engine, 1, "2").do(t), 2, tokens)
+				requireComplete(t, resume(engine, 1, "2").do(t), 2, tokens)
 			}
-			requireWhole(t, chat(engine, 2, tokens).do(t), 0, tokens)
+			requireComplete(t, chat(engine, 2, tokens).do(t), 0, tokens)
 		})
 	}
 }
@@ -155,13 +155,13 @@
 	return call{engine: engine, method: http.MethodGet, path: enginecontract.PathExchanges + exchangeID(number) + "?offset=" + offset}
 }
 
-func TestResumeTakesAStalledStreamOver(t *testing.T) {
-	engine := startEngine(t, func(config *Config) { config.Faults = []fault.Fault{one(fault.Stall)} })
+func TestResumeReplacesStalledReader(t *testing.T) {
+	engine := startEngine(t, func(config *Config) { config.Faults = []fault.Fault{faultOnce(fault.Stall)} })
 	response, err := chat(engine, 1, 30).open(t)
 	require.NoError(t, err)
 	stalled := make(chan answer, 1)
 	go func() { stalled <- read(t, response, exchangeID(1)) }()
-	requireWhole(t, resume(engine, 1, "3").do(t), 3, 30)
+	requireComplete(t, resume(engine, 1, "3").do(t), 3, 30)
 	require.False(t, (<-stalled).done)
 }
 
@@ -177,7 +177,7 @@
 	}
 }
 
-func TestCancelTellsWhetherItRan(t *testing.T) {
+func TestCancelReportsWhetherItRan(t *testing.T) {
 	engine := startEngine(t, func(config *Config) { config.Profile.MaxBatch = 1 })
 	running, err := chat(engine, 1, 100_000).open(t)
 	require.NoError(t, err)
@@ -228,5 +228,5 @@
 	own := decoded(3, handle).with(enginecontract.HeaderCacheSalt, "s")
 	crossed := own.set("messages", []map[string]string{{"role": "user", "content": "another prompt"}})
 	require.Equal(t, "kv_import_failed", crossed.do(t).code, "a cache of another prompt")
-	requireWhole(t, decoded(5, hand(4)).with(enginecontract.HeaderCacheSalt, "s").do(t), 0, 9)
+	requireComplete(t, decoded(5, hand(4)).with(enginecontract.HeaderCacheSalt, "s").do(t), 0, 9)
 }
--- a/internal/standin/engine/control_test.go
+++ b/internal/standin/engine/control_test.go
@@ -28,10 +28,10 @@
 
 func orderAnswer(t *testing.T, got answer) enginecontract.OrderAnswer {
 	t.Helper()
-	var told enginecontract.OrderAnswer
-	require.NoError(t, json.Unmarshal([]byte(got.body), &told), got.body)
-	require.Equal(t, told.Accepted, got.status == http.StatusOK)
-	return told
+	var answer enginecontract.OrderAnswer
+	require.NoError(t, json.Unmarshal([]byte(got.body), &answer), got.body)
+	require.Equal(t, answer.Accepted, got.status == http.StatusOK)
+	return answer
 }
 
 func eventually(t *testing.T, engine *Engine, check func(enginecontract.EngineState) bool) {
@@ -42,8 +42,8 @@
 	}, time.Minute, time.Millisecond)
 }
 
-// TestRoleChangeCutsNothing changes a role under a running stream, and shows that
-// the stream is cut when the drain is switched off.
+// TestRoleChangeCutsNothing changes a role during a stream. The stream must complete, and
+// must be cut when the safeguard DrainFirst is disabled.
 func TestRoleChangeCutsNothing(t *testing.T) {
 	for _, drains := range []bool{true, false} {
 		engine := startEngine(t, func(config *Config) {
@@ -62,7 +62,7 @@
 			return state.Role == enginecontract.RolePrefill && state.State == enginecontract.StateServing
 		})
 		if drains {
-			requireWhole(t, got, 0, 100)
+			requireComplete(t, got, 0, 100)
 		} else {
 			require.False(t, got.done)
 		}
@@ -83,28 +83,28 @@
 }
 
 func TestLostOrderAnswerIsResentWithTheSameAnswer(t *testing.T) {
-	engine := startEngine(t, func(config *Config) { config.Faults = []fault.Fault{one(fault.LoseOrderAnswer)} })
+	engine := startEngine(t, func(config *Config) { config.Faults = []fault.Fault{faultOnce(fault.LoseOrderAnswer)} })
 	require.Error(t, order(engine, toPrefill(1)).do(t).err)
 	require.True(t, orderAnswer(t, order(engine, toPrefill(1)).do(t)).Accepted)
 	eventually(t, engine, func(state enginecontract.EngineState) bool { return state.OrderPhase == enginecontract.PhaseDone })
 	require.Equal(t, 1, engine.Runs().Totals.RoleChanges)
 }
 
-func TestCrashInAChange(t *testing.T) {
+func TestCrashDuringChange(t *testing.T) {
 	engine := startEngine(t, func(config *Config) {
-		config.Faults = []fault.Fault{one(fault.CrashInChange)}
+		config.Faults = []fault.Fault{faultOnce(fault.CrashInChange)}
 		config.Profile.RoleChange = time.Hour
 	})
-	order(engine, toPrefill(3)).do(t) // the answer may be lost with the engine
+	order(engine, toPrefill(3)).do(t) // the crash may lose the answer
 	eventually(t, engine, func(state enginecontract.EngineState) bool { return state.Incarnation == 2 })
 	state, _ := engine.State()
 	require.Equal(t, enginecontract.PhaseAborted, state.OrderPhase)
 	require.Equal(t, enginecontract.RoleMixed, state.Role)
 	require.Equal(t, enginecontract.Fence{Epoch: 1, Sequence: 3}, state.HighestFence)
-	requireWhole(t, chat(engine, 1, 5).do(t), 0, 5)
+	requireComplete(t, chat(engine, 1, 5).do(t), 0, 5)
 }
 
-func TestCrashBreaksStreamsAndForgetsExchanges(t *testing.T) {
+func TestCrashBreaksStreamsAndLosesExchanges(t *testing.T) {
 	engine := startEngine(t, nil)
 	running, err := chat(engine, 1, 100_000).open(t)
 	require.NoError(t, err)
@@ -113,15 +113,15 @@
 	require.Error(t, chat(engine, 2, 5).do(t).err)
 	require.NoError(t, engine.Restart())
 	require.Equal(t, "exchange_unknown", resume(engine, 1, "0").do(t).code)
-	requireWhole(t, chat(engine, 3, 5).do(t), 0, 5)
+	requireComplete(t, chat(engine, 3, 5).do(t), 0, 5)
 }
 
-func TestFreezeStopsTheClockOfTheEngine(t *testing.T) {
+func TestFreezeStopsTheEngineClock(t *testing.T) {
 	engine := startEngine(t, nil)
 	running, err := chat(engine, 1, 50).open(t)
 	require.NoError(t, err)
 	engine.Freeze(30 * time.Millisecond)
-	requireWhole(t, read(t, running, exchangeID(1)), 0, 50)
+	requireComplete(t, read(t, running, exchangeID(1)), 0, 50)
 }
 
 func TestLoadModelNeedsTheWeightStore(t *testing.T) {
@@ -158,19 +158,19 @@
 		config.Profile.BlockTokens = 1
 		config.Faults = []fault.Fault{{Kind: fault.CacheEventGap, Count: fault.Always, Tokens: 2}}
 	})
-	requireWhole(t, chat(engine, 1, 5).do(t), 0, 5)
+	requireComplete(t, chat(engine, 1, 5).do(t), 0, 5)
 	get := call{engine: engine, method: http.MethodGet, path: enginecontract.PathCacheEvents + "?after=0"}
 	require.Eventually(t, func() bool {
-		var told enginecontract.CacheEvents
-		require.NoError(t, json.Unmarshal([]byte(get.do(t).body), &told))
-		return len(told.Events) > 1 && told.Events[1].Sequence == 3
+		var events enginecontract.CacheEvents
+		require.NoError(t, json.Unmarshal([]byte(get.do(t).body), &events))
+		return len(events.Events) > 1 && events.Events[1].Sequence == 3
 	}, time.Minute, time.Millisecond)
 }
 
-func TestBenchSwitchesFaultsOverHTTP(t *testing.T) {
+func TestFaultsAreSetOverHTTP(t *testing.T) {
 	engine := startEngine(t, nil)
-	put := call{engine: engine, method: http.MethodPut, path: PathBenchFaults, body: []fault.Fault{one(fault.Refuse)}}
+	put := call{engine: engine, method: http.MethodPut, path: PathBenchFaults, body: []fault.Fault{faultOnce(fault.Refuse)}}
 	require.Equal(t, http.StatusOK, put.do(t).status)
 	require.Equal(t, http.StatusServiceUnavailable, chat(engine, 1, 5).do(t).status)
-	requireWhole(t, chat(engine, 2, 5).do(t), 0, 5)
+	requireComplete(t, chat(engine, 2, 5).do(t), 0, 5)
 }
--- a/internal/standin/engine/doc.go
+++ b/internal/standin/engine/doc.go
@@ -1,6 +1,7 @@
-// Package engine is a stand-in for a model engine: an HTTP server that keeps
-// docs/ENGINE-CONTRACT.md, takes the times of internal/enginemodel and the orders
-// of internal/standin/engine/orders, and fails on demand. Many engines can share a
-// process. Its output follows from the prompt (internal/standin/answertext), and it
-// counts every run, so that callers can be checked for whole, own and single answers.
+// Package engine is a stand-in for a model engine: an HTTP server that implements
+// docs/ENGINE-CONTRACT.md with the timing of internal/enginemodel and the order handling
+// of internal/standin/engine/orders, and that fails when a fault is set. Many engines can
+// share one OS process. Output depends on the prompt alone (internal/standin/answertext)
+// and every run is counted, so that a harness can check that callers got complete answers
+// to their own requests and that no request ran twice.
 package engine
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -11,27 +11,27 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/fault"
 )
 
-// shutdownPatience is how long Close waits for streams.
+// shutdownPatience is how long Close waits for streams to finish.
 const shutdownPatience = 2 * time.Second
 
-// Engine is one stand-in engine over all its lives. It is safe for concurrent use.
+// Engine is one stand-in engine over all its incarnations. It is safe for concurrent use.
 type Engine struct {
 	config Config
 	faults *fault.Set
 	runs   *runs
-	// accepted holds the orders of all lives.
+	// accepted holds the orders of all incarnations.
 	accepted acceptedOrders
 
 	mutex sync.Mutex
 	// address is fixed by the first start.
 	address     string
 	incarnation uint64
-	kept        orders.Durable
-	life        *life // nil while crashed
+	durable     orders.Durable
+	process     *process // nil while crashed
 	closed      bool
 }
 
-// Start starts an engine.
+// Start starts an engine and returns once it listens.
 func Start(config Config) (*Engine, error) {
 	config, err := config.withDefaults()
 	if err != nil {
@@ -41,7 +41,7 @@
 		config: config,
 		faults: fault.NewSet(config.Faults...),
 		runs:   newRuns(),
-		kept: orders.Durable{
+		durable: orders.Durable{
 			Role: config.Role, Model: config.Model, Version: config.Version, Adapters: config.Adapters,
 		},
 		address: config.Address,
@@ -49,23 +49,23 @@
 	return engine, trace.Wrap(engine.Restart())
 }
 
-// Address is the IP:port the engine listens on.
+// Address returns the IP:port that the engine listens on.
 func (e *Engine) Address() string { return e.address }
 
-// Name is the engine's name in the machine list.
+// Name returns the engine's name in the machine list.
 func (e *Engine) Name() string { return e.config.Name }
 
-// Config is what the engine was started with.
+// Config returns the configuration that the engine was started with.
 func (e *Engine) Config() Config { return e.config }
 
-// Faults are the faults switched on.
+// Faults returns the faults that are set.
 func (e *Engine) Faults() *fault.Set { return e.faults }
 
-// Restart starts the engine's process again after a Crash.
+// Restart starts the engine's process again after a Crash; it does nothing while the engine runs.
 func (e *Engine) Restart() error {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.life != nil || e.closed {
+	if e.process != nil || e.closed {
 		return nil
 	}
 	listener, err := e.config.Listen("tcp", e.address)
@@ -74,26 +74,26 @@
 	}
 	e.address = listener.Addr().String()
 	e.incarnation++
-	started, err := newLife(e, e.incarnation, e.kept)
+	started, err := newProcess(e, e.incarnation, e.durable)
 	if err != nil {
 		_ = listener.Close()
 		return trace.Wrap(err)
 	}
-	e.life = started
+	e.process = started
 	started.serve(listener)
 	return nil
 }
 
-// Crash ends the engine's process at once: connections break, everything that is
-// not durable is lost, and it stays down until Restart.
+// Crash ends the engine's process at once: connections are reset and everything that is not
+// durable is lost. The engine stays down until Restart.
 func (e *Engine) Crash() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.life == nil {
+	if e.process == nil {
 		return
 	}
-	e.kept = e.life.end()
-	e.life = nil
+	e.durable = e.process.terminate()
+	e.process = nil
 }
 
 // crashFor crashes the engine and restarts it after down.
@@ -102,14 +102,14 @@
 	time.AfterFunc(down, func() { _ = e.Restart() }) // a closed engine stays closed
 }
 
-// Freeze stops the engine's process for a time, as a paused process stops.
+// Freeze suspends the engine's process for pause.
 func (e *Engine) Freeze(pause time.Duration) {
 	if present := e.current(); present != nil {
 		present.freeze(pause)
 	}
 }
 
-// StartLeaving makes the engine refuse new work for good.
+// StartLeaving makes the engine refuse new work for the rest of its incarnation.
 func (e *Engine) StartLeaving() {
 	if present := e.current(); present != nil {
 		present.mutex.Lock()
@@ -118,20 +118,20 @@
 	}
 }
 
-// Close stops the engine for good; streams get a short time to end.
+// Close stops the engine permanently; streams have shutdownPatience to finish.
 func (e *Engine) Close() {
 	e.mutex.Lock()
-	dying := e.life
-	e.life = nil
+	dying := e.process
+	e.process = nil
 	e.closed = true
 	e.mutex.Unlock()
 	if dying != nil {
-		_ = dying.server.Close(shutdownPatience) // it breaks what is left in any case
-		dying.end()
+		_ = dying.server.Close(shutdownPatience) // Close resets the remaining connections in any case
+		dying.terminate()
 	}
 }
 
-// State is the engine's state; false while it is crashed.
+// State returns the engine's state; false while it is crashed.
 func (e *Engine) State() (enginecontract.EngineState, bool) {
 	present := e.current()
 	if present == nil {
@@ -143,7 +143,7 @@
 	return present.state(), true
 }
 
-// Load is the engine's load without lag; false while it is crashed.
+// Load returns the engine's load without lag; false while it is crashed.
 func (e *Engine) Load() (enginecontract.LoadReport, bool) {
 	present := e.current()
 	if present == nil {
@@ -155,8 +155,8 @@
 	return present.loadReport(), true
 }
 
-func (e *Engine) current() *life {
+func (e *Engine) current() *process {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.life
+	return e.process
 }
--- a/internal/standin/engine/events.go
+++ b/internal/standin/engine/events.go
@@ -7,14 +7,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/answertext"
 )
 
-// eventWriter spells the events of one exchange. Its text is ASCII without quotes,
-// so that it needs no escaping.
+// eventWriter formats the events of one exchange. Its text is ASCII without quotes and
+// needs no escaping.
 type eventWriter struct {
-	head    []byte // up to the offset
-	chat    bool
-	prompt  uint64
-	first   bool
-	promptN int
+	head         []byte // everything before the offset
+	chat         bool
+	prompt       uint64
+	first        bool
+	promptTokens int
 }
 
 func newEventWriter(of *exchange, first bool) *eventWriter {
@@ -27,10 +27,10 @@
 	head = append(head, `,"model":`...)
 	head = strconv.AppendQuote(head, of.model)
 	head = append(head, `,"exchange":"`+of.id+`","offset":`...)
-	return &eventWriter{head: head, chat: of.endpoint == endpointChat, prompt: of.prompt, first: first, promptN: of.promptTokens}
+	return &eventWriter{head: head, chat: of.endpoint == endpointChat, prompt: of.prompt, first: first, promptTokens: of.promptTokens}
 }
 
-// token appends the event of token number index, from 0.
+// token appends the event of the token at index, from 0.
 func (w *eventWriter) token(buffer []byte, index int) []byte {
 	buffer = append(buffer, w.head...)
 	buffer = strconv.AppendInt(buffer, int64(index+1), 10)
@@ -50,7 +50,7 @@
 	return append(buffer, "\",\"finish_reason\":null}]}\n\n"...)
 }
 
-// end appends the finish event, the usage event and the end of the stream.
+// end appends the finish event, the usage event and the end-of-stream marker.
 func (w *eventWriter) end(buffer []byte, written, cached int, reason string) []byte {
 	buffer = append(buffer, w.head...)
 	buffer = strconv.AppendInt(buffer, int64(written), 10)
@@ -64,17 +64,17 @@
 	buffer = append(buffer, w.head...)
 	buffer = strconv.AppendInt(buffer, int64(written), 10)
 	buffer = append(buffer, `,"choices":[],"usage":{"prompt_tokens":`...)
-	buffer = strconv.AppendInt(buffer, int64(w.promptN), 10)
+	buffer = strconv.AppendInt(buffer, int64(w.promptTokens), 10)
 	buffer = append(buffer, `,"completion_tokens":`...)
 	buffer = strconv.AppendInt(buffer, int64(written), 10)
 	buffer = append(buffer, `,"total_tokens":`...)
-	buffer = strconv.AppendInt(buffer, int64(w.promptN+written), 10)
+	buffer = strconv.AppendInt(buffer, int64(w.promptTokens+written), 10)
 	buffer = append(buffer, `,"prompt_tokens_details":{"cached_tokens":`...)
 	buffer = strconv.AppendInt(buffer, int64(cached), 10)
 	return append(buffer, "}}}\n\ndata: [DONE]\n\n"...)
 }
 
-// failure appends the event of an error after the first byte.
+// failure appends the error event of an answer that fails after its first byte.
 func (w *eventWriter) failure(buffer []byte, written int, code string) []byte {
 	buffer = append(buffer, w.head...)
 	buffer = strconv.AppendInt(buffer, int64(written), 10)
--- a/internal/standin/engine/exchange.go
+++ b/internal/standin/engine/exchange.go
@@ -6,32 +6,32 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginemodel"
 )
 
-// exchange is one attempt at this engine. The life's mutex guards it.
+// exchange is one attempt of a request at this engine. The process's mutex guards it.
 type exchange struct {
 	id           string
 	endpoint     endpoint
 	model        string
 	prompt       uint64
 	promptTokens int
-	output       int
+	outputTokens int
 	phase        enginemodel.Phase
 	salt         string
 
-	started   bool
-	written   int
-	cached    int
-	ended     bool // ran to its end
-	cancelled bool
-	endedAt   time.Duration
-	// reader is the stream that is being sent; a newer one takes over.
+	started       bool
+	decodedTokens int
+	cachedTokens  int
+	finished      bool // ran to completion
+	cancelled     bool
+	endedAt       time.Duration
+	// reader is the stream that is being sent; a newer one replaces it.
 	reader *reader
-	// alone is since when nobody reads; meaningless while reader is set.
-	alone time.Duration
+	// unreadSince is when the last reader detached; meaningless while reader is set.
+	unreadSince time.Duration
 }
 
 // reader is one stream of an exchange.
 type reader struct {
-	// changed has room for one signal, which tells of any number of changes.
+	// changed is buffered for one signal, which stands for any number of changes.
 	changed chan struct{}
 }
 
@@ -48,4 +48,4 @@
 	}
 }
 
-func (x *exchange) over() bool { return x.ended || x.cancelled }
+func (x *exchange) isOver() bool { return x.finished || x.cancelled }
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -13,51 +13,51 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/fault"
 )
 
-// kvFetchTimeout bounds the fetch of another engine's KV cache.
+// kvFetchTimeout limits the fetch of another engine's KV cache.
 const kvFetchTimeout = 2 * time.Second
 
-// kvHandle is a KV cache kept for export.
+// kvHandle is a KV cache that another engine can fetch.
 type kvHandle struct {
 	salt    string
 	cache   kvCache
 	expires time.Duration
 }
 
-// kvCache stands for the bytes of a cache: the model accounts for their transfer.
+// kvCache replaces the bytes of a cache; the engine model accounts for the transfer time.
 type kvCache struct {
 	Prompt       string `json:"prompt"`
 	PromptTokens int    `json:"prompt_tokens"`
 	Bytes        int64  `json:"bytes"`
 }
 
-// export keeps the cache of a prompt that was read. The mutex is held.
-func (l *life) export(of *exchange) enginecontract.PrefillAnswer {
+// exportKV stores the KV cache of a prefilled prompt under a new handle. The caller holds the mutex.
+func (p *process) exportKV(of *exchange) enginecontract.PrefillAnswer {
 	name := make([]byte, 16)
 	_, _ = rand.Read(name) // it never fails
 	handle := hex.EncodeToString(name)
-	bytes := int64(of.promptTokens) * l.engine.config.Profile.KVBytesPerToken
+	bytes := int64(of.promptTokens) * p.engine.config.Profile.KVBytesPerToken
 	kept := &kvHandle{
 		salt:    of.salt,
 		cache:   kvCache{Prompt: PromptKey(of.prompt), PromptTokens: of.promptTokens, Bytes: bytes},
-		expires: l.now() + KVHandleLifetime,
+		expires: p.now() + KVHandleLifetime,
 	}
-	if _, strikes := l.takeFault(fault.ForeignHandle); strikes {
+	if _, strikes := p.strikeFault(fault.ForeignHandle); strikes {
 		kept.salt += "-of-another"
 	}
-	if _, strikes := l.takeFault(fault.LoseHandle); !strikes {
-		l.handles[handle] = kept
+	if _, strikes := p.strikeFault(fault.LoseHandle); !strikes {
+		p.handles[handle] = kept
 	}
 	return enginecontract.PrefillAnswer{
-		Exchange: of.id, KVHandle: handle, KVBytes: bytes, PromptTokens: of.promptTokens, CachedTokens: of.cached,
+		Exchange: of.id, KVHandle: handle, KVBytes: bytes, PromptTokens: of.promptTokens, CachedTokens: of.cachedTokens,
 	}
 }
 
-// serveKV answers GET /v1/kv/{handle}. A handle is fetched once.
-func (l *life) serveKV(ctx *fasthttp.RequestCtx, name string) {
-	l.lockThawed()
-	defer l.mutex.Unlock()
-	handle := l.handles[name]
-	if _, strikes := l.takeFault(fault.FailExport); strikes {
+// serveKV answers GET /v1/kv/{handle}. A handle can be fetched once.
+func (p *process) serveKV(ctx *fasthttp.RequestCtx, name string) {
+	p.lockThawed()
+	defer p.mutex.Unlock()
+	handle := p.handles[name]
+	if _, strikes := p.strikeFault(fault.FailExport); strikes {
 		mayHaveRun(fasthttp.StatusInternalServerError, "engine_error", "failed on demand").write(&ctx.Response)
 		return
 	}
@@ -67,24 +67,24 @@
 	case handle.salt != header(&ctx.Request, enginecontract.HeaderCacheSalt):
 		notRun(fasthttp.StatusForbidden, "kv_forbidden", "the handle belongs to another cache salt").write(&ctx.Response)
 	default:
-		delete(l.handles, name)
+		delete(p.handles, name)
 		writeJSON(&ctx.Response, handle.cache)
-		l.poke()
+		p.wakeDriver()
 	}
 }
 
-// importKV fetches the cache that a request names and checks that it is its own.
-func (l *life) importKV(request work) error {
+// importKV fetches the KV cache that a request names and checks that it is of the same prompt.
+func (p *process) importKV(request parsedRequest) error {
 	call, answer := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(call)
 	defer fasthttp.ReleaseResponse(answer)
 	call.SetRequestURI("http://" + request.kvSource + enginecontract.PathKV + request.kvHandle)
 	call.Header.Set(enginecontract.HeaderCacheSalt, request.salt)
-	if err := l.client.DoTimeout(call, answer, kvFetchTimeout); err != nil {
+	if err := p.client.DoTimeout(call, answer, kvFetchTimeout); err != nil {
 		return trace.Wrap(err, "fetching the KV cache from %s", request.kvSource)
 	}
 	if answer.StatusCode() != fasthttp.StatusOK {
-		return trace.BadParameter("%s answered %d for the KV cache", request.kvSource, answer.StatusCode())
+		return trace.BadParameter("%s answered status %d to the fetch of the KV cache", request.kvSource, answer.StatusCode())
 	}
 	var cache kvCache
 	if err := json.Unmarshal(answer.Body(), &cache); err != nil {
@@ -93,6 +93,6 @@
 	if cache.Prompt != PromptKey(request.hash) {
 		return trace.BadParameter("the KV cache is another prompt's")
 	}
-	l.engine.runs.count(0, func(_ *Run, totals *Totals) { totals.Imported++ })
+	p.engine.runs.count(0, func(_ *Run, totals *Totals) { totals.Imported++ })
 	return nil
 }
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -6,7 +6,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// loadHistory keeps load reports so that an old one can be told.
+// loadHistory stores past load reports, so that they can be returned with a lag.
 type loadHistory struct {
 	samples []loadSample
 }
@@ -16,7 +16,7 @@
 	report enginecontract.LoadReport
 }
 
-// loadHistoryLength covers every lag the bench sets, at one sample per housekeeping.
+// loadHistoryLength covers every lag that the bench sets, at one sample per housekeeping interval.
 const loadHistoryLength = 100
 
 func (h *loadHistory) sample(now time.Duration, report enginecontract.LoadReport) {
@@ -29,8 +29,8 @@
 	h.samples = append(h.samples, loadSample{now, report})
 }
 
-// lagging returns the newest report that is at least lag old, or the oldest there is.
-func (h *loadHistory) lagging(now, lag time.Duration) enginecontract.LoadReport {
+// reportAt returns the newest report that is at least lag old, or the oldest one.
+func (h *loadHistory) reportAt(now, lag time.Duration) enginecontract.LoadReport {
 	for index := len(h.samples) - 1; index > 0; index-- {
 		if now-h.samples[index].at >= lag {
 			return h.samples[index].aged(now)
@@ -45,10 +45,10 @@
 	return report
 }
 
-// loadReport is the load as it is now. The mutex is held.
-func (l *life) loadReport() enginecontract.LoadReport {
-	load := l.model.Load()
-	state := l.machine.State(0)
+// loadReport returns the current load. The caller holds the mutex.
+func (p *process) loadReport() enginecontract.LoadReport {
+	load := p.model.Load()
+	state := p.machine.State(0)
 	return enginecontract.LoadReport{
 		Engine: state.Engine, Incarnation: state.Incarnation, State: state.State, Role: state.Role,
 		Running: load.Running, Waiting: load.Waiting,
--- a/internal/standin/engine/orders/doc.go
+++ b/internal/standin/engine/orders/doc.go
@@ -1,6 +1,6 @@
-// Package orders is the part of a stand-in engine that takes fenced orders, as
-// docs/ENGINE-CONTRACT.md describes it: accept or refuse by fence and expected
-// state, drain, change, done or aborted. It is pure: time and the number of
-// sequences in flight come in, the state comes out. The HTTP stand-in and the
-// simulator run the same Machine. A Machine belongs to one goroutine.
+// Package orders implements how an engine handles fenced orders, as docs/ENGINE-CONTRACT.md
+// specifies: accept or refuse by fence and expected state, drain, change, then done or
+// aborted. It does no I/O: the caller passes the time and the number of sequences in
+// flight. The HTTP stand-in and the simulator run the same Machine. A Machine is not safe
+// for concurrent use.
 package orders
--- a/internal/standin/engine/orders/machine.go
+++ b/internal/standin/engine/orders/machine.go
@@ -9,36 +9,36 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// Config is what an engine is and how long its changes take.
+// Config identifies an engine and sets how long its changes take.
 type Config struct {
 	Engine  string
 	Service string
 	Zone    string
-	// Incarnation grows with each start of the engine's process.
+	// Incarnation increases with each start of the engine's process.
 	Incarnation uint64
 	RoleChange  time.Duration
 	WeightLoad  time.Duration
 	AdapterLoad time.Duration
-	// ExternalWeights makes a load-model order wait for WeightsArrived as well.
+	// ExternalWeights makes a load-model order also wait for FinishWeightLoad.
 	ExternalWeights bool
 	Safeguards      safeguard.Set
 }
 
-// Machine is one engine's order state.
+// Machine is the state machine for the orders of one engine.
 type Machine struct {
 	config  Config
 	durable Durable
 	leaving bool
 	// drainEnd is when a drain that has not finished is aborted.
 	drainEnd time.Duration
-	// changeEnd is when the change under way is done.
+	// changeEnd is the earliest time at which the change in progress is done.
 	changeEnd time.Duration
-	// weightsMissing tells that the change waits for WeightsArrived.
-	weightsMissing bool
+	// awaitsWeights reports that the change waits for FinishWeightLoad.
+	awaitsWeights bool
 }
 
-// New returns the machine of an engine that starts with what it kept: Durable of
-// its last run, or role and model alone on its first start.
+// New returns the machine of an engine that starts with its durable state: the Durable of
+// its previous incarnation, or only role and model on its first start.
 func New(config Config, kept Durable) *Machine {
 	kept = kept.afterRestart()
 	if !config.Safeguards.IsEnabled(DurableFence) {
@@ -47,7 +47,7 @@
 	return &Machine{config: config, durable: kept}
 }
 
-// Durable is what must be kept now, before the answer leaves.
+// Durable returns a copy of the state that must be stored before the answer is sent.
 func (m *Machine) Durable() Durable {
 	kept := m.durable
 	kept.Adapters = slices.Clone(kept.Adapters)
@@ -55,24 +55,25 @@
 	return kept
 }
 
-// Submit takes one order. A refused order changes nothing but the highest fence.
+// Submit handles one order. A refused order changes only the highest fence and the stored refusal.
 func (m *Machine) Submit(now time.Duration, order enginecontract.Order, inFlight int) enginecontract.OrderAnswer {
 	m.Advance(now, inFlight)
-	refusal := m.refuse(order)
+	refusal := m.checkOrder(order)
 	if refusal == "" && order != m.durable.Order {
 		m.accept(now, order, inFlight)
 	}
 	return enginecontract.OrderAnswer{Accepted: refusal == "", Refusal: refusal, State: m.State(inFlight)}
 }
 
-// refuse decides on an order and remembers the fence and the refusal.
-func (m *Machine) refuse(order enginecontract.Order) enginecontract.OrderRefusal {
+// checkOrder decides whether to refuse an order and records its fence and the refusal. It
+// returns "" for an order to accept.
+func (m *Machine) checkOrder(order enginecontract.Order) enginecontract.OrderRefusal {
 	none := enginecontract.Fence{}
 	switch {
-	case !valid(order):
+	case !isValid(order):
 		return enginecontract.RefusalInvalid
 	case order.Fence == m.durable.Order.Fence && order == m.durable.Order:
-		return "" // a resend of the order held
+		return "" // a resend of the current order
 	case order.Fence == m.durable.RefusedFence && m.durable.RefusedFence != none:
 		return m.durable.LastRefusal
 	case m.config.Safeguards.IsEnabled(FenceCheck) && !m.durable.HighestFence.Less(order.Fence):
@@ -81,14 +82,14 @@
 	if m.durable.HighestFence.Less(order.Fence) {
 		m.durable.HighestFence = order.Fence
 	}
-	refusal := m.refuseByState(order)
+	refusal := m.checkState(order)
 	if refusal != "" {
 		m.durable.RefusedFence, m.durable.LastRefusal = order.Fence, refusal
 	}
 	return refusal
 }
 
-func (m *Machine) refuseByState(order enginecontract.Order) enginecontract.OrderRefusal {
+func (m *Machine) checkState(order enginecontract.Order) enginecontract.OrderRefusal {
 	phase := m.durable.Phase
 	underWay := phase == enginecontract.PhaseDraining || phase == enginecontract.PhaseChanging
 	abortable := order.Action == enginecontract.ActionAbort && phase == enginecontract.PhaseDraining
@@ -102,7 +103,7 @@
 	return ""
 }
 
-// RaiseFence raises the highest fence seen to an epoch's start and does nothing else.
+// RaiseFence raises the highest fence to the given one; it refuses a fence of an older epoch.
 func (m *Machine) RaiseFence(now time.Duration, fence enginecontract.Fence, inFlight int) enginecontract.OrderAnswer {
 	m.Advance(now, inFlight)
 	answer := enginecontract.OrderAnswer{Accepted: true}
@@ -116,11 +117,11 @@
 	return answer
 }
 
-// accept begins an order that was not refused.
+// accept starts an order that was not refused.
 func (m *Machine) accept(now time.Duration, order enginecontract.Order, inFlight int) {
 	m.durable.Order = order
-	m.weightsMissing = false
-	if m.nothingToDo(order) {
+	m.awaitsWeights = false
+	if m.isSatisfied(order) {
 		m.durable.Phase = enginecontract.PhaseDone
 		return
 	}
@@ -139,8 +140,8 @@
 	}
 }
 
-// nothingToDo tells that the engine is already as the order wants it.
-func (m *Machine) nothingToDo(order enginecontract.Order) bool {
+// isSatisfied reports whether the engine is already in the state that the order asks for.
+func (m *Machine) isSatisfied(order enginecontract.Order) bool {
 	switch order.Action {
 	case enginecontract.ActionSetRole:
 		return order.Role == m.durable.Role
@@ -154,8 +155,8 @@
 	return false
 }
 
-// Advance moves time on: drained engines begin their change, changes end, drains
-// that took too long are aborted.
+// Advance moves the machine to a time: a drained engine begins its change, a change that
+// has taken its time finishes, and a drain that exceeded its limit is aborted.
 func (m *Machine) Advance(now time.Duration, inFlight int) {
 	if m.durable.Phase == enginecontract.PhaseDraining {
 		switch {
@@ -165,7 +166,7 @@
 			m.durable.Phase = enginecontract.PhaseAborted
 		}
 	}
-	if m.durable.Phase == enginecontract.PhaseChanging && now >= m.changeEnd && !m.weightsMissing {
+	if m.durable.Phase == enginecontract.PhaseChanging && now >= m.changeEnd && !m.awaitsWeights {
 		m.finishChange()
 	}
 }
@@ -178,7 +179,7 @@
 		m.changeEnd += m.config.RoleChange
 	case enginecontract.ActionLoadModel:
 		m.changeEnd += m.config.WeightLoad
-		m.weightsMissing = m.config.ExternalWeights
+		m.awaitsWeights = m.config.ExternalWeights
 	case enginecontract.ActionLoadAdapter, enginecontract.ActionUnloadAdapter:
 		m.changeEnd += m.config.AdapterLoad
 	case enginecontract.ActionDrain:
@@ -205,7 +206,7 @@
 	}
 }
 
-// loadAdapter adds an adapter, or puts another version in its place.
+// loadAdapter adds an adapter or replaces its version.
 func (m *Machine) loadAdapter(name, version string) {
 	if !slices.Contains(m.durable.Adapters, name) {
 		m.durable.Adapters = append(slices.Clone(m.durable.Adapters), name)
@@ -219,29 +220,29 @@
 	m.durable.AdapterVersions = versions
 }
 
-// NextEvent is when Advance has something to do by time alone; false when nothing.
+// NextEvent returns the time of the next transition that depends on time alone; false if there is none.
 func (m *Machine) NextEvent() (time.Duration, bool) {
 	switch {
 	case m.durable.Phase == enginecontract.PhaseDraining:
 		return m.drainEnd, true
-	case m.durable.Phase == enginecontract.PhaseChanging && !m.weightsMissing:
+	case m.durable.Phase == enginecontract.PhaseChanging && !m.awaitsWeights:
 		return m.changeEnd, true
 	}
 	return 0, false
 }
 
-// PendingWeightLoad returns the order that waits for weights, if one does.
+// PendingWeightLoad returns the order that waits for weights and whether there is one.
 func (m *Machine) PendingWeightLoad() (enginecontract.Order, bool) {
-	return m.durable.Order, m.weightsMissing && m.durable.Phase == enginecontract.PhaseChanging
+	return m.durable.Order, m.awaitsWeights && m.durable.Phase == enginecontract.PhaseChanging
 }
 
-// FinishWeightLoad tells that the weights of the order are here, or that they can't
-// be had, which aborts it: the engine goes on with the model it had.
+// FinishWeightLoad reports that the weights of an order have been loaded, or, if whole is
+// false, that they are unavailable, which aborts the order and keeps the current model.
 func (m *Machine) FinishWeightLoad(now time.Duration, order enginecontract.Order, whole bool) {
 	if wanted, waits := m.PendingWeightLoad(); !waits || wanted != order {
 		return
 	}
-	m.weightsMissing = false
+	m.awaitsWeights = false
 	if !whole {
 		m.durable.Phase = enginecontract.PhaseAborted
 		return
@@ -250,10 +251,10 @@
 	m.Advance(now, 0)
 }
 
-// StartLeaving makes the engine refuse new work and orders for good.
+// StartLeaving makes the engine refuse new work and orders for the rest of its incarnation.
 func (m *Machine) StartLeaving() { m.leaving = true }
 
-// ServiceState tells whether the engine takes new work: only when serving.
+// ServiceState returns the engine's service state; it accepts new work only when serving.
 func (m *Machine) ServiceState() enginecontract.ServiceState {
 	hot := m.durable.Order.Action == enginecontract.ActionLoadAdapter || m.durable.Order.Action == enginecontract.ActionUnloadAdapter
 	switch {
@@ -267,7 +268,7 @@
 	return enginecontract.StateServing
 }
 
-// Role is the role in force.
+// Role returns the role that the engine has now.
 func (m *Machine) Role() enginecontract.Role { return m.durable.Role }
 
 // Serves reports whether a name is the engine's model or one of its adapters.
@@ -280,7 +281,7 @@
 	return false
 }
 
-// State is the engine's state as its contract shows it.
+// State returns the engine's state in the form of its contract.
 func (m *Machine) State(inFlight int) enginecontract.EngineState {
 	return enginecontract.EngineState{
 		AdapterVersions: maps.Clone(m.durable.AdapterVersions),
--- a/internal/standin/engine/orders/machine_test.go
+++ b/internal/standin/engine/orders/machine_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestOrderDrainsChangesAndEnds(t *testing.T) {
+func TestOrderDrainsThenChangesRole(t *testing.T) {
 	machine := newMachine()
 	order := setRole(1, 1, enginecontract.RolePrefill)
 	answer := machine.Submit(0, order, 2)
@@ -45,7 +45,7 @@
 	require.True(t, machine.Submit(at, order, 0).Accepted, "a resend gets the same answer")
 }
 
-func TestAnswers(t *testing.T) {
+func TestOrderAnswers(t *testing.T) {
 	held := setRole(2, 5, enginecontract.RolePrefill)
 	abort := enginecontract.Order{Fence: enginecontract.Fence{Epoch: 2, Sequence: 6}, Action: enginecontract.ActionAbort}
 	wrongRole := setRole(3, 1, enginecontract.RoleDecode)
@@ -92,7 +92,7 @@
 	require.Equal(t, enginecontract.RoleMixed, state.Role)
 }
 
-func TestCrashInAChangeEndsInTheOldRoleWithTheFence(t *testing.T) {
+func TestCrashDuringChangeKeepsOldRoleAndFence(t *testing.T) {
 	for _, inFlight := range []int{0, 1} {
 		machine := newMachine()
 		order := setRole(7, 1, enginecontract.RolePrefill)
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestFenceRaisesAndShutsOutOldEpochs(t *testing.T) {
+func TestFenceRejectsOlderEpochs(t *testing.T) {
 	machine := newMachine()
 	require.True(t, machine.RaiseFence(0, enginecontract.Fence{Epoch: 5}, 0).Accepted)
 	require.True(t, machine.RaiseFence(0, enginecontract.Fence{Epoch: 5}, 0).Accepted)
@@ -123,7 +123,7 @@
 	require.True(t, machine.Submit(0, setRole(5, 1, enginecontract.RoleDecode), 0).Accepted)
 }
 
-func TestWeightsThatCannotBeHadAbortTheChange(t *testing.T) {
+func TestMissingWeightsAbortTheChange(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		machine := newMachine()
 		machine.config.ExternalWeights = true
@@ -150,9 +150,9 @@
 	require.False(t, machine.Serves("a"))
 }
 
-// TestAnotherAdapterVersionTakesTheOldOnesPlace loads a second version: the first is
-// served until the second is there, and a restart in between keeps the first.
-func TestAnotherAdapterVersionTakesTheOldOnesPlace(t *testing.T) {
+// TestAdapterVersionIsReplaced loads a second version of an adapter: the first one is served
+// until the second is loaded, and a restart in between keeps the first.
+func TestAdapterVersionIsReplaced(t *testing.T) {
 	load := func(sequence uint64, version string) enginecontract.Order {
 		return enginecontract.Order{Fence: enginecontract.Fence{Epoch: 1, Sequence: sequence}, Action: enginecontract.ActionLoadAdapter, Adapter: "a", Version: version}
 	}
@@ -172,8 +172,9 @@
 	}
 }
 
-// TestNoOrderCutsOrOverlaps sends orders of racing leaders, resends and crashes at
-// random and checks what must always hold.
+// TestNoOrderCutsOrOverlaps sends orders of competing leaders, resends and crashes at random.
+// An engine must never accept an order at or below its fence or while another is in progress,
+// and must never begin a change with work in flight.
 func TestNoOrderCutsOrOverlaps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := newMachine()
--- a/internal/standin/engine/orders/safeguards.go
+++ b/internal/standin/engine/orders/safeguards.go
@@ -2,16 +2,16 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/safeguard"
 
-// Safeguards of an engine that tests may switch off.
+// Safeguards of an engine that tests can disable.
 const (
-	// FenceCheck refuses orders at or below the highest fence seen.
+	// FenceCheck refuses orders at or below the highest fence received.
 	FenceCheck safeguard.Safeguard = "engine-fence-check"
-	// ExpectedStateCheck refuses orders that expect another role.
+	// ExpectedStateCheck refuses orders whose expected role is not the engine's.
 	ExpectedStateCheck safeguard.Safeguard = "engine-expected-state-check"
-	// OneOrder refuses an order while another is held.
+	// OneOrder refuses an order while another one is in progress.
 	OneOrder safeguard.Safeguard = "engine-one-order"
-	// DrainFirst lets every sequence end before a change begins.
+	// DrainFirst lets every sequence finish before a change begins.
 	DrainFirst safeguard.Safeguard = "engine-drain-first"
-	// DurableFence keeps the highest fence over a restart.
+	// DurableFence keeps the highest fence across a restart.
 	DurableFence safeguard.Safeguard = "engine-durable-fence"
 )
--- a/internal/standin/engine/orders/valid.go
+++ b/internal/standin/engine/orders/valid.go
@@ -2,8 +2,8 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/enginecontract"
 
-// valid tells that an order names what its action needs.
-func valid(order enginecontract.Order) bool {
+// isValid reports whether an order carries the fields that its action needs.
+func isValid(order enginecontract.Order) bool {
 	if order.DrainMs < 0 || order.Fence.Epoch == 0 {
 		return false
 	}
--- a/internal/standin/engine/refusal.go
+++ b/internal/standin/engine/refusal.go
@@ -10,7 +10,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginemodel"
 )
 
-// refusal is an answer of 400 and above.
+// refusal is an answer with a status of 400 or above.
 type refusal struct {
 	status   int
 	code     string
@@ -18,7 +18,7 @@
 	runState string
 }
 
-// errorBody is the usual shape of an error.
+// errorBody is the error body of the chat and completions protocols.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -41,16 +41,16 @@
 	return notRun(fasthttp.StatusBadRequest, "invalid_request", message)
 }
 
-// outOfService is the refusal of an engine that takes no new work; nil when it does.
-func outOfService(state enginecontract.ServiceState) *refusal {
+// refusalForState returns the refusal of an engine that does not accept new work; nil if it does.
+func refusalForState(state enginecontract.ServiceState) *refusal {
 	if state == enginecontract.StateServing {
 		return nil
 	}
 	return notRun(fasthttp.StatusServiceUnavailable, string(state), "the engine takes no new work now")
 }
 
-// ofModel translates the model's refusal.
-func ofModel(err error) *refusal {
+// refusalForModelError translates an error of the engine model.
+func refusalForModelError(err error) *refusal {
 	switch {
 	case errors.Is(err, enginemodel.ErrRole):
 		return notRun(fasthttp.StatusConflict, "wrong_role", err.Error())
@@ -73,7 +73,7 @@
 
 func writeJSON(response *fasthttp.Response, value any) {
 	text, err := json.Marshal(value)
-	if err != nil { // the shapes here always marshal
+	if err != nil { // the types written here always marshal
 		panic(err)
 	}
 	response.Header.SetContentType("application/json")
--- a/internal/standin/engine/request.go
+++ b/internal/standin/engine/request.go
@@ -12,7 +12,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/answertext"
 )
 
-// endpoint is which of the two usual protocols an exchange speaks.
+// endpoint is the protocol of an exchange: chat or completions.
 type endpoint int
 
 const (
@@ -20,7 +20,7 @@
 	endpointCompletions
 )
 
-// body is the part of the usual request bodies that the stand-in reads.
+// body holds the fields of the chat and completions request bodies that the stand-in reads.
 type body struct {
 	Model               string        `json:"model"`
 	Messages            []chatMessage `json:"messages"`
@@ -36,34 +36,34 @@
 
 type chatMessage struct {
 	Role string `json:"role"`
-	// Content is a string or a list of parts; a list is read as its JSON text.
+	// Content is a string or a list of parts; a list is used as its JSON text.
 	Content json.RawMessage `json:"content"`
 }
 
-// work is a parsed request.
-type work struct {
-	endpoint  endpoint
-	exchange  string
-	model     string
-	prompt    string
-	hash      uint64
-	output    int
-	limited   bool
-	continued int
-	priority  int
-	salt      string
-	deadline  time.Duration // 0 is none
-	phase     enginemodel.Phase
-	kvHandle  string
-	kvSource  string
+// parsedRequest is a parsed chat or completions request.
+type parsedRequest struct {
+	endpoint     endpoint
+	exchange     string
+	model        string
+	prompt       string
+	hash         uint64
+	outputTokens int
+	hasLimit     bool
+	continueFrom int
+	priority     int
+	salt         string
+	deadline     time.Duration // 0 is no deadline
+	phase        enginemodel.Phase
+	kvHandle     string
+	kvSource     string
 }
 
-func parse(request *fasthttp.Request, kind endpoint) (work, *refusal) {
+func parse(request *fasthttp.Request, kind endpoint) (parsedRequest, *refusal) {
 	var read body
 	if err := json.Unmarshal(request.Body(), &read); err != nil {
-		return work{}, invalid("the body is not the usual JSON: " + err.Error())
+		return parsedRequest{}, invalid("the body is not a JSON request: " + err.Error())
 	}
-	parsed := work{
+	parsed := parsedRequest{
 		endpoint: kind,
 		exchange: header(request, enginecontract.HeaderExchange),
 		model:    read.Model,
@@ -73,10 +73,10 @@
 		kvSource: header(request, enginecontract.HeaderKVSource),
 	}
 	parsed.hash = answertext.Hash(parsed.prompt)
-	parsed.output = max(read.MaxTokens, read.MaxCompletionTokens)
-	parsed.limited = parsed.output > 0
-	if !parsed.limited {
-		parsed.output = answertext.DefaultOutputTokens
+	parsed.outputTokens = max(read.MaxTokens, read.MaxCompletionTokens)
+	parsed.hasLimit = parsed.outputTokens > 0
+	if !parsed.hasLimit {
+		parsed.outputTokens = answertext.DefaultOutputTokens
 	}
 	switch {
 	case header(request, enginecontract.HeaderPrefillOnly) == "1":
@@ -85,17 +85,17 @@
 		parsed.phase = enginemodel.PhaseDecodeImported
 	}
 	if problem := parsed.readNumbers(request); problem != nil {
-		return work{}, problem
+		return parsedRequest{}, problem
 	}
 	return parsed, parsed.check(read)
 }
 
-func (w *work) readNumbers(request *fasthttp.Request) *refusal {
+func (w *parsedRequest) readNumbers(request *fasthttp.Request) *refusal {
 	var deadline int
 	for name, target := range map[string]*int{
 		enginecontract.HeaderPriority:     &w.priority,
 		enginecontract.HeaderDeadline:     &deadline,
-		enginecontract.HeaderContinueFrom: &w.continued,
+		enginecontract.HeaderContinueFrom: &w.continueFrom,
 	} {
 		text := header(request, name)
 		if text == "" {
@@ -111,23 +111,23 @@
 	return nil
 }
 
-func (w *work) check(read body) *refusal {
+func (w *parsedRequest) check(read body) *refusal {
 	switch {
 	case len(w.exchange) != exchangeLength:
 		return invalid(enginecontract.HeaderExchange + " must be 32 hex digits")
 	case !read.Stream && w.phase != enginemodel.PhasePrefillOnly:
 		return invalid(`the engine answers streams only: send "stream": true`)
 	case w.prompt == "":
-		return invalid("messages or prompt are missing")
-	case w.continued < 0 || w.continued > w.output:
+		return invalid("messages and prompt are both missing or empty")
+	case w.continueFrom < 0 || w.continueFrom > w.outputTokens:
 		return invalid(enginecontract.HeaderContinueFrom + " is beyond the output")
-	case w.continued > 0 && read.ContinueText != answertext.Text(w.hash, w.continued):
+	case w.continueFrom > 0 && read.ContinueText != answertext.Text(w.hash, w.continueFrom):
 		return invalid("continue_text is not this prompt's output")
 	}
 	return nil
 }
 
-// exchangeLength is the length of an exchange's identity in hex digits.
+// exchangeLength is the length of an exchange ID in hexadecimal digits.
 const exchangeLength = 32
 
 func (b body) prompt(kind endpoint) string {
--- a/internal/standin/engine/resume.go
+++ b/internal/standin/engine/resume.go
@@ -19,44 +19,44 @@
 	return mayHaveRun(fasthttp.StatusNotFound, "exchange_unknown", "the engine doesn't know this exchange; it may have restarted")
 }
 
-// serveResume answers GET /v1/exchanges/{id}?offset=N and takes the stream over.
-func (l *life) serveResume(ctx *fasthttp.RequestCtx, id string) {
+// serveResume answers GET /v1/exchanges/{id}?offset=N; its stream replaces the previous reader.
+func (p *process) serveResume(ctx *fasthttp.RequestCtx, id string) {
 	offset, err := strconv.Atoi(string(ctx.QueryArgs().Peek("offset")))
 	if err != nil || offset < 0 {
 		invalid("offset must be a number of tokens").write(&ctx.Response)
 		return
 	}
 	ctx.Response.Header.Set(enginecontract.HeaderExchange, id)
-	l.lockThawed()
-	l.advance()
-	resumed := l.exchanges[id]
+	p.lockThawed()
+	p.advance()
+	resumed := p.exchanges[id]
 	if resumed == nil || resumed.cancelled || resumed.phase == enginemodel.PhasePrefillOnly {
-		l.mutex.Unlock()
+		p.mutex.Unlock()
 		unknownExchange().write(&ctx.Response)
 		return
 	}
-	resumed.signal() // the older reader sees that it was replaced
+	resumed.signal() // wakes the previous reader, which detects that it was replaced
 	stream := newReader()
 	resumed.reader = stream
-	l.mutex.Unlock()
-	l.answerStream(ctx, resumed, stream, offset, finishReason(true))
+	p.mutex.Unlock()
+	p.answerStream(ctx, resumed, stream, offset, finishReason(true))
 }
 
 // serveCancel answers DELETE /v1/exchanges/{id}.
-func (l *life) serveCancel(ctx *fasthttp.RequestCtx, id string) {
+func (p *process) serveCancel(ctx *fasthttp.RequestCtx, id string) {
 	ctx.Response.Header.Set(enginecontract.HeaderExchange, id)
-	l.lockThawed()
-	l.advance()
-	gone := l.exchanges[id]
+	p.lockThawed()
+	p.advance()
+	gone := p.exchanges[id]
 	runState := enginecontract.RunStateMayHaveRun
-	if gone != nil && !gone.over() {
+	if gone != nil && !gone.isOver() {
 		if !gone.started {
 			runState = enginecontract.RunStateNotRun
 		}
-		l.cancelExchange(l.now(), gone)
+		p.cancelExchange(p.now(), gone)
 	}
-	l.mutex.Unlock()
-	l.poke()
+	p.mutex.Unlock()
+	p.wakeDriver()
 	if gone == nil {
 		unknownExchange().write(&ctx.Response)
 		return
--- a/internal/standin/engine/runs.go
+++ b/internal/standin/engine/runs.go
@@ -5,17 +5,17 @@
 	"sync"
 )
 
-// Run counts what one engine did for one prompt.
+// Run counts the executions of one prompt by one engine.
 type Run struct {
-	// Started counts exchanges that began to run.
+	// Started counts exchanges that began to execute.
 	Started int `json:"started"`
-	// Finished counts exchanges that ran to their end.
+	// Finished counts exchanges that ran to completion.
 	Finished int `json:"finished"`
-	// Prefilled counts prompts read for another engine.
+	// Prefilled counts prefills for another engine.
 	Prefilled int `json:"prefilled"`
 }
 
-// Totals counts what one engine did in all.
+// Totals counts all executions of one engine.
 type Totals struct {
 	Started   int `json:"started"`
 	Finished  int `json:"finished"`
@@ -23,13 +23,13 @@
 	Cancelled int `json:"cancelled"`
 	Refused   int `json:"refused"`
 	Imported  int `json:"imported"`
-	// RoleChanges counts role changes that ended.
+	// RoleChanges counts completed role changes.
 	RoleChanges int `json:"role_changes"`
-	// CutByChange counts exchanges that a change or a drain ended: always 0.
+	// CutByChange counts exchanges that a change cancelled; 0 unless the safeguard DrainFirst is disabled.
 	CutByChange int `json:"cut_by_change"`
 }
 
-// Plus is the sum of two counts.
+// Plus returns the sum of two counts.
 func (t Totals) Plus(other Totals) Totals {
 	t.Started += other.Started
 	t.Finished += other.Finished
@@ -42,7 +42,7 @@
 	return t
 }
 
-// Minus is what was counted since an earlier count.
+// Minus returns what was counted since an earlier count.
 func (t Totals) Minus(earlier Totals) Totals {
 	return t.Plus(Totals{
 		Started: -earlier.Started, Finished: -earlier.Finished, Prefilled: -earlier.Prefilled,
@@ -51,14 +51,14 @@
 	})
 }
 
-// Report is the answer to GET /bench/runs; prompts are by hash, in hexadecimal.
+// Report is the answer to GET /bench/runs. Prompts are keyed by their hash in hexadecimal.
 type Report struct {
 	Engine  string         `json:"engine"`
 	Totals  Totals         `json:"totals"`
 	Prompts map[string]Run `json:"prompts"`
 }
 
-// runs is the bench's own count; it outlives crashes.
+// runs are the bench's counts; they survive crashes.
 type runs struct {
 	mutex   sync.Mutex
 	totals  Totals
@@ -77,7 +77,7 @@
 	}
 }
 
-// Runs reports what the engine ran since its first start.
+// Runs reports what the engine has executed since its first start.
 func (e *Engine) Runs() Report {
 	e.runs.mutex.Lock()
 	defer e.runs.mutex.Unlock()
@@ -88,5 +88,5 @@
 	return report
 }
 
-// PromptKey is a prompt's hash as Report spells it.
+// PromptKey returns a prompt's hash as it is written in Report.
 func PromptKey(hash uint64) string { return fmt.Sprintf("%016x", hash) }
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -11,60 +11,60 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/fault"
 )
 
-// streamFaults are the faults that strike one stream.
+// streamFaults are the faults that apply to one stream.
 type streamFaults struct {
-	cut, truncate, stall, skip, earlyDone int // after so many tokens of this stream; -1 is never
+	cut, truncate, stall, skip, earlyDone int // number of tokens of this stream before the fault; -1 is never
 	crossed, duplicate                    bool
 }
 
-func (l *life) drawStreamFaults() streamFaults {
+func (p *process) strikeStreamFaults() streamFaults {
 	after := func(kind fault.Kind) int {
-		if drawn, strikes := l.takeFault(kind); strikes {
+		if drawn, strikes := p.strikeFault(kind); strikes {
 			return drawn.Tokens
 		}
 		return -1
 	}
 	drawn := streamFaults{cut: after(fault.Cut), truncate: after(fault.Truncate), stall: after(fault.Stall), skip: after(fault.Skip), earlyDone: after(fault.EarlyDone)}
-	_, drawn.crossed = l.takeFault(fault.Crossed)
-	_, drawn.duplicate = l.takeFault(fault.Duplicate)
+	_, drawn.crossed = p.strikeFault(fault.Crossed)
+	_, drawn.duplicate = p.strikeFault(fault.Duplicate)
 	return drawn
 }
 
 // streamer sends one exchange to one reader.
 type streamer struct {
-	life   *life
-	about  *exchange
-	reader *reader
-	conn   net.Conn
-	events *eventWriter
-	faults streamFaults
-	reason string
-	offset int // tokens sent, counting those before this stream
-	sent   int // tokens sent by this stream
-	buffer []byte
+	process      *process
+	exchange     *exchange
+	reader       *reader
+	conn         net.Conn
+	events       *eventWriter
+	faults       streamFaults
+	finishReason string
+	offset       int // tokens sent, including those before this stream
+	sent         int // tokens sent by this stream
+	buffer       []byte
 }
 
-// answerStream sends the event stream of an exchange from offset on.
-func (l *life) answerStream(ctx *fasthttp.RequestCtx, about *exchange, to *reader, offset int, reason string) {
+// answerStream sends the event stream of an exchange, starting at offset.
+func (p *process) answerStream(ctx *fasthttp.RequestCtx, sent *exchange, recipient *reader, offset int, reason string) {
 	ctx.Response.Header.SetContentType("text/event-stream")
 	ctx.Response.Header.Set(fasthttp.HeaderCacheControl, "no-cache")
 	ctx.Response.ImmediateHeaderFlush = true
 	sender := &streamer{
-		life: l, about: about, reader: to, conn: ctx.Conn(), events: newEventWriter(about, offset == 0),
-		faults: l.drawStreamFaults(), reason: reason, offset: offset,
+		process: p, exchange: sent, reader: recipient, conn: ctx.Conn(), events: newEventWriter(sent, offset == 0),
+		faults: p.strikeStreamFaults(), finishReason: reason, offset: offset,
 	}
 	ctx.SetBodyStreamWriter(sender.run)
 }
 
-// run sends until the exchange ends, the reader goes or another reader takes over.
+// run sends events until the exchange ends, the reader disconnects or another reader replaces it.
 func (s *streamer) run(out *bufio.Writer) {
-	defer s.life.detach(s.about, s.reader)
+	defer s.process.detach(s.exchange, s.reader)
 	for {
-		s.life.lockThawed()
-		replaced := s.about.reader != s.reader
-		written, cached := s.about.written, s.about.cached
-		ended, cancelled, dead := s.about.ended, s.about.cancelled, s.life.dead
-		s.life.mutex.Unlock()
+		s.process.lockThawed()
+		replaced := s.exchange.reader != s.reader
+		written, cached := s.exchange.decodedTokens, s.exchange.cachedTokens
+		ended, cancelled, dead := s.exchange.finished, s.exchange.cancelled, s.process.dead
+		s.process.mutex.Unlock()
 		if replaced || dead {
 			crashable.ResetConnection(s.conn)
 			return
@@ -72,7 +72,7 @@
 		s.buffer = s.buffer[:0]
 		struck := s.appendTokens(written)
 		if struck == "" && ended {
-			s.buffer = s.events.end(s.buffer, written, cached, s.reason)
+			s.buffer = s.events.end(s.buffer, written, cached, s.finishReason)
 		}
 		if struck == "" && cancelled {
 			s.buffer = s.events.failure(s.buffer, written, "cancelled")
@@ -97,13 +97,13 @@
 		}
 		select {
 		case <-s.reader.changed:
-		case <-s.life.ctx.Done():
+		case <-s.process.ctx.Done():
 		}
 	}
 }
 
-// appendTokens appends the events up to written. It returns the fault that ends the
-// stream here, or nothing.
+// appendTokens appends the events of the tokens before written. It returns the fault that
+// ends the stream here, or "".
 func (s *streamer) appendTokens(written int) fault.Kind {
 	for s.offset < written {
 		switch s.sent {
@@ -132,25 +132,25 @@
 	return ""
 }
 
-// stall sends nothing more and keeps the connection open until someone else acts.
+// stall sends nothing and keeps the connection open until the stream is replaced or cancelled.
 func (s *streamer) stall() {
 	for {
 		select {
 		case <-s.reader.changed:
-		case <-s.life.ctx.Done():
+		case <-s.process.ctx.Done():
 			return
 		}
-		s.life.mutex.Lock()
-		replaced, cancelled := s.about.reader != s.reader, s.about.cancelled
-		s.life.mutex.Unlock()
+		s.process.mutex.Lock()
+		replaced, cancelled := s.exchange.reader != s.reader, s.exchange.cancelled
+		s.process.mutex.Unlock()
 		if replaced || cancelled {
 			return
 		}
 	}
 }
 
-// appendCrossed appends a token of another exchange.
+// appendCrossed appends a token event of another exchange.
 func (s *streamer) appendCrossed() {
-	other := &exchange{id: otherExchange, model: s.about.model, endpoint: s.about.endpoint, prompt: ^s.about.prompt}
+	other := &exchange{id: foreignExchange, model: s.exchange.model, endpoint: s.exchange.endpoint, prompt: ^s.exchange.prompt}
 	s.buffer = newEventWriter(other, false).token(s.buffer, s.offset)
 }
--- a/internal/standin/engine/virtual_time_test.go
+++ b/internal/standin/engine/virtual_time_test.go
@@ -19,26 +19,26 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/answertext"
 )
 
-// idleWorkers is longer than the HTTP library keeps its idle workers.
-const idleWorkers = time.Minute
+// idleWorkerTimeout exceeds the time after which the HTTP library ends its idle workers.
+const idleWorkerTimeout = time.Minute
 
-// streamed is one request and when its tokens came, since the start.
-type streamed struct {
+// timedRequest is one request and the times at which its tokens arrived, since the start.
+type timedRequest struct {
 	at           time.Duration
 	promptTokens int
 	outputTokens int
 	tokens       []time.Duration
 }
 
-// TestStandInTakesTheTimesOfTheModel sends requests that share an engine over HTTP, in
-// a bubble with virtual time, and compares the time of each token with a model that
-// runs alone, as experiments use it.
+// TestStandInTakesTheTimesOfTheModel sends concurrent requests to an engine over HTTP in a
+// synctest bubble and compares the time of each token with that of an engine model that runs
+// alone, as experiments use it.
 func TestStandInTakesTheTimesOfTheModel(t *testing.T) {
-	outside := startEngine(t, nil) // the HTTP library's own clock begins outside of the bubble
-	requireWhole(t, chat(outside, 1, 1).do(t), 0, 1)
+	outside := startEngine(t, nil) // starts the HTTP library's own clock outside of the bubble
+	requireComplete(t, chat(outside, 1, 1).do(t), 0, 1)
 	for _, role := range []enginecontract.Role{enginecontract.RoleMixed, enginecontract.RoleDecode} {
 		t.Run(string(role), func(t *testing.T) {
-			requests := []*streamed{
+			requests := []*timedRequest{
 				{at: 0, promptTokens: 3000, outputTokens: 40},
 				{at: 100 * time.Millisecond, promptTokens: 500, outputTokens: 30},
 				{at: 110 * time.Millisecond, promptTokens: 9000, outputTokens: 5},
@@ -50,8 +50,8 @@
 	}
 }
 
-// streamAll sends the requests at their times and notes when each token comes.
-func streamAll(t *testing.T, role enginecontract.Role, requests []*streamed) {
+// streamAll sends the requests at their times and records when each token arrives.
+func streamAll(t *testing.T, role enginecontract.Role, requests []*timedRequest) {
 	listener := fasthttputil.NewInmemoryListener()
 	engine, err := Start(Config{
 		Name: "e1", Address: "127.0.0.1:0", Model: "m", Role: role, Profile: enginemodel.DefaultProfile(),
@@ -60,7 +60,7 @@
 	require.NoError(t, err)
 	defer func() {
 		engine.Close()
-		time.Sleep(idleWorkers) // virtual: the HTTP library's idle workers end
+		time.Sleep(idleWorkerTimeout) // virtual: the HTTP library's idle workers end
 	}()
 	began := time.Now()
 	var sending sync.WaitGroup
@@ -83,16 +83,16 @@
 	sending.Wait()
 }
 
-// text is the request as it goes over the wire.
-func (s *streamed) text(number int) []byte {
+// text returns the request in its wire form.
+func (s *timedRequest) text(number int) []byte {
 	empty := answertext.Prompt([]answertext.Message{{Role: "user"}})
-	content := fmt.Sprintf("%d", number) // no prompt begins as another
+	content := fmt.Sprintf("%d", number) // no prompt is a prefix of another
 	content += strings.Repeat("x", s.promptTokens*4-len(empty)-len(content))
 	body, err := json.Marshal(map[string]any{
 		"model": "m", "stream": true, "max_tokens": s.outputTokens,
 		"messages": []map[string]string{{"role": "user", "content": content}},
 	})
-	if err != nil { // the shape always marshals
+	if err != nil { // the type always marshals
 		panic(err)
 	}
 	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: e1\r\n%s: %s\r\nContent-Length: %d\r\n\r\n",
@@ -100,8 +100,8 @@
 	return append([]byte(head), body...)
 }
 
-// read notes the time of each token until the stream ends.
-func (s *streamed) read(connection net.Conn, began time.Time) {
+// read records the time of each token until the stream ends.
+func (s *timedRequest) read(connection net.Conn, began time.Time) {
 	for lines := bufio.NewScanner(connection); lines.Scan(); {
 		data, isEvent := strings.CutPrefix(lines.Text(), "data: ")
 		var event chunk
@@ -116,7 +116,7 @@
 	}
 }
 
-func tokenTimes(requests []*streamed) [][]time.Duration {
+func tokenTimes(requests []*timedRequest) [][]time.Duration {
 	times := make([][]time.Duration, len(requests))
 	for number, request := range requests {
 		times[number] = request.tokens
@@ -124,8 +124,8 @@
 	return times
 }
 
-// modelTimes are the times of the same tokens by the model alone.
-func modelTimes(t *testing.T, role enginecontract.Role, requests []*streamed) [][]time.Duration {
+// modelTimes returns the times of the same tokens according to the model alone.
+func modelTimes(t *testing.T, role enginecontract.Role, requests []*timedRequest) [][]time.Duration {
 	t.Helper()
 	model, err := enginemodel.New(enginemodel.DefaultProfile(), role, enginemodel.WithTokenEvents())
 	require.NoError(t, err)
--- a/internal/standin/engine/weights.go
+++ b/internal/standin/engine/weights.go
@@ -10,38 +10,39 @@
 )
 
 const (
-	// weightAttempts bounds how often an engine asks the weight store.
+	// weightAttempts limits the attempts to fetch weights from the store.
 	weightAttempts = 30
-	// weightRetryPause is the time between attempts when the store is busy.
+	// weightRetryPause is the time between two attempts.
 	weightRetryPause = 500 * time.Millisecond
 )
 
-// fetchWeights reads a model's weights from the store for a load-model order.
-func (l *life) fetchWeights(order enginecontract.Order) {
+// fetchWeights reads a model's weights from the store for a load-model order and reports the
+// result to the order machine.
+func (p *process) fetchWeights(order enginecontract.Order) {
 	whole := false
-	for attempt := 0; attempt < weightAttempts && !whole && l.ctx.Err() == nil; attempt++ {
+	for attempt := 0; attempt < weightAttempts && !whole && p.ctx.Err() == nil; attempt++ {
 		if attempt > 0 {
 			time.Sleep(weightRetryPause)
 		}
 		var final bool
-		if whole, final = l.readWeights(order); final {
+		if whole, final = p.attemptWeights(order); final {
 			break
 		}
 	}
-	l.lockThawed()
-	l.machine.FinishWeightLoad(l.now(), order, whole)
-	l.mutex.Unlock()
-	l.poke()
+	p.lockThawed()
+	p.machine.FinishWeightLoad(p.now(), order, whole)
+	p.mutex.Unlock()
+	p.wakeDriver()
 }
 
-// readWeights makes one attempt; final tells that another one can't help.
-func (l *life) readWeights(order enginecontract.Order) (whole, final bool) {
+// attemptWeights makes one attempt; final reports that a further attempt is pointless.
+func (p *process) attemptWeights(order enginecontract.Order) (whole, final bool) {
 	call, answer := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(call)
 	defer fasthttp.ReleaseResponse(answer)
-	call.SetRequestURI("http://" + l.engine.config.WeightStore + enginecontract.PathWeights + order.Model + "/" + order.Version)
+	call.SetRequestURI("http://" + p.engine.config.WeightStore + enginecontract.PathWeights + order.Model + "/" + order.Version)
 	answer.StreamBody = true
-	if err := l.client.Do(call, answer); err != nil {
+	if err := p.client.Do(call, answer); err != nil {
 		return false, false
 	}
 	defer func() { _ = answer.CloseBodyStream() }()
--- a/internal/standin/engine/work.go
+++ b/internal/standin/engine/work.go
@@ -12,85 +12,85 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/fault"
 )
 
-// otherExchange is the identity that crossed answers carry when no other exchange runs.
-const otherExchange = "00000000000000000000000000000bad"
+// foreignExchange is the exchange ID that the faults crossed and wrong-echo put into answers.
+const foreignExchange = "00000000000000000000000000000bad"
 
 // serveWork answers a chat or completions request.
-func (l *life) serveWork(ctx *fasthttp.RequestCtx, kind endpoint) {
+func (p *process) serveWork(ctx *fasthttp.RequestCtx, kind endpoint) {
 	request, problem := parse(&ctx.Request, kind)
 	if problem != nil {
-		l.refuse(ctx, problem)
+		p.refuse(ctx, problem)
 		return
 	}
-	if late, strikes := l.takeFault(fault.Late); strikes {
-		l.sleep(late.Delay())
+	if late, strikes := p.strikeFault(fault.Late); strikes {
+		p.sleep(late.Delay())
 	}
-	if _, strikes := l.takeFault(fault.Refuse); strikes {
-		l.refuse(ctx, notRun(fasthttp.StatusServiceUnavailable, "overloaded", "refused on demand"))
+	if _, strikes := p.strikeFault(fault.Refuse); strikes {
+		p.refuse(ctx, notRun(fasthttp.StatusServiceUnavailable, "overloaded", "refused on demand"))
 		return
 	}
 	if request.phase == enginemodel.PhaseDecodeImported {
-		if err := l.importKV(request); err != nil {
-			l.refuse(ctx, notRun(fasthttp.StatusFailedDependency, "kv_import_failed", err.Error()))
+		if err := p.importKV(request); err != nil {
+			p.refuse(ctx, notRun(fasthttp.StatusFailedDependency, "kv_import_failed", err.Error()))
 			return
 		}
 	}
-	begun, stream, problem := l.submit(request)
+	begun, stream, problem := p.submit(request)
 	if problem == nil {
-		problem = l.awaitStart(begun, stream, request.deadline)
+		problem = p.awaitStart(begun, stream, request.deadline)
 	}
 	if problem != nil {
-		l.refuse(ctx, problem)
+		p.refuse(ctx, problem)
 		return
 	}
-	l.answer(ctx, begun, stream, request)
+	p.answer(ctx, begun, stream, request)
 }
 
-func (l *life) refuse(ctx *fasthttp.RequestCtx, problem *refusal) {
-	l.engine.runs.count(0, func(_ *Run, totals *Totals) { totals.Refused++ })
+func (p *process) refuse(ctx *fasthttp.RequestCtx, problem *refusal) {
+	p.engine.runs.count(0, func(_ *Run, totals *Totals) { totals.Refused++ })
 	problem.write(&ctx.Response)
 }
 
-// submit takes a request in, or says why not.
-func (l *life) submit(request work) (*exchange, *reader, *refusal) {
-	l.lockThawed()
-	defer l.mutex.Unlock()
-	l.advance()
+// submit passes a request to the model or returns why it was refused.
+func (p *process) submit(request parsedRequest) (*exchange, *reader, *refusal) {
+	p.lockThawed()
+	defer p.mutex.Unlock()
+	p.advance()
 	switch {
-	case l.dead:
+	case p.dead:
 		return nil, nil, mayHaveRun(fasthttp.StatusInternalServerError, "engine_error", "the engine crashed")
-	case l.exchanges[request.exchange] != nil:
+	case p.exchanges[request.exchange] != nil:
 		return nil, nil, mayHaveRun(fasthttp.StatusConflict, "exchange_exists", "this exchange was used before")
-	case !l.machine.Serves(request.model):
+	case !p.machine.Serves(request.model):
 		return nil, nil, notRun(fasthttp.StatusNotFound, "model_not_found", "model "+request.model+" isn't loaded here")
 	}
-	if problem := outOfService(l.machine.ServiceState()); problem != nil {
+	if problem := refusalForState(p.machine.ServiceState()); problem != nil {
 		return nil, nil, problem
 	}
 	promptTokens := answertext.PromptTokens(request.prompt)
-	now := l.now()
-	err := l.model.Submit(now, enginemodel.Request{
-		ID: request.exchange, PromptTokens: promptTokens, OutputTokens: request.output,
-		Priority: request.priority, Phase: request.phase, AlreadyDelivered: request.continued,
-		PrefixBlocks: answertext.Blocks(request.salt, request.prompt, l.engine.config.Profile.BlockTokens),
+	now := p.now()
+	err := p.model.Submit(now, enginemodel.Request{
+		ID: request.exchange, PromptTokens: promptTokens, OutputTokens: request.outputTokens,
+		Priority: request.priority, Phase: request.phase, AlreadyDelivered: request.continueFrom,
+		PrefixBlocks: answertext.Blocks(request.salt, request.prompt, p.engine.config.Profile.BlockTokens),
 	})
 	if err != nil {
-		return nil, nil, ofModel(err)
+		return nil, nil, refusalForModelError(err)
 	}
 	stream := newReader()
 	begun := &exchange{
 		id: request.exchange, endpoint: request.endpoint, model: request.model, prompt: request.hash,
-		promptTokens: promptTokens, output: request.output, phase: request.phase, salt: request.salt,
-		written: request.continued, reader: stream, alone: now,
+		promptTokens: promptTokens, outputTokens: request.outputTokens, phase: request.phase, salt: request.salt,
+		decodedTokens: request.continueFrom, reader: stream, unreadSince: now,
 	}
-	l.exchanges[begun.id] = begun
-	l.open++
-	l.poke()
+	p.exchanges[begun.id] = begun
+	p.openExchanges++
+	p.wakeDriver()
 	return begun, stream, nil
 }
 
-// awaitStart waits until an exchange leaves the waiting line.
-func (l *life) awaitStart(begun *exchange, stream *reader, deadline time.Duration) *refusal {
+// awaitStart waits until an exchange leaves the engine's queue.
+func (p *process) awaitStart(begun *exchange, stream *reader, deadline time.Duration) *refusal {
 	var expired <-chan time.Time
 	if deadline > 0 {
 		timer := time.NewTimer(deadline)
@@ -98,9 +98,9 @@
 		expired = timer.C
 	}
 	for {
-		l.mutex.Lock()
+		p.mutex.Lock()
 		started, cancelled := begun.started, begun.cancelled
-		l.mutex.Unlock()
+		p.mutex.Unlock()
 		switch {
 		case started:
 			return nil
@@ -109,88 +109,88 @@
 		}
 		select {
 		case <-stream.changed:
-		case <-l.ctx.Done():
+		case <-p.ctx.Done():
 			return mayHaveRun(fasthttp.StatusInternalServerError, "engine_error", "the engine crashed")
 		case <-expired:
-			if l.cancelWaiting(begun) {
+			if p.cancelWaiting(begun) {
 				return notRun(fasthttp.StatusRequestTimeout, "deadline_exceeded", "still waiting at the deadline")
 			}
 		}
 	}
 }
 
-// cancelWaiting cancels an exchange that has not started, and tells whether it did.
-func (l *life) cancelWaiting(begun *exchange) bool {
-	l.lockThawed()
-	defer l.mutex.Unlock()
-	l.advance()
-	if begun.started || begun.over() {
+// cancelWaiting cancels an exchange that has not started and reports whether it did so.
+func (p *process) cancelWaiting(begun *exchange) bool {
+	p.lockThawed()
+	defer p.mutex.Unlock()
+	p.advance()
+	if begun.started || begun.isOver() {
 		return false
 	}
-	l.cancelExchange(l.now(), begun)
+	p.cancelExchange(p.now(), begun)
 	return true
 }
 
-// answer sends what a started exchange writes, or fails as the faults want.
-func (l *life) answer(ctx *fasthttp.RequestCtx, begun *exchange, stream *reader, request work) {
-	if _, strikes := l.takeFault(fault.LoseAnswer); strikes {
-		l.detach(begun, stream)
+// answer sends the output of a started exchange, or fails as the faults require.
+func (p *process) answer(ctx *fasthttp.RequestCtx, begun *exchange, stream *reader, request parsedRequest) {
+	if _, strikes := p.strikeFault(fault.LoseAnswer); strikes {
+		p.detach(begun, stream)
 		crashable.ResetConnection(ctx.Conn())
 		return
 	}
-	if _, strikes := l.takeFault(fault.Error); strikes {
-		l.detach(begun, stream)
+	if _, strikes := p.strikeFault(fault.Error); strikes {
+		p.detach(begun, stream)
 		mayHaveRun(fasthttp.StatusInternalServerError, "engine_error", "failed on demand").write(&ctx.Response)
 		return
 	}
-	if _, strikes := l.takeFault(fault.WrongEcho); strikes {
-		ctx.Response.Header.Set(enginecontract.HeaderExchange, otherExchange)
+	if _, strikes := p.strikeFault(fault.WrongEcho); strikes {
+		ctx.Response.Header.Set(enginecontract.HeaderExchange, foreignExchange)
 	}
 	if begun.phase == enginemodel.PhasePrefillOnly {
-		l.answerPrefill(ctx, begun, stream)
+		p.answerPrefill(ctx, begun, stream)
 		return
 	}
-	l.answerStream(ctx, begun, stream, request.continued, finishReason(request.limited))
+	p.answerStream(ctx, begun, stream, request.continueFrom, finishReason(request.hasLimit))
 }
 
-func (l *life) answerPrefill(ctx *fasthttp.RequestCtx, begun *exchange, stream *reader) {
+func (p *process) answerPrefill(ctx *fasthttp.RequestCtx, begun *exchange, stream *reader) {
 	for {
-		l.lockThawed()
-		if begun.ended {
-			answer := l.export(begun)
+		p.lockThawed()
+		if begun.finished {
+			answer := p.exportKV(begun)
 			begun.reader = nil
-			l.mutex.Unlock()
+			p.mutex.Unlock()
 			writeJSON(&ctx.Response, answer)
 			return
 		}
 		cancelled := begun.cancelled
-		l.mutex.Unlock()
+		p.mutex.Unlock()
 		if cancelled {
 			mayHaveRun(499, "cancelled", "the exchange was cancelled").write(&ctx.Response)
 			return
 		}
 		select {
 		case <-stream.changed:
-		case <-l.ctx.Done():
+		case <-p.ctx.Done():
 			return
 		}
 	}
 }
 
-// detach leaves an exchange without a reader; it may be resumed for a while.
-func (l *life) detach(from *exchange, stream *reader) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+// detach leaves an exchange without a reader; it can be resumed for ResumeWindow.
+func (p *process) detach(from *exchange, stream *reader) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	if from.reader == stream {
 		from.reader = nil
-		from.alone = l.now()
+		from.unreadSince = p.now()
 	}
 }
 
-func (l *life) sleep(pause time.Duration) {
+func (p *process) sleep(pause time.Duration) {
 	select {
 	case <-time.After(pause):
-	case <-l.ctx.Done():
+	case <-p.ctx.Done():
 	}
 }
 
--- a/internal/standin/fault/fault_test.go
+++ b/internal/standin/fault/fault_test.go
@@ -15,8 +15,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/yamlfile"
 )
 
-// TestFilesTakeEveryKind holds the words that files take to the constants.
-func TestFilesTakeEveryKind(t *testing.T) {
+// TestFilesAcceptEveryKind checks that the kinds accepted in files and requests are exactly the constants.
+func TestFilesAcceptEveryKind(t *testing.T) {
 	file, err := parser.ParseFile(token.NewFileSet(), "fault.go", nil, 0)
 	require.NoError(t, err)
 	var kinds []string
@@ -68,7 +68,7 @@
 	require.Len(t, set.Remaining(), 1, "wrong lists change nothing")
 }
 
-func TestTakeCounts(t *testing.T) {
+func TestStrikeCounts(t *testing.T) {
 	set := fault.NewSet(fault.Fault{Kind: fault.Refuse, Count: 2}, fault.Fault{Kind: fault.Late, Count: fault.Always, DelayMs: 3})
 	for _, want := range []bool{true, true, false} {
 		_, strikes := set.Strike(fault.Refuse)
--- a/internal/standin/fault/serve.go
+++ b/internal/standin/fault/serve.go
@@ -6,12 +6,12 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Serve answers the bench's requests about a stand-in's faults: GET tells those that
-// can still strike, PUT switches on exactly those of its body.
+// Serve answers the bench's requests about a stand-in's faults: GET returns those that
+// can still strike, PUT replaces them with those of its body.
 func (s *Set) Serve(ctx *fasthttp.RequestCtx) {
 	if !ctx.IsPut() {
 		text, err := json.Marshal(s.Remaining())
-		if err != nil { // the shape always marshals
+		if err != nil { // the type always marshals
 			panic(err)
 		}
 		ctx.Response.Header.SetContentType("application/json")
--- a/internal/standin/machinelist/machinelist.go
+++ b/internal/standin/machinelist/machinelist.go
@@ -1,5 +1,5 @@
-// Package machinelist is a stand-in for the platform's list of machines: it tells
-// what was true some time ago.
+// Package machinelist is a stand-in for the platform's machine list: it returns the list as
+// it was some time ago.
 package machinelist
 
 import (
@@ -16,37 +16,37 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/crashable"
 )
 
-// DefaultLag is how far the list lags when nothing is set.
+// DefaultLag is the age of the returned list if Config sets none.
 const DefaultLag = 2 * time.Second
 
 const shutdownPatience = time.Second
 
-// Config is what a machine list is.
+// Config configures a machine list.
 type Config struct {
-	Address string // IP:port; port 0 takes a free one
-	// Lag is how old the answer is; 0 is DefaultLag, below 0 is none.
+	Address string // IP:port; port 0 selects a free port
+	// Lag is the age of the returned list; 0 is DefaultLag, a negative value is no lag.
 	Lag time.Duration
 	// Listen defaults to net.Listen.
 	Listen func(network, address string) (net.Listener, error)
 }
 
-// edition is the list from one time on.
-type edition struct {
+// listVersion is the list that is valid from a time on.
+type listVersion struct {
 	from time.Time
 	list enginecontract.MachineList
 }
 
-// Server is one machine list. It is safe for concurrent use.
+// Server is a machine list server. It is safe for concurrent use.
 type Server struct {
 	server  *crashable.Server
 	address string
 
 	mutex    sync.Mutex
 	lag      time.Duration
-	editions []edition
+	versions []listVersion
 }
 
-// Start starts a machine list with machines that have always been there.
+// Start starts a machine list whose machines have no start time, so that they are visible at once.
 func Start(config Config, machines []enginecontract.Machine) (*Server, error) {
 	if config.Listen == nil {
 		config.Listen = net.Listen
@@ -59,27 +59,27 @@
 		return nil, trace.Wrap(err, "the machine list can't listen on %s", config.Address)
 	}
 	first := enginecontract.MachineList{Version: 1, Machines: slices.Clone(machines)}
-	list := &Server{address: listener.Addr().String(), lag: config.Lag, editions: []edition{{list: first}}}
+	list := &Server{address: listener.Addr().String(), lag: config.Lag, versions: []listVersion{{list: first}}}
 	list.server = crashable.Start(listener, list.handle)
 	return list, nil
 }
 
-// Address is the IP:port the list answers at.
+// Address returns the IP:port that the list listens on.
 func (s *Server) Address() string { return s.address }
 
-// Close stops the list.
-func (s *Server) Close() { _ = s.server.Close(shutdownPatience) } // it breaks what is left in any case
+// Close stops the server.
+func (s *Server) Close() { _ = s.server.Close(shutdownPatience) } // it resets the remaining connections in any case
 
-// SetLag changes how old the answers are.
+// SetLag changes the age of the returned list.
 func (s *Server) SetLag(lag time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.lag = lag
 }
 
-// SetState changes one machine's state; false when it isn't listed.
+// SetState changes one machine's state; it returns false if the machine is not listed.
 func (s *Server) SetState(name string, state enginecontract.ServiceState) bool {
-	return s.change(func(machines []enginecontract.Machine) ([]enginecontract.Machine, bool) {
+	return s.publishChange(func(machines []enginecontract.Machine) ([]enginecontract.Machine, bool) {
 		for index := range machines {
 			if machines[index].Name == name {
 				machines[index].State = state
@@ -90,43 +90,43 @@
 	})
 }
 
-// RemoveMachine takes a machine off the list; false when it isn't listed.
+// RemoveMachine removes a machine; it returns false if the machine is not listed.
 func (s *Server) RemoveMachine(name string) bool {
-	return s.change(func(machines []enginecontract.Machine) ([]enginecontract.Machine, bool) {
+	return s.publishChange(func(machines []enginecontract.Machine) ([]enginecontract.Machine, bool) {
 		left := slices.DeleteFunc(slices.Clone(machines), func(machine enginecontract.Machine) bool { return machine.Name == name })
 		return left, len(left) < len(machines)
 	})
 }
 
-// AddMachine puts a machine on the list.
+// AddMachine adds a machine to the list.
 func (s *Server) AddMachine(machine enginecontract.Machine) {
-	s.change(func(machines []enginecontract.Machine) ([]enginecontract.Machine, bool) {
+	s.publishChange(func(machines []enginecontract.Machine) ([]enginecontract.Machine, bool) {
 		return append(machines, machine), true
 	})
 }
 
-// change makes a new edition out of the last.
-func (s *Server) change(edit func([]enginecontract.Machine) ([]enginecontract.Machine, bool)) bool {
+// publishChange appends a new version of the list; it returns false if edit changed nothing.
+func (s *Server) publishChange(edit func([]enginecontract.Machine) ([]enginecontract.Machine, bool)) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	last := s.editions[len(s.editions)-1].list
+	last := s.versions[len(s.versions)-1].list
 	machines, changed := edit(slices.Clone(last.Machines))
 	if changed {
 		next := enginecontract.MachineList{Version: last.Version + 1, Machines: machines}
-		s.editions = append(s.editions, edition{from: time.Now(), list: next})
+		s.versions = append(s.versions, listVersion{from: time.Now(), list: next})
 	}
 	return changed
 }
 
-// told is the list as it was the lag ago; older editions are dropped.
-func (s *Server) told() enginecontract.MachineList {
+// visibleList returns the list as it was one lag ago and drops older versions.
+func (s *Server) visibleList() enginecontract.MachineList {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	horizon := time.Now().Add(-max(s.lag, 0))
-	for len(s.editions) > 1 && !s.editions[1].from.After(horizon) {
-		s.editions = s.editions[1:]
+	for len(s.versions) > 1 && !s.versions[1].from.After(horizon) {
+		s.versions = s.versions[1:]
 	}
-	return s.editions[0].list
+	return s.versions[0].list
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
@@ -134,8 +134,8 @@
 		ctx.Error("no such path", fasthttp.StatusNotFound)
 		return
 	}
-	text, err := json.Marshal(s.told())
-	if err != nil { // the shape always marshals
+	text, err := json.Marshal(s.visibleList())
+	if err != nil { // the type always marshals
 		panic(err)
 	}
 	ctx.Response.Header.SetContentType("application/json")
--- a/internal/standin/machinelist/machinelist_test.go
+++ b/internal/standin/machinelist/machinelist_test.go
@@ -24,38 +24,38 @@
 	return list
 }
 
-func read(t *testing.T, list *Server) enginecontract.MachineList {
+func fetchList(t *testing.T, list *Server) enginecontract.MachineList {
 	t.Helper()
 	response, err := http.Get("http://" + list.Address() + enginecontract.PathMachines)
 	require.NoError(t, err)
 	defer func() { _ = response.Body.Close() }()
-	var told enginecontract.MachineList
-	require.NoError(t, json.NewDecoder(response.Body).Decode(&told))
-	return told
+	var published enginecontract.MachineList
+	require.NoError(t, json.NewDecoder(response.Body).Decode(&published))
+	return published
 }
 
 func TestChangesMakeVersions(t *testing.T) {
 	list := start(t, -1)
-	require.Equal(t, enginecontract.MachineList{Version: 1, Machines: machines}, read(t, list))
+	require.Equal(t, enginecontract.MachineList{Version: 1, Machines: machines}, fetchList(t, list))
 	require.True(t, list.SetState("b", enginecontract.StateLeaving))
 	require.False(t, list.SetState("nobody", enginecontract.StateLeaving))
-	told := read(t, list)
-	require.Equal(t, uint64(2), told.Version)
-	require.Equal(t, enginecontract.StateLeaving, told.Machines[1].State)
+	published := fetchList(t, list)
+	require.Equal(t, uint64(2), published.Version)
+	require.Equal(t, enginecontract.StateLeaving, published.Machines[1].State)
 	require.True(t, list.RemoveMachine("b"))
 	require.False(t, list.RemoveMachine("b"))
 	list.AddMachine(enginecontract.Machine{Name: "c"})
-	told = read(t, list)
-	require.Equal(t, uint64(4), told.Version)
-	require.Equal(t, []string{"a", "c"}, []string{told.Machines[0].Name, told.Machines[1].Name})
+	published = fetchList(t, list)
+	require.Equal(t, uint64(4), published.Version)
+	require.Equal(t, []string{"a", "c"}, []string{published.Machines[0].Name, published.Machines[1].Name})
 }
 
-func TestTheListLags(t *testing.T) {
+func TestListLags(t *testing.T) {
 	list := start(t, time.Hour)
 	require.True(t, list.RemoveMachine("a"))
-	require.Equal(t, uint64(1), read(t, list).Version, "the change is not an hour old")
+	require.Equal(t, uint64(1), fetchList(t, list).Version, "the change is not an hour old")
 	list.SetLag(-1)
-	require.Equal(t, uint64(2), read(t, list).Version)
+	require.Equal(t, uint64(2), fetchList(t, list).Version)
 }
 
 func TestOtherPathsAreRefused(t *testing.T) {
--- a/internal/standin/page/page.go
+++ b/internal/standin/page/page.go
@@ -1,7 +1,7 @@
-// Package page is a stand-in for a page service: it serves pages, takes alerts and
-// registrations, counts each by its idempotency key, and fails on demand.
+// Package page is a stand-in for a page service. It serves pages, accepts alerts and
+// registrations, counts executions by idempotency key, and fails when a fault is set.
 //
-// It shows the faults refuse, error, lose-answer, late, wrong-echo, truncate (Tokens
+// It supports the faults refuse, error, lose-answer, late, wrong-echo, truncate (Tokens
 // is the number of bytes sent) and cut.
 package page
 
@@ -16,25 +16,25 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/fault"
 )
 
-// Paths of the bench alone.
+// Paths that exist on the bench's stand-ins only.
 const (
 	PathBenchFaults = "/bench/faults"
 	PathBenchRuns   = "/bench/runs"
 )
 
-// otherExchange is the identity that a crossed answer carries.
-const otherExchange = "00000000000000000000000000000bad"
+// foreignExchange is the exchange ID of an answer that belongs to another request.
+const foreignExchange = "00000000000000000000000000000bad"
 
-// shutdownPatience is how long Close waits for answers.
+// shutdownPatience is how long Close waits for requests in flight.
 const shutdownPatience = time.Second
 
-// Config is what one page service replica is.
+// Config configures one page service replica.
 type Config struct {
 	Name    string
 	Service string
 	Zone    string
-	Address string // IP:port; port 0 takes a free one
-	// ServiceTime is how long one answer takes.
+	Address string // IP:port; port 0 selects a free port
+	// ServiceTime is the time that one request takes.
 	ServiceTime time.Duration
 	Faults      []fault.Fault
 	// Listen defaults to net.Listen.
@@ -62,11 +62,11 @@
 	server  *crashable.Server // nil while crashed
 	leaving bool
 	report  Report
-	// frozenUntil is when a freeze ends.
+	// frozenUntil is the time at which a freeze ends.
 	frozenUntil time.Time
 }
 
-// Start starts a replica.
+// Start starts a replica and returns once it listens.
 func Start(config Config) (*Service, error) {
 	if config.Listen == nil {
 		config.Listen = net.Listen
@@ -78,19 +78,19 @@
 	return service, trace.Wrap(service.Restart())
 }
 
-// Address is the IP:port the replica listens on.
+// Address returns the IP:port that the replica listens on.
 func (s *Service) Address() string { return s.address }
 
-// Name is the replica's name in the machine list.
+// Name returns the replica's name in the machine list.
 func (s *Service) Name() string { return s.config.Name }
 
-// Config is what the replica was started with.
+// Config returns the configuration that the replica was started with.
 func (s *Service) Config() Config { return s.config }
 
-// Faults are the faults switched on.
+// Faults returns the faults that are set.
 func (s *Service) Faults() *fault.Set { return s.faults }
 
-// Restart starts the process again after a Crash.
+// Restart starts the replica again after a Crash; it does nothing while the replica runs.
 func (s *Service) Restart() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -106,22 +106,22 @@
 	return nil
 }
 
-// Crash breaks every connection and stops listening. The counts stay: they are the
-// bench's own.
+// Crash resets every connection and stops listening. The counts survive: they belong to
+// the bench, not to the service.
 func (s *Service) Crash() {
-	if server := s.take(); server != nil {
+	if server := s.detachServer(); server != nil {
 		server.Crash()
 	}
 }
 
-// Close stops the replica; answers get a short time to end.
+// Close stops the replica; requests in flight have shutdownPatience to finish.
 func (s *Service) Close() {
-	if server := s.take(); server != nil {
-		_ = server.Close(shutdownPatience) // it breaks what is left in any case
+	if server := s.detachServer(); server != nil {
+		_ = server.Close(shutdownPatience) // Close resets the remaining connections in any case
 	}
 }
 
-func (s *Service) take() *crashable.Server {
+func (s *Service) detachServer() *crashable.Server {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	server := s.server
@@ -129,21 +129,21 @@
 	return server
 }
 
-// Freeze holds every answer back for a time, as a paused process does.
+// Freeze delays every answer until pause has passed, as a suspended process does.
 func (s *Service) Freeze(pause time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.frozenUntil = time.Now().Add(pause)
 }
 
-// StartLeaving makes the replica refuse new work for good.
+// StartLeaving makes the replica refuse new work until it is closed.
 func (s *Service) StartLeaving() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.leaving = true
 }
 
-// Runs reports what the replica ran since its first start.
+// Runs reports what the replica has executed since its first start.
 func (s *Service) Runs() Report {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/standin/page/page_test.go
+++ b/internal/standin/page/page_test.go
@@ -29,7 +29,7 @@
 
 func start(t *testing.T, faults ...fault.Fault) *Service {
 	t.Helper()
-	// Nobody dials from 127.0.0.2: the port of a crashed service stays free for its restart.
+	// No client uses 127.0.0.2 as its source address, so a crashed service's port stays free for its restart.
 	service, err := Start(Config{Name: "p1", Service: "portal", Address: "127.0.0.2:0", Faults: faults})
 	require.NoError(t, err)
 	t.Cleanup(service.Close)
@@ -67,7 +67,7 @@
 	require.Equal(t, Report{Service: "p1", Served: 2, Executions: map[string]int{key: 1}}, service.Runs())
 }
 
-// TestFaults shows what each fault does to an answer and whether the request ran.
+// TestFaults checks what each fault does to an answer and whether the request ran.
 func TestFaults(t *testing.T) {
 	tests := []struct {
 		fault fault.Kind
@@ -123,7 +123,7 @@
 	require.GreaterOrEqual(t, time.Since(began), frozen)
 }
 
-func TestBenchSwitchesFaultsOverHTTP(t *testing.T) {
+func TestFaultsAreSetOverHTTP(t *testing.T) {
 	service := start(t)
 	require.Equal(t, http.StatusBadRequest, send(t, service, http.MethodPut, PathBenchFaults, "no list").status)
 	require.Equal(t, http.StatusOK, send(t, service, http.MethodPut, PathBenchFaults, `[{"kind":"refuse","count":1}]`).status)
--- a/internal/standin/page/serve.go
+++ b/internal/standin/page/serve.go
@@ -30,16 +30,16 @@
 }
 
 func (s *Service) serveHealth(ctx *fasthttp.RequestCtx) {
-	s.setState(ctx)
+	s.setStateHeader(ctx)
 	if s.isLeaving() {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	}
 }
 
-// serveRequest runs one request of a caller.
+// serveRequest serves one request of a caller, with the faults that are set.
 func (s *Service) serveRequest(ctx *fasthttp.RequestCtx) {
 	ctx.Response.Header.SetBytesV(enginecontract.HeaderExchange, ctx.Request.Header.Peek(enginecontract.HeaderExchange))
-	s.setState(ctx)
+	s.setStateHeader(ctx)
 	if late, strikes := s.faults.Strike(fault.Late); strikes {
 		time.Sleep(late.Delay())
 	}
@@ -51,7 +51,7 @@
 		s.refuse(ctx, "refused on demand")
 		return
 	}
-	body := s.run(ctx)
+	body := s.executeRequest(ctx)
 	if _, strikes := s.faults.Strike(fault.LoseAnswer); strikes {
 		crashable.ResetConnection(ctx.Conn())
 		return
@@ -63,14 +63,14 @@
 		return
 	}
 	if _, strikes := s.faults.Strike(fault.WrongEcho); strikes {
-		ctx.Response.Header.Set(enginecontract.HeaderExchange, otherExchange)
+		ctx.Response.Header.Set(enginecontract.HeaderExchange, foreignExchange)
 		body = Receipt("/another", "of another caller", nil)
 	}
-	s.send(ctx, body)
+	s.sendBody(ctx, body)
 }
 
-// run executes the request and counts it by its idempotency key.
-func (s *Service) run(ctx *fasthttp.RequestCtx) string {
+// executeRequest executes the request and counts it by its idempotency key.
+func (s *Service) executeRequest(ctx *fasthttp.RequestCtx) string {
 	time.Sleep(s.config.ServiceTime)
 	key := string(ctx.Request.Header.Peek(enginecontract.HeaderIdempotencyKey))
 	s.mutex.Lock()
@@ -85,8 +85,8 @@
 	return Receipt(string(ctx.Path()), key, ctx.PostBody())
 }
 
-// send answers with a body, whole or as the faults want.
-func (s *Service) send(ctx *fasthttp.RequestCtx, body string) {
+// sendBody sends the body, complete or as far as the faults truncate and cut allow.
+func (s *Service) sendBody(ctx *fasthttp.RequestCtx, body string) {
 	ctx.Response.Header.SetContentType("text/html; charset=utf-8")
 	if ctx.IsPost() {
 		ctx.Response.Header.SetContentType("application/json")
@@ -101,7 +101,7 @@
 	}
 	connection := ctx.Conn()
 	ctx.Response.SetBodyStreamWriter(func(out *bufio.Writer) {
-		_, _ = out.WriteString(body[:min(cut.Tokens, len(body))]) // the connection breaks in any case
+		_, _ = out.WriteString(body[:min(cut.Tokens, len(body))]) // the connection is reset in any case
 		_ = out.Flush()
 		crashable.ResetConnection(connection)
 	})
@@ -117,7 +117,7 @@
 	ctx.SetBodyString(why)
 }
 
-func (s *Service) setState(ctx *fasthttp.RequestCtx) {
+func (s *Service) setStateHeader(ctx *fasthttp.RequestCtx) {
 	state := enginecontract.StateServing
 	if s.isLeaving() {
 		state = enginecontract.StateLeaving
@@ -133,7 +133,7 @@
 
 func (s *Service) writeJSON(ctx *fasthttp.RequestCtx, value any) {
 	text, err := json.Marshal(value)
-	if err != nil { // the shapes here always marshal
+	if err != nil { // the types written here always marshal
 		panic(err)
 	}
 	ctx.Response.Header.SetContentType("application/json")
--- a/internal/standin/weightstore/weightstore.go
+++ b/internal/standin/weightstore/weightstore.go
@@ -1,5 +1,5 @@
-// Package weightstore is a stand-in for the platform's weight store: it streams the
-// bytes of models under one rate limit and refuses readers beyond a number.
+// Package weightstore is a stand-in for the platform's weight store: it streams model
+// weights under one shared rate limit and refuses readers beyond a maximum.
 package weightstore
 
 import (
@@ -20,20 +20,20 @@
 )
 
 const (
-	// chunkBytes is the unit of the rate limit.
+	// chunkBytes is the number of bytes that pass the rate limiter at once.
 	chunkBytes       = 32 << 10
 	shutdownPatience = time.Second
 	retryAfter       = "1"
 )
 
-// Config is what a weight store is.
+// Config configures a weight store.
 type Config struct {
-	Address string // IP:port; port 0 takes a free one
-	// BytesPerSecond is the rate limit over all readers.
+	Address string // IP:port; port 0 selects a free port
+	// BytesPerSecond is the rate limit over all readers together.
 	BytesPerSecond int
-	// MaxReaders is the most readers at once; further ones get 429.
+	// MaxReaders is the maximum number of concurrent readers; further ones get 429.
 	MaxReaders int
-	// Weights are the sizes in bytes by "model/version".
+	// Weights maps "model/version" to a size in bytes.
 	Weights map[string]int64
 	// Listen defaults to net.Listen.
 	Listen func(network, address string) (net.Listener, error)
@@ -48,7 +48,7 @@
 	Refused        int   `json:"refused"`
 }
 
-// Server is one weight store. It is safe for concurrent use.
+// Server is a weight store server. It is safe for concurrent use.
 type Server struct {
 	config  Config
 	server  *crashable.Server
@@ -59,7 +59,7 @@
 	status Status
 }
 
-// Start starts a weight store.
+// Start starts a weight store. BytesPerSecond and MaxReaders must be positive.
 func Start(config Config) (*Server, error) {
 	if config.Listen == nil {
 		config.Listen = net.Listen
@@ -80,13 +80,13 @@
 	return store, nil
 }
 
-// Address is the IP:port the store answers at.
+// Address returns the IP:port that the store listens on.
 func (s *Server) Address() string { return s.address }
 
 // Close stops the store.
-func (s *Server) Close() { _ = s.server.Close(shutdownPatience) } // it breaks what is left in any case
+func (s *Server) Close() { _ = s.server.Close(shutdownPatience) } // it resets the remaining connections in any case
 
-// Status is the store's use and limit.
+// Status returns the store's current use and its limits.
 func (s *Server) Status() Status {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -98,7 +98,7 @@
 	switch {
 	case path == enginecontract.PathWeightsStatus:
 		text, err := json.Marshal(s.Status())
-		if err != nil { // the shape always marshals
+		if err != nil { // the type always marshals
 			panic(err)
 		}
 		ctx.Response.Header.SetContentType("application/json")
@@ -116,20 +116,20 @@
 	case !found:
 		ctx.Error("no such model and version", fasthttp.StatusNotFound)
 		return
-	case !s.enter():
+	case !s.acquireReader():
 		ctx.Error("too many readers", fasthttp.StatusTooManyRequests)
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfter)
 		return
 	}
 	ctx.Response.SetBodyStreamWriter(func(out *bufio.Writer) {
-		defer s.leave()
-		s.send(out, size)
+		defer s.releaseReader()
+		s.streamBytes(out, size)
 	})
 	ctx.Response.Header.SetContentLength(int(size))
 }
 
-// send writes size bytes at the pace of the limit, until the reader goes.
-func (s *Server) send(out *bufio.Writer, size int64) {
+// streamBytes writes size bytes at the rate limit and stops early if the reader disconnects.
+func (s *Server) streamBytes(out *bufio.Writer, size int64) {
 	chunk := make([]byte, chunkBytes)
 	for size > 0 {
 		part := chunk[:min(size, chunkBytes)]
@@ -146,7 +146,7 @@
 	}
 }
 
-func (s *Server) enter() bool {
+func (s *Server) acquireReader() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.status.Readers >= s.config.MaxReaders {
@@ -157,7 +157,7 @@
 	return true
 }
 
-func (s *Server) leave() {
+func (s *Server) releaseReader() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.status.Readers--
--- a/internal/standin/weightstore/weightstore_test.go
+++ b/internal/standin/weightstore/weightstore_test.go
@@ -31,14 +31,14 @@
 	return response
 }
 
-func TestReadersShareOneRate(t *testing.T) {
+func TestReadersShareOneRateLimit(t *testing.T) {
 	const rate = 1 << 20
 	store := start(t, rate)
 	began := time.Now()
 	sent, err := io.Copy(io.Discard, get(t, store, enginecontract.PathWeights+"m/1").Body)
 	require.NoError(t, err)
 	require.Equal(t, int64(3*chunkBytes), sent)
-	// The first chunk is the burst; the others wait for the rate.
+	// The first chunk uses the limiter's burst; the other two wait for the rate.
 	require.GreaterOrEqual(t, time.Since(began), time.Second*2*chunkBytes/rate*9/10)
 	var status Status
 	require.NoError(t, json.NewDecoder(get(t, store, enginecontract.PathWeightsStatus).Body).Decode(&status))
