--- a/internal/fleet/cuts.go
+++ b/internal/fleet/cuts.go
@@ -13,15 +13,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/zonedelay"
 )
 
-// cutCommand tells a process, on its standard input, that a group is cut off, or with
-// an empty group that the cut of this number has ended.
+// cutCommand is sent to a process on its standard input. It cuts a group of addresses off;
+// with an empty group it ends the cut of the same number.
 type cutCommand struct {
 	Number int            `json:"number"`
 	Group  []netip.Prefix `json:"group"`
 }
 
-// cuts are the groups that are cut off now. It is safe for concurrent use.
-type cuts struct {
+// networkCuts tracks the groups that are cut off. It is safe for concurrent use.
+type networkCuts struct {
 	gate *zonedelay.Gate // of the stand-ins in this process
 
 	mutex  sync.Mutex
@@ -29,9 +29,9 @@
 	active []cutCommand
 }
 
-// begin cuts a group off for the stand-ins and for the processes, and returns what
+// begin cuts a group off from the stand-ins and the processes and returns the function that
 // ends the cut.
-func (c *cuts) begin(group []netip.Prefix, processes []*Process) (end func() error, err error) {
+func (c *networkCuts) begin(group []netip.Prefix, processes []*Process) (end func() error, err error) {
 	c.mutex.Lock()
 	c.number++
 	command := cutCommand{Number: c.number, Group: group}
@@ -43,32 +43,32 @@
 		c.mutex.Lock()
 		c.active = slices.DeleteFunc(c.active, func(present cutCommand) bool { return present.Number == command.Number })
 		c.mutex.Unlock()
-		return tell(processes, cutCommand{Number: command.Number})
+		return sendCutCommand(processes, cutCommand{Number: command.Number})
 	}
-	return end, tell(processes, command)
+	return end, sendCutCommand(processes, command)
 }
 
-// tellAll tells a process that has just started what is cut off.
-func (c *cuts) tellAll(process *Process) error {
+// resendActive sends the active cuts to a process that has just started.
+func (c *networkCuts) resendActive(process *Process) error {
 	c.mutex.Lock()
 	active := slices.Clone(c.active)
 	c.mutex.Unlock()
 	for _, command := range active {
-		if err := tell([]*Process{process}, command); err != nil {
+		if err := sendCutCommand([]*Process{process}, command); err != nil {
 			return trace.Wrap(err)
 		}
 	}
 	return nil
 }
 
-// CutOff cuts groups of addresses off from the process until the function that it returns is called.
+// CutOff cuts a group of addresses off from the process until heal is called.
 func (p *Process) CutOff(number int, group []netip.Prefix) (heal func() error, err error) {
-	err = tell([]*Process{p}, cutCommand{Number: number, Group: group})
-	return func() error { return tell([]*Process{p}, cutCommand{Number: number}) }, err
+	err = sendCutCommand([]*Process{p}, cutCommand{Number: number, Group: group})
+	return func() error { return sendCutCommand([]*Process{p}, cutCommand{Number: number}) }, err
 }
 
-// tell sends a command to the processes that run.
-func tell(processes []*Process, command cutCommand) error {
+// sendCutCommand sends a command to the processes that are running.
+func sendCutCommand(processes []*Process, command cutCommand) error {
 	line, err := json.Marshal(command)
 	if err != nil {
 		return trace.Wrap(err)
@@ -76,14 +76,14 @@
 	var problems []error
 	for _, process := range processes {
 		if process.Running() {
-			problems = append(problems, process.tell(append(line, '\n')))
+			problems = append(problems, process.writeInput(append(line, '\n')))
 		}
 	}
 	return trace.NewAggregate(problems...)
 }
 
-// ApplyCutCommands lets the commands that a fleet writes to a process's standard input take
-// effect on the process's gate, and returns when the input ends.
+// ApplyCutCommands applies the commands that a fleet writes to a process's standard input to
+// the process's gate. It returns when the input ends.
 func ApplyCutCommands(input io.Reader, gate *zonedelay.Gate) error {
 	heals := map[int]func(){}
 	for commands := json.NewDecoder(input); ; {
--- a/internal/fleet/description.go
+++ b/internal/fleet/description.go
@@ -15,13 +15,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/yamlfile"
 )
 
-// networkBits is the length of a network's prefix: its first two numbers.
+// networkBits is the prefix length of a network: its first two numbers.
 const networkBits = 16
 
-// DescriptionFile is the name of a deployment's fleet description.
+// DescriptionFile is the file name of a deployment's fleet description.
 const DescriptionFile = "fleet.yaml"
 
-// Description is what the bench starts around a deployment's own processes.
+// Description is what the bench starts around the controllers and gateways of a deployment.
 type Description struct {
 	Name string `yaml:"name" check:"required"`
 	// Network is the first two numbers of every address, such as 127.41.
@@ -34,36 +34,36 @@
 	MachineList  MachineList  `yaml:"machine_list"`
 	WeightStore  WeightStore  `yaml:"weight_store"`
 	Services     []Service    `yaml:"services" check:"required"`
-	// Faults that happen once the fleet is ready.
+	// Faults are injected once the fleet is ready.
 	Faults []Fault `yaml:"faults"`
 }
 
-// Zone is one place; its addresses are NETWORK.SUBNET.0 to 255.
+// Zone is a zone; its addresses are NETWORK.SUBNET.0 to 255.
 type Zone struct {
 	Name string `yaml:"name" check:"required"`
 	// Subnet is the third number of the zone's addresses.
 	Subnet int `yaml:"subnet" check:"required"`
 }
 
-// Latency is the one-way latency between places.
+// Latency is the one-way latency between zones, and between zones and clients.
 type Latency struct {
 	BetweenZones time.Duration `yaml:"between_zones" check:"not-negative"`
 	ToClients    time.Duration `yaml:"to_clients" check:"not-negative"`
 }
 
-// Credential is a name with its key, for the bench alone.
+// Credential is a name with its API key, for use on the bench only.
 type Credential struct {
 	Name string `yaml:"name" check:"required"`
 	Key  string `yaml:"key" check:"required"`
 }
 
-// MachineList is the stand-in of the platform's list.
+// MachineList configures the stand-in for the platform's machine list.
 type MachineList struct {
 	Address string        `yaml:"address" check:"required,address"`
 	Lag     time.Duration `yaml:"lag"`
 }
 
-// WeightStore is the stand-in of the weight store.
+// WeightStore configures the stand-in for the weight store.
 type WeightStore struct {
 	Address        string           `yaml:"address" check:"required,address"`
 	BytesPerSecond int              `yaml:"bytes_per_second" check:"required,positive"`
@@ -71,7 +71,7 @@
 	Weights        map[string]int64 `yaml:"weights"`
 }
 
-// ServiceType tells what stands in for a service.
+// ServiceType is the type of a service's stand-ins.
 type ServiceType string
 
 // Types of services.
@@ -80,31 +80,31 @@
 	TypePage   ServiceType = "page"
 )
 
-// Service is a group of stand-ins.
+// Service is a group of replicas of one service.
 type Service struct {
 	Name    string      `yaml:"name" check:"required"`
 	Type    ServiceType `yaml:"type" check:"required,one-of=engine|page"`
 	Port    int         `yaml:"port" check:"required,positive"`
 	Model   string      `yaml:"model"`
 	Version string      `yaml:"version"`
-	// Roles of the first start, in turn within each zone.
+	// Roles of the first start, assigned in turn within each zone.
 	Roles []enginecontract.Role `yaml:"roles" check:"one-of=prefill|decode|mixed"`
-	// ServiceTime of a page service.
+	// ServiceTime is the time that a page service takes for a request.
 	ServiceTime time.Duration `yaml:"service_time" check:"not-negative"`
-	// Replicas by zone.
+	// Replicas is the number of replicas by zone.
 	Replicas map[string]int `yaml:"replicas" check:"not-negative"`
-	// Speed makes engines so many times as fast as their profile; 0 is 1.
+	// Speed multiplies the speed of the engines' profile; 0 is 1.
 	Speed float64 `yaml:"speed" check:"not-negative"`
-	// RoleChange is the time of an engine's role change; 0 is the profile's.
+	// RoleChange is the duration of an engine's role change; 0 is the profile's.
 	RoleChange time.Duration `yaml:"role_change" check:"not-negative"`
 	// LoadLag is the age of engines' load reports; 0 is the stand-in's default.
 	LoadLag time.Duration `yaml:"load_lag" check:"not-negative"`
-	// Faults every replica starts with.
+	// Faults that are set at every replica from its start.
 	Faults []fault.Fault `yaml:"faults"`
 }
 
-// LoadDescription reads and checks the description of a deployment's directory. The
-// error holds yamlfile.Problems, with file, line, key and cure, when it is at fault.
+// LoadDescription reads and checks the fleet description in a deployment's directory. If the
+// file is invalid, the error holds yamlfile.Problems with file, line, key and remedy.
 func LoadDescription(directory string) (Description, error) {
 	path := filepath.Join(directory, DescriptionFile)
 	if _, err := os.Stat(path); err != nil {
@@ -117,7 +117,7 @@
 	return description, trace.Wrap(err)
 }
 
-// OnNetwork returns the description on another network.
+// OnNetwork returns the description with its addresses on another network.
 func (d Description) OnNetwork(network string) Description {
 	moved := d
 	moved.Network = network
@@ -126,17 +126,17 @@
 	return moved
 }
 
-// prefix is the network as a prefix; check has made sure that it is one.
-func (d Description) prefix() netip.Prefix {
+// networkPrefix returns the network as a prefix. The network must have passed check.
+func (d Description) networkPrefix() netip.Prefix {
 	return netip.PrefixFrom(netip.MustParseAddr(d.Network+".0.0"), networkBits)
 }
 
-// address is the IP:port of a host in a subnet.
+// address returns the IP:port of a host in a subnet.
 func (d Description) address(subnet, host, port int) string {
 	return d.Network + "." + strconv.Itoa(subnet) + "." + strconv.Itoa(host) + ":" + strconv.Itoa(port)
 }
 
-// ClientAddress is the IP that clients of the fleet call from.
+// ClientAddress returns the source IP of the fleet's clients.
 func (d Description) ClientAddress() string {
 	return d.Network + "." + strconv.Itoa(d.ClientSubnet) + ".1"
 }
--- a/internal/fleet/description_check.go
+++ b/internal/fleet/description_check.go
@@ -8,13 +8,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/yamlfile"
 )
 
-// Subnets that zones and clients may have.
+// Subnets that zones may have.
 const (
 	minSubnet = 1
 	maxSubnet = 254
 )
 
-// check reports keys that are right one by one and wrong together.
+// check reports keys that are valid one by one but not in combination.
 func (d Description) check(document *yamlfile.Document) {
 	d.checkNetwork(document)
 	zones := map[string]bool{}
--- a/internal/fleet/description_test.go
+++ b/internal/fleet/description_test.go
@@ -15,8 +15,8 @@
 
 const deployments = "../../deploy"
 
-// TestDeploymentsHaveTheSizesOfTheBrief holds both deployments to the users' page.
-func TestDeploymentsHaveTheSizesOfTheBrief(t *testing.T) {
+// TestDeploymentSizes checks the zones, latencies and replica counts of both deployments.
+func TestDeploymentSizes(t *testing.T) {
 	tests := []struct {
 		name                          string
 		zones                         []string
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestBadDescriptions(t *testing.T) {
+func TestInvalidDescriptions(t *testing.T) {
 	_, err := LoadDescription(t.TempDir())
 	require.ErrorContains(t, err, "--deployment")
 	text, err := os.ReadFile(filepath.Join(deployments, "rawabi", DescriptionFile))
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -7,41 +7,41 @@
 	"github.com/hazelpitch/hazelpitch/internal/yamlfile"
 )
 
-// FaultType is what goes wrong with a process, a stand-in or a zone.
+// FaultType is what a fault does to a process, a stand-in or a zone.
 type FaultType string
 
 // Types of faults.
 const (
-	// FaultKill ends a process or stand-in at once and starts it again after Length.
+	// FaultKill ends a process or stand-in at once and restarts it after Length.
 	FaultKill FaultType = "kill"
-	// FaultPause stops a process's or stand-in's execution for Length.
+	// FaultPause suspends a process or stand-in for Length.
 	FaultPause FaultType = "pause"
-	// FaultCutOff loses everything between the target and the others for Length, in
-	// silence: connections neither end nor fail.
+	// FaultCutOff drops all traffic between the target and everything else for Length,
+	// silently: connections neither close nor report an error.
 	FaultCutOff FaultType = "cut-off"
 )
 
-// Names of the stand-ins that are no replicas; they can be cut off.
+// Names of the stand-ins that are not replicas. Faults can cut them off but not kill or pause them.
 const (
 	MachineListName = "machine-list"
 	WeightStoreName = "weight-store"
 )
 
-// Fault happens to a running fleet at one time; exactly one of Process and Zone is set.
+// Fault happens once to a running fleet; exactly one of Process and Zone is set.
 type Fault struct {
 	Fault FaultType `yaml:"fault" check:"required,one-of=kill|pause|cut-off"`
-	// Process is a controller, gateway, engine, page service, the machine list or the
-	// weight store, by name.
+	// Process is the name of a controller, gateway, engine or page service, or of the
+	// machine list or weight store.
 	Process string `yaml:"process"`
-	// Zone is all processes and stand-ins in it.
+	// Zone targets all processes and stand-ins of the zone.
 	Zone string `yaml:"zone"`
-	// At is the time since the gateways were ready.
+	// At is the time since the gateways became ready.
 	At time.Duration `yaml:"at" check:"not-negative"`
-	// Length of the fault; a kill of length 0 lasts.
+	// Length of the fault; after a kill of length 0 the target stays down.
 	Length time.Duration `yaml:"length" check:"not-negative"`
 }
 
-// check reports keys of a fault that are wrong together.
+// check reports keys of a fault that are invalid in combination.
 func (f Fault) check(document *yamlfile.Document, key string, zones map[string]bool) {
 	if (f.Process == "") == (f.Zone == "") {
 		document.Report(key, "needs one target", "give either process or zone")
@@ -54,7 +54,7 @@
 	}
 }
 
-// cutsOff tells whether the description's faults cut anything off.
+// cutsOff reports whether any fault of the description is a cut-off.
 func (d Description) cutsOff() bool {
 	for _, fault := range d.Faults {
 		if fault.Fault == FaultCutOff {
--- a/internal/fleet/fault_test.go
+++ b/internal/fleet/fault_test.go
@@ -16,12 +16,12 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginemodel"
 )
 
-// standIns starts the stand-ins of Rawabi, which can be cut off, without processes.
-func standIns(t *testing.T) *Fleet {
+// startRawabiStandIns starts the stand-ins of the Rawabi deployment with a gate for cut-offs and no processes.
+func startRawabiStandIns(t *testing.T) *Fleet {
 	t.Helper()
 	description, err := LoadDescription(filepath.Join(deployments, "rawabi"))
 	require.NoError(t, err)
-	reserved, err := reserveAny()
+	reserved, err := reserveFreeNetwork()
 	require.NoError(t, err)
 	t.Cleanup(reserved.release)
 	description.Faults = []Fault{{Fault: FaultCutOff, Zone: "amman-hall-a", Length: time.Hour}}
@@ -29,13 +29,13 @@
 	outside, err := StartStandIns(description, enginemodel.DefaultProfile())
 	require.NoError(t, err)
 	t.Cleanup(outside.Close)
-	return &Fleet{Description: description, StandIns: outside, cuts: &cuts{gate: outside.topology.Gate()}}
+	return &Fleet{Description: description, StandIns: outside, cuts: &networkCuts{gate: outside.topology.Gate()}}
 }
 
 func TestTargets(t *testing.T) {
-	started := standIns(t)
+	started := startRawabiStandIns(t)
 	count := func(fault Fault) int {
-		found, err := started.targets(fault)
+		found, err := started.resolveTargets(fault)
 		require.NoError(t, err)
 		return len(found)
 	}
@@ -43,73 +43,73 @@
 	require.Equal(t, 1, count(Fault{Fault: FaultPause, Process: "yard-portal-amman-hall-b-1"}))
 	require.Equal(t, 1, count(Fault{Fault: FaultCutOff, Process: MachineListName}))
 	require.Equal(t, 7, count(Fault{Fault: FaultKill, Zone: "amman-hall-a"}), "six engines and a page service")
-	_, err := started.targets(Fault{Fault: FaultKill, Process: WeightStoreName})
+	_, err := started.resolveTargets(Fault{Fault: FaultKill, Process: WeightStoreName})
 	require.ErrorContains(t, err, "weight-store can be cut off alone")
-	_, err = started.targets(Fault{Fault: FaultKill, Process: "nobody"})
+	_, err = started.resolveTargets(Fault{Fault: FaultKill, Process: "nobody"})
 	require.ErrorContains(t, err, `no process "nobody"`)
 }
 
-func TestKillAndReturn(t *testing.T) {
-	started := standIns(t)
+func TestKillAndRestart(t *testing.T) {
+	started := startRawabiStandIns(t)
 	fault := Fault{Fault: FaultKill, Process: "lot-assessor-amman-hall-a-1", Length: time.Millisecond}
-	targets, err := started.targets(fault)
+	targets, err := started.resolveTargets(fault)
 	require.NoError(t, err)
 	struck := started.StandIns.Engine(fault.Process)
 	before, _ := struck.State()
-	require.NoError(t, started.strike(t.Context(), fault, targets))
+	require.NoError(t, started.inject(t.Context(), fault, targets))
 	after, running := struck.State()
 	require.True(t, running)
 	require.Equal(t, before.Incarnation+1, after.Incarnation)
 
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.NoError(t, started.strike(ended, fault, targets), "a fleet that ends leaves it down")
+	require.NoError(t, started.inject(ended, fault, targets), "the target stays down when the context ends")
 	_, running = struck.State()
 	require.False(t, running)
 }
 
-// TestObeyCuts cuts an engine off by the commands that a fleet writes to processes.
-func TestObeyCuts(t *testing.T) {
-	started := standIns(t)
+// TestApplyCutCommands cuts an engine off with the commands that a fleet writes to processes.
+func TestApplyCutCommands(t *testing.T) {
+	started := startRawabiStandIns(t)
 	target := started.StandIns.Engine("lot-assessor-amman-hall-a-1").Address()
 	address := netip.MustParseAddrPort(target).Addr().String()
 	commands, input := io.Pipe()
-	obeyed := make(chan error, 1)
-	go func() { obeyed <- ApplyCutCommands(commands, started.StandIns.topology.Gate()) }()
+	applied := make(chan error, 1)
+	go func() { applied <- ApplyCutCommands(commands, started.StandIns.topology.Gate()) }()
 
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(started.Description.ClientAddress())}}
 	connection, err := dialer.Dial("tcp", target)
 	require.NoError(t, err)
 	defer func() { _ = connection.Close() }()
-	ask := func() {
+	sendRequest := func() {
 		_, err := io.WriteString(connection, "GET /control/state HTTP/1.1\r\nHost: engine\r\n\r\n")
 		require.NoError(t, err)
 	}
 	buffer := make([]byte, 4096)
-	answered := func() {
+	requireAnswer := func() {
 		count, err := connection.Read(buffer)
 		require.NoError(t, err)
 		require.True(t, strings.HasPrefix(string(buffer[:count]), "HTTP/1.1 200"), string(buffer[:count]))
 	}
-	tell := func(line string) {
+	sendCommand := func(line string) {
 		_, err := io.WriteString(input, line+"\n")
 		require.NoError(t, err)
-		// The pipe hands a line over only once the one before it has been decoded.
+		// The pipe accepts a second line only once the decoder has read the first.
 		_, err = io.WriteString(input, "\n")
 		require.NoError(t, err)
 	}
-	ask()
-	answered()
-	tell(`{"number":1,"group":["` + address + `/32"]}`)
-	tell(`{"number":9,"group":[]}`)
-	ask()
+	sendRequest()
+	requireAnswer()
+	sendCommand(`{"number":1,"group":["` + address + `/32"]}`)
+	sendCommand(`{"number":9,"group":[]}`)
+	sendRequest()
 	require.NoError(t, connection.SetReadDeadline(time.Now().Add(30*time.Millisecond)))
 	_, err = connection.Read(buffer)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	require.NoError(t, connection.SetReadDeadline(time.Time{}))
-	tell(`{"number":1,"group":[]}`)
-	answered()
+	sendCommand(`{"number":1,"group":[]}`)
+	requireAnswer()
 
 	require.NoError(t, input.Close())
-	require.NoError(t, <-obeyed)
+	require.NoError(t, <-applied)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet boots a whole deployment on loopback addresses: the outside systems
-// as stand-ins in this process, controllers and gateways as real processes of their
-// own, with the latencies between zones injected by address.
+// Package fleet starts a complete deployment on loopback addresses: the external systems
+// as stand-ins in this process, and controllers and gateways as separate processes, with
+// the latencies between zones injected by address.
 package fleet
 
 import (
@@ -18,23 +18,23 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// readyPoll is the time between looks at whether a process is ready.
-const readyPoll = 50 * time.Millisecond
+// readyPollInterval is the time between two checks whether a process is ready.
+const readyPollInterval = 50 * time.Millisecond
 
-// Options are what a fleet is started with.
+// Options configure a fleet.
 type Options struct {
 	// Deployment is the directory with fleet.yaml, settings and declarations.
 	Deployment string
-	// Directory holds the run's settings, data and logs. It must exist.
+	// Directory receives the run's settings, data and logs. It must exist.
 	Directory string
-	// Network is the first two numbers of the addresses; empty takes a free network.
+	// Network is the first two numbers of all addresses; empty selects a free network.
 	Network string
-	// Profile of the stand-in engines; the zero value is the default profile.
+	// Profile of the stand-in engines; the zero value selects the default profile.
 	Profile enginemodel.Profile
-	// Scenario, when not nil, sets engines, their roles, latencies and lags in place of
-	// the deployment's description.
+	// Scenario, when not nil, overrides the engines, roles, latencies and lags of the
+	// deployment's description.
 	Scenario *scenario.Scenario
-	// Serve makes the arguments for this program to run a server. Required.
+	// Serve returns the arguments with which this program runs a server. Required.
 	Serve ServeArguments
 }
 
@@ -45,12 +45,12 @@
 	Processes   []*Process
 	Directory   string
 	Deployment  string
-	reserved    *networkReservation
-	cuts        *cuts
+	reservation *networkReservation
+	cuts        *networkCuts
 }
 
-// Start boots a deployment: stand-ins first, then controllers, then gateways. It
-// returns once the processes run; see WaitReady.
+// Start starts a deployment: stand-ins, then controllers, then gateways. It returns once
+// the processes run; WaitReady waits until they can serve.
 func Start(options Options) (*Fleet, error) {
 	description, err := LoadDescription(options.Deployment)
 	if err != nil {
@@ -63,16 +63,16 @@
 	}
 	var reserved *networkReservation
 	if options.Network == "" {
-		reserved, err = reserveAny()
+		reserved, err = reserveFreeNetwork()
 	} else {
-		reserved, err = reserve(options.Network)
+		reserved, err = reserveNetwork(options.Network)
 	}
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	fleet := &Fleet{
 		Description: description.OnNetwork(reserved.network), Directory: options.Directory,
-		Deployment: options.Deployment, reserved: reserved,
+		Deployment: options.Deployment, reservation: reserved,
 	}
 	if err := fleet.start(options, description); err != nil {
 		fleet.Close()
@@ -87,7 +87,7 @@
 		return trace.ConvertSystemError(err)
 	}
 	options.Directory = directory
-	processes, err := prepare(options, written.Network, f.Description)
+	processes, err := prepareRun(options, written.Network, f.Description)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -98,7 +98,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	f.cuts = &cuts{gate: f.StandIns.topology.Gate()}
+	f.cuts = &networkCuts{gate: f.StandIns.topology.Gate()}
 	f.Processes = processes
 	for _, process := range processes {
 		if process.Role == RoleController {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// WaitReady waits until the processes of a role say that they can serve.
+// WaitReady waits until all processes of a role report that they can serve.
 func (f *Fleet) WaitReady(ctx context.Context, role Role) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, process := range f.ProcessesOf(role) {
@@ -122,9 +122,9 @@
 	return trace.Wrap(group.Wait())
 }
 
-// WaitReady waits until the process says that it can serve.
+// WaitReady waits until the process reports that it can serve.
 func (p *Process) WaitReady(ctx context.Context) error {
-	ticker := time.NewTicker(readyPoll)
+	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
 	for {
 		status, body, err := fasthttp.Get(nil, "http://"+p.AdminListen+metrics.PathReady)
@@ -153,7 +153,7 @@
 	return found
 }
 
-// Addresses returns where the processes of a role listen.
+// Addresses returns the IP:ports on which the processes of a role listen.
 func (f *Fleet) Addresses(role Role) []string {
 	var addresses []string
 	for _, process := range f.ProcessesOf(role) {
@@ -162,7 +162,7 @@
 	return addresses
 }
 
-// Close stops everything: gateways, then controllers, then the stand-ins.
+// Close stops the gateways, then the controllers, then the stand-ins.
 func (f *Fleet) Close() {
 	for _, role := range []Role{RoleGateway, RoleController} {
 		var group errgroup.Group
@@ -172,10 +172,10 @@
 				return nil
 			})
 		}
-		_ = group.Wait() // none of them fails
+		_ = group.Wait() // the functions return no error
 	}
 	if f.StandIns != nil {
 		f.StandIns.Close()
 	}
-	f.reserved.release()
+	f.reservation.release()
 }
--- a/internal/fleet/free_network.go
+++ b/internal/fleet/free_network.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// firstNetwork and lastNetwork bound the second number of networks that fleets
-	// take for themselves.
+	// firstNetwork and lastNetwork limit the second number of the networks that fleets
+	// reserve for themselves.
 	firstNetwork = 64
 	lastNetwork  = 250
-	// guardPort is held on a network's first address while a fleet uses it.
+	// guardPort is listened on at a network's first address while a fleet uses the network.
 	guardPort = 6999
 )
 
-// networkReservation keeps other fleets of this machine off a network.
+// networkReservation keeps other fleets on this machine from using a network.
 type networkReservation struct {
 	network string
 	guard   net.Listener
 }
 
-// reserve takes a network for one fleet; it fails when another fleet has it.
-func reserve(network string) (*networkReservation, error) {
+// reserveNetwork reserves a network for one fleet; it fails when another fleet uses it.
+func reserveNetwork(network string) (*networkReservation, error) {
 	guard, err := net.Listen("tcp", fmt.Sprintf("%s.0.1:%d", network, guardPort))
 	if err != nil {
 		return nil, trace.Wrap(err, "network %s is in use by another fleet; choose one with --network 127.N", network)
@@ -31,10 +31,10 @@
 	return &networkReservation{network: network, guard: guard}, nil
 }
 
-// reserveAny takes the first network that no other fleet has.
-func reserveAny() (*networkReservation, error) {
+// reserveFreeNetwork reserves the first network that no other fleet uses.
+func reserveFreeNetwork() (*networkReservation, error) {
 	for number := firstNetwork; number <= lastNetwork; number++ {
-		taken, err := reserve(fmt.Sprintf("127.%d", number))
+		taken, err := reserveNetwork(fmt.Sprintf("127.%d", number))
 		if err == nil {
 			return taken, nil
 		}
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -7,55 +7,55 @@
 	"github.com/gravitational/trace"
 )
 
-// member is a process or stand-in that faults can strike.
-type member struct {
+// faultTarget is a process or stand-in to which a fault can be applied.
+type faultTarget struct {
 	name string
 	zone string
-	// address is its IP:port.
+	// address is the target's IP:port.
 	address string
-	// kill, start and pause are nil when they cannot be done.
+	// kill, start and pause are nil where the target does not support them.
 	kill  func()
 	start func() error
 	pause func(time.Duration)
 }
 
-// members lists everything in the fleet that faults can strike.
-func (f *Fleet) members() []member {
-	var found []member
+// allTargets lists all processes and stand-ins of the fleet.
+func (f *Fleet) allTargets() []faultTarget {
+	var found []faultTarget
 	for _, process := range f.Processes {
-		found = append(found, member{
+		found = append(found, faultTarget{
 			name: process.Name, zone: process.Zone, address: process.Listen, kill: process.Kill, pause: process.Pause,
 			start: func() error {
 				if err := process.Start(); err != nil {
 					return trace.Wrap(err)
 				}
-				return f.cuts.tellAll(process)
+				return f.cuts.resendActive(process)
 			},
 		})
 	}
 	for _, engine := range f.StandIns.Engines {
-		found = append(found, member{
+		found = append(found, faultTarget{
 			name: engine.Name(), zone: engine.Config().Zone, address: engine.Address(),
 			kill: engine.Crash, start: engine.Restart, pause: engine.Freeze,
 		})
 	}
 	for _, page := range f.StandIns.Pages {
-		found = append(found, member{
+		found = append(found, faultTarget{
 			name: page.Name(), zone: page.Config().Zone, address: page.Address(),
 			kill: page.Crash, start: page.Restart, pause: page.Freeze,
 		})
 	}
 	return append(found,
-		member{name: MachineListName, address: f.StandIns.Machines.Address()},
-		member{name: WeightStoreName, address: f.StandIns.WeightStore.Address()},
+		faultTarget{name: MachineListName, address: f.StandIns.Machines.Address()},
+		faultTarget{name: WeightStoreName, address: f.StandIns.WeightStore.Address()},
 	)
 }
 
-// targets returns what a fault strikes. It fails when nothing has the name, or when
-// the fault cannot happen to it.
-func (f *Fleet) targets(fault Fault) ([]member, error) {
-	var found []member
-	for _, present := range f.members() {
+// resolveTargets returns the targets of a fault. It fails when no target matches or when a
+// target does not support the fault.
+func (f *Fleet) resolveTargets(fault Fault) ([]faultTarget, error) {
+	var found []faultTarget
+	for _, present := range f.allTargets() {
 		if present.name != fault.Process && (fault.Zone == "" || present.zone != fault.Zone) {
 			continue
 		}
@@ -70,8 +70,8 @@
 	return found, nil
 }
 
-// prefix is the member's IP as a group of one.
-func (m member) prefix() (netip.Prefix, error) {
+// addressPrefix returns the target's IP as a prefix of a single address.
+func (m faultTarget) addressPrefix() (netip.Prefix, error) {
 	address, err := netip.ParseAddrPort(m.address)
 	if err != nil {
 		return netip.Prefix{}, trace.Wrap(err)
--- a/internal/fleet/operator.go
+++ b/internal/fleet/operator.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// operatorRetryPause is the time between attempts of an operator's call.
+	// operatorRetryPause is the time between two attempts of an operator's call.
 	operatorRetryPause = 200 * time.Millisecond
 	operatorTimeout    = 5 * time.Second
 )
 
-// Operator calls a fleet's controllers as its administrator does: it resends until
-// one of them answers. It is safe for concurrent use.
+// Operator calls a fleet's controllers as its administrator: it retries until one of them
+// answers. It is safe for concurrent use.
 type Operator struct {
 	key       string
 	addresses []string
@@ -29,43 +29,43 @@
 	http      *http.Client
 }
 
-// Operator returns the fleet's administrator.
+// Operator returns an operator client of the fleet with the default timeouts.
 func (f *Fleet) Operator() *Operator {
 	return f.OperatorWithTimeouts(operatorTimeout, operatorRetryPause)
 }
 
-// OperatorWithTimeouts returns the fleet's administrator, who waits so long for the answer of
-// one controller and, after a failure, so long before the next is asked.
+// OperatorWithTimeouts returns an operator client of the fleet that waits at most attempt for
+// the answer of one controller and, after a failure, waits between before it calls the next.
 func (f *Fleet) OperatorWithTimeouts(attempt, between time.Duration) *Operator {
 	return NewOperator(f.Description.Operator.Key, f.Addresses(RoleController), attempt, between)
 }
 
-// NewOperator returns an operator with that key who asks the controllers at these
-// addresses, waits so long for the answer of one, and after a failure so long before the
-// next is asked.
+// NewOperator returns an operator client with an API key for the controllers at the given
+// addresses. It waits at most attempt for the answer of one and, after a failure, waits
+// between before it calls the next.
 func NewOperator(key string, addresses []string, attempt, between time.Duration) *Operator {
 	return &Operator{key: key, addresses: addresses, pause: between, http: &http.Client{Timeout: attempt}}
 }
 
-// Apply submits declaration files and returns the answer of a quorum.
+// Apply submits declaration files under a new request ID and returns a quorum's answer.
 func (o *Operator) Apply(ctx context.Context, files []*v1.SourceFile) (*v1.ApplyResponse, error) {
 	return o.Submit(ctx, &v1.ApplyRequest{RequestId: uuid.NewString(), Files: files})
 }
 
-// Submit submits a request as it is; every attempt carries the same identity.
+// Submit submits a request unchanged; every attempt carries the same request ID.
 func (o *Operator) Submit(ctx context.Context, request *v1.ApplyRequest) (*v1.ApplyResponse, error) {
-	return call(ctx, o, request, hazelpitchv1connect.OperatorServiceClient.Apply)
+	return callController(ctx, o, request, hazelpitchv1connect.OperatorServiceClient.Apply)
 }
 
-// Execute runs one query or command.
+// Execute runs one query or command of the operator language.
 func (o *Operator) Execute(ctx context.Context, text string) (*v1.ExecuteResponse, error) {
 	request := &v1.ExecuteRequest{RequestId: uuid.NewString(), Text: text}
-	return call(ctx, o, request, hazelpitchv1connect.OperatorServiceClient.Execute)
+	return callController(ctx, o, request, hazelpitchv1connect.OperatorServiceClient.Execute)
 }
 
-// call tries the controllers in turn until one answers or the context ends. Answers
-// that a resend can't change are returned at once.
-func call[Request, Response any](ctx context.Context, operator *Operator, message *Request,
+// callController tries the controllers in turn until one answers or the context ends. Errors
+// that a retry cannot change are returned at once.
+func callController[Request, Response any](ctx context.Context, operator *Operator, message *Request,
 	method func(hazelpitchv1connect.OperatorServiceClient, context.Context, *connect.Request[Request]) (*connect.Response[Response], error),
 ) (*Response, error) {
 	for attempt := 0; ; attempt++ {
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -12,11 +12,11 @@
 	"github.com/gravitational/trace"
 )
 
-// stopPatience is how long a process may take to stop before it is killed, beyond what its settings give it
-// for what is in flight.
-const stopPatience = 10 * time.Second
+// stopGracePeriod is how long a process may take to stop, beyond the drain timeout of its settings, before it is
+// killed.
+const stopGracePeriod = 10 * time.Second
 
-// Role is which server a process is.
+// Role is the kind of server that a process runs.
 type Role string
 
 // Roles of processes.
@@ -25,42 +25,42 @@
 	RoleGateway    Role = "gateway"
 )
 
-// Process is one controller or gateway of a fleet, a real process of its own. It is
-// safe for concurrent use.
+// Process is one controller or gateway of a fleet, as an OS process. It is safe for
+// concurrent use.
 type Process struct {
 	Name string
 	Role Role
 	Zone string
-	// Listen and AdminListen are its IP:ports.
+	// Listen and AdminListen are the IP:ports that it listens on.
 	Listen      string
 	AdminListen string
-	// SettingsPath is the file it was started with.
+	// SettingsPath is the settings file that it is started with.
 	SettingsPath string
-	// LogPath holds its standard error over all starts.
+	// LogPath is the file that receives the output of all its starts.
 	LogPath string
-	// DataDirectory is a controller's disk; empty for gateways.
+	// DataDirectory is a controller's data directory; empty for gateways.
 	DataDirectory string
 
-	// drainTimeout is what the settings give the process to finish what is in flight when it is asked to stop.
+	// drainTimeout is the time that the settings allow for work in flight after a request to stop.
 	drainTimeout time.Duration
-	// program is what runs; empty for this program itself.
-	program   string
-	arguments []string
-	mutex     sync.Mutex
-	command   *exec.Cmd
-	input     io.Writer     // standard input of the present process
-	ended     chan struct{} // closed when the present process has ended
-	starts    int
+	// program is the path of the executable; empty for this program itself.
+	program    string
+	arguments  []string
+	mutex      sync.Mutex
+	command    *exec.Cmd
+	input      io.Writer     // standard input of the current process
+	exited     chan struct{} // closed when the current process has exited
+	startCount int
 }
 
-// Start starts the process; it does nothing when it runs.
+// Start starts the process; it does nothing while the process runs.
 func (p *Process) Start() error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.running() {
+	if p.isRunning() {
 		return nil
 	}
-	program, err := p.executable()
+	program, err := p.programPath()
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -72,7 +72,7 @@
 	command := exec.Command(program, p.arguments...)
 	command.Stdout, command.Stderr = log, log
 	command.Dir = filepath.Dir(p.SettingsPath)
-	// The process ends when its standard input does: it doesn't outlive this one.
+	// The server exits when its standard input closes, so that it does not outlive this process.
 	input, err := command.StdinPipe()
 	if err != nil {
 		return trace.Wrap(err)
@@ -81,92 +81,92 @@
 		return trace.Wrap(err, "starting %s", p.Name)
 	}
 	ended := make(chan struct{})
-	p.command, p.ended, p.input = command, ended, input
-	p.starts++
+	p.command, p.exited, p.input = command, ended, input
+	p.startCount++
 	go func() {
-		_ = command.Wait() // how it ended is in its log
+		_ = command.Wait() // the process's log shows how it ended
 		close(ended)
 	}()
 	return nil
 }
 
-// NewProcess returns a process that does not run yet: a program, empty for this one itself, with its
-// arguments. Its settings file and its disk are the caller's.
+// NewProcess returns a process that has not been started. An empty program is this program itself. The caller
+// provides the settings file and the data directory.
 func NewProcess(name, program string, arguments []string, settingsPath, logPath, dataDirectory string) *Process {
 	return &Process{
 		Name: name, program: program, arguments: arguments, SettingsPath: settingsPath, LogPath: logPath, DataDirectory: dataDirectory,
 	}
 }
 
-// ReplaceProgram lets the process be another program from its next start on, empty for this one itself.
+// ReplaceProgram changes the program and its arguments from the next start on; an empty program is this one.
 func (p *Process) ReplaceProgram(program string, arguments []string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.program, p.arguments = program, arguments
 }
 
-// executable is the path of what runs.
-func (p *Process) executable() (string, error) {
+// programPath returns the path of the executable to run.
+func (p *Process) programPath() (string, error) {
 	if p.program != "" {
 		return p.program, nil
 	}
 	return os.Executable()
 }
 
-// Reload tells the process that its settings have changed (SIGHUP).
+// Reload asks the process to reload its settings (SIGHUP).
 func (p *Process) Reload() { p.signal(syscall.SIGHUP) }
 
-// DumpLogs asks the process to write its log out (SIGUSR1).
+// DumpLogs asks the process to write out its log (SIGUSR1).
 func (p *Process) DumpLogs() { p.signal(syscall.SIGUSR1) }
 
-// Terminate asks the process to stop (SIGTERM) and does not wait for it.
+// Terminate asks the process to stop (SIGTERM) and returns without waiting.
 func (p *Process) Terminate() { p.signal(syscall.SIGTERM) }
 
-// running tells whether the present process has not ended. The mutex is held.
-func (p *Process) running() bool {
+// isRunning reports whether the current process has not exited. The caller holds the mutex.
+func (p *Process) isRunning() bool {
 	if p.command == nil {
 		return false
 	}
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return false
 	default:
 		return true
 	}
 }
 
-// tell writes to the present process's standard input.
-func (p *Process) tell(line []byte) error {
+// writeInput writes a line to the current process's standard input.
+func (p *Process) writeInput(line []byte) error {
 	p.mutex.Lock()
 	input := p.input
 	p.mutex.Unlock()
 	_, err := input.Write(line)
-	return trace.Wrap(err, "telling %s", p.Name)
+	return trace.Wrap(err, "writing to the standard input of %s", p.Name)
 }
 
-// Running tells whether the process runs.
+// Running reports whether the process is running.
 func (p *Process) Running() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.running()
+	return p.isRunning()
 }
 
-// Starts counts how often the process was started.
+// Starts returns how often the process has been started.
 func (p *Process) Starts() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.starts
+	return p.startCount
 }
 
-// Kill ends the process at once (SIGKILL) and waits for its end.
+// Kill ends the process with SIGKILL and waits until it has exited.
 func (p *Process) Kill() { p.signalAndWait(syscall.SIGKILL) }
 
-// Stop asks the process to stop (SIGTERM), waits, and kills it when it takes too long.
-// It reports whether the process stopped by itself.
+// Stop asks the process to stop (SIGTERM), waits, and kills it if it has not exited after the
+// drain timeout and stopGracePeriod. It reports whether the process exited without a kill.
 func (p *Process) Stop() bool {
 	p.signal(syscall.SIGTERM)
 	p.mutex.Lock()
-	ended := p.ended
+	ended := p.exited
 	p.mutex.Unlock()
 	if ended == nil {
 		return true
@@ -174,30 +174,30 @@
 	select {
 	case <-ended:
 		return true
-	case <-time.After(p.drainTimeout + stopPatience):
+	case <-time.After(p.drainTimeout + stopGracePeriod):
 		p.signalAndWait(syscall.SIGKILL)
 		return false
 	}
 }
 
-// Pause stops the process's execution for a time (SIGSTOP, then SIGCONT).
+// Pause suspends the process for a duration (SIGSTOP, then SIGCONT) and returns without waiting.
 func (p *Process) Pause(pause time.Duration) {
 	p.Suspend()
 	time.AfterFunc(pause, p.Resume)
 }
 
-// Suspend stops the process's execution (SIGSTOP) until Resume.
+// Suspend suspends the process (SIGSTOP) until Resume is called.
 func (p *Process) Suspend() { p.signal(syscall.SIGSTOP) }
 
-// Resume goes on with the process's execution (SIGCONT).
+// Resume continues a suspended process (SIGCONT).
 func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
-// ReplaceDisk empties the disk of a controller that does not run: its next start is
-// on a new disk.
+// ReplaceDisk empties the data directory of a controller that is not running, as if its disk
+// had been replaced.
 func (p *Process) ReplaceDisk() error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.DataDirectory == "" || p.running() {
+	if p.DataDirectory == "" || p.isRunning() {
 		return trace.BadParameter("%s runs, or has no disk", p.Name)
 	}
 	if err := os.RemoveAll(p.DataDirectory); err != nil {
@@ -209,7 +209,7 @@
 func (p *Process) signal(what syscall.Signal) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.running() {
+	if p.isRunning() {
 		_ = p.command.Process.Signal(what) // it may just have ended
 	}
 }
@@ -217,7 +217,7 @@
 func (p *Process) signalAndWait(what syscall.Signal) {
 	p.signal(what)
 	p.mutex.Lock()
-	ended := p.ended
+	ended := p.exited
 	p.mutex.Unlock()
 	if ended != nil {
 		<-ended
--- a/internal/fleet/replica.go
+++ b/internal/fleet/replica.go
@@ -11,21 +11,21 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// firstReplicaHost is the last number of the first replica's address in a zone.
+// firstReplicaHost is the host number of the first replica's address in each zone.
 const firstReplicaHost = 20
 
-// Replica is one stand-in of a service.
+// Replica is one replica of a service, run by a stand-in.
 type Replica struct {
 	Name    string
 	Zone    string
 	Address string
 	Type    ServiceType
-	// Role of an engine's first start.
+	// Role of an engine at its first start.
 	Role    enginecontract.Role
 	Service Service
 }
 
-// Replicas returns the stand-ins of all services, by service and zone.
+// Replicas returns the replicas of all services, by service and zone.
 func (d Description) Replicas() []Replica {
 	var replicas []Replica
 	for _, service := range d.Services {
@@ -46,8 +46,8 @@
 	return replicas
 }
 
-// GatewayAddresses returns where the gateways of a deployment listen, on the
-// description's network.
+// GatewayAddresses returns the IP:ports on which the gateways of a deployment listen, on
+// the description's network.
 func GatewayAddresses(deployment string, description Description) ([]string, error) {
 	written, err := LoadDescription(deployment)
 	if err != nil {
--- a/internal/fleet/scenario.go
+++ b/internal/fleet/scenario.go
@@ -9,8 +9,8 @@
 )
 
 // ForScenario returns the description with the engines, roles, speeds, latencies and
-// report lag of a scenario. Page services stay as they are. It fails when the
-// scenario has zones or services that the description lacks.
+// report lag of a scenario; page services are unchanged. It fails when the scenario names a
+// zone or service that the description does not have.
 func (d Description) ForScenario(of scenario.Scenario) (Description, error) {
 	if of.Deployment != d.Name {
 		return Description{}, trace.BadParameter("scenario %s is for deployment %s, not %s; give --deployment", of.Name, of.Deployment, d.Name)
--- a/internal/fleet/scenario_test.go
+++ b/internal/fleet/scenario_test.go
@@ -43,7 +43,7 @@
 	return read
 }
 
-func TestScenarioSetsTheFleet(t *testing.T) {
+func TestScenarioOverridesDescription(t *testing.T) {
 	description, err := LoadDescription(filepath.Join(deployments, "rawabi"))
 	require.NoError(t, err)
 	of := readScenario(t, scenarioText)
@@ -67,7 +67,7 @@
 	require.Len(t, names, 3)
 	written, err := LoadDescription(filepath.Join(deployments, "rawabi"))
 	require.NoError(t, err)
-	require.Equal(t, written, description, "the description itself stays")
+	require.Equal(t, written, description, "the original description is unchanged")
 }
 
 func TestScenarioMustFitTheDeployment(t *testing.T) {
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestDescriptionSurvivesWriting(t *testing.T) {
+func TestDescriptionRoundTrips(t *testing.T) {
 	for _, name := range []string{"rawabi", "empleandes"} {
 		description, err := LoadDescription(filepath.Join(deployments, name))
 		require.NoError(t, err)
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -11,17 +11,17 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// settingsDirectory of a deployment.
+// settingsDirectory is the subdirectory of a deployment with the settings files.
 const settingsDirectory = "settings"
 
-// ServeArguments are the arguments that make this program run one of the servers
-// with the latencies of a fleet.
+// ServeArguments returns the arguments with which this program runs a server of a role with
+// the latencies of a fleet description.
 type ServeArguments func(role Role, settingsPath, descriptionPath string, more ...string) []string
 
-// prepare writes the description into the run's directory, copies the deployment's
-// settings there, moved from the network they were written for to the description's,
+// prepareRun writes the description into the run's directory, copies the deployment's
+// settings there with their addresses moved from the network written to the description's,
 // and returns a Process for each settings file.
-func prepare(options Options, written string, description Description) ([]*Process, error) {
+func prepareRun(options Options, written string, description Description) ([]*Process, error) {
 	move := func(text []byte) []byte {
 		return []byte(strings.ReplaceAll(string(text), written+".", description.Network+"."))
 	}
@@ -44,11 +44,11 @@
 			if err != nil {
 				return nil, trace.ConvertSystemError(err)
 			}
-			own := filepath.Join(options.Directory, filepath.Base(path))
-			if err := os.WriteFile(own, move(text), 0o644); err != nil {
+			copied := filepath.Join(options.Directory, filepath.Base(path))
+			if err := os.WriteFile(copied, move(text), 0o644); err != nil {
 				return nil, trace.ConvertSystemError(err)
 			}
-			process, err := newProcess(options, role, own, descriptionPath)
+			process, err := newProcess(options, role, copied, descriptionPath)
 			if err != nil {
 				return nil, trace.Wrap(err)
 			}
@@ -58,7 +58,7 @@
 	return processes, nil
 }
 
-// newProcess describes the process of one settings file.
+// newProcess returns the process of one settings file.
 func newProcess(options Options, role Role, path, descriptionPath string) (*Process, error) {
 	process := &Process{Role: role, SettingsPath: path}
 	source := settings.Source{Path: path}
--- a/internal/fleet/outside.go
+++ b/internal/fleet/stand_ins.go
@@ -13,7 +13,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/weightstore"
 )
 
-// StandIns is the stand-ins of a fleet, all in this process.
+// StandIns are the stand-ins for external systems of a fleet. They all run in this process.
 type StandIns struct {
 	Engines     []*engine.Engine
 	Pages       []*page.Service
@@ -25,12 +25,12 @@
 
 // StartStandIns starts the stand-ins of a description.
 func StartStandIns(description Description, profile enginemodel.Profile) (*StandIns, error) {
-	outside := &StandIns{topology: NewTopology(description)}
-	if err := outside.start(description, profile); err != nil {
-		outside.Close()
+	standIns := &StandIns{topology: NewTopology(description)}
+	if err := standIns.start(description, profile); err != nil {
+		standIns.Close()
 		return nil, trace.Wrap(err)
 	}
-	return outside, nil
+	return standIns, nil
 }
 
 func (o *StandIns) start(description Description, profile enginemodel.Profile) error {
@@ -73,13 +73,13 @@
 		o.Pages = append(o.Pages, started)
 		return nil
 	}
-	own := profile.Faster(service.Speed)
+	engineProfile := profile.Faster(service.Speed)
 	if service.RoleChange > 0 {
-		own.RoleChange = service.RoleChange
+		engineProfile.RoleChange = service.RoleChange
 	}
 	started, err := engine.Start(engine.Config{
 		Name: replica.Name, Service: service.Name, Zone: replica.Zone, Address: replica.Address,
-		Role: replica.Role, Model: service.Model, Version: service.Version, Profile: own,
+		Role: replica.Role, Model: service.Model, Version: service.Version, Profile: engineProfile,
 		WeightStore: description.WeightStore.Address, LoadLag: service.LoadLag, Faults: service.Faults, Listen: listen,
 	})
 	if err != nil {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// Engine returns the engine of a name, or nil.
+// Engine returns the engine with a name, or nil.
 func (o *StandIns) Engine(name string) *engine.Engine {
 	index := slices.IndexFunc(o.Engines, func(present *engine.Engine) bool { return present.Name() == name })
 	if index < 0 {
@@ -98,7 +98,7 @@
 	return o.Engines[index]
 }
 
-// Totals sums up what all engines ran.
+// Totals returns the sum of all engines' counts.
 func (o *StandIns) Totals() engine.Totals {
 	var sum engine.Totals
 	for _, present := range o.Engines {
@@ -107,7 +107,7 @@
 	return sum
 }
 
-// Close stops all stand-ins, in parallel.
+// Close stops all stand-ins in parallel and waits for them.
 func (o *StandIns) Close() {
 	stops := []func(){}
 	for _, present := range o.Engines {
--- a/internal/fleet/timeline.go
+++ b/internal/fleet/timeline.go
@@ -10,24 +10,24 @@
 	"github.com/gravitational/trace"
 )
 
-// InjectFaults lets the description's faults happen at their times from now on, until
-// the context ends. It checks them all before the first and tells each on progress.
+// InjectFaults schedules the description's faults from now on, until the context ends. It
+// resolves the targets of all faults before it returns and writes each fault to progress.
 func (f *Fleet) InjectFaults(ctx context.Context, progress io.Writer) error {
-	struck := make([][]member, len(f.Description.Faults))
+	targetsByFault := make([][]faultTarget, len(f.Description.Faults))
 	for index, fault := range f.Description.Faults {
-		targets, err := f.targets(fault)
+		targets, err := f.resolveTargets(fault)
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		struck[index] = targets
+		targetsByFault[index] = targets
 	}
 	for index, fault := range f.Description.Faults {
 		go func() {
-			if !sleep(ctx, fault.At) {
+			if !waitFor(ctx, fault.At) {
 				return
 			}
 			fmt.Fprintf(progress, "fault %s of %s%s for %v\n", fault.Fault, fault.Process, fault.Zone, fault.Length)
-			if err := f.strike(ctx, fault, struck[index]); err != nil {
+			if err := f.inject(ctx, fault, targetsByFault[index]); err != nil {
 				fmt.Fprintf(progress, "fault %s of %s%s: %v\n", fault.Fault, fault.Process, fault.Zone, err)
 			}
 		}()
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// strike lets one fault happen and returns when it is over.
-func (f *Fleet) strike(ctx context.Context, fault Fault, targets []member) error {
+// inject applies one fault and returns when it is over.
+func (f *Fleet) inject(ctx context.Context, fault Fault, targets []faultTarget) error {
 	switch fault.Fault {
 	case FaultPause:
 		for _, target := range targets {
@@ -48,7 +48,7 @@
 	}
 	var group []netip.Prefix
 	for _, target := range targets {
-		prefix, err := target.prefix()
+		prefix, err := target.addressPrefix()
 		if err != nil {
 			return trace.Wrap(err)
 		}
@@ -58,16 +58,16 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	sleep(ctx, fault.Length)
+	waitFor(ctx, fault.Length)
 	return end()
 }
 
-// killAll kills targets and starts them again after a time; after 0 never.
-func killAll(ctx context.Context, targets []member, length time.Duration) error {
+// killAll kills the targets and restarts them after length; with length 0 they stay down.
+func killAll(ctx context.Context, targets []faultTarget, length time.Duration) error {
 	for _, target := range targets {
 		target.kill()
 	}
-	if length == 0 || !sleep(ctx, length) {
+	if length == 0 || !waitFor(ctx, length) {
 		return nil
 	}
 	var problems []error
@@ -77,8 +77,8 @@
 	return trace.NewAggregate(problems...)
 }
 
-// sleep waits; false when the context ended first.
-func sleep(ctx context.Context, length time.Duration) bool {
+// waitFor waits for length; it returns false if the context ended first.
+func waitFor(ctx context.Context, length time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
--- a/internal/fleet/topology.go
+++ b/internal/fleet/topology.go
@@ -9,12 +9,12 @@
 	"github.com/hazelpitch/hazelpitch/internal/zonedelay"
 )
 
-// Topology tells the latency between the places of a fleet by their addresses.
+// Topology maps pairs of addresses to the latency between them.
 type Topology struct {
 	clientSubnet byte
 	subnets      map[byte]bool
 	latency      Latency
-	gate         *zonedelay.Gate // nil when nothing is ever cut off
+	gate         *zonedelay.Gate // nil if no fault cuts anything off
 	unsent       *zonedelay.Unsent
 }
 
@@ -24,7 +24,7 @@
 		clientSubnet: byte(description.ClientSubnet), latency: description.Latency, subnets: make(map[byte]bool), unsent: new(zonedelay.Unsent),
 	}
 	if description.cutsOff() {
-		topology.gate = zonedelay.NewGate(description.prefix())
+		topology.gate = zonedelay.NewGate(description.networkPrefix())
 	}
 	for _, zone := range description.Zones {
 		topology.subnets[byte(zone.Subnet)] = true
@@ -32,18 +32,18 @@
 	return topology
 }
 
-// Gate cuts addresses off from the topology's listeners; nil when the description's
-// faults cut nothing off.
+// Gate returns the gate that cuts addresses off from the topology's listeners; nil when no
+// fault of the description is a cut-off.
 func (t Topology) Gate() *zonedelay.Gate { return t.gate }
 
-// unsentLimit is how long a process that ends waits for the last bytes of its connections.
+// unsentLimit is how long an exiting process waits for the last bytes of its connections to be sent.
 const unsentLimit = time.Second
 
-// WaitUnsent waits until what connections had to send when they were closed is sent.
+// WaitUnsent waits until the data of closed connections has been sent, at most unsentLimit.
 func (t Topology) WaitUnsent() { t.unsent.Wait(unsentLimit) }
 
-// LatencyBetween is the one-way latency between two addresses. Addresses outside the fleet
-// (the bench's own controls) are next door.
+// LatencyBetween returns the one-way latency between two addresses; it is 0 if an address
+// is outside the fleet, such as those of the bench itself.
 func (t Topology) LatencyBetween(one, other netip.Addr) time.Duration {
 	if !one.Is4() || !other.Is4() {
 		return 0
@@ -60,7 +60,7 @@
 	return 0
 }
 
-// Listen opens a listener whose connections are as slow as the places are far.
+// Listen opens a listener whose connections are delayed by the latency to the remote address.
 func (t Topology) Listen(network, address string) (net.Listener, error) {
 	inner, err := closing.Listen(network, address)
 	if err != nil {
