--- a/internal/load/answer.go
+++ b/internal/load/answer.go
@@ -11,8 +11,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/page"
 )
 
-// refused reads the code of an error's body.
-func (r *Result) refused(body io.Reader) {
+// readRefusal records the code and message of an error body.
+func (r *Result) readRefusal(body io.Reader) {
 	r.Outcome = Refused
 	text, err := io.ReadAll(body)
 	if err != nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-// checkPage compares a page or receipt with what its request makes it.
+// checkPage compares a page or receipt with the one that belongs to the request.
 func (r *Result) checkPage(of request, body io.Reader, due time.Time) {
 	text, err := io.ReadAll(body)
 	r.FirstByte = time.Since(due)
--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// arrival is one request to send, drawn before the run.
+// arrival is one request to send, drawn before the run starts.
 type arrival struct {
-	at     time.Duration
-	kind   int // index in Traffic.Requests
-	number int // position in the run
+	at    time.Duration
+	kind  int // index in Traffic.Requests
+	index int // position in the run
 }
 
-// draw returns all arrivals of a run in order: Poisson arrivals whose rate swings.
-// It depends on its arguments alone.
-func draw(traffic Traffic, length time.Duration, scale float64, seed uint64) []arrival {
+// drawArrivals returns all arrivals of a run in order of time: Poisson arrivals with a
+// periodic rate. The result depends on the arguments alone.
+func drawArrivals(traffic Traffic, length time.Duration, scale float64, seed uint64) []arrival {
 	var arrivals []arrival
 	for kind, request := range traffic.Requests {
 		source := rand.New(rand.NewPCG(seed, uint64(kind)+1))
@@ -36,12 +36,12 @@
 	}
 	sort.SliceStable(arrivals, func(one, other int) bool { return arrivals[one].at < arrivals[other].at })
 	for number := range arrivals {
-		arrivals[number].number = number
+		arrivals[number].index = number
 	}
 	return arrivals
 }
 
-// rateAt is the rate at a time of the run.
+// rateAt returns the rate at a time since the start of the run.
 func (r RequestKind) rateAt(at time.Duration) float64 {
 	if r.Swing.Amplitude == 0 {
 		return r.Rate
--- a/internal/load/audit.go
+++ b/internal/load/audit.go
@@ -13,17 +13,17 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// maxFindings bounds the findings that are spelled out.
+// maxFindings limits the findings that are described.
 const maxFindings = 20
 
-// Executions is what the stand-ins counted, summed over all of them.
+// Executions are the counts of all stand-ins together.
 type Executions struct {
 	Engines engine.Totals
 	prompts map[string]engine.Run
 	keys    map[string]int
 }
 
-// ReadExecutions asks every stand-in what it ran.
+// ReadExecutions reads the execution counts of every stand-in.
 func ReadExecutions(engines, pages []string) (Executions, error) {
 	sum := Executions{prompts: make(map[string]engine.Run), keys: make(map[string]int)}
 	for _, address := range engines {
@@ -59,7 +59,7 @@
 func getJSON(address string, target any) error {
 	status, body, err := fasthttp.Get(nil, address)
 	if err != nil {
-		return trace.Wrap(err, "asking %s", address)
+		return trace.Wrap(err, "reading %s", address)
 	}
 	if status != fasthttp.StatusOK {
 		return trace.Errorf("%s answered %d", address, status)
@@ -67,32 +67,32 @@
 	return trace.Wrap(json.Unmarshal(body, target))
 }
 
-// Audit compares verdicts that callers got with what the stand-ins ran.
+// Audit compares the verdicts that callers got with what the stand-ins executed.
 type Audit struct {
-	// FalseNotRun counts answers that said not run for requests that ran.
+	// FalseNotRun counts answers with verdict not run to requests that ran.
 	FalseNotRun int `json:"false_not_run"`
-	// FalseRan counts answers that said ran, or were whole, for requests that did not run.
+	// FalseRan counts answers with verdict ran, or complete ones, to requests that did not run.
 	FalseRan int `json:"false_ran"`
 	// Doubled counts idempotency keys that ran more than once.
 	Doubled int `json:"doubled"`
-	// Findings spells out the first of them.
+	// Findings describes the first of them.
 	Findings []string `json:"findings,omitempty"`
 }
 
-// Clean reports whether nothing was found.
+// Clean reports whether the audit found nothing.
 func (a Audit) Clean() bool { return a.FalseNotRun+a.FalseRan+a.Doubled == 0 }
 
-func (a *Audit) find(counter *int, format string, arguments ...any) {
+func (a *Audit) addFinding(counter *int, format string, arguments ...any) {
 	*counter++
 	if len(a.Findings) < maxFindings {
 		a.Findings = append(a.Findings, fmt.Sprintf(format, arguments...))
 	}
 }
 
-// audit compares results with executions.
-func audit(results []Result, ran Executions) Audit {
+// auditResults compares results with executions.
+func auditResults(results []Result, ran Executions) Audit {
 	var found Audit
-	last := lastOpenSendings(results)
+	last := lastAttempts(results)
 	for _, result := range results {
 		switch {
 		case result.Prompt != "":
@@ -100,7 +100,7 @@
 			found.check(result, run.Started+run.Prefilled, "prompt "+result.Prompt)
 		case result.Key != "":
 			if result.Ended.Before(last[result.Key]) {
-				// A later sending may be the one that ran.
+				// A later attempt may be the one that ran.
 				found.checkRan(result, ran.keys[result.Key], "key "+result.Key)
 				continue
 			}
@@ -109,15 +109,15 @@
 	}
 	for key, count := range ran.keys {
 		if count > 1 {
-			found.find(&found.Doubled, "key %s ran %d times", key, count)
+			found.addFinding(&found.Doubled, "key %s ran %d times", key, count)
 		}
 	}
 	return found
 }
 
-// lastOpenSendings returns, for each key, when the last of its sendings began that was not
-// told not run: only such a sending may have run.
-func lastOpenSendings(results []Result) map[string]time.Time {
+// lastAttempts returns, for each key, the start of its last attempt without a verdict of not
+// run; only such an attempt may have run.
+func lastAttempts(results []Result) map[string]time.Time {
 	last := make(map[string]time.Time)
 	for _, result := range results {
 		began := result.Ended.Add(-result.Total)
@@ -130,7 +130,7 @@
 
 func (a *Audit) check(result Result, runs int, name string) {
 	if result.Verdict == verdict.NotRun.String() && runs > 0 {
-		a.find(&a.FalseNotRun, "%s %s: %d %s says not run, but it ran %d times", result.Kind, name, result.Status, result.Code, runs)
+		a.addFinding(&a.FalseNotRun, "%s %s: %d %s says not run, but it ran %d times", result.Kind, name, result.Status, result.Code, runs)
 		return
 	}
 	a.checkRan(result, runs, name)
@@ -138,6 +138,6 @@
 
 func (a *Audit) checkRan(result Result, runs int, name string) {
 	if (result.Verdict == verdict.Ran.String() || result.Outcome == Completed) && runs == 0 {
-		a.find(&a.FalseRan, "%s %s: %d says ran, but it did not run", result.Kind, name, result.Status)
+		a.addFinding(&a.FalseRan, "%s %s: %d says ran, but it did not run", result.Kind, name, result.Status)
 	}
 }
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -16,15 +16,15 @@
 
 const (
 	headerKind = "X-Request-Kind"
-	// patience is what a caller waits beyond the deadline before giving up.
-	patience = 10 * time.Second
-	// noDeadline stands in for kinds without one.
-	noDeadline = 60 * time.Second
-	// idleLimit is short, so that a gateway doesn't close a connection first.
-	idleLimit = 2 * time.Second
+	// deadlineGrace is how long a caller waits beyond the deadline before it gives up.
+	deadlineGrace = 10 * time.Second
+	// defaultTimeout replaces the deadline for kinds without one.
+	defaultTimeout = 60 * time.Second
+	// idleConnectionTimeout is shorter than the gateways', so that the client closes idle connections first.
+	idleConnectionTimeout = 2 * time.Second
 )
 
-// client sends requests and checks answers. It is safe for concurrent use.
+// client sends requests and checks their answers. It is safe for concurrent use.
 type client struct {
 	target Target
 	http   *fasthttp.Client
@@ -41,27 +41,27 @@
 		StreamResponseBody:        true,
 		NoDefaultUserAgentHeader:  true,
 		MaxIdemponentCallAttempts: 1,
-		MaxIdleConnDuration:       idleLimit,
+		MaxIdleConnDuration:       idleConnectionTimeout,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}}
 }
 
-// send sends one request, due at a time, and returns how it ended. The text of a
-// chat's answer goes to show as it arrives.
+// send sends one request that was due at a given time and returns its result. The text of a
+// chat's answer is written to show as it arrives.
 func (c *client) send(of request, due time.Time, show io.Writer) (result Result) {
 	result = Result{
-		Kind: of.kind, Tenant: of.tenant, Due: of.arrival.at, Prompt: of.promptKey, Key: of.key, Gateway: c.target.address(of),
+		Kind: of.kind, Tenant: of.tenant, Due: of.arrival.at, Prompt: of.promptKey, Key: of.key, Gateway: c.target.addressFor(of),
 	}
 	defer func() { result.Ended = time.Now() }()
 	call, answer := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(call)
 	defer fasthttp.ReleaseResponse(answer)
-	c.fill(call, of)
+	c.fillRequest(call, of)
 	wait := of.deadline
 	if wait == 0 {
-		wait = noDeadline
+		wait = defaultTimeout
 	}
-	call.SetTimeout(wait + patience)
+	call.SetTimeout(wait + deadlineGrace)
 	if err := c.http.Do(call, answer); err != nil {
 		result.Outcome, result.Detail = Lost, err.Error()
 		result.Total = time.Since(due)
@@ -76,10 +76,10 @@
 	}
 	switch {
 	case result.Status >= fasthttp.StatusBadRequest:
-		result.refused(body)
+		result.readRefusal(body)
 	case of.chat:
 		result.checkStream(of, body, due, show)
-		result.takeFinalVerdict(body, &answer.Header)
+		result.readFinalVerdict(body, &answer.Header)
 	default:
 		result.checkPage(of, body, due)
 	}
@@ -87,9 +87,9 @@
 	return result
 }
 
-// takeFinalVerdict reads a stream to its end, where its last verdict is. A stream that was
-// cut has none.
-func (r *Result) takeFinalVerdict(body io.Reader, header *fasthttp.ResponseHeader) {
+// readFinalVerdict reads a stream to its end and replaces the verdict by that of the trailer. A
+// stream that was cut has no trailer.
+func (r *Result) readFinalVerdict(body io.Reader, header *fasthttp.ResponseHeader) {
 	if _, err := io.Copy(io.Discard, body); err != nil {
 		return
 	}
@@ -98,8 +98,8 @@
 	}
 }
 
-func (c *client) fill(call *fasthttp.Request, of request) {
-	call.SetRequestURI("http://" + c.target.address(of) + of.path)
+func (c *client) fillRequest(call *fasthttp.Request, of request) {
+	call.SetRequestURI("http://" + c.target.addressFor(of) + of.path)
 	call.Header.SetMethod(of.method)
 	call.SetBody(of.body)
 	if len(of.body) > 0 {
--- a/internal/load/document_test.go
+++ b/internal/load/document_test.go
@@ -26,34 +26,34 @@
 
 var keyRow = regexp.MustCompile("(?m)^\\| `([^`]*)` \\| (.*?) \\|")
 
-// TestBenchPageHoldsEveryKey compares the tables of both files' keys with the code.
-func TestBenchPageHoldsEveryKey(t *testing.T) {
+// TestBenchPageListsEveryKey compares the key tables of both files with the code.
+func TestBenchPageListsEveryKey(t *testing.T) {
 	for header, of := range map[string]reflect.Type{
 		fleet.DescriptionFile: reflect.TypeFor[fleet.Description](),
 		TrafficFile:           reflect.TypeFor[Traffic](),
 	} {
 		text := section(t, header)
-		told := map[string]string{}
+		documented := map[string]string{}
 		for _, row := range keyRow.FindAllStringSubmatch(text, -1) {
-			told[row[1]] = row[2]
+			documented[row[1]] = row[2]
 		}
 		for _, key := range yamlfile.Keys(of) {
 			if key.Group {
 				continue
 			}
 			path := key.Path
-			if _, found := told[path]; !found {
+			if _, found := documented[path]; !found {
 				path += ".*" // a map of values
 			}
-			require.Contains(t, told, path, "docs/BENCH.md, section %s, has no row of %s", header, key.Path)
-			require.Equal(t, key.Required, told[path] == "required", "%s is told to be required", key.Path)
-			delete(told, path)
+			require.Contains(t, documented, path, "docs/BENCH.md, section %s, has no row of %s", header, key.Path)
+			require.Equal(t, key.Required, documented[path] == "required", "%s is documented as required", key.Path)
+			delete(documented, path)
 		}
-		require.Empty(t, told, "docs/BENCH.md, section %s, describes keys that don't exist", header)
+		require.Empty(t, documented, "docs/BENCH.md, section %s, describes keys that don't exist", header)
 	}
 }
 
-func TestBenchPageHoldsEveryFault(t *testing.T) {
+func TestBenchPageListsEveryFault(t *testing.T) {
 	text := section(t, "What fails")
 	for _, key := range yamlfile.Keys(reflect.TypeFor[fleet.Description]()) {
 		if !strings.HasSuffix(key.Path, ".kind") && !strings.HasSuffix(key.Path, ".fault") {
@@ -61,7 +61,7 @@
 		}
 		require.NotEmpty(t, key.Words)
 		for _, word := range key.Words {
-			require.Contains(t, text, "`"+word+"`", "docs/BENCH.md does not tell of fault %s", word)
+			require.Contains(t, text, "`"+word+"`", "docs/BENCH.md does not describe fault %s", word)
 		}
 	}
 }
--- a/internal/load/final_verdict_test.go
+++ b/internal/load/final_verdict_test.go
@@ -13,8 +13,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// TestFinalVerdict shows that the verdict after a stream counts for more than the one
-// before it, and that a cut stream keeps the one before it.
+// TestFinalVerdict checks that the verdict in a stream's trailer replaces the one in its header,
+// and that a cut stream keeps the one in its header.
 func TestFinalVerdict(t *testing.T) {
 	whole := tokenEvent(hash, 0) + tokenEvent(hash, 1) + finishEvent + usageEvent + doneEvent
 	tests := []struct {
@@ -33,7 +33,7 @@
 			server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 				writer.Header().Set(verdict.Header, verdict.MayHaveRun.String())
 				writer.Header().Set("Trailer", verdict.Trailer)
-				_, _ = io.WriteString(writer, whole) // the check sees what is missing
+				_, _ = io.WriteString(writer, whole) // the client's check detects a short answer
 				writer.(http.Flusher).Flush()
 				if test.cut {
 					panic(http.ErrAbortHandler)
--- a/internal/load/kinds.go
+++ b/internal/load/kinds.go
@@ -11,17 +11,17 @@
 	"github.com/hazelpitch/hazelpitch/internal/language"
 )
 
-// DeclarationsDirectory of a deployment.
+// DeclarationsDirectory is the subdirectory of a deployment with its declarations.
 const DeclarationsDirectory = "declarations"
 
-// Kind is what the declarations say of a kind of request.
+// Kind is the declaration of a kind of request, as far as the load needs it.
 type Kind struct {
 	Worth      float64
 	Deadline   time.Duration
 	Repeatable bool
 }
 
-// Declarations reads the declaration files of a deployment's directory.
+// Declarations reads the declaration files in a deployment's directory.
 func Declarations(directory string) ([]*v1.SourceFile, error) {
 	paths, err := filepath.Glob(filepath.Join(directory, DeclarationsDirectory, "*.hzl"))
 	if err != nil || len(paths) == 0 {
--- a/internal/load/outcome.go
+++ b/internal/load/outcome.go
@@ -6,40 +6,40 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// Outcome is how one request ended for its caller.
+// Outcome is how one request ended from its caller's view.
 type Outcome string
 
-// Outcomes.
+// Outcomes of requests.
 const (
-	// Completed is a whole answer that is the request's own.
+	// Completed is a complete answer that belongs to the request.
 	Completed Outcome = "completed"
-	// Refused is an answer of 400 and above.
+	// Refused is an answer with a status of 400 or above.
 	Refused Outcome = "refused"
-	// Cut is an answer that began and has no end.
+	// Cut is an answer that started and did not complete.
 	Cut Outcome = "cut"
-	// Expired is an answer that the gateway ended with an error because its deadline
-	// had passed: without worth, and told truly.
+	// Expired is an answer that the gateway ended with an error event because its deadline
+	// had passed: it has no worth, but the caller was informed correctly.
 	Expired Outcome = "expired"
-	// Mixed is an answer that isn't the request's own.
+	// Mixed is an answer whose content does not belong to the request.
 	Mixed Outcome = "mixed"
-	// Lost is a connection that ended without any answer.
+	// Lost is a connection that ended without an answer.
 	Lost Outcome = "lost"
 	// NotSent is an arrival beyond the limit of requests in flight.
 	NotSent Outcome = "not-sent"
 )
 
-// Result is one request's end.
+// Result is the result of one attempt of a request.
 type Result struct {
 	Kind string
-	// Tenant is the position of the caller's key in Target.Keys, before it wraps.
+	// Tenant is the index of the caller's key in Target.Keys, modulo their number.
 	Tenant  int
 	Outcome Outcome
-	// Verdict is the answer's last: a stream's X-Run-Verdict-Final, or else X-Run-Verdict;
-	// empty without an answer.
+	// Verdict is the last verdict of the answer: a stream's X-Run-Verdict-Final if present,
+	// else X-Run-Verdict; empty without an answer.
 	Verdict string
 	Status  int
 	Code    string
-	// Due is when the request was due, since the run began.
+	// Due is when the request was due, since the start of the run.
 	Due time.Duration
 	// FirstByte and Total are times since the request was due, not since it was sent.
 	FirstByte time.Duration
@@ -49,10 +49,10 @@
 	Prompt string
 	Key    string
 	Detail string
-	// Gateway is the IP:port that the request was sent to, Ended the time of its end.
+	// Gateway is the IP:port that the request was sent to, Ended when its result was known.
 	Gateway string
 	Ended   time.Time
 }
 
-// MayHaveRun reports whether the caller was told that its request may have run.
+// MayHaveRun reports whether the caller's last verdict is that its request may have run.
 func (r Result) MayHaveRun() bool { return r.Verdict == verdict.MayHaveRun.String() }
--- a/internal/load/probe.go
+++ b/internal/load/probe.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// probePatience is how long a probe resends what was refused as not run: gateways
-	// may not know every back end yet.
-	probePatience = 15 * time.Second
-	probePause    = 200 * time.Millisecond
+	// probeRetryLimit is how long a probe resends what was refused as not run, because
+	// gateways may not know every back end yet.
+	probeRetryLimit = 15 * time.Second
+	probeRetryPause = 200 * time.Millisecond
 )
 
-// Probe sends one request of each kind, one after the other, and returns how each
-// ended, in the order of the traffic. What was refused as not run it sends again.
+// Probe sends one request of each kind in sequence and returns their results in the order of
+// the traffic. It resends a request that was refused as not run.
 func Probe(options Options) ([]Result, error) {
-	traffic, kinds, err := describe(options.Deployment)
+	traffic, kinds, err := loadDescription(options.Deployment)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	sender, builder := newClient(options.Target), newMaker(options, traffic, kinds, time.Now())
+	sender, builder := newClient(options.Target), newRequestBuilder(options, traffic, kinds, time.Now())
 	var results []Result
 	for number := range traffic.Requests {
-		results = append(results, sender.sendUntilTaken(builder.make(arrival{kind: number, number: number})))
+		results = append(results, sender.sendUntilAccepted(builder.make(arrival{kind: number, index: number})))
 	}
 	return results, nil
 }
 
-// StreamOne sends one chat request of the kind with the shortest prompts and writes its
+// StreamOne sends one chat request, of the kind with the shortest prompts, and writes the
 // answer to out as it arrives.
 func StreamOne(options Options, out io.Writer) (Result, error) {
-	traffic, kinds, err := describe(options.Deployment)
+	traffic, kinds, err := loadDescription(options.Deployment)
 	if err != nil {
 		return Result{}, trace.Wrap(err)
 	}
@@ -48,14 +48,14 @@
 	if chosen < 0 {
 		return Result{}, trace.BadParameter("%s has no chat kind", TrafficFile)
 	}
-	sender, builder := newClient(options.Target), newMaker(options, traffic, kinds, time.Now())
-	result := sender.send(builder.make(arrival{kind: chosen, number: chosen}), time.Now(), out)
+	sender, builder := newClient(options.Target), newRequestBuilder(options, traffic, kinds, time.Now())
+	result := sender.send(builder.make(arrival{kind: chosen, index: chosen}), time.Now(), out)
 	fmt.Fprintln(out)
 	return result, nil
 }
 
-// describe reads a deployment's traffic and the kinds it is made of.
-func describe(deployment string) (Traffic, map[string]Kind, error) {
+// loadDescription reads a deployment's traffic and the kinds that it uses.
+func loadDescription(deployment string) (Traffic, map[string]Kind, error) {
 	traffic, err := LoadTraffic(deployment)
 	if err != nil {
 		return Traffic{}, nil, trace.Wrap(err)
@@ -64,15 +64,15 @@
 	if err != nil {
 		return Traffic{}, nil, trace.Wrap(err)
 	}
-	return traffic, kinds, trace.Wrap(declared(traffic, kinds))
+	return traffic, kinds, trace.Wrap(checkDeclared(traffic, kinds))
 }
 
-// sendUntilTaken sends a request again while it is refused as not run.
-func (c *client) sendUntilTaken(of request) Result {
-	for began := time.Now(); ; time.Sleep(probePause) {
+// sendUntilAccepted resends a request while it is refused as not run, for probeRetryLimit.
+func (c *client) sendUntilAccepted(of request) Result {
+	for began := time.Now(); ; time.Sleep(probeRetryPause) {
 		result := c.send(of, time.Now(), io.Discard)
 		refused := result.Outcome == Refused && result.Verdict == verdict.NotRun.String()
-		if !refused || time.Since(began) > probePatience {
+		if !refused || time.Since(began) > probeRetryLimit {
 			return result
 		}
 	}
--- a/internal/load/prompt.go
+++ b/internal/load/prompt.go
@@ -9,38 +9,38 @@
 
 const (
 	bytesPerToken = 4
-	word          = "lot "
+	fillerWord    = "lot "
 )
 
-// prompts makes the prompts of one run. Each is unique; those of one dossier share
-// their beginning.
-type prompts struct {
+// promptBuilder builds the prompts of one run. Each prompt is unique; those of one dossier
+// share a prefix.
+type promptBuilder struct {
 	seed     uint64
 	dossiers map[string]string
 }
 
-func newPrompts(seed uint64) *prompts {
-	return &prompts{seed: seed, dossiers: make(map[string]string)}
+func newPromptBuilder(seed uint64) *promptBuilder {
+	return &promptBuilder{seed: seed, dossiers: make(map[string]string)}
 }
 
-// text returns a prompt of about tokens tokens. Its first shared tokens are the
-// beginning of a dossier.
-func (p *prompts) text(dossier string, shared, number, tokens int) string {
+// text returns a prompt of about tokens tokens. Its first shared tokens are a prefix of the
+// dossier's text.
+func (p *promptBuilder) text(dossier string, shared, number, tokens int) string {
 	var built strings.Builder
 	built.Grow((tokens + 16) * bytesPerToken)
 	if shared > 0 {
-		built.WriteString(p.dossier(dossier, shared)[:shared*bytesPerToken])
+		built.WriteString(p.dossierText(dossier, shared)[:shared*bytesPerToken])
 	}
 	fmt.Fprintf(&built, " request %x-%d ", p.seed, number)
 	for built.Len() < tokens*bytesPerToken {
-		built.WriteString(word)
+		built.WriteString(fillerWord)
 	}
 	return built.String()
 }
 
-// dossier returns the text that prompts of one dossier begin with, of at least so
-// many tokens. A longer one begins with the shorter ones.
-func (p *prompts) dossier(name string, tokens int) string {
+// dossierText returns the text of a dossier with at least the given number of tokens. A
+// longer text has the shorter ones as prefixes.
+func (p *promptBuilder) dossierText(name string, tokens int) string {
 	if text := p.dossiers[name]; len(text) >= tokens*bytesPerToken {
 		return text
 	}
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// latencies are recorded in microseconds, up to two minutes, to three digits.
+	// Latencies are recorded in microseconds, up to maxLatency, with three significant digits.
 	maxLatency      = 2 * time.Minute
 	latencyDigits   = 3
 	microsPerMilli  = 1000
 	maxFailureLines = 10
 )
 
-// Report is what a run of load measured.
+// Report is the result of a run.
 type Report struct {
 	Deployment string  `json:"deployment"`
 	Direct     bool    `json:"direct"`
 	Seed       uint64  `json:"seed"`
 	Seconds    float64 `json:"seconds"`
 	Sent       int     `json:"sent"`
-	// Goodput is the worth of all requests completed in their deadline; Offered that
-	// of all requests sent.
+	// Goodput is the total worth of the requests that completed within their deadline;
+	// Offered is that of all requests sent.
 	Goodput float64      `json:"goodput"`
 	Offered float64      `json:"offered"`
 	Kinds   []KindReport `json:"kinds"`
@@ -42,11 +42,11 @@
 	// Engines is what the stand-in engines counted during the run.
 	Engines engine.Totals `json:"engines"`
 	Audit   Audit         `json:"audit"`
-	// Failures spells out the first requests that were cut, mixed or lost.
+	// Failures describes the first requests that were cut, mixed or lost.
 	Failures []string `json:"failures,omitempty"`
 }
 
-// KindReport is one kind's part of a Report.
+// KindReport is the result of one kind of request.
 type KindReport struct {
 	Kind       string  `json:"kind"`
 	Sent       int     `json:"sent"`
@@ -55,7 +55,7 @@
 	Goodput    float64 `json:"goodput"`
 	// Refusals counts refusals by "verdict code".
 	Refusals map[string]int `json:"refusals,omitempty"`
-	// RefusalExamples tells the first message of each.
+	// RefusalExamples holds the first message for each key of Refusals.
 	RefusalExamples map[string]string `json:"refusal_examples,omitempty"`
 	Expired         int               `json:"expired"`
 	Cut             int               `json:"cut"`
@@ -68,7 +68,7 @@
 	firstByte, total *hdrhistogram.Histogram
 }
 
-// Percentiles of completed requests, in milliseconds.
+// Percentiles are latencies of completed requests in milliseconds.
 type Percentiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
@@ -79,8 +79,8 @@
 	return hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)
 }
 
-// Failed returns an error when anything was cut, mixed or lost, or when a verdict
-// was false or a request ran twice.
+// Failed returns an error if any request was cut, mixed, lost or not sent, got a false
+// verdict, or ran twice.
 func (r Report) Failed() error {
 	if r.Cut+r.Mixed+r.Lost+r.NotSent == 0 && r.Audit.Clean() {
 		return nil
@@ -89,22 +89,22 @@
 		r.Cut, r.Mixed, r.Lost, r.NotSent, r.Audit.FalseNotRun, r.Audit.FalseRan, r.Audit.Doubled)
 }
 
-// summarize counts results by kind.
+// summarize aggregates results by kind.
 func summarize(results []Result, kinds map[string]Kind) Report {
 	byKind := make(map[string]*KindReport)
 	var report Report
 	for _, result := range results {
-		of := byKind[result.Kind]
-		if of == nil {
-			of = &KindReport{Kind: result.Kind, Refusals: make(map[string]int), RefusalExamples: make(map[string]string), worth: kinds[result.Kind].Worth, firstByte: newHistogram(), total: newHistogram()}
-			byKind[result.Kind] = of
+		kind := byKind[result.Kind]
+		if kind == nil {
+			kind = &KindReport{Kind: result.Kind, Refusals: make(map[string]int), RefusalExamples: make(map[string]string), worth: kinds[result.Kind].Worth, firstByte: newHistogram(), total: newHistogram()}
+			byKind[result.Kind] = kind
 		}
-		of.add(result, kinds[result.Kind].Deadline)
+		kind.addResult(result, kinds[result.Kind].Deadline)
 		report.addFailure(result)
 		report.Tokens += result.Tokens
 	}
 	for _, of := range byKind {
-		of.finish()
+		of.computeFigures()
 		report.Sent += of.Sent
 		report.Goodput += of.Goodput
 		report.Offered += of.worth * float64(of.Sent)
@@ -128,7 +128,7 @@
 	}
 }
 
-func (k *KindReport) add(result Result, deadline time.Duration) {
+func (k *KindReport) addResult(result Result, deadline time.Duration) {
 	k.Sent++
 	switch result.Outcome {
 	case Completed:
@@ -136,7 +136,7 @@
 		if deadline == 0 || result.Total <= deadline {
 			k.InDeadline++
 		}
-		_ = k.firstByte.RecordValue(min(result.FirstByte, maxLatency).Microseconds()) // clamped: it fits
+		_ = k.firstByte.RecordValue(min(result.FirstByte, maxLatency).Microseconds()) // cannot fail: the value is clamped
 		_ = k.total.RecordValue(min(result.Total, maxLatency).Microseconds())
 	case Refused:
 		name := strings.TrimSpace(result.Verdict + " " + result.Code)
@@ -155,7 +155,7 @@
 	}
 }
 
-func (k *KindReport) finish() {
+func (k *KindReport) computeFigures() {
 	k.Goodput = k.worth * float64(k.InDeadline)
 	k.FirstByte, k.Total = percentiles(k.firstByte), percentiles(k.total)
 }
@@ -173,7 +173,7 @@
 	kinds.AppendHeader(table.Row{"kind", "sent", "completed", "in deadline", "goodput", "refused", "expired", "cut", "mixed", "lost", "first byte p50/p95/p99 ms", "total p50/p95/p99 ms"})
 	for _, kind := range r.Kinds {
 		kinds.AppendRow(table.Row{kind.Kind, kind.Sent, kind.Completed, kind.InDeadline, fmt.Sprintf("%.1f", kind.Goodput),
-			refusals(kind.Refusals), kind.Expired, kind.Cut, kind.Mixed, kind.Lost, kind.FirstByte.String(), kind.Total.String()})
+			refusalLines(kind.Refusals), kind.Expired, kind.Cut, kind.Mixed, kind.Lost, kind.FirstByte.String(), kind.Total.String()})
 	}
 	kinds.Render()
 	fmt.Fprintf(out, "goodput %.1f of %.1f offered (%.1f%%), %d output tokens in %.1f s\n", r.Goodput, r.Offered, 100*r.Goodput/max(r.Offered, 1e-9), r.Tokens, r.Seconds)
@@ -191,10 +191,10 @@
 	}
 }
 
-// String is the three percentiles with slashes.
+// String returns the three percentiles, separated by slashes.
 func (p Percentiles) String() string { return fmt.Sprintf("%.1f/%.1f/%.1f", p.P50, p.P95, p.P99) }
 
-func refusals(counts map[string]int) string {
+func refusalLines(counts map[string]int) string {
 	names := make([]string, 0, len(counts))
 	for name := range counts {
 		names = append(names, name)
--- /dev/null
+++ b/internal/load/resend.go
@@ -0,0 +1,48 @@
+package load
+
+import (
+	"context"
+	"io"
+	"time"
+
+	"github.com/hazelpitch/hazelpitch/internal/pause"
+	"github.com/hazelpitch/hazelpitch/internal/verdict"
+)
+
+const (
+	// maxResends limits the attempts of one at-most-once request.
+	maxResends = 60
+	// resendPause is the time between two attempts.
+	resendPause = 500 * time.Millisecond
+	// codeStillRunning is the code of a resend whose earlier attempt is still running.
+	codeStillRunning = "still_running"
+)
+
+// sendWithResends sends a request. With insist set, it resends an at-most-once request through
+// the next gateway as long as its caller does not know the outcome.
+func (c *client) sendWithResends(ctx context.Context, of request, due time.Time, insist bool, results chan<- Result) {
+	for range maxResends {
+		result := c.send(of, due, io.Discard)
+		results <- result
+		if !insist || of.key == "" || !result.needsResend() {
+			return
+		}
+		// The end of the load does not cancel the resends.
+		pause.For(context.WithoutCancel(ctx), resendPause)
+		of.gatewayOffset++
+		due = time.Now()
+	}
+}
+
+// needsResend reports whether a caller with an idempotency key should resend: it has no answer,
+// or one that says that the request has not run or is still running.
+func (r Result) needsResend() bool {
+	switch r.Outcome {
+	case Lost, Cut:
+		return true
+	case Refused:
+		return r.Verdict == verdict.NotRun.String() || r.Code == codeStillRunning
+	default:
+		return false
+	}
+}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -1,6 +1,6 @@
-// Package load sends a deployment's traffic through its gateways as callers do, at
-// times drawn beforehand (open loop), checks each answer to its last byte, and
-// reports goodput, latencies, refusals by verdict and role changes.
+// Package load sends a deployment's traffic through its gateways at times drawn in advance
+// (open loop), checks each answer to its last byte, and reports goodput, latencies,
+// refusals by verdict and role changes.
 package load
 
 import (
@@ -11,34 +11,34 @@
 	"github.com/gravitational/trace"
 )
 
-// maxInFlight bounds the requests in flight; arrivals beyond it are counted as not sent.
+// maxInFlight limits the requests in flight; arrivals beyond it are counted as not sent.
 const maxInFlight = 8192
 
-// Options are what a run is started with.
+// Options configure a run.
 type Options struct {
 	// Deployment is the directory with load.yaml and the declarations.
 	Deployment string
 	Target     Target
-	// Engines and Pages are the stand-ins that are asked what they ran.
+	// Engines and Pages are the IP:ports of the stand-ins whose execution counts are read.
 	Engines []string
 	Pages   []string
 	Length  time.Duration
 	// Scale multiplies every rate; 0 is 1.
 	Scale float64
-	// OnceScale multiplies the rates of kinds that run at most once on top; 0 is 1.
+	// OnceScale further multiplies the rates of kinds that run at most once; 0 is 1.
 	OnceScale float64
 	Seed      uint64
-	// ResendUntilSettled makes callers send a once-only request that got no answer again, through the
-	// next gateway, until they know how it ended.
+	// ResendUntilSettled makes callers resend an at-most-once request that got no answer,
+	// through the next gateway, until they know its outcome.
 	ResendUntilSettled bool
-	// OnResult, when not nil, is called with each request's end, from one goroutine.
+	// OnResult, when not nil, is called with each request's result, from one goroutine.
 	OnResult func(Result)
-	// OnProgress, when not nil, is called after each request's end.
+	// OnProgress, when not nil, is called after each request's result, from one goroutine.
 	OnProgress func(done, all int)
 }
 
-// plan is all requests of a run.
-type plan struct {
+// requestPlan holds all requests of a run.
+type requestPlan struct {
 	arrivals []arrival
 	kinds    map[string]Kind
 	make     func(arrival) request
@@ -46,24 +46,24 @@
 
 // Run sends the traffic, waits for every answer and returns the report.
 func Run(ctx context.Context, options Options) (Report, error) {
-	traffic, kinds, err := describe(options.Deployment)
+	traffic, kinds, err := loadDescription(options.Deployment)
 	if err != nil {
 		return Report{}, trace.Wrap(err)
 	}
 	if options.Scale == 0 {
 		options.Scale = 1
 	}
-	planned := plan{
-		arrivals: draw(traffic.onceScaled(options.OnceScale), options.Length, options.Scale, options.Seed),
+	planned := requestPlan{
+		arrivals: drawArrivals(traffic.scaleAtMostOnce(options.OnceScale), options.Length, options.Scale, options.Seed),
 		kinds:    kinds,
-		make:     newMaker(options, traffic, kinds, time.Now()).make,
+		make:     newRequestBuilder(options, traffic, kinds, time.Now()).make,
 	}
 	report, _, err := run(ctx, options, planned)
 	return report, trace.Wrap(err)
 }
 
-// run sends what was planned and compares the answers with what the stand-ins ran.
-func run(ctx context.Context, options Options, planned plan) (Report, []Result, error) {
+// run sends the planned requests and compares the answers with what the stand-ins executed.
+func run(ctx context.Context, options Options, planned requestPlan) (Report, []Result, error) {
 	before, err := ReadExecutions(options.Engines, options.Pages)
 	if err != nil {
 		return Report{}, nil, trace.Wrap(err)
@@ -79,12 +79,12 @@
 	report.Deployment, report.Direct, report.Seed = options.Deployment, options.Target.Direct(), options.Seed
 	report.Seconds = length.Seconds()
 	report.Engines = after.Engines.Minus(before.Engines)
-	report.Audit = audit(results, after)
+	report.Audit = auditResults(results, after)
 	return report, results, nil
 }
 
-// declared checks that each kind of the traffic is declared.
-func declared(traffic Traffic, kinds map[string]Kind) error {
+// checkDeclared checks that each kind of the traffic is declared.
+func checkDeclared(traffic Traffic, kinds map[string]Kind) error {
 	for _, request := range traffic.Requests {
 		if _, found := kinds[request.Kind]; !found {
 			return trace.BadParameter("%s names kind %q, which the declarations don't", TrafficFile, request.Kind)
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// sendAll sends every arrival at its time and collects the results.
-func sendAll(ctx context.Context, options Options, planned plan, began time.Time) []Result {
+// sendAll sends every request at its arrival time and collects the results.
+func sendAll(ctx context.Context, options Options, planned requestPlan, began time.Time) []Result {
 	sender := newClient(options.Target)
 	collected := make(chan Result, maxInFlight)
 	slots := make(chan struct{}, maxInFlight)
@@ -120,9 +120,9 @@
 			}
 			sending.Go(func() {
 				defer func() { <-slots }()
-				sender.sendOn(ctx, built, due, options.ResendUntilSettled, collected)
+				sender.sendWithResends(ctx, built, due, options.ResendUntilSettled, collected)
 				if built.resend {
-					sender.sendOn(ctx, built, time.Now(), options.ResendUntilSettled, collected)
+					sender.sendWithResends(ctx, built, time.Now(), options.ResendUntilSettled, collected)
 				}
 			})
 		}
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -11,22 +11,22 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// RunScenario sends the requests of a scenario in place of the deployment's traffic,
-// and returns each request's end besides the report. Options' Length and Scale have
-// no part in it. It fails when the scenario asks for what the deployment lacks.
+// RunScenario sends the requests of a scenario instead of the deployment's traffic and
+// returns each request's result besides the report. It ignores Length and Scale of the
+// options. It fails when the scenario names something that the deployment does not have.
 func RunScenario(ctx context.Context, options Options, of scenario.Scenario) (Report, []Result, error) {
 	kinds, err := Kinds(options.Deployment)
 	if err != nil {
 		return Report{}, nil, trace.Wrap(err)
 	}
-	if err := fitsDeployment(options, of, kinds); err != nil {
+	if err := checkDeployment(options, of, kinds); err != nil {
 		return Report{}, nil, trace.Wrap(err)
 	}
 	return run(ctx, options, planScenario(options, of, kinds, time.Now()))
 }
 
-// fitsDeployment checks that the scenario's kinds, tenants and zones are there.
-func fitsDeployment(options Options, of scenario.Scenario, kinds map[string]Kind) error {
+// checkDeployment checks that the deployment has the scenario's kinds, tenants and zones.
+func checkDeployment(options Options, of scenario.Scenario, kinds map[string]Kind) error {
 	for _, kind := range of.Kinds {
 		declared, found := kinds[kind.Name]
 		if !found {
@@ -48,26 +48,26 @@
 	return nil
 }
 
-// planScenario turns the scenario's arrivals into requests.
-func planScenario(options Options, of scenario.Scenario, kinds map[string]Kind, began time.Time) plan {
+// planScenario converts the scenario's arrivals into requests.
+func planScenario(options Options, of scenario.Scenario, kinds map[string]Kind, began time.Time) requestPlan {
 	drawn := of.Arrivals(options.Seed)
-	texts := newPrompts(runLabel(options.Seed, began))
-	planned := plan{kinds: kinds, arrivals: make([]arrival, len(drawn))}
+	texts := newPromptBuilder(runLabel(options.Seed, began))
+	planned := requestPlan{kinds: kinds, arrivals: make([]arrival, len(drawn))}
 	for index, next := range drawn {
-		planned.arrivals[index] = arrival{at: next.At, kind: next.Kind, number: next.Number}
+		planned.arrivals[index] = arrival{at: next.At, kind: next.Kind, index: next.Number}
 	}
 	planned.make = func(asked arrival) request {
-		return scenarioRequest(of, drawn[asked.number], asked, texts)
+		return scenarioRequest(of, drawn[asked.index], asked, texts)
 	}
 	return planned
 }
 
-func scenarioRequest(of scenario.Scenario, drawn scenario.Arrival, asked arrival, texts *prompts) request {
+func scenarioRequest(of scenario.Scenario, drawn scenario.Arrival, asked arrival, texts *promptBuilder) request {
 	kind := of.Kinds[drawn.Kind]
-	made := request{
+	built := request{
 		arrival: asked, kind: kind.Name, tenant: drawn.Tenant, zone: of.Zones[drawn.Zone].Name, deadline: kind.Deadline,
 	}
 	dossier := fmt.Sprintf("%s-%d-%d", kind.Name, drawn.Tenant, drawn.Subject)
-	made.chatBody(of.ModelName(kind), texts.text(dossier, drawn.SharedTokens, drawn.Number, drawn.PromptTokens), drawn.OutputTokens)
-	return made
+	built.setChat(of.ModelName(kind), texts.text(dossier, drawn.SharedTokens, drawn.Number, drawn.PromptTokens), drawn.OutputTokens)
+	return built
 }
--- a/internal/load/scenario_test.go
+++ b/internal/load/scenario_test.go
@@ -23,13 +23,13 @@
 	}
 }
 
-func TestScenarioRequestsAreThoseOfTheExperiment(t *testing.T) {
+func TestScenarioRequestsMatchTheExperiment(t *testing.T) {
 	of, err := scenario.Load(processScenario)
 	require.NoError(t, err)
 	options := scenarioOptions()
 	kinds, err := Kinds(options.Deployment)
 	require.NoError(t, err)
-	require.NoError(t, fitsDeployment(options, of, kinds))
+	require.NoError(t, checkDeployment(options, of, kinds))
 	planned := planScenario(options, of, kinds, time.Now())
 	drawn := of.Arrivals(options.Seed)
 	require.Len(t, planned.arrivals, len(drawn))
@@ -40,7 +40,7 @@
 		require.Equal(t, want.Tenant, made.tenant)
 		require.Equal(t, want.OutputTokens, made.outputTokens)
 		require.InDelta(t, want.PromptTokens, made.promptTokens, 10, "the chat's template adds a few tokens")
-		require.Equal(t, []string{options.Target.address(made)}, options.Target.gatewaysOf(of.Zones[want.Zone].Name))
+		require.Equal(t, []string{options.Target.addressFor(made)}, options.Target.gatewaysIn(of.Zones[want.Zone].Name))
 	}
 }
 
@@ -56,17 +56,17 @@
 		want   string
 	}{
 		{target, request{chat: true, zone: "south"}, "g2"},
-		{target, request{chat: true, arrival: arrival{number: 1}}, "g2"},
+		{target, request{chat: true, arrival: arrival{index: 1}}, "g2"},
 		{target, request{}, "g1"},
 		{direct, request{chat: true, zone: "south"}, "e1"},
 		{direct, request{zone: "south"}, "p1"},
 	} {
-		require.Equal(t, test.want, test.target.address(test.of))
+		require.Equal(t, test.want, test.target.addressFor(test.of))
 	}
 }
 
-func TestPromptsOfOneDossierBeginAlike(t *testing.T) {
-	texts := newPrompts(1)
+func TestPromptsOfOneDossierShareAPrefix(t *testing.T) {
+	texts := newPromptBuilder(1)
 	short, long := texts.text("d", 10, 1, 20), texts.text("d", 50, 2, 80)
 	again := texts.text("d", 10, 3, 20)
 	require.Equal(t, short[:40], long[:40])
@@ -92,7 +92,7 @@
 			of, err := scenario.Load(processScenario)
 			require.NoError(t, err)
 			row.change(&of)
-			require.ErrorContains(t, fitsDeployment(options, of, kinds), row.want)
+			require.ErrorContains(t, checkDeployment(options, of, kinds), row.want)
 		})
 	}
 }
--- a/internal/load/stream.go
+++ b/internal/load/stream.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// codeDeadline is the code of an error event that ends an answer at its deadline.
+	// codeDeadline is the code of the error event that ends an answer at its deadline.
 	codeDeadline = "deadline_exceeded"
 	streamBuffer = 16 << 10
 )
 
-// event is what the check reads of one event.
-type event struct {
+// streamEvent holds the fields of an event that the check reads.
+type streamEvent struct {
 	Choices []struct {
 		Delta struct {
 			Content string `json:"content"`
@@ -41,11 +41,11 @@
 	doneMarker = []byte("[DONE]")
 )
 
-// checkStream reads an event stream to its end and compares it with what the prompt
-// makes it: every token in order, the finish, the usage, the end.
+// checkStream reads an event stream to its end and compares it with the expected answer:
+// every token in order, the finish reason, the usage and the end marker.
 func (r *Result) checkStream(of request, body io.Reader, due time.Time, show io.Writer) {
 	reader := bufio.NewReaderSize(body, streamBuffer)
-	check := streamCheck{request: of, result: r, due: due, show: show}
+	check := streamCheck{request: of, result: r, due: due, echo: show}
 	for {
 		line, err := reader.ReadSlice('\n')
 		if err != nil {
@@ -58,30 +58,30 @@
 			continue
 		}
 		if bytes.Equal(data, doneMarker) {
-			check.end()
+			check.checkEnd()
 			return
 		}
-		if !check.add(data) {
+		if !check.checkEvent(data) {
 			return
 		}
 	}
 }
 
-// streamCheck is how far a stream has been checked.
+// streamCheck is the state of the check of one stream.
 type streamCheck struct {
-	request  request
-	result   *Result
-	due      time.Time
-	show     io.Writer
-	expected []byte // text of the next tokens, made one at a time
-	finished bool
-	usage    int
-	prompt   int
+	request           request
+	result            *Result
+	due               time.Time
+	echo              io.Writer
+	expected          []byte // text of the next token
+	finished          bool
+	usageOutputTokens int
+	usagePromptTokens int
 }
 
-// add checks one event; false ends the check with the result set.
-func (s *streamCheck) add(data []byte) bool {
-	var read event
+// checkEvent checks one event; it returns false when the result is final.
+func (s *streamCheck) checkEvent(data []byte) bool {
+	var read streamEvent
 	if err := json.Unmarshal(data, &read); err != nil {
 		return s.fail(Mixed, "an event isn't JSON: "+err.Error())
 	}
@@ -93,20 +93,20 @@
 		return s.fail(Cut, "error event: "+read.Error.Message)
 	}
 	if read.Usage != nil {
-		s.usage, s.prompt = read.Usage.CompletionTokens, read.Usage.PromptTokens
+		s.usageOutputTokens, s.usagePromptTokens = read.Usage.CompletionTokens, read.Usage.PromptTokens
 	}
 	for _, choice := range read.Choices {
 		if choice.FinishReason != nil {
 			s.finished = true
 		}
-		if !s.addText(choice.Delta.Content) {
+		if !s.checkText(choice.Delta.Content) {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *streamCheck) addText(text string) bool {
+func (s *streamCheck) checkText(text string) bool {
 	for len(text) > 0 {
 		if s.result.Tokens == 0 {
 			s.result.FirstByte = time.Since(s.due)
@@ -118,23 +118,23 @@
 		if len(text) < len(s.expected) || text[:len(s.expected)] != string(s.expected) {
 			return s.fail(Mixed, fmt.Sprintf("token %d is not this prompt's", s.result.Tokens))
 		}
-		_, _ = s.show.Write(s.expected) // what can't be shown is checked all the same
+		_, _ = s.echo.Write(s.expected) // a failed write does not affect the check
 		text = text[len(s.expected):]
 		s.result.Tokens++
 	}
 	return true
 }
 
-// end checks the whole at the end of the stream.
-func (s *streamCheck) end() {
+// checkEnd checks the answer at the end marker of the stream.
+func (s *streamCheck) checkEnd() {
 	var err error
 	switch {
 	case s.result.Tokens != s.request.outputTokens:
 		err = fmt.Errorf("ended in good order after %d of %d tokens", s.result.Tokens, s.request.outputTokens)
 	case !s.finished:
 		err = errors.New("no finish reason")
-	case s.usage != s.request.outputTokens || s.prompt != s.request.promptTokens:
-		err = fmt.Errorf("usage %d+%d in place of %d+%d", s.prompt, s.usage, s.request.promptTokens, s.request.outputTokens)
+	case s.usageOutputTokens != s.request.outputTokens || s.usagePromptTokens != s.request.promptTokens:
+		err = fmt.Errorf("usage %d+%d in place of %d+%d", s.usagePromptTokens, s.usageOutputTokens, s.request.promptTokens, s.request.outputTokens)
 	}
 	if err != nil {
 		s.fail(Mixed, err.Error())
--- a/internal/load/stream_test.go
+++ b/internal/load/stream_test.go
@@ -27,8 +27,8 @@
 	doneEvent   = "data: [DONE]\n\n"
 )
 
-// TestStreamCheck shows that the check of an answer sees each way to be not whole
-// or not one's own.
+// TestStreamCheck checks that each way in which a stream can be incomplete or belong to
+// another request is detected.
 func TestStreamCheck(t *testing.T) {
 	first, second := tokenEvent(hash, 0), tokenEvent(hash, 1)
 	tests := []struct {
@@ -40,7 +40,7 @@
 		{"no end", []string{first, second, finishEvent, usageEvent}, Cut},
 		{"cut after a token", []string{first}, Cut},
 		{"error event", []string{first, "data: {\"error\":{\"code\":\"engine_error\"}}\n\n"}, Cut},
-		{"deadline told too early", []string{first, "data: {\"error\":{\"code\":\"deadline_exceeded\"}}\n\n"}, Cut},
+		{"deadline error too early", []string{first, "data: {\"error\":{\"code\":\"deadline_exceeded\"}}\n\n"}, Cut},
 		{"a token missing", []string{second, finishEvent, usageEvent, doneEvent}, Mixed},
 		{"a token twice", []string{first, first, second, finishEvent, usageEvent, doneEvent}, Mixed},
 		{"another's token", []string{first, tokenEvent(hash+1, 1), finishEvent, usageEvent, doneEvent}, Mixed},
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestAuditFindsFalseVerdictsAndDoubles(t *testing.T) {
+func TestAuditFindsFalseVerdictsAndDoubleRuns(t *testing.T) {
 	ran := Executions{
 		prompts: map[string]engine.Run{"started": {Started: 1}, "prefilled": {Prefilled: 1}},
 		keys:    map[string]int{"once": 1, "twice": 2},
@@ -72,14 +72,14 @@
 	}{
 		{"true not run", Result{Prompt: "none", Verdict: verdict.NotRun.String()}, Audit{}},
 		{"false not run", Result{Prompt: "started", Verdict: verdict.NotRun.String()}, Audit{FalseNotRun: 1}},
-		{"not run, but read", Result{Prompt: "prefilled", Verdict: verdict.NotRun.String()}, Audit{FalseNotRun: 1}},
+		{"not run, but prefilled", Result{Prompt: "prefilled", Verdict: verdict.NotRun.String()}, Audit{FalseNotRun: 1}},
 		{"may have run", Result{Prompt: "started", Verdict: verdict.MayHaveRun.String()}, Audit{}},
 		{"false ran", Result{Key: "none", Verdict: verdict.Ran.String()}, Audit{FalseRan: 1}},
 		{"completed, but not run", Result{Key: "none", Outcome: Completed}, Audit{FalseRan: 1}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			found := audit([]Result{test.result}, ran)
+			found := auditResults([]Result{test.result}, ran)
 			require.Equal(t, 1, found.Doubled)
 			require.Equal(t, test.want.FalseNotRun, found.FalseNotRun)
 			require.Equal(t, test.want.FalseRan, found.FalseRan)
@@ -87,11 +87,11 @@
 	}
 }
 
-// TestAuditOfSendings shows that a key's refusal as not run is false when a sending before it
-// ran, and true when only a later one can have.
-func TestAuditOfSendings(t *testing.T) {
+// TestAuditOfAttempts checks that a key's verdict of not run is false when an earlier attempt
+// ran, and true when only a later one can have run.
+func TestAuditOfAttempts(t *testing.T) {
 	began := time.Unix(1000, 0)
-	sending := func(second int, outcome Outcome, told verdict.Verdict) Result {
+	attempt := func(second int, outcome Outcome, told verdict.Verdict) Result {
 		return Result{Key: "k", Outcome: outcome, Verdict: told.String(), Total: 500 * time.Millisecond, Ended: began.Add(time.Duration(second) * time.Second)}
 	}
 	lost := Result{Key: "k", Outcome: Lost, Total: 500 * time.Millisecond, Ended: began.Add(time.Second)}
@@ -101,16 +101,16 @@
 		runs    int
 		want    int
 	}{
-		{"refused, then completed", []Result{sending(1, Refused, verdict.NotRun), sending(2, Completed, verdict.Ran)}, 1, 0},
-		{"lost, then refused", []Result{lost, sending(2, Refused, verdict.NotRun)}, 1, 1},
-		{"lost and not run, then refused", []Result{lost, sending(2, Refused, verdict.NotRun)}, 0, 0},
-		{"completed, then refused", []Result{sending(1, Completed, verdict.Ran), sending(2, Refused, verdict.NotRun)}, 1, 1},
-		{"refused twice", []Result{sending(1, Refused, verdict.NotRun), sending(2, Refused, verdict.NotRun)}, 1, 2},
-		{"lost, then refused as may have run", []Result{lost, sending(2, Refused, verdict.MayHaveRun)}, 1, 0},
+		{"refused, then completed", []Result{attempt(1, Refused, verdict.NotRun), attempt(2, Completed, verdict.Ran)}, 1, 0},
+		{"lost, then refused", []Result{lost, attempt(2, Refused, verdict.NotRun)}, 1, 1},
+		{"lost and not run, then refused", []Result{lost, attempt(2, Refused, verdict.NotRun)}, 0, 0},
+		{"completed, then refused", []Result{attempt(1, Completed, verdict.Ran), attempt(2, Refused, verdict.NotRun)}, 1, 1},
+		{"refused twice", []Result{attempt(1, Refused, verdict.NotRun), attempt(2, Refused, verdict.NotRun)}, 1, 2},
+		{"lost, then refused as may have run", []Result{lost, attempt(2, Refused, verdict.MayHaveRun)}, 1, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			require.Equal(t, test.want, audit(test.results, Executions{keys: map[string]int{"k": test.runs}}).FalseNotRun)
+			require.Equal(t, test.want, auditResults(test.results, Executions{keys: map[string]int{"k": test.runs}}).FalseNotRun)
 		})
 	}
 }
--- a/internal/load/target.go
+++ b/internal/load/target.go
@@ -1,40 +1,40 @@
 package load
 
-// Target is where a run's requests go.
+// Target is the destination of a run's requests.
 type Target struct {
-	// Gateways are IP:ports; requests take them in turn.
+	// Gateways are IP:ports, used in turn.
 	Gateways []string
-	// GatewayZones are the gateways' zones, in their order; requests of a zone go to
-	// the gateways there.
+	// GatewayZones are the zones of Gateways, in the same order; requests of a zone go to its
+	// gateways.
 	GatewayZones []string
-	// Engines and Pages take their place in a direct run, without gateways.
+	// Engines and Pages are the destinations of a direct run, which has no gateways.
 	Engines []string
 	Pages   []string
 	// Keys are the tenants' API keys.
 	Keys []string
-	// SourceAddress is the IP that callers call from.
+	// SourceAddress is the source IP of the callers.
 	SourceAddress string
 }
 
-// Direct tells that the run goes past the gateways.
+// Direct reports whether the run bypasses the gateways.
 func (t Target) Direct() bool { return len(t.Gateways) == 0 }
 
-// address of the back end or gateway that takes a request.
-func (t Target) address(of request) string {
+// addressFor returns the address of the back end or gateway that a request is sent to.
+func (t Target) addressFor(of request) string {
 	var list []string
 	switch {
 	case !t.Direct():
-		list = t.gatewaysOf(of.zone)
+		list = t.gatewaysIn(of.zone)
 	case of.chat:
 		list = t.Engines
 	default:
 		list = t.Pages
 	}
-	return list[(of.arrival.number+of.detour)%len(list)]
+	return list[(of.arrival.index+of.gatewayOffset)%len(list)]
 }
 
-// gatewaysOf returns the gateways of a zone; of the empty zone all of them.
-func (t Target) gatewaysOf(zone string) []string {
+// gatewaysIn returns the gateways of a zone; all of them for the empty zone.
+func (t Target) gatewaysIn(zone string) []string {
 	if zone == "" {
 		return t.Gateways
 	}
--- a/internal/load/traffic.go
+++ b/internal/load/traffic.go
@@ -12,46 +12,46 @@
 	"github.com/hazelpitch/hazelpitch/internal/yamlfile"
 )
 
-// TrafficFile is the name of a deployment's traffic description.
+// TrafficFile is the file name of a deployment's traffic description.
 const TrafficFile = "load.yaml"
 
-// Traffic is what callers send to a deployment.
+// Traffic describes what callers send to a deployment.
 type Traffic struct {
 	Requests []RequestKind `yaml:"requests" check:"required"`
 }
 
-// RequestKind is the traffic of one kind of request; its worth and deadline come
-// from the deployment's declarations.
+// RequestKind describes the traffic of one kind of request; worth and deadline come from the
+// deployment's declarations.
 type RequestKind struct {
 	Kind string `yaml:"kind" check:"required"`
-	// Rate is the mean number of arrivals a second.
+	// Rate is the mean number of arrivals per second.
 	Rate float64 `yaml:"rate" check:"not-negative"`
-	// Swing makes the rate go up and down.
+	// Swing varies the rate periodically.
 	Swing Swing `yaml:"swing"`
-	// Chat is set for requests to engines, Page for all others.
+	// Exactly one of Chat and Page is set: Chat for requests to engines, Page for all others.
 	Chat *ChatTraffic `yaml:"chat"`
 	Page *PageTraffic `yaml:"page"`
 }
 
-// Swing is a periodic change of a rate: rate × (1 + amplitude × sin(2π(t/period + phase))).
+// Swing is a periodic variation of a rate: rate × (1 + amplitude × sin(2π(t/period + phase))).
 type Swing struct {
 	Amplitude float64       `yaml:"amplitude" check:"share"`
 	Period    time.Duration `yaml:"period" check:"not-negative"`
 	Phase     float64       `yaml:"phase"`
 }
 
-// ChatTraffic describes prompts and answers.
+// ChatTraffic describes the prompts and outputs of chat requests.
 type ChatTraffic struct {
 	Model        string `yaml:"model" check:"required"`
 	PromptTokens Range  `yaml:"prompt_tokens"`
 	OutputTokens Range  `yaml:"output_tokens"`
-	// Dossiers is the number of texts that prompts begin with; each prompt shares
-	// SharedShare of its tokens with the others of its dossier.
+	// Dossiers is the number of different shared texts; each prompt has SharedShare of its
+	// tokens as a prefix in common with the others of its dossier.
 	Dossiers    int     `yaml:"dossiers" check:"not-negative"`
 	SharedShare float64 `yaml:"shared_share" check:"share"`
 }
 
-// PageTraffic describes plain requests.
+// PageTraffic describes requests to page services.
 type PageTraffic struct {
 	Method string `yaml:"method" check:"required,one-of=GET|POST|PUT|DELETE"`
 	Path   string `yaml:"path" check:"required"`
@@ -59,18 +59,18 @@
 	BodyBytes int `yaml:"body_bytes" check:"not-negative"`
 	// Once gives each request an idempotency key: it may run at most once.
 	Once bool `yaml:"once"`
-	// ResendShare is the share of those requests that the caller sends twice.
+	// ResendShare is the share of requests with a key that the caller sends twice.
 	ResendShare float64 `yaml:"resend_share" check:"share"`
 }
 
-// Range is an inclusive range that values are drawn from evenly.
+// Range is an inclusive range with a uniform distribution.
 type Range struct {
 	Low  int `yaml:"low"`
 	High int `yaml:"high"`
 }
 
-// LoadTraffic reads and checks a deployment's traffic. The error holds
-// yamlfile.Problems, with file, line, key and cure, when the file is at fault.
+// LoadTraffic reads and checks a deployment's traffic. If the file is invalid, the error
+// holds yamlfile.Problems with file, line, key and remedy.
 func LoadTraffic(directory string) (Traffic, error) {
 	path := filepath.Join(directory, TrafficFile)
 	if _, err := os.Stat(path); err != nil {
@@ -85,8 +85,8 @@
 	return traffic, trace.Wrap(err)
 }
 
-// onceScaled multiplies the rates of kinds that run at most once.
-func (t Traffic) onceScaled(scale float64) Traffic {
+// scaleAtMostOnce multiplies the rates of kinds that run at most once; a scale of 0 changes nothing.
+func (t Traffic) scaleAtMostOnce(scale float64) Traffic {
 	if scale == 0 {
 		return t
 	}
@@ -99,7 +99,7 @@
 	return scaled
 }
 
-// check reports keys of a kind that are wrong together.
+// check reports keys of a kind that are invalid in combination.
 func (r RequestKind) check(document *yamlfile.Document, key string) {
 	if (r.Chat == nil) == (r.Page == nil) {
 		document.Report(key, "is neither chat nor page, or both", "give either chat or page")
--- a/internal/load/traffic_test.go
+++ b/internal/load/traffic_test.go
@@ -11,9 +11,9 @@
 
 const deployments = "../../deploy"
 
-func TestDeploymentsTrafficIsDeclaredAndDrawnFromTheSeedAlone(t *testing.T) {
+func TestTrafficIsDeclaredAndDeterministic(t *testing.T) {
 	for _, name := range []string{"rawabi", "empleandes"} {
-		traffic, kinds, err := describe(filepath.Join(deployments, name))
+		traffic, kinds, err := loadDescription(filepath.Join(deployments, name))
 		require.NoError(t, err)
 		require.Len(t, traffic.Requests, 5)
 		once := 0
@@ -25,17 +25,17 @@
 		}
 		require.Equal(t, 1, once)
 
-		arrivals := draw(traffic, time.Minute, 1, 7)
-		require.Equal(t, arrivals, draw(traffic, time.Minute, 1, 7))
-		require.NotEqual(t, arrivals, draw(traffic, time.Minute, 1, 8))
-		require.InDelta(t, 2*len(arrivals), len(draw(traffic, time.Minute, 2, 7)), 0.2*float64(len(arrivals)))
+		arrivals := drawArrivals(traffic, time.Minute, 1, 7)
+		require.Equal(t, arrivals, drawArrivals(traffic, time.Minute, 1, 7))
+		require.NotEqual(t, arrivals, drawArrivals(traffic, time.Minute, 1, 8))
+		require.InDelta(t, 2*len(arrivals), len(drawArrivals(traffic, time.Minute, 2, 7)), 0.2*float64(len(arrivals)))
 		for index := 1; index < len(arrivals); index++ {
 			require.LessOrEqual(t, arrivals[index-1].at, arrivals[index].at)
 		}
 	}
 }
 
-func TestSwingsTurnTheMix(t *testing.T) {
+func TestSwingsShiftTheMix(t *testing.T) {
 	traffic, err := LoadTraffic(filepath.Join(deployments, "rawabi"))
 	require.NoError(t, err)
 	quarter := traffic.Requests[0].Swing.Period / 4
@@ -44,7 +44,7 @@
 	require.Less(t, question.rateAt(quarter), question.rateAt(3*quarter))
 }
 
-func TestBadTraffic(t *testing.T) {
+func TestInvalidTraffic(t *testing.T) {
 	for _, text := range []string{
 		"requests: [{kind: a}]",
 		"requests: [{kind: a, rate: -1, page: {path: /}}]",
