--- a/internal/leaderloss/changes.go
+++ b/internal/leaderloss/changes.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// markerName is the declared object that changes all the time; nothing uses it.
-	markerName = "leader-loss-marker"
+	// markerModel is a declared model that no request uses and that is changed throughout the run.
+	markerModel = "leader-loss-marker"
 	// changePause is the time between two changes.
 	changePause = 50 * time.Millisecond
 )
 
-// acceptedChange is one change of the marker that was accepted.
+// acceptedChange is one change of the marker that a quorum accepted.
 type acceptedChange struct {
 	accepted time.Time
 	number   uint64
@@ -28,22 +28,22 @@
 	version  string
 }
 
-// changes submits changes of the marker, each by two operators at once with equal
+// markerChanges submits changes of the marker, each from two operators at once with equal
 // change numbers. It is safe for concurrent use.
-type changes struct {
+type markerChanges struct {
 	operator *fleet.Operator
 	recorder *recorder
 
-	mutex    sync.Mutex
-	number   uint64
-	accepted []acceptedChange
+	mutex      sync.Mutex
+	lastNumber uint64
+	accepted   []acceptedChange
 }
 
-// run submits one change after the other until the context ends. A change that has
-// begun gets its answer: one given up may still be accepted, unseen by the checks.
-func (c *changes) run(ctx context.Context) error {
+// run submits pairs of changes until the context ends. It always waits for the answers to a
+// submitted pair: an abandoned change could be accepted without being checked.
+func (c *markerChanges) run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if err := c.race(context.WithoutCancel(ctx)); err != nil {
+		if err := c.submitPair(context.WithoutCancel(ctx)); err != nil {
 			return trace.Wrap(err)
 		}
 		sleep(ctx, changePause)
@@ -51,9 +51,9 @@
 	return nil
 }
 
-// race submits two changes with equal numbers: exactly one must win, and the other
-// must learn which.
-func (c *changes) race(ctx context.Context) error {
+// submitPair submits two changes with equal numbers: exactly one must be accepted, and the
+// answer to the other must name the accepted one.
+func (c *markerChanges) submitPair(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	number := c.nextNumber()
@@ -78,12 +78,12 @@
 	if one.answer.GetOutcome() != v1.ApplyOutcome_APPLY_OUTCOME_ACCEPTED {
 		one, other = other, one
 	}
-	c.recorder.checked(conditionNumbers, numbersFinding(number, one.answer, other.answer))
-	c.add(acceptedChange{accepted: one.answered, number: number, revision: one.answer.GetRevision(), version: one.version})
+	c.recorder.addCheck(conditionNumbers, numbersFinding(number, one.answer, other.answer))
+	c.addAccepted(acceptedChange{accepted: one.answered, number: number, revision: one.answer.GetRevision(), version: one.version})
 	return nil
 }
 
-// numbersFinding compares the answers to two submissions with equal numbers.
+// numbersFinding compares the answers to two submissions with equal numbers; "" is no finding.
 func numbersFinding(number uint64, won, lost *v1.ApplyResponse) string {
 	switch {
 	case won.GetOutcome() != v1.ApplyOutcome_APPLY_OUTCOME_ACCEPTED:
@@ -96,36 +96,36 @@
 	return ""
 }
 
-func (c *changes) submit(ctx context.Context, number uint64, version string) (*v1.ApplyResponse, error) {
-	text := fmt.Sprintf("model %s { version = %q }\n", markerName, version)
+func (c *markerChanges) submit(ctx context.Context, number uint64, version string) (*v1.ApplyResponse, error) {
+	text := fmt.Sprintf("model %s { version = %q }\n", markerModel, version)
 	return c.operator.Submit(ctx, &v1.ApplyRequest{
 		RequestId: uuid.NewString(), ChangeNumber: number,
 		Files: []*v1.SourceFile{{Name: "marker.hzl", Text: text}},
 	})
 }
 
-func (c *changes) nextNumber() uint64 {
+func (c *markerChanges) nextNumber() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.number++
-	return c.number
+	c.lastNumber++
+	return c.lastNumber
 }
 
-func (c *changes) add(change acceptedChange) {
+func (c *markerChanges) addAccepted(change acceptedChange) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.accepted = append(c.accepted, change)
 }
 
 // all returns the accepted changes so far.
-func (c *changes) all() []acceptedChange {
+func (c *markerChanges) all() []acceptedChange {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return append([]acceptedChange(nil), c.accepted...)
 }
 
-// last is the highest revision that an accepted change got so far.
-func (c *changes) last() uint64 {
+// highestRevision returns the highest revision of the accepted changes so far.
+func (c *markerChanges) highestRevision() uint64 {
 	var highest uint64
 	for _, change := range c.all() {
 		highest = max(highest, change.revision)
@@ -133,8 +133,8 @@
 	return highest
 }
 
-// acceptedAfter returns when a change was first accepted after a time.
-func (c *changes) acceptedAfter(after time.Time) (time.Time, bool) {
+// acceptedAfter returns when the first change was accepted after a given time.
+func (c *markerChanges) acceptedAfter(after time.Time) (time.Time, bool) {
 	for _, change := range c.all() {
 		if change.accepted.After(after) {
 			return change.accepted, true
--- a/internal/leaderloss/conclude.go
+++ b/internal/leaderloss/conclude.go
@@ -10,15 +10,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/engine"
 )
 
-// conclude checks what can be checked at the end only and fills in the report.
+// conclude runs the checks that need the complete run and fills in the report.
 func (r *run) conclude(ctx context.Context, report *Report) error {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	accepted := r.changes.all()
-	if err := r.checkKept(ctx, accepted); err != nil {
+	if err := r.checkAcceptedChanges(ctx, accepted); err != nil {
 		return trace.Wrap(err)
 	}
-	r.measureInForce(accepted)
+	r.measureApplied(accepted)
 	for _, ordered := range r.fleet.StandIns.Engines {
 		if err := r.checkOrders(ctx, ordered); err != nil {
 			return trace.Wrap(err)
@@ -30,9 +30,9 @@
 	return nil
 }
 
-// checkKept demands that every accepted change is among the revisions, with its
-// number, and that the marker holds what the last of them said.
-func (r *run) checkKept(ctx context.Context, accepted []acceptedChange) error {
+// checkAcceptedChanges checks that every accepted change is among the revisions with its
+// number, and that the marker has the version of the last one.
+func (r *run) checkAcceptedChanges(ctx context.Context, accepted []acceptedChange) error {
 	answer, err := r.operator.Execute(ctx, "show revisions")
 	if err != nil {
 		return trace.Wrap(err)
@@ -48,7 +48,7 @@
 		if kept := numbers[fmt.Sprint(change.revision)]; kept != fmt.Sprint(change.number) {
 			finding = fmt.Sprintf("change %d was accepted as revision %d, which now is change %q", change.number, change.revision, kept)
 		}
-		r.recorder.checked(conditionKept, finding)
+		r.recorder.addCheck(conditionKept, finding)
 		if change.revision > last.revision {
 			last = change
 		}
@@ -57,7 +57,7 @@
 }
 
 func (r *run) checkMarker(ctx context.Context, last acceptedChange) error {
-	answer, err := r.operator.Execute(ctx, fmt.Sprintf("show models where name = %s", markerName))
+	answer, err := r.operator.Execute(ctx, fmt.Sprintf("show models where name = %s", markerModel))
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -69,30 +69,30 @@
 			finding = fmt.Sprintf("revision %d was accepted last and made the marker %q; it is %q", last.revision, last.version, found)
 		}
 	}
-	r.recorder.checked(conditionKept, finding)
+	r.recorder.addCheck(conditionKept, finding)
 	return nil
 }
 
-// measureInForce measures for each change how long it took until every gateway had
-// it in force. The last ones are left out when the run ended before.
-func (r *run) measureInForce(accepted []acceptedChange) {
+// measureApplied measures for each change how long it took until every gateway had applied
+// it. It omits changes that some gateway had not applied when the run ended.
+func (r *run) measureApplied(accepted []acceptedChange) {
 	for _, change := range accepted {
 		slowest := change.accepted
 		everywhere := true
-		for _, gateway := range r.inForce {
-			at, reached := gateway.reached(change.revision)
+		for _, gateway := range r.gatewayRevisions {
+			at, reached := gateway.firstReached(change.revision)
 			everywhere = everywhere && reached
 			if at.After(slowest) {
 				slowest = at
 			}
 		}
 		if everywhere {
-			r.recorder.measured(acceptedInForce, slowest.Sub(change.accepted))
+			r.recorder.addMeasurement(acceptedToApplied, slowest.Sub(change.accepted))
 		}
 	}
 }
 
-// checkOrders compares what an engine accepted with the log.
+// checkOrders compares the orders that an engine accepted with the replicated log.
 func (r *run) checkOrders(ctx context.Context, ordered *engine.Engine) error {
 	answer, err := r.operator.Execute(ctx, "show orders of engine "+ordered.Name())
 	if err != nil {
@@ -109,7 +109,7 @@
 	}
 	var before engine.AcceptedOrder
 	for _, accepted := range ordered.AcceptedOrders() {
-		r.recorder.checked(conditionOrders, conflict(before, accepted, logged))
+		r.recorder.addCheck(conditionOrders, conflictFinding(before, accepted, logged))
 		before = accepted
 	}
 	return nil
--- a/internal/leaderloss/conflicts.go
+++ b/internal/leaderloss/conflicts.go
@@ -7,10 +7,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/engine"
 )
 
-// conflict compares one order that an engine accepted with the one it accepted
-// before and with the log; it returns what is wrong, or "". logged holds the fences
-// of the engine's orders in the replicated log.
-func conflict(before, accepted engine.AcceptedOrder, logged map[enginecontract.Fence]bool) string {
+// conflictFinding compares one order that an engine accepted with its previous accepted
+// order and with the replicated log. It returns a finding, or "" if there is no conflict.
+// logged holds the fences of the engine's orders in the log.
+func conflictFinding(before, accepted engine.AcceptedOrder, logged map[enginecontract.Fence]bool) string {
 	order, state := accepted.Order, accepted.Before
 	abort := order.Action == enginecontract.ActionAbort
 	underWay := state.OrderPhase == enginecontract.PhaseDraining || state.OrderPhase == enginecontract.PhaseChanging
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("%d/%d", fence.Epoch, fence.Sequence)
 }
 
-// parseFence reads a fence as the language writes it.
+// parseFence parses a fence in the form of the operator language.
 func parseFence(text string) (enginecontract.Fence, error) {
 	var fence enginecontract.Fence
 	_, err := fmt.Sscanf(text, "%d/%d", &fence.Epoch, &fence.Sequence)
--- a/internal/leaderloss/conflicts_test.go
+++ b/internal/leaderloss/conflicts_test.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/engine"
 )
 
-func TestConflictsAreFound(t *testing.T) {
+func TestConflictFinding(t *testing.T) {
 	fence := func(epoch, sequence uint64) enginecontract.Fence {
 		return enginecontract.Fence{Epoch: epoch, Sequence: sequence}
 	}
@@ -38,7 +38,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			found := conflict(before, test.accepted, logged)
+			found := conflictFinding(before, test.accepted, logged)
 			if test.finding == "" {
 				require.Empty(t, found)
 				return
--- a/internal/leaderloss/doc.go
+++ b/internal/leaderloss/doc.go
@@ -1,6 +1,6 @@
-// Package leaderloss loses leaders of a running fleet of real processes while
-// requests, configuration changes and role changes go on, checks that no condition
-// of the control plane breaks, and measures how long each loss is felt.
+// Package leaderloss stops leaders of a running fleet of real processes while requests,
+// configuration changes and role changes continue. It checks that no condition of the
+// control plane is violated and measures how long each loss affects the fleet.
 //
-// Only processes that the fleet started get signals.
+// It sends signals only to processes that the fleet started.
 package leaderloss
--- a/internal/leaderloss/findings_test.go
+++ b/internal/leaderloss/findings_test.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/load"
 )
 
-func TestEqualNumbersAreJudged(t *testing.T) {
+func TestNumbersFinding(t *testing.T) {
 	const (
 		accepted  = v1.ApplyOutcome_APPLY_OUTCOME_ACCEPTED
 		taken     = v1.ApplyOutcome_APPLY_OUTCOME_NUMBER_TAKEN
@@ -23,8 +23,8 @@
 		{"one wins", &v1.ApplyResponse{Outcome: accepted, Revision: 4}, &v1.ApplyResponse{Outcome: taken, WinnerRevision: 4}, ""},
 		{"both win", &v1.ApplyResponse{Outcome: accepted, Revision: 4}, &v1.ApplyResponse{Outcome: accepted, Revision: 5}, "the other APPLY_OUTCOME_ACCEPTED"},
 		{"nobody wins", &v1.ApplyResponse{Outcome: taken}, &v1.ApplyResponse{Outcome: taken}, "nobody won"},
-		{"the loser learns another winner", &v1.ApplyResponse{Outcome: accepted, Revision: 4}, &v1.ApplyResponse{Outcome: taken, WinnerRevision: 3}, "was told 3"},
-		{"the loser learns nothing", &v1.ApplyResponse{Outcome: accepted, Revision: 4}, &v1.ApplyResponse{Outcome: unchanged}, "UNCHANGED"},
+		{"loser is told another winner", &v1.ApplyResponse{Outcome: accepted, Revision: 4}, &v1.ApplyResponse{Outcome: taken, WinnerRevision: 3}, "was told 3"},
+		{"loser is told no winner", &v1.ApplyResponse{Outcome: accepted, Revision: 4}, &v1.ApplyResponse{Outcome: unchanged}, "UNCHANGED"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -38,45 +38,45 @@
 	}
 }
 
-func TestRevisionsThatFallAreFound(t *testing.T) {
-	seen := &revisions{}
-	require.Empty(t, seen.take("gateway", 0))
-	require.Empty(t, seen.take("gateway", 3))
-	require.Empty(t, seen.take("gateway", 3))
-	require.Contains(t, seen.take("gateway", 2), "had revision 3 in force and went back to 2")
-	_, reached := seen.reached(3)
+func TestDecreasingRevisionIsFound(t *testing.T) {
+	seen := &revisionHistory{}
+	require.Empty(t, seen.addReading("gateway", 0))
+	require.Empty(t, seen.addReading("gateway", 3))
+	require.Empty(t, seen.addReading("gateway", 3))
+	require.Contains(t, seen.addReading("gateway", 2), "had revision 3 in force and went back to 2")
+	_, reached := seen.firstReached(3)
 	require.True(t, reached)
-	_, reached = seen.reached(4)
+	_, reached = seen.firstReached(4)
 	require.False(t, reached)
 }
 
 func TestReplacedMembers(t *testing.T) {
-	before := members{{"a-1", "x:1", partLeader}, {"b-1", "x:2", "voter"}}
+	before := quorumMembers{{"a-1", "x:1", roleLeader}, {"b-1", "x:2", "voter"}}
 	tests := []struct {
 		name     string
-		present  members
+		present  quorumMembers
 		replaced bool
 	}{
 		{"old disk", before, false},
-		{"learner", members{{"a-1", "x:1", partLeader}, {"b-2", "x:2", partLearner}}, false},
-		{"both disks", members{{"b-1", "x:2", "voter"}, {"b-2", "x:2", "voter"}}, false},
-		{"new disk", members{{"a-1", "x:1", partLeader}, {"b-2", "x:2", "voter"}}, true},
+		{"learner", quorumMembers{{"a-1", "x:1", roleLeader}, {"b-2", "x:2", roleLearner}}, false},
+		{"both disks", quorumMembers{{"b-1", "x:2", "voter"}, {"b-2", "x:2", "voter"}}, false},
+		{"new disk", quorumMembers{{"a-1", "x:1", roleLeader}, {"b-2", "x:2", "voter"}}, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			require.Equal(t, test.replaced, test.present.replaced(before, "x:2"))
+			require.Equal(t, test.replaced, test.present.hasReplaced(before, "x:2"))
 		})
 	}
 }
 
-func TestReportFailsOnWhatBrokeOrWasNotChecked(t *testing.T) {
+func TestReportFailsOnBrokenOrUncheckedConditions(t *testing.T) {
 	checked := func(findings ...string) Report {
 		recorder := newRecorder()
 		for _, name := range []string{conditionOrders, conditionRevert, conditionNumbers, conditionKept} {
-			recorder.checked(name, "")
+			recorder.addCheck(name, "")
 		}
 		for _, finding := range findings {
-			recorder.checked(conditionKept, finding)
+			recorder.addCheck(conditionKept, finding)
 		}
 		report := Report{}
 		recorder.fill(&report)
--- a/internal/leaderloss/members.go
+++ b/internal/leaderloss/members.go
@@ -8,42 +8,42 @@
 	"github.com/hazelpitch/hazelpitch/internal/fleet"
 )
 
-// member is one row of `show members`.
-type member struct{ id, address, part string }
+// quorumMember is one row of `show members`.
+type quorumMember struct{ id, address, role string }
 
-// members are the controllers of the quorum.
-type members []member
+// quorumMembers are the members of the quorum, learners included.
+type quorumMembers []quorumMember
 
 // Columns of `show members`.
 const (
 	columnID      = 0
 	columnAddress = 1
-	columnPart    = 3
+	columnRole    = 3
 )
 
-// Parts that a member plays.
+// Roles of members, as `show members` names them.
 const (
-	partLeader  = "leader"
-	partLearner = "learner"
+	roleLeader  = "leader"
+	roleLearner = "learner"
 )
 
-// members asks the leader who is in the quorum.
-func (r *run) members(ctx context.Context) (members, error) {
+// members queries the members of the quorum.
+func (r *run) members(ctx context.Context) (quorumMembers, error) {
 	answer, err := r.operator.Execute(ctx, "show members")
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	var found members
+	var found quorumMembers
 	for _, row := range answer.GetRows() {
 		cells := row.GetCells()
-		found = append(found, member{id: cells[columnID], address: cells[columnAddress], part: cells[columnPart]})
+		found = append(found, quorumMember{id: cells[columnID], address: cells[columnAddress], role: cells[columnRole]})
 	}
 	return found, nil
 }
 
-// replaced reports whether exactly one member is at an address, with a vote, and on
-// a disk that was no member before.
-func (m members) replaced(before members, address string) bool {
+// hasReplaced reports whether exactly one member has an address, has a vote, and has a
+// member ID that did not exist before.
+func (m quorumMembers) hasReplaced(before quorumMembers, address string) bool {
 	known := make(map[string]bool)
 	for _, present := range before {
 		known[present.id] = true
@@ -52,20 +52,20 @@
 	for _, present := range m {
 		if present.address == address {
 			at++
-			replaced = present.part != partLearner && !known[present.id]
+			replaced = present.role != roleLearner && !known[present.id]
 		}
 	}
 	return at == 1 && replaced
 }
 
-// leader returns the process that leads.
+// leader returns the controller process that leads.
 func (r *run) leader(ctx context.Context) (*fleet.Process, error) {
-	return r.controller(ctx, func(part string) bool { return part == partLeader })
+	return r.controller(ctx, func(part string) bool { return part == roleLeader })
 }
 
-// follower returns a process that has a vote and does not lead.
+// follower returns a controller process that has a vote and does not lead.
 func (r *run) follower(ctx context.Context) (*fleet.Process, error) {
-	return r.controller(ctx, func(part string) bool { return part != partLeader && part != partLearner })
+	return r.controller(ctx, func(part string) bool { return part != roleLeader && part != roleLearner })
 }
 
 func (r *run) controller(ctx context.Context, plays func(part string) bool) (*fleet.Process, error) {
@@ -75,7 +75,7 @@
 	}
 	for _, wanted := range present {
 		for _, process := range r.controllers {
-			if process.Listen == wanted.address && process.Running() && plays(wanted.part) {
+			if process.Listen == wanted.address && process.Running() && plays(wanted.role) {
 				return process, nil
 			}
 		}
--- a/internal/leaderloss/options.go
+++ b/internal/leaderloss/options.go
@@ -8,21 +8,21 @@
 	"github.com/hazelpitch/hazelpitch/internal/load"
 )
 
-// Options are what a run is started with.
+// Options configure a run.
 type Options struct {
-	// Fleet is booted, with its declarations in force.
+	// Fleet is running, and its declarations have been applied.
 	Fleet *fleet.Fleet
-	// Load is sent from before the first fault until after the last; its length is
-	// the longest that a run may take.
+	// Load is sent from before the first fault until after the last; its length is the
+	// maximum length of the run.
 	Load load.Options
-	// Rounds is how often each fault is repeated.
+	// Rounds is how often the sequence of faults is repeated.
 	Rounds int
 	// MissedChanges is the number of changes that a controller misses before it restarts.
 	MissedChanges int
-	// LeaderPause is how long a leader is stopped; it must exceed the lease and the election.
+	// LeaderPause is how long a leader is suspended; it must exceed the lease and an election.
 	LeaderPause time.Duration
-	// OrderedEngines is the number of engines whose roles are changed all the time.
+	// OrderedEngines is the number of engines whose roles are changed throughout the run.
 	OrderedEngines int
-	// Progress gets a line for each fault.
+	// Progress receives a line for each fault.
 	Progress io.Writer
 }
--- a/internal/leaderloss/orders.go
+++ b/internal/leaderloss/orders.go
@@ -11,46 +11,46 @@
 )
 
 const (
-	// orderPause is the time between two tries to change the role of one engine.
-	orderPause = 100 * time.Millisecond
-	// orderPatience ends one try, with its resends.
-	orderPatience = time.Second
+	// roleChangePause is the time between two attempts to change the role of one engine.
+	roleChangePause = 100 * time.Millisecond
+	// roleChangeTimeout limits one attempt with its retries.
+	roleChangeTimeout = time.Second
 )
 
-// orders gives orders to change roles, as an operator does.
-type orders struct{ operator *fleet.Operator }
+// roleChanger requests role changes as an operator does.
+type roleChanger struct{ operator *fleet.Operator }
 
-// run changes one engine's role to and fro until the context ends. A refusal, as one
-// by the bound on engines out, is tried again.
-func (o *orders) run(ctx context.Context, changed *engine.Engine) {
+// run alternates one engine's role until the context ends. A refused change, such as one
+// beyond the bound on engines out of service, is attempted again.
+func (o *roleChanger) run(ctx context.Context, changed *engine.Engine) {
 	for ctx.Err() == nil {
 		o.change(ctx, changed)
-		sleep(ctx, orderPause)
+		sleep(ctx, roleChangePause)
 	}
 }
 
-// change tries to change the role of an engine that serves. What became of it shows
-// at the engine.
-func (o *orders) change(ctx context.Context, changed *engine.Engine) {
+// change requests a role change of an engine that is serving. It ignores the answer: the
+// engine's own state shows the result.
+func (o *roleChanger) change(ctx context.Context, changed *engine.Engine) {
 	state, running := changed.State()
 	if !running || state.State != enginecontract.StateServing {
 		return
 	}
-	try, cancel := context.WithTimeout(ctx, orderPatience)
+	try, cancel := context.WithTimeout(ctx, roleChangeTimeout)
 	defer cancel()
-	_, _ = o.operator.Execute(try, fmt.Sprintf("set role of engine %s to %s", changed.Name(), otherRole(state.Role)))
+	_, _ = o.operator.Execute(try, fmt.Sprintf("set role of engine %s to %s", changed.Name(), nextRole(state.Role)))
 }
 
-// otherRole is the role that an engine is changed to.
-func otherRole(role enginecontract.Role) enginecontract.Role {
+// nextRole returns the role that an engine is changed to.
+func nextRole(role enginecontract.Role) enginecontract.Role {
 	if role == enginecontract.RoleMixed {
 		return enginecontract.RoleDecode
 	}
 	return enginecontract.RoleMixed
 }
 
-// chooseEngines returns the engines whose roles are changed: mixed ones, so that no
-// bound on the other roles is in the way.
+// chooseEngines returns the engines whose roles are changed. They are mixed ones, so that
+// the bounds on the other roles do not prevent a change.
 func chooseEngines(all []*engine.Engine, count int) []*engine.Engine {
 	var chosen []*engine.Engine
 	for _, present := range all {
@@ -62,8 +62,8 @@
 	return chosen
 }
 
-// underWay reports whether an engine carries out an order now.
-func underWay(engines []*engine.Engine) bool {
+// anyOrderInProgress reports whether an engine is carrying out an order.
+func anyOrderInProgress(engines []*engine.Engine) bool {
 	for _, present := range engines {
 		state, running := present.State()
 		if running && (state.OrderPhase == enginecontract.PhaseDraining || state.OrderPhase == enginecontract.PhaseChanging) {
@@ -73,7 +73,7 @@
 	return false
 }
 
-// highestEpoch is the highest epoch that any engine has seen.
+// highestEpoch returns the highest epoch in the fences of the engines.
 func highestEpoch(engines []*engine.Engine) uint64 {
 	var highest uint64
 	for _, present := range engines {
@@ -83,8 +83,8 @@
 	return highest
 }
 
-// fencedAbove reports whether every engine has seen an epoch above the given one.
-func fencedAbove(engines []*engine.Engine, epoch uint64) bool {
+// allFencedAbove reports whether every running engine has a fence of an epoch above the given one.
+func allFencedAbove(engines []*engine.Engine, epoch uint64) bool {
 	for _, present := range engines {
 		if state, running := present.State(); running && state.HighestFence.Epoch <= epoch {
 			return false
@@ -93,9 +93,9 @@
 	return true
 }
 
-// orderAbove returns when an engine first accepted an order of an epoch above the
-// given one.
-func orderAbove(ordered *engine.Engine, epoch uint64) (time.Time, bool) {
+// firstOrderAbove returns when an engine first accepted an order of an epoch above the given
+// one.
+func firstOrderAbove(ordered *engine.Engine, epoch uint64) (time.Time, bool) {
 	for _, accepted := range ordered.AcceptedOrders() {
 		if accepted.Order.Fence.Epoch > epoch {
 			return accepted.At, true
@@ -104,8 +104,8 @@
 	return time.Time{}, false
 }
 
-// serves reports whether an engine takes new work and holds no order.
-func serves(present *engine.Engine) bool {
+// isServing reports whether an engine accepts new work, and thus carries out no order.
+func isServing(present *engine.Engine) bool {
 	state, running := present.State()
 	return running && state.State == enginecontract.StateServing
 }
--- a/internal/leaderloss/report.go
+++ b/internal/leaderloss/report.go
@@ -13,17 +13,17 @@
 	"github.com/hazelpitch/hazelpitch/internal/load"
 )
 
-// Names of measurements.
+// Names of the measurements.
 const (
-	lossToChange    = "leader loss to next accepted change"
-	lossToFence     = "leader loss to the next fence at every engine"
-	lossToOrder     = "leader loss to next engine order"
-	acceptedInForce = "change accepted to in force at the slowest gateway"
-	restartMissed   = "restart to caught up after missed changes"
-	diskToVoter     = "start on a new disk to a vote"
+	lossToChange      = "leader loss to next accepted change"
+	lossToFence       = "leader loss to the next fence at every engine"
+	lossToOrder       = "leader loss to next engine order"
+	acceptedToApplied = "change accepted to in force at the slowest gateway"
+	restartToCaughtUp = "restart to caught up after missed changes"
+	newDiskToVote     = "start on a new disk to a vote"
 )
 
-// Names of conditions.
+// Names of the conditions.
 const (
 	conditionOrders  = "engines hold no conflicting orders"
 	conditionRevert  = "configuration never reverts"
@@ -31,10 +31,10 @@
 	conditionKept    = "accepted changes are kept"
 )
 
-// maxFindings bounds the findings that are spelled out for each condition.
+// maxFindings limits the findings that are listed for each condition.
 const maxFindings = 10
 
-// Report is what a run measured and found.
+// Report is the result of a run.
 type Report struct {
 	Faults       []string      `json:"faults"`
 	Changes      int           `json:"accepted_changes"`
@@ -44,17 +44,17 @@
 	Load         load.Report   `json:"load"`
 }
 
-// Measurement is one time, measured several times, in milliseconds.
+// Measurement summarizes one duration, measured repeatedly, in milliseconds.
 type Measurement struct {
 	Name    string  `json:"name"`
 	Count   int     `json:"count"`
 	Median  float64 `json:"median_ms"`
 	Highest float64 `json:"highest_ms"`
-	// Values are all of them when there are few.
+	// Values lists all values if there are at most maxValues.
 	Values []float64 `json:"values_ms,omitempty"`
 }
 
-// Condition is one promise and what was found against it.
+// Condition is one guarantee of the control plane and the violations that were found.
 type Condition struct {
 	Name     string   `json:"name"`
 	Checked  int      `json:"checked"`
@@ -62,10 +62,10 @@
 	Findings []string `json:"findings,omitempty"`
 }
 
-// maxValues bounds the values that a Measurement lists.
+// maxValues limits the values that a Measurement lists.
 const maxValues = 32
 
-// recorder collects what the duties of a run measure and find. It is safe for
+// recorder collects the measurements and findings of a run's tasks. It is safe for
 // concurrent use.
 type recorder struct {
 	mutex      sync.Mutex
@@ -77,15 +77,15 @@
 	return &recorder{times: make(map[string][]time.Duration), conditions: make(map[string]*Condition)}
 }
 
-// measured adds one time.
-func (r *recorder) measured(name string, took time.Duration) {
+// addMeasurement adds one duration.
+func (r *recorder) addMeasurement(name string, took time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.times[name] = append(r.times[name], took)
 }
 
-// checked counts one check of a condition; a finding that is not empty breaks it.
-func (r *recorder) checked(name, finding string) {
+// addCheck counts one check of a condition; a non-empty finding is a violation.
+func (r *recorder) addCheck(name, finding string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	condition := r.conditions[name]
@@ -103,11 +103,11 @@
 	}
 }
 
-// fill copies what was collected into a report, in a fixed order.
+// fill copies the collected results into a report, in a fixed order.
 func (r *recorder) fill(report *Report) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, name := range []string{lossToChange, lossToFence, lossToOrder, acceptedInForce, diskToVoter, restartMissed} {
+	for _, name := range []string{lossToChange, lossToFence, lossToOrder, acceptedToApplied, newDiskToVote, restartToCaughtUp} {
 		if times := r.times[name]; len(times) > 0 {
 			report.Measurements = append(report.Measurements, summarize(name, times))
 		}
@@ -138,8 +138,8 @@
 	return float64(took.Round(time.Millisecond).Milliseconds())
 }
 
-// Failed returns an error when a condition broke, was never checked, or the load
-// found a request cut, mixed, lost, run twice or with a false verdict.
+// Failed returns an error when a condition was violated or never checked, or when the load
+// report failed.
 func (r Report) Failed() error {
 	var failures []error
 	for _, condition := range r.Conditions {
@@ -156,7 +156,7 @@
 	return trace.NewAggregate(failures...)
 }
 
-// Write prints the report as tables, the load's own first.
+// Write prints the load report and then this report as tables.
 func (r Report) Write(out io.Writer) {
 	r.Load.Write(out)
 	times := newTable(out, "measured", "times", "median ms", "highest ms")
--- a/internal/leaderloss/revisions.go
+++ b/internal/leaderloss/revisions.go
@@ -17,38 +17,38 @@
 	"github.com/hazelpitch/hazelpitch/internal/metrics"
 )
 
-// revisionPoll is the time between two looks at a process's revision: what the
-// measured times are exact to.
+// revisionPoll is the time between two reads of a process's revision and thus the resolution
+// of the measured times.
 const revisionPoll = 20 * time.Millisecond
 
-// revisionTimeout ends a look at a process that does not answer.
+// revisionTimeout limits one read of a process's revision.
 const revisionTimeout = time.Second
 
-// reading is the time at which a revision was first seen at one process.
-type reading struct {
+// revisionReading is the time at which a process first reported a revision.
+type revisionReading struct {
 	at       time.Time
 	revision uint64
 }
 
-// revisions is what one process had in force over time. It is safe for concurrent use.
-type revisions struct {
+// revisionHistory is the revisions that one process has applied over time. It is safe for concurrent use.
+type revisionHistory struct {
 	mutex    sync.Mutex
-	readings []reading
+	readings []revisionReading
 }
 
-// follow reads a gateway's revision until the context ends, and checks that it never
-// falls.
-func (r *revisions) follow(ctx context.Context, process *fleet.Process, recorder *recorder) {
+// follow polls a gateway's revision until the context ends and checks that it never
+// decreases.
+func (r *revisionHistory) follow(ctx context.Context, process *fleet.Process, recorder *recorder) {
 	for ctx.Err() == nil {
 		if revision, err := revisionOf(process); err == nil {
-			recorder.checked(conditionRevert, r.take(process.Name, revision))
+			recorder.addCheck(conditionRevert, r.addReading(process.Name, revision))
 		}
 		sleep(ctx, revisionPoll)
 	}
 }
 
-// take adds a reading and returns a finding when the revision fell.
-func (r *revisions) take(name string, revision uint64) string {
+// addReading adds a reading and returns a finding if the revision decreased.
+func (r *revisionHistory) addReading(name string, revision uint64) string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var last uint64
@@ -56,7 +56,7 @@
 		last = r.readings[count-1].revision
 	}
 	if revision > last {
-		r.readings = append(r.readings, reading{at: time.Now(), revision: revision})
+		r.readings = append(r.readings, revisionReading{at: time.Now(), revision: revision})
 	}
 	if revision < last {
 		return fmt.Sprintf("%s had revision %d in force and went back to %d", name, last, revision)
@@ -64,8 +64,8 @@
 	return ""
 }
 
-// reached returns when a revision, or a later one, was first seen.
-func (r *revisions) reached(revision uint64) (time.Time, bool) {
+// firstReached returns when the given revision, or a later one, was first read.
+func (r *revisionHistory) firstReached(revision uint64) (time.Time, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, seen := range r.readings {
@@ -76,7 +76,7 @@
 	return time.Time{}, false
 }
 
-// revisionOf reads the revision that a process has in force from its metrics.
+// revisionOf reads the revision that a process has applied from its metrics.
 func revisionOf(process *fleet.Process) (uint64, error) {
 	status, body, err := fasthttp.GetTimeout(nil, "http://"+process.AdminListen+metrics.PathMetrics, revisionTimeout)
 	if err != nil || status != fasthttp.StatusOK {
@@ -94,7 +94,7 @@
 	return 0, trace.NotFound("%s shows no revision", process.Name)
 }
 
-// sleep waits, or until the context ends.
+// sleep waits for a duration or until the context ends.
 func sleep(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/leaderloss/run.go
+++ b/internal/leaderloss/run.go
@@ -16,47 +16,47 @@
 )
 
 const (
-	// attemptTimeout is how long an operator waits for one controller before it asks
-	// the next; attemptPause lies between two of them.
+	// attemptTimeout is how long an operator waits for one controller before it calls the
+	// next; attemptPause is the time between two calls.
 	attemptTimeout = 400 * time.Millisecond
 	attemptPause   = 20 * time.Millisecond
-	// statePoll is the time between two looks at whether a state is reached.
+	// statePoll is the time between two checks whether a state has been reached.
 	statePoll = 5 * time.Millisecond
-	// stateTimeout bounds the wait for a state.
+	// stateTimeout limits the wait for a state.
 	stateTimeout = 60 * time.Second
 )
 
-// run is one run with everything that goes on in it.
+// run is the state of one run and its concurrent tasks.
 type run struct {
 	options     Options
 	fleet       *fleet.Fleet
 	operator    *fleet.Operator
 	controllers []*fleet.Process
-	orders      *orders
-	// changed are the engines whose roles are changed all the time; spare is ordered
-	// only after a loss, so that no drain holds up the measured order.
-	changed  []*engine.Engine
-	spare    *engine.Engine
-	recorder *recorder
-	changes  *changes
-	inForce  map[string]*revisions
-	faults   []string
+	roleChanger *roleChanger
+	// changedEngines have their roles changed throughout the run; spareEngine gets orders
+	// only after a loss, so that no drain delays the order that is measured.
+	changedEngines   []*engine.Engine
+	spareEngine      *engine.Engine
+	recorder         *recorder
+	changes          *markerChanges
+	gatewayRevisions map[string]*revisionHistory
+	faults           []string
 }
 
-// Run loses leaders in every way, one after the other, and reports. An error means
-// that the run could not go on; broken conditions are in the report.
+// Run injects every kind of leader loss in sequence and returns a report. An error means that
+// the run could not continue; violated conditions are in the report.
 func Run(ctx context.Context, options Options) (Report, error) {
 	r, err := newRun(options)
 	if err != nil {
 		return Report{}, trace.Wrap(err)
 	}
-	if err := r.widenBounds(ctx); err != nil {
+	if err := r.relaxBounds(ctx); err != nil {
 		return Report{}, trace.Wrap(err)
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	duties, working := errgroup.WithContext(ctx)
-	r.startDuties(working, duties)
+	r.startBackgroundTasks(working, duties)
 	sent := make(chan loadResult, 1)
 	sending, stopSending := context.WithCancel(ctx)
 	defer stopSending()
@@ -64,7 +64,7 @@
 		report, err := load.Run(sending, options.Load)
 		sent <- loadResult{report: report, err: err}
 	}()
-	faultErr := r.loseLeaders(working)
+	faultErr := r.injectFaults(working)
 	stopSending()
 	result := <-sent
 	stop()
@@ -90,23 +90,23 @@
 	}
 	r := &run{
 		options: options, fleet: options.Fleet, recorder: newRecorder(),
-		operator:    options.Fleet.OperatorWithTimeouts(attemptTimeout, attemptPause),
-		controllers: options.Fleet.ProcessesOf(fleet.RoleController),
-		spare:       chosen[0],
-		changed:     chosen[1:],
-		inForce:     make(map[string]*revisions),
-	}
-	r.orders = &orders{operator: r.operator}
-	r.changes = &changes{operator: r.operator, recorder: r.recorder, number: 1}
+		operator:         options.Fleet.OperatorWithTimeouts(attemptTimeout, attemptPause),
+		controllers:      options.Fleet.ProcessesOf(fleet.RoleController),
+		spareEngine:      chosen[0],
+		changedEngines:   chosen[1:],
+		gatewayRevisions: make(map[string]*revisionHistory),
+	}
+	r.roleChanger = &roleChanger{operator: r.operator}
+	r.changes = &markerChanges{operator: r.operator, recorder: r.recorder, lastNumber: 1}
 	for _, gateway := range options.Fleet.ProcessesOf(fleet.RoleGateway) {
-		r.inForce[gateway.Name] = &revisions{}
+		r.gatewayRevisions[gateway.Name] = &revisionHistory{}
 	}
 	return r, nil
 }
 
-// widenBounds lets all engines whose roles are changed be out at once, so that a
-// drain that lasts holds up no other order.
-func (r *run) widenBounds(ctx context.Context) error {
+// relaxBounds allows all engines whose roles are changed to be out of service at once, so
+// that a long drain does not delay other orders.
+func (r *run) relaxBounds(ctx context.Context) error {
 	files, err := load.Declarations(r.fleet.Deployment)
 	if err != nil {
 		return trace.Wrap(err)
@@ -118,7 +118,7 @@
 	widened := []*v1.Object{}
 	for _, object := range objects {
 		if bound := object.GetBound(); bound != nil {
-			bound.MaximumOut = uint32(len(r.changed) + 2)
+			bound.MaximumOut = uint32(len(r.changedEngines) + 2)
 			widened = append(widened, object)
 		}
 	}
@@ -129,41 +129,41 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	r.changes.number = max(r.changes.number, answer.GetChangeNumber())
+	r.changes.lastNumber = max(r.changes.lastNumber, answer.GetChangeNumber())
 	return nil
 }
 
-// startDuties starts what goes on during all faults.
-func (r *run) startDuties(ctx context.Context, duties *errgroup.Group) {
+// startBackgroundTasks starts the tasks that run during all faults.
+func (r *run) startBackgroundTasks(ctx context.Context, duties *errgroup.Group) {
 	duties.Go(func() error { return r.changes.run(ctx) })
-	for _, changed := range r.changed {
-		duties.Go(func() error { r.orders.run(ctx, changed); return nil })
+	for _, changed := range r.changedEngines {
+		duties.Go(func() error { r.roleChanger.run(ctx, changed); return nil })
 	}
 	for _, gateway := range r.fleet.ProcessesOf(fleet.RoleGateway) {
-		duties.Go(func() error { r.inForce[gateway.Name].follow(ctx, gateway, r.recorder); return nil })
+		duties.Go(func() error { r.gatewayRevisions[gateway.Name].follow(ctx, gateway, r.recorder); return nil })
 	}
-	duties.Go(func() error { r.readRevision(ctx); return nil })
+	duties.Go(func() error { r.pollRevision(ctx); return nil })
 }
 
-// readRevision asks for the revision in force again and again: an answer must hold
-// every change that was accepted before the question.
-func (r *run) readRevision(ctx context.Context) {
+// pollRevision repeatedly queries the applied revision: an answer must include every change
+// that was accepted before the query.
+func (r *run) pollRevision(ctx context.Context) {
 	for ctx.Err() == nil {
-		accepted := r.changes.last()
+		accepted := r.changes.highestRevision()
 		answer, err := r.operator.Execute(ctx, "show revision")
 		if err == nil {
 			finding := ""
 			if answer.GetRevision() < accepted {
 				finding = fmt.Sprintf("revision %d was accepted, and later a controller answered that %d is in force", accepted, answer.GetRevision())
 			}
-			r.recorder.checked(conditionRevert, finding)
+			r.recorder.addCheck(conditionRevert, finding)
 		}
-		sleep(ctx, orderPause)
+		sleep(ctx, roleChangePause)
 	}
 }
 
-// until waits for a state.
-func (r *run) until(ctx context.Context, what string, reached func() bool) error {
+// waitUntil waits until a state is reached, at most stateTimeout.
+func (r *run) waitUntil(ctx context.Context, what string, reached func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	for !reached() {
