--- a/internal/gatewayloss/doc.go
+++ b/internal/gatewayloss/doc.go
@@ -1,8 +1,8 @@
-// Package gatewayloss loses gateways and engines of a running fleet while streams and
-// registrations go on, and judges every answer: a request may be left without its end
-// only by the gateway that was killed under it, and what callers were told must agree
-// with what the stand-ins ran.
+// Package gatewayloss stops gateways and engines of a running fleet while streams and
+// registrations are in flight, and classifies every answer: a request may lack a complete
+// answer only if its gateway was killed, and the verdicts that callers got must agree with
+// what the stand-ins executed.
 //
-// Gateways are real processes and get real signals; engines are stand-ins whose
-// connections all break at once, as a killed process's do.
+// Gateways are OS processes and receive signals; engines are stand-ins whose connections
+// are all reset at once, as those of a killed process are.
 package gatewayloss
--- a/internal/gatewayloss/gauge.go
+++ b/internal/gatewayloss/gauge.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// readGauge returns the value of the first metric whose name ends so; -1 when there is none.
-func readGauge(metrics, name string) int {
+// gaugeValue returns the value of the first metric whose name has the suffix; -1 if there is none.
+func gaugeValue(metrics, name string) int {
 	for line := range strings.Lines(metrics) {
 		metric, rest, _ := strings.Cut(line, " ")
 		metric, _, _ = strings.Cut(metric, "{")
--- a/internal/gatewayloss/outage.go
+++ b/internal/gatewayloss/outage.go
@@ -6,43 +6,43 @@
 	"github.com/hazelpitch/hazelpitch/internal/load"
 )
 
-// faultKind is what a run does to the fleet.
+// faultKind is a kind of fault that a run injects.
 type faultKind string
 
-// Faults.
+// Kinds of faults.
 const (
 	killGateway faultKind = "kill a gateway"
 	stopGateway faultKind = "stop a gateway"
 	killEngine  faultKind = "kill an engine"
 )
 
-// outage is the time for which a gateway was away.
+// outage is the period in which a gateway was down.
 type outage struct {
 	fault   faultKind
 	gateway string // IP:port
-	// from is just before the signal, until just after the gateway was ready again.
+	// from is just before the signal; until is just after the gateway became ready again.
 	from, until time.Time
 }
 
-// judgement is what is held of one answer.
-type judgement int
+// classification is the result of judging one answer.
+type classification int
 
-// Judgements.
+// Classifications of answers.
 const (
-	// fine is any answer that came to its end.
-	fine judgement = iota
-	// lostWithGateway is an answer that ended with the killed gateway that gave it.
+	// complete is any answer that was not cut or lost.
+	complete classification = iota
+	// lostWithGateway is an answer that ended because its gateway was killed.
 	lostWithGateway
-	// notConnected is a request sent to a gateway that was away.
+	// notConnected is a request sent to a gateway while it was down.
 	notConnected
-	// wronglyCut is an answer without its end for which no outage accounts.
+	// wronglyCut is an incomplete answer that no outage explains.
 	wronglyCut
 )
 
-// judge tells whether an answer that did not come to its end may be without it.
-func judge(result load.Result, outages []outage) judgement {
+// classify decides whether an outage explains an answer that was cut or lost.
+func classify(result load.Result, outages []outage) classification {
 	if result.Outcome != load.Cut && result.Outcome != load.Lost {
-		return fine
+		return complete
 	}
 	began := result.Ended.Add(-result.Total)
 	for _, away := range outages {
--- a/internal/gatewayloss/report.go
+++ b/internal/gatewayloss/report.go
@@ -11,42 +11,42 @@
 	"github.com/hazelpitch/hazelpitch/internal/load"
 )
 
-// maxFindings bounds the wrongly cut answers that are spelled out.
+// maxFindings limits the wrongly cut answers that are listed.
 const maxFindings = 10
 
-// Report is what a run did and found.
+// Report is the result of a run.
 type Report struct {
 	Faults []Fault `json:"faults"`
 	// LostWithGateway counts answers that ended with a killed gateway, NotConnected those
-	// sent to one that was away: both are allowed.
+	// sent to a gateway while it was down; both are allowed.
 	LostWithGateway int `json:"lost_with_gateway"`
 	NotConnected    int `json:"not_connected"`
-	// WronglyCut counts answers without their end for which no outage accounts.
+	// WronglyCut counts incomplete answers that no outage explains.
 	WronglyCut int      `json:"wrongly_cut"`
 	Findings   []string `json:"findings,omitempty"`
-	// Resent counts sendings of once-only requests that had lost an answer, Settled the
-	// keys among them that got their answer, Unknown those told that they may have run.
+	// Of the at-most-once requests that lost an answer, Resent counts the further attempts,
+	// Settled the keys that were answered, and Unknown those whose last verdict was may have run.
 	Resent  int `json:"resent"`
 	Settled int `json:"settled"`
 	Unknown int `json:"unknown"`
-	// Unsettled counts keys whose caller gave up without either.
+	// Unsettled counts keys whose caller gave up with neither.
 	Unsettled int         `json:"unsettled"`
 	Load      load.Report `json:"load"`
 }
 
-// Fault is one thing that was done to the fleet.
+// Fault is one fault that was injected into the fleet.
 type Fault struct {
 	Kind   string `json:"kind"`
 	Target string `json:"target"`
-	// InFlight is what the target worked on just before.
+	// InFlight is the number of requests in flight at the target just before the fault; -1 is unknown.
 	InFlight int `json:"in_flight"`
-	// BackAfterMs is the time from the signal until it served again.
+	// BackAfterMs is the time from the fault until the target served again, in milliseconds.
 	BackAfterMs float64 `json:"back_after_ms"`
-	// Clean tells that a stopped gateway ended by itself.
+	// Clean reports that a stopped gateway exited without being killed.
 	Clean bool `json:"clean"`
 }
 
-// Failed returns an error when a promise broke.
+// Failed returns an error when a guarantee was violated.
 func (r Report) Failed() error {
 	unclean := 0
 	for _, fault := range r.Faults {
@@ -61,7 +61,7 @@
 		r.WronglyCut, r.Unsettled, r.Load.Mixed, r.Load.NotSent, r.Load.Audit.FalseNotRun, r.Load.Audit.FalseRan, r.Load.Audit.Doubled, unclean)
 }
 
-// Write prints the report as tables, the load's own first.
+// Write prints the load report and then this report as tables.
 func (r Report) Write(out io.Writer) {
 	r.Load.Write(out)
 	faults := table.NewWriter()
@@ -83,14 +83,14 @@
 		r.Load.Sent, r.Load.Audit.FalseNotRun, r.Load.Audit.FalseRan, r.Load.Audit.Doubled, r.Load.Mixed)
 }
 
-// add judges the results of the load.
-func (r *Report) add(results []load.Result, outages []outage) {
+// addResults classifies the results of the load.
+func (r *Report) addResults(results []load.Result, outages []outage) {
 	keys := make(map[string][]load.Result)
 	for _, result := range results {
 		if result.Key != "" {
 			keys[result.Key] = append(keys[result.Key], result)
 		}
-		switch judge(result, outages) {
+		switch classify(result, outages) {
 		case lostWithGateway:
 			r.LostWithGateway++
 		case notConnected:
@@ -104,13 +104,13 @@
 		}
 	}
 	for _, sendings := range keys {
-		r.addKey(sendings)
+		r.addAttempts(sendings)
 	}
 }
 
-// addKey counts how a once-only request ended that lost an answer; its results are in the
-// order of their ends.
-func (r *Report) addKey(sendings []load.Result) {
+// addAttempts counts the outcome of an at-most-once request that lost an answer; its results
+// are in order of their ends.
+func (r *Report) addAttempts(sendings []load.Result) {
 	lost := false
 	for _, each := range sendings {
 		lost = lost || each.Outcome == load.Lost || each.Outcome == load.Cut
--- a/internal/gatewayloss/judge_test.go
+++ b/internal/gatewayloss/report_test.go
@@ -16,24 +16,24 @@
 	return origin.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// answer is one that began and ended at these seconds.
+// answer returns a result that began and ended at the given seconds.
 func answer(gateway string, outcome load.Outcome, began, ended float64) load.Result {
 	return load.Result{Gateway: gateway, Outcome: outcome, Ended: at(ended), Total: at(ended).Sub(at(began))}
 }
 
-// TestJudge shows that only an outage of its own gateway, at the time, accounts for an
-// answer without its end, and that a stopped gateway accounts for none that had begun.
-func TestJudge(t *testing.T) {
+// TestClassify checks that only an outage of the answer's own gateway at that time explains an
+// incomplete answer, and that a stopped gateway explains none that had begun.
+func TestClassify(t *testing.T) {
 	kill := []outage{{fault: killGateway, gateway: "a", from: at(10), until: at(12)}}
 	stop := []outage{{fault: stopGateway, gateway: "a", from: at(10), until: at(12)}}
 	tests := []struct {
 		name    string
 		result  load.Result
 		outages []outage
-		want    judgement
+		want    classification
 	}{
-		{"whole", answer("a", load.Completed, 9, 13), kill, fine},
-		{"refused", answer("a", load.Refused, 9, 13), kill, fine},
+		{"whole", answer("a", load.Completed, 9, 13), kill, complete},
+		{"refused", answer("a", load.Refused, 9, 13), kill, complete},
 		{"cut by the kill", answer("a", load.Cut, 9, 10.1), kill, lostWithGateway},
 		{"lost by the kill", answer("a", load.Lost, 9, 10.1), kill, lostWithGateway},
 		{"sent while away", answer("a", load.Lost, 11, 11.1), kill, notConnected},
@@ -48,12 +48,12 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			require.Equal(t, test.want, judge(test.result, test.outages))
+			require.Equal(t, test.want, classify(test.result, test.outages))
 		})
 	}
 }
 
-// TestReport shows what fails a run, and how keys are counted.
+// TestReport checks what makes a run fail and how attempts with a key are counted.
 func TestReport(t *testing.T) {
 	keyed := func(outcome load.Outcome, told verdict.Verdict) load.Result {
 		result := answer("a", outcome, 11, 11.1)
@@ -79,7 +79,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			var report Report
-			report.add(test.results, kill)
+			report.addResults(test.results, kill)
 			require.Equal(t, test.fails, report.Failed() != nil)
 			report.Findings = nil
 			require.Equal(t, test.want, report)
@@ -89,8 +89,8 @@
 	require.Error(t, Report{Load: load.Report{Audit: load.Audit{FalseNotRun: 1}}}.Failed())
 }
 
-func TestReadGauge(t *testing.T) {
+func TestGaugeValue(t *testing.T) {
 	text := "# HELP a_requests_in_flight x\n# TYPE a_requests_in_flight gauge\na_requests_in_flight{zone=\"z\"} 7\nb 1\n"
-	require.Equal(t, 7, readGauge(text, "requests_in_flight"))
-	require.Equal(t, -1, readGauge(text, "none"))
+	require.Equal(t, 7, gaugeValue(text, "requests_in_flight"))
+	require.Equal(t, -1, gaugeValue(text, "none"))
 }
--- a/internal/gatewayloss/run.go
+++ b/internal/gatewayloss/run.go
@@ -22,33 +22,33 @@
 const (
 	// warmUp is how long the load runs before the first fault.
 	warmUp = 3 * time.Second
-	// downTime is how long a killed process stays away.
-	downTime = time.Second
-	// busyPatience is how long an engine's fault waits for one that has something in flight.
-	busyPatience = 5 * time.Second
-	busyPoll     = 2 * time.Millisecond
-	// readyTimeout bounds the wait for a gateway to serve again.
+	// downDuration is how long a killed process stays down.
+	downDuration = time.Second
+	// busyEngineTimeout limits the wait for an engine with work in flight before an engine fault.
+	busyEngineTimeout = 5 * time.Second
+	busyEnginePoll    = 2 * time.Millisecond
+	// readyTimeout limits the wait for a gateway or engine to serve again.
 	readyTimeout = 30 * time.Second
 )
 
-// Options are what a run is started with.
+// Options configure a run.
 type Options struct {
-	// Fleet is booted, with its declarations in force.
+	// Fleet is running, and its declarations have been applied.
 	Fleet *fleet.Fleet
 	// Load is sent from before the first fault until after the last; its length is the
-	// longest that a run may take.
+	// maximum length of the run.
 	Load load.Options
-	// Rounds is how often each fault is repeated.
+	// Rounds is how often the sequence of faults is repeated.
 	Rounds int
 	// FaultInterval is the time between two faults.
 	FaultInterval time.Duration
-	// PageDelay is how much longer page services take, so that faults meet registrations.
+	// PageDelay is added to the service time of page services, so that faults hit requests in flight.
 	PageDelay time.Duration
-	// Progress gets a line for each fault.
+	// Progress receives a line for each fault.
 	Progress io.Writer
 }
 
-// run is one run.
+// run is the state of one run.
 type run struct {
 	options  Options
 	gateways []*fleet.Process
@@ -59,8 +59,8 @@
 	results []load.Result
 }
 
-// Run loses gateways and engines, one after the other, and reports. An error means that
-// the run could not go on; broken promises are in the report.
+// Run stops gateways and engines in sequence and returns a report. An error means that the
+// run could not continue; violated guarantees are in the report.
 func Run(ctx context.Context, options Options) (Report, error) {
 	r := &run{options: options, gateways: options.Fleet.ProcessesOf(fleet.RoleGateway)}
 	if len(r.gateways) < 2 {
@@ -69,7 +69,7 @@
 	for _, page := range options.Fleet.StandIns.Pages {
 		page.Faults().Replace([]fault.Fault{{Kind: fault.Late, Count: fault.Always, DelayMs: options.PageDelay.Milliseconds()}})
 	}
-	options.Load.OnResult = r.take
+	options.Load.OnResult = r.addResult
 	sending, stopSending := context.WithCancel(ctx)
 	defer stopSending()
 	type outcome struct {
@@ -81,25 +81,25 @@
 		report, err := load.Run(sending, options.Load)
 		sent <- outcome{report, err}
 	}()
-	faultErr := r.strike(ctx)
+	faultErr := r.injectFaults(ctx)
 	stopSending()
 	ended := <-sent
 	if faultErr != nil || ended.err != nil {
 		return Report{}, trace.NewAggregate(faultErr, ended.err)
 	}
 	r.report.Load = ended.report
-	r.report.add(r.results, r.outages)
+	r.report.addResults(r.results, r.outages)
 	return r.report, nil
 }
 
-func (r *run) take(result load.Result) {
+func (r *run) addResult(result load.Result) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.results = append(r.results, result)
 }
 
-// strike does all faults.
-func (r *run) strike(ctx context.Context) error {
+// injectFaults injects all faults in sequence.
+func (r *run) injectFaults(ctx context.Context) error {
 	if !pause.For(ctx, warmUp) {
 		return trace.Wrap(ctx.Err())
 	}
@@ -121,13 +121,13 @@
 	return nil
 }
 
-// loseGateway ends a gateway's process and starts it again.
+// loseGateway kills or stops a gateway and restarts it.
 func (r *run) loseGateway(ctx context.Context, how faultKind, gateway *fleet.Process) error {
 	done := Fault{Kind: string(how), Target: gateway.Name, InFlight: inFlight(gateway), Clean: true}
 	away := outage{fault: how, gateway: gateway.Listen, from: time.Now()}
 	if how == killGateway {
 		gateway.Kill()
-		pause.For(ctx, downTime)
+		pause.For(ctx, downDuration)
 	} else {
 		done.Clean = gateway.Stop()
 	}
@@ -141,27 +141,27 @@
 	}
 	away.until = time.Now()
 	r.outages = append(r.outages, away)
-	r.note(done, away.until.Sub(away.from))
+	r.recordFault(done, away.until.Sub(away.from))
 	return nil
 }
 
-// loseEngine crashes the engine with the most in flight and starts it again.
+// loseEngine crashes the engine with the most work in flight and restarts it.
 func (r *run) loseEngine(ctx context.Context) error {
 	chosen, most := r.busiestEngine()
-	for waited := time.Duration(0); most == 0 && waited < busyPatience && pause.For(ctx, busyPoll); waited += busyPoll {
+	for waited := time.Duration(0); most == 0 && waited < busyEngineTimeout && pause.For(ctx, busyEnginePoll); waited += busyEnginePoll {
 		chosen, most = r.busiestEngine()
 	}
 	began := time.Now()
 	chosen.Crash()
-	pause.For(ctx, downTime)
+	pause.For(ctx, downDuration)
 	if err := restart(ctx, chosen); err != nil {
 		return trace.Wrap(err)
 	}
-	r.note(Fault{Kind: string(killEngine), Target: chosen.Name(), InFlight: most, Clean: true}, time.Since(began))
+	r.recordFault(Fault{Kind: string(killEngine), Target: chosen.Name(), InFlight: most, Clean: true}, time.Since(began))
 	return nil
 }
 
-// busiestEngine returns the engine that writes the most answers.
+// busiestEngine returns the engine with the most answers in decoding.
 func (r *run) busiestEngine() (*engine.Engine, int) {
 	engines := r.options.Fleet.StandIns.Engines
 	chosen, most := engines[0], 0
@@ -174,29 +174,29 @@
 	return chosen, most
 }
 
-// restart starts an engine; its address may be held for a moment by broken connections.
+// restart restarts an engine; connections that were reset can hold its address for a moment.
 func restart(ctx context.Context, crashed *engine.Engine) error {
 	limited, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
 		err := crashed.Restart()
-		if err == nil || !pause.For(limited, downTime/10) {
+		if err == nil || !pause.For(limited, downDuration/10) {
 			return trace.Wrap(err)
 		}
 	}
 }
 
-func (r *run) note(done Fault, back time.Duration) {
+func (r *run) recordFault(done Fault, back time.Duration) {
 	done.BackAfterMs = float64(back.Milliseconds())
 	r.report.Faults = append(r.report.Faults, done)
 	fmt.Fprintf(r.options.Progress, "%s %s with %d in flight: back after %.1f s\n", done.Kind, done.Target, done.InFlight, back.Seconds())
 }
 
-// inFlight reads a gateway's requests in flight from its metrics; -1 when it cannot.
+// inFlight reads a gateway's requests in flight from its metrics; -1 if that fails.
 func inFlight(gateway *fleet.Process) int {
 	_, body, err := fasthttp.Get(nil, "http://"+gateway.AdminListen+metrics.PathMetrics)
 	if err != nil {
 		return -1
 	}
-	return readGauge(string(body), "requests_in_flight")
+	return gaugeValue(string(body), "requests_in_flight")
 }
