--- a/internal/gatewaycost/caller.go
+++ b/internal/gatewaycost/caller.go
@@ -17,11 +17,11 @@
 
 const (
 	headerKind = "X-Request-Kind"
-	// callTimeout bounds one request.
+	// callTimeout limits one request.
 	callTimeout = time.Minute
 	streamBytes = 16 << 10
-	// exchange stands in for a gateway's on direct requests to page services.
-	exchange = "0123456789abcdef0123456789abcdef"
+	// directExchange is the exchange ID of direct requests to page services, in place of a gateway's.
+	directExchange = "0123456789abcdef0123456789abcdef"
 )
 
 var (
@@ -42,14 +42,14 @@
 	}}
 }
 
-// page sends one plain request and returns how long its answer took.
-func (c *caller) page(address, path string) (time.Duration, error) {
+// sendPage sends one page request and returns how long its answer took.
+func (c *caller) sendPage(address, path string) (time.Duration, error) {
 	call, answer := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(call)
 	defer fasthttp.ReleaseResponse(answer)
 	call.SetRequestURI("http://" + address + path)
 	call.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+c.key)
-	call.Header.Set(enginecontract.HeaderExchange, exchange)
+	call.Header.Set(enginecontract.HeaderExchange, directExchange)
 	call.SetTimeout(callTimeout)
 	began := time.Now()
 	if err := c.http.Do(call, answer); err != nil {
@@ -63,15 +63,15 @@
 	return took, nil
 }
 
-// streamed is how one stream came.
-type streamed struct {
+// streamStats are the figures of one stream.
+type streamStats struct {
 	tokens int
 	// longestGap is the longest time between two tokens.
 	longestGap time.Duration
 }
 
-// stream sends one chat request and reads its answer to the end.
-func (c *caller) stream(address, kind, body string) (streamed, error) {
+// sendStream sends one chat request and reads its answer to the end.
+func (c *caller) sendStream(address, kind, body string) (streamStats, error) {
 	call, answer := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(call)
 	defer fasthttp.ReleaseResponse(answer)
@@ -82,19 +82,19 @@
 	call.SetBodyString(body)
 	call.SetTimeout(callTimeout)
 	if err := c.http.Do(call, answer); err != nil {
-		return streamed{}, trace.Wrap(err)
+		return streamStats{}, trace.Wrap(err)
 	}
-	defer func() { _ = answer.CloseBodyStream() }() // what was read counts
+	defer func() { _ = answer.CloseBodyStream() }() // the body has been read
 	if answer.StatusCode() != http.StatusOK {
-		body, _ := io.ReadAll(answer.BodyStream()) // the status tells enough
-		return streamed{}, trace.Errorf("answered %d: %s", answer.StatusCode(), body)
+		body, _ := io.ReadAll(answer.BodyStream()) // the status suffices if the body cannot be read
+		return streamStats{}, trace.Errorf("answered %d: %s", answer.StatusCode(), body)
 	}
-	return read(bufio.NewReaderSize(answer.BodyStream(), streamBytes))
+	return readStream(bufio.NewReaderSize(answer.BodyStream(), streamBytes))
 }
 
-// read counts the token events of a whole stream.
-func read(events *bufio.Reader) (streamed, error) {
-	var seen streamed
+// readStream counts the token events of a stream; it returns an error unless the stream is complete.
+func readStream(events *bufio.Reader) (streamStats, error) {
+	var seen streamStats
 	var last time.Time
 	for {
 		line, err := events.ReadSlice('\n')
@@ -119,7 +119,7 @@
 	}
 }
 
-// chatBody is a request for tokens of output; number makes its prompt its own.
+// chatBody returns a request for a number of output tokens; number makes its prompt unique.
 func chatBody(model string, tokens, number int) string {
 	return fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"question %d"}]}`, model, tokens, number)
 }
--- a/internal/gatewaycost/caller_test.go
+++ b/internal/gatewaycost/caller_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRead shows that only a whole stream counts, and that only its token events do.
-func TestRead(t *testing.T) {
+// TestReadStream checks that only a complete stream is accepted and only token events are counted.
+func TestReadStream(t *testing.T) {
 	token := `data: {"choices":[{"delta":{"content":"x"}}]}` + "\n\n"
 	finish := `data: {"choices":[{"delta":{},"finish_reason":"stop"}]}` + "\n\n"
 	done := "data: [DONE]\n\n"
@@ -25,14 +25,14 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			seen, err := read(bufio.NewReader(strings.NewReader(test.stream)))
+			seen, err := readStream(bufio.NewReader(strings.NewReader(test.stream)))
 			require.Equal(t, test.whole, err == nil)
 			require.Equal(t, test.tokens, seen.tokens)
 		})
 	}
 }
 
-func TestCutsOf(t *testing.T) {
-	require.Equal(t, 3*16, cutsOf(3, 300))
-	require.Equal(t, 3, cutsOf(3, 10))
+func TestMaxCuts(t *testing.T) {
+	require.Equal(t, 3*16, maxCuts(3, 300))
+	require.Equal(t, 3, maxCuts(3, 10))
 }
--- a/internal/gatewaycost/report.go
+++ b/internal/gatewaycost/report.go
@@ -13,7 +13,7 @@
 	microsPerSecond = 1e6
 )
 
-// Percentiles of times in milliseconds.
+// Percentiles of durations in milliseconds.
 type Percentiles struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
@@ -24,19 +24,19 @@
 	return Percentiles{P50: at(50), P99: at(99)}
 }
 
-// Report is what a run measured.
+// Report is the result of a run.
 type Report struct {
-	// DirectPage and GatewayPage are the times of one plain request, without and with the
+	// DirectPage and GatewayPage are the times of one page request without and with the
 	// gateway.
 	DirectPage  Percentiles `json:"direct_page_ms"`
 	GatewayPage Percentiles `json:"gateway_page_ms"`
-	// ProcessorPerPage and ProcessorPerToken are the gateway's, in microseconds.
+	// ProcessorPerPage and ProcessorPerToken are the gateway's processor time in microseconds.
 	ProcessorPerPage  float64 `json:"processor_us_per_page"`
 	ProcessorPerToken float64 `json:"processor_us_per_token"`
 	Tokens            int     `json:"tokens"`
 	TokensPerSecond   float64 `json:"tokens_per_second"`
-	// Gap is the longest time between two tokens of a stream, GapAfterCut the same while
-	// the links to the engines were cut, Cuts times in all.
+	// Gap is the longest time between two tokens of a stream, GapAfterCut the same when the
+	// connections to the engines are cut, and Cuts the total number of cuts.
 	Gap         Percentiles `json:"longest_gap_ms"`
 	GapAfterCut Percentiles `json:"longest_gap_after_cut_ms"`
 	Cuts        int         `json:"cuts"`
--- a/internal/gatewaycost/run.go
+++ b/internal/gatewaycost/run.go
@@ -18,27 +18,27 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/fault"
 )
 
-// cutAfter is after how many tokens a link is cut.
-const cutAfter = 20
+// tokensBeforeCut is the number of tokens after which a connection is cut.
+const tokensBeforeCut = 20
 
-// Options are what a run is started with.
+// Options configure a run.
 type Options struct {
-	// Fleet is booted, with its declarations in force.
+	// Fleet is running, and its declarations have been applied.
 	Fleet *fleet.Fleet
-	// Key is a tenant's, Source the callers' IP, in the gateway's zone.
+	// Key is a tenant's API key, Source the callers' IP in the gateway's zone.
 	Key     string
 	Source  string
 	Gateway *fleet.Process
 	// Page is the IP:port of a page service in the gateway's zone.
 	Page string
-	// PageRequests are sent one after the other, directly and through the gateway.
+	// PageRequests is the number of page requests, sent in sequence, on each path: directly and through the gateway.
 	PageRequests int
-	// Streams are open at once, each of Tokens tokens.
+	// Streams is the number of concurrent streams, each of Tokens tokens.
 	Streams int
 	Tokens  int
 }
 
-// run is one run.
+// run is the state of one run.
 type run struct {
 	Options
 	caller *caller
@@ -47,7 +47,7 @@
 	model  string
 }
 
-// Run measures and reports.
+// Run measures the gateway's overhead and returns a report.
 func Run(ctx context.Context, options Options) (Report, error) {
 	r := &run{Options: options, caller: newCaller(options.Key, options.Source)}
 	if err := r.chooseKinds(); err != nil {
@@ -62,8 +62,8 @@
 	return report, nil
 }
 
-// chooseKinds takes the first page kind that is read and the chat kind with the longest
-// deadline, so that none of the streams is refused.
+// chooseKinds selects the first page kind with GET and the chat kind with the longest
+// deadline, so that no stream is refused.
 func (r *run) chooseKinds() error {
 	traffic, err := load.LoadTraffic(r.Fleet.Deployment)
 	if err != nil {
@@ -87,10 +87,10 @@
 	return nil
 }
 
-// measurePages sends plain requests in turns directly and through the gateway.
+// measurePages sends page requests alternately directly and through the gateway.
 func (r *run) measurePages(ctx context.Context, report *Report) error {
-	direct, through := newHistogram(), newHistogram()
-	if _, err := r.caller.page(r.Gateway.Listen, r.path); err != nil { // the gateway meets the tenant
+	direct, viaGateway := newHistogram(), newHistogram()
+	if _, err := r.caller.sendPage(r.Gateway.Listen, r.path); err != nil { // the tenant's first request is not measured
 		return trace.Wrap(err)
 	}
 	before, err := processorTime(r.Gateway)
@@ -101,31 +101,31 @@
 		if ctx.Err() != nil {
 			return trace.Wrap(ctx.Err())
 		}
-		for address, times := range map[string]*hdrhistogram.Histogram{r.Page: direct, r.Gateway.Listen: through} {
-			took, err := r.caller.page(address, r.path)
+		for address, times := range map[string]*hdrhistogram.Histogram{r.Page: direct, r.Gateway.Listen: viaGateway} {
+			took, err := r.caller.sendPage(address, r.path)
 			if err != nil {
 				return trace.Wrap(err)
 			}
-			_ = times.RecordValue(took.Microseconds()) // far below the histogram's bound
+			_ = times.RecordValue(took.Microseconds()) // cannot fail: callTimeout bounds the value
 		}
 	}
 	after, err := processorTime(r.Gateway)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	report.DirectPage, report.GatewayPage = percentiles(direct), percentiles(through)
+	report.DirectPage, report.GatewayPage = percentiles(direct), percentiles(viaGateway)
 	report.ProcessorPerPage = (after - before).Seconds() * microsPerSecond / float64(r.PageRequests)
 	return nil
 }
 
-// measureStreams opens streams at once and divides the processor time by their tokens.
+// measureStreams runs concurrent streams and divides the processor time by their tokens.
 func (r *run) measureStreams(ctx context.Context, report *Report) error {
 	before, err := processorTime(r.Gateway)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	began := time.Now()
-	streams, err := r.streams(ctx, 0)
+	streams, err := r.runStreams(ctx, 0)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -138,28 +138,28 @@
 	}
 	report.TokensPerSecond = float64(report.Tokens) / time.Since(began).Seconds()
 	report.ProcessorPerToken = (after - before).Seconds() * microsPerSecond / float64(report.Tokens)
-	report.Gap = gaps(streams)
+	report.Gap = gapPercentiles(streams)
 	return nil
 }
 
-// measureCuts cuts each link to an engine after cutAfter tokens, the resumed ones too.
+// measureCuts cuts each connection to an engine after tokensBeforeCut tokens, also resumed ones.
 func (r *run) measureCuts(ctx context.Context, report *Report) error {
 	for _, present := range r.Fleet.StandIns.Engines {
-		present.Faults().Replace([]fault.Fault{{Kind: fault.Cut, Count: cutsOf(r.Streams, r.Tokens), Tokens: cutAfter}})
+		present.Faults().Replace([]fault.Fault{{Kind: fault.Cut, Count: maxCuts(r.Streams, r.Tokens), Tokens: tokensBeforeCut}})
 	}
-	streams, err := r.streams(ctx, r.Streams)
+	streams, err := r.runStreams(ctx, r.Streams)
 	for _, present := range r.Fleet.StandIns.Engines {
-		report.Cuts += cutsOf(r.Streams, r.Tokens) - left(present.Faults().Remaining())
+		report.Cuts += maxCuts(r.Streams, r.Tokens) - remainingCount(present.Faults().Remaining())
 		present.Faults().Replace(nil)
 	}
-	report.GapAfterCut = gaps(streams)
+	report.GapAfterCut = gapPercentiles(streams)
 	return trace.Wrap(err)
 }
 
-// cutsOf is the number of cuts that streams can meet at one engine.
-func cutsOf(streams, tokens int) int { return streams * (tokens/cutAfter + 1) }
+// maxCuts returns the maximum number of cuts at one engine.
+func maxCuts(streams, tokens int) int { return streams * (tokens/tokensBeforeCut + 1) }
 
-func left(faults []fault.Fault) int {
+func remainingCount(faults []fault.Fault) int {
 	sum := 0
 	for _, each := range faults {
 		sum += each.Count
@@ -167,14 +167,14 @@
 	return sum
 }
 
-// streams sends chat requests at once and waits for their ends.
-func (r *run) streams(ctx context.Context, first int) ([]streamed, error) {
+// runStreams sends concurrent chat requests and waits for their ends.
+func (r *run) runStreams(ctx context.Context, first int) ([]streamStats, error) {
 	group, _ := errgroup.WithContext(ctx)
 	var mutex sync.Mutex
-	var all []streamed
+	var all []streamStats
 	for number := range r.Streams {
 		group.Go(func() error {
-			seen, err := r.caller.stream(r.Gateway.Listen, r.kind, chatBody(r.model, r.Tokens, first+number))
+			seen, err := r.caller.sendStream(r.Gateway.Listen, r.kind, chatBody(r.model, r.Tokens, first+number))
 			if err == nil && seen.tokens != r.Tokens {
 				err = trace.Errorf("a stream had %d tokens in place of %d", seen.tokens, r.Tokens)
 			}
@@ -188,10 +188,10 @@
 	return all, trace.Wrap(err)
 }
 
-// processorMetric is the processor time that a process has used, in seconds.
+// processorMetric is the metric of the processor time that a process has used, in seconds.
 const processorMetric = "process_cpu_seconds_total"
 
-// processorTime asks a process how much processor time it has used.
+// processorTime returns how much processor time a process has used.
 func processorTime(process *fleet.Process) (time.Duration, error) {
 	_, body, err := fasthttp.Get(nil, "http://"+process.AdminListen+metrics.PathMetrics)
 	if err != nil {
@@ -212,10 +212,10 @@
 	return hdrhistogram.New(1, callTimeout.Microseconds(), latencyDigits)
 }
 
-func gaps(streams []streamed) Percentiles {
+func gapPercentiles(streams []streamStats) Percentiles {
 	times := newHistogram()
 	for _, each := range streams {
-		_ = times.RecordValue(each.longestGap.Microseconds()) // below the histogram's bound
+		_ = times.RecordValue(each.longestGap.Microseconds()) // cannot fail: callTimeout bounds the value
 	}
 	return percentiles(times)
 }
