--- a/internal/scenario/bench_test.go
+++ b/internal/scenario/bench_test.go
@@ -15,7 +15,7 @@
 
 const root = "../.."
 
-// benchScenarios reads every scenario of a deployment's set.
+// benchScenarios reads every scenario in a deployment's set.
 func benchScenarios(t *testing.T, deployment string) map[string]scenario.Scenario {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(root, "bench", "scenarios", deployment, "*.yaml"))
@@ -24,13 +24,13 @@
 	for _, path := range paths {
 		loaded, err := scenario.Load(path)
 		require.NoError(t, err)
-		require.Equal(t, loaded.Name+".yaml", filepath.Base(path), "a scenario has its file's name")
+		require.Equal(t, loaded.Name+".yaml", filepath.Base(path), "a scenario has the name of its file")
 		read[loaded.Name] = loaded
 	}
 	return read
 }
 
-// declarations reads what a deployment declares.
+// declarations reads the declarations of a deployment.
 func declarations(t *testing.T, deployment string) []*v1.Object {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(root, "deploy", deployment, "declarations", "*.hzl"))
@@ -46,7 +46,7 @@
 	return objects
 }
 
-func TestSetsAreComplete(t *testing.T) {
+func TestScenarioSetsAreComplete(t *testing.T) {
 	common := []string{"calm", "step", "slow-ramp", "square-wave", "flash-burst", "engine-loss-during-shift", "stale-reports", "two-models"}
 	for deployment, own := range map[string]string{"empleandes": "hiring-waves", "rawabi": "live-bidding"} {
 		present := benchScenarios(t, deployment)
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestSetsFollowTheDeclarations(t *testing.T) {
+func TestScenarioSetsMatchTheDeclarations(t *testing.T) {
 	for _, deployment := range []string{"empleandes", "rawabi"} {
 		objects := declarations(t, deployment)
 		for name, read := range benchScenarios(t, deployment) {
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestEveryScenarioOfTheBenchLoads reads the files beside the two sets, too.
+// TestEveryScenarioOfTheBenchLoads reads the scenarios outside of the two deployments' sets.
 func TestEveryScenarioOfTheBenchLoads(t *testing.T) {
 	for _, pattern := range []string{"held-out/*.yaml", "scenarios/processes/*.yaml"} {
 		paths, err := filepath.Glob(filepath.Join(root, "bench", filepath.FromSlash(pattern)))
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -6,11 +6,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/yamlfile"
 )
 
-// check reports keys that are right one by one and wrong together.
+// check reports keys that are valid one by one but not in combination.
 func check(document *yamlfile.Document, read *Scenario) {
-	checkTwice(document, "zones", read.zoneNames())
-	checkTwice(document, "services", read.serviceNames())
-	checkTwice(document, "kinds", read.kindNames())
+	checkDuplicates(document, "zones", read.zoneNames())
+	checkDuplicates(document, "services", read.serviceNames())
+	checkDuplicates(document, "kinds", read.kindNames())
 	checkCallers(document, read)
 	for index, service := range read.Services {
 		checkService(document, read, service, fmt.Sprintf("services[%d]", index))
@@ -55,7 +55,7 @@
 func checkDistribution(document *yamlfile.Document, distribution Distribution, key string) {
 	keys, known := lawKeys[distribution.Law]
 	if !known {
-		return // the rule of the key law has reported it
+		return // the rule for the key law has reported it
 	}
 	keys.check(document, key, "law "+string(distribution.Law), allLawKeys)
 	if distribution.High > 0 && distribution.Low > distribution.High {
@@ -66,7 +66,7 @@
 func checkShape(document *yamlfile.Document, shape Shape, key string) {
 	keys, known := shapeKeys[shape.Shape]
 	if !known {
-		return // the rule of the key shape has reported it
+		return // the rule for the key shape has reported it
 	}
 	keys.check(document, key, "shape "+string(shape.Shape), allShapeKeys)
 	if document.IsSet(key+".until") && shape.Until <= shape.At {
--- a/internal/scenario/check_service.go
+++ b/internal/scenario/check_service.go
@@ -9,11 +9,11 @@
 )
 
 func checkService(document *yamlfile.Document, read *Scenario, service Service, key string) {
-	own := Scenario{Zones: read.Zones, Services: []Service{service}}
-	engines := own.Engines()
+	restricted := Scenario{Zones: read.Zones, Services: []Service{service}}
+	engines := restricted.Engines()
 	for _, zone := range sortedKeys(service.Engines) {
 		if !slices.Contains(read.zoneNames(), zone) {
-			document.Report(key+".engines."+zone, "is not one of the scenario's zones", nameCure(zone, read.zoneNames()))
+			document.Report(key+".engines."+zone, "is not one of the scenario's zones", nameRemedy(zone, read.zoneNames()))
 		}
 	}
 	if len(service.Engines) > 0 && len(engines) == 0 {
@@ -22,7 +22,7 @@
 	names := namesOf(engines, func(engine Engine) string { return engine.Name })
 	for _, name := range sortedKeys(service.Pins) {
 		if !slices.Contains(names, name) {
-			document.Report(key+".pins."+name, "is not one of the service's engines", nameCure(name, names))
+			document.Report(key+".pins."+name, "is not one of the service's engines", nameRemedy(name, names))
 		}
 	}
 	checkStages(document, engines, key)
@@ -31,18 +31,18 @@
 	}
 }
 
-// checkStages reports initial roles that leave prompts unread or outputs unwritten.
+// checkStages reports initial roles with no engine for prefill or none for decode.
 func checkStages(document *yamlfile.Document, engines []Engine, key string) {
-	reads, writes := 0, 0
+	prefillEngines, decodeEngines := 0, 0
 	for _, engine := range engines {
 		if engine.Role != enginecontract.RoleDecode {
-			reads++
+			prefillEngines++
 		}
 		if engine.Role != enginecontract.RolePrefill {
-			writes++
+			decodeEngines++
 		}
 	}
-	if len(engines) > 0 && (reads == 0 || writes == 0) {
+	if len(engines) > 0 && (prefillEngines == 0 || decodeEngines == 0) {
 		document.Report(key+".initial_roles", "leave no engine to read prompts, or none to write output", "have both prefill and decode, or mixed")
 	}
 }
--- a/internal/scenario/distribution.go
+++ b/internal/scenario/distribution.go
@@ -1,9 +1,9 @@
 package scenario
 
-// Law is the law of a Distribution.
+// Law is the probability distribution of a Distribution.
 type Law string
 
-// Laws of token counts.
+// Laws of token counts and their parameters.
 const (
 	LawFixed       Law = "fixed"       // value
 	LawUniform     Law = "uniform"     // low to high, inclusive
@@ -12,17 +12,17 @@
 	LawExponential Law = "exponential" // mean
 )
 
-// Distribution is how many tokens a prompt or an output has. Every draw is rounded
-// and held between Low and High, where they are set, and is at least 1.
+// Distribution is the distribution of the tokens of a prompt or output. Every sample is
+// rounded, clamped to Low and High where they are set, and at least 1.
 type Distribution struct {
 	Law Law `yaml:"law" default:"fixed" check:"one-of=fixed|uniform|normal|lognormal|exponential"`
-	// Value of law fixed.
+	// Value is the constant of law fixed.
 	Value int `yaml:"value" check:"positive"`
-	// Mean of the laws normal, lognormal and exponential.
+	// Mean of the laws normal, lognormal and exponential, in tokens.
 	Mean float64 `yaml:"mean" check:"positive"`
 	// Deviation is the standard deviation of the laws normal and lognormal.
 	Deviation float64 `yaml:"deviation" check:"positive"`
-	// Low and High bound each draw; for law uniform they are its ends.
+	// Low and High limit each sample; for law uniform they are the ends of the range.
 	Low  int `yaml:"low" check:"positive"`
 	High int `yaml:"high" check:"positive"`
 }
--- a/internal/scenario/document_test.go
+++ b/internal/scenario/document_test.go
@@ -14,7 +14,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/yamlfile"
 )
 
-// formatPage is the page that describes scenario files.
+// formatPage returns the page that describes scenario files.
 func formatPage(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(root, "docs", "SCENARIOS.md"))
@@ -22,7 +22,7 @@
 	return string(text)
 }
 
-// keys are the keys of scenario files.
+// keys returns the keys of scenario files.
 func keys() []yamlfile.Key { return yamlfile.Keys(reflect.TypeFor[scenario.Scenario]()) }
 
 func TestEveryKeyIsDocumented(t *testing.T) {
@@ -30,14 +30,14 @@
 	for _, key := range keys() {
 		row := regexp.MustCompile(fmt.Sprintf("(?m)^\\| `%s` \\| (.*?) \\|", regexp.QuoteMeta(key.Path))).FindStringSubmatch(page)
 		if key.Group && row == nil {
-			continue // its keys have rows of their own
+			continue // its keys have their own rows
 		}
 		require.NotNil(t, row, "docs/SCENARIOS.md has no row of %s", key.Path)
 		if key.Default != "" {
 			require.Equal(t, "`"+key.Default+"`", row[1], "default of %s", key.Path)
 		}
 		if !key.Group {
-			require.Equal(t, key.Required, row[1] == "required", "%s is told to be required", key.Path)
+			require.Equal(t, key.Required, row[1] == "required", "%s is documented as required", key.Path)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestEveryWordIsDocumented(t *testing.T) {
+func TestEveryValueIsDocumented(t *testing.T) {
 	page := formatPage(t)
 	for _, key := range keys() {
 		for _, word := range key.Words {
--- a/internal/scenario/engine.go
+++ b/internal/scenario/engine.go
@@ -6,16 +6,16 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Engine is one engine of a scenario at its start.
+// Engine is one engine in its initial state.
 type Engine struct {
-	// Name is SERVICE-ZONE-NUMBER, as in a fleet of processes; numbers begin at 1.
+	// Name is SERVICE-ZONE-NUMBER, as in a fleet of processes; numbers start at 1.
 	Name    string
 	Service string
 	Zone    string
 	Role    enginecontract.Role
 }
 
-// Engines returns all engines by service, zone and number, in the file's order.
+// Engines returns all engines by service, zone and number, in the order of the file.
 func (s Scenario) Engines() []Engine {
 	var engines []Engine
 	for _, service := range s.Services {
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -2,59 +2,58 @@
 
 import "time"
 
-// FaultType is what goes wrong.
+// FaultType is the type of a fault.
 type FaultType string
 
 // Types of faults.
 const (
-	// FaultEngineCrash ends engines at once with all they hold; they return empty,
-	// in their role, after Length.
+	// FaultEngineCrash ends engines at once, with the loss of their state; they restart
+	// empty, in the same role, after Length.
 	FaultEngineCrash FaultType = "engine-crash"
-	// FaultEnginePause stops engines for Length; they then go on.
+	// FaultEnginePause suspends engines for Length.
 	FaultEnginePause FaultType = "engine-pause"
 	// FaultStaleReports freezes the engines' reports at their last value for Length.
 	FaultStaleReports FaultType = "stale-reports"
-	// FaultLostReports keeps the engines' reports from the planner for Length.
+	// FaultLostReports drops the engines' reports to the planner for Length.
 	FaultLostReports FaultType = "lost-reports"
-	// FaultPlannerPause makes no decision for Length.
+	// FaultPlannerPause suspends the planner for Length; it makes no decisions.
 	FaultPlannerPause FaultType = "planner-pause"
-	// FaultPlannerCrash forgets all that the planner remembers and makes no
-	// decision for Length.
+	// FaultPlannerCrash drops the planner's memory and suspends the planner for Length.
 	FaultPlannerCrash FaultType = "planner-crash"
 )
 
-// Fault is one fault at one time.
+// Fault is one fault that occurs during a run.
 type Fault struct {
 	Fault FaultType `yaml:"fault" check:"required,one-of=engine-crash|engine-pause|stale-reports|lost-reports|planner-pause|planner-crash"`
-	// At is when it begins.
+	// At is the start of the fault.
 	At time.Duration `yaml:"at" check:"not-negative"`
-	// Length of the fault; an engine crash of length 0 lasts to the end.
+	// Length of the fault; an engine crash of length 0 lasts to the end of the run.
 	Length time.Duration `yaml:"length" default:"0s" check:"not-negative"`
-	// Service, Zone and Engine choose whom the fault strikes; those that are not set
-	// choose all.
+	// Service, Zone and Engine select the engines that the fault affects; an empty field
+	// selects all.
 	Service string `yaml:"service"`
 	Zone    string `yaml:"zone"`
 	Engine  string `yaml:"engine"`
-	// Count strikes only the first engines of those chosen; 0 is all.
+	// Count limits the fault to the first engines selected; 0 is no limit.
 	Count int `yaml:"count" default:"0" check:"not-negative"`
 }
 
-// Targets returns the engines that the fault is about, in their order.
+// Targets returns the engines that the fault affects, in the given order.
 func (f Fault) Targets(engines []Engine) []Engine {
-	var struck []Engine
+	var targets []Engine
 	for _, engine := range engines {
-		if !f.chooses(engine) {
+		if !f.matches(engine) {
 			continue
 		}
-		if f.Count > 0 && len(struck) == f.Count {
+		if f.Count > 0 && len(targets) == f.Count {
 			break
 		}
-		struck = append(struck, engine)
+		targets = append(targets, engine)
 	}
-	return struck
+	return targets
 }
 
-func (f Fault) chooses(engine Engine) bool {
+func (f Fault) matches(engine Engine) bool {
 	inService := f.Service == "" || f.Service == engine.Service
 	inZone := f.Zone == "" || f.Zone == engine.Zone
 	named := f.Engine == "" || f.Engine == engine.Name
--- a/internal/scenario/generate.go
+++ b/internal/scenario/generate.go
@@ -10,17 +10,17 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// rateStep is the step in which a changing rate is integrated. Within a step the
-// rate counts as constant.
+// rateStep is the step with which a changing rate is integrated. The rate is constant within
+// a step.
 const rateStep = 10 * time.Millisecond
 
-// Arrivals returns all requests of a run in order of time, those of the trace among
-// them. It depends on the scenario and the seed alone; what one kind draws does not
-// depend on the other kinds.
+// Arrivals returns all requests of a run, including those of the trace, in order of time. The
+// result depends on the scenario and the seed alone; the arrivals of one kind do not depend
+// on the other kinds.
 func (s Scenario) Arrivals(seed uint64) []Arrival {
-	arrivals := append([]Arrival(nil), s.traced...)
+	arrivals := append([]Arrival(nil), s.traceArrivals...)
 	for index, kind := range s.Kinds {
-		arrivals = append(arrivals, s.newGenerator(index, kind, seed).run()...)
+		arrivals = append(arrivals, s.newGenerator(index, kind, seed).generate()...)
 	}
 	sort.SliceStable(arrivals, func(one, other int) bool { return arrivals[one].At < arrivals[other].At })
 	for number := range arrivals {
@@ -29,8 +29,8 @@
 	return arrivals
 }
 
-// generator draws the arrivals of one kind.
-type generator struct {
+// arrivalGenerator draws the arrivals of one kind.
+type arrivalGenerator struct {
 	index    int
 	kind     Kind
 	duration time.Duration
@@ -43,13 +43,13 @@
 	output   sampler
 }
 
-func (s Scenario) newGenerator(index int, kind Kind, seed uint64) *generator {
+func (s Scenario) newGenerator(index int, kind Kind, seed uint64) *arrivalGenerator {
 	source := rand.NewPCG(seed, xxhash.Sum64String(kind.Name))
 	weights := make([]float64, len(s.Zones))
 	for zone := range s.Zones {
 		weights[zone] = s.Zones[zone].CallerWeight
 	}
-	made := &generator{
+	made := &arrivalGenerator{
 		index:    index,
 		kind:     kind,
 		duration: s.Duration,
@@ -60,13 +60,13 @@
 		prompt:   kind.PromptTokens.sampler(source),
 		output:   kind.OutputTokens.sampler(source),
 	}
-	made.chooseProcess(source)
+	made.setProcess(source)
 	return made
 }
 
-// chooseProcess sets the gap to the next arrival, in arrivals at the mean rate, and
-// the number of requests that then arrive.
-func (g *generator) chooseProcess(source rand.Source) {
+// setProcess sets gap, the distance to the next arrival in units of mean interarrival time,
+// and size, the number of requests that arrive at once.
+func (g *arrivalGenerator) setProcess(source rand.Source) {
 	exponential := distuv.Exponential{Rate: 1, Src: source}
 	switch g.kind.Arrivals.Process {
 	case ProcessConstant:
@@ -83,34 +83,34 @@
 	}
 }
 
-// run integrates the rate and lets requests arrive each time a gap is used up.
-func (g *generator) run() []Arrival {
+// generate integrates the rate and emits arrivals each time the integral has passed a gap.
+func (g *arrivalGenerator) generate() []Arrival {
 	if g.kind.Arrivals.Rate <= 0 {
 		return nil
 	}
 	var arrivals []Arrival
-	left := g.gap()
+	remainingGap := g.gap()
 	for start := time.Duration(0); start < g.duration; start += rateStep {
 		step := min(rateStep, g.duration-start)
 		rate := g.kind.RateAt(start)
 		expected := rate * step.Seconds()
 		for used := 0.0; ; {
-			if used+left > expected {
-				left -= expected - used
+			if used+remainingGap > expected {
+				remainingGap -= expected - used
 				break
 			}
-			used += left
-			left = g.gap()
+			used += remainingGap
+			remainingGap = g.gap()
 			at := start + time.Duration(used/rate*float64(time.Second))
 			for range g.size() {
-				arrivals = append(arrivals, g.arrival(min(at, g.duration-1)))
+				arrivals = append(arrivals, g.drawArrival(min(at, g.duration-1)))
 			}
 		}
 	}
 	return arrivals
 }
 
-func (g *generator) arrival(at time.Duration) Arrival {
+func (g *arrivalGenerator) drawArrival(at time.Duration) Arrival {
 	made := Arrival{
 		At: at, Kind: g.index, Zone: g.zone(), Tenant: g.tenant(),
 		PromptTokens: g.prompt(), OutputTokens: g.output(),
--- a/internal/scenario/generate_test.go
+++ b/internal/scenario/generate_test.go
@@ -57,16 +57,16 @@
 	total := float64(len(arrivals))
 	require.InEpsilon(t, 3000, total, 0.06)                   // 20/s for 50 s, then 40/s
 	require.InEpsilon(t, 1000, float64(early), 0.1)           // before the step
-	require.InEpsilon(t, 9000, prompts/total, 0.05)           // mean of the law
+	require.InEpsilon(t, 9000, prompts/total, 0.05)           // mean of the distribution
 	require.InEpsilon(t, 0.75, float64(zones[1])/total, 0.05) // caller_weight 3 to 1
 	require.InEpsilon(t, 2, float64(tenants[0])/float64(tenants[1]), 0.2)
 	require.InEpsilon(t, 4, float64(tenants[0])/float64(tenants[3]), 0.25)
 }
 
-func TestProcesses(t *testing.T) {
+func TestArrivalProcesses(t *testing.T) {
 	variation := func(arrivals string) (count int, squared float64) {
 		drawn := load(t, strings.Replace(base, "{rate: 20}", arrivals, 1)).Arrivals(5)
-		counts := make([]float64, 50) // of each second before the step
+		counts := make([]float64, 50) // arrivals in each second before the step
 		for _, arrival := range drawn {
 			if second := int(arrival.At / time.Second); second < len(counts) {
 				counts[second]++
--- a/internal/scenario/keyset.go
+++ b/internal/scenario/keyset.go
@@ -8,13 +8,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/yamlfile"
 )
 
-// keySet is the keys that one type of group takes.
+// keySet lists the keys that a type of group accepts.
 type keySet struct {
 	required []string
 	optional []string
 }
 
-// shapeKeys are the keys of each type of shape.
+// shapeKeys maps each type of shape to its keys.
 var shapeKeys = map[ShapeType]keySet{
 	ShapeStep:   {required: []string{"at", "factor"}, optional: []string{"until"}},
 	ShapeRamp:   {required: []string{"at", "until", "factor"}},
@@ -26,7 +26,7 @@
 
 var allShapeKeys = []string{"at", "until", "length", "factor", "period", "phase", "amplitude", "low", "high", "points"}
 
-// lawKeys are the keys of each law of a distribution.
+// lawKeys maps each law of a distribution to its keys.
 var lawKeys = map[Law]keySet{
 	LawFixed:       {required: []string{"value"}},
 	LawUniform:     {required: []string{"low", "high"}},
@@ -37,7 +37,7 @@
 
 var allLawKeys = []string{"value", "mean", "deviation", "low", "high"}
 
-// check reports keys of a group that are missing and keys that its type doesn't take.
+// check reports missing keys of a group and keys that its type does not accept.
 func (k keySet) check(document *yamlfile.Document, group, typeName string, all []string) {
 	for _, name := range all {
 		key := group + "." + name
--- a/internal/scenario/kind.go
+++ b/internal/scenario/kind.go
@@ -2,56 +2,56 @@
 
 import "time"
 
-// Kind is one kind of request: what it is worth, how large it is, when it arrives.
+// Kind is a kind of request: its worth, size and arrivals.
 type Kind struct {
 	Name string `yaml:"name" check:"required"`
-	// Service that answers it. Required.
+	// Service that serves the kind. Required.
 	Service string `yaml:"service" check:"required"`
-	// Worth of one request completed within its deadline. Required.
+	// Worth of one request that completes within its deadline. Required.
 	Worth float64 `yaml:"worth" check:"required,positive"`
-	// Deadline from the arrival to the last token; 0 is none.
+	// Deadline is the time from arrival to last token; 0 is no deadline.
 	Deadline time.Duration `yaml:"deadline" default:"0s" check:"not-negative"`
-	// Priority: larger goes first.
+	// Priority of the kind; larger values are served first.
 	Priority int `yaml:"priority" default:"0" check:"not-negative"`
 	// PromptTokens and OutputTokens are drawn for each request. Required.
 	PromptTokens Distribution `yaml:"prompt_tokens"`
 	OutputTokens Distribution `yaml:"output_tokens"`
-	// Prefix is the part of the prompt that requests share.
+	// Prefix defines the prompt prefix that requests share.
 	Prefix Prefix `yaml:"prefix"`
-	// Arrivals: when requests come. A kind with rate 0 comes from the trace alone.
+	// Arrivals define when requests arrive. A kind with rate 0 has arrivals from the trace only.
 	Arrivals Arrivals `yaml:"arrivals"`
-	// Mix is how the rate changes over time: the factors of all shapes multiply.
+	// Mix changes the rate over time; the factors of all shapes are multiplied.
 	Mix []Shape `yaml:"mix"`
 }
 
-// Prefix tells how prompts of one kind and tenant begin alike, as dossiers do.
+// Prefix defines the shared prompt prefixes of one kind and tenant, such as dossiers.
 type Prefix struct {
-	// Subjects is the number of different beginnings; 0 is no shared beginning.
+	// Subjects is the number of different prefixes; with 0 no prefix is shared.
 	Subjects int `yaml:"subjects" default:"0" check:"not-negative"`
-	// Share of a prompt's tokens that belong to the beginning, 0 to 1.
+	// Share of a prompt's tokens that belong to the prefix, 0 to 1.
 	Share float64 `yaml:"share" default:"0" check:"share"`
-	// Skew of the subjects' popularity: subject i is asked for in proportion to 1/i^skew.
+	// Skew of the subjects' popularity: the frequency of subject i is proportional to 1/i^skew.
 	Skew float64 `yaml:"skew" default:"0" check:"not-negative"`
 }
 
-// ArrivalProcess is the law of the times between arrivals.
+// ArrivalProcess is the stochastic process of the arrivals.
 type ArrivalProcess string
 
 // Arrival processes.
 const (
-	// ProcessPoisson draws independent arrivals.
+	// ProcessPoisson has independent arrivals.
 	ProcessPoisson ArrivalProcess = "poisson"
-	// ProcessConstant spaces arrivals evenly.
+	// ProcessConstant has evenly spaced arrivals.
 	ProcessConstant ArrivalProcess = "constant"
-	// ProcessBursts draws groups of BurstSize requests that arrive at one time.
+	// ProcessBursts has bursts of simultaneous arrivals, BurstSize on average.
 	ProcessBursts ArrivalProcess = "bursts"
 )
 
-// Arrivals is when requests of a kind come.
+// Arrivals defines when requests of a kind arrive.
 type Arrivals struct {
 	Process ArrivalProcess `yaml:"process" default:"poisson" check:"one-of=poisson|constant|bursts"`
-	// Rate is the number of requests a second before the mix, over all zones.
+	// Rate is the arrivals per second over all zones, before the mix is applied.
 	Rate float64 `yaml:"rate" default:"0" check:"not-negative"`
-	// BurstSize is the mean size of a burst; for process bursts alone.
+	// BurstSize is the mean size of a burst; only for process bursts.
 	BurstSize float64 `yaml:"burst_size" default:"1" check:"at-least-1"`
 }
--- a/internal/scenario/load.go
+++ b/internal/scenario/load.go
@@ -8,8 +8,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/yamlfile"
 )
 
-// Load reads and checks a scenario file and the trace it names. The error holds
-// yamlfile.Problems, with file, line, key and cure, when a file is at fault.
+// Load reads and validates a scenario file and the trace that it names. If a file is invalid,
+// the error holds yamlfile.Problems with file, line, key and remedy.
 func Load(path string) (Scenario, error) {
 	var read Scenario
 	err := yamlfile.Load(yamlfile.Source{
@@ -26,6 +26,6 @@
 	if !filepath.IsAbs(traceFile) {
 		traceFile = filepath.Join(filepath.Dir(path), traceFile)
 	}
-	read.traced, err = readTrace(traceFile, read)
+	read.traceArrivals, err = readTrace(traceFile, read)
 	return read, trace.Wrap(err)
 }
--- a/internal/scenario/names.go
+++ b/internal/scenario/names.go
@@ -9,23 +9,23 @@
 	"github.com/hazelpitch/hazelpitch/internal/yamlfile"
 )
 
-// checkName reports a name that is not one of those known; an empty name passes.
+// checkName reports a name that is not among the known ones; an empty name is valid.
 func checkName(document *yamlfile.Document, key, name string, known []string) {
 	if name == "" || slices.Contains(known, name) {
 		return
 	}
-	document.Report(key, fmt.Sprintf("%q is not one of the scenario's", name), nameCure(name, known))
+	document.Report(key, fmt.Sprintf("%q is not one of the scenario's", name), nameRemedy(name, known))
 }
 
-func nameCure(name string, known []string) string {
+func nameRemedy(name string, known []string) string {
 	if suggestion, found := nearest.Word(name, known); found {
 		return fmt.Sprintf("did you mean %s?", suggestion)
 	}
 	return "write one of " + strings.Join(known, ", ")
 }
 
-// checkTwice reports names that stand more than once in a list of groups.
-func checkTwice(document *yamlfile.Document, list string, names []string) {
+// checkDuplicates reports names that occur more than once in a list.
+func checkDuplicates(document *yamlfile.Document, list string, names []string) {
 	seen := map[string]bool{}
 	for index, name := range names {
 		if seen[name] && name != "" {
--- a/internal/scenario/rate.go
+++ b/internal/scenario/rate.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// RateAt is the number of requests of the kind a second, over all zones, at a time
-// of the run. Arrivals of a trace are not in it.
+// RateAt returns the arrivals of the kind per second, over all zones, at a time of the run.
+// It does not include arrivals from a trace.
 func (k Kind) RateAt(at time.Duration) float64 {
 	rate := k.Arrivals.Rate
 	for _, shape := range k.Mix {
@@ -15,7 +15,7 @@
 	return rate
 }
 
-// FactorAt is what the shape multiplies the rate by at a time of the run; 0 or more.
+// FactorAt returns the shape's factor of the rate at a time of the run; it is not negative.
 func (s Shape) FactorAt(at time.Duration) float64 {
 	switch s.Shape {
 	case ShapeStep:
@@ -27,9 +27,9 @@
 		done := float64(at-s.At) / float64(s.Until-s.At)
 		return 1 + (s.Factor-1)*min(max(done, 0), 1)
 	case ShapeWave:
-		return 1 + s.Amplitude*math.Sin(2*math.Pi*s.turns(at))
+		return 1 + s.Amplitude*math.Sin(2*math.Pi*s.periodsAt(at))
 	case ShapeSquare:
-		if _, part := math.Modf(s.turns(at)); part < 0.5 {
+		if _, part := math.Modf(s.periodsAt(at)); part < 0.5 {
 			return s.High
 		}
 		return s.Low
@@ -41,8 +41,8 @@
 	return 1
 }
 
-// turns is the number of periods since the start, with the phase.
-func (s Shape) turns(at time.Duration) float64 {
+// periodsAt returns the number of periods since the start, including the phase.
+func (s Shape) periodsAt(at time.Duration) float64 {
 	return at.Seconds()/s.Period.Seconds() + s.Phase
 }
 
@@ -60,8 +60,8 @@
 	return s.Factor
 }
 
-// dailyAt goes in straight lines from point to point, and from the last point to
-// the first of the next period.
+// dailyAt interpolates linearly between the points, and from the last point to the first
+// point of the next period.
 func (s Shape) dailyAt(at time.Duration) float64 {
 	at %= s.Period
 	last := s.Points[len(s.Points)-1]
--- a/internal/scenario/sampler.go
+++ b/internal/scenario/sampler.go
@@ -7,20 +7,20 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// sampler draws numbers of tokens.
+// sampler draws token counts.
 type sampler func() int
 
-// sampler returns the distribution's draws from a source.
+// sampler returns a sampler of the distribution with a random source.
 func (d Distribution) sampler(source rand.Source) sampler {
 	var draw func() float64
 	switch d.Law {
 	case LawUniform:
-		// Half a token on each side makes every whole number equally likely.
+		// Half a token on each side makes every integer in the range equally likely.
 		draw = distuv.Uniform{Min: float64(d.Low) - 0.5, Max: float64(d.High) + 0.5, Src: source}.Rand
 	case LawNormal:
 		draw = distuv.Normal{Mu: d.Mean, Sigma: d.Deviation, Src: source}.Rand
 	case LawLogNormal:
-		// Mean and deviation of the tokens give those of their logarithm.
+		// Converts mean and deviation of the tokens to those of their logarithm.
 		variance := math.Log1p(d.Deviation * d.Deviation / (d.Mean * d.Mean))
 		draw = distuv.LogNormal{Mu: math.Log(d.Mean) - variance/2, Sigma: math.Sqrt(variance), Src: source}.Rand
 	case LawExponential:
@@ -28,11 +28,11 @@
 	default:
 		return func() int { return d.Value }
 	}
-	return func() int { return d.hold(draw()) }
+	return func() int { return d.clamp(draw()) }
 }
 
-// hold rounds a draw and holds it between the bounds.
-func (d Distribution) hold(value float64) int {
+// clamp rounds a sample and limits it to the distribution's bounds.
+func (d Distribution) clamp(value float64) int {
 	tokens := int(math.Round(min(value, math.MaxInt32)))
 	if d.High > 0 {
 		tokens = min(tokens, d.High)
@@ -40,7 +40,7 @@
 	return max(tokens, d.Low, 1)
 }
 
-// byWeight returns draws of an index in proportion to its weight.
+// byWeight returns a function that draws indexes in proportion to their weights.
 func byWeight(weights []float64, source rand.Source) func() int {
 	if len(weights) <= 1 {
 		return func() int { return 0 }
@@ -49,7 +49,7 @@
 	return func() int { return int(law.Rand()) }
 }
 
-// zipfWeights are 1/i^skew for i from 1 to count.
+// zipfWeights returns the weights 1/i^skew for i from 1 to count.
 func zipfWeights(count int, skew float64) []float64 {
 	weights := make([]float64, count)
 	for index := range weights {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -71,7 +71,7 @@
 	require.Len(t, read.Faults[0].Targets(read.Engines()), 1)
 }
 
-func TestFaultsOfFiles(t *testing.T) {
+func TestInvalidScenarios(t *testing.T) {
 	for name, row := range map[string]struct{ old, new, want string }{
 		"unknown key":           {"duration: 100s", "duration: 100s\nreport: 3", ":4:1: report: unknown key; did you mean reports?"},
 		"unknown key in a list": {"    worth: 12", "    wort: 12", "kinds[0].wort: unknown key; did you mean worth?"},
@@ -82,12 +82,12 @@
 		"negative worth":        {"worth: 12", "worth: -1", "kinds[0].worth: -1 is not above zero"},
 		"unknown role":          {"[prefill, decode]", "[prefil, decode]", `:10:21: services[0].initial_roles[0]: "prefil" is not known; did you mean prefill?`},
 		"unknown law":           {"law: uniform", "law: even", `output_tokens.law: "even" is not known; write one of fixed, uniform`},
-		"law lacks a key":       {"low: 60, ", "", "kinds[0].output_tokens.low: is missing; law uniform needs it"},
+		"law misses a key":      {"low: 60, ", "", "kinds[0].output_tokens.low: is missing; law uniform needs it"},
 		"key of another law":    {"low: 60,", "low: 60, mean: 3,", "kinds[0].output_tokens.mean: is not a key of law uniform"},
 		"low above high":        {"low: 60", "low: 600", "output_tokens.low: 600 is above high, 180"},
 		"no prompt":             {"    prompt_tokens: {law: lognormal, mean: 9000, deviation: 3000, high: 20000}\n", "", "kinds[0].prompt_tokens.value: is missing; law fixed needs it"},
 		"unknown shape":         {"shape: step", "shape: stop", `mix[0].shape: "stop" is not known; did you mean step?`},
-		"shape lacks a key":     {"at: 50s, factor: 2", "at: 50s", "mix[0].factor: is missing; shape step needs it"},
+		"shape misses a key":    {"at: 50s, factor: 2", "at: 50s", "mix[0].factor: is missing; shape step needs it"},
 		"key of another shape":  {"factor: 2", "factor: 2, period: 3s", "mix[0].period: is not a key of shape step"},
 		"until before at":       {"factor: 2", "factor: 2, until: 50s", "mix[0].until: 50s is not after at, 50s"},
 		"amplitude":             {"{shape: step, at: 50s, factor: 2}", "{shape: wave, period: 3s, amplitude: 2}", "mix[0].amplitude: 2 is not a share; write a number from 0 to 1"},
@@ -98,7 +98,7 @@
 		"unknown zone":          {"hall-b: 1}", "hall-c: 1}", "services[0].engines.hall-c: is not one of the scenario's zones; did you mean hall-a?"},
 		"zone twice":            {"{name: hall-b, caller_weight: 3}", "{name: hall-a}", `zones[1].name: "hall-a" stands twice`},
 		"no callers":            {"{name: hall-a}\n  - {name: hall-b, caller_weight: 3}", "{name: hall-a, caller_weight: 0}\n  - {name: hall-b, caller_weight: 0}", "zones: no zone has callers"},
-		"no writer":             {"[prefill, decode]", "[prefill]", "services[0].initial_roles: leave no engine to read prompts, or none to write output"},
+		"no decode engine":      {"[prefill, decode]", "[prefill]", "services[0].initial_roles: leave no engine to read prompts, or none to write output"},
 		"minimum above maximum": {"minimum: 1", "minimum: 3", "bounds[0].minimum: 3 is above maximum, 2"},
 		"minimum above engines": {"minimum: 1, maximum: 2", "minimum: 4", "bounds[0].minimum: 4 is more than the 3 engines there"},
 		"pin of no engine":      {"    bounds:", "    pins: {assessor-hall-a-9: decode}\n    bounds:", "pins.assessor-hall-a-9: is not one of the service's engines"},
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestFaultsAreTypedAndAllTold(t *testing.T) {
+func TestAllProblemsAreReported(t *testing.T) {
 	text := strings.NewReplacer("worth: 12", "worth: -1", "law: uniform", "law: even").Replace(base)
 	_, err := scenario.Load(write(t, "scenario.yaml", text))
 	var problems yamlfile.Problems
--- a/internal/scenario/shape.go
+++ b/internal/scenario/shape.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// ShapeType is the form of a change of rate.
+// ShapeType is the form of a rate change.
 type ShapeType string
 
-// Types of shapes. Each gives a factor at each time of the run.
+// Types of shapes. Each defines a factor for each time of the run.
 const (
-	// ShapeStep is 1 before At, Factor from At until Until.
+	// ShapeStep is 1 before At and Factor from At to Until.
 	ShapeStep ShapeType = "step"
-	// ShapeRamp goes from 1 at At to Factor at Until in a straight line, and stays.
+	// ShapeRamp goes linearly from 1 at At to Factor at Until and stays there.
 	ShapeRamp ShapeType = "ramp"
 	// ShapeWave is 1 + Amplitude × sin(2π(t/Period + Phase)).
 	ShapeWave ShapeType = "wave"
 	// ShapeSquare is High for the first half of each Period and Low for the second.
 	ShapeSquare ShapeType = "square"
-	// ShapeBurst is Factor from At for Length, again after each Period if it is set.
+	// ShapeBurst is Factor from At for Length, and repeats after each Period if that is set.
 	ShapeBurst ShapeType = "burst"
-	// ShapeDaily goes through Points in straight lines, again after each Period.
+	// ShapeDaily interpolates linearly between Points and repeats after each Period.
 	ShapeDaily ShapeType = "daily"
 )
 
-// Shape is one change of a kind's rate over time.
+// Shape changes a kind's rate over time.
 type Shape struct {
 	Shape ShapeType `yaml:"shape" check:"required,one-of=step|ramp|wave|square|burst|daily"`
-	// At is when a step, ramp or burst begins.
+	// At is the start of a step, ramp or burst.
 	At time.Duration `yaml:"at" check:"not-negative"`
-	// Until is when a step or ramp ends; a step without it lasts to the end.
+	// Until is the end of a step or ramp; a step without it lasts to the end of the run.
 	Until time.Duration `yaml:"until" check:"positive"`
 	// Length of a burst.
 	Length time.Duration `yaml:"length" check:"positive"`
-	// Factor that the rate is multiplied by.
+	// Factor by which the rate is multiplied.
 	Factor float64 `yaml:"factor" check:"not-negative"`
 	// Period of a wave, square, daily or repeated burst.
 	Period time.Duration `yaml:"period" check:"positive"`
--- a/internal/scenario/trace.go
+++ b/internal/scenario/trace.go
@@ -17,24 +17,24 @@
 	"github.com/hazelpitch/hazelpitch/internal/yamlfile"
 )
 
-// Columns of a trace.
+// Columns of a trace file.
 const (
-	columnAt     = "at_seconds"
-	columnKind   = "kind"
-	columnPrompt = "prompt_tokens"
-	columnOutput = "output_tokens"
-	columnTenant = "tenant"
-	columnZone   = "zone"
-	columnIdent  = "subject"
-	columnShared = "shared_tokens"
+	columnAt      = "at_seconds"
+	columnKind    = "kind"
+	columnPrompt  = "prompt_tokens"
+	columnOutput  = "output_tokens"
+	columnTenant  = "tenant"
+	columnZone    = "zone"
+	columnSubject = "subject"
+	columnShared  = "shared_tokens"
 )
 
 var (
 	requiredColumns = []string{columnAt, columnKind, columnPrompt, columnOutput}
-	optionalColumns = []string{columnTenant, columnZone, columnIdent, columnShared}
+	optionalColumns = []string{columnTenant, columnZone, columnSubject, columnShared}
 )
 
-// traceReader reads the rows of one trace.
+// traceReader reads the rows of one trace file.
 type traceReader struct {
 	path     string
 	scenario Scenario
@@ -44,13 +44,13 @@
 	problems yamlfile.Problems
 }
 
-// readTrace reads a CSV file of arrivals for a scenario.
+// readTrace reads the arrivals of a CSV file for a scenario.
 func readTrace(path string, of Scenario) ([]Arrival, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, trace.BadParameter("cannot read the trace: %v; give trace.file relative to the scenario's directory", err)
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // an error on close of a file that was only read is harmless
 	reader := &traceReader{path: path, scenario: of, rows: csv.NewReader(file)}
 	arrivals, err := reader.read()
 	if err != nil {
@@ -90,7 +90,7 @@
 	for index, name := range header {
 		name = strings.TrimSpace(name)
 		if !slices.Contains(all, name) {
-			r.report(name, "unknown column", nameCure(name, all))
+			r.report(name, "unknown column", nameRemedy(name, all))
 		}
 		r.columns[name] = index
 	}
@@ -109,7 +109,7 @@
 		PromptTokens: r.number(columnPrompt, 1, math.MaxInt32),
 		OutputTokens: r.number(columnOutput, 1, math.MaxInt32),
 		Tenant:       r.number(columnTenant, 1, r.scenario.Tenants.Count) - 1,
-		Subject:      r.number(columnIdent, 0, math.MaxInt32),
+		Subject:      r.number(columnSubject, 0, math.MaxInt32),
 		SharedTokens: r.number(columnShared, 0, math.MaxInt32),
 	}
 	if made.SharedTokens > made.PromptTokens {
@@ -118,7 +118,7 @@
 	return made
 }
 
-// cell is the text of a column, and whether the row has it.
+// cell returns the text of a column and whether the trace has the column.
 func (r *traceReader) cell(column string) (string, bool) {
 	index, found := r.columns[column]
 	if !found {
@@ -137,7 +137,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// name is the index of a column's name in a list; without the column it is 0.
+// name returns the index of a column's name in a list; without the column it returns 0.
 func (r *traceReader) name(column string, known []string) int {
 	text, found := r.cell(column)
 	if !found {
@@ -145,13 +145,13 @@
 	}
 	index := slices.Index(known, text)
 	if index < 0 {
-		r.report(column, fmt.Sprintf("%q is not one of the scenario's", text), nameCure(text, known))
+		r.report(column, fmt.Sprintf("%q is not one of the scenario's", text), nameRemedy(text, known))
 		return 0
 	}
 	return index
 }
 
-// number is a column's whole number; without the column it is the least.
+// number returns a column's integer; without the column it returns least.
 func (r *traceReader) number(column string, least, most int) int {
 	text, found := r.cell(column)
 	if !found {
