--- a/internal/experiment/bench_test.go
+++ b/internal/experiment/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/experiment"
 )
 
-// BenchmarkSimulate runs a minute of six busy engines.
+// BenchmarkSimulate simulates one minute of six busy engines.
 func BenchmarkSimulate(b *testing.B) {
 	const length = time.Minute
 	options := experiment.Options{
--- a/internal/experiment/benchmarks.go
+++ b/internal/experiment/benchmarks.go
@@ -11,10 +11,10 @@
 	"github.com/gravitational/trace"
 )
 
-// WriteBenchmarks writes the page of a suite's runs: for each scenario and policy the
-// goodput as a share of the clairvoyant bound, the role changes and the deadline misses,
-// as the median over the seeds with the least and the greatest. whole tells that every
-// run of the suite is among them.
+// WriteBenchmarks writes the page with the results of a suite's runs: for each scenario and
+// policy the goodput as a share of the clairvoyant bound, the role changes and the deadline
+// misses, as the median over the seeds with minimum and maximum. whole states that runs
+// holds every run of the suite.
 func WriteBenchmarks(path, commandLine string, whole bool, runs []*Run) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return trace.NewAggregate(writer.err, file.Close())
 }
 
-// errorWriter remembers the first error, so that every line need not look for it.
+// errorWriter stores the first error, so that it can be checked once at the end.
 type errorWriter struct {
 	out io.Writer
 	err error
@@ -74,16 +74,16 @@
 		w.line("| --- | --- | --- | --- | --- | --- | --- |")
 		for _, own := range groupRuns(group, func(run *Run) string { return run.Policy }) {
 			w.line("| %s | %d | %s | %s | %s | %s | %s |", own[0].Policy, len(own),
-				spreadOf(withBound(own), shareOfBound, "%.1f%%"), spreadOf(own, shareOfOffered, "%.1f%%"),
-				spreadOf(own, func(run *Run) float64 { return float64(run.RoleChanges) }, "%.0f"),
-				spreadOf(own, func(run *Run) float64 { return float64(run.DeadlineMisses) }, "%.0f"),
-				spreadOf(own, func(run *Run) float64 { return float64(run.Refused) }, "%.0f"))
+				formatSpread(withBound(own), shareOfBound, "%.1f%%"), formatSpread(own, shareOfOffered, "%.1f%%"),
+				formatSpread(own, func(run *Run) float64 { return float64(run.RoleChanges) }, "%.0f"),
+				formatSpread(own, func(run *Run) float64 { return float64(run.DeadlineMisses) }, "%.0f"),
+				formatSpread(own, func(run *Run) float64 { return float64(run.Refused) }, "%.0f"))
 		}
 		w.line("")
 	}
 }
 
-// writeGoals sums up each scenario in one line against the aims.
+// writeGoals writes a table with one row per scenario that compares the planner with its aims.
 func writeGoals(w *errorWriter, runs []*Run) {
 	w.line("## The planner against its aims\n")
 	w.line("Aims: 95%% of the bound; 1.5 times static-mean on shifting mixes; no useless change on calm")
@@ -99,9 +99,9 @@
 		if median(withBound(own), shareOfBound) < 95 {
 			reached = "**no**"
 		}
-		w.line("| %s | %s | %s | %s | %s | %s | %s | %s |", scenarioKey(own[0]), spreadOf(withBound(own), shareOfBound, "%.1f%%"), reached,
-			timesOf(own, policyRuns(group, PolicyStaticMean)), timesOf(own, policyRuns(group, PolicyPrevious)),
-			spreadOf(own, changesMade, "%.0f"), spreadOf(policyRuns(group, PolicyClairvoyant), changesMade, "%.0f"), highest(group))
+		w.line("| %s | %s | %s | %s | %s | %s | %s | %s |", scenarioKey(own[0]), formatSpread(withBound(own), shareOfBound, "%.1f%%"), reached,
+			goodputRatio(own, policyRuns(group, PolicyStaticMean)), goodputRatio(own, policyRuns(group, PolicyPrevious)),
+			formatSpread(own, changesMade, "%.0f"), formatSpread(policyRuns(group, PolicyClairvoyant), changesMade, "%.0f"), highestPolicy(group))
 	}
 	w.line("")
 }
@@ -119,8 +119,8 @@
 
 func shareOfOffered(run *Run) float64 { return 100 * run.Goodput / max(run.OfferedWorth, 1e-9) }
 
-// highest names the policy with the highest median share of the bound.
-func highest(group []*Run) string {
+// highestPolicy names the policy with the highest median share of the bound.
+func highestPolicy(group []*Run) string {
 	best, share := "", -1.0
 	for _, own := range groupRuns(group, func(run *Run) string { return run.Policy }) {
 		if value := median(withBound(own), shareOfBound); value > share {
@@ -130,15 +130,15 @@
 	return fmt.Sprintf("%s %.1f%%", best, share)
 }
 
-// timesOf is the ratio of the medians of goodput.
-func timesOf(own, other []*Run) string {
+// goodputRatio returns the ratio of the medians of goodput.
+func goodputRatio(own, other []*Run) string {
 	if len(other) == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%.2f", median(own, shareOfOffered)/max(median(other, shareOfOffered), 1e-9))
 }
 
-// groupRuns groups runs by a key, in the order of the keys' first appearance.
+// groupRuns groups runs by a key, in order of the keys' first appearance.
 func groupRuns(runs []*Run, key func(*Run) string) [][]*Run {
 	place := map[string]int{}
 	var groups [][]*Run
@@ -158,7 +158,7 @@
 	return slices.DeleteFunc(slices.Clone(runs), func(run *Run) bool { return run.Policy != policy })
 }
 
-// withBound leaves out runs whose bound has not been searched for.
+// withBound omits runs without a bound.
 func withBound(runs []*Run) []*Run {
 	return slices.DeleteFunc(slices.Clone(runs), func(run *Run) bool { return run.BoundGoodput == nil })
 }
@@ -180,8 +180,8 @@
 	return (values[(len(values)-1)/2] + values[len(values)/2]) / 2
 }
 
-// spreadOf is the median with the least and the greatest.
-func spreadOf(runs []*Run, value func(*Run) float64, format string) string {
+// formatSpread formats the median with minimum and maximum.
+func formatSpread(runs []*Run, value func(*Run) float64, format string) string {
 	values := sortedValues(runs, value)
 	if len(values) == 0 {
 		return "-"
--- a/internal/experiment/clairvoyant.go
+++ b/internal/experiment/clairvoyant.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// assumedDrain is the time a busy engine needs to finish what it has, which the
-	// plan counts as lost besides the role change itself.
+	// assumedDrain is the assumed time that a busy engine needs to drain; a plan loses it in
+	// addition to the role change itself.
 	assumedDrain = 2 * time.Second
-	// refinements bounds the runs of the local search.
-	refinements = 2
+	// maxRefinements limits the simulations of the local search.
+	maxRefinements = 2
 )
 
-// planVariant is one way to make a plan with the model.
+// planVariant is a set of parameters for planning with the model.
 type planVariant struct {
-	// priceFactor multiplies the declared price of a change; 0 looks for goodput alone.
+	// priceFactor multiplies the declared price of a change; 0 maximizes goodput alone.
 	priceFactor float64
-	// lead is how much earlier than the model says changes begin.
+	// lead is how much earlier changes begin than the model says.
 	lead time.Duration
-	// pairsOnly plans without mixed engines.
+	// pairsOnly excludes mixed engines.
 	pairsOnly bool
 }
 
@@ -34,47 +34,47 @@
 	{priceFactor: 1},
 }
 
-// clairvoyantPlan is the best that the search found.
+// clairvoyantPlan is the result of the search.
 type clairvoyantPlan struct {
-	// declared is the run of the plan that is best under the declared trade: goodput
-	// less the price of its changes.
-	declared *Run
-	// goodput is the highest of all runs.
-	goodput float64
+	// bestRun is the run of the plan that is best under the declared trade: goodput less the
+	// price of its changes.
+	bestRun *Run
+	// highestGoodput is the highest goodput of all simulated plans.
+	highestGoodput float64
 }
 
-// clairvoyant searches for the plan that knows all arrivals: dynamic programming over
-// splits with the fluid model gives plans, the emulator runs them and the plan that the
-// product's planner made, and a local search improves the best one. It begins in the scenario's roles and pays for its changes in
-// time as every policy does.
+// clairvoyant searches for the best plan with knowledge of all arrivals. Dynamic programming
+// over splits with the fluid model gives candidate plans; these and the plan that the
+// product's planner made are simulated, and a local search improves the best one. Plans start
+// with the scenario's roles and pay for changes in time, as every policy does.
 func (s *Study) clairvoyant() (*clairvoyantPlan, error) {
 	if s.plan != nil {
 		return s.plan, nil
 	}
-	search := &planSearch{study: s, tried: map[string]bool{}}
-	seeds := []map[string]schedule{{}} // no change at all
+	search := &planSearch{study: s, evaluated: map[string]bool{}}
+	candidates := []map[string]schedule{{}} // the empty plan makes no change
 	for _, variant := range planVariants {
-		seeds = append(seeds, s.planAll(variant))
+		candidates = append(candidates, s.planAll(variant))
 	}
-	seeds = append(seeds, s.staticPlan())
+	candidates = append(candidates, s.staticPlan())
 	planned, err := s.runPlanner()
 	if err != nil {
 		return nil, err
 	}
-	seeds = append(seeds, s.planOf(planned))
-	for _, plan := range seeds {
-		if err := search.try(plan); err != nil {
+	candidates = append(candidates, s.planFromRun(planned))
+	for _, plan := range candidates {
+		if err := search.evaluate(plan); err != nil {
 			return nil, err
 		}
 	}
 	if err := search.refine(); err != nil {
 		return nil, err
 	}
-	s.plan = &clairvoyantPlan{declared: search.bestRun, goodput: search.goodput}
+	s.plan = &clairvoyantPlan{bestRun: search.bestRun, highestGoodput: search.highestGoodput}
 	return s.plan, nil
 }
 
-// planAll plans each service on its own.
+// planAll plans each service separately.
 func (s *Study) planAll(variant planVariant) map[string]schedule {
 	plans := map[string]schedule{}
 	for i := range s.declared.Services {
@@ -84,8 +84,8 @@
 	return plans
 }
 
-// staticPlan goes to the split that the model likes best over the whole run at once and
-// stays there.
+// staticPlan changes at once to the split that the model ranks highest over the whole run and
+// keeps it.
 func (s *Study) staticPlan() map[string]schedule {
 	plan := map[string]schedule{}
 	for i := range s.declared.Services {
@@ -95,9 +95,9 @@
 	return plan
 }
 
-// planOf is the plan that a run of another policy carried out, from which the search may
-// begin as well.
-func (s *Study) planOf(run *Run) map[string]schedule {
+// planFromRun returns the plan that another policy's run carried out, as a candidate for the
+// search.
+func (s *Study) planFromRun(run *Run) map[string]schedule {
 	plan := map[string]schedule{}
 	splits := map[string]planner.Split{}
 	for _, service := range s.declared.Services {
@@ -115,53 +115,53 @@
 	return plan
 }
 
-// planService finds the best sequence of splits by dynamic programming, one step for
-// each time that a change takes.
+// planService finds the best sequence of splits by dynamic programming, with a step as long
+// as an engine is out of service for a change.
 func (s *Study) planService(service *scenario.Service, variant planVariant) schedule {
 	outage := assumedDrain + service.EngineProfile().RoleChange
-	windows := windowsOf(&s.declared, s.arrivals, service.Name, outage, s.cached)
-	markOutages(&s.declared, service, windows)
+	windows := demandWindows(&s.declared, s.arrivals, service.Name, outage, s.cachedShares)
+	setUpShares(&s.declared, service, windows)
 	splits := allSplits(service)
 	if variant.pairsOnly {
 		splits = slices.DeleteFunc(splits, func(split planner.Split) bool { return split.Mixed > 0 })
 	}
-	program := &program{
-		model: s.model(service), windows: windows, splits: splits,
-		initial: initialSplit(&s.declared, service.Name), most: maximumOut(service),
-		price: variant.priceFactor * service.Trade.ChangePrice, rates: map[rateKey]float64{},
+	program := &dynamicProgram{
+		model: s.plannerModel(service), windows: windows, splits: splits,
+		initial: initialSplit(&s.declared, service.Name), maxMoves: maximumOut(service),
+		changePrice: variant.priceFactor * service.Trade.ChangePrice, rateCache: map[rateKey]float64{},
 	}
 	return program.solve(variant.lead)
 }
 
-// planSearch runs plans and keeps the best.
+// planSearch simulates plans and stores the best.
 type planSearch struct {
 	study *Study
-	// tried holds the plans that have been run, as texts.
-	tried    map[string]bool
-	bestPlan map[string]schedule
-	bestRun  *Run
-	goodput  float64
+	// evaluated holds the plans that have been simulated, in text form.
+	evaluated      map[string]bool
+	bestPlan       map[string]schedule
+	bestRun        *Run
+	highestGoodput float64
 }
 
-func (p *planSearch) try(plan map[string]schedule) error {
-	text := fmt.Sprint(plan) // maps print in the order of their keys
-	if p.tried[text] {
+func (p *planSearch) evaluate(plan map[string]schedule) error {
+	text := fmt.Sprint(plan) // prints maps in order of their keys
+	if p.evaluated[text] {
 		return nil
 	}
-	p.tried[text] = true
+	p.evaluated[text] = true
 	run, err := p.study.simulate(schedulePolicy(PolicyClairvoyant, plan))
 	if err != nil {
 		return err
 	}
-	p.goodput = max(p.goodput, run.Goodput)
-	if p.bestRun == nil || p.value(run) > p.value(p.bestRun) {
+	p.highestGoodput = max(p.highestGoodput, run.Goodput)
+	if p.bestRun == nil || p.declaredValue(run) > p.declaredValue(p.bestRun) {
 		p.bestRun, p.bestPlan = run, plan
 	}
 	return nil
 }
 
-// value is the worth of a run under the declared trade.
-func (p *planSearch) value(run *Run) float64 {
+// declaredValue is the value of a run under the declared trade: goodput less the price of changes.
+func (p *planSearch) declaredValue(run *Run) float64 {
 	value := run.Goodput
 	for _, service := range p.study.declared.Services {
 		value -= service.Trade.ChangePrice * float64(changesOf(run, service.Name))
@@ -179,18 +179,18 @@
 	return changes
 }
 
-// refine shifts and drops single steps of the best plan while that helps.
+// refine evaluates neighbours of the best plan as long as one improves it, up to maxRefinements.
 func (p *planSearch) refine() error {
-	left := refinements
-	for improved := true; improved && left > 0; {
+	remaining := maxRefinements
+	for improved := true; improved && remaining > 0; {
 		improved = false
 		for _, neighbour := range neighbours(p.bestPlan, p.study.declared.Services) {
-			if left == 0 {
+			if remaining == 0 {
 				return nil
 			}
-			left--
+			remaining--
 			before := p.bestRun
-			if err := p.try(neighbour); err != nil {
+			if err := p.evaluate(neighbour); err != nil {
 				return err
 			}
 			if p.bestRun != before {
@@ -202,7 +202,7 @@
 	return nil
 }
 
-// neighbours are the plans with one step earlier, later or left out.
+// neighbours returns the plans with one step earlier, later or omitted.
 func neighbours(plan map[string]schedule, services []scenario.Service) []map[string]schedule {
 	var result []map[string]schedule
 	for _, service := range services {
@@ -213,17 +213,17 @@
 			earlier[i].from -= neighbourShift
 			later[i].from += neighbourShift
 			for _, changed := range []schedule{dropped, earlier, later} {
-				result = append(result, replaced(plan, service.Name, changed))
+				result = append(result, withSchedule(plan, service.Name, changed))
 			}
 		}
 	}
 	return result
 }
 
-// neighbourShift is how far the local search moves one step in time.
+// neighbourShift is the time by which the local search moves one step.
 const neighbourShift = 4 * time.Second
 
-func replaced(plan map[string]schedule, service string, own schedule) map[string]schedule {
+func withSchedule(plan map[string]schedule, service string, own schedule) map[string]schedule {
 	result := map[string]schedule{}
 	for name, schedule := range plan {
 		result[name] = schedule
--- a/internal/experiment/controller.go
+++ b/internal/experiment/controller.go
@@ -10,34 +10,34 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// recentChangeWindow is how far back changes are told to the planner, as in control.
+// recentChangeWindow is how far back the planner sees changes, the same as in package control.
 const recentChangeWindow = 2 * time.Hour
 
-// controller is the leader: it gathers what the planner may know, lets it decide, and
-// orders what the declared bounds allow.
+// controller is the leading controller: it collects the planner's observations, runs the
+// planner, and orders the changes that the declared bounds allow.
 type controller struct {
 	world    *world
 	demands  *demand.Table
 	planners map[string]planner.Planner
-	// changes are the times of ordered changes by service; they are in the replicated
-	// log and outlive a crash of the planner.
+	// changes are the times of ordered changes by service. They are in the replicated log and
+	// survive a crash of the planner.
 	changes map[string][]time.Duration
-	// stopped counts the faults during which no decision is made; deaf those during
-	// which no report arrives.
-	stopped int
-	deaf    int
-	// stale holds what was last known of each engine while reports are lost.
-	stale map[string]planner.EngineObservation
+	// plannerFaults counts the active faults that suspend the planner; reportFaults counts
+	// those that drop reports.
+	plannerFaults int
+	reportFaults  int
+	// lastObserved is the last observation of each engine, used while its reports are lost.
+	lastObserved map[string]planner.EngineObservation
 }
 
 func newController(w *world) *controller {
-	c := &controller{world: w, changes: map[string][]time.Duration{}, stale: map[string]planner.EngineObservation{}}
-	c.forget()
+	c := &controller{world: w, changes: map[string][]time.Duration{}, lastObserved: map[string]planner.EngineObservation{}}
+	c.resetMemory()
 	return c
 }
 
-// forget loses what only the process remembered.
-func (c *controller) forget() {
+// resetMemory drops what only the planner's process stores in memory.
+func (c *controller) resetMemory() {
 	c.demands = demand.NewTable()
 	c.planners = map[string]planner.Planner{}
 	for _, service := range c.world.scenario.Services {
@@ -45,15 +45,15 @@
 	}
 }
 
-// take receives a gateway's demand report.
-func (c *controller) take(from *v1.NodeIdentity, report *v1.ReportRequest) {
-	if c.stopped == 0 && c.deaf == 0 {
+// receiveReport records a gateway's demand report unless a fault prevents it.
+func (c *controller) receiveReport(from *v1.NodeIdentity, report *v1.ReportRequest) {
+	if c.plannerFaults == 0 && c.reportFaults == 0 {
 		c.demands.RecordReport(c.world.now, from, report)
 	}
 }
 
 func (c *controller) plan() {
-	if c.stopped > 0 {
+	if c.plannerFaults > 0 {
 		return
 	}
 	for i := range c.world.scenario.Services {
@@ -65,7 +65,7 @@
 	}
 }
 
-// observe gathers all that the planner may know about one service.
+// observe returns all that the planner can know about one service.
 func (c *controller) observe(service *scenario.Service) planner.Observation {
 	observation := planner.Observation{
 		Now: c.world.now, Service: service.Name, Engines: c.observeEngines(service.Name),
@@ -104,14 +104,14 @@
 	return engines
 }
 
-// observeEngine is one engine as its last report that arrived tells it.
+// observeEngine returns the observation of one engine from its last visible report.
 func (c *controller) observeEngine(engine *engine) planner.EngineObservation {
-	seen, found := engine.reported()
+	seen, found := engine.visibleReading()
 	name := engine.declared.Name
-	if last, known := c.stale[name]; known && (c.deaf > 0 || !engine.up || engine.paused) {
+	if last, known := c.lastObserved[name]; known && (c.reportFaults > 0 || !engine.isUp || engine.paused) {
 		last.LoadAge += planInterval
 		last.OrderOutstanding, last.TargetRole = engine.target != "", engine.target
-		c.stale[name] = last
+		c.lastObserved[name] = last
 		return last
 	}
 	observed := planner.EngineObservation{
@@ -126,14 +126,14 @@
 			KVCacheUsed: seen.load.KVCacheUsed, PromptTokensDone: seen.load.PromptTokensDone, OutputTokensDone: seen.load.OutputTokensDone,
 		}
 	}
-	c.stale[name] = observed
+	c.lastObserved[name] = observed
 	return observed
 }
 
-// order sends a change to its engine if the declared bounds allow it now.
+// order sends a change to its engine if the declared bounds allow it at this time.
 func (c *controller) order(service *scenario.Service, change planner.Change) {
 	engine := c.world.byName[change.Engine]
-	if engine == nil || engine.target != "" || engine.role == change.To || !engine.up || c.countOut(service) >= maximumOut(service) {
+	if engine == nil || engine.target != "" || engine.role == change.To || !engine.isUp || c.countOut(service) >= maximumOut(service) {
 		return
 	}
 	if pinned, found := service.Pins[change.Engine]; found && pinned != change.To {
@@ -143,15 +143,15 @@
 	engine.order++
 	order := engine.order
 	c.changes[service.Name] = append(c.changes[service.Name], c.world.now)
-	c.world.recorder.changeOrdered(engine, change)
-	c.world.after(orderTime, func() {
-		if engine.order == order && engine.up {
+	c.world.recorder.recordChangeOrdered(engine, change)
+	c.world.scheduleAfter(orderDelay, func() {
+		if engine.order == order && engine.isUp {
 			engine.setRole(change.To)
 		}
 	})
 }
 
-// countOut counts the engines of a service that are out for a change.
+// countOut counts the engines of a service that are out of service for a change.
 func (c *controller) countOut(service *scenario.Service) int {
 	out := 0
 	for _, engine := range c.world.engines {
@@ -162,7 +162,7 @@
 	return out
 }
 
-// maximumOut is the smallest bound on the engines out at once over a whole service.
+// maximumOut returns the tightest bound on the engines out of service at once over a whole service.
 func maximumOut(service *scenario.Service) int {
 	limit := 0
 	for _, bound := range service.Bounds {
@@ -173,7 +173,7 @@
 	return max(limit, 1)
 }
 
-// plannerProfile is what the declared profile of a service tells the planner.
+// plannerProfile converts the declared profile of a service for the planner.
 func plannerProfile(service *scenario.Service) planner.EngineProfile {
 	profile := planner.ProfileOf(service.Profile)
 	engine := service.EngineProfile()
--- a/internal/experiment/doc.go
+++ b/internal/experiment/doc.go
@@ -1,7 +1,7 @@
-// Package experiment runs a scenario in virtual time: engines of
-// internal/enginemodel under the product's own admission, routing and planner, with
-// lagging load reports, role changes that take time, and faults. Minutes of a fleet
-// take seconds, and the same scenario, policy and seed give the same result.
+// Package experiment runs a scenario in virtual time: engines of internal/enginemodel with
+// the product's admission, routing and planner, delayed load reports, role changes that take
+// time, and faults. Minutes of a fleet take seconds, and equal scenario, policy and seed give
+// equal results.
 //
-// It is part of the bench; product packages may not import it.
+// It is part of the bench; product packages must not import it.
 package experiment
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -11,7 +11,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// engine is one engine of the fleet: the model and what surrounds it.
+// engine is one engine of the fleet: the engine model and the state around it.
 type engine struct {
 	world    *world
 	declared scenario.Engine
@@ -19,28 +19,28 @@
 	model    *enginemodel.Engine
 	state    enginecontract.ServiceState
 	role     enginecontract.Role
-	// roleSince is when the engine took its role.
+	// roleSince is the time at which the engine got its role.
 	roleSince   time.Duration
 	incarnation uint64
-	// target is the role of the order under way; empty without one.
+	// target is the role of the current order; empty without one.
 	target enginecontract.Role
-	// order numbers the orders, so that a crash makes the waits of one void.
+	// order numbers the orders, so that a crash invalidates pending steps of one.
 	order int
-	// up is false while the engine's process is gone.
-	up bool
-	// paused is set while the process stands still; lag is how much time it has lost.
+	// isUp is false while the engine's process is down.
+	isUp bool
+	// paused is set while the process is suspended; lostTime is the total time spent suspended.
 	paused   bool
 	pausedAt time.Duration
-	lag      time.Duration
+	lostTime time.Duration
 
-	flights map[string]*flight
-	// readings are load reports, oldest first; frozen keeps the newest from coming in.
-	readings []reading
-	frozen   bool
+	attempts map[string]*attempt
+	// readings are load readings, oldest first; reportsFrozen stops new ones from being added.
+	readings      []loadReading
+	reportsFrozen bool
 }
 
-// reading is what an engine reported of itself at one time.
-type reading struct {
+// loadReading is an engine's load and state at one time.
+type loadReading struct {
 	at    time.Duration
 	load  enginemodel.Load
 	state enginecontract.ServiceState
@@ -50,7 +50,7 @@
 func newEngine(w *world, declared scenario.Engine, profile enginemodel.Profile) (*engine, error) {
 	made := &engine{
 		world: w, declared: declared, profile: profile, state: enginecontract.StateServing, role: declared.Role,
-		incarnation: 1, up: true, flights: map[string]*flight{},
+		incarnation: 1, isUp: true, attempts: map[string]*attempt{},
 	}
 	model, err := enginemodel.New(profile, declared.Role)
 	if err != nil {
@@ -60,96 +60,96 @@
 	return made, nil
 }
 
-// local is the time of the engine's own clock, which stands still in a pause.
-func (e *engine) local(now time.Duration) time.Duration {
+// localTime converts a time to the engine's clock, which does not advance while it is suspended.
+func (e *engine) localTime(now time.Duration) time.Duration {
 	if e.paused {
-		return e.pausedAt - e.lag
+		return e.pausedAt - e.lostTime
 	}
-	return now - e.lag
+	return now - e.lostTime
 }
 
 func (e *engine) nextEvent() (time.Duration, bool) {
-	if !e.up || e.paused {
+	if !e.isUp || e.paused {
 		return 0, false
 	}
 	at, busy := e.model.NextEvent()
-	return at + e.lag, busy
+	return at + e.lostTime, busy
 }
 
-// advance lets the engine work up to now and passes on what happened.
+// advance runs the engine model up to now and dispatches its events.
 func (e *engine) advance(now time.Duration) {
 	if at, busy := e.nextEvent(); !busy || at > now {
 		return
 	}
-	for _, event := range e.model.Advance(e.local(now)) {
-		if flight, found := e.flights[event.ID]; found {
-			e.pass(flight, event)
+	for _, event := range e.model.Advance(e.localTime(now)) {
+		if flight, found := e.attempts[event.ID]; found {
+			e.dispatchEvent(flight, event)
 		}
 	}
 	e.finishDrain()
 }
 
-func (e *engine) pass(flight *flight, event enginemodel.Event) {
+func (e *engine) dispatchEvent(flight *attempt, event enginemodel.Event) {
 	way := e.world.latency(e.declared.Zone, flight.gateway.zone)
 	switch event.Type {
 	case enginemodel.EventFirstToken:
-		flight.cached = max(flight.cached, event.CachedTokens)
-		e.world.after(way, func() { flight.gateway.firstToken(flight) })
+		flight.cachedTokens = max(flight.cachedTokens, event.CachedTokens)
+		e.world.scheduleAfter(way, func() { flight.gateway.firstToken(flight) })
 	case enginemodel.EventPrefillDone:
-		flight.cached = event.CachedTokens
-		delete(e.flights, event.ID)
-		e.world.after(way, func() { flight.gateway.prefillDone(flight) })
+		flight.cachedTokens = event.CachedTokens
+		delete(e.attempts, event.ID)
+		e.world.scheduleAfter(way, func() { flight.gateway.prefillDone(flight) })
 	case enginemodel.EventDone:
-		delete(e.flights, event.ID)
-		e.world.after(way, func() { flight.gateway.done(flight) })
+		delete(e.attempts, event.ID)
+		e.world.scheduleAfter(way, func() { flight.gateway.finishAttempt(flight) })
 	}
 }
 
-// submission is how an engine answers a request that is sent to it.
+// submission is an engine's answer to a submitted request.
 type submission int
 
 const (
-	submissionTaken submission = iota
-	// submissionUnreachable: the engine's process is gone.
+	submissionAccepted submission = iota
+	// submissionUnreachable: the engine's process is down.
 	submissionUnreachable
-	// submissionNotServing: the engine drains or changes.
+	// submissionNotServing: the engine is draining or changing.
 	submissionNotServing
-	// submissionOverloaded: the engine has no room for it.
+	// submissionOverloaded: the engine has no capacity for the request.
 	submissionOverloaded
 )
 
-// submit takes a request on, if the engine can.
-func (e *engine) submit(flight *flight, phase enginemodel.Phase) submission {
+// submit starts an attempt at the engine if the engine accepts it.
+func (e *engine) submit(flight *attempt, phase enginemodel.Phase) submission {
 	switch {
-	case !e.up:
+	case !e.isUp:
 		return submissionUnreachable
 	case e.state != enginecontract.StateServing:
 		return submissionNotServing
 	}
-	err := e.model.Submit(e.local(e.world.now), enginemodel.Request{
+	err := e.model.Submit(e.localTime(e.world.now), enginemodel.Request{
 		ID: flight.id, PromptTokens: flight.PromptTokens, OutputTokens: flight.OutputTokens,
 		Priority: flight.kind.Priority, PrefixBlocks: flight.engineBlocks, Phase: phase,
 	})
 	if err != nil {
 		return submissionOverloaded
 	}
-	e.flights[flight.id] = flight
-	return submissionTaken
+	e.attempts[flight.id] = flight
+	return submissionAccepted
 }
 
-// cancel ends a flight's work at the engine.
-func (e *engine) cancel(flight *flight) {
-	if e.flights[flight.id] != flight {
+// cancel ends an attempt's work at the engine.
+func (e *engine) cancel(flight *attempt) {
+	if e.attempts[flight.id] != flight {
 		return
 	}
-	delete(e.flights, flight.id)
-	e.model.Cancel(e.local(e.world.now), flight.id)
+	delete(e.attempts, flight.id)
+	e.model.Cancel(e.localTime(e.world.now), flight.id)
 	e.finishDrain()
 }
 
-// setRole takes an order: the engine drains, is out for the role change, and serves.
+// setRole starts an order: the engine drains, changes its role, and serves again.
 func (e *engine) setRole(role enginecontract.Role) {
-	if !e.up || e.state != enginecontract.StateServing {
+	if !e.isUp || e.state != enginecontract.StateServing {
 		e.target = ""
 		return
 	}
@@ -157,15 +157,15 @@
 	e.finishDrain()
 }
 
-// finishDrain begins the change once an engine that drains is empty.
+// finishDrain starts the change once a draining engine is empty.
 func (e *engine) finishDrain() {
 	if e.state != enginecontract.StateDraining || !e.model.Empty() {
 		return
 	}
 	e.state = enginecontract.StateChanging
 	order := e.order
-	e.world.after(e.profile.RoleChange, func() {
-		if e.order == order && e.up {
+	e.world.scheduleAfter(e.profile.RoleChange, func() {
+		if e.order == order && e.isUp {
 			e.finishChange()
 		}
 	})
@@ -173,39 +173,39 @@
 
 func (e *engine) finishChange() {
 	from := e.role
-	if err := e.model.SetRole(e.local(e.world.now), e.target); err != nil {
-		return // it is empty, and the role is one of the three
+	if err := e.model.SetRole(e.localTime(e.world.now), e.target); err != nil {
+		return // cannot happen: the engine is empty, and the role is one of the three
 	}
 	e.role, e.target = e.target, ""
 	e.roleSince = e.world.now
 	e.state = enginecontract.StateServing
-	e.world.recorder.changeFinished(e, from)
+	e.world.recorder.recordChangeFinished(e, from)
 }
 
-// crash ends the process with all it holds; an order under way fails.
+// crash ends the process with the loss of its state; an order in progress fails.
 func (e *engine) crash() {
-	if !e.up {
+	if !e.isUp {
 		return
 	}
-	e.up = false
+	e.isUp = false
 	e.order++
 	e.target = ""
-	lost := sortedFlights(e.flights)
-	e.flights = map[string]*flight{}
+	lost := sortedAttempts(e.attempts)
+	e.attempts = map[string]*attempt{}
 	for _, each := range lost {
 		way := e.world.latency(e.declared.Zone, each.gateway.zone)
-		e.world.after(way, func() { each.gateway.cut(each, e) })
+		e.world.scheduleAfter(way, func() { each.gateway.handleCrash(each, e) })
 	}
 }
 
-// restart brings the process back, empty, in the role it last had.
+// restart starts the process again, empty, in its last role.
 func (e *engine) restart() {
 	model, err := enginemodel.New(e.profile, e.role)
-	if e.up || err != nil {
-		return // the profile and the role have been used before
+	if e.isUp || err != nil {
+		return // the error cannot happen: profile and role have been used before
 	}
-	e.model, e.up = model, true
-	e.lag = e.world.now // a new engine's clock begins at 0
+	e.model, e.isUp = model, true
+	e.lostTime = e.world.now // the new model's clock starts at 0
 	e.paused = false
 	e.incarnation++
 	e.state = enginecontract.StateServing
@@ -220,35 +220,35 @@
 
 func (e *engine) unpause() {
 	if e.paused {
-		e.lag += e.world.now - e.pausedAt
+		e.lostTime += e.world.now - e.pausedAt
 		e.paused = false
 	}
 }
 
-// sampleLoad takes a reading, which others see when it is as old as the reports' lag.
+// sampleLoad adds a reading, which becomes visible once it is as old as the reports' lag.
 func (e *engine) sampleLoad() {
-	if !e.up || e.paused || e.frozen {
+	if !e.isUp || e.paused || e.reportsFrozen {
 		return
 	}
-	e.model.TakeCacheEvents() // nobody listens, and they would pile up
-	e.readings = append(e.readings, reading{at: e.world.now, load: e.model.Load(), state: e.state, role: e.role})
+	e.model.TakeCacheEvents() // drops the cache events, which nothing reads and which would accumulate
+	e.readings = append(e.readings, loadReading{at: e.world.now, load: e.model.Load(), state: e.state, role: e.role})
 	visible := e.world.now - e.world.scenario.Reports.Lag
 	for len(e.readings) > 1 && e.readings[1].at <= visible {
 		e.readings = e.readings[1:]
 	}
 }
 
-// reported is the newest reading that others can see; false before the first.
-func (e *engine) reported() (reading, bool) {
+// visibleReading returns the newest reading that is at least as old as the reports' lag; false before the first.
+func (e *engine) visibleReading() (loadReading, bool) {
 	visible := e.world.now - e.world.scenario.Reports.Lag
 	for i := len(e.readings) - 1; i >= 0; i-- {
 		if e.readings[i].at <= visible {
 			return e.readings[i], true
 		}
 	}
-	return reading{}, false
+	return loadReading{}, false
 }
 
-func (r reading) routingLoad() routing.Load {
+func (r loadReading) routingLoad() routing.Load {
 	return routing.Load{Running: r.load.Running, Waiting: r.load.Waiting, WaitingPromptTokens: r.load.WaitingPromptTokens}
 }
--- a/internal/experiment/exchange.go
+++ b/internal/experiment/exchange.go
@@ -14,42 +14,42 @@
 	"github.com/hazelpitch/hazelpitch/internal/routing"
 )
 
-// begin picks engines for a request and sends it.
-func (g *gateway) begin(asked *request) {
+// startAttempt selects engines for a request and sends it.
+func (g *gateway) startAttempt(req *request) {
 	w := g.world
-	if asked.exchanges >= maximumExchanges {
-		g.fail(asked, reasonNoBackEnd)
+	if req.attempts >= maximumExchanges {
+		g.failRequest(req, reasonNoBackEnd)
 		return
 	}
 	choice, err := g.router.Pick(w.now, routing.Request{
-		Service: asked.kind.Service, PromptTokens: asked.estimatedPrompt, OutputTokens: asked.estimatedOutput,
-		PrefixBlocks: asked.routingBlocks, Deadline: asked.deadline, WholeOnly: w.options.WholeOnly,
-	}, asked.excluded)
+		Service: req.kind.Service, PromptTokens: req.estimatedPrompt, OutputTokens: req.estimatedOutput,
+		PrefixBlocks: req.routingBlocks, Deadline: req.deadline, WholeOnly: w.options.WholeOnly,
+	}, req.excluded)
 	if err != nil {
-		g.fail(asked, pickReason(err))
+		g.failRequest(req, pickReason(err))
 		return
 	}
-	asked.exchanges++
-	current := &flight{
-		request: asked, gateway: g, choice: choice, id: fmt.Sprintf("%s.%d", asked.exchange, asked.exchanges),
-		output: w.byName[choice.BackEnd.Name],
+	req.attempts++
+	current := &attempt{
+		request: req, gateway: g, choice: choice, id: fmt.Sprintf("%s.%d", req.exchange, req.attempts),
+		decodeEngine: w.byName[choice.BackEnd.Name],
 	}
-	asked.present = current
-	unread := max(asked.estimatedPrompt-choice.CachedTokens, 0)
-	sent := routing.Dispatch{BackEnd: choice.BackEnd.Name, Exchange: current.id, PromptTokens: unread, PrefixBlocks: asked.routingBlocks, CachedAtHome: choice.CachedAtHome}
+	req.current = current
+	unread := max(req.estimatedPrompt-choice.CachedTokens, 0)
+	sent := routing.Dispatch{BackEnd: choice.BackEnd.Name, Exchange: current.id, PromptTokens: unread, PrefixBlocks: req.routingBlocks, CachedAtHome: choice.CachedAtHome}
 	if choice.Prefill == nil {
 		g.router.Observe(w.now, sent)
-		g.send(current, current.output, enginemodel.PhaseFull)
+		g.send(current, current.decodeEngine, enginemodel.PhaseFull)
 		return
 	}
-	current.prefill = w.byName[choice.Prefill.Name]
+	current.prefillEngine = w.byName[choice.Prefill.Name]
 	sent.BackEnd = choice.Prefill.Name
 	g.router.Observe(w.now, sent)
 	g.router.Observe(w.now, routing.Dispatch{BackEnd: choice.BackEnd.Name, Exchange: current.id})
-	g.send(current, current.prefill, enginemodel.PhasePrefillOnly)
+	g.send(current, current.prefillEngine, enginemodel.PhasePrefillOnly)
 }
 
-// pickReason is routing's reason without the service's name.
+// pickReason returns routing's reason without the name of the service.
 func pickReason(err error) string {
 	var known *routing.PickError
 	if errors.As(err, &known) {
@@ -58,28 +58,28 @@
 	return err.Error()
 }
 
-// send hands a flight to an engine after the way there.
-func (g *gateway) send(current *flight, to *engine, phase enginemodel.Phase) {
+// send submits an attempt to an engine after the network latency.
+func (g *gateway) send(current *attempt, to *engine, phase enginemodel.Phase) {
 	way := g.world.latency(g.zone, to.declared.Zone)
-	g.world.after(way, func() {
+	g.world.scheduleAfter(way, func() {
 		if current.over {
 			return
 		}
 		answer := to.submit(current, phase)
-		if answer == submissionTaken {
+		if answer == submissionAccepted {
 			current.submitted = true
 			return
 		}
-		g.world.after(way, func() { g.notTaken(current, to, answer) })
+		g.world.scheduleAfter(way, func() { g.retryElsewhere(current, to, answer) })
 	})
 }
 
-// notTaken tries again elsewhere after an engine refused.
-func (g *gateway) notTaken(current *flight, by *engine, answer submission) {
+// retryElsewhere starts another attempt after an engine refused one.
+func (g *gateway) retryElsewhere(current *attempt, by *engine, answer submission) {
 	if current.over {
 		return
 	}
-	g.release(current)
+	g.releaseAttempt(current)
 	if answer == submissionUnreachable {
 		g.router.Observe(g.world.now, routing.Failure{BackEnd: by.declared.Name, Exchange: current.id})
 	} else {
@@ -87,17 +87,17 @@
 			BackEnd: by.declared.Name, Incarnation: by.incarnation, State: by.state, Role: by.role,
 		})
 	}
-	current.overload = current.overload || answer == submissionOverloaded
+	current.overloaded = current.overloaded || answer == submissionOverloaded
 	current.excluded = append(current.excluded, by.declared.Name)
-	g.begin(current.request)
+	g.startAttempt(current.request)
 }
 
-// release ends a flight at the router and at its engines.
-func (g *gateway) release(current *flight) {
+// releaseAttempt ends an attempt at the router and at its engines.
+func (g *gateway) releaseAttempt(current *attempt) {
 	current.over = true
-	engines := []*engine{current.output}
-	if current.prefill != nil {
-		engines = append(engines, current.prefill)
+	engines := []*engine{current.decodeEngine}
+	if current.prefillEngine != nil {
+		engines = append(engines, current.prefillEngine)
 	}
 	for _, each := range engines {
 		each.cancel(current)
@@ -105,54 +105,55 @@
 	}
 }
 
-// cut tells that an engine died under a flight: the request begins anew elsewhere.
-func (g *gateway) cut(current *flight, at *engine) {
+// handleCrash starts another attempt after an engine crashed during one.
+func (g *gateway) handleCrash(current *attempt, at *engine) {
 	if current.over {
 		return
 	}
-	g.release(current)
+	g.releaseAttempt(current)
 	g.router.Observe(g.world.now, routing.Failure{BackEnd: at.declared.Name, Exchange: current.id})
 	current.excluded = append(current.excluded, at.declared.Name)
-	g.begin(current.request)
+	g.startAttempt(current.request)
 }
 
-// prefillDone hands the KV cache to the engine that writes.
-func (g *gateway) prefillDone(current *flight) {
+// prefillDone sends the request with its KV cache to the decode engine.
+func (g *gateway) prefillDone(current *attempt) {
 	if current.over {
 		return
 	}
 	g.router.Observe(g.world.now, routing.Completion{
-		BackEnd: current.prefill.declared.Name, Exchange: current.id, PromptTokens: current.PromptTokens, CachedTokens: current.cached,
+		BackEnd: current.prefillEngine.declared.Name, Exchange: current.id, PromptTokens: current.PromptTokens, CachedTokens: current.cachedTokens,
 	})
-	g.answered(current.prefill)
-	g.send(current, current.output, enginemodel.PhaseDecodeImported)
+	g.observeAnswer(current.prefillEngine)
+	g.send(current, current.decodeEngine, enginemodel.PhaseDecodeImported)
 }
 
-func (g *gateway) firstToken(current *flight) {
+func (g *gateway) firstToken(current *attempt) {
 	if current.over {
 		return
 	}
-	if current.first == 0 {
-		current.first = g.world.now
-		g.tellFirstToken(current.request)
+	if current.firstTokenAt == 0 {
+		current.firstTokenAt = g.world.now
+		g.recordFirstToken(current.request)
 	}
-	g.router.Observe(g.world.now, routing.FirstToken{BackEnd: current.output.declared.Name, Exchange: current.id})
-	g.answered(current.output)
+	g.router.Observe(g.world.now, routing.FirstToken{BackEnd: current.decodeEngine.declared.Name, Exchange: current.id})
+	g.observeAnswer(current.decodeEngine)
 }
 
-// tellFirstToken lets admission learn how long back ends take; retries say nothing of that.
-func (g *gateway) tellFirstToken(asked *request) {
-	if asked.exchanges != 1 {
+// recordFirstToken reports the time to first token to admission. It skips retries, whose time
+// includes failed attempts.
+func (g *gateway) recordFirstToken(req *request) {
+	if req.attempts != 1 {
 		return
 	}
-	own := time.Duration(float64(asked.estimatedPrompt) / slowPromptTokensPerSecond * float64(time.Second))
-	g.services[asked.kind.Service].RecordFirstToken(g.world.now, uint64(asked.Number), max(g.world.now-asked.began-own, 0))
+	own := time.Duration(float64(req.estimatedPrompt) / slowPromptTokensPerSecond * float64(time.Second))
+	g.services[req.kind.Service].RecordFirstToken(g.world.now, uint64(req.Number), max(g.world.now-req.startedAt-own, 0))
 }
 
-// answered passes on what an answer's headers say of the engine.
-func (g *gateway) answered(by *engine) {
-	seen, found := by.reported()
-	if !found || !by.up {
+// observeAnswer passes the state and load in an answer's headers to the router.
+func (g *gateway) observeAnswer(by *engine) {
+	seen, found := by.visibleReading()
+	if !found || !by.isUp {
 		return
 	}
 	load := seen.routingLoad()
@@ -162,61 +163,61 @@
 	})
 }
 
-func (g *gateway) done(current *flight) {
+func (g *gateway) finishAttempt(current *attempt) {
 	if current.over {
 		return
 	}
 	current.over = true
-	finished := routing.Completion{BackEnd: current.output.declared.Name, Exchange: current.id}
-	if current.prefill == nil {
-		finished.PromptTokens, finished.CachedTokens = current.PromptTokens, current.cached
+	finished := routing.Completion{BackEnd: current.decodeEngine.declared.Name, Exchange: current.id}
+	if current.prefillEngine == nil {
+		finished.PromptTokens, finished.CachedTokens = current.PromptTokens, current.cachedTokens
 	}
 	g.router.Observe(g.world.now, finished)
-	g.answered(current.output)
-	asked := current.request
-	asked.ended = true
-	g.estimator.RecordUsage(g.shape(asked), admission.Estimate{PromptTokens: asked.PromptTokens, OutputTokens: asked.OutputTokens})
-	g.record(asked, gatewaystate.Outcome{Completed: true})
-	g.world.recorder.completed(asked, g.world.now)
-	result := admission.Result{PromptTokens: asked.PromptTokens, OutputTokens: asked.OutputTokens, Overloaded: asked.overload}
-	g.finish(asked, result)
+	g.observeAnswer(current.decodeEngine)
+	req := current.request
+	req.finished = true
+	g.estimator.RecordUsage(g.requestShape(req), admission.Estimate{PromptTokens: req.PromptTokens, OutputTokens: req.OutputTokens})
+	g.recordOutcome(req, gatewaystate.Outcome{Completed: true})
+	g.world.recorder.recordCompletion(req, g.world.now)
+	result := admission.Result{PromptTokens: req.PromptTokens, OutputTokens: req.OutputTokens, Overloaded: req.overloaded}
+	g.finishRequest(req, result)
 }
 
-// fail ends a request that no engine has taken to its end.
-func (g *gateway) fail(asked *request, reason string) {
-	asked.ended = true
-	g.record(asked, gatewaystate.Outcome{Refused: true})
-	if asked.present != nil && asked.present.submitted {
-		g.world.recorder.lost(asked)
+// failRequest ends a request that no engine completed.
+func (g *gateway) failRequest(req *request, reason string) {
+	req.finished = true
+	g.recordOutcome(req, gatewaystate.Outcome{Refused: true})
+	if req.current != nil && req.current.submitted {
+		g.world.recorder.recordCut(req)
 	} else {
-		g.world.recorder.refused(asked, reason)
+		g.world.recorder.recordRefusal(req, reason)
 	}
-	g.finish(asked, admission.Result{Failed: true, Overloaded: asked.overload})
+	g.finishRequest(req, admission.Result{Failed: true, Overloaded: req.overloaded})
 }
 
-// deadlinePassed gives up on a request that still runs at its deadline.
-func (g *gateway) deadlinePassed(asked *request) {
-	if asked.ended {
+// deadlinePassed ends a request that is still running at its deadline.
+func (g *gateway) deadlinePassed(req *request) {
+	if req.finished {
 		return
 	}
-	asked.ended = true
-	if asked.present != nil && !asked.present.over {
-		g.release(asked.present)
+	req.finished = true
+	if req.current != nil && !req.current.over {
+		g.releaseAttempt(req.current)
 	}
-	g.record(asked, gatewaystate.Outcome{MissedDeadline: true})
-	g.world.recorder.missed(asked)
-	g.finish(asked, admission.Result{PromptTokens: asked.estimatedPrompt, Failed: true, DeadlineMissed: true, Overloaded: asked.overload})
+	g.recordOutcome(req, gatewaystate.Outcome{MissedDeadline: true})
+	g.world.recorder.recordDeadlineMiss(req)
+	g.finishRequest(req, admission.Result{PromptTokens: req.estimatedPrompt, Failed: true, DeadlineMissed: true, Overloaded: req.overloaded})
 }
 
-func (g *gateway) finish(asked *request, result admission.Result) {
-	service := g.services[asked.kind.Service]
-	service.Finish(g.world.now, uint64(asked.Number), result)
-	g.start(service)
+func (g *gateway) finishRequest(req *request, result admission.Result) {
+	service := g.services[req.kind.Service]
+	service.Finish(g.world.now, uint64(req.Number), result)
+	g.startAdmitted(service)
 }
 
-// sortedFlights lists flights by the request's number.
-func sortedFlights(flights map[string]*flight) []*flight {
-	return slices.SortedFunc(maps.Values(flights), func(a, b *flight) int {
+// sortedAttempts returns attempts in order of the requests' numbers.
+func sortedAttempts(flights map[string]*attempt) []*attempt {
+	return slices.SortedFunc(maps.Values(flights), func(a, b *attempt) int {
 		return cmp.Or(cmp.Compare(a.Number, b.Number), cmp.Compare(a.id, b.id))
 	})
 }
--- a/internal/experiment/faults.go
+++ b/internal/experiment/faults.go
@@ -4,8 +4,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// enterFaults enters the scenario's faults and their ends into the agenda.
-func (w *world) enterFaults() {
+// scheduleFaults schedules the start and end of the scenario's faults.
+func (w *world) scheduleFaults() {
 	declared := make([]scenario.Engine, len(w.engines))
 	for i, engine := range w.engines {
 		declared[i] = engine.declared
@@ -25,46 +25,46 @@
 func (w *world) beginFault(fault scenario.Fault, struck []*engine) {
 	switch fault.Fault {
 	case scenario.FaultEngineCrash:
-		w.eachEngine(EventFault, fault, struck, (*engine).crash)
+		w.applyToEngines(EventFault, fault, struck, (*engine).crash)
 	case scenario.FaultEnginePause:
-		w.eachEngine(EventFault, fault, struck, (*engine).pause)
+		w.applyToEngines(EventFault, fault, struck, (*engine).pause)
 	case scenario.FaultStaleReports:
-		w.eachEngine(EventFault, fault, struck, func(e *engine) { e.frozen = true })
+		w.applyToEngines(EventFault, fault, struck, func(e *engine) { e.reportsFrozen = true })
 	case scenario.FaultLostReports:
-		w.control.deaf++
-		w.recorder.event(Event{Type: EventFault, Detail: string(fault.Fault)})
+		w.control.reportFaults++
+		w.recorder.recordEvent(Event{Type: EventFault, Detail: string(fault.Fault)})
 	case scenario.FaultPlannerPause:
-		w.control.stopped++
-		w.recorder.event(Event{Type: EventLeaderLost, Detail: string(fault.Fault)})
+		w.control.plannerFaults++
+		w.recorder.recordEvent(Event{Type: EventLeaderLost, Detail: string(fault.Fault)})
 	case scenario.FaultPlannerCrash:
-		w.control.stopped++
-		w.control.forget()
-		w.recorder.event(Event{Type: EventLeaderLost, Detail: string(fault.Fault)})
+		w.control.plannerFaults++
+		w.control.resetMemory()
+		w.recorder.recordEvent(Event{Type: EventLeaderLost, Detail: string(fault.Fault)})
 	}
 }
 
 func (w *world) endFault(fault scenario.Fault, struck []*engine) {
 	switch fault.Fault {
 	case scenario.FaultEngineCrash:
-		w.eachEngine(EventRecovered, fault, struck, (*engine).restart)
+		w.applyToEngines(EventRecovered, fault, struck, (*engine).restart)
 	case scenario.FaultEnginePause:
-		w.eachEngine(EventRecovered, fault, struck, (*engine).unpause)
+		w.applyToEngines(EventRecovered, fault, struck, (*engine).unpause)
 	case scenario.FaultStaleReports:
-		w.eachEngine(EventRecovered, fault, struck, func(e *engine) { e.frozen = false })
+		w.applyToEngines(EventRecovered, fault, struck, func(e *engine) { e.reportsFrozen = false })
 	case scenario.FaultLostReports:
-		w.control.deaf--
-		w.recorder.event(Event{Type: EventRecovered, Detail: string(fault.Fault)})
+		w.control.reportFaults--
+		w.recorder.recordEvent(Event{Type: EventRecovered, Detail: string(fault.Fault)})
 	case scenario.FaultPlannerPause, scenario.FaultPlannerCrash:
-		w.control.stopped--
-		w.recorder.event(Event{Type: EventLeaderElected, Detail: string(fault.Fault)})
+		w.control.plannerFaults--
+		w.recorder.recordEvent(Event{Type: EventLeaderElected, Detail: string(fault.Fault)})
 	}
 }
 
-// eachEngine does something to each engine that a fault strikes, and tells of it.
-func (w *world) eachEngine(eventType EventType, fault scenario.Fault, struck []*engine, do func(*engine)) {
+// applyToEngines calls do for each engine that a fault affects and records an event for it.
+func (w *world) applyToEngines(eventType EventType, fault scenario.Fault, struck []*engine, do func(*engine)) {
 	for _, each := range struck {
 		do(each)
-		w.recorder.event(Event{
+		w.recorder.recordEvent(Event{
 			Type: eventType, Service: each.declared.Service, Engine: each.declared.Name, Zone: each.declared.Zone,
 			Detail: string(fault.Fault),
 		})
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -13,7 +13,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/routing"
 )
 
-// Figures of the product's gateway that the decisions depend on.
+// Constants of the product's gateway on which the decisions depend.
 const (
 	maximumExchanges          = 3
 	fastestTokenInterval      = 5 * time.Millisecond
@@ -21,13 +21,13 @@
 	estimatorPairs            = 4096
 )
 
-// Reasons of refusals beyond admission's.
+// Reasons of refusals, besides those of admission.
 const (
 	reasonNoBackEnd = "no back end takes the request"
 )
 
-// gateway is the gateway of one zone: the product's admission, routing, estimates and
-// demand report, joined as the gateway process joins them.
+// gateway is the gateway of one zone: the product's admission, routing, estimates and demand
+// report, connected as in the gateway process.
 type gateway struct {
 	world     *world
 	zone      string
@@ -64,18 +64,18 @@
 	return made, nil
 }
 
-// sync takes over the directory that the controllers pass on.
-func (g *gateway) sync() {
+// syncDirectory updates the router from the directory that the controllers publish.
+func (g *gateway) syncDirectory() {
 	directory := make([]routing.BackEnd, 0, len(g.world.engines))
 	for _, engine := range g.world.engines {
 		row := routing.BackEnd{
 			Name: engine.declared.Name, Service: engine.declared.Service, Zone: engine.declared.Zone,
 			Incarnation: engine.incarnation, State: engine.state, Role: engine.role, ConfirmedAt: g.world.now,
 		}
-		if !engine.up || engine.paused {
-			continue // nobody has confirmed it: the directory drops it
+		if !engine.isUp || engine.paused {
+			continue // the engine is not confirmed, so the directory omits it
 		}
-		if seen, found := engine.reported(); found {
+		if seen, found := engine.visibleReading(); found {
 			row.Load, row.LoadAt, row.HasLoad = seen.routingLoad(), seen.at, true
 		}
 		directory = append(directory, row)
@@ -84,76 +84,78 @@
 	g.router.Confirm(g.world.now)
 }
 
-// report tells the controller the demand of the window that ends now.
-func (g *gateway) report() { g.world.control.take(g.identity, g.state.ReportRequest(g.world.now, nil)) }
+// sendReport sends the controller the demand of the window that ends now.
+func (g *gateway) sendReport() {
+	g.world.control.receiveReport(g.identity, g.state.ReportRequest(g.world.now, nil))
+}
 
-// receive takes in a request of a caller.
-func (g *gateway) receive(asked *request) {
-	g.world.recorder.arrived(asked)
-	estimate := g.estimator.Estimate(g.shape(asked))
-	asked.estimatedPrompt, asked.estimatedOutput = estimate.PromptTokens, estimate.OutputTokens
-	g.waiting[uint64(asked.Number)] = asked
-	service := g.services[asked.kind.Service]
+// receiveRequest estimates a caller's request and offers it to admission.
+func (g *gateway) receiveRequest(req *request) {
+	g.world.recorder.recordArrival(req)
+	estimate := g.estimator.Estimate(g.requestShape(req))
+	req.estimatedPrompt, req.estimatedOutput = estimate.PromptTokens, estimate.OutputTokens
+	g.waiting[uint64(req.Number)] = req
+	service := g.services[req.kind.Service]
 	g.refuse(service.Offer(g.world.now, admission.Request{
-		ID: uint64(asked.Number), Tenant: asked.tenant, Class: asked.kind.Name, Priority: int32(asked.kind.Priority), Weight: 1, Worth: asked.kind.Worth,
+		ID: uint64(req.Number), Tenant: req.tenant, Class: req.kind.Name, Priority: int32(req.kind.Priority), Weight: 1, Worth: req.kind.Worth,
 		PromptTokens: estimate.PromptTokens, OutputTokens: estimate.OutputTokens,
-		Bytes: int64(asked.PromptTokens * bytesPerToken), Deadline: asked.deadline,
+		Bytes: int64(req.PromptTokens * bytesPerToken), Deadline: req.deadline,
 		MinimumTime: time.Duration(estimate.OutputTokens) * fastestTokenInterval,
 	}))
-	g.start(service)
+	g.startAdmitted(service)
 }
 
-func (g *gateway) shape(asked *request) admission.RequestShape {
-	declared := g.world.declared[asked.Kind]
+func (g *gateway) requestShape(req *request) admission.RequestShape {
+	declared := g.world.declared[req.Kind]
 	return admission.RequestShape{
-		Tenant: asked.tenant, Kind: asked.kind.Name, PromptBytes: asked.PromptTokens * bytesPerToken,
+		Tenant: req.tenant, Kind: req.kind.Name, PromptBytes: req.PromptTokens * bytesPerToken,
 		DeclaredTokens: admission.DeclaredTokens{PromptTokens: declared.prompt, OutputTokens: declared.output},
 	}
 }
 
-// expire gives up on requests that wait too long.
-func (g *gateway) expire() {
+// expireWaiting refuses requests that have waited too long.
+func (g *gateway) expireWaiting() {
 	for _, name := range slices.Sorted(maps.Keys(g.services)) {
 		g.refuse(g.services[name].Expire(g.world.now))
-		g.start(g.services[name])
+		g.startAdmitted(g.services[name])
 	}
 }
 
 func (g *gateway) refuse(refusals []admission.Refusal) {
 	for _, refusal := range refusals {
-		asked := g.waiting[refusal.ID]
+		req := g.waiting[refusal.ID]
 		delete(g.waiting, refusal.ID)
-		g.record(asked, gatewaystate.Outcome{Refused: true})
-		g.world.recorder.refused(asked, refusal.Reason.Error())
+		g.recordOutcome(req, gatewaystate.Outcome{Refused: true})
+		g.world.recorder.recordRefusal(req, refusal.Reason.Error())
 	}
 }
 
-// record counts a finished request for the demand report.
-func (g *gateway) record(asked *request, outcome gatewaystate.Outcome) {
-	outcome.Service, outcome.Kind = asked.kind.Service, asked.kind.Name
-	outcome.PromptTokens = uint64(asked.estimatedPrompt)
+// recordOutcome counts a finished request in the demand report.
+func (g *gateway) recordOutcome(req *request, outcome gatewaystate.Outcome) {
+	outcome.Service, outcome.Kind = req.kind.Service, req.kind.Name
+	outcome.PromptTokens = uint64(req.estimatedPrompt)
 	if outcome.Completed {
-		outcome.OutputTokens = uint64(asked.OutputTokens)
+		outcome.OutputTokens = uint64(req.OutputTokens)
 	}
 	g.state.Record(outcome)
 }
 
-func (g *gateway) start(service *admission.Core) {
+func (g *gateway) startAdmitted(service *admission.Core) {
 	for {
 		next, found := service.StartNext(g.world.now)
 		if !found {
 			g.refuse(service.DrainRefusals())
 			return
 		}
-		asked := g.waiting[next.ID]
+		req := g.waiting[next.ID]
 		delete(g.waiting, next.ID)
-		asked.began = g.world.now
-		if asked.deadline > 0 {
-			g.world.agenda.Add(asked.deadline, func() { g.deadlinePassed(asked) })
+		req.startedAt = g.world.now
+		if req.deadline > 0 {
+			g.world.agenda.Add(req.deadline, func() { g.deadlinePassed(req) })
 		}
-		g.begin(asked)
+		g.startAttempt(req)
 	}
 }
 
-// waitingCount is the number of requests in the gateway's queues.
+// waitingCount returns the number of requests in the gateway's queues.
 func (g *gateway) waitingCount() int { return len(g.waiting) }
--- a/internal/experiment/hindsight.go
+++ b/internal/experiment/hindsight.go
@@ -11,34 +11,34 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// hindsightWindow is the span over which the static policies average arrivals.
+// hindsightWindow is the length of the windows in which splits are ranked.
 const hindsightWindow = 5 * time.Second
 
-// staticCandidates is how many splits, best by the model, the emulator compares.
+// staticCandidates is how many of the splits that the model ranks highest are simulated.
 const staticCandidates = 3
 
-// Study runs policies on one scenario and seed and remembers what they share.
+// Study runs policies on one scenario and seed and caches the results that they share.
 type Study struct {
 	declared scenario.Scenario
 	arrivals []scenario.Arrival
 	seed     uint64
-	// WholeOnly is passed on to each run.
-	WholeOnly bool
-	cached    []float64
-	best      *Run
-	planned   *Run
-	plan      *clairvoyantPlan
+	// WholeOnly is the option WholeOnly of each run.
+	WholeOnly    bool
+	cachedShares []float64
+	staticRun    *Run
+	plannerRun   *Run
+	plan         *clairvoyantPlan
 }
 
-// NewStudy draws the arrivals of a scenario.
+// NewStudy returns a study of a scenario with the arrivals of a seed.
 func NewStudy(declared scenario.Scenario, seed uint64) *Study {
 	arrivals := declared.Arrivals(seed)
 	return StudyOf(declared, arrivals, seed)
 }
 
-// StudyOf is a study of given arrivals.
+// StudyOf returns a study of a scenario with given arrivals.
 func StudyOf(declared scenario.Scenario, arrivals []scenario.Arrival, seed uint64) *Study {
-	return &Study{declared: declared, arrivals: arrivals, seed: seed, cached: cachedShares(&declared, arrivals)}
+	return &Study{declared: declared, arrivals: arrivals, seed: seed, cachedShares: cachedShares(&declared, arrivals)}
 }
 
 // Run runs one policy by name.
@@ -53,11 +53,11 @@
 	case PolicyUnchanged:
 		return s.simulate(schedulePolicy(name, nil))
 	case PolicyAllMixed:
-		return s.simulate(staticPolicy(name, s.eachService(func(service *scenario.Service) planner.Split {
+		return s.simulate(staticPolicy(name, s.splitByService(func(service *scenario.Service) planner.Split {
 			return planner.Split{Mixed: engineCount(service)}
 		})))
 	case PolicyStaticMean:
-		return s.simulate(staticPolicy(name, s.eachService(s.meanSplit)))
+		return s.simulate(staticPolicy(name, s.splitByService(s.meanSplit)))
 	case PolicyStaticBest:
 		return s.staticBest()
 	case PolicyClairvoyant:
@@ -65,36 +65,36 @@
 		if err != nil {
 			return nil, err
 		}
-		return plan.declared, nil
+		return plan.bestRun, nil
 	}
 	return nil, trace.BadParameter("there is no policy %q; policies are %v", name, PolicyNames())
 }
 
-// runPlanner runs the product's planner once.
+// runPlanner runs the product's planner, once per study.
 func (s *Study) runPlanner() (*Run, error) {
-	if s.planned != nil {
-		return s.planned, nil
+	if s.plannerRun != nil {
+		return s.plannerRun, nil
 	}
 	var err error
-	s.planned, err = s.simulate(ProductPolicy())
-	return s.planned, err
+	s.plannerRun, err = s.simulate(ProductPolicy())
+	return s.plannerRun, err
 }
 
-// Bound is the highest goodput of all plans that the search for the clairvoyant plan
-// has run.
+// Bound returns the highest goodput of all plans that the search for the clairvoyant plan has
+// simulated.
 func (s *Study) Bound() (float64, error) {
 	plan, err := s.clairvoyant()
 	if err != nil {
 		return 0, err
 	}
-	return plan.goodput, nil
+	return plan.highestGoodput, nil
 }
 
 func (s *Study) simulate(policy Policy) (*Run, error) {
 	return Simulate(Options{Scenario: s.declared, Arrivals: s.arrivals, Seed: s.seed, Policy: policy, WholeOnly: s.WholeOnly})
 }
 
-func (s *Study) eachService(choose func(*scenario.Service) planner.Split) map[string]planner.Split {
+func (s *Study) splitByService(choose func(*scenario.Service) planner.Split) map[string]planner.Split {
 	splits := map[string]planner.Split{}
 	for i := range s.declared.Services {
 		service := &s.declared.Services[i]
@@ -103,20 +103,20 @@
 	return splits
 }
 
-func (s *Study) model(service *scenario.Service) planner.Model {
+func (s *Study) plannerModel(service *scenario.Service) planner.Model {
 	return planner.NewModel(plannerProfile(service))
 }
 
-// meanSplit divides the engines into readers and writers for the mean mix.
+// meanSplit returns the best split without mixed engines for the mean demand.
 func (s *Study) meanSplit(service *scenario.Service) planner.Split {
-	mean := windowsOf(&s.declared, s.arrivals, service.Name, s.declared.Duration, s.cached)[0]
-	model := s.model(service)
+	mean := demandWindows(&s.declared, s.arrivals, service.Name, s.declared.Duration, s.cachedShares)[0]
+	model := s.plannerModel(service)
 	best, most := planner.Split{}, -1.0
 	for _, split := range allSplits(service) {
 		if split.Mixed > 0 {
 			continue
 		}
-		// Beyond what the demand needs, the split with the larger margin is better.
+		// Beyond the demand, the split with the larger headroom is better.
 		if worth := model.Goodput(split, mean.demands) + model.HeadroomBonus(split, mean.demands); worth > most {
 			best, most = split, worth
 		}
@@ -124,10 +124,10 @@
 	return best
 }
 
-// staticBest runs the splits that the model likes best and keeps the best run.
+// staticBest simulates the splits that the model ranks highest and returns the best run.
 func (s *Study) staticBest() (*Run, error) {
-	if s.best != nil {
-		return s.best, nil
+	if s.staticRun != nil {
+		return s.staticRun, nil
 	}
 	ranked := map[string][]planner.Split{}
 	for i := range s.declared.Services {
@@ -135,30 +135,30 @@
 		ranked[service.Name] = s.rankSplits(service)
 	}
 	for place := range staticCandidates {
-		run, err := s.simulate(staticPolicy(PolicyStaticBest, s.eachService(func(service *scenario.Service) planner.Split {
-			own := ranked[service.Name]
-			return own[min(place, len(own)-1)]
+		run, err := s.simulate(staticPolicy(PolicyStaticBest, s.splitByService(func(service *scenario.Service) planner.Split {
+			candidates := ranked[service.Name]
+			return candidates[min(place, len(candidates)-1)]
 		})))
 		if err != nil {
 			return nil, err
 		}
-		if s.best == nil || run.Goodput > s.best.Goodput {
-			s.best = run
+		if s.staticRun == nil || run.Goodput > s.staticRun.Goodput {
+			s.staticRun = run
 		}
 	}
-	return s.best, nil
+	return s.staticRun, nil
 }
 
-// rankSplits orders the splits of a service by the model's worth over the whole run.
+// rankSplits returns the splits of a service by descending modelled worth over the whole run.
 func (s *Study) rankSplits(service *scenario.Service) []planner.Split {
-	windows := windowsOf(&s.declared, s.arrivals, service.Name, hindsightWindow, s.cached)
-	markOutages(&s.declared, service, windows)
-	model := s.model(service)
+	windows := demandWindows(&s.declared, s.arrivals, service.Name, hindsightWindow, s.cachedShares)
+	setUpShares(&s.declared, service, windows)
+	model := s.plannerModel(service)
 	worth := map[planner.Split]float64{}
 	splits := allSplits(service)
 	for _, split := range splits {
 		for _, window := range windows {
-			worth[split] += window.rate(model, split) * (window.to - window.from).Seconds()
+			worth[split] += window.worthRate(model, split) * (window.to - window.from).Seconds()
 		}
 	}
 	slices.SortStableFunc(splits, func(a, b planner.Split) int { return cmp.Compare(worth[b], worth[a]) })
--- a/internal/experiment/model_test.go
+++ b/internal/experiment/model_test.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// modelError bounds the mean distance between the model and the emulator, as a share
-	// of the arriving worth, and largestModelError that of one split: the model charges
-	// splits with mixed engines beside pairs more than they lose on some mixes.
-	modelError        = 0.08
-	largestModelError = 0.3
+	// maxMeanDifference limits the mean difference between model and simulation, as a share of
+	// the offered worth, and maxDifference that of one split: for splits with both mixed
+	// engines and pairs, the model charges more than they lose on some mixes.
+	maxMeanDifference = 0.08
+	maxDifference     = 0.3
 )
 
-// TestModelAgreesWithTheEmulator compares the planner's fluid model with the emulator
-// over splits that fit a mix and splits that do not.
+// TestModelAgreesWithTheEmulator compares the planner's fluid model with the simulation, for
+// splits that fit a mix and splits that do not.
 func TestModelAgreesWithTheEmulator(t *testing.T) {
 	declared, err := scenario.Load("../../bench/scenarios/empleandes/calm.yaml")
 	require.NoError(t, err)
@@ -34,17 +34,17 @@
 	for _, mix := range [][2]float64{{1.6, 0.2}, {1.1, 1.1}, {0.2, 2}} {
 		declared.Kinds[0].Arrivals.Rate, declared.Kinds[1].Arrivals.Rate = base[0]*mix[0], base[1]*mix[1]
 		study := NewStudy(declared, 1)
-		demands := windowsOf(&declared, study.arrivals, service.Name, declared.Duration, study.cached)[0].demands
+		demands := demandWindows(&declared, study.arrivals, service.Name, declared.Duration, study.cachedShares)[0].demands
 		for _, split := range splits {
 			run, err := study.simulate(staticPolicy("static", map[string]planner.Split{service.Name: split}))
 			require.NoError(t, err)
-			modelled := study.model(service).Goodput(split, demands) * declared.Duration.Seconds()
+			modelled := study.plannerModel(service).Goodput(split, demands) * declared.Duration.Seconds()
 			difference := math.Abs(modelled-run.Goodput) / run.OfferedWorth
-			require.Less(t, difference, largestModelError, "mix %v, %s", mix, split)
+			require.Less(t, difference, maxDifference, "mix %v, %s", mix, split)
 			total += difference
 			count++
 		}
 	}
 	t.Logf("mean difference %.1f%% over %d runs", 100*total/float64(count), count)
-	require.Less(t, total/float64(count), modelError)
+	require.Less(t, total/float64(count), maxMeanDifference)
 }
--- a/internal/experiment/options.go
+++ b/internal/experiment/options.go
@@ -10,40 +10,40 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// Options choose one run.
+// Options configure one run.
 type Options struct {
 	Scenario scenario.Scenario
 	// Arrivals are the scenario's requests in order of time.
 	Arrivals []scenario.Arrival
-	// Seed of everything that is drawn besides the arrivals.
+	// Seed of all random draws except the arrivals.
 	Seed   uint64
 	Policy Policy
-	// WholeOnly sends each request to one engine, as gateways do that hand over no
-	// KV caches.
+	// WholeOnly sends each request to a single engine, as gateways do that have KV transfer
+	// disabled.
 	WholeOnly bool
 }
 
-// Policy decides the roles of a run's engines.
+// Policy determines the roles of a run's engines.
 type Policy struct {
 	Name string
-	// InitialRoles returns the roles at the start of the engines of a service, in the
-	// scenario's order; nil keeps the scenario's.
+	// InitialRoles returns the initial roles of a service's engines, in the scenario's order;
+	// nil keeps the scenario's roles.
 	InitialRoles func(service string, engines []scenario.Engine) []enginecontract.Role
-	// NewPlanner returns the planner of a service. It is called again when the
-	// planner's process has crashed.
+	// NewPlanner returns the planner of a service. It is called again after a crash of the
+	// planner's process.
 	NewPlanner func(service string) planner.Planner
 }
 
-// Intervals of the fleet, as the product's processes have them by default.
+// Intervals of the fleet; they equal the defaults of the product's processes.
 const (
 	reportInterval = time.Second
 	planInterval   = time.Second
 	expireInterval = 50 * time.Millisecond
-	// orderTime is the time from a decision to the engine's taking the order: the
-	// replicated log and the way there.
-	orderTime = 50 * time.Millisecond
-	// grace is the time after the last arrival in which requests may still end.
-	grace = 30 * time.Second
+	// orderDelay is the time from a decision until the engine receives the order: replication
+	// and network latency.
+	orderDelay = 50 * time.Millisecond
+	// gracePeriod is the time after the last arrival in which requests can finish.
+	gracePeriod = 30 * time.Second
 )
 
 // Simulate runs a scenario under a policy. Equal options give equal results.
--- a/internal/experiment/outages.go
+++ b/internal/experiment/outages.go
@@ -7,15 +7,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// markOutages tells each window the share of a service's engines that crashes leave. The
-// clairvoyant plan knows of crashes as it knows of arrivals.
-func markOutages(declared *scenario.Scenario, service *scenario.Service, windows []window) {
+// setUpShares sets, for each window, the share of a service's engines that have not crashed.
+// The clairvoyant plan knows crashes in advance, as it knows arrivals.
+func setUpShares(declared *scenario.Scenario, service *scenario.Service, windows []window) {
 	total := float64(engineCount(service))
 	for i := range windows {
-		windows[i].up = 1
+		windows[i].upShare = 1
 		for _, fault := range declared.Faults {
 			if fault.Fault == scenario.FaultEngineCrash && overlaps(fault, windows[i].from, windows[i].to) {
-				windows[i].up -= float64(countOf(service.Name, fault.Targets(declared.Engines()))) / total
+				windows[i].upShare -= float64(countService(service.Name, fault.Targets(declared.Engines()))) / total
 			}
 		}
 	}
@@ -25,7 +25,7 @@
 	return fault.At < to && (fault.Length == 0 || fault.At+fault.Length > from)
 }
 
-func countOf(service string, engines []scenario.Engine) int {
+func countService(service string, engines []scenario.Engine) int {
 	count := 0
 	for _, engine := range engines {
 		if engine.Service == service {
@@ -35,19 +35,19 @@
 	return count
 }
 
-// rate is the modelled worth per second of a split within the window, with the engines
+// worthRate returns the modelled worth per second of a split in the window, with the engines
 // that are up.
-func (w *window) rate(model planner.Model, split planner.Split) float64 {
-	if w.up <= 0 {
+func (w *window) worthRate(model planner.Model, split planner.Split) float64 {
+	if w.upShare <= 0 {
 		return 0
 	}
 	demands := w.demands
-	if w.up < 1 { // so much less capacity is so much more demand for each engine
+	if w.upShare < 1 { // lower capacity is modelled as proportionally higher demand on each engine
 		demands = make([]planner.KindDemand, len(w.demands))
 		for i, demand := range w.demands {
-			demand.ArrivalsPerSecond /= w.up
+			demand.ArrivalsPerSecond /= w.upShare
 			demands[i] = demand
 		}
 	}
-	return w.up * (model.Goodput(split, demands) + model.HeadroomBonus(split, demands))
+	return w.upShare * (model.Goodput(split, demands) + model.HeadroomBonus(split, demands))
 }
--- a/internal/experiment/percentiles.go
+++ b/internal/experiment/percentiles.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// PercentilesOf returns the percentiles of durations, in milliseconds; it sorts them.
+// PercentilesOf returns the percentiles of durations in milliseconds. It sorts values.
 func PercentilesOf(values []time.Duration) Percentiles {
 	if len(values) == 0 {
 		return Percentiles{}
--- a/internal/experiment/policies_test.go
+++ b/internal/experiment/policies_test.go
@@ -14,20 +14,20 @@
 const (
 	shiftAt     = 30 * time.Second
 	shiftLength = 95 * time.Second
-	// searchLength is the shorter run on which the bound is searched for.
+	// searchLength is the length of the shorter run for which the bound is computed.
 	searchLength = 60 * time.Second
-	// searchNoise is by how much a policy may pass the bound of a short search.
+	// searchNoise is the factor by which a policy may exceed the bound of a short search.
 	searchNoise = 1.02
 )
 
-// shift is a study whose mix turns from long prompts to short ones with long output,
-// more than four readers and two writers can follow.
-func shift(t *testing.T, faults ...scenario.Fault) *experiment.Study {
+// shiftStudy returns a study whose mix shifts from long prompts to short prompts with long
+// outputs, beyond the capacity of four prefill and two decode engines.
+func shiftStudy(t *testing.T, faults ...scenario.Fault) *experiment.Study {
 	t.Helper()
-	return shiftOf(shiftLength, faults...)
+	return shiftStudyOf(shiftLength, faults...)
 }
 
-func shiftOf(length time.Duration, faults ...scenario.Fault) *experiment.Study {
+func shiftStudyOf(length time.Duration, faults ...scenario.Fault) *experiment.Study {
 	declared := fleet(length)
 	declared.Faults = faults
 	step := func(before, after float64) func(time.Duration) float64 {
@@ -41,7 +41,7 @@
 	return experiment.StudyOf(declared, poisson(length, 3, step(9, 1), step(5, 65)), 3)
 }
 
-func runOf(t *testing.T, study *experiment.Study, policy string) *experiment.Run {
+func runPolicy(t *testing.T, study *experiment.Study, policy string) *experiment.Run {
 	t.Helper()
 	run, err := study.Run(policy)
 	require.NoError(t, err)
@@ -49,22 +49,22 @@
 	return run
 }
 
-// TestNoPolicyPassesTheBound leaves out the two policies that begin in roles of their
-// own choice without paying for them: the bound begins in the scenario's.
-func TestNoPolicyPassesTheBound(t *testing.T) {
-	study := shiftOf(searchLength)
+// TestNoPolicyExceedsTheBound omits the two policies that choose their initial roles without
+// paying for a change: the bound starts with the scenario's roles.
+func TestNoPolicyExceedsTheBound(t *testing.T) {
+	study := shiftStudyOf(searchLength)
 	bound, err := study.Bound()
 	require.NoError(t, err)
 	for _, policy := range experiment.PolicyNames() {
-		if run := runOf(t, study, policy); policy != experiment.PolicyStaticBest && policy != experiment.PolicyAllMixed {
+		if run := runPolicy(t, study, policy); policy != experiment.PolicyStaticBest && policy != experiment.PolicyAllMixed {
 			require.LessOrEqual(t, run.Goodput, searchNoise*bound, policy)
 		}
 	}
 }
 
 func TestPlannerFollowsAShift(t *testing.T) {
-	study := shift(t)
-	planned, unchanged := runOf(t, study, experiment.PolicyPlanner), runOf(t, study, experiment.PolicyUnchanged)
+	study := shiftStudy(t)
+	planned, unchanged := runPolicy(t, study, experiment.PolicyPlanner), runPolicy(t, study, experiment.PolicyUnchanged)
 	require.Greater(t, planned.Goodput, unchanged.Goodput)
 	require.Positive(t, planned.RoleChanges)
 }
@@ -72,19 +72,19 @@
 func TestCalmChangesNothing(t *testing.T) {
 	declared := fleet(shiftLength)
 	study := experiment.StudyOf(declared, poisson(shiftLength, 4, constant(7), constant(20)), 4)
-	require.Zero(t, runOf(t, study, experiment.PolicyPlanner).RoleChangesOrdered)
+	require.Zero(t, runPolicy(t, study, experiment.PolicyPlanner).RoleChangesOrdered)
 }
 
-// TestPlannerCrashRepeatsNoChange crashes the planner while it answers the shift: the new
-// one knows the changes from the log and from the engines, and ends as the first would.
+// TestPlannerCrashRepeatsNoChange crashes the planner while it responds to the shift. The new
+// planner gets the changes from the log and the engines and must reach the same final roles.
 func TestPlannerCrashRepeatsNoChange(t *testing.T) {
-	whole := runOf(t, shift(t), experiment.PolicyPlanner)
+	whole := runPolicy(t, shiftStudy(t), experiment.PolicyPlanner)
 	first := changeTimes(whole)[0]
 	crash := scenario.Fault{Fault: scenario.FaultPlannerCrash, At: first + 100*time.Millisecond, Length: 3 * time.Second}
-	crashed := runOf(t, shift(t, crash), experiment.PolicyPlanner)
+	crashed := runPolicy(t, shiftStudy(t, crash), experiment.PolicyPlanner)
 	require.Equal(t, first, changeTimes(crashed)[0])
 	require.LessOrEqual(t, crashed.RoleChanges, whole.RoleChanges+1)
-	require.Equal(t, lastRoles(whole), lastRoles(crashed))
+	require.Equal(t, finalSplit(whole), finalSplit(crashed))
 }
 
 func changeTimes(run *experiment.Run) []time.Duration {
@@ -97,8 +97,8 @@
 	return times
 }
 
-// lastRoles is the split at the end of a run.
-func lastRoles(run *experiment.Run) planner.Split {
+// finalSplit returns the split at the end of a run.
+func finalSplit(run *experiment.Run) planner.Split {
 	var split planner.Split
 	for _, count := range run.Series[len(run.Series)-1].Roles {
 		split.Prefill += count.Prefill
@@ -110,15 +110,15 @@
 
 func TestLostReportsChangeNothing(t *testing.T) {
 	lost := scenario.Fault{Fault: scenario.FaultLostReports, At: shiftAt - 10*time.Second, Length: shiftLength}
-	require.Zero(t, runOf(t, shift(t, lost), experiment.PolicyPlanner).RoleChangesOrdered)
+	require.Zero(t, runPolicy(t, shiftStudy(t, lost), experiment.PolicyPlanner).RoleChangesOrdered)
 }
 
-func TestEngineCrashInTheMiddleOfAChange(t *testing.T) {
-	whole := runOf(t, shift(t), experiment.PolicyPlanner)
+func TestEngineCrashDuringAChange(t *testing.T) {
+	whole := runPolicy(t, shiftStudy(t), experiment.PolicyPlanner)
 	crash := scenario.Fault{
 		Fault: scenario.FaultEngineCrash, At: changeTimes(whole)[0] + time.Second, Length: 20 * time.Second, Engine: firstChanged(whole),
 	}
-	crashed := runOf(t, shift(t, crash), experiment.PolicyPlanner)
+	crashed := runPolicy(t, shiftStudy(t, crash), experiment.PolicyPlanner)
 	require.Equal(t, changeTimes(whole)[0], changeTimes(crashed)[0])
 	require.Greater(t, crashed.RoleChangesOrdered, crashed.RoleChanges, "the crash ended a change")
 }
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -11,35 +11,35 @@
 const (
 	// PolicyPlanner is the product's planner.
 	PolicyPlanner = "planner"
-	// PolicyPrevious is the planner before experiments measured it.
+	// PolicyPrevious is the planner of package previousplanner.
 	PolicyPrevious = "previous"
-	// PolicyReactive changes one engine when thresholds are passed.
+	// PolicyReactive changes one engine when thresholds are exceeded.
 	PolicyReactive = "reactive"
-	// PolicyUnchanged keeps the scenario's roles.
+	// PolicyUnchanged keeps the scenario's initial roles.
 	PolicyUnchanged = "unchanged"
-	// PolicyAllMixed lets every engine do everything.
+	// PolicyAllMixed gives every engine the role mixed.
 	PolicyAllMixed = "all-mixed"
-	// PolicyStaticMean keeps the split into readers and writers that fits the mean mix.
+	// PolicyStaticMean keeps the split into prefill and decode engines that fits the mean mix.
 	PolicyStaticMean = "static-mean"
 	// PolicyStaticBest keeps the split that is best in hindsight.
 	PolicyStaticBest = "static-best"
-	// PolicyClairvoyant knows all arrivals and pays for its changes.
+	// PolicyClairvoyant plans with knowledge of all arrivals and pays for its changes.
 	PolicyClairvoyant = "clairvoyant"
 )
 
-// PolicyNames lists all policies in the order of tables.
+// PolicyNames lists all policies in the order in which tables show them.
 func PolicyNames() []string {
 	return []string{
 		PolicyPlanner, PolicyPrevious, PolicyReactive, PolicyUnchanged, PolicyAllMixed, PolicyStaticMean, PolicyStaticBest, PolicyClairvoyant,
 	}
 }
 
-// ProductPolicy is the product's own planner, beginning in the scenario's roles.
+// ProductPolicy returns the product's planner, starting with the scenario's roles.
 func ProductPolicy() Policy {
 	return Policy{Name: PolicyPlanner, NewPlanner: func(string) planner.Planner { return planner.New() }}
 }
 
-// previousPolicy is the product's previous planner.
+// previousPolicy returns the planner of package previousplanner.
 func previousPolicy() Policy {
 	return Policy{Name: PolicyPrevious, NewPlanner: func(string) planner.Planner { return previousplanner.New() }}
 }
@@ -48,18 +48,18 @@
 	return Policy{Name: PolicyReactive, NewPlanner: func(string) planner.Planner { return &reactivePlanner{} }}
 }
 
-// staticPolicy keeps one split for each service from the start.
+// staticPolicy returns a policy that has one split for each service from the start.
 func staticPolicy(name string, splits map[string]planner.Split) Policy {
 	return Policy{
 		Name: name,
 		InitialRoles: func(service string, engines []scenario.Engine) []enginecontract.Role {
-			return spread(splits[service], engines)
+			return assignRoles(splits[service], engines)
 		},
 		NewPlanner: func(string) planner.Planner { return &schedulePlanner{} },
 	}
 }
 
-// schedulePolicy begins in the scenario's roles and follows a schedule for each service.
+// schedulePolicy returns a policy that starts with the scenario's roles and follows a schedule for each service.
 func schedulePolicy(name string, schedules map[string]schedule) Policy {
 	return Policy{
 		Name:       name,
--- a/internal/experiment/previousplanner/capacity.go
+++ b/internal/experiment/previousplanner/capacity.go
@@ -5,20 +5,20 @@
 	"sort"
 )
 
-// usableShare is the highest utilisation the model plans for: above it queues grow
-// faster than admission can trim them.
+// usableShare is the highest utilisation that the model plans for; above it, queues grow
+// faster than admission can reduce them.
 const usableShare = 0.97
 
-// capacityModel estimates the worth per second that a split completes in time: a
-// queueing model with one station that reads prompts and one that writes output.
-// Mixed engines lend their capacity, less the penalty, to whichever station needs it.
+// capacityModel estimates the worth per second that a split completes within the deadlines.
+// It is a queueing model with one station for prefill and one for decode. Mixed engines add
+// their capacity, less the penalty, to the station that needs it.
 type capacityModel struct {
 	mixedPenalty float64
 }
 
-// goodput returns worth per second for a split under a workload. What exceeds the
-// capacity is shed by worth, as admission does; of the rest, the share that waits
-// longer than its slack is lost.
+// goodput returns worth per second for a split under a workload. Load beyond the capacity is
+// shed by worth, as admission does; of the rest, the share that waits longer than its slack
+// is lost.
 func (m capacityModel) goodput(split Split, load workload) float64 {
 	stations, ok := m.stations(split)
 	if !ok {
@@ -40,7 +40,7 @@
 	return total
 }
 
-// capacity is engine-seconds per second of each sort.
+// capacity is the engine-seconds per second of prefill, decode and mixed engines.
 type capacity struct {
 	prefill float64
 	decode  float64
@@ -59,8 +59,8 @@
 	use   func(kindLoad) float64
 }
 
-// admit returns the admitted share of each kind. The tightest limit is relieved
-// first by shedding the kinds that bring the least worth per unit of it.
+// admit returns the admitted share of each kind. It first satisfies the constraint that is
+// exceeded most, by shedding the kinds with the least worth per unit of it.
 func (c capacity) admit(load workload) []float64 {
 	admitted := make([]float64, len(load))
 	for i := range admitted {
@@ -94,7 +94,7 @@
 	return total
 }
 
-// shed lowers the admitted shares until the constraint holds.
+// shed lowers the admitted shares until the constraint is satisfied.
 func (c constraint) shed(load workload, admitted []float64) {
 	order := make([]int, 0, len(load))
 	for i, kind := range load {
@@ -119,17 +119,17 @@
 	}
 }
 
-// balance lends the mixed capacity so that both stations are equally utilised.
+// balance divides the mixed capacity so that both stations have equal utilisation.
 func (c capacity) balance(load workload, admitted []float64) (prefillServers, decodeServers float64) {
-	reading, writing := 0.0, 0.0
+	prefillLoad, decodeLoad := 0.0, 0.0
 	for i, kind := range load {
-		reading += kind.arrivals * admitted[i] * kind.prefill
-		writing += kind.arrivals * admitted[i] * kind.decode
+		prefillLoad += kind.arrivals * admitted[i] * kind.prefill
+		decodeLoad += kind.arrivals * admitted[i] * kind.decode
 	}
 	total := c.prefill + c.decode + c.mixed
 	wanted := total / 2
-	if reading+writing > 0 {
-		wanted = total * reading / (reading + writing)
+	if prefillLoad+decodeLoad > 0 {
+		wanted = total * prefillLoad / (prefillLoad + decodeLoad)
 	}
 	lent := math.Min(math.Max(wanted-c.prefill, 0), c.mixed)
 	return c.prefill + lent, c.decode + c.mixed - lent
@@ -139,7 +139,7 @@
 type station struct {
 	servers     float64
 	utilisation float64
-	// service is the mean engine-seconds of one request.
+	// service is the mean engine-seconds per request.
 	service float64
 }
 
--- a/internal/experiment/previousplanner/cost.go
+++ b/internal/experiment/previousplanner/cost.go
@@ -6,18 +6,18 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// fallbackDrain is the assumed drain time, in seconds, of an engine whose load is
-// unknown and whose profile tells nothing.
+// fallbackDrain is the assumed drain time, in seconds, of an engine whose load or demand is
+// unknown.
 const fallbackDrain = 5.0
 
-// outage estimates for how many seconds an engine is out of its old role before it
-// works in the new one: it drains, loads weights if it must, and changes.
+// outage estimates for how many seconds an engine does no work during a change: it drains,
+// changes its role, and loads weights if the profile requires it.
 func outage(engine EngineObservation, load workload, profile EngineProfile) float64 {
 	return drainTime(engine, load) + seconds(profile.RoleChange) + seconds(profile.WeightLoad)
 }
 
-// drainTime estimates how long the engine's own work takes to finish: the work of
-// one typical request, and what waits at the engine.
+// drainTime estimates, in seconds, how long an engine's running and waiting requests take to
+// finish.
 func drainTime(engine EngineObservation, load workload) float64 {
 	if engine.Load == nil {
 		return fallbackDrain
@@ -34,12 +34,12 @@
 		return fallbackDrain
 	}
 	inFlight := float64(engine.Load.Running + engine.Load.Waiting)
-	// Requests of one batch finish side by side; a batch of n takes about n times
-	// the engine-seconds of one, half of which is already done.
+	// Requests of a batch finish concurrently: a batch of n takes about n times the
+	// engine-seconds of one request, of which half is already done.
 	return math.Max(work/rate*inFlight/2, work/rate)
 }
 
-// workAt is the engine-seconds of one request at an engine of a role.
+// workAt returns the engine-seconds of one request at an engine with a role.
 func workAt(role enginecontract.Role, kind kindLoad) float64 {
 	switch role {
 	case enginecontract.RolePrefill:
@@ -50,9 +50,8 @@
 	return kind.prefill + kind.decode
 }
 
-// cacheLoss is the worth that an engine-sized share of cached prompt tokens stands
-// for while a new reader's cache is cold: the prompts it would have found cached
-// are read again.
+// cacheLoss estimates the worth lost while the prefix cache of a new prefill engine is cold:
+// the engine prefills prompts again that it would have found in a warm cache.
 func cacheLoss(to enginecontract.Role, estimates []estimate, load workload, split Split, profile EngineProfile) float64 {
 	if to == enginecontract.RoleDecode || profile.CacheWarmup <= 0 || profile.PrefillTokensPerSecond <= 0 {
 		return 0
--- a/internal/experiment/previousplanner/doc.go
+++ b/internal/experiment/previousplanner/doc.go
@@ -1,11 +1,11 @@
-// Package previousplanner is the planner as it was before experiments measured it, kept
-// unchanged as a baseline: a queueing model of two stations, rates smoothed over 8 s,
-// one change at a time. It is part of the bench.
+// Package previousplanner is an earlier version of the planner, unchanged as a baseline for
+// experiments: a queueing model with two stations, rates smoothed over 8 s, and one change at
+// a time. It is part of the bench.
 package previousplanner
 
 import "github.com/hazelpitch/hazelpitch/internal/planner"
 
-// The shapes are the present planner's.
+// The types are those of the current planner.
 type (
 	Observation       = planner.Observation
 	EngineObservation = planner.EngineObservation
--- a/internal/experiment/previousplanner/forecast.go
+++ b/internal/experiment/previousplanner/forecast.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// estimate is what is believed about one kind's demand.
+// estimate is the estimated demand of one kind.
 type estimate struct {
 	kind     string
 	arrivals float64 // per second
@@ -15,8 +15,8 @@
 	cached   float64 // share of prompt tokens
 }
 
-// Time constants of the smoothing. Rates follow shifts within seconds; the tokens
-// of one request change far more slowly and are noisy.
+// Time constants of the smoothing. Rates must follow shifts within seconds; the tokens per
+// request change more slowly and are noisy.
 const (
 	rateTimeConstant   = 8 * time.Second
 	tokensTimeConstant = 30 * time.Second
@@ -37,7 +37,7 @@
 	return &demandTracker{kinds: map[string]*trackedKind{}}
 }
 
-// observe takes in one observation's demands, summed over zones.
+// observe updates the estimates with one observation's demands, summed over zones.
 func (t *demandTracker) observe(now time.Duration, demands []DemandObservation) {
 	elapsed := now - t.last
 	first := !t.begun
@@ -56,7 +56,7 @@
 	}
 }
 
-// blend moves the estimate towards a new reading.
+// blend moves the estimate towards a new value.
 func (k *trackedKind) blend(sum estimate, elapsed time.Duration) {
 	rateGain := 1 - math.Exp(-seconds(elapsed)/seconds(rateTimeConstant))
 	tokensGain := 1 - math.Exp(-seconds(elapsed)/seconds(tokensTimeConstant))
@@ -79,7 +79,7 @@
 	return result
 }
 
-// sumZones adds the arrivals of each kind over zones and averages its tokens.
+// sumZones sums the arrivals of each kind over zones and averages its tokens.
 func sumZones(demands []DemandObservation) []estimate {
 	byKind := map[string]*estimate{}
 	for _, demand := range demands {
--- a/internal/experiment/previousplanner/guard.go
+++ b/internal/experiment/previousplanner/guard.go
@@ -7,17 +7,17 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Limits on the age of what a decision rests on.
+// Limits on the age of observations.
 const (
-	// maximumDemandAge is the age beyond which demand is too old to plan by.
+	// maximumDemandAge is the age from which demand is ignored.
 	maximumDemandAge = 15 * time.Second
-	// maximumLoadAge is the age beyond which an engine's state counts as unknown.
+	// maximumLoadAge is the age from which an engine's load counts as unknown.
 	maximumLoadAge = 15 * time.Second
-	// budgetWindow is the window of Policy.ChangesPerHour.
+	// budgetWindow is the period that Policy.ChangesPerHour refers to.
 	budgetWindow = time.Hour
 )
 
-// staleDemand reports whether every reading of demand is missing or too old.
+// staleDemand reports whether all demand observations are missing or too old.
 func staleDemand(observation Observation) bool {
 	for _, demand := range observation.Demands {
 		if demand.Age <= maximumDemandAge {
@@ -27,7 +27,7 @@
 	return true
 }
 
-// freshDemands returns the demands that are recent enough to plan by.
+// freshDemands returns the demands that are recent enough.
 func freshDemands(observation Observation) []DemandObservation {
 	fresh := make([]DemandObservation, 0, len(observation.Demands))
 	for _, demand := range observation.Demands {
@@ -38,34 +38,34 @@
 	return fresh
 }
 
-// isOut reports whether an engine is under a change or draws no work for another reason.
+// isOut reports whether an engine has an order outstanding or is not serving.
 func isOut(engine EngineObservation) bool {
 	return engine.OrderOutstanding || engine.State != enginecontract.StateServing
 }
 
-// heardOf reports whether the engine's last report is recent enough to trust.
-func heardOf(engine EngineObservation) bool {
+// hasRecentReport reports whether the engine's last load report is recent enough.
+func hasRecentReport(engine EngineObservation) bool {
 	return engine.Load != nil && engine.LoadAge <= maximumLoadAge
 }
 
-// countSilent counts the engines that no recent report speaks of.
+// countSilent counts the engines without a recent load report.
 func countSilent(engines []EngineObservation) int {
 	silent := 0
 	for _, engine := range engines {
-		if !heardOf(engine) {
+		if !hasRecentReport(engine) {
 			silent++
 		}
 	}
 	return silent
 }
 
-// committedSplit counts engines by the role they play or are changing to. Engines
-// that leave or have been silent for too long do not count.
+// committedSplit counts engines by the role that they have or are changing to. It omits
+// engines that are leaving or have no recent report.
 func committedSplit(engines []EngineObservation) Split {
 	split := Split{}
 	for _, engine := range engines {
 		switch {
-		case engine.State == enginecontract.StateLeaving || !heardOf(engine):
+		case engine.State == enginecontract.StateLeaving || !hasRecentReport(engine):
 		case engine.OrderOutstanding && engine.TargetRole != "":
 			split = split.Add(engine.TargetRole, 1)
 		default:
@@ -75,7 +75,7 @@
 	return split
 }
 
-// changesInBudgetWindow counts the changes that the budget remembers.
+// changesInBudgetWindow counts the changes within the budget window.
 func changesInBudgetWindow(observation Observation) int {
 	count := 0
 	for _, at := range observation.RecentChanges {
@@ -86,8 +86,8 @@
 	return count
 }
 
-// candidates returns the engines that may be changed from a role now, best first:
-// those with the least work in flight, then by name. The reason tells why none may.
+// candidates returns the engines that may change from one role to another now, those with the
+// least work in flight first, then by name. The reason explains why there is none.
 func candidates(observation Observation, from, to enginecontract.Role) ([]EngineObservation, string) {
 	reason := "no engine plays " + string(from)
 	var result []EngineObservation
@@ -101,7 +101,7 @@
 			reason = "engines in " + string(from) + " are pinned"
 		case isOut(engine):
 			reason = "engines in " + string(from) + " are out of service or under a change"
-		case !heardOf(engine):
+		case !hasRecentReport(engine):
 			reason = "reports of engines in " + string(from) + " are missing or stale"
 		case observation.Now-engine.RoleSince < observation.Policy.MinimumDwell:
 			reason = "engines in " + string(from) + " have not kept their role for the minimum dwell"
@@ -128,8 +128,8 @@
 	return engine.Load.Running + engine.Load.Waiting
 }
 
-// zoneAllows reports whether every bound that covers the engine's zone permits it
-// to go from its role to another.
+// zoneAllows reports whether every bound that applies to the engine's zone permits a change
+// of its role.
 func zoneAllows(observation Observation, engine EngineObservation, to enginecontract.Role) bool {
 	for _, bound := range observation.Bounds {
 		if bound.Zone != "" && bound.Zone != engine.Zone {
@@ -150,7 +150,7 @@
 	return true
 }
 
-// maximumOut is the most engines of the service that may be out at once.
+// maximumOut returns the number of engines of the service that may be out of service at once.
 func maximumOut(bounds []RoleBound) int {
 	limit := 0
 	for _, bound := range bounds {
--- a/internal/experiment/previousplanner/planner.go
+++ b/internal/experiment/previousplanner/planner.go
@@ -7,13 +7,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// defaultHorizon is how far ahead a change must pay back when no policy says so.
+// defaultHorizon is the time within which a change must pay back if the policy sets none.
 const defaultHorizon = 60 * time.Second
 
-// QueueingPlanner weighs single role changes with a queueing model of the service:
-// a change is made when the worth it adds over the horizon, less what its outage,
-// its cold cache and the declared price cost, is positive. It remembers smoothed
-// demand only. It is not safe for concurrent use.
+// QueueingPlanner evaluates single role changes with a queueing model of the service. It makes
+// a change when the worth gained over the horizon exceeds the cost of its outage and cold
+// cache plus the declared price. Its only state is the smoothed demand. It is not safe for
+// concurrent use.
 type QueueingPlanner struct {
 	tracker *demandTracker
 }
@@ -31,14 +31,14 @@
 		return hold("demand reports are missing or older than %s", maximumDemandAge)
 	}
 	p.tracker.observe(observation.Now, freshDemands(observation))
-	if refusal := p.mayNotChange(observation); refusal != nil {
+	if refusal := p.holdReason(observation); refusal != nil {
 		return *refusal
 	}
-	return p.best(observation)
+	return p.bestChange(observation)
 }
 
-// mayNotChange tells why no change may be made now, or nil.
-func (p *QueueingPlanner) mayNotChange(observation Observation) *Decision {
+// holdReason returns the decision to change nothing if no change may be made now, or nil.
+func (p *QueueingPlanner) holdReason(observation Observation) *Decision {
 	decision := Decision{}
 	budget := observation.Policy.ChangesPerHour
 	limit := maximumOut(observation.Bounds)
@@ -57,8 +57,8 @@
 	return &decision
 }
 
-// best weighs every single change and returns the most valuable one that pays back.
-func (p *QueueingPlanner) best(observation Observation) Decision {
+// bestChange evaluates every single change and returns the most valuable one that pays back.
+func (p *QueueingPlanner) bestChange(observation Observation) Decision {
 	weighing := newWeighing(observation, p.tracker.current())
 	var chosen *Change
 	reason := "no change pays back"
@@ -91,12 +91,12 @@
 		reason, 0-bestLoss, weighing.horizon, weighing.describe())
 }
 
-// hold is a decision to change nothing.
+// hold returns a decision to change nothing.
 func hold(format string, values ...any) Decision {
 	return Decision{Reason: fmt.Sprintf(format, values...)}
 }
 
-// weighing is what one decision weighs its changes against.
+// weighing is the basis on which one decision compares changes.
 type weighing struct {
 	observation Observation
 	estimates   []estimate
@@ -104,8 +104,8 @@
 	model       capacityModel
 	split       Split
 	horizon     time.Duration
-	// stay is the worth per second of changing nothing.
-	stay float64
+	// stayRate is the worth per second without a change.
+	stayRate float64
 }
 
 func newWeighing(observation Observation, estimates []estimate) weighing {
@@ -121,17 +121,17 @@
 		split:       committedSplit(observation.Engines),
 		horizon:     horizon,
 	}
-	result.stay = result.model.goodput(result.split, result.load)
+	result.stayRate = result.model.goodput(result.split, result.load)
 	return result
 }
 
-// wants reports whether the split after a change would be worth more each second.
+// wants reports whether the split after a change would have a higher worth per second.
 func (w weighing) wants(from, to enginecontract.Role) bool {
 	after := w.split.Add(from, -1).Add(to, 1)
-	return w.model.goodput(after, w.load) > w.stay*1.02
+	return w.model.goodput(after, w.load) > w.stayRate*1.02
 }
 
-// change prices one change over the horizon.
+// change computes the gain of one change over the horizon.
 func (w weighing) change(engine EngineObservation, to enginecontract.Role) Change {
 	during := w.split.Add(engine.Role, -1)
 	after := during.Add(to, 1)
@@ -140,8 +140,8 @@
 	outShare := min(out, horizon)
 	duringRate := w.model.goodput(during, w.load)
 	afterRate := w.model.goodput(after, w.load)
-	gained := (afterRate - w.stay) * (horizon - outShare)
-	lost := (w.stay-duringRate)*outShare +
+	gained := (afterRate - w.stayRate) * (horizon - outShare)
+	lost := (w.stayRate-duringRate)*outShare +
 		cacheLoss(to, w.estimates, w.load, after, w.observation.Profile) +
 		w.observation.Policy.ChangePrice
 	return Change{
@@ -154,7 +154,7 @@
 	}
 }
 
-// describe tells the demand in engines and the split that serves it.
+// describe describes the demand, in engines, and the split that serves it.
 func (w weighing) describe() string {
 	return fmt.Sprintf("a demand of %.1f engines reading and %.1f writing, served by %s",
 		w.load.prefillEngines(), w.load.decodeEngines(), w.split)
--- a/internal/experiment/previousplanner/split.go
+++ b/internal/experiment/previousplanner/split.go
@@ -2,7 +2,7 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/enginecontract"
 
-// roles in a fixed order, so that iteration is deterministic.
+// roles lists the roles in a fixed order, so that iteration is deterministic.
 var roles = []enginecontract.Role{
 	enginecontract.RolePrefill,
 	enginecontract.RoleDecode,
--- a/internal/experiment/previousplanner/workload.go
+++ b/internal/experiment/previousplanner/workload.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// kindLoad is what one kind of request asks of the engines.
+// kindLoad is the load of one kind of request.
 type kindLoad struct {
 	kind string
 	// arrivals per second.
 	arrivals float64
-	// prefill and decode are engine-seconds of one request in each stage.
+	// prefill and decode are the engine-seconds of one request in each stage.
 	prefill float64
 	decode  float64
 	worth   float64
-	// deadline in seconds; zero is none.
+	// deadline in seconds; 0 is no deadline.
 	deadline float64
 }
 
 // workload is the demand on one service at one time, sorted by kind.
 type workload []kindLoad
 
-// buildWorkload joins estimates with worths and the profile. Kinds without a
-// declared worth are worth one.
+// buildWorkload combines estimates with worths and the profile. A kind without a declared
+// worth has worth 1.
 func buildWorkload(estimates []estimate, worths []KindWorth, profile EngineProfile) workload {
 	loads := make(workload, 0, len(estimates))
 	for _, current := range estimates {
@@ -45,7 +45,7 @@
 	return loads
 }
 
-// prefillEngines is the number of engines that reading prompts keeps busy.
+// prefillEngines returns the number of engines that prefill keeps busy.
 func (w workload) prefillEngines() float64 {
 	total := 0.0
 	for _, load := range w {
@@ -54,7 +54,7 @@
 	return total
 }
 
-// decodeEngines is the number of engines that writing output keeps busy.
+// decodeEngines returns the number of engines that decode keeps busy.
 func (w workload) decodeEngines() float64 {
 	total := 0.0
 	for _, load := range w {
@@ -63,7 +63,7 @@
 	return total
 }
 
-// worthRate is the worth that arrives each second.
+// worthRate returns the worth that arrives per second.
 func (w workload) worthRate() float64 {
 	total := 0.0
 	for _, load := range w {
@@ -72,5 +72,5 @@
 	return total
 }
 
-// seconds converts a duration for arithmetic.
+// seconds converts a duration to seconds.
 func seconds(d time.Duration) float64 { return d.Seconds() }
--- a/internal/experiment/program.go
+++ b/internal/experiment/program.go
@@ -7,17 +7,17 @@
 	"github.com/hazelpitch/hazelpitch/internal/planner"
 )
 
-// program is the dynamic program of one service: the state is the split, and one step
-// lasts as long as one change takes an engine out.
-type program struct {
+// dynamicProgram is the dynamic program for one service. Its state is the split; one step
+// lasts as long as a change takes an engine out of service.
+type dynamicProgram struct {
 	model   planner.Model
 	windows []window
 	splits  []planner.Split
 	initial planner.Split
-	// most is the number of engines that may be out at once.
-	most  int
-	price float64
-	rates map[rateKey]float64
+	// maxMoves is the number of engines that may be out of service at once.
+	maxMoves    int
+	changePrice float64
+	rateCache   map[rateKey]float64
 }
 
 type rateKey struct {
@@ -25,10 +25,10 @@
 	step  int
 }
 
-// solve returns the splits to go to and when.
-func (p *program) solve(lead time.Duration) schedule {
+// solve returns the best schedule of splits; each step starts earlier by lead.
+func (p *dynamicProgram) solve(lead time.Duration) schedule {
 	steps := len(p.windows)
-	// best is the most worth from a step to the end, by the split that it begins in.
+	// best is the maximum worth from a step to the end, by the split at the step's start.
 	best := make([]map[planner.Split]float64, steps+1)
 	next := make([]map[planner.Split]planner.Split, steps)
 	best[steps] = map[planner.Split]float64{}
@@ -53,8 +53,8 @@
 	return result
 }
 
-// states are the allowed splits and the initial one.
-func (p *program) states() []planner.Split {
+// states returns the allowed splits and the initial one.
+func (p *dynamicProgram) states() []planner.Split {
 	for _, split := range p.splits {
 		if split == p.initial {
 			return p.splits
@@ -63,20 +63,20 @@
 	return append([]planner.Split{p.initial}, p.splits...)
 }
 
-// bestMove weighs staying and every change of up to most engines in one step.
-func (p *program) bestMove(step int, from planner.Split, after map[planner.Split]float64) (float64, planner.Split) {
+// bestMove compares staying with every change of up to maxMoves engines in one step.
+func (p *dynamicProgram) bestMove(step int, from planner.Split, after map[planner.Split]float64) (float64, planner.Split) {
 	length := (p.windows[step].to - p.windows[step].from).Seconds()
 	bestTo := from
 	best := p.rate(from, step)*length + after[from]
 	for _, to := range p.splits {
 		moves := movesBetween(from, to)
-		if moves == 0 || moves > p.most {
+		if moves == 0 || moves > p.maxMoves {
 			continue
 		}
 		during := planner.Split{
 			Prefill: min(from.Prefill, to.Prefill), Decode: min(from.Decode, to.Decode), Mixed: min(from.Mixed, to.Mixed),
 		}
-		value := p.rate(during, step)*length + after[to] - p.price*float64(moves)
+		value := p.rate(during, step)*length + after[to] - p.changePrice*float64(moves)
 		if value > best+math.Abs(best)*1e-9 {
 			best, bestTo = value, to
 		}
@@ -84,12 +84,12 @@
 	return best, bestTo
 }
 
-func (p *program) rate(split planner.Split, step int) float64 {
+func (p *dynamicProgram) rate(split planner.Split, step int) float64 {
 	key := rateKey{split: split, step: step}
-	if rate, known := p.rates[key]; known {
+	if rate, known := p.rateCache[key]; known {
 		return rate
 	}
-	rate := p.windows[step].rate(p.model, split)
-	p.rates[key] = rate
+	rate := p.windows[step].worthRate(p.model, split)
+	p.rateCache[key] = rate
 	return rate
 }
--- a/internal/experiment/recorder.go
+++ b/internal/experiment/recorder.go
@@ -11,17 +11,17 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// recorder gathers the result of a run.
+// recorder collects the result of a run.
 type recorder struct {
-	world    *world
-	run      Run
-	second   Sample // sums of the second under way
-	refusals map[refusalKey]int
-	tenants  map[string]*Tenant
+	world         *world
+	run           Run
+	currentSecond Sample // sums of the current second
+	refusals      map[refusalKey]int
+	tenants       map[string]*Tenant
 
 	firstToken    []time.Duration
 	betweenTokens []time.Duration
-	whole         []time.Duration
+	wholeAnswer   []time.Duration
 }
 
 type refusalKey struct {
@@ -46,66 +46,66 @@
 	return r.tenants[name]
 }
 
-func (r *recorder) arrived(asked *request) {
+func (r *recorder) recordArrival(req *request) {
 	r.run.Requests++
-	r.run.OfferedWorth += asked.kind.Worth
-	r.second.OfferedWorth += asked.kind.Worth
-	r.second.PromptTokens += int64(asked.PromptTokens)
-	r.second.OutputTokens += int64(asked.OutputTokens)
-	tenant := r.tenant(asked.tenant)
+	r.run.OfferedWorth += req.kind.Worth
+	r.currentSecond.OfferedWorth += req.kind.Worth
+	r.currentSecond.PromptTokens += int64(req.PromptTokens)
+	r.currentSecond.OutputTokens += int64(req.OutputTokens)
+	tenant := r.tenant(req.tenant)
 	tenant.Requests++
-	tenant.OfferedWorth += asked.kind.Worth
+	tenant.OfferedWorth += req.kind.Worth
 }
 
-func (r *recorder) completed(asked *request, at time.Duration) {
+func (r *recorder) recordCompletion(req *request, at time.Duration) {
 	r.run.Completed++
-	r.run.Goodput += asked.kind.Worth
-	r.second.Goodput += asked.kind.Worth
-	tenant := r.tenant(asked.tenant)
+	r.run.Goodput += req.kind.Worth
+	r.currentSecond.Goodput += req.kind.Worth
+	tenant := r.tenant(req.tenant)
 	tenant.Completed++
-	tenant.Goodput += asked.kind.Worth
-	r.firstToken = append(r.firstToken, asked.first-asked.At)
-	r.whole = append(r.whole, at-asked.At)
-	if asked.OutputTokens > 1 {
-		r.betweenTokens = append(r.betweenTokens, (at-asked.first)/time.Duration(asked.OutputTokens-1))
+	tenant.Goodput += req.kind.Worth
+	r.firstToken = append(r.firstToken, req.firstTokenAt-req.At)
+	r.wholeAnswer = append(r.wholeAnswer, at-req.At)
+	if req.OutputTokens > 1 {
+		r.betweenTokens = append(r.betweenTokens, (at-req.firstTokenAt)/time.Duration(req.OutputTokens-1))
 	}
 }
 
-func (r *recorder) refused(asked *request, reason string) {
+func (r *recorder) recordRefusal(req *request, reason string) {
 	r.run.Refused++
-	r.tenant(asked.tenant).Refused++
-	r.refusals[refusalKey{tenant: asked.tenant, reason: reason}]++
+	r.tenant(req.tenant).Refused++
+	r.refusals[refusalKey{tenant: req.tenant, reason: reason}]++
 }
 
-func (r *recorder) missed(*request) { r.run.DeadlineMisses++ }
+func (r *recorder) recordDeadlineMiss(*request) { r.run.DeadlineMisses++ }
 
-func (r *recorder) lost(*request) { r.run.Cut++ }
+func (r *recorder) recordCut(*request) { r.run.Cut++ }
 
-func (r *recorder) event(event Event) {
+func (r *recorder) recordEvent(event Event) {
 	event.AtSeconds = r.world.now.Seconds()
 	r.run.Events = append(r.run.Events, event)
 }
 
-func (r *recorder) changeOrdered(engine *engine, change planner.Change) {
+func (r *recorder) recordChangeOrdered(engine *engine, change planner.Change) {
 	r.run.RoleChangesOrdered++
-	r.event(Event{
+	r.recordEvent(Event{
 		Type: EventChangeStarted, Service: engine.declared.Service, Engine: engine.declared.Name, Zone: engine.declared.Zone,
 		From: string(engine.role), To: string(change.To), Detail: change.Reason,
 	})
 }
 
-func (r *recorder) changeFinished(engine *engine, from enginecontract.Role) {
+func (r *recorder) recordChangeFinished(engine *engine, from enginecontract.Role) {
 	r.run.RoleChanges++
-	r.event(Event{
+	r.recordEvent(Event{
 		Type: EventChangeFinished, Service: engine.declared.Service, Engine: engine.declared.Name, Zone: engine.declared.Zone,
 		From: string(from), To: string(engine.role),
 	})
 }
 
-// sample ends the second under way.
-func (r *recorder) sample(w *world) {
-	sample := r.second
-	r.second = Sample{}
+// recordSample completes the current second's sample.
+func (r *recorder) recordSample(w *world) {
+	sample := r.currentSecond
+	r.currentSecond = Sample{}
 	sample.AtSeconds = w.now.Seconds()
 	for _, gateway := range w.gateways {
 		sample.Queued += gateway.waitingCount()
@@ -119,7 +119,7 @@
 	r.run.Series = append(r.run.Series, sample)
 }
 
-// countRoles counts engines by service and zone, in the scenario's order.
+// countRoles counts engines by role, for each service and zone, sorted by both.
 func countRoles(w *world) []RoleCount {
 	var counts []RoleCount
 	for _, service := range w.scenario.Services {
@@ -141,7 +141,7 @@
 
 func (c *RoleCount) add(engine *engine) {
 	switch {
-	case !engine.up || engine.state != enginecontract.StateServing:
+	case !engine.isUp || engine.state != enginecontract.StateServing:
 		c.Out++
 	case engine.role == enginecontract.RolePrefill:
 		c.Prefill++
@@ -152,7 +152,7 @@
 	}
 }
 
-// result is the finished run.
+// result returns the finished run.
 func (r *recorder) result() *Run {
 	for _, key := range slices.SortedFunc(maps.Keys(r.refusals), func(a, b refusalKey) int {
 		return cmp.Or(cmp.Compare(a.tenant, b.tenant), cmp.Compare(a.reason, b.reason))
@@ -165,8 +165,8 @@
 		r.run.Tenants = append(r.run.Tenants, *r.tenants[name])
 	}
 	r.run.Latencies = Latencies{
-		FirstToken: PercentilesOf(r.firstToken), BetweenTokens: PercentilesOf(r.betweenTokens), Whole: PercentilesOf(r.whole),
+		FirstToken: PercentilesOf(r.firstToken), BetweenTokens: PercentilesOf(r.betweenTokens), Whole: PercentilesOf(r.wholeAnswer),
 	}
-	result := r.run // a pointer into the recorder would keep the world alive
+	result := r.run // a copy: a pointer into the recorder would keep the world in memory
 	return &result
 }
--- a/internal/experiment/recorder_test.go
+++ b/internal/experiment/recorder_test.go
@@ -10,12 +10,12 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// TestResultKeepsNoWorld holds that a suite's results do not keep every emulated fleet
-// in memory.
-func TestResultKeepsNoWorld(t *testing.T) {
+// TestResultDoesNotRetainTheWorld guards against results that reference their recorder: a
+// suite would then keep every simulated fleet in memory.
+func TestResultDoesNotRetainTheWorld(t *testing.T) {
 	result, recorded := finishedRecorder()
 	runtime.GC()
-	require.Nil(t, recorded.Value(), "the result keeps its recorder, and with it the world")
+	require.Nil(t, recorded.Value(), "the result retains its recorder and thus the world")
 	require.NotNil(t, result)
 }
 
--- a/internal/experiment/request.go
+++ b/internal/experiment/request.go
@@ -13,44 +13,44 @@
 
 const (
 	bytesPerToken = 4
-	// routingBlockTokens is the length of prompt that one of routing's blocks covers.
+	// routingBlockTokens is the length in tokens of one prefix block of package routing.
 	routingBlockTokens = routing.PrefixBlockBytes / bytesPerToken
 )
 
-// request is one arrival on its way through a gateway.
+// request is one arrival at a gateway.
 type request struct {
 	*scenario.Arrival
 	kind     *scenario.Kind
 	tenant   string
 	exchange string
 	deadline time.Duration // time of the last token; 0 is none
-	// estimatedPrompt and estimatedOutput are what the gateway expects.
+	// estimatedPrompt and estimatedOutput are the gateway's estimates in tokens.
 	estimatedPrompt int
 	estimatedOutput int
 	routingBlocks   []uint64
 	engineBlocks    []uint64
 
-	// exchanges counts the tries at engines; excluded are those that refused.
-	exchanges int
-	excluded  []string
-	began     time.Duration
-	first     time.Duration
-	overload  bool
-	ended     bool
-	present   *flight
+	// attempts counts the attempts at engines; excluded names the engines that refused or crashed.
+	attempts     int
+	excluded     []string
+	startedAt    time.Duration
+	firstTokenAt time.Duration
+	overloaded   bool
+	finished     bool
+	current      *attempt
 }
 
-// flight is one try of a request at its engines.
-type flight struct {
+// attempt is one attempt of a request at its engines.
+type attempt struct {
 	*request
 	gateway *gateway
 	id      string
 	choice  routing.Choice
-	// prefill is nil when output does everything.
-	prefill *engine
-	output  *engine
-	cached  int
-	// submitted tells that an engine has taken the request on.
+	// prefillEngine is nil when the decode engine also does the prefill.
+	prefillEngine *engine
+	decodeEngine  *engine
+	cachedTokens  int
+	// submitted reports that an engine has accepted the request.
 	submitted bool
 	over      bool
 }
@@ -74,8 +74,8 @@
 
 func tenantName(index int) string { return "tenant-" + strconv.Itoa(index+1) }
 
-// prefixBlocks returns the identities of a prompt's full blocks, each of which covers
-// all before it. Prompts of one kind, tenant and subject share their beginning.
+// prefixBlocks returns the IDs of a prompt's full prefix blocks, each of which covers all
+// tokens before its end. Prompts of one kind, tenant and subject share a prefix.
 func prefixBlocks(arrival *scenario.Arrival, blockTokens, most int) []uint64 {
 	if blockTokens <= 0 {
 		return nil
@@ -102,7 +102,7 @@
 	return xxhash.Sum64(bytes[:])
 }
 
-// declaredTokens is what operators declare a kind's requests to take: their mean.
+// declaredTokens are the tokens that operators declare for a kind's requests: their mean.
 type declaredTokens struct {
 	prompt int
 	output int
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -1,32 +1,32 @@
 package experiment
 
-// Run is the result of one scenario under one policy and seed. It is what
-// `hazelbench experiment --json` prints, and holds no maps: the order of every list
-// is fixed, so that equal runs give equal bytes.
+// Run is the result of one scenario under one policy and seed, as printed by
+// `hazelbench experiment --json`. It contains no maps: the order of every list is fixed, so
+// that equal runs have equal encodings.
 type Run struct {
 	Scenario   string `json:"scenario"`
 	Deployment string `json:"deployment"`
 	Policy     string `json:"policy"`
 	Seed       uint64 `json:"seed"`
-	// LengthSeconds is the time during which requests arrived.
+	// LengthSeconds is the period in which requests arrived.
 	LengthSeconds float64 `json:"length_seconds"`
-	// OfferedWorth is the worth of all requests that arrived; Goodput is the worth of
-	// those that completed within their deadlines.
+	// OfferedWorth is the worth of all requests that arrived; Goodput is the worth of those
+	// that completed within their deadlines.
 	OfferedWorth float64 `json:"offered_worth"`
 	Goodput      float64 `json:"goodput"`
-	// BoundGoodput is the goodput of the clairvoyant plan for the same scenario and
-	// seed; nil when it was not computed.
+	// BoundGoodput is the highest goodput in the search for the clairvoyant plan of the same
+	// scenario and seed; nil when it was not computed.
 	BoundGoodput *float64 `json:"bound_goodput,omitempty"`
-	// RoleChanges counts finished role changes; RoleChangesOrdered all that were ordered.
+	// RoleChanges counts finished role changes; RoleChangesOrdered counts all that were ordered.
 	RoleChanges        int `json:"role_changes"`
 	RoleChangesOrdered int `json:"role_changes_ordered"`
-	// Requests that arrived, and how they ended.
+	// Requests counts arrivals; the following fields count their outcomes.
 	Requests  int `json:"requests"`
 	Completed int `json:"completed"`
-	// DeadlineMisses counts requests that ran but completed too late.
+	// DeadlineMisses counts requests that started but did not complete by their deadline.
 	DeadlineMisses int `json:"deadline_misses"`
 	Refused        int `json:"refused"`
-	// Cut counts requests lost in a crash of their engine after they had begun.
+	// Cut counts requests that ended because their engine crashed after they had started.
 	Cut       int       `json:"cut"`
 	Refusals  []Refusal `json:"refusals"`
 	Tenants   []Tenant  `json:"tenants"`
@@ -43,7 +43,7 @@
 	Count   int    `json:"count"`
 }
 
-// Tenant is one tenant's part of a run.
+// Tenant is the result of one tenant.
 type Tenant struct {
 	Tenant       string  `json:"tenant"`
 	Requests     int     `json:"requests"`
@@ -69,24 +69,24 @@
 	Max   float64 `json:"max"`
 }
 
-// Sample is the state of the fleet at one whole second.
+// Sample is the state of the fleet at the end of one second.
 type Sample struct {
 	AtSeconds float64 `json:"at_seconds"`
-	// Goodput and OfferedWorth are of the second before: completed and arrived worth.
+	// Goodput and OfferedWorth are the worth that completed and arrived in that second.
 	Goodput      float64 `json:"goodput"`
 	OfferedWorth float64 `json:"offered_worth"`
-	// PromptTokens and OutputTokens of the requests that arrived in the second before.
+	// PromptTokens and OutputTokens are those of the requests that arrived in that second.
 	PromptTokens int64 `json:"prompt_tokens"`
 	OutputTokens int64 `json:"output_tokens"`
-	// Queued requests wait at gateways; Waiting ones wait at engines; Running ones run.
+	// Queued counts requests waiting at gateways, Waiting those waiting at engines, and Running those in execution.
 	Queued  int         `json:"queued"`
 	Waiting int         `json:"waiting"`
 	Running int         `json:"running"`
 	Roles   []RoleCount `json:"roles"`
 }
 
-// RoleCount counts the engines of one service and zone by role; Out are those
-// that drain, change or have crashed. Rows are sorted by service, then zone.
+// RoleCount counts the engines of one service and zone by role; Out counts those that are
+// draining, changing or down. Rows are sorted by service, then zone.
 type RoleCount struct {
 	Service string `json:"service"`
 	Zone    string `json:"zone"`
@@ -96,7 +96,7 @@
 	Out     int    `json:"out"`
 }
 
-// EventType says what an Event tells.
+// EventType is the type of an Event.
 type EventType string
 
 // Types of events.
@@ -109,7 +109,7 @@
 	EventLeaderElected  EventType = "leader-elected"
 )
 
-// Event is one thing that happened to the fleet. Events are in order of time.
+// Event is one event of the fleet. Events are in order of time.
 type Event struct {
 	AtSeconds float64   `json:"at_seconds"`
 	Type      EventType `json:"type"`
@@ -118,6 +118,6 @@
 	Zone      string    `json:"zone,omitempty"`
 	From      string    `json:"from,omitempty"`
 	To        string    `json:"to,omitempty"`
-	// Detail is the planner's reason, or what the fault was.
+	// Detail is the planner's reason or the type of the fault.
 	Detail string `json:"detail,omitempty"`
 }
--- a/internal/experiment/kept_runs.go
+++ b/internal/experiment/run_file.go
@@ -12,9 +12,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// keptRuns is a file of finished runs, one JSON object a line, without series and
-// events. It is safe for concurrent use; nil keeps nothing.
-type keptRuns struct {
+// runFile is a file of finished runs, one JSON object per line, without series and events.
+// It is safe for concurrent use; a nil *runFile is empty and stores nothing.
+type runFile struct {
 	mutex sync.Mutex
 	file  *os.File
 	runs  map[runKey]*Run
@@ -25,8 +25,8 @@
 	seed                         uint64
 }
 
-// openKeptRuns reads the runs of a file; an empty path gives nil.
-func openKeptRuns(path string) (*keptRuns, error) {
+// openRunFile opens a file and reads its runs; for an empty path it returns nil.
+func openRunFile(path string) (*runFile, error) {
 	if path == "" {
 		return nil, nil
 	}
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	kept := &keptRuns{file: file, runs: map[runKey]*Run{}}
+	kept := &runFile{file: file, runs: map[runKey]*Run{}}
 	decoder := json.NewDecoder(file)
 	for {
 		run := new(Run)
@@ -43,13 +43,13 @@
 			return kept, nil
 		}
 		if err != nil {
-			return nil, trace.NewAggregate(trace.BadParameter("%s holds something else than runs: %v; delete it", path, err), file.Close())
+			return nil, trace.NewAggregate(trace.BadParameter("%s does not hold a list of runs: %v; delete the file", path, err), file.Close())
 		}
 		kept.runs[runKey{run.Deployment, run.Scenario, run.Policy, run.Seed}] = run
 	}
 }
 
-func (k *keptRuns) find(declared *scenario.Scenario, policy string, seed uint64) (*Run, bool) {
+func (k *runFile) find(declared *scenario.Scenario, policy string, seed uint64) (*Run, bool) {
 	if k == nil {
 		return nil, false
 	}
@@ -59,7 +59,7 @@
 	return run, found
 }
 
-func (k *keptRuns) add(run *Run) error {
+func (k *runFile) add(run *Run) error {
 	if k == nil {
 		return nil
 	}
@@ -75,8 +75,8 @@
 	return trace.ConvertSystemError(err)
 }
 
-func (k *keptRuns) close() {
+func (k *runFile) close() {
 	if k != nil {
-		_ = k.file.Close() // every line has been written
+		_ = k.file.Close() // add has written every line without a buffer
 	}
 }
--- a/internal/experiment/schedule.go
+++ b/internal/experiment/schedule.go
@@ -10,7 +10,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/planner"
 )
 
-// schedule is the split that one service is to have from each time on.
+// schedule is a sequence of target splits of one service with their start times.
 type schedule []scheduledSplit
 
 type scheduledSplit struct {
@@ -18,8 +18,8 @@
 	split planner.Split
 }
 
-// at returns the split wanted at a time; false before the first.
-func (s schedule) at(now time.Duration) (planner.Split, bool) {
+// splitAt returns the target split at a time; false before the first.
+func (s schedule) splitAt(now time.Duration) (planner.Split, bool) {
 	var wanted planner.Split
 	found := false
 	for _, step := range s {
@@ -31,7 +31,7 @@
 	return wanted, found
 }
 
-// movesBetween is the least number of engines that change between two splits.
+// movesBetween returns the minimum number of engines to change between two splits.
 func movesBetween(a, b planner.Split) int {
 	moves := 0
 	for _, role := range planner.Roles() {
@@ -40,12 +40,12 @@
 	return moves
 }
 
-// schedulePlanner carries out a schedule: a planner that decides nothing itself.
+// schedulePlanner is a planner that follows a schedule.
 type schedulePlanner struct{ schedule schedule }
 
 // Plan implements planner.Planner.
 func (p *schedulePlanner) Plan(observation planner.Observation) planner.Decision {
-	wanted, found := p.schedule.at(observation.Now)
+	wanted, found := p.schedule.splitAt(observation.Now)
 	if !found {
 		return planner.Decision{Reason: "the schedule has not begun"}
 	}
@@ -63,7 +63,7 @@
 		if !differs {
 			return decision
 		}
-		engine, found := idlest(observation.Engines, from, decision.Changes)
+		engine, found := leastLoaded(observation.Engines, from, decision.Changes)
 		if !found {
 			return decision
 		}
@@ -74,7 +74,7 @@
 	}
 }
 
-// firstDifference names a role with too many engines and one with too few.
+// firstDifference returns a role with too many engines and one with too few.
 func firstDifference(present, wanted planner.Split) (from, to enginecontract.Role, differs bool) {
 	for _, role := range planner.Roles() {
 		switch surplus := present.Count(role) - wanted.Count(role); {
@@ -87,8 +87,8 @@
 	return from, to, from != "" && to != ""
 }
 
-// idlest is the serving engine of a role with the least work that is not chosen yet.
-func idlest(engines []planner.EngineObservation, role enginecontract.Role, chosen []planner.Change) (planner.EngineObservation, bool) {
+// leastLoaded returns the serving engine of a role with the least work that is not chosen yet.
+func leastLoaded(engines []planner.EngineObservation, role enginecontract.Role, chosen []planner.Change) (planner.EngineObservation, bool) {
 	var fit []planner.EngineObservation
 	for _, engine := range engines {
 		taken := slices.ContainsFunc(chosen, func(change planner.Change) bool { return change.Engine == engine.Name })
@@ -100,17 +100,17 @@
 		return planner.EngineObservation{}, false
 	}
 	return slices.MinFunc(fit, func(a, b planner.EngineObservation) int {
-		return cmp.Or(cmp.Compare(workAt(a), workAt(b)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(workInFlight(a), workInFlight(b)), cmp.Compare(a.Name, b.Name))
 	}), true
 }
 
-// workAt is the work of an engine in flight, in output tokens, as reported.
-func workAt(engine planner.EngineObservation) int64 {
+// workInFlight returns an engine's reported work in flight, in output tokens.
+func workInFlight(engine planner.EngineObservation) int64 {
 	if engine.Load == nil {
 		return 0
 	}
-	return engine.Load.RunningOutputTokens + engine.Load.WaitingPromptTokens/outputWeight
+	return engine.Load.RunningOutputTokens + engine.Load.WaitingPromptTokens/outputTokenWeight
 }
 
-// outputWeight is the work of one output token in prompt tokens.
-const outputWeight = 8
+// outputTokenWeight is the number of prompt tokens that take as much work as one output token.
+const outputTokenWeight = 8
--- a/internal/experiment/simulate_test.go
+++ b/internal/experiment/simulate_test.go
@@ -15,7 +15,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// fleet is a small deployment with one service of six engines.
+// fleet returns a small deployment with one service of six engines.
 func fleet(length time.Duration) scenario.Scenario {
 	return scenario.Scenario{
 		Name: "test", Deployment: "test", Duration: length,
@@ -35,7 +35,7 @@
 	}
 }
 
-// poisson draws arrivals of the two kinds at rates that may change over time.
+// poisson draws arrivals of the two kinds with rates that can change over time.
 func poisson(length time.Duration, seed uint64, matching, screening func(time.Duration) float64) []scenario.Arrival {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var arrivals []scenario.Arrival
@@ -65,7 +65,7 @@
 	return func(time.Duration) float64 { return rate }
 }
 
-func TestEqualRunsAreEqual(t *testing.T) {
+func TestSimulationIsDeterministic(t *testing.T) {
 	const length = 20 * time.Second
 	run := func() string {
 		result, err := experiment.Simulate(experiment.Options{
--- a/internal/experiment/splits.go
+++ b/internal/experiment/splits.go
@@ -9,15 +9,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// allSplits lists the splits of a service's engines that its bounds over all zones
-// allow and that can serve a request.
+// allSplits lists the splits of a service's engines that satisfy its bounds over all zones
+// and can serve a request.
 func allSplits(service *scenario.Service) []planner.Split {
 	total := engineCount(service)
 	var splits []planner.Split
 	for prefill := 0; prefill <= total; prefill++ {
 		for decode := 0; decode <= total-prefill; decode++ {
 			split := planner.Split{Prefill: prefill, Decode: decode, Mixed: total - prefill - decode}
-			if serves(split) && withinBounds(split, service) {
+			if canServe(split) && withinBounds(split, service) {
 				splits = append(splits, split)
 			}
 		}
@@ -33,7 +33,7 @@
 	return total
 }
 
-func serves(split planner.Split) bool {
+func canServe(split planner.Split) bool {
 	return split.Mixed > 0 || (split.Prefill > 0 && split.Decode > 0)
 }
 
@@ -50,10 +50,10 @@
 	return true
 }
 
-// spread gives engines the roles of a split, each role spread evenly over the zones.
-func spread(split planner.Split, engines []scenario.Engine) []enginecontract.Role {
+// assignRoles assigns the roles of a split to engines, each role spread evenly over the zones.
+func assignRoles(split planner.Split, engines []scenario.Engine) []enginecontract.Role {
 	order := make([]int, len(engines))
-	rank := make([]int, len(engines)) // place within the zone
+	rank := make([]int, len(engines)) // position within the zone
 	counts := map[string]int{}
 	for i, engine := range engines {
 		order[i], rank[i] = i, counts[engine.Zone]
@@ -61,17 +61,17 @@
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(rank[a], rank[b]) })
 	roles := make([]enginecontract.Role, len(engines))
-	given := planner.Split{}
+	assigned := planner.Split{}
 	for place, index := range order {
-		role := mostOwed(split, given, place+1, len(engines))
+		role := mostUnderassigned(split, assigned, place+1, len(engines))
 		roles[index] = role
-		given = given.Add(role, 1)
+		assigned = assigned.Add(role, 1)
 	}
 	return roles
 }
 
-// mostOwed is the role that lacks most of its part after so many engines.
-func mostOwed(split, given planner.Split, places, total int) enginecontract.Role {
+// mostUnderassigned returns the role that is furthest below its proportional count after places engines.
+func mostUnderassigned(split, given planner.Split, places, total int) enginecontract.Role {
 	best, most := enginecontract.RoleMixed, -1.0
 	for _, role := range planner.Roles() {
 		if given.Count(role) >= split.Count(role) {
@@ -88,7 +88,7 @@
 	return best
 }
 
-// initialSplit counts the scenario's own roles of one service.
+// initialSplit returns the split of the scenario's initial roles of one service.
 func initialSplit(declared *scenario.Scenario, service string) planner.Split {
 	split := planner.Split{}
 	for _, engine := range declared.Engines() {
--- a/internal/experiment/study_summary.go
+++ b/internal/experiment/study_summary.go
@@ -7,7 +7,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// WriteSummary writes one line for each run.
+// WriteSummary writes a table with one row per run.
 func WriteSummary(out io.Writer, runs []*Run) {
 	writer := table.NewWriter()
 	writer.SetOutputMirror(out)
--- a/internal/experiment/suite.go
+++ b/internal/experiment/suite.go
@@ -15,20 +15,20 @@
 	Policies  []string
 	FirstSeed uint64
 	Seeds     int
-	// Bound asks for the clairvoyant bound of each scenario and seed.
+	// Bound selects the search for the clairvoyant bound of each scenario and seed.
 	Bound     bool
 	WholeOnly bool
-	// Parallel is the number of studies at the same time.
+	// Parallel is the number of concurrent studies.
 	Parallel int
-	// RunFile is a file of finished runs that are not run again; empty for none.
+	// RunFile is a file of finished runs, which are not repeated; empty for none.
 	RunFile string
-	// RunFileOnly takes only what is in that file and runs nothing.
+	// RunFileOnly uses only the runs in RunFile and runs nothing.
 	RunFileOnly bool
 }
 
-// Run returns the runs by scenario, seed and policy, in that order.
+// Run returns the runs in order of scenario, seed and policy.
 func (s Suite) Run(ctx context.Context) ([]*Run, error) {
-	kept, err := openKeptRuns(s.RunFile)
+	kept, err := openRunFile(s.RunFile)
 	if err != nil {
 		return nil, err
 	}
@@ -56,7 +56,7 @@
 	return all, nil
 }
 
-func (s Suite) runStudy(declared scenario.Scenario, seed uint64, kept *keptRuns) ([]*Run, error) {
+func (s Suite) runStudy(declared scenario.Scenario, seed uint64, kept *runFile) ([]*Run, error) {
 	study := NewStudy(declared, seed)
 	study.WholeOnly = s.WholeOnly
 	var runs []*Run
@@ -71,7 +71,7 @@
 				return nil, err
 			}
 			if policy == PolicyClairvoyant {
-				run.BoundGoodput = &study.plan.goodput
+				run.BoundGoodput = &study.plan.highestGoodput
 			}
 			if err := kept.add(run); err != nil {
 				return nil, err
@@ -85,7 +85,7 @@
 	return runs, s.setBound(runs, study)
 }
 
-// setBound gives all runs of a study the bound, from its clairvoyant run if there is one.
+// setBound sets the bound of all runs of a study, from its clairvoyant run if there is one.
 func (s Suite) setBound(runs []*Run, study *Study) error {
 	for _, run := range runs {
 		if run.Policy == PolicyClairvoyant && run.BoundGoodput != nil {
--- a/internal/experiment/windows.go
+++ b/internal/experiment/windows.go
@@ -7,22 +7,22 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// window is what arrives for one service within one span of time.
+// window is the demand on one service in one period.
 type window struct {
 	from, to time.Duration
 	demands  []planner.KindDemand
-	// up is the share of the service's engines that have not crashed.
-	up float64
+	// upShare is the share of the service's engines that have not crashed.
+	upShare float64
 }
 
-// windowsOf cuts a run's arrivals for one service into spans of one length. cached is the
-// share of prompt tokens that prefix caches hold, by kind.
-func windowsOf(declared *scenario.Scenario, arrivals []scenario.Arrival, service string, span time.Duration, cached []float64) []window {
+// demandWindows divides a run's arrivals for one service into windows of equal length. cached
+// is the share of prompt tokens found in prefix caches, by kind.
+func demandWindows(declared *scenario.Scenario, arrivals []scenario.Arrival, service string, span time.Duration, cached []float64) []window {
 	count := int((declared.Duration + span - 1) / span)
 	windows := make([]window, count)
 	sums := make([][]demandSum, count)
 	for i := range windows {
-		windows[i] = window{from: time.Duration(i) * span, to: min(time.Duration(i+1)*span, declared.Duration), up: 1}
+		windows[i] = window{from: time.Duration(i) * span, to: min(time.Duration(i+1)*span, declared.Duration), upShare: 1}
 		sums[i] = make([]demandSum, len(declared.Kinds))
 	}
 	for _, arrival := range arrivals {
@@ -41,7 +41,7 @@
 	return windows
 }
 
-// demandSum adds up the arrivals of one kind.
+// demandSum accumulates the arrivals of one kind.
 type demandSum struct {
 	count  float64
 	prompt float64
@@ -62,15 +62,15 @@
 	}
 }
 
-// cachedShares estimates, by kind, the share of prompt tokens found in prefix caches
-// when every beginning is read once.
+// cachedShares estimates, by kind, the share of prompt tokens found in prefix caches when
+// every shared prefix is prefilled once.
 func cachedShares(declared *scenario.Scenario, arrivals []scenario.Arrival) []float64 {
-	type beginning struct{ kind, tenant, subject int }
-	seen := map[beginning]bool{}
+	type prefix struct{ kind, tenant, subject int }
+	seen := map[prefix]bool{}
 	cached := make([]float64, len(declared.Kinds))
 	prompt := make([]float64, len(declared.Kinds))
 	for _, arrival := range arrivals {
-		key := beginning{arrival.Kind, arrival.Tenant, arrival.Subject}
+		key := prefix{arrival.Kind, arrival.Tenant, arrival.Subject}
 		prompt[arrival.Kind] += float64(arrival.PromptTokens)
 		if seen[key] {
 			cached[arrival.Kind] += float64(arrival.SharedTokens)
@@ -79,12 +79,12 @@
 	}
 	for k := range cached {
 		if prompt[k] > 0 {
-			cached[k] = cached[k] / prompt[k] * attainableHits
+			cached[k] = cached[k] / prompt[k] * attainableHitShare
 		}
 	}
 	return cached
 }
 
-// attainableHits is the part of possible cache hits that routing attains, as measured
-// by package measure for prompts about many subjects.
-const attainableHits = 0.7
+// attainableHitShare is the share of possible cache hits that routing attains, as measured by
+// package measure for prompts about many subjects.
+const attainableHitShare = 0.7
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/virtualtime"
 )
 
-// world is one run: engines, gateways, the controller and the requests between them.
+// world is the state of one run: engines, gateways, the controller and the requests between them.
 type world struct {
 	options  Options
 	scenario *scenario.Scenario
@@ -44,20 +44,20 @@
 func (w *world) addEngines() error {
 	all := w.scenario.Engines()
 	for _, service := range w.scenario.Services {
-		var own []scenario.Engine
+		var serviceEngines []scenario.Engine
 		for _, engine := range all {
 			if engine.Service == service.Name {
-				own = append(own, engine)
+				serviceEngines = append(serviceEngines, engine)
 			}
 		}
 		if w.options.Policy.InitialRoles != nil {
-			if roles := w.options.Policy.InitialRoles(service.Name, own); roles != nil {
-				for i := range own {
-					own[i].Role = roles[i]
+			if roles := w.options.Policy.InitialRoles(service.Name, serviceEngines); roles != nil {
+				for i := range serviceEngines {
+					serviceEngines[i].Role = roles[i]
 				}
 			}
 		}
-		for _, declared := range own {
+		for _, declared := range serviceEngines {
 			made, err := newEngine(w, declared, service.EngineProfile())
 			if err != nil {
 				return trace.Wrap(err)
@@ -69,29 +69,29 @@
 	return nil
 }
 
-// run lets all arrivals and the grace after them pass.
+// run simulates all arrivals and the grace period after them.
 func (w *world) run() {
-	end := w.scenario.Duration + grace
-	w.enterFaults()
-	w.every(w.reportInterval(), end, w.sampleLoads)
-	w.every(expireInterval, end, func() {
+	end := w.scenario.Duration + gracePeriod
+	w.scheduleFaults()
+	w.scheduleEvery(w.reportInterval(), end, w.sampleLoads)
+	w.scheduleEvery(expireInterval, end, func() {
 		for _, gateway := range w.gateways {
-			gateway.expire()
+			gateway.expireWaiting()
 		}
 	})
-	w.every(reportInterval, end, func() {
+	w.scheduleEvery(reportInterval, end, func() {
 		for _, gateway := range w.gateways {
-			gateway.sync()
-			gateway.report()
+			gateway.syncDirectory()
+			gateway.sendReport()
 		}
 	})
-	w.every(planInterval, w.scenario.Duration, func() { w.control.plan() })
-	w.every(time.Second, w.scenario.Duration, func() { w.recorder.sample(w) })
+	w.scheduleEvery(planInterval, w.scenario.Duration, func() { w.control.plan() })
+	w.scheduleEvery(time.Second, w.scenario.Duration, func() { w.recorder.recordSample(w) })
 	w.sampleLoads()
 	for _, gateway := range w.gateways {
-		gateway.sync()
+		gateway.syncDirectory()
 	}
-	w.enterArrival(0)
+	w.scheduleArrival(0)
 	for {
 		at, found := w.nextTime()
 		if !found || at > end {
@@ -105,19 +105,19 @@
 	}
 }
 
-// enterArrival enters one arrival, which enters the next: the agenda stays small.
-func (w *world) enterArrival(number int) {
+// scheduleArrival schedules one arrival, which schedules the next, to keep the agenda small.
+func (w *world) scheduleArrival(number int) {
 	if number >= len(w.options.Arrivals) {
 		return
 	}
 	arrival := &w.options.Arrivals[number]
 	w.agenda.Add(arrival.At, func() {
-		w.gateways[arrival.Zone].receive(w.newRequest(arrival))
-		w.enterArrival(number + 1)
+		w.gateways[arrival.Zone].receiveRequest(w.newRequest(arrival))
+		w.scheduleArrival(number + 1)
 	})
 }
 
-func (w *world) every(interval, until time.Duration, action func()) {
+func (w *world) scheduleEvery(interval, until time.Duration, action func()) {
 	var again func()
 	again = func() {
 		action()
@@ -128,7 +128,7 @@
 	w.agenda.Add(interval, again)
 }
 
-func (w *world) after(delay time.Duration, action func()) { w.agenda.Add(w.now+delay, action) }
+func (w *world) scheduleAfter(delay time.Duration, action func()) { w.agenda.Add(w.now+delay, action) }
 
 func (w *world) nextTime() (time.Duration, bool) {
 	best, found := w.agenda.Next()
@@ -153,7 +153,7 @@
 	}
 }
 
-// latency is the one-way time between two zones.
+// latency returns the one-way latency between two zones.
 func (w *world) latency(a, b string) time.Duration {
 	if a == b {
 		return 0
