--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -82,26 +82,26 @@
 		return
 	}
 	for _, event := range e.model.Advance(e.localTime(now)) {
-		if flight, found := e.attempts[event.ID]; found {
-			e.dispatchEvent(flight, event)
+		if current, found := e.attempts[event.ID]; found {
+			e.dispatchEvent(current, event)
 		}
 	}
 	e.finishDrain()
 }
 
-func (e *engine) dispatchEvent(flight *attempt, event enginemodel.Event) {
-	way := e.world.latency(e.declared.Zone, flight.gateway.zone)
+func (e *engine) dispatchEvent(current *attempt, event enginemodel.Event) {
+	delay := e.world.latency(e.declared.Zone, current.gateway.zone)
 	switch event.Type {
 	case enginemodel.EventFirstToken:
-		flight.cachedTokens = max(flight.cachedTokens, event.CachedTokens)
-		e.world.scheduleAfter(way, func() { flight.gateway.firstToken(flight) })
+		current.cachedTokens = max(current.cachedTokens, event.CachedTokens)
+		e.world.scheduleAfter(delay, func() { current.gateway.firstToken(current) })
 	case enginemodel.EventPrefillDone:
-		flight.cachedTokens = event.CachedTokens
+		current.cachedTokens = event.CachedTokens
 		delete(e.attempts, event.ID)
-		e.world.scheduleAfter(way, func() { flight.gateway.prefillDone(flight) })
+		e.world.scheduleAfter(delay, func() { current.gateway.prefillDone(current) })
 	case enginemodel.EventDone:
 		delete(e.attempts, event.ID)
-		e.world.scheduleAfter(way, func() { flight.gateway.finishAttempt(flight) })
+		e.world.scheduleAfter(delay, func() { current.gateway.finishAttempt(current) })
 	}
 }
 
@@ -119,7 +119,7 @@
 )
 
 // submit starts an attempt at the engine if the engine accepts it.
-func (e *engine) submit(flight *attempt, phase enginemodel.Phase) submission {
+func (e *engine) submit(current *attempt, phase enginemodel.Phase) submission {
 	switch {
 	case !e.isUp:
 		return submissionUnreachable
@@ -127,23 +127,23 @@
 		return submissionNotServing
 	}
 	err := e.model.Submit(e.localTime(e.world.now), enginemodel.Request{
-		ID: flight.id, PromptTokens: flight.PromptTokens, OutputTokens: flight.OutputTokens,
-		Priority: flight.kind.Priority, PrefixBlocks: flight.engineBlocks, Phase: phase,
+		ID: current.id, PromptTokens: current.PromptTokens, OutputTokens: current.OutputTokens,
+		Priority: current.kind.Priority, PrefixBlocks: current.engineBlocks, Phase: phase,
 	})
 	if err != nil {
 		return submissionOverloaded
 	}
-	e.attempts[flight.id] = flight
+	e.attempts[current.id] = current
 	return submissionAccepted
 }
 
 // cancel ends an attempt's work at the engine.
-func (e *engine) cancel(flight *attempt) {
-	if e.attempts[flight.id] != flight {
+func (e *engine) cancel(current *attempt) {
+	if e.attempts[current.id] != current {
 		return
 	}
-	delete(e.attempts, flight.id)
-	e.model.Cancel(e.localTime(e.world.now), flight.id)
+	delete(e.attempts, current.id)
+	e.model.Cancel(e.localTime(e.world.now), current.id)
 	e.finishDrain()
 }
 
@@ -193,8 +193,8 @@
 	lost := sortedAttempts(e.attempts)
 	e.attempts = map[string]*attempt{}
 	for _, each := range lost {
-		way := e.world.latency(e.declared.Zone, each.gateway.zone)
-		e.world.scheduleAfter(way, func() { each.gateway.handleCrash(each, e) })
+		delay := e.world.latency(e.declared.Zone, each.gateway.zone)
+		e.world.scheduleAfter(delay, func() { each.gateway.handleCrash(each, e) })
 	}
 }
 
--- a/internal/experiment/exchange.go
+++ b/internal/experiment/exchange.go
@@ -60,8 +60,8 @@
 
 // send submits an attempt to an engine after the network latency.
 func (g *gateway) send(current *attempt, to *engine, phase enginemodel.Phase) {
-	way := g.world.latency(g.zone, to.declared.Zone)
-	g.world.scheduleAfter(way, func() {
+	delay := g.world.latency(g.zone, to.declared.Zone)
+	g.world.scheduleAfter(delay, func() {
 		if current.over {
 			return
 		}
@@ -70,7 +70,7 @@
 			current.submitted = true
 			return
 		}
-		g.world.scheduleAfter(way, func() { g.retryElsewhere(current, to, answer) })
+		g.world.scheduleAfter(delay, func() { g.retryElsewhere(current, to, answer) })
 	})
 }
 
@@ -216,8 +216,8 @@
 }
 
 // sortedAttempts returns attempts in order of the requests' numbers.
-func sortedAttempts(flights map[string]*attempt) []*attempt {
-	return slices.SortedFunc(maps.Values(flights), func(a, b *attempt) int {
+func sortedAttempts(attempts map[string]*attempt) []*attempt {
+	return slices.SortedFunc(maps.Values(attempts), func(a, b *attempt) int {
 		return cmp.Or(cmp.Compare(a.Number, b.Number), cmp.Compare(a.id, b.id))
 	})
 }
--- a/internal/report/chart.go
+++ b/internal/report/chart.go
@@ -17,8 +17,8 @@
 	chartWidth  = 22 * vg.Centimeter
 	chartHeight = 7 * vg.Centimeter
 	lineWidth   = 1.2 * vg.Millimeter / 3
-	// headroomPerEntry is the part of the highest value that the vertical axis reaches
-	// beyond it for each entry of the legend.
+	// headroomPerEntry is the extension of the vertical axis beyond the highest value, as a
+	// share of that value, for each entry of the legend.
 	headroomPerEntry = 0.11
 	// nominalMargin is the space beside the first and the last bar, in bars.
 	nominalMargin = 0.6
@@ -30,21 +30,21 @@
 	SVG     template.HTML
 }
 
-// line is one line of a chart.
-type line struct {
+// chartLine is one chartLine of a chart.
+type chartLine struct {
 	name   string
 	points plotter.XYs
 	color  color.Color
 	dashed bool
 }
 
-// mark is a time to show as a vertical line.
-type mark struct {
+// verticalMark is a vertical line at a time.
+type verticalMark struct {
 	at    float64
 	color color.Color
 }
 
-// newPlot returns an empty plot over time or names.
+// newPlot returns an empty plot with axis labels.
 func newPlot(x, y string) *plot.Plot {
 	made := plot.New()
 	made.X.Label.Text, made.Y.Label.Text = x, y
@@ -53,26 +53,26 @@
 	return made
 }
 
-// lineChart draws lines over seconds.
-func lineChart(caption, unit string, lines []line) (chart, error) {
+// lineChart draws lines over time in seconds.
+func lineChart(caption, unit string, lines []chartLine) (chart, error) {
 	made := newPlot("seconds", unit)
 	for _, drawn := range lines {
 		if err := addLine(made, drawn); err != nil {
 			return chart{}, trace.Wrap(err)
 		}
 	}
-	makeRoom(made, len(lines))
+	setVerticalAxis(made, len(lines))
 	return render(caption, made, chartHeight)
 }
 
-// makeRoom begins the vertical axis at zero and lets it reach beyond the highest
-// value, so that the legend covers nothing.
-func makeRoom(in *plot.Plot, legendEntries int) {
+// setVerticalAxis starts the vertical axis at zero and extends it beyond the highest value,
+// so that the legend covers no line.
+func setVerticalAxis(in *plot.Plot, legendEntries int) {
 	in.Y.Min = 0
 	in.Y.Max *= 1 + headroomPerEntry*float64(legendEntries)
 }
 
-func addLine(to *plot.Plot, drawn line) error {
+func addLine(to *plot.Plot, drawn chartLine) error {
 	if len(drawn.points) == 0 {
 		return nil
 	}
@@ -89,12 +89,12 @@
 	return nil
 }
 
-// stackChart draws layers on top of each other, with marks across them.
-func stackChart(caption, unit string, layers []line, marks []mark) (chart, error) {
+// stackChart draws layers on top of each other, with vertical marks across them.
+func stackChart(caption, unit string, layers []chartLine, marks []verticalMark) (chart, error) {
 	made := newPlot("seconds", unit)
 	var below plotter.XYs
 	for _, layer := range layers {
-		top := stacked(layer.points, below)
+		top := stackedOn(layer.points, below)
 		area, err := plotter.NewPolygon(outline(top, below))
 		if err != nil {
 			return chart{}, trace.Wrap(err)
@@ -114,12 +114,12 @@
 		drawn.Dashes = []vg.Length{vg.Millimeter, vg.Millimeter}
 		made.Add(drawn)
 	}
-	makeRoom(made, len(layers))
+	setVerticalAxis(made, len(layers))
 	return render(caption, made, chartHeight)
 }
 
-// stacked adds a layer to the one below it; nil is the axis.
-func stacked(layer, below plotter.XYs) plotter.XYs {
+// stackedOn adds a layer to the one below it; nil stands for the axis.
+func stackedOn(layer, below plotter.XYs) plotter.XYs {
 	top := make(plotter.XYs, len(layer))
 	for index, point := range layer {
 		top[index] = point
@@ -130,7 +130,7 @@
 	return top
 }
 
-// outline goes along the top and back along what is below.
+// outline returns the polygon between top and below.
 func outline(top, below plotter.XYs) plotter.XYs {
 	around := append(plotter.XYs(nil), top...)
 	for index := len(top) - 1; index >= 0; index-- {
@@ -143,29 +143,29 @@
 	return around
 }
 
-// bars is one colour of a bar chart: a value for each name.
-type bars struct {
+// barGroup is one colour of a bar chart, with a value for each name.
+type barGroup struct {
 	name   string
 	values []float64
 	color  color.Color
 }
 
-// barLayout is how the groups of a bar chart stand.
+// barLayout is the arrangement of the groups of a bar chart.
 type barLayout int
 
 // Layouts of bar charts.
 const (
 	layoutSideBySide barLayout = iota
 	layoutStacked
-	// layoutReference is side by side, with a line at 100 to compare with.
+	// layoutReference is side by side, with a line at referenceValue.
 	layoutReference
 )
 
-// reference is where layoutReference has its line.
-const reference = 100
+// referenceValue is the value of the line in layoutReference.
+const referenceValue = 100
 
 // barChart draws groups of bars.
-func barChart(caption, unit string, names []string, groups []bars, layout barLayout) (chart, error) {
+func barChart(caption, unit string, names []string, groups []barGroup, layout barLayout) (chart, error) {
 	made := newPlot("", unit)
 	width := barWidth(len(names), len(groups), layout)
 	var below *plotter.BarChart
@@ -188,16 +188,16 @@
 	made.NominalX(names...)
 	made.X.Min, made.X.Max = -nominalMargin, float64(len(names))-1+nominalMargin
 	if layout == layoutReference {
-		ends := plotter.XYs{{X: made.X.Min, Y: reference}, {X: made.X.Max, Y: reference}}
-		if err := addLine(made, line{name: "100%", points: ends, color: colorReference, dashed: true}); err != nil {
+		ends := plotter.XYs{{X: made.X.Min, Y: referenceValue}, {X: made.X.Max, Y: referenceValue}}
+		if err := addLine(made, chartLine{name: "100%", points: ends, color: colorReference, dashed: true}); err != nil {
 			return chart{}, trace.Wrap(err)
 		}
 	}
-	makeRoom(made, len(groups)+1)
+	setVerticalAxis(made, len(groups)+1)
 	return render(caption, made, chartHeight)
 }
 
-// barWidth shares three quarters of the chart's width among all bars.
+// barWidth divides three quarters of the chart's width among all bars.
 func barWidth(names, groups int, layout barLayout) vg.Length {
 	sideBySide := groups
 	if layout == layoutStacked {
@@ -207,7 +207,7 @@
 	return min(used*chartWidth/vg.Length(max(names*sideBySide, 1)), mostWidth)
 }
 
-// render draws a plot as SVG to stand within an HTML page.
+// render draws a plot as SVG for inclusion in an HTML page.
 func render(caption string, drawn *plot.Plot, height vg.Length) (chart, error) {
 	canvas := vgsvg.New(chartWidth, height)
 	drawn.Draw(draw.New(canvas))
@@ -215,7 +215,7 @@
 	if _, err := canvas.WriteTo(&text); err != nil {
 		return chart{}, trace.Wrap(err)
 	}
-	// The XML header before the element has no place within HTML.
+	// Omits the XML header, which is not valid within HTML.
 	start := max(bytes.Index(text.Bytes(), []byte("<svg")), 0)
-	return chart{Caption: caption, SVG: template.HTML(text.Bytes()[start:])}, nil // drawn here, with its text escaped
+	return chart{Caption: caption, SVG: template.HTML(text.Bytes()[start:])}, nil // safe: drawn here, with escaped text
 }
--- a/internal/report/csv.go
+++ b/internal/report/csv.go
@@ -18,8 +18,8 @@
 	"whole_p50_ms", "whole_p90_ms", "whole_p99_ms",
 }
 
-// WriteCSV writes a header and one row for each run. A bound that was not computed
-// is empty.
+// WriteCSV writes a header and one row for each run. The column of a bound that was not
+// computed is empty.
 func WriteCSV(out io.Writer, runs []experiment.Run) error {
 	writer := csv.NewWriter(out)
 	rows := [][]string{csvHeader}
@@ -35,7 +35,7 @@
 		bound = decimal(*run.BoundGoodput)
 	}
 	row := []string{
-		run.Deployment, run.Scenario, label(run), strconv.FormatUint(run.Seed, 10),
+		run.Deployment, run.Scenario, runLabel(run), strconv.FormatUint(run.Seed, 10),
 		decimal(run.LengthSeconds), decimal(run.OfferedWorth), decimal(run.Goodput), bound,
 	}
 	for _, count := range []int{run.RoleChanges, run.RoleChangesOrdered, run.Requests, run.Completed, run.DeadlineMisses, run.Refused, run.Cut} {
--- a/internal/report/doc.go
+++ b/internal/report/doc.go
@@ -1,6 +1,6 @@
-// Package report compares results of experiments and of runs on real processes: one
-// self-contained HTML page with plots and tables, a summary for a terminal, CSV and
-// JSON. It reads what `hazelbench experiment --json` writes.
+// Package report compares the results of experiments and of runs on real processes. It
+// writes a self-contained HTML page with plots and tables, a summary for a terminal, CSV and
+// JSON. Its input is the output of `hazelbench experiment --json`.
 //
-// Everything here depends on the results alone; equal results give equal output.
+// Reports depend on the results alone: equal results give equal output.
 package report
--- a/internal/report/figures.go
+++ b/internal/report/figures.go
@@ -10,11 +10,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/experiment"
 )
 
-// charts draws the plots of a group, from the first run of each policy.
+// charts returns the plots of a group. All except the first use the first run of each policy.
 func (g *Group) charts() ([]chart, error) {
-	runs := g.first()
+	runs := g.firstRuns()
 	drawers := []func([]experiment.Run) ([]chart, error){
-		g.boundChart, goodputChart, mixChart, roleCharts, latencyCharts, refusalCharts,
+		g.shareChart, goodputChart, mixChart, roleCharts, latencyCharts, refusalCharts,
 	}
 	var charts []chart
 	for _, drawer := range drawers {
@@ -27,8 +27,8 @@
 	return charts, nil
 }
 
-// boundChart compares the policies' medians; the bound is at 100.
-func (g *Group) boundChart([]experiment.Run) ([]chart, error) {
+// shareChart compares the policies' medians; 100 is the bound, or what was offered if there is no bound.
+func (g *Group) shareChart([]experiment.Run) ([]chart, error) {
 	var names []string
 	values, caption := []float64{}, "Goodput as a share of the clairvoyant bound, median of the seeds"
 	bounded := !slices.ContainsFunc(g.Policies, func(policy PolicySummary) bool { return policy.ShareOfBound == nil })
@@ -43,39 +43,39 @@
 		}
 		values = append(values, 100*value.Median)
 	}
-	drawn, err := barChart(caption, "%", names, []bars{{name: "goodput", values: values, color: nthColor(0)}}, layoutReference)
+	drawn, err := barChart(caption, "%", names, []barGroup{{name: "goodput", values: values, color: paletteColor(0)}}, layoutReference)
 	return []chart{drawn}, err
 }
 
-// goodputChart shows goodput over time against what was offered.
+// goodputChart plots goodput and offered worth over time.
 func goodputChart(runs []experiment.Run) ([]chart, error) {
-	offered := points(runs[0].Series, func(sample experiment.Sample) float64 { return sample.OfferedWorth })
-	lines := []line{{name: "offered", points: offered, color: colorReference, dashed: true}}
+	offered := averagedPoints(runs[0].Series, func(sample experiment.Sample) float64 { return sample.OfferedWorth })
+	lines := []chartLine{{name: "offered", points: offered, color: colorReference, dashed: true}}
 	for index, run := range runs {
-		lines = append(lines, line{
-			name: label(run), color: nthColor(index),
-			points: points(run.Series, func(sample experiment.Sample) float64 { return sample.Goodput }),
+		lines = append(lines, chartLine{
+			name: runLabel(run), color: paletteColor(index),
+			points: averagedPoints(run.Series, func(sample experiment.Sample) float64 { return sample.Goodput }),
 		})
 	}
 	drawn, err := lineChart(fmt.Sprintf("Goodput over time, seed %d", runs[0].Seed), "worth/s", lines)
 	return []chart{drawn}, err
 }
 
-// mixChart shows the token mix of what arrived.
+// mixChart plots the tokens of the requests that arrived over time.
 func mixChart(runs []experiment.Run) ([]chart, error) {
 	series := runs[0].Series
-	drawn, err := lineChart("Mix: tokens of the requests that arrived", "tokens/s", []line{
-		{name: "prompt tokens", color: colorPrefill, points: points(series, func(sample experiment.Sample) float64 { return float64(sample.PromptTokens) })},
-		{name: "output tokens", color: colorDecode, points: points(series, func(sample experiment.Sample) float64 { return float64(sample.OutputTokens) })},
+	drawn, err := lineChart("Mix: tokens of the requests that arrived", "tokens/s", []chartLine{
+		{name: "prompt tokens", color: colorPrefill, points: averagedPoints(series, func(sample experiment.Sample) float64 { return float64(sample.PromptTokens) })},
+		{name: "output tokens", color: colorDecode, points: averagedPoints(series, func(sample experiment.Sample) float64 { return float64(sample.OutputTokens) })},
 	})
 	return []chart{drawn}, err
 }
 
-// roleCharts show the engines' roles over time, for each run and service.
+// roleCharts plots the engines' roles over time, for each run and service.
 func roleCharts(runs []experiment.Run) ([]chart, error) {
 	var charts []chart
 	for _, run := range runs {
-		for _, service := range services(run) {
+		for _, service := range serviceNames(run) {
 			drawn, err := roleChart(run, service)
 			if err != nil {
 				return nil, trace.Wrap(err)
@@ -87,30 +87,30 @@
 }
 
 func roleChart(run experiment.Run, service string) (chart, error) {
-	layer := func(name string, color color.Color, count func(experiment.RoleCount) int) line {
-		return line{name: name, color: color, points: points(run.Series, roleSum(service, count))}
+	layer := func(name string, color color.Color, count func(experiment.RoleCount) int) chartLine {
+		return chartLine{name: name, color: color, points: averagedPoints(run.Series, roleSum(service, count))}
 	}
-	layers := []line{
+	layers := []chartLine{
 		layer("prefill", colorPrefill, func(row experiment.RoleCount) int { return row.Prefill }),
 		layer("decode", colorDecode, func(row experiment.RoleCount) int { return row.Decode }),
 		layer("mixed", colorMixed, func(row experiment.RoleCount) int { return row.Mixed }),
 		layer("out", colorOut, func(row experiment.RoleCount) int { return row.Out }),
 	}
-	changes, marks := 0, []mark(nil)
+	changes, marks := 0, []verticalMark(nil)
 	for _, event := range run.Events {
 		switch {
 		case event.Type == experiment.EventChangeFinished && event.Service == service:
 			changes++
-			marks = append(marks, mark{at: event.AtSeconds, color: colorChange})
+			marks = append(marks, verticalMark{at: event.AtSeconds, color: colorChange})
 		case event.Type == experiment.EventFault:
-			marks = append(marks, mark{at: event.AtSeconds, color: colorFault})
+			marks = append(marks, verticalMark{at: event.AtSeconds, color: colorFault})
 		}
 	}
-	caption := fmt.Sprintf("Roles of %s under %s, role changes: %d (black lines), faults (red lines)", service, label(run), changes)
+	caption := fmt.Sprintf("Roles of %s under %s, role changes: %d (black lines), faults (red lines)", service, runLabel(run), changes)
 	return stackChart(caption, "engines", layers, marks)
 }
 
-// latencyCharts compare percentiles of the first token and of the whole answer.
+// latencyCharts compares percentiles of the token latencies.
 func latencyCharts(runs []experiment.Run) ([]chart, error) {
 	var charts []chart
 	for _, part := range []struct {
@@ -121,10 +121,10 @@
 		{"Time between tokens", func(latencies experiment.Latencies) experiment.Percentiles { return latencies.BetweenTokens }},
 		{"Time to the last token", func(latencies experiment.Latencies) experiment.Percentiles { return latencies.Whole }},
 	} {
-		groups := []bars{{name: "p50", color: nthColor(0)}, {name: "p90", color: nthColor(1)}, {name: "p99", color: nthColor(2)}}
+		groups := []barGroup{{name: "p50", color: paletteColor(0)}, {name: "p90", color: paletteColor(1)}, {name: "p99", color: paletteColor(2)}}
 		var names []string
 		for _, run := range runs {
-			names = append(names, label(run))
+			names = append(names, runLabel(run))
 			percentiles := part.of(run.Latencies)
 			for index, value := range []float64{percentiles.P50, percentiles.P90, percentiles.P99} {
 				groups[index].values = append(groups[index].values, value)
@@ -139,18 +139,18 @@
 	return charts, nil
 }
 
-// refusalCharts show each run's refusals by tenant and verdict; runs without any
-// have no chart.
+// refusalCharts plots each run's refusals by tenant and verdict, except for runs without
+// refusals.
 func refusalCharts(runs []experiment.Run) ([]chart, error) {
 	var charts []chart
 	for _, run := range runs {
 		if len(run.Refusals) == 0 {
 			continue
 		}
-		table := refusalTable(run)
-		groups := make([]bars, len(table.Reasons))
+		table := newRefusalTable(run)
+		groups := make([]barGroup, len(table.Reasons))
 		for index, reason := range table.Reasons {
-			groups[index] = bars{name: reason, color: nthColor(index)}
+			groups[index] = barGroup{name: reason, color: paletteColor(index)}
 		}
 		var names []string
 		for _, row := range table.Rows {
@@ -159,7 +159,7 @@
 				groups[index].values = append(groups[index].values, float64(count))
 			}
 		}
-		drawn, err := barChart("Refusals by tenant and verdict under "+label(run), "requests", names, groups, layoutStacked)
+		drawn, err := barChart("Refusals by tenant and verdict under "+runLabel(run), "requests", names, groups, layoutStacked)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
--- a/internal/report/overview.go
+++ b/internal/report/overview.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// overview is one line for each scenario and one column for each policy.
+// overview has a row for each scenario and a column for each policy.
 type overview struct {
 	Header []string
 	Rows   [][]string
 }
 
-// absent stands where a policy has no run of a scenario.
-const absent = ""
+// noRun is the cell of a policy without a run of the scenario.
+const noRun = ""
 
 // overview compares the policies over all scenarios by goodput and role changes.
 func (s Summary) overview() overview {
@@ -28,19 +28,19 @@
 	for _, group := range s.Groups {
 		row := []string{group.title()}
 		for _, name := range policies {
-			row = append(row, group.cell(name))
+			row = append(row, group.overviewCell(name))
 		}
 		made.Rows = append(made.Rows, row)
 	}
 	return made
 }
 
-// cell is a policy's goodput, as a share of the bound where there is one, and its
+// overviewCell returns a policy's goodput, as a share of the bound if there is one, and its
 // role changes.
-func (g Group) cell(name string) string {
+func (g Group) overviewCell(name string) string {
 	index := slices.IndexFunc(g.Policies, func(policy PolicySummary) bool { return policy.Policy == name })
 	if index < 0 {
-		return absent
+		return noRun
 	}
 	policy := g.Policies[index]
 	share, of := policy.ShareOfOffered, "offered"
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -15,29 +15,29 @@
 
 var pageTemplate = template.Must(template.New("page").Parse(pageText))
 
-// pageData is what the template shows.
+// pageData is the input of the page's template.
 type pageData struct {
 	Overview overview
 	Header   []string
 	Sections []section
 }
 
-// section is one scenario of the page.
+// section is the part of the page about one scenario.
 type section struct {
 	Title    string
 	Rows     [][]string
 	Charts   []chart
-	Refusals []refusals
-	Changes  []changeList
+	Refusals []refusalTable
+	Changes  []eventList
 }
 
-// changeList is one run's role changes and faults.
-type changeList struct {
+// eventList lists the role changes and faults of one run.
+type eventList struct {
 	Policy string
 	Events []experiment.Event
 }
 
-// WriteHTML writes the page. It needs nothing beside itself: no script, no network.
+// WriteHTML writes the page. The page is self-contained: it needs neither scripts nor the network.
 func (s Summary) WriteHTML(out io.Writer) error {
 	data := pageData{Overview: s.overview(), Header: tableHeader}
 	for index := range s.Groups {
@@ -57,14 +57,14 @@
 	}
 	made := section{Title: g.title(), Charts: charts}
 	for _, policy := range g.Policies {
-		made.Rows = append(made.Rows, policy.cells())
+		made.Rows = append(made.Rows, policy.tableCells())
 	}
-	for _, run := range g.first() {
+	for _, run := range g.firstRuns() {
 		if len(run.Refusals) > 0 {
-			made.Refusals = append(made.Refusals, refusalTable(run))
+			made.Refusals = append(made.Refusals, newRefusalTable(run))
 		}
 		if len(run.Events) > 0 {
-			made.Changes = append(made.Changes, changeList{Policy: label(run), Events: run.Events})
+			made.Changes = append(made.Changes, eventList{Policy: runLabel(run), Events: run.Events})
 		}
 	}
 	return made, nil
--- a/internal/report/palette.go
+++ b/internal/report/palette.go
@@ -2,8 +2,8 @@
 
 import "image/color"
 
-// palette is Okabe and Ito's set of colours, which people with colour blindness can
-// tell apart, without its yellow and with grey for what is only a reference.
+// palette is the colour set of Okabe and Ito, which people with colour blindness can
+// distinguish, without its yellow. Grey is for references.
 var palette = []color.Color{
 	color.RGBA{R: 0x00, G: 0x72, B: 0xB2, A: 0xFF},
 	color.RGBA{R: 0xD5, G: 0x5E, B: 0x00, A: 0xFF},
@@ -24,5 +24,5 @@
 	colorFault     = color.RGBA{R: 0xCC, G: 0x00, B: 0x00, A: 0xFF}
 )
 
-// nthColor is the colour of the line with a number.
-func nthColor(number int) color.Color { return palette[number%len(palette)] }
+// paletteColor returns the colour of the line with an index.
+func paletteColor(number int) color.Color { return palette[number%len(palette)] }
--- a/internal/report/read.go
+++ b/internal/report/read.go
@@ -10,8 +10,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/experiment"
 )
 
-// Read reads result files, each of which holds one run or a list of runs. Runs keep
-// the order of the files and of the lists.
+// Read reads result files, each with one run or a list of runs, and returns the runs in the
+// order of the files and lists.
 func Read(paths []string) ([]experiment.Run, error) {
 	if len(paths) == 0 {
 		return nil, trace.BadParameter("name a result file, as `hazelbench experiment --json` writes it")
--- a/internal/report/refusals.go
+++ b/internal/report/refusals.go
@@ -7,30 +7,30 @@
 	"github.com/hazelpitch/hazelpitch/internal/experiment"
 )
 
-// maxTenants is the number of tenants shown one by one; the others are summed.
+// maxTenants is the number of tenants that are listed; the others are summed.
 const maxTenants = 10
 
-// otherTenants is the name of that sum.
+// otherTenants is the name of the row with that sum.
 const otherTenants = "others"
 
-// refusals is one run's refusals: a row for each tenant, a column for each verdict
+// refusalTable holds one run's refusals: a row for each tenant and a column for each verdict
 // with its reason.
-type refusals struct {
+type refusalTable struct {
 	Policy  string
 	Reasons []string
 	Rows    []refusalRow
 }
 
-// refusalRow is one tenant's refusals, in the order of the reasons.
+// refusalRow is the refusals of one tenant, in the order of the reasons.
 type refusalRow struct {
 	Tenant string
 	Counts []int
 	total  int
 }
 
-// refusalTable sums a run's refusals. Tenants with the most come first.
-func refusalTable(run experiment.Run) refusals {
-	table := refusals{Policy: label(run)}
+// newRefusalTable sums a run's refusals; tenants with the most refusals are first.
+func newRefusalTable(run experiment.Run) refusalTable {
+	table := refusalTable{Policy: runLabel(run)}
 	for _, refusal := range run.Refusals {
 		reason := refusal.Verdict + " " + refusal.Reason
 		if !slices.Contains(table.Reasons, reason) {
@@ -52,7 +52,7 @@
 	return table
 }
 
-func (r *refusals) add(tenant string, reason, count int) {
+func (r *refusalTable) add(tenant string, reason, count int) {
 	index := slices.IndexFunc(r.Rows, func(row refusalRow) bool { return row.Tenant == tenant })
 	if index < 0 {
 		index = len(r.Rows)
@@ -62,8 +62,8 @@
 	r.Rows[index].total += count
 }
 
-// sumOthers puts the tenants beyond maxTenants into one row.
-func (r *refusals) sumOthers() {
+// sumOthers combines the tenants beyond maxTenants in one row.
+func (r *refusalTable) sumOthers() {
 	if len(r.Rows) <= maxTenants {
 		return
 	}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -18,10 +18,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/report"
 )
 
-// hostileTenant would break a page that doesn't escape its text.
+// hostileTenant breaks a page that does not escape its text.
 const hostileTenant = `<script>"tenant"</script>`
 
-// newRun makes a run of ten seconds with one role change and refusals.
+// newRun returns a run of ten seconds with one role change and refusals.
 func newRun(policy string, seed uint64, goodput float64) experiment.Run {
 	bound := 1000.0
 	run := experiment.Run{
@@ -57,7 +57,7 @@
 	}
 }
 
-// elements returns the elements of a kind, in order.
+// elements returns the descendants of a kind, in document order.
 func elements(root *html.Node, kind string) []*html.Node {
 	var found []*html.Node
 	for node := range root.Descendants() {
@@ -87,8 +87,8 @@
 	return root
 }
 
-// rowsOf returns the cells of the body's rows of all tables of a class.
-func rowsOf(root *html.Node, class string) [][]string {
+// tableRows returns the cells of the body rows of all tables of a class.
+func tableRows(root *html.Node, class string) [][]string {
 	var rows [][]string
 	for _, table := range elements(root, "table") {
 		if len(table.Attr) == 0 || table.Attr[0].Val != class {
@@ -108,7 +108,7 @@
 }
 
 func TestPageComparesPolicies(t *testing.T) {
-	rows := rowsOf(page(t, runs()), "comparison")
+	rows := tableRows(page(t, runs()), "comparison")
 	require.Equal(t, []string{"planner", "3", "960 (940–970)", "96.0% (94.0%–97.0%)", "76.8% (75.2%–77.6%)", "1", "7", "43", "0", "120", "913", "0", "5678"}, rows[0])
 	require.Equal(t, []string{"static-mean", "1", "600", "60.0%", "48.0%"}, rows[1][:5])
 }
@@ -157,14 +157,14 @@
 	require.Contains(t, text(root), hostileTenant)
 }
 
-func TestPageTellsChangesWithReasons(t *testing.T) {
+func TestPageShowsChangesWithReasons(t *testing.T) {
 	shown := text(page(t, runs()))
 	for _, want := range []string{"change-started", "change-finished", "assessor-a-1", "more output"} {
 		require.Contains(t, shown, want)
 	}
 }
 
-func TestScenariosOfTwoDeploymentsStayApart(t *testing.T) {
+func TestDeploymentsAreSummarizedSeparately(t *testing.T) {
 	other := newRun("planner", 1, 500)
 	other.Deployment = "empleandes"
 	summary := report.Summarize(append(runs(), other))
@@ -175,7 +175,7 @@
 func TestOverviewComparesPoliciesOverScenarios(t *testing.T) {
 	other := newRun("clairvoyant", 1, 1000)
 	other.Scenario = "calm"
-	rows := rowsOf(page(t, append(runs(), other)), "overview")
+	rows := tableRows(page(t, append(runs(), other)), "overview")
 	require.Equal(t, [][]string{
 		{"rawabi / step", "96.0% of bound, changes: 1", "60.0% of bound, changes: 1", ""},
 		{"rawabi / calm", "", "", "100.0% of bound, changes: 1"},
@@ -197,7 +197,7 @@
 	require.Contains(t, text(root), "rawabi / empty")
 }
 
-func TestCSVHoldsEveryRun(t *testing.T) {
+func TestCSVListsEveryRun(t *testing.T) {
 	var out bytes.Buffer
 	require.NoError(t, report.WriteCSV(&out, runs()))
 	rows, err := csv.NewReader(&out).ReadAll()
@@ -206,7 +206,7 @@
 	require.Equal(t, []string{"rawabi", "step", "planner", "2", "10", "1250", "940", "1000", "1", "1", "300", "250", "7", "43", "0", "120", "300", "913"}, rows[2][:18])
 }
 
-func TestTenantsBeyondTheFirstAreSummed(t *testing.T) {
+func TestTenantsBeyondTheMaximumAreSummed(t *testing.T) {
 	run := newRun("planner", 1, 900)
 	run.Refusals = nil
 	for tenant := range 13 {
--- a/internal/report/series.go
+++ b/internal/report/series.go
@@ -6,11 +6,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/experiment"
 )
 
-// maxPoints bounds the points of one line; longer series are averaged.
+// maxPoints limits the points of one line; longer series are averaged.
 const maxPoints = 240
 
-// points averages one figure of a series into at most maxPoints points.
-func points(series []experiment.Sample, figure func(experiment.Sample) float64) plotter.XYs {
+// averagedPoints averages one figure of a series into at most maxPoints points.
+func averagedPoints(series []experiment.Sample, figure func(experiment.Sample) float64) plotter.XYs {
 	bin := (len(series) + maxPoints - 1) / maxPoints
 	var made plotter.XYs
 	for start := 0; start < len(series); start += bin {
@@ -24,8 +24,7 @@
 	return made
 }
 
-// roleSum sums one count over the zones and services of a sample; an empty service
-// is all of them.
+// roleSum returns a function that sums one count of a service over the zones of a sample.
 func roleSum(service string, count func(experiment.RoleCount) int) func(experiment.Sample) float64 {
 	return func(sample experiment.Sample) float64 {
 		sum := 0
@@ -38,8 +37,8 @@
 	}
 }
 
-// services lists the services of a run, in the order of its samples.
-func services(run experiment.Run) []string {
+// serviceNames returns the services of a run, in the order of its samples.
+func serviceNames(run experiment.Run) []string {
 	var names []string
 	if len(run.Series) == 0 {
 		return nil
--- a/internal/report/spread.go
+++ b/internal/report/spread.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Spread is one figure over several seeds.
+// Spread is the median, minimum and maximum of a figure over several seeds.
 type Spread struct {
 	Median float64 `json:"median"`
 	Low    float64 `json:"low"`
 	High   float64 `json:"high"`
 }
 
-// newSpread returns the spread of values; of none it is zero.
+// newSpread returns the spread of values; without values it is zero.
 func newSpread(values []float64) Spread {
 	if len(values) == 0 {
 		return Spread{}
@@ -26,8 +26,8 @@
 	return Spread{Median: median, Low: sorted[0], High: sorted[len(sorted)-1]}
 }
 
-// format writes the median, and the lowest and highest behind it when they differ.
-func (s Spread) format(one func(float64) string) string {
+// formatWith formats the median, followed by minimum and maximum if they differ.
+func (s Spread) formatWith(one func(float64) string) string {
 	if s.Low == s.High {
 		return one(s.Median)
 	}
--- a/internal/report/summary.go
+++ b/internal/report/summary.go
@@ -6,12 +6,12 @@
 	"github.com/hazelpitch/hazelpitch/internal/experiment"
 )
 
-// Summary compares all runs: a group for each scenario.
+// Summary compares runs, with a group for each scenario.
 type Summary struct {
 	Groups []Group `json:"groups"`
 }
 
-// Group is all runs of one scenario of one deployment.
+// Group is the runs of one scenario in one deployment.
 type Group struct {
 	Deployment string          `json:"deployment"`
 	Scenario   string          `json:"scenario"`
@@ -20,14 +20,14 @@
 	runs []experiment.Run
 }
 
-// PolicySummary is one policy's figures over its seeds. Latencies are in milliseconds.
+// PolicySummary is the figures of one policy over its seeds. Latencies are in milliseconds.
 type PolicySummary struct {
 	Policy string   `json:"policy"`
 	Seeds  []uint64 `json:"seeds"`
-	// ShareOfBound is goodput as a share of the clairvoyant plan's; nil when a run
-	// knows no bound.
+	// ShareOfBound is goodput as a share of the clairvoyant bound; nil when a run has no
+	// bound.
 	ShareOfBound *Spread `json:"share_of_bound,omitempty"`
-	// ShareOfOffered is goodput as a share of the worth that arrived.
+	// ShareOfOffered is goodput as a share of the offered worth.
 	ShareOfOffered Spread `json:"share_of_offered"`
 	Goodput        Spread `json:"goodput"`
 	RoleChanges    Spread `json:"role_changes"`
@@ -40,8 +40,8 @@
 	WholeP99       Spread `json:"whole_p99_ms"`
 }
 
-// Summarize groups runs by scenario, and within it by policy, both in the order in
-// which they first appear.
+// Summarize groups runs by scenario and, within a scenario, by policy, both in order of first
+// appearance.
 func Summarize(runs []experiment.Run) Summary {
 	var summary Summary
 	for _, run := range runs {
@@ -60,35 +60,35 @@
 	return summary
 }
 
-// labels are the group's policies in order of appearance.
-func (g *Group) labels() []string {
+// policyLabels returns the group's policies in order of appearance.
+func (g *Group) policyLabels() []string {
 	var labels []string
 	for _, run := range g.runs {
-		if name := label(run); !slices.Contains(labels, name) {
+		if name := runLabel(run); !slices.Contains(labels, name) {
 			labels = append(labels, name)
 		}
 	}
 	return labels
 }
 
-// first returns the first run of each policy, in order of appearance.
-func (g *Group) first() []experiment.Run {
+// firstRuns returns the first run of each policy, in order of appearance.
+func (g *Group) firstRuns() []experiment.Run {
 	var runs []experiment.Run
-	for _, name := range g.labels() {
-		index := slices.IndexFunc(g.runs, func(run experiment.Run) bool { return label(run) == name })
+	for _, name := range g.policyLabels() {
+		index := slices.IndexFunc(g.runs, func(run experiment.Run) bool { return runLabel(run) == name })
 		runs = append(runs, g.runs[index])
 	}
 	return runs
 }
 
-// label names the line or row of a run.
-func label(run experiment.Run) string { return run.Policy }
+// runLabel returns the name of a run's line or row.
+func runLabel(run experiment.Run) string { return run.Policy }
 
 func (g *Group) summarize() {
-	for _, name := range g.labels() {
+	for _, name := range g.policyLabels() {
 		var ofPolicy []experiment.Run
 		for _, run := range g.runs {
-			if label(run) == name {
+			if runLabel(run) == name {
 				ofPolicy = append(ofPolicy, run)
 			}
 		}
@@ -129,7 +129,7 @@
 	return summary
 }
 
-// share is part of whole; of nothing it is zero.
+// share returns part divided by whole; it is 0 if whole is 0.
 func share(part, whole float64) float64 {
 	if whole == 0 {
 		return 0
--- a/internal/report/terminal.go
+++ b/internal/report/terminal.go
@@ -7,8 +7,8 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// WriteText writes the summary as tables for a terminal: one for each scenario, and
-// before them, when there are several, one that compares the policies over all.
+// WriteText writes the summary as tables for a terminal: one for each scenario, preceded by
+// a comparison of the policies over all scenarios if there are several.
 func (s Summary) WriteText(out io.Writer) {
 	if len(s.Groups) > 1 {
 		overview := s.overview()
@@ -17,7 +17,7 @@
 	for _, group := range s.Groups {
 		var rows [][]string
 		for _, policy := range group.Policies {
-			rows = append(rows, policy.cells())
+			rows = append(rows, policy.tableCells())
 		}
 		writeTable(out, group.title(), tableHeader, rows)
 	}
@@ -37,23 +37,23 @@
 
 func (g Group) title() string { return fmt.Sprintf("%s / %s", g.Deployment, g.Scenario) }
 
-// tableHeader names the columns of cells.
+// tableHeader names the columns of tableCells.
 var tableHeader = []string{
 	"policy", "seeds", "goodput", "of bound", "of offered", "role changes", "deadline misses", "refused", "cut",
 	"first token p50 ms", "first token p99 ms", "between tokens p99 ms", "whole p99 ms",
 }
 
-// cells are the row of one policy: medians, with the lowest and highest behind them.
-func (p PolicySummary) cells() []string {
+// tableCells returns the row of one policy: medians, followed by minimum and maximum if they differ.
+func (p PolicySummary) tableCells() []string {
 	ofBound := "–"
 	if p.ShareOfBound != nil {
-		ofBound = p.ShareOfBound.format(asPercent)
+		ofBound = p.ShareOfBound.formatWith(asPercent)
 	}
 	return []string{
-		p.Policy, fmt.Sprint(len(p.Seeds)), p.Goodput.format(asCount), ofBound, p.ShareOfOffered.format(asPercent),
-		p.RoleChanges.format(asCount), p.DeadlineMisses.format(asCount), p.Refused.format(asCount), p.Cut.format(asCount),
-		p.FirstTokenP50.format(asMilliseconds), p.FirstTokenP99.format(asMilliseconds),
-		p.BetweenP99.format(asMilliseconds), p.WholeP99.format(asMilliseconds),
+		p.Policy, fmt.Sprint(len(p.Seeds)), p.Goodput.formatWith(asCount), ofBound, p.ShareOfOffered.formatWith(asPercent),
+		p.RoleChanges.formatWith(asCount), p.DeadlineMisses.formatWith(asCount), p.Refused.formatWith(asCount), p.Cut.formatWith(asCount),
+		p.FirstTokenP50.formatWith(asMilliseconds), p.FirstTokenP99.formatWith(asMilliseconds),
+		p.BetweenP99.formatWith(asMilliseconds), p.WholeP99.formatWith(asMilliseconds),
 	}
 }
 
