--- a/internal/experiment/hindsight.go
+++ b/internal/experiment/hindsight.go
@@ -67,7 +67,7 @@
 		}
 		return plan.bestRun, nil
 	}
-	return nil, trace.BadParameter("there is no policy %q; policies are %v", name, PolicyNames())
+	return nil, trace.BadParameter("unknown policy %q; choose one of %v", name, PolicyNames())
 }
 
 // runPlanner runs the product's planner, once per study.
--- a/internal/fleet/fault_test.go
+++ b/internal/fleet/fault_test.go
@@ -44,7 +44,7 @@
 	require.Equal(t, 1, count(Fault{Fault: FaultCutOff, Process: MachineListName}))
 	require.Equal(t, 7, count(Fault{Fault: FaultKill, Zone: "amman-hall-a"}), "six engines and a page service")
 	_, err := started.resolveTargets(Fault{Fault: FaultKill, Process: WeightStoreName})
-	require.ErrorContains(t, err, "weight-store can be cut off alone")
+	require.ErrorContains(t, err, "weight-store supports only cut-off")
 	_, err = started.resolveTargets(Fault{Fault: FaultKill, Process: "nobody"})
 	require.ErrorContains(t, err, `no process "nobody"`)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -132,7 +132,7 @@
 			return nil
 		}
 		if !p.Running() {
-			return trace.Errorf("%s has ended; its log is %s", p.Name, p.LogPath)
+			return trace.Errorf("%s exited before it was ready; its log is %s", p.Name, p.LogPath)
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -60,7 +60,7 @@
 			continue
 		}
 		if fault.Fault != FaultCutOff && present.kill == nil {
-			return nil, trace.BadParameter("fault %s at %v: %s can be cut off alone", fault.Fault, fault.At, present.name)
+			return nil, trace.BadParameter("fault %s at %v: %s supports only cut-off", fault.Fault, fault.At, present.name)
 		}
 		found = append(found, present)
 	}
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -198,7 +198,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.DataDirectory == "" || p.isRunning() {
-		return trace.BadParameter("%s runs, or has no disk", p.Name)
+		return trace.BadParameter("can't replace the disk of %s: the process is running or has no data directory", p.Name)
 	}
 	if err := os.RemoveAll(p.DataDirectory); err != nil {
 		return trace.ConvertSystemError(err)
--- a/internal/fleet/replica.go
+++ b/internal/fleet/replica.go
@@ -55,7 +55,7 @@
 	}
 	paths, err := filepath.Glob(filepath.Join(deployment, settingsDirectory, string(RoleGateway)+"-*.yaml"))
 	if err != nil || len(paths) == 0 {
-		return nil, trace.BadParameter("%s/%s holds no settings of gateways", deployment, settingsDirectory)
+		return nil, trace.BadParameter("%s/%s contains no settings files of gateways", deployment, settingsDirectory)
 	}
 	var addresses []string
 	for _, path := range paths {
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -37,7 +37,7 @@
 	for _, role := range []Role{RoleController, RoleGateway} {
 		paths, err := filepath.Glob(filepath.Join(options.Deployment, settingsDirectory, string(role)+"-*.yaml"))
 		if err != nil || len(paths) == 0 {
-			return nil, trace.BadParameter("%s/%s holds no %s-*.yaml", options.Deployment, settingsDirectory, role)
+			return nil, trace.BadParameter("%s/%s contains no %s-*.yaml", options.Deployment, settingsDirectory, role)
 		}
 		for _, path := range paths {
 			text, err := os.ReadFile(path)
--- a/internal/gatewaycost/caller.go
+++ b/internal/gatewaycost/caller.go
@@ -58,7 +58,7 @@
 	body, err := answer.BodyUncompressed()
 	took := time.Since(began)
 	if err != nil || answer.StatusCode() != http.StatusOK {
-		return 0, trace.Errorf("%s%s answered %d: %s", address, path, answer.StatusCode(), body)
+		return 0, trace.Errorf("%s%s answered with status %d: %s", address, path, answer.StatusCode(), body)
 	}
 	return took, nil
 }
@@ -87,7 +87,7 @@
 	defer func() { _ = answer.CloseBodyStream() }() // the body has been read
 	if answer.StatusCode() != http.StatusOK {
 		body, _ := io.ReadAll(answer.BodyStream()) // the status suffices if the body cannot be read
-		return streamStats{}, trace.Errorf("answered %d: %s", answer.StatusCode(), body)
+		return streamStats{}, trace.Errorf("the stream request was answered with status %d: %s", answer.StatusCode(), body)
 	}
 	return readStream(bufio.NewReaderSize(answer.BodyStream(), streamBytes))
 }
@@ -99,7 +99,7 @@
 	for {
 		line, err := events.ReadSlice('\n')
 		if err != nil {
-			return seen, trace.Wrap(err, "after %d tokens", seen.tokens)
+			return seen, trace.Wrap(err, "reading the stream after %d tokens", seen.tokens)
 		}
 		data, found := bytes.CutPrefix(bytes.TrimSpace(line), dataPrefix)
 		switch {
@@ -107,7 +107,7 @@
 		case bytes.Equal(data, doneMarker):
 			return seen, nil
 		case bytes.Contains(data, []byte(`"error"`)):
-			return seen, trace.Errorf("stream ended: %s", data)
+			return seen, trace.Errorf("the stream ended with an error event: %s", data)
 		case bytes.Contains(data, []byte(`"content"`)):
 			now := time.Now()
 			if seen.tokens > 0 {
--- a/internal/gatewaycost/run.go
+++ b/internal/gatewaycost/run.go
@@ -176,7 +176,7 @@
 		group.Go(func() error {
 			seen, err := r.caller.sendStream(r.Gateway.Listen, r.kind, chatBody(r.model, r.Tokens, first+number))
 			if err == nil && seen.tokens != r.Tokens {
-				err = trace.Errorf("a stream had %d tokens in place of %d", seen.tokens, r.Tokens)
+				err = trace.Errorf("a stream had %d tokens instead of %d", seen.tokens, r.Tokens)
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
@@ -205,7 +205,7 @@
 		seconds, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 		return time.Duration(seconds * float64(time.Second)), trace.Wrap(err)
 	}
-	return 0, trace.NotFound("%s has no %s", process.Name, processorMetric)
+	return 0, trace.NotFound("the metrics of %s do not contain %s", process.Name, processorMetric)
 }
 
 func newHistogram() *hdrhistogram.Histogram {
--- a/internal/leaderloss/members.go
+++ b/internal/leaderloss/members.go
@@ -80,5 +80,5 @@
 			}
 		}
 	}
-	return nil, trace.NotFound("no running controller plays the part: %v", present)
+	return nil, trace.NotFound("no running controller has the required role; the members are %v", present)
 }
--- a/internal/leaderloss/revisions.go
+++ b/internal/leaderloss/revisions.go
@@ -80,7 +80,7 @@
 func revisionOf(process *fleet.Process) (uint64, error) {
 	status, body, err := fasthttp.GetTimeout(nil, "http://"+process.AdminListen+metrics.PathMetrics, revisionTimeout)
 	if err != nil || status != fasthttp.StatusOK {
-		return 0, trace.Errorf("%s shows no metrics: %d %v", process.Name, status, err)
+		return 0, trace.Errorf("can't read the metrics of %s: status %d, error %v", process.Name, status, err)
 	}
 	prefix := "hazelpitch_" + string(process.Role) + "_revision{"
 	for lines := bufio.NewScanner(bytes.NewReader(body)); lines.Scan(); {
@@ -91,7 +91,7 @@
 		value, err := strconv.ParseFloat(fields[len(fields)-1], 64)
 		return uint64(value), trace.Wrap(err)
 	}
-	return 0, trace.NotFound("%s shows no revision", process.Name)
+	return 0, trace.NotFound("the metrics of %s contain no revision", process.Name)
 }
 
 // sleep waits for a duration or until the context ends.
--- a/internal/load/answer.go
+++ b/internal/load/answer.go
@@ -41,7 +41,7 @@
 	case err != nil:
 		r.Outcome, r.Detail = Cut, err.Error()
 	case string(text) != want:
-		r.Outcome, r.Detail = Mixed, fmt.Sprintf("%d bytes in place of %d", len(text), len(want))
+		r.Outcome, r.Detail = Mixed, fmt.Sprintf("%d bytes instead of %d", len(text), len(want))
 	default:
 		r.Outcome = Completed
 	}
--- a/internal/load/audit.go
+++ b/internal/load/audit.go
@@ -62,7 +62,7 @@
 		return trace.Wrap(err, "reading %s", address)
 	}
 	if status != fasthttp.StatusOK {
-		return trace.Errorf("%s answered %d", address, status)
+		return trace.Errorf("%s answered with status %d", address, status)
 	}
 	return trace.Wrap(json.Unmarshal(body, target))
 }
--- a/internal/load/kinds.go
+++ b/internal/load/kinds.go
@@ -25,7 +25,7 @@
 func Declarations(directory string) ([]*v1.SourceFile, error) {
 	paths, err := filepath.Glob(filepath.Join(directory, DeclarationsDirectory, "*.hzl"))
 	if err != nil || len(paths) == 0 {
-		return nil, trace.BadParameter("%s/%s holds no declarations (*.hzl)", directory, DeclarationsDirectory)
+		return nil, trace.BadParameter("%s/%s contains no declarations (*.hzl)", directory, DeclarationsDirectory)
 	}
 	var files []*v1.SourceFile
 	for _, path := range paths {
--- a/internal/load/probe.go
+++ b/internal/load/probe.go
@@ -46,7 +46,7 @@
 		}
 	}
 	if chosen < 0 {
-		return Result{}, trace.BadParameter("%s has no chat kind", TrafficFile)
+		return Result{}, trace.BadParameter("%s has no kind of chat request", TrafficFile)
 	}
 	sender, builder := newClient(options.Target), newRequestBuilder(options, traffic, kinds, time.Now())
 	result := sender.send(builder.make(arrival{kind: chosen, index: chosen}), time.Now(), out)
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -87,7 +87,7 @@
 func checkDeclared(traffic Traffic, kinds map[string]Kind) error {
 	for _, request := range traffic.Requests {
 		if _, found := kinds[request.Kind]; !found {
-			return trace.BadParameter("%s names kind %q, which the declarations don't", TrafficFile, request.Kind)
+			return trace.BadParameter("%s names kind %q, which is not declared", TrafficFile, request.Kind)
 		}
 	}
 	return nil
--- a/internal/load/stream.go
+++ b/internal/load/stream.go
@@ -83,7 +83,7 @@
 func (s *streamCheck) checkEvent(data []byte) bool {
 	var read streamEvent
 	if err := json.Unmarshal(data, &read); err != nil {
-		return s.fail(Mixed, "an event isn't JSON: "+err.Error())
+		return s.fail(Mixed, "an event is not valid JSON: "+err.Error())
 	}
 	if read.Error != nil {
 		s.result.Code = read.Error.Code
@@ -112,11 +112,11 @@
 			s.result.FirstByte = time.Since(s.due)
 		}
 		if s.result.Tokens >= s.request.outputTokens {
-			return s.fail(Mixed, "more tokens than asked for")
+			return s.fail(Mixed, "more tokens than requested")
 		}
 		s.expected = answertext.AppendToken(s.expected[:0], s.request.promptHash, s.result.Tokens)
 		if len(text) < len(s.expected) || text[:len(s.expected)] != string(s.expected) {
-			return s.fail(Mixed, fmt.Sprintf("token %d is not this prompt's", s.result.Tokens))
+			return s.fail(Mixed, fmt.Sprintf("token %d does not belong to this prompt", s.result.Tokens))
 		}
 		_, _ = s.echo.Write(s.expected) // a failed write does not affect the check
 		text = text[len(s.expected):]
@@ -130,7 +130,7 @@
 	var err error
 	switch {
 	case s.result.Tokens != s.request.outputTokens:
-		err = fmt.Errorf("ended in good order after %d of %d tokens", s.result.Tokens, s.request.outputTokens)
+		err = fmt.Errorf("ended without an error after %d of %d tokens", s.result.Tokens, s.request.outputTokens)
 	case !s.finished:
 		err = errors.New("no finish reason")
 	case s.usageOutputTokens != s.request.outputTokens || s.usagePromptTokens != s.request.promptTokens:
