--- a/internal/experiment/benchmarks.go
+++ b/internal/experiment/benchmarks.go
@@ -72,12 +72,12 @@
 		w.line("## %s\n", scenarioKey(group[0]))
 		w.line("| policy | seeds | of bound | of offered | changes | missed | refused |")
 		w.line("| --- | --- | --- | --- | --- | --- | --- |")
-		for _, own := range groupRuns(group, func(run *Run) string { return run.Policy }) {
-			w.line("| %s | %d | %s | %s | %s | %s | %s |", own[0].Policy, len(own),
-				formatSpread(withBound(own), shareOfBound, "%.1f%%"), formatSpread(own, shareOfOffered, "%.1f%%"),
-				formatSpread(own, func(run *Run) float64 { return float64(run.RoleChanges) }, "%.0f"),
-				formatSpread(own, func(run *Run) float64 { return float64(run.DeadlineMisses) }, "%.0f"),
-				formatSpread(own, func(run *Run) float64 { return float64(run.Refused) }, "%.0f"))
+		for _, samePolicy := range groupRuns(group, func(run *Run) string { return run.Policy }) {
+			w.line("| %s | %d | %s | %s | %s | %s | %s |", samePolicy[0].Policy, len(samePolicy),
+				formatSpread(withBound(samePolicy), shareOfBound, "%.1f%%"), formatSpread(samePolicy, shareOfOffered, "%.1f%%"),
+				formatSpread(samePolicy, func(run *Run) float64 { return float64(run.RoleChanges) }, "%.0f"),
+				formatSpread(samePolicy, func(run *Run) float64 { return float64(run.DeadlineMisses) }, "%.0f"),
+				formatSpread(samePolicy, func(run *Run) float64 { return float64(run.Refused) }, "%.0f"))
 		}
 		w.line("")
 	}
@@ -91,17 +91,17 @@
 	w.line("| scenario | of bound | 95%% | times static-mean | times previous | changes | clairvoyant's changes | highest policy of bound |")
 	w.line("| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, group := range groupRuns(runs, scenarioKey) {
-		own := policyRuns(group, PolicyPlanner)
-		if len(own) == 0 {
+		planned := policyRuns(group, PolicyPlanner)
+		if len(planned) == 0 {
 			continue
 		}
 		reached := "yes"
-		if median(withBound(own), shareOfBound) < 95 {
+		if median(withBound(planned), shareOfBound) < 95 {
 			reached = "**no**"
 		}
-		w.line("| %s | %s | %s | %s | %s | %s | %s | %s |", scenarioKey(own[0]), formatSpread(withBound(own), shareOfBound, "%.1f%%"), reached,
-			goodputRatio(own, policyRuns(group, PolicyStaticMean)), goodputRatio(own, policyRuns(group, PolicyPrevious)),
-			formatSpread(own, changesMade, "%.0f"), formatSpread(policyRuns(group, PolicyClairvoyant), changesMade, "%.0f"), highestPolicy(group))
+		w.line("| %s | %s | %s | %s | %s | %s | %s | %s |", scenarioKey(planned[0]), formatSpread(withBound(planned), shareOfBound, "%.1f%%"), reached,
+			goodputRatio(planned, policyRuns(group, PolicyStaticMean)), goodputRatio(planned, policyRuns(group, PolicyPrevious)),
+			formatSpread(planned, changesMade, "%.0f"), formatSpread(policyRuns(group, PolicyClairvoyant), changesMade, "%.0f"), highestPolicy(group))
 	}
 	w.line("")
 }
@@ -122,9 +122,9 @@
 // highestPolicy names the policy with the highest median share of the bound.
 func highestPolicy(group []*Run) string {
 	best, share := "", -1.0
-	for _, own := range groupRuns(group, func(run *Run) string { return run.Policy }) {
-		if value := median(withBound(own), shareOfBound); value > share {
-			best, share = own[0].Policy, value
+	for _, samePolicy := range groupRuns(group, func(run *Run) string { return run.Policy }) {
+		if value := median(withBound(samePolicy), shareOfBound); value > share {
+			best, share = samePolicy[0].Policy, value
 		}
 	}
 	return fmt.Sprintf("%s %.1f%%", best, share)
--- a/internal/experiment/clairvoyant.go
+++ b/internal/experiment/clairvoyant.go
@@ -206,10 +206,10 @@
 func neighbours(plan map[string]schedule, services []scenario.Service) []map[string]schedule {
 	var result []map[string]schedule
 	for _, service := range services {
-		own := plan[service.Name]
-		for i := range own {
-			dropped := append(append(schedule{}, own[:i]...), own[i+1:]...)
-			earlier, later := append(schedule{}, own...), append(schedule{}, own...)
+		steps := plan[service.Name]
+		for i := range steps {
+			dropped := append(append(schedule{}, steps[:i]...), steps[i+1:]...)
+			earlier, later := append(schedule{}, steps...), append(schedule{}, steps...)
 			earlier[i].from -= neighbourShift
 			later[i].from += neighbourShift
 			for _, changed := range []schedule{dropped, earlier, later} {
@@ -223,11 +223,11 @@
 // neighbourShift is the time by which the local search moves one step.
 const neighbourShift = 4 * time.Second
 
-func withSchedule(plan map[string]schedule, service string, own schedule) map[string]schedule {
+func withSchedule(plan map[string]schedule, service string, steps schedule) map[string]schedule {
 	result := map[string]schedule{}
 	for name, schedule := range plan {
 		result[name] = schedule
 	}
-	result[service] = own
+	result[service] = steps
 	return result
 }
--- a/internal/gatewayloss/report.go
+++ b/internal/gatewayloss/report.go
@@ -103,23 +103,23 @@
 			}
 		}
 	}
-	for _, sendings := range keys {
-		r.addAttempts(sendings)
+	for _, attempts := range keys {
+		r.addAttempts(attempts)
 	}
 }
 
 // addAttempts counts the outcome of an at-most-once request that lost an answer; its results
 // are in order of their ends.
-func (r *Report) addAttempts(sendings []load.Result) {
+func (r *Report) addAttempts(attempts []load.Result) {
 	lost := false
-	for _, each := range sendings {
+	for _, each := range attempts {
 		lost = lost || each.Outcome == load.Lost || each.Outcome == load.Cut
 	}
 	if !lost {
 		return
 	}
-	r.Resent += len(sendings) - 1
-	switch last := sendings[len(sendings)-1]; {
+	r.Resent += len(attempts) - 1
+	switch last := attempts[len(attempts)-1]; {
 	case last.Outcome == load.Completed:
 		r.Settled++
 	case last.MayHaveRun():
--- a/internal/load/answer.go
+++ b/internal/load/answer.go
@@ -30,12 +30,12 @@
 }
 
 // checkPage compares a page or receipt with the one that belongs to the request.
-func (r *Result) checkPage(of request, body io.Reader, due time.Time) {
+func (r *Result) checkPage(req request, body io.Reader, due time.Time) {
 	text, err := io.ReadAll(body)
 	r.FirstByte = time.Since(due)
-	want := page.Page(of.path)
-	if of.method != fasthttp.MethodGet {
-		want = page.Receipt(of.path, of.key, of.body)
+	want := page.Page(req.path)
+	if req.method != fasthttp.MethodGet {
+		want = page.Receipt(req.path, req.key, req.body)
 	}
 	switch {
 	case err != nil:
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -48,16 +48,16 @@
 
 // send sends one request that was due at a given time and returns its result. The text of a
 // chat's answer is written to show as it arrives.
-func (c *client) send(of request, due time.Time, show io.Writer) (result Result) {
+func (c *client) send(req request, due time.Time, show io.Writer) (result Result) {
 	result = Result{
-		Kind: of.kind, Tenant: of.tenant, Due: of.arrival.at, Prompt: of.promptKey, Key: of.key, Gateway: c.target.addressFor(of),
+		Kind: req.kind, Tenant: req.tenant, Due: req.arrival.at, Prompt: req.promptKey, Key: req.key, Gateway: c.target.addressFor(req),
 	}
 	defer func() { result.Ended = time.Now() }()
 	call, answer := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(call)
 	defer fasthttp.ReleaseResponse(answer)
-	c.fillRequest(call, of)
-	wait := of.deadline
+	c.fillRequest(call, req)
+	wait := req.deadline
 	if wait == 0 {
 		wait = defaultTimeout
 	}
@@ -77,11 +77,11 @@
 	switch {
 	case result.Status >= fasthttp.StatusBadRequest:
 		result.readRefusal(body)
-	case of.chat:
-		result.checkStream(of, body, due, show)
+	case req.chat:
+		result.checkStream(req, body, due, show)
 		result.readFinalVerdict(body, &answer.Header)
 	default:
-		result.checkPage(of, body, due)
+		result.checkPage(req, body, due)
 	}
 	result.Total = time.Since(due)
 	return result
@@ -98,21 +98,21 @@
 	}
 }
 
-func (c *client) fillRequest(call *fasthttp.Request, of request) {
-	call.SetRequestURI("http://" + c.target.addressFor(of) + of.path)
-	call.Header.SetMethod(of.method)
-	call.SetBody(of.body)
-	if len(of.body) > 0 {
+func (c *client) fillRequest(call *fasthttp.Request, req request) {
+	call.SetRequestURI("http://" + c.target.addressFor(req) + req.path)
+	call.Header.SetMethod(req.method)
+	call.SetBody(req.body)
+	if len(req.body) > 0 {
 		call.Header.SetContentType("application/json")
 	}
 	if len(c.target.Keys) > 0 {
-		call.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+c.target.Keys[of.tenant%len(c.target.Keys)])
+		call.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+c.target.Keys[req.tenant%len(c.target.Keys)])
 	}
-	if of.chat {
-		call.Header.Set(headerKind, of.kind)
+	if req.chat {
+		call.Header.Set(headerKind, req.kind)
 	}
-	if of.key != "" {
-		call.Header.Set(enginecontract.HeaderIdempotencyKey, of.key)
+	if req.key != "" {
+		call.Header.Set(enginecontract.HeaderIdempotencyKey, req.key)
 	}
 	if c.target.Direct() {
 		call.Header.Set(enginecontract.HeaderExchange, fmt.Sprintf("%016x%016x", rand.Uint64(), rand.Uint64()))
--- a/internal/load/document_test.go
+++ b/internal/load/document_test.go
@@ -28,7 +28,7 @@
 
 // TestBenchPageListsEveryKey compares the key tables of both files with the code.
 func TestBenchPageListsEveryKey(t *testing.T) {
-	for header, of := range map[string]reflect.Type{
+	for header, keys := range map[string]reflect.Type{
 		fleet.DescriptionFile: reflect.TypeFor[fleet.Description](),
 		TrafficFile:           reflect.TypeFor[Traffic](),
 	} {
@@ -37,7 +37,7 @@
 		for _, row := range keyRow.FindAllStringSubmatch(text, -1) {
 			documented[row[1]] = row[2]
 		}
-		for _, key := range yamlfile.Keys(of) {
+		for _, key := range yamlfile.Keys(keys) {
 			if key.Group {
 				continue
 			}
--- a/internal/load/probe.go
+++ b/internal/load/probe.go
@@ -68,9 +68,9 @@
 }
 
 // sendUntilAccepted resends a request while it is refused as not run, for probeRetryLimit.
-func (c *client) sendUntilAccepted(of request) Result {
+func (c *client) sendUntilAccepted(req request) Result {
 	for began := time.Now(); ; time.Sleep(probeRetryPause) {
-		result := c.send(of, time.Now(), io.Discard)
+		result := c.send(req, time.Now(), io.Discard)
 		refused := result.Outcome == Refused && result.Verdict == verdict.NotRun.String()
 		if !refused || time.Since(began) > probeRetryLimit {
 			return result
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -103,15 +103,15 @@
 		report.addFailure(result)
 		report.Tokens += result.Tokens
 	}
-	for _, of := range byKind {
-		of.computeFigures()
-		report.Sent += of.Sent
-		report.Goodput += of.Goodput
-		report.Offered += of.worth * float64(of.Sent)
-		report.Cut += of.Cut
-		report.Mixed += of.Mixed
-		report.Lost += of.Lost
-		report.Kinds = append(report.Kinds, *of)
+	for _, kind := range byKind {
+		kind.computeFigures()
+		report.Sent += kind.Sent
+		report.Goodput += kind.Goodput
+		report.Offered += kind.worth * float64(kind.Sent)
+		report.Cut += kind.Cut
+		report.Mixed += kind.Mixed
+		report.Lost += kind.Lost
+		report.Kinds = append(report.Kinds, *kind)
 	}
 	sort.Slice(report.Kinds, func(one, other int) bool { return report.Kinds[one].Kind < report.Kinds[other].Kind })
 	return report
@@ -160,8 +160,8 @@
 	k.FirstByte, k.Total = percentiles(k.firstByte), percentiles(k.total)
 }
 
-func percentiles(of *hdrhistogram.Histogram) Percentiles {
-	at := func(quantile float64) float64 { return float64(of.ValueAtQuantile(quantile)) / microsPerMilli }
+func percentiles(histogram *hdrhistogram.Histogram) Percentiles {
+	at := func(quantile float64) float64 { return float64(histogram.ValueAtQuantile(quantile)) / microsPerMilli }
 	return Percentiles{P50: at(50), P95: at(95), P99: at(99)}
 }
 
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -73,10 +73,10 @@
 // runLabel returns a label that differs between runs, even with equal seeds.
 func runLabel(seed uint64, began time.Time) uint64 { return seed ^ uint64(began.UnixNano()) }
 
-func (m *requestBuilder) make(of arrival) request {
-	wanted := m.traffic.Requests[of.kind]
-	source := rand.New(rand.NewPCG(m.seed, uint64(of.index)+1<<32))
-	made := request{arrival: of, kind: wanted.Kind, tenant: source.IntN(max(1, m.tenants)), deadline: m.kinds[wanted.Kind].Deadline}
+func (m *requestBuilder) make(due arrival) request {
+	wanted := m.traffic.Requests[due.kind]
+	source := rand.New(rand.NewPCG(m.seed, uint64(due.index)+1<<32))
+	made := request{arrival: due, kind: wanted.Kind, tenant: source.IntN(max(1, m.tenants)), deadline: m.kinds[wanted.Kind].Deadline}
 	if wanted.Chat != nil {
 		m.buildChat(&made, *wanted.Chat, source)
 	} else {
--- a/internal/load/resend.go
+++ b/internal/load/resend.go
@@ -20,16 +20,16 @@
 
 // sendWithResends sends a request. With insist set, it resends an at-most-once request through
 // the next gateway as long as its caller does not know the outcome.
-func (c *client) sendWithResends(ctx context.Context, of request, due time.Time, insist bool, results chan<- Result) {
+func (c *client) sendWithResends(ctx context.Context, req request, due time.Time, insist bool, results chan<- Result) {
 	for range maxResends {
-		result := c.send(of, due, io.Discard)
+		result := c.send(req, due, io.Discard)
 		results <- result
-		if !insist || of.key == "" || !result.needsResend() {
+		if !insist || req.key == "" || !result.needsResend() {
 			return
 		}
 		// The end of the load does not cancel the resends.
 		pause.For(context.WithoutCancel(ctx), resendPause)
-		of.gatewayOffset++
+		req.gatewayOffset++
 		due = time.Now()
 	}
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -105,7 +105,7 @@
 			close(collected)
 		}()
 		for _, next := range planned.arrivals {
-			built := planned.make(next)
+			req := planned.make(next)
 			due := began.Add(next.at)
 			select {
 			case <-ctx.Done():
@@ -115,14 +115,14 @@
 			select {
 			case slots <- struct{}{}:
 			default:
-				collected <- Result{Kind: built.kind, Tenant: built.tenant, Due: built.arrival.at, Outcome: NotSent}
+				collected <- Result{Kind: req.kind, Tenant: req.tenant, Due: req.arrival.at, Outcome: NotSent}
 				continue
 			}
 			sending.Go(func() {
 				defer func() { <-slots }()
-				sender.sendWithResends(ctx, built, due, options.ResendUntilSettled, collected)
-				if built.resend {
-					sender.sendWithResends(ctx, built, time.Now(), options.ResendUntilSettled, collected)
+				sender.sendWithResends(ctx, req, due, options.ResendUntilSettled, collected)
+				if req.resend {
+					sender.sendWithResends(ctx, req, time.Now(), options.ResendUntilSettled, collected)
 				}
 			})
 		}
--- a/internal/load/scenario_test.go
+++ b/internal/load/scenario_test.go
@@ -83,10 +83,10 @@
 		change func(*scenario.Scenario)
 		want   string
 	}{
-		"kind":    {func(of *scenario.Scenario) { of.Kinds[0].Name = "grading" }, `kind "grading" is not declared`},
-		"worth":   {func(of *scenario.Scenario) { of.Kinds[0].Worth = 3 }, "has worth 3"},
-		"tenants": {func(of *scenario.Scenario) { of.Tenants.Count = 4 }, "4 tenants"},
-		"zone":    {func(of *scenario.Scenario) { of.Zones[0].Name = "amman" }, `no gateway in zone "amman"`},
+		"kind":    {func(changed *scenario.Scenario) { changed.Kinds[0].Name = "grading" }, `kind "grading" is not declared`},
+		"worth":   {func(changed *scenario.Scenario) { changed.Kinds[0].Worth = 3 }, "has worth 3"},
+		"tenants": {func(changed *scenario.Scenario) { changed.Tenants.Count = 4 }, "4 tenants"},
+		"zone":    {func(changed *scenario.Scenario) { changed.Zones[0].Name = "amman" }, `no gateway in zone "amman"`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			of, err := scenario.Load(processScenario)
--- a/internal/load/stream.go
+++ b/internal/load/stream.go
@@ -43,14 +43,14 @@
 
 // checkStream reads an event stream to its end and compares it with the expected answer:
 // every token in order, the finish reason, the usage and the end marker.
-func (r *Result) checkStream(of request, body io.Reader, due time.Time, show io.Writer) {
+func (r *Result) checkStream(req request, body io.Reader, due time.Time, show io.Writer) {
 	reader := bufio.NewReaderSize(body, streamBuffer)
-	check := streamCheck{request: of, result: r, due: due, echo: show}
+	check := streamCheck{request: req, result: r, due: due, echo: show}
 	for {
 		line, err := reader.ReadSlice('\n')
 		if err != nil {
 			r.Outcome = Cut
-			r.Detail = fmt.Sprintf("ended after %d of %d tokens: %v", r.Tokens, of.outputTokens, err)
+			r.Detail = fmt.Sprintf("ended after %d of %d tokens: %v", r.Tokens, req.outputTokens, err)
 			return
 		}
 		data, found := bytes.CutPrefix(bytes.TrimSpace(line), dataPrefix)
--- a/internal/load/target.go
+++ b/internal/load/target.go
@@ -20,17 +20,17 @@
 func (t Target) Direct() bool { return len(t.Gateways) == 0 }
 
 // addressFor returns the address of the back end or gateway that a request is sent to.
-func (t Target) addressFor(of request) string {
+func (t Target) addressFor(req request) string {
 	var list []string
 	switch {
 	case !t.Direct():
-		list = t.gatewaysIn(of.zone)
-	case of.chat:
+		list = t.gatewaysIn(req.zone)
+	case req.chat:
 		list = t.Engines
 	default:
 		list = t.Pages
 	}
-	return list[(of.arrival.index+of.gatewayOffset)%len(list)]
+	return list[(req.arrival.index+req.gatewayOffset)%len(list)]
 }
 
 // gatewaysIn returns the gateways of a zone; all of them for the empty zone.
--- a/internal/report/chart.go
+++ b/internal/report/chart.go
@@ -157,7 +157,7 @@
 const (
 	layoutSideBySide barLayout = iota
 	layoutStacked
-	// layoutReference is side by side, with a line at referenceValue.
+	// layoutReference is side by side, with a line at 100 (referenceValue) for comparison.
 	layoutReference
 )
 
--- a/internal/report/csv.go
+++ b/internal/report/csv.go
@@ -41,8 +41,8 @@
 	for _, count := range []int{run.RoleChanges, run.RoleChangesOrdered, run.Requests, run.Completed, run.DeadlineMisses, run.Refused, run.Cut} {
 		row = append(row, strconv.Itoa(count))
 	}
-	for _, of := range []experiment.Percentiles{run.Latencies.FirstToken, run.Latencies.BetweenTokens, run.Latencies.Whole} {
-		row = append(row, decimal(of.P50), decimal(of.P90), decimal(of.P99))
+	for _, latencies := range []experiment.Percentiles{run.Latencies.FirstToken, run.Latencies.BetweenTokens, run.Latencies.Whole} {
+		row = append(row, decimal(latencies.P50), decimal(latencies.P90), decimal(latencies.P99))
 	}
 	return row
 }
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -78,10 +78,10 @@
 	return built.String()
 }
 
-func page(t *testing.T, of []experiment.Run) *html.Node {
+func page(t *testing.T, shown []experiment.Run) *html.Node {
 	t.Helper()
 	var out bytes.Buffer
-	require.NoError(t, report.Summarize(of).WriteHTML(&out))
+	require.NoError(t, report.Summarize(shown).WriteHTML(&out))
 	root, err := html.Parse(&out)
 	require.NoError(t, err)
 	return root
--- a/internal/scenario/bench_test.go
+++ b/internal/scenario/bench_test.go
@@ -48,9 +48,9 @@
 
 func TestScenarioSetsAreComplete(t *testing.T) {
 	common := []string{"calm", "step", "slow-ramp", "square-wave", "flash-burst", "engine-loss-during-shift", "stale-reports", "two-models"}
-	for deployment, own := range map[string]string{"empleandes": "hiring-waves", "rawabi": "live-bidding"} {
+	for deployment, specific := range map[string]string{"empleandes": "hiring-waves", "rawabi": "live-bidding"} {
 		present := benchScenarios(t, deployment)
-		for _, name := range append(common, own) {
+		for _, name := range append(common, specific) {
 			require.Contains(t, present, name, deployment)
 		}
 	}
--- a/internal/scenario/check_service.go
+++ b/internal/scenario/check_service.go
@@ -63,9 +63,9 @@
 	}
 }
 
-func sortedKeys[T any](of map[string]T) []string {
-	keys := make([]string, 0, len(of))
-	for key := range of {
+func sortedKeys[T any](items map[string]T) []string {
+	keys := make([]string, 0, len(items))
+	for key := range items {
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
--- a/internal/scenario/generate_test.go
+++ b/internal/scenario/generate_test.go
@@ -74,8 +74,8 @@
 			}
 		}
 		mean := float64(count) / float64(len(counts))
-		for _, of := range counts {
-			squared += (of - mean) * (of - mean) / float64(len(counts)) / mean
+		for _, perSecond := range counts {
+			squared += (perSecond - mean) * (perSecond - mean) / float64(len(counts)) / mean
 		}
 		return count, squared
 	}
--- a/internal/scenario/trace.go
+++ b/internal/scenario/trace.go
@@ -45,13 +45,13 @@
 }
 
 // readTrace reads the arrivals of a CSV file for a scenario.
-func readTrace(path string, of Scenario) ([]Arrival, error) {
+func readTrace(path string, declared Scenario) ([]Arrival, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, trace.BadParameter("cannot read the trace: %v; give trace.file relative to the scenario's directory", err)
 	}
 	defer func() { _ = file.Close() }() // an error on close of a file that was only read is harmless
-	reader := &traceReader{path: path, scenario: of, rows: csv.NewReader(file)}
+	reader := &traceReader{path: path, scenario: declared, rows: csv.NewReader(file)}
 	arrivals, err := reader.read()
 	if err != nil {
 		return nil, trace.BadParameter("%s: not valid CSV: %v", path, err)
--- a/internal/standin/engine/events.go
+++ b/internal/standin/engine/events.go
@@ -17,17 +17,17 @@
 	promptTokens int
 }
 
-func newEventWriter(of *exchange, first bool) *eventWriter {
+func newEventWriter(described *exchange, first bool) *eventWriter {
 	object := "chat.completion.chunk"
-	if of.endpoint == endpointCompletions {
+	if described.endpoint == endpointCompletions {
 		object = "text_completion"
 	}
-	head := []byte(`data: {"id":"cmpl-` + of.id + `","object":"` + object + `","created":`)
+	head := []byte(`data: {"id":"cmpl-` + described.id + `","object":"` + object + `","created":`)
 	head = strconv.AppendInt(head, time.Now().Unix(), 10)
 	head = append(head, `,"model":`...)
-	head = strconv.AppendQuote(head, of.model)
-	head = append(head, `,"exchange":"`+of.id+`","offset":`...)
-	return &eventWriter{head: head, chat: of.endpoint == endpointChat, prompt: of.prompt, first: first, promptTokens: of.promptTokens}
+	head = strconv.AppendQuote(head, described.model)
+	head = append(head, `,"exchange":"`+described.id+`","offset":`...)
+	return &eventWriter{head: head, chat: described.endpoint == endpointChat, prompt: described.prompt, first: first, promptTokens: described.promptTokens}
 }
 
 // token appends the event of the token at index, from 0.
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -31,14 +31,14 @@
 }
 
 // exportKV stores the KV cache of a prefilled prompt under a new handle. The caller holds the mutex.
-func (p *process) exportKV(of *exchange) enginecontract.PrefillAnswer {
+func (p *process) exportKV(prefilled *exchange) enginecontract.PrefillAnswer {
 	name := make([]byte, 16)
 	_, _ = rand.Read(name) // it never fails
 	handle := hex.EncodeToString(name)
-	bytes := int64(of.promptTokens) * p.engine.config.Profile.KVBytesPerToken
+	bytes := int64(prefilled.promptTokens) * p.engine.config.Profile.KVBytesPerToken
 	kept := &kvHandle{
-		salt:    of.salt,
-		cache:   kvCache{Prompt: PromptKey(of.prompt), PromptTokens: of.promptTokens, Bytes: bytes},
+		salt:    prefilled.salt,
+		cache:   kvCache{Prompt: PromptKey(prefilled.prompt), PromptTokens: prefilled.promptTokens, Bytes: bytes},
 		expires: p.now() + KVHandleLifetime,
 	}
 	if _, strikes := p.strikeFault(fault.ForeignHandle); strikes {
@@ -48,7 +48,7 @@
 		p.handles[handle] = kept
 	}
 	return enginecontract.PrefillAnswer{
-		Exchange: of.id, KVHandle: handle, KVBytes: bytes, PromptTokens: of.promptTokens, CachedTokens: of.cachedTokens,
+		Exchange: prefilled.id, KVHandle: handle, KVBytes: bytes, PromptTokens: prefilled.promptTokens, CachedTokens: prefilled.cachedTokens,
 	}
 }
 
