--- a/internal/benchcommand/serve.go
+++ b/internal/benchcommand/serve.go
@@ -34,10 +34,10 @@
 	}
 	topology := fleet.NewTopology(description)
 	go func() {
-		_ = fleet.ObeyCuts(os.Stdin, topology.Gate()) // returns when the fleet closes standard input
+		_ = fleet.ApplyCutCommands(os.Stdin, topology.Gate()) // returns when the fleet closes standard input
 		os.Exit(ExitFailed)
 	}()
-	defer topology.Flush()
+	defer topology.WaitUnsent()
 	return servercommand.Run(ctx, arguments[1:], servercommand.Environment{
 		Program: environment.Program + " " + serveSubcommand,
 		Stdout:  environment.Stdout,
--- a/internal/fleet/description_test.go
+++ b/internal/fleet/description_test.go
@@ -15,8 +15,8 @@
 
 const deployments = "../../deploy"
 
-// TestDeploymentsHaveTheSizesOfTheBrief holds both deployments to the users' page.
-func TestDeploymentsHaveTheSizesOfTheBrief(t *testing.T) {
+// TestDeploymentSizes checks the zones, latencies and replica counts of both deployments.
+func TestDeploymentSizes(t *testing.T) {
 	tests := []struct {
 		name                          string
 		zones                         []string
@@ -75,7 +75,7 @@
 func TestTopologyOfRawabi(t *testing.T) {
 	description, err := LoadDescription(filepath.Join(deployments, "rawabi"))
 	require.NoError(t, err)
-	topology := NewTopology(description.On("127.9"))
+	topology := NewTopology(description.OnNetwork("127.9"))
 	for _, test := range []struct {
 		one, other string
 		want       time.Duration
@@ -85,11 +85,11 @@
 		{"127.9.100.1", "127.9.3.10", 3 * time.Millisecond},
 		{"127.0.0.1", "127.9.3.10", 0},
 	} {
-		require.Equal(t, test.want, topology.Between(netip.MustParseAddr(test.one), netip.MustParseAddr(test.other)))
+		require.Equal(t, test.want, topology.LatencyBetween(netip.MustParseAddr(test.one), netip.MustParseAddr(test.other)))
 	}
 }
 
-func TestBadDescriptions(t *testing.T) {
+func TestInvalidDescriptions(t *testing.T) {
 	_, err := LoadDescription(t.TempDir())
 	require.ErrorContains(t, err, "--deployment")
 	text, err := os.ReadFile(filepath.Join(deployments, "rawabi", DescriptionFile))
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet boots a whole deployment on loopback addresses: the outside systems
-// as stand-ins in this process, controllers and gateways as real processes of their
-// own, with the latencies between zones injected by address.
+// Package fleet starts a complete deployment on loopback addresses: the external systems
+// as stand-ins in this process, and controllers and gateways as separate processes, with
+// the latencies between zones injected by address.
 package fleet
 
 import (
@@ -18,39 +18,39 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// readyPoll is the time between looks at whether a process is ready.
-const readyPoll = 50 * time.Millisecond
+// readyPollInterval is the time between two checks whether a process is ready.
+const readyPollInterval = 50 * time.Millisecond
 
-// Options are what a fleet is started with.
+// Options configure a fleet.
 type Options struct {
 	// Deployment is the directory with fleet.yaml, settings and declarations.
 	Deployment string
-	// Directory holds the run's settings, data and logs. It must exist.
+	// Directory receives the run's settings, data and logs. It must exist.
 	Directory string
-	// Network is the first two numbers of the addresses; empty takes a free network.
+	// Network is the first two numbers of all addresses; empty selects a free network.
 	Network string
-	// Profile of the stand-in engines; the zero value is the default profile.
+	// Profile of the stand-in engines; the zero value selects the default profile.
 	Profile enginemodel.Profile
-	// Scenario, when not nil, sets engines, their roles, latencies and lags in place of
-	// the deployment's description.
+	// Scenario, when not nil, overrides the engines, roles, latencies and lags of the
+	// deployment's description.
 	Scenario *scenario.Scenario
-	// Serve makes the arguments for this program to run a server. Required.
+	// Serve returns the arguments with which this program runs a server. Required.
 	Serve ServeArguments
 }
 
 // Fleet is a running deployment.
 type Fleet struct {
 	Description Description
-	Outside     *Outside
+	StandIns    *StandIns
 	Processes   []*Process
 	Directory   string
 	Deployment  string
-	reserved    *reservation
-	cuts        *cuts
+	reservation *networkReservation
+	cuts        *networkCuts
 }
 
-// Start boots a deployment: stand-ins first, then controllers, then gateways. It
-// returns once the processes run; see WaitReady.
+// Start starts a deployment: stand-ins, then controllers, then gateways. It returns once
+// the processes run; WaitReady waits until they can serve.
 func Start(options Options) (*Fleet, error) {
 	description, err := LoadDescription(options.Deployment)
 	if err != nil {
@@ -61,18 +61,18 @@
 			return nil, trace.Wrap(err)
 		}
 	}
-	var reserved *reservation
+	var reserved *networkReservation
 	if options.Network == "" {
-		reserved, err = reserveAny()
+		reserved, err = reserveFreeNetwork()
 	} else {
-		reserved, err = reserve(options.Network)
+		reserved, err = reserveNetwork(options.Network)
 	}
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	fleet := &Fleet{
-		Description: description.On(reserved.network), Directory: options.Directory,
-		Deployment: options.Deployment, reserved: reserved,
+		Description: description.OnNetwork(reserved.network), Directory: options.Directory,
+		Deployment: options.Deployment, reservation: reserved,
 	}
 	if err := fleet.start(options, description); err != nil {
 		fleet.Close()
@@ -87,18 +87,18 @@
 		return trace.ConvertSystemError(err)
 	}
 	options.Directory = directory
-	processes, err := prepare(options, written.Network, f.Description)
+	processes, err := prepareRun(options, written.Network, f.Description)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	if options.Profile.Name == "" {
 		options.Profile = enginemodel.DefaultProfile()
 	}
-	f.Outside, err = StartOutside(f.Description, options.Profile)
+	f.StandIns, err = StartStandIns(f.Description, options.Profile)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	f.cuts = &cuts{gate: f.Outside.topology.Gate()}
+	f.cuts = &networkCuts{gate: f.StandIns.topology.Gate()}
 	f.Processes = processes
 	for _, process := range processes {
 		if process.Role == RoleController {
@@ -113,18 +113,18 @@
 	return nil
 }
 
-// WaitReady waits until the processes of a role say that they can serve.
+// WaitReady waits until all processes of a role report that they can serve.
 func (f *Fleet) WaitReady(ctx context.Context, role Role) error {
 	group, ctx := errgroup.WithContext(ctx)
-	for _, process := range f.Of(role) {
+	for _, process := range f.ProcessesOf(role) {
 		group.Go(func() error { return process.WaitReady(ctx) })
 	}
 	return trace.Wrap(group.Wait())
 }
 
-// WaitReady waits until the process says that it can serve.
+// WaitReady waits until the process reports that it can serve.
 func (p *Process) WaitReady(ctx context.Context) error {
-	ticker := time.NewTicker(readyPoll)
+	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
 	for {
 		status, body, err := fasthttp.Get(nil, "http://"+p.AdminListen+metrics.PathReady)
@@ -132,7 +132,7 @@
 			return nil
 		}
 		if !p.Running() {
-			return trace.Errorf("%s has ended; its log is %s", p.Name, p.LogPath)
+			return trace.Errorf("%s exited before it was ready; its log is %s", p.Name, p.LogPath)
 		}
 		select {
 		case <-ctx.Done():
@@ -142,8 +142,8 @@
 	}
 }
 
-// Of returns the processes of a role.
-func (f *Fleet) Of(role Role) []*Process {
+// ProcessesOf returns the processes of a role.
+func (f *Fleet) ProcessesOf(role Role) []*Process {
 	var found []*Process
 	for _, process := range f.Processes {
 		if process.Role == role {
@@ -153,29 +153,29 @@
 	return found
 }
 
-// Addresses returns where the processes of a role listen.
+// Addresses returns the IP:ports on which the processes of a role listen.
 func (f *Fleet) Addresses(role Role) []string {
 	var addresses []string
-	for _, process := range f.Of(role) {
+	for _, process := range f.ProcessesOf(role) {
 		addresses = append(addresses, process.Listen)
 	}
 	return addresses
 }
 
-// Close stops everything: gateways, then controllers, then the stand-ins.
+// Close stops the gateways, then the controllers, then the stand-ins.
 func (f *Fleet) Close() {
 	for _, role := range []Role{RoleGateway, RoleController} {
 		var group errgroup.Group
-		for _, process := range f.Of(role) {
+		for _, process := range f.ProcessesOf(role) {
 			group.Go(func() error {
 				process.Stop()
 				return nil
 			})
 		}
-		_ = group.Wait() // none of them fails
+		_ = group.Wait() // the functions return no error
 	}
-	if f.Outside != nil {
-		f.Outside.Close()
+	if f.StandIns != nil {
+		f.StandIns.Close()
 	}
-	f.reserved.release()
+	f.reservation.release()
 }
--- a/internal/fleet/outside.go
+++ b/internal/fleet/stand_ins.go
@@ -13,8 +13,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/weightstore"
 )
 
-// Outside is the stand-ins of a fleet, all in this process.
-type Outside struct {
+// StandIns are the stand-ins for external systems of a fleet. They all run in this process.
+type StandIns struct {
 	Engines     []*engine.Engine
 	Pages       []*page.Service
 	Machines    *machinelist.Server
@@ -23,17 +23,17 @@
 	topology Topology
 }
 
-// StartOutside starts the stand-ins of a description.
-func StartOutside(description Description, profile enginemodel.Profile) (*Outside, error) {
-	outside := &Outside{topology: NewTopology(description)}
-	if err := outside.start(description, profile); err != nil {
-		outside.Close()
+// StartStandIns starts the stand-ins of a description.
+func StartStandIns(description Description, profile enginemodel.Profile) (*StandIns, error) {
+	standIns := &StandIns{topology: NewTopology(description)}
+	if err := standIns.start(description, profile); err != nil {
+		standIns.Close()
 		return nil, trace.Wrap(err)
 	}
-	return outside, nil
+	return standIns, nil
 }
 
-func (o *Outside) start(description Description, profile enginemodel.Profile) error {
+func (o *StandIns) start(description Description, profile enginemodel.Profile) error {
 	topology := o.topology
 	var err error
 	o.WeightStore, err = weightstore.Start(weightstore.Config{
@@ -59,7 +59,7 @@
 	return trace.Wrap(err)
 }
 
-func (o *Outside) startReplica(description Description, replica Replica, profile enginemodel.Profile) error {
+func (o *StandIns) startReplica(description Description, replica Replica, profile enginemodel.Profile) error {
 	listen := o.topology.Listen
 	service := replica.Service
 	if replica.Type == TypePage {
@@ -73,13 +73,13 @@
 		o.Pages = append(o.Pages, started)
 		return nil
 	}
-	own := profile.Faster(service.Speed)
+	engineProfile := profile.Faster(service.Speed)
 	if service.RoleChange > 0 {
-		own.RoleChange = service.RoleChange
+		engineProfile.RoleChange = service.RoleChange
 	}
 	started, err := engine.Start(engine.Config{
 		Name: replica.Name, Service: service.Name, Zone: replica.Zone, Address: replica.Address,
-		Role: replica.Role, Model: service.Model, Version: service.Version, Profile: own,
+		Role: replica.Role, Model: service.Model, Version: service.Version, Profile: engineProfile,
 		WeightStore: description.WeightStore.Address, LoadLag: service.LoadLag, Faults: service.Faults, Listen: listen,
 	})
 	if err != nil {
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// Engine returns the engine of a name, or nil.
-func (o *Outside) Engine(name string) *engine.Engine {
+// Engine returns the engine with a name, or nil.
+func (o *StandIns) Engine(name string) *engine.Engine {
 	index := slices.IndexFunc(o.Engines, func(present *engine.Engine) bool { return present.Name() == name })
 	if index < 0 {
 		return nil
@@ -98,8 +98,8 @@
 	return o.Engines[index]
 }
 
-// Totals sums up what all engines ran.
-func (o *Outside) Totals() engine.Totals {
+// Totals returns the sum of all engines' counts.
+func (o *StandIns) Totals() engine.Totals {
 	var sum engine.Totals
 	for _, present := range o.Engines {
 		sum = sum.Plus(present.Runs().Totals)
@@ -107,8 +107,8 @@
 	return sum
 }
 
-// Close stops all stand-ins, in parallel.
-func (o *Outside) Close() {
+// Close stops all stand-ins in parallel and waits for them.
+func (o *StandIns) Close() {
 	stops := []func(){}
 	for _, present := range o.Engines {
 		stops = append(stops, present.Close)
--- a/internal/load/answer.go
+++ b/internal/load/answer.go
@@ -11,8 +11,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/page"
 )
 
-// refused reads the code of an error's body.
-func (r *Result) refused(body io.Reader) {
+// readRefusal records the code and message of an error body.
+func (r *Result) readRefusal(body io.Reader) {
 	r.Outcome = Refused
 	text, err := io.ReadAll(body)
 	if err != nil {
@@ -29,19 +29,19 @@
 	}
 }
 
-// checkPage compares a page or receipt with what its request makes it.
-func (r *Result) checkPage(of request, body io.Reader, due time.Time) {
+// checkPage compares a page or receipt with the one that belongs to the request.
+func (r *Result) checkPage(req request, body io.Reader, due time.Time) {
 	text, err := io.ReadAll(body)
 	r.FirstByte = time.Since(due)
-	want := page.Page(of.path)
-	if of.method != fasthttp.MethodGet {
-		want = page.Receipt(of.path, of.key, of.body)
+	want := page.Page(req.path)
+	if req.method != fasthttp.MethodGet {
+		want = page.Receipt(req.path, req.key, req.body)
 	}
 	switch {
 	case err != nil:
 		r.Outcome, r.Detail = Cut, err.Error()
 	case string(text) != want:
-		r.Outcome, r.Detail = Mixed, fmt.Sprintf("%d bytes in place of %d", len(text), len(want))
+		r.Outcome, r.Detail = Mixed, fmt.Sprintf("%d bytes instead of %d", len(text), len(want))
 	default:
 		r.Outcome = Completed
 	}
--- a/internal/processrun/faults.go
+++ b/internal/processrun/faults.go
@@ -24,7 +24,7 @@
 }
 
 // scheduleFaults starts the scenario's faults at their times, until the context ends. It does not block.
-func scheduleFaults(ctx context.Context, outside *fleet.Outside, definition scenario.Scenario, start time.Time) {
+func scheduleFaults(ctx context.Context, outside *fleet.StandIns, definition scenario.Scenario, start time.Time) {
 	for _, fault := range definition.Faults {
 		go func() {
 			if !sleepUntil(ctx, start.Add(fault.At)) {
@@ -35,8 +35,8 @@
 	}
 }
 
-func injectFault(ctx context.Context, outside *fleet.Outside, definition scenario.Scenario, fault scenario.Fault) {
-	for _, declared := range fault.Strikes(definition.Engines()) {
+func injectFault(ctx context.Context, outside *fleet.StandIns, definition scenario.Scenario, fault scenario.Fault) {
+	for _, declared := range fault.Targets(definition.Engines()) {
 		target := outside.Engine(declared.Name)
 		if target == nil {
 			continue
--- a/internal/processrun/run.go
+++ b/internal/processrun/run.go
@@ -34,14 +34,14 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	start := time.Now()
-	engineWatcher := newWatcher(options.Fleet.Outside.Engines, options.Scenario, start)
+	engineWatcher := newWatcher(options.Fleet.StandIns.Engines, options.Scenario, start)
 	watchContext, stopWatching := context.WithCancel(ctx)
 	watcherDone := make(chan struct{})
 	go func() {
 		defer close(watcherDone)
 		engineWatcher.run(watchContext)
 	}()
-	scheduleFaults(ctx, options.Fleet.Outside, options.Scenario, start)
+	scheduleFaults(ctx, options.Fleet.StandIns, options.Scenario, start)
 	report, results, err := load.RunScenario(ctx, options.Load, options.Scenario)
 	stopWatching()
 	<-watcherDone
--- a/internal/property/faults.go
+++ b/internal/property/faults.go
@@ -75,7 +75,7 @@
 
 // addFaultCounts adds the counts of the faults that a stand-in has shown.
 func addFaultCounts(struck map[string]int, prefix string, shown *fault.Set) {
-	for kind, count := range shown.Struck() {
+	for kind, count := range shown.StrikeCounts() {
 		struck[prefix+string(kind)] += count
 	}
 }
@@ -161,7 +161,7 @@
 	if f.options.OnlyFault != "" {
 		kinds = []fault.Kind{f.options.OnlyFault}
 	}
-	left := set.Left()
+	left := set.Remaining()
 	set.Replace(append(left, fault.Fault{
 		Kind: kinds[f.random.IntN(len(kinds))], Count: 1 + f.random.IntN(maximumFaultCount),
 		Tokens: f.random.IntN(maximumFaultTokens), DelayMs: f.random.Int64N(maximumFaultDelay.Milliseconds()),
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -43,7 +43,7 @@
 		Safeguards: e.world.safeguards,
 	}, e.durable)
 	if e.isLeaving {
-		e.machine.Leave()
+		e.machine.StartLeaving()
 	}
 	e.saveAndSchedule()
 	e.world.trace.add(e.world.now, e.name, "starts, incarnation %d", e.incarnation)
@@ -71,7 +71,7 @@
 // receiveOrder passes an order to the state machine and returns its response.
 func (e *engine) receiveOrder(order enginecontract.Order) enginecontract.OrderAnswer {
 	before := e.machine.State(e.inFlight)
-	answer := e.machine.Order(e.world.now, order, e.inFlight)
+	answer := e.machine.Submit(e.world.now, order, e.inFlight)
 	e.world.trace.add(e.world.now, e.name, "gets %s %v role %s: accepted %t %s, phase %s",
 		order.Action, order.Fence, order.Role, answer.Accepted, answer.Refusal, answer.State.OrderPhase)
 	e.world.checks.checkOrderAnswered(e, order, before, answer)
@@ -81,7 +81,7 @@
 
 // receiveFence raises the engine's fence.
 func (e *engine) receiveFence(fence enginecontract.Fence) enginecontract.OrderAnswer {
-	answer := e.machine.Fence(e.world.now, fence, e.inFlight)
+	answer := e.machine.RaiseFence(e.world.now, fence, e.inFlight)
 	e.world.trace.add(e.world.now, e.name, "fence %v: accepted %t", fence, answer.Accepted)
 	e.world.checks.recordFence(e, fence, answer)
 	e.saveAndSchedule()
@@ -128,7 +128,7 @@
 func (e *engine) leave() {
 	e.isLeaving = true
 	e.leftAt = e.world.now
-	e.machine.Leave()
+	e.machine.StartLeaving()
 	e.saveAndSchedule()
 	e.world.trace.add(e.world.now, e.name, "is leaving")
 }
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -36,7 +36,7 @@
 
 // sendSignals sends signals to a process that was asked to stop, for as long as it runs.
 func (f *faults) sendSignals(process *fleet.Process) {
-	for _, next := range f.drawSeries(process.Terminate, process.Reload, process.Dump) {
+	for _, next := range f.drawSeries(process.Terminate, process.Reload, process.DumpLogs) {
 		if !process.Running() {
 			return
 		}
@@ -48,7 +48,7 @@
 // sendReloads signals a process that its settings have changed, followed by further reload and log dump signals.
 func (f *faults) sendReloads(process *fleet.Process) {
 	process.Reload()
-	for _, next := range f.drawSeries(process.Reload, process.Dump) {
+	for _, next := range f.drawSeries(process.Reload, process.DumpLogs) {
 		next.send()
 		time.Sleep(next.after)
 	}
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -199,11 +199,11 @@
 	arguments := s.servers[process.Name]
 	switch {
 	case other:
-		process.Replace(s.options.OtherProgram, arguments)
+		process.ReplaceProgram(s.options.OtherProgram, arguments)
 	case s.options.Program == "":
-		process.Replace("", append([]string{s.options.Serve}, arguments...))
+		process.ReplaceProgram("", append([]string{s.options.Serve}, arguments...))
 	default:
-		process.Replace(s.options.Program, arguments)
+		process.ReplaceProgram(s.options.Program, arguments)
 	}
 }
 
