--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -9,7 +9,7 @@
 const (
 	defaultQueueLength     = 1024
 	defaultQueueBytes      = 64 << 20
-	defaultInFlight        = 4096
+	defaultMaximumInFlight = 4096
 	defaultOutputWeight    = 8
 	defaultWaitTarget      = time.Second
 	defaultInitialWindow   = 64 * 4000
@@ -23,8 +23,8 @@
 	// QueueLength and QueueBytes limit the waiting requests; defaults 1024 and 64 MiB.
 	QueueLength int
 	QueueBytes  int64
-	// MaxInFlight limits the requests in flight; default 4096.
-	MaxInFlight int
+	// MaximumInFlight limits the requests in flight; default 4096.
+	MaximumInFlight int
 	// OutputWeight is the cost of one output token, in prompt tokens; default 8.
 	OutputWeight float64
 	// WaitTarget is the queueing time at back ends above which the window shrinks; default 1 s.
@@ -44,15 +44,15 @@
 }
 
 func (c *Config) checkAndSetDefaults() error {
-	if c.QueueLength < 0 || c.QueueBytes < 0 || c.MaxInFlight < 0 {
-		return trace.BadParameter("admission: QueueLength, QueueBytes and MaxInFlight must not be negative")
+	if c.QueueLength < 0 || c.QueueBytes < 0 || c.MaximumInFlight < 0 {
+		return trace.BadParameter("admission: QueueLength, QueueBytes and MaximumInFlight must not be negative")
 	}
 	if c.WorthBound != 0 && c.WorthBound < 1 {
 		return trace.BadParameter("admission: WorthBound is %v; it must be at least 1", c.WorthBound)
 	}
 	setDefault(&c.QueueLength, defaultQueueLength)
 	setDefault(&c.QueueBytes, defaultQueueBytes)
-	setDefault(&c.MaxInFlight, defaultInFlight)
+	setDefault(&c.MaximumInFlight, defaultMaximumInFlight)
 	setDefault(&c.OutputWeight, defaultOutputWeight)
 	setDefault(&c.WaitTarget, defaultWaitTarget)
 	setDefault(&c.InitialWindow, defaultInitialWindow)
--- a/internal/admission/core.go
+++ b/internal/admission/core.go
@@ -58,8 +58,8 @@
 }
 
 func latestStartOrder(a, b *entry) bool {
-	if a.startDeadline != b.startDeadline {
-		return a.startDeadline < b.startDeadline
+	if a.latestStartAt != b.latestStartAt {
+		return a.latestStartAt < b.latestStartAt
 	}
 	return a.sequence < b.sequence
 }
@@ -89,7 +89,7 @@
 // are refused; DrainRefusals returns them.
 func (c *Core) StartNext(now time.Duration) (Request, bool) {
 	next, found := c.nextInTime(now)
-	if !found || c.window.requestsInFlight >= c.config.MaxInFlight || !c.window.admits(next.cost) {
+	if !found || c.window.requestsInFlight >= c.config.MaximumInFlight || !c.window.admits(next.cost) {
 		return Request{}, false
 	}
 	queue := next.queue
--- a/internal/admission/core_test.go
+++ b/internal/admission/core_test.go
@@ -20,7 +20,7 @@
 }
 
 // oneAtATime limits the core to one request in flight.
-func oneAtATime(c *Config) { c.MaxInFlight = 1 }
+func oneAtATime(c *Config) { c.MaximumInFlight = 1 }
 
 func queueLength(length int) func(*Config) { return func(c *Config) { c.QueueLength = length } }
 
@@ -182,7 +182,7 @@
 func TestQueueAndInFlightStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length, bytes, inFlight = 10, 100, 3
-		core := newTestCore(t, func(c *Config) { c.QueueLength, c.QueueBytes, c.MaxInFlight = length, bytes, inFlight })
+		core := newTestCore(t, func(c *Config) { c.QueueLength, c.QueueBytes, c.MaximumInFlight = length, bytes, inFlight })
 		open := map[uint64]bool{}
 		var started []uint64
 		end := func(refused []Refusal) {
--- a/internal/admission/deadline.go
+++ b/internal/admission/deadline.go
@@ -15,7 +15,7 @@
 	refusals := c.DrainRefusals()
 	for {
 		first, found := c.byLatestStart.Min()
-		if !found || first.startDeadline >= now {
+		if !found || first.latestStartAt >= now {
 			break
 		}
 		refusals = append(refusals, c.refuse(first, ErrDeadline, minimumRetryAfter))
@@ -54,7 +54,7 @@
 // deadline, with slack applied; 0 or less when e is in time. ahead is the cost of the tenant's
 // requests that are served before e.
 func (c *Core) lateness(now time.Duration, e *entry, ahead float64) time.Duration {
-	if e.startDeadline == noDeadline {
+	if e.latestStartAt == noDeadline {
 		return 0
 	}
 	start := e.Deadline - c.latencies.serviceTime(now, &e.Request, c.prefill.wait(e.Priority))
--- a/internal/admission/entry.go
+++ b/internal/admission/entry.go
@@ -14,7 +14,7 @@
 	// worthClass is the rounded binary logarithm of worth per cost. Requests whose worth
 	// per token differs by less than a factor of about 2 are in the same class.
 	worthClass    int
-	startDeadline time.Duration // latest start
+	latestStartAt time.Duration // latest time at which the request may start
 	sequence      uint64        // order of arrival
 	startedAt     time.Duration // set when the request starts
 	// firstToken is the time from the start to the first token; 0 until it arrives.
@@ -34,7 +34,7 @@
 		queue:         queue,
 		cost:          cost,
 		worthClass:    worthClass(request.Worth, cost),
-		startDeadline: request.latestStart(),
+		latestStartAt: request.latestStart(),
 		sequence:      c.sequence,
 	}
 }
@@ -56,8 +56,8 @@
 	if e.worthClass != other.worthClass {
 		return e.worthClass > other.worthClass
 	}
-	if e.startDeadline != other.startDeadline {
-		return e.startDeadline < other.startDeadline
+	if e.latestStartAt != other.latestStartAt {
+		return e.latestStartAt < other.latestStartAt
 	}
 	return e.sequence < other.sequence
 }
--- a/internal/admission/estimator.go
+++ b/internal/admission/estimator.go
@@ -7,8 +7,8 @@
 
 const (
 	defaultBytesPerToken = 4.0
-	// priorSamples is the number of samples with which a prior counts against the measured
-	// mean: first the declared tokens, then the means of the kind.
+	// priorSamples is the weight of a prior, in samples. The declared tokens are the prior of a kind's means, and
+	// these are the prior of the means of a tenant and kind.
 	priorSamples = 8
 	// maximumSamples limits the number of samples in a running mean so that the mean follows
 	// changes in traffic.
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Request describes one request to the admission.
+// Request describes a request for its admission.
 type Request struct {
 	// ID is unique among the requests of a Core that are waiting or in flight.
 	ID     uint64
--- a/internal/backpressure/directives.go
+++ b/internal/backpressure/directives.go
@@ -43,4 +43,4 @@
 }
 
 // StatesLimit reports whether the response stated a limit or its absence.
-func (a Directives) StatesLimit() bool { return a.Limit.IsSet || a.Unlimited }
+func (d Directives) StatesLimit() bool { return d.Limit.IsSet || d.Unlimited }
--- a/internal/cell/division.go
+++ b/internal/cell/division.go
@@ -10,8 +10,8 @@
 	// Size is the target number of engines in a cell: enough to even out their load and to have several
 	// engines of both stages, few enough that a decision can evaluate each of them.
 	Size = 16
-	// minZoneShare is a fraction of Size: a zone with at least that many engines has cells of its own. Smaller
-	// zones share cells, so that a prompt has enough engines to choose from.
+	// minZoneShare sets how many engines, as a share of Size, a zone needs to have cells of its own. Smaller zones
+	// share cells, so that a prompt has enough engines to choose from.
 	minZoneShare = 0.75
 	// localShareSlack is the factor by which a zone may have fewer engines than its fair share and still serve
 	// all of its prompts.
--- a/internal/claimclient/client.go
+++ b/internal/claimclient/client.go
@@ -114,8 +114,8 @@
 	return pause.For(ctx, until-c.now())
 }
 
-// failureOf converts the error of a call. InvalidArgument is permanent at every controller; all other
-// errors may not occur at another controller or later.
+// failureOf converts the error of a call. InvalidArgument is permanent at every controller; after any
+// other error, a call to another controller or a later call may succeed.
 func failureOf(err error) claims.Failure {
 	failure := claims.Failure{Permanent: connect.CodeOf(err) == connect.CodeInvalidArgument}
 	var coded *connect.Error
--- a/internal/crashguard/guard.go
+++ b/internal/crashguard/guard.go
@@ -86,7 +86,7 @@
 	successes *boundedMap[time.Duration]
 	// replicas are the back ends with recently broken runs, by incarnation.
 	replicas map[string]*replicaState
-	// unreported and unreleased are waiting to be sent to the leader.
+	// unreported are the crash reports, and unreleased the succeeded requests, that wait to be sent to the leader.
 	unreported []*report
 	unreleased []quarantine.Signature
 }
--- a/internal/demand/table.go
+++ b/internal/demand/table.go
@@ -68,11 +68,11 @@
 	arrivalsPerSecond float64
 	arrivals          float64
 	// withOutput counts the requests that generated output.
-	withOutput            float64
-	completedPerSecond    float64
-	lostPerSecond         float64
-	promptTokens, outputs float64
-	age                   time.Duration
+	withOutput                 float64
+	completedPerSecond         float64
+	lostPerSecond              float64
+	promptTokens, outputTokens float64
+	age                        time.Duration
 }
 
 // Rows returns the demand of one service by kind and zone, sorted.
@@ -105,7 +105,7 @@
 	sum.lostPerSecond += float64(demand.Refused+demand.MissedDeadline) / r.window.Seconds()
 	sum.withOutput += float64(demand.Completed + demand.MissedDeadline)
 	sum.promptTokens += float64(demand.PromptTokens)
-	sum.outputs += float64(demand.OutputTokens)
+	sum.outputTokens += float64(demand.OutputTokens)
 	sum.age = max(sum.age, now-r.at)
 }
 
@@ -131,7 +131,7 @@
 			row.PromptTokens = sum.promptTokens / sum.arrivals
 		}
 		if sum.withOutput > 0 { // refused requests have no output
-			row.OutputTokens = sum.outputs / sum.withOutput
+			row.OutputTokens = sum.outputTokens / sum.withOutput
 		}
 		rows = append(rows, row)
 	}
--- a/internal/fleetlimit/limit_counters.go
+++ b/internal/fleetlimit/limit_counters.go
@@ -77,8 +77,8 @@
 	return true
 }
 
-// HandleRequest grants or denies a permit on behalf of a process that grants a fraction of the limit. draw in [0, 1)
-// spreads the times at which processes retry.
+// HandleRequest grants or denies a permit. fraction is the fraction of the limit that this process grants. draw in
+// [0, 1) spreads the times at which processes retry.
 func (c *LimitCounters) HandleRequest(now time.Duration, request PermitRequest, fraction, draw float64) PermitResponse {
 	if c.counters[request.BackEnd] == nil || request.LimitFromBackEnd {
 		c.SetLimit(now, request.BackEnd, request.Limit)
--- a/internal/fleetlimit/member.go
+++ b/internal/fleetlimit/member.go
@@ -45,8 +45,9 @@
 	return m.ownership.Fraction(now, backEnd, MembershipView{ListIsFresh: listIsFresh, FirstOwnerSilence: m.firstOwnerSilence(now, backEnd)})
 }
 
-// firstOwnerSilence returns how long no notice was received from a process that ranks before this one. If none was ever
-// received, the silence starts with the first permit request to this process.
+// firstOwnerSilence returns how long no notice was received from a process that ranks before this one. For a deputy it
+// is at most the time for which permits have been requested from it. For any other process it is neverReceived if no
+// notice was received.
 func (m *Member) firstOwnerSilence(now time.Duration, backEnd uint64) time.Duration {
 	noticeAt, received := m.lastNoticeAt[backEnd]
 	switch {
--- a/internal/fleetlimit/ownership.go
+++ b/internal/fleetlimit/ownership.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// MaxOwners is how many processes are ranked for the limit of a back end: the owner and its deputies in order.
-	MaxOwners = 3
+	// MaximumOwners is how many processes are ranked for the limit of a back end: the owner and its deputies in order.
+	MaximumOwners = 3
 	// settlingTime is how long a process must have ranked first before it grants the whole limit. Within this time the
 	// previous owner receives the change, and the permits that it granted leave the back end's window.
 	settlingTime = windowSpan
@@ -25,7 +25,7 @@
 	// received notices from the owner for settlingTime: the owner has then most likely failed.
 	cutOffFraction = 0.5
 	// newOwnerFraction is granted by a process that has only just become the owner, while its predecessor may still
-	// grant permits, and by the first deputy.
+	// grant permits, by one that still receives notices from a process that ranks before it, and by the first deputy.
 	newOwnerFraction = 0.25
 	// lastDeputyFraction is granted by all other deputies.
 	lastDeputyFraction = 0.125
@@ -92,7 +92,7 @@
 		clear(o.ranks)
 	}
 	newest := o.lists[len(o.lists)-1]
-	computed := backEndRank{owners: cell.Owners(backEnd, newest.processes, MaxOwners), firstSince: newest.since}
+	computed := backEndRank{owners: cell.Owners(backEnd, newest.processes, MaximumOwners), firstSince: newest.since}
 	computed.rank = slices.Index(computed.owners, o.self)
 	for index := len(o.lists) - 1; index >= 0; index-- {
 		if first := cell.Owners(backEnd, o.lists[index].processes, 1); len(first) == 0 || first[0] != o.self {
--- a/internal/gateway/admitter.go
+++ b/internal/gateway/admitter.go
@@ -55,7 +55,7 @@
 	}
 	return &admitter{
 		clock:     clock,
-		config:    admission.Config{QueueLength: bounds.QueueLength, MaxInFlight: bounds.InFlight},
+		config:    admission.Config{QueueLength: bounds.QueueLength, MaximumInFlight: bounds.InFlight},
 		limits:    limiter,
 		estimator: estimator,
 		services:  map[string]*admission.Core{},
--- a/internal/limits/account.go
+++ b/internal/limits/account.go
@@ -41,7 +41,7 @@
 }
 
 // tokenWait returns the time until a request of this size can start behind waiting requests with
-// ahead tokens; 0 for immediately, negative if the current lease never yields enough.
+// ahead tokens; 0 for immediately, negative if the current share yields no tokens.
 func (a *account) tokenWait(now, burst time.Duration, size, ahead float64) time.Duration {
 	rate := a.shares.rate(now)
 	if rate <= 0 {
--- a/internal/limits/core.go
+++ b/internal/limits/core.go
@@ -192,7 +192,7 @@
 }
 
 // evictIdleTenants removes the least recently used tenants without requests in flight or waiting
-// until a new account fits.
+// until a new account fits. It returns a *Refusal if evictionProbes steps do not suffice.
 func (c *Core) evictIdleTenants() error {
 	for range evictionProbes {
 		if c.accounts.Len() < c.config.Tenants {
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -41,7 +41,7 @@
 	StallWatch       Mechanism = "stall-watch"
 )
 
-// Mechanisms of the plan of stages.
+// Mechanisms of the stage plan.
 const (
 	StagePlan         Mechanism = "stage-plan"
 	ConcurrentChanges Mechanism = "several-at-once"
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -22,8 +22,8 @@
 
 // setPrefillCost sets the cost of a prefill engine: the time until it has prefilled the part of the prompt that
 // it neither has cached nor can fetch from another engine's cache. The prefill itself counts twice, since it keeps
-// the engine from other requests. Time beyond the target weighs more than either. Each prompt has a home engine, the
-// same at every relay, which wins ties.
+// the engine from other requests. Time beyond the prefill's share of the target weighs more than either. Each prompt
+// has a home engine, the same at every relay, which is preferred by up to HomePreference.
 func (p Parameters) setPrefillCost(request Request, candidate *Candidate, engine Engine, source kvSource) {
 	transfer := p.planPrefill(request, candidate, engine, source)
 	prefill := PrefillTime(engine.PerToken, candidate.EffectiveTokens)
--- a/internal/placement/parameters.go
+++ b/internal/placement/parameters.go
@@ -18,7 +18,7 @@
 	HomePreference time.Duration
 	// PrefillTargetShare is the share of a route's target that the prefill may take.
 	PrefillTargetShare float64
-	// LateWeight is the weight of time beyond the target, relative to waiting time.
+	// LateWeight is the weight of time beyond PrefillTargetShare of the target, relative to waiting time.
 	LateWeight int
 	// MinSharedTokens is the shortest shared prefix, in tokens, that ties a prompt to the engines that have it
 	// cached, in whatever zone they are.
@@ -59,8 +59,8 @@
 	SpillShare float64
 	// MaxSlotDelayShare bounds how long a request may wait for a slot, as a multiple of its route's target.
 	MaxSlotDelayShare float64
-	// MinDelayScale and MaxDelayScale bound the factor by which MaxPrefillDelayShare is adjusted for the
-	// cached share of a prompt.
+	// MinDelayScale and MaxDelayScale bound the factor on MaxPrefillDelayShare, which is larger for a prompt with
+	// more cached tokens than usual and smaller for one with fewer.
 	MinDelayScale, MaxDelayScale float64
 	// RetryShare is the share of a refused client's remaining time after which it should retry at the latest.
 	// RetrySpread is the share of that time over which clients are spread.
--- a/internal/placement/prefill_speed.go
+++ b/internal/placement/prefill_speed.go
@@ -9,8 +9,8 @@
 	// defaultTokenTime is the initial estimate of how long a prefill engine takes for the first token of a
 	// prompt.
 	defaultTokenTime = 25 * time.Microsecond
-	// attentionGrowth is by what fraction of that each token takes longer for each token before it, since it
-	// attends to all of them.
+	// attentionGrowth is the relative increase in the time of a token for each token before it, since it attends
+	// to all of them.
 	attentionGrowth = 1.4e-5
 	// prefillOverhead is the fixed time of a prefill, added to the time of its tokens.
 	prefillOverhead = 25 * time.Millisecond
--- a/internal/placement/without.go
+++ b/internal/placement/without.go
@@ -11,8 +11,8 @@
 const unlimitedShare = 1e6
 
 // Without returns the parameters with the given mechanisms switched off.
-func (p Parameters) Without(off mechanism.Set) Parameters {
-	for name, leaveOut := range map[mechanism.Mechanism]func(){
+func (p Parameters) Without(disabled mechanism.Set) Parameters {
+	for name, disable := range map[mechanism.Mechanism]func(){
 		mechanism.HomeEngines:          func() { p.HomePreference = 0 },
 		mechanism.KVFetch:              func() { p.MinTransferTokens = math.MaxInt },
 		mechanism.TransferEvictionCost: func() { p.TransferEvictionCost = 0 },
@@ -28,8 +28,8 @@
 		mechanism.ResidualPrefill:      func() { p.ResidualShare = 0 },
 		mechanism.Spills:               func() { p.SpillShare = unlimitedShare },
 	} {
-		if !off.IsEnabled(name) {
-			leaveOut()
+		if !disabled.IsEnabled(name) {
+			disable()
 		}
 	}
 	return p
--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -12,7 +12,7 @@
 	completed float64 // per second
 	lost      float64 // per second
 	prompt    float64 // tokens
-	output    float64 // tokens of those that completed; 0 when none did
+	output    float64 // tokens of those that generated output; 0 if there were none
 }
 
 // sumZones adds the rates of each kind over zones and averages its tokens.
--- a/internal/planner/evaluation.go
+++ b/internal/planner/evaluation.go
@@ -92,7 +92,7 @@
 	gain    float64
 }
 
-// decide picks the best target and returns the first changes towards it.
+// decide returns the first changes towards the best target, or no changes and the reason if no target pays back.
 func (e *evaluation) decide() Decision {
 	if e.stayRate >= satisfiedShare*e.arrivingRate {
 		return noChange("no change pays back: all that arrives is served, %s", e.describe())
@@ -224,7 +224,7 @@
 		engine.Name, engine.Role, to, chosen.split, chosen.rate, e.stayRate, chosen.gain, e.horizon, e.outage, chosen.changes, e.describe())
 }
 
-// withOrder returns the observation after another order.
+// withOrder returns a copy of the observation in which the change has been ordered.
 func withOrder(observation Observation, change Change) Observation {
 	observation.Engines = slices.Clone(observation.Engines)
 	for i := range observation.Engines {
@@ -236,7 +236,8 @@
 	return observation
 }
 
-// cacheLoss returns the worth lost while the prefix cache of one engine is cold.
+// cacheLoss returns the worth lost while the prefix cache of one changed engine warms up: half of what the engine
+// completes in that time.
 func (e *evaluation) cacheLoss() float64 {
 	if e.split.Total() == 0 {
 		return 0
--- a/internal/planner/model.go
+++ b/internal/planner/model.go
@@ -28,8 +28,8 @@
 // outputWeight is the work of one output token in prompt tokens, as in admission.
 const outputWeight = 8
 
-// Shares of a pool's capacity that requests attain, and the mean number of prompt tokens in a step of a prefill engine,
-// at least: arrivals vary, and short prompts do not fill a chunk. TestModelAgreesWithTheEmulator in package
+// Shares of a pool's capacity that requests attain, since arrivals vary, and the smallest mean number of prompt tokens
+// in a step of a prefill engine, since short prompts do not fill a chunk. TestModelAgreesWithTheEmulator in package
 // experiment compares the model with the engine emulator.
 const (
 	usablePairShare  = 0.95
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -8,8 +8,8 @@
 const (
 	// warmUp is how long a planner without history observes before it decides.
 	warmUp = 20 * time.Second
-	// persistenceShare is the share of the horizon for which every decision must find a change that pays back before
-	// the first one is made, so that mixes that swing faster are not followed.
+	// persistenceShare is the share of the horizon for which every decision must have found a change that pays back
+	// before the first change is made. Mixes that swing faster are not followed.
 	persistenceShare = 1.0 / 40
 )
 
@@ -51,7 +51,7 @@
 	return p.requirePersistence(observation, decision)
 }
 
-// requirePersistence holds changes back until they have paid back in every decision for long enough.
+// requirePersistence holds changes back until every decision has found a change that pays back for long enough.
 func (p *FluidPlanner) requirePersistence(observation Observation, decision Decision) Decision {
 	if len(decision.Changes) == 0 {
 		p.isPaying = false
--- a/internal/planner/split.go
+++ b/internal/planner/split.go
@@ -59,11 +59,11 @@
 
 // ChangesTo returns the smallest number of role changes between two splits.
 func (s Split) ChangesTo(to Split) int {
-	moves := 0
+	changes := 0
 	for _, role := range roles {
-		moves += max(to.Count(role)-s.Count(role), 0)
+		changes += max(to.Count(role)-s.Count(role), 0)
 	}
-	return moves
+	return changes
 }
 
 // overlap returns the engines that have the same role in both splits.
@@ -89,8 +89,8 @@
 }
 
 // towards returns the split after some changes towards a target.
-func (s Split) towards(to Split, moves int) Split {
-	for range moves {
+func (s Split) towards(to Split, changes int) Split {
+	for range changes {
 		from, into, differs := s.largestMismatch(to)
 		if !differs {
 			return s
--- a/internal/planner/trend.go
+++ b/internal/planner/trend.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Time constants of the trend and the time of its forecast: the age of the reported demand plus half the duration of a
-// usual change.
+// Time constants of the trend and bounds of its forecast.
 const (
 	fastTimeConstant = 6 * time.Second
 	slowTimeConstant = 20 * time.Second
 	// minTrendAge is how long a rate must have been observed before its slope is meaningful.
-	minTrendAge  = 20 * time.Second
+	minTrendAge = 20 * time.Second
+	// forecastLead is how far ahead the forecast looks: the age of the reported demand plus half the duration of a
+	// usual change.
 	forecastLead = 12 * time.Second
 	// maxGrowth bounds a forecast as a factor of the current rate.
 	maxGrowth = 1.5
--- a/internal/planner/types.go
+++ b/internal/planner/types.go
@@ -48,10 +48,10 @@
 	Kind              string
 	Zone              string
 	ArrivalsPerSecond float64
-	// PromptTokens and OutputTokens are means per request.
+	// PromptTokens is the mean over all requests, OutputTokens the mean over those that generated output.
 	PromptTokens float64
 	OutputTokens float64
-	// CompletedPerSecond is the rate of completed requests; OutputTokens is their mean.
+	// CompletedPerSecond is the rate of completed requests.
 	CompletedPerSecond float64
 	// LostPerSecond is the rate of requests that were refused or missed their deadline.
 	LostPerSecond float64
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -13,8 +13,8 @@
 	QuarantineThreshold = 2
 	// maximumSuspects limits the stored requests.
 	maximumSuspects = 4096
-	// MaxQuarantined limits the quarantined requests, since the list is sent to every relay.
-	MaxQuarantined = 1024
+	// MaximumQuarantined limits the quarantined requests, since the list is sent to every relay.
+	MaximumQuarantined = 1024
 	// maximumReplicas limits the replicas stored per request.
 	maximumReplicas = 16
 )
@@ -114,9 +114,10 @@
 	l.version++
 }
 
-// enforceBounds removes the oldest requests beyond the limits: first quarantined ones beyond MaxQuarantined, then others.
+// enforceBounds removes the oldest requests beyond the limits: first quarantined ones beyond MaximumQuarantined, then
+// others.
 func (l *Ledger) enforceBounds() {
-	if l.quarantinedCount > MaxQuarantined {
+	if l.quarantinedCount > MaximumQuarantined {
 		l.removeOldest(true)
 	}
 	if len(l.suspects) > maximumSuspects {
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -52,7 +52,7 @@
 	}
 	require.Len(t, ledger.Suspects(), maximumSuspects)
 	require.Equal(t, numberedSignature(maximumSuspects), ledger.Suspects()[0].Signature, "the oldest ones are removed")
-	for number := range MaxQuarantined + 10 {
+	for number := range MaximumQuarantined + 10 {
 		for replica := range uint64(4 * maximumReplicas) {
 			ledger.RecordCrash(numberedSignature(-number-1), replica)
 		}
@@ -64,11 +64,11 @@
 			quarantined++
 		}
 	}
-	require.Equal(t, MaxQuarantined, quarantined)
+	require.Equal(t, MaximumQuarantined, quarantined)
 	require.Equal(t, quarantined, ledger.quarantinedCount)
 	require.Len(t, ledger.Suspects(), len(ledger.bySignature))
 	require.False(t, ledger.IsQuarantined(numberedSignature(-1)), "the first quarantined one is removed")
-	require.True(t, ledger.IsQuarantined(numberedSignature(-MaxQuarantined-10)))
+	require.True(t, ledger.IsQuarantined(numberedSignature(-MaximumQuarantined-10)))
 }
 
 func TestSnapshotRestoresLedger(t *testing.T) {
--- a/internal/quarantine/trial_scheduler.go
+++ b/internal/quarantine/trial_scheduler.go
@@ -54,8 +54,8 @@
 
 // TrialDue reports whether a quarantined request may be tried again.
 func (s *TrialScheduler) TrialDue(now time.Duration, suspect *Suspect) bool {
-	previous, known := s.observations[suspect.Signature]
-	return known && suspect.IsQuarantined() && now-previous.since >= waitAfter(suspect.Trials)
+	observed, known := s.observations[suspect.Signature]
+	return known && suspect.IsQuarantined() && now-observed.since >= waitAfter(suspect.Trials)
 }
 
 // waitAfter returns the duration of the quarantine after this number of trials.
@@ -71,7 +71,7 @@
 		if suspect.IsQuarantined() {
 			limit = quarantineRetention
 		}
-		if previous, known := s.observations[suspect.Signature]; known && now-previous.since >= limit {
+		if observed, known := s.observations[suspect.Signature]; known && now-observed.since >= limit {
 			expired = append(expired, suspect.Signature)
 		}
 	}
--- a/internal/replicaplan/orders.go
+++ b/internal/replicaplan/orders.go
@@ -15,7 +15,7 @@
 	Desired int
 }
 
-// Orders tracks a leader's orders. An order has no effect until the list shows it.
+// Orders tracks a leader's orders. An order counts as carried out only once the list shows it.
 type Orders struct {
 	issued map[Group]issuedOrder
 }
--- a/internal/routing/candidate.go
+++ b/internal/routing/candidate.go
@@ -24,10 +24,10 @@
 	prefillMean *prefillMean
 	// load is the load estimate of the current decision.
 	load loadEstimate
-	// ownState is the state other than serving that the back end itself reported at ownStateAt. It is empty
-	// while the back end serves as far as this gateway knows.
-	ownState   enginecontract.ServiceState
-	ownStateAt time.Duration
+	// reportedState is the state other than serving that the back end itself reported at reportedStateAt. It is
+	// empty while the back end serves as far as this gateway knows.
+	reportedState   enginecontract.ServiceState
+	reportedStateAt time.Duration
 	// cooldownUntil is the end of the cooldown after consecutive failures.
 	cooldownUntil time.Duration
 	failures      int
@@ -89,21 +89,21 @@
 		return
 	}
 	c.ConfirmedAt = max(c.ConfirmedAt, at)
-	if c.ownState != enginecontract.StateLeaving && at >= c.ownStateAt+minStateHold {
-		c.ownState = ""
+	if c.reportedState != enginecontract.StateLeaving && at >= c.reportedStateAt+minStateHold {
+		c.reportedState = ""
 	}
 }
 
 // isServing reports whether both the directory and the back end itself report the state serving.
 func (c *Candidate) isServing() bool {
-	return c.State == enginecontract.StateServing && c.ownState == "" && !c.signals.IsLeaving()
+	return c.State == enginecontract.StateServing && c.reportedState == "" && !c.signals.IsLeaving()
 }
 
 // restart discards everything that belongs to the previous incarnation only.
 func (c *Candidate) restart(incarnation uint64) {
 	c.Incarnation = incarnation
 	c.cacheNode = cacheNodeOf(c.nameHash, incarnation)
-	c.ownState, c.ownStateAt = "", 0
+	c.reportedState, c.reportedStateAt = "", 0
 	c.ConfirmedAt, c.HasLoad = neverConfirmed, false
 	c.ownRequests = ownRequests{}
 	c.cooldownUntil, c.failures = 0, 0
@@ -113,14 +113,14 @@
 // a request sent at sentAt. A state of serving confirms the back end as of sentAt, since the answer may have taken
 // long, and ends a reported other state, but never overrides the directory.
 func (c *Candidate) reportState(at, sentAt time.Duration, state enginecontract.ServiceState) {
-	if c.ownState == enginecontract.StateLeaving || at < c.ownStateAt {
+	if c.reportedState == enginecontract.StateLeaving || at < c.reportedStateAt {
 		return
 	}
 	if state != enginecontract.StateServing {
-		c.ownState, c.ownStateAt = state, at
+		c.reportedState, c.reportedStateAt = state, at
 		return
 	}
-	c.ownState = ""
+	c.reportedState = ""
 	c.ConfirmedAt = max(c.ConfirmedAt, min(at, sentAt))
 }
 
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -19,7 +19,7 @@
 	defaultSampleSize       = 3
 	defaultPrefixIndexSize  = 16384
 	defaultCooldown         = 500 * time.Millisecond
-	defaultMaximumCooldown  = 8 * time.Second
+	defaultMaxCooldown      = 8 * time.Second
 	defaultOtherZoneLatency = 2 * time.Millisecond
 	defaultKVTransferCost   = 10 * time.Millisecond
 )
@@ -41,9 +41,9 @@
 	// PrefixIndexSize bounds the number of prefix blocks in the prefix index; default 16384.
 	PrefixIndexSize int
 	// Cooldown is how long a back end is avoided after a failure. It doubles with each further failure up to
-	// MaximumCooldown. The defaults are 500 ms and 8 s.
-	Cooldown        time.Duration
-	MaximumCooldown time.Duration
+	// MaxCooldown. The defaults are 500 ms and 8 s.
+	Cooldown    time.Duration
+	MaxCooldown time.Duration
 	// KVTransferCost is the fixed cost of a KV transfer between engines; default 10 ms.
 	KVTransferCost time.Duration
 	// TokenTimes is the assumed speed of engines.
@@ -62,14 +62,14 @@
 		return trace.BadParameter("routing: Config.Zone is empty; set the zone of the gateway")
 	}
 	if c.SubsetSize < 0 || c.SampleSize < 0 || c.PrefixIndexSize < 0 {
-		return trace.BadParameter("routing: SubsetSize, SampleSize and PrefixMemory must not be negative")
+		return trace.BadParameter("routing: SubsetSize, SampleSize and PrefixIndexSize must not be negative")
 	}
 	setDefault(&c.OtherZoneLatency, defaultOtherZoneLatency)
 	setDefault(&c.SubsetSize, defaultSubsetSize)
 	setDefault(&c.SampleSize, defaultSampleSize)
 	setDefault(&c.PrefixIndexSize, defaultPrefixIndexSize)
 	setDefault(&c.Cooldown, defaultCooldown)
-	setDefault(&c.MaximumCooldown, defaultMaximumCooldown)
+	setDefault(&c.MaxCooldown, defaultMaxCooldown)
 	setDefault(&c.KVTransferCost, defaultKVTransferCost)
 	c.TokenTimes.setDefaults()
 	return nil
--- a/internal/routing/limits.go
+++ b/internal/routing/limits.go
@@ -29,27 +29,27 @@
 
 // MarkLimitsReported records that limits have been reported to the leader.
 func (r *Router) MarkLimitsReported(reported []fleetlimit.BackEndLimit) {
-	for _, named := range reported {
-		if r.unreportedLimits[named.BackEnd] == named.Limit {
-			delete(r.unreportedLimits, named.BackEnd)
+	for _, limit := range reported {
+		if r.unreportedLimits[limit.BackEnd] == limit.Limit {
+			delete(r.unreportedLimits, limit.BackEnd)
 		}
 	}
 }
 
 // ApplyLimits applies limits received from the leader, except for back ends whose newer limit has not been
 // reported to it.
-func (r *Router) ApplyLimits(now time.Duration, reported []fleetlimit.BackEndLimit) {
-	if len(reported) == 0 {
+func (r *Router) ApplyLimits(now time.Duration, received []fleetlimit.BackEndLimit) {
+	if len(received) == 0 {
 		return
 	}
-	limits := make(map[uint64]backpressure.Limit, len(reported))
-	for _, named := range reported {
-		limits[named.BackEnd] = named.Limit
+	limits := make(map[uint64]backpressure.Limit, len(received))
+	for _, limit := range received {
+		limits[limit.BackEnd] = limit.Limit
 	}
 	for _, candidate := range r.candidates {
-		hash := limitKey(candidate.BackEnd)
-		limit, known := limits[hash]
-		if _, unreported := r.unreportedLimits[hash]; known && !unreported {
+		key := limitKey(candidate.BackEnd)
+		limit, known := limits[key]
+		if _, unreported := r.unreportedLimits[key]; known && !unreported {
 			candidate.signals.RecordPeerLimit(now, limit)
 		}
 	}
@@ -62,8 +62,8 @@
 	if !known || candidate.Incarnation != backEnd.Incarnation {
 		return fleetlimit.PermitRequest{}, false
 	}
-	limit, isOwn := candidate.signals.Limit()
-	return fleetlimit.PermitRequest{BackEnd: limitKey(backEnd), Limit: limit, LimitFromBackEnd: isOwn}, limit.IsSet
+	limit, fromBackEnd := candidate.signals.Limit()
+	return fleetlimit.PermitRequest{BackEnd: limitKey(backEnd), Limit: limit, LimitFromBackEnd: fromBackEnd}, limit.IsSet
 }
 
 // ApplyPermitAnswer applies the answer to a PermitRequest; answered is false if no leader answered.
--- a/internal/routing/observe.go
+++ b/internal/routing/observe.go
@@ -10,21 +10,21 @@
 func (r *Router) Observe(now time.Duration, observation Observation) {
 	switch observed := observation.(type) {
 	case Dispatch:
-		r.observeSent(now, observed)
+		r.observeDispatch(now, observed)
 	case AnswerHeaders:
-		r.observeAnswered(now, observed)
+		r.observeAnswerHeaders(now, observed)
 	case FirstToken:
 		if candidate, known := r.candidates[observed.BackEnd]; known {
 			candidate.ownRequests.recordFirstToken(now, observed.Exchange)
 		}
 	case Completion:
-		r.observeFinished(now, observed)
+		r.observeCompletion(now, observed)
 	case Failure:
-		r.observeFailed(now, observed)
+		r.observeFailure(now, observed)
 	}
 }
 
-func (r *Router) observeSent(now time.Duration, dispatch Dispatch) {
+func (r *Router) observeDispatch(now time.Duration, dispatch Dispatch) {
 	candidate, known := r.candidates[dispatch.BackEnd]
 	if !known {
 		return
@@ -33,7 +33,7 @@
 	r.prefixIndex.record(dispatch.PrefixBlocks, candidate.cacheNode)
 }
 
-func (r *Router) observeAnswered(now time.Duration, headers AnswerHeaders) {
+func (r *Router) observeAnswerHeaders(now time.Duration, headers AnswerHeaders) {
 	candidate, known := r.candidates[headers.BackEnd]
 	if !known || (headers.Incarnation != 0 && headers.Incarnation < candidate.Incarnation) {
 		return
@@ -74,7 +74,7 @@
 	r.sortPools()
 }
 
-func (r *Router) observeFinished(now time.Duration, completion Completion) {
+func (r *Router) observeCompletion(now time.Duration, completion Completion) {
 	candidate, known := r.candidates[completion.BackEnd]
 	if !known {
 		return
@@ -88,13 +88,13 @@
 	candidate.failures = 0
 }
 
-func (r *Router) observeFailed(now time.Duration, failure Failure) {
+func (r *Router) observeFailure(now time.Duration, failure Failure) {
 	candidate, known := r.candidates[failure.BackEnd]
 	if !known {
 		return
 	}
 	candidate.ownRequests.finish(now, failure.Exchange, candidate.HasLoad)
-	cooldown := r.config.MaximumCooldown
+	cooldown := r.config.MaxCooldown
 	if shift := min(candidate.failures, 16); r.config.Cooldown<<shift < cooldown {
 		cooldown = r.config.Cooldown << shift
 	}
--- a/internal/routing/own_requests.go
+++ b/internal/routing/own_requests.go
@@ -33,68 +33,68 @@
 
 // sentAt returns when an exchange was sent. It returns neverConfirmed for an unknown one, which is too old to confirm
 // anything.
-func (w *ownRequests) sentAt(exchange string) time.Duration {
-	for i := range w.requests {
-		if w.requests[i].exchange == exchange {
-			return w.requests[i].at
+func (o *ownRequests) sentAt(exchange string) time.Duration {
+	for i := range o.requests {
+		if o.requests[i].exchange == exchange {
+			return o.requests[i].at
 		}
 	}
 	return neverConfirmed
 }
 
 // recordFirstToken records that the prompt of an exchange has been prefilled.
-func (w *ownRequests) recordFirstToken(now time.Duration, exchange string) {
-	for i := range w.requests {
-		if w.requests[i].exchange == exchange && w.requests[i].firstTokenAt == 0 {
-			w.requests[i].firstTokenAt = now
+func (o *ownRequests) recordFirstToken(now time.Duration, exchange string) {
+	for i := range o.requests {
+		if o.requests[i].exchange == exchange && o.requests[i].firstTokenAt == 0 {
+			o.requests[i].firstTokenAt = now
 			return
 		}
 	}
 }
 
 // finish removes the request and returns it.
-func (w *ownRequests) finish(now time.Duration, exchange string, hasReport bool) (sentRequest, bool) {
-	for i, request := range w.requests {
+func (o *ownRequests) finish(now time.Duration, exchange string, hasReport bool) (sentRequest, bool) {
+	for i, request := range o.requests {
 		if request.exchange != exchange {
 			continue
 		}
-		if i >= len(w.requests)-w.unreported {
-			w.unreported--
-			w.unreportedTokens -= int64(request.promptTokens)
+		if i >= len(o.requests)-o.unreported {
+			o.unreported--
+			o.unreportedTokens -= int64(request.promptTokens)
 		} else if hasReport {
-			w.finished = append(w.finished, now)
+			o.finished = append(o.finished, now)
 		}
-		w.requests = append(w.requests[:i], w.requests[i+1:]...)
+		o.requests = append(o.requests[:i], o.requests[i+1:]...)
 		return request, true
 	}
 	return sentRequest{}, false
 }
 
 // applyReport drops the corrections that are covered by a load report measured at the given time.
-func (w *ownRequests) applyReport(at time.Duration) {
-	for w.unreported > 0 {
-		oldest := w.requests[len(w.requests)-w.unreported]
+func (o *ownRequests) applyReport(at time.Duration) {
+	for o.unreported > 0 {
+		oldest := o.requests[len(o.requests)-o.unreported]
 		if oldest.at > at {
 			break
 		}
-		w.unreported--
-		w.unreportedTokens -= int64(oldest.promptTokens)
+		o.unreported--
+		o.unreportedTokens -= int64(oldest.promptTokens)
 	}
-	remaining := w.finished[:0]
-	for _, finishedAt := range w.finished {
+	remaining := o.finished[:0]
+	for _, finishedAt := range o.finished {
 		if finishedAt > at {
 			remaining = append(remaining, finishedAt)
 		}
 	}
-	w.finished = remaining
+	o.finished = remaining
 }
 
 // prefillTokens returns the prompt tokens of requests that a report covers and that have no first token yet.
-func (w *ownRequests) prefillTokens() float64 {
+func (o *ownRequests) prefillTokens() float64 {
 	var sum float64
-	for i := range w.requests[:len(w.requests)-w.unreported] {
-		if w.requests[i].firstTokenAt == 0 {
-			sum += float64(w.requests[i].promptTokens)
+	for i := range o.requests[:len(o.requests)-o.unreported] {
+		if o.requests[i].firstTokenAt == 0 {
+			sum += float64(o.requests[i].promptTokens)
 		}
 	}
 	return sum
--- a/internal/routing/picker_sample.go
+++ b/internal/routing/picker_sample.go
@@ -22,14 +22,14 @@
 
 // Pick implements Picker.
 func (w *WeightedSample) Pick(_ *Decision, scored []ScoredCandidate) int {
-	least := scored[LowestCost{}.Pick(nil, scored)].Cost
+	lowest := scored[LowestCost{}.Pick(nil, scored)].Cost
 	total := 0.0
 	for i := range scored {
-		total += sampleWeight(scored[i].Cost - least)
+		total += sampleWeight(scored[i].Cost - lowest)
 	}
 	chosen := -1
 	for range w.size {
-		drawn := sampleIndex(scored, least, w.random.Float64()*total)
+		drawn := sampleIndex(scored, lowest, w.random.Float64()*total)
 		if chosen < 0 || scored[drawn].Cost < scored[chosen].Cost {
 			chosen = drawn
 		}
@@ -38,9 +38,9 @@
 }
 
 // sampleIndex returns the index at which the running sum of weights exceeds target.
-func sampleIndex(scored []ScoredCandidate, least time.Duration, target float64) int {
+func sampleIndex(scored []ScoredCandidate, lowest time.Duration, target float64) int {
 	for i := range scored {
-		target -= sampleWeight(scored[i].Cost - least)
+		target -= sampleWeight(scored[i].Cost - lowest)
 		if target < 0 {
 			return i
 		}
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -15,8 +15,9 @@
 	adapter string
 }
 
-// pool holds the back ends with one role for one model, nearest zone first. Within a zone, all gateways of a zone
-// use the same order. The first SubsetSize members are the subset that decisions consider.
+// pool holds the back ends with one role for one model, those of the nearest zone first. Within a zone their order is
+// the same at all gateways that share this gateway's zone. The first SubsetSize members are the subset that decisions
+// consider.
 type pool struct {
 	members []*Candidate
 }
--- a/internal/routing/scorer_distance.go
+++ b/internal/routing/scorer_distance.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// distanceScorer adds the round trip to the candidate's zone and, in StageDecode, the KV transfer from the prefill
-// engine's zone.
+// distanceScorer adds the round trip to the candidate's zone and, in StageDecode, the KV transfer if the prefill
+// engine is in another zone.
 type distanceScorer struct{}
 
 func (distanceScorer) Cost(decision *Decision, candidate *Candidate) time.Duration {
--- a/internal/routing/scorer_load.go
+++ b/internal/routing/scorer_load.go
@@ -15,7 +15,7 @@
 	}
 	var cost time.Duration
 	if decision.Stage != StageDecode {
-		cost += times.promptTime(load.prefillTokens)
+		cost += times.prefillTime(load.prefillTokens)
 	}
 	if decision.Stage != StagePrefill {
 		cost += time.Duration(request.OutputTokens) * (times.tokenInterval(load.requests) - times.TokenInterval)
--- a/internal/routing/scorer_prefix.go
+++ b/internal/routing/scorer_prefix.go
@@ -14,5 +14,5 @@
 		return 0
 	}
 	saved, _ := decision.cachedTokens(candidate)
-	return -decision.router.config.TokenTimes.promptTime(saved * cachedTokenValue)
+	return -decision.router.config.TokenTimes.prefillTime(saved * cachedTokenValue)
 }
--- a/internal/routing/scorer_work.go
+++ b/internal/routing/scorer_work.go
@@ -12,7 +12,7 @@
 	}
 	var cost time.Duration
 	if decision.Stage != StageDecode {
-		cost += times.promptTime(float64(request.PromptTokens))
+		cost += times.prefillTime(float64(request.PromptTokens))
 	}
 	if decision.Stage != StagePrefill {
 		cost += time.Duration(request.OutputTokens) * times.TokenInterval
--- a/internal/routing/token_times.go
+++ b/internal/routing/token_times.go
@@ -28,8 +28,8 @@
 	setDefault(&t.PageTime, defaultPageTime)
 }
 
-// promptTime returns the prefill time of a number of tokens.
-func (t *TokenTimes) promptTime(tokens float64) time.Duration {
+// prefillTime returns the prefill time of a number of tokens.
+func (t *TokenTimes) prefillTime(tokens float64) time.Duration {
 	return time.Duration(tokens / t.PromptTokensPerSecond * float64(time.Second))
 }
 
--- a/internal/serving/prompt.go
+++ b/internal/serving/prompt.go
@@ -40,15 +40,15 @@
 
 // ParsePrompt parses the declarations "PROMPT,OUTPUT" and "ID:TOKENS,ID:TOKENS". It leaves out what it cannot parse,
 // since the declarations only guide routing.
-func ParsePrompt(model, tokens, parts string) Prompt {
+func ParsePrompt(model, tokens, blocks string) Prompt {
 	prompt := Prompt{Model: model}
 	input, output, _ := strings.Cut(tokens, ",")
 	prompt.PromptTokens, _ = strconv.Atoi(strings.TrimSpace(input))
 	prompt.OutputTokens, _ = strconv.Atoi(strings.TrimSpace(output))
-	if parts == "" {
+	if blocks == "" {
 		return prompt
 	}
-	for declaration := range strings.SplitSeq(parts, ",") {
+	for declaration := range strings.SplitSeq(blocks, ",") {
 		id, tokenCount, found := strings.Cut(strings.TrimSpace(declaration), ":")
 		length, err := strconv.Atoi(tokenCount)
 		if !found || err != nil {
--- a/internal/shares/divider.go
+++ b/internal/shares/divider.go
@@ -86,14 +86,14 @@
 }
 
 // grant computes and records a new share.
-func (d *Divider) grant(now time.Duration, owner *tenant, lease *lease, demand *v1.ShareDemand, limits Limits) *v1.Share {
-	owner.updateSums(now, lease)
-	fair := owner.maximumShare(lease)
-	availableTokens := subtract(limits.TokensPerSecond, owner.heldTokens-lease.countedTokens)
-	availableConcurrency := subtract(uint64(limits.Concurrency), owner.heldConcurrency-lease.countedConcurrency)
+func (d *Divider) grant(now time.Duration, account *tenant, lease *lease, demand *v1.ShareDemand, limits Limits) *v1.Share {
+	account.updateSums(now, lease)
+	maximum := account.maximumShare(lease)
+	availableTokens := subtract(limits.TokensPerSecond, account.heldTokens-lease.countedTokens)
+	availableConcurrency := subtract(uint64(limits.Concurrency), account.heldConcurrency-lease.countedConcurrency)
 	share := grant{
-		tokens: min(fair.TokensPerSecond, addSpare(lease.wantedTokens, availableTokens)),
-		concurrency: min(fair.Concurrency,
+		tokens: min(maximum.TokensPerSecond, addSpare(lease.wantedTokens, availableTokens)),
+		concurrency: min(maximum.Concurrency,
 			uint32(addSpare(lease.wantedConcurrency, availableConcurrency))),
 		expiresAt: now + d.lifetime,
 	}
@@ -105,7 +105,7 @@
 		share.concurrency = uint32(min(availableConcurrency, uint64(demand.HeldConcurrency)))
 	}
 	lease.granted = append(lease.granted, share)
-	owner.updateSums(now, lease)
+	account.updateSums(now, lease)
 	return &v1.Share{
 		Tenant: demand.Tenant, TokensPerSecond: share.tokens, Concurrency: share.concurrency,
 		ValidMs: uint32(d.lifetime.Milliseconds()),
@@ -147,9 +147,9 @@
 
 // DropExpired deletes the tenants whose shares have all expired. Call it periodically.
 func (d *Divider) DropExpired(now time.Duration) {
-	for name, owner := range d.tenants {
-		d.leases -= owner.dropInactive(now, d.lifetime)
-		if len(owner.leases) == 0 {
+	for name, account := range d.tenants {
+		d.leases -= account.dropInactive(now, d.lifetime)
+		if len(account.leases) == 0 {
 			delete(d.tenants, name)
 		}
 	}
--- a/internal/shares/doc.go
+++ b/internal/shares/doc.go
@@ -10,7 +10,7 @@
 // predecessor has expired.
 //
 // The unwanted part of a limit is granted only partially: a gateway gets an eighth of it
-// beyond its demand, at most doubling its share. A gateway that newly sees a tenant therefore
+// beyond its demand, at most as much again. A gateway that newly sees a tenant therefore
 // gets its demand immediately while all gateways together want less than half of the limit.
 //
 // A Divider is pure and must be used from one goroutine.
--- a/internal/stageplan/just_started.go
+++ b/internal/stageplan/just_started.go
@@ -11,8 +11,8 @@
 // started are changed for it. A change makes an engine unavailable for seconds, which costs more than a small shortfall.
 const minShortfallShare = 0.3
 
-// groupStages counts the stages of the engines of one group.
-type groupStages struct {
+// groupStageCounts counts the stages of the engines of one group.
+type groupStageCounts struct {
 	name           string
 	total, prefill int
 	// justStarted are the IDs of the engines of each stage that can change at no cost.
@@ -55,12 +55,12 @@
 }
 
 // countStages counts the stages of the groups with engines that have just started, sorted by name.
-func countStages(engines []Engine) []*groupStages {
-	byName := map[string]*groupStages{}
+func countStages(engines []Engine) []*groupStageCounts {
+	byName := map[string]*groupStageCounts{}
 	for _, engine := range engines {
 		group := byName[engine.Group]
 		if group == nil {
-			group = &groupStages{name: engine.Group, justStarted: map[Stage][]string{}}
+			group = &groupStageCounts{name: engine.Group, justStarted: map[Stage][]string{}}
 			byName[engine.Group] = group
 		}
 		group.total++
@@ -71,13 +71,13 @@
 			group.justStarted[engine.Stage] = append(group.justStarted[engine.Stage], engine.ID)
 		}
 	}
-	maps.DeleteFunc(byName, func(_ string, group *groupStages) bool { return len(group.justStarted) == 0 })
+	maps.DeleteFunc(byName, func(_ string, group *groupStageCounts) bool { return len(group.justStarted) == 0 })
 	groups := slices.Collect(maps.Values(byName))
 	for _, group := range groups {
 		slices.Sort(group.justStarted[StagePrefill])
 		slices.Sort(group.justStarted[StageDecode])
 	}
-	slices.SortFunc(groups, func(a, b *groupStages) int { return cmp.Compare(a.name, b.name) })
+	slices.SortFunc(groups, func(a, b *groupStageCounts) int { return cmp.Compare(a.name, b.name) })
 	return groups
 }
 
--- a/internal/subsetting/demand.go
+++ b/internal/subsetting/demand.go
@@ -5,7 +5,7 @@
 const (
 	// MinEngines is the smallest number of a service's engines that relays know of, if there are as many: 16 cells
 	// of 16 engines, at least three cells in each of five zones, so that every prompt has several cells left after
-	// the loss of a zone. A fleet of up to twice as many is included whole.
+	// the loss of a zone. A fleet of fewer than twice as many is included whole.
 	MinEngines = 256
 	// MinWholeBackEnds is the same for back ends that answer whole requests and cache nothing: six in each of five
 	// zones, of which one zone and one in six of the others may be lost.
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -103,7 +103,7 @@
 	l.closed = l.closed[max(len(l.closed)-maximumUnsettled, 0):]
 	l.next = through + 1
 	l.dropBefore(l.next)
-	maps.DeleteFunc(l.relays, func(_ uint64, mark relayState) bool { return mark.lastReportWindow+relayRetention < l.next })
+	maps.DeleteFunc(l.relays, func(_ uint64, state relayState) bool { return state.lastReportWindow+relayRetention < l.next })
 }
 
 // dropBefore deletes the open counts of windows before the given one.
--- a/internal/usage/record.go
+++ b/internal/usage/record.go
@@ -21,8 +21,8 @@
 		record.Closed = append(record.Closed, &v1.ClosedUsage{Window: int64(closed.Window), Counts: closed.Counts.toMessages(closed.Window)})
 	}
 	for _, relay := range slices.Sorted(maps.Keys(l.relays)) {
-		mark := l.relays[relay]
-		record.Relays = append(record.Relays, &v1.UsageRelay{Relay: relay, Sequence: mark.sequence, HeardIn: int64(mark.lastReportWindow)})
+		state := l.relays[relay]
+		record.Relays = append(record.Relays, &v1.UsageRelay{Relay: relay, Sequence: state.sequence, HeardIn: int64(state.lastReportWindow)})
 	}
 	return record
 }
