--- a/internal/cell/growth_test.go
+++ b/internal/cell/growth_test.go
@@ -144,7 +144,7 @@
 }
 
 // As a fleet and its load grow together, placement stays as good and needs as few queries: shared prefix blocks are
-// rarely prefilled twice, no engine has much more work than the mean, and a request costs about one query.
+// rarely prefilled twice, no engine has much more work than the mean, and a request costs fewer than 1.5 queries.
 func TestPlacementQualityHoldsAsTheFleetGrows(t *testing.T) {
 	for _, size := range []struct{ zones, perZone int }{{1, 10}, {3, 10}, {5, 32}, {6, 50}, {10, 100}} {
 		t.Run(fmt.Sprint(size.zones*size.perZone, " engines"), func(t *testing.T) {
--- a/internal/cell/health_test.go
+++ b/internal/cell/health_test.go
@@ -44,12 +44,12 @@
 // where answers are fast.
 func TestTimeoutFollowsRoundTrips(t *testing.T) {
 	for name, row := range map[string]struct {
-		rtt         time.Duration
-		least, most time.Duration
+		rtt             time.Duration
+		atLeast, atMost time.Duration
 	}{
-		"one zone":       {rtt: 500 * time.Microsecond, least: minTimeout, most: minTimeout},
-		"another region": {rtt: 40 * time.Millisecond, least: 40 * time.Millisecond, most: 60 * time.Millisecond},
-		"far too slow":   {rtt: time.Second, least: maxTimeout, most: maxTimeout},
+		"one zone":       {rtt: 500 * time.Microsecond, atLeast: minTimeout, atMost: minTimeout},
+		"another region": {rtt: 40 * time.Millisecond, atLeast: 40 * time.Millisecond, atMost: 60 * time.Millisecond},
+		"far too slow":   {rtt: time.Second, atLeast: maxTimeout, atMost: maxTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			health := NewHealth()
@@ -57,8 +57,8 @@
 			for range 50 {
 				health.RecordAnswer("one", row.rtt)
 			}
-			require.GreaterOrEqual(t, health.Timeout(), row.least)
-			require.LessOrEqual(t, health.Timeout(), row.most)
+			require.GreaterOrEqual(t, health.Timeout(), row.atLeast)
+			require.LessOrEqual(t, health.Timeout(), row.atMost)
 		})
 	}
 }
--- a/internal/claims/call_schedule.go
+++ b/internal/claims/call_schedule.go
@@ -46,7 +46,7 @@
 	if s.failures >= len(s.controllers) {
 		s.failures = 0
 		s.pausedUntil = now + s.pause
-		s.pause = min(2*s.pause, longestPause)
+		s.pause = min(2*s.pause, maximumPause)
 	}
 	if leader == "" || leader == s.controllers[s.nextController] {
 		s.nextController = (s.nextController + 1) % len(s.controllers)
--- a/internal/claims/config.go
+++ b/internal/claims/config.go
@@ -11,7 +11,7 @@
 	defaultBeginTimeout  = 3 * time.Second
 	defaultFinishTimeout = 30 * time.Second
 	firstPause           = 20 * time.Millisecond
-	longestPause         = time.Second
+	maximumPause         = time.Second
 )
 
 // MaximumOutcomeBytes is the largest body that is stored as the outcome of a claim. For a larger
--- a/internal/fleetlimit/fleet_test.go
+++ b/internal/fleetlimit/fleet_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A limit holds and is fully used in a fleet of any size, even with more processes than permitted requests.
+// A limit holds and at least 80% of it is used in a fleet of any size, even with more processes than permitted requests.
 func TestALimitHoldsAndIsUsed(t *testing.T) {
 	for _, count := range []int{1, 2, 7, 60, 400} {
 		for _, perSecond := range []float64{0, 0.3, 1, 1.5, 10, 60} {
--- a/internal/fleetlimit/harness_test.go
+++ b/internal/fleetlimit/harness_test.go
@@ -253,7 +253,7 @@
 			return
 		}
 		target := f.processes[f.random.IntN(len(f.processes))]
-		if f.random.IntN(2) == 0 { // half of the faults hit the limit's owner
+		if f.random.IntN(2) == 0 { // at least half of the faults hit the limit's owner
 			if first := f.find(f.processes[0].member.firstOwnerOf(backEnd)); first != nil {
 				target = first
 			}
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -94,7 +94,8 @@
 	return time.Duration(queued.Prefills)*prefillOverhead + time.Duration(tokens*float64(perToken))
 }
 
-// homeDistance is in [0, 1). Each prompt orders the engines differently; the nearest is its home.
+// homeDistance is in [0, 1). Each prompt orders the engines differently; the nearest is its home. For a prompt without
+// shared blocks it is 0 at every engine.
 func homeDistance(prompt []PrefixBlock, engine uint64) float64 {
 	if len(prompt) < 2 {
 		return 0
--- a/internal/placement/parameters.go
+++ b/internal/placement/parameters.go
@@ -4,13 +4,12 @@
 
 // Parameters are the weights and bounds of placement decisions.
 type Parameters struct {
-	// ZonePenalty is by how many running requests a back end of the preferred zone may exceed one of another
-	// zone and still be picked.
+	// ZonePenalty is the cost of a back end outside the preferred zone, in running requests.
 	ZonePenalty float64
-	// ConnectionPenalty is by how many running requests a back end with an open connection may exceed one
-	// without and still be picked. Below 1 it only breaks ties. A reused connection saves the request two round
-	// trips and saves the back end a handshake, which occupies one of its slots. Without the penalty, each of a
-	// thousand relays would pick any of three hundred back ends and never reach the same one twice.
+	// ConnectionPenalty is the cost of a back end without an open connection, in running requests. Below 1 it only
+	// breaks ties. A reused connection saves the request two round trips and saves the back end a handshake, which
+	// occupies one of its slots. Without the penalty, each of a thousand relays would pick any of three hundred back
+	// ends and never reach the same one twice.
 	ConnectionPenalty float64
 	// ZoneCost is the cost of sending a prompt to another zone.
 	ZoneCost time.Duration
--- a/internal/planner/history.go
+++ b/internal/planner/history.go
@@ -13,7 +13,7 @@
 	tokensTimeConstant = 30 * time.Second
 	// cacheTimeConstant smooths the share of prompt tokens found in caches.
 	cacheTimeConstant = 60 * time.Second
-	// recentTimeConstant is the decay of the weight of the recent past, which reveals shifts.
+	// recentTimeConstant is the time constant of the decaying weight of the recent past, which reveals shifts.
 	recentTimeConstant = 12 * time.Second
 	// recentWeight and forecastWeight are the weights of the recent past and of the forecast. The rest goes to the
 	// whole past horizon, so that recurring mixes are taken into account.
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	prefillHeavyRate = 24.0 // matching requests per second: about 9.6 engines of prefill
+	prefillHeavyRate = 24.0 // requests per second of the kind "matching": about 9.6 engines of prefill
 	lostRate         = 10.0 // of them, refused or late
 	decisionTime     = 10 * time.Minute
 )
--- a/internal/routing/limits.go
+++ b/internal/routing/limits.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// PermitRequest returns the query to the leader that precedes a request to a back end, or false if no permit is
-// needed. It ignores a pending wait for permits, since Pick has checked it.
+// PermitRequest returns the permit request to send to the leader before a request goes to a back end, or false if no
+// permit is needed. It ignores a pending wait for permits, since Pick has checked it.
 func (r *Router) PermitRequest(backEnd BackEnd) (query fleetlimit.PermitRequest, needed bool) {
 	candidate, known := r.candidates[backEnd.Name]
 	if !known || candidate.Incarnation != backEnd.Incarnation {
--- a/internal/routing/prefill_mean.go
+++ b/internal/routing/prefill_mean.go
@@ -6,7 +6,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// prefillDecay is the weight that older exchanges keep with each new one.
+// prefillDecay is the factor by which the weight of older exchanges decreases with each new one.
 const prefillDecay = 0.99
 
 // prefillKey groups back ends with similar requests.
--- a/internal/subsetting/subset_test.go
+++ b/internal/subsetting/subset_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Fleets of less than twice MinEngines are included whole, whatever their work.
+// Fleets of fewer than twice MinEngines are included whole, whatever their work.
 func TestSmallFleetsAreIncludedWhole(t *testing.T) {
 	for _, backEnds := range []int{1, 9, 160, MinEngines, 2*MinEngines - 1} {
 		require.Equal(t, Subset{}, SubsetFor(backEnds, engines(0)), "%d back ends", backEnds)
