--- a/internal/placement/parameters.go
+++ b/internal/placement/parameters.go
@@ -4,13 +4,12 @@
 
 // Parameters are the weights and bounds of placement decisions.
 type Parameters struct {
-	// ZonePenalty is by how many running requests a back end of the preferred zone may exceed one of another
-	// zone and still be picked.
+	// ZonePenalty is the cost of a back end outside the preferred zone, in running requests.
 	ZonePenalty float64
-	// ConnectionPenalty is by how many running requests a back end with an open connection may exceed one
-	// without and still be picked. Below 1 it only breaks ties. A reused connection saves the request two round
-	// trips and saves the back end a handshake, which occupies one of its slots. Without the penalty, each of a
-	// thousand relays would pick any of three hundred back ends and never reach the same one twice.
+	// ConnectionPenalty is the cost of a back end without an open connection, in running requests. Below 1 it only
+	// breaks ties. A reused connection saves the request two round trips and saves the back end a handshake, which
+	// occupies one of its slots. Without the penalty, each of a thousand relays would pick any of three hundred back
+	// ends and never reach the same one twice.
 	ConnectionPenalty float64
 	// ZoneCost is the cost of sending a prompt to another zone.
 	ZoneCost time.Duration
@@ -18,7 +17,7 @@
 	HomePreference time.Duration
 	// PrefillTargetShare is the share of a route's target that the prefill may take.
 	PrefillTargetShare float64
-	// LateWeight is the weight of time beyond the target, relative to waiting time.
+	// LateWeight is the weight of time beyond PrefillTargetShare of the target, relative to waiting time.
 	LateWeight int
 	// MinSharedTokens is the shortest shared prefix, in tokens, that ties a prompt to the engines that have it
 	// cached, in whatever zone they are.
@@ -59,8 +58,8 @@
 	SpillShare float64
 	// MaxSlotDelayShare bounds how long a request may wait for a slot, as a multiple of its route's target.
 	MaxSlotDelayShare float64
-	// MinDelayScale and MaxDelayScale bound the factor by which MaxPrefillDelayShare is adjusted for the
-	// cached share of a prompt.
+	// MinDelayScale and MaxDelayScale bound the factor on MaxPrefillDelayShare, which is larger for a prompt with
+	// more cached tokens than usual and smaller for one with fewer.
 	MinDelayScale, MaxDelayScale float64
 	// RetryShare is the share of a refused client's remaining time after which it should retry at the latest.
 	// RetrySpread is the share of that time over which clients are spread.
