--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -18,7 +18,7 @@
 )
 
 // admit identifies the request's tenant by its key. A request without a key has no tenant and is admitted only on open
-// routes. A key that is sent must be valid, on open routes too.
+// routes. A key that is sent must be known, on open routes too.
 func (r *Relay) admit(table *serving.Table, request *request) keyFault {
 	if !table.Configuration.RequireKeys {
 		return ""
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -55,13 +55,13 @@
 	a.exchanger.announceWork(a.message)
 	if a.body.isComplete {
 		a.message.backEnd.recordSuccess()
-		a.reportCompleted()
+		a.reportCompletedRun()
 	}
 	a.release()
 }
 
-// reportCompleted reports to the crash guard that the back end has run the request without a crash.
-func (a *answer) reportCompleted() {
+// reportCompletedRun reports to the crash guard that the back end has run the request without a crash.
+func (a *answer) reportCompletedRun() {
 	if !a.message.isPrefill {
 		a.exchanger.guard.RecordSuccess(a.message.request.signature)
 	}
--- a/internal/relay/attempts.go
+++ b/internal/relay/attempts.go
@@ -37,7 +37,7 @@
 		a.mayHaveRun = true
 	}
 	a.relay.reportIfCrashed(backEnd, fault)
-	a.reportBroken(backEnd, fault)
+	a.reportBrokenRun(backEnd, fault)
 }
 
 // recordMigration records that the run was migrated from its back end. The run counts as an attempt there; it continues
@@ -56,7 +56,7 @@
 		a.lastFailure = fault
 	}
 	a.relay.reportIfCrashed(engine, fault)
-	a.reportBroken(engine, fault)
+	a.reportBrokenRun(engine, fault)
 }
 
 // mayContinue reports whether another attempt is allowed: the client is connected, the deadline has not passed, the
@@ -81,7 +81,7 @@
 	return a.relay.trySpendRetry(a.request)
 }
 
-// hasFurtherAttempt reports whether the route allows to send the request to another back end if the current one fails.
+// hasFurtherAttempt reports whether the route allows sending the request to another back end if the current one fails.
 func (a *attemptTracker) hasFurtherAttempt() bool {
 	return a.request.route.Repeatable() && !a.request.isTrial && a.sentCount+1 < a.request.route.MaxAttempts
 }
--- a/internal/relay/back_end.go
+++ b/internal/relay/back_end.go
@@ -22,7 +22,7 @@
 	incarnationHash uint64
 	pool            connpool.Pool
 	cache           *prefixCache
-	// signals holds what this incarnation has asked of this relay.
+	// signals holds the signals of this incarnation: its backoff, its limit and whether it is leaving.
 	signals *backpressure.Signals
 	// isSuperseded reports whether a newer incarnation has answered in its place, which the list does not show yet.
 	isSuperseded atomic.Bool
@@ -58,7 +58,7 @@
 	failures   int
 	refusals   int
 	avoidUntil time.Duration
-	// peerFailures counts consecutive backoff periods after which other relays reported failures again.
+	// peerFailures counts the failures that other relays reported since the last success, at most one per backoff.
 	peerFailures int
 	// lastReceivedAt is when the last bytes arrived from the back end.
 	lastReceivedAt time.Duration
@@ -66,16 +66,16 @@
 
 // Backoff after failed exchanges, and lifetime of reported loads.
 const (
-	// failureBackoffMin is how long a back end is avoided after a failure; it doubles with each consecutive failure up to
-	// failureBackoffMax.
-	failureBackoffMin = 250 * time.Millisecond
-	failureBackoffMax = 4 * time.Second
-	// busyBackoffMin is how long a back end is avoided after it refused for lack of capacity; it doubles with each
-	// consecutive refusal up to busyBackoffMax.
-	busyBackoffMin = 50 * time.Millisecond
-	busyBackoffMax = time.Second
+	// minFailureBackoff is how long a back end is avoided after a failure; it doubles with each consecutive failure up to
+	// maxFailureBackoff.
+	minFailureBackoff = 250 * time.Millisecond
+	maxFailureBackoff = 4 * time.Second
+	// minBusyBackoff is how long a back end is avoided after it refused for lack of capacity; it doubles with each
+	// consecutive refusal up to maxBusyBackoff.
+	minBusyBackoff = 50 * time.Millisecond
+	maxBusyBackoff = time.Second
 	// peerFailureBackoff is how long a back end is avoided after it failed for another relay. It doubles up to
-	// failureBackoffMax while the back end fails again after each period and no relay reports a success.
+	// maxFailureBackoff while the back end fails again after each period and no relay reports a success.
 	peerFailureBackoff = 400 * time.Millisecond
 	// reportedLoadLifetime is how long a back end's report of its load is used.
 	reportedLoadLifetime = 500 * time.Millisecond
@@ -107,7 +107,7 @@
 func (b *backEnd) recordFailure(now time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.load.avoidUntil = now + exponentialBackoff(failureBackoffMin, b.load.failures, failureBackoffMax)
+	b.load.avoidUntil = now + exponentialBackoff(minFailureBackoff, b.load.failures, maxFailureBackoff)
 	b.load.failures++
 }
 
@@ -115,7 +115,7 @@
 func (b *backEnd) recordBusy(now time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.load.avoidUntil = max(b.load.avoidUntil, now+exponentialBackoff(busyBackoffMin, b.load.refusals, busyBackoffMax))
+	b.load.avoidUntil = max(b.load.avoidUntil, now+exponentialBackoff(minBusyBackoff, b.load.refusals, maxBusyBackoff))
 	b.load.refusals++
 }
 
@@ -127,7 +127,7 @@
 	if now >= b.load.avoidUntil {
 		b.load.peerFailures++
 	}
-	b.load.avoidUntil = max(b.load.avoidUntil, now+exponentialBackoff(peerFailureBackoff, max(b.load.peerFailures-1, 0), failureBackoffMax))
+	b.load.avoidUntil = max(b.load.avoidUntil, now+exponentialBackoff(peerFailureBackoff, max(b.load.peerFailures-1, 0), maxFailureBackoff))
 }
 
 // clearPeerFailures records that the back end has served another relay.
@@ -158,10 +158,10 @@
 	b.load.lastReceivedAt = now
 }
 
-// exponentialBackoff returns the first delay, doubled the given number of times, but at most maximum.
-func exponentialBackoff(first time.Duration, times int, maximum time.Duration) time.Duration {
+// exponentialBackoff returns the first delay, doubled the given number of times, but at most the limit.
+func exponentialBackoff(first time.Duration, times int, limit time.Duration) time.Duration {
 	const maxDoublings = 16
-	return min(first<<min(times, maxDoublings), maximum)
+	return min(first<<min(times, maxDoublings), limit)
 }
 
 // recordReportedLoad records the load that the back end reported.
--- a/internal/relay/back_end_limits.go
+++ b/internal/relay/back_end_limits.go
@@ -14,8 +14,8 @@
 // is being migrated.
 const permitLifetime = 2 * time.Second
 
-// leaderLimitDelay is how long this relay's own knowledge of a limit takes precedence over the leader's, since the leader
-// receives limits later than their owners do.
+// leaderLimitDelay is how long the leader's value of a limit is ignored after the value that this relay knows has changed,
+// since the leader receives limits later than their owners do.
 const leaderLimitDelay = 10 * time.Second
 
 // Outcomes of permit requests; they are label values of a metric.
@@ -47,39 +47,39 @@
 )
 
 // applyPeerLimit applies a limit that another relay announced.
-func (r *Relay) applyPeerLimit(named fleetlimit.BackEndLimit) {
-	if backEnd := r.view.Load().byIncarnation[named.BackEnd]; backEnd != nil && backEnd.signals.RecordPeerLimit(r.clock.now(), named.Limit) {
-		r.logLimitChange(backEnd, named.Limit, sourceRelay)
+func (r *Relay) applyPeerLimit(backEndLimit fleetlimit.BackEndLimit) {
+	if backEnd := r.view.Load().byIncarnation[backEndLimit.BackEnd]; backEnd != nil && backEnd.signals.RecordPeerLimit(r.clock.now(), backEndLimit.Limit) {
+		r.logLimitChange(backEnd, backEndLimit.Limit, sourceRelay)
 	}
 }
 
 // applyLeaderLimit applies a limit that the leader reported, when neither the back end nor a relay has reported any
 // recently.
-func (r *Relay) applyLeaderLimit(named fleetlimit.BackEndLimit) {
-	backEnd, now := r.view.Load().byIncarnation[named.BackEnd], r.clock.now()
-	if backEnd == nil || !named.Limit.IsSet || backEnd.hasLimit() {
+func (r *Relay) applyLeaderLimit(backEndLimit fleetlimit.BackEndLimit) {
+	backEnd, now := r.view.Load().byIncarnation[backEndLimit.BackEnd], r.clock.now()
+	if backEnd == nil || !backEndLimit.Limit.IsSet || backEnd.hasLimit() {
 		return
 	}
 	if knownFor, isKnown := backEnd.signals.LimitAge(now); isKnown && knownFor < leaderLimitDelay {
 		return
 	}
-	if backEnd.signals.RecordPeerLimit(now, named.Limit) {
-		r.logLimitChange(backEnd, named.Limit, sourceLeader)
+	if backEnd.signals.RecordPeerLimit(now, backEndLimit.Limit) {
+		r.logLimitChange(backEnd, backEndLimit.Limit, sourceLeader)
 	}
 }
 
-// acquirePermit reports whether one request of the given rank may be sent to the back end: the back end has no limit, or
-// the limit's owner grants a permit. It blocks while it queries the owner. isOwed marks a run that must continue at this
-// back end: its permit is requested even while other requests wait for theirs.
-func (r *Relay) acquirePermit(backEnd *backEnd, rank int, isOwed bool) bool {
-	limit, isFirstHand := backEnd.signals.Limit()
+// acquirePermit reports whether one request of the given rank may be sent to the back end, because the back end has no limit
+// or because the limit's owner grants a permit. It blocks while it queries the owner. mustResume marks a run that must
+// continue at this back end: its permit is requested even while other requests wait for theirs.
+func (r *Relay) acquirePermit(backEnd *backEnd, rank int, mustResume bool) bool {
+	limit, isFromBackEnd := backEnd.signals.Limit()
 	if !limit.IsSet {
 		return true
 	}
-	if !isOwed && backEnd.signals.PermitWait(r.clock.now()) > 0 {
+	if !mustResume && backEnd.signals.PermitWait(r.clock.now()) > 0 {
 		return false
 	}
-	answer, answered := r.permits.Request(fleetlimit.PermitRequest{BackEnd: backEnd.incarnationHash, Limit: limit, LimitFromBackEnd: isFirstHand, Rank: rank, MustResume: isOwed})
+	answer, answered := r.permits.Request(fleetlimit.PermitRequest{BackEnd: backEnd.incarnationHash, Limit: limit, LimitFromBackEnd: isFromBackEnd, Rank: rank, MustResume: mustResume})
 	now := r.clock.now()
 	if answered && backEnd.signals.RecordPeerLimit(now, answer.Limit) {
 		r.logLimitChange(backEnd, answer.Limit, sourceRelay)
--- a/internal/relay/back_end_signals.go
+++ b/internal/relay/back_end_signals.go
@@ -34,8 +34,8 @@
 	return b.Changing || b.isLeaving() || b.sendDelay(now) > 0
 }
 
-// internalCallSentAt is passed instead of the send time when an internal call of the relay was answered. The absence of a
-// limit in such an answer, or a larger limit, has no meaning.
+// internalCallSentAt stands for the send time of the relay's internal calls. A limit in the answer to such a call may lower
+// the known limit; the absence of a limit, or a larger limit, has no meaning.
 const internalCallSentAt = time.Duration(-1)
 
 // applyAnswerSignals applies the signals in the head of a back end's answer to a request sent at sentAt, or to an internal
@@ -68,11 +68,11 @@
 	}
 }
 
-// minRetrySpread is the minimum time over which the retries of refused callers are spread, so that they do not all reach
+// minRetrySpread is the minimum time over which the retries of refused clients are spread, so that they do not all reach
 // the back end at once.
 const minRetrySpread = 300 * time.Millisecond
 
-// retryAdvice says when refused callers may retry.
+// retryAdvice says when refused clients may retry.
 type retryAdvice struct {
 	// retryAfter is the delay before a retry; 0 when some back end can be sent requests now.
 	retryAfter time.Duration
@@ -80,8 +80,8 @@
 	isLimited bool
 }
 
-// retryAdvice returns when a caller may retry a request that back ends of the given stage would answer: the shortest delay
-// among them, plus a random spread. For a limit, the spread is at least as long as the delay, since callers are refused at
+// retryAdvice returns when a client may retry a request that back ends of the given stage would answer: the shortest delay
+// among them, plus a random spread. For a limit, the spread is at least as long as the delay, since clients are refused at
 // different moments of one wait.
 func (r *Relay) retryAdvice(service string, stage serving.Stage) retryAdvice {
 	now, shortest := r.clock.now(), retryAdvice{}
--- a/internal/relay/back_end_signals_test.go
+++ b/internal/relay/back_end_signals_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// When all back ends are in backoff, callers are told when the first backoff ends.
+// When all back ends are in backoff, a client receives the time at which the first backoff ends.
 func TestCallersAreToldWhenARestEnds(t *testing.T) {
 	long := startBackEnd(t, "long", serving.StageWhole, answering(503, "", "T-Not-Run: 1", backoffHeader))
 	short := startBackEnd(t, "short", serving.StageWhole, answering(503, "", "T-Not-Run: 1", "Retry-After: 600"))
@@ -68,8 +68,8 @@
 	require.Len(t, short.receivedRequests(), 1)
 }
 
-// When all decoding engines are in backoff, callers are told when the first backoff ends, even though prefill engines are
-// available.
+// When all decoding engines are in backoff, a client receives the time at which the first backoff ends, even though prefill
+// engines are available.
 func TestCallersOfStreamsAreToldWhenARestEnds(t *testing.T) {
 	reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
 	rests := startBackEnd(t, "rests", serving.StageDecode, streaming("rests", eventOne))
@@ -173,9 +173,9 @@
 	engine.signals.ExtendBackoff(relay.clock.now(), time.Hour)
 	engines := relay.view.Load().byService["service"]
 	query := &engineQuery{purpose: purposeDecode, service: "service", request: placement.Request{Stage: serving.StageDecode}}
-	require.NotNil(t, relay.owner.decide(query, engines, &placement.QueryID{Relay: 7, Number: 1}).selection)
+	require.NotNil(t, relay.placementOwner.decide(query, engines, &placement.QueryID{Relay: 7, Number: 1}).selection)
 	query.excluded = []uint64{engine.hash}
-	require.Nil(t, relay.owner.decide(query, engines, &placement.QueryID{Relay: 7, Number: 2}).selection)
+	require.Nil(t, relay.placementOwner.decide(query, engines, &placement.QueryID{Relay: 7, Number: 2}).selection)
 	require.Equal(t, 503, relay.client(t).do("POST", "/path/", "x").status, "the relay's own request")
 	require.Empty(t, rests.receivedRequests())
 }
--- a/internal/relay/back_end_test.go
+++ b/internal/relay/back_end_test.go
@@ -23,7 +23,7 @@
 	}
 	for range 5 {
 		engine.recordPeerFailure(now)
-		require.LessOrEqual(t, engine.currentLoad(now).avoidUntil, now+failureBackoffMax)
+		require.LessOrEqual(t, engine.currentLoad(now).avoidUntil, now+maxFailureBackoff)
 		now = engine.currentLoad(now).avoidUntil
 	}
 	engine.clearPeerFailures()
--- a/internal/relay/cache_reader.go
+++ b/internal/relay/cache_reader.go
@@ -28,7 +28,8 @@
 	relay  *Relay
 	read   func(context.Context, *http.Client, serving.BackEnd) (serving.CacheReport, error)
 	client *http.Client
-	// owned holds the engines that this relay owned at the last check; readAt is when each was called.
+	// owned holds the engines that this relay owned at the last check, except those that could not be called yet; readAt
+	// is when each engine was called.
 	owned  map[*prefixCache]bool
 	readAt map[*prefixCache]time.Duration
 }
@@ -42,7 +43,7 @@
 	}
 }
 
-// readNewlyOwned calls the engines that this relay has come to own.
+// readNewlyOwned calls the engines of which this relay has newly become owner or deputy.
 func (c *cacheReader) readNewlyOwned(ctx context.Context) {
 	owned := map[*prefixCache]bool{}
 	for _, engine := range c.relay.owners.ownedEngines() {
--- a/internal/relay/dialect.go
+++ b/internal/relay/dialect.go
@@ -11,16 +11,16 @@
 	PrefillStage string
 	// ReadyPath is the path of the readiness endpoint; it answers 200 while the relay accepts new connections.
 	ReadyPath string
-	// HandlePath returns the path at which a prefill is released at its engine.
+	// HandlePath returns the path of the call that releases the prefill with this handle at its engine.
 	HandlePath func(handle string) string
 	// ParsePrefillAnswer decodes an engine's answer to a prefill.
 	ParsePrefillAnswer func(body []byte) (PrefillAnswer, error)
-	// MovePath is the path at which an engine is told to transfer a run to another engine.
+	// MovePath is the path of the call that makes an engine transfer a run to another engine.
 	MovePath string
 	// MoveBody returns the body of a call that transfers a run to the engine at an address. With stop, the run stops first;
 	// otherwise it continues meanwhile.
 	MoveBody func(request, address string, stop bool) []byte
-	// ParseMoveAnswer returns the handle of the copy; "" when there is none.
+	// ParseMoveAnswer returns the handle under which the run continues; "" when there is none.
 	ParseMoveAnswer func(body []byte) (handle string)
 	// ParseConfiguration decodes the operator's document.
 	ParseConfiguration func(content []byte) (serving.Configuration, error)
@@ -58,9 +58,9 @@
 	Limit string
 	// Priority is a request's rank at an engine; 0 goes first.
 	Priority string
-	// Stage asks an engine for a part of its work only.
+	// Stage limits a request to one stage of an engine's work; see Dialect.PrefillStage.
 	Stage string
-	// KVSource names where an engine fetches a prompt that another engine has prefilled.
+	// KVSource names the engine and the handle from which an engine fetches a prompt that the other engine has prefilled.
 	KVSource string
 	// KVFetch names an engine from which another engine fetches its cached prefix of a prompt.
 	KVFetch string
--- a/internal/relay/engine_query.go
+++ b/internal/relay/engine_query.go
@@ -48,8 +48,8 @@
 	return slices.Contains(q.excluded, engine.hash) || q.withoutPermits && engine.hasLimit()
 }
 
-// newEngineQuery returns a query for a request. It excludes the engines that were tried, and those in backoff or leaving,
-// since the owner does not know what engines have asked of this relay.
+// newEngineQuery returns a query for a request. It excludes the engines that were tried, and those that are leaving or must
+// not be sent requests now, since the owner does not know the signals that engines have sent to this relay.
 func newEngineQuery(purpose purpose, attempts *attemptTracker, criteria placement.Request) *engineQuery {
 	query := &engineQuery{purpose: purpose, service: attempts.request.service.Name, request: criteria}
 	for _, engine := range attempts.excluded {
@@ -145,9 +145,9 @@
 	timePerToken time.Duration
 	// assignment identifies the owner's answer; zero when this relay decided.
 	assignment assignment
-	// permittedAt is when a permit was acquired for it, 0 for none; isOwed reports whether the run must continue there.
+	// permittedAt is when a permit was acquired for it, 0 for none; mustResume reports whether the run must continue there.
 	permittedAt time.Duration
-	isOwed      bool
+	mustResume  bool
 }
 
 // selectionFor returns the selection of a back end that was not compared with others.
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -46,7 +46,7 @@
 	// applyAnswerSignals applies the signals in the head of a back end's answer.
 	applyAnswerSignals func(backEnd *backEnd, head *fasthttp.ResponseHeader, sentAt time.Duration)
 	// acquirePermit reports whether a request of the given rank may be sent to a back end, which may have a limit.
-	acquirePermit func(backEnd *backEnd, rank int, isOwed bool) bool
+	acquirePermit func(backEnd *backEnd, rank int, mustResume bool) bool
 	// limitedSends counts messages sent to back ends with a limit.
 	limitedSends prometheus.Counter
 	// mechanisms says which mechanisms are enabled.
@@ -102,7 +102,7 @@
 		return notRun(errInBackoff)
 	case !message.backEnd.hasLimit():
 		return nil
-	case !message.usePermit(now) && !e.acquirePermit(message.backEnd, message.request.rank.First, message.isOwed()):
+	case !message.usePermit(now) && !e.acquirePermit(message.backEnd, message.request.rank.First, message.mustResume()):
 		return notRun(errLimitReached)
 	default:
 		e.limitedSends.Inc()
--- a/internal/relay/exchange_records.go
+++ b/internal/relay/exchange_records.go
@@ -47,8 +47,8 @@
 		return
 	}
 	dropped := make([]placement.BlockHash, len(message.newBlocks))
-	for index, part := range message.newBlocks {
-		dropped[index] = part.Hash
+	for index, block := range message.newBlocks {
+		dropped[index] = block.Hash
 	}
 	message.backEnd.cache.dropBlocks(dropped)
 	e.notices.queueAbandoned(message.backEnd, dropped)
--- a/internal/relay/fleet_state.go
+++ b/internal/relay/fleet_state.go
@@ -30,7 +30,7 @@
 	incarnation    uint64
 	// records holds the back ends by identity; their state is kept when a new list arrives.
 	records map[string]*backEnd
-	// signals holds what back ends have asked of this relay; it is kept longer than the records.
+	// signals holds the signals of back ends; it is kept longer than the records.
 	signals *backpressure.Registry
 	// closedBackEnds are the records of back ends that accept no more work since the last list.
 	closedBackEnds []*backEnd
@@ -42,16 +42,16 @@
 	// relayListHash is the hash of the applied list of relays, 0 for none; relayListSize is its length.
 	relayListHash uint64
 	relayListSize int
-	// listedByFormerLeader reports whether the last list came from a leader of the first format, which does not distinguish
-	// incarnations.
-	listedByFormerLeader bool
+	// listedByFirstFormatLeader reports whether the last list came from a leader of the first format, which does not
+	// distinguish incarnations.
+	listedByFirstFormatLeader bool
 	// listing is the last list of back ends as the leader sent it.
 	listing listing.ReceivedList
 	// wantedBackEnds is how many back ends of each service the last leader wanted; isListingPartial reports whether its list
 	// contained only a part of the back ends.
 	wantedBackEnds   []*v1.WantedBackEnds
 	isListingPartial bool
-	localReading     listing.DirectRead
+	directRead       listing.DirectRead
 	faults           listing.Faults
 	// listingCalls is how many calls a read of the platform's list takes; 0 while unknown.
 	listingCalls int
@@ -119,8 +119,8 @@
 			if wanted := response.GetWanted(); len(wanted) > 0 {
 				f.wantedBackEnds = wanted // a leader of the first format sends none; the next leader needs the known value
 			}
-			fromFormerLeader := !formats.FromWire(response.GetFormats()).Supports(formats.ReplicaIncarnations)
-			f.applyListing(f.identifyIncarnations(backEndsFromWire(listed), fromFormerLeader), &next)
+			fromFirstFormatLeader := !formats.FromWire(response.GetFormats()).Supports(formats.ReplicaIncarnations)
+			f.applyListing(f.identifyIncarnations(backEndsFromWire(listed), fromFirstFormatLeader), &next)
 		}
 	}
 	if response.GetTellsHeld() || response.GetHeldVersion() != 0 {
@@ -143,7 +143,7 @@
 }
 
 // applyUsageWindow applies the window over which usage is counted. A leader of the first format does not know such windows;
-// counts are then kept until a leader that does takes over.
+// counts are then kept until the next leader that knows them.
 func (f *fleetState) applyUsageWindow(response *v1.WatchResponse) {
 	window := time.Duration(response.GetUsageWindowMs()) * time.Millisecond
 	if window == 0 && !formats.FromWire(response.GetFormats()).Supports(formats.UsageWindows) {
@@ -155,8 +155,8 @@
 // applyLimits applies the limits that the leader knows, for back ends about which no relay has sent a notice yet.
 func (f *fleetState) applyLimits(response *v1.WatchResponse) {
 	for _, wireLimit := range response.GetLimits() {
-		if named, valid := fleetlimit.FromWire(wireLimit); valid {
-			f.relay.applyLeaderLimit(named)
+		if backEndLimit, valid := fleetlimit.FromWire(wireLimit); valid {
+			f.relay.applyLeaderLimit(backEndLimit)
 		}
 	}
 }
@@ -189,8 +189,8 @@
 	return &v1.Document{Number: response.GetPatchedNumber(), Content: content}
 }
 
-// applyRelayList applies a list of relays. A new leader learns of the relays one by one: until it knows how many there are,
-// its list is applied only when it is at least as long as the current one.
+// applyRelayList applies a list of relays. Relays contact a new leader one by one: until it knows their number, its list is
+// applied only when it is at least as long as the current one.
 func (f *fleetState) applyRelayList(response *v1.WatchResponse) {
 	addresses := response.GetRelayAddresses()
 	if len(addresses) == 0 || response.GetRelayList() == f.relayListHash {
@@ -254,7 +254,7 @@
 		return // without a configuration, which only controllers send, no request could be served
 	}
 	calls := relays * max(f.listingCalls, 1)
-	if !f.localReading.IsDue(f.relay.clock.now(), max(f.relay.lastContact(), 0)+lead, current.isListed, calls, f.relay.draw) {
+	if !f.directRead.IsDue(f.relay.clock.now(), max(f.relay.lastContact(), 0)+lead, current.isListed, calls, f.relay.draw) {
 		return
 	}
 	result, err := f.readListing(ctx, f.platformClient, 0)
--- a/internal/relay/former_leader_test.go
+++ b/internal/relay/former_leader_test.go
@@ -39,7 +39,7 @@
 	require.False(t, relay.guard.IsQuarantined(signature), "a leader of the current format reports that no request is quarantined")
 }
 
-// Limits are owned only by relays whose format supports it.
+// Only relays whose format supports permits between relays own limits.
 func TestRelaysOfTheFormerBuildKeepNoCounts(t *testing.T) {
 	relay := newTestRelay(t, route(nil))
 	others := []string{"127.0.0.1:1", "127.0.0.1:2", relay.datagrams.Address}
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -201,7 +201,7 @@
 	return newKeyedRelay(t, config, nil, backEnds...)
 }
 
-// newKeyedRelay starts a test relay. When tenants are given, callers are identified by their keys.
+// newKeyedRelay starts a test relay. When tenants are given, clients are identified by their keys.
 func newKeyedRelay(t *testing.T, routeConfig serving.Route, tenants []serving.Tenant, backEnds ...*scriptedBackEnd) *testRelay {
 	t.Helper()
 	config := settings.Relay{
--- a/internal/relay/identify_incarnations_test.go
+++ b/internal/relay/identify_incarnations_test.go
@@ -8,7 +8,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// entryOf returns a replica's list entry; born is 0 in the list of a leader of the first format.
+// entryOf returns a replica's list entry; startedAtMs is 0 in the list of a leader of the first format.
 func entryOf(startedAtMs int64, address string) serving.BackEnd {
 	entry := serving.BackEnd{ID: "i-1", Service: "s", Address: address, Zone: "z", Slots: 4}
 	if startedAtMs != 0 {
@@ -24,7 +24,7 @@
 	type listingStep struct {
 		startedAtMs int64
 		address     string
-		// same: the entry denotes the same incarnation as the entry before.
+		// same means that the entry denotes the same incarnation as the previous entry.
 		same bool
 	}
 	for name, listings := range map[string][]listingStep{
--- a/internal/relay/local_listing_test.go
+++ b/internal/relay/local_listing_test.go
@@ -42,7 +42,7 @@
 	require.Zero(t, *readings)
 }
 
-// Nor must a relay that does not know the number of relays, since none of them would wait for its turn.
+// A relay that does not know the number of relays must not read the list either: it cannot tell how long to wait for its turn.
 func TestRelayThatKnowsNoOthersLeavesTheList(t *testing.T) {
 	relay := newTestRelay(t, route(nil), startBackEnd(t, "one", serving.StageWhole, refusing(503)))
 	readings := relay.serveListing(10)
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -41,5 +41,5 @@
 	return now-acquiredAt <= permitLifetime
 }
 
-// isOwed reports whether the run must continue at this back end.
-func (m *message) isOwed() bool { return m.selection != nil && m.selection.isOwed }
+// mustResume reports whether the run must continue at this back end.
+func (m *message) mustResume() bool { return m.selection != nil && m.selection.mustResume }
--- a/internal/relay/missing_state.go
+++ b/internal/relay/missing_state.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// refusal returns the answer to a request that cannot be served for want of this state. The request was not run. draw, in
+// refusal returns the answer to a request that cannot be served because this state is missing. The request was not run. draw, in
 // [0, 1), spreads the times at which clients retry.
 func (m missingState) refusal(draw float64) refusal {
 	retryAfter := retryAfterStartup + time.Duration(draw*float64(retryStartupSpread))
--- a/internal/relay/newest_list_test.go
+++ b/internal/relay/newest_list_test.go
@@ -47,7 +47,7 @@
 	require.Len(t, staying.receivedRequests(), 1)
 }
 
-// The same applies to a request that is sent again after its first back end has refused it.
+// A request that is sent again after its first back end has refused it goes to a back end of the newest list.
 func TestNextBackEndIsSelectedFromTheNewestList(t *testing.T) {
 	var relay *testRelay
 	refuses := startBackEnd(t, "refuses", serving.StageWhole, func(connection net.Conn, request backEndRequest) bool {
--- a/internal/relay/notice_pending.go
+++ b/internal/relay/notice_pending.go
@@ -23,8 +23,8 @@
 // queueWork queues a notice about changed work at an engine.
 func (n *loadNotices) queueWork(engine *backEnd) { n.queue(engine, pendingNotice{}) }
 
-// queueStarted queues the blocks whose prefill an engine begins, and the number of the placement query that selected the
-// engine; 0 for none.
+// queueStarted queues the blocks whose prefill an engine begins. queryNumber is the number of the placement query whose
+// answer selected the engine; 0 for none.
 func (n *loadNotices) queueStarted(engine *backEnd, started []placement.PrefixBlock, queryNumber uint64) {
 	update := pendingNotice{started: started}
 	if queryNumber != 0 {
--- a/internal/relay/notice_wire.go
+++ b/internal/relay/notice_wire.go
@@ -28,9 +28,9 @@
 
 // blocksToWire returns the hashes and lengths of blocks for a notice.
 func blocksToWire(blocks []placement.PrefixBlock) (hashes []uint64, tokens []uint32) {
-	for _, part := range blocks {
-		hashes = append(hashes, uint64(part.Hash))
-		tokens = append(tokens, uint32(max(part.Tokens, 0)))
+	for _, block := range blocks {
+		hashes = append(hashes, uint64(block.Hash))
+		tokens = append(tokens, uint32(max(block.Tokens, 0)))
 	}
 	return hashes, tokens
 }
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -161,8 +161,8 @@
 	return result
 }
 
-// receivers returns the relays that receive notices about a back end: the owner and the deputy of an engine's cell, as far
-// as they answer, or the peers for a back end without an owner. The mutex is held.
+// receivers returns the relays that receive notices about a back end: the owner and the deputy of an engine's cell, or the
+// relays that act for them when they do not answer; the peers for a back end without an owner. The mutex is held.
 func (n *loadNotices) receivers(now time.Duration, engine *backEnd) []string {
 	if !engine.isEngine() {
 		return n.peers
@@ -181,7 +181,7 @@
 func (n *loadNotices) apply(notice *v1.LoadNotice) {
 	byHash := n.relay.view.Load().byHash
 	for _, entry := range notice.GetEngines() {
-		n.relay.owner.releaseReservations(notice.GetRelay(), entry.GetAssigned())
+		n.relay.placementOwner.releaseReservations(notice.GetRelay(), entry.GetAssigned())
 		engine := byHash[entry.GetEngine()]
 		if engine == nil {
 			continue
--- a/internal/relay/options.go
+++ b/internal/relay/options.go
@@ -25,7 +25,7 @@
 	Listen func(network, address string) (net.Listener, error)
 	// ListenPacket opens a datagram socket; nil means net.ListenPacket.
 	ListenPacket func(network, address string) (net.PacketConn, error)
-	// Dial opens outgoing connections; nil means dialing.Watched.
+	// Dial opens outgoing connections; nil means dialing.WithDeadPeerDetection.
 	Dial dialing.Dial
 	// Reloaded delivers settings that were read again; nil for none.
 	Reloaded <-chan settings.Relay
--- a/internal/relay/owner_faults_test.go
+++ b/internal/relay/owner_faults_test.go
@@ -52,8 +52,8 @@
 	require.NoError(o.t, err)
 }
 
-// An owner that is slow, or whose answers are lost while it receives queries, is told that its answer is not used. A late
-// answer changes nothing.
+// An owner that is slow, or whose answers are lost while it receives queries, is notified that its answer is not used. A
+// late answer changes nothing.
 func TestLateAnswerOfAnOwnerIsNotUsed(t *testing.T) {
 	near := startBackEnd(t, "near", serving.StageDecode, streaming("near", eventOne))
 	far := startBackEnd(t, "far", serving.StageDecode, streaming("far", eventOne))
@@ -96,7 +96,7 @@
 	require.Equal(t, eventOne, client.read().body)
 }
 
-// Two relays may both believe that they own an engine. Each takes its own assignments into account, and learns of the
+// Two relays may both believe that they own an engine. Each takes its own assignments into account, and receives the
 // other's through the notices of the querying relays.
 func TestTwoOwnersOfOneEngineLearnOfEachOthersAssignments(t *testing.T) {
 	engine := startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne))
@@ -105,17 +105,17 @@
 		return &engineQuery{purpose: purposeDecode, service: "service", request: placement.Request{Stage: serving.StageDecode}}
 	}
 	for number := range uint64(3) {
-		one.owner.decide(query(), one.view.Load().byService["service"], &placement.QueryID{Relay: 7, Number: number})
-		other.owner.decide(query(), other.view.Load().byService["service"], &placement.QueryID{Relay: 8, Number: number})
+		one.placementOwner.decide(query(), one.view.Load().byService["service"], &placement.QueryID{Relay: 7, Number: number})
+		other.placementOwner.decide(query(), other.view.Load().byService["service"], &placement.QueryID{Relay: 8, Number: number})
 	}
 	hash := one.engineOf("engine").hash
 	require.Equal(t, 3, one.reservedWork("engine").Streams)
 	notice := &v1.LoadNotice{Relay: 8, Sequence: 1, Engines: []*v1.EngineWork{{Engine: hash, Streams: 3, Assigned: []uint64{0, 1, 2}}}}
 	one.notices.handle(notice)
 	other.notices.handle(notice)
-	answer := one.owner.decide(query(), one.view.Load().byService["service"], nil)
+	answer := one.placementOwner.decide(query(), one.view.Load().byService["service"], nil)
 	require.Equal(t, 6, answer.selection.queuedWork.Streams, "its own assignments and the reported work")
-	answer = other.owner.decide(query(), other.view.Load().byService["service"], nil)
+	answer = other.placementOwner.decide(query(), other.view.Load().byService["service"], nil)
 	require.Equal(t, 3, answer.selection.queuedWork.Streams, "the reported work replaces the assignments")
 }
 
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -195,10 +195,11 @@
 	return owned
 }
 
-// homeCells returns the indexes of the cells in which a prompt should run, the best first. A request is tied to cells of
-// other zones only by a shared prefix of at least the given number of tokens, which is long enough to be worth fetching.
-func (c *serviceCells) homeCells(prompt []placement.PrefixBlock, request, zone string, least, count int) []int {
-	if shared := sharedPrefixTokens(prompt); shared >= least {
+// homeCells returns the indexes of up to count cells in which a prompt should run, the best first. A prompt with a shared
+// prefix of at least minSharedTokens, which is long enough to be worth fetching, has the same homes in all zones; for any
+// other prompt, the cells of the given zone go first.
+func (c *serviceCells) homeCells(prompt []placement.PrefixBlock, request, zone string, minSharedTokens, count int) []int {
+	if shared := sharedPrefixTokens(prompt); shared >= minSharedTokens {
 		return c.division.Homes(uint64(prompt[len(prompt)-2].Hash), "", count)
 	}
 	return c.division.Homes(requestHash(request), zone, count)
@@ -207,8 +208,8 @@
 // sharedPrefixTokens returns the length of a prompt without its last block, which no other request shares.
 func sharedPrefixTokens(prompt []placement.PrefixBlock) int {
 	shared := 0
-	for _, part := range prompt[:max(len(prompt)-1, 0)] {
-		shared += part.Tokens
+	for _, block := range prompt[:max(len(prompt)-1, 0)] {
+		shared += block.Tokens
 	}
 	return shared
 }
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -21,7 +21,7 @@
 	})
 	r.placements = newPlacementClient(r, r.datagrams, r.fleet.incarnation, r.peers)
 	r.permits = newPermits(r)
-	r.owner = newPlacementOwner(r)
+	r.placementOwner = newPlacementOwner(r)
 	r.owners = newOwnerTable(r.datagrams.Address, r.event)
 }
 
@@ -31,13 +31,13 @@
 	case *v1.RelayDatagram_Notice:
 		r.notices.handle(content.Notice)
 	case *v1.RelayDatagram_Request:
-		r.owner.handleQuery(content.Request, func(answer *v1.PlacementAnswer) {
+		r.placementOwner.handleQuery(content.Request, func(answer *v1.PlacementAnswer) {
 			r.datagrams.Send(from, &v1.RelayDatagram{Content: &v1.RelayDatagram_Answer{Answer: answer}})
 		})
 	case *v1.RelayDatagram_Answer:
 		r.placements.deliver(content.Answer)
 	case *v1.RelayDatagram_Cancel:
-		r.owner.cancel(content.Cancel)
+		r.placementOwner.cancel(content.Cancel)
 	case *v1.RelayDatagram_LimitAsk:
 		r.permits.HandleRequest(content.LimitAsk, from)
 	case *v1.RelayDatagram_LimitAnswer:
@@ -49,9 +49,9 @@
 	}
 }
 
-// setRelays applies a new list of relays. Relays of the former format are listed in formerRelays; they cannot own limits.
-func (r *Relay) setRelays(addresses, formerRelays []string) {
-	limitOwners := slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return slices.Contains(formerRelays, address) })
+// setRelays applies a new list of relays. Those in relaysWithoutPermits cannot own limits, since their format lacks permits.
+func (r *Relay) setRelays(addresses, relaysWithoutPermits []string) {
+	limitOwners := slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return slices.Contains(relaysWithoutPermits, address) })
 	r.permits.SetRelays(limitOwners)
 	if !r.owners.setRelays(addresses) {
 		return
--- a/internal/relay/permits/permits.go
+++ b/internal/relay/permits/permits.go
@@ -148,13 +148,13 @@
 }
 
 // ReportLimit sends a limit that a back end declared to this relay to the owner and deputies of that limit.
-func (p *Permits) ReportLimit(named fleetlimit.BackEndLimit) {
+func (p *Permits) ReportLimit(backEndLimit fleetlimit.BackEndLimit) {
 	notice := &v1.RelayDatagram{Content: &v1.RelayDatagram_LimitNotice{LimitNotice: &v1.LimitNotice{
-		Limits: []*v1.NamedLimit{fleetlimit.ToWire(named)}, Heard: true,
+		Limits: []*v1.NamedLimit{fleetlimit.ToWire(backEndLimit)}, Heard: true,
 	}}}
-	for _, owner := range p.OwnersOf(named.BackEnd) {
+	for _, owner := range p.OwnersOf(backEndLimit.BackEnd) {
 		if owner == p.config.Socket.Address {
-			p.recordLimit(named)
+			p.recordLimit(backEndLimit)
 		} else {
 			p.config.Socket.Send(owner, notice)
 		}
@@ -162,9 +162,9 @@
 }
 
 // recordLimit records a limit where this relay may be its owner.
-func (p *Permits) recordLimit(named fleetlimit.BackEndLimit) {
+func (p *Permits) recordLimit(backEndLimit fleetlimit.BackEndLimit) {
 	p.mutex.Lock()
-	isChanged := p.member.SetLimit(p.config.Now(), named)
+	isChanged := p.member.SetLimit(p.config.Now(), backEndLimit)
 	p.mutex.Unlock()
 	if isChanged {
 		select {
@@ -177,17 +177,17 @@
 // HandleNotice applies another relay's notice: limits that it received from back ends, or limits that it owns.
 func (p *Permits) HandleNotice(notice *v1.LimitNotice, from string) {
 	for _, wireLimit := range notice.GetLimits() {
-		named, valid := fleetlimit.FromWire(wireLimit)
+		backEndLimit, valid := fleetlimit.FromWire(wireLimit)
 		switch {
 		case !valid:
 			p.config.Socket.CountDrop(datagram.Malformed)
 		case notice.GetHeard():
-			p.recordLimit(named)
+			p.recordLimit(backEndLimit)
 		default:
 			p.mutex.Lock()
-			p.member.ApplyNotice(p.config.Now(), from, named)
+			p.member.ApplyNotice(p.config.Now(), from, backEndLimit)
 			p.mutex.Unlock()
-			p.config.OnLimit(named)
+			p.config.OnLimit(backEndLimit)
 		}
 	}
 }
--- a/internal/relay/permits/wire.go
+++ b/internal/relay/permits/wire.go
@@ -17,9 +17,9 @@
 
 // requestFromWire decodes a permit request; it returns false for an invalid one.
 func requestFromWire(request *v1.LimitAsk) (fleetlimit.PermitRequest, bool) {
-	named, valid := fleetlimit.FromWire(request.GetLimit())
+	backEndLimit, valid := fleetlimit.FromWire(request.GetLimit())
 	decoded := fleetlimit.PermitRequest{
-		BackEnd: named.BackEnd, Limit: named.Limit, LimitFromBackEnd: request.GetHeard(), RequesterID: request.GetRelay(),
+		BackEnd: backEndLimit.BackEnd, Limit: backEndLimit.Limit, LimitFromBackEnd: request.GetHeard(), RequesterID: request.GetRelay(),
 		Rank: int(min(request.GetRank(), fleetlimit.RankCount-1)), MustResume: request.GetOwed(),
 	}
 	return decoded, valid
@@ -39,7 +39,7 @@
 // answerFromWire decodes an answer; it returns false for one that is invalid or comes from a relay that does not own the
 // limit.
 func answerFromWire(wireAnswer *v1.LimitAnswer) (fleetlimit.PermitResponse, bool) {
-	named, valid := fleetlimit.FromWire(wireAnswer.GetLimit())
+	backEndLimit, valid := fleetlimit.FromWire(wireAnswer.GetLimit())
 	wait := time.Duration(min(wireAnswer.GetWaitUs(), uint64(maxWait.Microseconds()))) * time.Microsecond
-	return fleetlimit.PermitResponse{Granted: wireAnswer.GetGranted(), Wait: wait, Limit: named.Limit}, valid && !wireAnswer.GetNotKept()
+	return fleetlimit.PermitResponse{Granted: wireAnswer.GetGranted(), Wait: wait, Limit: backEndLimit.Limit}, valid && !wireAnswer.GetNotKept()
 }
--- a/internal/relay/placement_client.go
+++ b/internal/relay/placement_client.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// cancel tells an owner that a query is cancelled, or that its answer is not used.
+// cancel notifies an owner that a query is cancelled, or that its answer is not used.
 func (c *placementClient) cancel(assigned assignment) {
 	if assigned.owner == "" {
 		return
--- a/internal/relay/placement_client_test.go
+++ b/internal/relay/placement_client_test.go
@@ -56,16 +56,16 @@
 
 // reservedWork returns the work that the relay, as owner, has reserved at an engine.
 func (r *testRelay) reservedWork(engine string) placement.Work {
-	r.owner.mutex.Lock()
-	defer r.owner.mutex.Unlock()
-	return r.owner.reservations.ReservedWork(r.engineOf(engine).hash)
+	r.placementOwner.mutex.Lock()
+	defer r.placementOwner.mutex.Unlock()
+	return r.placementOwner.reservations.ReservedWork(r.engineOf(engine).hash)
 }
 
 // queryOwner sends the owner another relay's query about its only cell; the channel receives the answers.
 func (r *testRelay) queryOwner(query *engineQuery, number uint64) <-chan *v1.PlacementAnswer {
 	answers := make(chan *v1.PlacementAnswer, maxAnswersRead)
 	id := r.owners.current.Load().services["service"].division.Cells()[0].ID
-	go r.owner.handleQuery(queryToWire(query, otherRelay, number, id), func(answer *v1.PlacementAnswer) { answers <- answer })
+	go r.placementOwner.handleQuery(queryToWire(query, otherRelay, number, id), func(answer *v1.PlacementAnswer) { answers <- answer })
 	return answers
 }
 
@@ -171,10 +171,10 @@
 	} {
 		former := proto.CloneOf(query)
 		former.Formats = nil
-		owner.owner.handleQuery(former, func(*v1.PlacementAnswer) { t.Error("a relay of the first format was answered") })
+		owner.placementOwner.handleQuery(former, func(*v1.PlacementAnswer) { t.Error("a relay of the first format was answered") })
 		t.Run(name, func(t *testing.T) {
 			var answers []*v1.PlacementAnswer
-			owner.owner.handleQuery(query, func(answer *v1.PlacementAnswer) { answers = append(answers, answer) })
+			owner.placementOwner.handleQuery(query, func(answer *v1.PlacementAnswer) { answers = append(answers, answer) })
 			require.Len(t, answers, 1)
 			require.Equal(t, v1.PlacementAction_PLACEMENT_ACTION_UNPLACED, answers[0].GetAction())
 			require.Equal(t, uint64(3), answers[0].GetNumber())
@@ -223,7 +223,7 @@
 	blocks := []placement.PrefixBlock{{Hash: 1, Tokens: 4000}, {Hash: 2, Tokens: 3000}}
 	query := &engineQuery{purpose: purposePrefill, service: "service", request: placement.Request{Prompt: blocks, Tokens: 7000, Target: time.Second}}
 	queryID := placement.QueryID{Relay: 1, Number: 1}
-	answer := owner.owner.decide(query, owner.view.Load().byService["service"], &queryID)
+	answer := owner.placementOwner.decide(query, owner.view.Load().byService["service"], &queryID)
 	require.Equal(t, 7000, answer.selection.backEnd.cache.lookup(blocks, 0).Total)
 	owner.handleDatagram(&v1.RelayDatagram{Content: &v1.RelayDatagram_Cancel{Cancel: &v1.PlacementCancel{Relay: 1, Number: 1}}}, "")
 	require.Zero(t, answer.selection.backEnd.cache.lookup(blocks, 0).Total)
--- a/internal/relay/placement_offer.go
+++ b/internal/relay/placement_offer.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// maxHomeCells is how many cells a request may be offered to.
+	// maxHomeCells is the maximum number of cells to which one request is offered.
 	maxHomeCells = 3
-	// maxOwnersQueried is how many owners of a cell are queried before this relay decides itself.
+	// maxOwnersQueried is the maximum number of a cell's owners that are queried before this relay decides itself.
 	maxOwnersQueried = 2
 )
 
@@ -17,12 +17,12 @@
 func (c *placementClient) decideInCell(cells *serviceCells, index int, query *engineQuery, stop <-chan struct{}) engineAnswer {
 	id := cells.division.Cells()[index].ID
 	if !c.relay.mechanisms.IsEnabled(mechanism.Owners) {
-		return c.relay.owner.decide(query, cells.members[index], nil)
+		return c.relay.placementOwner.decide(query, cells.members[index], nil)
 	}
 	for _, owner := range c.trustedOwners(c.relay.clock.now(), cells.owners[index], maxOwnersQueried) {
 		if owner == c.datagrams.Address {
 			c.relay.metrics.placementQueries.WithLabelValues(queryOwnCell).Inc()
-			return c.relay.owner.decide(query, cells.members[index], nil)
+			return c.relay.placementOwner.decide(query, cells.members[index], nil)
 		}
 		if answer, answered := c.query(owner, id, query, stop); answered {
 			return answer
@@ -32,7 +32,7 @@
 		}
 	}
 	c.relay.metrics.placementQueries.WithLabelValues(queryDecidedHere).Inc()
-	answer := c.relay.owner.decide(query, cells.members[index], nil)
+	answer := c.relay.placementOwner.decide(query, cells.members[index], nil)
 	answer.isDecidedHere = true
 	return answer
 }
--- a/internal/relay/placement_owner.go
+++ b/internal/relay/placement_owner.go
@@ -28,13 +28,13 @@
 	return &placementOwner{relay: relay, reservations: placement.NewReservations(), waiting: map[placement.QueryID]chan struct{}{}}
 }
 
-// decide selects one of the engines for a request. When another relay has sent the query, the assigned work is reserved
-// from now on; asker is nil for this relay's own requests, whose work begins at once.
+// decide selects one of the engines for a request. queryID identifies another relay's query, for which the assigned work is
+// reserved from now on; it is nil for this relay's own requests, whose work begins at once.
 func (o *placementOwner) decide(query *engineQuery, engines []*backEnd, queryID *placement.QueryID) engineAnswer {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	now := o.relay.clock.now()
-	query.request.Now, query.request.UncachedShare = now, o.relay.prefillSpeed.usualShare()
+	query.request.Now, query.request.UncachedShare = now, o.relay.prefillSpeed.uncachedShare()
 	o.expireReservations(now)
 	candidates := o.relay.candidatesOf(engines, query.request.Prompt, query.excludes, now)
 	for index := range candidates.engines {
@@ -47,7 +47,7 @@
 	answer.decision = query.decideAmong(o.relay.policy, candidates, o.relay.draw)
 	answer.selection = candidates.selectionOf(answer.decision.Engine)
 	if answer.decision.Action == placement.PrefillSeparately && query.purpose == purposeBegin {
-		o.relay.prefillSpeed.observeShare(query.request.Tokens, answer.decision.Engine.PrefillTokens)
+		o.relay.prefillSpeed.observeUncachedShare(query.request.Tokens, answer.decision.Engine.PrefillTokens)
 	}
 	if queryID != nil && o.relay.mechanisms.IsEnabled(mechanism.Reservations) {
 		o.reserve(now, *queryID, query, answer)
@@ -61,8 +61,8 @@
 		return
 	}
 	reservation := placement.Reservation{Engine: answer.selection.backEnd.hash, Work: query.workOf(o.relay.policy, answer.decision)}
-	for _, part := range answer.selection.backEnd.cache.beginPrefill(now, query.request.Prompt) {
-		reservation.PendingBlocks = append(reservation.PendingBlocks, part.Hash)
+	for _, block := range answer.selection.backEnd.cache.beginPrefill(now, query.request.Prompt) {
+		reservation.PendingBlocks = append(reservation.PendingBlocks, block.Hash)
 	}
 	if replaced, found := o.reservations.Add(now, queryID, reservation); found {
 		o.dropReservedBlocks(replaced)
@@ -109,8 +109,8 @@
 	}
 }
 
-// handleQuery answers another relay's query. When the request should wait for another prefill, it first answers that the
-// query waits, and answers again after the wait.
+// handleQuery answers another relay's query. When the request should wait for another request's prefill, a first answer
+// announces the wait, and the decision follows after it.
 func (o *placementOwner) handleQuery(request *v1.PlacementRequest, reply func(*v1.PlacementAnswer)) {
 	current := o.relay.owners.current.Load().services[request.GetService()]
 	if current == nil {
--- a/internal/relay/placement_wire.go
+++ b/internal/relay/placement_wire.go
@@ -128,8 +128,8 @@
 	return answer
 }
 
-// answerFromWire is the reverse of answerToWire. It returns false for an answer whose engine is not listed here, is
-// unavailable or is excluded.
+// answerFromWire is the reverse of answerToWire. It returns false when the owner does not know the cell, and when the
+// selected engine is not listed here, is unavailable or is excluded.
 func answerFromWire(wireAnswer *v1.PlacementAnswer, view *view, excludes func(*backEnd) bool, now time.Duration) (engineAnswer, bool) {
 	if wireAnswer.GetUnknownCell() {
 		return engineAnswer{}, false
--- a/internal/relay/prefill_speed.go
+++ b/internal/relay/prefill_speed.go
@@ -33,7 +33,7 @@
 	return p.speed.PerToken(engine)
 }
 
-// adopt applies an engine's time per token as its owner knows it, who has more measurements.
+// adopt replaces an engine's time per token by the value of the engine's owner, which has more measurements.
 func (p *prefillSpeed) adopt(engine uint64, perToken time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -42,15 +42,15 @@
 	}
 }
 
-// observeShare records how many of a prompt's tokens needed a prefill.
-func (p *prefillSpeed) observeShare(tokens, toRead int) {
+// observeUncachedShare records how many of a prompt's tokens needed a prefill.
+func (p *prefillSpeed) observeUncachedShare(tokens, uncachedTokens int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.speed.ObserveUncachedShare(tokens, toRead)
+	p.speed.ObserveUncachedShare(tokens, uncachedTokens)
 }
 
-// usualShare returns the usual fraction of a prompt that needs a prefill.
-func (p *prefillSpeed) usualShare() float64 {
+// uncachedShare returns the usual share of a prompt that needs a prefill.
+func (p *prefillSpeed) uncachedShare() float64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.speed.UncachedShare()
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -42,9 +42,9 @@
 	return true
 }
 
-// reportBroken lets the guard find out whether the back end that broke the connection has crashed. It waits for the result
+// reportBrokenRun lets the guard find out whether the back end that broke the connection has crashed. It waits for the result
 // when the request may be sent again.
-func (a *attemptTracker) reportBroken(backEnd *backEnd, fault *failure) {
+func (a *attemptTracker) reportBrokenRun(backEnd *backEnd, fault *failure) {
 	relay, request := a.relay, a.request
 	if !fault.mayHaveArrived || backEnd.isLeaving() {
 		return
--- a/internal/relay/refusal_test.go
+++ b/internal/relay/refusal_test.go
@@ -32,8 +32,8 @@
 	return relay, relay.engineOf("engine")
 }
 
-// An engine that is changing its stage refuses everything. Relays without the newest list learn of it from one refusal, even
-// one that another relay received.
+// An engine that is changing its stage refuses everything. One refusal is enough for relays without the newest list to avoid
+// the engine, even a refusal that another relay received.
 func TestRefusalOfAnEngineWithFreeSlotsCountsAsFailure(t *testing.T) {
 	relay, engine := newRefusingRelay(t, serving.StageDecode)
 	relay.refuse(engine, placement.Work{Streams: 1}.Plus(placement.PrefillWork(500, 0)))
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -34,7 +34,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/usagereport"
 )
 
-// leaderContactSlack is how long after an overdue message of the leader the view still counts as fresh.
+// leaderContactSlack is how much later than expected the leader's next message may arrive before the view counts as stale.
 const leaderContactSlack = 800 * time.Millisecond
 
 // Relay is one running relay process.
@@ -51,19 +51,19 @@
 	fleet   *fleetState
 	// guard keeps requests away from back ends that they would crash.
 	guard *crashguard.Guard
-	// datagrams, notices and placements communicate with other relays. owners says which engines belong to which relays;
-	// owner decides on the engines that belong to this relay.
+	// datagrams, notices and placements communicate with other relays. owners says which relay owns which engines;
+	// placementOwner decides on the engines that this relay owns.
 	datagrams  *datagram.Socket
 	notices    *loadNotices
 	placements *placementClient
 	// peers records which other relays answer.
 	peers *peerhealth.Table
 	// permits obtains permits for back ends that declare a limit for all relays together.
-	permits      *permits.Permits
-	owner        *placementOwner
-	owners       *ownerTable
-	work         *workmeter.Meter
-	prefillSpeed *prefillSpeed
+	permits        *permits.Permits
+	placementOwner *placementOwner
+	owners         *ownerTable
+	work           *workmeter.Meter
+	prefillSpeed   *prefillSpeed
 	// usage counts the tenants' requests.
 	usage *usagereport.Meter
 	// policy holds the parameters of placement decisions.
@@ -293,7 +293,7 @@
 	return limits
 }
 
-// maxContactAge returns how long after the leader's last message the view still counts as fresh.
+// maxContactAge returns how long after the leader's last message the view counts as fresh.
 func (r *Relay) maxContactAge() time.Duration { return r.watcher.Wait() + leaderContactSlack }
 
 // lastContact returns when the leader's last message arrived.
--- a/internal/relay/relay_metrics.go
+++ b/internal/relay/relay_metrics.go
@@ -122,7 +122,7 @@
 		return float64(len(relay.owners.ownedEngines()))
 	})
 	factory.GaugeFunc("retry_budget_left", "Sendings beyond the first that the service with fewest left allows.", func() float64 {
-		return relay.budget.MinimumLeft(relay.clock.now())
+		return relay.budget.MinLeft(relay.clock.now())
 	})
 	factory.GaugeFunc("requests_held", "Requests that are kept away from back ends, since some have ended under them.", func() float64 {
 		return float64(relay.guard.QuarantinedCount())
@@ -187,7 +187,7 @@
 	}
 }
 
-// recordEnd counts a request that has ended and observes its times.
+// recordEnd counts a request that has ended and records its durations.
 func (m *relayMetrics) recordEnd(request *request, reply *replier, now time.Duration) {
 	m.requests.WithLabelValues(request.route.Kind.String(), string(outcomeOf(request, reply, now))).Inc()
 	if reply.refusal != nil {
--- a/internal/relay/release.go
+++ b/internal/relay/release.go
@@ -9,11 +9,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/relay/connpool"
 )
 
-// releaseTimeout bounds the release of a prefill, which expires later without one.
+// releaseTimeout bounds the call that releases a prefill. A prefill that is not released expires by itself.
 const releaseTimeout = time.Second
 
-// release tells an engine that a prefill will not be fetched. Once the engine has confirmed, it has the prompt's blocks
-// cached for any request.
+// release notifies an engine that a prefill will not be fetched. Once the engine has confirmed, the prompt's blocks are
+// recorded as cached for any request.
 func (e *exchanger) release(prefill *remotePrefill, path string) {
 	now := e.clock.now()
 	if prefill.engine.inBackoff(now) || !e.acquirePermit(prefill.engine, internalCallRank, false) {
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -30,7 +30,7 @@
 	route   *serving.Route
 	service *serving.Service
 	prompt  serving.Prompt
-	// usesKeys reports whether callers are identified by keys; tenant is the caller, nil for an anonymous one.
+	// usesKeys reports whether clients are identified by keys; tenant is the client's tenant, nil for an anonymous client.
 	usesKeys bool
 	tenant   *serving.Tenant
 	// isUsageCounted reports whether the run is counted in the tenant's usage already.
@@ -46,7 +46,7 @@
 	trace     requestTrace
 }
 
-// tenantName returns the tenant's name; empty for an anonymous caller.
+// tenantName returns the tenant's name; empty for an anonymous client.
 func (r *request) tenantName() string {
 	if r.tenant == nil {
 		return ""
--- a/internal/relay/request_writer.go
+++ b/internal/relay/request_writer.go
@@ -20,7 +20,7 @@
 
 // requestWriter builds the heads of requests to back ends.
 type requestWriter struct {
-	// keyHeader is the name of the header with clients' keys. It is not forwarded when callers are identified by keys.
+	// keyHeader is the name of the header with clients' keys. It is not forwarded when clients are identified by keys.
 	keyHeader string
 	// relayHeaders are the headers that only relays may set; they are removed from clients' requests.
 	relayHeaders map[string]bool
--- a/internal/relay/retrybudget/budget.go
+++ b/internal/relay/retrybudget/budget.go
@@ -10,7 +10,7 @@
 	// bucketCount is the number of buckets into which the window of a retry budget is divided.
 	bucketCount = 10
 	// SlackShare is the fraction of the fleet's slack that is divided among the relays. The remainder covers restarted
-	// relays, which lose their counts, and relays whose number of relays is out of date.
+	// relays, which lose their counts, and relays that divide by an outdated number of relays.
 	SlackShare = 0.7
 	// ratioShare is the fraction of the ratio that is used, for the same reasons.
 	ratioShare = 0.85
@@ -89,15 +89,15 @@
 	return b.canSpend(b.advance(now, service))
 }
 
-// MinimumLeft returns how many retries are left for the service that has the fewest left.
-func (b *Budget) MinimumLeft(now time.Duration) float64 {
+// MinLeft returns how many retries are left for the service that has the fewest left.
+func (b *Budget) MinLeft(now time.Duration) float64 {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	minimum := b.left(&serviceWindow{})
+	fewest := b.left(&serviceWindow{})
 	for service := range b.services {
-		minimum = min(minimum, b.left(b.advance(now, service)))
+		fewest = min(fewest, b.left(b.advance(now, service)))
 	}
-	return minimum
+	return fewest
 }
 
 // canSpend reports whether one more retry may be sent.
--- a/internal/relay/run_mover.go
+++ b/internal/relay/run_mover.go
@@ -95,7 +95,7 @@
 	}
 	if !copied {
 		target = selectionFor(m.engine)
-		target.isOwed = true
+		target.mustResume = true
 	}
 	return &migratedRun{target: target, prefill: &remotePrefill{engine: m.engine, handle: handle, prefixBlocks: m.stream.prefixBlocks}}
 }
--- a/internal/relay/run_mover_test.go
+++ b/internal/relay/run_mover_test.go
@@ -12,15 +12,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// movableEngine streams one event and then waits. It answers calls that move its run with one of two given answers,
-// depending on whether the run must stop. Told to stop, it breaks the stream off.
+// movableEngine streams one event and then waits. It answers calls that migrate its run with one of two given answers,
+// depending on whether the run must stop. When the run must stop, it breaks the stream off.
 type movableEngine struct {
 	*scriptedBackEnd
 	began   chan struct{}
 	stopped chan struct{}
 }
 
-// moveAnswer is the answer to a call that moves a run.
+// moveAnswer is the answer to a call that migrates a run.
 type moveAnswer struct {
 	status int
 	body   string
@@ -58,7 +58,7 @@
 	return client
 }
 
-// moves returns the bodies of the calls that moved a run.
+// moves returns the bodies of the calls that migrated a run.
 func (e *movableEngine) moves() []string {
 	var bodies []string
 	for _, request := range e.receivedRequests() {
--- a/internal/relay/serve_engine.go
+++ b/internal/relay/serve_engine.go
@@ -76,7 +76,7 @@
 func (r *Relay) recordRefusedWork(stream *streamReply, decision placement.Decision, selection *backEndSelection) {
 	service := stream.request.service.Name
 	if decision.OverloadedStage == serving.StageDecode {
-		r.work.AddDecode(service, r.work.Residence(service)/time.Duration(max(selection.backEnd.Slots, 1)))
+		r.work.AddDecode(service, r.work.SlotHoldTime(service)/time.Duration(max(selection.backEnd.Slots, 1)))
 		return
 	}
 	r.recordPrefillDemand(service, selection.backEnd, selection.EffectiveTokens)
@@ -91,7 +91,7 @@
 func (r *Relay) decidePrefill(stream *streamReply, waits int) (placement.Decision, *backEndSelection) {
 	criteria := stream.placementRequest(nil)
 	criteria.PrefillWaits = waits
-	criteria.SlotHoldTime = r.work.Residence(stream.request.service.Name)
+	criteria.SlotHoldTime = r.work.SlotHoldTime(stream.request.service.Name)
 	criteria.TimeLeft = stream.request.deadline - criteria.Now
 	answer := r.decide(stream.request, stream.prefillQuery(criteria), nil)
 	if answer.decision.Action == placement.PrefillOnDecodeEngine && stream.reservedRun != nil {
@@ -127,7 +127,7 @@
 	ownership := r.owners.current.Load()
 	cells := ownership.services[query.service]
 	if cells == nil || request.service.Engine == nil {
-		return r.owner.decide(query, r.view.Load().byService[query.service], nil)
+		return r.placementOwner.decide(query, r.view.Load().byService[query.service], nil)
 	}
 	homes := cells.homeCells(query.request.Prompt, request.id, r.settings.Zone, r.policy.MinSharedTokens, maxHomeCells)
 	if near != nil {
@@ -163,11 +163,11 @@
 }
 
 // reserveRun acquires a permit for the run before the prefill, where all decoding engines have limits: otherwise a prefill
-// would be wasted when the run is refused. After the prefill, the run is owed.
+// would be wasted when the run is refused. Since the prompt is prefilled for this run, the run must continue at its engine.
 func (r *Relay) reserveRun(stream *streamReply) *backEndSelection {
 	run := r.nextDecodeEngine(stream, nil)
 	if run != nil {
-		run.isOwed = true
+		run.mustResume = true
 	}
 	return run
 }
--- a/internal/relay/startup_wait.go
+++ b/internal/relay/startup_wait.go
@@ -10,7 +10,7 @@
 // controllers are slow (291 to 295 relays); a client that was refused and retries later would miss its target.
 const startupWait = 250 * time.Millisecond
 
-// readySignal signals that the relay has a configuration and a list of back ends. Once notified, it stays so.
+// readySignal signals that the relay has a configuration and a list of back ends. It is never reset.
 type readySignal struct {
 	once  sync.Once
 	ready chan struct{}
--- a/internal/relay/workmeter/meter.go
+++ b/internal/relay/workmeter/meter.go
@@ -83,10 +83,10 @@
 	work.runSecondsSquared = runDecay*work.runSecondsSquared + duration.Seconds()*duration.Seconds()
 }
 
-// Residence estimates for how long the runs that occupy slots at a given moment keep them. It returns half the
-// mean duration weighted by duration, because long runs are more likely to be found in a slot; for exponentially
-// distributed durations this equals their mean. It returns 0 before the first run has ended.
-func (m *Meter) Residence(service string) time.Duration {
+// SlotHoldTime estimates for how much longer the runs that occupy slots at a given moment keep them, on average. It
+// returns half the mean duration weighted by duration, because long runs are more likely to be found in a slot; for
+// exponentially distributed durations this equals their mean. It returns 0 before the first run has ended.
+func (m *Meter) SlotHoldTime(service string) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	work := m.workOf(service)
@@ -96,7 +96,7 @@
 	return time.Duration(work.runSecondsSquared / work.runSeconds / 2 * float64(time.Second))
 }
 
-// addRunning changes the number of decoding engines that a service's streams fill.
+// addRunning adds by, which may be negative, to the number of decoding engines that a service's running streams fill.
 func (m *Meter) addRunning(now time.Duration, service string, by float64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/relay/workmeter/meter_test.go
+++ b/internal/relay/workmeter/meter_test.go
@@ -21,10 +21,10 @@
 	require.Zero(t, meter.Report(3 * time.Second)[0].GetDecodeMs())
 }
 
-// Residence is dominated by the long runs that fill slots; many short runs among them hardly change it.
-func TestResidenceWeightsRunsByTheTimeTheyFillSlots(t *testing.T) {
+// SlotHoldTime is dominated by the long runs that fill slots; many short runs among them hardly change it.
+func TestSlotHoldTimeWeightsRunsByTheTimeTheyFillSlots(t *testing.T) {
 	meter := New()
-	require.Zero(t, meter.Residence("service"))
+	require.Zero(t, meter.SlotHoldTime("service"))
 	for index := range 400 {
 		duration := 10 * time.Millisecond
 		if index%4 == 0 {
@@ -32,5 +32,5 @@
 		}
 		meter.BeginRun(0, "service", 4)(duration)
 	}
-	require.InDelta(t, 2, meter.Residence("service").Seconds(), 0.05)
+	require.InDelta(t, 2, meter.SlotHoldTime("service").Seconds(), 0.05)
 }
