--- a/internal/authority/decide.go
+++ b/internal/authority/decide.go
@@ -34,10 +34,10 @@
 	return &v1.IssueOrder{Order: order}, nil
 }
 
-// OrderProposed records that a prepared order was proposed as the log entry at index. It returns no
+// RecordProposedOrder records that a prepared order was proposed as the log entry at index. It returns no
 // action: Step sends the order once it is committed. Only without SafeguardCommitBeforeSend is the
 // order sent from here.
-func (c *Commander) OrderProposed(issue *v1.IssueOrder, index uint64) []Action {
+func (c *Commander) RecordProposedOrder(issue *v1.IssueOrder, index uint64) []Action {
 	if c.config.Safeguards.IsEnabled(SafeguardCommitBeforeSend) {
 		return nil
 	}
--- a/internal/bootclock/clock.go
+++ b/internal/bootclock/clock.go
@@ -29,8 +29,8 @@
 const RequestCheckInterval = time.Millisecond
 
 // New returns a Clock whose origin is now. The clock includes a suspension at the latest checkInterval
-// after the process runs again: each check costs two system calls. With 0 every reading checks, as leases
-// require.
+// after the process runs again. It does not check more often, because each check costs two system calls.
+// With 0 every reading checks, as leases require.
 func New(checkInterval time.Duration) *Clock {
 	return NewWithSuspension(checkInterval, readSuspendedTime)
 }
--- a/internal/consensus/formation.go
+++ b/internal/consensus/formation.go
@@ -78,7 +78,7 @@
 		c.outbox.messages = append(c.outbox.messages, answer)
 		c.recordReport(message)
 		c.admitLearner(message.GetSender())
-		c.relayProbe(message)
+		c.forwardProbe(message)
 		return
 	}
 	if message.GetTo() != c.id || !c.members.empty() {
@@ -129,18 +129,18 @@
 	c.electionDueAt = c.now
 }
 
-// relayedRound marks a probe that a member has forwarded to the leader.
-const relayedRound = 1
+// forwardedRound marks a probe that a member has forwarded to the leader.
+const forwardedRound = 1
 
-// relayProbe forwards a probe to the leader, whose address the sender may not know. A probe is
+// forwardProbe forwards a probe to the leader, whose address the sender may not know. A probe is
 // forwarded only once.
-func (c *Core) relayProbe(message *v1.ConsensusMessage) {
-	if c.role == RoleLeader || c.leader == "" || message.GetRound() == relayedRound {
+func (c *Core) forwardProbe(message *v1.ConsensusMessage) {
+	if c.role == RoleLeader || c.leader == "" || message.GetRound() == forwardedRound {
 		return
 	}
-	relayed := proto.CloneOf(message)
-	relayed.Round = relayedRound
-	c.outbox.messages = append(c.outbox.messages, Message{Address: c.address(c.leader), Message: relayed})
+	forwarded := proto.CloneOf(message)
+	forwarded.Round = forwardedRound
+	c.outbox.messages = append(c.outbox.messages, Message{Address: c.address(c.leader), Message: forwarded})
 }
 
 // admitLearner makes the leader add an unknown member as a learner.
--- a/internal/consensus/formation_probes_test.go
+++ b/internal/consensus/formation_probes_test.go
@@ -20,7 +20,7 @@
 		want   []string
 	}{
 		{"leader known", "b/1", 0, []string{"b"}},
-		{"relayed already", "b/1", relayedRound, nil},
+		{"forwarded already", "b/1", forwardedRound, nil},
 		{"no leader", "", 0, nil},
 	}
 	for _, row := range rows {
@@ -44,7 +44,7 @@
 				}
 				relayed = append(relayed, message.Address)
 				require.Equal(t, "d/1", message.Message.GetSender().GetId())
-				require.EqualValues(t, relayedRound, message.Message.GetRound())
+				require.EqualValues(t, forwardedRound, message.Message.GetRound())
 			}
 			require.Equal(t, row.want, relayed)
 		})
--- a/internal/consensus/transfer.go
+++ b/internal/consensus/transfer.go
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// continueTransfer requests the target to campaign once it has the whole log.
+// continueTransfer asks the target to campaign once it has the whole log.
 func (c *Core) continueTransfer(id string, progress *progress) {
 	if c.transfer.target != id || c.transfer.timeoutNowSent || progress.match != c.log.last().index {
 		return
--- a/internal/control/agreement.go
+++ b/internal/control/agreement.go
@@ -146,7 +146,7 @@
 	finish(c, result)
 }
 
-// applySuspectChangeWithoutCall applies a command to the ledger of suspects for which no call waits.
+// applySuspectChangeWithoutCall does what applySuspectChange does, for a command whose result no call waits for.
 func (c *Core) applySuspectChangeWithoutCall(command *v1.Command) {
 	if c.isAgreed(formats.QuarantinedRequests) {
 		c.proposeWithoutCall(command)
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -53,12 +53,12 @@
 	leadingTerm  uint64
 	leadingSince time.Duration
 	duties       duties
-	// deferredOrders are, by engine, the declared change that may not be ordered now, and the reason.
+	// deferredOrders describes, by engine, the declared change that may not be ordered now, and the reason.
 	deferredOrders map[string]string
 	// revisions maps log indexes to the last applied revisions.
 	revisions revisionIndex
 
-	// listing, watches, updatePace, relays, updates and stages serve the relays of opaque requests.
+	// listing, watches, updatePace, relays, updates and stages hold the leader's state for the relays of opaque requests.
 	listing siteListing
 	watches waitingWatches
 	// updatePace limits the rate of updates to relays.
@@ -75,7 +75,7 @@
 	// quarantine tracks requests that must not run because they crash replicas.
 	quarantine requestQuarantine
 	// limits are the rate limits that back ends set for all processes together.
-	limits namedLimits
+	limits backEndLimits
 	// formats are the formats that the other controllers support.
 	formats memberFormats
 	// localSuspects is the ledger of suspects that is used while its format is not agreed on.
@@ -123,7 +123,7 @@
 		formats:       memberFormats{byMember: map[string]formats.Range{}},
 		localSuspects: quarantine.NewLedger(),
 		quarantine:    newRequestQuarantine(),
-		limits:        newNamedLimits(),
+		limits:        newBackEndLimits(),
 	}, nil
 }
 
--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -88,7 +88,7 @@
 		c.commander.WithdrawOrder(order.Engine)
 		return err
 	}
-	for _, action := range c.commander.OrderProposed(issue, index) {
+	for _, action := range c.commander.RecordProposedOrder(issue, index) {
 		c.executeAction(action)
 	}
 	return nil
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -39,7 +39,7 @@
 	c.dutyCalls = newDutySchedule(c.config)
 	c.replicas = newSiteReplicas()
 	c.quarantine = newRequestQuarantine()
-	c.limits = newNamedLimits()
+	c.limits = newBackEndLimits()
 	c.formats.proposedIndex = 0
 }
 
--- a/internal/control/limits.go
+++ b/internal/control/limits.go
@@ -28,9 +28,9 @@
 
 func (PermitRequested) isInput() {}
 
-// namedLimits tracks the rate limits that back ends have set. None of it is replicated: a new leader starts without
+// backEndLimits tracks the rate limits that back ends have set. None of it is replicated: a new leader starts without
 // limits, and grants permits only once the lease of its predecessor has expired.
-type namedLimits struct {
+type backEndLimits struct {
 	// gatewayCounts counts the permits granted to gateways, for which the leader is the limit owner.
 	gatewayCounts *fleetlimit.LimitCounters
 	// relayLimits are the limits that are owned by relays, with the time of the last report of each.
@@ -43,8 +43,8 @@
 	receivedAt time.Duration
 }
 
-func newNamedLimits() namedLimits {
-	return namedLimits{gatewayCounts: fleetlimit.NewLimitCounters(), relayLimits: map[uint64]relayLimit{}}
+func newBackEndLimits() backEndLimits {
+	return backEndLimits{gatewayCounts: fleetlimit.NewLimitCounters(), relayLimits: map[uint64]relayLimit{}}
 }
 
 // handlePermitRequested grants or denies a permit.
@@ -53,33 +53,33 @@
 		return
 	}
 	request := received.Request
-	named, valid := fleetlimit.FromWire(request.GetLimit())
+	backEndLimit, valid := fleetlimit.FromWire(request.GetLimit())
 	if !valid {
 		c.refuse(received.Call, trace.BadParameter("%g requests a second are no limit; send a number of 0 or more", request.GetLimit().GetPerSecond()))
 		return
 	}
-	ask := fleetlimit.PermitRequest{
-		BackEnd: named.BackEnd, Limit: named.Limit, LimitFromBackEnd: request.GetHeard(),
+	permitRequest := fleetlimit.PermitRequest{
+		BackEnd: backEndLimit.BackEnd, Limit: backEndLimit.Limit, LimitFromBackEnd: request.GetHeard(),
 		RequesterID: xxhash.Sum64String(request.GetNode().GetName()), Rank: int(min(request.GetRank(), fleetlimit.RankCount-1)), MustResume: request.GetOwed(),
 	}
-	answer := c.limits.gatewayCounts.HandleRequest(c.now, ask, fleetlimit.FullFraction, retryJitter(ask.RequesterID, c.now))
+	answer := c.limits.gatewayCounts.HandleRequest(c.now, permitRequest, fleetlimit.FullFraction, retryJitter(permitRequest.RequesterID, c.now))
 	c.answer(Answer{Call: received.Call, Response: &v1.TakePermitResponse{
-		Granted: answer.Granted, WaitUs: uint64(answer.Wait.Microseconds()), Limit: fleetlimit.ToWire(fleetlimit.BackEndLimit{BackEnd: ask.BackEnd, Limit: answer.Limit}),
+		Granted: answer.Granted, WaitUs: uint64(answer.Wait.Microseconds()), Limit: fleetlimit.ToWire(fleetlimit.BackEndLimit{BackEnd: permitRequest.BackEnd, Limit: answer.Limit}),
 	}})
 }
 
 // retryJitter returns a number in [0, 1) that spreads the times at which gateways retry.
-func retryJitter(asker uint64, now time.Duration) float64 {
+func retryJitter(requesterID uint64, now time.Duration) float64 {
 	const steps = 1 << 16
-	content := binary.BigEndian.AppendUint64(nil, asker)
+	content := binary.BigEndian.AppendUint64(nil, requesterID)
 	return float64(xxhash.Sum64(binary.BigEndian.AppendUint64(content, uint64(now)))%steps) / steps
 }
 
 // recordGatewayLimits records the limits that back ends have set in answers to a gateway.
 func (c *Core) recordGatewayLimits(reported []*v1.NamedLimit) {
 	for _, limit := range reported[:min(len(reported), maximumLimits)] {
-		if named, valid := fleetlimit.FromWire(limit); valid {
-			c.limits.gatewayCounts.SetLimit(c.now, named.BackEnd, named.Limit)
+		if backEndLimit, valid := fleetlimit.FromWire(limit); valid {
+			c.limits.gatewayCounts.SetLimit(c.now, backEndLimit.BackEnd, backEndLimit.Limit)
 		}
 	}
 }
--- a/internal/control/planning.go
+++ b/internal/control/planning.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/planner"
 )
 
-// recentChangeWindow is how far back the planner is given role changes.
+// recentChangeWindow is the age up to which role changes are passed to the planner.
 const recentChangeWindow = 2 * time.Hour
 
 // planning holds the planners of the services and their last decisions.
--- a/internal/control/published_back_ends.go
+++ b/internal/control/published_back_ends.go
@@ -63,7 +63,8 @@
 	return required
 }
 
-// adoptDemand adopts the demand of the previous leader, which knew the work, as that leader sent it to a relay.
+// adoptDemand adopts the numbers of back ends that the previous leader, which knew the work, sent to a relay as required. It
+// has an effect only within relayCountDelay after this leader has started to lead.
 func (c *Core) adoptDemand(request *v1.WatchRequest) {
 	if c.now-c.leadingSince >= relayCountDelay {
 		return
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -38,7 +38,7 @@
 
 // requestQuarantine tracks the requests that are quarantined because replicas crashed under them.
 type requestQuarantine struct {
-	keeper *quarantine.TrialScheduler
+	trials *quarantine.TrialScheduler
 	// quarantined are the requests as sent to nodes; version is their hash, or 0 when there are none.
 	quarantined []*v1.HeldRequest
 	version     uint64
@@ -48,7 +48,7 @@
 }
 
 func newRequestQuarantine() requestQuarantine {
-	return requestQuarantine{keeper: quarantine.NewTrialScheduler()}
+	return requestQuarantine{trials: quarantine.NewTrialScheduler()}
 }
 
 // handleReplicaCrashes records a node's report of crashed replicas.
@@ -97,9 +97,9 @@
 	if !valid {
 		return nil
 	}
-	c.quarantine.keeper.Observe(c.now, c.suspects())
+	c.quarantine.trials.Observe(c.now, c.suspects())
 	suspect := c.suspects().Suspect(signature)
-	if suspect == nil || !c.quarantine.keeper.TrialDue(c.now, suspect) {
+	if suspect == nil || !c.quarantine.trials.TrialDue(c.now, suspect) {
 		return nil
 	}
 	return suspect
@@ -136,13 +136,13 @@
 // tickQuarantine checks which trials are due, and drops requests that have not been sent again.
 func (c *Core) tickQuarantine() {
 	ledger := c.suspects()
-	c.quarantine.keeper.Observe(c.now, ledger)
+	c.quarantine.trials.Observe(c.now, ledger)
 	c.quarantine.rebuild(c, ledger)
 	if !due(c.now, &c.duties.suspects, housekeepInterval) {
 		return
 	}
 	var forgotten [][]byte
-	for _, signature := range c.quarantine.keeper.ExpiredEntries(c.now, ledger) {
+	for _, signature := range c.quarantine.trials.ExpiredEntries(c.now, ledger) {
 		forgotten = append(forgotten, signature[:])
 	}
 	if len(forgotten) > 0 {
@@ -168,7 +168,7 @@
 		if !suspect.IsQuarantined() {
 			continue
 		}
-		request := &v1.HeldRequest{Signature: suspect.Signature[:], TrialDue: core.leading && q.keeper.TrialDue(core.now, suspect)}
+		request := &v1.HeldRequest{Signature: suspect.Signature[:], TrialDue: core.leading && q.trials.TrialDue(core.now, suspect)}
 		q.quarantined = append(q.quarantined, request)
 		_, _ = sum.Write(request.Signature) // a hash never fails
 		if request.TrialDue {
--- a/internal/control/relay_list.go
+++ b/internal/control/relay_list.go
@@ -29,7 +29,7 @@
 	noticeAddress string
 	// formats are the formats that the relay supports.
 	formats formats.Range
-	// document and listing are the last updates that it was sent.
+	// document and listing are the last updates sent to the relay.
 	document, listing sentUpdate
 }
 
@@ -67,20 +67,20 @@
 		return
 	}
 	c.updates.relayList = subsetting.OwnerCandidates(c.noticeAddresses(), len(c.listing.published))
-	c.updates.formerRelays = c.firstFormatAmong(c.updates.relayList)
-	c.updates.relayListHash = hashAddresses(slices.Concat(c.updates.relayList, c.updates.formerRelays))
+	c.updates.relaysWithoutPermits = c.withoutPermits(c.updates.relayList)
+	c.updates.relayListHash = hashAddresses(slices.Concat(c.updates.relayList, c.updates.relaysWithoutPermits))
 	c.updates.relayListFresh = true
 }
 
-// firstFormatAmong returns the addresses in the list of relays that do not count permits for other relays.
-func (c *Core) firstFormatAmong(addresses []string) []string {
-	former := map[string]bool{}
+// withoutPermits returns those addresses whose relays do not grant permits to other relays.
+func (c *Core) withoutPermits(addresses []string) []string {
+	isWithoutPermits := map[string]bool{}
 	for _, record := range c.relays {
 		if !record.formats.Supports(formats.RelayPermits) {
-			former[record.noticeAddress] = true
+			isWithoutPermits[record.noticeAddress] = true
 		}
 	}
-	return slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return !former[address] })
+	return slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return !isWithoutPermits[address] })
 }
 
 // hashAddresses returns a hash of a list of addresses; 0 for an empty list.
--- a/internal/control/sent_updates.go
+++ b/internal/control/sent_updates.go
@@ -5,8 +5,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/formats"
 )
 
-// UpdateNotApplied tells the runtime that a relay requests again an update that it was sent: it could not apply the
-// answer, or did not receive it.
+// UpdateNotApplied reports to the runtime that a relay requested an update again after it was sent to the relay: the relay
+// could not apply the answer, or did not receive it.
 type UpdateNotApplied struct {
 	Relay   string
 	Formats formats.Range
--- a/internal/control/site_status.go
+++ b/internal/control/site_status.go
@@ -10,8 +10,8 @@
 type SiteStatus struct {
 	// Relays is the number of recently active relays; WaitingWatches is the number of their watches that wait.
 	Relays, WaitingWatches int
-	// FormerRelays is the number of those relays that do not support the newest format.
-	FormerRelays int
+	// OutdatedRelays is the number of those relays that do not support the newest format.
+	OutdatedRelays int
 	// RepeatedUpdates counts the updates that were sent again to relays that had not applied them.
 	RepeatedUpdates uint64
 	// BackEnds is the number of back ends in the last complete read of the external list, PublishedBackEnds the number
@@ -30,7 +30,7 @@
 	}
 	status := SiteStatus{
 		Relays: len(c.relays), WaitingWatches: len(c.watches.byDue) + len(c.watches.ready),
-		FormerRelays: c.formerRelays(), RepeatedUpdates: c.repeatedUpdates,
+		OutdatedRelays: c.countOutdatedRelays(), RepeatedUpdates: c.repeatedUpdates,
 		BackEnds: c.listing.total, PublishedBackEnds: len(c.listing.published), UpdatesPerSecond: c.updatePace.perSecond, QuorumSilence: c.consensus.QuorumSilence(),
 	}
 	if c.listing.plan.readsPartially() {
@@ -39,13 +39,13 @@
 	return status
 }
 
-// formerRelays returns the number of relays that do not support the newest format.
-func (c *Core) formerRelays() int {
-	former := 0
+// countOutdatedRelays returns the number of relays that do not support the newest format.
+func (c *Core) countOutdatedRelays() int {
+	count := 0
 	for _, record := range c.relays {
 		if !record.formats.Supports(formats.Newest) {
-			former++
+			count++
 		}
 	}
-	return former
+	return count
 }
--- a/internal/control/site_updates.go
+++ b/internal/control/site_updates.go
@@ -8,12 +8,12 @@
 
 // siteUpdates holds what the leader sends to relays, made once for all of them.
 type siteUpdates struct {
-	// relayList are the addresses of the relays, formerRelays those of them that support only the first format, and
-	// relayListHash is the hash of both. They are valid while relayListFresh is set.
-	relayList      []string
-	formerRelays   []string
-	relayListHash  uint64
-	relayListFresh bool
+	// relayList are the addresses of the relays, relaysWithoutPermits those of them that do not grant permits to other
+	// relays, and relayListHash is the hash of both. They are valid while relayListFresh is set.
+	relayList            []string
+	relaysWithoutPermits []string
+	relayListHash        uint64
+	relayListFresh       bool
 	// documents are the documents that are published to relays.
 	documents publishedDocuments
 	// packedContent is the compressed document with packedNumber.
--- a/internal/control/waiting_watches.go
+++ b/internal/control/waiting_watches.go
@@ -29,27 +29,27 @@
 	latest map[uint64]*waitingWatch
 }
 
-// register adds a watch. An earlier watch of the same incarnation of the same relay was given up: an answer to it
-// would cost as much and would not be received.
+// register adds a watch. The relay has given up an earlier watch of the same incarnation: that watch is not answered, since
+// its answer would cost as much as any other and would not be received.
 func (w *waitingWatches) register(waiting *waitingWatch) {
-	start := waiting.request.GetNode().GetIncarnation()
-	if start == 0 {
+	incarnation := waiting.request.GetNode().GetIncarnation()
+	if incarnation == 0 {
 		return
 	}
 	if w.latest == nil {
 		w.latest = map[uint64]*waitingWatch{}
 	}
-	if former := w.latest[start]; former != nil {
+	if former := w.latest[incarnation]; former != nil {
 		former.superseded = true
 	}
-	w.latest[start] = waiting
+	w.latest[incarnation] = waiting
 }
 
 // unregister removes a watch that is answered.
 func (w *waitingWatches) unregister(waiting *waitingWatch) {
-	start := waiting.request.GetNode().GetIncarnation()
-	if w.latest[start] == waiting {
-		delete(w.latest, start)
+	incarnation := waiting.request.GetNode().GetIncarnation()
+	if w.latest[incarnation] == waiting {
+		delete(w.latest, incarnation)
 	}
 }
 
--- a/internal/controller/site_metrics.go
+++ b/internal/controller/site_metrics.go
@@ -32,7 +32,7 @@
 // set tells how a site stands.
 func (s siteInstruments) set(site control.SiteStatus) {
 	s.relays.Set(float64(site.Relays))
-	s.formerRelays.Set(float64(site.FormerRelays))
+	s.formerRelays.Set(float64(site.OutdatedRelays))
 	s.toldAgain.Set(float64(site.RepeatedUpdates))
 	s.waitingWatches.Set(float64(site.WaitingWatches))
 	s.backEnds.Set(float64(site.BackEnds))
--- a/internal/controlstate/bounds.go
+++ b/internal/controlstate/bounds.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Limits on the records that the replicated state retains. A declaration is accepted also when one of
-// them is reached; each constant says what is then dropped or refused.
+// Limits on the records that the replicated state retains. Reaching one of them never causes a declaration to be refused;
+// each constant says what is dropped or refused instead.
 const (
 	// MaximumRequestRecords is the number of first answers retained for resends. A resend
 	// that comes after as many later submissions is treated as a new submission;
@@ -12,8 +12,8 @@
 	// MaximumChangeRecords is the number of accepted revisions whose change numbers
 	// are retained one by one. Unused numbers below the oldest of them count as taken.
 	MaximumChangeRecords = 4096
-	// MaximumTombstones is the number of deletions retained for deltas. A node that
-	// is behind the oldest dropped one gets the full configuration.
+	// MaximumTombstones is the number of deletions retained for deltas. A node whose revision
+	// is older than a dropped deletion gets the full configuration.
 	MaximumTombstones = 4096
 	// MaximumObjectVersions is the number of earlier object versions retained for queries.
 	MaximumObjectVersions = 4096
--- a/internal/controlstate/changes.go
+++ b/internal/controlstate/changes.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// taken reports whether a change number has been used, and returns the record of the change that used it
+// findWinner reports whether a change number has been used, and returns the record of the change that used it
 // while that record is retained.
-func (c *changeNumbers) taken(number uint64) (winner *v1.ChangeRecord, taken bool) {
+func (c *changeNumbers) findWinner(number uint64) (winner *v1.ChangeRecord, taken bool) {
 	if record := c.byNumber[number]; record != nil {
 		return record, true
 	}
--- a/internal/controlstate/declaration.go
+++ b/internal/controlstate/declaration.go
@@ -52,8 +52,8 @@
 // checkSubmission checks the declaration apart from its objects; nil means that it passes.
 func (s *State) checkSubmission(declaration *v1.ApplyDeclaration) *v1.ApplyResponse {
 	number := declaration.ChangeNumber
-	if winner, taken := s.changes.taken(number); number != 0 && taken && s.safeguards.IsEnabled(ChangeNumberCheck) {
-		return s.numberTaken(number, winner)
+	if winner, taken := s.changes.findWinner(number); number != 0 && taken && s.safeguards.IsEnabled(ChangeNumberCheck) {
+		return s.numberTakenResponse(number, winner)
 	}
 	if number > s.changes.highest+MaximumChangeNumberStep {
 		return s.refusal(v1.ApplyOutcome_APPLY_OUTCOME_INVALID, fmt.Sprintf(
@@ -72,7 +72,7 @@
 	return nil
 }
 
-func (s *State) numberTaken(number uint64, winner *v1.ChangeRecord) *v1.ApplyResponse {
+func (s *State) numberTakenResponse(number uint64, winner *v1.ChangeRecord) *v1.ApplyResponse {
 	response := s.refusal(v1.ApplyOutcome_APPLY_OUTCOME_NUMBER_TAKEN, "")
 	response.ChangeNumber = number
 	if winner == nil {
--- a/internal/duty/schedule.go
+++ b/internal/duty/schedule.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Superseded reports whether the platform has seen a later holder on the subject.
-func (s *Schedule) Superseded(subject Subject) bool { return s.stateOf(subject).superseded }
+// IsSuperseded reports whether the platform has seen a later holder on the subject.
+func (s *Schedule) IsSuperseded(subject Subject) bool { return s.stateOf(subject).superseded }
 
 func (s *Schedule) stateOf(subject Subject) *subjectState {
 	if s.subjects[subject] == nil {
--- a/internal/duty/schedule_test.go
+++ b/internal/duty/schedule_test.go
@@ -33,7 +33,7 @@
 	schedule := NewSchedule(Config{})
 	schedule.RecordStart(0, "usage")
 	schedule.RecordOutcome(0, "usage", Superseded)
-	require.True(t, schedule.Superseded("usage"))
+	require.True(t, schedule.IsSuperseded("usage"))
 	require.False(t, schedule.MayCall(time.Hour, "usage"))
 	require.True(t, schedule.MayCall(0, "scale"))
 }
--- a/internal/formats/number.go
+++ b/internal/formats/number.go
@@ -25,6 +25,6 @@
 	// UsageWindows is the first format in which controllers tell relays in which windows to count tenants' usage, and
 	// accept their counts.
 	UsageWindows = Second
-	// RelayPermits is the first format in which relays own limits and count permits for each other.
+	// RelayPermits is the first format in which relays own limits and grant permits to each other.
 	RelayPermits = Second
 )
--- a/internal/listing/direct_read_test.go
+++ b/internal/listing/direct_read_test.go
@@ -42,7 +42,7 @@
 	require.False(t, read.IsDue(DirectReadAfter+minimumDirectInterval, DirectReadAfter, false, 300, never))
 }
 
-// Contact with a leader must end the relay's own readings.
+// Contact with a leader must end the relay's own reads.
 func TestLeaderContactEndsDirectReads(t *testing.T) {
 	read := DirectRead{}
 	half := func() float64 { return 0.5 }
--- a/internal/listing/faults.go
+++ b/internal/listing/faults.go
@@ -6,12 +6,12 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// Faults tracks the faults in readings of the external list, so that a fault is reported when it changes and
-// not with each reading. The zero value has no fault.
+// Faults tracks the faults in reads of the external list, so that a fault is reported when it changes and
+// not with each read. The zero value has no fault.
 type Faults struct{ lastReported string }
 
-// Update records a reading, or the error of a failed one. It returns the current fault and whether it changed
-// since the last reading. A change to an empty text means that the fault is gone.
+// Update records the result of a read, or the error of a failed one. It returns the current fault and whether
+// it changed since the last read. A change to an empty text means that the fault is gone.
 func (f *Faults) Update(reading serving.Listing, err error) (text string, changed bool) {
 	switch {
 	case err != nil:
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// ApplyList applies a reading of the platform's machine list and reports whether it was accepted. A list
+// ApplyList applies a read of the platform's machine list and reports whether it was accepted. A list
 // with a lower version than the last one is a late copy and is ignored, unless no newer list has arrived
 // for ListResetAfter: then the platform has restarted its version numbers.
 func (t *Tracker) ApplyList(now time.Duration, list enginecontract.MachineList) bool {
@@ -123,7 +123,7 @@
 
 // RecordPollAnswer records the answer to a poll; state is nil when no answer arrived. It returns when the
 // poll was sent, and whether the answer was accepted.
-func (t *Tracker) RecordPollAnswer(now time.Duration, name string, state *enginecontract.EngineState, load *enginecontract.LoadReport) (sentAt time.Duration, counts bool) {
+func (t *Tracker) RecordPollAnswer(now time.Duration, name string, state *enginecontract.EngineState, load *enginecontract.LoadReport) (sentAt time.Duration, accepted bool) {
 	machine := t.machines[name]
 	if machine == nil || !machine.pollInFlight {
 		return 0, false
--- a/internal/stream/sequence.go
+++ b/internal/stream/sequence.go
@@ -19,7 +19,8 @@
 	StepForeign
 	// StepResume: tokens before the event are missing; the stream must be resumed at Delivered.
 	StepResume
-	// StepFail: the engine reports an error; the answer cannot be completed in this exchange.
+	// StepFail: the engine reports an error, or sends a token after the finish event; the answer cannot be completed
+	// in this exchange.
 	StepFail
 	// StepComplete: the answer is complete.
 	StepComplete
--- a/internal/truetime/clock.go
+++ b/internal/truetime/clock.go
@@ -8,7 +8,8 @@
 const (
 	// readingInterval is the minimum time between two stored readings of the local clock.
 	readingInterval = time.Second
-	// maximumReadings limits them: a jump of the clock for less than half of that time has no effect.
+	// maximumReadings limits the stored readings. A jump of the clock that lasts for less than half of their time span has
+	// no effect.
 	maximumReadings = 61
 	// peerReadingLifetime is how long a reading from another controller is used.
 	peerReadingLifetime = 10 * time.Second
