--- a/internal/authority/harness_test.go
+++ b/internal/authority/harness_test.go
@@ -48,11 +48,11 @@
 	b.poll(name)
 }
 
-func (b *bench) machine(name, zone string, incarnation uint64, kept orders.Durable) *orders.Machine {
+func (b *bench) machine(name, zone string, incarnation uint64, durable orders.Durable) *orders.Machine {
 	return orders.New(orders.Config{
 		Engine: name, Service: "assessor", Zone: zone, Incarnation: incarnation,
 		RoleChange: 3 * time.Second, WeightLoad: 3 * time.Second, AdapterLoad: time.Second,
-	}, kept)
+	}, durable)
 }
 
 func (b *bench) restart(name string) {
--- a/internal/authority/newer_fence_test.go
+++ b/internal/authority/newer_fence_test.go
@@ -32,8 +32,8 @@
 				b.engines[name].Fence(b.now, enginecontract.Fence{Epoch: epoch}, 0)
 				b.poll(name)
 			}
-			epoch, overtaken := b.commander.NewerFenceEpoch()
-			require.Equal(t, test.isMajority, overtaken)
+			epoch, isMajority := b.commander.NewerFenceEpoch()
+			require.Equal(t, test.isMajority, isMajority)
 			require.Equal(t, test.epoch, epoch)
 		})
 	}
--- a/internal/consensus/formation_probes_test.go
+++ b/internal/consensus/formation_probes_test.go
@@ -37,16 +37,16 @@
 				Sender: &v1.Member{Id: "d/1", Name: "d", Address: "d"},
 			}))
 			ready, _ := member.Ready()
-			var relayed []string
+			var forwarded []string
 			for _, message := range ready.Messages {
 				if message.Message.GetType() != v1.MessageType_MESSAGE_TYPE_PROBE {
 					continue
 				}
-				relayed = append(relayed, message.Address)
+				forwarded = append(forwarded, message.Address)
 				require.Equal(t, "d/1", message.Message.GetSender().GetId())
 				require.EqualValues(t, forwardedRound, message.Message.GetRound())
 			}
-			require.Equal(t, row.want, relayed)
+			require.Equal(t, row.want, forwarded)
 		})
 	}
 }
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -69,8 +69,8 @@
 // raiseTermIfFenced gives up this term when most engines hold fences of later terms, and reports whether it did. In that
 // case the quorum was formed anew, and its authority must start above the fences that the engines remember.
 func (c *Core) raiseTermIfFenced() bool {
-	epoch, overtaken := c.commander.NewerFenceEpoch()
-	return overtaken && c.consensus.RaiseTerm(c.now, epoch) == nil
+	epoch, isMajority := c.commander.NewerFenceEpoch()
+	return isMajority && c.consensus.RaiseTerm(c.now, epoch) == nil
 }
 
 // markLostGateways sets the claims of gateways that are gone to unknown.
--- a/internal/control/fleet_size_test.go
+++ b/internal/control/fleet_size_test.go
@@ -119,7 +119,7 @@
 	const (
 		maximumEngines = 640
 		maximumOwners  = 256
-		// maximumFirstBytes is what a relay without any state is sent. The relay's link carries a thousand times as
+		// maximumFirstBytes bounds what a relay without any state is sent. The relay's link carries a thousand times as
 		// much in a second, and the links of controllers that answer a thousand relays need a third of a second for it.
 		maximumFirstBytes = 40 << 10
 	)
@@ -194,8 +194,8 @@
 func (w *testFleet) countListCalls(span time.Duration) (calls, published int) {
 	w.site.reads = nil
 	w.run(span)
-	for _, reading := range w.site.reads {
-		calls += reading.calls
+	for _, read := range w.site.reads {
+		calls += read.calls
 	}
 	w.watchAll(60)
 	return calls, len(w.relays[0].listed)
--- a/internal/control/mixed_builds_test.go
+++ b/internal/control/mixed_builds_test.go
@@ -160,9 +160,8 @@
 	}
 }
 
-// A controller whose state was written while it ran the former build is missing state that the others have agreed on
-// before, and no other controller has received its former format. It detects this with the next entry, and a new
-// agreement follows.
+// A controller whose state was written while it ran the former build, which no other controller noticed, is missing state
+// that the others had agreed on. It detects this with the next entry, and a new agreement follows.
 func TestAStateThatLacksTheAgreementIsMadeWhole(t *testing.T) {
 	w := newTestCluster(t, 3, func(config *Config) { config.SnapshotEntries = 10 })
 	w.waitAgreement()
--- a/internal/control/usage_test.go
+++ b/internal/control/usage_test.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/usage"
 )
 
-// reportingDelay is how long after the end of a window it has been reported, if nothing fails.
+// reportingDelay is the time after the end of a window within which the window is reported, if nothing fails.
 const reportingDelay = 6 * time.Second
 
 func TestEachUsageWindowIsReportedOnce(t *testing.T) {
--- a/internal/relay/back_end_limits_test.go
+++ b/internal/relay/back_end_limits_test.go
@@ -29,8 +29,8 @@
 // what any back end can serve, and the value of another back end at the address change nothing.
 func TestBackEndsThatNameALimitAreSentNoMore(t *testing.T) {
 	for name, test := range map[string]struct {
-		answer script
-		holds  bool
+		answer    script
+		isLimited bool
 	}{
 		"serves":              {answering(200, "served", tinyLimitHeader), true},
 		"fails":               {answering(500, "failed", tinyLimitHeader), true},
@@ -44,22 +44,22 @@
 		"another's address":   {answering(421, "", "T-Not-Run: 1", tinyLimitHeader), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			names := startBackEnd(t, "names", serving.StageWhole, test.answer)
-			relay := newTestRelay(t, route(func(r *serving.Route) { r.MaxAttempts = 1 }), names)
+			limited := startBackEnd(t, "names", serving.StageWhole, test.answer)
+			relay := newTestRelay(t, route(func(r *serving.Route) { r.MaxAttempts = 1 }), limited)
 			client := relay.client(t)
 			client.do("POST", "/path/", "x")
 			for range 3 {
 				answer := client.do("POST", "/path/", "x")
-				if test.holds {
+				if test.isLimited {
 					require.Equal(t, 503, answer.status)
 					require.Empty(t, answer.head.Peek("T-Seal"))
 					require.Positive(t, backpressure.ParseRetryAfter(answer.head.Peek("Retry-After")), "no time for a retry")
 				}
 			}
-			if test.holds {
-				require.Len(t, names.receivedRequests(), 1)
+			if test.isLimited {
+				require.Len(t, limited.receivedRequests(), 1)
 			} else {
-				require.Len(t, names.receivedRequests(), 4)
+				require.Len(t, limited.receivedRequests(), 4)
 			}
 		})
 	}
@@ -67,8 +67,8 @@
 
 // A malformed value neither lifts a limit nor replaces it.
 func TestMalformedLimitDoesNotLiftALimit(t *testing.T) {
-	names := startBackEnd(t, "names", serving.StageWhole, answering(200, "served", "T-Limit: many"))
-	relay := newTestRelay(t, route(nil), names)
+	limited := startBackEnd(t, "names", serving.StageWhole, answering(200, "served", "T-Limit: many"))
+	relay := newTestRelay(t, route(nil), limited)
 	engine := relay.setLimit("names", backpressure.Limit{IsSet: true, PerSecond: 10_000})
 	require.Eventually(t, func() bool { return relay.client(t).do("POST", "/path/", "x").status == 200 }, time.Minute, time.Millisecond)
 	require.True(t, engine.hasLimit())
@@ -97,14 +97,14 @@
 // Prefills, releases of prefills, migrations of runs and reads of caches need permits as requests do.
 func TestCallsToEnginesNeedPermits(t *testing.T) {
 	t.Run("reading", func(t *testing.T) {
-		names := startBackEnd(t, "names", serving.StagePrefill, answering(200, "handle"))
+		limited := startBackEnd(t, "names", serving.StagePrefill, answering(200, "handle"))
 		decoder := startBackEnd(t, "decoder", serving.StageDecode, streaming("decoder", eventOne))
-		relay := newTestRelay(t, route(stream(false)), names, decoder)
+		relay := newTestRelay(t, route(stream(false)), limited, decoder)
 		relay.setLimit("names", tinyLimit)
 		for range 3 {
 			require.Equal(t, eventOne, relay.client(t).do("POST", "/path/", "x", longPrompt...).body)
 		}
-		require.Empty(t, names.receivedRequests())
+		require.Empty(t, limited.receivedRequests())
 	})
 	t.Run("release", func(t *testing.T) {
 		reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
@@ -177,10 +177,10 @@
 
 // The next incarnation of a back end starts without a limit.
 func TestALimitIsOfOneStart(t *testing.T) {
-	names := startBackEnd(t, "names", serving.StageWhole, answering(200, "served"))
-	relay := newTestRelay(t, route(nil), names)
+	limited := startBackEnd(t, "names", serving.StageWhole, answering(200, "served"))
+	relay := newTestRelay(t, route(nil), limited)
 	relay.setLimit("names", tinyLimit)
-	newer := names.entry
+	newer := limited.entry
 	newer.ID, newer.Replica, newer.StartedAtMs = "names/2", "names", 2
 	next := *relay.view.Load()
 	relay.fleet.applyListing([]serving.BackEnd{newer}, &next)
@@ -190,8 +190,8 @@
 
 // The leader's limit applies only to a relay without a more recent limit from the back end or from another relay.
 func TestLeadersLimitDoesNotOverrideRecentLimits(t *testing.T) {
-	names := startBackEnd(t, "names", serving.StageWhole, answering(200, "served"))
-	relay := newTestRelay(t, route(nil), names)
+	limited := startBackEnd(t, "names", serving.StageWhole, answering(200, "served"))
+	relay := newTestRelay(t, route(nil), limited)
 	engine := relay.engineOf("names")
 	relay.applyLeaderLimit(fleetlimit.BackEndLimit{BackEnd: engine.hash, Limit: tinyLimit})
 	require.True(t, engine.hasLimit(), "a relay without a known limit applies it")
--- a/internal/relay/back_end_signals_test.go
+++ b/internal/relay/back_end_signals_test.go
@@ -22,8 +22,8 @@
 // another back end; when none is left they are refused as not run, with the time at which the backoff ends.
 func TestBackEndsThatAskForItAreLeftAlone(t *testing.T) {
 	for name, test := range map[string]struct {
-		answer script
-		alone  bool
+		answer    script
+		isAvoided bool
 	}{
 		"rests":                           {answering(503, "", "T-Not-Run: 1", backoffHeader), true},
 		"backoff, may have run":           {answering(503, "", backoffHeader), true},
@@ -40,12 +40,12 @@
 			client.do("POST", "/path/", "x")
 			for range 3 {
 				answer := client.do("POST", "/path/", "x")
-				if test.alone {
+				if test.isAvoided {
 					require.Equal(t, 503, answer.status)
 					require.Empty(t, answer.head.Peek("T-Seal"))
 				}
 			}
-			if test.alone {
+			if test.isAvoided {
 				require.Len(t, scripted.receivedRequests(), 1)
 			} else {
 				require.Len(t, scripted.receivedRequests(), 4)
@@ -61,9 +61,9 @@
 	relay := newTestRelay(t, route(nil), long, short)
 	answer := relay.client(t).do("POST", "/path/", "x")
 	require.Equal(t, 503, answer.status)
-	comeBack := backpressure.ParseRetryAfter(answer.head.Peek("Retry-After"))
-	require.Greater(t, comeBack, 500*time.Second)
-	require.LessOrEqual(t, comeBack, 600*time.Second+minRetrySpread)
+	retryAfter := backpressure.ParseRetryAfter(answer.head.Peek("Retry-After"))
+	require.Greater(t, retryAfter, 500*time.Second)
+	require.LessOrEqual(t, retryAfter, 600*time.Second+minRetrySpread)
 	require.Len(t, long.receivedRequests(), 1)
 	require.Len(t, short.receivedRequests(), 1)
 }
@@ -72,15 +72,15 @@
 // engines are available.
 func TestCallersOfStreamsAreToldWhenARestEnds(t *testing.T) {
 	reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
-	rests := startBackEnd(t, "rests", serving.StageDecode, streaming("rests", eventOne))
-	relay := newTestRelay(t, route(stream(false)), reader, rests)
+	engineInBackoff := startBackEnd(t, "rests", serving.StageDecode, streaming("rests", eventOne))
+	relay := newTestRelay(t, route(stream(false)), reader, engineInBackoff)
 	relay.engineOf("rests").signals.ExtendBackoff(relay.clock.now(), 600*time.Second)
 	answer := relay.client(t).do("POST", "/path/", "x", shortPrompt...)
 	require.Equal(t, 503, answer.status)
-	comeBack := backpressure.ParseRetryAfter(answer.head.Peek("Retry-After"))
-	require.Greater(t, comeBack, 500*time.Second)
-	require.LessOrEqual(t, comeBack, 600*time.Second+minRetrySpread)
-	require.Empty(t, rests.receivedRequests())
+	retryAfter := backpressure.ParseRetryAfter(answer.head.Peek("Retry-After"))
+	require.Greater(t, retryAfter, 500*time.Second)
+	require.LessOrEqual(t, retryAfter, 600*time.Second+minRetrySpread)
+	require.Empty(t, engineInBackoff.receivedRequests())
 }
 
 // The signals of a back end stay valid when its entry changes and when the list omits it for a while. Its next incarnation
@@ -113,13 +113,13 @@
 // Prefills, releases of prefills, migrations of runs and reads of caches respect a backoff as requests do.
 func TestCallsToEnginesHeedARest(t *testing.T) {
 	t.Run("reading", func(t *testing.T) {
-		rests := startBackEnd(t, "rests", serving.StagePrefill, answering(503, "", "T-Not-Run: 1", backoffHeader))
+		engineInBackoff := startBackEnd(t, "rests", serving.StagePrefill, answering(503, "", "T-Not-Run: 1", backoffHeader))
 		decoder := startBackEnd(t, "decoder", serving.StageDecode, streaming("decoder", eventOne))
-		relay := newTestRelay(t, route(stream(false)), rests, decoder)
+		relay := newTestRelay(t, route(stream(false)), engineInBackoff, decoder)
 		for range 3 {
 			require.Equal(t, eventOne, relay.client(t).do("POST", "/path/", "x", longPrompt...).body)
 		}
-		require.Len(t, rests.receivedRequests(), 1)
+		require.Len(t, engineInBackoff.receivedRequests(), 1)
 	})
 	t.Run("release", func(t *testing.T) {
 		reader := startBackEnd(t, "reader", serving.StagePrefill, answering(200, "handle"))
@@ -167,8 +167,8 @@
 
 // A backoff applies to one relay: an owner in backoff from a back end still assigns it to relays that are not.
 func TestAnOwnersRestIsNotItsAskersRest(t *testing.T) {
-	rests := startBackEnd(t, "rests", serving.StageDecode, streaming("rests", eventOne))
-	relay := newTestRelay(t, route(stream(false)), rests)
+	engineInBackoff := startBackEnd(t, "rests", serving.StageDecode, streaming("rests", eventOne))
+	relay := newTestRelay(t, route(stream(false)), engineInBackoff)
 	engine := relay.engineOf("rests")
 	engine.signals.ExtendBackoff(relay.clock.now(), time.Hour)
 	engines := relay.view.Load().byService["service"]
@@ -177,5 +177,5 @@
 	query.excluded = []uint64{engine.hash}
 	require.Nil(t, relay.placementOwner.decide(query, engines, &placement.QueryID{Relay: 7, Number: 2}).selection)
 	require.Equal(t, 503, relay.client(t).do("POST", "/path/", "x").status, "the relay's own request")
-	require.Empty(t, rests.receivedRequests())
+	require.Empty(t, engineInBackoff.receivedRequests())
 }
--- a/internal/relay/cache_reader_test.go
+++ b/internal/relay/cache_reader_test.go
@@ -18,8 +18,8 @@
 func (r *testRelay) markAllCached(blocks []placement.PrefixBlock) {
 	now := r.clock.now()
 	for _, engine := range r.view.Load().byService["service"] {
-		heldTokens := engine.cache.lookup(blocks, now).Total
-		for count, tokens := 0, 0; count < len(blocks) && tokens < heldTokens; count++ {
+		cachedTokens := engine.cache.lookup(blocks, now).Total
+		for count, tokens := 0, 0; count < len(blocks) && tokens < cachedTokens; count++ {
 			tokens += blocks[count].Tokens
 			engine.cache.markCached(now, blocks[:count+1])
 		}
--- a/internal/relay/held_document_test.go
+++ b/internal/relay/held_document_test.go
@@ -19,22 +19,22 @@
 	relay.dialect.ParseConfiguration = func(content []byte) (serving.Configuration, error) {
 		return serving.Configuration{Number: uint64(content[0]), Services: []serving.Service{{Name: "service"}}}, nil
 	}
-	knowledge := relay.fleet
+	fleet := relay.fleet
 	first := &v1.Document{Number: 2, Content: []byte{2, 'a'}}
-	knowledge.ApplyUpdate(&v1.WatchResponse{PackedDocument: packed.Pack(first)})
-	require.Equal(t, uint64(2), knowledge.WatchRequest(time.Second).GetDocumentNumber())
+	fleet.ApplyUpdate(&v1.WatchResponse{PackedDocument: packed.Pack(first)})
+	require.Equal(t, uint64(2), fleet.WatchRequest(time.Second).GetDocumentNumber())
 	patch, err := packed.MakePatch(first.GetContent(), []byte{3, 'b'})
 	require.NoError(t, err)
-	knowledge.ApplyUpdate(&v1.WatchResponse{DocumentPatch: patch, PatchedNumber: 3})
+	fleet.ApplyUpdate(&v1.WatchResponse{DocumentPatch: patch, PatchedNumber: 3})
 	require.Equal(t, uint64(3), relay.view.Load().table.Configuration.Number)
-	require.Equal(t, uint64(3), knowledge.WatchRequest(time.Second).GetDocumentNumber())
+	require.Equal(t, uint64(3), fleet.WatchRequest(time.Second).GetDocumentNumber())
 
-	knowledge.ApplyUpdate(&v1.WatchResponse{DocumentPatch: []byte("garbled"), PatchedNumber: 4})
+	fleet.ApplyUpdate(&v1.WatchResponse{DocumentPatch: []byte("garbled"), PatchedNumber: 4})
 	require.Equal(t, uint64(3), relay.view.Load().table.Configuration.Number)
-	require.Zero(t, knowledge.WatchRequest(time.Second).GetDocumentNumber(), "the complete document is requested")
-	knowledge.ApplyUpdate(&v1.WatchResponse{PackedDocument: packed.Pack(&v1.Document{Number: 3, Content: []byte{3, 'b'}})})
-	require.Equal(t, uint64(3), knowledge.WatchRequest(time.Second).GetDocumentNumber(), "it is held, although it is applied already")
-	knowledge.ApplyUpdate(&v1.WatchResponse{PackedDocument: packed.Pack(&v1.Document{Number: 4, Content: []byte{4}})})
+	require.Zero(t, fleet.WatchRequest(time.Second).GetDocumentNumber(), "the complete document is requested")
+	fleet.ApplyUpdate(&v1.WatchResponse{PackedDocument: packed.Pack(&v1.Document{Number: 3, Content: []byte{3, 'b'}})})
+	require.Equal(t, uint64(3), fleet.WatchRequest(time.Second).GetDocumentNumber(), "it is held, although it is applied already")
+	fleet.ApplyUpdate(&v1.WatchResponse{PackedDocument: packed.Pack(&v1.Document{Number: 4, Content: []byte{4}})})
 	require.Equal(t, uint64(4), relay.view.Load().table.Configuration.Number)
 }
 
@@ -48,15 +48,15 @@
 		}
 		return serving.Configuration{Number: uint64(content[0]), Services: []serving.Service{{Name: "service"}}}, nil
 	}
-	knowledge := relay.fleet
+	fleet := relay.fleet
 	apply := func(number byte, content byte) bool {
-		return knowledge.ApplyUpdate(&v1.WatchResponse{PackedDocument: packed.Pack(&v1.Document{Number: uint64(number), Content: []byte{number, content}})})
+		return fleet.ApplyUpdate(&v1.WatchResponse{PackedDocument: packed.Pack(&v1.Document{Number: uint64(number), Content: []byte{number, content}})})
 	}
 	require.True(t, apply(2, 'a'))
 	require.False(t, apply(3, '?'))
-	require.Equal(t, uint64(2), knowledge.WatchRequest(time.Second).GetDocumentNumber())
+	require.Equal(t, uint64(2), fleet.WatchRequest(time.Second).GetDocumentNumber())
 	patch, err := packed.MakePatch([]byte{2, 'a'}, []byte{4, 'b'})
 	require.NoError(t, err)
-	require.True(t, knowledge.ApplyUpdate(&v1.WatchResponse{DocumentPatch: patch, PatchedNumber: 4}))
+	require.True(t, fleet.ApplyUpdate(&v1.WatchResponse{DocumentPatch: patch, PatchedNumber: 4}))
 	require.Equal(t, uint64(4), relay.view.Load().table.Configuration.Number)
 }
--- a/internal/relay/local_listing_test.go
+++ b/internal/relay/local_listing_test.go
@@ -17,9 +17,9 @@
 
 // serveListing lets a relay read a platform list with the given number of engines, and returns the number of reads.
 func (r *testRelay) serveListing(engines int) *int {
-	readings := 0
+	reads := 0
 	r.fleet.readListing = func(context.Context, *http.Client, int) (serving.Listing, error) {
-		readings++
+		reads++
 		read := serving.Listing{Calls: 50}
 		for index := range engines {
 			id := fmt.Sprint("i-", index)
@@ -29,26 +29,26 @@
 	}
 	r.relayCount.Store(1)
 	r.suspension().Add(int64(10 * listing.DirectReadAfter)) // the last message of a leader is that old
-	return &readings
+	return &reads
 }
 
 // A relay without a configuration cannot serve any request. A thousand relays that start together must not use up the calls
 // to the platform that the leader needs.
 func TestRelayWithoutConfigurationDoesNotReadTheList(t *testing.T) {
 	relay := newTestRelay(t, route(nil), startBackEnd(t, "one", serving.StageWhole, refusing(503)))
-	readings := relay.serveListing(10)
+	reads := relay.serveListing(10)
 	relay.view.Store(&view{byService: map[string][]*backEnd{}})
 	relay.fleet.HandleNoLeader(t.Context())
-	require.Zero(t, *readings)
+	require.Zero(t, *reads)
 }
 
 // A relay that does not know the number of relays must not read the list either: it cannot tell how long to wait for its turn.
 func TestRelayThatKnowsNoOthersLeavesTheList(t *testing.T) {
 	relay := newTestRelay(t, route(nil), startBackEnd(t, "one", serving.StageWhole, refusing(503)))
-	readings := relay.serveListing(10)
+	reads := relay.serveListing(10)
 	relay.relayCount.Store(0)
 	relay.fleet.HandleNoLeader(t.Context())
-	require.Zero(t, *readings)
+	require.Zero(t, *reads)
 }
 
 // A relay that reads the list itself restricts it to the back ends that the last leader had listed, when that was only a
@@ -62,9 +62,9 @@
 			Wanted: []*v1.WantedBackEnds{{Service: "service", Count: 3}},
 		})
 		require.Equal(t, uint32(3), relay.fleet.WatchRequest(time.Second).GetWanted()[0].GetCount(), "a new leader receives the last wanted counts")
-		readings := relay.serveListing(40)
+		reads := relay.serveListing(40)
 		relay.fleet.HandleNoLeader(t.Context())
-		require.Equal(t, 1, *readings)
+		require.Equal(t, 1, *reads)
 		require.Len(t, relay.view.Load().byService["service"], expected)
 	}
 }
--- a/internal/relay/permits/datagram_fuzz_test.go
+++ b/internal/relay/permits/datagram_fuzz_test.go
@@ -41,9 +41,9 @@
 			}
 		}
 		for _, limit := range received.GetLimitNotice().GetLimits() {
-			if named, valid := fleetlimit.FromWire(limit); valid {
-				require.GreaterOrEqual(t, named.Limit.PerSecond, 0.0)
-				member.ApplyNotice(time.Minute, "10.0.0.2:1", named)
+			if backEndLimit, valid := fleetlimit.FromWire(limit); valid {
+				require.GreaterOrEqual(t, backEndLimit.Limit.PerSecond, 0.0)
+				member.ApplyNotice(time.Minute, "10.0.0.2:1", backEndLimit)
 			}
 		}
 		answer, _ := answerFromWire(received.GetLimitAnswer())
--- a/internal/relay/permits/permits_test.go
+++ b/internal/relay/permits/permits_test.go
@@ -49,10 +49,10 @@
 			return time.Since(began) + member.clockOffset
 		},
 		Draw: func() float64 { return 0.5 }, IsRelayListFresh: func() bool { return true },
-		OnLimit: func(named fleetlimit.BackEndLimit) {
+		OnLimit: func(backEndLimit fleetlimit.BackEndLimit) {
 			member.mutex.Lock()
 			defer member.mutex.Unlock()
-			member.limits = append(member.limits, named)
+			member.limits = append(member.limits, backEndLimit)
 		},
 	})
 	go socket.Receive(func(received *v1.RelayDatagram, from string) {
--- a/internal/relay/placement_client_test.go
+++ b/internal/relay/placement_client_test.go
@@ -99,13 +99,13 @@
 // A relay uses its owner's answer, and reports the resulting work to the owner.
 func TestRelayUsesItsOwnersAnswerAndReportsTheWork(t *testing.T) {
 	engine := startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne))
-	asking, owner := newPair(t, engine)
-	asking.startNotices(t)
+	querying, owner := newPair(t, engine)
+	querying.startNotices(t)
 	answered := func() float64 {
-		return testutil.ToFloat64(asking.metrics.placementQueries.WithLabelValues(queryAnswered))
+		return testutil.ToFloat64(querying.metrics.placementQueries.WithLabelValues(queryAnswered))
 	}
 	for answered() == 0 { // an answer that arrives too late is not used
-		require.Equal(t, eventOne, asking.client(t).do("POST", "/path/", "x", shortPrompt...).body)
+		require.Equal(t, eventOne, querying.client(t).do("POST", "/path/", "x", shortPrompt...).body)
 	}
 	require.Eventually(t, func() bool { return owner.reservedWork("engine") == placement.Work{} }, time.Minute, time.Millisecond)
 	require.Eventually(t, func() bool { return owner.notices.table.lastReceivedAt() > 0 }, time.Minute, time.Millisecond)
@@ -113,9 +113,9 @@
 
 // An owner that does not answer delays a request only a little: the deputy decides, or without a deputy the relay itself.
 func TestRequestsAreServedWithoutTheirOwner(t *testing.T) {
-	for name, owners := range map[string]func(t *testing.T, standIn *testRelay) []string{
-		"the deputy decides": func(t *testing.T, standIn *testRelay) []string {
-			return []string{startSilentRelay(t), standIn.datagrams.Address}
+	for name, owners := range map[string]func(t *testing.T, deputy *testRelay) []string{
+		"the deputy decides": func(t *testing.T, deputy *testRelay) []string {
+			return []string{startSilentRelay(t), deputy.datagrams.Address}
 		},
 		"no owner answers":        func(t *testing.T, _ *testRelay) []string { return []string{startSilentRelay(t), startSilentRelay(t)} },
 		"no owner exists":         func(*testing.T, *testRelay) []string { return nil },
@@ -123,10 +123,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			engine := startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne))
-			asking, standIn := newPair(t, engine)
-			asking.ownedBy(owners(t, standIn)...)
+			querying, deputy := newPair(t, engine)
+			querying.ownedBy(owners(t, deputy)...)
 			for range 3 {
-				require.Equal(t, eventOne, asking.client(t).do("POST", "/path/", "x", shortPrompt...).body)
+				require.Equal(t, eventOne, querying.client(t).do("POST", "/path/", "x", shortPrompt...).body)
 			}
 		})
 	}
@@ -135,14 +135,14 @@
 // An owner that does not answer is not queried for a while and receives no notices; the deputy receives them.
 func TestUnresponsiveOwnerIsReplaced(t *testing.T) {
 	engine := startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne))
-	asking, standIn := newPair(t, engine)
+	querying, deputy := newPair(t, engine)
 	silent := startSilentRelay(t)
-	asking.ownedBy(silent, standIn.datagrams.Address, "127.0.0.1:1")
-	now := asking.clock.now()
-	require.Equal(t, []string{silent, standIn.datagrams.Address}, asking.placements.otherOwners(now, asking.engineOf("engine")))
-	asking.peers.RecordQuery(asking.clock.now(), silent, false, time.Millisecond)
-	asking.peers.RecordQuery(asking.clock.now(), silent, false, time.Millisecond)
-	require.Equal(t, []string{standIn.datagrams.Address, "127.0.0.1:1"}, asking.placements.otherOwners(asking.clock.now(), asking.engineOf("engine")))
+	querying.ownedBy(silent, deputy.datagrams.Address, "127.0.0.1:1")
+	now := querying.clock.now()
+	require.Equal(t, []string{silent, deputy.datagrams.Address}, querying.placements.otherOwners(now, querying.engineOf("engine")))
+	querying.peers.RecordQuery(querying.clock.now(), silent, false, time.Millisecond)
+	querying.peers.RecordQuery(querying.clock.now(), silent, false, time.Millisecond)
+	require.Equal(t, []string{deputy.datagrams.Address, "127.0.0.1:1"}, querying.placements.otherOwners(querying.clock.now(), querying.engineOf("engine")))
 }
 
 // An owner with an outdated list may answer with an engine that is leaving according to the relay's newer list. The relay
@@ -150,11 +150,11 @@
 func TestAnswerOfAnOutdatedOwnerIsNotUsed(t *testing.T) {
 	leaving := startBackEnd(t, "leaving", serving.StageDecode, streaming("leaving", eventOne))
 	staying := startBackEnd(t, "staying", serving.StageDecode, streaming("staying", eventOne))
-	asking, owner := newPair(t, leaving, staying)
+	querying, owner := newPair(t, leaving, staying)
 	owner.engineOf("staying").addWork(placement.Work{Streams: 8}.Plus(placement.PrefillWork(100_000, 0)))
-	asking.markLeaving("leaving")
-	asking.ownedBy(owner.datagrams.Address)
-	require.Equal(t, eventOne, asking.client(t).do("POST", "/path/", "x", shortPrompt...).body)
+	querying.markLeaving("leaving")
+	querying.ownedBy(owner.datagrams.Address)
+	require.Equal(t, eventOne, querying.client(t).do("POST", "/path/", "x", shortPrompt...).body)
 	require.Empty(t, leaving.receivedRequests())
 	require.Len(t, staying.receivedRequests(), 1)
 	require.Eventually(t, func() bool { return owner.reservedWork("leaving") == placement.Work{} }, time.Minute, time.Millisecond, "the owner receives the cancellation")
@@ -330,15 +330,15 @@
 // A client that disconnects before the answer arrives does not affect the owner's health, neither for good nor for bad.
 func TestDisconnectedClientDoesNotAffectTheOwnersHealth(t *testing.T) {
 	engine := startBackEnd(t, "engine", serving.StageDecode, streaming("engine", eventOne))
-	asking, _ := newPair(t, engine)
+	querying, _ := newPair(t, engine)
 	silent := startSilentRelay(t)
-	asking.peers.RecordQuery(asking.clock.now(), silent, false, time.Millisecond)
+	querying.peers.RecordQuery(querying.clock.now(), silent, false, time.Millisecond)
 	gone := make(chan struct{})
 	close(gone)
-	_, answered := asking.placements.query(silent, 1, &engineQuery{service: "service"}, gone)
+	_, answered := querying.placements.query(silent, 1, &engineQuery{service: "service"}, gone)
 	require.False(t, answered)
-	now := asking.clock.now()
-	require.True(t, asking.peers.Trusted(now, silent), "no other miss counts")
-	asking.peers.RecordQuery(now, silent, false, time.Millisecond)
-	require.False(t, asking.peers.Trusted(now, silent), "the earlier miss still counts")
+	now := querying.clock.now()
+	require.True(t, querying.peers.Trusted(now, silent), "no other miss counts")
+	querying.peers.RecordQuery(now, silent, false, time.Millisecond)
+	require.False(t, querying.peers.Trusted(now, silent), "the earlier miss still counts")
 }
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -216,8 +216,8 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = elsewhere.Close() })
 	for name, test := range map[string]struct {
-		replica crashguard.Replica
-		sight   crashguard.ProbeResult
+		replica  crashguard.Replica
+		expected crashguard.ProbeResult
 	}{
 		"its former incarnation":         {crashguard.Replica{ID: "one/1", Name: "one", Address: elsewhere.Addr().String()}, crashguard.ProbeGone},
 		"another replica at its address": {crashguard.Replica{ID: "two/1", Name: "two", Address: serves.entry.Address}, crashguard.ProbeGone},
@@ -225,7 +225,7 @@
 		"an unlisted replica":            {crashguard.Replica{ID: "two/1", Name: "two", Address: elsewhere.Addr().String()}, crashguard.ProbeServing},
 		"a replica of unknown name":      {crashguard.Replica{ID: "two/1", Address: elsewhere.Addr().String()}, crashguard.ProbeServing},
 	} {
-		require.Equal(t, test.sight, relay.probe(t.Context(), test.replica), name)
+		require.Equal(t, test.expected, relay.probe(t.Context(), test.replica), name)
 	}
 	signature := quarantine.SignatureOf("", "POST", "/path/", []byte("x"))
 	for number := range quarantine.QuarantineThreshold {
--- a/internal/relay/stall_test.go
+++ b/internal/relay/stall_test.go
@@ -34,10 +34,10 @@
 // then.
 func TestStoppedStallWatchTouchesNothing(t *testing.T) {
 	exchanger := newStallExchanger(t)
-	for name, heardAt := range map[string]time.Duration{"silent": -time.Hour, "heard of": time.Hour} {
+	for name, lastReceivedAt := range map[string]time.Duration{"silent": -time.Hour, "recently active": time.Hour} {
 		recorder := &deadlineRecorder{}
 		backEnd := newBackEnd(serving.BackEnd{ID: "one"}, 1000)
-		backEnd.recordReceived(heardAt)
+		backEnd.recordReceived(lastReceivedAt)
 		watch := exchanger.watchStall(connpool.NewConnection(recorder), backEnd, time.Hour, true)
 		watch.stop()
 		watch.check()
@@ -48,13 +48,13 @@
 }
 
 func TestStallAbortsOnlyRequestsThatMayRunElsewhere(t *testing.T) {
-	for mayBreak, deadlines := range map[bool]int{true: 1, false: 0} {
+	for mayAbort, deadlines := range map[bool]int{true: 1, false: 0} {
 		exchanger := newStallExchanger(t)
 		synctest.Test(t, func(t *testing.T) {
 			exchanger.clock = newClock()
 			recorder := &deadlineRecorder{}
 			backEnd := newBackEnd(serving.BackEnd{ID: "one"}, 1000)
-			watch := exchanger.watchStall(connpool.NewConnection(recorder), backEnd, time.Second, mayBreak)
+			watch := exchanger.watchStall(connpool.NewConnection(recorder), backEnd, time.Second, mayAbort)
 			time.Sleep(time.Second + time.Millisecond)
 			synctest.Wait()
 			watch.stop()
