--- a/internal/control/usage.go
+++ b/internal/control/usage.go
@@ -127,7 +127,7 @@
 	})
 }
 
-// handleUsageDelivered processes the result of a call, which may be that of an earlier term.
+// handleUsageDelivered processes the result of a call. The call may have been made in an earlier term.
 func (c *Core) handleUsageDelivered(received UsageDelivered) {
 	if !c.leading {
 		return
--- a/internal/membership/directory.go
+++ b/internal/membership/directory.go
@@ -66,7 +66,7 @@
 	return backEnds
 }
 
-// allPolled reports whether every machine of the first list was polled.
+// allPolled reports whether the first list arrived long enough ago that every machine of it has been polled.
 func (t *Tracker) allPolled(now time.Duration) bool {
 	return t.listRead && now-t.firstListAt >= t.config.PollInterval+t.config.PollInterval/2
 }
