--- a/internal/controller/site_metrics.go
+++ b/internal/controller/site_metrics.go
@@ -32,7 +32,7 @@
 // set updates the gauges from the status of a site.
 func (s siteInstruments) set(site control.SiteStatus) {
 	s.relays.Set(float64(site.Relays))
-	s.formerRelays.Set(float64(site.FormerRelays))
+	s.formerRelays.Set(float64(site.OutdatedRelays))
 	s.repeatedUpdates.Set(float64(site.RepeatedUpdates))
 	s.waitingWatches.Set(float64(site.WaitingWatches))
 	s.backEnds.Set(float64(site.BackEnds))
