--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -61,7 +61,7 @@
 	calls            *calls
 	engines          *engines
 	machines         *machineReader
-	encryption       encryption
+	tlsConfigs       tlsConfigs
 	registry         *prometheus.Registry
 	instruments      instruments
 	dial             dialing.Dial
@@ -84,10 +84,10 @@
 	registry, factory := metrics.NewRegistry("controller", config.Name, config.Zone)
 	c := &controller{config: config, log: options.Log, dial: options.Dial, site: options.Site, registry: registry, instruments: newInstruments(factory), calls: newCalls(), haltErrors: make(chan error, 1)}
 	var err error
-	if c.encryption, err = loadEncryption(config, options.Log, factory); err != nil {
+	if c.tlsConfigs, err = loadTLSConfigs(config, options.Log, factory); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	c.peerClient = newPeerClient(c.instruments.countingDial(options.Dial, connectionPeers), c.encryption.client)
+	c.peerClient = newPeerClient(c.instruments.countingDial(options.Dial, connectionPeers), c.tlsConfigs.client)
 	if err := c.openCore(); err != nil {
 		return nil, trace.Wrap(err)
 	}
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -22,7 +22,7 @@
 	}
 	operator := operatorService{service: shared, firstKeyHash: c.config.OperatorKeyHash, lookUp: c.core.Operator}
 	routes := handler(c.config.Fleet, c.instruments.countMessages(), consensusService{loop: c.loop, fleet: c.config.Fleet}, nodeService{shared}, operator)
-	return serveHTTP(ctx, countingListener{Listener: c.listener, instruments: c.instruments}, routes, c.encryption.server, newServerLogger(c.log))
+	return serveHTTP(ctx, countingListener{Listener: c.listener, instruments: c.instruments}, routes, c.tlsConfigs.server, newServerLogger(c.log))
 }
 
 // serveAdmin serves health checks and metrics until the context ends.
--- a/internal/controller/encryption.go
+++ b/internal/controller/tls.go
@@ -11,17 +11,17 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// encryption holds the TLS configurations of a controller; both are nil without TLS.
-type encryption struct {
+// tlsConfigs holds the TLS configurations of a controller; both are nil without TLS.
+type tlsConfigs struct {
 	server *tls.Config
 	client *tls.Config
 }
 
-// loadEncryption reads the certificate files that the settings name. Operators may authenticate
+// loadTLSConfigs reads the certificate files that the settings name. Operators may authenticate
 // with a key and no certificate; the routes exclude them from the other services.
-func loadEncryption(config settings.Controller, log *logring.Log, factory metrics.Factory) (encryption, error) {
+func loadTLSConfigs(config settings.Controller, log *logring.Log, factory metrics.Factory) (tlsConfigs, error) {
 	if !config.TLS.Enabled() {
-		return encryption{}, nil
+		return tlsConfigs{}, nil
 	}
 	credentials, err := keys.Load(
 		keys.Files{Authority: config.TLS.Authority, Certificate: config.TLS.Certificate, Key: config.TLS.Key},
@@ -29,10 +29,10 @@
 			log.Error().Err(err).Msg("failed to load the changed certificate files; the previous certificates stay in use")
 		}})
 	if err != nil {
-		return encryption{}, trace.Wrap(err)
+		return tlsConfigs{}, trace.Wrap(err)
 	}
 	factory.CertificateExpiry(credentials.ExpiresAt)
-	return encryption{
+	return tlsConfigs{
 		server: credentials.ServerConfig(config.Fleet, true, keys.RoleController, keys.RoleGateway, keys.RoleOperator),
 		client: credentials.ClientConfig(config.Fleet, keys.RoleController),
 	}, nil
--- a/internal/controller/transport.go
+++ b/internal/controller/transport.go
@@ -43,15 +43,15 @@
 }
 
 // newPeerClient returns the HTTP client for other controllers.
-func newPeerClient(dial dialing.Dial, encryption *tls.Config) *http.Client {
+func newPeerClient(dial dialing.Dial, tlsConfig *tls.Config) *http.Client {
 	transport := &http.Transport{
 		DialContext:     dialing.WithTimeout(dial, dialing.PeerTimeout),
-		TLSClientConfig: encryption,
+		TLSClientConfig: tlsConfig,
 		IdleConnTimeout: idleTimeout,
 		Protocols:       new(http.Protocols),
 	}
-	transport.Protocols.SetHTTP2(encryption != nil)
-	transport.Protocols.SetUnencryptedHTTP2(encryption == nil)
+	transport.Protocols.SetHTTP2(tlsConfig != nil)
+	transport.Protocols.SetUnencryptedHTTP2(tlsConfig == nil)
 	return &http.Client{Transport: transport}
 }
 
@@ -81,18 +81,18 @@
 // serveHTTP serves on the listener until the context ends, and then finishes the
 // calls in flight within shutdownTimeout. It closes the listener. The logger receives
 // the reasons why peers were refused in the TLS handshake.
-func serveHTTP(ctx context.Context, listener net.Listener, routes http.Handler, encryption *tls.Config, logger *log.Logger) error {
+func serveHTTP(ctx context.Context, listener net.Listener, routes http.Handler, tlsConfig *tls.Config, logger *log.Logger) error {
 	server := &http.Server{
 		Handler:           routes,
 		ReadHeaderTimeout: headerReadTimeout,
 		IdleTimeout:       idleTimeout,
 		Protocols:         protocols(),
-		TLSConfig:         encryption,
+		TLSConfig:         tlsConfig,
 		ErrorLog:          logger,
 	}
 	served := make(chan error, 1)
 	go func() {
-		if encryption != nil {
+		if tlsConfig != nil {
 			served <- server.ServeTLS(listener, "", "")
 			return
 		}
--- a/internal/gateway/admitter.go
+++ b/internal/gateway/admitter.go
@@ -206,25 +206,25 @@
 }
 
 // recordFirstToken records that the first token of a started request arrived wait later than its own work explains.
-func (t *admissionSlot) recordFirstToken(wait time.Duration) {
-	t.admitter.mutex.Lock()
-	defer t.admitter.mutex.Unlock()
-	t.service.RecordFirstToken(t.admitter.clock.now(), t.id, wait)
+func (s *admissionSlot) recordFirstToken(wait time.Duration) {
+	s.admitter.mutex.Lock()
+	defer s.admitter.mutex.Unlock()
+	s.service.RecordFirstToken(s.admitter.clock.now(), s.id, wait)
 }
 
 // finish returns the slot of a started request. Only the first call has an effect.
-func (t *admissionSlot) finish(result admission.Result) {
-	t.once.Do(func() {
-		a := t.admitter
+func (s *admissionSlot) finish(result admission.Result) {
+	s.once.Do(func() {
+		a := s.admitter
 		a.mutex.Lock()
 		defer a.mutex.Unlock()
 		now := a.clock.now()
-		a.limits.Settle(now, t.charge, result.PromptTokens+result.OutputTokens)
+		a.limits.Settle(now, s.charge, result.PromptTokens+result.OutputTokens)
 		if !result.Failed && result.PromptTokens > 0 {
-			a.estimator.RecordUsage(t.shape, admission.Estimate{PromptTokens: result.PromptTokens, OutputTokens: result.OutputTokens})
+			a.estimator.RecordUsage(s.shape, admission.Estimate{PromptTokens: result.PromptTokens, OutputTokens: result.OutputTokens})
 		}
-		t.service.Finish(now, t.id, result)
-		a.start(t.service, now)
+		s.service.Finish(now, s.id, result)
+		a.start(s.service, now)
 	})
 }
 
--- a/internal/gateway/callers_test.go
+++ b/internal/gateway/callers_test.go
@@ -58,8 +58,8 @@
 	}{
 		{name: "streamed, before the first token", body: streamBody},
 		{name: "streamed, after the first token", body: streamBody, blockAfter: 1},
-		{name: "whole, before the first token", body: wholeBody},
-		{name: "whole, in the middle", body: wholeBody, blockAfter: 3},
+		{name: "whole, before the first token", body: unstreamedBody},
+		{name: "whole, in the middle", body: unstreamedBody, blockAfter: 3},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
@@ -108,11 +108,11 @@
 	again := call(t, http.MethodPost, gateway.url+"/registrations", "lot=7", map[string]string{enginecontract.HeaderIdempotencyKey: "k1"})
 	require.Equal(t, http.StatusOK, again.status)
 	require.Equal(t, page.Receipt("/registrations", "k1", []byte("lot=7")), again.body)
-	for _, body := range []string{streamBody, wholeBody} {
+	for _, body := range []string{streamBody, unstreamedBody} {
 		answer := call(t, http.MethodPost, gateway.url+"/v1/chat/completions", body,
 			map[string]string{HeaderKind: "once", enginecontract.HeaderIdempotencyKey: "k2"})
-		require.Equal(t, wholeText, answer.text, answer.body)
-		require.True(t, answer.whole)
+		require.Equal(t, answerText, answer.text, answer.body)
+		require.True(t, answer.isComplete)
 		require.Equal(t, verdict.Ran.String(), answer.verdict)
 	}
 	runs, _, cancels := engine.counts()
--- a/internal/gateway/chat_test.go
+++ b/internal/gateway/chat_test.go
@@ -30,7 +30,7 @@
 
 	whole, err := client.CreateChatCompletion(context.Background(), request)
 	require.NoError(t, err)
-	require.Equal(t, wholeText, whole.Choices[0].Message.Content)
+	require.Equal(t, answerText, whole.Choices[0].Message.Content)
 	require.Equal(t, openai.FinishReasonStop, whole.Choices[0].FinishReason)
 	require.Equal(t, len(answerTokens), whole.Usage.CompletionTokens)
 
@@ -52,6 +52,6 @@
 			text += choice.Delta.Content
 		}
 	}
-	require.Equal(t, wholeText, text)
+	require.Equal(t, answerText, text)
 	require.Equal(t, len(answerTokens), usage)
 }
--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -28,8 +28,8 @@
 	body    string
 	verdict string
 	// text is the text of the answer; whole is set when the answer ended as the protocol requires.
-	text  string
-	whole bool
+	text       string
+	isComplete bool
 	// errorCode and errorVerdict come from the body or from the error event of the stream.
 	errorCode    string
 	errorVerdict string
@@ -38,8 +38,8 @@
 }
 
 const (
-	wholeBody  = `{"model":"base","messages":[{"role":"user","content":"Which grade?"}]}`
-	streamBody = `{"model":"base","stream":true,"messages":[{"role":"user","content":"Which grade?"}]}`
+	unstreamedBody = `{"model":"base","messages":[{"role":"user","content":"Which grade?"}]}`
+	streamBody     = `{"model":"base","stream":true,"messages":[{"role":"user","content":"Which grade?"}]}`
 )
 
 // call sends a request as a caller does and reads the answer to its end.
@@ -63,7 +63,7 @@
 	require.NoError(t, err)
 	answer.body = string(content)
 	answer.text = gjson.Get(answer.body, "choices.0.message.content").String() + gjson.Get(answer.body, "choices.0.text").String()
-	answer.whole = gjson.Get(answer.body, "choices.0.finish_reason").String() != ""
+	answer.isComplete = gjson.Get(answer.body, "choices.0.finish_reason").String() != ""
 	answer.errorCode = gjson.Get(answer.body, "error.code").String()
 	answer.errorVerdict = gjson.Get(answer.body, "run_verdict").String()
 	return answer
@@ -78,7 +78,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			answer.whole = true
+			answer.isComplete = true
 			continue
 		}
 		answer.text += gjson.Get(data, "choices.0.delta.content").String() + gjson.Get(data, "choices.0.text").String()
--- a/internal/gateway/closing_port_test.go
+++ b/internal/gateway/closing_port_test.go
@@ -92,7 +92,7 @@
 	}})
 	require.Eventually(t, func() bool { return gateway.probe(t, metrics.PathReady) == http.StatusOK }, eventually, often)
 
-	request := rawRequest(http.MethodPost, "/v1/chat/completions", "matching", "", wholeBody)
+	request := rawRequest(http.MethodPost, "/v1/chat/completions", "matching", "", unstreamedBody)
 	used, opened := dial(t, gateway, request), dial(t, gateway, "")
 	usedReader := bufio.NewReader(used)
 	first, err := http.ReadResponse(usedReader, nil)
--- a/internal/gateway/engine_faults_test.go
+++ b/internal/gateway/engine_faults_test.go
@@ -25,56 +25,56 @@
 	// first, so rows that depend on the order give both the same faults.
 	first, second []engineFault
 	resumes       []engineFault
-	// whole and verdict describe the answer; minRuns and maxRuns bound the executions at both engines together.
-	whole   bool
-	status  int // of an incomplete answer that is not streamed
-	verdict verdict.Verdict
-	minRuns int
-	maxRuns int
+	// isComplete and verdict describe the answer; minRuns and maxRuns bound the executions at both engines together.
+	isComplete  bool
+	status      int // of an incomplete answer that is not streamed
+	verdict     verdict.Verdict
+	minimumRuns int
+	maximumRuns int
 }
 
 var engineFaultRows = []engineFaultRow{
-	{name: "no fault", whole: true, minRuns: 1, maxRuns: 1},
-	{name: "noise in the stream", first: []engineFault{{noise: true}}, second: []engineFault{{noise: true}}, whole: true, minRuns: 1, maxRuns: 1},
+	{name: "no fault", isComplete: true, minimumRuns: 1, maximumRuns: 1},
+	{name: "noise in the stream", first: []engineFault{{noise: true}}, second: []engineFault{{noise: true}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "refused before running, then served", first: []engineFault{refusedNotRun}, second: []engineFault{refusedNotRun},
 		status: 503, verdict: verdict.NotRun},
-	{name: "one engine refuses", first: []engineFault{refusedNotRun}, whole: true, minRuns: 1, maxRuns: 1},
-	{name: "once-only kind, one engine refuses before running", kind: "once", first: []engineFault{refusedNotRun}, whole: true, minRuns: 1, maxRuns: 1},
+	{name: "one engine refuses", first: []engineFault{refusedNotRun}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
+	{name: "once-only kind, one engine refuses before running", kind: "once", first: []engineFault{refusedNotRun}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "engine changes role", first: []engineFault{{refuse: 409, code: enginecontract.CodeWrongRole, runState: enginecontract.RunStateNotRun}},
-		whole: true, minRuns: 1, maxRuns: 1},
+		isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "engine leaves", first: []engineFault{{refuse: 503, code: enginecontract.CodeLeaving, runState: enginecontract.RunStateNotRun}},
-		whole: true, minRuns: 1, maxRuns: 1},
+		isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "link cut mid-stream, exchange lives on", first: []engineFault{{cutAfter: 3, resumable: true}}, second: []engineFault{{cutAfter: 3, resumable: true}},
-		whole: true, minRuns: 1, maxRuns: 1},
+		isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "once-only kind, link cut mid-stream, exchange lives on", kind: "once",
-		first: []engineFault{{cutAfter: 3, resumable: true}}, second: []engineFault{{cutAfter: 3, resumable: true}}, whole: true, minRuns: 1, maxRuns: 1},
+		first: []engineFault{{cutAfter: 3, resumable: true}}, second: []engineFault{{cutAfter: 3, resumable: true}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "link cut twice", first: []engineFault{{cutAfter: 2, resumable: true}}, second: []engineFault{{cutAfter: 2, resumable: true}},
-		resumes: []engineFault{{cutAfter: 4, resumable: true}}, whole: true, minRuns: 1, maxRuns: 1},
+		resumes: []engineFault{{cutAfter: 4, resumable: true}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "link cut before the head, exchange lives on", first: []engineFault{{cutBeforeHead: true, resumable: true}},
-		second: []engineFault{{cutBeforeHead: true, resumable: true}}, whole: true, minRuns: 1, maxRuns: 1},
-	{name: "engine crashes mid-stream", first: []engineFault{crash}, second: nil, whole: true, minRuns: 1, maxRuns: 2},
-	{name: "both engines crash mid-stream", first: []engineFault{crash}, second: []engineFault{crash}, status: 502, verdict: verdict.MayHaveRun, minRuns: 2, maxRuns: 2},
+		second: []engineFault{{cutBeforeHead: true, resumable: true}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
+	{name: "engine crashes mid-stream", first: []engineFault{crash}, second: nil, isComplete: true, minimumRuns: 1, maximumRuns: 2},
+	{name: "both engines crash mid-stream", first: []engineFault{crash}, second: []engineFault{crash}, status: 502, verdict: verdict.MayHaveRun, minimumRuns: 2, maximumRuns: 2},
 	{name: "once-only kind, engine crashes mid-stream", kind: "once", first: []engineFault{crash}, second: []engineFault{crash},
-		status: 502, verdict: verdict.MayHaveRun, minRuns: 1, maxRuns: 1},
+		status: 502, verdict: verdict.MayHaveRun, minimumRuns: 1, maximumRuns: 1},
 	{name: "once-only kind, engine crashes before the head", kind: "once", first: []engineFault{{cutBeforeHead: true}}, second: []engineFault{{cutBeforeHead: true}},
-		status: 502, verdict: verdict.MayHaveRun, minRuns: 1, maxRuns: 1},
+		status: 502, verdict: verdict.MayHaveRun, minimumRuns: 1, maximumRuns: 1},
 	{name: "answer of another exchange", first: []engineFault{{foreignHead: true}}, second: []engineFault{{foreignHead: true}},
-		whole: true, minRuns: 1, maxRuns: 1},
-	{name: "event of another exchange", first: []engineFault{{foreignEvent: 3}}, second: []engineFault{{foreignEvent: 3}}, whole: true, minRuns: 1, maxRuns: 1},
+		isComplete: true, minimumRuns: 1, maximumRuns: 1},
+	{name: "event of another exchange", first: []engineFault{{foreignEvent: 3}}, second: []engineFault{{foreignEvent: 3}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "event of another exchange, once-only kind", kind: "once", first: []engineFault{{foreignEvent: 3}}, second: []engineFault{{foreignEvent: 3}},
-		whole: true, minRuns: 1, maxRuns: 1},
-	{name: "each event twice", first: []engineFault{{duplicate: true}}, second: []engineFault{{duplicate: true}}, whole: true, minRuns: 1, maxRuns: 1},
-	{name: "a token is missing", first: []engineFault{{skip: 4}}, second: []engineFault{{skip: 4}}, whole: true, minRuns: 1, maxRuns: 1},
-	{name: "body ends early", first: []engineFault{{endAfter: 4}}, second: []engineFault{{endAfter: 4}}, whole: true, minRuns: 1, maxRuns: 1},
-	{name: "no [DONE]", first: []engineFault{{noDone: true}}, second: []engineFault{{noDone: true}}, whole: true, minRuns: 1, maxRuns: 1},
-	{name: "no finish event", first: []engineFault{{noFinish: true}}, second: []engineFault{{noFinish: true}}, whole: true, minRuns: 1, maxRuns: 1},
-	{name: "no usage event", first: []engineFault{{noUsage: true}}, second: []engineFault{{noUsage: true}}, whole: true, minRuns: 1, maxRuns: 1},
+		isComplete: true, minimumRuns: 1, maximumRuns: 1},
+	{name: "each event twice", first: []engineFault{{duplicate: true}}, second: []engineFault{{duplicate: true}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
+	{name: "a token is missing", first: []engineFault{{skip: 4}}, second: []engineFault{{skip: 4}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
+	{name: "body ends early", first: []engineFault{{endAfter: 4}}, second: []engineFault{{endAfter: 4}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
+	{name: "no [DONE]", first: []engineFault{{noDone: true}}, second: []engineFault{{noDone: true}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
+	{name: "no finish event", first: []engineFault{{noFinish: true}}, second: []engineFault{{noFinish: true}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
+	{name: "no usage event", first: []engineFault{{noUsage: true}}, second: []engineFault{{noUsage: true}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "error event mid-stream, once-only kind", kind: "once", first: []engineFault{{errorAfter: 3}}, second: []engineFault{{errorAfter: 3}},
-		status: 502, verdict: verdict.MayHaveRun, minRuns: 1, maxRuns: 1},
-	{name: "error event mid-stream", first: []engineFault{{errorAfter: 3}}, whole: true, minRuns: 1, maxRuns: 2},
+		status: 502, verdict: verdict.MayHaveRun, minimumRuns: 1, maximumRuns: 1},
+	{name: "error event mid-stream", first: []engineFault{{errorAfter: 3}}, isComplete: true, minimumRuns: 1, maximumRuns: 2},
 	{name: "refused as may have run, once-only kind", kind: "once", first: []engineFault{refusedUnknown}, second: []engineFault{refusedUnknown},
 		status: 502, verdict: verdict.MayHaveRun},
-	{name: "refused as may have run", first: []engineFault{refusedUnknown}, whole: true, minRuns: 1, maxRuns: 1},
+	{name: "refused as may have run", first: []engineFault{refusedUnknown}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "refused parameters", first: []engineFault{{refuse: 400, code: enginecontract.CodeInvalidRequest, runState: enginecontract.RunStateNotRun}},
 		second: []engineFault{{refuse: 400, code: enginecontract.CodeInvalidRequest, runState: enginecontract.RunStateNotRun}}, status: 400, verdict: verdict.NotRun},
 }
@@ -82,7 +82,7 @@
 func TestEngineFaults(t *testing.T) {
 	t.Parallel()
 	for _, row := range engineFaultRows {
-		for mode, body := range map[string]string{"whole": wholeBody, "streamed": streamBody} {
+		for mode, body := range map[string]string{"whole": unstreamedBody, "streamed": streamBody} {
 			t.Run(row.name+"/"+mode, func(t *testing.T) {
 				t.Parallel()
 				row.check(t, body, mode == "streamed")
@@ -105,22 +105,22 @@
 	firstRuns, _, _ := first.counts()
 	secondRuns, _, _ := second.counts()
 	runs := firstRuns + secondRuns
-	require.GreaterOrEqual(t, runs, row.minRuns)
-	require.LessOrEqual(t, runs, row.maxRuns)
+	require.GreaterOrEqual(t, runs, row.minimumRuns)
+	require.LessOrEqual(t, runs, row.maximumRuns)
 	require.NotContains(t, answer.body, "ANOTHER CALLER")
 	require.NotContains(t, answer.body, "tenant secret")
 	require.NotContains(t, answer.body, "internal detail")
 	require.NotContains(t, answer.body, "exchange")
 	require.Empty(t, answer.header.Get("X-Internal-Secret"))
-	if row.whole {
-		require.Equal(t, wholeText, answer.text, answer.body)
-		require.True(t, answer.whole, answer.body)
+	if row.isComplete {
+		require.Equal(t, answerText, answer.text, answer.body)
+		require.True(t, answer.isComplete, answer.body)
 		require.Equal(t, 200, answer.status)
 		requireFinalVerdict(t, answer, verdict.Ran, streamed)
 		return
 	}
-	require.False(t, answer.whole, answer.body)
-	require.True(t, strings.HasPrefix(wholeText, answer.text), answer.text)
+	require.False(t, answer.isComplete, answer.body)
+	require.True(t, strings.HasPrefix(answerText, answer.text), answer.text)
 	require.Equal(t, row.verdict.String(), answer.errorVerdict, answer.body)
 	if !streamed || answer.status != 200 {
 		require.Equal(t, row.status, answer.status, answer.body)
--- a/internal/gateway/engine_test.go
+++ b/internal/gateway/engine_test.go
@@ -20,8 +20,8 @@
 // answerTokens are the tokens of each answer of a test engine.
 var answerTokens = []string{"grade", " B", "+", ",", " hydraulics", " worn", "."}
 
-// wholeText is the text of the complete answer.
-var wholeText = strings.Join(answerTokens, "")
+// answerText is the text of the complete answer.
+var answerText = strings.Join(answerTokens, "")
 
 // engineFault is one fault of a test engine.
 type engineFault struct {
--- a/internal/gateway/isolation_test.go
+++ b/internal/gateway/isolation_test.go
@@ -57,7 +57,7 @@
 	controller := startController(t, engineBackEnd("engine-one", engine.address(), v1.Role_ROLE_MIXED))
 	gateway := startGateway(t, testSettings(controller.address))
 	for key, salt := range map[string]string{testKey: "salt-one", otherTestKey: "salt-two"} {
-		answer := call(t, http.MethodPost, gateway.url+"/v1/chat/completions", wholeBody, withKey(key, map[string]string{HeaderKind: "matching"}))
+		answer := call(t, http.MethodPost, gateway.url+"/v1/chat/completions", unstreamedBody, withKey(key, map[string]string{HeaderKind: "matching"}))
 		require.Equal(t, http.StatusOK, answer.status, answer.body)
 		requireNoInternals(t, answer)
 		last := engine.requests[len(engine.requests)-1]
@@ -95,9 +95,9 @@
 		"wrong key":          {"/lots/1", "", withKey("not a key", nil), 401},
 		"no key":             {"/lots/1", "", map[string]string{"Authorization": ""}, 401},
 		"back end down":      {"/lots/1", "", nil, 503},
-		"engine refuses":     {"/v1/chat/completions", wholeBody, map[string]string{HeaderKind: "matching"}, 503},
-		"kind does not fit":  {"/v1/chat/completions", wholeBody, map[string]string{HeaderKind: "listing"}, 400},
-		"kind is unknown":    {"/v1/chat/completions", wholeBody, map[string]string{HeaderKind: "none"}, 400},
+		"engine refuses":     {"/v1/chat/completions", unstreamedBody, map[string]string{HeaderKind: "matching"}, 503},
+		"kind does not fit":  {"/v1/chat/completions", unstreamedBody, map[string]string{HeaderKind: "listing"}, 400},
+		"kind is unknown":    {"/v1/chat/completions", unstreamedBody, map[string]string{HeaderKind: "none"}, 400},
 		"body is not JSON":   {"/v1/chat/completions", "{", map[string]string{HeaderKind: "matching"}, 400},
 		"member twice":       {"/v1/chat/completions", `{"model":"base","model":"x","messages":[]}`, map[string]string{HeaderKind: "matching"}, 400},
 		"gateway's member":   {"/v1/chat/completions", `{"model":"base","continue_text":"x","messages":[]}`, map[string]string{HeaderKind: "matching"}, 400},
--- a/internal/gateway/kv_transfer_test.go
+++ b/internal/gateway/kv_transfer_test.go
@@ -40,7 +40,7 @@
 	// prefillDown stops the prefill engine before the request; prefillCrashes stops it once a
 	// decode engine has received the request and before it fetches the cache.
 	prefillDown, prefillCrashes bool
-	whole                       bool
+	isComplete                  bool
 	status                      int
 	verdict                     verdict.Verdict
 	// The runs at all engines together.
@@ -48,30 +48,30 @@
 }
 
 var handOverRows = []kvTransferRow{
-	{name: "no fault", whole: true, prefilled: 1, imported: 1, started: 1},
-	{name: "no fault, once-only kind", kind: "once", whole: true, prefilled: 1, imported: 1, started: 1},
-	{name: "prefill engine refuses", prefill: once(fault.Refuse, 0), whole: true, started: 1},
-	{name: "prefill engine refuses, once-only kind", kind: "once", prefill: once(fault.Refuse, 0), whole: true, started: 1},
-	{name: "prefill engine is down", prefillDown: true, whole: true, started: 1},
-	{name: "prefill engine is down, once-only kind", kind: "once", prefillDown: true, whole: true, started: 1},
-	{name: "export's answer is lost", prefill: once(fault.LoseAnswer, 0), whole: true, prefilled: 1, started: 1},
+	{name: "no fault", isComplete: true, prefilled: 1, imported: 1, started: 1},
+	{name: "no fault, once-only kind", kind: "once", isComplete: true, prefilled: 1, imported: 1, started: 1},
+	{name: "prefill engine refuses", prefill: once(fault.Refuse, 0), isComplete: true, started: 1},
+	{name: "prefill engine refuses, once-only kind", kind: "once", prefill: once(fault.Refuse, 0), isComplete: true, started: 1},
+	{name: "prefill engine is down", prefillDown: true, isComplete: true, started: 1},
+	{name: "prefill engine is down, once-only kind", kind: "once", prefillDown: true, isComplete: true, started: 1},
+	{name: "export's answer is lost", prefill: once(fault.LoseAnswer, 0), isComplete: true, prefilled: 1, started: 1},
 	{name: "export's answer is lost, once-only kind", kind: "once", prefill: once(fault.LoseAnswer, 0),
 		status: 502, verdict: verdict.MayHaveRun, prefilled: 1},
-	{name: "export's answer is another exchange's", prefill: once(fault.WrongEcho, 0), whole: true, prefilled: 1, started: 1},
+	{name: "export's answer is another exchange's", prefill: once(fault.WrongEcho, 0), isComplete: true, prefilled: 1, started: 1},
 	{name: "export's answer is another exchange's, once-only kind", kind: "once", prefill: once(fault.WrongEcho, 0),
 		status: 502, verdict: verdict.MayHaveRun, prefilled: 1},
-	{name: "export fails", prefill: once(fault.Error, 0), whole: true, prefilled: 1, started: 1},
+	{name: "export fails", prefill: once(fault.Error, 0), isComplete: true, prefilled: 1, started: 1},
 	{name: "export fails, once-only kind", kind: "once", prefill: once(fault.Error, 0), status: 502, verdict: verdict.MayHaveRun, prefilled: 1},
-	{name: "export stalls", kind: "brisk", prefill: once(fault.Late, 0), whole: true, started: 1},
-	{name: "fetch of the cache fails", prefill: once(fault.FailExport, 0), whole: true, prefilled: 1, started: 1},
-	{name: "fetch of the cache fails, once-only kind", kind: "once", prefill: once(fault.FailExport, 0), whole: true, prefilled: 1, started: 1},
-	{name: "handle is lost", prefill: once(fault.LoseHandle, 0), whole: true, prefilled: 1, started: 1},
-	{name: "handle belongs to another tenant", prefill: once(fault.ForeignHandle, 0), whole: true, prefilled: 1, started: 1},
-	{name: "prefill engine dies before the fetch", decode: []fault.Fault{{Kind: fault.Late, Count: 1, DelayMs: 2000}}, prefillCrashes: true, whole: true, prefilled: 1, started: 1},
+	{name: "export stalls", kind: "brisk", prefill: once(fault.Late, 0), isComplete: true, started: 1},
+	{name: "fetch of the cache fails", prefill: once(fault.FailExport, 0), isComplete: true, prefilled: 1, started: 1},
+	{name: "fetch of the cache fails, once-only kind", kind: "once", prefill: once(fault.FailExport, 0), isComplete: true, prefilled: 1, started: 1},
+	{name: "handle is lost", prefill: once(fault.LoseHandle, 0), isComplete: true, prefilled: 1, started: 1},
+	{name: "handle belongs to another tenant", prefill: once(fault.ForeignHandle, 0), isComplete: true, prefilled: 1, started: 1},
+	{name: "prefill engine dies before the fetch", decode: []fault.Fault{{Kind: fault.Late, Count: 1, DelayMs: 2000}}, prefillCrashes: true, isComplete: true, prefilled: 1, started: 1},
 	{name: "decode engines refuse", decode: once(fault.Refuse, 0), status: 502, verdict: verdict.MayHaveRun, prefilled: 2},
-	{name: "decode engine's answer is lost, exchange lives on", decode: once(fault.LoseAnswer, 0), whole: true, prefilled: 1, imported: 1, started: 1},
-	{name: "stream of the decode engine is cut, exchange lives on", decode: once(fault.Cut, 7), whole: true, prefilled: 1, imported: 1, started: 1},
-	{name: "stream of the decode engine is cut, once-only kind", kind: "once", decode: once(fault.Cut, 7), whole: true, prefilled: 1, imported: 1, started: 1},
+	{name: "decode engine's answer is lost, exchange lives on", decode: once(fault.LoseAnswer, 0), isComplete: true, prefilled: 1, imported: 1, started: 1},
+	{name: "stream of the decode engine is cut, exchange lives on", decode: once(fault.Cut, 7), isComplete: true, prefilled: 1, imported: 1, started: 1},
+	{name: "stream of the decode engine is cut, once-only kind", kind: "once", decode: once(fault.Cut, 7), isComplete: true, prefilled: 1, imported: 1, started: 1},
 }
 
 func TestKVTransfer(t *testing.T) {
@@ -125,7 +125,7 @@
 	require.Equal(t, row.started, ran.Started)
 	require.Equal(t, row.imported, ran.Imported)
 	require.LessOrEqual(t, ran.Prefilled, row.prefilled, "a prefill that was given up may stay incomplete")
-	if row.whole && row.imported > 0 {
+	if row.isComplete && row.imported > 0 {
 		require.Equal(t, row.prefilled, ran.Prefilled)
 	}
 }
@@ -141,14 +141,14 @@
 	for name := range answer.header {
 		require.NotContains(t, []string{"X-Kv-Handle", "X-Kv-Source", "X-Cache-Salt", "X-Exchange-Id"}, name)
 	}
-	if row.whole {
+	if row.isComplete {
 		require.Equal(t, http.StatusOK, answer.status, answer.body)
 		require.Equal(t, text, answer.text, answer.body)
-		require.True(t, answer.whole, answer.body)
+		require.True(t, answer.isComplete, answer.body)
 		requireFinalVerdict(t, answer, verdict.Ran, true)
 		return
 	}
-	require.False(t, answer.whole, answer.body)
+	require.False(t, answer.isComplete, answer.body)
 	require.Equal(t, row.status, answer.status, answer.body)
 	require.Equal(t, row.verdict.String(), answer.verdict, answer.body)
 	for _, secret := range []string{"kv", "handle", "salt", "exchange", "127."} {
--- a/internal/gateway/malformed_test.go
+++ b/internal/gateway/malformed_test.go
@@ -155,7 +155,7 @@
 	} {
 		forged[name] = "77"
 	}
-	answer := call(t, http.MethodPost, gateway.url+"/v1/chat/completions", wholeBody, forged)
+	answer := call(t, http.MethodPost, gateway.url+"/v1/chat/completions", unstreamedBody, forged)
 	require.Equal(t, http.StatusOK, answer.status, answer.body)
 	received := engine.requests[0].Header
 	for name := range forged {
--- a/internal/gateway/page_faults_test.go
+++ b/internal/gateway/page_faults_test.go
@@ -24,38 +24,38 @@
 	down    bool
 	status  int
 	verdict verdict.Verdict
-	// atLeast and atMost bound the executions at both replicas together.
-	atLeast, atMost int
+	// minimumRuns and maximumRuns bound the executions at both replicas together.
+	minimumRuns, maximumRuns int
 }
 
 var pageFaultRows = []pageFaultRow{
-	{name: "listing", method: http.MethodGet, path: "/lots/7?view=full", status: 200, verdict: verdict.Ran, atLeast: 1, atMost: 1},
+	{name: "listing", method: http.MethodGet, path: "/lots/7?view=full", status: 200, verdict: verdict.Ran, minimumRuns: 1, maximumRuns: 1},
 	{name: "listing, refused once", method: http.MethodGet, path: "/lots/7", faults: []fault.Fault{{Kind: fault.Refuse, Count: 1}},
 		status: 503, verdict: verdict.NotRun},
 	{name: "listing, answer lost at both", method: http.MethodGet, path: "/lots/7", faults: []fault.Fault{{Kind: fault.LoseAnswer, Count: 1}},
-		status: 502, verdict: verdict.MayHaveRun, atLeast: 2, atMost: 2},
+		status: 502, verdict: verdict.MayHaveRun, minimumRuns: 2, maximumRuns: 2},
 	{name: "listing, truncated at both", method: http.MethodGet, path: "/lots/7", faults: []fault.Fault{{Kind: fault.Truncate, Count: 1, Tokens: 10}},
-		status: 502, verdict: verdict.MayHaveRun, atLeast: 2, atMost: 2},
+		status: 502, verdict: verdict.MayHaveRun, minimumRuns: 2, maximumRuns: 2},
 	{name: "listing, crossed at both", method: http.MethodGet, path: "/lots/7", faults: []fault.Fault{{Kind: fault.WrongEcho, Count: 1}},
-		status: 502, verdict: verdict.MayHaveRun, atLeast: 2, atMost: 2},
+		status: 502, verdict: verdict.MayHaveRun, minimumRuns: 2, maximumRuns: 2},
 	{name: "listing, replicas down", method: http.MethodGet, path: "/lots/7", down: true, status: 503, verdict: verdict.NotRun},
-	{name: "registration without a key", method: http.MethodPost, path: "/registrations", status: 200, verdict: verdict.Ran, atLeast: 1, atMost: 1},
+	{name: "registration without a key", method: http.MethodPost, path: "/registrations", status: 200, verdict: verdict.Ran, minimumRuns: 1, maximumRuns: 1},
 	{name: "registration without a key, answer lost", method: http.MethodPost, path: "/registrations",
-		faults: []fault.Fault{{Kind: fault.LoseAnswer, Count: 1}}, status: 502, verdict: verdict.MayHaveRun, atLeast: 1, atMost: 1},
+		faults: []fault.Fault{{Kind: fault.LoseAnswer, Count: 1}}, status: 502, verdict: verdict.MayHaveRun, minimumRuns: 1, maximumRuns: 1},
 	{name: "registration without a key, replicas down", method: http.MethodPost, path: "/registrations", down: true, status: 503, verdict: verdict.NotRun},
-	{name: "registration", method: http.MethodPost, path: "/registrations", key: "k1", status: 200, verdict: verdict.Ran, atLeast: 1, atMost: 1},
+	{name: "registration", method: http.MethodPost, path: "/registrations", key: "k1", status: 200, verdict: verdict.Ran, minimumRuns: 1, maximumRuns: 1},
 	{name: "registration, answer lost", method: http.MethodPost, path: "/registrations", key: "k1",
-		faults: []fault.Fault{{Kind: fault.LoseAnswer, Count: 1}}, status: 502, verdict: verdict.MayHaveRun, atLeast: 1, atMost: 1},
+		faults: []fault.Fault{{Kind: fault.LoseAnswer, Count: 1}}, status: 502, verdict: verdict.MayHaveRun, minimumRuns: 1, maximumRuns: 1},
 	{name: "registration, answer truncated", method: http.MethodPost, path: "/registrations", key: "k1",
-		faults: []fault.Fault{{Kind: fault.Truncate, Count: 1, Tokens: 3}}, status: 502, verdict: verdict.MayHaveRun, atLeast: 1, atMost: 1},
+		faults: []fault.Fault{{Kind: fault.Truncate, Count: 1, Tokens: 3}}, status: 502, verdict: verdict.MayHaveRun, minimumRuns: 1, maximumRuns: 1},
 	{name: "registration, answer crossed", method: http.MethodPost, path: "/registrations", key: "k1",
-		faults: []fault.Fault{{Kind: fault.WrongEcho, Count: 1}}, status: 502, verdict: verdict.MayHaveRun, atLeast: 1, atMost: 1},
+		faults: []fault.Fault{{Kind: fault.WrongEcho, Count: 1}}, status: 502, verdict: verdict.MayHaveRun, minimumRuns: 1, maximumRuns: 1},
 	{name: "registration, fails while it runs", method: http.MethodPost, path: "/registrations", key: "k1",
-		faults: []fault.Fault{{Kind: fault.Error, Count: 1}}, status: 502, verdict: verdict.MayHaveRun, atLeast: 1, atMost: 1},
+		faults: []fault.Fault{{Kind: fault.Error, Count: 1}}, status: 502, verdict: verdict.MayHaveRun, minimumRuns: 1, maximumRuns: 1},
 	{name: "registration, refused by both", method: http.MethodPost, path: "/registrations", key: "k1",
 		faults: []fault.Fault{{Kind: fault.Refuse, Count: 1}}, status: 503, verdict: verdict.NotRun},
 	{name: "registration, answer late", method: http.MethodPost, path: "/urgent", key: "k1",
-		faults: []fault.Fault{{Kind: fault.Late, Count: 1, DelayMs: late}}, status: 504, verdict: verdict.MayHaveRun, atMost: 1},
+		faults: []fault.Fault{{Kind: fault.Late, Count: 1, DelayMs: late}}, status: 504, verdict: verdict.MayHaveRun, maximumRuns: 1},
 	{name: "ambiguous path", method: http.MethodGet, path: "/lots/%2e%2e/registrations", status: 400, verdict: verdict.NotRun},
 	{name: "unknown path", method: http.MethodGet, path: "/lotsize", status: 404, verdict: verdict.NotRun},
 }
@@ -93,8 +93,8 @@
 	require.Equal(t, row.status, answer.status, answer.body)
 	require.Equal(t, row.verdict.String(), answer.verdict, answer.body)
 	executions := first.Runs().Served + second.Runs().Served
-	require.GreaterOrEqual(t, executions, row.atLeast)
-	require.LessOrEqual(t, executions, row.atMost)
+	require.GreaterOrEqual(t, executions, row.minimumRuns)
+	require.LessOrEqual(t, executions, row.maximumRuns)
 	if row.status == http.StatusOK && row.method == http.MethodGet {
 		require.Equal(t, page.Page(row.path), answer.body)
 	}
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -34,7 +34,7 @@
 }
 
 // start starts one of the back ends and returns its address. answer handles all other requests.
-func (e *crashingBackEnds) start(t *testing.T, answer http.Handler) string {
+func (c *crashingBackEnds) start(t *testing.T, answer http.Handler) string {
 	server := httptest.NewUnstartedServer(nil)
 	server.Config.Handler = http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
@@ -43,9 +43,9 @@
 			answer.ServeHTTP(writer, request)
 			return
 		}
-		e.mutex.Lock()
-		e.crashes++
-		e.mutex.Unlock()
+		c.mutex.Lock()
+		c.crashes++
+		c.mutex.Unlock()
 		_ = server.Listener.Close()
 		go server.CloseClientConnections() // it waits for this handler, so it must not run here
 		panic(http.ErrAbortHandler)
@@ -55,10 +55,10 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func (e *crashingBackEnds) crashCount() int {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	return e.crashes
+func (c *crashingBackEnds) crashCount() int {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.crashes
 }
 
 // quarantiningController quarantines requests as controllers do.
--- a/internal/gateway/repeating_test.go
+++ b/internal/gateway/repeating_test.go
@@ -39,7 +39,7 @@
 	for line := range strings.Lines("d" + string(rest)) {
 		text += gjson.Get(strings.TrimPrefix(line, "data: "), "choices.0.delta.content").String()
 	}
-	require.Equal(t, wholeText, text)
+	require.Equal(t, answerText, text)
 	require.Equal(t, verdict.Ran.String(), answer.Trailer.Get(verdict.Trailer))
 	continued := second.requests[0]
 	require.Equal(t, strconv.Itoa(delivered), continued.Header.Get(enginecontract.HeaderContinueFrom))
@@ -96,7 +96,7 @@
 		engineBackEnd("e1", first.address(), v1.Role_ROLE_MIXED), engineBackEnd("e2", second.address(), v1.Role_ROLE_MIXED))
 	gateway := startGateway(t, testSettings(controller.address))
 	for range requests {
-		answer := chat(t, gateway, "matching", wholeBody)
+		answer := chat(t, gateway, "matching", unstreamedBody)
 		require.GreaterOrEqual(t, answer.status, http.StatusInternalServerError)
 		require.NotEmpty(t, answer.header.Get("Retry-After"))
 	}
@@ -124,7 +124,7 @@
 	}
 	gateway := startGateway(t, testSettings(startController(t, backEnds...).address))
 	for range requests {
-		answer := chat(t, gateway, "matching", wholeBody)
+		answer := chat(t, gateway, "matching", unstreamedBody)
 		require.Equal(t, http.StatusOK, answer.status, answer.body)
 	}
 	for _, engine := range changing {
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -45,7 +45,7 @@
 			config.SyncInterval = time.Minute // so that no regular report requests the share first
 			gateway := startGateway(t, config)
 			headers := map[string]string{HeaderKind: "matching"}
-			require.Equal(t, http.StatusOK, call(t, http.MethodPost, gateway.url+"/v1/chat/completions", wholeBody, headers).status)
+			require.Equal(t, http.StatusOK, call(t, http.MethodPost, gateway.url+"/v1/chat/completions", unstreamedBody, headers).status)
 			answer := call(t, http.MethodGet, gateway.url+"/lots", "", nil)
 			require.Equal(t, row.status, answer.status, answer.body)
 			require.NotEmpty(t, urgent)
--- a/internal/gateway/dry_run.go
+++ b/internal/gateway/simulated_run.go
@@ -15,8 +15,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// DryRunRequest is a request for which only the decisions are made. No engine is called.
-type DryRunRequest struct {
+// SimulatedRequest is a request for which only the decisions are made. No engine is called.
+type SimulatedRequest struct {
 	// KeyHash is the SHA-256 of the caller's API key, in lower-case hex.
 	KeyHash string
 	// Kind is the declared kind of the request.
@@ -30,8 +30,8 @@
 	IdempotencyKey string
 }
 
-// DryRun is a request that was admitted, claimed and routed. It must be completed once.
-type DryRun struct {
+// SimulatedRun is a request that was admitted, claimed and routed. It must be completed once.
+type SimulatedRun struct {
 	// BackEnd is the name of the engine that routing chose to decode, Zone its zone.
 	BackEnd string
 	Zone    string
@@ -40,7 +40,7 @@
 	PrefillZone string
 
 	control  *Control
-	request  DryRunRequest
+	request  SimulatedRequest
 	tenant   *gatewaystate.Tenant
 	target   target
 	slot     *admissionSlot
@@ -48,9 +48,9 @@
 	claim    *v1.BeginClaim
 }
 
-// BeginDryRun authenticates, admits, claims and routes a request as the request path does. The error
+// BeginSimulatedRun authenticates, admits, claims and routes a request as the request path does. The error
 // is the refusal that a caller would receive.
-func (c *Control) BeginDryRun(request DryRunRequest) (*DryRun, error) {
+func (c *Control) BeginSimulatedRun(request SimulatedRequest) (*SimulatedRun, error) {
 	arrival := c.clock.now()
 	tenant, fault := c.tenantOfKey(request.KeyHash)
 	if fault != nil {
@@ -60,7 +60,7 @@
 	if fault != nil {
 		return nil, fault
 	}
-	run := &DryRun{control: c, request: request, tenant: tenant, target: target{kind: kind, name: kind.Model}}
+	run := &SimulatedRun{control: c, request: request, tenant: tenant, target: target{kind: kind, name: kind.Model}}
 	deadline := arrival + kind.Deadline()
 	interrupter := &upstream.Interrupter{}
 	body := &chatRequest{prompt: []byte(request.Prompt), maximumTokens: request.OutputTokens}
@@ -80,7 +80,7 @@
 }
 
 // begin claims the request and picks its back ends.
-func (r *DryRun) begin(routingRequest routing.Request, deadline time.Duration, interrupter *upstream.Interrupter) error {
+func (r *SimulatedRun) begin(routingRequest routing.Request, deadline time.Duration, interrupter *upstream.Interrupter) error {
 	if r.request.IdempotencyKey != "" && !r.target.kind.Spec.GetRepeatable() {
 		claim := r.control.claimer.claim(r.tenant, r.target.kind, r.request.IdempotencyKey, []byte(r.request.Prompt))
 		decision := r.control.claimer.begin(claim, deadline, interrupter)
@@ -115,14 +115,14 @@
 }
 
 // Complete reports the request as completed.
-func (r *DryRun) Complete() {
+func (r *SimulatedRun) Complete() {
 	r.control.dispatcher.observe(routing.Completion{BackEnd: r.BackEnd, Exchange: r.exchange, PromptTokens: r.request.PromptTokens})
 	r.slot.finish(admission.Result{PromptTokens: r.request.PromptTokens, OutputTokens: r.request.OutputTokens})
 	r.finishClaim(verdict.Ran)
 	r.record(gatewaystate.Outcome{Completed: true})
 }
 
-func (r *DryRun) finishClaim(runVerdict verdict.Verdict) {
+func (r *SimulatedRun) finishClaim(runVerdict verdict.Verdict) {
 	if r.claim == nil {
 		return
 	}
@@ -133,13 +133,13 @@
 	r.control.claimer.finish(r.claim, runVerdict, outcome)
 }
 
-func (r *DryRun) record(outcome gatewaystate.Outcome) {
+func (r *SimulatedRun) record(outcome gatewaystate.Outcome) {
 	outcome.Service, outcome.Kind = r.target.kind.Spec.GetService(), r.target.kind.Name
 	outcome.PromptTokens, outcome.OutputTokens = uint64(r.request.PromptTokens), uint64(r.request.OutputTokens)
 	r.control.view.trySend(recordOutcome{outcome: outcome})
 }
 
-func (r *DryRun) admissionRequest(shape admission.RequestShape, deadline time.Duration) admissionRequest {
+func (r *SimulatedRun) admissionRequest(shape admission.RequestShape, deadline time.Duration) admissionRequest {
 	return admissionRequest{
 		service: r.target.kind.Spec.GetService(), shape: shape, limit: tenantLimit(r.tenant),
 		request: admission.Request{
--- a/internal/gateway/dry_run_test.go
+++ b/internal/gateway/simulated_run_test.go
@@ -12,9 +12,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// TestDryRunWithoutRequestPath runs the control runtime alone: a dry run gets the
+// TestSimulatedRunWithoutRequestPath runs the control runtime alone: a dry run gets the
 // back end, the claim and the refusals that a request would get.
-func TestDryRunWithoutRequestPath(t *testing.T) {
+func TestSimulatedRunWithoutRequestPath(t *testing.T) {
 	controllers := startController(t, engineBackEnd("e1", "127.0.0.1:1", v1.Role_ROLE_MIXED))
 	control, err := NewControl(testSettings(controllers.address), ControlOptions{Log: logring.New("g1", settings.Log{RingEntries: 16})})
 	require.NoError(t, err)
@@ -24,18 +24,18 @@
 	t.Cleanup(func() { stop(); <-stopped })
 	require.Eventually(t, func() bool { return control.Revision() == 1 }, 10*time.Second, time.Millisecond)
 
-	once := DryRunRequest{KeyHash: hashOf(testKey), Kind: "once", Prompt: "a prompt", PromptTokens: 9, OutputTokens: 4, IdempotencyKey: "k"}
-	run, err := control.BeginDryRun(once)
+	once := SimulatedRequest{KeyHash: hashOf(testKey), Kind: "once", Prompt: "a prompt", PromptTokens: 9, OutputTokens: 4, IdempotencyKey: "k"}
+	run, err := control.BeginSimulatedRun(once)
 	require.NoError(t, err)
 	require.Equal(t, "e1", run.BackEnd)
-	_, err = control.BeginDryRun(once)
+	_, err = control.BeginSimulatedRun(once)
 	require.ErrorContains(t, err, codeStillRunning)
 	run.Complete()
 	require.True(t, control.claimer.waitForFinishes(t.Context()))
 	require.Equal(t, 1, controllers.outcomes())
 
-	_, err = control.BeginDryRun(DryRunRequest{KeyHash: hashOf("no key of anyone"), Kind: "once"})
+	_, err = control.BeginSimulatedRun(SimulatedRequest{KeyHash: hashOf("no key of anyone"), Kind: "once"})
 	require.ErrorContains(t, err, codeInvalidKey)
-	_, err = control.BeginDryRun(DryRunRequest{KeyHash: hashOf(testKey), Kind: "none"})
+	_, err = control.BeginSimulatedRun(SimulatedRequest{KeyHash: hashOf(testKey), Kind: "none"})
 	require.ErrorContains(t, err, codeUnknownKind)
 }
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -91,7 +91,7 @@
 	gateway := startUnready(t, testSettings(controller.address))
 	require.Equal(t, http.StatusOK, gateway.probe(t, metrics.PathHealth))
 	require.Equal(t, http.StatusServiceUnavailable, gateway.probe(t, metrics.PathReady))
-	refused := chat(t, gateway, "matching", wholeBody)
+	refused := chat(t, gateway, "matching", unstreamedBody)
 	require.Equal(t, http.StatusServiceUnavailable, refused.status)
 	require.Equal(t, verdict.NotRun.String(), refused.verdict)
 	require.NotEmpty(t, refused.header.Get("Retry-After"))
@@ -128,7 +128,7 @@
 			require.Eventually(t, func() bool { return controller.known.Load() >= version }, eventually, often)
 			_, before, _ := first.counts()
 			for range 30 {
-				require.Equal(t, http.StatusOK, chat(t, gateway, "matching", wholeBody).status)
+				require.Equal(t, http.StatusOK, chat(t, gateway, "matching", unstreamedBody).status)
 			}
 			_, after, _ := first.counts()
 			require.Equal(t, before, after)
@@ -144,11 +144,11 @@
 	engine := startEngine(t)
 	controller := startController(t, engineBackEnd("e1", engine.address(), v1.Role_ROLE_MIXED))
 	gateway := startGateway(t, testSettings(controller.address))
-	require.Equal(t, http.StatusOK, chat(t, gateway, "matching", wholeBody).status)
+	require.Equal(t, http.StatusOK, chat(t, gateway, "matching", unstreamedBody).status)
 	controller.down.Store(true)
 	time.Sleep(routing.ConfirmationLimit + time.Second)
 	_, before, _ := engine.counts()
-	refused := chat(t, gateway, "matching", wholeBody)
+	refused := chat(t, gateway, "matching", unstreamedBody)
 	require.Equal(t, http.StatusServiceUnavailable, refused.status, refused.body)
 	require.Equal(t, codeNoBackEnd, refused.errorCode)
 	require.Equal(t, verdict.NotRun.String(), refused.verdict)
@@ -156,5 +156,5 @@
 	_, after, _ := engine.counts()
 	require.Equal(t, before, after)
 	controller.down.Store(false)
-	require.Eventually(t, func() bool { return chat(t, gateway, "matching", wholeBody).status == http.StatusOK }, eventually, often)
+	require.Eventually(t, func() bool { return chat(t, gateway, "matching", unstreamedBody).status == http.StatusOK }, eventually, often)
 }
--- a/internal/gateway/stream_bench_test.go
+++ b/internal/gateway/stream_bench_test.go
@@ -23,7 +23,7 @@
 	gateway := startGateway(b, testSettings(controller.address))
 	b.ResetTimer()
 	for range b.N {
-		require.True(b, chat(b, gateway, "matching", streamBody).whole)
+		require.True(b, chat(b, gateway, "matching", streamBody).isComplete)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*benchmarkTokens), "ns/token")
 }
--- a/internal/gateway/sync_test.go
+++ b/internal/gateway/sync_test.go
@@ -36,7 +36,7 @@
 		defer mutex.Unlock()
 		return slices.Contains(called, "silent")
 	}, eventually, often)
-	answer := call(t, http.MethodPost, gateway.url+"/v1/chat/completions", wholeBody, map[string]string{HeaderKind: "matching"})
+	answer := call(t, http.MethodPost, gateway.url+"/v1/chat/completions", unstreamedBody, map[string]string{HeaderKind: "matching"})
 	require.Equal(t, http.StatusOK, answer.status, answer.body)
 	require.Eventually(t, func() bool {
 		mutex.Lock()
--- a/internal/gatewaystate/configuration.go
+++ b/internal/gatewaystate/configuration.go
@@ -6,8 +6,8 @@
 
 // objectKey identifies a declared object; it is the comparable form of v1.ObjectKey.
 type objectKey struct {
-	kind v1.ObjectType
-	name string
+	objectType v1.ObjectType
+	name       string
 }
 
 // configuration holds the declared objects by key, each with the revision that last
@@ -26,7 +26,7 @@
 		c.objects = make(map[objectKey]*v1.Object, len(objects))
 	}
 	for _, object := range objects {
-		key := objectKey{kind: object.GetKey().GetType(), name: object.GetKey().GetName()}
+		key := objectKey{objectType: object.GetKey().GetType(), name: object.GetKey().GetName()}
 		existing, exists := previous[key]
 		if exists && existing.GetRevision() > object.GetRevision() {
 			object = existing
@@ -34,7 +34,7 @@
 		switch {
 		case object.GetDeleted():
 			delete(c.objects, key)
-		case key.kind == v1.ObjectType_OBJECT_TYPE_TENANT && !exists && !wanted(object):
+		case key.objectType == v1.ObjectType_OBJECT_TYPE_TENANT && !exists && !wanted(object):
 		default:
 			c.objects[key] = object
 		}
--- a/internal/gatewaystate/snapshot.go
+++ b/internal/gatewaystate/snapshot.go
@@ -94,7 +94,7 @@
 	s.adapters = map[string]*v1.Adapter{}
 	s.keys = map[string]*Tenant{}
 	for key, object := range objects {
-		switch key.kind {
+		switch key.objectType {
 		case v1.ObjectType_OBJECT_TYPE_KIND:
 			service := objects[objectKey{v1.ObjectType_OBJECT_TYPE_SERVICE, object.GetKind().GetService()}].GetService()
 			s.kinds[key.name] = &Kind{Name: key.name, Spec: object.GetKind(), ServiceType: service.GetType(), Model: service.GetModel()}
--- a/internal/gatewaystate/state.go
+++ b/internal/gatewaystate/state.go
@@ -195,7 +195,7 @@
 func (s *State) trackTenants(now time.Duration) {
 	tracked := map[string]*atomic.Int64{}
 	for key := range s.configuration.objects {
-		if key.kind != v1.ObjectType_OBJECT_TYPE_TENANT {
+		if key.objectType != v1.ObjectType_OBJECT_TYPE_TENANT {
 			continue
 		}
 		used, ok := s.tenants[key.name]
--- a/internal/language/codec_enum.go
+++ b/internal/language/codec_enum.go
@@ -19,30 +19,30 @@
 	operatorRoleCodec = enumCodec{description: "an operator's role", names: []string{"viewer", "operator", "administrator"}}
 )
 
-func (s enumCodec) describe() string { return s.description + ": " + joinAlternatives(s.names) }
+func (c enumCodec) describe() string { return c.description + ": " + joinAlternatives(c.names) }
 
-func (s enumCodec) parse(scalar *scalarSyntax, _ protoreflect.FieldDescriptor) (protoreflect.Value, *Error) {
-	for i, word := range s.names {
+func (c enumCodec) parse(scalar *scalarSyntax, _ protoreflect.FieldDescriptor) (protoreflect.Value, *Error) {
+	for i, word := range c.names {
 		if scalar.Word == word {
 			return protoreflect.ValueOfEnum(protoreflect.EnumNumber(i + 1)), nil
 		}
 	}
 	if scalar.Word == "" {
-		return protoreflect.Value{}, errorAt(scalar.Pos, "%s is not %s: expected %s", scalar.source(), s.description, joinAlternatives(s.names))
+		return protoreflect.Value{}, errorAt(scalar.Pos, "%s is not %s: expected %s", scalar.source(), c.description, joinAlternatives(c.names))
 	}
-	return protoreflect.Value{}, unknownWordError(scalar.Pos, "value", scalar.Word, s.names)
+	return protoreflect.Value{}, unknownWordError(scalar.Pos, "value", scalar.Word, c.names)
 }
 
-func (s enumCodec) name(number int32) string {
-	if number < 1 || int(number) > len(s.names) {
+func (c enumCodec) name(number int32) string {
+	if number < 1 || int(number) > len(c.names) {
 		return ""
 	}
-	return s.names[number-1]
+	return c.names[number-1]
 }
 
-func (s enumCodec) format(value protoreflect.Value) string { return s.name(int32(value.Enum())) }
+func (c enumCodec) format(value protoreflect.Value) string { return c.name(int32(value.Enum())) }
 
-func (s enumCodec) cell(value protoreflect.Value) Value { return TextValue(s.format(value)) }
+func (c enumCodec) cell(value protoreflect.Value) Value { return TextValue(c.format(value)) }
 
 // RoleName returns the language's name for an engine role; empty when unspecified.
 func RoleName(role v1.Role) string { return roleCodec.name(int32(role)) }
@@ -76,4 +76,4 @@
 	return "false"
 }
 
-func (s booleanCodec) cell(value protoreflect.Value) Value { return TextValue(s.format(value)) }
+func (c booleanCodec) cell(value protoreflect.Value) Value { return TextValue(c.format(value)) }
--- a/internal/language/codec_number.go
+++ b/internal/language/codec_number.go
@@ -27,49 +27,49 @@
 	integerCodec  = wholeNumberCodec{description: "a whole number"}
 )
 
-func (s wholeNumberCodec) describe() string { return s.description }
+func (c wholeNumberCodec) describe() string { return c.description }
 
-func (s wholeNumberCodec) parse(scalar *scalarSyntax, field protoreflect.FieldDescriptor) (protoreflect.Value, *Error) {
-	number, mistake := s.parseNumber(scalar)
+func (c wholeNumberCodec) parse(scalar *scalarSyntax, field protoreflect.FieldDescriptor) (protoreflect.Value, *Error) {
+	number, mistake := c.parseNumber(scalar)
 	if mistake != nil {
 		return protoreflect.Value{}, mistake
 	}
 	if !number.IsInt() {
-		return protoreflect.Value{}, errorAt(scalar.Pos, "%s is not a whole number of the smallest unit: expected %s", scalar.source(), s.description)
+		return protoreflect.Value{}, errorAt(scalar.Pos, "%s is not a whole number of the smallest unit: expected %s", scalar.source(), c.description)
 	}
-	return s.fieldValue(scalar, number.Num(), field)
+	return c.fieldValue(scalar, number.Num(), field)
 }
 
 // parseNumber returns the scalar's value in the smallest unit.
-func (s wholeNumberCodec) parseNumber(scalar *scalarSyntax) (*big.Rat, *Error) {
+func (c wholeNumberCodec) parseNumber(scalar *scalarSyntax) (*big.Rat, *Error) {
 	if scalar.Quantity == "" {
-		return nil, errorAt(scalar.Pos, "%s is not a number: expected %s", scalar.source(), s.description)
+		return nil, errorAt(scalar.Pos, "%s is not a number: expected %s", scalar.source(), c.description)
 	}
 	digits, word := splitQuantity(scalar.Quantity)
 	number, valid := new(big.Rat).SetString(digits)
 	if !valid {
-		return nil, errorAt(scalar.Pos, "%s is not a number: expected %s", scalar.source(), s.description)
+		return nil, errorAt(scalar.Pos, "%s is not a number: expected %s", scalar.source(), c.description)
 	}
 	if word == "" {
-		if s.unitRequired && number.Sign() != 0 {
-			return nil, errorAt(scalar.Pos, "%s lacks a unit: expected %s, with unit %s", digits, s.description, joinAlternatives(unitSymbols(s.units)))
+		if c.unitRequired && number.Sign() != 0 {
+			return nil, errorAt(scalar.Pos, "%s lacks a unit: expected %s, with unit %s", digits, c.description, joinAlternatives(unitSymbols(c.units)))
 		}
 		return number, nil
 	}
-	unit, known := findUnit(s.units, word)
+	unit, known := findUnit(c.units, word)
 	if !known {
-		if len(s.units) == 0 {
-			return nil, errorAt(scalar.Pos, "%s has a unit: expected %s without one", scalar.source(), s.description)
+		if len(c.units) == 0 {
+			return nil, errorAt(scalar.Pos, "%s has a unit: expected %s without one", scalar.source(), c.description)
 		}
-		return nil, unknownWordError(scalar.Pos, "unit", word, unitSymbols(s.units))
+		return nil, unknownWordError(scalar.Pos, "unit", word, unitSymbols(c.units))
 	}
 	return number.Mul(number, new(big.Rat).SetInt64(unit.factor)), nil
 }
 
 // fieldValue converts the number to the type of the protobuf field, or reports that it is out of range.
-func (s wholeNumberCodec) fieldValue(scalar *scalarSyntax, number *big.Int, field protoreflect.FieldDescriptor) (protoreflect.Value, *Error) {
+func (c wholeNumberCodec) fieldValue(scalar *scalarSyntax, number *big.Int, field protoreflect.FieldDescriptor) (protoreflect.Value, *Error) {
 	outOfRange := func(least, most string) (protoreflect.Value, *Error) {
-		return protoreflect.Value{}, errorAt(scalar.Pos, "%s is out of range: expected %s from %s to %s", scalar.source(), s.description, least, most)
+		return protoreflect.Value{}, errorAt(scalar.Pos, "%s is out of range: expected %s from %s to %s", scalar.source(), c.description, least, most)
 	}
 	switch field.Kind() {
 	case protoreflect.Int32Kind:
@@ -79,39 +79,39 @@
 		return protoreflect.ValueOfInt32(int32(number.Int64())), nil
 	case protoreflect.Uint32Kind:
 		if !number.IsUint64() || number.Uint64() > math.MaxUint32 {
-			return outOfRange("0", s.formatBig(big.NewInt(math.MaxUint32)))
+			return outOfRange("0", c.formatBig(big.NewInt(math.MaxUint32)))
 		}
 		return protoreflect.ValueOfUint32(uint32(number.Uint64())), nil
 	default:
 		if !number.IsUint64() {
-			return outOfRange("0", s.formatBig(new(big.Int).SetUint64(math.MaxUint64)))
+			return outOfRange("0", c.formatBig(new(big.Int).SetUint64(math.MaxUint64)))
 		}
 		return protoreflect.ValueOfUint64(number.Uint64()), nil
 	}
 }
 
-func (s wholeNumberCodec) formatBig(number *big.Int) string {
-	if len(s.units) == 0 {
+func (c wholeNumberCodec) formatBig(number *big.Int) string {
+	if len(c.units) == 0 {
 		return number.String()
 	}
-	return formatWithUnit(number, s.units)
+	return formatWithUnit(number, c.units)
 }
 
-func (s wholeNumberCodec) format(value protoreflect.Value) string {
+func (c wholeNumberCodec) format(value protoreflect.Value) string {
 	switch number := value.Interface().(type) {
 	case int32:
-		return s.formatBig(big.NewInt(int64(number)))
+		return c.formatBig(big.NewInt(int64(number)))
 	case uint32:
-		return s.formatBig(new(big.Int).SetUint64(uint64(number)))
+		return c.formatBig(new(big.Int).SetUint64(uint64(number)))
 	default:
-		return s.formatBig(new(big.Int).SetUint64(value.Uint()))
+		return c.formatBig(new(big.Int).SetUint64(value.Uint()))
 	}
 }
 
-func (s wholeNumberCodec) cell(value protoreflect.Value) Value {
+func (c wholeNumberCodec) cell(value protoreflect.Value) Value {
 	number, _ := new(big.Float).SetString(value.String())
 	float, _ := number.Float64()
-	return Value{Text: s.format(value), Number: float, Numeric: true}
+	return Value{Text: c.format(value), Number: float, Numeric: true}
 }
 
 // decimalCodec handles non-negative numbers with a fraction.
@@ -124,20 +124,20 @@
 	worthCodec = decimalCodec{description: "a number such as 2.5, from 0 to 1000000000"}
 )
 
-func (s decimalCodec) describe() string { return s.description }
+func (c decimalCodec) describe() string { return c.description }
 
-func (s decimalCodec) parse(scalar *scalarSyntax, _ protoreflect.FieldDescriptor) (protoreflect.Value, *Error) {
+func (c decimalCodec) parse(scalar *scalarSyntax, _ protoreflect.FieldDescriptor) (protoreflect.Value, *Error) {
 	digits, word := splitQuantity(scalar.Quantity)
 	number, err := strconv.ParseFloat(digits, 64)
 	if scalar.Quantity == "" || word != "" || err != nil || number < 0 || number > maximumDecimal {
-		return protoreflect.Value{}, errorAt(scalar.Pos, "%s is not valid here: expected %s", scalar.source(), s.description)
+		return protoreflect.Value{}, errorAt(scalar.Pos, "%s is not valid here: expected %s", scalar.source(), c.description)
 	}
 	// Adding zero turns a negative zero into zero.
 	return protoreflect.ValueOfFloat64(number + 0), nil
 }
 
-func (s decimalCodec) format(value protoreflect.Value) string {
+func (c decimalCodec) format(value protoreflect.Value) string {
 	return strconv.FormatFloat(value.Float(), 'f', -1, 64)
 }
 
-func (s decimalCodec) cell(value protoreflect.Value) Value { return NumberValue(value.Float()) }
+func (c decimalCodec) cell(value protoreflect.Value) Value { return NumberValue(value.Float()) }
--- a/internal/language/codec_text.go
+++ b/internal/language/codec_text.go
@@ -29,9 +29,9 @@
 	hashCodec    = textCodec{description: "a SHA-256 hash as 64 hexadecimal digits in quotes", pattern: hashPattern}
 )
 
-func (s textCodec) describe() string { return s.description }
+func (c textCodec) describe() string { return c.description }
 
-func (s textCodec) parse(scalar *scalarSyntax, _ protoreflect.FieldDescriptor) (protoreflect.Value, *Error) {
+func (c textCodec) parse(scalar *scalarSyntax, _ protoreflect.FieldDescriptor) (protoreflect.Value, *Error) {
 	text := scalar.Word
 	if scalar.Text != nil {
 		var mistake *Error
@@ -39,21 +39,21 @@
 			return protoreflect.Value{}, mistake
 		}
 	}
-	if !s.pattern.MatchString(text) {
-		return protoreflect.Value{}, errorAt(scalar.Pos, "%s is not valid here: expected %s", scalar.source(), s.description)
+	if !c.pattern.MatchString(text) {
+		return protoreflect.Value{}, errorAt(scalar.Pos, "%s is not valid here: expected %s", scalar.source(), c.description)
 	}
 	return protoreflect.ValueOfString(text), nil
 }
 
-func (s textCodec) format(value protoreflect.Value) string {
-	if s.allowsBareWord {
+func (c textCodec) format(value protoreflect.Value) string {
+	if c.allowsBareWord {
 		return quoteName(value.String())
 	}
 	return strconv.Quote(value.String())
 }
 
-func (s textCodec) cell(value protoreflect.Value) Value {
-	if s.pattern == hashPattern {
+func (c textCodec) cell(value protoreflect.Value) Value {
+	if c.pattern == hashPattern {
 		return TextValue(shortHash(value.String()))
 	}
 	return TextValue(value.String())
--- a/internal/logstream/stream.go
+++ b/internal/logstream/stream.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// ringLines is the capacity of the queue in lines.
-	ringLines = 1024
+	// queueLines is the capacity of the queue in lines.
+	queueLines = 1024
 	// ordinaryLines is the part of the queue that lines below the warning level may use.
-	ordinaryLines = ringLines * 3 / 4
+	ordinaryLines = queueLines * 3 / 4
 	// batchBytes is the size at which a batch of lines is written.
 	batchBytes = 32 << 10
 )
@@ -36,7 +36,7 @@
 
 // New returns a stream to the writer. Run must be called for lines to be written.
 func New(out io.Writer) *Stream {
-	return &Stream{out: out, lines: make(chan []byte, ringLines)}
+	return &Stream{out: out, lines: make(chan []byte, queueLines)}
 }
 
 // Write queues a line without a level.
--- a/internal/logstream/stream_test.go
+++ b/internal/logstream/stream_test.go
@@ -34,10 +34,10 @@
 		var running sync.WaitGroup
 		running.Go(func() { stream.Run(ctx) })
 		logger := zerolog.New(stream)
-		for range 2 * ringLines {
+		for range 2 * queueLines {
 			logger.Info().Msg("ordinary")
 		}
-		for range ringLines {
+		for range queueLines {
 			logger.Warn().Msg("urgent")
 		}
 		require.Greater(t, stream.Dropped(), int64(0))
@@ -45,8 +45,8 @@
 		cancel()
 		running.Wait()
 		lines := out.written.String()
-		require.LessOrEqual(t, strings.Count(lines, "\n"), 2*ringLines, "the queue is bounded")
-		require.GreaterOrEqual(t, strings.Count(lines, `"urgent"`), ringLines-ordinaryLines-1, "urgent lines have capacity that ordinary lines cannot use")
+		require.LessOrEqual(t, strings.Count(lines, "\n"), 2*queueLines, "the queue is bounded")
+		require.GreaterOrEqual(t, strings.Count(lines, `"urgent"`), queueLines-ordinaryLines-1, "urgent lines have capacity that ordinary lines cannot use")
 		require.Contains(t, lines, "log_lines_dropped")
 	})
 }
--- a/internal/snapshot/snapshotter.go
+++ b/internal/snapshot/snapshotter.go
@@ -20,8 +20,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/filesystem"
 )
 
-// DefaultKeep is the default number of snapshots that are kept.
-const DefaultKeep = 2
+// DefaultRetained is the default number of snapshots that are kept.
+const DefaultRetained = 2
 
 // ErrCorrupt means that a snapshot file is missing or damaged; the disk must be replaced.
 var ErrCorrupt = errors.New("the snapshot is missing or damaged")
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, consensus.Restored{}, trace.Wrap(err)
 	}
-	storage := &Storage{log: log, snapshots: snapshot.New(options.FileSystem, options.Directory, snapshot.DefaultKeep)}
+	storage := &Storage{log: log, snapshots: snapshot.New(options.FileSystem, options.Directory, snapshot.DefaultRetained)}
 	restored, err := storage.restore(contents)
 	if err != nil {
 		_ = log.Close()
--- a/internal/wal/contents.go
+++ b/internal/wal/contents.go
@@ -55,9 +55,9 @@
 	return &v1.LogRecord{HardState: c.hardState, SnapshotIndex: c.snapshot.Index, SnapshotTerm: c.snapshot.Term}
 }
 
-// replacedBy reports whether the record's snapshot conflicts with the entries in the log,
+// isReplacedBy reports whether the record's snapshot conflicts with the entries in the log,
 // so that all of them are invalid.
-func (c *contents) replacedBy(record *v1.LogRecord) bool {
+func (c *contents) isReplacedBy(record *v1.LogRecord) bool {
 	if record.GetSnapshotIndex() == 0 {
 		return false
 	}
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -231,7 +231,7 @@
 			return trace.Wrap(err)
 		}
 	}
-	record.ReplacesLog = l.contents.replacedBy(record)
+	record.ReplacesLog = l.contents.isReplacedBy(record)
 	if err := l.contents.replay(record); err != nil {
 		return trace.Wrap(err)
 	}
--- a/internal/zonedelay/partitioner.go
+++ b/internal/zonedelay/partitioner.go
@@ -29,40 +29,40 @@
 
 // Isolate isolates a group until heal is called; further calls of heal do nothing. Addresses in the group
 // still reach each other.
-func (g *Partitioner) Isolate(group []netip.Prefix) (heal func()) {
+func (p *Partitioner) Isolate(group []netip.Prefix) (heal func()) {
 	added := &partition{group: group}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.partitions = append(g.partitions, added)
-	g.notifyChange()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.partitions = append(p.partitions, added)
+	p.notifyChange()
 	return func() {
-		g.mutex.Lock()
-		defer g.mutex.Unlock()
-		g.partitions = slices.DeleteFunc(g.partitions, func(existing *partition) bool { return existing == added })
-		g.notifyChange()
+		p.mutex.Lock()
+		defer p.mutex.Unlock()
+		p.partitions = slices.DeleteFunc(p.partitions, func(existing *partition) bool { return existing == added })
+		p.notifyChange()
 	}
 }
 
 // notifyChange wakes all waiting connections. The caller holds the mutex.
-func (g *Partitioner) notifyChange() {
-	close(g.changed)
-	g.changed = make(chan struct{})
+func (p *Partitioner) notifyChange() {
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
 // isOpen reports whether data may pass between two addresses, and returns a channel that is closed at the
 // next change of the partitions.
-func (g *Partitioner) isOpen(one, other netip.Addr) (bool, <-chan struct{}) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	if !g.network.Contains(one) || !g.network.Contains(other) {
-		return true, g.changed
+func (p *Partitioner) isOpen(one, other netip.Addr) (bool, <-chan struct{}) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if !p.network.Contains(one) || !p.network.Contains(other) {
+		return true, p.changed
 	}
-	for _, isolated := range g.partitions {
+	for _, isolated := range p.partitions {
 		if isolated.contains(one) != isolated.contains(other) {
-			return false, g.changed
+			return false, p.changed
 		}
 	}
-	return true, g.changed
+	return true, p.changed
 }
 
 func (c *partition) contains(address netip.Addr) bool {
@@ -71,12 +71,12 @@
 
 // waitOpen blocks until data may pass; it returns false if closed is closed first. A nil Partitioner lets
 // everything pass.
-func (g *Partitioner) waitOpen(one, other netip.Addr, closed <-chan struct{}) bool {
-	if g == nil {
+func (p *Partitioner) waitOpen(one, other netip.Addr, closed <-chan struct{}) bool {
+	if p == nil {
 		return true
 	}
 	for {
-		open, changed := g.isOpen(one, other)
+		open, changed := p.isOpen(one, other)
 		if open {
 			return true
 		}
--- a/internal/zonedelay/pending_flushes.go
+++ b/internal/zonedelay/pending_flushes.go
@@ -11,10 +11,10 @@
 type PendingFlushes struct{ running sync.WaitGroup }
 
 // Wait blocks until every closed connection has sent its data, or until the limit has passed.
-func (u *PendingFlushes) Wait(limit time.Duration) {
+func (p *PendingFlushes) Wait(limit time.Duration) {
 	flushed := make(chan struct{})
 	go func() {
-		u.running.Wait()
+		p.running.Wait()
 		close(flushed)
 	}()
 	select {
