--- a/internal/benchcommand/simulate_test.go
+++ b/internal/benchcommand/simulate_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestSimulateReportsViolation disables a safeguard: the command must fail and print the seed, the broken
-// promise and the end of the trace.
+// invariant and the end of the trace.
 func TestSimulateReportsViolation(t *testing.T) {
 	for _, row := range []struct {
 		name       string
--- a/internal/benchcommand/simulation_summary.go
+++ b/internal/benchcommand/simulation_summary.go
@@ -34,11 +34,11 @@
 	Violation *simulationViolation `json:"violation,omitempty"`
 
 	digest *xxhash.Digest
-	// firstFailure is the first run that broke a promise, or nil.
+	// firstFailure is the first run that broke an invariant, or nil.
 	firstFailure *simulation.Result
 }
 
-// simulationViolation is the broken promise in the JSON report.
+// simulationViolation is the broken invariant in the JSON report.
 type simulationViolation struct {
 	Seed      uint64  `json:"seed"`
 	Check     string  `json:"check"`
--- a/internal/benchcommand/soak.go
+++ b/internal/benchcommand/soak.go
@@ -27,7 +27,7 @@
 func serveSite(ctx context.Context, arguments []string, environment Environment) int {
 	outgoing := soak.NewOutgoing()
 	go func() {
-		_ = fleet.ApplyCutCommands(os.Stdin, outgoing.Partitioner) // it ends when the soak does
+		_ = fleet.ApplyCutCommands(os.Stdin, outgoing.Partitioner) // returns when the soak closes standard input
 		os.Exit(ExitFailed)
 	}()
 	return servercommand.Run(ctx, arguments, servercommand.Environment{
--- a/internal/controller/duty_calls.go
+++ b/internal/controller/duty_calls.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// dutyWorkers is the number of concurrent calls, one for each subject, so that a call without
-	// an answer does not delay the others.
+	// dutyWorkers is the number of concurrent calls. The Core has at most one call in flight for each subject (see
+	// duty.Subject), so that a call without an answer does not delay those on other subjects.
 	dutyWorkers = 8
-	// dutyQueue limits the calls that wait; the Core has at most one call in flight for each subject.
+	// dutyQueue limits the calls that wait for a worker.
 	dutyQueue = 64
 	// dutyAnswerWait is how long after a call's expiry its answer is awaited: a call that reached
 	// the platform in time may be answered late.
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -14,7 +14,7 @@
 	Listen func(network, address string) (net.Listener, error)
 	// Dial opens outgoing connections; nil means TCP from settings.source_address.
 	Dial dialing.Dial
-	// Site is set if the controller serves relays.
+	// Site is set if the controller serves relays, and nil otherwise.
 	Site *Site
 	// Log is required. Run dumps its ring on errors and signals.
 	Log *logring.Log
--- a/internal/controller/site.go
+++ b/internal/controller/site.go
@@ -35,13 +35,13 @@
 	ListingInterval time.Duration
 	// ReadListing reads the first pages of the external list of back ends; 0 pages means the whole list.
 	ReadListing func(ctx context.Context, client *http.Client, pages int) (serving.Listing, error)
-	// Without are the mechanisms that are left out; users leave out none.
+	// Without is the set of mechanisms that are turned off to measure their effect; empty in production.
 	Without mechanism.Set
 	// PriorPrefillShare, OrderWait and OrderLifetime: see control.Config.
 	PriorPrefillShare float64
 	OrderWait         time.Duration
 	OrderLifetime     time.Duration
-	// OrderStage orders an engine into a role. The error gives the reason if the outcome is not
+	// OrderStage orders an engine into a stage. The error gives the reason if the outcome is not
 	// control.StageAccepted.
 	OrderStage func(ctx context.Context, client *http.Client, order StageOrder) (StageResult, error)
 	// Usage, DutyInterval and DutyLifetime: see control.Config.
--- a/internal/enginemodel/engine.go
+++ b/internal/enginemodel/engine.go
@@ -13,8 +13,8 @@
 type Engine struct {
 	profile Profile
 	role    enginecontract.Role
-	// tokenEvents enables an event for each start and token; without it only the first
-	// token and the end are reported, because experiments need to be fast.
+	// tokenEvents enables an event for each start and token. Without it only the first token and the end are reported,
+	// which keeps experiments fast.
 	tokenEvents bool
 
 	now    time.Duration
--- a/internal/gateway/accounting.go
+++ b/internal/gateway/accounting.go
@@ -8,9 +8,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/admission"
 )
 
-// Speeds of an otherwise idle engine, chosen optimistically. They give a lower bound of a request's duration, so that
-// admission refuses only requests that no engine could finish in time, and counts as waiting only the time beyond
-// the prefill of a slow prompt.
+// Speeds of an otherwise idle engine. fastestTokenInterval is optimistic and gives a lower bound of a request's
+// duration, so that admission refuses only requests that no engine could finish in time.
+// slowPromptTokensPerSecond is the prefill speed for a slow prompt: only the part of the time to the first token that
+// exceeds such a prefill counts as waiting.
 const (
 	fastestTokenInterval      = 5 * time.Millisecond
 	slowPromptTokensPerSecond = 8_000
--- a/internal/gateway/admitter.go
+++ b/internal/gateway/admitter.go
@@ -74,8 +74,8 @@
 	request admission.Request
 }
 
-// admissionSlot is the place of a request in admission, from its submission on. finish returns the slot of a started
-// request.
+// admissionSlot represents a request in admission from its submission until finish, which returns the slot of a
+// started request.
 type admissionSlot struct {
 	admitter *admitter
 	service  *admission.Core
@@ -205,7 +205,7 @@
 	a.limits.Settle(a.clock.now(), slot.charge, used)
 }
 
-// recordFirstToken records that the first token of a started request arrived wait later than its own work explains.
+// recordFirstToken records how long a started request waited for its first token, without the time of its prefill.
 func (s *admissionSlot) recordFirstToken(wait time.Duration) {
 	s.admitter.mutex.Lock()
 	defer s.admitter.mutex.Unlock()
@@ -260,7 +260,7 @@
 	return inFlight, waiting + a.limits.WaitingCount()
 }
 
-// refuseLimit converts a refusal by the tenant's limit.
+// refuseLimit converts a refusal by the tenant's limit into the refusal for the caller.
 func refuseLimit(err error) *refusal {
 	var limitRefusal *limits.Refusal
 	if !errors.As(err, &limitRefusal) {
@@ -272,7 +272,7 @@
 	return refuse(http.StatusTooManyRequests, typeRateLimit, codeRateLimit, limitRefusal.Reason.Error()).after(limitRefusal.RetryAfter)
 }
 
-// refuseAdmission converts a refusal by a service's queue.
+// refuseAdmission converts a refusal by a service's queue into the refusal for the caller.
 func refuseAdmission(queueRefusal admission.Refusal) *refusal {
 	switch {
 	case errors.Is(queueRefusal.Reason, admission.ErrDeadline):
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -62,7 +62,7 @@
 }
 
 // claimKey returns the key under which a request is claimed. It is empty for a repeatable kind, whose requests
-// are not claimed, and without a key of the caller.
+// are not claimed, and when the caller sent no key.
 func claimKey(kind *gatewaystate.Kind, key string) string {
 	if kind.Spec.GetRepeatable() {
 		return ""
--- a/internal/gateway/backoff_test.go
+++ b/internal/gateway/backoff_test.go
@@ -29,9 +29,9 @@
 	return strings.TrimPrefix(server.URL, "http://"), arrived
 }
 
-// TestABackEndThatAsksForRestIsLeftAlone guards against ignoring Retry-After beyond the exchange that returned it. A gateway
-// treated such a refusal as a sign of load only and kept sending. A back end asks for an hour and must get no further
-// request, neither alone nor beside one that serves.
+// TestABackEndThatAsksForRestIsLeftAlone guards against applying Retry-After only to the exchange that returned it. A
+// gateway treated such a refusal as a sign of load only and kept sending. Here a back end asks for an hour and must get
+// no further request, neither alone nor beside one that serves.
 func TestABackEndThatAsksForRestIsLeftAlone(t *testing.T) {
 	t.Parallel()
 	t.Run("the only back end", func(t *testing.T) {
--- a/internal/gateway/callers_test.go
+++ b/internal/gateway/callers_test.go
@@ -58,8 +58,8 @@
 	}{
 		{name: "streamed, before the first token", body: streamBody},
 		{name: "streamed, after the first token", body: streamBody, blockAfter: 1},
-		{name: "whole, before the first token", body: unstreamedBody},
-		{name: "whole, in the middle", body: unstreamedBody, blockAfter: 3},
+		{name: "unstreamed, before the first token", body: unstreamedBody},
+		{name: "unstreamed, in the middle", body: unstreamedBody, blockAfter: 3},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/gateway/cancel.go
+++ b/internal/gateway/cancel.go
@@ -45,7 +45,7 @@
 const abandonedCancelTimeout = time.Second
 
 // cancel cancels an exchange at its engine and returns the engine's verdict. It sends nothing to an engine in backoff or
-// without a permit: the engine ends an exchange without a reader by itself, and the result is unknown.
+// without a permit and returns "may have run": the engine ends an exchange without a reader by itself.
 func (g *Gateway) cancel(request cancellation, timeout time.Duration) verdict.Verdict {
 	if g.dispatcher.isInBackoff(request.backEnd) || !g.dispatcher.mayCall(request.backEnd, fleetlimit.RankCount-1, false) {
 		return verdict.MayHaveRun
--- a/internal/gateway/claimer.go
+++ b/internal/gateway/claimer.go
@@ -177,7 +177,7 @@
 	}
 }
 
-// refuseClaim converts a decision not to run a request.
+// refuseClaim converts a decision not to run a request into the refusal for the caller.
 func refuseClaim(decision claims.Decision) *refusal {
 	status, code := http.StatusServiceUnavailable, codeClaimUnreachable
 	switch {
--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -27,7 +27,7 @@
 	header  http.Header
 	body    string
 	verdict string
-	// text is the text of the answer; whole is set when the answer ended as the protocol requires.
+	// text is the text of the answer; isComplete is set when the answer ended as the protocol requires.
 	text       string
 	isComplete bool
 	// errorCode and errorVerdict come from the body or from the error event of the stream.
--- a/internal/gateway/closing_port_test.go
+++ b/internal/gateway/closing_port_test.go
@@ -76,8 +76,8 @@
 }
 
 // TestRequestsThatReachAClosingPortAreAnswered guards against requests without an answer that reached a stopping gateway
-// while it closed its port, on used, new or not yet accepted connections. They were lost when the gateway did not
-// run for a moment on a busy machine.
+// while it closed its port, on connections in use, on new ones and on ones not yet accepted. They were lost when the
+// gateway did not run for a moment on a busy machine.
 func TestRequestsThatReachAClosingPortAreAnswered(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t)
--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -62,8 +62,8 @@
 	isQuarantined bool
 	// wholeOnly is set after a failed KV transfer and for a trial: one engine must serve the whole request.
 	wholeOnly bool
-	// mayHaveRun is set when an exchange of this request may have run, mayHavePrefilled when
-	// an engine may have run its prefill for another engine.
+	// mayHaveRun is set when an exchange of this request may have run, mayHavePrefilled when an engine may have run the
+	// prefill of this request for another engine.
 	mayHaveRun       bool
 	mayHavePrefilled bool
 	done             bool
--- a/internal/gateway/completion_connect.go
+++ b/internal/gateway/completion_connect.go
@@ -71,8 +71,8 @@
 	return true
 }
 
-// startExchange picks engines and sends the request to them. When it leaves no answer to read and returns no
-// refusal, the caller of startExchange tries again.
+// startExchange picks engines and sends the request to them. It returns a refusal when the request must end. When it
+// returns nil and c.answer is still nil, another attempt may follow.
 func (c *completion) startExchange() *refusal {
 	if c.isQuarantined = c.isQuarantined || !c.isTrial && c.gateway.guard.IsQuarantined(c.signature); c.isQuarantined {
 		return c.refusal(refuseQuarantined())
--- a/internal/gateway/completion_end.go
+++ b/internal/gateway/completion_end.go
@@ -50,7 +50,7 @@
 	return c.refusal(fault)
 }
 
-// refusal ends the completion and adjusts the verdict of a refusal to all exchanges of the request.
+// refusal ends the completion and returns the refusal with a verdict that covers all exchanges of the request.
 func (c *completion) refusal(fault *refusal) *refusal {
 	c.done = true
 	return fault.combine(c.mayHaveRun)
--- a/internal/gateway/controllers.go
+++ b/internal/gateway/controllers.go
@@ -34,11 +34,12 @@
 	mutex   sync.Mutex
 	clients map[string]hazelpitchv1connect.NodeServiceClient
 	// homeOrder is the order of the settings, followed by addresses in the order of their discovery; it spreads the
-	// gateways over the controllers. order is the order of attempts for calls that any controller answers:
-	// homeOrder, with the controllers that failed within homeOrderDelay at the end.
+	// gateways over the controllers. order is the order of attempts for calls that any controller answers: homeOrder,
+	// with the demoted controllers at the end. It returns to homeOrder once no controller has been demoted for
+	// homeOrderDelay.
 	homeOrder []string
 	order     []string
-	// demotedAt is the time of the last failure of a controller; zero when order equals homeOrder.
+	// demotedAt is the time of the last call of demote; zero when order equals homeOrder.
 	demotedAt time.Time
 	// leader is the last known address of the leader; empty when unknown.
 	leader string
@@ -99,7 +100,7 @@
 	return order
 }
 
-// demote moves an address that failed to the end of the order, for homeOrderDelay.
+// demote moves an address to the end of the order, until no address has been demoted for homeOrderDelay.
 func (c *controllers) demote(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/gateway/engine_faults_test.go
+++ b/internal/gateway/engine_faults_test.go
@@ -25,7 +25,7 @@
 	// first, so rows that depend on the order give both the same faults.
 	first, second []engineFault
 	resumes       []engineFault
-	// isComplete and verdict describe the answer; minRuns and maxRuns bound the executions at both engines together.
+	// isComplete and verdict describe the answer; minimumRuns and maximumRuns bound the executions at both engines together.
 	isComplete  bool
 	status      int // of an incomplete answer that is not streamed
 	verdict     verdict.Verdict
@@ -39,29 +39,29 @@
 	{name: "refused before running, then served", first: []engineFault{refusedNotRun}, second: []engineFault{refusedNotRun},
 		status: 503, verdict: verdict.NotRun},
 	{name: "one engine refuses", first: []engineFault{refusedNotRun}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
-	{name: "once-only kind, one engine refuses before running", kind: "once", first: []engineFault{refusedNotRun}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
+	{name: "non-repeatable kind, one engine refuses before running", kind: "once", first: []engineFault{refusedNotRun}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "engine changes role", first: []engineFault{{refuse: 409, code: enginecontract.CodeWrongRole, runState: enginecontract.RunStateNotRun}},
 		isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "engine leaves", first: []engineFault{{refuse: 503, code: enginecontract.CodeLeaving, runState: enginecontract.RunStateNotRun}},
 		isComplete: true, minimumRuns: 1, maximumRuns: 1},
-	{name: "link cut mid-stream, exchange lives on", first: []engineFault{{cutAfter: 3, resumable: true}}, second: []engineFault{{cutAfter: 3, resumable: true}},
+	{name: "link cut mid-stream, exchange continues", first: []engineFault{{cutAfter: 3, resumable: true}}, second: []engineFault{{cutAfter: 3, resumable: true}},
 		isComplete: true, minimumRuns: 1, maximumRuns: 1},
-	{name: "once-only kind, link cut mid-stream, exchange lives on", kind: "once",
+	{name: "non-repeatable kind, link cut mid-stream, exchange continues", kind: "once",
 		first: []engineFault{{cutAfter: 3, resumable: true}}, second: []engineFault{{cutAfter: 3, resumable: true}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "link cut twice", first: []engineFault{{cutAfter: 2, resumable: true}}, second: []engineFault{{cutAfter: 2, resumable: true}},
 		resumes: []engineFault{{cutAfter: 4, resumable: true}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
-	{name: "link cut before the head, exchange lives on", first: []engineFault{{cutBeforeHead: true, resumable: true}},
+	{name: "link cut before the header, exchange continues", first: []engineFault{{cutBeforeHead: true, resumable: true}},
 		second: []engineFault{{cutBeforeHead: true, resumable: true}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "engine crashes mid-stream", first: []engineFault{crash}, second: nil, isComplete: true, minimumRuns: 1, maximumRuns: 2},
 	{name: "both engines crash mid-stream", first: []engineFault{crash}, second: []engineFault{crash}, status: 502, verdict: verdict.MayHaveRun, minimumRuns: 2, maximumRuns: 2},
-	{name: "once-only kind, engine crashes mid-stream", kind: "once", first: []engineFault{crash}, second: []engineFault{crash},
+	{name: "non-repeatable kind, engine crashes mid-stream", kind: "once", first: []engineFault{crash}, second: []engineFault{crash},
 		status: 502, verdict: verdict.MayHaveRun, minimumRuns: 1, maximumRuns: 1},
-	{name: "once-only kind, engine crashes before the head", kind: "once", first: []engineFault{{cutBeforeHead: true}}, second: []engineFault{{cutBeforeHead: true}},
+	{name: "non-repeatable kind, engine crashes before the header", kind: "once", first: []engineFault{{cutBeforeHead: true}}, second: []engineFault{{cutBeforeHead: true}},
 		status: 502, verdict: verdict.MayHaveRun, minimumRuns: 1, maximumRuns: 1},
 	{name: "answer of another exchange", first: []engineFault{{foreignHead: true}}, second: []engineFault{{foreignHead: true}},
 		isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "event of another exchange", first: []engineFault{{foreignEvent: 3}}, second: []engineFault{{foreignEvent: 3}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
-	{name: "event of another exchange, once-only kind", kind: "once", first: []engineFault{{foreignEvent: 3}}, second: []engineFault{{foreignEvent: 3}},
+	{name: "event of another exchange, non-repeatable kind", kind: "once", first: []engineFault{{foreignEvent: 3}}, second: []engineFault{{foreignEvent: 3}},
 		isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "each event twice", first: []engineFault{{duplicate: true}}, second: []engineFault{{duplicate: true}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "a token is missing", first: []engineFault{{skip: 4}}, second: []engineFault{{skip: 4}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
@@ -69,10 +69,10 @@
 	{name: "no [DONE]", first: []engineFault{{noDone: true}}, second: []engineFault{{noDone: true}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "no finish event", first: []engineFault{{noFinish: true}}, second: []engineFault{{noFinish: true}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "no usage event", first: []engineFault{{noUsage: true}}, second: []engineFault{{noUsage: true}}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
-	{name: "error event mid-stream, once-only kind", kind: "once", first: []engineFault{{errorAfter: 3}}, second: []engineFault{{errorAfter: 3}},
+	{name: "error event mid-stream, non-repeatable kind", kind: "once", first: []engineFault{{errorAfter: 3}}, second: []engineFault{{errorAfter: 3}},
 		status: 502, verdict: verdict.MayHaveRun, minimumRuns: 1, maximumRuns: 1},
 	{name: "error event mid-stream", first: []engineFault{{errorAfter: 3}}, isComplete: true, minimumRuns: 1, maximumRuns: 2},
-	{name: "refused as may have run, once-only kind", kind: "once", first: []engineFault{refusedUnknown}, second: []engineFault{refusedUnknown},
+	{name: "refused as may have run, non-repeatable kind", kind: "once", first: []engineFault{refusedUnknown}, second: []engineFault{refusedUnknown},
 		status: 502, verdict: verdict.MayHaveRun},
 	{name: "refused as may have run", first: []engineFault{refusedUnknown}, isComplete: true, minimumRuns: 1, maximumRuns: 1},
 	{name: "refused parameters", first: []engineFault{{refuse: 400, code: enginecontract.CodeInvalidRequest, runState: enginecontract.RunStateNotRun}},
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -34,8 +34,8 @@
 	connections *closing.Set
 }
 
-// Run serves callers until the context ends, and then drains: it refuses new
-// connections, finishes the requests in flight within settings.DrainTimeout and returns.
+// Run serves callers until the context ends, and then drains: it accepts requests for another options.DrainDelay,
+// closes its port, finishes the requests in flight within config.DrainTimeout and returns.
 func Run(ctx context.Context, config settings.Gateway, options Options) error {
 	if options.Listen == nil {
 		options.Listen = closing.Listen
--- a/internal/gateway/kv_transfer.go
+++ b/internal/gateway/kv_transfer.go
@@ -99,7 +99,7 @@
 }
 
 // handlePrefillFailure decides how the request continues after a prefill engine returned no cache. A prefill
-// produces no output, but a request whose prefill may be running counts as may have run: then only a
+// produces no output, but a request whose prefill may be running counts as one that may have run: then only a
 // repeatable kind continues.
 func (c *completion) handlePrefillFailure(prefill *routing.BackEnd, exchange string, failure *upstream.Failure) *refusal {
 	c.gateway.log.Info().Err(failure).Str("back_end", prefill.Name).Msg("prefill failed; the request continues without this KV transfer if its kind allows it")
--- a/internal/gateway/kv_transfer_test.go
+++ b/internal/gateway/kv_transfer_test.go
@@ -30,9 +30,8 @@
 	return []fault.Fault{{Kind: kind, Count: 1, Tokens: tokens, DelayMs: 5000}}
 }
 
-// kvTransferRow is one fault while one engine runs the prefill and another one decodes. There are one
-// prefill engine and two decode engines; both decode engines
-// have the same faults.
+// kvTransferRow is one fault while one engine runs the prefill and another one decodes. There are one prefill engine
+// and two decode engines; both decode engines have the same faults.
 type kvTransferRow struct {
 	name            string
 	kind            string // default matching, which is repeatable
@@ -49,29 +48,29 @@
 
 var handOverRows = []kvTransferRow{
 	{name: "no fault", isComplete: true, prefilled: 1, imported: 1, started: 1},
-	{name: "no fault, once-only kind", kind: "once", isComplete: true, prefilled: 1, imported: 1, started: 1},
+	{name: "no fault, non-repeatable kind", kind: "once", isComplete: true, prefilled: 1, imported: 1, started: 1},
 	{name: "prefill engine refuses", prefill: once(fault.Refuse, 0), isComplete: true, started: 1},
-	{name: "prefill engine refuses, once-only kind", kind: "once", prefill: once(fault.Refuse, 0), isComplete: true, started: 1},
+	{name: "prefill engine refuses, non-repeatable kind", kind: "once", prefill: once(fault.Refuse, 0), isComplete: true, started: 1},
 	{name: "prefill engine is down", prefillDown: true, isComplete: true, started: 1},
-	{name: "prefill engine is down, once-only kind", kind: "once", prefillDown: true, isComplete: true, started: 1},
+	{name: "prefill engine is down, non-repeatable kind", kind: "once", prefillDown: true, isComplete: true, started: 1},
 	{name: "export's answer is lost", prefill: once(fault.LoseAnswer, 0), isComplete: true, prefilled: 1, started: 1},
-	{name: "export's answer is lost, once-only kind", kind: "once", prefill: once(fault.LoseAnswer, 0),
+	{name: "export's answer is lost, non-repeatable kind", kind: "once", prefill: once(fault.LoseAnswer, 0),
 		status: 502, verdict: verdict.MayHaveRun, prefilled: 1},
 	{name: "export's answer is another exchange's", prefill: once(fault.WrongEcho, 0), isComplete: true, prefilled: 1, started: 1},
-	{name: "export's answer is another exchange's, once-only kind", kind: "once", prefill: once(fault.WrongEcho, 0),
+	{name: "export's answer is another exchange's, non-repeatable kind", kind: "once", prefill: once(fault.WrongEcho, 0),
 		status: 502, verdict: verdict.MayHaveRun, prefilled: 1},
 	{name: "export fails", prefill: once(fault.Error, 0), isComplete: true, prefilled: 1, started: 1},
-	{name: "export fails, once-only kind", kind: "once", prefill: once(fault.Error, 0), status: 502, verdict: verdict.MayHaveRun, prefilled: 1},
+	{name: "export fails, non-repeatable kind", kind: "once", prefill: once(fault.Error, 0), status: 502, verdict: verdict.MayHaveRun, prefilled: 1},
 	{name: "export stalls", kind: "brisk", prefill: once(fault.Late, 0), isComplete: true, started: 1},
 	{name: "fetch of the cache fails", prefill: once(fault.FailExport, 0), isComplete: true, prefilled: 1, started: 1},
-	{name: "fetch of the cache fails, once-only kind", kind: "once", prefill: once(fault.FailExport, 0), isComplete: true, prefilled: 1, started: 1},
+	{name: "fetch of the cache fails, non-repeatable kind", kind: "once", prefill: once(fault.FailExport, 0), isComplete: true, prefilled: 1, started: 1},
 	{name: "handle is lost", prefill: once(fault.LoseHandle, 0), isComplete: true, prefilled: 1, started: 1},
 	{name: "handle belongs to another tenant", prefill: once(fault.ForeignHandle, 0), isComplete: true, prefilled: 1, started: 1},
-	{name: "prefill engine dies before the fetch", decode: []fault.Fault{{Kind: fault.Late, Count: 1, DelayMs: 2000}}, prefillCrashes: true, isComplete: true, prefilled: 1, started: 1},
+	{name: "prefill engine crashes before the fetch", decode: []fault.Fault{{Kind: fault.Late, Count: 1, DelayMs: 2000}}, prefillCrashes: true, isComplete: true, prefilled: 1, started: 1},
 	{name: "decode engines refuse", decode: once(fault.Refuse, 0), status: 502, verdict: verdict.MayHaveRun, prefilled: 2},
-	{name: "decode engine's answer is lost, exchange lives on", decode: once(fault.LoseAnswer, 0), isComplete: true, prefilled: 1, imported: 1, started: 1},
-	{name: "stream of the decode engine is cut, exchange lives on", decode: once(fault.Cut, 7), isComplete: true, prefilled: 1, imported: 1, started: 1},
-	{name: "stream of the decode engine is cut, once-only kind", kind: "once", decode: once(fault.Cut, 7), isComplete: true, prefilled: 1, imported: 1, started: 1},
+	{name: "decode engine's answer is lost, exchange continues", decode: once(fault.LoseAnswer, 0), isComplete: true, prefilled: 1, imported: 1, started: 1},
+	{name: "stream of the decode engine is cut, exchange continues", decode: once(fault.Cut, 7), isComplete: true, prefilled: 1, imported: 1, started: 1},
+	{name: "stream of the decode engine is cut, non-repeatable kind", kind: "once", decode: once(fault.Cut, 7), isComplete: true, prefilled: 1, imported: 1, started: 1},
 }
 
 func TestKVTransfer(t *testing.T) {
--- a/internal/gateway/page_exchange.go
+++ b/internal/gateway/page_exchange.go
@@ -107,5 +107,5 @@
 	return complete, nil
 }
 
-// refusal adjusts the verdict of a refusal to all exchanges of the request.
+// refusal returns the refusal with a verdict that covers all exchanges of the request.
 func (p *pageRequest) refusal(fault *refusal) *refusal { return fault.combine(p.mayHaveRun) }
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -19,9 +19,10 @@
 	permitTimeout = 300 * time.Millisecond
 	// noLeaderRetryDelay is how long no permit is requested for a back end after no leader answered.
 	noLeaderRetryDelay = 250 * time.Millisecond
-	// maximumPermitTries bounds the back ends for which one request asks for permits.
+	// maximumPermitTries bounds how often pick chooses back ends for an exchange until one choice has its permits.
 	maximumPermitTries = 8
-	// minimumRetrySpread is the shortest interval over which retries are spread after a limit has capacity again.
+	// minimumRetrySpread is the shortest interval over which callers' retries are spread, so that they do not arrive
+	// together once a limit has capacity again.
 	minimumRetrySpread = 300 * time.Millisecond
 )
 
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -83,8 +83,8 @@
 	return r
 }
 
-// combine returns the refusal adjusted to a request of which an earlier exchange may
-// have run.
+// combine returns the refusal unchanged, or with the verdict "may have run" when an earlier exchange of the request
+// may have run.
 func (r *refusal) combine(mayHaveRun bool) *refusal {
 	if !mayHaveRun {
 		return r
@@ -149,7 +149,7 @@
 	errStopping   = errors.New("the gateway stops and could not wait for the answer")
 )
 
-// refuseInterrupted converts the cause of an interruption.
+// refuseInterrupted converts the cause of an interruption into the refusal for the caller.
 func refuseInterrupted(cause error) *refusal {
 	if errors.Is(cause, errStopping) {
 		return refuse(http.StatusServiceUnavailable, typeServer, codeStopping, cause.Error()).after(time.Second)
@@ -169,7 +169,7 @@
 	return refuseBody("the engine refuses the request's parameters")
 }
 
-// refusePick converts an error of routing.
+// refusePick converts an error of routing into the refusal for the caller.
 func refusePick(err error) *refusal {
 	fault := refuse(http.StatusServiceUnavailable, typeServer, codeNoBackEnd, "no back end can take the request now")
 	if errors.Is(err, routing.ErrInfeasible) {
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -12,7 +12,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/pause"
 )
 
-// urgentInterval is the shortest time between an urgent report and the next one.
+// urgentInterval is the delay after an urgent report before any other report is sent.
 const urgentInterval = 100 * time.Millisecond
 
 // reportLoop reports demand to the leader at each sync interval, and sends urgent reports in between for
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -12,8 +12,8 @@
 const (
 	callerIdleTimeout = 75 * time.Second
 	overloadedRetry   = time.Second
-	// connectionsPerRequest is the ratio of connections, most of which are idle, to requests in flight.
-	// With spare connections a request over the limit is answered with a verdict.
+	// connectionsPerRequest is the number of connections, most of which are idle, for each request that may be in flight
+	// or queued. The spare connections make it possible to answer a request over the limit with a verdict.
 	connectionsPerRequest = 4
 )
 
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -12,9 +12,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// TestWaitForShare checks the limit of 128 tokens a second of a tenant that is new to a gateway:
-// the first request uses up the initial share of one token a second, and
-// the result of the next one depends on the leader's answer to the urgent report.
+// TestWaitForShare checks the limit of 128 tokens a second of a tenant that is new to a gateway: the first request uses
+// up the initial share of one token a second, and the result of the next one depends on the leader's answer to the
+// urgent report.
 func TestWaitForShare(t *testing.T) {
 	for _, row := range []struct {
 		name   string
--- a/internal/gateway/simulated_run.go
+++ b/internal/gateway/simulated_run.go
@@ -15,7 +15,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// SimulatedRequest is a request for which only the decisions are made. No engine is called.
+// SimulatedRequest is a request whose run at an engine is simulated: all decisions on it are made and take effect, but
+// no engine is called.
 type SimulatedRequest struct {
 	// KeyHash is the SHA-256 of the caller's API key, in lower-case hex.
 	KeyHash string
@@ -30,7 +31,7 @@
 	IdempotencyKey string
 }
 
-// SimulatedRun is a request that was admitted, claimed and routed. It must be completed once.
+// SimulatedRun is a simulated request that was admitted, claimed and routed. Complete must be called once.
 type SimulatedRun struct {
 	// BackEnd is the name of the engine that routing chose to decode, Zone its zone.
 	BackEnd string
@@ -48,8 +49,9 @@
 	claim    *v1.BeginClaim
 }
 
-// BeginSimulatedRun authenticates, admits, claims and routes a request as the request path does. The error
-// is the refusal that a caller would receive.
+// BeginSimulatedRun authenticates, admits, claims and routes a request as the request path does: it charges the
+// tenant's limit, claims the idempotency key and counts as a request at the chosen back ends. The error is the refusal
+// that a caller would receive.
 func (c *Control) BeginSimulatedRun(request SimulatedRequest) (*SimulatedRun, error) {
 	arrival := c.clock.now()
 	tenant, fault := c.tenantOfKey(request.KeyHash)
@@ -108,13 +110,13 @@
 		BackEnd: prefillEngine, Exchange: prefillExchange, PromptTokens: max(r.request.PromptTokens-choice.CachedTokens, 0),
 		PrefixBlocks: routingRequest.PrefixBlocks, CachedAtHome: choice.CachedAtHome,
 	})
-	if choice.Prefill != nil { // a dry run completes the prefill at once
+	if choice.Prefill != nil { // a simulated run completes the prefill at once
 		r.control.dispatcher.observe(routing.Completion{BackEnd: prefillEngine, Exchange: prefillExchange, PromptTokens: r.request.PromptTokens})
 	}
 	return nil
 }
 
-// Complete reports the request as completed.
+// Complete reports the request as completed and records its outcome.
 func (r *SimulatedRun) Complete() {
 	r.control.dispatcher.observe(routing.Completion{BackEnd: r.BackEnd, Exchange: r.exchange, PromptTokens: r.request.PromptTokens})
 	r.slot.finish(admission.Result{PromptTokens: r.request.PromptTokens, OutputTokens: r.request.OutputTokens})
--- a/internal/gateway/simulated_run_test.go
+++ b/internal/gateway/simulated_run_test.go
@@ -12,7 +12,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// TestSimulatedRunWithoutRequestPath runs the control runtime alone: a dry run gets the
+// TestSimulatedRunWithoutRequestPath runs the control runtime alone: a simulated run gets the
 // back end, the claim and the refusals that a request would get.
 func TestSimulatedRunWithoutRequestPath(t *testing.T) {
 	controllers := startController(t, engineBackEnd("e1", "127.0.0.1:1", v1.Role_ROLE_MIXED))
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/closing"
 )
 
-// stallSlackDivisor is the divisor of the limit that gives the slack of a write deadline: a quarter.
+// stallSlackDivisor gives the slack of a write deadline: a quarter of the limit.
 const stallSlackDivisor = 4
 
 // stallListener bounds how long one write on a connection may stall. A
--- a/internal/gateway/sync.go
+++ b/internal/gateway/sync.go
@@ -38,12 +38,12 @@
 	}
 }
 
-// syncOnce sends a heartbeat to the controllers in order until one is not behind. It fails only when all
-// calls fail: a controller that is behind may still confirm the directory. A controller that is
-// behind keeps its place in the order, because it will soon catch up; if it were demoted for good, all gateways
-// would gather at the leader, which is never behind. Once a controller that is behind has confirmed the
-// directory, only one more is tried, another one in each round: when a region is cut off, all others may be
-// unreachable, and waiting for each of them would leave the directory unconfirmed for too long.
+// syncOnce sends a heartbeat to the controllers in order until one that is not behind answers. It returns no error when
+// all answer but are behind, because a controller that is behind may still confirm the directory. A controller that is
+// behind keeps its place in the order, because it will soon catch up; if it were demoted for good, all gateways would
+// gather at the leader, which is never behind. Once a controller that is behind has confirmed the directory, only one
+// more is tried, which moves to the end of the order, so that each round tries another one: when a region is cut off,
+// all others may be unreachable, and waiting for each of them would leave the directory unconfirmed for too long.
 func (c *Control) syncOnce(ctx context.Context) error {
 	var failures []error
 	confirmed := false
--- a/internal/gatewaystate/directory.go
+++ b/internal/gatewaystate/directory.go
@@ -15,9 +15,9 @@
 	backEnds []routing.BackEnd
 }
 
-// replace applies a directory that is based on readings made at readAt or later. now is the time at which
-// the answer arrived; the ages of loads count back from it. An unspecified state means that the
-// controller has no current state of the back end: the last known entry is kept and marked as unconfirmed.
+// replace applies a directory that is based on the controllers' readings of the back ends' states, made at readAt or
+// later. now is the time at which the answer arrived; the ages of loads count back from it. An unspecified state means
+// that the controller has no current state of the back end: the last known entry is kept and marked as unconfirmed.
 func (d *directory) replace(now, readAt time.Duration, next *v1.Directory) {
 	known := map[string]routing.BackEnd{}
 	for _, backEnd := range d.backEnds {
--- a/internal/gatewaystate/state.go
+++ b/internal/gatewaystate/state.go
@@ -111,7 +111,7 @@
 	Behind bool
 	// DirectoryChanged means that BackEnds returns a new directory.
 	DirectoryChanged bool
-	// DirectoryConfirmed means that the directory matches readings of the controllers made at
+	// DirectoryConfirmed means that the directory matches the controllers' readings of the back ends' states, made at
 	// ConfirmedAt or later.
 	DirectoryConfirmed bool
 	ConfirmedAt        time.Duration
--- a/internal/language/cell.go
+++ b/internal/language/cell.go
@@ -21,7 +21,7 @@
 	return time.UnixMilli(ms).UTC().Format(timeLayout)
 }
 
-// quantityCell formats a number that is in the first (smallest) of units.
+// quantityCell formats a number that is given in the first (smallest) of units.
 func quantityCell(number int64, units []unit) Value {
 	return Value{Text: formatWithUnit(big.NewInt(number), units), Number: float64(number), Numeric: true}
 }
--- a/internal/language/references.go
+++ b/internal/language/references.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// serviceNamed returns a declared serviceNamed, or nil.
+// serviceNamed returns the declared service with the given name, or nil.
 func (c *referenceChecker) serviceNamed(name string) *v1.Service {
 	return c.byKey[FormatKey(&v1.ObjectKey{Type: v1.ObjectType_OBJECT_TYPE_SERVICE, Name: name})].GetService()
 }
--- a/internal/language/view.go
+++ b/internal/language/view.go
@@ -104,8 +104,8 @@
 	FinishedAtMs int64
 }
 
-// ClaimView is one claim of a request that runs at most once. It contains neither the body recorded
-// under the idempotency key nor the body of the answer.
+// ClaimView is one claim of a request that runs at most once. It contains neither the hash of the request's body nor the
+// recorded answer.
 type ClaimView struct {
 	Tenant      string
 	Kind        string
--- a/internal/logstream/stream.go
+++ b/internal/logstream/stream.go
@@ -1,7 +1,7 @@
 // Package logstream writes log lines to a process's standard output without ever blocking
 // the code that logs: lines wait in a bounded queue for a single writer, and are dropped when it is
-// full. Lines below the warning level may use only a part of the queue. The number of dropped lines of
-// each class is written to the output.
+// full. Lines below the warning level may use only a part of the queue, so that they are dropped first.
+// The number of dropped lines of each class is written to the output.
 package logstream
 
 import (
@@ -27,7 +27,8 @@
 type Stream struct {
 	out   io.Writer
 	lines chan []byte
-	// droppedOrdinary and droppedUrgent count the lines dropped since the last count was written.
+	// droppedOrdinary counts the lines below the warning level, droppedUrgent all others, that were dropped since the
+	// last counts were written.
 	droppedOrdinary atomic.Int64
 	droppedUrgent   atomic.Int64
 	// total counts all dropped lines.
--- a/internal/operatorclient/failover.go
+++ b/internal/operatorclient/failover.go
@@ -7,8 +7,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/pause"
 )
 
-// call sends a request to one controller after another until one gives a final answer or the timeout
-// passes. It follows a hint at the leader at once.
+// call sends a request to one controller after another until one gives a final answer or the timeout passes. When a
+// controller names the leader, the leader is tried next.
 func call[Request, Response any](ctx context.Context, c *Client, message *Request, method serviceMethod[Request, Response]) (*Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
--- a/internal/servercommand/site.go
+++ b/internal/servercommand/site.go
@@ -17,7 +17,7 @@
 // the platform.
 type Site struct {
 	Dialect relay.Dialect
-	// ReadListing reads this number of pages of the list of back ends at an address; 0 reads all pages.
+	// ReadListing reads the first pages of the list of back ends at an address; pages is their number, 0 means all.
 	ReadListing func(ctx context.Context, client *http.Client, address string, pages int) (serving.Listing, error)
 	// ReadCache reads the state of an engine's prefix cache.
 	ReadCache func(ctx context.Context, client *http.Client, engine serving.BackEnd) (serving.CacheReport, error)
--- a/internal/servercommand/site_controller.go
+++ b/internal/servercommand/site_controller.go
@@ -23,8 +23,8 @@
 // wait, so that the orders of two leaders are at least that wait apart.
 const orderLifetime = 500 * time.Millisecond
 
-// dutyRateShare is the fraction of the platform's rate limit for duty calls that a holder uses, because the
-// last calls of its predecessor may still count against the limit.
+// dutyRateShare is the fraction of the platform's rate limit for duty calls that a leader uses, because the last calls of
+// its predecessor may still count against the limit.
 const dutyRateShare = 0.5
 
 func (s *siteControllerFlags) run(ctx context.Context, environment Environment) error {
--- a/internal/settings/site_controller.go
+++ b/internal/settings/site_controller.go
@@ -62,7 +62,7 @@
 	return withPort(s.Seeds, port)
 }
 
-// FormationSize returns the number of controllers that a quorum needs to tolerate the configured failures.
+// FormationSize returns the number of controllers in the smallest quorum that tolerates the configured failures.
 func (s SiteController) FormationSize() int { return 2*s.ToleratedFailures + 1 }
 
 // Controller returns the settings that it has in common with every controller.
--- a/internal/snapshot/snapshotter.go
+++ b/internal/snapshot/snapshotter.go
@@ -20,7 +20,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/filesystem"
 )
 
-// DefaultRetained is the default number of snapshots that are kept.
+// DefaultRetained is the default number of snapshots that are retained.
 const DefaultRetained = 2
 
 // ErrCorrupt means that a snapshot file is missing or damaged; the disk must be replaced.
--- a/internal/storage/batch.go
+++ b/internal/storage/batch.go
@@ -13,8 +13,8 @@
 	isUsed    bool
 }
 
-// Add adds a write to the batch. It reports false if the write needs a batch of its own: a snapshot must
-// be the first write of a batch, and entries must continue or overwrite those in it.
+// Add adds a write to the batch. It reports false if the write must begin a new batch: a snapshot must be the first
+// write of a batch, and entries must continue or overwrite those in it.
 func (b *Batch) Add(hardState *v1.HardState, entries []*v1.Entry, snapshot *v1.Snapshot) bool {
 	if snapshot != nil && b.isUsed {
 		return false
--- a/internal/wal/contents.go
+++ b/internal/wal/contents.go
@@ -55,8 +55,8 @@
 	return &v1.LogRecord{HardState: c.hardState, SnapshotIndex: c.snapshot.Index, SnapshotTerm: c.snapshot.Term}
 }
 
-// isReplacedBy reports whether the record's snapshot conflicts with the entries in the log,
-// so that all of them are invalid.
+// isReplacedBy reports whether the record's snapshot replaces the log: the log has no entry at the snapshot's position,
+// or one with another term, so that all of its entries are invalid.
 func (c *contents) isReplacedBy(record *v1.LogRecord) bool {
 	if record.GetSnapshotIndex() == 0 {
 		return false
--- a/internal/zonedelay/outgoing.go
+++ b/internal/zonedelay/outgoing.go
@@ -9,12 +9,12 @@
 // DialFunc opens outgoing connections, like DialContext of net.Dialer.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Outgoing applies partitions to the outgoing connections and datagrams of one process. The process's
-// address is in no isolated group: any isolated address is unreachable from the process.
+// Outgoing applies partitions to the outgoing connections and datagrams of one process. The process belongs to no
+// isolated group: any isolated address is unreachable from it.
 type Outgoing struct {
 	// Partitioner holds the partitions that the process sees.
 	Partitioner *Partitioner
-	// LocalAddress is an address in the Partitioner's network that no process uses.
+	// LocalAddress stands for the process in the Partitioner: an address of its network that no process uses.
 	LocalAddress netip.Addr
 }
 
