--- a/cmd/hazelbench/main.go
+++ b/cmd/hazelbench/main.go
@@ -1,4 +1,4 @@
-// Command hazelbench is the project's test tool. It runs stand-ins of the outside systems, fleets on
+// Command hazelbench is the project's test tool. It runs stand-ins of the external systems, fleets on
 // loopback addresses, load, experiments and simulations.
 package main
 
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -9,7 +9,7 @@
 
 // Options are the parts of a controller that its process supplies.
 type Options struct {
-	// Listen opens a listener; nil means net.Listen. The bench wraps it to inject
+	// Listen opens a listener; nil means net.Listen. hazelbench wraps it to inject
 	// the latency between zones.
 	Listen func(network, address string) (net.Listener, error)
 	// Dial opens outgoing connections; nil means TCP from settings.source_address.
--- a/internal/enginecontract/headers.go
+++ b/internal/enginecontract/headers.go
@@ -1,8 +1,8 @@
 // Package enginecontract defines the names and messages of the published
 // HTTP protocol between hazelpitch and the external systems that it uses: model
 // engines, the weight store and the platform's machine list. It contains no logic.
-// docs/ENGINE-CONTRACT.md is its specification. Gateways, controllers and the
-// simulated engines of the bench share these definitions and nothing else.
+// docs/ENGINE-CONTRACT.md is its specification. Gateways, controllers and hazelbench's
+// stand-in engines share these definitions and nothing else.
 package enginecontract
 
 import "time"
--- a/internal/enginemodel/doc.go
+++ b/internal/enginemodel/doc.go
@@ -4,7 +4,7 @@
 //
 // The model is pure: it has no clock, no I/O, no goroutine and no random source.
 // Time is a time.Duration since an origin that the caller chooses, and never goes
-// back. The simulated HTTP engine drives the model with the real clock; the
+// back. The stand-in engine of hazelbench drives the model with the real clock; the
 // experiment tool drives tens of engines in virtual time. An Engine must be used by
 // only one goroutine.
 package enginemodel
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -19,7 +19,7 @@
 	BackEndInBackoff Event = "back_end_rests"
 	// BackEndLeaving: a back end announced in an answer that it is leaving.
 	BackEndLeaving Event = "back_end_leaves"
-	// BackEndLimitChanged: a back end named a different limit for all relays together, or removed it.
+	// BackEndLimitChanged: a back end set a different limit for all relays together, or removed it.
 	BackEndLimitChanged Event = "back_end_limits"
 	// BackEndRestarted: an incarnation other than the listed one answered under a back end's identity.
 	BackEndRestarted Event = "back_end_started_again"
--- a/internal/gateway/completion_connect.go
+++ b/internal/gateway/completion_connect.go
@@ -50,7 +50,7 @@
 // resume requests the rest of the current exchange from its engine. It reports whether the answer is readable.
 func (c *completion) resume() bool {
 	if c.gateway.dispatcher.isInBackoff(c.backEnd) || !c.gateway.dispatcher.mayCall(c.backEnd, c.routing.Rank, true) {
-		c.resumes = maximumResumes // the engine is in backoff, or its limit grants no permit
+		c.resumes = maximumResumes // the engine is in backoff, or the leader grants no permit for it
 		return false
 	}
 	if c.resumes > 0 {
--- a/internal/gateway/controller_test.go
+++ b/internal/gateway/controller_test.go
@@ -37,7 +37,7 @@
 	// nil, is called with each heartbeat.
 	behind atomic.Bool
 	synced func()
-	// limits counts the requests to back ends that name limits, as a leader does.
+	// limits counts the requests to back ends that set limits, as a leader does.
 	limits *fleetlimit.LimitCounters
 	// report answers reports; when nil, the answers contain no shares.
 	report func(*v1.ReportRequest) (*v1.ReportResponse, error)
--- a/internal/gateway/dispatcher.go
+++ b/internal/gateway/dispatcher.go
@@ -20,7 +20,7 @@
 	clock  clock
 	mutex  sync.Mutex
 	router *routing.Router
-	// permits requests permits for back ends that name limits.
+	// permits requests permits for back ends that set limits.
 	permits *permits
 }
 
--- a/internal/gateway/limited_back_ends_test.go
+++ b/internal/gateway/limited_back_ends_test.go
@@ -14,7 +14,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// limitedService is a page service that answers every request and names a limit of one request a second until it is lifted.
+// limitedService is a page service that answers every request and sets a limit of one request a second until it is lifted.
 type limitedService struct {
 	address string
 	lifted  atomic.Bool
@@ -57,7 +57,7 @@
 }
 
 // TestALimitForAllGatewaysTogetherHolds guards against gateways that apply a back end's limit separately, so that they exceed it
-// together. A back end names one request a second, and each of three gateways that know the limit gets forty requests.
+// together. A back end allows one request a second, and each of three gateways that know the limit gets forty requests.
 func TestALimitForAllGatewaysTogetherHolds(t *testing.T) {
 	t.Parallel()
 	service := startLimited(t)
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -23,7 +23,7 @@
 	reportFailures  prometheus.Counter
 	revision        prometheus.Gauge
 	urgentReports   prometheus.Counter
-	// permits counts permit requests for back ends that name limits, by outcome.
+	// permits counts permit requests for back ends that set limits, by outcome.
 	permits *prometheus.CounterVec
 	// replicaCrashes counts back ends that crashed while they ran requests of this gateway;
 	// guardCallsFailed counts failed calls to the leader about crashes.
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -33,7 +33,7 @@
 	permitUnanswered = "unanswered"
 )
 
-// permits requests permits from the leader for back ends that name a limit for all gateways together.
+// permits requests permits from the leader for back ends that set a limit for all gateways together.
 type permits struct {
 	controllers *controllers
 	identity    *v1.NodeIdentity
@@ -82,7 +82,7 @@
 	return min(max(fleetlimit.RankCount-1-int(priority), 0), fleetlimit.RankCount-1)
 }
 
-// pick chooses the back ends of a request among those that name no limit or grant a permit.
+// pick chooses the back ends of a request among those that set no limit or for which the leader grants a permit.
 func (d *dispatcher) pick(request routing.Request, excluded []string) (routing.Choice, error) {
 	for range maximumPermitTries {
 		choice, err := d.pickOnce(request, excluded)
@@ -93,8 +93,8 @@
 	return routing.Choice{}, &routing.PickError{Reason: routing.ErrAllLimited, Service: request.Service, RetryAfter: minimumRetrySpread}
 }
 
-// arePermitted reports whether every back end of a choice names no limit or grants a permit. It checks the decode engine
-// first, because a prefill without a permit to decode would be wasted.
+// arePermitted reports whether each back end of a choice sets no limit or gets a permit from the leader. It checks the
+// decode engine first, because a prefill without a permit to decode would be wasted.
 func (d *dispatcher) arePermitted(choice routing.Choice, rank int) bool {
 	if !d.mayCall(choice.BackEnd, rank, false) {
 		return false
@@ -102,7 +102,7 @@
 	return choice.Prefill == nil || d.mayCall(*choice.Prefill, rank, false)
 }
 
-// mayCall reports whether a call may be sent to a back end, which requires a permit when the back end names a limit.
+// mayCall reports whether a call may be sent to a back end, which requires a permit when the back end sets a limit.
 // mustResume marks a call that has to go to this back end.
 func (d *dispatcher) mayCall(backEnd routing.BackEnd, rank int, mustResume bool) bool {
 	d.mutex.Lock()
@@ -119,7 +119,7 @@
 	return answer.Granted
 }
 
-// unreportedLimits returns the limits that back ends have named to this gateway and that the leader does not know yet.
+// unreportedLimits returns the limits that back ends have reported to this gateway and that the leader does not know yet.
 func (d *dispatcher) unreportedLimits() []fleetlimit.BackEndLimit {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/language/evaluate.go
+++ b/internal/language/evaluate.go
@@ -28,7 +28,7 @@
 	return result.response(currentRevision(view).Revision), nil
 }
 
-// currentRevision returns the revision in force; the zero value before the first declaration.
+// currentRevision returns the last accepted revision; the zero value before the first declaration.
 func currentRevision(view View) RevisionView {
 	revisions := view.Revisions()
 	if len(revisions) == 0 {
--- a/internal/language/evaluate_explain.go
+++ b/internal/language/evaluate_explain.go
@@ -98,7 +98,7 @@
 	return "declared in a revision that is no longer remembered"
 }
 
-// objectChanges lists the recorded changes of an object, the one in force last.
+// objectChanges lists the recorded changes of an object, the current one last.
 func objectChanges(view View, object *v1.Object) []*v1.Object {
 	history := view.ObjectHistory(object.GetKey())
 	if len(history) == 0 {
--- a/internal/language/statement.go
+++ b/internal/language/statement.go
@@ -37,7 +37,7 @@
 	Last int
 }
 
-// Explain shows what is in force for one object or engine, since when and why.
+// Explain shows the current state of one object or engine, since when it holds and why.
 type Explain struct{ Type, Name string }
 
 // History lists the changes of one object, or the orders of one engine.
--- a/internal/language/view.go
+++ b/internal/language/view.go
@@ -11,9 +11,9 @@
 	// NowMs is the time of the evaluation.
 	NowMs() int64
 	// Revisions lists the accepted revisions that the state still records, oldest first. The last one is
-	// in force; the list is empty before the first declaration.
+	// the current one; the list is empty before the first declaration.
 	Revisions() []RevisionView
-	// Objects lists the declared objects in force, sorted by type and then by name, without tombstones.
+	// Objects lists the currently declared objects, sorted by type and then by name, without tombstones.
 	Objects() []*v1.Object
 	// ObjectHistory lists the recorded changes of one object, oldest first, including tombstones.
 	ObjectHistory(*v1.ObjectKey) []*v1.Object
@@ -76,7 +76,7 @@
 	Program string // gateway or controller
 	Zone    string
 	Address string
-	// Revision is the revision in force at a gateway as of its last message, or the revision on a
+	// Revision is the revision that a gateway had applied as of its last message, or the revision on a
 	// controller's disk. RevisionUnknown is set when the answering controller does not know it.
 	Revision        uint64
 	RevisionUnknown bool
--- a/internal/operatorcommand/apply.go
+++ b/internal/operatorcommand/apply.go
@@ -82,7 +82,7 @@
 		Prune:          a.Prune,
 	}
 	if request.RequestId != "" {
-		// A repeated request has to be identical, whichever revision is in force now.
+		// A repeated request has to be identical, whichever revision is the current one.
 		return request
 	}
 	request.RequestId = uuid.NewString()
--- a/internal/operatorcommand/command.go
+++ b/internal/operatorcommand/command.go
@@ -16,7 +16,7 @@
 
 // Exit codes of hazelctl.
 const (
-	ExitDone        = 0 // done, or already in force
+	ExitDone        = 0 // done, or nothing to change
 	ExitRefused     = 1 // refused, invalid or failed
 	ExitUsage       = 2 // bad flags; no request was sent
 	ExitUnreachable = 3 // no controller answered; it is unknown whether the request took effect
--- a/internal/servercommand/command.go
+++ b/internal/servercommand/command.go
@@ -1,6 +1,6 @@
 // Package servercommand is the command line of the servers: the subcommands
 // controller, gateway, site-controller and relay, their flags, signals and exit codes. cmd/hazelpitch runs
-// it unchanged; the bench runs the same code with a listener that injects latency.
+// it unchanged; hazelbench runs the same code with a listener that injects latency.
 package servercommand
 
 import (
--- a/internal/virtualtime/event_queue.go
+++ b/internal/virtualtime/event_queue.go
@@ -1,4 +1,4 @@
-// Package virtualtime provides the event queue of simulations in virtual time. It belongs to the bench.
+// Package virtualtime provides the event queue of simulations in virtual time. Only the test tool hazelbench uses it.
 package virtualtime
 
 import (
