--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -66,8 +66,9 @@
 	// prefill of this request for another engine.
 	mayHaveRun       bool
 	mayHavePrefilled bool
-	done             bool
-	closed           bool
+	// done is set once the answer is complete or refused, closed once close has run.
+	done   bool
+	closed bool
 	// collected accumulates the whole answer when it is needed at the end.
 	collected *stream.Answer
 	// key is the caller's idempotency key and claim the claim granted for it. The claim is nil
--- a/internal/gateway/completion_connect.go
+++ b/internal/gateway/completion_connect.go
@@ -143,7 +143,7 @@
 	c.attempts.recordFailure(failure)
 	c.overloaded = c.overloaded || failure.Code == enginecontract.CodeOverloaded
 	if failure.Code != enginecontract.CodeKVImportFailed {
-		c.excluded = append(c.excluded, c.backEnd.Name) // a failed KV import is not a fault of the engine
+		c.excluded = append(c.excluded, c.backEnd.Name) // except after a failed KV import, which is not a fault of the engine
 	}
 	if failure.Status == 0 {
 		c.gateway.dispatcher.observe(routing.Failure{BackEnd: c.backEnd.Name, Exchange: c.exchange})
--- a/internal/language/evaluate_explain.go
+++ b/internal/language/evaluate_explain.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// addService explains which objects constrain the roles of a service's engines.
+// addService explains which objects constrain the roles of a service's engines, and the planner's last decision.
 func (e *explanation) addService(name string) {
 	for _, object := range e.view.Objects() {
 		switch {
@@ -153,7 +153,7 @@
 	}
 }
 
-// summarizeFields writes the declared fields of an object in one line.
+// summarizeFields writes the declared fields of an object, except its service, in one line.
 func summarizeFields(schema *objectSchema, message protoreflect.Message) string {
 	var parts []string
 	for _, field := range schema.canonicalFields(message) {
--- a/internal/language/format_source.go
+++ b/internal/language/format_source.go
@@ -23,15 +23,15 @@
 	if err != nil {
 		return "", trace.Wrap(err)
 	}
-	parts, err := parseComments(file)
+	segments, err := parseComments(file)
 	if err != nil {
 		return "", trace.Wrap(err)
 	}
 	for _, block := range syntax.Blocks {
-		parts = append(parts, block.layout()...)
+		segments = append(segments, block.layout()...)
 	}
-	sort.SliceStable(parts, func(i, j int) bool { return parts[i].offset < parts[j].offset })
-	return joinSegments(parts), nil
+	sort.SliceStable(segments, func(i, j int) bool { return segments[i].offset < segments[j].offset })
+	return joinSegments(segments), nil
 }
 
 // segment is one piece of a formatted file: a line, or a trailing comment.
@@ -49,17 +49,17 @@
 // layout splits a block into segments: its head, its fields and its closing brace.
 func (b *blockSyntax) layout() []segment {
 	head := b.Type + " " + b.Name.canonicalText() + " {"
-	parts := []segment{{offset: b.Pos.Offset, line: b.Pos.Line, endLine: b.Name.Pos.Line, text: head, opens: true}}
+	segments := []segment{{offset: b.Pos.Offset, line: b.Pos.Line, endLine: b.Name.Pos.Line, text: head, opens: true}}
 	width := 0
 	for _, setting := range b.Settings {
 		width = max(width, len(setting.Field))
 	}
 	for _, setting := range b.Settings {
 		text := setting.Field + strings.Repeat(" ", width-len(setting.Field)) + " = " + setting.Value.layout()
-		parts = append(parts, segment{offset: setting.Pos.Offset, line: setting.Pos.Line, endLine: setting.EndPos.Line, text: text})
+		segments = append(segments, segment{offset: setting.Pos.Offset, line: setting.Pos.Line, endLine: setting.EndPos.Line, text: text})
 	}
 	// The closing brace is the last character of the block.
-	return append(parts, segment{offset: b.EndPos.Offset - 1, line: b.EndPos.Line, endLine: b.EndPos.Line, text: "}", closes: true})
+	return append(segments, segment{offset: b.EndPos.Offset - 1, line: b.EndPos.Line, endLine: b.EndPos.Line, text: "}", closes: true})
 }
 
 // canonicalText writes a name without quotes where it needs none.
@@ -107,42 +107,42 @@
 		return nil, trace.Wrap(err)
 	}
 	symbols := lexerDefinition.Symbols()
-	var parts []segment
+	var segments []segment
 	lastLine := 0 // line of the last token that is neither comment nor white space
 	for _, token := range all {
 		switch token.Type {
 		case symbols["Comment"]:
 			text := strings.TrimRight(token.Value, " \t\r")
-			parts = append(parts, segment{offset: token.Pos.Offset, line: token.Pos.Line, endLine: token.Pos.Line, text: text, trailing: token.Pos.Line == lastLine})
+			segments = append(segments, segment{offset: token.Pos.Offset, line: token.Pos.Line, endLine: token.Pos.Line, text: text, trailing: token.Pos.Line == lastLine})
 		case symbols["Whitespace"]:
 		default:
 			lastLine = token.Pos.Line
 		}
 	}
-	return parts, nil
+	return segments, nil
 }
 
 // joinSegments writes the segments as lines.
-func joinSegments(parts []segment) string {
+func joinSegments(segments []segment) string {
 	var text strings.Builder
 	depth := 0
-	for i, piece := range parts {
-		if piece.closes {
+	for i, current := range segments {
+		if current.closes {
 			depth--
 		}
-		if piece.trailing && i > 0 {
-			text.WriteString(" " + piece.text)
+		if current.trailing && i > 0 {
+			text.WriteString(" " + current.text)
 			continue
 		}
 		if i > 0 {
-			text.WriteString("\n" + separatorBetween(parts[i-1], piece, depth))
+			text.WriteString("\n" + separatorBetween(segments[i-1], current, depth))
 		}
-		text.WriteString(strings.Repeat(indentation, depth) + piece.text)
-		if piece.opens {
+		text.WriteString(strings.Repeat(indentation, depth) + current.text)
+		if current.opens {
 			depth++
 		}
 	}
-	if len(parts) > 0 {
+	if len(segments) > 0 {
 		text.WriteString("\n")
 	}
 	return text.String()
--- a/internal/logring/log.go
+++ b/internal/logring/log.go
@@ -41,8 +41,8 @@
 	return log
 }
 
-// New returns a log for the named process. Dumps caused by
-// errors, signals and requests are only written while Run runs.
+// New returns a log for the named process. Dumps that error entries, DumpOnSignal and RequestDump request
+// are written only while Run runs.
 func New(name string, bounds settings.Log) *Log {
 	return newLog(name, bounds, os.Stderr, time.Now)
 }
--- a/internal/requeststory/story.go
+++ b/internal/requeststory/story.go
@@ -50,7 +50,7 @@
 	scanner.Buffer(nil, maximumLineBytes)
 	var lines []Line
 	for scanner.Scan() {
-		if line, is := parseLine(scanner.Bytes()); is {
+		if line, isEvent := parseLine(scanner.Bytes()); isEvent {
 			lines = append(lines, line)
 		}
 	}
@@ -71,7 +71,7 @@
 	line.Event = events.Event(event)
 	line.Process, _ = fields[events.FieldProcess].(string)
 	line.Request, _ = fields[events.FieldRequest].(string)
-	if at, is := fields[events.FieldTime].(string); is {
+	if at, isText := fields[events.FieldTime].(string); isText {
 		line.Time, _ = time.Parse(time.RFC3339Nano, at)
 	}
 	for _, name := range []string{events.FieldEvent, events.FieldProcess, events.FieldRequest, events.FieldTime, "level"} {
@@ -111,7 +111,7 @@
 	}
 	var states []Line
 	for _, event := range stateEvents {
-		if line, is := last[event]; is {
+		if line, isLogged := last[event]; isLogged {
 			states = append(states, line)
 		}
 	}
--- a/internal/zonedelay/outgoing.go
+++ b/internal/zonedelay/outgoing.go
@@ -50,8 +50,8 @@
 
 // isIsolated reports whether an address is isolated now.
 func (c *partitionedPacketConn) isIsolated(address net.Addr) bool {
-	udp, is := address.(*net.UDPAddr)
-	if !is {
+	udp, isUDP := address.(*net.UDPAddr)
+	if !isUDP {
 		return false
 	}
 	open, _ := c.outgoing.Partitioner.isOpen(c.outgoing.LocalAddress, udp.AddrPort().Addr().Unmap())
