--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -9,12 +9,12 @@
 
 // Options are the parts of a controller that its process supplies.
 type Options struct {
-	// Listen opens a listener; nil means net.Listen. The bench wraps it to inject
+	// Listen opens a listener; nil means net.Listen. hazelbench wraps it to inject
 	// the latency between zones.
 	Listen func(network, address string) (net.Listener, error)
 	// Dial opens outgoing connections; nil means TCP from settings.source_address.
 	Dial dialing.Dial
-	// Site is set if the controller serves relays.
+	// Site is set if the controller serves relays, and nil otherwise.
 	Site *Site
 	// Log is required. Run dumps its ring on errors and signals.
 	Log *logring.Log
--- a/internal/gateway/closing_port_test.go
+++ b/internal/gateway/closing_port_test.go
@@ -76,8 +76,8 @@
 }
 
 // TestRequestsThatReachAClosingPortAreAnswered guards against requests without an answer that reached a stopping gateway
-// while it closed its port, on used, new or not yet accepted connections. They were lost when the gateway did not
-// run for a moment on a busy machine.
+// while it closed its port, on connections in use, on new ones and on ones not yet accepted. They were lost when the
+// gateway did not run for a moment on a busy machine.
 func TestRequestsThatReachAClosingPortAreAnswered(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t)
@@ -92,7 +92,7 @@
 	}})
 	require.Eventually(t, func() bool { return gateway.probe(t, metrics.PathReady) == http.StatusOK }, eventually, often)
 
-	request := rawRequest(http.MethodPost, "/v1/chat/completions", "matching", "", wholeBody)
+	request := rawRequest(http.MethodPost, "/v1/chat/completions", "matching", "", unstreamedBody)
 	used, opened := dial(t, gateway, request), dial(t, gateway, "")
 	usedReader := bufio.NewReader(used)
 	first, err := http.ReadResponse(usedReader, nil)
--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -62,12 +62,13 @@
 	isQuarantined bool
 	// wholeOnly is set after a failed KV transfer and for a trial: one engine must serve the whole request.
 	wholeOnly bool
-	// mayHaveRun is set when an exchange of this request may have run, mayHavePrefilled when
-	// an engine may have run its prefill for another engine.
+	// mayHaveRun is set when an exchange of this request may have run, mayHavePrefilled when an engine may have run the
+	// prefill of this request for another engine.
 	mayHaveRun       bool
 	mayHavePrefilled bool
-	done             bool
-	closed           bool
+	// done is set once the answer is complete or refused, closed once close has run.
+	done   bool
+	closed bool
 	// collected accumulates the whole answer when it is needed at the end.
 	collected *stream.Answer
 	// key is the caller's idempotency key and claim the claim granted for it. The claim is nil
--- a/internal/gateway/completion_connect.go
+++ b/internal/gateway/completion_connect.go
@@ -50,7 +50,7 @@
 // resume requests the rest of the current exchange from its engine. It reports whether the answer is readable.
 func (c *completion) resume() bool {
 	if c.gateway.dispatcher.isInBackoff(c.backEnd) || !c.gateway.dispatcher.mayCall(c.backEnd, c.routing.Rank, true) {
-		c.resumes = maximumResumes // the engine is in backoff, or its limit grants no permit
+		c.resumes = maximumResumes // the engine is in backoff, or the leader grants no permit for it
 		return false
 	}
 	if c.resumes > 0 {
@@ -71,8 +71,8 @@
 	return true
 }
 
-// startExchange picks engines and sends the request to them. When it leaves no answer to read and returns no
-// refusal, the caller of startExchange tries again.
+// startExchange picks engines and sends the request to them. It returns a refusal when the request must end. When it
+// returns nil and c.answer is still nil, another attempt may follow.
 func (c *completion) startExchange() *refusal {
 	if c.isQuarantined = c.isQuarantined || !c.isTrial && c.gateway.guard.IsQuarantined(c.signature); c.isQuarantined {
 		return c.refusal(refuseQuarantined())
@@ -143,7 +143,7 @@
 	c.attempts.recordFailure(failure)
 	c.overloaded = c.overloaded || failure.Code == enginecontract.CodeOverloaded
 	if failure.Code != enginecontract.CodeKVImportFailed {
-		c.excluded = append(c.excluded, c.backEnd.Name) // a failed KV import is not a fault of the engine
+		c.excluded = append(c.excluded, c.backEnd.Name) // except after a failed KV import, which is not a fault of the engine
 	}
 	if failure.Status == 0 {
 		c.gateway.dispatcher.observe(routing.Failure{BackEnd: c.backEnd.Name, Exchange: c.exchange})
--- a/internal/gateway/completion_end.go
+++ b/internal/gateway/completion_end.go
@@ -25,8 +25,8 @@
 	c.reportBrokenRun(c.backEnd, crashWait)
 }
 
-// reportBrokenRun makes the guard find out whether the engine that broke off the request has crashed, and
-// waits at most that long for the result.
+// reportBrokenRun makes the guard find out whether the engine that broke off the request has crashed. It waits at most
+// this time for the result, and not beyond the request's deadline.
 func (c *completion) reportBrokenRun(engine routing.BackEnd, wait time.Duration) {
 	c.isQuarantined = c.gateway.guard.RecordBrokenRun(c.signature, replicaOf(engine), min(wait, c.deadline-c.gateway.clock.now()))
 }
@@ -50,7 +50,7 @@
 	return c.refusal(fault)
 }
 
-// refusal ends the completion and adjusts the verdict of a refusal to all exchanges of the request.
+// refusal ends the completion and returns the refusal with a verdict that covers all exchanges of the request.
 func (c *completion) refusal(fault *refusal) *refusal {
 	c.done = true
 	return fault.combine(c.mayHaveRun)
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -12,9 +12,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// TestWaitForShare checks the limit of 128 tokens a second of a tenant that is new to a gateway:
-// the first request uses up the initial share of one token a second, and
-// the result of the next one depends on the leader's answer to the urgent report.
+// TestWaitForShare checks the limit of 128 tokens a second of a tenant that is new to a gateway: the first request uses
+// up the initial share of one token a second, and the result of the next one depends on the leader's answer to the
+// urgent report.
 func TestWaitForShare(t *testing.T) {
 	for _, row := range []struct {
 		name   string
@@ -45,7 +45,7 @@
 			config.SyncInterval = time.Minute // so that no regular report requests the share first
 			gateway := startGateway(t, config)
 			headers := map[string]string{HeaderKind: "matching"}
-			require.Equal(t, http.StatusOK, call(t, http.MethodPost, gateway.url+"/v1/chat/completions", wholeBody, headers).status)
+			require.Equal(t, http.StatusOK, call(t, http.MethodPost, gateway.url+"/v1/chat/completions", unstreamedBody, headers).status)
 			answer := call(t, http.MethodGet, gateway.url+"/lots", "", nil)
 			require.Equal(t, row.status, answer.status, answer.body)
 			require.NotEmpty(t, urgent)
--- a/internal/language/evaluate_explain.go
+++ b/internal/language/evaluate_explain.go
@@ -98,7 +98,7 @@
 	return "declared in a revision that is no longer remembered"
 }
 
-// objectChanges lists the recorded changes of an object, the one in force last.
+// objectChanges lists the recorded changes of an object, the current one last.
 func objectChanges(view View, object *v1.Object) []*v1.Object {
 	history := view.ObjectHistory(object.GetKey())
 	if len(history) == 0 {
@@ -132,7 +132,7 @@
 	}
 }
 
-// addService explains which objects constrain the roles of a service's engines.
+// addService explains which objects constrain the roles of a service's engines, and the planner's last decision.
 func (e *explanation) addService(name string) {
 	for _, object := range e.view.Objects() {
 		switch {
@@ -153,7 +153,7 @@
 	}
 }
 
-// summarizeFields writes the declared fields of an object in one line.
+// summarizeFields writes the declared fields of an object, except its service, in one line.
 func summarizeFields(schema *objectSchema, message protoreflect.Message) string {
 	var parts []string
 	for _, field := range schema.canonicalFields(message) {
--- a/internal/zonedelay/outgoing.go
+++ b/internal/zonedelay/outgoing.go
@@ -9,12 +9,12 @@
 // DialFunc opens outgoing connections, like DialContext of net.Dialer.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Outgoing applies partitions to the outgoing connections and datagrams of one process. The process's
-// address is in no isolated group: any isolated address is unreachable from the process.
+// Outgoing applies partitions to the outgoing connections and datagrams of one process. The process belongs to no
+// isolated group: any isolated address is unreachable from it.
 type Outgoing struct {
 	// Partitioner holds the partitions that the process sees.
 	Partitioner *Partitioner
-	// LocalAddress is an address in the Partitioner's network that no process uses.
+	// LocalAddress stands for the process in the Partitioner: an address of its network that no process uses.
 	LocalAddress netip.Addr
 }
 
@@ -50,8 +50,8 @@
 
 // isIsolated reports whether an address is isolated now.
 func (c *partitionedPacketConn) isIsolated(address net.Addr) bool {
-	udp, is := address.(*net.UDPAddr)
-	if !is {
+	udp, isUDP := address.(*net.UDPAddr)
+	if !isUDP {
 		return false
 	}
 	open, _ := c.outgoing.Partitioner.isOpen(c.outgoing.LocalAddress, udp.AddrPort().Addr().Unmap())
