--- a/internal/measure/chooser.go
+++ b/internal/measure/chooser.go
@@ -64,7 +64,8 @@
 	c.router.Confirm(now)
 }
 
-// ignoresObservations is embedded by choosers that use no observations and no reports.
+// ignoresObservations implements the observing methods of chooser as no-ops; a chooser that embeds it overrides those
+// that it uses.
 type ignoresObservations struct{}
 
 func (ignoresObservations) observe(time.Duration, routing.Observation) {}
@@ -135,13 +136,14 @@
 	return engineChoice{engine: best}
 }
 
-// costInTokens returns the cost of a request at an engine, in prefill tokens: the tokens to prefill before decoding
-// starts, plus the slower decoding beside the other requests, converted at the prefill rate.
+// costInTokens returns the cost of a request at an engine in prefill tokens. It counts the tokens to prefill before the
+// request can decode, and the time by which the engine's other requests slow its decoding, converted to tokens at the
+// prefill rate.
 func costInTokens(engine *enginemodel.Engine, req *request) float64 {
 	load, profile := engine.Load(), engine.Profile()
-	unread := float64(load.WaitingPromptTokens) + float64(req.promptTokens-engine.CachedTokens(req.engineBlocks))
+	prefillTokens := float64(load.WaitingPromptTokens) + float64(req.promptTokens-engine.CachedTokens(req.engineBlocks))
 	slower := float64(req.outputTokens*(load.Running+load.Waiting)) * profile.StepPerSequence.Seconds()
-	return unread + slower*profile.PrefillTokensPerSecond
+	return prefillTokens + slower*profile.PrefillTokensPerSecond
 }
 
 func drawEngine(random *rand.Rand, engines int, excluded []int) int {
--- a/internal/measure/workload.go
+++ b/internal/measure/workload.go
@@ -47,7 +47,7 @@
 	subjectTokens int
 	uniqueTokens  int
 	outputTokens  int
-	// subjects is the number of subjects, drawn from a Zipf distribution with this exponent.
+	// subjects is the number of subjects; zipf is the exponent of the Zipf distribution from which they are drawn.
 	subjects int
 	zipf     float64
 }
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -48,7 +48,7 @@
 	running  []map[string]*exchange // by engine, then by exchange ID
 	gateways []*gateway
 	requests []request
-	// delayedReports holds the load reports that have not reached the gateways yet, the oldest first.
+	// delayedReports holds the load report that the gateways have, then the newer ones, the oldest first.
 	delayedReports [][]routing.BackEnd
 	results        results
 }
--- a/internal/property/caller.go
+++ b/internal/property/caller.go
@@ -15,8 +15,8 @@
 	// answerTimeout bounds a caller's wait for one response.
 	answerTimeout = 60 * time.Second
 	longestPause  = 2 * time.Second
-	// doubleSendOneIn is the number of attempts of a claimed request of which one, on average, goes to two gateways at
-	// once.
+	// doubleSendOneIn sets how often a claimed request is sent twice at once, to drawn gateways: on average, in one of
+	// this many attempts.
 	doubleSendOneIn = 5
 )
 
@@ -24,7 +24,7 @@
 type caller struct {
 	client       *http.Client
 	gateways     *gateways
-	gatewayCount int // of gateways
+	gatewayCount int
 	random       *rand.Rand
 	ledger       *ledger
 }
@@ -42,7 +42,8 @@
 
 func callerHost(number int) string { return fmt.Sprintf("10.9.0.%d", number+1) }
 
-// sendUntilComplete sends a request until it has an outcome or maximumAttempts is reached.
+// sendUntilComplete sends a request until a single attempt has an outcome or maximumAttempts is reached. After a double
+// send it continues whatever the responses are.
 func (c *caller) sendUntilComplete(of *request) {
 	for sent := 0; sent < maximumAttempts; sent++ {
 		if sent > 0 {
--- a/internal/property/faults.go
+++ b/internal/property/faults.go
@@ -13,8 +13,8 @@
 
 const (
 	// Bounds of the time between two faults.
-	shortestCalm = 20 * time.Millisecond
-	longestCalm  = 400 * time.Millisecond
+	shortestGap = 20 * time.Millisecond
+	longestGap  = 400 * time.Millisecond
 	// longestDown bounds the duration of crashes, pauses and isolation.
 	longestDown = 4 * time.Second
 	// Bounds of the faults that stand-ins show.
@@ -57,7 +57,7 @@
 func (f *faults) injectUntilDone(ctx context.Context) map[string]int {
 	counts := map[string]int{}
 	for ctx.Err() == nil {
-		time.Sleep(shortestCalm + time.Duration(f.random.Int64N(int64(longestCalm-shortestCalm))))
+		time.Sleep(shortestGap + time.Duration(f.random.Int64N(int64(longestGap-shortestGap))))
 		if name := f.injectOne(); name != "" {
 			counts[name]++
 		}
@@ -74,9 +74,9 @@
 }
 
 // addFaultCounts adds the counts of the faults that a stand-in has shown.
-func addFaultCounts(struck map[string]int, prefix string, shown *fault.Set) {
+func addFaultCounts(counts map[string]int, prefix string, shown *fault.Set) {
 	for kind, count := range shown.StrikeCounts() {
-		struck[prefix+string(kind)] += count
+		counts[prefix+string(kind)] += count
 	}
 }
 
@@ -161,8 +161,8 @@
 	if f.options.OnlyFault != "" {
 		kinds = []fault.Kind{f.options.OnlyFault}
 	}
-	left := set.Remaining()
-	set.Replace(append(left, fault.Fault{
+	remaining := set.Remaining()
+	set.Replace(append(remaining, fault.Fault{
 		Kind: kinds[f.random.IntN(len(kinds))], Count: 1 + f.random.IntN(maximumFaultCount),
 		Tokens: f.random.IntN(maximumFaultTokens), DelayMs: f.random.Int64N(maximumFaultDelay.Milliseconds()),
 	}))
--- a/internal/property/ledger_test.go
+++ b/internal/property/ledger_test.go
@@ -8,8 +8,8 @@
 )
 
 // attemptWith returns an attempt with an outcome.
-func attemptWith(verdict, text string, whole bool) attempt {
-	return attempt{verdict: verdict, text: text, complete: whole}
+func attemptWith(verdict, text string, complete bool) attempt {
+	return attempt{verdict: verdict, text: text, complete: complete}
 }
 
 // TestLedgerFindsEachBreach compares outcomes with numbers of executions; each row names the breaches to be found.
--- a/internal/simulation/checks_log.go
+++ b/internal/simulation/checks_log.go
@@ -119,7 +119,7 @@
 		position := entryPosition{index: entry.GetIndex(), term: entry.GetTerm()}
 		content := markOf(entry).content
 		if other, known := l.written[position]; known && other != content {
-			l.checks.fail("log matching", "%s writes another entry %s than was written before", c.name, entryText(entry))
+			l.checks.fail("log matching", "%s writes entry %s with other content than was written before", c.name, entryText(entry))
 		}
 		l.written[position] = content
 	}
--- a/internal/simulation/checks_orders.go
+++ b/internal/simulation/checks_orders.go
@@ -92,7 +92,7 @@
 		c.fail("no conflicting orders", "%s accepts order %v while %v is %s", e.name, order.Fence, before.OrderFence, before.OrderPhase)
 	}
 	if highest := c.orders.epochs[e.name]; order.Fence.Epoch < highest {
-		c.fail("no order of the deposed", "%s accepts order %v after epoch %d had answered it", e.name, order.Fence, highest)
+		c.fail("no order of the deposed", "%s accepts order %v after it accepted epoch %d", e.name, order.Fence, highest)
 	}
 	if order.ExpectedRole != "" && order.ExpectedRole != before.Role {
 		c.fail("expected state", "%s accepts order %v for role %s in role %s", e.name, order.Fence, order.ExpectedRole, before.Role)
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -36,7 +36,7 @@
 	// FaultCutLink cuts the link from one controller to another, in one direction or both.
 	FaultCutLink FaultKind = "cut-link"
 	// FaultLull is no fault by itself: callers, operators and the planner send nothing for a while, so that a
-	// controller without messages has no pending requests either.
+	// controller that receives no messages does not miss any either.
 	FaultLull FaultKind = "lull"
 	// FaultCutOffController cuts one controller off from all hosts for a long time.
 	FaultCutOffController FaultKind = "cut-off-controller"
@@ -73,7 +73,7 @@
 const (
 	longestGap   = 1600 * time.Millisecond
 	longestFault = 6 * time.Second
-	// longestStop is how long controllers that were killed together stay down.
+	// longestStop is the longest time for which controllers that were killed together stay down.
 	longestStop    = 300 * time.Millisecond
 	emphasisWeight = 12
 	// Bounds of the duration of a long fault.
@@ -93,7 +93,7 @@
 	counts map[FaultKind]int
 }
 
-// newFaults draws a weight for each kind, so that each run meets other faults often.
+// newFaults draws a weight for each kind, so that each run has different kinds often.
 func newFaults(w *world) *faults {
 	f := &faults{world: w, weights: map[FaultKind]float64{}, activeEnds: map[int]func(){}, counts: map[FaultKind]int{}}
 	for _, kind := range faultKinds {
--- a/internal/simulation/faults_members.go
+++ b/internal/simulation/faults_members.go
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// runUntilReached repeats an administrator's command until the committed membership is as wanted, then calls then.
+// runUntilReached repeats an administrator's command until reached accepts the committed membership, and then calls then.
 // members maps each member's disk to whether it is a learner.
 func (w *world) runUntilReached(text string, reached func(members map[string]bool) bool, then func()) {
 	members := map[string]bool{}
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -80,8 +80,8 @@
 // scheduleNext schedules the next command after a pause.
 func (o *operatorClient) scheduleNext() { o.after(o.world.drawDuration(operatorPause), o.runNext) }
 
-// newSubmission returns a change of one tenant. Operators choose the number after the highest that they have seen, so
-// that they compete for numbers.
+// newSubmission returns a change of one tenant. Three of four carry the number after the highest that the operator has
+// seen, so that operators compete for numbers; the others leave the number to the controllers.
 func (o *operatorClient) newSubmission() *submission {
 	o.submitted++
 	o.weight = uint32(o.number*1_000_000 + o.submitted)
--- a/internal/simulation/random_planner.go
+++ b/internal/simulation/random_planner.go
@@ -19,13 +19,13 @@
 // Plan implements planner.Planner.
 func (p *randomPlanner) Plan(observation planner.Observation) planner.Decision {
 	if len(observation.Engines) == 0 || p.world.lulls > 0 || p.random.Float64() >= changeShare {
-		return planner.Decision{Reason: "at rest"}
+		return planner.Decision{Reason: "no change drawn"}
 	}
 	chosen := observation.Engines[p.random.IntN(len(observation.Engines))]
 	roles := []enginecontract.Role{enginecontract.RolePrefill, enginecontract.RoleDecode, enginecontract.RoleMixed}
 	to := roles[p.random.IntN(len(roles))]
 	if to == chosen.Role {
-		return planner.Decision{Reason: "at rest"}
+		return planner.Decision{Reason: "no change drawn"}
 	}
 	return planner.Decision{
 		Changes: []planner.Change{{Engine: chosen.Name, From: chosen.Role, To: to, Reason: "restless"}},
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -87,7 +87,7 @@
 // unsettledReason describes what has not recovered after the faults; empty when the fleet has.
 func (w *world) unsettledReason(target uint64) string {
 	if !w.isMembershipComplete() {
-		return "not every disk is a member in its place: " + w.membership()
+		return "the members are not exactly the disks in use, or have another number of voters: " + w.membership()
 	}
 	for _, c := range w.controllers {
 		if c.core == nil {
--- a/internal/soak/check/budget.go
+++ b/internal/soak/check/budget.go
@@ -15,7 +15,8 @@
 	toleratedOverAttempts = 3
 )
 
-// overCrashLimit finds requests that reach further back ends although three have crashed under them.
+// overCrashLimit finds requests that reach more than retriesAllowed further back ends after three have crashed under
+// them. Relays have the contact time to learn of the third crash.
 func overCrashLimit(recorded *history.History) []Finding {
 	contents := map[string]string{}
 	for _, sending := range recorded.Sendings {
--- a/internal/soak/check/config.go
+++ b/internal/soak/check/config.go
@@ -6,8 +6,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// minLateAnswers is the number of requests without a final response at answerSlack after their timeout from which the
-// share of such requests counts.
+// answerSlack is how long after its route's timeout a request may still get its final response. The share of later ones
+// is checked when there are at least minLateAnswers.
 const (
 	minLateAnswers = 8
 	answerSlack    = 500 * time.Millisecond
@@ -61,14 +61,15 @@
 	return allowed
 }
 
-// overdueAnswers finds requests without a final response half a second after their route's timeout.
+// overdueAnswers finds that more than a quarter of the requests that outlast their route's timeout get no final response
+// within answerSlack after it.
 func overdueAnswers(recorded *history.History) []Finding {
 	late, outlasted := 0, 0
 	var last time.Duration
 	for _, sending := range recorded.Sendings {
 		route := recorded.Routes[sending.Route]
-		inTouch := recorded.IsInContact(sending.Front, sending.SentAt) && recorded.IsInContact(sending.Front, sending.EndedAt)
-		if route.Timeout <= 0 || sending.ClosedAt != 0 || !inTouch {
+		inContact := recorded.IsInContact(sending.Front, sending.SentAt) && recorded.IsInContact(sending.Front, sending.EndedAt)
+		if route.Timeout <= 0 || sending.ClosedAt != 0 || !inContact {
 			continue
 		}
 		if sending.EndedAt-sending.SentAt >= route.Timeout {
--- a/internal/soak/check/gone.go
+++ b/internal/soak/check/gone.go
@@ -12,12 +12,14 @@
 	goneSlack = 500 * time.Millisecond
 	// toleratedGoneArrivals is how many requests may reach back ends after goneSlack.
 	toleratedGoneArrivals = 3
-	// goneMinSample is the number of requests that outlast their clients from which the share still worked on counts.
+	// goneMinSample is the smallest number of requests that outlast their clients for which the share still worked on is
+	// checked.
 	goneMinSample = 8
 )
 
-// gone finds requests whose clients have left and that reach back ends more than half a second later. It also reports
-// when back ends still work, half a second later, on more than a quarter of the requests that outlast their clients.
+// gone finds requests on repeatable routes that reach back ends more than half a second after their clients have left,
+// beyond the tolerated ones. It also reports when back ends still work, half a second later, on more than a quarter of
+// the requests that outlast their clients.
 func gone(recorded *history.History) []Finding {
 	abandoned := map[string]history.Sending{}
 	for _, sending := range recorded.Sendings {
--- a/internal/soak/check/leaving.go
+++ b/internal/soak/check/leaving.go
@@ -8,7 +8,7 @@
 
 // sentAfterLeavingAnswer finds requests that a relay sent to a back end although it had forwarded a response in which
 // the back end announced that it leaves. Only requests that clients sent later than the drain bound after that response
-// count. Relays that were killed, stopped or frozen since are left out, as they may have lost the announcement.
+// count. Relays that were killed, stopped, frozen or cut off since are left out, as they may have lost the announcement.
 func sentAfterLeavingAnswer(recorded *history.History) []Finding {
 	sent := sendingsByID(recorded)
 	var findings []Finding
--- a/internal/soak/check/limit.go
+++ b/internal/soak/check/limit.go
@@ -58,9 +58,9 @@
 	changes  []history.Limit
 }
 
-// end returns when the back end withdrew its limit; if it never did, a time after the end of the run.
-func (n *limitPeriod) end() time.Duration {
-	if last := n.changes[len(n.changes)-1]; !last.Named {
+// end returns when the back end withdrew its limit, or a time after the end of the run if it never did.
+func (p *limitPeriod) end() time.Duration {
+	if last := p.changes[len(p.changes)-1]; !last.Named {
 		return last.At
 	}
 	const never = time.Duration(1<<62 - 1)
@@ -68,37 +68,37 @@
 }
 
 // findings checks each window that ends with an arrival, and returns the first violation.
-func (n *limitPeriod) findings(arrivals []history.Arrival, sent map[string]history.Sending) []Finding {
-	counted := n.countedArrivals(arrivals, sent)
+func (p *limitPeriod) findings(arrivals []history.Arrival, sent map[string]history.Sending) []Finding {
+	counted := p.countedArrivals(arrivals, sent)
 	first := 0
 	for last, at := range counted {
 		for at-counted[first] > limitWindow {
 			first++
 		}
-		if at < n.changes[0].At+n.recorded.Bounds.Contact || n.recorded.WasDisturbed(at-limitWindow, at, n.replica) {
+		if at < p.changes[0].At+p.recorded.Bounds.Contact || p.recorded.WasDisturbed(at-limitWindow, at, p.replica) {
 			continue
 		}
-		if allowed := limitShare*n.allowed(at-limitWindow, at) + limitSlack; float64(last-first+1) > allowed {
+		if allowed := limitShare*p.allowed(at-limitWindow, at) + limitSlack; float64(last-first+1) > allowed {
 			return []Finding{newFinding(Limit, at, "%s had named a limit at %.3f s and got %d requests in %s from relays that it had told; allowed %.1f",
-				n.replica, n.changes[0].At.Seconds(), last-first+1, limitWindow, allowed)}
+				p.replica, p.changes[0].At.Seconds(), last-first+1, limitWindow, allowed)}
 		}
 	}
 	return nil
 }
 
 // countedArrivals returns the times of the arrivals from relays that had to know the limit.
-func (n *limitPeriod) countedArrivals(arrivals []history.Arrival, sent map[string]history.Sending) []time.Duration {
+func (p *limitPeriod) countedArrivals(arrivals []history.Arrival, sent map[string]history.Sending) []time.Duration {
 	informedAt := map[string][]time.Duration{}
 	for _, arrival := range arrivals {
 		sending := sent[arrival.ID]
-		isForwarded := arrival.Limited && arrival.Seal != "" && sending.Seal == arrival.Seal && sending.EndedAt >= n.changes[0].At
-		if isForwarded && arrival.At >= n.changes[0].At && arrival.At < n.end() {
+		isForwarded := arrival.Limited && arrival.Seal != "" && sending.Seal == arrival.Seal && sending.EndedAt >= p.changes[0].At
+		if isForwarded && arrival.At >= p.changes[0].At && arrival.At < p.end() {
 			informedAt[arrival.Machine] = append(informedAt[arrival.Machine], sending.EndedAt)
 		}
 	}
 	var counted []time.Duration
 	for _, arrival := range arrivals {
-		if arrival.At >= n.changes[0].At && arrival.At < n.end() && n.isInformed(informedAt[arrival.Machine], arrival) {
+		if arrival.At >= p.changes[0].At && arrival.At < p.end() && p.isInformed(informedAt[arrival.Machine], arrival) {
 			counted = append(counted, arrival.At)
 		}
 	}
@@ -106,9 +106,9 @@
 }
 
 // isInformed reports whether the relay that sent an arrival has forwarded an announcement since its last fault.
-func (n *limitPeriod) isInformed(informedAt []time.Duration, arrival history.Arrival) bool {
+func (p *limitPeriod) isInformed(informedAt []time.Duration, arrival history.Arrival) bool {
 	for _, at := range informedAt {
-		if at+limitInformedAfter <= arrival.At && !n.recorded.WasDisturbed(at, arrival.At, arrival.Machine) {
+		if at+limitInformedAfter <= arrival.At && !p.recorded.WasDisturbed(at, arrival.At, arrival.Machine) {
 			return true
 		}
 	}
@@ -117,19 +117,19 @@
 
 // allowed returns how many requests the limits allow between from and to. Before the first announcement, and for
 // limitLoweredGrace after a limit was lowered, the larger limit counts.
-func (n *limitPeriod) allowed(from, to time.Duration) float64 {
+func (p *limitPeriod) allowed(from, to time.Duration) float64 {
 	const step = 10 * time.Millisecond
 	sum := 0.0
 	for at := from; at < to; at += step {
-		sum += max(n.limitAt(at), n.limitAt(at-limitLoweredGrace)) * step.Seconds()
+		sum += max(p.limitAt(at), p.limitAt(at-limitLoweredGrace)) * step.Seconds()
 	}
 	return sum
 }
 
 // limitAt returns the limit in requests per second at a time.
-func (n *limitPeriod) limitAt(at time.Duration) float64 {
-	limit := n.changes[0].PerSecond
-	for _, change := range n.changes {
+func (p *limitPeriod) limitAt(at time.Duration) float64 {
+	limit := p.changes[0].PerSecond
+	for _, change := range p.changes {
 		if change.Named && change.At <= at {
 			limit = change.PerSecond
 		}
--- a/internal/soak/check/lost.go
+++ b/internal/soak/check/lost.go
@@ -9,7 +9,7 @@
 // lost finds requests that maintenance cut off although no other fault happened near them, and acknowledged
 // configurations that are gone at the end.
 func lost(recorded *history.History) []Finding {
-	findings := cutByPlannedWork(recorded)
+	findings := cutByMaintenance(recorded)
 	newest := newestAcked(recorded, 1<<62)
 	for index := len(recorded.Reads) - 1; index >= 0; index-- {
 		if read := recorded.Reads[index]; read.Status == 200 {
@@ -22,7 +22,7 @@
 	return findings
 }
 
-func cutByPlannedWork(recorded *history.History) []Finding {
+func cutByMaintenance(recorded *history.History) []Finding {
 	arrivals := arrivalsByID(recorded)
 	var findings []Finding
 	for _, sending := range recorded.Sendings {
@@ -32,7 +32,7 @@
 			continue
 		}
 		if planned, unplanned := faultsNear(recorded, sending); planned && !unplanned {
-			findings = append(findings, newFinding(Lost, sending.EndedAt, "request %s at %s was cut by planned work", sending.ID, sending.Front))
+			findings = append(findings, newFinding(Lost, sending.EndedAt, "request %s at %s was cut off by maintenance", sending.ID, sending.Front))
 		}
 	}
 	return findings
@@ -48,8 +48,8 @@
 	return false
 }
 
-// faultsNear reports whether maintenance was under way at a request's relay, and whether any other fault happened
-// between the contact time before the request and its end.
+// faultsNear reports whether maintenance of a request's relay, and whether any unplanned fault, was under way at some
+// time from the contact time before the request until its end.
 func faultsNear(recorded *history.History, sending history.Sending) (planned, unplanned bool) {
 	for _, fault := range recorded.Faults {
 		overlaps := fault.From <= sending.EndedAt && fault.To+recorded.Bounds.Contact >= sending.SentAt
--- a/internal/soak/check/mixed.go
+++ b/internal/soak/check/mixed.go
@@ -12,11 +12,11 @@
 		switch {
 		case sending.Status == 0:
 		case sending.AnswerID != "" && sending.AnswerID != sending.ID:
-			findings = append(findings, newFinding(Mixed, sending.EndedAt, "request %s got the answer to %s", sending.ID, sending.AnswerID))
+			findings = append(findings, newFinding(Mixed, sending.EndedAt, "request %s got the response to %s", sending.ID, sending.AnswerID))
 		case sending.Succeeded() && sending.Seal == "":
 			findings = append(findings, newFinding(Mixed, sending.EndedAt, "request %s got a success without a seal", sending.ID))
 		case sending.Seal != "" && sending.Whole && !recorded.Routes[sending.Route].Stream && !hasReturned(arrivals[sending.ID], sending):
-			findings = append(findings, newFinding(Mixed, sending.EndedAt, "request %s got an answer that its back ends did not make", sending.ID))
+			findings = append(findings, newFinding(Mixed, sending.EndedAt, "request %s got a response that none of its back ends returned", sending.ID))
 		}
 	}
 	return findings
--- a/internal/soak/check/one.go
+++ b/internal/soak/check/one.go
@@ -24,14 +24,14 @@
 		switch {
 		case earlier.Holder == order.Holder:
 			if earlier.Fence > order.Fence {
-				return "its own token was higher before"
+				return "the holder's own token was higher before"
 			}
 		case earlier.Fence == order.Fence:
 			return "another holder has the same token"
 		case earlier.Fence > order.Fence:
 			return "another holder's token was higher before"
 		case order.At-earlier.At < bounds.Lease && hadOrderWithinLease(before[:index], order.Holder, order, bounds):
-			return "holders take turns within the lease"
+			return "holders alternate within the lease"
 		}
 	}
 	return ""
--- a/internal/soak/check/order.go
+++ b/internal/soak/check/order.go
@@ -35,7 +35,7 @@
 		var from, text string
 		if _, err := fmt.Sscanf(event, "id: %d\ndata: %s %s", &number, &from, &text); err != nil {
 			if sending.Whole {
-				return fmt.Sprintf("holds %q, which is no event", event)
+				return fmt.Sprintf("contains %q, which is not an event", event)
 			}
 			return "" // the stream broke off within an event
 		}
@@ -48,7 +48,7 @@
 		expected, run, ended = number+1, from, text == streamEnd
 	}
 	if sending.Whole && !ended {
-		return "ends as whole before its last event"
+		return "ends as complete before its last event"
 	}
 	return ""
 }
--- a/internal/soak/check/recover.go
+++ b/internal/soak/check/recover.go
@@ -6,7 +6,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// recoverMinSample is the number of requests after the recovery time from which the served share counts.
+// recoverMinSample is the smallest number of requests after the recovery time for which the served share is checked.
 const recoverMinSample = 20
 
 // recovered finds that less than a quarter of the requests are served once the recovery time after the last fault is
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -96,22 +96,22 @@
 
 // claimTarget reserves a target for a fault. It returns false when another fault is under way at the target, or when
 // no further controller may be lost.
-func (f *faults) claimTarget(target string, controller bool) bool {
+func (f *faults) claimTarget(target string, isController bool) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.struckTargets[target] || controller && f.lostControllers >= (f.site.options.Controllers-1)/2 {
+	if f.struckTargets[target] || isController && f.lostControllers >= (f.site.options.Controllers-1)/2 {
 		return false
 	}
 	f.struckTargets[target] = true
-	if controller {
+	if isController {
 		f.lostControllers++
 	}
 	return true
 }
 
 // inject runs a fault in the background and records it when it is over. It does nothing when the target is not free.
-func (f *faults) inject(kind history.FaultKind, target string, controller bool, execute func()) {
-	if !f.claimTarget(target, controller) {
+func (f *faults) inject(kind history.FaultKind, target string, isController bool, execute func()) {
+	if !f.claimTarget(target, isController) {
 		return
 	}
 	f.mutex.Lock()
@@ -124,13 +124,13 @@
 	f.running.Go(func() {
 		execute()
 		f.site.recorder.AddFault(history.Fault{Kind: kind, Target: target, OtherBuild: isOther, From: from, To: f.site.recorder.Now()})
-		if controller {
+		if isController {
 			time.Sleep(catchUpTime) // the controller counts as lost until it has caught up
 		}
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
 		delete(f.struckTargets, target)
-		if controller {
+		if isController {
 			f.lostControllers--
 		}
 	})
--- a/internal/soak/history/history.go
+++ b/internal/soak/history/history.go
@@ -6,17 +6,17 @@
 type Bounds struct {
 	// Contact is how long a machine must be free of faults to count as in contact.
 	Contact time.Duration
-	// ConfigApply is how long after its acknowledgement a configuration is applied everywhere.
+	// ConfigApply is the time from the acknowledgement of a configuration until it is applied everywhere.
 	ConfigApply time.Duration
-	// Grace is how long a relay that was asked to stop may take.
+	// Grace is how long a relay that was asked to stop may take to exit.
 	Grace time.Duration
-	// LossSlack is how long after its last byte was sent a request counts as read by the relay.
+	// LossSlack is the time after SentAt from which a request counts as read by the relay, also if no back end received it.
 	LossSlack time.Duration
-	// Drain is for how long after it was listed as leaving a back end may receive new requests.
+	// Drain is how long a back end may still receive new requests after it was listed as leaving.
 	Drain time.Duration
-	// Lease is the shortest time between orders of two holders.
+	// Lease is the period within which orders of two holders must not alternate.
 	Lease time.Duration
-	// Recovery is how long after the last fault requests must be served again.
+	// Recovery is the time after the last fault from which requests must be served again.
 	Recovery time.Duration
 	// RetryRatio, RetryWindow and RetrySlack bound the attempts beyond the first of each request.
 	RetryRatio  float64
--- a/internal/soak/history/recorder.go
+++ b/internal/soak/history/recorder.go
@@ -46,7 +46,7 @@
 // AddFault records a fault that has ended.
 func (r *Recorder) AddFault(fault Fault) { appendEntry(r, &r.history.Faults, fault) }
 
-// appendEntry appends an entry of one kind.
+// appendEntry appends an entry to one list of the history.
 func appendEntry[Entry any](r *Recorder, entries *[]Entry, entry Entry) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/soak/options.go
+++ b/internal/soak/options.go
@@ -32,7 +32,7 @@
 	Progress func(line string)
 }
 
-// bounds are the time bounds of the rules, as for the users' smaller sites.
+// bounds are the time bounds of the rules, with the values of the users' smaller sites.
 var bounds = history.Bounds{
 	Contact: 3 * time.Second, Grace: relayGrace, ConfigApply: 2 * time.Second, Drain: 3 * time.Second, LossSlack: 200 * time.Millisecond,
 	Lease: 3 * time.Second, Recovery: 12 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 54,
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -66,20 +66,20 @@
 	}
 	printed := map[check.Rule]int{}
 	for _, finding := range r.Findings {
-		if printed[finding.Rule]++; printed[finding.Rule] <= mostPrinted {
+		if printed[finding.Rule]++; printed[finding.Rule] <= maxPrinted {
 			fmt.Fprintf(&text, "\n  %s", finding)
 		}
 	}
 	for _, rule := range slices.Sorted(maps.Keys(printed)) {
-		if more := printed[rule] - mostPrinted; more > 0 {
+		if more := printed[rule] - maxPrinted; more > 0 {
 			fmt.Fprintf(&text, "\n  %s %d times more", rule, more)
 		}
 	}
 	return text.String()
 }
 
-// mostPrinted bounds the findings of one rule that a report prints; history.json holds the evidence of the others.
-const mostPrinted = 10
+// maxPrinted bounds the findings of one rule that a report prints; history.json holds the evidence of the others.
+const maxPrinted = 10
 
 // Err returns an error when a rule was broken, otherwise nil.
 func (r Report) Err() error {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -20,9 +20,9 @@
 	formationTimeout = time.Minute
 	// restartPause is the time between two rounds in which back ends that crashed under a request are restarted.
 	restartPause = 1200 * time.Millisecond
-	// operatorCalmPercent is the share of the quiet phase, in percent, in which configurations still change: only in that
+	// operatorQuietPercent is the share of the quiet phase, in percent, in which configurations still change: only in that
 	// phase are all relays in contact with the controllers, whatever builds they run.
-	operatorCalmPercent = 70
+	operatorQuietPercent = 70
 	// finalReads is how often the configuration is read at the end of the run until a controller returns it.
 	finalReads = 200
 )
@@ -49,7 +49,7 @@
 	injected := newFaults(created)
 	faultContext, cancelFaults := context.WithTimeout(ctx, options.FaultDuration)
 	defer cancelFaults()
-	operatorContext, cancelOperator := context.WithTimeout(ctx, options.FaultDuration+options.QuietDuration*operatorCalmPercent/100)
+	operatorContext, cancelOperator := context.WithTimeout(ctx, options.FaultDuration+options.QuietDuration*operatorQuietPercent/100)
 	defer cancelOperator()
 	operatorDone := make(chan struct{})
 	go func() { defer close(operatorDone); created.operate(operatorContext) }()
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -12,7 +12,7 @@
 	longestSignalGap = 400 * time.Millisecond
 )
 
-// signal is a signal to a process that must not kill it.
+// signal is a signal that the process must survive.
 type signal struct {
 	send func()
 	// after is the time until the next signal.
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -188,8 +188,8 @@
 	return process, nil
 }
 
-// startsOnOtherBuild reports whether all processes run the other build at first: every second seed is an upgrade from
-// that build.
+// startsOnOtherBuild reports whether all processes start on the other build. Every second seed does so, as an upgrade
+// from that build.
 func (s *site) startsOnOtherBuild() bool {
 	return s.options.OtherProgram != "" && s.options.Seed%2 == 1
 }
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -17,7 +17,7 @@
 	readyPause = 500 * time.Millisecond
 	// longestPause is the longest time between two attempts of a client.
 	longestPause = 60 * time.Millisecond
-	// abandonShare is the share of a client's attempts that it abandons.
+	// abandonShare is the share of attempts whose connection the client closes before the response.
 	abandonShare = 0.05
 	// poisonPause is the time between two attempts of a request that crashes its back ends.
 	poisonPause = 300 * time.Millisecond
@@ -31,17 +31,17 @@
 }
 
 // probeRelays probes the readiness of all relays until the context ends.
-func (e *loadBalancer) probeRelays(ctx context.Context) {
+func (b *loadBalancer) probeRelays(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, relay := range e.site.relays {
+		for _, relay := range b.site.relays {
 			limited, cancel := context.WithTimeout(ctx, readyPause)
 			ready := standin.IsReady(limited, relay.ready)
 			cancel()
-			e.mutex.Lock()
-			if e.missedProbes[relay.Name]++; ready {
-				e.missedProbes[relay.Name] = 0
+			b.mutex.Lock()
+			if b.missedProbes[relay.Name]++; ready {
+				b.missedProbes[relay.Name] = 0
 			}
-			e.mutex.Unlock()
+			b.mutex.Unlock()
 		}
 		sleep(ctx, readyPause)
 	}
@@ -49,17 +49,17 @@
 
 // pickRelay picks a relay for a client's next connection. When fewer than half of the relays are ready, it picks among
 // all of them.
-func (e *loadBalancer) pickRelay(random *rand.Rand) *relayProcess {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
+func (b *loadBalancer) pickRelay(random *rand.Rand) *relayProcess {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
 	var ready []*relayProcess
-	for _, relay := range e.site.relays {
-		if e.missedProbes[relay.Name] < 2 {
+	for _, relay := range b.site.relays {
+		if b.missedProbes[relay.Name] < 2 {
 			ready = append(ready, relay)
 		}
 	}
-	if 2*len(ready) < len(e.site.relays) {
-		ready = e.site.relays
+	if 2*len(ready) < len(b.site.relays) {
+		ready = b.site.relays
 	}
 	return ready[random.IntN(len(ready))]
 }
