--- a/internal/fleet/fault_test.go
+++ b/internal/fleet/fault_test.go
@@ -16,7 +16,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginemodel"
 )
 
-// startRawabiStandIns starts the stand-ins of the Rawabi deployment with a gate for cut-offs and no processes.
+// startRawabiStandIns starts the stand-ins of the Rawabi deployment with a partitioner for cut-offs and without processes.
 func startRawabiStandIns(t *testing.T) *Fleet {
 	t.Helper()
 	description, err := LoadDescription(filepath.Join(deployments, "rawabi"))
@@ -26,10 +26,10 @@
 	t.Cleanup(reserved.release)
 	description.Faults = []Fault{{Fault: FaultCutOff, Zone: "amman-hall-a", Length: time.Hour}}
 	description = description.OnNetwork(reserved.network)
-	outside, err := StartStandIns(description, enginemodel.DefaultProfile())
+	standIns, err := StartStandIns(description, enginemodel.DefaultProfile())
 	require.NoError(t, err)
-	t.Cleanup(outside.Close)
-	return &Fleet{Description: description, StandIns: outside, cuts: &networkCuts{gate: outside.topology.Gate()}}
+	t.Cleanup(standIns.Close)
+	return &Fleet{Description: description, StandIns: standIns, cuts: &networkCuts{gate: standIns.topology.Gate()}}
 }
 
 func TestTargets(t *testing.T) {
@@ -54,17 +54,17 @@
 	fault := Fault{Fault: FaultKill, Process: "lot-assessor-amman-hall-a-1", Length: time.Millisecond}
 	targets, err := started.resolveTargets(fault)
 	require.NoError(t, err)
-	struck := started.StandIns.Engine(fault.Process)
-	before, _ := struck.State()
+	target := started.StandIns.Engine(fault.Process)
+	before, _ := target.State()
 	require.NoError(t, started.inject(t.Context(), fault, targets))
-	after, running := struck.State()
+	after, running := target.State()
 	require.True(t, running)
 	require.Equal(t, before.Incarnation+1, after.Incarnation)
 
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	require.NoError(t, started.inject(ended, fault, targets), "the target stays down when the context ends")
-	_, running = struck.State()
+	_, running = target.State()
 	require.False(t, running)
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -81,13 +81,13 @@
 	return fleet, nil
 }
 
-func (f *Fleet) start(options Options, written Description) error {
+func (f *Fleet) start(options Options, original Description) error {
 	directory, err := filepath.Abs(options.Directory)
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
 	options.Directory = directory
-	processes, err := prepareRun(options, written.Network, f.Description)
+	processes, err := prepareRun(options, original.Network, f.Description)
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/internal/fleet/operator.go
+++ b/internal/fleet/operator.go
@@ -34,17 +34,17 @@
 	return f.OperatorWithTimeouts(operatorTimeout, operatorRetryPause)
 }
 
-// OperatorWithTimeouts returns an operator client of the fleet that waits at most attempt for
-// the answer of one controller and, after a failure, waits between before it calls the next.
-func (f *Fleet) OperatorWithTimeouts(attempt, between time.Duration) *Operator {
-	return NewOperator(f.Description.Operator.Key, f.Addresses(RoleController), attempt, between)
+// OperatorWithTimeouts returns an operator client of the fleet that waits at most attemptTimeout for
+// the answer of one controller and, after a failure, retryPause before it calls the next.
+func (f *Fleet) OperatorWithTimeouts(attemptTimeout, retryPause time.Duration) *Operator {
+	return NewOperator(f.Description.Operator.Key, f.Addresses(RoleController), attemptTimeout, retryPause)
 }
 
 // NewOperator returns an operator client with an API key for the controllers at the given
-// addresses. It waits at most attempt for the answer of one and, after a failure, waits
-// between before it calls the next.
-func NewOperator(key string, addresses []string, attempt, between time.Duration) *Operator {
-	return &Operator{key: key, addresses: addresses, pause: between, http: &http.Client{Timeout: attempt}}
+// addresses. It waits at most attemptTimeout for the answer of one and, after a failure,
+// retryPause before it calls the next.
+func NewOperator(key string, addresses []string, attemptTimeout, retryPause time.Duration) *Operator {
+	return &Operator{key: key, addresses: addresses, pause: retryPause, http: &http.Client{Timeout: attemptTimeout}}
 }
 
 // Apply submits declaration files under a new request ID and returns a quorum's answer.
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -19,11 +19,11 @@
 type ServeArguments func(role Role, settingsPath, descriptionPath string, more ...string) []string
 
 // prepareRun writes the description into the run's directory, copies the deployment's
-// settings there with their addresses moved from the network written to the description's,
+// settings there with their addresses moved from sourceNetwork to the description's network,
 // and returns a Process for each settings file.
-func prepareRun(options Options, written string, description Description) ([]*Process, error) {
+func prepareRun(options Options, sourceNetwork string, description Description) ([]*Process, error) {
 	move := func(text []byte) []byte {
-		return []byte(strings.ReplaceAll(string(text), written+".", description.Network+"."))
+		return []byte(strings.ReplaceAll(string(text), sourceNetwork+".", description.Network+"."))
 	}
 	text, err := yaml.Marshal(description)
 	if err != nil {
--- a/internal/fleet/timeline.go
+++ b/internal/fleet/timeline.go
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// inject applies one fault and returns when it is over.
+// inject applies one fault. It returns when a kill or a cut-off is over; a pause ends on its own.
 func (f *Fleet) inject(ctx context.Context, fault Fault, targets []faultTarget) error {
 	switch fault.Fault {
 	case FaultPause:
--- a/internal/fleet/topology.go
+++ b/internal/fleet/topology.go
@@ -32,15 +32,15 @@
 	return topology
 }
 
-// Gate returns the gate that cuts addresses off from the topology's listeners; nil when no
+// Gate returns the partitioner that cuts addresses off from the topology's listeners; nil when no
 // fault of the description is a cut-off.
 func (t Topology) Gate() *zonedelay.Partitioner { return t.gate }
 
-// unsentLimit is how long an exiting process waits for the last bytes of its connections to be sent.
-const unsentLimit = time.Second
+// unsentTimeout is how long an exiting process waits for the last bytes of its connections to be sent.
+const unsentTimeout = time.Second
 
-// WaitUnsent waits until the data of closed connections has been sent, at most unsentLimit.
-func (t Topology) WaitUnsent() { t.unsent.Wait(unsentLimit) }
+// WaitUnsent waits until the data of closed connections has been sent, at most unsentTimeout.
+func (t Topology) WaitUnsent() { t.unsent.Wait(unsentTimeout) }
 
 // LatencyBetween returns the one-way latency between two addresses; it is 0 if an address
 // is outside the fleet, such as those of the bench itself.
--- a/internal/gatewaycost/run.go
+++ b/internal/gatewaycost/run.go
@@ -90,7 +90,7 @@
 // measurePages sends page requests alternately directly and through the gateway.
 func (r *run) measurePages(ctx context.Context, report *Report) error {
 	direct, viaGateway := newHistogram(), newHistogram()
-	if _, err := r.caller.sendPage(r.Gateway.Listen, r.path); err != nil { // the tenant's first request is not measured
+	if _, err := r.caller.sendPage(r.Gateway.Listen, r.path); err != nil { // not measured: the gateway does not know the tenant yet
 		return trace.Wrap(err)
 	}
 	before, err := processorTime(r.Gateway)
--- a/internal/gatewayloss/gauge.go
+++ b/internal/gatewayloss/gauge.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// gaugeValue returns the value of the first metric whose name has the suffix; -1 if there is none.
-func gaugeValue(metrics, name string) int {
+// gaugeValue returns the value of the first metric whose name ends with suffix; -1 if there is none.
+func gaugeValue(metrics, suffix string) int {
 	for line := range strings.Lines(metrics) {
 		metric, rest, _ := strings.Cut(line, " ")
 		metric, _, _ = strings.Cut(metric, "{")
-		if !strings.HasSuffix(metric, name) {
+		if !strings.HasSuffix(metric, suffix) {
 			continue
 		}
 		value, err := strconv.ParseFloat(strings.TrimSpace(rest), 64)
--- a/internal/gatewayloss/outage.go
+++ b/internal/gatewayloss/outage.go
@@ -45,15 +45,15 @@
 		return complete
 	}
 	began := result.Ended.Add(-result.Total)
-	for _, away := range outages {
-		if away.gateway != result.Gateway || result.Ended.Before(away.from) || began.After(away.until) {
+	for _, period := range outages {
+		if period.gateway != result.Gateway || result.Ended.Before(period.from) || began.After(period.until) {
 			continue
 		}
-		sentWhileAway := !began.Before(away.from)
+		sentDuringOutage := !began.Before(period.from)
 		switch {
-		case sentWhileAway && result.Outcome == load.Lost:
+		case sentDuringOutage && result.Outcome == load.Lost:
 			return notConnected
-		case away.fault == killGateway && !sentWhileAway:
+		case period.fault == killGateway && !sentDuringOutage:
 			return lostWithGateway
 		}
 	}
--- a/internal/gatewayloss/report.go
+++ b/internal/gatewayloss/report.go
@@ -29,7 +29,7 @@
 	Resent  int `json:"resent"`
 	Settled int `json:"settled"`
 	Unknown int `json:"unknown"`
-	// Unsettled counts keys whose caller gave up with neither.
+	// Unsettled counts keys whose caller gave up without an answer and without that verdict.
 	Unsettled int         `json:"unsettled"`
 	Load      load.Report `json:"load"`
 }
--- a/internal/gatewayloss/report_test.go
+++ b/internal/gatewayloss/report_test.go
@@ -55,9 +55,9 @@
 
 // TestReport checks what makes a run fail and how attempts with a key are counted.
 func TestReport(t *testing.T) {
-	keyed := func(outcome load.Outcome, told verdict.Verdict) load.Result {
+	keyed := func(outcome load.Outcome, final verdict.Verdict) load.Result {
 		result := answer("a", outcome, 11, 11.1)
-		result.Key, result.Verdict = "k", told.String()
+		result.Key, result.Verdict = "k", final.String()
 		return result
 	}
 	kill := []outage{{fault: killGateway, gateway: "a", from: at(10), until: at(12)}}
--- a/internal/gatewayloss/run.go
+++ b/internal/gatewayloss/run.go
@@ -105,12 +105,12 @@
 	}
 	for round := range r.options.Rounds {
 		gateway := r.gateways[round%len(r.gateways)]
-		for _, strike := range []func() error{
+		for _, inject := range []func() error{
 			func() error { return r.loseGateway(ctx, killGateway, gateway) },
 			func() error { return r.loseEngine(ctx) },
 			func() error { return r.loseGateway(ctx, stopGateway, gateway) },
 		} {
-			if err := strike(); err != nil {
+			if err := inject(); err != nil {
 				return trace.Wrap(err)
 			}
 			if !pause.For(ctx, r.options.FaultInterval) {
@@ -122,14 +122,14 @@
 }
 
 // loseGateway kills or stops a gateway and restarts it.
-func (r *run) loseGateway(ctx context.Context, how faultKind, gateway *fleet.Process) error {
-	done := Fault{Kind: string(how), Target: gateway.Name, InFlight: inFlight(gateway), Clean: true}
-	away := outage{fault: how, gateway: gateway.Listen, from: time.Now()}
-	if how == killGateway {
+func (r *run) loseGateway(ctx context.Context, kind faultKind, gateway *fleet.Process) error {
+	injected := Fault{Kind: string(kind), Target: gateway.Name, InFlight: inFlight(gateway), Clean: true}
+	period := outage{fault: kind, gateway: gateway.Listen, from: time.Now()}
+	if kind == killGateway {
 		gateway.Kill()
 		pause.For(ctx, downDuration)
 	} else {
-		done.Clean = gateway.Stop()
+		injected.Clean = gateway.Stop()
 	}
 	if err := gateway.Start(); err != nil {
 		return trace.Wrap(err)
@@ -139,9 +139,9 @@
 	if err := gateway.WaitReady(limited); err != nil {
 		return trace.Wrap(err)
 	}
-	away.until = time.Now()
-	r.outages = append(r.outages, away)
-	r.recordFault(done, away.until.Sub(away.from))
+	period.until = time.Now()
+	r.outages = append(r.outages, period)
+	r.recordFault(injected, period.until.Sub(period.from))
 	return nil
 }
 
@@ -186,10 +186,10 @@
 	}
 }
 
-func (r *run) recordFault(done Fault, back time.Duration) {
-	done.BackAfterMs = float64(back.Milliseconds())
-	r.report.Faults = append(r.report.Faults, done)
-	fmt.Fprintf(r.options.Progress, "%s %s with %d in flight: back after %.1f s\n", done.Kind, done.Target, done.InFlight, back.Seconds())
+func (r *run) recordFault(injected Fault, back time.Duration) {
+	injected.BackAfterMs = float64(back.Milliseconds())
+	r.report.Faults = append(r.report.Faults, injected)
+	fmt.Fprintf(r.options.Progress, "%s %s with %d in flight: back after %.1f s\n", injected.Kind, injected.Target, injected.InFlight, back.Seconds())
 }
 
 // inFlight reads a gateway's requests in flight from its metrics; -1 if that fails.
--- a/internal/leaderloss/faults.go
+++ b/internal/leaderloss/faults.go
@@ -194,15 +194,15 @@
 		{lossToOrder, func() (time.Time, bool) { return firstOrderAbove(r.spareEngine, epoch) }},
 	}
 	waits, ctx := errgroup.WithContext(ctx)
-	for _, sign := range milestones {
+	for _, milestone := range milestones {
 		waits.Go(func() error {
 			var at time.Time
-			err := r.waitUntil(ctx, sign.measurement, func() (seen bool) {
-				at, seen = sign.reached()
+			err := r.waitUntil(ctx, milestone.measurement, func() (seen bool) {
+				at, seen = milestone.reached()
 				return seen
 			})
 			if err == nil {
-				r.recorder.addMeasurement(sign.measurement, at.Sub(began))
+				r.recorder.addMeasurement(milestone.measurement, at.Sub(began))
 			}
 			return trace.Wrap(err)
 		})
--- a/internal/leaderloss/members.go
+++ b/internal/leaderloss/members.go
@@ -41,8 +41,8 @@
 	return found, nil
 }
 
-// hasReplaced reports whether exactly one member has an address, has a vote, and has a
-// member ID that did not exist before.
+// hasReplaced reports whether exactly one member is at an address and that member has a vote and
+// an ID that no member had before.
 func (m quorumMembers) hasReplaced(before quorumMembers, address string) bool {
 	known := make(map[string]bool)
 	for _, present := range before {
@@ -60,22 +60,22 @@
 
 // leader returns the controller process that leads.
 func (r *run) leader(ctx context.Context) (*fleet.Process, error) {
-	return r.controller(ctx, func(part string) bool { return part == roleLeader })
+	return r.controller(ctx, func(role string) bool { return role == roleLeader })
 }
 
 // follower returns a controller process that has a vote and does not lead.
 func (r *run) follower(ctx context.Context) (*fleet.Process, error) {
-	return r.controller(ctx, func(part string) bool { return part != roleLeader && part != roleLearner })
+	return r.controller(ctx, func(role string) bool { return role != roleLeader && role != roleLearner })
 }
 
-func (r *run) controller(ctx context.Context, plays func(part string) bool) (*fleet.Process, error) {
+func (r *run) controller(ctx context.Context, matches func(role string) bool) (*fleet.Process, error) {
 	present, err := r.members(ctx)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	for _, wanted := range present {
 		for _, process := range r.controllers {
-			if process.Listen == wanted.address && process.Running() && plays(wanted.role) {
+			if process.Listen == wanted.address && process.Running() && matches(wanted.role) {
 				return process, nil
 			}
 		}
--- a/internal/leaderloss/run.go
+++ b/internal/leaderloss/run.go
@@ -55,20 +55,20 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	duties, working := errgroup.WithContext(ctx)
-	r.startBackgroundTasks(working, duties)
+	tasks, taskContext := errgroup.WithContext(ctx)
+	r.startBackgroundTasks(taskContext, tasks)
 	sent := make(chan loadResult, 1)
-	sending, stopSending := context.WithCancel(ctx)
+	loadContext, stopSending := context.WithCancel(ctx)
 	defer stopSending()
 	go func() {
-		report, err := load.Run(sending, options.Load)
+		report, err := load.Run(loadContext, options.Load)
 		sent <- loadResult{report: report, err: err}
 	}()
-	faultErr := r.injectFaults(working)
+	faultErr := r.injectFaults(taskContext)
 	stopSending()
 	result := <-sent
 	stop()
-	if err := duties.Wait(); err != nil {
+	if err := tasks.Wait(); err != nil {
 		return Report{}, trace.Wrap(err)
 	}
 	if faultErr != nil || result.err != nil {
@@ -134,15 +134,15 @@
 }
 
 // startBackgroundTasks starts the tasks that run during all faults.
-func (r *run) startBackgroundTasks(ctx context.Context, duties *errgroup.Group) {
-	duties.Go(func() error { return r.changes.run(ctx) })
+func (r *run) startBackgroundTasks(ctx context.Context, tasks *errgroup.Group) {
+	tasks.Go(func() error { return r.changes.run(ctx) })
 	for _, changed := range r.changedEngines {
-		duties.Go(func() error { r.roleChanger.run(ctx, changed); return nil })
+		tasks.Go(func() error { r.roleChanger.run(ctx, changed); return nil })
 	}
 	for _, gateway := range r.fleet.ProcessesOf(fleet.RoleGateway) {
-		duties.Go(func() error { r.gatewayRevisions[gateway.Name].follow(ctx, gateway, r.recorder); return nil })
+		tasks.Go(func() error { r.gatewayRevisions[gateway.Name].follow(ctx, gateway, r.recorder); return nil })
 	}
-	duties.Go(func() error { r.pollRevision(ctx); return nil })
+	tasks.Go(func() error { r.pollRevision(ctx); return nil })
 }
 
 // pollRevision repeatedly queries the applied revision: an answer must include every change
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -47,8 +47,8 @@
 }
 
 // send sends one request that was due at a given time and returns its result. The text of a
-// chat's answer is written to show as it arrives.
-func (c *client) send(req request, due time.Time, show io.Writer) (result Result) {
+// chat's answer is written to echo as it arrives.
+func (c *client) send(req request, due time.Time, echo io.Writer) (result Result) {
 	result = Result{
 		Kind: req.kind, Tenant: req.tenant, Due: req.arrival.at, Prompt: req.promptKey, Key: req.key, Gateway: c.target.addressFor(req),
 	}
@@ -78,7 +78,7 @@
 	case result.Status >= fasthttp.StatusBadRequest:
 		result.readRefusal(body)
 	case req.chat:
-		result.checkStream(req, body, due, show)
+		result.checkStream(req, body, due, echo)
 		result.readFinalVerdict(body, &answer.Header)
 	default:
 		result.checkPage(req, body, due)
--- a/internal/load/probe.go
+++ b/internal/load/probe.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// probeRetryLimit is how long a probe resends what was refused as not run, because
+	// probeRetryTimeout is how long a probe resends what was refused as not run, because
 	// gateways may not know every back end yet.
-	probeRetryLimit = 15 * time.Second
-	probeRetryPause = 200 * time.Millisecond
+	probeRetryTimeout = 15 * time.Second
+	probeRetryPause   = 200 * time.Millisecond
 )
 
 // Probe sends one request of each kind in sequence and returns their results in the order of
@@ -67,12 +67,12 @@
 	return traffic, kinds, trace.Wrap(checkDeclared(traffic, kinds))
 }
 
-// sendUntilAccepted resends a request while it is refused as not run, for probeRetryLimit.
+// sendUntilAccepted resends a request while it is refused as not run, for probeRetryTimeout.
 func (c *client) sendUntilAccepted(req request) Result {
 	for began := time.Now(); ; time.Sleep(probeRetryPause) {
 		result := c.send(req, time.Now(), io.Discard)
 		refused := result.Outcome == Refused && result.Verdict == verdict.NotRun.String()
-		if !refused || time.Since(began) > probeRetryLimit {
+		if !refused || time.Since(began) > probeRetryTimeout {
 			return result
 		}
 	}
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -51,7 +51,7 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// requestBuilder builds the requests of a run; each depends on its number alone.
+// requestBuilder builds the requests of a run; each depends on the seed and its arrival alone, apart from the run's label.
 type requestBuilder struct {
 	traffic  Traffic
 	kinds    map[string]Kind
@@ -76,24 +76,24 @@
 func (m *requestBuilder) make(due arrival) request {
 	wanted := m.traffic.Requests[due.kind]
 	source := rand.New(rand.NewPCG(m.seed, uint64(due.index)+1<<32))
-	made := request{arrival: due, kind: wanted.Kind, tenant: source.IntN(max(1, m.tenants)), deadline: m.kinds[wanted.Kind].Deadline}
+	built := request{arrival: due, kind: wanted.Kind, tenant: source.IntN(max(1, m.tenants)), deadline: m.kinds[wanted.Kind].Deadline}
 	if wanted.Chat != nil {
-		m.buildChat(&made, *wanted.Chat, source)
+		m.buildChat(&built, *wanted.Chat, source)
 	} else {
-		m.buildPage(&made, *wanted.Page, source)
+		m.buildPage(&built, *wanted.Page, source)
 	}
-	return made
+	return built
 }
 
-func (m *requestBuilder) buildChat(made *request, chat ChatTraffic, source *rand.Rand) {
+func (m *requestBuilder) buildChat(built *request, chat ChatTraffic, source *rand.Rand) {
 	tokens := chat.PromptTokens.draw(source)
 	outputTokens := chat.OutputTokens.draw(source)
 	dossier, shared := "", 0
 	if chat.Dossiers > 0 {
-		dossier = fmt.Sprintf("%s-%d", made.kind, source.IntN(chat.Dossiers))
+		dossier = fmt.Sprintf("%s-%d", built.kind, source.IntN(chat.Dossiers))
 		shared = int(float64(tokens) * chat.SharedShare)
 	}
-	made.setChat(chat.Model, m.prompts.text(dossier, shared, made.arrival.index, tokens), outputTokens)
+	built.setChat(chat.Model, m.prompts.text(dossier, shared, built.arrival.index, tokens), outputTokens)
 }
 
 // setChat makes the request a streamed chat and records the expected answer.
@@ -115,17 +115,17 @@
 	r.body = body
 }
 
-func (m *requestBuilder) buildPage(made *request, page PageTraffic, source *rand.Rand) {
-	made.method, made.path = page.Method, page.Path
+func (m *requestBuilder) buildPage(built *request, page PageTraffic, source *rand.Rand) {
+	built.method, built.path = page.Method, page.Path
 	if page.Method == "GET" {
-		made.path = fmt.Sprintf("%s?n=%d", page.Path, made.arrival.index)
+		built.path = fmt.Sprintf("%s?n=%d", page.Path, built.arrival.index)
 	}
 	if page.BodyBytes > 0 {
-		made.body = []byte(strings.Repeat("x", page.BodyBytes))
+		built.body = []byte(strings.Repeat("x", page.BodyBytes))
 	}
 	if page.Once {
-		made.key = fmt.Sprintf("%s-%d", m.runLabel, made.arrival.index)
-		made.resend = source.Float64() < page.ResendShare
+		built.key = fmt.Sprintf("%s-%d", m.runLabel, built.arrival.index)
+		built.resend = source.Float64() < page.ResendShare
 	}
 }
 
--- a/internal/load/resend.go
+++ b/internal/load/resend.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// maxResends limits the attempts of one at-most-once request.
-	maxResends = 60
+	// maxAttempts limits the attempts of one at-most-once request, the first included.
+	maxAttempts = 60
 	// resendPause is the time between two attempts.
 	resendPause = 500 * time.Millisecond
 	// codeStillRunning is the code of a resend whose earlier attempt is still running.
 	codeStillRunning = "still_running"
 )
 
-// sendWithResends sends a request. With insist set, it resends an at-most-once request through
+// sendWithResends sends a request. With untilSettled set, it resends an at-most-once request through
 // the next gateway as long as its caller does not know the outcome.
-func (c *client) sendWithResends(ctx context.Context, req request, due time.Time, insist bool, results chan<- Result) {
-	for range maxResends {
+func (c *client) sendWithResends(ctx context.Context, req request, due time.Time, untilSettled bool, results chan<- Result) {
+	for range maxAttempts {
 		result := c.send(req, due, io.Discard)
 		results <- result
-		if !insist || req.key == "" || !result.needsResend() {
+		if !untilSettled || req.key == "" || !result.needsResend() {
 			return
 		}
 		// The end of the load does not cancel the resends.
--- a/internal/load/scenario_test.go
+++ b/internal/load/scenario_test.go
@@ -34,13 +34,13 @@
 	drawn := of.Arrivals(options.Seed)
 	require.Len(t, planned.arrivals, len(drawn))
 	for number, want := range drawn[:50] {
-		made := planned.make(planned.arrivals[number])
-		require.Equal(t, want.At, made.arrival.at)
-		require.Equal(t, of.Kinds[want.Kind].Name, made.kind)
-		require.Equal(t, want.Tenant, made.tenant)
-		require.Equal(t, want.OutputTokens, made.outputTokens)
-		require.InDelta(t, want.PromptTokens, made.promptTokens, 10, "the chat's template adds a few tokens")
-		require.Equal(t, []string{options.Target.addressFor(made)}, options.Target.gatewaysIn(of.Zones[want.Zone].Name))
+		built := planned.make(planned.arrivals[number])
+		require.Equal(t, want.At, built.arrival.at)
+		require.Equal(t, of.Kinds[want.Kind].Name, built.kind)
+		require.Equal(t, want.Tenant, built.tenant)
+		require.Equal(t, want.OutputTokens, built.outputTokens)
+		require.InDelta(t, want.PromptTokens, built.promptTokens, 10, "the chat's template adds a few tokens")
+		require.Equal(t, []string{options.Target.addressFor(built)}, options.Target.gatewaysIn(of.Zones[want.Zone].Name))
 	}
 }
 
--- a/internal/load/stream.go
+++ b/internal/load/stream.go
@@ -43,9 +43,9 @@
 
 // checkStream reads an event stream to its end and compares it with the expected answer:
 // every token in order, the finish reason, the usage and the end marker.
-func (r *Result) checkStream(req request, body io.Reader, due time.Time, show io.Writer) {
+func (r *Result) checkStream(req request, body io.Reader, due time.Time, echo io.Writer) {
 	reader := bufio.NewReaderSize(body, streamBuffer)
-	check := streamCheck{request: req, result: r, due: due, echo: show}
+	check := streamCheck{request: req, result: r, due: due, echo: echo}
 	for {
 		line, err := reader.ReadSlice('\n')
 		if err != nil {
--- a/internal/load/stream_test.go
+++ b/internal/load/stream_test.go
@@ -91,8 +91,8 @@
 // ran, and true when only a later one can have run.
 func TestAuditOfAttempts(t *testing.T) {
 	began := time.Unix(1000, 0)
-	attempt := func(second int, outcome Outcome, told verdict.Verdict) Result {
-		return Result{Key: "k", Outcome: outcome, Verdict: told.String(), Total: 500 * time.Millisecond, Ended: began.Add(time.Duration(second) * time.Second)}
+	attempt := func(second int, outcome Outcome, final verdict.Verdict) Result {
+		return Result{Key: "k", Outcome: outcome, Verdict: final.String(), Total: 500 * time.Millisecond, Ended: began.Add(time.Duration(second) * time.Second)}
 	}
 	lost := Result{Key: "k", Outcome: Lost, Total: 500 * time.Millisecond, Ended: began.Add(time.Second)}
 	tests := []struct {
--- a/internal/standin/crashable/server.go
+++ b/internal/standin/crashable/server.go
@@ -51,13 +51,13 @@
 
 // Close stops listening, waits at most patience for requests to finish, and resets the
 // remaining connections.
-func (s *Server) Close(patience time.Duration) error {
+func (s *Server) Close(timeout time.Duration) error {
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.server.Shutdown() }()
 	var err error
 	select {
 	case err = <-stopped:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 	}
 	s.listener.resetAll()
 	<-s.done
--- a/internal/standin/engine/cacheevents.go
+++ b/internal/standin/engine/cacheevents.go
@@ -41,10 +41,10 @@
 // after returns the events with a larger number that are at least lag old.
 func (h *cacheHistory) after(number uint64, now, lag time.Duration) enginecontract.CacheEvents {
 	answer := enginecontract.CacheEvents{Events: []enginecontract.CacheEvent{}, Next: number}
-	for _, kept := range h.events {
-		if kept.event.Sequence > number && now-kept.at >= lag {
-			answer.Events = append(answer.Events, kept.event)
-			answer.Next = kept.event.Sequence
+	for _, stored := range h.events {
+		if stored.event.Sequence > number && now-stored.at >= lag {
+			answer.Events = append(answer.Events, stored.event)
+			answer.Next = stored.event.Sequence
 		}
 	}
 	return answer
--- a/internal/standin/engine/driver.go
+++ b/internal/standin/engine/driver.go
@@ -8,9 +8,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/fault"
 )
 
-// housekeeping is the longest time between two rounds of the driver: load is sampled and
+// housekeepingInterval is the longest time between two rounds of the driver: load is sampled and
 // expired entries are dropped at least this often.
-const housekeeping = 100 * time.Millisecond
+const housekeepingInterval = 100 * time.Millisecond
 
 // drive advances the model and the orders until the process ends.
 func (p *process) drive() {
@@ -39,7 +39,7 @@
 // nextWait returns the time until the next event. The caller holds the mutex.
 func (p *process) nextWait() time.Duration {
 	now := p.now()
-	next := now + housekeeping
+	next := now + housekeepingInterval
 	if at, found := p.model.NextEvent(); found {
 		next = min(next, at)
 	}
@@ -108,18 +108,18 @@
 
 // prune drops expired exchanges and handles and cancels exchanges without a reader.
 func (p *process) prune(now time.Duration) {
-	if now-p.lastPruned < housekeeping {
+	if now-p.lastPruned < housekeepingInterval {
 		return
 	}
 	p.lastPruned = now
-	for id, kept := range p.exchanges {
+	for id, each := range p.exchanges {
 		switch {
-		case kept.isOver():
-			if now-kept.endedAt > FinishedRetention && kept.reader == nil {
+		case each.isOver():
+			if now-each.endedAt > FinishedRetention && each.reader == nil {
 				delete(p.exchanges, id)
 			}
-		case kept.reader == nil && now-kept.unreadSince > ResumeWindow:
-			p.cancelExchange(now, kept)
+		case each.reader == nil && now-each.unreadSince > ResumeWindow:
+			p.cancelExchange(now, each)
 		}
 	}
 	for name, handle := range p.handles {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -11,8 +11,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/fault"
 )
 
-// shutdownPatience is how long Close waits for streams to finish.
-const shutdownPatience = 2 * time.Second
+// shutdownTimeout is how long Close waits for streams to finish.
+const shutdownTimeout = 2 * time.Second
 
 // Engine is one stand-in engine over all its incarnations. It is safe for concurrent use.
 type Engine struct {
@@ -118,7 +118,7 @@
 	}
 }
 
-// Close stops the engine permanently; streams have shutdownPatience to finish.
+// Close stops the engine permanently; streams have shutdownTimeout to finish.
 func (e *Engine) Close() {
 	e.mutex.Lock()
 	dying := e.process
@@ -126,7 +126,7 @@
 	e.closed = true
 	e.mutex.Unlock()
 	if dying != nil {
-		_ = dying.server.Close(shutdownPatience) // Close resets the remaining connections in any case
+		_ = dying.server.Close(shutdownTimeout) // Close resets the remaining connections in any case
 		dying.terminate()
 	}
 }
--- a/internal/standin/engine/events.go
+++ b/internal/standin/engine/events.go
@@ -51,9 +51,9 @@
 }
 
 // end appends the finish event, the usage event and the end-of-stream marker.
-func (w *eventWriter) end(buffer []byte, written, cached int, reason string) []byte {
+func (w *eventWriter) end(buffer []byte, outputTokens, cached int, reason string) []byte {
 	buffer = append(buffer, w.head...)
-	buffer = strconv.AppendInt(buffer, int64(written), 10)
+	buffer = strconv.AppendInt(buffer, int64(outputTokens), 10)
 	if w.chat {
 		buffer = append(buffer, `,"choices":[{"index":0,"delta":{},"finish_reason":"`...)
 	} else {
@@ -62,21 +62,21 @@
 	buffer = append(buffer, reason...)
 	buffer = append(buffer, "\"}]}\n\n"...)
 	buffer = append(buffer, w.head...)
-	buffer = strconv.AppendInt(buffer, int64(written), 10)
+	buffer = strconv.AppendInt(buffer, int64(outputTokens), 10)
 	buffer = append(buffer, `,"choices":[],"usage":{"prompt_tokens":`...)
 	buffer = strconv.AppendInt(buffer, int64(w.promptTokens), 10)
 	buffer = append(buffer, `,"completion_tokens":`...)
-	buffer = strconv.AppendInt(buffer, int64(written), 10)
+	buffer = strconv.AppendInt(buffer, int64(outputTokens), 10)
 	buffer = append(buffer, `,"total_tokens":`...)
-	buffer = strconv.AppendInt(buffer, int64(w.promptTokens+written), 10)
+	buffer = strconv.AppendInt(buffer, int64(w.promptTokens+outputTokens), 10)
 	buffer = append(buffer, `,"prompt_tokens_details":{"cached_tokens":`...)
 	buffer = strconv.AppendInt(buffer, int64(cached), 10)
 	return append(buffer, "}}}\n\ndata: [DONE]\n\n"...)
 }
 
 // failure appends the error event of an answer that fails after its first byte.
-func (w *eventWriter) failure(buffer []byte, written int, code string) []byte {
+func (w *eventWriter) failure(buffer []byte, outputTokens int, code string) []byte {
 	buffer = append(buffer, w.head...)
-	buffer = strconv.AppendInt(buffer, int64(written), 10)
+	buffer = strconv.AppendInt(buffer, int64(outputTokens), 10)
 	return append(buffer, `,"error":{"message":"the exchange ended early","type":"engine_error","code":"`+code+"\"}}\n\n"...)
 }
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -23,7 +23,7 @@
 	expires time.Duration
 }
 
-// kvCache replaces the bytes of a cache; the engine model accounts for the transfer time.
+// kvCache is sent in place of the bytes of a cache; the engine model accounts for the transfer time.
 type kvCache struct {
 	Prompt       string `json:"prompt"`
 	PromptTokens int    `json:"prompt_tokens"`
@@ -36,16 +36,16 @@
 	_, _ = rand.Read(name) // it never fails
 	handle := hex.EncodeToString(name)
 	bytes := int64(prefilled.promptTokens) * p.engine.config.Profile.KVBytesPerToken
-	kept := &kvHandle{
+	stored := &kvHandle{
 		salt:    prefilled.salt,
 		cache:   kvCache{Prompt: PromptKey(prefilled.prompt), PromptTokens: prefilled.promptTokens, Bytes: bytes},
 		expires: p.now() + KVHandleLifetime,
 	}
 	if _, strikes := p.strikeFault(fault.ForeignHandle); strikes {
-		kept.salt += "-of-another"
+		stored.salt += "-of-another"
 	}
 	if _, strikes := p.strikeFault(fault.LoseHandle); !strikes {
-		p.handles[handle] = kept
+		p.handles[handle] = stored
 	}
 	return enginecontract.PrefillAnswer{
 		Exchange: prefilled.id, KVHandle: handle, KVBytes: bytes, PromptTokens: prefilled.promptTokens, CachedTokens: prefilled.cachedTokens,
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -16,11 +16,11 @@
 	report enginecontract.LoadReport
 }
 
-// loadHistoryLength covers every lag that the bench sets, at one sample per housekeeping interval.
+// loadHistoryLength covers every lag that the bench sets, at one sample per housekeepingInterval.
 const loadHistoryLength = 100
 
 func (h *loadHistory) sample(now time.Duration, report enginecontract.LoadReport) {
-	if count := len(h.samples); count > 0 && now-h.samples[count-1].at < housekeeping {
+	if count := len(h.samples); count > 0 && now-h.samples[count-1].at < housekeepingInterval {
 		return
 	}
 	if len(h.samples) >= loadHistoryLength {
--- a/internal/standin/engine/orders/machine.go
+++ b/internal/standin/engine/orders/machine.go
@@ -39,20 +39,20 @@
 
 // New returns the machine of an engine that starts with its durable state: the Durable of
 // its previous incarnation, or only role and model on its first start.
-func New(config Config, kept Durable) *Machine {
-	kept = kept.afterRestart()
+func New(config Config, durable Durable) *Machine {
+	durable = durable.afterRestart()
 	if !config.Safeguards.IsEnabled(DurableFence) {
-		kept.HighestFence = enginecontract.Fence{}
+		durable.HighestFence = enginecontract.Fence{}
 	}
-	return &Machine{config: config, durable: kept}
+	return &Machine{config: config, durable: durable}
 }
 
 // Durable returns a copy of the state that must be stored before the answer is sent.
 func (m *Machine) Durable() Durable {
-	kept := m.durable
-	kept.Adapters = slices.Clone(kept.Adapters)
-	kept.AdapterVersions = maps.Clone(kept.AdapterVersions)
-	return kept
+	durable := m.durable
+	durable.Adapters = slices.Clone(durable.Adapters)
+	durable.AdapterVersions = maps.Clone(durable.AdapterVersions)
+	return durable
 }
 
 // Submit handles one order. A refused order changes only the highest fence and the stored refusal.
@@ -236,14 +236,14 @@
 	return m.durable.Order, m.awaitsWeights && m.durable.Phase == enginecontract.PhaseChanging
 }
 
-// FinishWeightLoad reports that the weights of an order have been loaded, or, if whole is
+// FinishWeightLoad reports that the weights of an order have been loaded, or, if loaded is
 // false, that they are unavailable, which aborts the order and keeps the current model.
-func (m *Machine) FinishWeightLoad(now time.Duration, order enginecontract.Order, whole bool) {
+func (m *Machine) FinishWeightLoad(now time.Duration, order enginecontract.Order, loaded bool) {
 	if wanted, waits := m.PendingWeightLoad(); !waits || wanted != order {
 		return
 	}
 	m.awaitsWeights = false
-	if !whole {
+	if !loaded {
 		m.durable.Phase = enginecontract.PhaseAborted
 		return
 	}
--- a/internal/standin/engine/orders/machine_test.go
+++ b/internal/standin/engine/orders/machine_test.go
@@ -124,16 +124,16 @@
 }
 
 func TestMissingWeightsAbortTheChange(t *testing.T) {
-	for _, whole := range []bool{true, false} {
+	for _, loaded := range []bool{true, false} {
 		machine := newMachine()
 		machine.config.ExternalWeights = true
 		order := enginecontract.Order{Fence: enginecontract.Fence{Epoch: 1}, Action: enginecontract.ActionLoadModel, Model: "m", Version: "2"}
 		require.True(t, machine.Submit(0, order, 0).Accepted)
 		machine.Advance(time.Hour, 0)
 		require.Equal(t, enginecontract.StateChanging, machine.ServiceState())
-		machine.FinishWeightLoad(time.Hour, order, whole)
+		machine.FinishWeightLoad(time.Hour, order, loaded)
 		require.Equal(t, enginecontract.StateServing, machine.ServiceState())
-		require.Equal(t, map[bool]string{true: "2", false: "1"}[whole], machine.State(0).Version)
+		require.Equal(t, map[bool]string{true: "2", false: "1"}[loaded], machine.State(0).Version)
 	}
 }
 
--- a/internal/standin/engine/process.go
+++ b/internal/standin/engine/process.go
@@ -32,7 +32,7 @@
 	mutex         sync.Mutex
 	model         *enginemodel.Engine
 	machine       *orders.Machine
-	phase         enginecontract.OrderPhase // as last seen by advance
+	phase         enginecontract.OrderPhase // as last seen by applyOrderProgress
 	exchanges     map[string]*exchange
 	openExchanges int           // exchanges that are not over
 	lastPruned    time.Duration // when prune last ran
@@ -45,9 +45,9 @@
 	frozenTime time.Duration // total time spent frozen
 }
 
-func newProcess(engine *Engine, incarnation uint64, kept orders.Durable) (*process, error) {
+func newProcess(engine *Engine, incarnation uint64, durable orders.Durable) (*process, error) {
 	config := engine.config
-	model, err := enginemodel.New(config.Profile, kept.Role, enginemodel.WithTokenEvents())
+	model, err := enginemodel.New(config.Profile, durable.Role, enginemodel.WithTokenEvents())
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -66,8 +66,8 @@
 			RoleChange: config.Profile.RoleChange, WeightLoad: config.Profile.WeightLoad,
 			AdapterLoad: config.Profile.AdapterLoad, ExternalWeights: config.WeightStore != "",
 			Safeguards: config.Safeguards,
-		}, kept),
-		phase:     kept.Phase,
+		}, durable),
+		phase:     durable.Phase,
 		exchanges: make(map[string]*exchange),
 		handles:   make(map[string]*kvHandle),
 	}, nil
@@ -87,11 +87,11 @@
 		close(p.thaw)
 		p.thaw = nil
 	}
-	kept := p.machine.Durable()
+	durable := p.machine.Durable()
 	p.mutex.Unlock()
 	p.server.Crash()
 	<-p.driverDone
-	return kept
+	return durable
 }
 
 // now returns the time that the process has run, without freezes. The caller holds the mutex.
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -62,7 +62,7 @@
 	for {
 		s.process.lockThawed()
 		replaced := s.exchange.reader != s.reader
-		written, cached := s.exchange.decodedTokens, s.exchange.cachedTokens
+		decoded, cached := s.exchange.decodedTokens, s.exchange.cachedTokens
 		ended, cancelled, dead := s.exchange.finished, s.exchange.cancelled, s.process.dead
 		s.process.mutex.Unlock()
 		if replaced || dead {
@@ -70,12 +70,12 @@
 			return
 		}
 		s.buffer = s.buffer[:0]
-		struck := s.appendTokens(written)
+		struck := s.appendTokens(decoded)
 		if struck == "" && ended {
-			s.buffer = s.events.end(s.buffer, written, cached, s.finishReason)
+			s.buffer = s.events.end(s.buffer, decoded, cached, s.finishReason)
 		}
 		if struck == "" && cancelled {
-			s.buffer = s.events.failure(s.buffer, written, "cancelled")
+			s.buffer = s.events.failure(s.buffer, decoded, "cancelled")
 		}
 		if len(s.buffer) > 0 {
 			if _, err := out.Write(s.buffer); err != nil || out.Flush() != nil {
@@ -102,10 +102,10 @@
 	}
 }
 
-// appendTokens appends the events of the tokens before written. It returns the fault that
-// ends the stream here, or "".
-func (s *streamer) appendTokens(written int) fault.Kind {
-	for s.offset < written {
+// appendTokens appends the events of the tokens that have been decoded and not sent. It returns the fault that ends the
+// stream here, or "".
+func (s *streamer) appendTokens(decoded int) fault.Kind {
+	for s.offset < decoded {
 		switch s.sent {
 		case s.faults.cut:
 			return fault.Cut
--- a/internal/standin/engine/weights.go
+++ b/internal/standin/engine/weights.go
@@ -19,24 +19,24 @@
 // fetchWeights reads a model's weights from the store for a load-model order and reports the
 // result to the order machine.
 func (p *process) fetchWeights(order enginecontract.Order) {
-	whole := false
-	for attempt := 0; attempt < weightAttempts && !whole && p.ctx.Err() == nil; attempt++ {
+	loaded := false
+	for attempt := 0; attempt < weightAttempts && !loaded && p.ctx.Err() == nil; attempt++ {
 		if attempt > 0 {
 			time.Sleep(weightRetryPause)
 		}
 		var final bool
-		if whole, final = p.attemptWeights(order); final {
+		if loaded, final = p.attemptWeights(order); final {
 			break
 		}
 	}
 	p.lockThawed()
-	p.machine.FinishWeightLoad(p.now(), order, whole)
+	p.machine.FinishWeightLoad(p.now(), order, loaded)
 	p.mutex.Unlock()
 	p.wakeDriver()
 }
 
-// attemptWeights makes one attempt; final reports that a further attempt is pointless.
-func (p *process) attemptWeights(order enginecontract.Order) (whole, final bool) {
+// attemptWeights makes one attempt; loaded reports that it succeeded, final that a further attempt is pointless.
+func (p *process) attemptWeights(order enginecontract.Order) (loaded, final bool) {
 	call, answer := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(call)
 	defer fasthttp.ReleaseResponse(answer)
--- a/internal/standin/machinelist/machinelist.go
+++ b/internal/standin/machinelist/machinelist.go
@@ -19,7 +19,7 @@
 // DefaultLag is the age of the returned list if Config sets none.
 const DefaultLag = 2 * time.Second
 
-const shutdownPatience = time.Second
+const shutdownTimeout = time.Second
 
 // Config configures a machine list.
 type Config struct {
@@ -46,7 +46,7 @@
 	versions []listVersion
 }
 
-// Start starts a machine list whose machines have no start time, so that they are visible at once.
+// Start starts a machine list. The given machines are visible at once, whatever the lag.
 func Start(config Config, machines []enginecontract.Machine) (*Server, error) {
 	if config.Listen == nil {
 		config.Listen = net.Listen
@@ -68,7 +68,7 @@
 func (s *Server) Address() string { return s.address }
 
 // Close stops the server.
-func (s *Server) Close() { _ = s.server.Close(shutdownPatience) } // it resets the remaining connections in any case
+func (s *Server) Close() { _ = s.server.Close(shutdownTimeout) } // it resets the remaining connections in any case
 
 // SetLag changes the age of the returned list.
 func (s *Server) SetLag(lag time.Duration) {
--- a/internal/standin/page/page.go
+++ b/internal/standin/page/page.go
@@ -25,8 +25,8 @@
 // foreignExchange is the exchange ID of an answer that belongs to another request.
 const foreignExchange = "00000000000000000000000000000bad"
 
-// shutdownPatience is how long Close waits for requests in flight.
-const shutdownPatience = time.Second
+// shutdownTimeout is how long Close waits for requests in flight.
+const shutdownTimeout = time.Second
 
 // Config configures one page service replica.
 type Config struct {
@@ -114,10 +114,10 @@
 	}
 }
 
-// Close stops the replica; requests in flight have shutdownPatience to finish.
+// Close stops the replica; requests in flight have shutdownTimeout to finish.
 func (s *Service) Close() {
 	if server := s.detachServer(); server != nil {
-		_ = server.Close(shutdownPatience) // Close resets the remaining connections in any case
+		_ = server.Close(shutdownTimeout) // Close resets the remaining connections in any case
 	}
 }
 
--- a/internal/standin/weightstore/weightstore.go
+++ b/internal/standin/weightstore/weightstore.go
@@ -21,9 +21,9 @@
 
 const (
 	// chunkBytes is the number of bytes that pass the rate limiter at once.
-	chunkBytes       = 32 << 10
-	shutdownPatience = time.Second
-	retryAfter       = "1"
+	chunkBytes      = 32 << 10
+	shutdownTimeout = time.Second
+	retryAfter      = "1"
 )
 
 // Config configures a weight store.
@@ -84,7 +84,7 @@
 func (s *Server) Address() string { return s.address }
 
 // Close stops the store.
-func (s *Server) Close() { _ = s.server.Close(shutdownPatience) } // it resets the remaining connections in any case
+func (s *Server) Close() { _ = s.server.Close(shutdownTimeout) } // it resets the remaining connections in any case
 
 // Status returns the store's current use and its limits.
 func (s *Server) Status() Status {
