--- a/internal/experiment/benchmarks.go
+++ b/internal/experiment/benchmarks.go
@@ -13,15 +13,15 @@
 
 // WriteBenchmarks writes the page with the results of a suite's runs: for each scenario and
 // policy the goodput as a share of the clairvoyant bound, the role changes and the deadline
-// misses, as the median over the seeds with minimum and maximum. whole states that runs
+// misses, as the median over the seeds with minimum and maximum. isComplete states that runs
 // holds every run of the suite.
-func WriteBenchmarks(path, commandLine string, whole bool, runs []*Run) error {
+func WriteBenchmarks(path, commandLine string, isComplete bool, runs []*Run) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
 	writer := &errorWriter{out: file}
-	writeBenchmarks(writer, commandLine, whole, runs)
+	writeBenchmarks(writer, commandLine, isComplete, runs)
 	return trace.NewAggregate(writer.err, file.Close())
 }
 
@@ -61,9 +61,9 @@
   clairvoyant (knows all arrivals, pays for changes, best under the declared trade).
 `
 
-func writeBenchmarks(w *errorWriter, commandLine string, whole bool, runs []*Run) {
+func writeBenchmarks(w *errorWriter, commandLine string, isComplete bool, runs []*Run) {
 	extent := "The same command gives the same page."
-	if !whole {
+	if !isComplete {
 		extent = "The sweep was broken off: rows, seeds and bounds that are missing were not run. The\ncommand runs them all."
 	}
 	w.line(benchmarksIntroduction, commandLine, extent, seedRange(runs), seedRange(withBound(runs)))
@@ -130,12 +130,12 @@
 	return fmt.Sprintf("%s %.1f%%", best, share)
 }
 
-// goodputRatio returns the ratio of the medians of goodput.
-func goodputRatio(own, other []*Run) string {
-	if len(other) == 0 {
+// goodputRatio returns the ratio of the median goodputs, each as a share of the offered worth.
+func goodputRatio(planned, baseline []*Run) string {
+	if len(baseline) == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.2f", median(own, shareOfOffered)/max(median(other, shareOfOffered), 1e-9))
+	return fmt.Sprintf("%.2f", median(planned, shareOfOffered)/max(median(baseline, shareOfOffered), 1e-9))
 }
 
 // groupRuns groups runs by a key, in order of the keys' first appearance.
--- a/internal/experiment/clairvoyant.go
+++ b/internal/experiment/clairvoyant.go
@@ -127,7 +127,7 @@
 	}
 	program := &dynamicProgram{
 		model: s.plannerModel(service), windows: windows, splits: splits,
-		initial: initialSplit(&s.declared, service.Name), maxMoves: maximumOut(service),
+		initial: initialSplit(&s.declared, service.Name), maxMoves: maxOut(service),
 		changePrice: variant.priceFactor * service.Trade.ChangePrice, rateCache: map[rateKey]float64{},
 	}
 	return program.solve(variant.lead)
--- a/internal/experiment/controller.go
+++ b/internal/experiment/controller.go
@@ -26,7 +26,8 @@
 	// those that drop reports.
 	plannerFaults int
 	reportFaults  int
-	// lastObserved is the last observation of each engine, used while its reports are lost.
+	// lastObserved is the last observation of each engine, used while its reports are lost or its
+	// process is down or suspended.
 	lastObserved map[string]planner.EngineObservation
 }
 
@@ -133,7 +134,7 @@
 // order sends a change to its engine if the declared bounds allow it at this time.
 func (c *controller) order(service *scenario.Service, change planner.Change) {
 	engine := c.world.byName[change.Engine]
-	if engine == nil || engine.target != "" || engine.role == change.To || !engine.isUp || c.countOut(service) >= maximumOut(service) {
+	if engine == nil || engine.target != "" || engine.role == change.To || !engine.isUp || c.countOut(service) >= maxOut(service) {
 		return
 	}
 	if pinned, found := service.Pins[change.Engine]; found && pinned != change.To {
@@ -162,8 +163,8 @@
 	return out
 }
 
-// maximumOut returns the tightest bound on the engines out of service at once over a whole service.
-func maximumOut(service *scenario.Service) int {
+// maxOut returns the tightest bound on the engines out of service at once over a whole service.
+func maxOut(service *scenario.Service) int {
 	limit := 0
 	for _, bound := range service.Bounds {
 		if most := max(bound.MaximumOut, 1); bound.Zone == "" && (limit == 0 || most < limit) {
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -24,14 +24,17 @@
 	incarnation uint64
 	// target is the role of the current order; empty without one.
 	target enginecontract.Role
-	// order numbers the orders, so that a crash invalidates pending steps of one.
+	// order is the number of the last order; a crash increases it, so that the pending steps of an
+	// earlier order are dropped.
 	order int
 	// isUp is false while the engine's process is down.
 	isUp bool
-	// paused is set while the process is suspended; lostTime is the total time spent suspended.
+	// paused is set while the process is suspended.
 	paused   bool
 	pausedAt time.Duration
-	lostTime time.Duration
+	// clockOffset is how far the engine's clock is behind the run's: the time spent suspended, and
+	// after a restart the time before it.
+	clockOffset time.Duration
 
 	attempts map[string]*attempt
 	// readings are load readings, oldest first; reportsFrozen stops new ones from being added.
@@ -48,7 +51,7 @@
 }
 
 func newEngine(w *world, declared scenario.Engine, profile enginemodel.Profile) (*engine, error) {
-	made := &engine{
+	created := &engine{
 		world: w, declared: declared, profile: profile, state: enginecontract.StateServing, role: declared.Role,
 		incarnation: 1, isUp: true, attempts: map[string]*attempt{},
 	}
@@ -56,16 +59,16 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	made.model = model
-	return made, nil
+	created.model = model
+	return created, nil
 }
 
 // localTime converts a time to the engine's clock, which does not advance while it is suspended.
 func (e *engine) localTime(now time.Duration) time.Duration {
 	if e.paused {
-		return e.pausedAt - e.lostTime
+		return e.pausedAt - e.clockOffset
 	}
-	return now - e.lostTime
+	return now - e.clockOffset
 }
 
 func (e *engine) nextEvent() (time.Duration, bool) {
@@ -73,7 +76,7 @@
 		return 0, false
 	}
 	at, busy := e.model.NextEvent()
-	return at + e.lostTime, busy
+	return at + e.clockOffset, busy
 }
 
 // advance runs the engine model up to now and dispatches its events.
@@ -110,11 +113,11 @@
 
 const (
 	submissionAccepted submission = iota
-	// submissionUnreachable: the engine's process is down.
+	// submissionUnreachable means that the engine's process is down.
 	submissionUnreachable
-	// submissionNotServing: the engine is draining or changing.
+	// submissionNotServing means that the engine is draining or changing.
 	submissionNotServing
-	// submissionOverloaded: the engine has no capacity for the request.
+	// submissionOverloaded means that the engine has no capacity for the request.
 	submissionOverloaded
 )
 
@@ -205,7 +208,7 @@
 		return // the error cannot happen: profile and role have been used before
 	}
 	e.model, e.isUp = model, true
-	e.lostTime = e.world.now // the new model's clock starts at 0
+	e.clockOffset = e.world.now // the new model's clock starts at 0
 	e.paused = false
 	e.incarnation++
 	e.state = enginecontract.StateServing
@@ -220,7 +223,7 @@
 
 func (e *engine) unpause() {
 	if e.paused {
-		e.lostTime += e.world.now - e.pausedAt
+		e.clockOffset += e.world.now - e.pausedAt
 		e.paused = false
 	}
 }
--- a/internal/experiment/exchange.go
+++ b/internal/experiment/exchange.go
@@ -17,7 +17,7 @@
 // startAttempt selects engines for a request and sends it.
 func (g *gateway) startAttempt(req *request) {
 	w := g.world
-	if req.attempts >= maximumExchanges {
+	if req.attempts >= maxAttempts {
 		g.failRequest(req, reasonNoBackEnd)
 		return
 	}
@@ -35,16 +35,16 @@
 		decodeEngine: w.byName[choice.BackEnd.Name],
 	}
 	req.current = current
-	unread := max(req.estimatedPrompt-choice.CachedTokens, 0)
-	sent := routing.Dispatch{BackEnd: choice.BackEnd.Name, Exchange: current.id, PromptTokens: unread, PrefixBlocks: req.routingBlocks, CachedAtHome: choice.CachedAtHome}
+	uncachedTokens := max(req.estimatedPrompt-choice.CachedTokens, 0)
+	dispatch := routing.Dispatch{BackEnd: choice.BackEnd.Name, Exchange: current.id, PromptTokens: uncachedTokens, PrefixBlocks: req.routingBlocks, CachedAtHome: choice.CachedAtHome}
 	if choice.Prefill == nil {
-		g.router.Observe(w.now, sent)
+		g.router.Observe(w.now, dispatch)
 		g.send(current, current.decodeEngine, enginemodel.PhaseFull)
 		return
 	}
 	current.prefillEngine = w.byName[choice.Prefill.Name]
-	sent.BackEnd = choice.Prefill.Name
-	g.router.Observe(w.now, sent)
+	dispatch.BackEnd = choice.Prefill.Name
+	g.router.Observe(w.now, dispatch)
 	g.router.Observe(w.now, routing.Dispatch{BackEnd: choice.BackEnd.Name, Exchange: current.id})
 	g.send(current, current.prefillEngine, enginemodel.PhasePrefillOnly)
 }
@@ -140,14 +140,14 @@
 	g.observeAnswer(current.decodeEngine)
 }
 
-// recordFirstToken reports the time to first token to admission. It skips retries, whose time
-// includes failed attempts.
+// recordFirstToken reports to admission how much longer than its estimated prefill a request took
+// to its first token. It skips retries, whose time includes failed attempts.
 func (g *gateway) recordFirstToken(req *request) {
 	if req.attempts != 1 {
 		return
 	}
-	own := time.Duration(float64(req.estimatedPrompt) / slowPromptTokensPerSecond * float64(time.Second))
-	g.services[req.kind.Service].RecordFirstToken(g.world.now, uint64(req.Number), max(g.world.now-req.startedAt-own, 0))
+	estimatedPrefill := time.Duration(float64(req.estimatedPrompt) / slowPromptTokensPerSecond * float64(time.Second))
+	g.services[req.kind.Service].RecordFirstToken(g.world.now, uint64(req.Number), max(g.world.now-req.startedAt-estimatedPrefill, 0))
 }
 
 // observeAnswer passes the state and load in an answer's headers to the router.
--- a/internal/experiment/faults.go
+++ b/internal/experiment/faults.go
@@ -11,25 +11,25 @@
 		declared[i] = engine.declared
 	}
 	for _, fault := range w.scenario.Faults {
-		struck := make([]*engine, 0, len(declared))
+		affected := make([]*engine, 0, len(declared))
 		for _, chosen := range fault.Targets(declared) {
-			struck = append(struck, w.byName[chosen.Name])
+			affected = append(affected, w.byName[chosen.Name])
 		}
-		w.agenda.Schedule(fault.At, func() { w.beginFault(fault, struck) })
+		w.agenda.Schedule(fault.At, func() { w.beginFault(fault, affected) })
 		if fault.Length > 0 {
-			w.agenda.Schedule(fault.At+fault.Length, func() { w.endFault(fault, struck) })
+			w.agenda.Schedule(fault.At+fault.Length, func() { w.endFault(fault, affected) })
 		}
 	}
 }
 
-func (w *world) beginFault(fault scenario.Fault, struck []*engine) {
+func (w *world) beginFault(fault scenario.Fault, affected []*engine) {
 	switch fault.Fault {
 	case scenario.FaultEngineCrash:
-		w.applyToEngines(EventFault, fault, struck, (*engine).crash)
+		w.applyToEngines(EventFault, fault, affected, (*engine).crash)
 	case scenario.FaultEnginePause:
-		w.applyToEngines(EventFault, fault, struck, (*engine).pause)
+		w.applyToEngines(EventFault, fault, affected, (*engine).pause)
 	case scenario.FaultStaleReports:
-		w.applyToEngines(EventFault, fault, struck, func(e *engine) { e.reportsFrozen = true })
+		w.applyToEngines(EventFault, fault, affected, func(e *engine) { e.reportsFrozen = true })
 	case scenario.FaultLostReports:
 		w.control.reportFaults++
 		w.recorder.recordEvent(Event{Type: EventFault, Detail: string(fault.Fault)})
@@ -43,14 +43,14 @@
 	}
 }
 
-func (w *world) endFault(fault scenario.Fault, struck []*engine) {
+func (w *world) endFault(fault scenario.Fault, affected []*engine) {
 	switch fault.Fault {
 	case scenario.FaultEngineCrash:
-		w.applyToEngines(EventRecovered, fault, struck, (*engine).restart)
+		w.applyToEngines(EventRecovered, fault, affected, (*engine).restart)
 	case scenario.FaultEnginePause:
-		w.applyToEngines(EventRecovered, fault, struck, (*engine).unpause)
+		w.applyToEngines(EventRecovered, fault, affected, (*engine).unpause)
 	case scenario.FaultStaleReports:
-		w.applyToEngines(EventRecovered, fault, struck, func(e *engine) { e.reportsFrozen = false })
+		w.applyToEngines(EventRecovered, fault, affected, func(e *engine) { e.reportsFrozen = false })
 	case scenario.FaultLostReports:
 		w.control.reportFaults--
 		w.recorder.recordEvent(Event{Type: EventRecovered, Detail: string(fault.Fault)})
@@ -61,8 +61,8 @@
 }
 
 // applyToEngines calls do for each engine that a fault affects and records an event for it.
-func (w *world) applyToEngines(eventType EventType, fault scenario.Fault, struck []*engine, do func(*engine)) {
-	for _, each := range struck {
+func (w *world) applyToEngines(eventType EventType, fault scenario.Fault, affected []*engine, do func(*engine)) {
+	for _, each := range affected {
 		do(each)
 		w.recorder.recordEvent(Event{
 			Type: eventType, Service: each.declared.Service, Engine: each.declared.Name, Zone: each.declared.Zone,
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -15,7 +15,7 @@
 
 // Constants of the product's gateway on which the decisions depend.
 const (
-	maximumExchanges          = 3
+	maxAttempts               = 3
 	fastestTokenInterval      = 5 * time.Millisecond
 	slowPromptTokensPerSecond = 8_000
 	estimatorPairs            = 4096
@@ -41,27 +41,27 @@
 
 func newGateway(w *world, zone int) (*gateway, error) {
 	name := w.scenario.Zones[zone].Name
-	made := &gateway{
+	created := &gateway{
 		world: w, zone: name, identity: &v1.NodeIdentity{Name: "gateway-" + name, Zone: name},
 		services: map[string]*admission.Core{}, waiting: map[uint64]*request{},
 	}
-	made.state = gatewaystate.New(gatewaystate.Config{Identity: made.identity})
+	created.state = gatewaystate.New(gatewaystate.Config{Identity: created.identity})
 	var err error
-	if made.estimator, err = admission.NewEstimator(estimatorPairs); err != nil {
+	if created.estimator, err = admission.NewEstimator(estimatorPairs); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	made.router, err = routing.New(routing.Config{
+	created.router, err = routing.New(routing.Config{
 		Zone: name, OtherZoneLatency: max(w.scenario.Latency.BetweenZones, 1), Seed: w.options.Seed + uint64(zone),
 	})
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	for _, service := range w.scenario.Services {
-		if made.services[service.Name], err = admission.New(admission.Config{}); err != nil {
+		if created.services[service.Name], err = admission.New(admission.Config{}); err != nil {
 			return nil, trace.Wrap(err)
 		}
 	}
-	return made, nil
+	return created, nil
 }
 
 // syncDirectory updates the router from the directory that the controllers publish.
--- a/internal/experiment/model_test.go
+++ b/internal/experiment/model_test.go
@@ -19,9 +19,9 @@
 	maxDifference     = 0.3
 )
 
-// TestModelAgreesWithTheEmulator compares the planner's fluid model with the simulation, for
+// TestModelAgreesWithTheSimulation compares the planner's fluid model with the simulation, for
 // splits that fit a mix and splits that do not.
-func TestModelAgreesWithTheEmulator(t *testing.T) {
+func TestModelAgreesWithTheSimulation(t *testing.T) {
 	declared, err := scenario.Load("../../bench/scenarios/empleandes/calm.yaml")
 	require.NoError(t, err)
 	declared.Duration = 30 * time.Second
--- a/internal/experiment/previousplanner/cost.go
+++ b/internal/experiment/previousplanner/cost.go
@@ -60,11 +60,11 @@
 	for _, current := range estimates {
 		extra += current.arrivals * current.prompt * current.cached / profile.PrefillTokensPerSecond
 	}
-	readers := float64(split.Prefill + split.Mixed + 1)
+	prefillEngines := float64(split.Prefill + split.Mixed + 1)
 	engineSeconds := load.prefillEngines() + load.decodeEngines()
 	if engineSeconds <= 0 {
 		return 0
 	}
 	worthOfEngineSecond := load.worthRate() / engineSeconds
-	return extra / readers * worthOfEngineSecond * seconds(profile.CacheWarmup) / 2
+	return extra / prefillEngines * worthOfEngineSecond * seconds(profile.CacheWarmup) / 2
 }
--- a/internal/experiment/previousplanner/planner.go
+++ b/internal/experiment/previousplanner/planner.go
@@ -59,7 +59,7 @@
 
 // bestChange evaluates every single change and returns the most valuable one that pays back.
 func (p *QueueingPlanner) bestChange(observation Observation) Decision {
-	weighing := newWeighing(observation, p.tracker.current())
+	evaluator := newChangeEvaluator(observation, p.tracker.current())
 	var chosen *Change
 	reason := "no change pays back"
 	bestLoss := 0.0
@@ -70,12 +70,12 @@
 			}
 			engines, why := candidates(observation, from, to)
 			if len(engines) == 0 {
-				if weighing.split.Count(from) > 0 && weighing.wants(from, to) {
+				if evaluator.split.Count(from) > 0 && evaluator.wants(from, to) {
 					reason = fmt.Sprintf("%s to %s would pay back, but %s", from, to, why)
 				}
 				continue
 			}
-			change := weighing.change(engines[0], to)
+			change := evaluator.evaluate(engines[0], to)
 			if change.Gain > 0 && (chosen == nil || change.Gain > chosen.Gain) {
 				chosen = &change
 			}
@@ -88,7 +88,7 @@
 		return Decision{Changes: []Change{*chosen}, Reason: chosen.Reason}
 	}
 	return hold("%s: the best one would lose %.1f of worth over %s at %s",
-		reason, 0-bestLoss, weighing.horizon, weighing.describe())
+		reason, 0-bestLoss, evaluator.horizon, evaluator.describe())
 }
 
 // hold returns a decision to change nothing.
@@ -96,8 +96,8 @@
 	return Decision{Reason: fmt.Sprintf(format, values...)}
 }
 
-// weighing is the basis on which one decision compares changes.
-type weighing struct {
+// changeEvaluator holds what the changes of one decision are compared by.
+type changeEvaluator struct {
 	observation Observation
 	estimates   []estimate
 	load        workload
@@ -108,12 +108,12 @@
 	stayRate float64
 }
 
-func newWeighing(observation Observation, estimates []estimate) weighing {
+func newChangeEvaluator(observation Observation, estimates []estimate) changeEvaluator {
 	horizon := observation.Policy.Horizon
 	if horizon <= 0 {
 		horizon = defaultHorizon
 	}
-	result := weighing{
+	result := changeEvaluator{
 		observation: observation,
 		estimates:   estimates,
 		load:        buildWorkload(estimates, observation.Kinds, observation.Profile),
@@ -126,36 +126,36 @@
 }
 
 // wants reports whether the split after a change would have a higher worth per second.
-func (w weighing) wants(from, to enginecontract.Role) bool {
-	after := w.split.Add(from, -1).Add(to, 1)
-	return w.model.goodput(after, w.load) > w.stayRate*1.02
+func (e changeEvaluator) wants(from, to enginecontract.Role) bool {
+	after := e.split.Add(from, -1).Add(to, 1)
+	return e.model.goodput(after, e.load) > e.stayRate*1.02
 }
 
-// change computes the gain of one change over the horizon.
-func (w weighing) change(engine EngineObservation, to enginecontract.Role) Change {
-	during := w.split.Add(engine.Role, -1)
+// evaluate computes the gain of one change over the horizon.
+func (e changeEvaluator) evaluate(engine EngineObservation, to enginecontract.Role) Change {
+	during := e.split.Add(engine.Role, -1)
 	after := during.Add(to, 1)
-	out := outage(engine, w.load, w.observation.Profile)
-	horizon := seconds(w.horizon)
-	outShare := min(out, horizon)
-	duringRate := w.model.goodput(during, w.load)
-	afterRate := w.model.goodput(after, w.load)
-	gained := (afterRate - w.stayRate) * (horizon - outShare)
-	lost := (w.stayRate-duringRate)*outShare +
-		cacheLoss(to, w.estimates, w.load, after, w.observation.Profile) +
-		w.observation.Policy.ChangePrice
+	out := outage(engine, e.load, e.observation.Profile)
+	horizon := seconds(e.horizon)
+	outWithinHorizon := min(out, horizon)
+	duringRate := e.model.goodput(during, e.load)
+	afterRate := e.model.goodput(after, e.load)
+	gained := (afterRate - e.stayRate) * (horizon - outWithinHorizon)
+	lost := (e.stayRate-duringRate)*outWithinHorizon +
+		cacheLoss(to, e.estimates, e.load, after, e.observation.Profile) +
+		e.observation.Policy.ChangePrice
 	return Change{
 		Engine: engine.Name,
 		From:   engine.Role,
 		To:     to,
 		Gain:   gained - lost,
 		Reason: fmt.Sprintf("%s goes from %s to %s: over %s it adds %.1f of worth and costs %.1f (%.1fs out), at %s",
-			engine.Name, engine.Role, to, w.horizon, gained, lost, out, w.describe()),
+			engine.Name, engine.Role, to, e.horizon, gained, lost, out, e.describe()),
 	}
 }
 
 // describe describes the demand, in engines, and the split that serves it.
-func (w weighing) describe() string {
+func (e changeEvaluator) describe() string {
 	return fmt.Sprintf("a demand of %.1f engines reading and %.1f writing, served by %s",
-		w.load.prefillEngines(), w.load.decodeEngines(), w.split)
+		e.load.prefillEngines(), e.load.decodeEngines(), e.split)
 }
--- a/internal/experiment/request.go
+++ b/internal/experiment/request.go
@@ -57,9 +57,9 @@
 
 func (w *world) newRequest(arrival *scenario.Arrival) *request {
 	kind := &w.scenario.Kinds[arrival.Kind]
-	made := &request{Arrival: arrival, kind: kind, tenant: tenantName(arrival.Tenant), exchange: strconv.Itoa(arrival.Number)}
+	created := &request{Arrival: arrival, kind: kind, tenant: tenantName(arrival.Tenant), exchange: strconv.Itoa(arrival.Number)}
 	if kind.Deadline > 0 {
-		made.deadline = arrival.At + kind.Deadline
+		created.deadline = arrival.At + kind.Deadline
 	}
 	blockTokens := 0
 	for _, service := range w.scenario.Services {
@@ -67,9 +67,9 @@
 			blockTokens = service.EngineProfile().BlockTokens
 		}
 	}
-	made.routingBlocks = prefixBlocks(arrival, routingBlockTokens, routing.MaxPrefixBlocks)
-	made.engineBlocks = prefixBlocks(arrival, blockTokens, arrival.PromptTokens)
-	return made
+	created.routingBlocks = prefixBlocks(arrival, routingBlockTokens, routing.MaxPrefixBlocks)
+	created.engineBlocks = prefixBlocks(arrival, blockTokens, arrival.PromptTokens)
+	return created
 }
 
 func tenantName(index int) string { return "tenant-" + strconv.Itoa(index+1) }
--- a/internal/experiment/run_file.go
+++ b/internal/experiment/run_file.go
@@ -34,18 +34,18 @@
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	kept := &runFile{file: file, runs: map[runKey]*Run{}}
+	opened := &runFile{file: file, runs: map[runKey]*Run{}}
 	decoder := json.NewDecoder(file)
 	for {
 		run := new(Run)
 		err := decoder.Decode(run)
 		if errors.Is(err, io.EOF) {
-			return kept, nil
+			return opened, nil
 		}
 		if err != nil {
 			return nil, trace.NewAggregate(trace.BadParameter("%s does not hold a list of runs: %v; delete the file", path, err), file.Close())
 		}
-		kept.runs[runKey{run.Deployment, run.Scenario, run.Policy, run.Seed}] = run
+		opened.runs[runKey{run.Deployment, run.Scenario, run.Policy, run.Seed}] = run
 	}
 }
 
--- a/internal/experiment/splits.go
+++ b/internal/experiment/splits.go
@@ -70,19 +70,20 @@
 	return roles
 }
 
-// mostUnderassigned returns the role that is furthest below its proportional count after places engines.
-func mostUnderassigned(split, given planner.Split, places, total int) enginecontract.Role {
+// mostUnderassigned returns the role that falls furthest short of its proportional count when
+// places of total engines are assigned.
+func mostUnderassigned(split, assigned planner.Split, places, total int) enginecontract.Role {
 	best, most := enginecontract.RoleMixed, -1.0
 	for _, role := range planner.Roles() {
-		if given.Count(role) >= split.Count(role) {
+		if assigned.Count(role) >= split.Count(role) {
 			continue
 		}
-		owed := float64(split.Count(role)*places)/float64(total) - float64(given.Count(role))
-		if most < 0 && owed < 0 {
-			owed = 0
+		shortfall := float64(split.Count(role)*places)/float64(total) - float64(assigned.Count(role))
+		if most < 0 && shortfall < 0 {
+			shortfall = 0
 		}
-		if owed > most {
-			best, most = role, owed
+		if shortfall > most {
+			best, most = role, shortfall
 		}
 	}
 	return best
--- a/internal/experiment/suite.go
+++ b/internal/experiment/suite.go
@@ -28,11 +28,11 @@
 
 // Run returns the runs in order of scenario, seed and policy.
 func (s Suite) Run(ctx context.Context) ([]*Run, error) {
-	kept, err := openRunFile(s.RunFile)
+	finished, err := openRunFile(s.RunFile)
 	if err != nil {
 		return nil, err
 	}
-	defer kept.close()
+	defer finished.close()
 	results := make([][]*Run, len(s.Scenarios)*s.Seeds)
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(s.Parallel, 1))
@@ -42,7 +42,7 @@
 				return trace.Wrap(ctx.Err())
 			}
 			var err error
-			results[index], err = s.runStudy(s.Scenarios[index/s.Seeds], s.FirstSeed+uint64(index%s.Seeds), kept)
+			results[index], err = s.runStudy(s.Scenarios[index/s.Seeds], s.FirstSeed+uint64(index%s.Seeds), finished)
 			return err
 		})
 	}
@@ -56,12 +56,12 @@
 	return all, nil
 }
 
-func (s Suite) runStudy(declared scenario.Scenario, seed uint64, kept *runFile) ([]*Run, error) {
+func (s Suite) runStudy(declared scenario.Scenario, seed uint64, finished *runFile) ([]*Run, error) {
 	study := NewStudy(declared, seed)
 	study.WholeOnly = s.WholeOnly
 	var runs []*Run
 	for _, policy := range s.Policies {
-		run, found := kept.find(&declared, policy, seed)
+		run, found := finished.find(&declared, policy, seed)
 		if !found && s.RunFileOnly {
 			continue
 		}
@@ -73,7 +73,7 @@
 			if policy == PolicyClairvoyant {
 				run.BoundGoodput = &study.plan.highestGoodput
 			}
-			if err := kept.add(run); err != nil {
+			if err := finished.add(run); err != nil {
 				return nil, err
 			}
 		}
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -58,12 +58,12 @@
 			}
 		}
 		for _, declared := range serviceEngines {
-			made, err := newEngine(w, declared, service.EngineProfile())
+			created, err := newEngine(w, declared, service.EngineProfile())
 			if err != nil {
 				return trace.Wrap(err)
 			}
-			w.engines = append(w.engines, made)
-			w.byName[declared.Name] = made
+			w.engines = append(w.engines, created)
+			w.byName[declared.Name] = created
 		}
 	}
 	return nil
--- a/internal/processrun/faults.go
+++ b/internal/processrun/faults.go
@@ -24,20 +24,20 @@
 }
 
 // scheduleFaults starts the scenario's faults at their times, until the context ends. It does not block.
-func scheduleFaults(ctx context.Context, outside *fleet.StandIns, definition scenario.Scenario, start time.Time) {
+func scheduleFaults(ctx context.Context, standIns *fleet.StandIns, definition scenario.Scenario, start time.Time) {
 	for _, fault := range definition.Faults {
 		go func() {
 			if !sleepUntil(ctx, start.Add(fault.At)) {
 				return
 			}
-			injectFault(ctx, outside, definition, fault)
+			injectFault(ctx, standIns, definition, fault)
 		}()
 	}
 }
 
-func injectFault(ctx context.Context, outside *fleet.StandIns, definition scenario.Scenario, fault scenario.Fault) {
+func injectFault(ctx context.Context, standIns *fleet.StandIns, definition scenario.Scenario, fault scenario.Fault) {
 	for _, declared := range fault.Targets(definition.Engines()) {
-		target := outside.Engine(declared.Name)
+		target := standIns.Engine(declared.Name)
 		if target == nil {
 			continue
 		}
--- a/internal/report/chart.go
+++ b/internal/report/chart.go
@@ -30,7 +30,7 @@
 	SVG     template.HTML
 }
 
-// chartLine is one chartLine of a chart.
+// chartLine is one line of a chart.
 type chartLine struct {
 	name   string
 	points plotter.XYs
@@ -46,23 +46,23 @@
 
 // newPlot returns an empty plot with axis labels.
 func newPlot(x, y string) *plot.Plot {
-	made := plot.New()
-	made.X.Label.Text, made.Y.Label.Text = x, y
-	made.Legend.Top, made.Legend.Left = true, true
-	made.Legend.XOffs = vg.Millimeter
-	return made
+	created := plot.New()
+	created.X.Label.Text, created.Y.Label.Text = x, y
+	created.Legend.Top, created.Legend.Left = true, true
+	created.Legend.XOffs = vg.Millimeter
+	return created
 }
 
 // lineChart draws lines over time in seconds.
 func lineChart(caption, unit string, lines []chartLine) (chart, error) {
-	made := newPlot("seconds", unit)
+	created := newPlot("seconds", unit)
 	for _, drawn := range lines {
-		if err := addLine(made, drawn); err != nil {
+		if err := addLine(created, drawn); err != nil {
 			return chart{}, trace.Wrap(err)
 		}
 	}
-	setVerticalAxis(made, len(lines))
-	return render(caption, made, chartHeight)
+	setVerticalAxis(created, len(lines))
+	return render(caption, created, chartHeight)
 }
 
 // setVerticalAxis starts the vertical axis at zero and extends it beyond the highest value,
@@ -76,22 +76,22 @@
 	if len(drawn.points) == 0 {
 		return nil
 	}
-	made, err := plotter.NewLine(drawn.points)
+	created, err := plotter.NewLine(drawn.points)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	made.Color, made.Width = drawn.color, lineWidth
+	created.Color, created.Width = drawn.color, lineWidth
 	if drawn.dashed {
-		made.Dashes = []vg.Length{2 * vg.Millimeter, vg.Millimeter}
+		created.Dashes = []vg.Length{2 * vg.Millimeter, vg.Millimeter}
 	}
-	to.Add(made)
-	to.Legend.Add(drawn.name, made)
+	to.Add(created)
+	to.Legend.Add(drawn.name, created)
 	return nil
 }
 
 // stackChart draws layers on top of each other, with vertical marks across them.
 func stackChart(caption, unit string, layers []chartLine, marks []verticalMark) (chart, error) {
-	made := newPlot("seconds", unit)
+	created := newPlot("seconds", unit)
 	var below plotter.XYs
 	for _, layer := range layers {
 		top := stackedOn(layer.points, below)
@@ -100,11 +100,11 @@
 			return chart{}, trace.Wrap(err)
 		}
 		area.Color, area.LineStyle.Width = layer.color, 0
-		made.Add(area)
-		made.Legend.Add(layer.name, area)
+		created.Add(area)
+		created.Legend.Add(layer.name, area)
 		below = top
 	}
-	height := made.Y.Max
+	height := created.Y.Max
 	for _, mark := range marks {
 		drawn, err := plotter.NewLine(plotter.XYs{{X: mark.at, Y: 0}, {X: mark.at, Y: height}})
 		if err != nil {
@@ -112,10 +112,10 @@
 		}
 		drawn.Color, drawn.Width = mark.color, lineWidth
 		drawn.Dashes = []vg.Length{vg.Millimeter, vg.Millimeter}
-		made.Add(drawn)
+		created.Add(drawn)
 	}
-	setVerticalAxis(made, len(layers))
-	return render(caption, made, chartHeight)
+	setVerticalAxis(created, len(layers))
+	return render(caption, created, chartHeight)
 }
 
 // stackedOn adds a layer to the one below it; nil stands for the axis.
@@ -166,7 +166,7 @@
 
 // barChart draws groups of bars.
 func barChart(caption, unit string, names []string, groups []barGroup, layout barLayout) (chart, error) {
-	made := newPlot("", unit)
+	created := newPlot("", unit)
 	width := barWidth(len(names), len(groups), layout)
 	var below *plotter.BarChart
 	for index, group := range groups {
@@ -182,29 +182,29 @@
 			drawn.Offset = width * (vg.Length(index) - vg.Length(len(groups)-1)/2)
 		}
 		below = drawn
-		made.Add(drawn)
-		made.Legend.Add(group.name, drawn)
+		created.Add(drawn)
+		created.Legend.Add(group.name, drawn)
 	}
-	made.NominalX(names...)
-	made.X.Min, made.X.Max = -nominalMargin, float64(len(names))-1+nominalMargin
+	created.NominalX(names...)
+	created.X.Min, created.X.Max = -nominalMargin, float64(len(names))-1+nominalMargin
 	if layout == layoutReference {
-		ends := plotter.XYs{{X: made.X.Min, Y: referenceValue}, {X: made.X.Max, Y: referenceValue}}
-		if err := addLine(made, chartLine{name: "100%", points: ends, color: colorReference, dashed: true}); err != nil {
+		ends := plotter.XYs{{X: created.X.Min, Y: referenceValue}, {X: created.X.Max, Y: referenceValue}}
+		if err := addLine(created, chartLine{name: "100%", points: ends, color: colorReference, dashed: true}); err != nil {
 			return chart{}, trace.Wrap(err)
 		}
 	}
-	setVerticalAxis(made, len(groups)+1)
-	return render(caption, made, chartHeight)
+	setVerticalAxis(created, len(groups)+1)
+	return render(caption, created, chartHeight)
 }
 
-// barWidth divides three quarters of the chart's width among all bars.
+// barWidth divides three quarters of the chart's width among all bars, up to maxWidth for each.
 func barWidth(names, groups int, layout barLayout) vg.Length {
 	sideBySide := groups
 	if layout == layoutStacked {
 		sideBySide = 1
 	}
-	const used, mostWidth = 0.75, 1.5 * vg.Centimeter
-	return min(used*chartWidth/vg.Length(max(names*sideBySide, 1)), mostWidth)
+	const used, maxWidth = 0.75, 1.5 * vg.Centimeter
+	return min(used*chartWidth/vg.Length(max(names*sideBySide, 1)), maxWidth)
 }
 
 // render draws a plot as SVG for inclusion in an HTML page.
--- a/internal/report/overview.go
+++ b/internal/report/overview.go
@@ -24,15 +24,15 @@
 			}
 		}
 	}
-	made := overview{Header: append([]string{"scenario"}, policies...)}
+	created := overview{Header: append([]string{"scenario"}, policies...)}
 	for _, group := range s.Groups {
 		row := []string{group.title()}
 		for _, name := range policies {
 			row = append(row, group.overviewCell(name))
 		}
-		made.Rows = append(made.Rows, row)
+		created.Rows = append(created.Rows, row)
 	}
-	return made
+	return created
 }
 
 // overviewCell returns a policy's goodput, as a share of the bound if there is one, and its
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -41,11 +41,11 @@
 func (s Summary) WriteHTML(out io.Writer) error {
 	data := pageData{Overview: s.overview(), Header: tableHeader}
 	for index := range s.Groups {
-		made, err := s.Groups[index].section()
+		created, err := s.Groups[index].section()
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		data.Sections = append(data.Sections, made)
+		data.Sections = append(data.Sections, created)
 	}
 	return trace.Wrap(pageTemplate.Execute(out, data))
 }
@@ -55,17 +55,17 @@
 	if err != nil {
 		return section{}, trace.Wrap(err)
 	}
-	made := section{Title: g.title(), Charts: charts}
+	created := section{Title: g.title(), Charts: charts}
 	for _, policy := range g.Policies {
-		made.Rows = append(made.Rows, policy.tableCells())
+		created.Rows = append(created.Rows, policy.tableCells())
 	}
 	for _, run := range g.firstRuns() {
 		if len(run.Refusals) > 0 {
-			made.Refusals = append(made.Refusals, newRefusalTable(run))
+			created.Refusals = append(created.Refusals, newRefusalTable(run))
 		}
 		if len(run.Events) > 0 {
-			made.Changes = append(made.Changes, eventList{Policy: runLabel(run), Events: run.Events})
+			created.Changes = append(created.Changes, eventList{Policy: runLabel(run), Events: run.Events})
 		}
 	}
-	return made, nil
+	return created, nil
 }
--- a/internal/report/series.go
+++ b/internal/report/series.go
@@ -12,16 +12,16 @@
 // averagedPoints averages one figure of a series into at most maxPoints points.
 func averagedPoints(series []experiment.Sample, figure func(experiment.Sample) float64) plotter.XYs {
 	bin := (len(series) + maxPoints - 1) / maxPoints
-	var made plotter.XYs
+	var points plotter.XYs
 	for start := 0; start < len(series); start += bin {
 		samples := series[start:min(start+bin, len(series))]
 		sum := 0.0
 		for _, sample := range samples {
 			sum += figure(sample)
 		}
-		made = append(made, plotter.XY{X: samples[len(samples)-1].AtSeconds, Y: sum / float64(len(samples))})
+		points = append(points, plotter.XY{X: samples[len(samples)-1].AtSeconds, Y: sum / float64(len(samples))})
 	}
-	return made
+	return points
 }
 
 // roleSum returns a function that sums one count of a service over the zones of a sample.
--- a/internal/report/terminal.go
+++ b/internal/report/terminal.go
@@ -58,9 +58,9 @@
 }
 
 func row(cells []string) table.Row {
-	made := make(table.Row, len(cells))
+	created := make(table.Row, len(cells))
 	for index, cell := range cells {
-		made[index] = cell
+		created[index] = cell
 	}
-	return made
+	return created
 }
--- a/internal/scenario/generate.go
+++ b/internal/scenario/generate.go
@@ -49,7 +49,7 @@
 	for zone := range s.Zones {
 		weights[zone] = s.Zones[zone].CallerWeight
 	}
-	made := &arrivalGenerator{
+	generator := &arrivalGenerator{
 		index:    index,
 		kind:     kind,
 		duration: s.Duration,
@@ -60,8 +60,8 @@
 		prompt:   kind.PromptTokens.sampler(source),
 		output:   kind.OutputTokens.sampler(source),
 	}
-	made.setProcess(source)
-	return made
+	generator.setProcess(source)
+	return generator
 }
 
 // setProcess sets gap, the distance to the next arrival in units of mean interarrival time,
@@ -111,13 +111,13 @@
 }
 
 func (g *arrivalGenerator) drawArrival(at time.Duration) Arrival {
-	made := Arrival{
+	arrival := Arrival{
 		At: at, Kind: g.index, Zone: g.zone(), Tenant: g.tenant(),
 		PromptTokens: g.prompt(), OutputTokens: g.output(),
 	}
 	if g.kind.Prefix.Subjects > 0 {
-		made.Subject = g.subject()
-		made.SharedTokens = int(math.Round(float64(made.PromptTokens) * g.kind.Prefix.Share))
+		arrival.Subject = g.subject()
+		arrival.SharedTokens = int(math.Round(float64(arrival.PromptTokens) * g.kind.Prefix.Share))
 	}
-	return made
+	return arrival
 }
--- a/internal/scenario/trace.go
+++ b/internal/scenario/trace.go
@@ -102,7 +102,7 @@
 }
 
 func (r *traceReader) arrival() Arrival {
-	made := Arrival{
+	arrival := Arrival{
 		At:           r.time(),
 		Kind:         r.name(columnKind, r.scenario.kindNames()),
 		Zone:         r.name(columnZone, r.scenario.zoneNames()),
@@ -112,10 +112,10 @@
 		Subject:      r.number(columnSubject, 0, math.MaxInt32),
 		SharedTokens: r.number(columnShared, 0, math.MaxInt32),
 	}
-	if made.SharedTokens > made.PromptTokens {
-		r.report(columnShared, fmt.Sprintf("%d is more than the prompt's %d", made.SharedTokens, made.PromptTokens), "write at most prompt_tokens")
+	if arrival.SharedTokens > arrival.PromptTokens {
+		r.report(columnShared, fmt.Sprintf("%d is more than the prompt's %d", arrival.SharedTokens, arrival.PromptTokens), "write at most prompt_tokens")
 	}
-	return made
+	return arrival
 }
 
 // cell returns the text of a column and whether the trace has the column.
@@ -165,9 +165,9 @@
 	return number
 }
 
-func (r *traceReader) report(column, fault, cure string) {
+func (r *traceReader) report(column, fault, remedy string) {
 	line, _ := r.rows.FieldPos(0)
 	r.problems = append(r.problems, yamlfile.Problem{
-		Position: fmt.Sprintf("%s:%d", r.path, line), Key: column, Fault: fault, Fix: cure,
+		Position: fmt.Sprintf("%s:%d", r.path, line), Key: column, Fault: fault, Fix: remedy,
 	})
 }
