--- a/internal/experiment/controller.go
+++ b/internal/experiment/controller.go
@@ -107,7 +107,7 @@
 
 // observeEngine returns the observation of one engine from its last visible report.
 func (c *controller) observeEngine(engine *engine) planner.EngineObservation {
-	seen, found := engine.visibleReading()
+	reading, found := engine.visibleReading()
 	name := engine.declared.Name
 	if last, known := c.lastObserved[name]; known && (c.reportFaults > 0 || !engine.isUp || engine.paused) {
 		last.LoadAge += planInterval
@@ -120,11 +120,11 @@
 		OrderOutstanding: engine.target != "", TargetRole: engine.target,
 	}
 	if found {
-		observed.LoadAge = c.world.now - seen.at
+		observed.LoadAge = c.world.now - reading.at
 		observed.Load = &enginecontract.LoadReport{
-			Engine: name, State: seen.state, Role: seen.role, Running: seen.load.Running, Waiting: seen.load.Waiting,
-			WaitingPromptTokens: seen.load.WaitingPromptTokens, RunningOutputTokens: seen.load.RunningOutputTokens,
-			KVCacheUsed: seen.load.KVCacheUsed, PromptTokensDone: seen.load.PromptTokensDone, OutputTokensDone: seen.load.OutputTokensDone,
+			Engine: name, State: reading.state, Role: reading.role, Running: reading.load.Running, Waiting: reading.load.Waiting,
+			WaitingPromptTokens: reading.load.WaitingPromptTokens, RunningOutputTokens: reading.load.RunningOutputTokens,
+			KVCacheUsed: reading.load.KVCacheUsed, PromptTokensDone: reading.load.PromptTokensDone, OutputTokensDone: reading.load.OutputTokensDone,
 		}
 	}
 	c.lastObserved[name] = observed
--- a/internal/experiment/exchange.go
+++ b/internal/experiment/exchange.go
@@ -152,14 +152,14 @@
 
 // observeAnswer passes the state and load in an answer's headers to the router.
 func (g *gateway) observeAnswer(by *engine) {
-	seen, found := by.visibleReading()
+	reading, found := by.visibleReading()
 	if !found || !by.isUp {
 		return
 	}
-	load := seen.routingLoad()
+	load := reading.routingLoad()
 	g.router.Observe(g.world.now, routing.AnswerHeaders{
 		BackEnd: by.declared.Name, Incarnation: by.incarnation, State: by.state, Role: by.role,
-		Load: &load, Age: g.world.now - seen.at,
+		Load: &load, Age: g.world.now - reading.at,
 	})
 }
 
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -75,8 +75,8 @@
 		if !engine.isUp || engine.paused {
 			continue // the engine is not confirmed, so the directory omits it
 		}
-		if seen, found := engine.visibleReading(); found {
-			row.Load, row.LoadAt, row.HasLoad = seen.routingLoad(), seen.at, true
+		if reading, found := engine.visibleReading(); found {
+			row.Load, row.LoadAt, row.HasLoad = reading.routingLoad(), reading.at, true
 		}
 		directory = append(directory, row)
 	}
--- a/internal/experiment/schedule.go
+++ b/internal/experiment/schedule.go
@@ -20,15 +20,15 @@
 
 // splitAt returns the target split at a time; false before the first.
 func (s schedule) splitAt(now time.Duration) (planner.Split, bool) {
-	var wanted planner.Split
+	var target planner.Split
 	found := false
 	for _, step := range s {
 		if step.from > now {
 			break
 		}
-		wanted, found = step.split, true
+		target, found = step.split, true
 	}
-	return wanted, found
+	return target, found
 }
 
 // movesBetween returns the minimum number of engines to change between two splits.
@@ -45,21 +45,21 @@
 
 // Plan implements planner.Planner.
 func (p *schedulePlanner) Plan(observation planner.Observation) planner.Decision {
-	wanted, found := p.schedule.splitAt(observation.Now)
+	target, found := p.schedule.splitAt(observation.Now)
 	if !found {
 		return planner.Decision{Reason: "the schedule has not begun"}
 	}
-	present := planner.Split{}
+	current := planner.Split{}
 	for _, engine := range observation.Engines {
 		role := engine.Role
 		if engine.OrderOutstanding {
 			role = engine.TargetRole
 		}
-		present = present.Add(role, 1)
+		current = current.Add(role, 1)
 	}
 	var decision planner.Decision
 	for {
-		from, to, differs := firstDifference(present, wanted)
+		from, to, differs := firstDifference(current, target)
 		if !differs {
 			return decision
 		}
@@ -68,16 +68,16 @@
 			return decision
 		}
 		decision.Changes = append(decision.Changes, planner.Change{
-			Engine: engine.Name, From: from, To: to, Reason: fmt.Sprintf("the schedule wants %s", wanted),
+			Engine: engine.Name, From: from, To: to, Reason: fmt.Sprintf("the schedule wants %s", target),
 		})
-		present = present.Add(from, -1).Add(to, 1)
+		current = current.Add(from, -1).Add(to, 1)
 	}
 }
 
 // firstDifference returns a role with too many engines and one with too few.
-func firstDifference(present, wanted planner.Split) (from, to enginecontract.Role, differs bool) {
+func firstDifference(current, target planner.Split) (from, to enginecontract.Role, differs bool) {
 	for _, role := range planner.Roles() {
-		switch surplus := present.Count(role) - wanted.Count(role); {
+		switch surplus := current.Count(role) - target.Count(role); {
 		case surplus > 0 && from == "":
 			from = role
 		case surplus < 0 && to == "":
@@ -91,8 +91,8 @@
 func leastLoaded(engines []planner.EngineObservation, role enginecontract.Role, chosen []planner.Change) (planner.EngineObservation, bool) {
 	var fit []planner.EngineObservation
 	for _, engine := range engines {
-		taken := slices.ContainsFunc(chosen, func(change planner.Change) bool { return change.Engine == engine.Name })
-		if engine.Role == role && !engine.OrderOutstanding && !taken && engine.State == enginecontract.StateServing {
+		isChosen := slices.ContainsFunc(chosen, func(change planner.Change) bool { return change.Engine == engine.Name })
+		if engine.Role == role && !engine.OrderOutstanding && !isChosen && engine.State == enginecontract.StateServing {
 			fit = append(fit, engine)
 		}
 	}
--- a/internal/fleet/fault_target.go
+++ b/internal/fleet/fault_target.go
@@ -55,14 +55,14 @@
 // target does not support the fault.
 func (f *Fleet) resolveTargets(fault Fault) ([]faultTarget, error) {
 	var found []faultTarget
-	for _, present := range f.allTargets() {
-		if present.name != fault.Process && (fault.Zone == "" || present.zone != fault.Zone) {
+	for _, target := range f.allTargets() {
+		if target.name != fault.Process && (fault.Zone == "" || target.zone != fault.Zone) {
 			continue
 		}
-		if fault.Fault != FaultCutOff && present.kill == nil {
-			return nil, trace.BadParameter("fault %s at %v: %s supports only cut-off", fault.Fault, fault.At, present.name)
+		if fault.Fault != FaultCutOff && target.kill == nil {
+			return nil, trace.BadParameter("fault %s at %v: %s supports only cut-off", fault.Fault, fault.At, target.name)
 		}
-		found = append(found, present)
+		found = append(found, target)
 	}
 	if len(found) == 0 {
 		return nil, trace.BadParameter("fault %s at %v: the fleet has no process %q or zone %q", fault.Fault, fault.At, fault.Process, fault.Zone)
--- a/internal/fleet/free_network.go
+++ b/internal/fleet/free_network.go
@@ -34,9 +34,9 @@
 // reserveFreeNetwork reserves the first network that no other fleet uses.
 func reserveFreeNetwork() (*networkReservation, error) {
 	for number := firstNetwork; number <= lastNetwork; number++ {
-		taken, err := reserveNetwork(fmt.Sprintf("127.%d", number))
+		reservation, err := reserveNetwork(fmt.Sprintf("127.%d", number))
 		if err == nil {
-			return taken, nil
+			return reservation, nil
 		}
 	}
 	return nil, trace.LimitExceeded("every network from 127.%d to 127.%d is in use", firstNetwork, lastNetwork)
--- a/internal/fleet/stand_ins.go
+++ b/internal/fleet/stand_ins.go
@@ -101,8 +101,8 @@
 // Totals returns the sum of all engines' counts.
 func (o *StandIns) Totals() engine.Totals {
 	var sum engine.Totals
-	for _, present := range o.Engines {
-		sum = sum.Plus(present.Runs().Totals)
+	for _, each := range o.Engines {
+		sum = sum.Plus(each.Runs().Totals)
 	}
 	return sum
 }
@@ -110,11 +110,11 @@
 // Close stops all stand-ins in parallel and waits for them.
 func (o *StandIns) Close() {
 	stops := []func(){}
-	for _, present := range o.Engines {
-		stops = append(stops, present.Close)
+	for _, each := range o.Engines {
+		stops = append(stops, each.Close)
 	}
-	for _, present := range o.Pages {
-		stops = append(stops, present.Close)
+	for _, each := range o.Pages {
+		stops = append(stops, each.Close)
 	}
 	if o.Machines != nil {
 		stops = append(stops, o.Machines.Close)
--- a/internal/gatewaycost/caller.go
+++ b/internal/gatewaycost/caller.go
@@ -94,26 +94,26 @@
 
 // readStream counts the token events of a stream; it returns an error unless the stream is complete.
 func readStream(events *bufio.Reader) (streamStats, error) {
-	var seen streamStats
+	var stats streamStats
 	var last time.Time
 	for {
 		line, err := events.ReadSlice('\n')
 		if err != nil {
-			return seen, trace.Wrap(err, "reading the stream after %d tokens", seen.tokens)
+			return stats, trace.Wrap(err, "reading the stream after %d tokens", stats.tokens)
 		}
 		data, found := bytes.CutPrefix(bytes.TrimSpace(line), dataPrefix)
 		switch {
 		case !found:
 		case bytes.Equal(data, doneMarker):
-			return seen, nil
+			return stats, nil
 		case bytes.Contains(data, []byte(`"error"`)):
-			return seen, trace.Errorf("the stream ended with an error event: %s", data)
+			return stats, trace.Errorf("the stream ended with an error event: %s", data)
 		case bytes.Contains(data, []byte(`"content"`)):
 			now := time.Now()
-			if seen.tokens > 0 {
-				seen.longestGap = max(seen.longestGap, now.Sub(last))
+			if stats.tokens > 0 {
+				stats.longestGap = max(stats.longestGap, now.Sub(last))
 			}
-			seen.tokens++
+			stats.tokens++
 			last = now
 		}
 	}
--- a/internal/gatewaycost/run.go
+++ b/internal/gatewaycost/run.go
@@ -144,13 +144,13 @@
 
 // measureCuts cuts each connection to an engine after tokensBeforeCut tokens, also resumed ones.
 func (r *run) measureCuts(ctx context.Context, report *Report) error {
-	for _, present := range r.Fleet.StandIns.Engines {
-		present.Faults().Replace([]fault.Fault{{Kind: fault.Cut, Count: maxCuts(r.Streams, r.Tokens), Tokens: tokensBeforeCut}})
+	for _, each := range r.Fleet.StandIns.Engines {
+		each.Faults().Replace([]fault.Fault{{Kind: fault.Cut, Count: maxCuts(r.Streams, r.Tokens), Tokens: tokensBeforeCut}})
 	}
 	streams, err := r.runStreams(ctx, r.Streams)
-	for _, present := range r.Fleet.StandIns.Engines {
-		report.Cuts += maxCuts(r.Streams, r.Tokens) - remainingCount(present.Faults().Remaining())
-		present.Faults().Replace(nil)
+	for _, each := range r.Fleet.StandIns.Engines {
+		report.Cuts += maxCuts(r.Streams, r.Tokens) - remainingCount(each.Faults().Remaining())
+		each.Faults().Replace(nil)
 	}
 	report.GapAfterCut = gapPercentiles(streams)
 	return trace.Wrap(err)
@@ -174,13 +174,13 @@
 	var all []streamStats
 	for number := range r.Streams {
 		group.Go(func() error {
-			seen, err := r.caller.sendStream(r.Gateway.Listen, r.kind, chatBody(r.model, r.Tokens, first+number))
-			if err == nil && seen.tokens != r.Tokens {
-				err = trace.Errorf("a stream had %d tokens instead of %d", seen.tokens, r.Tokens)
+			stats, err := r.caller.sendStream(r.Gateway.Listen, r.kind, chatBody(r.model, r.Tokens, first+number))
+			if err == nil && stats.tokens != r.Tokens {
+				err = trace.Errorf("a stream had %d tokens instead of %d", stats.tokens, r.Tokens)
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
-			all = append(all, seen)
+			all = append(all, stats)
 			return trace.Wrap(err)
 		})
 	}
--- a/internal/gatewayloss/run.go
+++ b/internal/gatewayloss/run.go
@@ -165,10 +165,10 @@
 func (r *run) busiestEngine() (*engine.Engine, int) {
 	engines := r.options.Fleet.StandIns.Engines
 	chosen, most := engines[0], 0
-	for _, present := range engines {
-		state, running := present.State()
+	for _, candidate := range engines {
+		state, running := candidate.State()
 		if running && state.Role != enginecontract.RolePrefill && state.InFlight > most {
-			chosen, most = present, state.InFlight
+			chosen, most = candidate, state.InFlight
 		}
 	}
 	return chosen, most
--- a/internal/leaderloss/conclude.go
+++ b/internal/leaderloss/conclude.go
@@ -45,8 +45,8 @@
 	var last acceptedChange
 	for _, change := range accepted {
 		finding := ""
-		if kept := numbers[fmt.Sprint(change.revision)]; kept != fmt.Sprint(change.number) {
-			finding = fmt.Sprintf("change %d was accepted as revision %d, which now is change %q", change.number, change.revision, kept)
+		if recorded := numbers[fmt.Sprint(change.revision)]; recorded != fmt.Sprint(change.number) {
+			finding = fmt.Sprintf("change %d was accepted as revision %d, which now is change %q", change.number, change.revision, recorded)
 		}
 		r.recorder.addCheck(conditionKept, finding)
 		if change.revision > last.revision {
@@ -65,8 +65,8 @@
 	finding := "the marker is not declared any more"
 	if rows := answer.GetRows(); len(rows) == 1 {
 		finding = ""
-		if found := rows[0].GetCells()[columnVersion]; found != last.version {
-			finding = fmt.Sprintf("revision %d was accepted last and made the marker %q; it is %q", last.revision, last.version, found)
+		if version := rows[0].GetCells()[columnVersion]; version != last.version {
+			finding = fmt.Sprintf("revision %d was accepted last and made the marker %q; it is %q", last.revision, last.version, version)
 		}
 	}
 	r.recorder.addCheck(conditionKept, finding)
--- a/internal/leaderloss/faults.go
+++ b/internal/leaderloss/faults.go
@@ -111,8 +111,8 @@
 		return trace.Wrap(err)
 	}
 	err = r.waitUntil(ctx, follower.Name+" has a vote with its new disk, and its old disk none", func() bool {
-		present, err := r.members(ctx)
-		return err == nil && present.hasReplaced(before, follower.Listen)
+		members, err := r.members(ctx)
+		return err == nil && members.hasReplaced(before, follower.Listen)
 	})
 	if err != nil {
 		return trace.Wrap(err)
--- a/internal/leaderloss/members.go
+++ b/internal/leaderloss/members.go
@@ -45,14 +45,14 @@
 // an ID that no member had before.
 func (m quorumMembers) hasReplaced(before quorumMembers, address string) bool {
 	known := make(map[string]bool)
-	for _, present := range before {
-		known[present.id] = true
+	for _, member := range before {
+		known[member.id] = true
 	}
 	at, replaced := 0, false
-	for _, present := range m {
-		if present.address == address {
+	for _, member := range m {
+		if member.address == address {
 			at++
-			replaced = present.role != roleLearner && !known[present.id]
+			replaced = member.role != roleLearner && !known[member.id]
 		}
 	}
 	return at == 1 && replaced
@@ -69,16 +69,16 @@
 }
 
 func (r *run) controller(ctx context.Context, matches func(role string) bool) (*fleet.Process, error) {
-	present, err := r.members(ctx)
+	members, err := r.members(ctx)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	for _, wanted := range present {
+	for _, member := range members {
 		for _, process := range r.controllers {
-			if process.Listen == wanted.address && process.Running() && matches(wanted.role) {
+			if process.Listen == member.address && process.Running() && matches(member.role) {
 				return process, nil
 			}
 		}
 	}
-	return nil, trace.NotFound("no running controller has the required role; the members are %v", present)
+	return nil, trace.NotFound("no running controller has the required role; the members are %v", members)
 }
--- a/internal/leaderloss/orders.go
+++ b/internal/leaderloss/orders.go
@@ -53,10 +53,10 @@
 // the bounds on the other roles do not prevent a change.
 func chooseEngines(all []*engine.Engine, count int) []*engine.Engine {
 	var chosen []*engine.Engine
-	for _, present := range all {
-		state, running := present.State()
+	for _, candidate := range all {
+		state, running := candidate.State()
 		if running && state.Role == enginecontract.RoleMixed && len(chosen) < count {
-			chosen = append(chosen, present)
+			chosen = append(chosen, candidate)
 		}
 	}
 	return chosen
@@ -64,8 +64,8 @@
 
 // anyOrderInProgress reports whether an engine is carrying out an order.
 func anyOrderInProgress(engines []*engine.Engine) bool {
-	for _, present := range engines {
-		state, running := present.State()
+	for _, each := range engines {
+		state, running := each.State()
 		if running && (state.OrderPhase == enginecontract.PhaseDraining || state.OrderPhase == enginecontract.PhaseChanging) {
 			return true
 		}
@@ -76,8 +76,8 @@
 // highestEpoch returns the highest epoch in the fences of the engines.
 func highestEpoch(engines []*engine.Engine) uint64 {
 	var highest uint64
-	for _, present := range engines {
-		state, _ := present.State()
+	for _, each := range engines {
+		state, _ := each.State()
 		highest = max(highest, state.HighestFence.Epoch)
 	}
 	return highest
@@ -85,8 +85,8 @@
 
 // allFencedAbove reports whether every running engine has a fence of an epoch above the given one.
 func allFencedAbove(engines []*engine.Engine, epoch uint64) bool {
-	for _, present := range engines {
-		if state, running := present.State(); running && state.HighestFence.Epoch <= epoch {
+	for _, each := range engines {
+		if state, running := each.State(); running && state.HighestFence.Epoch <= epoch {
 			return false
 		}
 	}
@@ -105,7 +105,7 @@
 }
 
 // isServing reports whether an engine accepts new work, and thus carries out no order.
-func isServing(present *engine.Engine) bool {
-	state, running := present.State()
+func isServing(checked *engine.Engine) bool {
+	state, running := checked.State()
 	return running && state.State == enginecontract.StateServing
 }
--- a/internal/leaderloss/revisions.go
+++ b/internal/leaderloss/revisions.go
@@ -68,9 +68,9 @@
 func (r *revisionHistory) firstReached(revision uint64) (time.Time, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, seen := range r.readings {
-		if seen.revision >= revision {
-			return seen.at, true
+	for _, reading := range r.readings {
+		if reading.revision >= revision {
+			return reading.at, true
 		}
 	}
 	return time.Time{}, false
--- a/internal/load/audit.go
+++ b/internal/load/audit.go
@@ -48,11 +48,11 @@
 func (e *Executions) addEngine(report engine.Report) {
 	e.Engines = e.Engines.Plus(report.Totals)
 	for prompt, run := range report.Prompts {
-		present := e.prompts[prompt]
-		present.Started += run.Started
-		present.Finished += run.Finished
-		present.Prefilled += run.Prefilled
-		e.prompts[prompt] = present
+		total := e.prompts[prompt]
+		total.Started += run.Started
+		total.Finished += run.Finished
+		total.Prefilled += run.Prefilled
+		e.prompts[prompt] = total
 	}
 }
 
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -23,7 +23,7 @@
 	body   []byte
 	chat   bool
 	resend bool
-	// gatewayOffset is how many gateways after the first choice the request is sent to.
+	// gatewayOffset is the number of gateways that a resend is past the one of the first attempt.
 	gatewayOffset int
 	deadline      time.Duration
 	// The expected answer.
@@ -74,13 +74,13 @@
 func runLabel(seed uint64, began time.Time) uint64 { return seed ^ uint64(began.UnixNano()) }
 
 func (m *requestBuilder) make(due arrival) request {
-	wanted := m.traffic.Requests[due.kind]
+	description := m.traffic.Requests[due.kind]
 	source := rand.New(rand.NewPCG(m.seed, uint64(due.index)+1<<32))
-	built := request{arrival: due, kind: wanted.Kind, tenant: source.IntN(max(1, m.tenants)), deadline: m.kinds[wanted.Kind].Deadline}
-	if wanted.Chat != nil {
-		m.buildChat(&built, *wanted.Chat, source)
+	built := request{arrival: due, kind: description.Kind, tenant: source.IntN(max(1, m.tenants)), deadline: m.kinds[description.Kind].Deadline}
+	if description.Chat != nil {
+		m.buildChat(&built, *description.Chat, source)
 	} else {
-		m.buildPage(&built, *wanted.Page, source)
+		m.buildPage(&built, *description.Page, source)
 	}
 	return built
 }
--- a/internal/load/target.go
+++ b/internal/load/target.go
@@ -39,8 +39,8 @@
 		return t.Gateways
 	}
 	var found []string
-	for index, present := range t.GatewayZones {
-		if present == zone {
+	for index, candidate := range t.GatewayZones {
+		if candidate == zone {
 			found = append(found, t.Gateways[index])
 		}
 	}
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -19,7 +19,7 @@
 	serviceName    = "service"
 	reportInterval = time.Second
 	expireInterval = 50 * time.Millisecond
-	// drainTime is how long after the last arrival requests may still complete.
+	// drainTime is the time after the last arrival in which requests may still complete.
 	drainTime = time.Minute
 )
 
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -83,8 +83,8 @@
 	c.claims[key] = attempt
 }
 
-// leavingBound is how long after its removal began an engine may still be sent new work: the router's limit on a
-// slow clock, plus a margin.
+// leavingBound is the time for which an engine may still be sent new work after its removal began: the router's limit
+// on a slow clock, plus a margin.
 const leavingBound = 4200 * time.Millisecond
 
 // checkWorkSent checks that a leaving engine receives no new work after leavingBound.
--- a/internal/soak/check/backoff.go
+++ b/internal/soak/check/backoff.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// backoffSlack is how long after a back end has asked for backoff requests may still reach it. After that,
+	// backoffSlack is the time for which requests may still reach a back end that has asked for backoff. After that,
 	// toleratedBackoffArrivals requests are tolerated until the backoff ends.
 	backoffSlack             = 500 * time.Millisecond
 	toleratedBackoffArrivals = 2
--- a/internal/soak/check/check_test.go
+++ b/internal/soak/check/check_test.go
@@ -171,11 +171,11 @@
 		inBackoff(3, 2*second/3, "front")(h)
 		h.Faults = []history.Fault{{Kind: history.Reload, Target: "front", From: second / 2, To: second / 2}}
 	}},
-	{"a request long after a back end announced that it leaves", Drain, saidToLeave(4*second, "front")},
-	{"a request soon after a back end announced that it leaves", "", saidToLeave(2*second, "front")},
-	{"a request from a relay that did not receive the announcement", "", saidToLeave(4*second, "other")},
+	{"a request long after a back end announced that it leaves", Drain, announcedToLeave(4*second, "front")},
+	{"a request soon after a back end announced that it leaves", "", announcedToLeave(2*second, "front")},
+	{"a request from a relay that did not receive the announcement", "", announcedToLeave(4*second, "other")},
 	{"a request from a relay that was frozen since", "", func(h *history.History) {
-		saidToLeave(4*second, "front")(h)
+		announcedToLeave(4*second, "front")(h)
 		h.Faults = []history.Fault{{Kind: history.Freeze, Target: "front", From: 2 * second, To: 3 * second}}
 	}},
 	{"more requests than a limit allows", Limit, limited(1, 5, 13, "front", "other")},
--- a/internal/soak/check/finding.go
+++ b/internal/soak/check/finding.go
@@ -48,7 +48,7 @@
 // safetyCheckers holds the checkers of rules that hold at any speed of the machine, timedCheckers those of rules with a time
 // bound.
 var (
-	safetyCheckers = []checker{mixed, twice, refused, unasked, order, overAttemptLimit, one, atUnknownPlaces, unansweredByStopping}
+	safetyCheckers = []checker{mixed, twice, refused, unasked, order, overAttemptLimit, one, atUnknownAddresses, unansweredByStopping}
 	timedCheckers  = []checker{lost, drain, config, gone, recovered, overCrashLimit, overRetryBudget, sentDuringBackoff, sentAfterLeavingAnswer, limits}
 )
 
--- a/internal/soak/check/gone.go
+++ b/internal/soak/check/gone.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// goneSlack is how long after a client has left its request may still reach back ends, and how long back ends may
-	// still work on it.
+	// goneSlack is the time for which a request may still reach back ends, and back ends may still work on it, after its
+	// client has left.
 	goneSlack = 500 * time.Millisecond
-	// toleratedGoneArrivals is how many requests may reach back ends after goneSlack.
+	// toleratedGoneArrivals is the number of requests in a run that may reach back ends later than goneSlack.
 	toleratedGoneArrivals = 3
 	// goneMinSample is the smallest number of requests that outlast their clients for which the share still worked on is
 	// checked.
--- a/internal/soak/check/histories_test.go
+++ b/internal/soak/check/histories_test.go
@@ -168,8 +168,8 @@
 	}
 }
 
-// saidToLeave returns a history in which a back end announces that it leaves and receives a request some time later.
-func saidToLeave(after time.Duration, front string) func(*history.History) {
+// announcedToLeave returns a history in which a back end announces that it leaves and receives a request some time later.
+func announcedToLeave(after time.Duration, front string) func(*history.History) {
 	return func(h *history.History) {
 		h.Sendings = []history.Sending{request("1", "safe", second), changedSending(request("2", "safe", second+after), func(s *history.Sending) { s.Front = front })}
 		h.Arrivals = []history.Arrival{
--- a/internal/soak/check/limit.go
+++ b/internal/soak/check/limit.go
@@ -12,10 +12,10 @@
 	limitWindow = 4 * time.Second
 	limitShare  = 1.5
 	limitSlack  = 5
-	// limitInformedAfter is how long after a relay has forwarded a response that announces a limit its requests count.
+	// limitInformedAfter is the time from when a relay forwards a response with a limit until its requests count.
 	limitInformedAfter = 500 * time.Millisecond
-	// limitLoweredGrace is how long after a back end has lowered its limit the larger one still counts: relays receive
-	// the new limit with the next response of the back end.
+	// limitLoweredGrace is the time for which the larger limit still counts after a back end has lowered it: relays
+	// receive the new limit with the next response of the back end.
 	limitLoweredGrace = time.Second
 )
 
--- a/internal/soak/check/route.go
+++ b/internal/soak/check/route.go
@@ -2,9 +2,9 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/soak/history"
 
-// atUnknownPlaces finds requests that reached an address at which the site has no back end: only list entries of other
+// atUnknownAddresses finds requests that reached an address at which the site has no back end: only list entries of other
 // writers name it.
-func atUnknownPlaces(recorded *history.History) []Finding {
+func atUnknownAddresses(recorded *history.History) []Finding {
 	var findings []Finding
 	for _, arrival := range recorded.Arrivals {
 		if arrival.Service == history.NoService {
--- a/internal/standin/engine/driver.go
+++ b/internal/standin/engine/driver.go
@@ -66,8 +66,8 @@
 }
 
 func (p *process) cacheEventGap() int {
-	if present, found := p.engine.faults.Peek(fault.CacheEventGap); found {
-		return present.Tokens
+	if gap, found := p.engine.faults.Peek(fault.CacheEventGap); found {
+		return gap.Tokens
 	}
 	return 0
 }
@@ -129,13 +129,13 @@
 	}
 }
 
-func (p *process) cancelExchange(now time.Duration, gone *exchange) {
-	p.model.Cancel(now, gone.id)
-	gone.cancelled = true
+func (p *process) cancelExchange(now time.Duration, target *exchange) {
+	p.model.Cancel(now, target.id)
+	target.cancelled = true
 	p.openExchanges--
-	gone.endedAt = now
-	p.engine.runs.count(gone.prompt, func(_ *Run, totals *Totals) { totals.Cancelled++ })
-	gone.signal()
+	target.endedAt = now
+	p.engine.runs.count(target.prompt, func(_ *Run, totals *Totals) { totals.Cancelled++ })
+	target.signal()
 }
 
 // applyOrderProgress applies a change of the order's phase or role to the model.
@@ -157,10 +157,10 @@
 // cancelForChange cancels the exchanges that are in flight when the role changes. After a
 // drain there are none; only with the safeguard DrainFirst disabled can there be any.
 func (p *process) cancelForChange(now time.Duration) {
-	for _, present := range p.exchanges {
-		if !present.isOver() {
-			p.engine.runs.count(present.prompt, func(_ *Run, totals *Totals) { totals.CutByChange++ })
-			p.cancelExchange(now, present)
+	for _, each := range p.exchanges {
+		if !each.isOver() {
+			p.engine.runs.count(each.prompt, func(_ *Run, totals *Totals) { totals.CutByChange++ })
+			p.cancelExchange(now, each)
 		}
 	}
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -104,55 +104,55 @@
 
 // Freeze suspends the engine's process for pause.
 func (e *Engine) Freeze(pause time.Duration) {
-	if present := e.current(); present != nil {
-		present.freeze(pause)
+	if running := e.current(); running != nil {
+		running.freeze(pause)
 	}
 }
 
 // StartLeaving makes the engine refuse new work for the rest of its incarnation.
 func (e *Engine) StartLeaving() {
-	if present := e.current(); present != nil {
-		present.mutex.Lock()
-		present.machine.StartLeaving()
-		present.mutex.Unlock()
+	if running := e.current(); running != nil {
+		running.mutex.Lock()
+		running.machine.StartLeaving()
+		running.mutex.Unlock()
 	}
 }
 
 // Close stops the engine permanently; streams have shutdownTimeout to finish.
 func (e *Engine) Close() {
 	e.mutex.Lock()
-	dying := e.process
+	running := e.process
 	e.process = nil
 	e.closed = true
 	e.mutex.Unlock()
-	if dying != nil {
-		_ = dying.server.Close(shutdownTimeout) // Close resets the remaining connections in any case
-		dying.terminate()
+	if running != nil {
+		_ = running.server.Close(shutdownTimeout) // Close resets the remaining connections in any case
+		running.terminate()
 	}
 }
 
 // State returns the engine's state; false while it is crashed.
 func (e *Engine) State() (enginecontract.EngineState, bool) {
-	present := e.current()
-	if present == nil {
+	running := e.current()
+	if running == nil {
 		return enginecontract.EngineState{}, false
 	}
-	present.mutex.Lock()
-	defer present.mutex.Unlock()
-	present.advance()
-	return present.state(), true
+	running.mutex.Lock()
+	defer running.mutex.Unlock()
+	running.advance()
+	return running.state(), true
 }
 
 // Load returns the engine's load without lag; false while it is crashed.
 func (e *Engine) Load() (enginecontract.LoadReport, bool) {
-	present := e.current()
-	if present == nil {
+	running := e.current()
+	if running == nil {
 		return enginecontract.LoadReport{}, false
 	}
-	present.mutex.Lock()
-	defer present.mutex.Unlock()
-	present.advance()
-	return present.loadReport(), true
+	running.mutex.Lock()
+	defer running.mutex.Unlock()
+	running.advance()
+	return running.loadReport(), true
 }
 
 func (e *Engine) current() *process {
--- a/internal/standin/engine/resume.go
+++ b/internal/standin/engine/resume.go
@@ -47,17 +47,17 @@
 	ctx.Response.Header.Set(enginecontract.HeaderExchange, id)
 	p.lockThawed()
 	p.advance()
-	gone := p.exchanges[id]
+	target := p.exchanges[id]
 	runState := enginecontract.RunStateMayHaveRun
-	if gone != nil && !gone.isOver() {
-		if !gone.started {
+	if target != nil && !target.isOver() {
+		if !target.started {
 			runState = enginecontract.RunStateNotRun
 		}
-		p.cancelExchange(p.now(), gone)
+		p.cancelExchange(p.now(), target)
 	}
 	p.mutex.Unlock()
 	p.wakeDriver()
-	if gone == nil {
+	if target == nil {
 		unknownExchange().write(&ctx.Response)
 		return
 	}
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -70,11 +70,11 @@
 			return
 		}
 		s.buffer = s.buffer[:0]
-		struck := s.appendTokens(decoded)
-		if struck == "" && ended {
+		endingFault := s.appendTokens(decoded)
+		if endingFault == "" && ended {
 			s.buffer = s.events.end(s.buffer, decoded, cached, s.finishReason)
 		}
-		if struck == "" && cancelled {
+		if endingFault == "" && cancelled {
 			s.buffer = s.events.failure(s.buffer, decoded, "cancelled")
 		}
 		if len(s.buffer) > 0 {
@@ -82,7 +82,7 @@
 				return
 			}
 		}
-		switch struck {
+		switch endingFault {
 		case fault.Cut:
 			crashable.ResetConnection(s.conn)
 			return
--- a/internal/standin/engine/work.go
+++ b/internal/standin/engine/work.go
@@ -35,15 +35,15 @@
 			return
 		}
 	}
-	begun, stream, problem := p.submit(request)
+	accepted, stream, problem := p.submit(request)
 	if problem == nil {
-		problem = p.awaitStart(begun, stream, request.deadline)
+		problem = p.awaitStart(accepted, stream, request.deadline)
 	}
 	if problem != nil {
 		p.refuse(ctx, problem)
 		return
 	}
-	p.answer(ctx, begun, stream, request)
+	p.answer(ctx, accepted, stream, request)
 }
 
 func (p *process) refuse(ctx *fasthttp.RequestCtx, problem *refusal) {
@@ -78,19 +78,19 @@
 		return nil, nil, refusalForModelError(err)
 	}
 	stream := newReader()
-	begun := &exchange{
+	accepted := &exchange{
 		id: request.exchange, endpoint: request.endpoint, model: request.model, prompt: request.hash,
 		promptTokens: promptTokens, outputTokens: request.outputTokens, phase: request.phase, salt: request.salt,
 		decodedTokens: request.continueFrom, reader: stream, unreadSince: now,
 	}
-	p.exchanges[begun.id] = begun
+	p.exchanges[accepted.id] = accepted
 	p.openExchanges++
 	p.wakeDriver()
-	return begun, stream, nil
+	return accepted, stream, nil
 }
 
 // awaitStart waits until an exchange leaves the engine's queue.
-func (p *process) awaitStart(begun *exchange, stream *reader, deadline time.Duration) *refusal {
+func (p *process) awaitStart(accepted *exchange, stream *reader, deadline time.Duration) *refusal {
 	var expired <-chan time.Time
 	if deadline > 0 {
 		timer := time.NewTimer(deadline)
@@ -99,7 +99,7 @@
 	}
 	for {
 		p.mutex.Lock()
-		started, cancelled := begun.started, begun.cancelled
+		started, cancelled := accepted.started, accepted.cancelled
 		p.mutex.Unlock()
 		switch {
 		case started:
@@ -112,7 +112,7 @@
 		case <-p.ctx.Done():
 			return mayHaveRun(fasthttp.StatusInternalServerError, "engine_error", "the engine crashed")
 		case <-expired:
-			if p.cancelWaiting(begun) {
+			if p.cancelWaiting(accepted) {
 				return notRun(fasthttp.StatusRequestTimeout, "deadline_exceeded", "still waiting at the deadline")
 			}
 		}
@@ -120,50 +120,50 @@
 }
 
 // cancelWaiting cancels an exchange that has not started and reports whether it did so.
-func (p *process) cancelWaiting(begun *exchange) bool {
+func (p *process) cancelWaiting(accepted *exchange) bool {
 	p.lockThawed()
 	defer p.mutex.Unlock()
 	p.advance()
-	if begun.started || begun.isOver() {
+	if accepted.started || accepted.isOver() {
 		return false
 	}
-	p.cancelExchange(p.now(), begun)
+	p.cancelExchange(p.now(), accepted)
 	return true
 }
 
 // answer sends the output of a started exchange, or fails as the faults require.
-func (p *process) answer(ctx *fasthttp.RequestCtx, begun *exchange, stream *reader, request parsedRequest) {
+func (p *process) answer(ctx *fasthttp.RequestCtx, accepted *exchange, stream *reader, request parsedRequest) {
 	if _, strikes := p.strikeFault(fault.LoseAnswer); strikes {
-		p.detach(begun, stream)
+		p.detach(accepted, stream)
 		crashable.ResetConnection(ctx.Conn())
 		return
 	}
 	if _, strikes := p.strikeFault(fault.Error); strikes {
-		p.detach(begun, stream)
+		p.detach(accepted, stream)
 		mayHaveRun(fasthttp.StatusInternalServerError, "engine_error", "failed on demand").write(&ctx.Response)
 		return
 	}
 	if _, strikes := p.strikeFault(fault.WrongEcho); strikes {
 		ctx.Response.Header.Set(enginecontract.HeaderExchange, foreignExchange)
 	}
-	if begun.phase == enginemodel.PhasePrefillOnly {
-		p.answerPrefill(ctx, begun, stream)
+	if accepted.phase == enginemodel.PhasePrefillOnly {
+		p.answerPrefill(ctx, accepted, stream)
 		return
 	}
-	p.answerStream(ctx, begun, stream, request.continueFrom, finishReason(request.hasLimit))
+	p.answerStream(ctx, accepted, stream, request.continueFrom, finishReason(request.hasLimit))
 }
 
-func (p *process) answerPrefill(ctx *fasthttp.RequestCtx, begun *exchange, stream *reader) {
+func (p *process) answerPrefill(ctx *fasthttp.RequestCtx, accepted *exchange, stream *reader) {
 	for {
 		p.lockThawed()
-		if begun.finished {
-			answer := p.exportKV(begun)
-			begun.reader = nil
+		if accepted.finished {
+			answer := p.exportKV(accepted)
+			accepted.reader = nil
 			p.mutex.Unlock()
 			writeJSON(&ctx.Response, answer)
 			return
 		}
-		cancelled := begun.cancelled
+		cancelled := accepted.cancelled
 		p.mutex.Unlock()
 		if cancelled {
 			mayHaveRun(499, "cancelled", "the exchange was cancelled").write(&ctx.Response)
