--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -19,7 +19,7 @@
 	serviceName    = "service"
 	reportInterval = time.Second
 	expireInterval = 50 * time.Millisecond
-	// drainTime is how long after the last arrival requests may still complete.
+	// drainTime is the time after the last arrival in which requests may still complete.
 	drainTime = time.Minute
 )
 
@@ -48,7 +48,7 @@
 	running  []map[string]*exchange // by engine, then by exchange ID
 	gateways []*gateway
 	requests []request
-	// delayedReports holds the load reports that have not reached the gateways yet, the oldest first.
+	// delayedReports holds the load report that the gateways have, then the newer ones, the oldest first.
 	delayedReports [][]routing.BackEnd
 	results        results
 }
--- a/internal/standin/engine/driver.go
+++ b/internal/standin/engine/driver.go
@@ -8,9 +8,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/fault"
 )
 
-// housekeeping is the longest time between two rounds of the driver: load is sampled and
+// housekeepingInterval is the longest time between two rounds of the driver: load is sampled and
 // expired entries are dropped at least this often.
-const housekeeping = 100 * time.Millisecond
+const housekeepingInterval = 100 * time.Millisecond
 
 // drive advances the model and the orders until the process ends.
 func (p *process) drive() {
@@ -39,7 +39,7 @@
 // nextWait returns the time until the next event. The caller holds the mutex.
 func (p *process) nextWait() time.Duration {
 	now := p.now()
-	next := now + housekeeping
+	next := now + housekeepingInterval
 	if at, found := p.model.NextEvent(); found {
 		next = min(next, at)
 	}
@@ -66,8 +66,8 @@
 }
 
 func (p *process) cacheEventGap() int {
-	if present, found := p.engine.faults.Peek(fault.CacheEventGap); found {
-		return present.Tokens
+	if gap, found := p.engine.faults.Peek(fault.CacheEventGap); found {
+		return gap.Tokens
 	}
 	return 0
 }
@@ -108,18 +108,18 @@
 
 // prune drops expired exchanges and handles and cancels exchanges without a reader.
 func (p *process) prune(now time.Duration) {
-	if now-p.lastPruned < housekeeping {
+	if now-p.lastPruned < housekeepingInterval {
 		return
 	}
 	p.lastPruned = now
-	for id, kept := range p.exchanges {
+	for id, each := range p.exchanges {
 		switch {
-		case kept.isOver():
-			if now-kept.endedAt > FinishedRetention && kept.reader == nil {
+		case each.isOver():
+			if now-each.endedAt > FinishedRetention && each.reader == nil {
 				delete(p.exchanges, id)
 			}
-		case kept.reader == nil && now-kept.unreadSince > ResumeWindow:
-			p.cancelExchange(now, kept)
+		case each.reader == nil && now-each.unreadSince > ResumeWindow:
+			p.cancelExchange(now, each)
 		}
 	}
 	for name, handle := range p.handles {
@@ -129,13 +129,13 @@
 	}
 }
 
-func (p *process) cancelExchange(now time.Duration, gone *exchange) {
-	p.model.Cancel(now, gone.id)
-	gone.cancelled = true
+func (p *process) cancelExchange(now time.Duration, target *exchange) {
+	p.model.Cancel(now, target.id)
+	target.cancelled = true
 	p.openExchanges--
-	gone.endedAt = now
-	p.engine.runs.count(gone.prompt, func(_ *Run, totals *Totals) { totals.Cancelled++ })
-	gone.signal()
+	target.endedAt = now
+	p.engine.runs.count(target.prompt, func(_ *Run, totals *Totals) { totals.Cancelled++ })
+	target.signal()
 }
 
 // applyOrderProgress applies a change of the order's phase or role to the model.
@@ -157,10 +157,10 @@
 // cancelForChange cancels the exchanges that are in flight when the role changes. After a
 // drain there are none; only with the safeguard DrainFirst disabled can there be any.
 func (p *process) cancelForChange(now time.Duration) {
-	for _, present := range p.exchanges {
-		if !present.isOver() {
-			p.engine.runs.count(present.prompt, func(_ *Run, totals *Totals) { totals.CutByChange++ })
-			p.cancelExchange(now, present)
+	for _, each := range p.exchanges {
+		if !each.isOver() {
+			p.engine.runs.count(each.prompt, func(_ *Run, totals *Totals) { totals.CutByChange++ })
+			p.cancelExchange(now, each)
 		}
 	}
 }
