--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -6,7 +6,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// keyFault says why a request's key does not admit it; empty when it does. It never contains the key.
+// keyFault is the reason for which a request's key does not admit the request; empty when it does. It never contains the key.
 type keyFault string
 
 // Reasons for which requests are not admitted.
@@ -17,8 +17,9 @@
 	keyUnknown   keyFault = "the key of the request is not known"
 )
 
-// admit identifies the request's tenant by its key. A request without a key has no tenant and is admitted only on open
-// routes. A key that is sent must be known, on open routes too.
+// admit identifies the request's tenant by the key in the header and returns the reason for which the request is not
+// admitted; empty when it is. A request without a key has no tenant and is admitted only on open routes. A key that is sent
+// must be known, on open routes too.
 func (r *Relay) admit(table *serving.Table, request *request) keyFault {
 	if !table.Configuration.RequireKeys {
 		return ""
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -21,12 +21,12 @@
 	connection *connpool.Connection
 	message    *message
 	exchanger  *exchanger
-	// bodyUnread reports whether the back end answered before it had received the whole request body.
+	// bodyUnread is true if the back end answered before it had received the whole request body.
 	bodyUnread bool
 	closed     bool
 }
 
-// recordPrefillDone removes the prefill from the back end's work once it is complete.
+// recordPrefillDone removes the request's prefill from this relay's work at the back end, once the prefill is complete.
 func (a *answer) recordPrefillDone() {
 	if a.message.work.PromptTokens() == 0 {
 		return
@@ -45,8 +45,8 @@
 	return n, a.exchanger.connectionFailure(a.connection, a.message, true, err)
 }
 
-// finish ends an exchange whose answer was used. The connection is reused when the complete body was read and nothing
-// followed it.
+// finish ends an exchange whose answer was used. The connection can be reused only if the complete body was read and no
+// bytes followed the body.
 func (a *answer) finish() {
 	if a.closed {
 		return
--- a/internal/relay/attempts.go
+++ b/internal/relay/attempts.go
@@ -18,11 +18,11 @@
 	// sentCount counts the attempts that reached a back end. The first prefill of the prompt counts only when the engine
 	// rejected it.
 	sentCount int
-	// mayHaveRun reports whether a back end may have run the request, or may still be running it.
+	// mayHaveRun is true if a back end may have run the request, or may still be running it.
 	mayHaveRun  bool
 	excluded    []*backEnd
 	lastFailure *failure
-	// isQuarantined reports whether the request must not be sent to any further back end.
+	// isQuarantined is true if the request must not be sent to any further back end.
 	isQuarantined bool
 }
 
@@ -40,15 +40,15 @@
 	a.reportBrokenRun(backEnd, fault)
 }
 
-// recordMigration records that the run was migrated from its back end. The run counts as an attempt there; it continues
-// at another back end as the same run.
+// recordMigration records that the run was migrated from its back end to another one. The run at the former back end counts
+// as one attempt; it continues at the other back end as the same run.
 func (a *attemptTracker) recordMigration() {
 	a.sentCount++
 	a.mayHaveRun = true
 }
 
-// recordFailedPrefill records a failed prefill and excludes its engine. A prefill runs nothing. One that the engine
-// rejected counts as an attempt; one that broke off after the engine had accepted it does not.
+// recordFailedPrefill records a failed prefill and excludes its engine. A prefill alone does not run the request. One that
+// the engine rejected counts as an attempt; one that broke off after the engine had accepted it does not.
 func (a *attemptTracker) recordFailedPrefill(engine *backEnd, fault *failure) {
 	a.excluded = append(a.excluded, engine)
 	if fault.verdict == verdict.NotRun && fault.mayHaveArrived {
@@ -60,8 +60,8 @@
 }
 
 // mayContinue reports whether another attempt is allowed: the client is connected, the deadline has not passed, the
-// request is not quarantined, a possible earlier run may be repeated, and the route's attempts and the retry budget allow
-// it. It takes the attempt from the retry budget.
+// request is not quarantined, a possible earlier run may be repeated, and the route's limit of attempts and the retry budget
+// allow it. If an earlier attempt has reached a back end, the new one is taken from the retry budget.
 func (a *attemptTracker) mayContinue() bool {
 	if a.isOver() || a.isQuarantined || a.mayHaveRun && !a.request.route.Repeatable() {
 		return false
@@ -101,7 +101,7 @@
 	return a.request.canceller.isCancelled() || a.relay.clock.now() >= a.request.deadline
 }
 
-// isExcluded reports whether the back end was tried already.
+// isExcluded reports whether the back end was already tried for this request.
 func (a *attemptTracker) isExcluded(backEnd *backEnd) bool {
 	return slices.Contains(a.excluded, backEnd)
 }
@@ -117,8 +117,8 @@
 	retryStartupSpread = 300 * time.Millisecond
 )
 
-// refusal returns the final answer when no attempt brought one. Its status promises that the request was not run only when
-// that is certain.
+// refusal returns the relay's own answer to a request that no attempt has answered. Its status promises that the request was
+// not run only when that is certain.
 func (a *attemptTracker) refusal() refusal {
 	isLate := a.relay.clock.now() >= a.request.deadline || a.lastFailure != nil && errors.Is(a.lastFailure, errDeadline)
 	advice := a.relay.retryAdvice(a.request.service.Name, answeringStage(a.request.service))
--- a/internal/relay/await_prefill.go
+++ b/internal/relay/await_prefill.go
@@ -23,12 +23,13 @@
 	stop <-chan struct{}
 }
 
-// prefillWaitLimit returns how long a request waits for a prefill at the engine.
+// prefillWaitLimit returns how long a request waits at most for another request's prefill at the selected engine.
 func (r *Relay) prefillWaitLimit(selection *backEndSelection) time.Duration {
 	return r.prefillWaitSlack + time.Duration(prefillWaitSlackFactor*float64(selection.QueueDelay))
 }
 
-// awaitPrefill waits until the engine has cached, for use by this request, what it prefills for others.
+// awaitPrefill waits until the engine has cached, for use by this request, what it prefills for others. It returns false
+// when the time limit has passed or the client has disconnected.
 func (r *Relay) awaitPrefill(stream *streamReply, selection *backEndSelection) bool {
 	r.metrics.prefillWaits.Inc()
 	return r.awaitCached(&prefillWait{
@@ -38,8 +39,8 @@
 }
 
 // awaitCached waits until the engine has cached what it prefills for other requests. A request sent to the engine earlier
-// would have the same blocks prefilled again. Meanwhile the waiting request's work counts at the engine, so that decisions
-// take it into account. It returns false when the time limit has passed or the wait was stopped.
+// would have the same blocks prefilled again. Meanwhile the waiting request's work counts at the engine, so that placement
+// decisions consider it. It returns false when the time limit has passed or the wait was stopped.
 func (r *Relay) awaitCached(wait *prefillWait) bool {
 	expected := &message{backEnd: wait.selection.backEnd, work: prefillWork(r.policy, wait.rank, &wait.selection.Candidate)}
 	expected.backEnd.addWork(expected.work)
--- a/internal/relay/back_end.go
+++ b/internal/relay/back_end.go
@@ -24,7 +24,7 @@
 	cache           *prefixCache
 	// signals holds the signals of this incarnation: its backoff, its limit and whether it is leaving.
 	signals *backpressure.Signals
-	// isSuperseded reports whether a newer incarnation has answered in its place, which the list does not show yet.
+	// isSuperseded is true if a newer incarnation of the replica has answered, which the list does not show yet.
 	isSuperseded atomic.Bool
 	// listedStartedAtMs is the incarnation's start time in Unix milliseconds, when the list sent it only after this record
 	// was created; 0 otherwise. It is used only by the goroutine that applies lists.
@@ -81,14 +81,14 @@
 	reportedLoadLifetime = 500 * time.Millisecond
 )
 
-// addWork adds work that is about to be sent.
+// addWork adds work that is about to be sent to this relay's work at the back end.
 func (b *backEnd) addWork(work placement.Work) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.load.ownWork = b.load.ownWork.Plus(work)
 }
 
-// removeWork removes work that has ended.
+// removeWork removes work that has ended from this relay's work at the back end.
 func (b *backEnd) removeWork(work placement.Work) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -130,21 +130,21 @@
 	b.load.avoidUntil = max(b.load.avoidUntil, now+exponentialBackoff(peerFailureBackoff, max(b.load.peerFailures-1, 0), maxFailureBackoff))
 }
 
-// clearPeerFailures records that the back end has served another relay.
+// clearPeerFailures resets the count of failures that other relays reported, after the back end has served another relay.
 func (b *backEnd) clearPeerFailures() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.load.peerFailures = 0
 }
 
-// avoidUntil keeps new requests away from the back end until the given time, where other back ends can serve them.
+// avoidUntil keeps new requests away from the back end until the given time, if other back ends can serve them.
 func (b *backEnd) avoidUntil(until time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.load.avoidUntil = max(b.load.avoidUntil, until)
 }
 
-// avoidanceLeft returns how much longer new requests are kept away where other back ends can serve them.
+// avoidanceLeft returns how much longer new requests are kept away from the back end if other back ends can serve them.
 func (b *backEnd) avoidanceLeft(now time.Duration) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -200,7 +200,7 @@
 	delete(b.movers, mover)
 }
 
-// migrateRuns starts the migration of all running streams to other engines. It does not wait for it.
+// migrateRuns starts the migration of all running streams to other engines. It does not wait until the migrations end.
 func (b *backEnd) migrateRuns() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/relay/back_end_limits.go
+++ b/internal/relay/back_end_limits.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// applyLeaderLimit applies a limit that the leader reported, when neither the back end nor a relay has reported any
-// recently.
+// applyLeaderLimit applies a limit that the leader reported, unless this relay knows a limit of the back end already, or has
+// known for less than leaderLimitDelay that the back end has none.
 func (r *Relay) applyLeaderLimit(backEndLimit fleetlimit.BackEndLimit) {
 	backEnd, now := r.view.Load().byIncarnation[backEndLimit.BackEnd], r.clock.now()
 	if backEnd == nil || !backEndLimit.Limit.IsSet || backEnd.hasLimit() {
@@ -96,7 +96,8 @@
 // internalCallRank is the rank of the relay's internal calls to back ends, the lowest: no request waits for them.
 const internalCallRank = fleetlimit.RankCount - 1
 
-// acquirePermitFor acquires a permit for a selected back end; it returns false when none is granted.
+// acquirePermitFor acquires a permit for a selected back end and records the time in the selection. It returns false when
+// the back end has a limit and no permit is granted.
 func (r *Relay) acquirePermitFor(selection *backEndSelection, rank placement.Rank) bool {
 	if !r.acquirePermit(selection.backEnd, rank.First, false) {
 		return false
--- a/internal/relay/back_end_limits_test.go
+++ b/internal/relay/back_end_limits_test.go
@@ -74,8 +74,8 @@
 	require.True(t, engine.hasLimit())
 }
 
-// A success without a limit lifts the limit, a failure does not. Requests within the limit find that out, and the back end is
-// then used as before.
+// A success without a limit lifts the limit, a failure does not. A request within the limit reveals that the back end has lifted
+// it, and the back end is then used as before.
 func TestASuccessWithoutALimitLiftsIt(t *testing.T) {
 	generous := backpressure.Limit{IsSet: true, PerSecond: 10_000}
 	serves := startBackEnd(t, "serves", serving.StageWhole, answering(200, "served"))
--- a/internal/relay/back_end_records.go
+++ b/internal/relay/back_end_records.go
@@ -62,7 +62,8 @@
 	return closed
 }
 
-// migrateRuns migrates the runs at newly closed back ends. It is called once the view contains their possible targets.
+// migrateRuns migrates the runs at newly closed back ends. It is called once the view contains the engines to which the runs
+// may be migrated.
 func (f *fleetState) migrateRuns() {
 	if f.relay.mechanisms.IsEnabled(mechanism.RunMigration) {
 		for _, closed := range f.closedBackEnds {
@@ -72,7 +73,8 @@
 	f.closedBackEnds = nil
 }
 
-// replaceRecord creates the record of a back end whose entry is new or has changed, and keeps the state of its former record.
+// replaceRecord creates the record of a back end whose entry in the list is new or has changed. It keeps the signals, cache
+// and avoidance time of the former record, which is nil for a new entry.
 func (f *fleetState) replaceRecord(former *backEnd, entry serving.BackEnd, view *view) *backEnd {
 	record := newBackEnd(entry, cacheTokens(view, entry.Service))
 	record.signals = f.signals.SignalsOf(entry.ID)
--- a/internal/relay/back_end_signals.go
+++ b/internal/relay/back_end_signals.go
@@ -23,7 +23,7 @@
 	return max(b.signals.RemainingBackoff(now), b.signals.PermitWait(now))
 }
 
-// hasLimit reports whether the back end declares a limit for all relays together.
+// hasLimit reports whether the back end declares a limit on the requests per second from all relays together.
 func (b *backEnd) hasLimit() bool {
 	limit, _ := b.signals.Limit()
 	return limit.IsSet
@@ -34,8 +34,8 @@
 	return b.Changing || b.isLeaving() || b.sendDelay(now) > 0
 }
 
-// internalCallSentAt stands for the send time of the relay's internal calls. A limit in the answer to such a call may lower
-// the known limit; the absence of a limit, or a larger limit, has no meaning.
+// internalCallSentAt is used as the send time of the relay's internal calls. A limit in the answer to such a call may lower
+// the known limit; the absence of a limit, or a larger limit, is ignored.
 const internalCallSentAt = time.Duration(-1)
 
 // applyAnswerSignals applies the signals in the head of a back end's answer to a request sent at sentAt, or to an internal
@@ -76,13 +76,13 @@
 type retryAdvice struct {
 	// retryAfter is the delay before a retry; 0 when some back end can be sent requests now.
 	retryAfter time.Duration
-	// isLimited reports whether the delay comes from a limit rather than from a backoff.
+	// isLimited is true if the delay comes from a limit rather than from a backoff.
 	isLimited bool
 }
 
 // retryAdvice returns when a client may retry a request that back ends of the given stage would answer: the shortest delay
-// among them, plus a random spread. For a limit, the spread is at least as long as the delay, since clients are refused at
-// different moments of one wait.
+// among these back ends, plus a random spread. It returns the zero value when one of them can be sent requests now. For a
+// limit, the spread is at least as long as the delay, since clients are refused at different moments of one wait.
 func (r *Relay) retryAdvice(service string, stage serving.Stage) retryAdvice {
 	now, shortest := r.clock.now(), retryAdvice{}
 	for _, backEnd := range r.view.Load().byService[service] {
--- a/internal/relay/back_end_signals_test.go
+++ b/internal/relay/back_end_signals_test.go
@@ -165,7 +165,7 @@
 	})
 }
 
-// A backoff applies to one relay: an owner in backoff from a back end still assigns it to relays that are not.
+// A backoff applies to one relay: an owner that a back end has asked for a backoff still assigns the back end to other relays.
 func TestAnOwnersRestIsNotItsAskersRest(t *testing.T) {
 	engineInBackoff := startBackEnd(t, "rests", serving.StageDecode, streaming("rests", eventOne))
 	relay := newTestRelay(t, route(stream(false)), engineInBackoff)
--- a/internal/relay/body.go
+++ b/internal/relay/body.go
@@ -23,7 +23,7 @@
 // maxTrailerLines bounds the trailer lines after the last chunk.
 const maxTrailerLines = 32
 
-// framedBody reads a body up to its declared end and returns io.EOF there; it returns another error for any other end.
+// framedBody reads a body up to its declared end and returns io.EOF there; it returns another error if the body ends earlier.
 type framedBody struct {
 	framing    framing
 	source     *bufio.Reader
@@ -32,7 +32,7 @@
 	isComplete bool
 }
 
-// newFramedBody returns the body that follows a head.
+// newFramedBody returns the body that follows the head of an answer; method is that of the request.
 func newFramedBody(head *fasthttp.ResponseHeader, method string, source *bufio.Reader) *framedBody {
 	status, length := head.StatusCode(), head.ContentLength()
 	body := &framedBody{source: source}
--- a/internal/relay/cache_reader.go
+++ b/internal/relay/cache_reader.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// cacheReadTimeout bounds the call to one engine.
+	// cacheReadTimeout limits the duration of the call that reads one engine's cached blocks.
 	cacheReadTimeout = 500 * time.Millisecond
 	// cacheReadInterval is the time between the calls to two engines, so that not all engines are delayed at once.
 	cacheReadInterval = 10 * time.Millisecond
 	// ownershipCheckInterval is the time between two checks of which engines this relay owns.
 	ownershipCheckInterval = 200 * time.Millisecond
-	// cacheReadLifetime is how long an engine's cache listing is used. A relay that loses an engine to another relay and
-	// gets it back has missed the notices in between.
+	// cacheReadLifetime is how long an engine is not read again. A relay that loses an engine to another relay and gets it
+	// back later has missed the notices in between.
 	cacheReadLifetime = 30 * time.Second
 )
 
@@ -34,7 +34,7 @@
 	readAt map[*prefixCache]time.Duration
 }
 
-// run calls newly owned engines until the context ends.
+// run reads the cached blocks of newly owned engines until the context ends.
 func (c *cacheReader) run(ctx context.Context) {
 	for pause.For(ctx, ownershipCheckInterval) {
 		if c.relay.view.Load().isReady() {
@@ -48,7 +48,7 @@
 	owned := map[*prefixCache]bool{}
 	for _, engine := range c.relay.owners.ownedEngines() {
 		if !c.owned[engine.cache] && c.isDue(engine) && !engine.isLeaving() && !c.mayCall(engine) {
-			continue // it is tried again at the next check
+			continue // the engine is tried again at the next check
 		}
 		owned[engine.cache] = true
 		if c.owned[engine.cache] || engine.isLeaving() || !c.isDue(engine) {
--- a/internal/relay/cache_reader_test.go
+++ b/internal/relay/cache_reader_test.go
@@ -14,7 +14,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// markAllCached marks everything that engines have of a prompt as cached for any request.
+// markAllCached marks, for each engine, the blocks that it has already or is being sent to prefill as cached for any request.
 func (r *testRelay) markAllCached(blocks []placement.PrefixBlock) {
 	now := r.clock.now()
 	for _, engine := range r.view.Load().byService["service"] {
@@ -75,8 +75,8 @@
 	require.Equal(t, placement.PrefixCacheCapacity(serving.StagePrefill, 600_000), engine.cache.cache.Capacity())
 }
 
-// Guards against an engine that was in backoff when this relay became its owner: it counted as read, and its cache stayed
-// unknown for as long as the relay owned it. It must be read when the backoff ends.
+// Guards against the following fault: an engine was in backoff when this relay became its owner, was then treated as read, and
+// its cache stayed unknown for as long as the relay owned it. It must be read when the backoff ends.
 func TestAnEngineThatRestedIsReadLater(t *testing.T) {
 	engine := startBackEnd(t, "engine", serving.StagePrefill, answering(200, "handle"))
 	relay := newTestRelay(t, route(stream(false)), engine)
--- a/internal/relay/client_connection.go
+++ b/internal/relay/client_connection.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// clientBufferBytes is the smallest read buffer, which must hold the complete head of a request. A larger configured
-	// limit for headers replaces it; requestLineBytes is added for the request line.
+	// clientBufferBytes is the smallest size of a connection's read buffer, which must hold the complete head of a request.
+	// A larger configured limit for headers replaces it; requestLineBytes is added for the request line.
 	clientBufferBytes = 16 << 10
 	requestLineBytes  = 4 << 10
 	// writeSlack is how long a client may take to receive an error answer to a malformed request.
@@ -22,18 +22,18 @@
 	reader *bufio.Reader
 	// watchDone is closed when the goroutine that watches for the client's close has returned; nil when there is none.
 	watchDone chan struct{}
-	// watchErr is the error that this goroutine met; it may be read after watchDone is closed.
+	// watchErr is the error that the watching goroutine met, nil for none; it may be read after watchDone is closed.
 	watchErr error
 }
 
-// newClientConnection returns a connection whose buffer holds heads of up to headerBytes.
+// newClientConnection returns a connection whose buffer holds request heads with headers of up to headerBytes.
 func newClientConnection(connection *closing.Connection, headerBytes int) *clientConnection {
 	size := max(headerBytes, clientBufferBytes) + requestLineBytes
 	return &clientConnection{Connection: connection, reader: bufio.NewReaderSize(connection, size)}
 }
 
-// watchForClose watches in the background for the client's close of the connection while a request is served, and then
-// calls onClose. Bytes of the next request end the watch.
+// watchForClose starts a goroutine that calls onClose when the client closes the connection while a request is served. The
+// first byte of the client's next request ends the watch.
 func (c *clientConnection) watchForClose(onClose func()) {
 	_ = c.SetReadDeadline(time.Time{})
 	watchDone := make(chan struct{})
--- a/internal/relay/client_request.go
+++ b/internal/relay/client_request.go
@@ -90,7 +90,7 @@
 	if !strings.HasPrefix(target, "/") || strings.ContainsAny(target, " \t\r\n#") {
 		return bad("the target must be a path")
 	}
-	framingHeaders := 0 // the library keeps only one of several, so the raw lines are counted
+	framingHeaders := 0 // fasthttp keeps only one of several such headers, so the raw lines are counted
 	for line := range bytes.Lines(head.RawHeaders()) {
 		name, _, found := bytes.Cut(bytes.TrimRight(line, "\r\n"), []byte(":"))
 		if len(name) == 0 && !found {
--- a/internal/relay/connpool/connection.go
+++ b/internal/relay/connpool/connection.go
@@ -30,7 +30,7 @@
 	IdleLimit time.Duration
 	// OnTimeout is called when the peer has acknowledged nothing until the kernel's timeout; nil means no call.
 	OnTimeout func()
-	// TimedOut reports whether that timeout has occurred on this connection.
+	// TimedOut is true if the kernel's timeout has expired on this connection.
 	TimedOut bool
 }
 
--- a/internal/relay/datagram/queries.go
+++ b/internal/relay/datagram/queries.go
@@ -38,8 +38,9 @@
 	delete(q.pending, number)
 }
 
-// Deliver passes an answer to the query that waits for it. It drops and counts an answer that is addressed to another
-// incarnation of this relay, or for which no query waits. It does not block.
+// Deliver passes an answer to the goroutine that waits for it. It drops and counts an answer for which no query waits or
+// whose query's backlog is full. isAddressed is false for an answer to another incarnation of this relay, which is dropped
+// as well. Deliver does not block.
 func (q *Queries[Answer]) Deliver(number uint64, isAddressed bool, answer Answer) {
 	q.mutex.Lock()
 	receiver := q.pending[number]
--- a/internal/relay/dialect.go
+++ b/internal/relay/dialect.go
@@ -11,7 +11,7 @@
 	PrefillStage string
 	// ReadyPath is the path of the readiness endpoint; it answers 200 while the relay accepts new connections.
 	ReadyPath string
-	// HandlePath returns the path of the call that releases the prefill with this handle at its engine.
+	// HandlePath returns the path of the call that makes an engine release the prefilled prompt with this handle.
 	HandlePath func(handle string) string
 	// ParsePrefillAnswer decodes an engine's answer to a prefill.
 	ParsePrefillAnswer func(body []byte) (PrefillAnswer, error)
@@ -22,7 +22,7 @@
 	MoveBody func(request, address string, stop bool) []byte
 	// ParseMoveAnswer returns the handle under which the run continues; "" when there is none.
 	ParseMoveAnswer func(body []byte) (handle string)
-	// ParseConfiguration decodes the operator's document.
+	// ParseConfiguration decodes the operator's configuration document.
 	ParseConfiguration func(content []byte) (serving.Configuration, error)
 }
 
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -18,8 +18,8 @@
 	// refuseAfterShare is the fraction of the grace period after which a stopping relay refuses new requests; requests
 	// accepted before have the remainder to complete.
 	refuseAfterShare = 0.3
-	// minStayShare is the fraction of the grace period for which a stopping relay stays in any case, so that clients have
-	// stopped connecting to it when it exits.
+	// minStayShare is the fraction of the grace period for which a stopping relay keeps running in any case, so that clients
+	// have stopped connecting to it when it exits.
 	minStayShare = 0.4
 	// quietIdleShare is the fraction of the grace period for which nothing must have arrived on an idle connection before
 	// it is closed: a client that has just opened a connection is about to send on it.
--- a/internal/relay/engine_query.go
+++ b/internal/relay/engine_query.go
@@ -29,9 +29,10 @@
 	request placement.Request
 	// excluded holds the hashes of the engines that must not be selected.
 	excluded []uint64
-	// withoutPermits reports that the querying relay would send to an engine with a limit without acquiring a permit.
+	// withoutPermits is true if the querying relay would send requests to an engine with a limit without acquiring a permit;
+	// engines with a limit are then excluded.
 	withoutPermits bool
-	// hasPermit reports whether a permit for the run was acquired already.
+	// hasPermit is true if a permit for the run was acquired already.
 	hasPermit bool
 	// holder is the engine of another cell that has cached a prefix of the prompt; nil for none.
 	holder *prefixHolder
@@ -66,10 +67,10 @@
 	return query
 }
 
-// maxExcluded bounds the engines that a query excludes; each takes 8 to 10 bytes of its datagram.
+// maxExcluded limits how many engines a query excludes; each takes 8 to 10 bytes of its datagram.
 const maxExcluded = 32
 
-// decideAmong decides among candidates according to the query's purpose.
+// decideAmong returns the placement decision among the candidates according to the query's purpose.
 func (q *engineQuery) decideAmong(policy placement.Parameters, candidates candidateSet, draw func() float64) placement.Decision {
 	switch q.purpose {
 	case purposeBegin:
@@ -115,7 +116,7 @@
 	selection *backEndSelection
 	// holder is the engine of the cell that has cached the longest prefix of the prompt; nil for none.
 	holder *prefixHolder
-	// isDecidedHere reports whether this relay decided because neither the engines' owner nor its deputy answered.
+	// isDecidedHere is true if this relay decided because neither the engines' owner nor its deputy answered.
 	isDecidedHere bool
 }
 
@@ -137,7 +138,7 @@
 type backEndSelection struct {
 	placement.Candidate
 	backEnd *backEnd
-	// fetchFrom is the engine from which it fetches the prompt's prefix; nil for none.
+	// fetchFrom is the engine from which the selected one fetches the prompt's prefix; nil for none.
 	fetchFrom *backEnd
 	// queuedWork is the known work of all relays at the engine when it was selected; timePerToken is the engine's prefill
 	// time per token.
@@ -145,7 +146,8 @@
 	timePerToken time.Duration
 	// assignment identifies the owner's answer; zero when this relay decided.
 	assignment assignment
-	// permittedAt is when a permit was acquired for it, 0 for none; mustResume reports whether the run must continue there.
+	// permittedAt is when a permit was acquired for this selection, 0 for none; mustResume is true if the run must continue
+	// at this back end.
 	permittedAt time.Duration
 	mustResume  bool
 }
--- a/internal/relay/exchange_records.go
+++ b/internal/relay/exchange_records.go
@@ -79,8 +79,8 @@
 	e.recordFailure(engine)
 }
 
-// hasFreeSlots reports whether most slots of a message's engine are free, by what is known here or was known when the
-// engine was selected.
+// hasFreeSlots reports whether most slots of a message's engine are free, according to the work that this relay knows now
+// or knew when the engine was selected.
 func (e *exchanger) hasFreeSlots(message *message) bool {
 	engine, now := message.backEnd, e.clock.now()
 	current := engine.currentLoad(now)
--- a/internal/relay/failure.go
+++ b/internal/relay/failure.go
@@ -13,7 +13,7 @@
 type failure struct {
 	// verdict says whether the back end may have run the request.
 	verdict verdict.Verdict
-	// mayHaveArrived reports whether any part of the request may have reached the back end.
+	// mayHaveArrived is true if any part of the request may have reached the back end.
 	mayHaveArrived bool
 	cause          error
 	// retryAfter is the backoff that the back end asked for; 0 when it asked for none.
--- a/internal/relay/fleet_state.go
+++ b/internal/relay/fleet_state.go
@@ -21,7 +21,7 @@
 // listingTimeout bounds one call to the platform for its list of back ends.
 const listingTimeout = time.Second
 
-// fleetState applies the leader's updates about the fleet: the configuration, the back ends, and the relays that own them.
+// fleetState applies the leader's updates about the fleet: the configuration, the back ends, and the relays that own engines.
 // While there is no leader, it reads the list of back ends from the platform itself.
 type fleetState struct {
 	relay          *Relay
@@ -34,7 +34,7 @@
 	signals *backpressure.Registry
 	// closedBackEnds are the records of back ends that accept no more work since the last list.
 	closedBackEnds []*backEnd
-	// isLeaderLost reports whether there was no leader at the last check.
+	// isLeaderLost is true if there was no leader at the last check.
 	isLeaderLost bool
 	// heldDocument is the applied document as the leader sent it; patches apply to it. Its number is 0 when the complete
 	// document must be requested.
@@ -42,13 +42,13 @@
 	// relayListHash is the hash of the applied list of relays, 0 for none; relayListSize is its length.
 	relayListHash uint64
 	relayListSize int
-	// listedByFirstFormatLeader reports whether the last list came from a leader of the first format, which does not
+	// listedByFirstFormatLeader is true if the last list came from a leader of the first format, which does not
 	// distinguish incarnations.
 	listedByFirstFormatLeader bool
 	// listing is the last list of back ends as the leader sent it.
 	listing listing.ReceivedList
-	// wantedBackEnds is how many back ends of each service the last leader wanted; isListingPartial reports whether its list
-	// contained only a part of the back ends.
+	// wantedBackEnds is how many back ends of each service the last leader wanted; isListingPartial is true if that leader's
+	// list contained only a part of the back ends.
 	wantedBackEnds   []*v1.WantedBackEnds
 	isListingPartial bool
 	directRead       listing.DirectRead
@@ -82,7 +82,8 @@
 	f.relay.event(event).Strs("controllers", controllers).Send()
 }
 
-// WatchRequest implements leaderwatch.Node.
+// WatchRequest implements leaderwatch.Node: it returns the request for the leader's next update, for which the leader may
+// wait up to the given time.
 func (f *fleetState) WatchRequest(wait time.Duration) *v1.WatchRequest {
 	view := f.relay.view.Load()
 	request := &v1.WatchRequest{
@@ -152,7 +153,7 @@
 	f.relay.usage.UpdateTime(f.relay.clock.now(), response.GetTrueTimeMs(), window)
 }
 
-// applyLimits applies the limits that the leader knows, for back ends about which no relay has sent a notice yet.
+// applyLimits applies the limits that the leader knows, as far as this relay knows no limit itself; see applyLeaderLimit.
 func (f *fleetState) applyLimits(response *v1.WatchResponse) {
 	for _, wireLimit := range response.GetLimits() {
 		if backEndLimit, valid := fleetlimit.FromWire(wireLimit); valid {
@@ -189,8 +190,8 @@
 	return &v1.Document{Number: response.GetPatchedNumber(), Content: content}
 }
 
-// applyRelayList applies a list of relays. Relays contact a new leader one by one: until it knows their number, its list is
-// applied only when it is at least as long as the current one.
+// applyRelayList applies a list of relays. Relays contact a new leader one by one: until the leader knows how many there are,
+// its list is applied only when it is at least as long as the current one.
 func (f *fleetState) applyRelayList(response *v1.WatchResponse) {
 	addresses := response.GetRelayAddresses()
 	if len(addresses) == 0 || response.GetRelayList() == f.relayListHash {
@@ -203,7 +204,7 @@
 	f.relay.setRelays(addresses, response.GetFormerRelays())
 }
 
-// applyRelayCount applies the number of relays; a new leader does not send one until it knows it.
+// applyRelayCount applies the number of relays; a new leader sends none until it knows how many there are.
 func (f *fleetState) applyRelayCount(response *v1.WatchResponse) {
 	if count := response.GetRelays(); count > 0 {
 		f.relay.relayCount.Store(int64(count))
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -22,7 +22,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// testDialect uses its own names, since the relay must not depend on the names of any site.
+// testDialect uses its own names, since the relay must not depend on the names of any deployment.
 func testDialect() Dialect {
 	return Dialect{
 		Headers: HeaderNames{
@@ -180,11 +180,11 @@
 type testRelay struct {
 	*Relay
 	address string
-	// suspendedFor is how long its machine was suspended, in nanoseconds.
+	// suspendedFor is how long the relay's machine was suspended, in nanoseconds.
 	suspendedFor *atomic.Int64
 }
 
-// route returns a route for /path/ on the host test.
+// route returns a route for /path/ on the host named test.
 func route(change func(*serving.Route)) serving.Route {
 	result := serving.Route{
 		Name: "route", Host: "test", Prefix: "/path/", Kind: serving.KindUnsafe, Timeout: 5 * time.Second,
@@ -250,7 +250,7 @@
 	status int
 	head   *fasthttp.ResponseHeader
 	body   string
-	// isComplete reports whether the body was received up to its declared end.
+	// isComplete is true if the body was received up to its declared end.
 	isComplete bool
 }
 
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -14,7 +14,7 @@
 	headers []header
 	// deadline ends the exchange; the back end is sent the time that is left.
 	deadline time.Duration
-	// stall is the silence after which the back end counts as failed; mayAbort reports that the exchange is then aborted,
+	// stall is the silence after which the back end counts as failed; mayAbort is true if the exchange is then aborted,
 	// since the request may be sent to another back end.
 	stall    time.Duration
 	mayAbort bool
@@ -22,7 +22,7 @@
 	work placement.Work
 	// selection is the selection of the back end; nil where it does not matter.
 	selection *backEndSelection
-	// isPrefill reports whether the message only prefills the prompt, so that nothing runs.
+	// isPrefill is true if the message only prefills the prompt, so that nothing runs.
 	isPrefill bool
 	// prefixBlocks are the prompt's blocks; newBlocks are those that the back end had not cached when the message was sent.
 	prefixBlocks, newBlocks []placement.PrefixBlock
--- a/internal/relay/notice_pending.go
+++ b/internal/relay/notice_pending.go
@@ -6,7 +6,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// pendingNotice holds the changes of one back end for the next notice, which also contains this relay's work there.
+// pendingNotice holds the changes at one back end for the next notice, which also contains this relay's work at it.
 type pendingNotice struct {
 	// started are the blocks whose prefill the engine has begun, cached those that it has cached for any request, and
 	// abandoned those whose prefill was abandoned.
@@ -16,7 +16,7 @@
 	queryNumbers []uint64
 	// timePerToken is the newest measured prefill time per token; 0 for none.
 	timePerToken time.Duration
-	// failed reports whether exchanges with the back end broke or stalled.
+	// failed is true if exchanges with the back end broke or stalled.
 	failed bool
 }
 
--- a/internal/relay/ownership.go
+++ b/internal/relay/ownership.go
@@ -62,7 +62,7 @@
 type ownedCell struct {
 	service string
 	zone    string
-	// isDeputy reports whether another relay is the owner.
+	// isDeputy is true if another relay is the owner.
 	isDeputy bool
 	engines  int
 }
@@ -196,8 +196,8 @@
 }
 
 // homeCells returns the indexes of up to count cells in which a prompt should run, the best first. A prompt with a shared
-// prefix of at least minSharedTokens, which is long enough to be worth fetching, has the same homes in all zones; for any
-// other prompt, the cells of the given zone go first.
+// prefix of at least minSharedTokens, which is long enough to be worth fetching, has the same cells in all zones. For any
+// other prompt, the cells of the given zone go first, and the request's identity spreads requests over the cells.
 func (c *serviceCells) homeCells(prompt []placement.PrefixBlock, request, zone string, minSharedTokens, count int) []int {
 	if shared := sharedPrefixTokens(prompt); shared >= minSharedTokens {
 		return c.division.Homes(uint64(prompt[len(prompt)-2].Hash), "", count)
--- a/internal/relay/permits/permits.go
+++ b/internal/relay/permits/permits.go
@@ -16,7 +16,7 @@
 	noOwnerBackoff = 250 * time.Millisecond
 	// noticeInterval is the time between two notices of the same limits.
 	noticeInterval = time.Second
-	// noticeBatchRelays is how many relays are sent notices per noticeBatchPause: 25 kB a second for notices of one limit.
+	// noticeBatchRelays is how many relays are sent notices per noticeBatchPause; notices of one limit take 25 kB a second.
 	noticeBatchRelays = 100
 	noticeBatchPause  = 250 * time.Millisecond
 	// limitsPerNotice is how many limits one datagram holds; each takes up to 22 bytes.
@@ -161,7 +161,7 @@
 	}
 }
 
-// recordLimit records a limit where this relay may be its owner.
+// recordLimit records a limit of which this relay may be the owner, and triggers an announcement if the limit has changed.
 func (p *Permits) recordLimit(backEndLimit fleetlimit.BackEndLimit) {
 	p.mutex.Lock()
 	isChanged := p.member.SetLimit(p.config.Now(), backEndLimit)
--- a/internal/relay/placement_client.go
+++ b/internal/relay/placement_client.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/relay/peerhealth"
 )
 
-// laterAnswerSlack is how much longer than the announced wait the later answer of an owner may take.
+// laterAnswerSlack is how much longer an owner's decision may take than the wait that the owner's first answer announced.
 const laterAnswerSlack = 100 * time.Millisecond
 
 // Outcomes of placement queries; they are label values of a metric.
@@ -44,7 +44,8 @@
 	return slices.DeleteFunc(trusted, func(owner string) bool { return owner == c.datagrams.Address })
 }
 
-// trustedOwners returns the first owners that answer queries, at most count, in their order.
+// trustedOwners returns the first of the given owners, at most count, without relays that recently left consecutive queries
+// unanswered.
 func (c *placementClient) trustedOwners(now time.Duration, owners []string, count int) []string {
 	trusted := make([]string, 0, count)
 	for _, owner := range owners {
@@ -60,8 +61,8 @@
 	c.queries.Deliver(answer.GetNumber(), answer.GetRelay() == c.incarnation, answer)
 }
 
-// query queries one owner and waits for its answer. It returns false when no answer arrived in time, when the answer cannot
-// be used, or when stop was closed.
+// query sends a query to one owner of the cell with the given identity and waits for the answer. It returns false when no
+// answer arrived in time, when the answer cannot be used, or when stop was closed.
 func (c *placementClient) query(owner string, id uint64, query *engineQuery, stop <-chan struct{}) (engineAnswer, bool) {
 	number, answers := c.queries.Open()
 	defer c.queries.Close(number)
--- a/internal/relay/placement_wire.go
+++ b/internal/relay/placement_wire.go
@@ -10,8 +10,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// maxQueryBlocks bounds the prompt's blocks in a query. Further blocks are most likely not shared, and need a prefill on any
-// engine.
+// maxQueryBlocks limits how many of the prompt's blocks a query contains. Further blocks are most likely not shared, and need
+// a prefill on any engine.
 const maxQueryBlocks = 32
 
 // wirePurposes maps purposes to their values in datagrams.
@@ -68,7 +68,7 @@
 	return result
 }
 
-// queryFromWire is the reverse of queryToWire. It validates no content beyond its bounds, since the answer is not binding.
+// queryFromWire is the reverse of queryToWire. It only bounds the numbers, since the answer does not bind the querying relay.
 func queryFromWire(request *v1.PlacementRequest, view *view) *engineQuery {
 	query := &engineQuery{
 		purpose: purposeFromWire(request.GetPurpose()), service: request.GetService(), excluded: request.GetExcluded(),
--- a/internal/relay/prefill_speed.go
+++ b/internal/relay/prefill_speed.go
@@ -11,7 +11,7 @@
 type prefillSpeed struct {
 	mutex sync.Mutex
 	speed *placement.PrefillSpeed
-	// fixed reports that the times are not updated by measurements.
+	// fixed is true if the times are not updated by measurements.
 	fixed bool
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -81,7 +81,7 @@
 	lastContactAt atomic.Int64
 	// relayCount is the number of relays as the leader sent it; 0 while unknown.
 	relayCount atomic.Int64
-	// stopping reports that the relay is shutting down; it then reports not ready, so that clients stop connecting.
+	// stopping is true if the relay is shutting down; it then reports not ready, so that clients stop connecting.
 	stopping atomic.Bool
 	// refuseNewAt is when a stopping relay begins to refuse new requests.
 	refuseNewAt atomic.Int64
--- a/internal/relay/release.go
+++ b/internal/relay/release.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// writeInternalCall writes an internal call of the relay to an engine. Another back end at the engine's address refuses it.
-// The body is JSON; nil means no body.
+// writeInternalCall writes an internal call of the relay to an engine. If the call reaches another back end at the engine's
+// address, that back end refuses it. The body is JSON; nil means no body.
 func (e *exchanger) writeInternalCall(connection *connpool.Connection, engine *backEnd, method, path string, body []byte) error {
 	head := append([]byte(nil), method+" "+path+" HTTP/1.1\r\nHost: "+engine.Address+"\r\n"...)
 	head = appendHeader(head, e.names.ExpectInstance, engine.ExpectedID())
--- a/internal/relay/reply.go
+++ b/internal/relay/reply.go
@@ -12,15 +12,15 @@
 	connection *clientConnection
 	names      HeaderNames
 	requestID  string
-	// close reports whether the connection is closed after this answer.
+	// close is true if the connection is closed after this answer.
 	close bool
-	// started reports whether bytes of an answer may have been sent.
+	// started is true if bytes of an answer may have been sent.
 	started bool
 	// status is the status of the answer; refusal is the relay's own answer, nil when a back end's answer is sent.
 	status  int
 	refusal *refusal
 	chunked bool
-	// aborted reports whether the answer cannot be completed: a write failed, or the answer broke off.
+	// aborted is true if the answer cannot be completed: a write failed, or the answer broke off.
 	aborted bool
 	scratch []byte
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -24,16 +24,16 @@
 	body   []byte
 	// signature is the same for all requests that a back end would process in the same way, whatever their identities.
 	signature quarantine.Signature
-	// isTrial reports whether the request is quarantined and may be sent to a single back end once.
+	// isTrial is true if the request is quarantined and may be sent to a single back end once.
 	isTrial bool
 
 	route   *serving.Route
 	service *serving.Service
 	prompt  serving.Prompt
-	// usesKeys reports whether clients are identified by keys; tenant is the client's tenant, nil for an anonymous client.
+	// usesKeys is true if clients are identified by keys; tenant is the client's tenant, nil for an anonymous client.
 	usesKeys bool
 	tenant   *serving.Tenant
-	// isUsageCounted reports whether the run is counted in the tenant's usage already.
+	// isUsageCounted is true if the request is counted in the tenant's usage already.
 	isUsageCounted bool
 	// rank is the request's rank in the queues of engines.
 	rank placement.Rank
@@ -54,7 +54,7 @@
 	return r.tenant.Name
 }
 
-// clientTimeout returns the timeout that the client sent, or fallback when it sent none.
+// clientTimeout returns the timeout in milliseconds that the named header contains, or fallback when the client sent none.
 func clientTimeout(header *fasthttp.RequestHeader, name string, fallback time.Duration) time.Duration {
 	count, err := strconv.ParseFloat(string(header.Peek(name)), 64)
 	if err != nil || count <= 0 {
--- a/internal/relay/request_log.go
+++ b/internal/relay/request_log.go
@@ -54,8 +54,8 @@
 		Str("reason", string(missing)).Uint64("configuration", snapshot.configuration).Int64("leader_age_ms", snapshot.leaderAge.Milliseconds()).Send()
 }
 
-// recordMigration logs that a run was migrated from an engine that accepts no more work, or that its migration stopped it
-// there without a copy.
+// recordMigration logs the migration of a run from an engine that accepts no more work. copied is false if the run was
+// paused but the remainder of its KV cache could not be copied.
 func (l requestLog) recordMigration(request *request, from, to *backEnd, copied bool) {
 	l.line(zerolog.InfoLevel, events.RunMigrated, request).Str("back_end", from.ID).Str("to", to.ID).Bool("copied", copied).Send()
 }
--- a/internal/relay/request_trace.go
+++ b/internal/relay/request_trace.go
@@ -12,9 +12,10 @@
 	prefillEngine, engine string
 	prefillAt, sentAt     time.Duration
 	// tokensToPrefill is how many tokens of this request the prefill engine had to process, as known when it was selected.
-	// tokensAhead counts the tokens of other requests that were queued before this one, tokensAheadAll those of all ranks.
+	// tokensAhead counts the queued tokens of other requests that the engine processes before or together with this one by
+	// their ranks, tokensAheadAll those of all ranks.
 	tokensToPrefill, tokensAhead, tokensAheadAll int
-	// placementReason is the reason for the place of the prefill.
+	// placementReason is the reason for the decision on where to prefill the prompt.
 	placementReason string
 	// owner is the relay that selected the last engine; empty for this relay.
 	owner string
--- a/internal/relay/run_mover.go
+++ b/internal/relay/run_mover.go
@@ -27,7 +27,7 @@
 	engine *backEnd
 
 	mutex sync.Mutex
-	// stopping reports whether the run has been asked to stop. outcome then receives where the run continues, nil for
+	// stopping is true if the run has been asked to stop. outcome then receives where the run continues, nil for
 	// nowhere.
 	stopping   bool
 	isFinished bool
@@ -88,7 +88,7 @@
 }
 
 // destination returns where a paused run continues: at the engine that has the copy, or at its former engine when the
-// remainder could not be copied.
+// remainder could not be copied. It returns nil when the former engine has returned no handle.
 func (m *runMover) destination(target *backEndSelection, copied bool, handle string) *migratedRun {
 	if handle == "" {
 		return nil
@@ -108,7 +108,8 @@
 	return r.decide(request, newEngineQuery(purposeTakeOver, attempts, criteria), mover.engine).selection
 }
 
-// copyRun lets an engine transfer a run to the engine at an address. It reports whether the transfer succeeded, and returns
+// copyRun makes an engine transfer the run of the request with the given identity to the engine at an address. If stop is
+// true, the run stops first; otherwise it continues meanwhile. copyRun reports whether the transfer succeeded, and returns
 // the handle under which the run continues.
 func (e *exchanger) copyRun(engine *backEnd, dialect Dialect, request, address string, stop bool) (copied bool, handle string) {
 	now := e.clock.now()
--- a/internal/relay/serve_engine.go
+++ b/internal/relay/serve_engine.go
@@ -11,8 +11,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// nextDecodeEngine selects the decoding engine that continues a stream. An engine for which a permit was acquired before
-// goes first. It returns nil when no engine is left, or none that may prefill the prompt itself.
+// nextDecodeEngine selects the decoding engine that begins or continues a stream. prefill is the prompt that another engine
+// has prefilled, nil for none. The engine for which a permit was acquired before the prefill goes first. nextDecodeEngine
+// returns nil when no engine is left, or none that may prefill the prompt itself.
 func (r *Relay) nextDecodeEngine(stream *streamReply, prefill *remotePrefill) *backEndSelection {
 	if run := stream.reservedRun; run != nil {
 		stream.reservedRun = nil
@@ -82,7 +83,7 @@
 	r.recordPrefillDemand(service, selection.backEnd, selection.EffectiveTokens)
 }
 
-// recordPrefillDemand counts a prefill as demand for prefill engines.
+// recordPrefillDemand counts a prefill of effort tokens as demand for prefill engines.
 func (r *Relay) recordPrefillDemand(service string, engine *backEnd, effort int) {
 	r.work.AddPrefill(service, placement.PrefillTime(r.prefillSpeed.timePerToken(engine.hash), effort))
 }
@@ -102,8 +103,8 @@
 	return answer.decision, answer.selection
 }
 
-// decide returns the decision of the owners of the request's home cells. When near is set, its cell is queried first. An
-// engine with a limit is selected only when the limit's owner grants a permit for the request.
+// decide returns the decision of the owners of the request's home cells. When near is not nil, the cell of that engine is
+// queried first. An engine with a limit is selected only when the limit's owner grants a permit for the request.
 func (r *Relay) decide(request *request, query *engineQuery, near *backEnd) engineAnswer {
 	for {
 		answer := r.decideOnce(request, query, near)
--- a/internal/relay/serve_stream.go
+++ b/internal/relay/serve_stream.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/placement"
 )
 
-// maxPrefillAnswerBytes bounds an engine's answer to a prefill.
+// maxPrefillAnswerBytes limits the size of an engine's answer to a prefill.
 const maxPrefillAnswerBytes = 16 << 10
 
 // remotePrefill is a prompt that one engine has prefilled for another engine.
@@ -134,7 +134,7 @@
 	return &remotePrefill{engine: answer.message.backEnd, handle: parsed.Handle, prefixBlocks: prefixBlocks}
 }
 
-// release releases an unused prefill in the background. It would occupy the engine's memory until it expires.
+// release releases an unused prefill in the background; otherwise it would occupy the engine's memory until it expires.
 func (r *Relay) release(prefill *remotePrefill) {
 	go r.exchanger.release(prefill, r.dialect.HandlePath(prefill.handle))
 }
--- a/internal/relay/stall.go
+++ b/internal/relay/stall.go
@@ -12,7 +12,7 @@
 const (
 	// minStreamStall is the minimum silence of a stream after which its engine counts as failed.
 	minStreamStall = 900 * time.Millisecond
-	// minPlainStall is the minimum silence for back ends that answer whole.
+	// minPlainStall is the minimum silence after which a back end that answers whole counts as failed.
 	minPlainStall = 250 * time.Millisecond
 	// stallTargetFactor is the minimum silence as a multiple of the route's target.
 	stallTargetFactor = 2
@@ -42,7 +42,7 @@
 	timer      *time.Timer
 
 	mutex sync.Mutex
-	// stopped reports that the connection may carry another request now.
+	// stopped is true if the connection may carry another request now.
 	stopped bool
 }
 
--- a/internal/relay/startup_wait_test.go
+++ b/internal/relay/startup_wait_test.go
@@ -11,7 +11,7 @@
 )
 
 // After all processes were killed, clients reach relays that have no configuration and list for a tenth of a second. A
-// client that is told to retry in a second would miss its target; a request that waits is served.
+// client that is asked to retry in a second would miss its target; a request that waits is served.
 func TestRequestDuringStartupWaitsAndIsServed(t *testing.T) {
 	relay := newTestRelay(t, route(nil), startBackEnd(t, "one", serving.StageWhole, answering(200, "ok")))
 	readyView := relay.view.Load()
--- a/internal/relay/stream_reply.go
+++ b/internal/relay/stream_reply.go
@@ -31,7 +31,7 @@
 	prefill *remotePrefill
 	// reservedRun is the engine for which a permit was acquired before the prefill; nil for none.
 	reservedRun *backEndSelection
-	// hasEvents reports whether the current run has produced events.
+	// hasEvents is true if the current run has produced events.
 	hasEvents bool
 	// mover can migrate the current run to another engine; nil when that is impossible. migrated is where a migrated run
 	// continues.
@@ -215,8 +215,8 @@
 	}
 }
 
-// finishMover ends the migration of the current run, which produces no more events. It returns where the run continues; nil
-// when it was not migrated.
+// finishMover ends the time in which the current run can be migrated, since it produces no more events. It waits for a
+// migration in progress and returns where the run continues; nil when it was not migrated.
 func (s *streamReply) finishMover() *migratedRun {
 	if s.mover == nil {
 		return nil
@@ -233,7 +233,7 @@
 	}
 }
 
-// finish writes the pending events and the end of the stream.
+// finish writes the pending events, the bytes after the last event (remainder), and the end of the stream.
 func (s *streamReply) finish(answer *answer, remainder event) {
 	if len(remainder.bytes) > 0 && (remainder.id == "" || s.lastEventID == "" || remainder.isAfter(s.lastEventID)) {
 		s.pending = append(s.pending, remainder.bytes...)
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -175,8 +175,8 @@
 	require.Empty(t, released.head.Peek("T-Id"))
 }
 
-// When a long prompt loses its decoding engine, the next engine fetches it from the engine that prefilled it. When that one
-// has failed too, the prompt is not prefilled by an engine whose streams would stall meanwhile.
+// When a long prompt loses its decoding engine, the next engine fetches the prompt from the engine that prefilled it. When that
+// engine has failed too, the prompt is not prefilled by a decoding engine, whose streams would stall meanwhile.
 func TestLongPromptIsNotMovedToABusyEngine(t *testing.T) {
 	for _, readerFails := range []bool{false, true} {
 		var relay *testRelay
--- a/internal/relay/view.go
+++ b/internal/relay/view.go
@@ -14,7 +14,7 @@
 	configuredAt, listedAt time.Duration
 	// listingVersion is the controllers' version of the list; 0 for a list that this relay has read from the platform.
 	listingVersion uint64
-	// isListed reports whether any list has been applied.
+	// isListed is true if any list has been applied.
 	isListed bool
 	// byService maps services' names to their back ends, which are ordered by identity.
 	byService map[string][]*backEnd
