--- a/internal/bootclock/watch.go
+++ b/internal/bootclock/watch.go
@@ -11,7 +11,7 @@
 const watchInterval = 100 * time.Millisecond
 
 // Watch calls woken with the length of each suspension, soon after it ends, until the context is done.
-// Timers do not count suspensions, so all that were set before are late by that time.
+// Timers do not count suspensions, so those that were set before a suspension fire late by its length.
 func (c *Clock) Watch(ctx context.Context, woken func(suspended time.Duration)) {
 	reported := c.SuspendedTime()
 	for pause.For(ctx, watchInterval) {
--- a/internal/closing/connection.go
+++ b/internal/closing/connection.go
@@ -64,7 +64,7 @@
 }
 
 // requestClose requests the connection to be closed, unless a request is being served on it or its state
-// has changed after quietSince. The read in progress then times out.
+// has changed after quietSince. A read that waits for the client's next request then times out.
 func (c *Connection) requestClose(quietSince time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -108,7 +108,8 @@
 	return c.state != Serving
 }
 
-// cancelClose withdraws the request to close, because a request has arrived.
+// cancelClose withdraws the request to close, because a request has arrived, and applies the reader's
+// deadline again.
 func (c *Connection) cancelClose() error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/closing/connection_test.go
+++ b/internal/closing/connection_test.go
@@ -25,7 +25,7 @@
 	return client, server
 }
 
-// Guards against a request that arrives on an idle connection as it is closed, and gets no answer.
+// Guards against a request without an answer: it arrives on an idle connection while the connection is closed.
 func TestRequestOnClosingConnectionIsRead(t *testing.T) {
 	set := NewSet()
 	client, server := connectedPair(t, set)
--- a/internal/closing/listener.go
+++ b/internal/closing/listener.go
@@ -18,7 +18,7 @@
 type Listener struct {
 	net.Listener
 	draining atomic.Bool
-	// handshakesDoneAt is when handshakes that were already in progress have ended.
+	// handshakesDoneAt is when the handshakes that were in progress when dropping began have ended.
 	handshakesDoneAt time.Time
 	closed           chan struct{}
 	closeOnce        sync.Once
--- a/internal/dialing/expiry.go
+++ b/internal/dialing/expiry.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// expiringConnection is a connection of WithExpiry.
+// expiringConnection is a connection opened by a Dial of WithExpiry.
 type expiringConnection struct {
 	net.Conn
 	remaining func() time.Duration
--- a/internal/dialing/expiry_test.go
+++ b/internal/dialing/expiry_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// openExpiring returns both ends of a connection of WithExpiry.
+// openExpiring returns both ends of a connection that a Dial of WithExpiry has opened.
 func openExpiring(t *testing.T, remaining func() time.Duration) (local, remote net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/leaderwatch/watcher_test.go
+++ b/internal/leaderwatch/watcher_test.go
@@ -39,7 +39,7 @@
 	return listener.Addr().String()
 }
 
-// recordingNode records the responses and the requests without a leader.
+// recordingNode records the leader's responses and counts the requests that no leader answered.
 type recordingNode struct {
 	responses     chan *v1.WatchResponse
 	noLeaderCalls atomic.Int64
--- a/internal/listing/direct_read_test.go
+++ b/internal/listing/direct_read_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// countReads counts how often relays read the list within a time without a leader.
+// countReads returns how often all relays together read the list during a span without a leader.
 func countReads(relays, calls int, hasList bool, span time.Duration) int {
 	count := 0
 	for relay := range relays {
--- a/internal/listing/first_format.go
+++ b/internal/listing/first_format.go
@@ -10,8 +10,9 @@
 )
 
 // ToFirstFormat returns a list in the form that relays of the first format expect: entries have the identities
-// of replicas, which requests of such relays use, and no newer fields, so that the version equals that of a
-// controller of that format. A list without newer fields is returned unchanged.
+// of replicas, which requests of such relays use, and no newer fields. The version of the returned list thus
+// equals the one that a controller of the first format computes. A list without newer fields is returned
+// unchanged.
 func ToFirstFormat(list []*v1.ListedBackEnd) []*v1.ListedBackEnd {
 	if !slices.ContainsFunc(list, hasNewerFields) {
 		return list
--- a/internal/stream/event.go
+++ b/internal/stream/event.go
@@ -28,7 +28,7 @@
 // call of Next.
 type Event struct {
 	Type EventType
-	// Exchange is the exchange that the event states to belong to.
+	// Exchange is the identity of the exchange to which the event belongs, as the event states it.
 	Exchange string
 	// Offset is the number of output tokens up to and including this event.
 	Offset int
--- a/internal/stream/sequence.go
+++ b/internal/stream/sequence.go
@@ -100,7 +100,8 @@
 	return StepDeliver
 }
 
-// acceptOnce accepts an event that occurs once, after the last token.
+// acceptOnce accepts an event that occurs once, after the last token. delivered points to the flag that
+// records whether the event was delivered.
 func (s *Sequence) acceptOnce(event *Event, delivered *bool) Step {
 	switch {
 	case *delivered:
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -12,7 +12,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// Limits of the connections to one back end.
+// Limits of the connections to one back end; those of responses are in bytes.
 const (
 	dialTimeout             = 2 * time.Second
 	maximumConnections      = 4096
--- a/internal/upstream/interrupter.go
+++ b/internal/upstream/interrupter.go
@@ -57,7 +57,8 @@
 
 var pastDeadline = time.Unix(1, 0)
 
-// attach makes the connection the one to interrupt, and sets its deadline.
+// attach makes the given connection the one that Interrupt interrupts, and sets its deadline. It returns
+// ErrInterrupted if Interrupt was called already.
 func (i *Interrupter) attach(connection *trackedConnection, deadline time.Time) error {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
