--- a/internal/bootclock/clock.go
+++ b/internal/bootclock/clock.go
@@ -30,7 +30,7 @@
 
 // New returns a Clock whose origin is now. The clock includes a suspension at the latest checkInterval
 // after the process runs again. It does not check more often, because each check costs two system calls.
-// With 0 every reading checks, as leases require.
+// With a checkInterval of 0 every call of Now checks, as leases require.
 func New(checkInterval time.Duration) *Clock {
 	return NewWithSuspension(checkInterval, readSuspendedTime)
 }
--- a/internal/dialing/expiry.go
+++ b/internal/dialing/expiry.go
@@ -37,7 +37,7 @@
 	remaining func() time.Duration
 
 	mutex sync.Mutex
-	// unanswered is set from a write until the next data from the peer.
+	// unanswered is true from a write until the next data arrives from the peer.
 	unanswered bool
 }
 
--- a/internal/leaderwatch/controllers.go
+++ b/internal/leaderwatch/controllers.go
@@ -14,7 +14,7 @@
 	seeds atomic.Pointer[[]string]
 	// addresses are the seeds at first, later the controllers in the last response and the seeds.
 	addresses []string
-	// nextIndex is the index of the controller that gets the next request; it may exceed the length.
+	// nextIndex, modulo the number of addresses, is the index of the controller that gets the next request.
 	nextIndex int
 	// leader is the leader according to the last response; empty if unknown.
 	leader string
--- a/internal/listing/received_list.go
+++ b/internal/listing/received_list.go
@@ -11,8 +11,9 @@
 	entries []*v1.ListedBackEnd
 }
 
-// Apply applies the list or change in a response to a watch request that stated heldVersion. It returns false
-// if the response cannot be applied; the relay must then request the list again.
+// Apply applies the list or change in a response to a watch request that stated heldVersion as the version of
+// the relay's list, and returns the new list. It returns false if the response cannot be applied; the relay
+// must then request the list again.
 func (l *ReceivedList) Apply(heldVersion uint64, response *v1.WatchResponse) ([]*v1.ListedBackEnd, bool) {
 	if change := response.GetListingChange(); change != nil {
 		if heldVersion != l.version || change.GetFromVersion() != l.version {
--- a/internal/relay/dialect.go
+++ b/internal/relay/dialect.go
@@ -17,8 +17,8 @@
 	ParsePrefillAnswer func(body []byte) (PrefillAnswer, error)
 	// MovePath is the path of the call that makes an engine transfer a run to another engine.
 	MovePath string
-	// MoveBody returns the body of a call that transfers a run to the engine at an address. With stop, the run stops first;
-	// otherwise it continues meanwhile.
+	// MoveBody returns the body of a call that transfers the run of the request with the given identity to the engine at an
+	// address. If stop is true, the run stops first; otherwise it continues during the transfer.
 	MoveBody func(request, address string, stop bool) []byte
 	// ParseMoveAnswer returns the handle under which the run continues; "" when there is none.
 	ParseMoveAnswer func(body []byte) (handle string)
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// readyTimeout and readyIdle bound the calls to the readiness endpoint.
+	// readyTimeout limits the time to read the headers of a call to the readiness endpoint; readyIdle is how long a
+	// connection to it may stay idle.
 	readyTimeout = 2 * time.Second
 	readyIdle    = 30 * time.Second
 	// refuseAfterShare is the fraction of the grace period after which a stopping relay refuses new requests; requests
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -20,7 +20,7 @@
 	mayAbort bool
 	// work is the expected work at the back end.
 	work placement.Work
-	// selection is the selection of the back end; nil where it does not matter.
+	// selection is the selection of the back end; nil for a message that is not sent, see awaitCached.
 	selection *backEndSelection
 	// isPrefill is true if the message only prefills the prompt, so that nothing runs.
 	isPrefill bool
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// setPeers selects the peers from the addresses of all relays: those that follow this relay in the list.
+// setPeers selects the relays that receive notices about failures of back ends without an owner: those that follow this
+// relay in the list of all relays' addresses.
 func (n *loadNotices) setPeers(addresses []string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/relay/permits/permits.go
+++ b/internal/relay/permits/permits.go
@@ -37,7 +37,7 @@
 	IsRelayListFresh func() bool
 	// OnLimit is called with each limit that another relay announces.
 	OnLimit func(fleetlimit.BackEndLimit)
-	// Peers records which relays answer.
+	// Peers records which relays answer queries.
 	Peers *peerhealth.Table
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -56,7 +56,7 @@
 	datagrams  *datagram.Socket
 	notices    *loadNotices
 	placements *placementClient
-	// peers records which other relays answer.
+	// peers records which other relays answer queries.
 	peers *peerhealth.Table
 	// permits obtains permits for back ends that declare a limit for all relays together.
 	permits        *permits.Permits
--- a/internal/relay/stall.go
+++ b/internal/relay/stall.go
@@ -46,7 +46,7 @@
 	stopped bool
 }
 
-// watchStall starts a watch. mayAbort says whether the answer may be aborted.
+// watchStall starts to watch for a silence that lasts for the limit. mayAbort is true if the answer may then be aborted.
 func (e *exchanger) watchStall(connection *connpool.Connection, backEnd *backEnd, limit time.Duration, mayAbort bool) *stallWatch {
 	mayAbort = mayAbort && e.mechanisms.IsEnabled(mechanism.StallWatch)
 	watch := &stallWatch{exchanger: e, connection: connection, backEnd: backEnd, mayAbort: mayAbort, limit: limit}
--- a/internal/relay/view.go
+++ b/internal/relay/view.go
@@ -18,7 +18,8 @@
 	isListed bool
 	// byService maps services' names to their back ends, which are ordered by identity.
 	byService map[string][]*backEnd
-	// byHash maps the hashes of replicas in messages between relays to back ends; byIncarnation does so for incarnations.
+	// byHash maps the hashes by which messages between relays identify replicas to back ends; byIncarnation does the same
+	// for the hashes of incarnations.
 	byHash        map[uint64]*backEnd
 	byIncarnation map[uint64]*backEnd
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -27,7 +27,7 @@
 	SourceAddress string
 	// Dial replaces the system's dialer; nil selects the system's.
 	Dial dialing.Dial
-	// Safeguards is the zero Set except in tests.
+	// Safeguards holds the safeguards that a test disables; processes use the zero Set, which disables none.
 	Safeguards safeguard.Set
 }
 
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -7,7 +7,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/wirecheck"
 )
 
-// trackedConnection counts the bytes passed to the system for sending.
+// trackedConnection is a connection to a back end that counts the bytes passed to the system for sending.
 type trackedConnection struct {
 	net.Conn
 	written atomic.Int64
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -7,13 +7,13 @@
 	"github.com/valyala/fasthttp"
 )
 
-// attemptKey is the user value under which a request carries its attempt.
+// attemptKey is the key of the fasthttp user value that holds a request's attempt.
 const attemptKey = "hazelpitch.attempt"
 
 // attempt holds the facts about one exchange that determine its verdict.
 type attempt struct {
 	deadline time.Time
-	// bytesSent is set once at least one byte was passed to the system.
+	// bytesSent is true once at least one byte of the request was passed to the system.
 	bytesSent   bool
 	interrupter *Interrupter
 	// release returns the connection to the pool, or closes it.
