--- a/internal/dialing/expiry.go
+++ b/internal/dialing/expiry.go
@@ -31,13 +31,13 @@
 	}
 }
 
-// expiringConnection is a connection of WithExpiry.
+// expiringConnection is a connection opened by a Dial of WithExpiry.
 type expiringConnection struct {
 	net.Conn
 	remaining func() time.Duration
 
 	mutex sync.Mutex
-	// unanswered is set from a write until the next data from the peer.
+	// unanswered is true from a write until the next data arrives from the peer.
 	unanswered bool
 }
 
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// readyTimeout and readyIdle bound the calls to the readiness endpoint.
+	// readyTimeout limits the time to read the headers of a call to the readiness endpoint; readyIdle is how long a
+	// connection to it may stay idle.
 	readyTimeout = 2 * time.Second
 	readyIdle    = 30 * time.Second
 	// refuseAfterShare is the fraction of the grace period after which a stopping relay refuses new requests; requests
 	// accepted before have the remainder to complete.
 	refuseAfterShare = 0.3
-	// minStayShare is the fraction of the grace period for which a stopping relay stays in any case, so that clients have
-	// stopped connecting to it when it exits.
+	// minStayShare is the fraction of the grace period for which a stopping relay keeps running in any case, so that clients
+	// have stopped connecting to it when it exits.
 	minStayShare = 0.4
 	// quietIdleShare is the fraction of the grace period for which nothing must have arrived on an idle connection before
 	// it is closed: a client that has just opened a connection is about to send on it.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -56,7 +56,7 @@
 	datagrams  *datagram.Socket
 	notices    *loadNotices
 	placements *placementClient
-	// peers records which other relays answer.
+	// peers records which other relays answer queries.
 	peers *peerhealth.Table
 	// permits obtains permits for back ends that declare a limit for all relays together.
 	permits        *permits.Permits
@@ -81,7 +81,7 @@
 	lastContactAt atomic.Int64
 	// relayCount is the number of relays as the leader sent it; 0 while unknown.
 	relayCount atomic.Int64
-	// stopping reports that the relay is shutting down; it then reports not ready, so that clients stop connecting.
+	// stopping is true if the relay is shutting down; it then reports not ready, so that clients stop connecting.
 	stopping atomic.Bool
 	// refuseNewAt is when a stopping relay begins to refuse new requests.
 	refuseNewAt atomic.Int64
--- a/internal/relay/view.go
+++ b/internal/relay/view.go
@@ -14,11 +14,12 @@
 	configuredAt, listedAt time.Duration
 	// listingVersion is the controllers' version of the list; 0 for a list that this relay has read from the platform.
 	listingVersion uint64
-	// isListed reports whether any list has been applied.
+	// isListed is true if any list has been applied.
 	isListed bool
 	// byService maps services' names to their back ends, which are ordered by identity.
 	byService map[string][]*backEnd
-	// byHash maps the hashes of replicas in messages between relays to back ends; byIncarnation does so for incarnations.
+	// byHash maps the hashes by which messages between relays identify replicas to back ends; byIncarnation does the same
+	// for the hashes of incarnations.
 	byHash        map[uint64]*backEnd
 	byIncarnation map[uint64]*backEnd
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -12,7 +12,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// Limits of the connections to one back end.
+// Limits of the connections to one back end; those of responses are in bytes.
 const (
 	dialTimeout             = 2 * time.Second
 	maximumConnections      = 4096
@@ -27,7 +27,7 @@
 	SourceAddress string
 	// Dial replaces the system's dialer; nil selects the system's.
 	Dial dialing.Dial
-	// Safeguards is the zero Set except in tests.
+	// Safeguards holds the safeguards that a test disables; processes use the zero Set, which disables none.
 	Safeguards safeguard.Set
 }
 
