--- a/internal/control/agreement.go
+++ b/internal/control/agreement.go
@@ -35,9 +35,9 @@
 	c.formats.byMember[message.GetFrom()] = formats.FromWire(message.GetFormats())
 }
 
-// advertisedFormats returns the formats that this controller reports to the others. One that is missing agreed state
-// reports only the first format: the leader then ends the agreement and proposes a new one, with which all replicas
-// start from the same state.
+// advertisedFormats returns the formats that this controller reports to the other controllers. A controller whose state
+// lacks agreed state reports only the first format: the leader then proposes an agreement on the first format and, later, a
+// new one on a higher format, with which all replicas start from the same state.
 func (c *Core) advertisedFormats() formats.Range {
 	if c.state.IsMissingAgreedState() {
 		return formats.Range{}
@@ -45,8 +45,8 @@
 	return formats.Supported()
 }
 
-// commonFormat returns the highest format that is supported by all members that have reported their formats; certain is
-// set once all members have reported.
+// commonFormat returns the highest format that is supported by this controller and by all members that have reported their
+// formats; certain is false while a member has not reported.
 func (c *Core) commonFormat() (common formats.Number, certain bool) {
 	common, certain = formats.Newest, true
 	for _, member := range c.otherMembers() {
@@ -79,7 +79,8 @@
 	return names
 }
 
-// tickAgreement proposes a new agreement when a member supports less than is agreed on, or all members support more.
+// tickAgreement proposes a new agreement when a member supports only formats below the agreed one, or when all members
+// support a higher one.
 func (c *Core) tickAgreement() {
 	common, certain := c.commonFormat()
 	agreed := c.state.AgreedFormat()
@@ -106,10 +107,10 @@
 	return int64(usage.WindowAt(now, c.config.Usage.Window))
 }
 
-// isAgreed reports whether commands of a format take effect.
+// isAgreed reports whether the agreed format includes the format number, so that commands of that format take effect.
 func (c *Core) isAgreed(number formats.Number) bool { return number <= c.state.AgreedFormat() }
 
-// canPropose reports whether all members are known to support a command.
+// canPropose reports whether a command may be proposed: it is itself an agreement, or its format is agreed on.
 func (c *Core) canPropose(command *v1.Command) bool {
 	if _, isAgreement := command.GetBody().(*v1.Command_AgreeFormat); isAgreement {
 		return true
@@ -155,7 +156,7 @@
 	controlstate.ApplySuspectCommand(c.localSuspects, command)
 }
 
-// retainSuspects makes the agreed ledger the local one once its format is no longer agreed on.
+// retainSuspects makes the agreed ledger the local one once the ledger's format is no longer agreed on.
 func (c *Core) retainSuspects(agreed *quarantine.Ledger) {
 	if !c.isAgreed(formats.QuarantinedRequests) && c.state.Suspects() != agreed {
 		c.localSuspects = agreed
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -43,31 +43,31 @@
 	// ListingInterval is the time between the leader's reads of the external list of back ends;
 	// 0 means that there is no such list.
 	ListingInterval time.Duration
-	// PriorPrefillShare is the share of the listed engines that do prefill until the work is
-	// known; 0 leaves the roles of listed engines unchanged.
+	// PriorPrefillShare is the share of the listed engines that do prefill until relays have reported
+	// their work; 0 leaves the roles of listed engines unchanged.
 	PriorPrefillShare float64
 	// Without are mechanisms that are switched off; empty in production.
 	Without mechanism.Set
 	// OrderWait is how long a new leader waits before its first order to a listed engine.
 	OrderWait time.Duration
-	// OrderLifetime is how long after its emission an order may reach a listed engine. A successor
-	// starts to lead after that emission and sends its first order OrderWait later, so OrderWait
+	// OrderLifetime is how long after the Core emitted an order the order may reach a listed engine. The next
+	// leader starts to lead after that emission and sends its first order OrderWait later, so OrderWait
 	// minus OrderLifetime is the minimum time between the orders of two leaders.
 	OrderLifetime time.Duration
 	// Usage says how tenants' usage is counted and reported; the zero value switches this off.
 	Usage usage.Config
-	// ReadConfiguration parses the operator's document where the Core orders the number of replicas;
-	// nil switches that off. It must be pure.
+	// ReadConfiguration parses the operator's document, from which the Core reads how many replicas each service
+	// may have; nil means that the Core orders no replicas. It must be pure.
 	ReadConfiguration func(content []byte) (serving.Configuration, error)
 	// NamedServices returns the services that an operator's document names, or none when it cannot parse it;
 	// nil accepts all services. It must be pure and fast: a leader calls it for each document.
 	NamedServices func(content []byte) []string
-	// OnDemandShare is the share of a service's replicas that must stay on-demand replicas. It is never
-	// replaced by spot replicas, which the platform may withdraw.
+	// OnDemandShare is the share of the operator's initial replicas of a service that always stays on demand. The
+	// others may be replaced by spot replicas, which the platform may withdraw.
 	OnDemandShare float64
 	// DutyInterval is the minimum time between two calls of the platform's singleton duties. DutyLifetime
-	// is how long after its emission such a call may reach the platform. A new leader makes its first call
-	// OrderWait after it starts to lead.
+	// is how long after the Core emitted such a call the call may reach the platform. A new leader makes its
+	// first call OrderWait after it starts to lead.
 	DutyInterval time.Duration
 	DutyLifetime time.Duration
 	// WallOrigin is the wall-clock time at time 0 of Step, in milliseconds since
@@ -84,8 +84,8 @@
 	// profile name; nil means planner.ProfileOf.
 	EngineProfile   func(name string) planner.EngineProfile
 	SnapshotEntries uint64
-	// RetainedEntries is how many log entries before a snapshot are retained for controllers
-	// that lag slightly; 0 means the default of internal/consensus.
+	// RetainedEntries is how many log entries before a snapshot stay in memory for controllers whose log
+	// lags slightly; 0 means the default of internal/consensus.
 	RetainedEntries uint64
 	// Seed must come from a cryptographic source, because cache salts are derived from it.
 	Seed       [32]byte
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -19,7 +19,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/truetime"
 )
 
-// catchUpAfter is the time without a tick after which the process is assumed to have been paused.
+// catchUpAfter is the time since the last tick after which the process is assumed to have been paused.
 const catchUpAfter = 4 * TickInterval
 
 // Core is the state machine of one controller. It is owned by one goroutine.
@@ -76,9 +76,9 @@
 	quarantine requestQuarantine
 	// limits are the rate limits that back ends set for all processes together.
 	limits backEndLimits
-	// formats are the formats that the other controllers support.
+	// formats tracks the formats that the other controllers support.
 	formats memberFormats
-	// localSuspects is the ledger of suspects that is used while its format is not agreed on.
+	// localSuspects is the ledger of suspects that is used while the ledger's format is not agreed on.
 	localSuspects *quarantine.Ledger
 	// halted is set once this controller must not process further inputs.
 	halted bool
@@ -247,7 +247,7 @@
 	return time.Duration(wallMs-c.config.WallOrigin) * time.Millisecond
 }
 
-// Operator finds a declared operator in the applied state by the hex SHA-256 of its key.
+// Operator finds a declared operator in the applied state by the hex SHA-256 of the operator's key.
 func (c *Core) Operator(keyHash string) (name string, role v1.OperatorRole, found bool) {
 	for _, object := range c.state.ObjectsOfType(v1.ObjectType_OBJECT_TYPE_OPERATOR) {
 		if operator := object.GetOperator(); operator.KeyHash == keyHash {
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -21,7 +21,7 @@
 	claims, reconcile, housekeeping, engines, plan, suspects time.Duration
 }
 
-// due reports whether a task is due, and if so sets its next time.
+// due reports whether the time *next of a periodic task has come, and if so moves *next to one interval after now.
 func due(now time.Duration, next *time.Duration, interval time.Duration) bool {
 	if now < *next {
 		return false
@@ -66,14 +66,14 @@
 	}
 }
 
-// raiseTermIfFenced gives up this term when most engines hold fences of later terms, and reports whether it did. In that
-// case the quorum was formed anew, and its authority must start above the fences that the engines remember.
+// raiseTermIfFenced gives up this leader's term when most engines hold fences of later terms, and reports whether it did.
+// Engines hold such fences when the quorum was formed anew: its terms then start below those that the engines remember.
 func (c *Core) raiseTermIfFenced() bool {
 	epoch, isMajority := c.commander.NewerFenceEpoch()
 	return isMajority && c.consensus.RaiseTerm(c.now, epoch) == nil
 }
 
-// markLostGateways sets the claims of gateways that are gone to unknown.
+// markLostGateways proposes to set the claims of gateways that are gone to the state unknown.
 func (c *Core) markLostGateways() {
 	for _, holder := range c.state.ClaimHolders() {
 		if c.tracker.IsGatewayGone(c.now, c.leadingSince, holder.Gateway, holder.Incarnation) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// expireClaims drops the claims that have expired.
+// expireClaims proposes to drop the claims that have expired.
 func (c *Core) expireClaims() {
 	now := c.wallMs()
 	if c.state.HasExpiredClaims(now) {
@@ -92,7 +92,7 @@
 	}
 }
 
-// removeGoneEngines removes the records of engines that are neither listed nor answering.
+// removeGoneEngines proposes to remove the records of engines that are neither listed nor answering.
 func (c *Core) removeGoneEngines() {
 	if c.now-c.leadingSince < engineGoneInterval || !c.tracker.HasList() {
 		return
--- a/internal/control/duty_call.go
+++ b/internal/control/duty_call.go
@@ -6,7 +6,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/duty"
 )
 
-// DutyCall holds the fields that all calls of the platform's singleton duties have in common.
+// DutyCall holds the fields that every call of a singleton duty of the platform has.
 type DutyCall struct {
 	Subject duty.Subject
 	// Holder and Fence identify the caller: later leaders have higher fences.
@@ -16,13 +16,13 @@
 	NotAfter time.Duration
 }
 
-// mayCallPlatform reports whether a call on a subject may be made now. A new leader first waits until its
-// predecessor's calls can no longer arrive.
+// mayCallPlatform reports whether the platform may be called now about a subject. A new leader first waits until the
+// previous leader's calls can no longer arrive.
 func (c *Core) mayCallPlatform(subject duty.Subject) bool {
 	return c.now-c.leadingSince >= c.config.OrderWait && c.dutyCalls.MayCall(c.now, subject)
 }
 
-// startDutyCall starts a call on a subject; finishDutyCall must follow.
+// startDutyCall records the start of a call about a subject and returns its fields; finishDutyCall must follow.
 func (c *Core) startDutyCall(subject duty.Subject) DutyCall {
 	c.dutyCalls.RecordStart(c.now, subject)
 	return DutyCall{Subject: subject, Holder: c.config.Name, Fence: c.leadingTerm, NotAfter: c.now + c.config.DutyLifetime}
--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -7,7 +7,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/authority"
 )
 
-// orderPollInterval is the time to the next poll of an engine that carries out an order.
+// orderPollInterval is the time within which an engine that carries out an order is polled again.
 const orderPollInterval = 200 * time.Millisecond
 
 // handleMachineList processes a read of the platform's machine list.
--- a/internal/control/execute.go
+++ b/internal/control/execute.go
@@ -90,8 +90,8 @@
 	c.answerMessage(received.Call, answer)
 }
 
-// executeCommand carries out one command. A resend whose first answer is retained gets that
-// answer, whatever the command would do now.
+// executeCommand carries out one command. A resent command whose first answer is retained gets that
+// answer and is not carried out again.
 func (c *Core) executeCommand(received ExecuteReceived, command language.Command) {
 	if c.answeredBefore(received) {
 		return
--- a/internal/control/first_format_listing.go
+++ b/internal/control/first_format_listing.go
@@ -6,15 +6,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/listing"
 )
 
-// firstFormatListing is the list of back ends in the form for relays of the first format. It is made only while there
+// firstFormatListing is the list of back ends in the form for relays of the first format. It is built only while there
 // are such relays.
 type firstFormatListing struct {
-	// sourceVersion is the version of the list from which it was made; version is its own.
+	// sourceVersion is the version of the list that was converted; version is that of the converted list.
 	sourceVersion, version uint64
 	history                listing.History
 }
 
-// convert returns the version and the history of a list in the first format.
+// convert returns the version and the history of the list in the first format; version is that of the unconverted list.
 func (f *firstFormatListing) convert(version uint64, backEnds []*v1.ListedBackEnd) (uint64, *listing.History) {
 	if f.sourceVersion == version {
 		return f.version, &f.history
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -2,7 +2,7 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/demand"
 
-// checkLeadership starts and stops leading as the replicated log does.
+// checkLeadership starts and stops this controller's leading when it wins or loses leadership of the replicated log.
 func (c *Core) checkLeadership() {
 	leads := c.consensus.IsLeader()
 	term := c.consensus.Term()
@@ -25,7 +25,7 @@
 	c.leadingSince = c.now
 	c.duties = duties{}
 	c.commander.BeginTerm(c.now, term)
-	// Shares are granted only under an authority, so none exist before the first authority epoch.
+	// Shares are granted only after the first authority epoch has begun: before it, no earlier leader has granted any.
 	epoch, _ := c.state.Authority()
 	c.divider.StartLeading(c.now, epoch == 0)
 	c.demands = demand.NewTable()
--- a/internal/control/limits.go
+++ b/internal/control/limits.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// relayLimitTTL is how long the leader announces a limit that no relay has reported again. Limit owners report
-	// with each watch, at most 5 s apart.
+	// relayLimitTTL is how long the leader sends a limit to relays after the last report of that limit by the relay
+	// that owns it. Owners report with each watch, at most 5 s apart.
 	relayLimitTTL = 15 * time.Second
 	// maximumLimits is the maximum number of limits in one message.
 	maximumLimits = 256
@@ -29,11 +29,11 @@
 func (PermitRequested) isInput() {}
 
 // backEndLimits tracks the rate limits that back ends have set. None of it is replicated: a new leader starts without
-// limits, and grants permits only once the lease of its predecessor has expired.
+// limits, and grants permits only once the previous leader's lease has expired.
 type backEndLimits struct {
-	// gatewayCounts counts the permits granted to gateways, for which the leader is the limit owner.
+	// gatewayCounts counts the permits granted to gateways; the leader is the limit owner for gateways.
 	gatewayCounts *fleetlimit.LimitCounters
-	// relayLimits are the limits that are owned by relays, with the time of the last report of each.
+	// relayLimits are the last reports of the limits that relays own, by the identity of the back end.
 	relayLimits map[uint64]relayLimit
 }
 
@@ -90,7 +90,7 @@
 	return fleetlimit.LimitsToWire(limits[:min(len(limits), maximumLimits)])
 }
 
-// recordRelayLimits records the limits that a relay owns, and removes those that no longer apply.
+// recordRelayLimits records the limits that a relay owns, and removes those that the relay reports as no longer set.
 func (c *Core) recordRelayLimits(reported []*v1.NamedLimit) {
 	for _, limit := range reported[:min(len(reported), maximumLimits)] {
 		if limit.GetNamed() {
--- a/internal/control/listing.go
+++ b/internal/control/listing.go
@@ -30,21 +30,21 @@
 func (ReadListing) isOutput()    {}
 func (ListingReceived) isInput() {}
 
-// listingTimeout is the time after which a read without an answer is given up and repeated.
+// listingTimeout is the time after which the leader gives up a read of the list that has not finished, and starts another.
 const listingTimeout = 2 * time.Second
 
 // siteListing is the leader's view of the external list of back ends.
 type siteListing struct {
-	// version is a hash of the published list, so that the same list has the same version under every
-	// leader; 0 before the first list.
+	// version is a hash of the list that is sent to relays, so that the same list has the same version under every
+	// leader; 0 before the first read.
 	version uint64
 	history listing.History
 	// firstFormat is the list as sent to relays of the first format.
 	firstFormat firstFormatListing
 	// plan decides how much of the list is read.
 	plan listingPlan
-	// considered is the part of the list from which back ends are chosen, published the part that relays know, and
-	// backEnds is published with changing roles marked.
+	// considered are the back ends from which the leader chooses those that relays get, published the chosen ones, and
+	// backEnds the chosen ones with a mark on those whose role is being changed.
 	considered    []*v1.ListedBackEnd
 	published     []*v1.ListedBackEnd
 	backEnds      []*v1.ListedBackEnd
@@ -91,7 +91,7 @@
 	return c.listing.plan.nextPages(c.now)
 }
 
-// handleListing processes a read of the list. A new version starts when the published list differs from the last one.
+// handleListing processes a read of the list. The list gets a new version when the back ends sent to relays change.
 func (c *Core) handleListing(received ListingReceived) {
 	c.listing.readInFlight = false
 	if received.Failed || !c.leading {
@@ -112,7 +112,7 @@
 	c.refreshListing()
 }
 
-// refreshListing starts a new version when the list that relays get has changed.
+// refreshListing gives the list a new version when the back ends sent to relays have changed.
 func (c *Core) refreshListing() {
 	if !c.listing.hasBeenRead {
 		return
--- a/internal/control/listing_plan.go
+++ b/internal/control/listing_plan.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// maximumListingCallsPerSecond limits the calls for the list when every read is complete. The list's call rate
-	// is shared by all its readers. A list of up to 25 pages is read every half second, one of 50 every second.
+	// maximumListingCallsPerSecond limits the calls for pages of the list when every read is complete. All readers of
+	// the list share its call rate. A list of up to 25 pages is read every half second, one of 50 every second.
 	maximumListingCallsPerSecond = 50
-	// fullListingInterval is the minimum time between complete reads while a part of the list is sufficient.
+	// fullListingInterval is the minimum time between complete reads while partial reads show enough back ends.
 	// A new service further back in the list is found by the next complete read. Longer lists are read
-	// less often, so that complete reads take fullListingCallsPerSecond.
+	// less often, so that complete reads take at most fullListingCallsPerSecond calls a second.
 	fullListingInterval       = 20 * time.Second
 	fullListingCallsPerSecond = 5
 	// partialListingMargin is the factor by which the partial read exceeds the required number of back ends, so
 	// that one leaving back end does not cause a complete read.
 	partialListingMargin = 1.25
-	// minimumPartialGain is the factor by which a part must be shorter than the list to be read instead of it.
+	// minimumPartialGain is the factor by which a complete read must exceed a partial read in pages, so that partial reads are used.
 	minimumPartialGain = 2
 	// minimumRetainedShare is the share of the back ends of the last partial read that the next one must contain.
 	// If it contains fewer, the list does not keep its order and partial reads cannot be used.
@@ -29,16 +29,17 @@
 // listingPlan decides how much of the external list the leader reads. A list that keeps its order is read only as
 // far as needed for the required back ends, so that the calls grow with the work and not with the number of back ends.
 type listingPlan struct {
-	// pages is the number of pages of a partial read, entries the number of back ends on them; 0 means all.
+	// pages is the number of pages of a partial read, entries the number of back ends on those pages; 0 means that
+	// all reads are complete.
 	pages, entries int
 	// fullReadAt is the time of the last complete read, fullReadCalls the number of its calls, and openByService
-	// the number of back ends of each service that accepted work then.
+	// the number of back ends of each service that accepted new work at that time.
 	fullReadAt    time.Duration
 	fullReadCalls int
 	openByService map[string]int
-	// insufficient means that the part no longer holds the required back ends.
+	// insufficient is true if the last partial reads showed fewer back ends of a service than relays need.
 	insufficient bool
-	// unordered means that the list does not keep its order.
+	// unordered is true if the list has turned out not to keep its order, so that all reads are complete.
 	unordered bool
 	// shownIDs are the identities in the last partial read.
 	shownIDs map[string]bool
@@ -59,7 +60,7 @@
 	return p.pages
 }
 
-// interval returns the time between two reads, which is at least base.
+// interval returns the time between the starts of two reads, which is at least base, the configured interval.
 func (p *listingPlan) interval(base time.Duration) time.Duration {
 	if p.readsPartially() {
 		return base
@@ -67,12 +68,13 @@
 	return max(base, durationOfCalls(p.fullReadCalls, maximumListingCallsPerSecond))
 }
 
-// durationOfCalls returns the time that a number of calls takes at a rate.
+// durationOfCalls returns the time that a number of calls takes at a rate of perSecond calls a second.
 func durationOfCalls(calls, perSecond int) time.Duration {
 	return time.Duration(calls) * time.Second / time.Duration(perSecond)
 }
 
-// recordFullRead plans the next reads from a complete read, and returns the part of the list to use.
+// recordFullRead plans the next reads from a complete read, and returns the part of the list to use. The read
+// took calls calls, one for each page; required is the number of back ends that relays need, by service.
 func (p *listingPlan) recordFullRead(now time.Duration, list []*v1.ListedBackEnd, calls int, required map[string]int) []*v1.ListedBackEnd {
 	p.fullReadAt, p.fullReadCalls, p.insufficient, p.shownIDs = now, calls, false, nil
 	p.openByService = countOpenBackEnds(list)
@@ -93,7 +95,8 @@
 	return list[:p.entries]
 }
 
-// recordPartialRead checks whether a partial read holds the required back ends and whether the list keeps its order.
+// recordPartialRead checks whether a partial read shows the required back ends of each service and whether the list keeps
+// its order.
 func (p *listingPlan) recordPartialRead(list []*v1.ListedBackEnd, required map[string]int) {
 	open := countOpenBackEnds(list)
 	for service, count := range required {
--- a/internal/control/named_services.go
+++ b/internal/control/named_services.go
@@ -14,8 +14,8 @@
 	names  map[string]bool
 }
 
-// readNamedServices updates the named services when the configuration has changed. A new service may be on the list
-// already, so the list is read again at once.
+// readNamedServices updates the named services when the configuration has changed. The list may already contain a
+// service that the configuration has newly named, so the list is read again at once.
 func (c *Core) readNamedServices() {
 	document := c.state.Document()
 	if c.config.NamedServices == nil || document.GetNumber() == c.listing.namedServices.number {
--- a/internal/control/nodes.go
+++ b/internal/control/nodes.go
@@ -41,9 +41,9 @@
 	c.answer(Answer{Call: received.Call, Response: response})
 }
 
-// canInitialize reports whether a node may start with this controller's revision. A node
-// without a revision may have had a later one before it restarted, and only the leader's
-// revision is certainly not older.
+// canInitialize reports whether a node may start with the configuration revision of this controller. A node that
+// reports no revision may have had a later one before it restarted; only a leader with a valid lease is certain to
+// hold the latest revision.
 func (c *Core) canInitialize(request *v1.SyncRequest) bool {
 	return request.GetRevision() != 0 || c.canAnswerAsLeader()
 }
@@ -58,7 +58,7 @@
 	return query
 }
 
-// addDirectory adds the directory of back ends if the gateway holds another version.
+// addDirectory adds the directory of back ends to the response unless the gateway holds its version already.
 func (c *Core) addDirectory(response *v1.SyncResponse, request *v1.SyncRequest) {
 	directory, credible := c.tracker.Directory(c.now, request.GetNode().GetZone())
 	response.DirectoryAgeMs = milliseconds(directory.Age)
--- a/internal/control/planning.go
+++ b/internal/control/planning.go
@@ -18,7 +18,7 @@
 	reasons  map[string]plannerReason
 }
 
-// plannerReason is the last decision for one service.
+// plannerReason records the planner's last decision for one service: its time, number of changes and reason.
 type plannerReason struct {
 	at      time.Duration
 	changes int
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -90,7 +90,7 @@
 	_, _ = c.propose(command, 0, nil)
 }
 
-// requireLeader refuses a call unless this controller leads with a valid lease.
+// requireLeader reports whether this controller leads with a valid lease, and refuses the call if it does not.
 func (c *Core) requireLeader(call CallID) bool {
 	if c.canAnswerAsLeader() {
 		return true
@@ -99,7 +99,8 @@
 	return false
 }
 
-// canAnswerAsLeader reports whether the state applied here includes everything that was acknowledged.
+// canAnswerAsLeader reports whether this controller leads with a valid lease, so that its applied state includes
+// everything that any controller has acknowledged.
 func (c *Core) canAnswerAsLeader() bool {
 	if !c.config.Safeguards.IsEnabled(SafeguardLeaseRead) {
 		return c.consensus.IsLeader()
--- a/internal/control/published_back_ends.go
+++ b/internal/control/published_back_ends.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/subsetting"
 )
 
-// publishedPart chooses the back ends that relays get to know. Back ends that are left out get no work, so that
+// publishedPart returns the listed back ends that are sent to relays. The other back ends get no work, so that
 // what relays hold and receive grows with the work and not with the number of back ends.
 func (c *Core) publishedPart(listed []*v1.ListedBackEnd) []*v1.ListedBackEnd {
 	parts := map[string]subsetting.Subset{}
@@ -21,7 +21,7 @@
 	})
 }
 
-// backEndDemand is the number of back ends of a service that relays need to know, and the part that is chosen.
+// backEndDemand is the number of back ends of a service that relays need to know, and the choice of these back ends.
 type backEndDemand struct {
 	subsetting.Demand
 	part subsetting.Chooser
@@ -40,7 +40,7 @@
 	return demand
 }
 
-// requiredBackEnds returns, by listed service, the number of back ends that relays need to know for the current work.
+// requiredBackEnds returns, by service, the number of back ends that relays need to know for the current work.
 func (c *Core) requiredBackEnds(listed []*v1.ListedBackEnd) map[string]int {
 	minimum := map[string]int{}
 	for _, backEnd := range listed {
@@ -55,7 +55,7 @@
 	}
 	required := make(map[string]int, len(minimum))
 	for service, demand := range c.listing.demands {
-		required[service] = demand.Wanted() // also for services that are not listed now, so that they are looked for
+		required[service] = demand.Wanted() // services that are not listed now stay required, so that partial reads look for them
 	}
 	for service, count := range minimum {
 		required[service] = c.demandFor(service).Next(c.now, count, c.serviceWork(service).busy())
@@ -63,8 +63,9 @@
 	return required
 }
 
-// adoptDemand adopts the numbers of back ends that the previous leader, which knew the work, sent to a relay as required. It
-// has an effect only within relayCountDelay after this leader has started to lead.
+// adoptDemand adopts the required numbers of back ends that the previous leader sent to a relay and the relay reports here:
+// unlike a new leader, the previous one knew the work. It has an effect only within relayCountDelay after this leader has
+// started to lead.
 func (c *Core) adoptDemand(request *v1.WatchRequest) {
 	if c.now-c.leadingSince >= relayCountDelay {
 		return
--- a/internal/control/published_documents.go
+++ b/internal/control/published_documents.go
@@ -10,8 +10,8 @@
 const (
 	// maximumPublishedDocuments is the number of published documents that are retained to make patches from.
 	maximumPublishedDocuments = 4
-	// documentBytesPerSecond is the rate at which document contents are published: a relay parses some megabytes
-	// of them a second, and only a part of its time may go into that.
+	// documentBytesPerSecond limits the rate at which document contents are published: a relay can parse a few megabytes
+	// of them a second, and must have time left for requests.
 	documentBytesPerSecond = 2 << 20
 )
 
@@ -26,8 +26,8 @@
 	patches map[uint64][]byte
 }
 
-// advance publishes the document in force if that is allowed now, and returns the newest published one; nil before the
-// first.
+// advance publishes the document in force unless the previous one was published too recently, and returns the newest
+// published document; nil before the first.
 func (t *publishedDocuments) advance(now time.Duration, inForce *v1.Document) *v1.Document {
 	newest := t.newest()
 	if inForce.GetNumber() <= newest.GetNumber() || now < t.nextAt {
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -39,10 +39,10 @@
 // requestQuarantine tracks the requests that are quarantined because replicas crashed under them.
 type requestQuarantine struct {
 	trials *quarantine.TrialScheduler
-	// quarantined are the requests as sent to nodes; version is their hash, or 0 when there are none.
+	// quarantined are the quarantined requests as sent to nodes; version is a hash of them, or 0 when there are none.
 	quarantined []*v1.HeldRequest
 	version     uint64
-	// ledger and ledgerVersion identify the ledger from which quarantined was built.
+	// ledger and ledgerVersion identify the ledger of suspects from which quarantined was built.
 	ledger        *quarantine.Ledger
 	ledgerVersion uint64
 }
@@ -91,7 +91,7 @@
 	})
 }
 
-// findDueTrial returns the quarantined request with the signature if it may be tried now; nil otherwise.
+// findDueTrial returns the quarantined request whose signature has the given bytes if a trial of it is due; nil otherwise.
 func (c *Core) findDueTrial(bytes []byte) *quarantine.Suspect {
 	signature, valid := quarantine.SignatureFromBytes(bytes)
 	if !valid {
--- a/internal/control/relay_list.go
+++ b/internal/control/relay_list.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// relayTimeout is the time without a message after which a relay no longer counts.
+	// relayTimeout is the time since its last message after which a relay is no longer counted or listed.
 	relayTimeout = 15 * time.Second
 	// relayCountDelay is how long a new leader collects watches before it announces the
 	// number of relays.
--- a/internal/control/replicas.go
+++ b/internal/control/replicas.go
@@ -32,13 +32,13 @@
 const (
 	// replicaInterval is the time between two plans of the number of replicas.
 	replicaInterval = 250 * time.Millisecond
-	// maximumListingAge is the age of the list above which no decision is based on it.
+	// maximumListingAge is the age of the list of back ends above which no replicas are planned or ordered.
 	maximumListingAge = 1500 * time.Millisecond
 	// proposalRetryInterval is the wait before desired numbers that are not agreed on yet are proposed again.
 	proposalRetryInterval = time.Second
 )
 
-// siteReplicas is the leader's control of the numbers of replicas.
+// siteReplicas holds the leader's plans and orders of replicas for all services.
 type siteReplicas struct {
 	dueAt time.Duration
 	// number is the number of the configuration document from which scalings were read.
@@ -47,13 +47,14 @@
 	services map[string]*serviceReplicas
 }
 
-// serviceReplicas is the control of the number of replicas of one service.
+// serviceReplicas holds the leader's plan and orders of replicas for one service.
 type serviceReplicas struct {
 	plan       *replicaplan.Plan
 	orders     *replicaplan.Orders
 	proposed   replicaplan.Desired
 	proposedAt time.Duration
-	// firstProposer means that this leader was the first to propose desired numbers, so no predecessor has ordered any.
+	// firstProposer is true if no numbers of replicas had been agreed on when this leader first planned, so that no
+	// earlier leader can have ordered any.
 	firstProposer bool
 }
 
@@ -91,7 +92,7 @@
 	c.replicas.number = document.GetNumber()
 	configuration, err := c.config.ReadConfiguration(document.GetContent())
 	if err != nil {
-		return // it was valid when it was accepted, so it is of a later release; relays report that
+		return // the document was valid when it was accepted, so a later release wrote it; relays report that
 	}
 	c.replicas.scalings = map[string]replicaplan.Scaling{}
 	for _, service := range configuration.Services {
@@ -120,7 +121,7 @@
 	work.plan.SetScaling(c.replicas.scalings[service])
 	work.firstProposer = work.firstProposer || c.state.ReplicaTarget(service) == nil
 	if !work.firstProposer && c.now-c.leadingSince < c.config.OrderWait {
-		return // too little is known yet
+		return // this new leader knows too little about the relays' work yet
 	}
 	agreed := desiredOf(c.state.ReplicaTarget(service))
 	listed := c.listedGroups(service)
@@ -146,8 +147,8 @@
 	}
 }
 
-// handleReplicaOrderFinished processes the result of an order. A declined order for no more replicas than are
-// listed was superseded by a later holder; otherwise the platform has no further replicas.
+// handleReplicaOrderFinished processes the result of an order. An order that was declined although it requested no more
+// replicas than are listed was superseded by a later leader; otherwise the platform has no further replicas to give.
 func (c *Core) handleReplicaOrderFinished(received ReplicaOrderFinished) {
 	order, outcome := received.Order, received.Outcome
 	if !c.leading || order.Fence != c.leadingTerm {
--- a/internal/control/revision_index.go
+++ b/internal/control/revision_index.go
@@ -12,7 +12,7 @@
 // indexedRevision is a revision and the log index of the entry that made it.
 type indexedRevision struct{ index, revision uint64 }
 
-// add records the revision after an applied entry.
+// add records the configuration revision that is in force after the entry at the index is applied.
 func (r *revisionIndex) add(index, revision uint64) {
 	if count := len(r.entries); count > 0 && r.entries[count-1].revision == revision {
 		return
@@ -23,8 +23,8 @@
 	r.entries = append(r.entries, indexedRevision{index: index, revision: revision})
 }
 
-// revisionAt returns the revision of a log that ends at the index; false when the index is older than
-// the recorded revisions.
+// revisionAt returns the configuration revision after the entry at the index is applied; false when the index is older
+// than the recorded revisions.
 func (r *revisionIndex) revisionAt(index uint64) (uint64, bool) {
 	after := sort.Search(len(r.entries), func(i int) bool { return r.entries[i].index > index })
 	if after == 0 {
--- a/internal/control/sent_updates.go
+++ b/internal/control/sent_updates.go
@@ -10,8 +10,8 @@
 type UpdateNotApplied struct {
 	Relay   string
 	Formats formats.Range
-	// Kind is the kind of update, HeldVersion the number or version that the relay still holds, and SentVersion the one
-	// that it was sent.
+	// Kind is the kind of the update, HeldVersion the document number or list version that the relay still holds, and
+	// SentVersion the one that was sent to it.
 	Kind                     UpdateKind
 	HeldVersion, SentVersion uint64
 }
@@ -29,14 +29,14 @@
 
 // sentUpdate records the last update of one kind that a relay was sent.
 type sentUpdate struct {
-	// heldVersion is the number or version that the relay held then, sentVersion the one that it was sent.
+	// heldVersion is the document number or list version that the relay held at that time, sentVersion the one sent.
 	heldVersion, sentVersion uint64
-	// attempts is how often it was sent in a row.
+	// attempts is how many times in a row sentVersion was sent while the relay held heldVersion.
 	attempts int
 }
 
-// observeHeld records what the relay holds now. A change means that it has applied an update, which resets the
-// attempts.
+// observeHeld records the version that the relay holds now. A change of that version means that the relay has applied an
+// update, which resets the attempts.
 func (t *sentUpdate) observeHeld(heldVersion uint64) {
 	if t.heldVersion != heldVersion {
 		*t = sentUpdate{}
@@ -48,7 +48,7 @@
 // that cannot use an answer causes no more load than others.
 const maximumImmediateAttempts = 2
 
-// recordSend records that a relay which holds one version is sent another.
+// recordSend records that sentVersion was sent to a relay that held heldVersion.
 func (t *sentUpdate) recordSend(heldVersion, sentVersion uint64) {
 	if t.heldVersion != heldVersion || t.sentVersion != sentVersion {
 		*t = sentUpdate{heldVersion: heldVersion, sentVersion: sentVersion}
@@ -56,7 +56,7 @@
 	t.attempts++
 }
 
-// failedAttempts returns how often a relay that still holds one version was already sent another.
+// failedAttempts returns how often sentVersion was already sent to a relay that still holds heldVersion.
 func (t *sentUpdate) failedAttempts(heldVersion, sentVersion uint64) int {
 	if t.heldVersion != heldVersion || t.sentVersion != sentVersion {
 		return 0
--- a/internal/control/site_status.go
+++ b/internal/control/site_status.go
@@ -15,11 +15,11 @@
 	// RepeatedUpdates counts the updates that were sent again to relays that had not applied them.
 	RepeatedUpdates uint64
 	// BackEnds is the number of back ends in the last complete read of the external list, PublishedBackEnds the number
-	// that relays know, and Pages the number of pages of a partial read; 0 when reads are complete.
+	// that is sent to relays, and Pages the number of pages of a partial read; 0 when all reads are complete.
 	BackEnds, PublishedBackEnds, Pages int
-	// UpdatesPerSecond is the pace of updates to relays.
+	// UpdatesPerSecond is the current maximum rate at which the leader sends updates to relays.
 	UpdatesPerSecond float64
-	// QuorumSilence is the time since this leader received from a quorum.
+	// QuorumSilence is the time since a quorum last answered this leader.
 	QuorumSilence time.Duration
 }
 
--- a/internal/control/site_updates.go
+++ b/internal/control/site_updates.go
@@ -6,24 +6,24 @@
 	"github.com/hazelpitch/hazelpitch/internal/packed"
 )
 
-// siteUpdates holds what the leader sends to relays, made once for all of them.
+// siteUpdates holds the contents of the leader's updates to relays, built once and sent to all relays.
 type siteUpdates struct {
-	// relayList are the addresses of the relays, relaysWithoutPermits those of them that do not grant permits to other
-	// relays, and relayListHash is the hash of both. They are valid while relayListFresh is set.
+	// relayList are the addresses of the relays, relaysWithoutPermits the addresses of those that do not grant permits
+	// to other relays, and relayListHash is a hash of both lists. All three are current while relayListFresh is true.
 	relayList            []string
 	relaysWithoutPermits []string
 	relayListHash        uint64
 	relayListFresh       bool
 	// documents are the documents that are published to relays.
 	documents publishedDocuments
-	// packedContent is the compressed document with packedNumber.
+	// packedContent is the compressed content of the document that has the number packedNumber.
 	packedContent []byte
 	packedNumber  uint64
 	// lastState is the state for which all waiting watches were last checked.
 	lastState siteState
 }
 
-// siteState determines whether there is an update for relays.
+// siteState holds the versions of everything that relays receive: when it changes, there may be an update for relays.
 type siteState struct {
 	leads bool
 	// leader is the address of the leader as far as it is known here.
@@ -62,8 +62,8 @@
 	response.PackedDocument = c.packedDocument(document)
 }
 
-// canApplyPatch reports whether a relay can be sent a patch: it supports patches, and has not been sent the same patch
-// before without applying it.
+// canApplyPatch reports whether a relay can be sent a patch: the relay supports patches, and has not been sent the document
+// with the number newest before without applying it.
 func (c *Core) canApplyPatch(request *v1.WatchRequest, newest uint64) bool {
 	if !formats.FromWire(request.GetFormats()).Supports(formats.DocumentPatches) {
 		return false
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -51,14 +51,14 @@
 func (StageChangeFinished) isInput() {}
 
 const (
-	// stageInterval is the time between two plans of the engines' stages.
+	// stageInterval is the time between two plans of the listed engines' roles.
 	stageInterval = 500 * time.Millisecond
 	// stageOrderTimeout is how long an order may take to show in the list before the engine
 	// may be ordered again.
 	stageOrderTimeout = 8 * time.Second
 	// stageRefusedDelay is the wait after a refused order before the engine is ordered again.
 	stageRefusedDelay = 2 * time.Second
-	// stageChangeInterval is the minimum time between two changes under load.
+	// stageChangeInterval is the minimum time between two role changes of one service under load.
 	stageChangeInterval = 3 * time.Second
 	// freshEngineWindow is how long after its first listing an engine counts as one with an empty KV cache.
 	freshEngineWindow = 2 * time.Second
@@ -68,11 +68,11 @@
 	workReportTTL = 4 * time.Second
 )
 
-// stageOrder is an order whose effect the list does not show yet.
+// stageOrder is an order to change an engine's role whose effect the list does not show yet.
 type stageOrder struct {
 	role  v1.Role
 	until time.Duration
-	// refused means that the entry only delays the next order to the engine.
+	// refused is true if the engine did not accept the order, which then only delays the next order to the engine.
 	refused bool
 }
 
@@ -84,8 +84,8 @@
 
 // stages is the leader's view of the roles of listed engines.
 type stages struct {
-	// firstListedAt is the time at which this leader first saw each engine listed. Engines of its first list
-	// count as listed for longer than freshEngineWindow.
+	// firstListedAt is the time at which this leader first saw each engine listed. Engines on the first list that this
+	// leader reads count as listed for longer than freshEngineWindow.
 	firstListedAt map[string]time.Duration
 	plans         map[string]*stageplan.Plan
 	orders        map[string]stageOrder
@@ -164,8 +164,8 @@
 	return cell.Member{Hash: cell.HashEngine(serving.BackEndFromProto(backEnd).ExpectedID()), Zone: backEnd.GetZone()}
 }
 
-// groupByCell appends the engines' cells to their groups, because an owner of one cell needs engines
-// of both stages in it.
+// groupByCell sets each engine's group to its zone and cell, because the relay that owns a cell needs engines
+// of both stages in that cell.
 func groupByCell(service string, engines []stageplan.Engine, members []cell.Member) {
 	division := cell.Divide(service, members)
 	for index, member := range members {
@@ -190,14 +190,14 @@
 	}
 }
 
-// reportedWork is the reported work of a service, as the number of back ends that it would keep busy.
+// reportedWork is the work of a service that relays have reported, as the number of back ends that it keeps busy.
 type reportedWork struct {
 	stageplan.Work
 	// unstaged is the work of requests that are not divided into prefill and decode.
 	unstaged float64
 }
 
-// busy returns the number of back ends that the work would keep busy.
+// busy returns the number of back ends that all of the reported work keeps busy.
 func (w reportedWork) busy() float64 { return w.Prefill + w.Decode + w.unstaged }
 
 // serviceWork sums the work of a service that relays have reported within workReportTTL.
@@ -252,7 +252,7 @@
 	case StageRefused:
 		order.refused, order.until = true, c.now+stageRefusedDelay
 	case StageFenced:
-		order.refused, order.until = true, never // the fence of this term does not rise
+		order.refused, order.until = true, never // a fence never decreases, so the engine refuses all orders of this term
 	default:
 		return
 	}
@@ -278,7 +278,7 @@
 	c.refreshListing()
 }
 
-// markChangingRoles returns the back ends with a mark on those whose role is being changed.
+// markChangingRoles returns the back ends, with Changing set on those whose role is being changed.
 func (c *Core) markChangingRoles(backEnds []*v1.ListedBackEnd) []*v1.ListedBackEnd {
 	if len(c.stages.orders) == 0 {
 		return backEnds
--- a/internal/control/update_pace.go
+++ b/internal/control/update_pace.go
@@ -3,15 +3,17 @@
 import "time"
 
 const (
-	// minimumUpdatesPerSecond and maximumUpdatesPerSecond bound the pace of updates; initialUpdatesPerSecond is the
-	// pace at the start. At the minimum, 300 relays that have all just started get their answers within 0.75 s.
+	// minimumUpdatesPerSecond and maximumUpdatesPerSecond limit the pace at which the leader sends updates to relays;
+	// initialUpdatesPerSecond is that pace when it starts. At the minimum, 300 relays that have all just started get
+	// their answers within 0.75 s.
 	minimumUpdatesPerSecond = 400
 	initialUpdatesPerSecond = 1000
 	maximumUpdatesPerSecond = 4000
-	// updateBurstWindow is the time for which unused pace accumulates: a fleet of 50 relays is updated at once.
+	// updateBurstWindow is the time for which updates that the pace allowed but that were not needed accumulate: at the
+	// initial pace, 50 relays are updated at once.
 	updateBurstWindow = TickInterval
-	// paceDecrease is the factor for the pace at a tick when the peers' answers are late, paceIncrease
-	// that at a tick when they are in time and the pace has limited updates.
+	// paceDecrease is the factor by which the pace changes at a tick when answers of the quorum are late, paceIncrease
+	// that at a tick when they are in time and the pace has delayed updates.
 	paceDecrease = 0.7
 	paceIncrease = 1.02
 )
@@ -24,13 +26,13 @@
 	credit    float64
 	// creditAt is the time at which credit was last updated.
 	creditAt time.Duration
-	// wasLimiting is set when the pace has delayed an update since the last tick.
+	// wasLimiting is true if the pace has delayed an update since the last tick.
 	wasLimiting bool
 }
 
 func newUpdatePace() updatePace { return updatePace{perSecond: initialUpdatesPerSecond} }
 
-// tick adapts the pace; late says whether the quorum's answers are late.
+// tick adapts the pace; late is true when the quorum's answers to this leader are late.
 func (p *updatePace) tick(late bool) {
 	switch {
 	case late:
--- a/internal/control/usage.go
+++ b/internal/control/usage.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/usage"
 )
 
-// UsageReceived is a relay's report of tenants' usage. The answer is a ReportUsageResponse once the
+// UsageReceived is a relay's report of tenants' usage. The answer, a ReportUsageResponse, is sent once the
 // report is committed.
 type UsageReceived struct {
 	Call   CallID
@@ -21,7 +21,7 @@
 	DutyCall
 	Window usage.Window
 	Counts usage.Counts
-	// Late means that the report of the window is overdue.
+	// Late is true if the report of the window is overdue.
 	Late bool
 }
 
@@ -35,7 +35,7 @@
 func (UsageDelivered) isInput() {}
 func (DeliverUsage) isOutput()  {}
 
-// SubjectUsage is the subject of all usage calls.
+// SubjectUsage is the duty subject of all calls that report usage to the platform.
 const SubjectUsage duty.Subject = "usage"
 
 // errUsageNotCounted answers a report when usage is not counted here, or not yet.
--- a/internal/control/waiting_watches.go
+++ b/internal/control/waiting_watches.go
@@ -14,14 +14,14 @@
 	call    CallID
 	request *v1.WatchRequest
 	dueAt   time.Duration
-	// superseded means that the relay has given up this watch and sent another one.
+	// superseded is true if the relay has given up this watch and sent another one.
 	superseded bool
 }
 
-// waitingWatches are the waiting watches. A due watch is found without examining the others, because each
-// relay watches about once a second.
+// waitingWatches holds the watches that wait. Due watches are found without examining the others, because each relay
+// sends about one watch a second.
 type waitingWatches struct {
-	// byDue are the watches without an update.
+	// byDue are the watches that wait for an update, ordered by the times at which they are due.
 	byDue watchHeap
 	// ready are the watches for which there may be an update, the first due first.
 	ready []*waitingWatch
@@ -56,7 +56,7 @@
 // addWaiting makes a watch wait for an update.
 func (w *waitingWatches) addWaiting(waiting *waitingWatch) { heap.Push(&w.byDue, waiting) }
 
-// addReady makes a watch wait until it may be answered.
+// addReady adds a watch for which there may be an update, so that popReady examines it.
 func (w *waitingWatches) addReady(waiting *waitingWatch) { w.ready = append(w.ready, waiting) }
 
 // markAllReady makes all watches ready, because there may be an update for each of them.
@@ -66,8 +66,8 @@
 	w.byDue = nil
 }
 
-// popReady returns ready watches that have an update, as long as mayAnswer allows, and beyond that those that are due.
-// Watches without an update go back to waiting.
+// popReady returns the ready watches that have an update, as long as mayAnswer returns true, and beyond that those that
+// are due. Ready watches without an update go back to waiting.
 func (w *waitingWatches) popReady(now time.Duration, hasUpdate func(*v1.WatchRequest) bool, mayAnswer func() bool) []*waitingWatch {
 	var popped []*waitingWatch
 	for len(w.ready) > 0 {
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -25,8 +25,8 @@
 	leaderlessWait = 150 * time.Millisecond
 )
 
-// handleWatch makes a watch wait: until the pace allows the answer if there is an update, else until there is one or
-// the watch is due.
+// handleWatch makes a watch wait. If there is an update for the relay, the watch waits until updatePace allows the answer;
+// otherwise it waits until there is an update or until it is due.
 func (c *Core) handleWatch(received WatchReceived) {
 	request := received.Request
 	state := c.siteState()
