--- a/internal/authority/commander.go
+++ b/internal/authority/commander.go
@@ -28,8 +28,8 @@
 	return &Commander{config: config.withDefaults(), engines: map[string]*engine{}}
 }
 
-// BeginTerm starts the authority of a term. The states reported by engines are kept; their fences
-// have to be raised again.
+// BeginTerm starts the authority of a term. The Commander keeps the states that engines have reported, but
+// raises the fence of every engine again.
 func (c *Commander) BeginTerm(now time.Duration, term uint64) {
 	c.epoch = term
 	c.termStartedAt = now
@@ -146,8 +146,8 @@
 	return actions
 }
 
-// addEnginesWithOrders adds the engines that may have an order and that this leader has not seen in
-// the platform's list, because those orders have to end too.
+// addEnginesWithOrders adds the engines that have an outstanding order in the log but that this leader has not seen
+// in the platform's list, because those orders have to end too.
 func (c *Commander) addEnginesWithOrders(state *controlstate.State) {
 	for _, record := range state.Engines() {
 		if record.Outstanding != nil && c.engines[record.State.Engine] == nil {
--- a/internal/authority/config.go
+++ b/internal/authority/config.go
@@ -27,7 +27,7 @@
 	// MaximumStateAge is the maximum age of an engine's reported state on which a new order may be
 	// based.
 	MaximumStateAge time.Duration
-	// LostAfter is the time without answers after which an engine's order ends as lost.
+	// LostAfter is the time without answers of an engine after which the engine's order ends as lost.
 	LostAfter time.Duration
 	// DrainTimeout is how long an engine may drain before it aborts the order.
 	DrainTimeout time.Duration
--- a/internal/authority/engine.go
+++ b/internal/authority/engine.go
@@ -12,7 +12,7 @@
 	name    string
 	address string
 	listed  bool
-	// hasState is set once state holds a state reported by the engine, no older than stateAt.
+	// hasState is true once state holds a state that the engine reported; the engine read it no earlier than stateAt.
 	hasState bool
 	state    enginecontract.EngineState
 	stateAt  time.Duration
@@ -32,11 +32,11 @@
 	refusedFence enginecontract.Fence
 	refusal      enginecontract.OrderRefusal
 
-	// proposalPending is set from proposedAt, when a command about this engine was proposed, until
+	// proposalPending is true from proposedAt, when a command about this engine was proposed, until
 	// that command is applied or times out.
 	proposalPending bool
 	proposedAt      time.Duration
-	// pendingOrder is the order being committed; it counts against the bounds.
+	// pendingOrder is the proposed order that is not committed yet, or nil. It counts against the declared bounds.
 	pendingOrder *pendingOrder
 }
 
--- a/internal/authority/reconcile.go
+++ b/internal/authority/reconcile.go
@@ -11,7 +11,7 @@
 )
 
 // checkEnd compares the outstanding order with the state reported by the engine and returns how the
-// order ended, or nil while it has not ended. The engine has confirmed this epoch's fence.
+// order ended, or nil while it has not ended. The engine must have confirmed the fence of this leader's epoch.
 func (c *Commander) checkEnd(now time.Duration, engine *engine, order *v1.Order) *v1.FinishOrder {
 	fence, state := fenceOf(order), engine.state
 	switch {
@@ -85,12 +85,12 @@
 	}
 }
 
-// listedTimeoutFactor is the factor by which the timeout of a silent engine's order is extended while
-// the platform's list contains the engine.
+// listedTimeoutFactor is the factor by which the timeout of an order to an engine that no longer answers is extended
+// while the platform's list contains the engine.
 const listedTimeoutFactor = 4
 
-// expireSilent ends the order of an engine that has not answered within the timeout. If the engine
-// returns and still carries out the order, it gets no other order until that has ended.
+// expireSilent ends the outstanding order of an engine that has not answered within the timeout. If the engine
+// returns and still carries out that order, it gets no other order until it has finished.
 func (c *Commander) expireSilent(now time.Duration, engine *engine, record *v1.EngineRecord) []Action {
 	order := record.GetOutstanding()
 	timeout := c.config.LostAfter
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -54,7 +54,7 @@
 	// follower campaigns.
 	ElectionTimeout   time.Duration
 	HeartbeatInterval time.Duration
-	// ClockDrift bounds how far the rate of any controller's clock deviates from real time, as
+	// ClockDrift is the maximum deviation of the rate of any controller's clock from real time, as
 	// a fraction of real time.
 	ClockDrift float64
 	// MaximumAppendBytes limits the entries in one message.
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -286,7 +286,7 @@
 	}
 }
 
-// becomeFollower makes this member a follower of the term's leader; leader is empty if unknown.
+// becomeFollower makes this member a follower in the term; leader is the identity of the term's leader, empty if unknown.
 func (c *Core) becomeFollower(term uint64, leader string) {
 	if term > c.term {
 		c.term = term
--- a/internal/consensus/envelope.go
+++ b/internal/consensus/envelope.go
@@ -26,8 +26,8 @@
 	return Message{Address: c.address(to), Message: message}
 }
 
-// address returns the address of a member: the one that it last sent from, or else the one in
-// the membership.
+// address returns the address of a member: the sender address of its last message or, if it has sent none, its
+// address in the membership.
 func (c *Core) address(id string) string {
 	if address, known := c.addresses[id]; known {
 		return address
--- a/internal/consensus/formation_seeds.go
+++ b/internal/consensus/formation_seeds.go
@@ -144,8 +144,8 @@
 	return c.members.with(promoted)
 }
 
-// isExpendable reports whether the quorum is better off without a voter: its replacement has caught
-// up, or the voter is silent and the quorum tolerates as many failures without it.
+// isExpendable reports whether a voter may be removed: a learner that replaces it has caught up, or the voter is silent
+// and the number of voters is even, so that the quorum tolerates as many failures without it.
 func (c *Core) isExpendable(voter *v1.Member) bool {
 	if voter.GetId() == c.id {
 		return false
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -20,8 +20,8 @@
 	return c.quorumTime(now, func(p *progress) time.Duration { return p.ackedRoundAt }) + c.config.leaseDuration()
 }
 
-// quorumTime returns the latest time that a quorum of voters has reached, by timeOf. This member
-// itself has always reached now.
+// quorumTime returns the latest time such that timeOf is at or after it for a quorum of the voters. For this member
+// itself, now counts instead of timeOf.
 func (c *Core) quorumTime(now time.Duration, timeOf func(*progress) time.Duration) time.Duration {
 	voters := c.members.voters()
 	times := make([]time.Duration, 0, len(voters))
--- a/internal/consensus/progress.go
+++ b/internal/consensus/progress.go
@@ -23,7 +23,8 @@
 	// match is the last index known to be synced at the member; next is the next index to send.
 	match uint64
 	next  uint64
-	// probeInFlight is set while a probe is unanswered.
+	// probeInFlight is true from a message sent in the state progressProbing until the member answers or the next
+	// heartbeat round starts.
 	probeInFlight bool
 	// snapshotIndex and snapshotSentAt describe the snapshot being sent.
 	snapshotIndex  uint64
@@ -47,7 +48,7 @@
 	p.state = progressReplicating
 }
 
-// recordRejected moves back to the position that the member suggested.
+// recordRejected moves next back to the entry after the hint, the log index that the member suggested, and starts probing.
 func (p *progress) recordRejected(hint uint64) {
 	p.state = progressProbing
 	p.probeInFlight = false
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -42,8 +42,8 @@
 // outbox collects the work that waits for the owner, or for a sync.
 type outbox struct {
 	messages  []Message        // may be sent now
-	unsynced  []Message        // wait for the next batch
-	delayed   []delayedMessage // wait for a batch that the owner already has
+	unsynced  []Message        // wait until the next batch, if any, is synced
+	delayed   []delayedMessage // wait until a batch that the owner already has is synced
 	batchEnds []batchEnd       // of the batches that the owner has and that are not synced
 	lastBatch uint64
 	synced    uint64
@@ -93,7 +93,8 @@
 	return state
 }
 
-// delayUnsynced delays messages until the batches that are not synced yet are synced.
+// delayUnsynced releases the messages that depend on a sync if all batches are synced, and otherwise delays them until
+// the last batch is synced.
 func (c *Core) delayUnsynced() {
 	waiting := c.outbox.unsynced
 	c.outbox.unsynced = nil
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -141,8 +141,8 @@
 	return entries[:min(uint64(len(entries)), room)]
 }
 
-// sendAppendAt sends entries that follow the previous position. The round is the send time, so
-// that the acknowledgement proves until when the member still followed this leader.
+// sendAppendAt sends entries that follow the previous position. The message carries the time of sending as its round,
+// so that the acknowledgement proves until when the member still followed this leader.
 func (c *Core) sendAppendAt(id string, previous position, entries []*v1.Entry) {
 	c.send(id, &v1.ConsensusMessage{
 		Type: v1.MessageType_MESSAGE_TYPE_APPEND, LogIndex: previous.index, LogTerm: previous.term,
--- a/internal/consensus/restart.go
+++ b/internal/consensus/restart.go
@@ -18,8 +18,8 @@
 // the voters that accepted. A voter that knows of a further voter, or has had leader contact in the
 // meantime, waits as usual.
 //
-// When two voters probe at the same time, the one whose log is ahead continues, or else the one
-// with the smaller identity; a candidate gets time to be elected. The procedure ends an election
+// When two voters probe at the same time, the one whose log is ahead continues, or the one with the smaller identity if
+// the logs are equal; a candidate gets time to be elected. The procedure ends an election
 // timeout after the start, when votes need not wait any more. Losing a single answer costs no more
 // than that time.
 
@@ -34,31 +34,31 @@
 
 // restart is a voter's state in the election after all voters have restarted.
 type restart struct {
-	// noLeaderSinceStart is set until this member has contact with a leader.
+	// noLeaderSinceStart is true from the start of this member until it has contact with a leader.
 	noLeaderSinceStart bool
 	// probesEndAt is when this member stops probing.
 	probesEndAt time.Duration
 	probeDueAt  time.Duration
-	// candidateUntil is the time until which this member's candidacy is not given up for a prober.
+	// candidateUntil is the time until which this member, while it is a candidate, rejects the probes of other voters.
 	candidateUntil time.Duration
 	// term is the term of the current probe; answers are the voters that accepted it.
 	term    uint64
 	answers map[string]bool
-	// voters are named in the vote requests of the current campaign; nil for an ordinary campaign.
+	// voters are the voters that the vote requests of the current campaign name as restarted; nil for an ordinary campaign.
 	voters []string
 }
 
-// beginRestart starts the phase without leader contact.
+// beginRestart starts the phase in which this member has had no contact with a leader since its start.
 func (c *Core) beginRestart() {
 	c.restart.noLeaderSinceStart = true
 	c.restart.probeDueAt = c.now
 	c.restart.probesEndAt = c.now + c.config.ElectionTimeout
 }
 
-// endRestart ends the phase: this member has contact with a leader, or leads.
+// endRestart ends that phase, because this member has contact with a leader or leads.
 func (c *Core) endRestart() { c.restart = restart{} }
 
-// timeoutShare returns a fraction of the election timeout.
+// timeoutShare returns a share of the election timeout; share is a fraction of 1.
 func (c *Core) timeoutShare(share float64) time.Duration {
 	return time.Duration(share * float64(c.config.ElectionTimeout))
 }
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -22,7 +22,7 @@
 	Stable     uint64
 	Compacted  uint64
 	Membership *v1.Membership
-	// MembershipCommitted is set when this member knows of no uncommitted membership change.
+	// MembershipCommitted is true if this member knows of no uncommitted membership change.
 	MembershipCommitted bool
 	// Members is set only at the leader, sorted by identity.
 	Members []MemberStatus
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -79,7 +79,7 @@
 	bootClock *bootclock.Clock
 }
 
-// open acquires everything that can fail before any goroutine starts.
+// open acquires the resources that may be unavailable, before any goroutine starts.
 func open(config settings.Controller, options Options) (*controller, error) {
 	registry, factory := metrics.NewRegistry("controller", config.Name, config.Zone)
 	c := &controller{config: config, log: options.Log, dial: options.Dial, site: options.Site, registry: registry, instruments: newInstruments(factory), calls: newCalls(), haltErrors: make(chan error, 1)}
--- a/internal/controller/duty_calls.go
+++ b/internal/controller/duty_calls.go
@@ -27,7 +27,7 @@
 )
 
 // dutyCaller makes the calls of the platform's singleton duties. It does not send an expired call,
-// because a successor may call from then on.
+// because the next leader may call the platform from then on.
 type dutyCaller struct {
 	site    *Site
 	dial    dialing.Dial
@@ -110,7 +110,8 @@
 	return exchange(limited, expiringClient(d.dial, remaining))
 }
 
-// expiringClient returns an HTTP client for one call that must not arrive after its expiry.
+// expiringClient returns an HTTP client for one call that must not arrive after its expiry; remaining returns the time
+// left until then.
 func expiringClient(dial dialing.Dial, remaining func() time.Duration) *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: dialing.WithExpiry(dial, remaining), DisableKeepAlives: true}}
 }
--- a/internal/controller/engines.go
+++ b/internal/controller/engines.go
@@ -38,7 +38,7 @@
 	client *fasthttp.Client
 	orders chan control.Output
 	polls  chan control.Output
-	// deliver sends the outcome to the loop.
+	// deliver passes the input that reports the outcome of an exchange to the loop.
 	deliver func(context.Context, control.Input) error
 	// countExchange counts exchanges by duty and by whether they were answered.
 	countExchange func(duty string, answered bool)
--- a/internal/controller/site.go
+++ b/internal/controller/site.go
@@ -21,8 +21,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/usage"
 )
 
-// Site holds what a controller that serves relays needs in addition to its settings: it knows only
-// some of the other controllers, operators send whole documents, and the back ends are read from an
+// Site holds what a controller that serves relays needs in addition to its settings. Such a controller knows only
+// some of the other controllers, operators send it whole documents, and the back ends are read from an
 // external list.
 type Site struct {
 	// Seeds, Bootstrap and FormationSize form the quorum; see consensus.Config.
@@ -162,7 +162,7 @@
 type listingReader struct {
 	read   func(ctx context.Context, client *http.Client, pages int) (serving.Listing, error)
 	client *http.Client
-	// requests holds the number of pages to read.
+	// requests holds the number of pages of the next read; 0 means the whole list.
 	requests chan int
 	deliver  func(context.Context, control.Input) error
 	faults   listing.Faults
@@ -180,8 +180,8 @@
 	}
 }
 
-// request requests a reading of this number of pages, 0 for all. It never blocks: a request is dropped while
-// another one waits.
+// request requests a read of the first pages of the list; pages is their number, 0 for the whole list. It never blocks:
+// a request is dropped while another one waits.
 func (l *listingReader) request(pages int) {
 	select {
 	case l.requests <- pages:
--- a/internal/controller/site_metrics.go
+++ b/internal/controller/site_metrics.go
@@ -7,7 +7,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/metrics"
 )
 
-// siteInstruments are the metrics of a leader that serves relays; 0 at other controllers.
+// siteInstruments are the metrics of a leader that serves relays; at other controllers their values are 0.
 type siteInstruments struct {
 	relays, waitingWatches             prometheus.Gauge
 	formerRelays, repeatedUpdates      prometheus.Gauge
--- a/internal/controller/stage_orders.go
+++ b/internal/controller/stage_orders.go
@@ -26,8 +26,8 @@
 )
 
 // stageOrderer sends orders to listed engines. It does not send an expired order: engines may
-// accept the fence of a former leader, so no part of an order may reach them once the leader's
-// successor may send orders.
+// accept the fence of a former leader, so no part of an order may reach them once the next
+// leader may send orders.
 type stageOrderer struct {
 	order   func(ctx context.Context, client *http.Client, order StageOrder) (StageResult, error)
 	dial    dialing.Dial
--- a/internal/controlstate/agreement.go
+++ b/internal/controlstate/agreement.go
@@ -58,7 +58,7 @@
 
 // checkFormat returns why a command must not be applied; nil if it may be applied. A command that refers to an
 // agreement which this state does not hold shows that a controller of the first format wrote the state or its
-// snapshot.
+// snapshot: checkFormat then resets the agreed state and marks it as missing.
 func (s *State) checkFormat(index uint64, command *v1.Command) error {
 	number, known := formats.CommandFormat(command)
 	if !known && len(command.ProtoReflect().GetUnknown()) > 0 {
--- a/internal/controlstate/bounds.go
+++ b/internal/controlstate/bounds.go
@@ -42,11 +42,11 @@
 	MaximumNameBytes      = 128     // names of objects, tenants and engines
 	MaximumAPIKeys        = 64      // of one tenant
 	MaximumListEntries    = 1024    // of one list field of an object
-	MaximumTextBytes      = 1024    // recorded of a command's text
+	MaximumTextBytes      = 1024    // of a command's text in a record; longer texts are truncated
 	MaximumRequestIDBytes = 128
 	MaximumClaimKeyBytes  = 256
-	MaximumOutcomeBytes   = 32 << 10 // of a claimed request's body
-	// MaximumChangeNumberStep is how far a change number may exceed the highest one.
+	MaximumOutcomeBytes   = 32 << 10 // of the response body that is recorded as the outcome of a claimed request
+	// MaximumChangeNumberStep is how far a change number may exceed the highest one that was accepted.
 	MaximumChangeNumberStep = 1_000_000
 	// MinimumSaltSeedBytes is the minimum number of random bytes from which new cache salts are derived.
 	MinimumSaltSeedBytes = 16
--- a/internal/controlstate/change.go
+++ b/internal/controlstate/change.go
@@ -8,11 +8,11 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// change holds the objects that differ between a declaration and the objects in force.
+// change holds the objects of a declaration that differ from the objects in force.
 type change struct {
 	base    *catalogue
-	objects map[Key]*v1.Object // tombstones among them
-	keys    []Key              // of objects, sorted before use
+	objects map[Key]*v1.Object // includes tombstones of deleted objects
+	keys    []Key              // keys of objects, sorted before use
 }
 
 // add records a declared object if it differs from the one in force.
--- a/internal/controlstate/claims.go
+++ b/internal/controlstate/claims.go
@@ -21,8 +21,8 @@
 // claimTable holds the claims that have not expired.
 type claimTable struct {
 	records map[claimKey]*v1.ClaimRecord
-	// expiredBefore is the time up to which claims have expired. They are dropped, and late
-	// copies of their commands are refused.
+	// expiredBefore is the time, in milliseconds since the Unix epoch, up to which expired claims have been dropped.
+	// A late copy of a command that would begin such a claim again is refused.
 	expiredBefore int64
 	uses          claimUses
 }
@@ -31,7 +31,7 @@
 	return &claimTable{records: map[claimKey]*v1.ClaimRecord{}, uses: newClaimUses()}
 }
 
-// beginClaim grants a claim to one attempt, or returns the state of the claim of another attempt.
+// beginClaim grants a claim to one attempt, or returns the state of the existing claim with the same key.
 func (s *State) beginClaim(at int64, begin *v1.BeginClaim) Result {
 	if err := checkClaim(begin); err != nil {
 		return Result{Err: trace.Wrap(err)}
@@ -95,7 +95,7 @@
 	return &v1.BeginClaimResponse{State: state}
 }
 
-// answerExisting returns the answer to an attempt whose claim is granted or finished already.
+// answerExisting returns the answer to an attempt to begin a claim that exists already.
 func answerExisting(record *v1.ClaimRecord, attempt string) *v1.BeginClaimResponse {
 	switch {
 	case record.State == v1.ClaimState_CLAIM_STATE_FINISHED:
@@ -112,7 +112,8 @@
 	}
 }
 
-// finish records the outcome of a claimed request. Later outcomes do not replace a recorded one.
+// finish records the outcome of a claimed request, or releases the claim if the request did not run. An outcome that is
+// recorded already is not replaced.
 func (t *claimTable) finish(finish *v1.FinishClaim) error {
 	key := claimKey{finish.Tenant, finish.Kind, finish.Key}
 	record := t.records[key]
@@ -178,7 +179,7 @@
 	}
 }
 
-// loseGateway sets the claims of a lost gateway process and of its earlier incarnations to unknown.
+// loseGateway sets the running claims of a lost gateway process, and of its earlier incarnations, to the state unknown.
 func (t *claimTable) loseGateway(gateway string, incarnation uint64) {
 	for key, record := range t.records {
 		if !isClaimRunning(record) || record.Gateway != gateway || record.GatewayIncarnation > incarnation {
--- a/internal/controlstate/delta.go
+++ b/internal/controlstate/delta.go
@@ -14,7 +14,8 @@
 type DeltaRequest struct {
 	// Revision is the revision in force at the node; 0 when it has none.
 	Revision uint64
-	// HeldTenants are the tenants the node holds.
+	// HeldTenants are the names of the tenants that the node holds, which are the only ones that it gets; a node that
+	// names none gets all changed tenants.
 	HeldTenants []string
 	// UnknownKeyHashes are hashes of API keys that the node has received and does not know.
 	UnknownKeyHashes []string
@@ -27,7 +28,7 @@
 	// Full means that Objects replace everything the node has.
 	Full    bool
 	Objects []*v1.Object
-	// RejectedKeyHashes belong to no tenant at this Revision.
+	// RejectedKeyHashes are the unknown key hashes of the request that belong to no tenant at Revision.
 	RejectedKeyHashes []string
 }
 
--- a/internal/controlstate/engines.go
+++ b/internal/controlstate/engines.go
@@ -6,7 +6,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// recordEngine records the observed state of an engine, or its removal. An engine with
+// recordEngine records the observed state of an engine, or removes the engine's record. A record with
 // an outstanding order is retained until the order has finished.
 func (s *State) recordEngine(at int64, record *v1.RecordEngine) Result {
 	observed := record.GetEngine()
@@ -41,7 +41,8 @@
 	return Result{}
 }
 
-// mergeObservation returns the state to record and the time since which the engine has had its role.
+// mergeObservation returns the state to record and the time, in milliseconds since the Unix epoch, since which the engine
+// has had its role: at, when the observation was proposed, if the role has changed.
 func mergeObservation(current *v1.EngineRecord, observed *v1.EngineState, at int64) (*v1.EngineState, int64) {
 	if current.State.GetRole() == observed.Role {
 		return observed, current.RoleSinceMs
--- a/internal/controlstate/orders.go
+++ b/internal/controlstate/orders.go
@@ -9,7 +9,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// beginAuthority starts the authority of a new leader. Its epoch must be higher than the one in force.
+// beginAuthority starts the authority of a new leader. The command's epoch must be higher than the epoch in force.
 func (s *State) beginAuthority(begin *v1.BeginAuthority) Result {
 	if begin.Epoch <= s.epoch && s.safeguards.IsEnabled(EpochCheck) {
 		return Result{Err: trace.Wrap(ErrStaleEpoch, "epoch %d asked for, epoch %d in force", begin.Epoch, s.epoch)}
--- a/internal/controlstate/recent.go
+++ b/internal/controlstate/recent.go
@@ -10,7 +10,7 @@
 
 func newRecent[T any](limit int) recent[T] { return recent[T]{limit: limit} }
 
-// add appends an item and returns the item evicted for it, if any.
+// add appends an item. If the limit is exceeded, it removes the oldest item and returns it as the only evicted one.
 func (r *recent[T]) add(item T) (evicted []T) {
 	r.items = append(r.items, item)
 	if len(r.items)-r.oldest <= r.limit {
--- a/internal/controlstate/suspects.go
+++ b/internal/controlstate/suspects.go
@@ -19,8 +19,8 @@
 	return ApplySuspectCommand(s.suspects, command)
 }
 
-// ApplySuspectCommand applies a command to a ledger of suspects. While such commands are not agreed on, the leader
-// applies them to a ledger of its own.
+// ApplySuspectCommand applies a command to a ledger of suspects. While the format of such commands is not agreed on,
+// the leader applies them to a local ledger that is not replicated.
 func ApplySuspectCommand(suspects *quarantine.Ledger, command *v1.Command) Result {
 	switch body := command.GetBody().(type) {
 	case *v1.Command_RecordReplicaEnds:
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -24,13 +24,13 @@
 // Config configures a Tracker. Zero values select the defaults.
 type Config struct {
 	PollInterval time.Duration
-	// MaximumStateAge is the maximum age of a reading that confirms a back end.
+	// MaximumStateAge is the maximum age of a reading that confirms that a back end may receive work.
 	MaximumStateAge time.Duration
 	// RemoveAfter is how long a back end that is neither listed nor answering stays in the tracker.
 	RemoveAfter time.Duration
 	// GatewayTimeout is the time without a heartbeat after which a gateway counts as gone.
 	GatewayTimeout time.Duration
-	// ListResetAfter is how long lists with a lower version are ignored as late copies.
+	// ListResetAfter is how long after the last accepted list a list with a lower version is ignored as a late copy.
 	ListResetAfter time.Duration
 	// DirectoryCacheTime is how long a zone's directory is reused.
 	DirectoryCacheTime time.Duration
--- a/internal/membership/directory.go
+++ b/internal/membership/directory.go
@@ -15,7 +15,7 @@
 
 // Directory is the set of back ends that gateways of a zone use.
 type Directory struct {
-	// Version is equal for equal back ends; loads do not count.
+	// Version is a hash of the back ends without their loads: equal sets of back ends have equal versions.
 	Version uint64
 	// Age is the maximum age of the readings that show back ends as serving.
 	Age time.Duration
@@ -178,7 +178,7 @@
 	return ranked
 }
 
-// compareTrueFirst orders true before false.
+// compareTrueFirst compares two booleans for sorting, with true before false.
 func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/membership/gateway.go
+++ b/internal/membership/gateway.go
@@ -63,8 +63,8 @@
 }
 
 // IsGatewayGone reports whether the gateway process is gone: a newer incarnation has the same name, or
-// no heartbeat arrived for GatewayTimeout. The time without heartbeats is counted from since at the
-// earliest.
+// no heartbeat arrived for longer than GatewayTimeout. The time without heartbeats starts at the last heartbeat,
+// or at the time since if that is later.
 func (t *Tracker) IsGatewayGone(now, since time.Duration, name string, incarnation uint64) bool {
 	gateway := t.gateways[name]
 	if gateway == nil {
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -36,8 +36,8 @@
 	return now - m.LoadAt + time.Duration(m.Load.AgeMs)*time.Millisecond
 }
 
-// backEndState returns whether the machine may receive new work, and the age of the reading that
-// confirms it.
+// backEndState returns whether the machine may receive new work, and the age of the reading that shows this; listAt is
+// the time of the newest machine list, maximumAge the age above which a reading shows nothing.
 func (m *Machine) backEndState(now, listAt, maximumAge time.Duration) (v1.BackEndState, time.Duration) {
 	if m.Listed && m.Row.State == enginecontract.StateLeaving {
 		return v1.BackEndState_BACK_END_STATE_LEAVING, 0
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -46,10 +46,10 @@
 		file, offset, problem)
 }
 
-// readSegment passes each record to apply, in order, and returns the length of the valid records.
+// readSegment passes each record to apply, in order, and returns the length of the valid records in bytes.
 // In the last segment, damage that no valid record follows is a torn write and ends the
-// segment; any other damage is corruption. nextSequence is the number of the next expected record;
-// 0 accepts any.
+// segment; any other damage is corruption. *nextSequence is the number of the next expected record, which
+// readSegment advances; 0 accepts any number.
 func readSegment(file string, data []byte, isLast bool, nextSequence *uint64, apply func(*v1.LogRecord) error) (size int64, err error) {
 	offset := int64(0)
 	for int(offset) < len(data) {
