--- a/internal/consensus/formation_probes_test.go
+++ b/internal/consensus/formation_probes_test.go
@@ -53,7 +53,7 @@
 
 // TestLearnerWithoutLeaderProbesAgain checks that a learner without leader contact requests
 // admission again, because its first admission may have been lost with the leader that proposed
-// it. A voter must not.
+// it. A voter without leader contact must not request admission.
 func TestLearnerWithoutLeaderProbesAgain(t *testing.T) {
 	for _, learner := range []bool{true, false} {
 		member := fuzzMember(t)
--- a/internal/consensus/member_set.go
+++ b/internal/consensus/member_set.go
@@ -90,7 +90,7 @@
 	})
 }
 
-// voterChanges counts the voters that are in only one of the two sets.
+// voterChanges counts the voters of s that are not voters of other, and those of other that are not voters of s.
 func (s memberSet) voterChanges(other memberSet) int {
 	changes := 0
 	for _, id := range s.voterIDs {
--- a/internal/consensus/restart_test.go
+++ b/internal/consensus/restart_test.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// restartAll stops all members at once and starts them again, each up to apart after the previous one.
+// restartAll stops all members at once and starts them again one after the other, with pauses of at most apart.
 func (c *testCluster) restartAll(apart time.Duration) {
 	for _, name := range c.names {
 		delete(c.cores, name)
@@ -110,7 +110,7 @@
 	cluster.waitLeader()
 	leader := cluster.leader()
 	cluster.isolated[leader] = true
-	cluster.inbox = nil // its last messages are lost
+	cluster.inbox = nil // the leader's last messages are lost
 	for _, name := range cluster.names {
 		if name != leader {
 			cluster.start(name)
--- a/internal/consensus/snapshots.go
+++ b/internal/consensus/snapshots.go
@@ -94,7 +94,7 @@
 type transfer struct {
 	target    string
 	startedAt time.Duration
-	// timeoutNowSent is set once the target was asked to campaign. This leader's lease is then
-	// void for the rest of its term, because votes for the target do not wait for it.
+	// timeoutNowSent is true once this leader has asked the target to campaign. This leader's lease is then
+	// void for the rest of its term, because voters do not wait for the lease before they vote for the target.
 	timeoutNowSent bool
 }
--- a/internal/consensus/transfer.go
+++ b/internal/consensus/transfer.go
@@ -8,8 +8,8 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// TransferLeadership transfers leadership to a voter once that voter has caught up. Proposals are
-// refused until then. If the transfer has not succeeded after an election timeout, this leader
+// TransferLeadership transfers leadership to a voter, the target, once that voter has caught up. Proposals are
+// refused during the transfer. If the transfer has not succeeded after an election timeout, this leader
 // continues, or steps down if it has already given up its lease.
 func (c *Core) TransferLeadership(now time.Duration, target string) error {
 	c.advanceClock(now)
--- a/internal/control/configuration_faults_test.go
+++ b/internal/control/configuration_faults_test.go
@@ -163,8 +163,8 @@
 	require.Equal(t, "1", answer.Objects[0].GetModel().Version)
 }
 
-// TestDeposedLeaderAnswersNothing calls a leader that was paused while another one took over. The
-// call is its first input after the pause.
+// TestDeposedLeaderAnswersNothing calls a leader that was paused until another controller had taken over. The
+// call is the first input of the old leader after the pause.
 func TestDeposedLeaderAnswersNothing(t *testing.T) {
 	w := newTestCluster(t, 3, nil)
 	old := w.waitLeader()
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -80,7 +80,7 @@
 	formats memberFormats
 	// localSuspects is the ledger of suspects that is used while the ledger's format is not agreed on.
 	localSuspects *quarantine.Ledger
-	// halted is set once this controller must not process further inputs.
+	// halted is true once this controller must not process further inputs.
 	halted bool
 	// clock estimates the time of day on which the controllers agree.
 	clock *truetime.Clock
@@ -260,7 +260,7 @@
 // Status is what a controller reports about itself for health checks and metrics.
 type Status struct {
 	Consensus consensus.Status
-	// LeadsWithLease is set while this controller leads with a valid lease.
+	// LeadsWithLease is true while this controller leads with a valid lease.
 	LeadsWithLease bool
 	Revision       uint64
 	// AppliedIndex is the log index of the last applied entry.
--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("this controller is not the leader; ask %s", e.Leader)
 }
 
-// errLostLeadership answers a call whose entry was proposed here and may or may not be committed.
+// errLostLeadership is the answer to a call whose entry was proposed here and may or may not be committed.
 var errLostLeadership = trace.ConnectionProblem(nil,
 	"leadership was lost before the change was confirmed; send it again with the same identity")
 
--- a/internal/control/fleet_size_test.go
+++ b/internal/control/fleet_size_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// fleetRelay is a relay and what it holds.
+// fleetRelay is a relay with the back ends and the relay addresses that it holds.
 type fleetRelay struct {
 	request *v1.WatchRequest
 	// listed are the back ends by identity.
@@ -119,8 +119,9 @@
 	const (
 		maximumEngines = 640
 		maximumOwners  = 256
-		// maximumFirstBytes bounds what a relay without any state is sent. The relay's link carries a thousand times as
-		// much in a second, and the links of controllers that answer a thousand relays need a third of a second for it.
+		// maximumFirstBytes is the maximum size of the first answer to a relay without any state. The relay's link carries
+		// a thousand times as much in a second, and the links of controllers that answer a thousand relays need a third
+		// of a second for these answers.
 		maximumFirstBytes = 40 << 10
 	)
 	for _, size := range []struct{ engines, relays int }{{160, 30}, {1_000, 100}, {10_000, 1_000}, {20_000, 2_000}, {100_000, 1_000}} {
--- a/internal/control/former_build_test.go
+++ b/internal/control/former_build_test.go
@@ -196,8 +196,8 @@
 }
 
 // While one voter is of the former build, only the leader knows the quarantined requests: it sends them to relays and
-// gateways and grants trials. Other controllers say that they do not know them. Once all voters support it, they are
-// agreed on.
+// gateways and grants trials. Other controllers answer that they do not know which requests are quarantined. Once all
+// voters support the quarantine, its format is agreed on and all controllers know the requests.
 func TestRequestsAreHeldWhileAVoterDoesNotKnowOfThem(t *testing.T) {
 	w := newTestCluster(t, 3, nil)
 	former := w.controllers[w.names[0]]
--- a/internal/control/harness_engines_test.go
+++ b/internal/control/harness_engines_test.go
@@ -7,7 +7,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/engine/orders"
 )
 
-// testEngine is an engine that carries out orders by the stand-in engine's order machine.
+// testEngine is an engine that carries out orders with the order state machine of the stand-in engine.
 type testEngine struct {
 	name, address string
 	machine       *orders.Machine
--- a/internal/control/limits_test.go
+++ b/internal/control/limits_test.go
@@ -20,7 +20,7 @@
 	return &v1.NamedLimit{BackEnd: limitedBackEnd, Named: true, PerSecond: perSecond}
 }
 
-// requestPermit sends a gateway's permit request to a controller; the result is nil when that does not lead.
+// requestPermit sends a gateway's permit request to a controller; the result is nil when that controller does not lead.
 func (w *testCluster) requestPermit(controller *testController, gateway string) *v1.TakePermitResponse {
 	w.t.Helper()
 	answer := w.call(controller, func(id CallID) Input {
@@ -65,7 +65,7 @@
 	require.GreaterOrEqual(t, float64(len(granted)), 0.5*limitPerSecond*40)
 }
 
-// A deposed leader that does not know of its successor grants no permits once its lease has expired.
+// A deposed leader that does not know that another controller leads grants no permits once its own lease has expired.
 func TestAFormerLeaderGrantsNoPermits(t *testing.T) {
 	w := newTestCluster(t, 3, nil)
 	old, _ := suspendLeader(w)
--- a/internal/control/named_services_test.go
+++ b/internal/control/named_services_test.go
@@ -11,8 +11,8 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// Relays do not get list entries of services that the configuration does not name, and their addresses get no orders.
-// Back ends of a service that a new configuration names are published soon after it.
+// Relays do not get list entries of services that the configuration does not name, and these back ends get no orders.
+// Back ends of a service that a new configuration names are published soon after that configuration is in force.
 func TestBackEndsOfServicesThatNobodyNamesAreLeftAlone(t *testing.T) {
 	w := newTestCluster(t, 3, func(config *Config) {
 		withSeeds(config)
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -48,7 +48,7 @@
 	return index, nil
 }
 
-// awaitEntry registers a call that waits for the entry at the index.
+// awaitEntry registers a call that waits for the entry with this index and term; without finish, no call waits for it.
 func (c *Core) awaitEntry(index, term uint64, call CallID, finish func(*Core, controlstate.Result)) {
 	if finish != nil {
 		c.pending[index] = pendingCall{id: call, term: term, finish: finish}
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -166,7 +166,7 @@
 	require.Empty(t, w.watchQuarantined())
 }
 
-// Without the safeguard no request is quarantined, however many replicas crash.
+// Without the safeguard Quarantine no request is quarantined, however many replicas crash.
 func TestWithoutTheQuarantineNothingIsHeld(t *testing.T) {
 	w := newTestCluster(t, 3, func(config *Config) { config.Safeguards = safeguard.Without(controlstate.Quarantine) })
 	w.waitLeader()
--- a/internal/control/relay_list.go
+++ b/internal/control/relay_list.go
@@ -91,7 +91,7 @@
 	return xxhash.Sum64String(strings.Join(addresses, ","))
 }
 
-// relayCount returns the number of relays with a message within relayTimeout; 0 while it is not known yet.
+// relayCount returns the number of relays with a message within relayTimeout; 0 during this leader's first relayCountDelay.
 func (c *Core) relayCount() uint32 {
 	if c.now-c.leadingSince < relayCountDelay {
 		return 0
--- a/internal/control/site_test.go
+++ b/internal/control/site_test.go
@@ -172,7 +172,7 @@
 }
 
 // Engines that do not check fences accept an order of a former leader whenever it arrives. However long its orders
-// are in transit, none may arrive after its successor's first order or shortly before it.
+// are in transit, none may arrive after the next leader's first order or less than minimumOrderGap before it.
 func TestOrdersOfAFormerLeaderDoNotOverlapItsSuccessors(t *testing.T) {
 	for _, transitDelay := range []time.Duration{0, 300 * time.Millisecond, 600 * time.Millisecond, 4 * time.Second, 8 * time.Second} {
 		t.Run(transitDelay.String(), func(t *testing.T) {
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -22,7 +22,7 @@
 	Holder string
 	Fence  uint64
 	// NotAfter is the time of Step after which the order must no longer reach the engine: engines may
-	// accept any fence, and a successor may send orders by then.
+	// accept any fence, and the next leader may send orders after that time.
 	NotAfter time.Duration
 }
 
@@ -104,8 +104,8 @@
 	}
 }
 
-// tickStages orders engines into the roles that the plan requires. A new leader first waits until its
-// predecessor's orders can no longer arrive.
+// tickStages orders engines into the roles that the plan requires. A new leader first waits until the
+// previous leader's orders can no longer arrive.
 func (c *Core) tickStages() {
 	if c.config.PriorPrefillShare <= 0 || c.listing.version == 0 || c.now-c.leadingSince < c.config.OrderWait {
 		return
@@ -222,7 +222,7 @@
 	return work
 }
 
-// orderStage orders one engine to change its stage, and keeps relays from sending it work meanwhile.
+// orderStage orders one engine to change its stage, and marks it so that relays send it no work during the change.
 func (c *Core) orderStage(change stageplan.Change) {
 	role := v1.Role_ROLE_DECODE
 	if change.Stage == stageplan.StagePrefill {
--- a/internal/control/usage.go
+++ b/internal/control/usage.go
@@ -111,7 +111,7 @@
 	})
 }
 
-// deliverUsage reports the next window to the platform. A new leader first waits until its predecessor's
+// deliverUsage reports the next window to the platform. A new leader first waits until the previous leader's
 // calls can no longer arrive.
 func (c *Core) deliverUsage(trueTimeMs int64) {
 	if !c.mayCallPlatform(SubjectUsage) {
--- a/internal/control/usage_test.go
+++ b/internal/control/usage_test.go
@@ -131,7 +131,7 @@
 	relays.requireReported(platform, first, first+1)
 }
 
-// A leader stops its calls once the platform has seen a later holder, until it leads in another term.
+// A leader that the platform refuses because of a later holder makes no further calls in its term.
 func TestAnOvertakenLeaderStops(t *testing.T) {
 	w := newTestCluster(t, 3, withUsage)
 	newSite(w, 0, 0)
@@ -143,8 +143,8 @@
 	require.Empty(t, platform.accepted)
 }
 
-// Calls of a former leader that are delayed, in a queue or in a suspended process, must not arrive between those of its
-// successor.
+// Calls of a former leader that are delayed, in a queue or in a suspended process, must not arrive between those of the
+// next leader.
 func TestCallsOfAFormerLeaderDoNotOverlapItsSuccessors(t *testing.T) {
 	for _, transitDelay := range []time.Duration{0, 300 * time.Millisecond, 600 * time.Millisecond, 4 * time.Second, 8 * time.Second} {
 		t.Run(transitDelay.String(), func(t *testing.T) {
--- a/internal/control/waiting_watches_test.go
+++ b/internal/control/waiting_watches_test.go
@@ -18,7 +18,7 @@
 	return calls
 }
 
-// Watches are returned when they are due, in that order, whatever the order in which they arrived.
+// Watches are returned when they are due, the first due first, whatever the order in which they arrived.
 func TestWaitingWatchesArePoppedInDueOrder(t *testing.T) {
 	const count = 2000
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/controller/stage_orders_test.go
+++ b/internal/controller/stage_orders_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// An engine that has asked for a backoff is not called until it ends; the Core receives StageRefused meanwhile.
+// An engine that has asked for a backoff is not called until the backoff ends; the Core receives StageRefused meanwhile.
 func TestAnEngineThatAsksForRestIsNotOrdered(t *testing.T) {
 	now, sent := time.Duration(0), 0
 	orderer, delivered := newTestOrderer(func() time.Duration { return now },
--- a/internal/controlstate/agreement.go
+++ b/internal/controlstate/agreement.go
@@ -17,7 +17,7 @@
 	// format is the highest format whose commands take effect; index is the log index of the agreement on it.
 	format formats.Number
 	index  uint64
-	// stateMissing is set when other replicas hold agreed state that this one does not hold, because its controller ran
+	// stateMissing is true if other replicas hold agreed state that this one does not hold, because its controller ran
 	// a build of the first format in the meantime. The next agreement resets that state everywhere and clears the flag.
 	stateMissing bool
 }
--- a/internal/filesystem/memory/memory.go
+++ b/internal/filesystem/memory/memory.go
@@ -32,7 +32,7 @@
 	generation int
 	// SyncError, when set, is returned by every sync.
 	SyncError error
-	// IgnoreSync makes syncs succeed without effect, to show that they are needed.
+	// IgnoreSync makes syncs succeed without effect, so that tests can show that the syncs are needed.
 	IgnoreSync bool
 	// changesUntilStop counts down the changes until the machine stops; zero means that it never stops.
 	changesUntilStop int
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -10,7 +10,7 @@
 // Machine is one back end as known to the tracker.
 type Machine struct {
 	Row enginecontract.Machine
-	// Listed is set when the newest list contains the machine; LastListedAt is when a list last did.
+	// Listed is true if the newest list contains the machine; LastListedAt is when a list last contained it.
 	Listed       bool
 	LastListedAt time.Duration
 	// State is the state that the machine last reported; it was read no earlier than StateAt.
