--- a/internal/authority/limits.go
+++ b/internal/authority/limits.go
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// smallestMaximumOut returns the smallest declared bound of a zone; the empty zone means the whole
-// service.
+// smallestMaximumOut returns the smallest declared limit on engines out of service in a zone, at least
+// defaultMaximumOut, and whether one is declared; the empty zone means the whole service.
 func smallestMaximumOut(bounds []*v1.Bound, zone string) (limit int, declared bool) {
 	for _, bound := range bounds {
 		if bound.Zone != zone {
--- a/internal/consensus/raise_term.go
+++ b/internal/consensus/raise_term.go
@@ -6,8 +6,8 @@
 	"github.com/gravitational/trace"
 )
 
-// maximumRaisedTerm is the highest term that RaiseTerm accepts, so that terms from outside cannot
-// come near overflow.
+// maximumRaisedTerm is the highest term that RaiseTerm accepts, so that a wrong term that an engine reports cannot
+// bring this member's term near overflow.
 const maximumRaisedTerm = 1 << 48
 
 // RaiseTerm makes a leader abandon its term for one above the given term, as if it had received a
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -55,7 +55,7 @@
 	duties       duties
 	// deferredOrders describes, by engine, the declared change that may not be ordered now, and the reason.
 	deferredOrders map[string]string
-	// revisions maps log indexes to the last applied revisions.
+	// revisions maps log indexes to the configuration revisions that were applied last.
 	revisions revisionIndex
 
 	// listing, watches, updatePace, relays, updates and stages hold the leader's state for the relays of opaque requests.
@@ -288,8 +288,8 @@
 // Consensus returns the status of the replicated log at this controller.
 func (c *Core) Consensus() consensus.Status { return c.consensus.Status() }
 
-// HoldsLease reports whether this controller may act as the leader at a time, as far as it knows. At most
-// one controller may at any moment.
+// HoldsLease reports whether, as far as this controller knows, it may act as the leader at the time now. At no time may
+// two controllers act as the leader.
 func (c *Core) HoldsLease(now time.Duration) bool { return c.consensus.HasValidLease(now) }
 
 // State returns the replicated state as applied here. Callers must not change it, and must not
--- a/internal/control/execute.go
+++ b/internal/control/execute.go
@@ -79,8 +79,8 @@
 	c.answer(Answer{Call: received.Call, Response: response})
 }
 
-// dumpLogs tells the runtime of this controller to write out its log ring, also when it does not lead.
-// Only a leader can record that in the audit trail; other controllers have it in their log ring.
+// dumpLogs tells the runtime of this controller to write out its log ring, also when this controller does not lead.
+// Only a leader can record the command in the audit trail; other controllers record it in their log ring.
 func (c *Core) dumpLogs(received ExecuteReceived) {
 	answer := "controller " + c.config.Name + " writes out its log ring"
 	c.emit(DumpLogs{Operator: received.Operator})
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -86,7 +86,7 @@
 	machine.isPageService = t.pageServices[row.Service]
 }
 
-// pollPhase spreads the polls of many machines over the interval.
+// pollPhase returns the delay of a machine's first poll, which spreads the polls of all machines over the poll interval.
 func (t *Tracker) pollPhase(name string) time.Duration {
 	return time.Duration(xxhash.Sum64String(name) % uint64(t.config.PollInterval))
 }
@@ -113,8 +113,8 @@
 	return polls
 }
 
-// ExpeditePoll brings a machine's next poll forward to at most within from now, because an order is in
-// progress there.
+// ExpeditePoll brings a machine's next poll forward so that it is due at most the time within after now, because the
+// machine carries out an order.
 func (t *Tracker) ExpeditePoll(now time.Duration, name string, within time.Duration) {
 	if machine := t.machines[name]; machine != nil {
 		machine.nextPollAt = min(machine.nextPollAt, now+within)
