--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -19,7 +19,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/truetime"
 )
 
-// catchUpAfter is the time without a tick after which the process is assumed to have been paused.
+// catchUpAfter is the time since the last tick after which the process is assumed to have been paused.
 const catchUpAfter = 4 * TickInterval
 
 // Core is the state machine of one controller. It is owned by one goroutine.
@@ -55,7 +55,7 @@
 	duties       duties
 	// deferredOrders describes, by engine, the declared change that may not be ordered now, and the reason.
 	deferredOrders map[string]string
-	// revisions maps log indexes to the last applied revisions.
+	// revisions maps log indexes to the configuration revisions that were applied last.
 	revisions revisionIndex
 
 	// listing, watches, updatePace, relays, updates and stages hold the leader's state for the relays of opaque requests.
@@ -76,11 +76,11 @@
 	quarantine requestQuarantine
 	// limits are the rate limits that back ends set for all processes together.
 	limits backEndLimits
-	// formats are the formats that the other controllers support.
+	// formats tracks the formats that the other controllers support.
 	formats memberFormats
-	// localSuspects is the ledger of suspects that is used while its format is not agreed on.
+	// localSuspects is the ledger of suspects that is used while the ledger's format is not agreed on.
 	localSuspects *quarantine.Ledger
-	// halted is set once this controller must not process further inputs.
+	// halted is true once this controller must not process further inputs.
 	halted bool
 	// clock estimates the time of day on which the controllers agree.
 	clock *truetime.Clock
@@ -247,7 +247,7 @@
 	return time.Duration(wallMs-c.config.WallOrigin) * time.Millisecond
 }
 
-// Operator finds a declared operator in the applied state by the hex SHA-256 of its key.
+// Operator finds a declared operator in the applied state by the hex SHA-256 of the operator's key.
 func (c *Core) Operator(keyHash string) (name string, role v1.OperatorRole, found bool) {
 	for _, object := range c.state.ObjectsOfType(v1.ObjectType_OBJECT_TYPE_OPERATOR) {
 		if operator := object.GetOperator(); operator.KeyHash == keyHash {
@@ -260,7 +260,7 @@
 // Status is what a controller reports about itself for health checks and metrics.
 type Status struct {
 	Consensus consensus.Status
-	// LeadsWithLease is set while this controller leads with a valid lease.
+	// LeadsWithLease is true while this controller leads with a valid lease.
 	LeadsWithLease bool
 	Revision       uint64
 	// AppliedIndex is the log index of the last applied entry.
@@ -288,8 +288,8 @@
 // Consensus returns the status of the replicated log at this controller.
 func (c *Core) Consensus() consensus.Status { return c.consensus.Status() }
 
-// HoldsLease reports whether this controller may act as the leader at a time, as far as it knows. At most
-// one controller may at any moment.
+// HoldsLease reports whether, as far as this controller knows, it may act as the leader at the time now. At no time may
+// two controllers act as the leader.
 func (c *Core) HoldsLease(now time.Duration) bool { return c.consensus.HasValidLease(now) }
 
 // State returns the replicated state as applied here. Callers must not change it, and must not
--- a/internal/control/relay_list.go
+++ b/internal/control/relay_list.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// relayTimeout is the time without a message after which a relay no longer counts.
+	// relayTimeout is the time since its last message after which a relay is no longer counted or listed.
 	relayTimeout = 15 * time.Second
 	// relayCountDelay is how long a new leader collects watches before it announces the
 	// number of relays.
@@ -91,7 +91,7 @@
 	return xxhash.Sum64String(strings.Join(addresses, ","))
 }
 
-// relayCount returns the number of relays with a message within relayTimeout; 0 while it is not known yet.
+// relayCount returns the number of relays with a message within relayTimeout; 0 during this leader's first relayCountDelay.
 func (c *Core) relayCount() uint32 {
 	if c.now-c.leadingSince < relayCountDelay {
 		return 0
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -10,7 +10,7 @@
 // Machine is one back end as known to the tracker.
 type Machine struct {
 	Row enginecontract.Machine
-	// Listed is set when the newest list contains the machine; LastListedAt is when a list last did.
+	// Listed is true if the newest list contains the machine; LastListedAt is when a list last contained it.
 	Listed       bool
 	LastListedAt time.Duration
 	// State is the state that the machine last reported; it was read no earlier than StateAt.
@@ -36,8 +36,8 @@
 	return now - m.LoadAt + time.Duration(m.Load.AgeMs)*time.Millisecond
 }
 
-// backEndState returns whether the machine may receive new work, and the age of the reading that
-// confirms it.
+// backEndState returns whether the machine may receive new work, and the age of the reading that shows this; listAt is
+// the time of the newest machine list, maximumAge the age above which a reading shows nothing.
 func (m *Machine) backEndState(now, listAt, maximumAge time.Duration) (v1.BackEndState, time.Duration) {
 	if m.Listed && m.Row.State == enginecontract.StateLeaving {
 		return v1.BackEndState_BACK_END_STATE_LEAVING, 0
