--- a/internal/benchcommand/demo.go
+++ b/internal/benchcommand/demo.go
@@ -76,7 +76,7 @@
 	return report.Failed()
 }
 
-// probe sends one request of each kind and prints one answer as it streams.
+// probe sends one request of each kind and prints the results, and then prints one more answer as it streams.
 func (d *demoFlags) probe(options load.Options, out io.Writer) error {
 	results, err := load.Probe(options)
 	if err != nil {
--- a/internal/benchcommand/fleet_scenario.go
+++ b/internal/benchcommand/fleet_scenario.go
@@ -18,7 +18,7 @@
 const settleTime = 3 * time.Second
 
 // runScenario sends a scenario's requests to a fleet that was started for it, and prints the result. It
-// fails when an answer was mixed, a request ran twice or a verdict was false.
+// fails when an answer did not belong to its request, a request ran twice or a verdict was false.
 func runScenario(ctx context.Context, started *fleet.Fleet, definition scenario.Scenario, seed uint64, asJSON bool, environment Environment) error {
 	select {
 	case <-ctx.Done():
--- a/internal/enginecontract/events.go
+++ b/internal/enginecontract/events.go
@@ -41,7 +41,7 @@
 	PromptTokensDetails *PromptTokensDetails `json:"prompt_tokens_details,omitempty"`
 }
 
-// PromptTokensDetails reports how many prompt tokens were found in the prefix cache.
+// PromptTokensDetails holds the number of prompt tokens that were found in the prefix cache.
 type PromptTokensDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
--- a/internal/enginecontract/messages.go
+++ b/internal/enginecontract/messages.go
@@ -49,8 +49,8 @@
 	return f.Sequence < other.Sequence
 }
 
-// Order is the body of POST /control/orders. The engine accepts it only if its role is
-// ExpectedRole, no other order is in progress, and the fence is either above every fence seen or
+// Order is the body of POST /control/orders. The engine accepts it only if the engine's role is
+// ExpectedRole, no other order is in progress, and the fence is either above every fence that the engine has seen or
 // equal to that of the order in progress (a resend, which gets the same answer).
 type Order struct {
 	Fence        Fence  `json:"fence"`
@@ -135,7 +135,7 @@
 	OutputTokensDone int64 `json:"output_tokens_done"`
 }
 
-// CacheEvent reports that the engine stored or evicted one block of its prefix cache.
+// CacheEvent describes one block that the engine stored in its prefix cache or evicted from it.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Stored   bool   `json:"stored"`
--- a/internal/enginemodel/engine.go
+++ b/internal/enginemodel/engine.go
@@ -43,7 +43,7 @@
 	tokens   int
 }
 
-// Option changes how an Engine reports.
+// Option changes which events an Engine reports.
 type Option func(*Engine)
 
 // WithTokenEvents enables an event for each start and for each generated token.
--- a/internal/enginemodel/event.go
+++ b/internal/enginemodel/event.go
@@ -24,13 +24,13 @@
 	At   time.Duration
 	Type EventType
 	ID   string
-	// OutputTokens is the number of output tokens so far, including those already delivered at the submission.
+	// OutputTokens is the number of output tokens so far, including those that Request.AlreadyDelivered counts.
 	OutputTokens int
 	// CachedTokens is the number of prompt tokens found in the prefix cache.
 	CachedTokens int
 }
 
-// CacheEvent reports that a block was stored in the prefix cache or evicted from it.
+// CacheEvent describes one block that was stored in the prefix cache or evicted from it.
 type CacheEvent struct {
 	Stored bool
 	Block  uint64
--- a/internal/enginemodel/profile.go
+++ b/internal/enginemodel/profile.go
@@ -18,7 +18,7 @@
 	StepBase time.Duration
 	// StepPerSequence is added for each sequence that decodes a token in the step.
 	StepPerSequence time.Duration
-	// StepPerContextToken is added for each context token of those sequences.
+	// StepPerContextToken is added for each context token of the sequences that decode a token in the step.
 	StepPerContextToken time.Duration
 	// MaxBatch is the largest number of sequences that run at once.
 	MaxBatch int
@@ -37,7 +37,7 @@
 	BlockTokens int
 	// PrefixCacheBlocks is the capacity of the prefix cache, in blocks; 0 means no cache.
 	PrefixCacheBlocks int
-	// RoleChange is the time an empty engine is out of service to change its role.
+	// RoleChange is the time for which an empty engine is out of service to change its role.
 	RoleChange time.Duration
 	// WeightLoad is the time to load a model's weights in addition to their transfer from the weight store.
 	WeightLoad time.Duration
--- a/internal/enginemodel/sequence.go
+++ b/internal/enginemodel/sequence.go
@@ -8,7 +8,7 @@
 	cachedTokens int
 	// prefillLeft is the number of tokens still to prefill, including already delivered output.
 	prefillLeft int
-	// generatedTokens is the number of output tokens so far, including those already delivered.
+	// generatedTokens is the number of output tokens so far, including those that Request.AlreadyDelivered counts.
 	generatedTokens int
 	// hasDecoded is true once this engine has generated a token.
 	hasDecoded bool
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -72,11 +72,12 @@
 	UsageDelivered Event = "usage_delivered"
 	// ReplicasOrdered: a different number of replicas was ordered from the platform.
 	ReplicasOrdered Event = "replicas_ordered"
-	// FormatAgreed: the members agreed on a different format, or other members keep a leader from using its own.
+	// FormatAgreed: the controllers agreed on a different format of their data, or the controllers changed that keep a
+	// leader from using its newest format because they do not support it or have not reported their formats.
 	FormatAgreed Event = "format_agreed"
 	// ControllerHalted: the controller stops because it cannot apply a committed entry.
 	ControllerHalted Event = "controller_halted"
-	// UpdateNotApplied: a relay requests an update again that it was sent before.
+	// UpdateNotApplied: a relay requests an update that a controller has already sent to it.
 	UpdateNotApplied Event = "news_not_taken"
 	// DiskFailed: the data directory failed; the controller restarts from its contents.
 	DiskFailed Event = "disk_failed"
--- a/internal/gateway/accounting.go
+++ b/internal/gateway/accounting.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// recordFirstToken reports the time to the first token to admission. A request with more than one exchange is left
-// out: its time does not show how long a back end takes.
+// recordFirstToken reports the time to the first token of the request to admission. It leaves out a request with more
+// than one exchange, whose time does not show how long a single back end takes.
 func (c *completion) recordFirstToken() {
 	if c.attempts.total() != 1 {
 		return
@@ -66,7 +66,7 @@
 	c.slot.recordFirstToken(max(c.firstTokenAt-c.beganAt-promptTime, 0))
 }
 
-// finishAdmission returns the request's admission slot and reports the result of the request.
+// finishAdmission returns the request's admission slot and reports the result of the request to admission.
 func (c *completion) finishAdmission() {
 	result := admission.Result{
 		PromptTokens:   c.usage.promptTokens,
--- a/internal/gateway/admitter.go
+++ b/internal/gateway/admitter.go
@@ -92,8 +92,8 @@
 	return a.estimator.Estimate(shape)
 }
 
-// admit charges the tenant's limit and blocks until the request may start, is refused or the interrupter fires.
-// A refused request has not run.
+// admit charges the tenant's limit and blocks until the request may start, is refused or is interrupted through the
+// interrupter, for example because its caller disconnected. A refused request has not run.
 func (a *admitter) admit(wanted admissionRequest, interrupter *upstream.Interrupter) (*admissionSlot, *refusal) {
 	slot, decision, fault := a.submit(wanted)
 	if fault != nil {
@@ -111,8 +111,9 @@
 	return slot, nil
 }
 
-// submit charges the tenant's limit and queues the request, immediately or once a share of the limit has been
-// granted. The channel receives nil when the request may start, or else the refusal of the request.
+// submit charges the tenant's limit and queues the request: immediately, or once the tenant has been granted the share
+// of its limit that the request waits for. The channel receives nil when the request may start, or the refusal of
+// the request. A request that is refused at once gets only the last result.
 func (a *admitter) submit(wanted admissionRequest) (*admissionSlot, <-chan *refusal, *refusal) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/internal/gateway/admitter_shares.go
+++ b/internal/gateway/admitter_shares.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// requestUrgentReport wakes the report loop. It never blocks.
+// requestUrgentReport makes the report loop request shares from the leader at once. It never blocks.
 func (a *admitter) requestUrgentReport() {
 	select {
 	case a.wakeReport <- struct{}{}:
@@ -49,7 +49,8 @@
 	}
 }
 
-// demands returns the share demands to report to the leader and the current time, which applyShares needs.
+// demands returns the share demands to report to the leader, and the current time, which the caller passes to
+// applyShares with the leader's answer.
 func (a *admitter) demands() ([]*v1.ShareDemand, time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -57,7 +58,7 @@
 	return a.limits.Demands(now), now
 }
 
-// urgentDemands returns the demands of tenants whose requests wait for a share, and the current time.
+// urgentDemands returns the share demands of tenants whose requests wait for a share, and the current time as demands does.
 func (a *admitter) urgentDemands() ([]*v1.ShareDemand, time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -65,7 +66,7 @@
 	return a.limits.UrgentDemands(now), now
 }
 
-// applyShares applies the shares granted for the demands of the time demandedAt.
+// applyShares applies the shares that the leader granted for the demands that were collected at demandedAt.
 func (a *admitter) applyShares(demandedAt time.Duration, shares []*v1.Share) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -82,8 +82,8 @@
 }
 
 // mayStartExchange reports whether a request may start another exchange. Each exchange after the first spends from
-// the retry budget, which keeps retries from amplifying an outage. Exchanges declined because of a planned change
-// spend nothing, so that the change does not fail any request.
+// the retry budget, which keeps retries from amplifying an outage. Exchanges that a back end declined because it is
+// leaving or changing spend nothing, so that a planned change fails no request.
 func (g *Gateway) mayStartExchange(counts attempts) bool {
 	if counts.declined >= maximumDeclined {
 		return false
--- a/internal/gateway/cancel.go
+++ b/internal/gateway/cancel.go
@@ -21,7 +21,7 @@
 }
 
 // cancelLater queues the cancellation of an exchange and never blocks. When the queue is full the cancellation is
-// dropped: an engine ends an exchange without a reader by itself.
+// dropped: an engine by itself ends an exchange whose answer nobody reads.
 func (g *Gateway) cancelLater(backEnd routing.BackEnd, exchange string) {
 	select {
 	case g.cancellations <- cancellation{backEnd: backEnd, exchange: exchange}:
@@ -44,8 +44,9 @@
 // abandonedCancelTimeout bounds the wait for an engine's answer to the cancellation of an abandoned exchange.
 const abandonedCancelTimeout = time.Second
 
-// cancel cancels an exchange at its engine and returns the engine's verdict. It sends nothing to an engine in backoff or
-// without a permit and returns "may have run": the engine ends an exchange without a reader by itself.
+// cancel cancels an exchange at its engine and returns the engine's verdict. It sends nothing to an engine in backoff, or
+// without a permit to call the engine, and then returns "may have run": an engine by itself ends an exchange whose answer
+// nobody reads.
 func (g *Gateway) cancel(request cancellation, timeout time.Duration) verdict.Verdict {
 	if g.dispatcher.isInBackoff(request.backEnd) || !g.dispatcher.mayCall(request.backEnd, fleetlimit.RankCount-1, false) {
 		return verdict.MayHaveRun
--- a/internal/gateway/chat.go
+++ b/internal/gateway/chat.go
@@ -133,8 +133,8 @@
 	context.Response.SetBody(body)
 }
 
-// streamChat waits for the first event, so that a refusal still has its own HTTP status, and
-// then passes the stream to the server, which reads it to its end.
+// streamChat answers with a stream of events. It waits for the first event before it sends the header, so that a refusal
+// still has its own HTTP status, and then passes the stream to the server, which reads it to its end.
 func (g *Gateway) streamChat(context *fasthttp.RequestCtx, completion *completion, identity stream.Identity, watch *callerWatch) {
 	event, err := completion.next()
 	var fault *refusal
--- a/internal/gateway/claimer.go
+++ b/internal/gateway/claimer.go
@@ -42,8 +42,8 @@
 	return &claimer{config: claims.Config{Safeguards: safeguards}, clock: clock, controllers: controllers, identity: identity, finishSlots: make(chan struct{}, maximumFinishes)}
 }
 
-// claim returns the claim of one attempt of a request. content is everything that two requests with one key must
-// have in common.
+// claim returns the claim of one attempt of a request, to pass to begin and finish. content is everything that two
+// requests with the same idempotency key must have in common.
 func (c *claimer) claim(tenant *gatewaystate.Tenant, kind *gatewaystate.Kind, key string, content ...[]byte) *v1.BeginClaim {
 	hash := sha256.New()
 	for _, part := range content {
@@ -138,7 +138,7 @@
 	finish.MarkRecorded()
 }
 
-// parseFailure returns what a failed call reports about the leader and about retrying.
+// parseFailure returns what the error of a failed call says about the leader and about whether to retry.
 func (c *claimer) parseFailure(err error) claims.Failure {
 	var callError *connect.Error
 	if !errors.As(err, &callError) {
--- a/internal/gateway/completion_connect.go
+++ b/internal/gateway/completion_connect.go
@@ -98,8 +98,8 @@
 	return c.sendToEngine(&choice, cache)
 }
 
-// sendToEngine starts an exchange at the engine that decodes. cache names the KV cache that a prefill engine
-// exported for it; it is nil when the engine runs the prefill itself.
+// sendToEngine starts an exchange at the engine chosen to decode. cache names the KV cache that a prefill engine
+// exported for this exchange; it is nil when the chosen engine runs the prefill itself.
 func (c *completion) sendToEngine(choice *routing.Choice, cache *exportedCache) *refusal {
 	c.backEnd = choice.BackEnd
 	c.exchange = upstream.NewExchange()
--- a/internal/gateway/completion_end.go
+++ b/internal/gateway/completion_end.go
@@ -25,8 +25,8 @@
 	c.reportBrokenRun(c.backEnd, crashWait)
 }
 
-// reportBrokenRun makes the guard find out whether the engine that broke off the request has crashed. It waits at most
-// this time for the result, and not beyond the request's deadline.
+// reportBrokenRun makes the crash guard find out whether the engine that broke off the request has crashed. It waits for
+// the result for at most the time wait, and not beyond the request's deadline.
 func (c *completion) reportBrokenRun(engine routing.BackEnd, wait time.Duration) {
 	c.isQuarantined = c.gateway.guard.RecordBrokenRun(c.signature, replicaOf(engine), min(wait, c.deadline-c.gateway.clock.now()))
 }
--- a/internal/gateway/controllers.go
+++ b/internal/gateway/controllers.go
@@ -21,8 +21,8 @@
 const (
 	controllerCallTimeout = 900 * time.Millisecond
 	controllerIdleTimeout = 30 * time.Second
-	// homeOrderDelay is the time after the last failure after which a gateway returns to the order of its
-	// settings. Without it, one restart of a controller would move its gateways permanently.
+	// homeOrderDelay is the time without failures after which a gateway calls the controllers in the order of its
+	// settings again. Without it, one restart of a controller would move its gateways permanently to other controllers.
 	homeOrderDelay = 30 * time.Second
 )
 
@@ -85,7 +85,7 @@
 	c.leader = address
 }
 
-// candidates returns the addresses in the order of attempts, with the leader first when leaderFirst is set.
+// candidates returns the controllers' addresses in the order of attempts. With leaderFirst the last known leader comes first.
 func (c *controllers) candidates(leaderFirst bool) []string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -100,7 +100,8 @@
 	return order
 }
 
-// demote moves an address to the end of the order, until no address has been demoted for homeOrderDelay.
+// demote moves a failed controller's address to the end of the order of attempts. The order of the settings returns once
+// no address has been demoted for homeOrderDelay.
 func (c *controllers) demote(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/gateway/dispatcher.go
+++ b/internal/gateway/dispatcher.go
@@ -65,7 +65,7 @@
 	return d.router.Backoff(d.clock.now(), backEnd) > 0
 }
 
-// hasRestarted reports whether a later incarnation of a back end is known.
+// hasRestarted reports whether the router knows a later incarnation of a back end than the given one.
 func (d *dispatcher) hasRestarted(backEnd routing.BackEnd) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -126,7 +126,7 @@
 const shutdownTimeout = 2 * time.Second
 
 // idleQuietTime is how long an idle connection must have received nothing before a stopping gateway closes it.
-// On a connection in use, the answer tells the caller meanwhile that the connection will be closed.
+// On a connection in use, the next answer announces to the caller that the connection will be closed.
 const idleQuietTime = 2 * time.Second
 
 // drain stops accepting requests and waits for those that have reached the gateway on any connection. Streams that
--- a/internal/gateway/kv_transfer.go
+++ b/internal/gateway/kv_transfer.go
@@ -41,8 +41,8 @@
 	source string
 }
 
-// runPrefill runs the prefill on the chosen prefill engine. When it returns neither a cache nor
-// a refusal, the request continues without this KV transfer.
+// runPrefill runs the prefill on the chosen prefill engine and returns the exported KV cache. When it returns neither a
+// cache nor a refusal, the prefill failed and the request continues without this KV transfer.
 func (c *completion) runPrefill(choice *routing.Choice) (*exportedCache, *refusal) {
 	exchange := upstream.NewExchange()
 	dispatcher := c.gateway.dispatcher
@@ -99,8 +99,8 @@
 }
 
 // handlePrefillFailure decides how the request continues after a prefill engine returned no cache. A prefill
-// produces no output, but a request whose prefill may be running counts as one that may have run: then only a
-// repeatable kind continues.
+// produces no output, but a request whose prefill may be running counts as one that may have run: then the request
+// continues only if its kind is repeatable.
 func (c *completion) handlePrefillFailure(prefill *routing.BackEnd, exchange string, failure *upstream.Failure) *refusal {
 	c.gateway.log.Info().Err(failure).Str("back_end", prefill.Name).Msg("prefill failed; the request continues without this KV transfer if its kind allows it")
 	c.gateway.metrics.kvTransfers.WithLabelValues(kvTransferNotPrefilled).Inc()
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -17,7 +17,8 @@
 const (
 	// permitTimeout bounds a permit request; the leader answers it from memory.
 	permitTimeout = 300 * time.Millisecond
-	// noLeaderRetryDelay is how long no permit is requested for a back end after no leader answered.
+	// noLeaderRetryDelay is the mean time for which no permit is requested for a back end after a request for one got no
+	// answer; the actual time is random, from half of it to one and a half times it.
 	noLeaderRetryDelay = 250 * time.Millisecond
 	// maximumPermitTries bounds how often pick chooses back ends for an exchange until one choice has its permits.
 	maximumPermitTries = 8
@@ -40,7 +41,8 @@
 	outcomes    *prometheus.CounterVec
 }
 
-// request requests one permit. It reports false when no leader answers.
+// request requests one permit. It reports false when no controller answered; the response then holds only the time to
+// wait before the next permit request.
 func (p *permits) request(permitRequest fleetlimit.PermitRequest) (fleetlimit.PermitResponse, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), permitTimeout)
 	defer cancel()
@@ -67,7 +69,8 @@
 	}, true
 }
 
-// takePermit requests a permit from the leader, or from a controller that forwards the request.
+// takePermit requests a permit from the last known leader, or from the first controller in the order of attempts, which
+// forwards the request to the leader.
 func (c *controllers) takePermit(ctx context.Context, request *v1.TakePermitRequest) (*v1.TakePermitResponse, error) {
 	address := c.candidates(true)[0]
 	response, err := c.client(address).TakePermit(ctx, connect.NewRequest(request))
@@ -77,12 +80,14 @@
 	return response.Msg, nil
 }
 
-// rankOfPriority returns the rank of a request kind; rank 0 is the most urgent and belongs to the highest priority.
+// rankOfPriority converts the priority of a request kind to the rank of its permit requests. Rank 0 is the most urgent and
+// belongs to the highest priority.
 func rankOfPriority(priority int32) int {
 	return min(max(fleetlimit.RankCount-1-int(priority), 0), fleetlimit.RankCount-1)
 }
 
-// pick chooses the back ends of a request among those that set no limit or for which the leader grants a permit.
+// pick chooses the back ends of a request. Each of them either sets no limit or has a permit from the leader for this
+// request. It does not choose the excluded back ends.
 func (d *dispatcher) pick(request routing.Request, excluded []string) (routing.Choice, error) {
 	for range maximumPermitTries {
 		choice, err := d.pickOnce(request, excluded)
@@ -102,8 +107,8 @@
 	return choice.Prefill == nil || d.mayCall(*choice.Prefill, rank, false)
 }
 
-// mayCall reports whether a call may be sent to a back end, which requires a permit when the back end sets a limit.
-// mustResume marks a call that has to go to this back end.
+// mayCall reports whether a call may be sent to a back end. When the back end sets a limit, it requests a permit for the
+// call. mustResume says that the call resumes an exchange and so can only go to this back end.
 func (d *dispatcher) mayCall(backEnd routing.BackEnd, rank int, mustResume bool) bool {
 	d.mutex.Lock()
 	permitRequest, needed := d.router.PermitRequest(backEnd)
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -80,7 +80,8 @@
 	return nil
 }
 
-// report sends a report to the leader, or else to each controller until one accepts it as the leader.
+// report sends a report to the last known leader first and then to the other controllers, until one of them accepts it.
+// Only the leader accepts reports.
 func (c *controllers) report(ctx context.Context, request *v1.ReportRequest) (*v1.ReportResponse, error) {
 	var failures []error
 	for _, address := range c.candidates(true) {
--- a/internal/gateway/retry_budget.go
+++ b/internal/gateway/retry_budget.go
@@ -3,8 +3,8 @@
 import "sync"
 
 const (
-	// retryShare is the fraction of a retry that each request earns: retries add at most this
-	// share to the load of back ends, even when all of them fail.
+	// retryShare is the number of retries that each request adds to the budget: retries add at most this share to the
+	// load of back ends, even when all of them fail.
 	retryShare = 0.1
 	// maximumRetryCredit bounds the credit, in retries, that accumulates while few requests fail.
 	maximumRetryCredit = 20
--- a/internal/gateway/sync.go
+++ b/internal/gateway/sync.go
@@ -12,7 +12,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/pause"
 )
 
-// minimumSyncInterval bounds the rate of heartbeats that unknown keys cause.
+// minimumSyncInterval is the shortest time between two heartbeats, also when requests with unknown API keys trigger them.
 const minimumSyncInterval = 50 * time.Millisecond
 
 // syncLoop sends a heartbeat to a controller at each sync interval, and earlier when a request
@@ -38,12 +38,13 @@
 	}
 }
 
-// syncOnce sends a heartbeat to the controllers in order until one that is not behind answers. It returns no error when
-// all answer but are behind, because a controller that is behind may still confirm the directory. A controller that is
-// behind keeps its place in the order, because it will soon catch up; if it were demoted for good, all gateways would
-// gather at the leader, which is never behind. Once a controller that is behind has confirmed the directory, only one
-// more is tried, which moves to the end of the order, so that each round tries another one: when a region is cut off,
-// all others may be unreachable, and waiting for each of them would leave the directory unconfirmed for too long.
+// syncOnce sends a heartbeat to one controller after the other until one answers that is not behind. A controller is
+// behind when it may miss configuration. syncOnce returns no error when every controller answers but is behind, because
+// such a controller may still confirm the directory. A controller that is behind keeps its place in the order of attempts,
+// because it will soon catch up; if it were demoted for good, all gateways would gather at the leader, which is never
+// behind. Once a controller that is behind has confirmed the directory, only one more controller is tried and then moves
+// to the end of the order, so that each round tries another one: when a region is cut off, all other controllers may be
+// unreachable, and waiting for each of them would leave the directory unconfirmed for too long.
 func (c *Control) syncOnce(ctx context.Context) error {
 	var failures []error
 	confirmed := false
--- a/internal/gateway/target.go
+++ b/internal/gateway/target.go
@@ -15,7 +15,7 @@
 // HeaderKind names the kind of a chat or completions request.
 const HeaderKind = "X-Request-Kind"
 
-// target is what a chat request addresses, resolved against the applied configuration.
+// target is the kind, model and adapter that a chat request addresses, resolved against the applied configuration.
 type target struct {
 	kind *gatewaystate.Kind
 	// name is the model name sent to the engine: the adapter or the base model.
@@ -69,7 +69,7 @@
 	return declared.GetModel(), name, nil
 }
 
-// resolveKind returns the kind that the caller named, or else the only kind for the model.
+// resolveKind returns the kind with the name that the caller gave. Without a name it returns the only kind for the model.
 func resolveKind(snapshot *gatewaystate.Snapshot, name, model string) (*gatewaystate.Kind, *refusal) {
 	if name == "" {
 		kind, ok := snapshot.OnlyKindForModel(model)
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -75,12 +75,12 @@
 	}
 }
 
-// buildSync builds the next heartbeat.
+// buildSync is the command that builds the next heartbeat.
 type buildSync struct{ reply chan *v1.SyncRequest }
 
 func (c buildSync) run(v *view) { c.reply <- v.state.SyncRequest(v.clock.now()) }
 
-// applySync applies a controller's answer.
+// applySync is the command that applies a controller's answer to a heartbeat.
 type applySync struct {
 	sentAt   time.Duration
 	request  *v1.SyncRequest
@@ -123,7 +123,8 @@
 	}
 }
 
-// keyLookup requests the status of an API key from the controllers. The reply channel needs a buffer of one.
+// keyLookup is the command that requests the status of an API key from the controllers. The reply channel needs a buffer
+// of one.
 type keyLookup struct {
 	keyHash string
 	reply   chan gatewaystate.KeyStatus
@@ -148,7 +149,7 @@
 // maximumWaitersPerKey bounds the requests that wait for one unknown key.
 const maximumWaitersPerKey = 64
 
-// cancelKeyLookup removes a request that no longer waits for a key.
+// cancelKeyLookup is the command that removes a request that no longer waits for the status of a key.
 type cancelKeyLookup struct {
 	keyHash string
 	reply   chan gatewaystate.KeyStatus
@@ -167,12 +168,12 @@
 	}
 }
 
-// recordOutcome counts one finished request for the demand report.
+// recordOutcome is the command that counts one finished request for the demand report.
 type recordOutcome struct{ outcome gatewaystate.Outcome }
 
 func (c recordOutcome) run(v *view) { v.state.RecordOutcome(c.outcome) }
 
-// buildReport builds the next demand report.
+// buildReport is the command that builds the next demand report.
 type buildReport struct {
 	shareDemands []*v1.ShareDemand
 	reply        chan *v1.ReportRequest
@@ -182,12 +183,12 @@
 	c.reply <- v.state.ReportRequest(v.clock.now(), c.shareDemands)
 }
 
-// restoreReport adds the counts of a lost report back to the state.
+// restoreReport is the command that adds the counts of a lost report back to the state.
 type restoreReport struct{ request *v1.ReportRequest }
 
 func (c restoreReport) run(v *view) { v.state.RestoreReport(c.request) }
 
-// markLeaving makes the next heartbeats announce that the gateway is leaving, and triggers one.
+// markLeaving is the command that makes the next heartbeats announce that the gateway is leaving, and triggers one.
 type markLeaving struct{}
 
 func (markLeaving) run(v *view) {
--- a/internal/gatewaystate/report.go
+++ b/internal/gatewaystate/report.go
@@ -50,7 +50,7 @@
 	return demand
 }
 
-// ReportRequest builds the next demand report and starts a new window. When the report is lost,
+// ReportRequest builds the next demand report from the counts since the last one and resets them. When the report is lost,
 // pass it to RestoreReport.
 func (s *State) ReportRequest(now time.Duration, shareDemands []*v1.ShareDemand) *v1.ReportRequest {
 	request := &v1.ReportRequest{
--- a/internal/gatewaystate/snapshot.go
+++ b/internal/gatewaystate/snapshot.go
@@ -51,8 +51,8 @@
 	return nil, false
 }
 
-// OnlyKindForModel returns the kind without a path whose service serves the base
-// model. It returns none when several kinds match. The empty model matches every engine kind.
+// OnlyKindForModel returns the only engine kind that declares no path and whose service serves the base model. It returns
+// false when no kind or several kinds match. The empty model matches every such kind.
 func (s *Snapshot) OnlyKindForModel(model string) (*Kind, bool) {
 	var match *Kind
 	for _, kind := range s.kinds {
--- a/internal/gatewaystate/state.go
+++ b/internal/gatewaystate/state.go
@@ -15,7 +15,7 @@
 const (
 	// DefaultTenantCapacity is the default of Config.TenantCapacity.
 	DefaultTenantCapacity = 1024
-	// maximumPendingKeys bounds the keys requested in one Sync, and so the cost of a flood of invented
+	// maximumPendingKeys bounds the unknown API keys that one heartbeat requests, and so the cost of a flood of invented
 	// keys.
 	maximumPendingKeys = 256
 	// maximumRejectedKeys bounds the negative cache of API keys.
@@ -68,14 +68,14 @@
 	}
 }
 
-// MarkLeaving marks the gateway as leaving; later Syncs announce it.
+// MarkLeaving marks the gateway as leaving; later heartbeats announce it.
 func (s *State) MarkLeaving() { s.leaving = true }
 
 // Revision returns the applied revision.
 func (s *State) Revision() uint64 { return s.configuration.revision }
 
-// RequestKeyLookup adds the hash of an API key that the snapshot does not contain, so that the next Sync
-// requests it. It reports false when too many keys are already waiting.
+// RequestKeyLookup adds the hash of an API key that the snapshot does not contain to the next heartbeat's request. It
+// reports false when too many keys are already waiting.
 func (s *State) RequestKeyLookup(keyHash string) bool {
 	if _, waiting := s.pendingKeys[keyHash]; waiting {
 		return true
@@ -104,7 +104,7 @@
 	}
 }
 
-// SyncResult is the effect of an answer.
+// SyncResult is the effect of a controller's answer to a heartbeat.
 type SyncResult struct {
 	// Behind means that the controller may miss configuration and that another one
 	// should be queried. Nothing older than the applied configuration was applied.
@@ -130,8 +130,8 @@
 }
 
 // mayApply reports whether the configuration of an answer may be applied. It must not be older than the applied one.
-// A node without configuration may have had a later one before it restarted, so that it starts
-// only with an answer that is not behind.
+// A node without configuration may have applied a later one before it restarted, so that the first answer that it applies
+// must not come from a controller that is behind.
 func (s *State) mayApply(response *v1.SyncResponse) bool {
 	if !s.config.Safeguards.IsEnabled(SafeguardOrderedRevisions) {
 		return true
@@ -191,7 +191,7 @@
 	})
 }
 
-// trackTenants keeps one time of last use for each stored tenant, within the capacity.
+// trackTenants updates the times of last use: it keeps one for each stored tenant and evicts tenants beyond the capacity.
 func (s *State) trackTenants(now time.Duration) {
 	tracked := map[string]*atomic.Int64{}
 	for key := range s.configuration.objects {
--- a/internal/language/cell.go
+++ b/internal/language/cell.go
@@ -21,12 +21,12 @@
 	return time.UnixMilli(ms).UTC().Format(timeLayout)
 }
 
-// quantityCell formats a number that is given in the first (smallest) of units.
+// quantityCell formats a number that is given in the smallest unit, which is the first of units.
 func quantityCell(number int64, units []unit) Value {
 	return Value{Text: formatWithUnit(big.NewInt(number), units), Number: float64(number), Numeric: true}
 }
 
-// elapsedCell is the time since the last message from a node; empty, and below every number, when
+// elapsedCell is the time since the last message from a node. It is empty, and sorts below every number, when
 // lastMessageAtMs is 0 (unknown).
 func elapsedCell(nowMs, lastMessageAtMs int64) Value {
 	if lastMessageAtMs == 0 {
--- a/internal/language/error.go
+++ b/internal/language/error.go
@@ -16,8 +16,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/nearest"
 )
 
-// Error is one mistake in a text, with its position and, if there is one, the known word closest to
-// what was written.
+// Error is one mistake in a text, with its position and, if there is one, the known word that is closest to
+// the mistaken word.
 type Error struct {
 	File   string
 	Line   int
--- a/internal/language/format_source.go
+++ b/internal/language/format_source.go
@@ -42,7 +42,7 @@
 	text          string
 	// trailing segments are appended to the line before them.
 	trailing bool
-	// opens and closes tell whether the segment increases or decreases the indentation.
+	// opens is true if the segment increases the indentation, closes if it decreases it.
 	opens, closes bool
 }
 
--- a/internal/language/rows.go
+++ b/internal/language/rows.go
@@ -68,7 +68,7 @@
 	return strings.Join(texts, ", ")
 }
 
-// revisionCell is empty, and below every number, when the node's revision is unknown.
+// revisionCell holds a node's revision. It is empty, and sorts below every number, when the revision is unknown.
 func revisionCell(node NodeView) Value {
 	if node.RevisionUnknown {
 		return Value{Numeric: true, Number: -1}
--- a/internal/language/schema.go
+++ b/internal/language/schema.go
@@ -88,7 +88,8 @@
 	return words
 }
 
-// message returns the type's message inside an object; with mutable set, it creates a missing one.
+// message returns the message of the schema's type inside an object. A missing message is created if mutable is true;
+// otherwise the result is empty and read-only.
 func (s *objectSchema) message(object *v1.Object, mutable bool) protoreflect.Message {
 	if mutable {
 		return object.ProtoReflect().Mutable(s.spec).Message()
--- a/internal/language/syntax.go
+++ b/internal/language/syntax.go
@@ -63,7 +63,7 @@
 	return text, nil
 }
 
-// unquoted returns the name without quotes, in either spelling.
+// unquoted returns the name without quotes, whether it was written as a bare word or in quotes.
 func (n *nameSyntax) unquoted() (string, *Error) {
 	if len(n.Text) > 0 && n.Text[0] == '"' {
 		return unquote(n.Pos, n.Text)
--- a/internal/operatorclient/failover.go
+++ b/internal/operatorclient/failover.go
@@ -8,7 +8,7 @@
 )
 
 // call sends a request to one controller after another until one gives a final answer or the timeout passes. When a
-// controller names the leader, the leader is tried next.
+// controller names the leader and the leader has not been tried in this round, it is tried next.
 func call[Request, Response any](ctx context.Context, c *Client, message *Request, method serviceMethod[Request, Response]) (*Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
@@ -59,7 +59,7 @@
 	c.preferred = controller
 }
 
-// moveLeaderFirst moves the leader that a controller named to the front of the queue, if it is in it.
+// moveLeaderFirst moves the leader that a controller named to the front of the queue, if the queue contains the leader.
 func moveLeaderFirst(queue []string, controller, leader string) []string {
 	if leader == "" || leader == controller {
 		return queue
--- a/internal/servercommand/flags.go
+++ b/internal/servercommand/flags.go
@@ -36,7 +36,7 @@
 	return source, nil
 }
 
-// siteFlags are the flags of the servers of a site, whose settings files are generated
+// siteFlags are the flags of relays and site controllers, whose settings files are generated
 // at every start.
 type siteFlags struct {
 	Settings string   `long:"settings" value-name:"FILE" required:"true" description:"settings file (YAML)"`
--- a/internal/servercommand/reload.go
+++ b/internal/servercommand/reload.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// sendReloaded returns a load function for watchSettings that sends the settings it has read to a channel.
+// sendReloaded returns a load function for watchSettings that reads the settings and sends them to the channel. The load
+// function fails when read fails.
 func sendReloaded[T any](ctx context.Context, read func() (T, error), reloaded chan<- T) func() error {
 	return func() error {
 		loaded, err := read()
--- a/internal/servercommand/site_controller.go
+++ b/internal/servercommand/site_controller.go
@@ -19,8 +19,9 @@
 // siteControllerFlags are the flags of the site-controller subcommand.
 type siteControllerFlags struct{ siteFlags }
 
-// orderLifetime bounds the time that an order to an engine may be in flight. It is added to a new leader's
-// wait, so that the orders of two leaders are at least that wait apart.
+// orderLifetime bounds the time for which an order to an engine, or a duty call to the platform, may be in flight. It is
+// added to the time for which a new leader waits before its first order (order_wait), so that the last order of the old
+// leader and the first one of the new leader are at least order_wait apart.
 const orderLifetime = 500 * time.Millisecond
 
 // dutyRateShare is the fraction of the platform's rate limit for duty calls that a leader uses, because the last calls of
--- a/internal/settings/relay.go
+++ b/internal/settings/relay.go
@@ -38,7 +38,7 @@
 
 // RetryBudget bounds the retries, over all relays.
 type RetryBudget struct {
-	// Within a window, at most Ratio of its requests, plus Slack, may be sent again.
+	// Within each window, at most Ratio times the number of the window's requests, plus Slack, may be sent again.
 	Ratio  float64       `yaml:"ratio" default:"0.2" check:"not-negative"`
 	Window time.Duration `yaml:"window" default:"10s" check:"positive"`
 	Slack  float64       `yaml:"slack" default:"50" check:"not-negative"`
--- a/internal/settings/site_controller.go
+++ b/internal/settings/site_controller.go
@@ -27,7 +27,7 @@
 	ToleratedFailures int `yaml:"losses_borne" default:"1" check:"not-negative"`
 	// ListingAddress is the IP:port of the external list of back ends. Required.
 	ListingAddress string `yaml:"listing_address" check:"required,address"`
-	// ListingInterval is the time between two reads of that list by the leader; default 500ms.
+	// ListingInterval is the time between two reads of the list of back ends by the leader; default 500ms.
 	ListingInterval time.Duration `yaml:"listing_interval" default:"500ms" check:"positive"`
 	// PrefillShare is the fraction of the engines in the prefill role until their load is known;
 	// 0 leaves the engines' roles unchanged; default 0.67.
@@ -35,12 +35,12 @@
 	// OrderWait is how long a new leader waits before its first order to an engine, so that
 	// the orders of its predecessor have ended; default 3s.
 	OrderWait time.Duration `yaml:"order_wait" default:"3s" check:"not-negative"`
-	// Duties names the platform calls that only one holder may make at a time; none by default.
+	// Duties names the duties, which are platform calls that only one controller may make at a time; none by default.
 	Duties []string `yaml:"duties"`
 	// OnDemandShare is the fraction of a service's replicas that are always on demand; the others are replaced by
 	// cheaper spot replicas, which the platform may reclaim, where it offers them; default 1, which takes no such risk.
 	OnDemandShare float64 `yaml:"on_demand_share" default:"1" check:"not-negative"`
-	// DutyRate is the platform's limit of such calls per second; default 10.
+	// DutyRate is the platform's limit of duty calls per second; default 10.
 	DutyRate float64 `yaml:"duty_rate" default:"10" check:"positive"`
 	// UsageWindow is the length of the windows in which the usage of tenants is counted, UsageDeadline the time
 	// after the end of a window by which it must be reported; default 5s and 10s.
@@ -62,10 +62,10 @@
 	return withPort(s.Seeds, port)
 }
 
-// FormationSize returns the number of controllers in the smallest quorum that tolerates the configured failures.
+// FormationSize returns the smallest number of controllers of which a majority remains when ToleratedFailures of them fail.
 func (s SiteController) FormationSize() int { return 2*s.ToleratedFailures + 1 }
 
-// Controller returns the settings that it has in common with every controller.
+// Controller returns the settings that a site controller has in common with `hazelpitch controller`.
 func (s SiteController) Controller(fleet string) Controller {
 	return Controller{
 		Name: s.Name, Fleet: fleet, Zone: s.Zone, Listen: s.Listen, AdminListen: s.AdminListen,
--- a/internal/settings/types.go
+++ b/internal/settings/types.go
@@ -34,7 +34,8 @@
 	MachineList string `yaml:"machine_list" check:"required,address"`
 	// OperatorKeyHash is the SHA-256 (hex) of the first administrator's key. Required.
 	OperatorKeyHash string `yaml:"operator_key_hash" check:"required,sha256"`
-	// ElectionTimeout has the default 1s, HeartbeatInterval 100ms.
+	// ElectionTimeout is the shortest time without a message from the leader after which a controller starts an election;
+	// default 1s. HeartbeatInterval is the time between the leader's heartbeats; default 100ms.
 	ElectionTimeout   time.Duration `yaml:"election_timeout" default:"1s" check:"positive"`
 	HeartbeatInterval time.Duration `yaml:"heartbeat_interval" default:"100ms" check:"positive"`
 	// PlanInterval is the time between planner decisions; default 1s. 0 turns the planner off.
--- a/internal/zonedelay/conn.go
+++ b/internal/zonedelay/conn.go
@@ -41,7 +41,7 @@
 
 	closeOnce sync.Once
 	closed    chan struct{}
-	// flushes counts the connection from Close until its last bytes are sent.
+	// flushes counts this connection from the call of Close until its last bytes are sent.
 	flushes *PendingFlushes
 }
 
--- a/internal/zonedelay/listener.go
+++ b/internal/zonedelay/listener.go
@@ -1,6 +1,6 @@
 // Package zonedelay gives connections on one machine the latency between zones, and simulates network
-// partitions. Its listener's connections deliver and send all data after a one-way latency, which depends
-// on the remote address, so that only servers have to be wrapped.
+// partitions. The connections that its listener accepts delay all data in both directions by a one-way latency, which
+// depends on the remote address, so that only the listeners of servers have to be wrapped.
 package zonedelay
 
 import (
@@ -33,7 +33,7 @@
 	flushes     *PendingFlushes
 }
 
-// CloseWhenEmpty closes the wrapped listener once its queue is empty, or after the limit.
+// CloseWhenEmpty closes the wrapped listener once its queue of connections to accept is empty, or after the limit.
 func (l *listener) CloseWhenEmpty(limit time.Duration) error {
 	return closing.CloseWhenEmpty(l.Listener, limit)
 }
--- a/internal/zonedelay/outgoing.go
+++ b/internal/zonedelay/outgoing.go
@@ -14,7 +14,8 @@
 type Outgoing struct {
 	// Partitioner holds the partitions that the process sees.
 	Partitioner *Partitioner
-	// LocalAddress stands for the process in the Partitioner: an address of its network that no process uses.
+	// LocalAddress is the address that the Partitioner uses for this process. It must be an address of the Partitioner's
+	// network that no process has.
 	LocalAddress netip.Addr
 }
 
