--- a/internal/benchcommand/experiment.go
+++ b/internal/benchcommand/experiment.go
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// scenarios loads the files of the arguments and of the suite.
+// scenarios loads the scenario files that the arguments name and those in the directory that --suite names.
 func (e *experimentFlags) scenarios(files []string) ([]scenario.Scenario, error) {
 	if e.Suite != "" {
 		suite, err := suiteFiles(e.Suite)
@@ -120,12 +120,12 @@
 	return e.Policies, nil
 }
 
-// commandLine returns the command that writes the same page again.
+// commandLine returns the command that writes the page that --write names again.
 func (e *experimentFlags) commandLine() string {
 	return fmt.Sprintf("hazelbench experiment --suite %s --seeds %d --write %s", e.Suite, e.Seeds, e.Write)
 }
 
-// writeRuns prints one run as an object and several as a list.
+// writeRuns prints a single run as a JSON object and several as a JSON list.
 func writeRuns(environment Environment, runs []*experiment.Run) error {
 	if len(runs) == 1 {
 		return printJSON(environment.Stdout, runs[0])
--- a/internal/benchcommand/measure.go
+++ b/internal/benchcommand/measure.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// measurement is one subject of `hazelbench measure`.
+// measurement is one subject of `hazelbench measure`: its name on the command line and the function that measures it.
 type measurement struct {
 	name string
 	run  func(io.Writer) error
--- a/internal/benchcommand/soak.go
+++ b/internal/benchcommand/soak.go
@@ -94,7 +94,7 @@
 	return trace.NewAggregate(failures...)
 }
 
-// runSeed runs one seed. It keeps the seed's files if a rule was broken.
+// runSeed runs one seed. It keeps the seed's files if the run failed or broke a rule that the soak checks.
 func (s *soakFlags) runSeed(ctx context.Context, environment Environment, seed uint64) error {
 	directory, err := s.makeDirectory(seed)
 	if err != nil {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// buildFlags returns the flags of a run with two builds, as text.
+// buildFlags returns the flags --other and --plain as they were given, as text for the command that repeats a run.
 func (s *soakFlags) buildFlags() string {
 	flags := ""
 	if s.Other != "" {
--- a/internal/enginemodel/step.go
+++ b/internal/enginemodel/step.go
@@ -128,7 +128,8 @@
 	}
 }
 
-// finishPrefill counts the tokens of a prefill chunk; the end of a prefill yields the first token.
+// finishPrefill counts the tokens of a prefill chunk. The end of a prefill yields the first token, or ends a sequence of
+// PhasePrefillOnly.
 func (e *Engine) finishPrefill(chunk prefillChunk) {
 	prefilled := chunk.sequence
 	prefilled.prefillLeft -= chunk.tokens
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -15,7 +15,7 @@
 // callerCheckInterval is the time between two checks of the callers' connections.
 const callerCheckInterval = 250 * time.Millisecond
 
-// callerWatcher detects callers that disconnect before their answer: the HTTP server
+// callerWatcher detects callers that disconnect while their request runs: the HTTP server
 // itself notices a disconnect only when it writes.
 type callerWatcher struct {
 	mutex   sync.Mutex
--- a/internal/gateway/page.go
+++ b/internal/gateway/page.go
@@ -40,7 +40,7 @@
 	body    []byte
 }
 
-// servePage answers a request whose path belongs to a page kind.
+// servePage answers a request whose path belongs to a kind that a page service answers.
 func (g *Gateway) servePage(context *fasthttp.RequestCtx) {
 	arrival := g.clock.now()
 	page, fault := g.admitPage(context, arrival)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -17,8 +17,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// crashWait bounds the wait, before a request is sent to another back end, until the controllers have
-// agreed on the crash of the back end that broke it off.
+// crashWait bounds how long a request whose run a back end broke off waits, before it is sent to another back end, for the
+// crash guard to check whether the first one has crashed and to report a crash to the leader.
 const crashWait = 300 * time.Millisecond
 
 // newGuardedDispatcher returns the crash guard of a gateway and its dispatcher. The dispatcher reports replaced
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -95,9 +95,9 @@
 	return r.mayHaveRun()
 }
 
-// beforeClaim returns the refusal of a request with an idempotency key whose claim has not been looked up.
-// An earlier attempt with the key may have run, except when the refused request could never have been
-// accepted.
+// beforeClaim returns the refusal of a request whose claim under an idempotency key has not been looked up. It changes the
+// verdict to "may have run", because an earlier attempt with the key may have run, except when the refused request could
+// never have been accepted. An empty key means that the request needs no claim.
 func (r *refusal) beforeClaim(key string) *refusal {
 	if key == "" || r.verdict != verdict.NotRun {
 		return r
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/closing"
 )
 
-// stallSlackDivisor gives the slack of a write deadline: a quarter of the limit.
+// stallSlackDivisor is the divisor of a write deadline's limit that gives the deadline's slack: a quarter of the limit.
 const stallSlackDivisor = 4
 
 // stallListener bounds how long one write on a connection may stall. A
--- a/internal/language/evaluate_engine.go
+++ b/internal/language/evaluate_engine.go
@@ -47,7 +47,8 @@
 	return EngineView{}, notFoundError(engineKeyword, name, known)
 }
 
-// describeRoleReason gives the reason of the last order that set the engine's role.
+// describeRoleReason gives the reason of the last completed order that set the engine's role, or says that the engine
+// reported the role if no order explains it.
 func (e *explanation) describeRoleReason(engine EngineView) string {
 	orders := e.view.Orders(engine.State.GetEngine())
 	for i := len(orders) - 1; i >= 0; i-- {
@@ -63,7 +64,8 @@
 	return "reported by the engine; no order is remembered"
 }
 
-// describeStateReason explains why an engine gets no new work, when an order is the reason.
+// describeStateReason explains why an engine gets no new work: an order, or else the state that the engine or the machine
+// list reports. It returns "" for an engine that serves.
 func (e *explanation) describeStateReason(engine EngineView) string {
 	if engine.ServingState == v1.BackEndState_BACK_END_STATE_SERVING {
 		return ""
--- a/internal/operatorcommand/apply.go
+++ b/internal/operatorcommand/apply.go
@@ -70,8 +70,8 @@
 	return a.report(environment, request, response, len(plan.GetDifferences()))
 }
 
-// request builds the submission. It requires the revision that the difference was shown against, unless
-// the operator gave a request identity.
+// request builds the submission. Unless the operator gave a base revision or a request identity, the submission requires
+// that the current revision is still the one against which the plan was computed.
 func (a *applyCommand) request(files []*v1.SourceFile, planned uint64) *v1.ApplyRequest {
 	request := &v1.ApplyRequest{
 		RequestId:      a.RequestID,
@@ -92,7 +92,7 @@
 	return request
 }
 
-// confirm asks the operator at the terminal.
+// confirm asks the operator at the terminal whether to apply. It returns an error unless the operator agrees or gave --yes.
 func (a *applyCommand) confirm(environment Environment) error {
 	if a.Yes {
 		return nil
--- a/internal/operatorcommand/output.go
+++ b/internal/operatorcommand/output.go
@@ -57,7 +57,7 @@
 	return writer.Render()
 }
 
-// plainStyle draws no lines, so that other tools can split the columns.
+// plainStyle returns a table style without lines, so that other tools can split the columns.
 func plainStyle() table.Style {
 	style := table.StyleDefault
 	style.Box.PaddingLeft = ""
--- a/internal/requeststory/story.go
+++ b/internal/requeststory/story.go
@@ -24,7 +24,7 @@
 	Process string
 	Event   events.Event
 	Request string
-	// Fields contains all fields except those above and the level.
+	// Fields contains the log line's other fields, without its level.
 	Fields map[string]any
 }
 
--- a/internal/servercommand/site.go
+++ b/internal/servercommand/site.go
@@ -13,7 +13,7 @@
 // siteFleet is the fleet name of every site: each site is a separate fleet.
 const siteFleet = "site"
 
-// Site connects relays and their controllers with clients, back ends, operators and
+// Site holds the functions by which relays and their controllers speak the protocols of clients, back ends, operators and
 // the platform.
 type Site struct {
 	Dialect relay.Dialect
@@ -21,9 +21,9 @@
 	ReadListing func(ctx context.Context, client *http.Client, address string, pages int) (serving.Listing, error)
 	// ReadCache reads the state of an engine's prefix cache.
 	ReadCache func(ctx context.Context, client *http.Client, engine serving.BackEnd) (serving.CacheReport, error)
-	// OrderStage orders an engine into a stage.
+	// OrderStage orders an engine to serve in another stage.
 	OrderStage func(ctx context.Context, client *http.Client, order controller.StageOrder) (controller.StageResult, error)
-	// Duties parses the names of the platform's singleton duties.
+	// Duties parses the names of duties.
 	Duties func(names []string) Duties
 	// ReportUsage reports the tenants' usage in a window to the platform at an address.
 	ReportUsage func(ctx context.Context, client *http.Client, address string, report controller.UsageReport) (duty.Outcome, error)
@@ -37,7 +37,8 @@
 	OperatorHandler func(store controller.DocumentStore, port string) http.Handler
 }
 
-// Duties are the platform's singleton duties that are enabled in a deployment.
+// Duties says which duties are enabled in a deployment. A duty is a call to the platform that only one controller may make
+// at a time.
 type Duties struct {
 	// Usage enables counting and reporting the usage of tenants.
 	Usage bool
--- a/internal/yamlfile/rules.go
+++ b/internal/yamlfile/rules.go
@@ -181,7 +181,7 @@
 	return "", ""
 }
 
-// checkOneOf checks that text is one of the argument's values, which are separated by bars.
+// checkOneOf checks that the value is one of the argument's values, which are separated by bars.
 func checkOneOf(value reflect.Value, argument string) (fault, fix string) {
 	allowed := strings.Split(argument, "|")
 	if slices.Contains(allowed, value.String()) {
--- a/internal/zonedelay/conn.go
+++ b/internal/zonedelay/conn.go
@@ -117,7 +117,7 @@
 	return err == nil
 }
 
-// Read returns data whose latency has passed.
+// Read blocks until data has arrived and its latency has passed.
 func (c *conn) Read(buffer []byte) (int, error) {
 	c.readMutex.Lock()
 	defer c.readMutex.Unlock()
@@ -146,7 +146,7 @@
 	return count, nil
 }
 
-// Write queues data; it blocks while too much is in flight.
+// Write queues data; it blocks while queueLength chunks are in flight.
 func (c *conn) Write(buffer []byte) (int, error) {
 	written := 0
 	for written < len(buffer) {
