--- a/internal/benchcommand/simulate.go
+++ b/internal/benchcommand/simulate.go
@@ -63,7 +63,7 @@
 	return trace.Wrap(ctx.Err(), "interrupted after %d seeds", summary.Seeds)
 }
 
-// options checks the flags and converts them.
+// options checks the flags and converts them to the options of a run and the first and last seed.
 func (s *simulateFlags) options() (options simulation.Options, first, last uint64, err error) {
 	first, last, err = parseSeeds(s.Seeds)
 	if err != nil {
--- a/internal/benchcommand/simulation_summary.go
+++ b/internal/benchcommand/simulation_summary.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// write prints the totals.
+// write prints the totals as a JSON object or as text.
 func (s *simulationSummary) write(out io.Writer, asJSON bool) error {
 	s.TraceHash = fmt.Sprintf("%016x", s.digest.Sum64())
 	if asJSON {
--- a/internal/enginemodel/engine.go
+++ b/internal/enginemodel/engine.go
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// Cancel removes a sequence and reports whether it existed. No further events of it are added.
+// Cancel removes a sequence and reports whether it existed. No further events of the sequence are added.
 func (e *Engine) Cancel(now time.Duration, id string) bool {
 	e.advance(now)
 	cancelled := e.byID[id]
--- a/internal/gateway/claimed_chat.go
+++ b/internal/gateway/claimed_chat.go
@@ -12,7 +12,8 @@
 )
 
 // acquireClaim requests the claim of a request that may run at most once. It returns nil when the request runs now,
-// either under a granted claim or because it needs none, and otherwise the decision not to run it.
+// either under a granted claim or because it needs none, and otherwise the decision not to run it. identity is the
+// identity of the answer, which is recorded under the claim.
 func (c *completion) acquireClaim(identity stream.Identity, watch *callerWatch) *claims.Decision {
 	if c.target.kind.Spec.GetRepeatable() || c.key == "" || !c.gateway.safeguards.IsEnabled(ClaimBeforeRun) {
 		return nil
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -12,8 +12,8 @@
 
 func newClock() clock { return clock{steady: bootclock.New(bootclock.RequestCheckInterval)} }
 
-// now returns the time since the origin.
+// now returns the time since the start of the process.
 func (c clock) now() time.Duration { return c.steady.Now() }
 
-// time converts a time since the origin to wall-clock time, for I/O deadlines.
+// time converts a time since the start of the process to wall-clock time, for I/O deadlines.
 func (c clock) time(at time.Duration) time.Time { return c.steady.TimerDeadline(at) }
--- a/internal/gateway/completion_connect.go
+++ b/internal/gateway/completion_connect.go
@@ -11,7 +11,7 @@
 )
 
 // connect makes the completion's answer readable again: it resumes the current exchange or
-// starts another one.
+// starts another one. It returns a refusal when the request must end.
 func (c *completion) connect() *refusal {
 	for {
 		if fault := c.checkActive(); fault != nil {
@@ -132,7 +132,8 @@
 	return nil
 }
 
-// handleFailure decides how the request continues after an exchange that returned no answer.
+// handleFailure decides how the request continues after an exchange that returned no answer. It returns a refusal only
+// when the engine rejected the request itself, so that other engines would too.
 func (c *completion) handleFailure(failure *upstream.Failure) *refusal {
 	c.gateway.log.Info().Err(failure).Str("back_end", c.backEnd.Name).Msg("exchange failed")
 	if failure.Verdict != verdict.NotRun {
--- a/internal/gateway/engine_test.go
+++ b/internal/gateway/engine_test.go
@@ -29,8 +29,8 @@
 	refuse   int
 	code     string
 	runState string
-	// cutAfter closes the connection after this number of tokens; 0 means no cut. resumable keeps the
-	// exchange running.
+	// cutAfter closes the connection after this number of tokens; 0 means no cut. With resumable the exchange continues
+	// at the engine and can be resumed.
 	cutAfter  int
 	resumable bool
 	// cutBeforeHead closes the connection before the response header.
--- a/internal/gateway/kv_transfer.go
+++ b/internal/gateway/kv_transfer.go
@@ -92,7 +92,8 @@
 	return answerBody, nil
 }
 
-// isUsableHandle reports whether a handle may be passed on in a header.
+// isUsableHandle reports whether a handle may be passed on in a header: it is not empty, not too long and consists of
+// printable ASCII characters without blanks.
 func isUsableHandle(handle string) bool {
 	return handle != "" && len(handle) <= maximumHandleLength &&
 		!strings.ContainsFunc(handle, func(character rune) bool { return character <= ' ' || character > '~' })
--- a/internal/gateway/kv_transfer_test.go
+++ b/internal/gateway/kv_transfer_test.go
@@ -42,7 +42,8 @@
 	isComplete                  bool
 	status                      int
 	verdict                     verdict.Verdict
-	// The runs at all engines together.
+	// prefilled, imported and started are the runs at all engines together, as engine.Totals counts them; prefilled is an
+	// upper bound unless the answer is complete after an import.
 	prefilled, imported, started int
 }
 
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -54,7 +54,8 @@
 )
 
 // refusal is the answer to a request without a complete result. Its message never names
-// another tenant, a back end or their load.
+// another tenant, a back end or their load. A function that checks or continues a request returns a nil *refusal when the
+// request may go on.
 type refusal struct {
 	status     int
 	errorType  string
@@ -83,8 +84,8 @@
 	return r
 }
 
-// combine returns the refusal unchanged, or with the verdict "may have run" when an earlier exchange of the request
-// may have run.
+// combine returns the refusal unchanged, or with the verdict "may have run" when mayHaveRun is true because an earlier
+// exchange of the request may have run. In that case a refusal for lack of a back end becomes one that a back end failed.
 func (r *refusal) combine(mayHaveRun bool) *refusal {
 	if !mayHaveRun {
 		return r
--- a/internal/gateway/sync_test.go
+++ b/internal/gateway/sync_test.go
@@ -14,7 +14,7 @@
 
 // TestCutOffRegionGoesOn guards against a gateway that cannot work in a region that is cut off: its local controller has lost
 // the quorum and all others do not answer. The gateway must call the local one between any two silent ones, so that the
-// directory stays confirmed, and must learn an unknown API key from it.
+// directory stays confirmed, and must be able to look up an unknown API key at the local controller.
 func TestCutOffRegionGoesOn(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t)
--- a/internal/gateway/target.go
+++ b/internal/gateway/target.go
@@ -53,8 +53,8 @@
 	return resolved, nil
 }
 
-// resolveModel splits the caller's model name into base model and adapter; both are empty
-// when the caller named none.
+// resolveModel returns the base model and the adapter that the caller's model name denotes. The adapter is empty for a
+// base model; both are empty when the caller named none.
 func resolveModel(snapshot *gatewaystate.Snapshot, tenant *gatewaystate.Tenant, name string) (base, adapter string, fault *refusal) {
 	if name == "" {
 		return "", "", nil
--- a/internal/gatewaystate/snapshot.go
+++ b/internal/gatewaystate/snapshot.go
@@ -35,13 +35,13 @@
 	return nil, KeyUnknown
 }
 
-// Kind returns the kind with the given name.
+// Kind returns the kind with the given name; false if there is none.
 func (s *Snapshot) Kind(name string) (*Kind, bool) {
 	kind, ok := s.kinds[name]
 	return kind, ok
 }
 
-// KindByPath returns the kind with the longest path prefix that covers the path.
+// KindByPath returns the kind with the longest path prefix that covers the path; false if there is none.
 func (s *Snapshot) KindByPath(path string) (*Kind, bool) {
 	for _, kind := range s.pathKinds {
 		if kind.matchesPath(path) {
@@ -70,13 +70,13 @@
 	return match, match != nil
 }
 
-// Model returns the declared model with the given name.
+// Model returns the declared model with the given name; false if there is none.
 func (s *Snapshot) Model(name string) (*v1.Model, bool) {
 	model, ok := s.models[name]
 	return model, ok
 }
 
-// Adapter returns the declared adapter with the given name.
+// Adapter returns the declared adapter with the given name; false if there is none.
 func (s *Snapshot) Adapter(name string) (*v1.Adapter, bool) {
 	adapter, ok := s.adapters[name]
 	return adapter, ok
--- a/internal/language/evaluate_explain.go
+++ b/internal/language/evaluate_explain.go
@@ -50,7 +50,7 @@
 	return nil, notFoundError(schema.keyword, name, known)
 }
 
-// explanation collects the rows of one Explain.
+// explanation collects the rows of the answer to one Explain query.
 type explanation struct {
 	view View
 	rows [][]Value
--- a/internal/language/evaluate_show.go
+++ b/internal/language/evaluate_show.go
@@ -75,7 +75,7 @@
 	return strings.Compare(a.Text, b.Text)
 }
 
-// sortRows sorts rows in place by one column; equal rows keep their order.
+// sortRows sorts rows in place by one column, given by its index; equal rows keep their order.
 func sortRows(rows [][]Value, index int, descending bool) {
 	slices.SortStableFunc(rows, func(a, b []Value) int {
 		if descending {
--- a/internal/language/parse_statement.go
+++ b/internal/language/parse_statement.go
@@ -62,7 +62,7 @@
 	return s.namedStatement()
 }
 
-// namedStatement returns the commands whose only argument is a name.
+// namedStatement returns the command whose only argument is a name, or a mistake if the statement is no such command.
 func (s *statementSyntax) namedStatement() (Statement, *Error) {
 	commands := []struct {
 		name *nameSyntax
--- a/internal/yamlfile/document.go
+++ b/internal/yamlfile/document.go
@@ -170,7 +170,7 @@
 }
 
 // mappingPairs returns the pairs of a mapping, which the YAML library represents as another node type
-// when there is only one pair.
+// when there is only one pair. It returns false if the node is not a mapping.
 func mappingPairs(node ast.Node) ([]*ast.MappingValueNode, bool) {
 	switch mapping := node.(type) {
 	case *ast.MappingNode:
