--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -54,7 +54,8 @@
 )
 
 // refusal is the answer to a request without a complete result. Its message never names
-// another tenant, a back end or their load.
+// another tenant, a back end or their load. A function that checks or continues a request returns a nil *refusal when the
+// request may go on.
 type refusal struct {
 	status     int
 	errorType  string
@@ -83,8 +84,8 @@
 	return r
 }
 
-// combine returns the refusal unchanged, or with the verdict "may have run" when an earlier exchange of the request
-// may have run.
+// combine returns the refusal unchanged, or with the verdict "may have run" when mayHaveRun is true because an earlier
+// exchange of the request may have run. In that case a refusal for lack of a back end becomes one that a back end failed.
 func (r *refusal) combine(mayHaveRun bool) *refusal {
 	if !mayHaveRun {
 		return r
@@ -95,9 +96,9 @@
 	return r.mayHaveRun()
 }
 
-// beforeClaim returns the refusal of a request with an idempotency key whose claim has not been looked up.
-// An earlier attempt with the key may have run, except when the refused request could never have been
-// accepted.
+// beforeClaim returns the refusal of a request whose claim under an idempotency key has not been looked up. It changes the
+// verdict to "may have run", because an earlier attempt with the key may have run, except when the refused request could
+// never have been accepted. An empty key means that the request needs no claim.
 func (r *refusal) beforeClaim(key string) *refusal {
 	if key == "" || r.verdict != verdict.NotRun {
 		return r
