--- a/internal/cell/division.go
+++ b/internal/cell/division.go
@@ -30,7 +30,7 @@
 	Closed bool
 }
 
-// Cell is a group of engines for which one owner decides.
+// Cell is a group of engines for which one relay, the cell's owner, decides where requests run.
 type Cell struct {
 	// ID identifies the cell; it is the same at every relay.
 	ID uint64
@@ -92,7 +92,7 @@
 	return ""
 }
 
-// cellCount returns the number of cells for a number of engines.
+// cellCount returns the number of cells into which a number of engines is divided, at least 1.
 func cellCount(engines int) int { return max(int(math.Round(float64(engines)/Size)), 1) }
 
 func sortedGroups(groups map[string]int) []string {
@@ -132,9 +132,9 @@
 
 // Homes returns the indexes of up to count cells that a prompt with the key should run in, the best first. Cells
 // are chosen by rendezvous hashing, weighted by their engines that accept work, so that the load follows the
-// engines and a change of one cell moves few prompts. If a zone is given, its cells go first: this is for prompts
-// with so little cached that the network latency matters more. The last home is then in another zone, so that a
-// zone that has lost its engines passes on its work.
+// engines and a change of one cell moves few prompts. If a zone is given and still serves this prompt itself (see
+// keepsLocal), its cells go first: this is for prompts with so little cached that the network latency matters more.
+// The last home is then in another zone, so that a zone that has lost its engines passes on its work.
 func (d *Division) Homes(key uint64, zone string, count int) []int {
 	scored := d.scoreCells(key)
 	if zone != "" && d.keepsLocal(key, zone) {
--- a/internal/cell/health.go
+++ b/internal/cell/health.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// initialTimeout is how long to wait for an answer before any round trip was measured.
+	// initialTimeout is how long to wait for an owner's answer before any round trip was measured.
 	initialTimeout = 40 * time.Millisecond
 	// minTimeout and maxTimeout bound the timeout that is derived from round trips. With a shorter one, a
 	// process that waits for a processor would look dead; a longer one costs requests more than a decision
@@ -18,7 +18,8 @@
 	// timeoutsBeforeSkip is the number of consecutive unanswered queries after which an owner is skipped: a
 	// single datagram may be lost.
 	timeoutsBeforeSkip = 2
-	// initialSkip is how long an owner is then skipped; it doubles up to maxSkip.
+	// initialSkip is how long an owner is skipped after timeoutsBeforeSkip timeouts; each further skip doubles it, up
+	// to maxSkip.
 	initialSkip = 400 * time.Millisecond
 	maxSkip     = 5 * time.Second
 )
@@ -39,7 +40,7 @@
 // NewHealth returns a Health without observations.
 func NewHealth() *Health { return &Health{relays: map[string]relayState{}} }
 
-// Timeout returns how long to wait for an answer.
+// Timeout returns how long to wait for an owner's answer to a placement query.
 func (h *Health) Timeout() time.Duration {
 	if h.rtt == 0 {
 		return initialTimeout
@@ -47,7 +48,7 @@
 	return min(max(h.rtt+deviationFactor*h.deviation, minTimeout), maxTimeout)
 }
 
-// RecordAnswer records that a relay has answered in time.
+// RecordAnswer records that a relay has answered a query in time; took is the round trip.
 func (h *Health) RecordAnswer(relay string, took time.Duration) {
 	delete(h.relays, relay)
 	if h.rtt == 0 {
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -13,22 +13,23 @@
 type Candidate struct {
 	// Index is the engine's index in the list that was passed to the decision.
 	Index int
-	// FetchFrom is the index of the engine from which it fetches the prompt prefix, or None.
+	// FetchFrom is the index of the engine from which this engine fetches the prompt prefix, or None.
 	FetchFrom int
-	// PrefillTokens is the number of tokens that it has to prefill itself. EffectiveTokens is the cost of
-	// that prefill, in units of the first token of a prompt.
+	// PrefillTokens is the number of prompt tokens that the engine has to prefill itself. EffectiveTokens is the
+	// cost of that prefill, in units of the first token of a prompt.
 	PrefillTokens, EffectiveTokens int
 	// PendingTokens is the number of the prompt's tokens that the engine is prefilling for other requests.
 	// They cannot be used before that prefill has finished.
 	PendingTokens int
 	// QueueDelay is how long the prefill waits in the engine's queue.
 	QueueDelay time.Duration
-	// Cost is in seconds; the lowest is picked.
+	// Cost is in seconds for engines, and in running requests for back ends that answer whole requests. The
+	// candidate with the lowest cost is picked.
 	Cost float64
 }
 
 // bestCandidate returns the cheapest candidate among the engines of a stage, or nil. Back ends that failed
-// recently are picked only if no other is left.
+// recently are picked only if no other is left. draw returns random numbers in [0, 1) that break ties.
 func (p Parameters) bestCandidate(request Request, stage serving.Stage, engines []Engine, draw func() float64) *Candidate {
 	healthy := false
 	for _, engine := range engines {
@@ -48,7 +49,8 @@
 // isEligible reports whether the engine may be picked for a stage.
 func (e Engine) isEligible(stage serving.Stage) bool { return !e.Closed && e.Stage == stage }
 
-// evaluate returns the engine at index as a candidate with its cost.
+// evaluate returns the engine at index as a candidate with its cost. source is the engine from which it may fetch
+// the prompt prefix.
 func (p Parameters) evaluate(request Request, index int, engines []Engine, source kvSource) Candidate {
 	candidate := Candidate{Index: index, FetchFrom: None}
 	engine := engines[index]
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -42,7 +42,7 @@
 }
 
 // planPrefill sets the tokens that the engine prefills itself and the engine from which it fetches the others.
-// It returns the time of that transfer.
+// It returns the time of that KV transfer, or 0 if the engine fetches none.
 func (p Parameters) planPrefill(request Request, candidate *Candidate, engine Engine, source kvSource) time.Duration {
 	candidate.PendingTokens = engine.Cached.Pending
 	candidate.setPrefillTokens(request.Tokens, engine.Cached.Total)
@@ -55,14 +55,14 @@
 	return p.TransferSetup + time.Duration(transferred)*request.TokenTransferTime
 }
 
-// setPrefillTokens sets the prefill of a prompt of which some tokens are cached.
+// setPrefillTokens sets the tokens to prefill for a prompt of which some tokens are cached.
 func (c *Candidate) setPrefillTokens(tokens, cached int) {
 	c.PrefillTokens = max(tokens-cached, 0)
 	c.EffectiveTokens = EffectiveTokens(cached, c.PrefillTokens)
 }
 
-// LongestPrefixHolder returns the index of the engine with the longest ready prefix of the prompt and the length
-// of that prefix in tokens, or None if no engine has any.
+// LongestPrefixHolder returns the index of the engine with the longest ready prefix of the prompt, among those that
+// have not failed recently, and the length of that prefix in tokens; None and 0 if no engine has any.
 func LongestPrefixHolder(engines []Engine) (index, tokens int) {
 	source := findKVSource(engines)
 	return source.index, source.tokens
@@ -94,8 +94,8 @@
 	return time.Duration(queued.Prefills)*prefillOverhead + time.Duration(tokens*float64(perToken))
 }
 
-// homeDistance is in [0, 1). Each prompt orders the engines differently; the nearest is its home. For a prompt without
-// shared blocks it is 0 at every engine.
+// homeDistance returns the distance, in [0, 1), of an engine from a prompt. Each prompt orders the engines differently;
+// the nearest one is its home. For a prompt without shared blocks the distance is 0 at every engine.
 func homeDistance(prompt []PrefixBlock, engine uint64) float64 {
 	if len(prompt) < 2 {
 		return 0
@@ -126,7 +126,8 @@
 }
 
 // prefillBudget returns how many tokens a decode engine can prefill at once before the gap between the events of
-// its streams exceeds the target: an event takes one step per token, and each step prefills one chunk.
+// its streams exceeds its target: an event takes one step per token, and each step prefills one chunk. gap is that
+// target and stride the number of tokens per event.
 func (p Parameters) prefillBudget(gap time.Duration, stride int, perToken time.Duration) int {
 	chunk := time.Duration(p.DecodeChunk) * perToken
 	if gap <= 0 || stride <= 0 || time.Duration(stride)*(chunk+p.DecodeStep) <= gap {
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -30,13 +30,13 @@
 	Engine *Candidate
 	// OverloadedStage is the stage whose engines are too busy for a refused request.
 	OverloadedStage serving.Stage
-	// Reason explains the decision. RetryAfter is when the client of a refused request should retry.
+	// Reason explains the decision. RetryAfter is the time after which the client of a refused request should retry.
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
 // PlacePrefill decides where a prompt is prefilled: at a prefill engine or at the decode engine that generates,
-// whichever finishes first.
+// whichever finishes first. draw returns random numbers in [0, 1).
 func (p Parameters) PlacePrefill(request Request, engines []Engine, draw func() float64) Decision {
 	decode := p.bestCandidate(request, serving.StageDecode, engines, draw)
 	prefill := p.PickPrefillEngine(request, engines, draw)
@@ -55,8 +55,9 @@
 	}
 }
 
-// areSlotsTaken reports whether a request would wait too long for a slot at every decode engine. Requests of
-// rank 0 are admitted before all others, so they wait only for one another.
+// areSlotsTaken reports whether a request would wait too long for a slot at every decode engine. It returns false for
+// requests of rank 0, which are admitted before all others and so wait only for one another, and while the time
+// for which requests hold their slots is unknown.
 func (p Parameters) areSlotsTaken(request Request, engines []Engine) bool {
 	if request.Rank.First == 0 || request.SlotHoldTime <= 0 {
 		return false
@@ -75,17 +76,17 @@
 	return eligible
 }
 
-// maxPrefillDelay is how long a prompt may wait for its prefill. A prompt with more cached tokens than usual may
-// wait longer, and one with fewer must wait less: the worth of an answer depends on the size of the prompt, but
-// the cost to other requests depends on the tokens that are prefilled.
+// maxPrefillDelay returns how long a prompt may wait for its prefill. A prompt of which a larger share than usual is
+// cached may wait longer, and one with a smaller share must wait less: the worth of an answer depends on the size of
+// the prompt, but the cost to other requests depends on the tokens that are prefilled.
 func (p Parameters) maxPrefillDelay(request Request, prefillTokens int) time.Duration {
 	share := float64(max(prefillTokens, 1)) / float64(max(request.Tokens, 1))
 	scale := min(max(request.UncachedShare/share, p.MinDelayScale), p.MaxDelayScale)
 	return time.Duration(p.MaxPrefillDelayShare * scale * float64(request.Target))
 }
 
-// retryAfter is when a refused client should retry. Clients that are refused together are spread over the time
-// in which they can still be served, so that they do not return at once.
+// retryAfter returns the time after which a refused client should retry. Clients that are refused together are spread
+// over the time in which they can still be served, so that they do not return at once.
 func (p Parameters) retryAfter(request Request, draw func() float64) time.Duration {
 	latest := p.RetryShare * float64(request.TimeLeft)
 	return time.Duration(latest * (1 - p.RetrySpread*draw()))
@@ -122,10 +123,10 @@
 	return p.bestCandidate(request, serving.StageDecode, available, draw)
 }
 
-// PickBackEnd returns the back end that answers, or nil if there is none or none that may prefill the rest of
-// the prompt itself. While a decode engine prefills a long prompt, its other streams pause and new ones wait. It
-// therefore does so only if no other prefill is queued and, for a request that can still be refused, if few
-// streams run.
+// PickBackEnd returns the back end that answers, or nil if there is none or if the best one is a decode engine that
+// should not prefill the rest of the prompt itself. While a decode engine prefills a long prompt, its other streams
+// pause and new ones wait. It therefore does so only if at most MaxDecodePrefill tokens of other prompts wait for
+// their prefill there and, for a request that can still be refused, if at most MaxPausedStreams streams run.
 func (p Parameters) PickBackEnd(request Request, engines []Engine, draw func() float64) *Candidate {
 	best := p.bestCandidate(request, request.Stage, engines, draw)
 	if best == nil || request.Stage != serving.StageDecode || best.PrefillTokens <= p.MaxDecodePrefill {
@@ -139,7 +140,7 @@
 }
 
 // ShouldSpill reports whether a request should also be offered to engines of other cells: it found no engine
-// here, was refused, or would wait long.
+// in this cell, was refused, or would wait long.
 func (p Parameters) ShouldSpill(request Request, decision Decision) bool {
 	switch decision.Action {
 	case Unplaced, Refuse:
@@ -151,7 +152,7 @@
 	}
 }
 
-// IsBetter reports whether the decision is better for the request than one of another cell.
+// IsBetter reports whether the decision is better for the request than the decision of another cell.
 func (d Decision) IsBetter(other Decision) bool {
 	if d.outcomeOrder() != other.outcomeOrder() {
 		return d.outcomeOrder() < other.outcomeOrder()
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -6,13 +6,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/serving"
 )
 
-// Engine is the state of one back end of a service, as known at the time of a decision.
+// Engine is the state of one back end of a service, as the deciding process knows it at the time of a decision.
 type Engine struct {
 	// Hash identifies the back end; it is the same at every relay.
 	Hash  uint64
 	Zone  string
 	Stage serving.Stage
-	// Slots is the number of requests that it runs at once.
+	// Slots is the number of requests that the back end runs at once.
 	Slots int
 	// Closed back ends accept no new work: they leave, change their stage or were already tried.
 	Closed bool
@@ -20,14 +20,14 @@
 	// consecutive exchanges that broke or stalled.
 	AvoidUntil time.Duration
 	Failures   int
-	// Work is the work of all relays, as far as they have reported it.
+	// Work is the work that the requests of all relays cause at the back end, as far as relays have reported it.
 	Work Work
 	// Running is the number of requests running at a back end that answers whole requests.
 	Running int
 	// Connected is true if the deciding relay has an open connection that can carry the request.
 	Connected bool
-	// PerToken is how long it takes to prefill the first token of a prompt as a prefill engine.
+	// PerToken is how long the engine takes, as a prefill engine, to prefill the first token of a prompt.
 	PerToken time.Duration
-	// Cached is the part of the request's prompt that it has cached.
+	// Cached is the part of the request's prompt that the engine has cached.
 	Cached CachedPrefix
 }
--- a/internal/placement/parameters.go
+++ b/internal/placement/parameters.go
@@ -62,7 +62,7 @@
 	// more cached tokens than usual and smaller for one with fewer.
 	MinDelayScale, MaxDelayScale float64
 	// RetryShare is the share of a refused client's remaining time after which it should retry at the latest.
-	// RetrySpread is the share of that time over which clients are spread.
+	// RetrySpread is the share of that latest time over which the retries of several clients are spread.
 	RetryShare, RetrySpread float64
 	// MinPendingTokens is the smallest number of tokens worth waiting for while the engine prefills them for
 	// another request. MaxPrefillWaits is how often one request waits.
--- a/internal/placement/prefill_speed.go
+++ b/internal/placement/prefill_speed.go
@@ -15,13 +15,13 @@
 	// prefillOverhead is the fixed time of a prefill, added to the time of its tokens.
 	prefillOverhead = 25 * time.Millisecond
 	// fleetWeight is the weight of a new observation in the fleet's average. In an engine's own estimate,
-	// fasterWeight applies to observations below it and slowerWeight to those above: a slow prefill may have
+	// fasterWeight applies to observations below the estimate and slowerWeight to those above: a slow prefill may have
 	// queued behind work that no relay reported, and an engine that is considered slow gets fewer requests.
 	fleetWeight  = 0.1
 	fasterWeight = 0.6
 	slowerWeight = 0.2
 	// initialUncachedShare is the initial estimate of the share of prompt tokens that are prefilled,
-	// uncachedShareWeight the weight of a new prompt.
+	// uncachedShareWeight the weight of a new prompt in that estimate.
 	initialUncachedShare = 0.55
 	uncachedShareWeight  = 0.02
 	// minObservedTokens is the shortest prefill, in effective tokens, that yields an observation.
@@ -71,7 +71,7 @@
 	p.perEngine[engine] = blend(previous, perToken, weight)
 }
 
-// SetPerToken replaces an engine's estimate by that of a relay that has observed it more.
+// SetPerToken replaces an engine's estimate by that of a relay that has observed the engine more often.
 func (p *PrefillSpeed) SetPerToken(engine uint64, perToken time.Duration) {
 	if perToken > 0 {
 		p.perEngine[engine] = perToken
@@ -82,7 +82,8 @@
 	return time.Duration((1-weight)*float64(previous) + weight*float64(observed))
 }
 
-// ObserveUncachedShare updates the estimate with the tokens of a prompt and those of them that were prefilled.
+// ObserveUncachedShare updates the estimate of UncachedShare with the tokens of a prompt and those of them that were
+// prefilled.
 func (p *PrefillSpeed) ObserveUncachedShare(tokens, prefillTokens int) {
 	if tokens > 0 {
 		p.uncachedShare += uncachedShareWeight * (float64(prefillTokens)/float64(tokens) - p.uncachedShare)
--- a/internal/placement/reason.go
+++ b/internal/placement/reason.go
@@ -1,6 +1,6 @@
 package placement
 
-// Reason is why a decision was made. Its numbers are sent between processes and are never reused.
+// Reason is why a placement decision was made. Its numbers are sent between processes and are never reused.
 type Reason uint32
 
 // Reasons.
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -20,7 +20,8 @@
 	// events, and Stride the number of tokens per event.
 	Target, Gap time.Duration
 	Stride      int
-	// Prompt is what has to be prefilled and Tokens its length; 0 if an engine has prefilled it.
+	// Prompt is the part of the prompt that has to be prefilled and Tokens its length, which is 0 if an engine has
+	// prefilled the prompt already.
 	Prompt []PrefixBlock
 	Tokens int
 	// TokenTransferTime is how long the KV transfer of one token between engines takes.
@@ -33,6 +34,6 @@
 	TimeLeft time.Duration
 	// PrefillWaits counts how often the request has waited for another request's prefill.
 	PrefillWaits int
-	// MayHaveRun is true if the request can no longer be refused as not run.
+	// MayHaveRun is true if the request may have run, so that it can no longer be refused as not run.
 	MayHaveRun bool
 }
--- a/internal/placement/reservations.go
+++ b/internal/placement/reservations.go
@@ -3,20 +3,20 @@
 import "time"
 
 // ReservationLifetime is how long work assigned to an engine stays reserved until the querying relay reports it:
-// it covers the answer, the start of the work and the load notice.
+// time for the relay to receive the answer, start the work and send its load notice.
 const ReservationLifetime = 300 * time.Millisecond
 
 // QueryID identifies a placement query of a relay.
 type QueryID struct {
-	// Relay identifies the relay's incarnation, Number its query.
+	// Relay identifies the relay's incarnation; Number counts the queries of that incarnation.
 	Relay, Number uint64
 }
 
-// Reservation is work that was assigned to an engine and that its relay has not reported yet.
+// Reservation is work that a placement answer assigned to an engine and that the querying relay has not reported yet.
 type Reservation struct {
 	Engine uint64
 	Work   Work
-	// PendingBlocks are the prefix blocks that the engine will prefill for it and does not have cached.
+	// PendingBlocks are the prefix blocks that the engine will prefill for the request and does not have cached.
 	PendingBlocks []BlockHash
 
 	addedAt time.Duration
@@ -35,7 +35,7 @@
 	return &Reservations{byQuery: map[QueryID]Reservation{}, work: map[uint64]Work{}}
 }
 
-// Add adds a reservation and replaces the query's previous one, which it returns.
+// Add adds the reservation for a query. It replaces the query's previous one, if any, and returns that.
 func (r *Reservations) Add(now time.Duration, query QueryID, reservation Reservation) (previous Reservation, replaced bool) {
 	previous, replaced = r.Release(query)
 	reservation.addedAt = now
@@ -44,7 +44,8 @@
 	return previous, replaced
 }
 
-// Release removes a reservation, since its work is reported now or will never start.
+// Release removes the reservation for a query, since its work is reported now or will never start. found is false if
+// there is none.
 func (r *Reservations) Release(query QueryID) (released Reservation, found bool) {
 	released, found = r.byQuery[query]
 	if !found {
--- a/internal/placement/work.go
+++ b/internal/placement/work.go
@@ -18,7 +18,7 @@
 	return work
 }
 
-// Plus returns the sum of both.
+// Plus returns the sum of w and other.
 func (w Work) Plus(other Work) Work {
 	w.Prefills += other.Prefills
 	w.Streams += other.Streams
@@ -28,7 +28,7 @@
 	return w
 }
 
-// Minus returns the work less the other.
+// Minus returns w less other.
 func (w Work) Minus(other Work) Work {
 	w.Prefills -= other.Prefills
 	w.Streams -= other.Streams
@@ -41,7 +41,7 @@
 // PromptTokens returns the prompt tokens of all ranks that wait for their prefill.
 func (w Work) PromptTokens() int { return w.TokensUpTo(RankCount - 1) }
 
-// TokensUpTo returns the prompt tokens that go before those of a rank or together with them.
+// TokensUpTo returns the waiting prompt tokens of the given rank and of all ranks that go before it.
 func (w Work) TokensUpTo(rank int) int {
 	sum := 0
 	for _, tokens := range w.Tokens[:min(max(rank, 0), RankCount-1)+1] {
--- a/internal/routing/backend.go
+++ b/internal/routing/backend.go
@@ -20,10 +20,10 @@
 	Model    string
 	Version  string
 	Adapters []string
-	// ConfirmedAt is the last time at which a fresh source confirmed State.
+	// ConfirmedAt is the last time at which an up-to-date directory or the back end itself confirmed State.
 	ConfirmedAt time.Duration
-	// Unconfirmed is true if the directory does not know the state. The last known state is kept, and an
-	// unchanged directory does not confirm it.
+	// Unconfirmed is true if the directory does not know the state of the back end. State is then the last known
+	// one, and Router.Confirm does not confirm it.
 	Unconfirmed bool
 	// Load is the load measured at LoadAt. It is valid only if HasLoad is set.
 	Load    Load
@@ -31,7 +31,7 @@
 	HasLoad bool
 }
 
-// Load is the work at a back end.
+// Load is the work at a back end, as the back end reported it.
 type Load struct {
 	Running             int
 	Waiting             int
--- a/internal/routing/candidate.go
+++ b/internal/routing/candidate.go
@@ -17,7 +17,7 @@
 
 	// cacheNode identifies this incarnation in the prefix index.
 	cacheNode uint64
-	// nameHash is the same for all incarnations, so that home back ends do not change.
+	// nameHash is the hash of the name, the same for all incarnations, so that home back ends do not change.
 	nameHash    uint64
 	ownRequests ownRequests
 	// prefillMean is the estimate shared by all back ends of the same service and role.
@@ -31,7 +31,7 @@
 	// cooldownUntil is the end of the cooldown after consecutive failures.
 	cooldownUntil time.Duration
 	failures      int
-	// isOutdated is true if the directory's row describes an earlier incarnation.
+	// isOutdated is true if the directory's row describes an earlier incarnation than the one known from answers.
 	isOutdated bool
 	// signals are the backoff, limit and leaving state that this incarnation has signalled to this gateway.
 	signals *backpressure.Signals
--- a/internal/routing/errors.go
+++ b/internal/routing/errors.go
@@ -10,7 +10,7 @@
 var (
 	// ErrNoBackEnd means that no back end of the service has the model, version and adapter.
 	ErrNoBackEnd = errors.New("no back end serves this model")
-	// ErrNoneConfirmed means that such back ends exist, but none is confirmed to be serving.
+	// ErrNoneConfirmed means that back ends with the model exist, but none is confirmed to be serving.
 	ErrNoneConfirmed = errors.New("no back end is confirmed to be serving")
 	// ErrAllExcluded means that every serving back end has failed this request or is in its cooldown.
 	ErrAllExcluded = errors.New("every serving back end has failed lately")
--- a/internal/routing/limits.go
+++ b/internal/routing/limits.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// ApplyLimits applies limits received from the leader, except for back ends whose newer limit has not been
-// reported to it.
+// ApplyLimits applies limits received from the leader. It skips back ends that have set a newer limit in an answer to
+// this gateway which is not reported to the leader yet.
 func (r *Router) ApplyLimits(now time.Duration, received []fleetlimit.BackEndLimit) {
 	if len(received) == 0 {
 		return
--- a/internal/routing/own_requests.go
+++ b/internal/routing/own_requests.go
@@ -21,7 +21,7 @@
 	// unreported counts the last entries of requests that no load report covers yet.
 	unreported       int
 	unreportedTokens int64
-	// finished holds the end times of requests that the last report still counts.
+	// finished holds the end times of requests that have ended but that the last load report still counts.
 	finished []time.Duration
 }
 
@@ -52,7 +52,8 @@
 	}
 }
 
-// finish removes the request and returns it.
+// finish removes the request of an exchange and returns it; false if the exchange is unknown. hasReport is true if the
+// back end has reported its load, which may still count the request.
 func (o *ownRequests) finish(now time.Duration, exchange string, hasReport bool) (sentRequest, bool) {
 	for i, request := range o.requests {
 		if request.exchange != exchange {
@@ -70,7 +71,8 @@
 	return sentRequest{}, false
 }
 
-// applyReport drops the corrections that are covered by a load report measured at the given time.
+// applyReport ends the corrections for requests that were sent or finished up to the given time, since a load report
+// measured at that time covers them.
 func (o *ownRequests) applyReport(at time.Duration) {
 	for o.unreported > 0 {
 		oldest := o.requests[len(o.requests)-o.unreported]
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -45,7 +45,8 @@
 	return choice, nil
 }
 
-// chooseStages returns the cheaper of a whole back end and a pair of engines, or else a decode engine alone.
+// chooseStages returns the cheaper of a back end for the whole request and a prefill engine with a decode engine. If
+// neither is available, it returns a decode engine that does everything.
 func (r *Router) chooseStages(decision *Decision) (Choice, error) {
 	whole, wholeErr := r.pickWhole(decision, wholeRoles)
 	pairErr := ErrNoBackEnd
@@ -116,9 +117,9 @@
 	return stageChoice{candidate: chosen.Candidate, cost: chosen.Cost, cachedTokens: cachedTokens, cachedAtHome: cachedAtHome}, nil
 }
 
-// filter fills filtered with up to SubsetSize members that pass every filter, nearest first. It considers members
-// beyond the subset only to replace those that were dropped. If none is left, the error is the reason of the last
-// filter that any member reached.
+// filter sets r.filtered to up to SubsetSize members that pass every filter, nearest first. It considers members
+// beyond the subset only to replace those that were dropped. If none is left, the error is the Reason of the latest
+// filter in the pipeline that dropped a member.
 func (r *Router) filter(decision *Decision, pool *pool) error {
 	r.filtered = r.filtered[:0]
 	furthest := 0
@@ -181,7 +182,7 @@
 	return time.Duration(request.OutputTokens) * r.config.TokenTimes.tokenInterval(candidate.load.requests)
 }
 
-// laterReason returns the error of the later filter, which says more about what would help.
+// laterReason returns the one of two errors that a later filter gave, since it says more about what would help.
 func laterReason(a, b error) error {
 	for _, reason := range []error{ErrAllExcluded, ErrAllLimited, ErrAllInBackoff, ErrNoneConfirmed} {
 		if errors.Is(a, reason) || errors.Is(b, reason) {
--- a/internal/routing/picker_sample.go
+++ b/internal/routing/picker_sample.go
@@ -48,7 +48,7 @@
 	return len(scored) - 1
 }
 
-// sampleWeight decreases with the cost above the lowest cost.
+// sampleWeight returns the weight of a candidate whose cost exceeds the lowest one by excess: the more, the smaller.
 func sampleWeight(excess time.Duration) float64 {
 	ratio := 1 + float64(excess)/float64(sampleCostScale)
 	return 1 / (ratio * ratio)
--- a/internal/routing/pipeline.go
+++ b/internal/routing/pipeline.go
@@ -28,7 +28,7 @@
 
 // Scorer estimates a part of the time that the request takes at a candidate.
 type Scorer interface {
-	// Cost returns that time. It may be negative for a saving.
+	// Cost returns the part that the scorer estimates. It may be negative for a saving.
 	Cost(decision *Decision, candidate *Candidate) time.Duration
 }
 
--- a/internal/routing/popularity.go
+++ b/internal/routing/popularity.go
@@ -17,7 +17,7 @@
 // decayed, without updating each count.
 type risingWeight float64
 
-// advance moves on to the next request and reports whether the counts must be rescaled.
+// advance raises the weight for the next request and reports whether the counts must be rescaled.
 func (w *risingWeight) advance() bool {
 	*w *= popularityGrowth
 	return *w > maxRequestWeight
--- a/internal/routing/rendezvous.go
+++ b/internal/routing/rendezvous.go
@@ -2,7 +2,7 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// rendezvousWeight is the weight of a node for a key in rendezvous hashing. The node with the highest weight owns
+// rendezvousWeight returns the weight of a node for a key in rendezvous hashing. The node with the highest weight owns
 // the key, and a node that leaves moves only the keys it owned. Both hashes must be well mixed.
 func rendezvousWeight(key, node uint64) uint64 {
 	mixed := key ^ node
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -112,8 +112,8 @@
 	return backEnd.Name + "/" + strconv.FormatUint(backEnd.Incarnation, 10)
 }
 
-// shortestWait returns the time until the first back end of a service that is in backoff or without room in its
-// limit can get requests again.
+// shortestWait returns the time until the first of a service's back ends that are in backoff, or whose limit leaves no
+// room, can get requests again; 0 if there is no such back end.
 func (r *Router) shortestWait(now time.Duration, service string) time.Duration {
 	shortest := time.Duration(0)
 	for _, candidate := range r.candidates {
@@ -125,7 +125,7 @@
 	return shortest
 }
 
-// Backoff returns the remaining backoff of a back end; 0 if it can get requests.
+// Backoff returns the remaining backoff of a back end; 0 if it is not in backoff or this incarnation is unknown.
 func (r *Router) Backoff(now time.Duration, backEnd BackEnd) time.Duration {
 	candidate, known := r.candidates[backEnd.Name]
 	if !known || candidate.Incarnation != backEnd.Incarnation {
@@ -150,8 +150,8 @@
 	}
 }
 
-// Confirm records that a fresh source still matches the directory: the state of every back end in it held at the
-// given time, except for unknown states.
+// Confirm records that the source of the directory was up to date and unchanged at the given time, so that the state of
+// every back end in it held then, except for unknown states.
 func (r *Router) Confirm(at time.Duration) {
 	for _, candidate := range r.candidates {
 		if !candidate.Unconfirmed {
--- a/internal/routing/token_times.go
+++ b/internal/routing/token_times.go
@@ -15,7 +15,7 @@
 	PromptTokensPerSecond float64
 	// TokenInterval is the time between output tokens of a request that runs alone.
 	TokenInterval time.Duration
-	// IntervalPerRunning is by how much each other running request increases it.
+	// IntervalPerRunning is by how much each other running request increases TokenInterval.
 	IntervalPerRunning time.Duration
 	// PageTime is the time of one request at a page service.
 	PageTime time.Duration
--- a/internal/serving/configuration.go
+++ b/internal/serving/configuration.go
@@ -50,7 +50,7 @@
 	Priority int
 	// Splits are the services that share the requests, by weight.
 	Splits []Split
-	// MaxAttempts is the number of back ends to which one request may be sent; at least 1.
+	// MaxAttempts is the largest number of back ends to which one request may be sent; at least 1.
 	MaxAttempts int
 	// Resumable streams may be resumed at another back end.
 	Resumable bool
--- a/internal/serving/table.go
+++ b/internal/serving/table.go
@@ -75,7 +75,7 @@
 	return t.levels.levels[pair], t.levels.count
 }
 
-// ChooseService returns the service for one request of the route. The draw is uniform in [0, 1).
+// ChooseService returns the service for one request of the route. draw is a random number, uniform in [0, 1).
 func (r *Route) ChooseService(draw float64) string {
 	if len(r.Splits) == 1 {
 		return r.Splits[0].Service
