--- a/internal/demand/table.go
+++ b/internal/demand/table.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// reportLifetime is how long a gateway's report counts.
+	// reportLifetime is how long after its arrival a gateway's report counts.
 	reportLifetime = 10 * time.Second
-	// defaultWindow is the window of a report that has none.
+	// defaultWindow is the window assumed for a report that does not state the time that it covers.
 	defaultWindow = time.Second
 	// maxDemandsPerReport bounds the kinds in one report; the rest is ignored.
 	maxDemandsPerReport = 256
@@ -60,7 +60,7 @@
 	}
 }
 
-// rowKey identifies one row of the planner's demand.
+// rowKey identifies one row of the planner's input: the demand of a kind of request in a zone.
 type rowKey struct{ kind, zone string }
 
 // rowSum sums one row over the gateways.
--- a/internal/planner/correction.go
+++ b/internal/planner/correction.go
@@ -10,8 +10,8 @@
 	noLossShare = 0.99
 )
 
-// correction estimates the factor by which the measured rate of worth exceeds the model's. It is at least 1:
-// losses beyond the model's may be due to a change in progress.
+// correction estimates the factor by which the measured rate of completed worth exceeds the rate of the model. The
+// factor applied is at least 1: losses beyond the model's may be due to a change in progress.
 type correction struct {
 	factor          float64
 	observedSeconds float64 // total time of the observations
@@ -32,7 +32,7 @@
 	c.factor += gain * (ratio - c.factor)
 }
 
-// apply corrects a modelled rate.
+// apply returns a modelled rate of completed worth, raised by the factor but not beyond the worth that arrives.
 func (c *correction) apply(rate, arriving float64) float64 {
 	return min(rate*max(c.factor, 1), max(arriving, rate))
 }
--- a/internal/planner/evaluation.go
+++ b/internal/planner/evaluation.go
@@ -15,10 +15,10 @@
 	maxChanges = 6
 	// shortlistSize is the number of targets, the best under the mean demand, that are evaluated in full.
 	shortlistSize = 12
-	// minGainShare is the smallest gain as a share of the worth that arrives over the horizon: less is within the
-	// model's error.
+	// minGainShare is the smallest gain of a target that pays back, as a share of the worth that arrives over the
+	// horizon: a smaller gain is within the model's error.
 	minGainShare = 0.01
-	// satisfiedShare is the served share of the arriving worth from which on no target is searched.
+	// satisfiedShare is the share of the arriving worth that is completed from which on no other split is searched.
 	satisfiedShare = 0.998
 )
 
@@ -55,7 +55,7 @@
 	return e
 }
 
-// updateCorrection compares what the current split served of the past demand with the model.
+// updateCorrection compares the worth that the current split completed of the past demand with the model's prediction.
 func (e *evaluation) updateCorrection(history *history) {
 	arriving, lost, modelled := 0.0, 0.0, 0.0
 	for _, entry := range e.weightedDemands {
@@ -84,7 +84,7 @@
 	return total
 }
 
-// target is a split to change to and its value over the horizon.
+// target is a split to change to and the gain expected from it over the horizon.
 type target struct {
 	split   Split
 	changes int
@@ -117,7 +117,7 @@
 
 func (e *evaluation) paysBack(candidate target) bool { return candidate.gain > e.minGain() }
 
-// bestTarget evaluates splits and returns the one with the largest gain.
+// bestTarget evaluates splits and returns the one with the largest gain; false if there is none.
 func (e *evaluation) bestTarget(splits []Split) (target, bool) {
 	var targets []target
 	for _, split := range splits {
--- a/internal/planner/guard.go
+++ b/internal/planner/guard.go
@@ -86,8 +86,8 @@
 	return count
 }
 
-// changeCandidates returns the engines that may change from a role now, best first: those with the fewest requests in
-// flight, then by name. The reason says why there are none.
+// changeCandidates returns the engines that may change from a role to another now, best first: those with the fewest
+// requests in flight, then by name. If there are none, the second result is the reason.
 func changeCandidates(observation Observation, from, to enginecontract.Role) ([]EngineObservation, string) {
 	reason := "no engine plays " + string(from)
 	var result []EngineObservation
--- a/internal/planner/history.go
+++ b/internal/planner/history.go
@@ -34,7 +34,7 @@
 	kinds          map[string]*kindTokens
 	bins           []bin // oldest first
 	cache          cacheEstimate
-	// correction is the factor by which the current split measurably exceeds the model.
+	// correction estimates by which factor the worth that the current split completes exceeds the model's.
 	correction correction
 }
 
@@ -116,7 +116,7 @@
 	}
 }
 
-// updateRates updates the trends of all kinds; the rate of a kind that is not reported is 0.
+// updateRates updates the trends of all kinds; a kind that is not reported has the rate 0.
 func (h *history) updateRates(sums []kindEstimate, elapsed time.Duration) {
 	rates := make(map[string]float64, len(sums))
 	for _, sum := range sums {
@@ -127,7 +127,8 @@
 	}
 }
 
-// smoothingGain returns the weight of a new observation after some time.
+// smoothingGain returns the weight, in a moving average with a time constant, of an observation made elapsed after the
+// previous one.
 func smoothingGain(elapsed, constant time.Duration) float64 {
 	return 1 - math.Exp(-seconds(elapsed)/seconds(constant))
 }
--- a/internal/planner/model.go
+++ b/internal/planner/model.go
@@ -48,7 +48,7 @@
 // NewModel returns the model of a service whose engines have the profile.
 func NewModel(profile EngineProfile) Model { return Model{profile: profile} }
 
-// usage is the engine-seconds of one request in each pool that may serve it.
+// usage is the engine-seconds that one request takes in each pool that may serve it.
 type usage struct {
 	prefill float64
 	decode  float64
@@ -81,7 +81,7 @@
 	return total
 }
 
-// capacity returns the engine-seconds per second that the pools of a split attain.
+// capacity returns the engine-seconds per second that requests can use in the pools of a split.
 func (m Model) capacity(split Split) usage {
 	share := 1.0
 	if split.Mixed > 0 && split.Prefill > 0 && split.Decode > 0 {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -51,7 +51,8 @@
 	return p.requirePersistence(observation, decision)
 }
 
-// requirePersistence holds changes back until every decision has found a change that pays back for long enough.
+// requirePersistence returns the decision. It drops the changes during warmUp and until every decision has found a
+// change that pays back for persistenceShare of the horizon.
 func (p *FluidPlanner) requirePersistence(observation Observation, decision Decision) Decision {
 	if len(decision.Changes) == 0 {
 		p.isPaying = false
@@ -70,7 +71,7 @@
 	return decision
 }
 
-// reasonAgainstChange returns a decision with the reason why no change may be made now, or nil.
+// reasonAgainstChange returns a decision with the reason why no change may be made now, or nil if one may be made.
 func reasonAgainstChange(observation Observation) *Decision {
 	decision := Decision{}
 	budget := observation.Policy.ChangesPerHour
@@ -97,10 +98,10 @@
 	return policy.Horizon
 }
 
-// noChange returns a decision without changes.
+// noChange returns a decision without changes, with the formatted reason.
 func noChange(format string, values ...any) Decision {
 	return Decision{Reason: fmt.Sprintf(format, values...)}
 }
 
-// seconds converts a duration for arithmetic.
+// seconds returns a duration in seconds.
 func seconds(d time.Duration) float64 { return d.Seconds() }
--- a/internal/planner/split.go
+++ b/internal/planner/split.go
@@ -54,7 +54,7 @@
 	return fmt.Sprintf("%d prefill, %d decode, %d mixed", s.Prefill, s.Decode, s.Mixed)
 }
 
-// Roles returns the roles in the order in which decisions consider them.
+// Roles returns the roles in the order in which planning decisions consider them.
 func Roles() []enginecontract.Role { return append([]enginecontract.Role(nil), roles...) }
 
 // ChangesTo returns the smallest number of role changes between two splits.
@@ -66,14 +66,15 @@
 	return changes
 }
 
-// overlap returns the engines that have the same role in both splits.
+// overlap returns, for each role, the number of engines that need not change between the two splits.
 func (s Split) overlap(other Split) Split {
 	return Split{
 		Prefill: min(s.Prefill, other.Prefill), Decode: min(s.Decode, other.Decode), Mixed: min(s.Mixed, other.Mixed),
 	}
 }
 
-// largestMismatch returns the roles with the largest surplus and the largest shortfall of engines compared to a target.
+// largestMismatch returns the role with the largest surplus and the role with the largest shortfall of engines compared
+// to a target. differs is false if no engine can change from a surplus to a shortfall.
 func (s Split) largestMismatch(to Split) (from, into enginecontract.Role, differs bool) {
 	surplus, shortfall := 0, 0
 	for _, role := range roles {
@@ -88,7 +89,7 @@
 	return from, into, surplus > 0 && shortfall > 0
 }
 
-// towards returns the split after some changes towards a target.
+// towards returns the split after the given number of changes towards a target.
 func (s Split) towards(to Split, changes int) Split {
 	for range changes {
 		from, into, differs := s.largestMismatch(to)
--- a/internal/planner/types.go
+++ b/internal/planner/types.go
@@ -37,7 +37,7 @@
 	// Load is nil if the engine has never reported.
 	Load    *enginecontract.LoadReport
 	LoadAge time.Duration
-	// OrderOutstanding is true while the engine carries out a role change.
+	// OrderOutstanding is true while the engine carries out an ordered role change.
 	OrderOutstanding bool
 	// TargetRole is the role of the outstanding order.
 	TargetRole enginecontract.Role
@@ -90,7 +90,7 @@
 	// DecodeTokensPerSecond is one engine's decode rate at full batch. The baseline planner of the experiments uses
 	// it; the fluid model derives the rate from the times below.
 	DecodeTokensPerSecond float64
-	// MixedPenalty is the share of capacity lost in an engine that does both, 0 to 1.
+	// MixedPenalty is the share of capacity lost in an engine that does both prefill and decode, 0 to 1.
 	MixedPenalty float64
 	// The time of a step of a batch is the sum of StepBase, of StepPerSequence for each sequence that decodes a token
 	// in it, of StepPerContextToken for each token of their contexts, and of the prefill time of its chunk.
@@ -103,8 +103,8 @@
 	PrefillChunk int
 	MixedChunk   int
 	RoleChange   time.Duration
-	// CacheWarmup is how long an engine that starts to prefill takes to fill its prefix cache; 0 if caches are not
-	// used.
+	// CacheWarmup is how long an engine that starts to prefill takes to fill its prefix cache; 0 if engines keep no
+	// prefix cache.
 	CacheWarmup time.Duration
 	// WeightLoad is how long the weight store takes to deliver the weights for one role change; 0 if a role change
 	// keeps the weights.
--- a/internal/replicaplan/config.go
+++ b/internal/replicaplan/config.go
@@ -6,25 +6,26 @@
 	// targetUtilisation is the share of their time for which replicas may be busy while requests still meet their
 	// targets.
 	targetUtilisation = 0.5
-	// maxUtilisation is the highest share for which they may be busy. Enough replicas are kept, some of them on
-	// demand, to stay below it after a further loss.
+	// maxUtilisation is the highest share of their time for which replicas may be busy after a loss. Enough replicas are
+	// kept, some of them on demand, to stay below it after a further loss.
 	maxUtilisation = 0.85
 	// onDemandStep is the smallest number of on-demand replicas added at once, so that a slowly growing need takes
 	// few orders.
 	onDemandStep = 6
-	// onDemandLowerDelay is how long fewer on-demand replicas must have been wanted before they are released, and
-	// spotLowerDelay the same for spot replicas, which are cheap and whose caches are worth more than their price.
+	// onDemandLowerDelay is how long fewer on-demand replicas than agreed must have been wanted before some are released.
+	// spotLowerDelay is the same for spot replicas, which are cheap and whose caches are worth more than their price.
 	onDemandLowerDelay = time.Second
 	spotLowerDelay     = 30 * time.Second
-	// orderGrace is added to the boot time before an order counts as not carried out, since calls may be carried
-	// out seconds late.
+	// orderGrace is the time beyond the boot time after which an order counts as not carried out, since the platform may
+	// carry out calls seconds late.
 	orderGrace = 6 * time.Second
 	// shortageRetryDelay is the wait before another order after the platform had no replicas available.
 	shortageRetryDelay = 1500 * time.Millisecond
 	// listSettleTime is how long the list must be unchanged before replicas are released: at startup it fills
 	// gradually, and only a stable list is complete.
 	listSettleTime = 1200 * time.Millisecond
-	// unknownWorkPercent is the percentage of all replicas that must remain after a loss while the work is unknown.
+	// unknownWorkPercent is the percentage of the operator's initial replicas that must remain after a loss while the
+	// work is unknown.
 	unknownWorkPercent = 66
 	// workRiseTime and workFallTime are the time constants for smoothing rising and falling work: bursts are shorter
 	// than a boot.
--- a/internal/replicaplan/desired.go
+++ b/internal/replicaplan/desired.go
@@ -19,7 +19,8 @@
 	Counts map[Group]int
 }
 
-// countOf returns how many replicas of a group are wanted; without an entry, the number of staying ones.
+// countOf returns how many replicas of a group are wanted. For a group without an entry this is the number of listed
+// replicas that are not leaving.
 func (d Desired) countOf(group Group, listed ListedCounts) int {
 	if count, named := d.Counts[group]; named {
 		return count
@@ -27,7 +28,7 @@
 	return listed.staying()
 }
 
-// Equal reports whether both want the same replicas.
+// Equal reports whether d and other want the same replicas.
 func (d Desired) Equal(other Desired) bool {
 	return d.Base == other.Base && maps.Equal(d.Counts, other.Counts)
 }
--- a/internal/replicaplan/orders.go
+++ b/internal/replicaplan/orders.go
@@ -9,13 +9,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/duty"
 )
 
-// Order asks the platform for a number of replicas of a group.
+// Order asks the platform to run a number of replicas of a group.
 type Order struct {
 	Group   Group
 	Desired int
 }
 
-// Orders tracks a leader's orders. An order counts as carried out only once the list shows it.
+// Orders tracks the orders that a leader issues to the platform. An order counts as carried out only once the list of
+// replicas shows its effect.
 type Orders struct {
 	issued map[Group]issuedOrder
 }
@@ -32,7 +33,8 @@
 // NewOrders returns the orders of a new leader, which has issued none.
 func NewOrders() *Orders { return &Orders{issued: map[Group]issuedOrder{}} }
 
-// DueOrders returns the orders to issue now, those for more replicas first.
+// DueOrders returns the orders to issue now, those for more replicas first. boot is how long a new replica takes until
+// it serves.
 func (o *Orders) DueOrders(now, boot time.Duration, agreed Desired, listed map[Group]ListedCounts) []Order {
 	var due []Order
 	for _, group := range slices.SortedFunc(maps.Keys(agreed.Counts), Group.Compare) {
--- a/internal/replicaplan/plan.go
+++ b/internal/replicaplan/plan.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Input holds the inputs of a plan.
+// Input holds the inputs of one decision of a Plan.
 type Input struct {
 	Listed map[Group]ListedCounts
 	Agreed Desired
@@ -22,10 +22,10 @@
 	// listed is the last listed number of replicas per group, and listChangedAt when it last changed.
 	listed        map[Group]int
 	listChangedAt time.Duration
-	// work is the smoothed work as of workAt.
+	// work is the smoothed number of replicas that the requests keep busy, last updated at workAt.
 	work   float64
 	workAt time.Duration
-	// surplusSince holds the groups of which fewer replicas are wanted than agreed, and since when.
+	// surplusSince maps each group of which fewer replicas are wanted than agreed to the time since when.
 	surplusSince map[Group]time.Duration
 }
 
@@ -68,7 +68,8 @@
 // isListSettled reports whether the list has not changed for listSettleTime.
 func (p *Plan) isListSettled(now time.Duration) bool { return now-p.listChangedAt >= listSettleTime }
 
-// FinalOnDemand returns how many on-demand replicas are wanted beside spot replicas, once all of those are present.
+// FinalOnDemand returns how many on-demand replicas are wanted once all spot replicas are present. base is the number
+// of replicas that the operator started with.
 func (p *Plan) FinalOnDemand(base int) int {
 	zones := len(p.zones())
 	if zones == 0 || !p.hasSpots() {
@@ -97,7 +98,7 @@
 	p.workAt = now
 }
 
-// wanted returns how many replicas are wanted now, before delayLowering.
+// wanted returns how many replicas are wanted now. delayLowering may delay a lower number.
 func (p *Plan) wanted(input Input) Desired {
 	desired := Desired{Base: max(input.Agreed.Base, p.onDemandListed(input)), Counts: map[Group]int{}}
 	total := p.targetTotal(desired.Base)
@@ -141,7 +142,8 @@
 	return sum
 }
 
-// onDemandListed returns the number of listed on-demand replicas. More than agreed are the operator's.
+// onDemandListed returns the number of listed on-demand replicas that are not leaving. The operator has started those
+// beyond the agreed number.
 func (p *Plan) onDemandListed(input Input) int {
 	sum := 0
 	for _, zone := range p.zones() {
--- a/internal/stageplan/plan.go
+++ b/internal/stageplan/plan.go
@@ -31,7 +31,7 @@
 	// Group is the zone and the cell of the engine; each group keeps engines of both stages.
 	Group string
 	Stage Stage
-	// Busy engines take no order: they are leaving or carry one out.
+	// Busy engines take no order: they are leaving or are carrying out another order.
 	Busy bool
 	// JustStarted engines have just started to serve: a change costs no running requests and no cache.
 	JustStarted bool
@@ -66,10 +66,11 @@
 	// other engines must join their stage.
 	prefillUtilisation = 0.6
 	decodeUtilisation  = 0.7
-	// minImprovement is the factor by which a change must lower the load of the busier stage, relative to these
-	// utilisations: engines are unavailable meanwhile, and their caches are lost for their former stage.
+	// minImprovement is the factor by which a change must lower the load of the busier stage, relative to
+	// prefillUtilisation and decodeUtilisation: engines are unavailable during the change, and their caches are lost for
+	// their former stage.
 	minImprovement = 1.3
-	// turnBackIntervals is the number of intervals that must pass before engines change back.
+	// turnBackIntervals is the number of Config.MinChangeInterval that must pass before engines change back.
 	turnBackIntervals = 3
 	// maxChangeShare is the share of the engines that may change at once.
 	maxChangeShare = 0.25
@@ -77,7 +78,7 @@
 	// that a crash leaves other engines.
 	minStageShare   = 0.3
 	minStageEngines = 2
-	// minWorkShare is the work, as a share of the number of engines, below which they count as idle.
+	// minWorkShare is the work, as a share of the number of engines, below which the engines count as idle.
 	minWorkShare = 0.02
 	// workSmoothing is the weight of a new observation of the work.
 	workSmoothing = 0.2
@@ -89,14 +90,14 @@
 	work         Work
 	lastChangeAt time.Duration
 	hasChanged   bool
-	// lastStage is the stage of the last changes.
+	// lastStage is the stage to which the last changes moved engines.
 	lastStage Stage
 }
 
 // New returns a plan without observations.
 func New(config Config) *Plan { return &Plan{config: config} }
 
-// Next returns the changes to order now, usually none. Call it at constant intervals.
+// Next returns the changes to order now, usually none. It must be called at constant intervals.
 func (p *Plan) Next(now time.Duration, engines []Engine, work Work) []Change {
 	if len(engines) < 2*minStageEngines || !p.config.Without.IsEnabled(mechanism.StagePlan) {
 		return nil
@@ -159,8 +160,8 @@
 	return chooseChanges(engines, difference > 0, min(max(difference, -difference), limit))
 }
 
-// changesUnderLoad changes as many engines as needed to balance the load of both stages, but only if one of them is
-// overloaded and a change improves that enough.
+// changesUnderLoad changes as many engines as needed to balance the load of both stages, but only if one stage is
+// overloaded and the changes lower its load by minImprovement.
 func (p *Plan) changesUnderLoad(engines []Engine) []Change {
 	prefill := countPrefill(engines)
 	if prefill == 0 || prefill == len(engines) {
@@ -178,13 +179,13 @@
 	return changesTo(engines, best, limit)
 }
 
-// overload returns the load of the busier stage as a multiple of the permitted one, for a number of prefill engines among
-// all engines.
+// overload returns the load of the busier stage as a multiple of the permitted load, if prefill of the total engines
+// prefill and the others decode.
 func (p *Plan) overload(prefill, total int) float64 {
 	return max(p.work.Prefill/prefillUtilisation/float64(prefill), p.work.Decode/decodeUtilisation/float64(total-prefill))
 }
 
-// bestPrefill returns the best number of prefill engines.
+// bestPrefill returns the number of prefill engines, among total engines, with the lowest overload.
 func (p *Plan) bestPrefill(total int) int {
 	best := p.minEngines(total)
 	for prefill := best + 1; prefill <= total-p.minEngines(total); prefill++ {
@@ -239,7 +240,7 @@
 type stageGroup struct {
 	name  string
 	count int
-	// available are the IDs of those that can take an order.
+	// available are the IDs of those of the engines that can take an order.
 	available []string
 }
 
--- a/internal/subsetting/chooser.go
+++ b/internal/subsetting/chooser.go
@@ -10,7 +10,7 @@
 	subset    Subset
 }
 
-// Next returns the subset for a number of back ends and how many of them are wanted.
+// Next returns the subset for the number of back ends of the service and the number of them that relays should know of.
 func (c *Chooser) Next(backEnds, wanted int) Subset {
 	needed := SubsetFor(backEnds, wanted)
 	larger := needed.Halvings < c.subset.Halvings
--- a/internal/subsetting/demand.go
+++ b/internal/subsetting/demand.go
@@ -7,20 +7,22 @@
 	// of 16 engines, at least three cells in each of five zones, so that every prompt has several cells left after
 	// the loss of a zone. A fleet of fewer than twice as many is included whole.
 	MinEngines = 256
-	// MinWholeBackEnds is the same for back ends that answer whole requests and cache nothing: six in each of five
-	// zones, of which one zone and one in six of the others may be lost.
+	// MinWholeBackEnds is the smallest number of a service's back ends that relays know of, if there are as many, for
+	// back ends that answer whole requests and cache nothing: six in each of five zones, of which one zone and one in
+	// six of the others may be lost.
 	MinWholeBackEnds = 32
 	// backEndsPerBusy is how many back ends are wanted for each one that the observed work keeps busy. The prefill of
 	// a long prompt takes more than half of its target for the first token, so that a request must nearly always find
 	// an idle engine: with a quarter of the engines busy, all 16 of a cell are busy with a probability below one in a
 	// billion.
 	backEndsPerBusy = 4
-	// shrinkFactor is the factor by which the wanted number may exceed what the work needs. A load that swings by
-	// less changes nothing, since the prefix caches of removed engines are lost.
+	// shrinkFactor is the factor by which the wanted number must exceed the number that the work needs before it is
+	// lowered. A load that swings by less changes nothing, since the prefix caches of removed engines are lost.
 	shrinkFactor = 4
-	// shrinkDelay is how long the work must have needed less than that before the wanted number is lowered.
+	// shrinkDelay is how long the wanted number must have been at least shrinkFactor times the needed one before it is
+	// lowered.
 	shrinkDelay = 30 * time.Second
-	// maxWanted bounds the number adopted from other processes.
+	// maxWanted bounds the wanted number.
 	maxWanted = 1 << 24
 )
 
@@ -29,7 +31,7 @@
 type Demand struct {
 	wanted    int
 	oversized bool
-	// oversizedSince is when the work began to need much less than the wanted number.
+	// oversizedSince is when the wanted number became at least shrinkFactor times the needed one.
 	oversizedSince time.Duration
 }
 
@@ -52,7 +54,8 @@
 	return d.wanted
 }
 
-// Adopt adopts a predecessor's wanted number, which was based on known work. It reports whether that is higher.
+// Adopt raises the wanted number to that of the previous leader, which knew the work. It reports whether that number
+// was higher.
 func (d *Demand) Adopt(previous int) bool {
 	more := min(previous, maxWanted) > d.wanted
 	if more {
--- a/internal/subsetting/subset.go
+++ b/internal/subsetting/subset.go
@@ -11,7 +11,7 @@
 	Halvings int
 }
 
-// SubsetFor returns the smallest subset of a number of back ends that contains the wanted number.
+// SubsetFor returns the smallest subset of a number of back ends that contains the wanted number of them.
 func SubsetFor(backEnds, wanted int) Subset {
 	subset := Subset{}
 	for subset.Halvings < maxHalvings && backEnds>>(subset.Halvings+1) >= wanted {
