--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -27,7 +27,7 @@
 	MaximumInFlight int
 	// OutputWeight is the cost of one output token, in prompt tokens; default 8.
 	OutputWeight float64
-	// WaitTarget is the queueing time at back ends above which the window shrinks; default 1 s.
+	// WaitTarget is the queueing time at back ends above which the window of requests in flight shrinks; default 1 s.
 	WaitTarget time.Duration
 	// InitialWindow and MinimumWindow are the initial and the smallest limit on the cost in flight,
 	// in prompt tokens; defaults 256,000 and 16,000. One request may always be in flight.
--- a/internal/admission/core.go
+++ b/internal/admission/core.go
@@ -131,7 +131,7 @@
 }
 
 // RecordFirstToken records that a request in flight has produced its first token. wait is the part
-// of the time to first token that the request's own work does not explain. The latency of the
+// of the time to first token that the request's own work does not explain. The recorded latency of the
 // request's class is updated immediately.
 func (c *Core) RecordFirstToken(now time.Duration, id uint64, wait time.Duration) {
 	decoding, found := c.inFlight[id]
--- a/internal/admission/deadline.go
+++ b/internal/admission/deadline.go
@@ -72,7 +72,7 @@
 	return now + wait - start
 }
 
-// waitingWeight returns the sum of the weights of the waiting tenants, including the given one.
+// waitingWeight returns the sum of the weights of the tenants with waiting requests, and of the given tenant.
 func (c *Core) waitingWeight(with *tenantQueue) float64 {
 	sum := c.weightSum
 	if with.entries.Len() == 0 {
--- a/internal/admission/estimator.go
+++ b/internal/admission/estimator.go
@@ -96,7 +96,7 @@
 	return Estimate{PromptTokens: int(prompt + 0.5), OutputTokens: int(output + 0.5)}
 }
 
-// RecordUsage records the token counts that a request has used.
+// RecordUsage records the token counts that a request has used, for later estimates.
 func (e *Estimator) RecordUsage(shape RequestShape, used Estimate) {
 	key := pairKey{shape.Tenant, shape.Kind}
 	pair, found := e.pairs.Get(key)
@@ -113,7 +113,7 @@
 	kind.record(shape, used)
 }
 
-// tokenMeans are the running means of one pair or kind.
+// tokenMeans are the running means of one tenant-kind pair or of one kind.
 type tokenMeans struct {
 	bytesPerToken mean
 	prompt        mean
@@ -128,7 +128,7 @@
 	m.output.add(float64(used.OutputTokens))
 }
 
-// blend moves the means towards the preferred ones, weighted by the number of samples in those.
+// blend moves the means towards the preferred ones. The preferred ones weigh more the more samples they have.
 func (m *tokenMeans) blend(preferred *tokenMeans) {
 	m.bytesPerToken.blend(preferred.bytesPerToken)
 	m.prompt.blend(preferred.prompt)
--- a/internal/admission/latency.go
+++ b/internal/admission/latency.go
@@ -28,7 +28,7 @@
 	// tokenInterval is the mean time between tokens.
 	tokenInterval time.Duration
 	updatedAt     time.Duration
-	// isProbing reports that a request was admitted to probe a stale latency.
+	// isProbing is true if a request was admitted to probe a stale latency.
 	isProbing bool
 }
 
@@ -44,7 +44,7 @@
 	return latencyTracker{classes: classes}, trace.Wrap(err)
 }
 
-// recordFirstToken records the time to first token of a request.
+// recordFirstToken updates the latency of a class with the time to first token of one of its requests.
 func (t latencyTracker) recordFirstToken(now time.Duration, class string, took time.Duration) {
 	latency, found := t.classes.Get(class)
 	if !found {
@@ -60,7 +60,7 @@
 	latency.firstToken += smoothed(weight, took-latency.firstToken)
 }
 
-// recordFinish records the end of a request.
+// recordFinish updates the latency of a request's class when the request ends.
 func (t latencyTracker) recordFinish(now time.Duration, ended *entry, result Result) {
 	took := now - ended.startedAt
 	latency, found := t.classes.Get(ended.Class)
@@ -83,8 +83,8 @@
 	return time.Duration(weight * float64(difference))
 }
 
-// recordStart records the start of a request. The first request after the latency became stale
-// probes it on behalf of all.
+// recordStart records the start of a request. If the latency of its class is stale, the request probes it. Other
+// requests are meanwhile judged by the old latency.
 func (t latencyTracker) recordStart(now time.Duration, request *Request) {
 	if latency, found := t.classes.Peek(request.Class); found && latency.isStale(now) {
 		latency.updatedAt, latency.isProbing = now, true
--- a/internal/admission/prefill_backlog.go
+++ b/internal/admission/prefill_backlog.go
@@ -12,7 +12,7 @@
 
 func newPrefillBacklog() prefillBacklog { return prefillBacklog{pendingTokens: map[int32]int64{}} }
 
-// add adds a prompt. Time without pending prompts is excluded from the rate.
+// add adds the prompt of a request that starts. Time without pending prompts is excluded from the rate.
 func (b *prefillBacklog) add(now time.Duration, e *entry) {
 	if len(b.pendingTokens) == 0 {
 		b.rate.restart(now)
@@ -20,7 +20,7 @@
 	b.pendingTokens[e.Priority] += int64(max(e.PromptTokens, 1))
 }
 
-// remove removes a prompt; prefilled reports that its first token arrived.
+// remove removes the prompt of a request; prefilled is true if its first token arrived.
 func (b *prefillBacklog) remove(now time.Duration, e *entry, prefilled bool) {
 	tokens := int64(max(e.PromptTokens, 1))
 	b.pendingTokens[e.Priority] -= tokens
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -15,7 +15,7 @@
 	Weight uint32
 	// Worth is the value of the request when it completes in time.
 	Worth float64
-	// PromptTokens and OutputTokens are estimates; both 0 counts as one token.
+	// PromptTokens and OutputTokens are estimates; if both are 0, the request counts as one token.
 	PromptTokens int
 	OutputTokens int
 	// Bytes is the memory that the request occupies while it waits.
--- a/internal/admission/result.go
+++ b/internal/admission/result.go
@@ -10,11 +10,11 @@
 	// Wait is the time that the request took beyond its own work. It applies only if
 	// RecordFirstToken was not called.
 	Wait time.Duration
-	// DeadlineMissed reports that the request was cancelled because its deadline had passed.
+	// DeadlineMissed is true if the request was cancelled because its deadline had passed.
 	DeadlineMissed bool
-	// Overloaded reports that a back end refused the request because of overload.
+	// Overloaded is true if a back end refused the request because of overload.
 	Overloaded bool
-	// Failed reports that the request did not complete. Without DeadlineMissed or Overloaded,
+	// Failed is true if the request did not complete. Without DeadlineMissed or Overloaded,
 	// a failure says nothing about load.
 	Failed bool
 }
--- a/internal/admission/service_rate.go
+++ b/internal/admission/service_rate.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// rateWindow is the minimum length of one sample of the rate.
+	// rateWindow is the minimum length of one sample of the service rate.
 	rateWindow = 500 * time.Millisecond
 	// rateWeight is the weight of the latest sample in the rate.
 	rateWeight = 0.3
--- a/internal/admission/shed.go
+++ b/internal/admission/shed.go
@@ -11,7 +11,7 @@
 	return shed
 }
 
-// leastWorthEntry returns the request worth least per token among the tenants that hold more
+// leastWorthEntry returns the waiting request worth least per token among the tenants that hold more
 // than their fair share of the queue; the newest among equals.
 func (c *Core) leastWorthEntry() *entry {
 	fair := c.queuedCost / max(c.weightSum, 1)
@@ -33,7 +33,8 @@
 	return leastWorth
 }
 
-// fairShareTolerance absorbs rounding errors of a tenant that holds exactly its fair share.
+// fairShareTolerance is the factor on the fair share that absorbs the rounding errors of a tenant that holds exactly
+// its fair share.
 const fairShareTolerance = 0.999
 
 func shedOrder(a, b *entry) bool {
@@ -43,7 +44,8 @@
 	return a.sequence > b.sequence
 }
 
-// drainTime returns how long the current queue takes at the current service rate.
+// drainTime returns the Retry-After by which the current queue has drained at the current service rate;
+// minimumRetryAfter while the rate is unknown.
 func (c *Core) drainTime() time.Duration {
 	if c.rate.perSecond == 0 {
 		return minimumRetryAfter
--- a/internal/admission/tenant_queue.go
+++ b/internal/admission/tenant_queue.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// costBefore returns the cost of the entries served before e.
+// costBefore returns the cost of the tenant's entries that are served before e.
 func (q *tenantQueue) costBefore(e *entry) float64 {
 	var cost float64
 	q.entries.AscendLessThan(e, func(ahead *entry) bool {
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -12,7 +12,7 @@
 	// queueing, as a fraction of the window.
 	windowGrowthShare = 0.1
 	// allowedWaitShare is the fraction of a request's own duration that it may queue at back ends
-	// before the window shrinks, if that is more than the target.
+	// before the window shrinks, if that is more than Config.WaitTarget.
 	allowedWaitShare = 0.3
 	// waitSmoothing is the weight of one request in the mean wait. It is small because the work
 	// of requests varies and a single outlier means little.
@@ -51,7 +51,7 @@
 	w.requestsInFlight++
 }
 
-// finish records how a request in flight ended.
+// finish updates the window with the way in which a request in flight ended.
 func (w *window) finish(now time.Duration, ended *entry, result Result) {
 	full := w.costInFlight+ended.cost > w.size
 	w.costInFlight = max(w.costInFlight-ended.cost, 0)
@@ -77,7 +77,7 @@
 	}
 }
 
-// allowedWait returns how long a request may queue at back ends.
+// allowedWait returns how long a request may queue at back ends. A mean wait beyond it shrinks the window.
 func (w *window) allowedWait(ended *entry) time.Duration {
 	return max(w.target, time.Duration(allowedWaitShare*float64(ended.MinimumTime)))
 }
--- a/internal/backpressure/directives.go
+++ b/internal/backpressure/directives.go
@@ -13,9 +13,9 @@
 type Directives struct {
 	// Backoff is how long this process must not send requests to the back end.
 	Backoff time.Duration
-	// Leaving reports that the back end is leaving.
+	// Leaving is true if the back end is leaving.
 	Leaving bool
-	// Limit is the back end's request limit for all processes together. Unlimited reports that there is no limit, because
+	// Limit is the back end's request limit for all processes together. Unlimited is true if there is no limit, because
 	// a successful response does not name one. Neither is set if the header is malformed.
 	Limit     Limit
 	Unlimited bool
@@ -30,7 +30,7 @@
 }
 
 // ParseDirectives returns the directives in a response's status and headers. Any value of the leaving header announces
-// leaving. Only a 503 requests a backoff; with other statuses Retry-After concerns a single request.
+// that the back end is leaving. Only a 503 requests a backoff; with other statuses Retry-After concerns a single request.
 func ParseDirectives(status int, headers Headers) Directives {
 	directives := Directives{Leaving: len(headers.Leaving) > 0}
 	limit, readable := ParseLimit(headers.Limit)
--- a/internal/backpressure/limit.go
+++ b/internal/backpressure/limit.go
@@ -9,12 +9,12 @@
 // no limit.
 const maximumLimit = 100_000
 
-// limitCharacters are the characters of a decimal number.
+// limitCharacters are the characters that a value of the limit header may contain.
 const limitCharacters = "0123456789.+-eE"
 
 // Limit is a back end's limit on the requests of all processes together; the zero value is no limit.
 type Limit struct {
-	// IsSet reports whether there is a limit.
+	// IsSet is true if there is a limit.
 	IsSet bool
 	// PerSecond is the limit in requests per second, 0 or more.
 	PerSecond float64
--- a/internal/backpressure/limit_state.go
+++ b/internal/backpressure/limit_state.go
@@ -5,11 +5,11 @@
 // limitState is what a process knows about the limit of one incarnation of a back end. It is immutable.
 type limitState struct {
 	limit Limit
-	// learnedAt is when the limit became known. fromBackEnd reports that the back end itself named it to this process and
+	// learnedAt is when the limit became known. fromBackEnd is true if the back end itself named it to this process and
 	// that no other process has reported a limit since.
 	learnedAt   time.Duration
 	fromBackEnd bool
-	// waitUntil is the time before which no permits are requested.
+	// waitUntil is the time before which this process requests no permits for the back end.
 	waitUntil time.Duration
 }
 
@@ -67,12 +67,12 @@
 	return s
 }
 
-// PermitWait returns how long no permit can be requested; 0 if one can be requested now, or if none is needed.
+// PermitWait returns for how long no permit may be requested; 0 if one may be requested now, or if none is needed.
 func (s *Signals) PermitWait(now time.Duration) time.Duration {
 	return max(stateOf(s.limit.Load()).waitUntil-now, 0)
 }
 
-// Limit returns the known limit, the zero value for none. fromBackEnd reports that the back end itself named it to this
+// Limit returns the known limit, the zero value for none. fromBackEnd is true if the back end itself named it to this
 // process and that no other process has reported a limit since.
 func (s *Signals) Limit() (limit Limit, fromBackEnd bool) {
 	state := stateOf(s.limit.Load())
--- a/internal/backpressure/signals.go
+++ b/internal/backpressure/signals.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// RemainingBackoff returns how long the back end must not receive requests; 0 if it can receive them now.
+// RemainingBackoff returns for how long the back end must still not receive requests; 0 if it may receive them now.
 func (s *Signals) RemainingBackoff(now time.Duration) time.Duration {
 	return max(time.Duration(s.backoffUntil.Load())-now, 0)
 }
--- a/internal/fleetlimit/limit_counters.go
+++ b/internal/fleetlimit/limit_counters.go
@@ -10,8 +10,8 @@
 
 const (
 	// minimumRate is the minimum rate of permits in requests per second, whatever the limit: a back end that receives no
-	// requests cannot announce that its limit has ended. One request per windowSpan is within what it tolerates beyond
-	// any limit.
+	// requests cannot announce that its limit has ended. One request per windowSpan is within what a back end tolerates
+	// beyond any limit.
 	minimumRate = 0.25
 	// burstPermits is the fixed part of a bucket's capacity, in permits. Requests arrive at random times, and without
 	// spare capacity for some of them a part of the limit would go unused. The capacity also includes the permits of
@@ -77,8 +77,8 @@
 	return true
 }
 
-// HandleRequest grants or denies a permit. fraction is the fraction of the limit that this process grants. draw in
-// [0, 1) spreads the times at which processes retry.
+// HandleRequest grants or denies a permit. fraction is the fraction of the limit that this process grants. draw is a
+// random number in [0, 1) that spreads the times at which processes retry.
 func (c *LimitCounters) HandleRequest(now time.Duration, request PermitRequest, fraction, draw float64) PermitResponse {
 	if c.counters[request.BackEnd] == nil || request.LimitFromBackEnd {
 		c.SetLimit(now, request.BackEnd, request.Limit)
@@ -100,7 +100,7 @@
 	return PermitResponse{Granted: true, Limit: counter.limit}
 }
 
-// recordRequester records a permit request of a process.
+// recordRequester records the time of a process's permit request, from which retryWait counts the requesting processes.
 func (c *limitCounter) recordRequester(now time.Duration, requester uint64) {
 	if now-c.lastRequestAt >= settlingTime {
 		c.requestedSince = now
@@ -129,7 +129,8 @@
 	c.window.advance(now)
 }
 
-// permitWait returns how long a request of this rank must wait for a permit; 0 if it can have one now.
+// permitWait returns how long a request of this rank must wait for a permit; 0 if it can have one now. A request that
+// can only run on this back end (mustResume) does not wait for a whole token in the bucket.
 func (c *limitCounter) permitWait(now time.Duration, rank int, mustResume bool) time.Duration {
 	wanted := 1 + c.priority.reservedTokens(now, rank)
 	if mustResume {
@@ -140,8 +141,8 @@
 	return max(c.bucket.waitFor(wanted), c.window.waitForSum(limit-1))
 }
 
-// retryWait returns how long the requester waits before it retries. The wait grows with the number of requesters and
-// has a random component.
+// retryWait returns how long the requesting process waits before it requests the permit again. The time grows with the
+// number of requesting processes and has a random component, set by draw.
 func (c *limitCounter) retryWait(now, wait time.Duration, draw float64) time.Duration {
 	minimum := time.Duration(float64(len(c.requesters)) / (requestsPerSecond + requestsPerPermit*c.rate()) * float64(time.Second))
 	jitter := 1 + waitJitter*(2*draw-1)
--- a/internal/fleetlimit/member.go
+++ b/internal/fleetlimit/member.go
@@ -30,7 +30,7 @@
 // OwnersOf returns the addresses of the owner of a back end's limit and its deputies, in the order in which to query them.
 func (m *Member) OwnersOf(backEnd uint64) []string { return m.ownership.OwnersOf(backEnd) }
 
-// HandleRequest grants or denies a permit request of another process. listIsFresh reports that the process list is
+// HandleRequest grants or denies a permit request of another process. listIsFresh is true if the process list is
 // recent. The result is false if this process is neither owner nor deputy: another one must be queried.
 func (m *Member) HandleRequest(now time.Duration, request PermitRequest, listIsFresh bool, draw float64) (PermitResponse, bool) {
 	fraction := m.fraction(now, request.BackEnd, listIsFresh)
@@ -45,9 +45,9 @@
 	return m.ownership.Fraction(now, backEnd, MembershipView{ListIsFresh: listIsFresh, FirstOwnerSilence: m.firstOwnerSilence(now, backEnd)})
 }
 
-// firstOwnerSilence returns how long no notice was received from a process that ranks before this one. For a deputy it
-// is at most the time for which permits have been requested from it. For any other process it is neverReceived if no
-// notice was received.
+// firstOwnerSilence returns for how long no notice was received from a process that ranks before this one. For a deputy
+// it is at most the time for which permits have been requested from the deputy. For any other process it is
+// neverReceived if no notice was received.
 func (m *Member) firstOwnerSilence(now time.Duration, backEnd uint64) time.Duration {
 	noticeAt, received := m.lastNoticeAt[backEnd]
 	switch {
--- a/internal/fleetlimit/ownership.go
+++ b/internal/fleetlimit/ownership.go
@@ -57,7 +57,7 @@
 	ranks map[uint64]backEndRank
 }
 
-// maximumRanks limits the cached ranks. Evicted ranks are computed again when needed.
+// maximumRanks limits the cached ranks of back ends. Evicted ranks are computed again when needed.
 const maximumRanks = 4096
 
 // NewOwnership returns the Ownership of the process with this address, without a process list.
@@ -111,7 +111,7 @@
 
 // MembershipView is what a process knows about the other processes when it determines its fraction.
 type MembershipView struct {
-	// ListIsFresh reports that the process list is recent.
+	// ListIsFresh is true if the process list is recent.
 	ListIsFresh bool
 	// FirstOwnerSilence is how long the process has received no notice from a higher-ranking one while it received
 	// permit requests.
--- a/internal/fleetlimit/permit.go
+++ b/internal/fleetlimit/permit.go
@@ -13,7 +13,7 @@
 type PermitRequest struct {
 	// BackEnd is the hash of the identity of one incarnation of a back end.
 	BackEnd uint64
-	// Limit is the limit as the requesting process knows it. LimitFromBackEnd reports that the back end itself named it to
+	// Limit is the limit as the requesting process knows it. LimitFromBackEnd is true if the back end itself named it to
 	// that process, and that no other process has sent it a limit since.
 	Limit            backpressure.Limit
 	LimitFromBackEnd bool
@@ -21,13 +21,13 @@
 	RequesterID uint64
 	// Rank is the urgency rank of the request, 0 the most urgent.
 	Rank int
-	// MustResume reports that the request can only run on this back end: a suspended run has its KV cache there.
+	// MustResume is true if the request can only run on this back end: a suspended run has its KV cache there.
 	MustResume bool
 }
 
 // PermitResponse is the response to a PermitRequest.
 type PermitResponse struct {
-	// Granted reports that the request may be sent now.
+	// Granted is true if the request may be sent now.
 	Granted bool
 	// Wait is how long the process should wait before it requests a permit again; 0 if the permit was granted.
 	Wait time.Duration
--- a/internal/fleetlimit/priority.go
+++ b/internal/fleetlimit/priority.go
@@ -6,7 +6,7 @@
 	// contentionSpan is how long a denied request takes precedence over less urgent ones: about the time until its
 	// process retries.
 	contentionSpan = 2 * time.Second
-	// tokensForUrgent is how many tokens less urgent requests leave in the bucket during that time.
+	// tokensForUrgent is how many tokens less urgent requests leave in the bucket during contentionSpan.
 	tokensForUrgent = 1
 	// consecutiveUrgentGrants is how many permits go to urgent requests before a less urgent one gets one: three quarters
 	// of the permits go by urgency, so that no kind of request starves.
--- a/internal/fleetlimit/wire.go
+++ b/internal/fleetlimit/wire.go
@@ -12,7 +12,7 @@
 	return &v1.NamedLimit{BackEnd: limit.BackEnd, Named: limit.Limit.IsSet, PerSecond: limit.Limit.PerSecond}
 }
 
-// FromWire returns the limit in a message of another process; false if no back end can have named it.
+// FromWire returns the limit in a message of another process; valid is false if no back end can have named it.
 func FromWire(message *v1.NamedLimit) (limit BackEndLimit, valid bool) {
 	perSecond := message.GetPerSecond()
 	if math.IsNaN(perSecond) || math.IsInf(perSecond, 0) || perSecond < 0 {
--- a/internal/limits/account.go
+++ b/internal/limits/account.go
@@ -9,7 +9,7 @@
 	minimumWindow = 250 * time.Millisecond
 	// demandWeight is the weight of the latest window in the measured demand.
 	demandWeight = 0.5
-	// idleAfter is how long a tenant is reported after its last request.
+	// idleAfter is how long after its last request a tenant without running or waiting requests is still reported.
 	idleAfter = 10 * time.Second
 )
 
@@ -40,7 +40,7 @@
 	a.filledAt = now
 }
 
-// tokenWait returns the time until a request of this size can start behind waiting requests with
+// tokenWait returns the time until a request of this size can start after the waiting requests before it, which take
 // ahead tokens; 0 for immediately, negative if the current share yields no tokens.
 func (a *account) tokenWait(now, burst time.Duration, size, ahead float64) time.Duration {
 	rate := a.shares.rate(now)
--- a/internal/limits/core.go
+++ b/internal/limits/core.go
@@ -26,7 +26,7 @@
 	waiters []*waiter
 }
 
-// Charge is the charge of an acquired request. The zero Charge belongs to no tenant.
+// Charge is what Acquire has charged a tenant for one request. The zero Charge belongs to no tenant.
 type Charge struct {
 	tenant string
 	tokens float64
@@ -78,8 +78,8 @@
 	return Charge{tenant: tenant, tokens: size}
 }
 
-// checkLimits returns why a request of this size, behind waiting requests with ahead tokens, may
-// not start now; nil if it may.
+// checkLimits returns why a request of this size may not start now, after the waiting requests before it, which take
+// ahead tokens; nil if it may start.
 func (c *Core) checkLimits(now time.Duration, account *account, size, ahead float64) *Refusal {
 	if account.limit.Concurrency != 0 && account.inFlight >= account.shares.concurrency(now) {
 		if account.shares.concurrency(now) == 0 {
@@ -101,7 +101,7 @@
 	}
 }
 
-// Settle corrects a charge to the tokens used and ends it. A request that did not run used 0.
+// Settle ends a charge and corrects it to the number of tokens used, 0 for a request that did not run.
 func (c *Core) Settle(now time.Duration, charge Charge, used int) {
 	account, found := c.accounts.Peek(charge.tenant)
 	if !found {
--- a/internal/limits/lease.go
+++ b/internal/limits/lease.go
@@ -28,7 +28,7 @@
 	return int(min((at-l.expiresAt)/l.period+1, maximumHalvings+1))
 }
 
-// factor returns the fraction of the share that is valid at the given time.
+// factor returns the fraction of the share that the lease still yields at the given time.
 func (l *lease) factor(at time.Duration) float64 {
 	halvings := l.halvings(at)
 	if halvings > maximumHalvings {
--- a/internal/limits/requested_share.go
+++ b/internal/limits/requested_share.go
@@ -8,14 +8,14 @@
 	reportedAt      time.Duration
 	tokensPerSecond uint64
 	concurrency     uint32
-	// answeredAt is when the latest answered report was sent.
+	// answeredAt is when the latest report that the controllers have answered was sent.
 	answeredAt time.Duration
-	// hasUnanswered reports that reports were sent since answeredAt, the first at unansweredSince.
+	// hasUnanswered is true if reports were sent since answeredAt, the first at unansweredSince.
 	hasUnanswered   bool
 	unansweredSince time.Duration
 }
 
-// recordReport records that a report was sent.
+// recordReport records that a report with this demand was sent.
 func (r *requestedShare) recordReport(now time.Duration, tokensPerSecond uint64, concurrency uint32) {
 	r.reportedAt = now
 	r.tokensPerSecond, r.concurrency = tokensPerSecond, concurrency
--- a/internal/shares/divider.go
+++ b/internal/shares/divider.go
@@ -8,15 +8,15 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// DefaultLifetime is how long a share is valid.
+// DefaultLifetime is how long a share is valid after it was granted.
 const DefaultLifetime = 4 * time.Second
 
-// MaximumLeases limits the leases over all tenants. Beyond it, demands get no share until other
-// leases expire.
+// MaximumLeases limits the leases over all tenants. When it is reached, gateways without a lease get no share until
+// other leases expire.
 const MaximumLeases = 500_000
 
-// spareDivisor is the divisor of the spare part of a tenant's limit that one gateway gets beyond its
-// demand: an eighth. The rest remains for gateways that see the tenant next.
+// spareDivisor is the divisor of the spare part of a tenant's limit: one gateway gets an eighth of it beyond its
+// demand. The rest remains for gateways that see the tenant next.
 const spareDivisor = 8
 
 // SafeguardSettle makes a new leader wait until the shares of its predecessor have expired
@@ -48,7 +48,7 @@
 }
 
 // StartLeading resets the Divider for a new leader, which does not know the shares granted before.
-// first reports that no leader has ever granted any.
+// first is true if no leader has ever granted any.
 func (d *Divider) StartLeading(now time.Duration, first bool) {
 	d.tenants = map[string]*tenant{}
 	d.leases = 0
--- a/internal/shares/lease.go
+++ b/internal/shares/lease.go
@@ -7,7 +7,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// lease is the demand and the grants of one gateway.
+// lease is the demand of one gateway for one tenant and the shares granted to it.
 type lease struct {
 	wantedTokens      uint64
 	wantedConcurrency uint64
@@ -15,7 +15,7 @@
 	lastReportAt time.Duration
 	// granted are the shares that may still be in use at the gateway, oldest first.
 	granted []grant
-	// countedTokens and countedConcurrency are included in the tenant's sums.
+	// countedTokens and countedConcurrency are the amounts of this lease that are included in the tenant's sums.
 	countedTokens      uint64
 	countedConcurrency uint64
 	// allocated is the gateway's part in the last division; hasAllocation is false if there has been
--- a/internal/shares/split.go
+++ b/internal/shares/split.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// split divides a limit among wants. Each gets at least an equal part unless it wants less.
-// The remainder is distributed equally so that each can grow. Parts are whole units; their sum
-// never exceeds the limit.
+// split divides a limit among gateways by what each of them wants. Each gets at least an equal part unless it wants
+// less. The remainder is distributed equally so that each can grow. Parts are whole units; their sum never exceeds the
+// limit.
 func split(limit uint64, wants []uint64) []uint64 {
 	parts := make([]uint64, len(wants))
 	if len(wants) == 0 || limit == 0 {
@@ -28,8 +28,8 @@
 	return parts
 }
 
-// spread distributes the remaining amount equally, and its remainder one unit each to those
-// that want most.
+// spread distributes the remaining amount left equally over the parts, and its remainder one unit each to the gateways
+// that want most, which are last in order.
 func spread(parts []uint64, order []int, left uint64) {
 	count := uint64(len(order))
 	for position, i := range order {
--- a/internal/shares/tenant.go
+++ b/internal/shares/tenant.go
@@ -18,11 +18,11 @@
 	// less than what the gateways may still use.
 	heldTokens      uint64
 	heldConcurrency uint64
-	// divided reports that there has been a division.
+	// divided is true if there has been a division.
 	divided   bool
 	dividedAt time.Duration
 	limits    Limits
-	// largestAllocation is the largest part in the last division.
+	// largestAllocation is the largest part that a gateway got in the last division.
 	largestAllocation Limits
 	// divisions counts the divisions, each of which visits all gateways.
 	divisions int
@@ -37,7 +37,7 @@
 	return created
 }
 
-// updateSums updates the part of a lease in the sums.
+// updateSums updates heldTokens and heldConcurrency with what a lease may have in use now.
 func (t *tenant) updateSums(now time.Duration, l *lease) {
 	tokens, concurrency := l.maximumInUse(now)
 	t.heldTokens += tokens - l.countedTokens
@@ -90,7 +90,7 @@
 }
 
 // maximumShare returns the most that a gateway may get until the next division. A gateway that is
-// new or wants more since the last division may get as much as the largest part.
+// new or wants more since the last division may get as much as the largest part of that division.
 func (t *tenant) maximumShare(l *lease) Limits {
 	if !l.hasAllocation {
 		return t.largestAllocation
