--- a/internal/claimclient/client.go
+++ b/internal/claimclient/client.go
@@ -21,7 +21,7 @@
 // HeaderLeaderAddress is the error metadata in which controllers that do not lead name the leader.
 const HeaderLeaderAddress = "X-Leader-Address"
 
-// Controllers makes the calls. Its errors are connect errors.
+// Controllers makes the calls to the controllers. Its errors are connect errors.
 type Controllers interface {
 	// Addresses returns all controllers, with the leader first if it is known.
 	Addresses() []string
@@ -114,7 +114,7 @@
 	return pause.For(ctx, until-c.now())
 }
 
-// failureOf converts the error of a call. InvalidArgument is permanent at every controller; after any
+// failureOf converts the error of a call to a Failure. InvalidArgument is permanent at every controller; after any
 // other error, a call to another controller or a later call may succeed.
 func failureOf(err error) claims.Failure {
 	failure := claims.Failure{Permanent: connect.CodeOf(err) == connect.CodeInvalidArgument}
--- a/internal/claimclient/recorder.go
+++ b/internal/claimclient/recorder.go
@@ -14,7 +14,7 @@
 	recorderWorkers     = 8
 )
 
-// Recorder records outcomes in the background, so that callers do not wait for it. Its queue is
+// Recorder records outcomes in the background, so that callers do not wait for the controllers. Its queue is
 // bounded: outcomes that do not fit remain unrecorded. This is safe: later attempts are answered that
 // the request may have run.
 type Recorder struct {
@@ -45,7 +45,7 @@
 	}
 }
 
-// Close makes Run return once all queued outcomes have been tried.
+// Close makes Run return once it has tried to record all queued outcomes.
 func (r *Recorder) Close() { close(r.queue) }
 
 // Run records outcomes until Close is called or the context ends.
--- a/internal/claims/begin_operation.go
+++ b/internal/claims/begin_operation.go
@@ -81,8 +81,8 @@
 	return b.decision != nil && b.decision.Reason == ErrUnreachable
 }
 
-// giveUp refuses the request. The verdict NotRun is correct: only this attempt could have run
-// under the claim, and it never will.
+// giveUp refuses the request because no controller answered in time. The verdict NotRun is correct: only this attempt
+// could have run under the claim, and it never will.
 func (b *BeginOperation) giveUp() {
 	if !b.config.Safeguards.IsEnabled(GrantRequired) {
 		b.decision = &Decision{Run: true}
--- a/internal/claims/call_schedule.go
+++ b/internal/claims/call_schedule.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// hasEnded reports whether no further call is possible.
+// hasEnded reports whether the end time has passed or there is no controller to call.
 func (s *callSchedule) hasEnded(now time.Duration) bool {
 	return now >= s.endsAt || len(s.controllers) == 0
 }
@@ -40,7 +40,7 @@
 	return Step{Call: s.controllers[s.nextController], Timeout: min(s.timeout, s.endsAt-now)}
 }
 
-// recordFailure proceeds to the leader if it was named, or else to the next controller.
+// recordFailure makes the next call go to the leader if the failed call named it, or else to the next controller.
 func (s *callSchedule) recordFailure(now time.Duration, leader string) {
 	s.failures++
 	if s.failures >= len(s.controllers) {
--- a/internal/claims/config.go
+++ b/internal/claims/config.go
@@ -36,7 +36,7 @@
 	// BeginTimeout limits all calls for one claim; default 3 s, and at most half of the time
 	// left until the request's deadline.
 	BeginTimeout time.Duration
-	// FinishTimeout limits the time during which an outcome is resent; default 30 s.
+	// FinishTimeout limits the time during which the recording of an outcome is retried; default 30 s.
 	FinishTimeout time.Duration
 	// Safeguards is the zero Set except in tests.
 	Safeguards safeguard.Set
--- a/internal/claims/decision.go
+++ b/internal/claims/decision.go
@@ -7,7 +7,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/verdict"
 )
 
-// Reasons why a request is not run under a claim.
+// Reasons why a request is not run under its claim.
 var (
 	// ErrUnreachable: no controller granted or refused the claim in time.
 	ErrUnreachable = errors.New("the claim could not be made in time")
@@ -23,7 +23,7 @@
 	ErrConflict = errors.New("the idempotency key was used with another body")
 )
 
-// Values of Retry-After for callers.
+// Values of Retry-After for callers whose request is not run.
 const (
 	retryAfterUnreachable = 2 * time.Second
 	retryAfterRunning     = time.Second
@@ -32,7 +32,7 @@
 
 // Decision is the result of a BeginOperation. Exactly one of Run, Replay and Reason is set.
 type Decision struct {
-	// Run reports that this attempt, and no other, runs the request now.
+	// Run is true if this attempt, and no other, runs the request now.
 	Run bool
 	// Replay is the recorded outcome of an earlier attempt.
 	Replay *Outcome
@@ -49,7 +49,7 @@
 	Status      int
 	ContentType string
 	Body        []byte
-	// BodyOmitted reports that the body was larger than MaximumOutcomeBytes.
+	// BodyOmitted is true if the body was larger than MaximumOutcomeBytes.
 	BodyOmitted bool
 }
 
--- a/internal/claims/step.go
+++ b/internal/claims/step.go
@@ -9,7 +9,7 @@
 	Timeout time.Duration
 	// Wait is the time until which to pause.
 	Wait time.Duration
-	// Done reports that no step is left.
+	// Done is true if no step is left.
 	Done bool
 }
 
@@ -17,8 +17,8 @@
 type Failure struct {
 	// Leader is the address of the leader if the controller named it.
 	Leader string
-	// OverCapacity reports that the controllers accept no more claims for now.
+	// OverCapacity is true if the controllers accept no more claims for now.
 	OverCapacity bool
-	// Permanent reports that the controllers refused the call and would refuse it again.
+	// Permanent is true if the controllers refused the call and would refuse it again.
 	Permanent bool
 }
--- a/internal/crashguard/bounded_map.go
+++ b/internal/crashguard/bounded_map.go
@@ -6,10 +6,10 @@
 	"github.com/hazelpitch/hazelpitch/internal/quarantine"
 )
 
-// boundedMap maps requests to values and evicts the oldest entries beyond a limit.
+// boundedMap maps the signatures of requests to values and evicts the oldest entries beyond a limit.
 type boundedMap[Value any] struct {
 	values map[quarantine.Signature]Value
-	// order holds the requests in the order in which they were first set.
+	// order holds the signatures in the order in which they were first set.
 	order []quarantine.Signature
 	limit int
 }
@@ -23,7 +23,7 @@
 	return value, known
 }
 
-// set sets the value of a request. Beyond the limit the oldest request is evicted.
+// set sets the value of a request. If the map is then larger than its limit, the oldest request is evicted.
 func (m *boundedMap[Value]) set(signature quarantine.Signature, value Value) {
 	if _, known := m.values[signature]; !known {
 		m.order = append(m.order, signature)
--- a/internal/crashguard/guard.go
+++ b/internal/crashguard/guard.go
@@ -53,14 +53,14 @@
 	probeTimeout = 300 * time.Millisecond
 	// probeCacheTime is how long a back end that was found serving is not probed again.
 	probeCacheTime = 200 * time.Millisecond
-	// brokenRunRetention is how long a broken run is stored. The crash of its back end may be detected later than the broken
-	// connection.
+	// brokenRunRetention is how long a broken run, a run whose connection broke, is stored. The crash of its back end
+	// may be detected later than the broken connection.
 	brokenRunRetention = 5 * time.Second
 	// localQuarantineTime is how long this node quarantines a request that no controller lists.
 	localQuarantineTime = time.Minute
 	// successRetention is how long a success proves that a request does not crash back ends.
 	successRetention = time.Minute
-	// maximumEntries limits the number of requests stored for each purpose.
+	// maximumEntries limits the number of requests in localQuarantine, in crashes and in successes.
 	maximumEntries = 1024
 )
 
@@ -74,8 +74,8 @@
 	// quarantined are the requests that the controllers list; the value reports whether a trial is due.
 	quarantined map[quarantine.Signature]bool
 	version     uint64
-	// unsupportedSince is when a controller without support for quarantine first answered since the list was received; it
-	// is valid while isUnsupported is set.
+	// unsupportedSince is when a controller without support for quarantine first answered after the last list of
+	// quarantined requests was received; it is valid while isUnsupported is set.
 	isUnsupported    bool
 	unsupportedSince time.Duration
 	// localQuarantine are the requests quarantined by this node, with the end of their quarantine.
@@ -84,7 +84,7 @@
 	crashes *boundedMap[map[uint64]bool]
 	// successes are the requests that have succeeded, with the time of the last success.
 	successes *boundedMap[time.Duration]
-	// replicas are the back ends with recently broken runs, by incarnation.
+	// replicas are the states of back ends with recently broken runs, by ID of the incarnation.
 	replicas map[string]*replicaState
 	// unreported are the crash reports, and unreleased the succeeded requests, that wait to be sent to the leader.
 	unreported []*report
@@ -164,7 +164,8 @@
 	return isLocal && g.options.Now() < until
 }
 
-// Admit decides whether a request may run. If a trial is due, it blocks on a call to the leader for up to trialTimeout.
+// Admit decides whether a request may run. If a trial of the request is due, it blocks on a call to the leader for up to
+// trialTimeout.
 func (g *Guard) Admit(ctx context.Context, signature quarantine.Signature) Admission {
 	g.mutex.Lock()
 	quarantined, due := g.isQuarantinedLocked(signature), g.quarantined[signature]
@@ -190,10 +191,12 @@
 	return Trial
 }
 
-// trialTimeout limits the wait for a trial. The trial is requested again after the controllers announce it again.
+// trialTimeout limits the wait for the leader to grant a trial. Afterwards the trial is requested again only once the
+// controllers announce it again.
 const trialTimeout = 500 * time.Millisecond
 
-// RecordSuccess records that a back end has completed a request.
+// RecordSuccess records that a back end has completed a request. If the request is quarantined, its quarantine ends here
+// and the leader is asked to end it everywhere.
 func (g *Guard) RecordSuccess(signature quarantine.Signature) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -208,7 +211,8 @@
 	g.wakeRun()
 }
 
-// hasRecentSuccess reports whether a request is known not to crash back ends.
+// hasRecentSuccess reports whether a request has succeeded within successRetention, which proves that it does not crash
+// back ends.
 func (g *Guard) hasRecentSuccess(signature quarantine.Signature) bool {
 	at, known := g.successes.get(signature)
 	return known && g.options.Now()-at < successRetention
--- a/internal/crashguard/replica_state.go
+++ b/internal/crashguard/replica_state.go
@@ -14,11 +14,11 @@
 type replicaState struct {
 	// brokenRuns are the broken runs that have not been reported, oldest first.
 	brokenRuns []brokenRun
-	// probeDone is closed when the current probe has ended; nil without one.
+	// probeDone is closed when the running probe has ended; nil if none is running.
 	probeDone chan struct{}
 	// servingAt is when the back end was last found serving after a broken run.
 	servingAt time.Duration
-	// crashed reports that the back end is known to have crashed, since crashedAt.
+	// crashed is true if the back end is known to have crashed, since crashedAt.
 	crashed   bool
 	crashedAt time.Duration
 }
@@ -92,7 +92,7 @@
 	return current
 }
 
-// probe checks whether a back end serves and reports its broken runs to the leader if it does not.
+// probe checks whether a back end serves. If nothing serves at its address, it reports the broken runs to the leader.
 func (g *Guard) probe(replica Replica, current *replicaState) {
 	limited, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
@@ -126,7 +126,8 @@
 	g.markCrashed(replica, current)
 }
 
-// markCrashed marks a back end as crashed and reports its broken runs. The mutex must be held.
+// markCrashed marks a back end as crashed and reports its broken runs. The returned channel is closed once the report is
+// done; it is nil if there is nothing to report. The mutex must be held.
 func (g *Guard) markCrashed(replica string, current *replicaState) <-chan struct{} {
 	current.crashed, current.crashedAt = true, g.options.Now()
 	return g.reportBrokenRuns(replica, current)
@@ -158,7 +159,8 @@
 	return pending.done
 }
 
-// recordLocalCrash records a crash at this node, so that the request is quarantined even while no controller answers.
+// recordLocalCrash records that a replica crashed while it ran a request, so that this node quarantines the request even
+// while no controller answers.
 func (g *Guard) recordLocalCrash(signature quarantine.Signature, replica uint64, now time.Duration) {
 	crashed, known := g.crashes.get(signature)
 	if !known {
@@ -180,7 +182,8 @@
 	}
 }
 
-// lastUpdate returns the time of the last event of the back end.
+// lastUpdate returns the time of the last of these events of the back end: a broken run that is not reported yet, a
+// probe that found it serving, or the crash; 0 if there was none.
 func (s *replicaState) lastUpdate() time.Duration {
 	last := max(s.servingAt, s.crashedAt)
 	if len(s.brokenRuns) > 0 {
--- a/internal/crashguard/report.go
+++ b/internal/crashguard/report.go
@@ -12,8 +12,8 @@
 const (
 	// reportTimeout limits one call to the leader, which is then retried.
 	reportTimeout = 600 * time.Millisecond
-	// reportPause is the wait before a call is retried. It doubles up to maximumReportPause, since the leader's version may
-	// not support the call.
+	// reportPause is the wait before a failed call to the leader is retried. It doubles up to maximumReportPause, since
+	// the leader's version may not support the call.
 	reportPause        = 100 * time.Millisecond
 	maximumReportPause = 2 * time.Second
 	// maximumUnreported limits the pending reports of back-end crashes.
@@ -41,7 +41,7 @@
 	}
 }
 
-// flush sends everything that is pending. It reports whether all calls succeeded.
+// flush sends all pending reports of crashes and of successes to the leader. It reports whether all calls succeeded.
 func (g *Guard) flush(ctx context.Context) bool {
 	g.mutex.Lock()
 	reports, released := g.unreported, g.unreleased
@@ -51,7 +51,7 @@
 	return g.sendReleases(ctx, released) && sent
 }
 
-// sendReports reports crashed back ends, all in one call; false if the call must be retried.
+// sendReports reports crashed back ends to the leader, all in one call; false if the call must be retried.
 func (g *Guard) sendReports(ctx context.Context, reports []*report) bool {
 	if len(reports) == 0 {
 		return true
@@ -91,7 +91,7 @@
 	}
 }
 
-// sendReleases reports requests that have succeeded; false if a call must be retried.
+// sendReleases reports quarantined requests that have succeeded to the leader; false if a call must be retried.
 func (g *Guard) sendReleases(ctx context.Context, released []quarantine.Signature) bool {
 	for index, signature := range released {
 		limited, cancel := context.WithTimeout(ctx, reportTimeout)
--- a/internal/keys/bearer.go
+++ b/internal/keys/bearer.go
@@ -11,7 +11,7 @@
 const (
 	// bearerPrefix lets people and secret scanners recognize a key.
 	bearerPrefix = "hzp_"
-	// bearerBytes is the entropy of a key in bytes.
+	// bearerBytes is the number of random bytes in a key.
 	bearerBytes = 32
 )
 
--- a/internal/keys/credentials.go
+++ b/internal/keys/credentials.go
@@ -41,7 +41,7 @@
 	loaded material
 }
 
-// material is the parsed content of the files.
+// material is the parsed content of the credential files.
 type material struct {
 	pool        *x509.CertPool
 	certificate *tls.Certificate
@@ -107,7 +107,7 @@
 	changed, err := c.readFiles()
 	if err != nil {
 		// The files may be partly replaced: the stamps remain unchanged so that the next
-		// handshake retries.
+		// handshake loads the files again.
 		c.options.OnReloadError(err)
 		return c.loaded
 	}
--- a/internal/keys/handler.go
+++ b/internal/keys/handler.go
@@ -9,9 +9,9 @@
 )
 
 // RequireRole passes requests to a connect handler only from peers whose certificate has one
-// of the roles, and answers others with the reason. The handshake has already verified the
-// certificate. Requests on connections without TLS pass, since the settings file decides
-// whether the fleet uses TLS.
+// of the roles, and answers others with the reason for the refusal. The handshake has already
+// verified the certificate. Requests on connections without TLS pass, since the settings file
+// decides whether the fleet uses TLS.
 func RequireRole(next http.Handler, fleet string, roles ...Role) http.Handler {
 	errorWriter := connect.NewErrorWriter()
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
--- a/internal/keys/identity.go
+++ b/internal/keys/identity.go
@@ -35,7 +35,7 @@
 	Name  string
 }
 
-// String returns the URI.
+// String returns the URI that encodes the identity.
 func (i Identity) String() string {
 	return identityScheme + "://" + i.Fleet + "/" + string(i.Role) + "/" + i.Name
 }
--- a/internal/keys/peer.go
+++ b/internal/keys/peer.go
@@ -32,7 +32,7 @@
 	Detail string
 }
 
-// Error returns peer, reason and detail.
+// Error returns the peer, the reason and the detail.
 func (e *PeerError) Error() string {
 	peer := "peer"
 	if e.Peer != (Identity{}) {
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("%s refused: %s: %s", peer, e.Refusal, e.Detail)
 }
 
-// verifyCertificate verifies chain and validity period and returns the identity.
+// verifyCertificate verifies a certificate's chain and validity period and returns the identity in it.
 func verifyCertificate(certificate *x509.Certificate, intermediates *x509.CertPool, pool *x509.CertPool, now time.Time) (Identity, error) {
 	if now.Before(certificate.NotBefore) || now.After(certificate.NotAfter) {
 		identity, _ := IdentityOf(certificate)
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -54,7 +54,7 @@
 // Description describes a mechanism.
 type Description struct {
 	Name Mechanism
-	// Package is the package that implements it.
+	// Package is the name of the package that implements the mechanism.
 	Package string
 	Meaning string
 }
--- a/internal/nearest/nearest.go
+++ b/internal/nearest/nearest.go
@@ -8,7 +8,7 @@
 const maxDistance = 3
 
 // Word returns the candidate with the smallest edit distance to the given word, the first one of equals. It returns
-// false if no candidate is close enough.
+// false if every candidate is more than maxDistance edits away, or as many as the longer of both words has letters.
 func Word(word string, candidates []string) (string, bool) {
 	best, bestDistance := "", maxDistance+1
 	for _, candidate := range candidates {
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -15,7 +15,7 @@
 	maximumSuspects = 4096
 	// MaximumQuarantined limits the quarantined requests, since the list is sent to every relay.
 	MaximumQuarantined = 1024
-	// maximumReplicas limits the replicas stored per request.
+	// maximumReplicas limits the crashed replicas stored per request.
 	maximumReplicas = 16
 )
 
@@ -79,8 +79,8 @@
 	l.enforceBounds()
 }
 
-// GrantTrial grants one more run of a quarantined request. It returns false if the request is not
-// quarantined or if another trial has been granted in the meantime.
+// GrantTrial grants one more run of a quarantined request. grantedBefore is the number of trials that the caller knows
+// of. It returns false if the request is not quarantined or if another trial has been granted in the meantime.
 func (l *Ledger) GrantTrial(signature Signature, grantedBefore uint32) bool {
 	suspect := l.bySignature[signature]
 	if suspect == nil || !suspect.IsQuarantined() || suspect.Trials != grantedBefore {
@@ -91,7 +91,7 @@
 	return true
 }
 
-// Release deletes a request.
+// Release deletes a request from the ledger, which ends its quarantine.
 func (l *Ledger) Release(signature Signature) {
 	suspect := l.bySignature[signature]
 	if suspect == nil {
@@ -125,7 +125,7 @@
 	}
 }
 
-// removeOldest removes the oldest request that is, or is not, quarantined.
+// removeOldest removes the oldest request that is quarantined, or the oldest that is not.
 func (l *Ledger) removeOldest(quarantined bool) {
 	for _, suspect := range l.suspects {
 		if suspect.IsQuarantined() == quarantined {
--- a/internal/quarantine/trial_scheduler.go
+++ b/internal/quarantine/trial_scheduler.go
@@ -14,8 +14,8 @@
 	quarantineRetention = 24 * time.Hour
 )
 
-// TrialScheduler records on the leader since when each request of the ledger has been unchanged. Times are durations since an
-// origin and must not decrease. A new leader starts without observations, so all waits begin again.
+// TrialScheduler records on the leader since when the entry of each request in the ledger has been unchanged. Times are
+// durations since an origin and must not decrease. A new leader starts without observations, so all waits begin again.
 type TrialScheduler struct {
 	observations map[Signature]observation
 	// ledger and version identify the state that was observed last.
@@ -35,7 +35,7 @@
 	return &TrialScheduler{observations: map[Signature]observation{}}
 }
 
-// Observe records the state of the ledger.
+// Observe records which entries of the ledger have changed since the last call.
 func (s *TrialScheduler) Observe(now time.Duration, ledger *Ledger) {
 	if s.ledger == ledger && s.version == ledger.Version() && len(s.observations) == len(ledger.Suspects()) {
 		return
@@ -52,7 +52,7 @@
 	s.observations = observations
 }
 
-// TrialDue reports whether a quarantined request may be tried again.
+// TrialDue reports whether a quarantined request has waited long enough for its next trial.
 func (s *TrialScheduler) TrialDue(now time.Duration, suspect *Suspect) bool {
 	observed, known := s.observations[suspect.Signature]
 	return known && suspect.IsQuarantined() && now-observed.since >= waitAfter(suspect.Trials)
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -13,8 +13,8 @@
 	maximumWindowsAhead = 64
 	// maximumUnsettled limits the closed windows that have not been settled. Beyond it the oldest are dropped.
 	maximumUnsettled = 64
-	// relayRetention is the number of windows for which an inactive relay is stored. Reports are retried for a
-	// shorter time.
+	// relayRetention is the number of windows after its last report for which a relay's state is stored. Relays retry
+	// reports for a shorter time.
 	relayRetention = 64
 )
 
@@ -40,7 +40,7 @@
 type relayState struct {
 	// sequence is the number of its last recorded report.
 	sequence uint64
-	// lastReportWindow is the first window that was open at that time.
+	// lastReportWindow is the first window that was open when that report was recorded.
 	lastReportWindow Window
 }
 
@@ -52,8 +52,8 @@
 // NextOpenWindow returns the first open window; 0 before the first closing.
 func (l *Ledger) NextOpenWindow() Window { return l.next }
 
-// UnsettledWindows returns the closed windows that have not been settled, oldest first. The caller must not
-// modify them.
+// UnsettledWindows returns the closed windows whose counts have not been delivered and settled, oldest first. The caller
+// must not modify them.
 func (l *Ledger) UnsettledWindows() []ClosedWindow { return l.closed }
 
 // HasReport reports whether a relay's report has already been recorded.
@@ -82,8 +82,8 @@
 	}
 }
 
-// CloseThrough fixes the counts of all open windows up to the given one. The very first closing only sets
-// where the windows begin.
+// CloseThrough fixes the counts of all open windows up to and including the given one. The very first closing only sets
+// which window is the first open one.
 func (l *Ledger) CloseThrough(through Window) {
 	if through < l.next {
 		return
--- a/internal/usage/record.go
+++ b/internal/usage/record.go
@@ -7,7 +7,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// Snapshot returns the ledger as a record, nil before the first closing and report. Equal ledgers
+// Snapshot returns the ledger as a record, nil before the first closing and the first report. Equal ledgers
 // return equal records.
 func (l *Ledger) Snapshot() *v1.UsageLedger {
 	if l.next == 0 && len(l.relays) == 0 {
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -22,7 +22,7 @@
 // named now are durations since an origin and must not decrease.
 type Reporter struct {
 	config Config
-	// proposed is the last window whose closing was proposed, at proposedAt.
+	// proposed is the last window up to which a closing was proposed, at proposedAt.
 	proposed   Window
 	proposedAt time.Duration
 	// delivered are the windows that the platform has received and that are not settled yet.
@@ -34,7 +34,7 @@
 	return &Reporter{config: config, delivered: map[Window]bool{}}
 }
 
-// NextClosing returns the window up to which a closing must be proposed now; false if none is due.
+// NextClosing returns the window up to which a closing must be proposed now; due is false if no closing must be.
 func (r *Reporter) NextClosing(now time.Duration, trueTimeMs int64, ledger *Ledger) (through Window, due bool) {
 	if r.config.Window <= 0 {
 		return 0, false
@@ -51,7 +51,7 @@
 	return through, true
 }
 
-// NextReport returns the window to report next; false if there is none. Windows that are not yet
+// NextReport returns the closed window to report next; due is false if there is none. Windows that are not yet
 // overdue go first, oldest first, followed by the newest overdue one.
 func (r *Reporter) NextReport(trueTimeMs int64, ledger *Ledger) (closed ClosedWindow, due bool) {
 	var late ClosedWindow
--- a/internal/usagereport/meter.go
+++ b/internal/usagereport/meter.go
@@ -25,7 +25,7 @@
 type Meter struct {
 	// relay is the random identity of this incarnation of the relay.
 	relay uint64
-	// wake receives a value when there is something to report.
+	// wake receives a value when there are counts to report.
 	wake chan struct{}
 
 	mutex sync.Mutex
@@ -39,7 +39,7 @@
 	pendingReport *v1.UsageReport
 }
 
-// countKey is the key by which requests are counted.
+// countKey is what requests are counted by: the window in which they started and their tenant.
 type countKey struct {
 	window usage.Window
 	tenant string
@@ -87,7 +87,7 @@
 	maps.DeleteFunc(m.counts, func(key countKey, _ uint64) bool { return key.window == oldest })
 }
 
-// wakeReporter signals the Reporter that there is something to report.
+// wakeReporter signals the Reporter that there are counts to report.
 func (m *Meter) wakeReporter() {
 	select {
 	case m.wake <- struct{}{}:
@@ -95,8 +95,8 @@
 	}
 }
 
-// UpdateTime applies a message of the leader received at now: the true time, 0 if the leader does not know it, and the length
-// of the windows, 0 to disable usage reporting.
+// UpdateTime applies a message of the leader that was received at now. trueTimeMs is the true time, 0 if the leader does
+// not know it. window is the length of the windows, 0 to disable usage reporting.
 func (m *Meter) UpdateTime(now time.Duration, trueTimeMs int64, window time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -118,7 +118,8 @@
 	m.unplaced = nil
 }
 
-// NextReport returns the report to send: the last one until it is acknowledged, else a new one; nil if there are no counts.
+// NextReport returns the report to send: the last one until it is acknowledged, then a new one; nil if there is nothing
+// to report.
 func (m *Meter) NextReport() *v1.UsageReport {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/usagereport/reporter.go
+++ b/internal/usagereport/reporter.go
@@ -24,13 +24,13 @@
 // SendFunc sends a report to the leader. It returns nil once the leader has acknowledged the report.
 type SendFunc func(ctx context.Context, report *v1.UsageReport) error
 
-// Reporter sends the counts of a Meter to the leader.
+// Reporter sends the counts of a Meter to the leader of the controllers.
 type Reporter struct {
 	Meter *Meter
 	Send  SendFunc
 	// RelayCount returns the number of relays as far as known.
 	RelayCount func() int
-	// OnFailure is called for each report that must be sent again.
+	// OnFailure is called after each failed send of a report, which is then sent again.
 	OnFailure func()
 }
 
