--- a/internal/fleetlimit/harness_test.go
+++ b/internal/fleetlimit/harness_test.go
@@ -26,17 +26,18 @@
 	member  *Member
 	// limit is the back end's limit as the process knows it.
 	limit backpressure.Limit
-	// downUntil is the end of its last kill or freeze; disturbedAt is the time of its last kill, freeze or network cut.
+	// downUntil is the end of the process's last kill or freeze; disturbedAt is the time of its last kill, freeze or
+	// network cut.
 	downUntil, disturbedAt time.Duration
-	// group is its side of a network partition.
+	// group is the process's side of a network partition.
 	group int
-	// listAt is when it applies the newest list of processes.
+	// listAt is when the process applies the newest list of processes.
 	listAt time.Duration
 	// skippedUntil are the processes that did not answer, with the time until which they are skipped.
 	skippedUntil map[string]time.Duration
 	waitsUntil   time.Duration
 	listIsFresh  bool
-	// share is its bucket in fleets that divide the limit.
+	// share is the process's token bucket under a strategy that divides the limit.
 	share bucket
 }
 
@@ -111,7 +112,7 @@
 	return f.processes[index]
 }
 
-// reaches reports whether a message is delivered.
+// reaches reports whether a message from one process to another is delivered.
 func (f *testFleet) reaches(from, to *testProcess) bool {
 	return to != nil && f.now >= to.downUntil && from.group == to.group && f.random.Float64() >= f.loss
 }
--- a/internal/fleetlimit/ownership.go
+++ b/internal/fleetlimit/ownership.go
@@ -16,8 +16,8 @@
 )
 
 // Fractions of a limit that a process grants, depending on what it knows about its rank. Back ends tolerate one and a
-// half times their limit plus five requests. Two processes that grant at the same time never exceed that together: an
-// owner with a stale list and a new one, or a settled owner and a deputy that does not receive its notices.
+// half times their limit plus five requests. Two processes that grant at the same time never exceed that tolerance
+// together: an owner with a stale list and a new one, or a settled owner and a deputy that does not receive its notices.
 const (
 	// FullFraction is granted by a process that has ranked first for settlingTime, or that is the only possible owner.
 	FullFraction = 1.0
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// requireRefusal checks one side; "-" means a refusal by the TLS library.
+// requireRefusal checks the error of one side of a handshake; "-" means a refusal by the TLS library.
 func requireRefusal(t *testing.T, want Refusal, err error, otherSideAccepts bool) {
 	t.Helper()
 	var refused *PeerError
--- a/internal/limits/core.go
+++ b/internal/limits/core.go
@@ -12,7 +12,7 @@
 const (
 	minimumRetryAfter = time.Second
 	maximumRetryAfter = 30 * time.Second
-	// evictionProbes limits the search for an idle tenant to evict.
+	// evictionProbes is the largest number of tenants examined in the search for an idle tenant to evict.
 	evictionProbes = 16
 )
 
--- a/internal/placement/decide_test.go
+++ b/internal/placement/decide_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// A request that would wait long for a slot at every engine is refused, unless its rank is admitted before those
-// that wait.
+// A request that would wait long for a slot at every engine is refused, unless its rank is 0, which is admitted before
+// all others.
 func TestRequestsAreRefusedWhenSlotsAreTaken(t *testing.T) {
 	for name, row := range map[string]struct {
 		streams      [2]int
--- a/internal/placement/rank_test.go
+++ b/internal/placement/rank_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// For any number of priority levels, no prefill of a level goes after one of the next level, and all ranks are
-// below RankCount.
+// For any number of priority levels, every prefill of a level goes before those of the next level or shares a rank with
+// them, and all ranks are below RankCount.
 func TestRanksPreservePriorityLevels(t *testing.T) {
 	policy := DefaultParameters()
 	for levels := 1; levels <= 40; levels++ {
--- a/internal/placement/reservations_test.go
+++ b/internal/placement/reservations_test.go
@@ -29,7 +29,7 @@
 	require.Zero(t, reserved.ReservedWork(5))
 }
 
-// A query that is received twice reserves only once.
+// A query that is received twice reserves its work only once.
 func TestRepeatedQueryReplacesReservation(t *testing.T) {
 	reserved := NewReservations()
 	query := QueryID{Relay: 1, Number: 1}
--- a/internal/planner/model.go
+++ b/internal/planner/model.go
@@ -55,7 +55,7 @@
 	mixed   float64
 }
 
-// usageOf derives engine-seconds from the token times of full batches.
+// usageOf returns the engine-seconds of one request of a kind, from the token times of full batches.
 func (m Model) usageOf(kind KindDemand) usage {
 	p := m.profile
 	step := seconds(p.StepBase)
--- a/internal/replicaplan/plan_test.go
+++ b/internal/replicaplan/plan_test.go
@@ -68,7 +68,7 @@
 	return listed
 }
 
-// order receives a call.
+// order receives an order and returns the outcome of the call.
 func (p *platform) order(order Order) duty.Outcome {
 	if order.Group.Spot && order.Desired > p.ready[order.Group]+len(p.booting[order.Group]) && p.now < p.shortageUntil {
 		return duty.Declined
@@ -225,7 +225,7 @@
 	require.Empty(t, leader.agreed.Counts)
 }
 
-// While a list fills gradually, the leader releases no replicas that it does not show yet.
+// While the list of replicas fills gradually, the leader releases no replicas that the list does not show yet.
 func TestAListThatFillsIsNotTakenForAll(t *testing.T) {
 	scaling := testScaling()
 	scaling.BootTime = 100 * time.Millisecond // other replicas serve before the list has filled
@@ -262,7 +262,7 @@
 	require.Equal(t, spots, restoredSpots)
 }
 
-// orderFaults are the possible faults of calls.
+// orderFaults are the possible faults of calls to the platform, by name.
 var orderFaults = map[string]func(platform *platform, random *rand.Rand){
 	"none": func(*platform, *rand.Rand) {},
 	"answers are lost": func(platform *platform, random *rand.Rand) {
--- a/internal/routing/candidate.go
+++ b/internal/routing/candidate.go
@@ -54,7 +54,7 @@
 // update applies a newer row of the directory. Later reports of the back end itself stay in effect.
 //
 // A row without an incarnation comes from a controller that has only the machine list; its state applies. A row
-// of an earlier incarnation is ignored, and later confirmations of the directory are ignored as well.
+// of an earlier incarnation is ignored, and so are confirmations of the directory until it has a newer row.
 func (c *Candidate) update(row BackEnd) {
 	if row.Incarnation == 0 {
 		row.Incarnation = c.Incarnation
@@ -82,8 +82,8 @@
 	c.confirm(row.ConfirmedAt)
 }
 
-// confirm records that the directory was unchanged at the given time. This ends a reported state after
-// minStateHold, but not leaving, which is final.
+// confirm records that the directory was unchanged at the given time. After minStateHold this ends a state that the back
+// end itself has reported, except leaving, which is final.
 func (c *Candidate) confirm(at time.Duration) {
 	if c.isOutdated {
 		return
--- a/internal/routing/limits_test.go
+++ b/internal/routing/limits_test.go
@@ -56,7 +56,7 @@
 	require.False(t, needed)
 }
 
-// A limit ends with its incarnation.
+// A back end's limit ends with the incarnation that set it.
 func TestALimitBelongsToOneIncarnation(t *testing.T) {
 	row := engine("m1", enginecontract.RoleMixed)
 	next := engine("m1", enginecontract.RoleMixed, func(b *BackEnd) { b.Incarnation = 2 })
--- a/internal/routing/load_estimate_test.go
+++ b/internal/routing/load_estimate_test.go
@@ -29,8 +29,8 @@
 	require.Equal(t, loadEstimate{requests: 6}, load())
 }
 
-// A gateway's own prompts count as prefilled from their first token on; those of other gateways are estimated from
-// them.
+// A gateway's own prompts count as prefilled from their first token on; the prefilled share of other gateways' prompts is
+// estimated from the gateway's own.
 func TestPrefillTokensAreEstimated(t *testing.T) {
 	router := newTestRouter(t, engine("m1", enginecontract.RoleMixed, withLoad(Load{Running: 4})))
 	m1 := router.candidates["m1"]
--- a/internal/routing/picker_sample.go
+++ b/internal/routing/picker_sample.go
@@ -37,7 +37,8 @@
 	return chosen
 }
 
-// sampleIndex returns the index at which the running sum of weights exceeds target.
+// sampleIndex returns the index at which the running sum of the weights exceeds target, a random part of their total.
+// lowest is the lowest cost.
 func sampleIndex(scored []ScoredCandidate, lowest time.Duration, target float64) int {
 	for i := range scored {
 		target -= sampleWeight(scored[i].Cost - lowest)
--- a/internal/routing/popularity.go
+++ b/internal/routing/popularity.go
@@ -6,8 +6,8 @@
 	popularityGrowth = 1.00017
 	// maxRequestWeight prevents overflow of the counts.
 	maxRequestWeight = 1e200
-	// popularFraction defines a popular block: one that occurs in more than one in popularFraction requests per
-	// back end. It is too popular for a single home.
+	// popularFraction defines a popular block: one that occurs in more than the fraction 1/popularFraction of the
+	// requests that each back end gets on average. It is too popular for a single home.
 	popularFraction = 4
 	// popularityPrior is the number of requests per back end that are needed before popularity is significant.
 	popularityPrior = 2
--- a/internal/routing/prefix_index.go
+++ b/internal/routing/prefix_index.go
@@ -98,8 +98,8 @@
 	return match
 }
 
-// setNode records that a node has a prefix of this many tokens, longer than any before. If there is no room, it
-// replaces the node with the shortest prefix.
+// setNode records that a node has a prefix of this many tokens, which is no shorter than those recorded before. If there
+// is no room, it replaces the node with the shortest prefix.
 func (m *prefixMatch) setNode(node uint64, tokens float64) {
 	if node == 0 {
 		return
@@ -121,8 +121,9 @@
 	m.nodes[slot], m.tokens[slot] = node, tokens
 }
 
-// homeKey returns the first block with at most limit uses. A more popular block should not be served by one back
-// end alone: a prefix that all prompts of a tenant share does not determine a back end.
+// homeKey returns the block that determines the home: the first one with at most limit uses, else the first one that is
+// not in the index, else the last one. A more popular block should not be served by one back end alone: a prefix that
+// all prompts of a tenant share does not determine a back end.
 func (m *prefixMatch) homeKey(blocks []uint64, limit float64) uint64 {
 	for i := range m.blockCount {
 		if m.uses[i] <= limit {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// spareSignals is how many former incarnations, beyond as many as there are back ends, may keep their signals before
-// a cleanup. The cost of a cleanup is proportional to the directory.
+// spareSignals is how many incarnations, beyond twice the number of back ends, may have stored signals before
+// dropSignals is called, the cost of which is proportional to the directory.
 const spareSignals = 64
 
 // dropSignals drops the expired signals of incarnations that have left the directory.
--- a/internal/serving/back_end.go
+++ b/internal/serving/back_end.go
@@ -32,7 +32,8 @@
 	Leaving bool
 	// Changing back ends get no new work while their stage changes.
 	Changing bool
-	// Spot back ends are cheaper, and the platform may take them away.
+	// Spot back ends are cheaper, and the platform may take them away. ColdRemaining is how much longer a back end is
+	// slow after its start.
 	Spot          bool
 	ColdRemaining time.Duration
 	Stage         Stage
--- a/internal/usagereport/true_time.go
+++ b/internal/usagereport/true_time.go
@@ -6,8 +6,8 @@
 // millisecond in that time.
 const offsetLifetime = 20 * time.Second
 
-// trueTime estimates the controllers' time. Their time messages are outdated by their network latency, so they are never ahead
-// of the true time: the message with the largest offset had the lowest latency.
+// trueTime estimates the controllers' time. The time messages of controllers are outdated by their network latency, so
+// they are never ahead of the true time: the message with the largest offset had the lowest latency.
 type trueTime struct {
 	offset    time.Duration
 	updatedAt time.Duration
