--- a/internal/admission/queueing.go
+++ b/internal/admission/queueing.go
@@ -51,7 +51,7 @@
 	c.rank(queue)
 }
 
-// dequeue removes a request from the queue. The caller must rank the tenant afterwards.
+// dequeue removes a request from the queue. The caller must call rank for its tenant afterwards.
 func (c *Core) dequeue(e *entry) {
 	queue := e.queue
 	c.unrank(queue)
--- a/internal/cell/division.go
+++ b/internal/cell/division.go
@@ -34,11 +34,11 @@
 type Cell struct {
 	// ID identifies the cell; it is the same at every relay.
 	ID uint64
-	// Zone is the zone of all its engines, or empty if zones share the cell.
+	// Zone is the zone of all engines in the cell, or empty if zones share the cell.
 	Zone string
-	// Members are the indexes of its engines in the list that was passed to Divide.
+	// Members are the indexes of the cell's engines in the list that was passed to Divide.
 	Members []int
-	// Open is the number of its engines that accept new work.
+	// Open is the number of the cell's engines that accept new work.
 	Open int
 }
 
@@ -83,8 +83,8 @@
 	return division
 }
 
-// zoneGroup returns the zone if it has enough engines for cells of its own, or else the group of all smaller
-// zones.
+// zoneGroup returns the zone if its count of engines suffices for cells of its own, or else the group that all smaller
+// zones share.
 func zoneGroup(zone string, count int) string {
 	if float64(count) >= minZoneShare*Size {
 		return zone
@@ -154,7 +154,7 @@
 	score float64
 }
 
-// scoreCells scores the cells that accept work for a key, the best first. If none accepts any, it scores all.
+// scoreCells scores the cells with engines that accept work for a key, the best first. If there are none, it scores all.
 func (d *Division) scoreCells(key uint64) []scoredCell {
 	scored := make([]scoredCell, 0, len(d.cells))
 	for index, cell := range d.cells {
--- a/internal/cell/health.go
+++ b/internal/cell/health.go
@@ -60,8 +60,8 @@
 	h.rtt += time.Duration(rttWeight * float64(took-h.rtt))
 }
 
-// RecordTimeout records that a relay has not answered in time. It reports whether the relay is skipped from now
-// on.
+// RecordTimeout records that a relay has not answered a placement query in time. It reports whether the relay is skipped
+// from now on.
 func (h *Health) RecordTimeout(now time.Duration, relay string) (skipped bool) {
 	state := h.relays[relay]
 	state.timeouts++
--- a/internal/limits/waiter.go
+++ b/internal/limits/waiter.go
@@ -22,7 +22,7 @@
 // chargedTokens returns the number of tokens that the request is charged.
 func (r *Request) chargedTokens() float64 { return float64(max(r.Tokens, 1)) }
 
-// Decision ends the wait of a request. Err is nil or a *Refusal.
+// Decision is the result of a request's wait. Err is nil if the request may start, or a *Refusal.
 type Decision struct {
 	ID     uint64
 	Charge Charge
--- a/internal/placement/parameters.go
+++ b/internal/placement/parameters.go
@@ -34,7 +34,7 @@
 	// StreamCost is the cost of each running stream at a decode engine.
 	StreamCost time.Duration
 	// StreamSlowdown is the relative increase in the cost of a prefill at a decode engine for each stream that
-	// it delays.
+	// the prefill delays.
 	StreamSlowdown float64
 	// DecodeChunk is how many prompt tokens a decode engine prefills in one step. DecodeStep is the
 	// approximate time of a step without prefill.
@@ -58,14 +58,14 @@
 	SpillShare float64
 	// MaxSlotDelayShare bounds how long a request may wait for a slot, as a multiple of its route's target.
 	MaxSlotDelayShare float64
-	// MinDelayScale and MaxDelayScale bound the factor on MaxPrefillDelayShare, which is larger for a prompt with
-	// more cached tokens than usual and smaller for one with fewer.
+	// MinDelayScale and MaxDelayScale bound the factor on MaxPrefillDelayShare, which is larger for a prompt of which a
+	// larger share than usual is cached and smaller for one with a smaller share.
 	MinDelayScale, MaxDelayScale float64
 	// RetryShare is the share of a refused client's remaining time after which it should retry at the latest.
 	// RetrySpread is the share of that latest time over which the retries of several clients are spread.
 	RetryShare, RetrySpread float64
 	// MinPendingTokens is the smallest number of tokens worth waiting for while the engine prefills them for
-	// another request. MaxPrefillWaits is how often one request waits.
+	// another request. MaxPrefillWaits is the largest number of such waits of one request.
 	MinPendingTokens, MaxPrefillWaits int
 	// ShortPrefill and LongPrefill divide the prompts of one priority, in tokens: short ones go first, since
 	// they should wait least and delay others least.
--- a/internal/placement/prefix_cache.go
+++ b/internal/placement/prefix_cache.go
@@ -23,7 +23,7 @@
 // cachedBlock is a prefix block that an engine was asked to prefill.
 type cachedBlock struct {
 	tokens int
-	// requestedAt is when the engine was asked to prefill it.
+	// requestedAt is when the engine was asked to prefill the block.
 	requestedAt time.Duration
 	// ready is true once the engine has prefilled the block and caches it for any request. No other request
 	// can use it before that: neither during the prefill, nor while it is held for the transfer to the
--- a/internal/placement/without.go
+++ b/internal/placement/without.go
@@ -7,7 +7,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/mechanism"
 )
 
-// unlimitedShare, as a multiple of a target, exceeds the lifetime of any request.
+// unlimitedShare, as a multiple of a route's target, is a time longer than any request may take.
 const unlimitedShare = 1e6
 
 // Without returns the parameters with the given mechanisms switched off.
