--- a/internal/cell/division.go
+++ b/internal/cell/division.go
@@ -30,15 +30,15 @@
 	Closed bool
 }
 
-// Cell is a group of engines for which one owner decides.
+// Cell is a group of engines for which one relay, the cell's owner, decides where requests run.
 type Cell struct {
 	// ID identifies the cell; it is the same at every relay.
 	ID uint64
-	// Zone is the zone of all its engines, or empty if zones share the cell.
+	// Zone is the zone of all engines in the cell, or empty if zones share the cell.
 	Zone string
-	// Members are the indexes of its engines in the list that was passed to Divide.
+	// Members are the indexes of the cell's engines in the list that was passed to Divide.
 	Members []int
-	// Open is the number of its engines that accept new work.
+	// Open is the number of the cell's engines that accept new work.
 	Open int
 }
 
@@ -83,8 +83,8 @@
 	return division
 }
 
-// zoneGroup returns the zone if it has enough engines for cells of its own, or else the group of all smaller
-// zones.
+// zoneGroup returns the zone if its count of engines suffices for cells of its own, or else the group that all smaller
+// zones share.
 func zoneGroup(zone string, count int) string {
 	if float64(count) >= minZoneShare*Size {
 		return zone
@@ -92,7 +92,7 @@
 	return ""
 }
 
-// cellCount returns the number of cells for a number of engines.
+// cellCount returns the number of cells into which a number of engines is divided, at least 1.
 func cellCount(engines int) int { return max(int(math.Round(float64(engines)/Size)), 1) }
 
 func sortedGroups(groups map[string]int) []string {
@@ -132,9 +132,9 @@
 
 // Homes returns the indexes of up to count cells that a prompt with the key should run in, the best first. Cells
 // are chosen by rendezvous hashing, weighted by their engines that accept work, so that the load follows the
-// engines and a change of one cell moves few prompts. If a zone is given, its cells go first: this is for prompts
-// with so little cached that the network latency matters more. The last home is then in another zone, so that a
-// zone that has lost its engines passes on its work.
+// engines and a change of one cell moves few prompts. If a zone is given and still serves this prompt itself (see
+// keepsLocal), its cells go first: this is for prompts with so little cached that the network latency matters more.
+// The last home is then in another zone, so that a zone that has lost its engines passes on its work.
 func (d *Division) Homes(key uint64, zone string, count int) []int {
 	scored := d.scoreCells(key)
 	if zone != "" && d.keepsLocal(key, zone) {
@@ -154,7 +154,7 @@
 	score float64
 }
 
-// scoreCells scores the cells that accept work for a key, the best first. If none accepts any, it scores all.
+// scoreCells scores the cells with engines that accept work for a key, the best first. If there are none, it scores all.
 func (d *Division) scoreCells(key uint64) []scoredCell {
 	scored := make([]scoredCell, 0, len(d.cells))
 	for index, cell := range d.cells {
--- a/internal/routing/picker_sample.go
+++ b/internal/routing/picker_sample.go
@@ -37,7 +37,8 @@
 	return chosen
 }
 
-// sampleIndex returns the index at which the running sum of weights exceeds target.
+// sampleIndex returns the index at which the running sum of the weights exceeds target, a random part of their total.
+// lowest is the lowest cost.
 func sampleIndex(scored []ScoredCandidate, lowest time.Duration, target float64) int {
 	for i := range scored {
 		target -= sampleWeight(scored[i].Cost - lowest)
@@ -48,7 +49,7 @@
 	return len(scored) - 1
 }
 
-// sampleWeight decreases with the cost above the lowest cost.
+// sampleWeight returns the weight of a candidate whose cost exceeds the lowest one by excess: the more, the smaller.
 func sampleWeight(excess time.Duration) float64 {
 	ratio := 1 + float64(excess)/float64(sampleCostScale)
 	return 1 / (ratio * ratio)
