--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -31,7 +31,7 @@
 	propagation propagationChecks
 	answers     answerChecks
 	leases      leaseChecks
-	claims      map[string]string // by key, the attempt that ran
+	claims      map[string]string // the attempt that ran, by claim key
 }
 
 func newChecks(w *world) *checks {
@@ -74,7 +74,7 @@
 	c.leases.afterStep(of)
 }
 
-// checkClaimRan checks that the request of a key runs at most once.
+// checkClaimRan checks that the request of a claim key runs at most once.
 func (c *checks) checkClaimRan(g *gateway, key, attempt string) {
 	c.world.trace.add(c.world.now, g.name, "runs %s as %s", key, attempt)
 	if earlier, ran := c.claims[key]; ran {
--- a/internal/simulation/checks_answers.go
+++ b/internal/simulation/checks_answers.go
@@ -4,7 +4,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// submissionKey identifies a submission.
+// submissionKey identifies a submission, which an operator may send several times.
 type submissionKey struct{ operator, request string }
 
 // firstAnswer is the first response to a submission.
@@ -14,7 +14,8 @@
 	number   uint64
 }
 
-// answerChecks verify the responses to operators.
+// answerChecks verify the responses to operators: a repeated submission or command gets the first response again, an
+// accepted submission is durable, and only one submission gets each change number and each revision.
 type answerChecks struct {
 	checks    *checks
 	durable   map[submissionKey]bool
@@ -22,7 +23,7 @@
 	messages  map[submissionKey]string // first responses to commands
 	winners   map[uint64]submissionKey
 	revisions map[uint64]submissionKey
-	// accepted counts the accepted changes; highest is the latest revision.
+	// accepted counts the accepted changes; highest is the highest revision that an accepted change got.
 	accepted int
 	highest  uint64
 }
@@ -34,14 +35,15 @@
 	}
 }
 
-// recordCommitted records a committed command.
+// recordCommitted records that the submission in a committed command is durable.
 func (a *answerChecks) recordCommitted(command *v1.Command) {
 	if declaration := command.GetApplyDeclaration(); declaration != nil {
 		a.durable[submissionKey{declaration.GetOperator(), declaration.GetRequestId()}] = true
 	}
 }
 
-// checkApplyAnswered checks the response to a submission.
+// checkApplyAnswered checks that a submission gets the same response each time, and that an accepted one is durable and
+// the only one with its number and revision.
 func (c *checks) checkApplyAnswered(sent *submission, response *v1.ApplyResponse) {
 	c.world.trace.add(c.world.now, sent.operator, "%s is %s at revision %d, number %d", sent.request.GetRequestId(),
 		response.GetOutcome(), response.GetRevision(), response.GetChangeNumber())
@@ -56,7 +58,7 @@
 	}
 }
 
-// checkCommandAnswered checks the response to an executed command.
+// checkCommandAnswered checks that an executed command gets the same response each time.
 func (c *checks) checkCommandAnswered(by *operatorClient, request *v1.ExecuteRequest, response *v1.ExecuteResponse) {
 	c.world.trace.add(c.world.now, by.name, "%s: %s", request.GetRequestId(), response.GetMessage())
 	key := submissionKey{by.name, request.GetRequestId()}
@@ -66,7 +68,8 @@
 	c.answers.messages[key] = response.GetMessage()
 }
 
-// checkAccepted checks that an accepted submission is committed and that no other one has its number or revision.
+// checkAccepted checks that an accepted submission is committed and that no other submission has its change number or
+// revision.
 func (a *answerChecks) checkAccepted(key submissionKey, response *v1.ApplyResponse) {
 	if !a.durable[key] {
 		a.checks.fail("accepted is durable", "%s was accepted and is not committed", key.request)
--- a/internal/simulation/checks_leases.go
+++ b/internal/simulation/checks_leases.go
@@ -18,9 +18,9 @@
 type isolation struct {
 	since    time.Duration
 	lastStep time.Duration
-	// generation is the generation of the process.
+	// generation is the host's generation when the isolation began: a restart of the process begins another isolation.
 	generation int
-	// term is the controller's term when the bound passed; boundPassed reports that it has.
+	// boundPassed is true once isolationBound has passed; term is the controller's term at that time.
 	term        uint64
 	boundPassed bool
 }
--- a/internal/simulation/checks_log.go
+++ b/internal/simulation/checks_log.go
@@ -21,7 +21,7 @@
 // quorum, and that only members that have caught up become voters.
 type logChecks struct {
 	checks *checks
-	// leaders holds the leader of each term, votes the recipient of each vote.
+	// leaders holds the leader of each term; votes holds the candidate for which each ballot was cast.
 	leaders map[uint64]string
 	votes   map[ballot]string
 	// written holds the content hash of every entry that was written to any log.
@@ -29,12 +29,12 @@
 	// committed holds the mark of every entry that any controller has applied.
 	committed map[uint64]entryMark
 	highest   uint64
-	// synced holds what each disk has acknowledged, including lost disks.
+	// synced holds, by disk, the log that the disk has acknowledged as synced. Lost disks stay in it.
 	synced map[string]*shadowLog
 	// hardStates holds the last hard state that each disk has acknowledged.
 	hardStates map[string]*v1.HardState
-	// led is the last term in which each disk's controller led; digests holds the digest of the state at each applied
-	// index.
+	// led holds, by disk, the last term in which the controller on that disk led; digests holds the digest of the
+	// replicated state at each applied index.
 	led     map[string]uint64
 	digests map[uint64]stateDigest
 }
@@ -126,7 +126,7 @@
 	c.shadow.apply(batch)
 }
 
-// afterStep compares the entries and the state that a core has applied with those of the other cores.
+// afterStep compares the entries and the state that a core has applied with those of the other controllers' cores.
 func (l *logChecks) afterStep(c *controller, status consensus.Status) {
 	for index := c.shadow.checked + 1; index <= status.Applied; index++ {
 		l.checkApplied(c, index)
--- a/internal/simulation/checks_orders.go
+++ b/internal/simulation/checks_orders.go
@@ -14,18 +14,18 @@
 // orderChecks verify the orders to engines.
 type orderChecks struct {
 	checks *checks
-	// issued holds the committed orders, unended the order of each engine that no later entry has ended.
+	// issued holds the committed orders; unended holds, by engine, the committed order that has not ended yet.
 	issued  map[engineFence]bool
 	unended map[string]enginecontract.Fence
-	// overlapping holds the orders that were committed before an earlier one had ended: they must not be sent. ended
-	// holds the outcomes of ended orders.
+	// overlapping maps each order that was committed before an earlier order to the same engine had ended to that earlier
+	// order; such an order must not be sent. ended holds the outcomes of ended orders.
 	overlapping map[engineFence]enginecontract.Fence
 	ended       map[engineFence]v1.OrderOutcome
 	// acceptedOrders holds the orders that engines have accepted.
 	acceptedOrders map[engineFence]enginecontract.Order
 	// epochs holds the highest epoch that each engine has accepted.
 	epochs map[string]uint64
-	// acceptedCount counts the orders that took effect.
+	// acceptedCount counts the orders that engines accepted, without resends of an engine's current order.
 	acceptedCount int
 }
 
@@ -66,7 +66,8 @@
 	o.ended[engineFence{engine, fence}] = outcome
 }
 
-// checkOrderSent checks that an order is committed before it is sent, and that no earlier order is unended.
+// checkOrderSent checks that an order is committed before it is sent, and that every earlier order to the engine had
+// ended when it was committed.
 func (c *checks) checkOrderSent(from *controller, order enginecontract.Order, engine string) {
 	if order.Action != enginecontract.ActionAbort && !c.orders.issued[engineFence{engine, order.Fence}] {
 		c.fail("committed before sent", "%s sends order %v to %s, which is not committed", from.name, order.Fence, engine)
--- a/internal/simulation/checks_propagation.go
+++ b/internal/simulation/checks_propagation.go
@@ -7,9 +7,9 @@
 // propagationChecks verify how the configuration reaches controllers and gateways.
 type propagationChecks struct {
 	checks *checks
-	// worths holds the worth of the registration kind at each revision.
+	// worths holds, by revision, the worth of the request kind that registrationObject declares.
 	worths map[uint64]float64
-	// gateways and controllers hold the highest revision that each process has reached.
+	// gateways and controllers hold, by name, the highest revision that each process has reached.
 	gateways    map[string]uint64
 	controllers map[string]uint64
 }
@@ -37,11 +37,13 @@
 	s.worths[revision] = worth
 }
 
-// forgetController drops the revision of a controller whose process restarts, since it begins at its snapshot.
+// forgetController drops the revision recorded for a controller whose process restarts, since the restarted process
+// begins at the revision of its snapshot.
 func (s *propagationChecks) forgetController(c *controller) { delete(s.controllers, c.name) }
 
-// checkGatewaySynced checks that a gateway's revision never reverts, also over restarts, and that the gateway applies
-// what was accepted as its revision. A gateway without any configuration serves no requests and is left out.
+// checkGatewaySynced checks that a gateway's revision never reverts, also over restarts, and that the configuration that
+// the gateway applies is the one that controllers accepted as this revision. A gateway without any configuration serves no
+// requests and is left out.
 func (c *checks) checkGatewaySynced(g *gateway) {
 	revision := g.state.Revision()
 	if revision == 0 {
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -55,11 +55,12 @@
 	unsaved  []control.Persist
 	nextCall control.CallID
 	calls    map[control.CallID]func(proto.Message, error)
-	// isStalled reports that the outputs of the next step are held back until the end of a pause.
+	// isStalled is true while the outputs of a step are held back until the end of a pause.
 	isStalled bool
-	// stallsBeforeOrder reports that the next step that sends an order stalls.
+	// stallsBeforeOrder is true if the next step that sends an order is to stall.
 	stallsBeforeOrder bool
-	// quorumChecked and digestAt are the last log indexes that checks have covered.
+	// quorumChecked is the last index whose durability on a quorum was checked, digestAt the last applied index at which
+	// the state was compared with those of other controllers.
 	quorumChecked uint64
 	digestAt      uint64
 	membership    *v1.Membership
--- a/internal/simulation/controller_build.go
+++ b/internal/simulation/controller_build.go
@@ -17,7 +17,7 @@
 	translator *formerbuild.Translator
 }
 
-// mixesBuilds reports whether this run replaces controllers by ones of the other build.
+// mixesBuilds reports whether this run replaces controllers by controllers of the other build.
 func (w *world) mixesBuilds() bool { return slices.Contains(w.options.Emphasis, FaultReplaceBuild) }
 
 // readRestored returns the content of the disk as the controller's build reads it.
--- a/internal/simulation/declaration.go
+++ b/internal/simulation/declaration.go
@@ -57,13 +57,13 @@
 	return object
 }
 
-// registrationObject returns the kind that runs at most once; each declaration gives it another worth.
+// registrationObject returns the request kind that runs at most once, with the given worth.
 func registrationObject(worth float64) *v1.Object {
 	return withKey(v1.ObjectType_OBJECT_TYPE_KIND, registrationKind, &v1.Object{Spec: &v1.Object_Kind{Kind: &v1.Kind{
 		Worth: worth, DeadlineMs: 5000, Service: pageService, Path: "/registration"}}})
 }
 
-// tenantObject returns a tenant whose weight is the value that operators write.
+// tenantObject returns a tenant with the given weight, the value that operators change.
 func tenantObject(name string, weight uint32) *v1.Object {
 	return withKey(v1.ObjectType_OBJECT_TYPE_TENANT, name, &v1.Object{Spec: &v1.Object_Tenant{Tenant: &v1.Tenant{Weight: weight}}})
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -85,7 +85,7 @@
 type faults struct {
 	world   *world
 	weights map[FaultKind]float64
-	// activeEnds holds the functions that end the faults under way, by number.
+	// activeEnds holds the functions that end the faults under way, by the fault's number.
 	activeEnds map[int]func()
 	begun      int
 	isOver     bool
@@ -93,7 +93,7 @@
 	counts map[FaultKind]int
 }
 
-// newFaults draws a weight for each kind, so that each run has different kinds often.
+// newFaults draws a weight for each kind, so that the kinds that occur often differ from run to run.
 func newFaults(w *world) *faults {
 	f := &faults{world: w, weights: map[FaultKind]float64{}, activeEnds: map[int]func(){}, counts: map[FaultKind]int{}}
 	for _, kind := range faultKinds {
@@ -111,7 +111,7 @@
 	f.world.after(f.world.drawDuration(longestGap), f.beginNext)
 }
 
-// beginNext begins one fault and schedules the one after it.
+// beginNext begins one fault and schedules the next one.
 func (f *faults) beginNext() {
 	if f.isOver {
 		return
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -31,8 +31,8 @@
 	incarnation uint64
 	state       *gatewaystate.State
 	router      *routing.Router
-	// syncTarget is the index of the controller that receives the next Sync; leader is the address of the last one that
-	// was named as leader.
+	// syncTarget is the index of the controller that receives the next Sync; leader is the address of the controller that
+	// was last named as the leader, empty if unknown.
 	syncTarget int
 	leader     string
 	// exchanges numbers the requests sent.
@@ -66,7 +66,7 @@
 // simulator only.
 const SafeguardConfirmation safeguard.Safeguard = "confirmation"
 
-// filters returns the filters of the router; nil selects the standard ones.
+// filters returns the filters by which the router selects back ends; nil selects the router's standard filters.
 func (g *gateway) filters() []routing.Filter {
 	if g.world.safeguards.IsEnabled(SafeguardConfirmation) {
 		return nil
@@ -122,7 +122,7 @@
 	return !result.Behind
 }
 
-// leaderOrAny returns the leader as far as the gateway knows it, otherwise a drawn controller.
+// leaderOrAny returns the controller that was last named as the leader, or a drawn controller if none is known.
 func (g *gateway) leaderOrAny() *controller {
 	if leader := g.world.controllerAt(g.leader); leader != nil {
 		return leader
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -9,7 +9,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// unusedWeight is a weight that no operator writes, so that a plan with it shows the weight that is applied.
+// unusedWeight is a weight that no operator writes: a plan to change to it always shows the weight that is applied.
 const unusedWeight = 999
 
 // operation is one command of an operator: a write of a tenant's weight or, with
@@ -28,12 +28,12 @@
 
 // operationResult is the response to a command.
 type operationResult struct {
-	// isLost reports that no response came: a write may have been applied at any time.
+	// isLost is true if no response came: a write may have been applied at any time.
 	isLost   bool
 	outcome  v1.ApplyOutcome
 	revision uint64
 	number   uint64
-	// weight is the weight that a read returned; zero for none.
+	// weight is the weight that a read returned; zero if it returned none.
 	weight uint32
 }
 
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -20,7 +20,7 @@
 	return h.guardGeneration(h.generation, do)
 }
 
-// guardGeneration is guard for the process of a given generation.
+// guardGeneration wraps an event like guard, but for the process of the given generation.
 func (h *host) guardGeneration(generation int, do func()) func() {
 	return func() {
 		if generation != h.generation {
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -8,7 +8,7 @@
 // network delivers messages; it loses, delays, duplicates and reorders them, and can cut links.
 type network struct {
 	world *world
-	// cuts counts, by link, the faults that drop all its messages.
+	// cuts counts, by link, the faults under way that drop all messages of the link.
 	cuts map[link]int
 	// loss, duplication and slowness are the shares of messages that are lost, duplicated and delayed.
 	loss        float64
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -30,7 +30,7 @@
 	operator string
 	request  *v1.ApplyRequest
 	objects  []*v1.Object
-	// operation is its entry in the linearizability check; nil for the first declaration.
+	// operation is the submission's entry in the linearizability check; nil for the first declaration.
 	operation *operation
 }
 
@@ -124,7 +124,7 @@
 	})
 }
 
-// read reads the weight of a tenant: a plan returns the difference to another value.
+// read reads the weight of a tenant: it plans a change to unusedWeight, and the plan shows the applied weight.
 func (o *operatorClient) read() {
 	tenant := tenantName(o.world.random.IntN(tenants))
 	call := o.world.history.begin(o.number, o.world.now, tenant, 0, 0)
@@ -138,7 +138,7 @@
 	})
 }
 
-// callController calls the leader as far as the operator knows it, otherwise a drawn controller.
+// callController calls the leader if the operator knows it, otherwise a drawn controller.
 func (o *operatorClient) callController(input func(control.CallID) control.Input, done func(controllerAnswer, bool)) {
 	target := o.world.controllerAt(o.leader)
 	if target == nil {
--- a/internal/simulation/platform.go
+++ b/internal/simulation/platform.go
@@ -41,7 +41,7 @@
 	p.versions = append(p.versions, listVersion{at: p.world.now, list: list})
 }
 
-// currentList returns the list as it was one lag ago.
+// currentList returns the list as it was p.lag ago.
 func (p *platform) currentList() enginecontract.MachineList {
 	list := p.versions[0].list
 	for _, version := range p.versions {
--- a/internal/simulation/run_test.go
+++ b/internal/simulation/run_test.go
@@ -91,9 +91,9 @@
 		seed       uint64
 	}{
 		{"five", 206},       // a learner was forgotten with the leader that admitted it
-		{"standby", 879},    // the same
-		{"rawabi", 1809},    // a new leader did not count an order at a silent engine
-		{"empleandes", 395}, // the same
+		{"standby", 879},    // a learner was forgotten with the leader that admitted it
+		{"rawabi", 1809},    // a new leader did not count an order to an engine that no longer reports
+		{"empleandes", 395}, // a new leader did not count an order to an engine that no longer reports
 	} {
 		result := Run(Options{Seed: row.seed, Steps: 8000, Deployment: Deployments[row.deployment]})
 		require.Nil(t, result.Violation, "%s, seed %d", row.deployment, row.seed)
--- a/internal/simulation/shadow_log.go
+++ b/internal/simulation/shadow_log.go
@@ -26,7 +26,7 @@
 	last    uint64
 	marks   map[uint64]entryMark
 	entries map[uint64]*v1.Entry
-	// checked is the index up to which applied entries have been compared.
+	// checked is the index up to which the checks have compared applied entries.
 	checked uint64
 }
 
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -29,11 +29,11 @@
 	faults      *faults
 	// administratorCommands counts the administrators' commands, to number their requests.
 	administratorCommands int
-	// isSwapping reports that an administrator is moving a vote to another machine.
+	// isSwapping is true while an administrator moves a vote to another machine.
 	isSwapping bool
 	// lulls counts the lulls under way.
 	lulls int
-	// isHealed reports that the phase of faults is over.
+	// isHealed is true once the phase of faults is over.
 	isHealed bool
 	// firstRevision is the revision of the fleet's first declaration.
 	firstRevision uint64
--- a/internal/soak/check/limit.go
+++ b/internal/soak/check/limit.go
@@ -105,7 +105,8 @@
 	return counted
 }
 
-// isInformed reports whether the relay that sent an arrival has forwarded an announcement since its last fault.
+// isInformed reports whether the relay that sent an arrival has forwarded an announcement of the limit since its last
+// fault. informedAt holds the times at which the relay forwarded announcements.
 func (p *limitPeriod) isInformed(informedAt []time.Duration, arrival history.Arrival) bool {
 	for _, at := range informedAt {
 		if at+limitInformedAfter <= arrival.At && !p.recorded.WasDisturbed(at, arrival.At, arrival.Machine) {
--- a/internal/soak/check/lost.go
+++ b/internal/soak/check/lost.go
@@ -6,8 +6,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// lost finds requests that maintenance cut off although no other fault happened near them, and acknowledged
-// configurations that are gone at the end.
+// lost finds requests that maintenance cut off although no unplanned fault happened near them, and finds that the last
+// configuration that was read is older than the newest one that was acknowledged.
 func lost(recorded *history.History) []Finding {
 	findings := cutByMaintenance(recorded)
 	newest := newestAcked(recorded, 1<<62)
@@ -64,7 +64,7 @@
 	return planned, unplanned
 }
 
-// newestAcked returns the highest number of a configuration that was acknowledged by the given time.
+// newestAcked returns the highest number of the configurations that were acknowledged by the given time; 0 for none.
 func newestAcked(recorded *history.History, by time.Duration) uint64 {
 	newest := uint64(0)
 	for _, change := range recorded.Changes {
--- a/internal/soak/check/recover.go
+++ b/internal/soak/check/recover.go
@@ -10,7 +10,7 @@
 const recoverMinSample = 20
 
 // recovered finds that less than a quarter of the requests are served once the recovery time after the last fault is
-// over, although at least a quarter were served before.
+// over, although at least a quarter of those sent before the end of the last fault were served.
 func recovered(recorded *history.History) []Finding {
 	var last time.Duration
 	for _, fault := range recorded.Faults {
--- a/internal/soak/check/route.go
+++ b/internal/soak/check/route.go
@@ -2,8 +2,8 @@
 
 import "github.com/hazelpitch/hazelpitch/internal/soak/history"
 
-// atUnknownAddresses finds requests that reached an address at which the site has no back end: only list entries of other
-// writers name it.
+// atUnknownAddresses finds requests that reached an address at which the site has no back end. Only entries of the
+// platform's list that others than the platform wrote name such an address.
 func atUnknownAddresses(recorded *history.History) []Finding {
 	var findings []Finding
 	for _, arrival := range recorded.Arrivals {
--- a/internal/soak/check/stopping.go
+++ b/internal/soak/check/stopping.go
@@ -4,7 +4,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// graceShare is the share of the grace after which a stopping relay may abort requests under way.
+// graceShare is the share of Bounds.Grace after which a stopping relay may abort requests under way.
 const graceShare = 5.0 / 6
 
 // unansweredByStopping finds requests that reached a relay that was asked to stop, on an open connection, and got no
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -44,12 +44,12 @@
 
 	mutex         sync.Mutex
 	struckTargets map[string]bool
-	// lostControllers counts the controllers with a fault under way.
+	// lostControllers counts the controllers with a fault under way and those that still catch up with the log after one.
 	lostControllers int
 	kinds           map[history.FaultKind]int
-	// onOtherBuild holds, by process name, whether the process runs the other build.
+	// onOtherBuild holds, by process name, whether the process runs the build of Options.OtherProgram.
 	onOtherBuild map[string]bool
-	// signals draws the series of signals; signalsMutex guards it.
+	// signals is the random source of the series of signals; signalsMutex guards it.
 	signalsMutex sync.Mutex
 	signals      *rand.Rand
 }
@@ -199,8 +199,8 @@
 	}
 }
 
-// terminate asks a process to stop, waits until it exits, and starts it again. While it stops, it is sent further
-// signals, unless it runs the other build, which they may kill.
+// terminate asks a process to stop, waits until it exits, and starts it again after the time away. While the process
+// stops, it is sent further signals, unless it runs the other build, which such signals may kill.
 func (f *faults) terminate(process *fleet.Process, isOther bool, away time.Duration) {
 	process.Terminate()
 	var signalling sync.WaitGroup
--- a/internal/soak/history/arrival.go
+++ b/internal/soak/history/arrival.go
@@ -15,20 +15,20 @@
 	Method, Target, BodyHash string
 	// Deadline is the time that the relay gave the back end; 0 for none.
 	Deadline time.Duration
-	// ReadOnly reports that the back end was asked for the prefill only.
+	// ReadOnly is true if the back end was asked for the prefill only.
 	ReadOnly bool
-	// Ran reports that the back end began to run the request, Crashed that it crashed while it ran.
+	// Ran is true if the back end began to run the request, Crashed if it crashed while it ran the request.
 	Ran, Crashed bool
 	EndedAt      time.Duration
 	Status       int
 	Seal, Body   string
-	// Rest is the backoff that the response asked the relay for; 0 for none. Leaving reports that the response announced
+	// Rest is the backoff that the response asked the relay for; 0 for none. Leaving is true if the response announced
 	// that the back end leaves.
 	Rest    time.Duration
 	Leaving bool
-	// Limited reports that the response announced a limit for all relays together.
+	// Limited is true if the response announced a limit for all relays together.
 	Limited bool
-	// Cancelled reports that the back end saw its connection close before the end, at EndedAt.
+	// Cancelled is true if the back end saw its connection close before the end of the response, at EndedAt.
 	Cancelled bool
 }
 
--- a/internal/soak/history/fault.go
+++ b/internal/soak/history/fault.go
@@ -43,7 +43,7 @@
 type Fault struct {
 	Kind   FaultKind
 	Target string
-	// OtherBuild reports that the process ran the other build of the run when the fault began.
+	// OtherBuild is true if the process ran the build of the soak's Options.OtherProgram when the fault began.
 	OtherBuild bool
 	// From and To are when the fault began and ended: a process that was stopped runs again at To.
 	From, To time.Duration
--- a/internal/soak/history/history.go
+++ b/internal/soak/history/history.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Bounds are the time bounds that the rules set for machines that are in contact.
+// Bounds are the time bounds that the rules set for relays in contact with the controllers.
 type Bounds struct {
 	// Contact is how long a machine must be free of faults to count as in contact.
 	Contact time.Duration
@@ -10,15 +10,17 @@
 	ConfigApply time.Duration
 	// Grace is how long a relay that was asked to stop may take to exit.
 	Grace time.Duration
-	// LossSlack is the time after SentAt from which a request counts as read by the relay, also if no back end received it.
+	// LossSlack is the time after Sending.SentAt from which a request counts as read by the relay, even if no back end
+	// received it.
 	LossSlack time.Duration
 	// Drain is how long a back end may still receive new requests after it was listed as leaving.
 	Drain time.Duration
-	// Lease is the period within which orders of two holders must not alternate.
+	// Lease is the period within which orders of two holders to one back end must not alternate.
 	Lease time.Duration
 	// Recovery is the time after the last fault from which requests must be served again.
 	Recovery time.Duration
-	// RetryRatio, RetryWindow and RetrySlack bound the attempts beyond the first of each request.
+	// In each RetryWindow, back ends may receive RetrySlack attempts beyond the first of their requests, plus RetryRatio
+	// for each attempt that clients send.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
--- a/internal/soak/history/operator.go
+++ b/internal/soak/history/operator.go
@@ -6,13 +6,13 @@
 type Change struct {
 	Number uint64
 	SentAt time.Duration
-	// AckedAt is when it was acknowledged; 0 for never.
+	// AckedAt is when a controller acknowledged the configuration; 0 for never.
 	AckedAt time.Duration
 	// Status is the status code of the last response, 0 for none.
 	Status int
 	// Services maps each route to its service.
 	Services map[string]string
-	// Invalid reports that the configuration must never be accepted.
+	// Invalid is true if the configuration must never be accepted.
 	Invalid bool
 }
 
--- a/internal/soak/history/recorder.go
+++ b/internal/soak/history/recorder.go
@@ -70,7 +70,7 @@
 	return &sortedHistory
 }
 
-// setMachines sets the relay of each arrival: each attempt is sent to exactly one relay.
+// setMachines sets the relay of each arrival: the one to which the client sent the attempt with the arrival's identity.
 func setMachines(recorded *History) {
 	fronts := make(map[string]string, len(recorded.Sendings))
 	for _, sending := range recorded.Sendings {
--- a/internal/soak/history/sending.go
+++ b/internal/soak/history/sending.go
@@ -17,7 +17,7 @@
 	Deadline time.Duration
 	// ClosedAt is when the client closed its connection before a response came; 0 for never.
 	ClosedAt time.Duration
-	// Connected reports that the client had an open connection to send on.
+	// Connected is true if the client had an open connection on which to send the request.
 	Connected bool
 	// Status is the status code of the response; 0 for no response.
 	Status int
@@ -25,7 +25,7 @@
 	Body   string
 	// AnswerID is the request identity that the response carries.
 	AnswerID string
-	// Whole reports that the response was complete.
+	// Whole is true if the response was complete.
 	Whole bool
 }
 
--- a/internal/soak/options.go
+++ b/internal/soak/options.go
@@ -21,12 +21,12 @@
 	Directory string
 	// Program is the path of the server to run; empty for this program itself with Serve as its first argument.
 	Program, Serve string
-	// OtherProgram is the path of a server of another build, empty for none: processes are replaced by it and back, in any
-	// order. FirstFormatOnly leaves out what the first format does not have: back ends that ask for backoff, limits, and
-	// incarnations under one identity.
+	// OtherProgram is the path of a server of another build, empty for none: processes are replaced by this build and back,
+	// in any order. FirstFormatOnly leaves out what builds of the first format cannot handle: back ends that ask for
+	// backoff, limits, and incarnations under one identity.
 	OtherProgram    string
 	FirstFormatOnly bool
-	// CheckTimeBounds also checks the rules with time bounds; not for a machine that is busy with other work.
+	// CheckTimeBounds also checks the rules with time bounds, which can fail on a machine that is busy with other work.
 	CheckTimeBounds bool
 	// Progress is called with one line for each fault; nil for no reports.
 	Progress func(line string)
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -12,7 +12,7 @@
 	longestSignalGap = 400 * time.Millisecond
 )
 
-// signal is a signal that the process must survive.
+// signal is a signal that the process must survive, and the pause that follows it.
 type signal struct {
 	send func()
 	// after is the time until the next signal.
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// seeds returns the controllers that the settings of all processes name.
+// seeds returns the addresses of the first controllers, at most three, which the settings of all processes name.
 func (s *site) seeds() []string { return s.operator.Controllers[:min(3, len(s.operator.Controllers))] }
 
 func (s *site) addController(number int) error {
@@ -169,7 +169,7 @@
 	return trace.Wrap(err)
 }
 
-// relayGrace is how long a stopping relay may take.
+// relayGrace is how long a stopping relay may take to exit.
 const relayGrace = 4 * time.Second
 
 // newProcess writes the settings file of a process and returns the process, which is not running yet.
