--- a/internal/property/attempt.go
+++ b/internal/property/attempt.go
@@ -24,7 +24,7 @@
 	status       int
 	// verdict is the verdict in the response; empty when no response came or its end is missing.
 	verdict string
-	// complete reports that the response was complete by the protocol.
+	// complete is true if the response was complete by the protocol.
 	complete bool
 	text     string
 	// cachedTokens is the number of prompt tokens that came from the prefix cache.
--- a/internal/property/controllers.go
+++ b/internal/property/controllers.go
@@ -17,8 +17,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// controllers stands in for a quorum of controllers: two addresses in front of one replicated state, whose claims are
-// those of the product. It is safe for concurrent use.
+// controllers is a stand-in for a quorum of controllers: two addresses in front of one replicated state, which handles
+// claims with the code of the product. It is safe for concurrent use.
 type controllers struct {
 	hazelpitchv1connect.UnimplementedNodeServiceHandler
 	configuration configuration
@@ -69,7 +69,7 @@
 	}}})
 }
 
-// Sync returns the configuration as far as the gateway does not have it yet.
+// Sync returns the part of the configuration that the gateway does not have yet.
 func (c *controllers) Sync(_ context.Context, request *connect.Request[v1.SyncRequest]) (*connect.Response[v1.SyncResponse], error) {
 	response := &v1.SyncResponse{Revision: 1, LeaderAddress: c.addresses[0], DirectoryVersion: 1}
 	if request.Msg.GetDirectoryVersion() != 1 {
--- a/internal/property/faults.go
+++ b/internal/property/faults.go
@@ -17,14 +17,14 @@
 	longestGap  = 400 * time.Millisecond
 	// longestDown bounds the duration of crashes, pauses and isolation.
 	longestDown = 4 * time.Second
-	// Bounds of the faults that stand-ins show.
+	// Bounds of the faults that stand-in engines and page services show.
 	maximumFaultCount  = 3
 	maximumFaultTokens = 12
 	maximumFaultDelay  = 3 * time.Second
 	maximumLostAnswers = 4
 )
 
-// engineFaults and pageFaults are the faults that stand-ins can show.
+// engineFaults and pageFaults are the faults that stand-in engines and stand-in page services can show.
 var (
 	engineFaults = []fault.Kind{
 		fault.Refuse, fault.Error, fault.LoseAnswer, fault.Cut, fault.Truncate, fault.EarlyDone, fault.Stall,
@@ -94,8 +94,8 @@
 	controlLost    = "controllers out of reach"
 )
 
-// faultChoices are the faults to draw from, with their weights. inject reports whether the fault is to be counted now;
-// faults that a stand-in shows later are counted then.
+// faultChoices are the faults to draw from, with their weights. inject returns true if the fault is to be counted now.
+// Faults that a stand-in engine or page service shows later are counted when it shows them.
 var faultChoices = []struct {
 	name   string
 	weight int
@@ -156,7 +156,7 @@
 	})
 }
 
-// addFault adds a drawn fault to the ones that a stand-in is going to show.
+// addFault adds a fault of a drawn kind to those that a stand-in engine or page service is going to show.
 func (f *faults) addFault(set *fault.Set, kinds []fault.Kind) {
 	if f.options.OnlyFault != "" {
 		kinds = []fault.Kind{f.options.OnlyFault}
--- a/internal/property/ledger.go
+++ b/internal/property/ledger.go
@@ -95,7 +95,7 @@
 }
 
 // deniesEarlierRun reports whether an attempt got the verdict "not run" although all attempts that may have run had
-// ended before it began. Under a key the verdict covers the earlier attempts too.
+// ended before it began. For a request with an idempotency key, the verdict also covers the earlier attempts.
 func (l *ledger) deniesEarlierRun(of *request) bool {
 	var last time.Time // end of the last attempt that may have run
 	for _, sent := range l.attempts[of] {
--- a/internal/standin/engine/accepted.go
+++ b/internal/standin/engine/accepted.go
@@ -7,7 +7,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// maxAcceptedOrders limits the accepted orders that an engine records for the bench.
+// maxAcceptedOrders limits the accepted orders that an engine records for hazelbench.
 const maxAcceptedOrders = 1 << 14
 
 // AcceptedOrder is one order that an engine accepted; resends are omitted.
--- a/internal/standin/engine/cacheevents.go
+++ b/internal/standin/engine/cacheevents.go
@@ -11,7 +11,7 @@
 // cacheHistoryLength limits the stored events; older ones are dropped and leave a gap.
 const cacheHistoryLength = 4096
 
-// cacheHistory stores cache events until the lag has passed.
+// cacheHistory stores cache events, so that they can be returned with a lag.
 type cacheHistory struct {
 	events []timedCacheEvent
 	next   uint64
@@ -38,7 +38,7 @@
 	}
 }
 
-// after returns the events with a larger number that are at least lag old.
+// after returns the events whose number is larger than the given one and that are at least as old as lag.
 func (h *cacheHistory) after(number uint64, now, lag time.Duration) enginecontract.CacheEvents {
 	answer := enginecontract.CacheEvents{Events: []enginecontract.CacheEvent{}, Next: number}
 	for _, stored := range h.events {
--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -26,7 +26,7 @@
 	KVHandleLifetime  = 30 * time.Second
 )
 
-// ListenFunc opens a listener; the one of the fleet delays connections by zone.
+// ListenFunc opens a listener. A fleet passes one that delays each connection by the latency configured to the caller's zone.
 type ListenFunc func(network, address string) (net.Listener, error)
 
 // Config configures one engine.
@@ -39,7 +39,7 @@
 	Role    enginecontract.Role
 	Model   string
 	Version string
-	// Adapters are loaded at the first start.
+	// Adapters are loaded at the engine's first start.
 	Adapters []string
 	Profile  enginemodel.Profile
 	// WeightStore is the IP:port from which load-model orders fetch weights; empty for none.
--- a/internal/standin/engine/driver.go
+++ b/internal/standin/engine/driver.go
@@ -49,7 +49,7 @@
 	return max(next-now, 0)
 }
 
-// advance moves model, caches and orders to the current time. The caller holds the mutex.
+// advance moves the engine model, the caches and the orders to the current time. The caller holds the mutex.
 func (p *process) advance() {
 	if p.thaw != nil || p.dead {
 		return
@@ -72,7 +72,8 @@
 	return 0
 }
 
-// applyModelEvent records one event of the model at its exchange and wakes the reader.
+// applyModelEvent records an event of the engine model at the exchange that the event belongs to and wakes the reader of
+// this exchange.
 func (p *process) applyModelEvent(now time.Duration, event enginemodel.Event) {
 	affected := p.exchanges[event.ID]
 	if affected == nil || affected.isOver() {
@@ -106,7 +107,7 @@
 	affected.signal()
 }
 
-// prune drops expired exchanges and handles and cancels exchanges without a reader.
+// prune drops expired exchanges and KV cache handles, and cancels exchanges that have had no reader for ResumeWindow.
 func (p *process) prune(now time.Duration) {
 	if now-p.lastPruned < housekeepingInterval {
 		return
@@ -138,7 +139,7 @@
 	target.signal()
 }
 
-// applyOrderProgress applies a change of the order's phase or role to the model.
+// applyOrderProgress applies a change of the order's phase or of the engine's role to the engine model.
 func (p *process) applyOrderProgress(now time.Duration) {
 	state := p.machine.State(0)
 	before := p.phase
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -19,11 +19,11 @@
 	config Config
 	faults *fault.Set
 	runs   *runs
-	// accepted holds the orders of all incarnations.
+	// accepted holds the orders that all incarnations accepted.
 	accepted acceptedOrders
 
 	mutex sync.Mutex
-	// address is fixed by the first start.
+	// address is the IP:port that the first start got; later incarnations listen on it again.
 	address     string
 	incarnation uint64
 	durable     orders.Durable
@@ -131,7 +131,7 @@
 	}
 }
 
-// State returns the engine's state; false while it is crashed.
+// State returns the engine's state; the second value is false while the engine is crashed.
 func (e *Engine) State() (enginecontract.EngineState, bool) {
 	running := e.current()
 	if running == nil {
@@ -143,7 +143,7 @@
 	return running.state(), true
 }
 
-// Load returns the engine's load without lag; false while it is crashed.
+// Load returns the engine's load without lag; the second value is false while the engine is crashed.
 func (e *Engine) Load() (enginecontract.LoadReport, bool) {
 	running := e.current()
 	if running == nil {
--- a/internal/standin/engine/exchange.go
+++ b/internal/standin/engine/exchange.go
@@ -31,7 +31,7 @@
 
 // reader is one stream of an exchange.
 type reader struct {
-	// changed is buffered for one signal, which stands for any number of changes.
+	// changed wakes the stream after changes of the exchange. It holds one signal, which covers any number of changes.
 	changed chan struct{}
 }
 
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -23,7 +23,7 @@
 	expires time.Duration
 }
 
-// kvCache is sent in place of the bytes of a cache; the engine model accounts for the transfer time.
+// kvCache is sent in place of the bytes of a KV cache; the engine model accounts for the transfer time.
 type kvCache struct {
 	Prompt       string `json:"prompt"`
 	PromptTokens int    `json:"prompt_tokens"`
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -16,7 +16,7 @@
 	report enginecontract.LoadReport
 }
 
-// loadHistoryLength covers every lag that the bench sets, at one sample per housekeepingInterval.
+// loadHistoryLength covers every lag that hazelbench sets, at one sample per housekeepingInterval.
 const loadHistoryLength = 100
 
 func (h *loadHistory) sample(now time.Duration, report enginecontract.LoadReport) {
--- a/internal/standin/engine/orders/durable.go
+++ b/internal/standin/engine/orders/durable.go
@@ -19,7 +19,7 @@
 	// repeated to a resend of it.
 	RefusedFence enginecontract.Fence
 	LastRefusal  enginecontract.OrderRefusal
-	// Drained reports that a drain order keeps the engine out of service.
+	// Drained is true while a drain order keeps the engine out of service.
 	Drained bool
 }
 
--- a/internal/standin/engine/orders/machine.go
+++ b/internal/standin/engine/orders/machine.go
@@ -33,7 +33,7 @@
 	drainEnd time.Duration
 	// changeEnd is the earliest time at which the change in progress is done.
 	changeEnd time.Duration
-	// awaitsWeights reports that the change waits for FinishWeightLoad.
+	// awaitsWeights is true while the change in progress waits for FinishWeightLoad.
 	awaitsWeights bool
 }
 
@@ -220,7 +220,7 @@
 	m.durable.AdapterVersions = versions
 }
 
-// NextEvent returns the time of the next transition that depends on time alone; false if there is none.
+// NextEvent returns the time of the next transition that depends on time alone; the second value is false if there is none.
 func (m *Machine) NextEvent() (time.Duration, bool) {
 	switch {
 	case m.durable.Phase == enginecontract.PhaseDraining:
--- a/internal/standin/engine/process.go
+++ b/internal/standin/engine/process.go
@@ -26,7 +26,8 @@
 	cancel     context.CancelFunc
 	driverDone chan struct{} // closed when the driver has returned
 
-	// wake is buffered for one signal, which tells the driver that something changed.
+	// wake makes the driver look for due events again after a change from outside. It holds one signal, which covers any
+	// number of changes.
 	wake chan struct{}
 
 	mutex         sync.Mutex
@@ -147,7 +148,7 @@
 	return p.engine.faults.Strike(kind)
 }
 
-// dialFrom dials from the IP of an address, by which the fleet determines the caller's zone.
+// dialFrom returns a dialer that uses the IP of address as the source; the fleet derives the caller's zone from it.
 func dialFrom(address string) fasthttp.DialFunc {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/standin/engine/runs.go
+++ b/internal/standin/engine/runs.go
@@ -58,7 +58,7 @@
 	Prompts map[string]Run `json:"prompts"`
 }
 
-// runs are the bench's counts; they survive crashes.
+// runs counts the engine's executions for hazelbench; the counts survive crashes of the engine.
 type runs struct {
 	mutex   sync.Mutex
 	totals  Totals
--- a/internal/standin/engine/serve.go
+++ b/internal/standin/engine/serve.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/enginecontract"
 )
 
-// Paths that exist on the bench's stand-ins only.
+// Paths at which hazelbench controls a stand-in engine; real engines do not have them.
 const (
 	PathBenchFaults = "/bench/faults" // PUT a list of fault.Fault, GET what is left
 	PathBenchRuns   = "/bench/runs"   // GET a Report
--- a/internal/standin/engine/virtual_time_test.go
+++ b/internal/standin/engine/virtual_time_test.go
@@ -30,9 +30,9 @@
 	tokens       []time.Duration
 }
 
-// TestStandInTakesTheTimesOfTheModel sends concurrent requests to an engine over HTTP in a
-// synctest bubble and compares the time of each token with that of an engine model that runs
-// alone, as experiments use it.
+// TestStandInTakesTheTimesOfTheModel sends concurrent requests over HTTP to a stand-in engine in
+// a synctest bubble and compares the time of each token with that of an engine model without the
+// HTTP server around it, as experiments use it.
 func TestStandInTakesTheTimesOfTheModel(t *testing.T) {
 	outside := startEngine(t, nil) // starts the HTTP library's own clock outside of the bubble
 	requireComplete(t, chat(outside, 1, 1).do(t), 0, 1)
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault defines the faults that the bench's stand-ins can be made to show, by
-// their configuration or by PUT /bench/faults. A Set is safe for concurrent use.
+// Package fault defines the faults that stand-in engines and page services show when their
+// configuration or a PUT of /bench/faults sets them. A Set is safe for concurrent use.
 package fault
 
 import (
--- a/internal/standin/fault/serve.go
+++ b/internal/standin/fault/serve.go
@@ -6,7 +6,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Serve answers the bench's requests about a stand-in's faults: GET returns those that
+// Serve answers hazelbench's requests about a stand-in's faults: GET returns those that
 // can still strike, PUT replaces them with those of its body.
 func (s *Set) Serve(ctx *fasthttp.RequestCtx) {
 	if !ctx.IsPut() {
--- a/internal/standin/machinelist/machinelist.go
+++ b/internal/standin/machinelist/machinelist.go
@@ -30,7 +30,7 @@
 	Listen func(network, address string) (net.Listener, error)
 }
 
-// listVersion is the list that is valid from a time on.
+// listVersion is a version of the list and the time from which it holds.
 type listVersion struct {
 	from time.Time
 	list enginecontract.MachineList
@@ -118,7 +118,7 @@
 	return changed
 }
 
-// visibleList returns the list as it was one lag ago and drops older versions.
+// visibleList returns the list as it was before the lag and drops older versions.
 func (s *Server) visibleList() enginecontract.MachineList {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/standin/page/page.go
+++ b/internal/standin/page/page.go
@@ -16,7 +16,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/standin/fault"
 )
 
-// Paths that exist on the bench's stand-ins only.
+// Paths at which hazelbench controls a stand-in page service; real page services do not have them.
 const (
 	PathBenchFaults = "/bench/faults"
 	PathBenchRuns   = "/bench/runs"
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// Crash resets every connection and stops listening. The counts survive: they belong to
-// the bench, not to the service.
+// Crash resets every connection and stops listening. The counts survive: hazelbench reads
+// them over all crashes.
 func (s *Service) Crash() {
 	if server := s.detachServer(); server != nil {
 		server.Crash()
