--- a/internal/experiment/benchmarks.go
+++ b/internal/experiment/benchmarks.go
@@ -13,7 +13,7 @@
 
 // WriteBenchmarks writes the page with the results of a suite's runs: for each scenario and
 // policy the goodput as a share of the clairvoyant bound, the role changes and the deadline
-// misses, as the median over the seeds with minimum and maximum. isComplete states that runs
+// misses, as the median over the seeds with minimum and maximum. isComplete is true if runs
 // holds every run of the suite.
 func WriteBenchmarks(path, commandLine string, isComplete bool, runs []*Run) error {
 	file, err := os.Create(path)
@@ -130,7 +130,8 @@
 	return fmt.Sprintf("%s %.1f%%", best, share)
 }
 
-// goodputRatio returns the ratio of the median goodputs, each as a share of the offered worth.
+// goodputRatio returns the median goodput of the planned runs divided by that of the baseline runs, each as a share of
+// the offered worth; "-" without baseline runs.
 func goodputRatio(planned, baseline []*Run) string {
 	if len(baseline) == 0 {
 		return "-"
--- a/internal/experiment/clairvoyant.go
+++ b/internal/experiment/clairvoyant.go
@@ -18,11 +18,11 @@
 	maxRefinements = 2
 )
 
-// planVariant is a set of parameters for planning with the model.
+// planVariant is a set of parameters for planning with the fluid model.
 type planVariant struct {
 	// priceFactor multiplies the declared price of a change; 0 maximizes goodput alone.
 	priceFactor float64
-	// lead is how much earlier changes begin than the model says.
+	// lead is how much earlier changes begin than the fluid model plans them.
 	lead time.Duration
 	// pairsOnly excludes mixed engines.
 	pairsOnly bool
@@ -34,7 +34,7 @@
 	{priceFactor: 1},
 }
 
-// clairvoyantPlan is the result of the search.
+// clairvoyantPlan is the result of the search for the clairvoyant plan.
 type clairvoyantPlan struct {
 	// bestRun is the run of the plan that is best under the declared trade: goodput less the
 	// price of its changes.
@@ -95,8 +95,7 @@
 	return plan
 }
 
-// planFromRun returns the plan that another policy's run carried out, as a candidate for the
-// search.
+// planFromRun returns the changes that a run of another policy carried out as a plan, a candidate for the search.
 func (s *Study) planFromRun(run *Run) map[string]schedule {
 	plan := map[string]schedule{}
 	splits := map[string]planner.Split{}
@@ -133,10 +132,10 @@
 	return program.solve(variant.lead)
 }
 
-// planSearch simulates plans and stores the best.
+// planSearch simulates plans and stores the best plan, its run and the highest goodput.
 type planSearch struct {
 	study *Study
-	// evaluated holds the plans that have been simulated, in text form.
+	// evaluated holds the plans that have been simulated, in text form, to simulate no plan twice.
 	evaluated      map[string]bool
 	bestPlan       map[string]schedule
 	bestRun        *Run
--- a/internal/experiment/doc.go
+++ b/internal/experiment/doc.go
@@ -3,5 +3,5 @@
 // time, and faults. Minutes of a fleet take seconds, and equal scenario, policy and seed give
 // equal results.
 //
-// It is part of the bench; product packages must not import it.
+// It is part of hazelbench; product packages must not import it.
 package experiment
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -11,7 +11,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// engine is one engine of the fleet: the engine model and the state around it.
+// engine is one engine of the fleet: the engine model, the engine's process and role, and its load reports.
 type engine struct {
 	world    *world
 	declared scenario.Engine
@@ -22,14 +22,14 @@
 	// roleSince is the time at which the engine got its role.
 	roleSince   time.Duration
 	incarnation uint64
-	// target is the role of the current order; empty without one.
+	// target is the role that the current order changes the engine to; empty without an order.
 	target enginecontract.Role
 	// order is the number of the last order; a crash increases it, so that the pending steps of an
 	// earlier order are dropped.
 	order int
 	// isUp is false while the engine's process is down.
 	isUp bool
-	// paused is set while the process is suspended.
+	// paused is true while the process is suspended.
 	paused   bool
 	pausedAt time.Duration
 	// clockOffset is how far the engine's clock is behind the run's: the time spent suspended, and
@@ -37,7 +37,7 @@
 	clockOffset time.Duration
 
 	attempts map[string]*attempt
-	// readings are load readings, oldest first; reportsFrozen stops new ones from being added.
+	// readings are load readings, oldest first; no new ones are added while reportsFrozen is true.
 	readings      []loadReading
 	reportsFrozen bool
 }
@@ -241,7 +241,8 @@
 	}
 }
 
-// visibleReading returns the newest reading that is at least as old as the reports' lag; false before the first.
+// visibleReading returns the newest reading that is at least as old as the reports' lag; the second value is false if
+// there is none yet.
 func (e *engine) visibleReading() (loadReading, bool) {
 	visible := e.world.now - e.world.scenario.Reports.Lag
 	for i := len(e.readings) - 1; i >= 0; i-- {
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// recordOutcome counts a finished request in the demand report.
+// recordOutcome counts a request that ended with the given outcome in the demand report.
 func (g *gateway) recordOutcome(req *request, outcome gatewaystate.Outcome) {
 	outcome.Service, outcome.Kind = req.kind.Service, req.kind.Name
 	outcome.PromptTokens = uint64(req.estimatedPrompt)
--- a/internal/experiment/hindsight.go
+++ b/internal/experiment/hindsight.go
@@ -22,7 +22,7 @@
 	declared scenario.Scenario
 	arrivals []scenario.Arrival
 	seed     uint64
-	// WholeOnly is the option WholeOnly of each run.
+	// WholeOnly is Options.WholeOnly of each run of the study.
 	WholeOnly    bool
 	cachedShares []float64
 	staticRun    *Run
@@ -107,7 +107,7 @@
 	return planner.NewModel(plannerProfile(service))
 }
 
-// meanSplit returns the best split without mixed engines for the mean demand.
+// meanSplit returns the split without mixed engines that has the highest modelled worth for the mean demand of the run.
 func (s *Study) meanSplit(service *scenario.Service) planner.Split {
 	mean := demandWindows(&s.declared, s.arrivals, service.Name, s.declared.Duration, s.cachedShares)[0]
 	model := s.plannerModel(service)
--- a/internal/experiment/outages.go
+++ b/internal/experiment/outages.go
@@ -7,7 +7,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// setUpShares sets, for each window, the share of a service's engines that have not crashed.
+// setUpShares sets, for each window, the share of a service's engines without a crash that overlaps the window.
 // The clairvoyant plan knows crashes in advance, as it knows arrivals.
 func setUpShares(declared *scenario.Scenario, service *scenario.Service, windows []window) {
 	total := float64(engineCount(service))
--- a/internal/experiment/previousplanner/capacity.go
+++ b/internal/experiment/previousplanner/capacity.go
@@ -59,8 +59,8 @@
 	use   func(kindLoad) float64
 }
 
-// admit returns the admitted share of each kind. It first satisfies the constraint that is
-// exceeded most, by shedding the kinds with the least worth per unit of it.
+// admit returns the admitted share of each kind. It satisfies the constraint that is exceeded most first, by shedding
+// the kinds with the least worth per unit of this constraint's use.
 func (c capacity) admit(load workload) []float64 {
 	admitted := make([]float64, len(load))
 	for i := range admitted {
--- a/internal/experiment/previousplanner/doc.go
+++ b/internal/experiment/previousplanner/doc.go
@@ -1,6 +1,6 @@
 // Package previousplanner is an earlier version of the planner, unchanged as a baseline for
 // experiments: a queueing model with two stations, rates smoothed over 8 s, and one change at
-// a time. It is part of the bench.
+// a time. It is part of hazelbench.
 package previousplanner
 
 import "github.com/hazelpitch/hazelpitch/internal/planner"
--- a/internal/experiment/previousplanner/planner.go
+++ b/internal/experiment/previousplanner/planner.go
@@ -37,7 +37,7 @@
 	return p.bestChange(observation)
 }
 
-// holdReason returns the decision to change nothing if no change may be made now, or nil.
+// holdReason returns a decision to change nothing, with its reason, if no change may be made now; otherwise nil.
 func (p *QueueingPlanner) holdReason(observation Observation) *Decision {
 	decision := Decision{}
 	budget := observation.Policy.ChangesPerHour
@@ -96,7 +96,7 @@
 	return Decision{Reason: fmt.Sprintf(format, values...)}
 }
 
-// changeEvaluator holds what the changes of one decision are compared by.
+// changeEvaluator holds the values by which the possible changes of one decision are compared.
 type changeEvaluator struct {
 	observation Observation
 	estimates   []estimate
@@ -125,7 +125,8 @@
 	return result
 }
 
-// wants reports whether the split after a change would have a higher worth per second.
+// wants reports whether moving one engine from one role to the other gives a split whose worth per second is more than
+// 2 % higher.
 func (e changeEvaluator) wants(from, to enginecontract.Role) bool {
 	after := e.split.Add(from, -1).Add(to, 1)
 	return e.model.goodput(after, e.load) > e.stayRate*1.02
--- a/internal/experiment/request.go
+++ b/internal/experiment/request.go
@@ -50,7 +50,7 @@
 	prefillEngine *engine
 	decodeEngine  *engine
 	cachedTokens  int
-	// submitted reports that an engine has accepted the request.
+	// submitted is true once an engine has accepted the request.
 	submitted bool
 	over      bool
 }
--- a/internal/experiment/run_file.go
+++ b/internal/experiment/run_file.go
@@ -12,7 +12,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/scenario"
 )
 
-// runFile is a file of finished runs, one JSON object per line, without series and events.
+// runFile is a file of finished runs, one JSON object per line, without Run.Series and Run.Events.
 // It is safe for concurrent use; a nil *runFile is empty and stores nothing.
 type runFile struct {
 	mutex sync.Mutex
--- a/internal/experiment/schedule.go
+++ b/internal/experiment/schedule.go
@@ -18,7 +18,7 @@
 	split planner.Split
 }
 
-// splitAt returns the target split at a time; false before the first.
+// splitAt returns the target split at a time; the second value is false before the start of the first split.
 func (s schedule) splitAt(now time.Duration) (planner.Split, bool) {
 	var target planner.Split
 	found := false
@@ -87,7 +87,8 @@
 	return from, to, from != "" && to != ""
 }
 
-// leastLoaded returns the serving engine of a role with the least work that is not chosen yet.
+// leastLoaded returns the serving engine of a role with the least work in flight that is not among the chosen changes;
+// the second value is false if there is none.
 func leastLoaded(engines []planner.EngineObservation, role enginecontract.Role, chosen []planner.Change) (planner.EngineObservation, bool) {
 	var fit []planner.EngineObservation
 	for _, engine := range engines {
--- a/internal/experiment/suite.go
+++ b/internal/experiment/suite.go
@@ -85,7 +85,7 @@
 	return runs, s.setBound(runs, study)
 }
 
-// setBound sets the bound of all runs of a study, from its clairvoyant run if there is one.
+// setBound sets the clairvoyant bound of all runs of a study, from its clairvoyant run if there is one.
 func (s Suite) setBound(runs []*Run, study *Study) error {
 	for _, run := range runs {
 		if run.Policy == PolicyClairvoyant && run.BoundGoodput != nil {
--- a/internal/experiment/windows.go
+++ b/internal/experiment/windows.go
@@ -11,12 +11,12 @@
 type window struct {
 	from, to time.Duration
 	demands  []planner.KindDemand
-	// upShare is the share of the service's engines that have not crashed.
+	// upShare is the share of the service's engines without a crash that overlaps the period.
 	upShare float64
 }
 
-// demandWindows divides a run's arrivals for one service into windows of equal length. cached
-// is the share of prompt tokens found in prefix caches, by kind.
+// demandWindows divides a run's arrivals for one service into windows of length span. cached holds, by kind, the share of
+// prompt tokens found in prefix caches.
 func demandWindows(declared *scenario.Scenario, arrivals []scenario.Arrival, service string, span time.Duration, cached []float64) []window {
 	count := int((declared.Duration + span - 1) / span)
 	windows := make([]window, count)
--- a/internal/fleet/cuts.go
+++ b/internal/fleet/cuts.go
@@ -13,14 +13,14 @@
 	"github.com/hazelpitch/hazelpitch/internal/zonedelay"
 )
 
-// cutCommand is sent to a process on its standard input. It cuts a group of addresses off;
-// with an empty group it ends the cut of the same number.
+// cutCommand is sent to a process on its standard input. It cuts the addresses of Group off from all others; with an
+// empty Group it ends the cut with the same Number.
 type cutCommand struct {
 	Number int            `json:"number"`
 	Group  []netip.Prefix `json:"group"`
 }
 
-// networkCuts tracks the groups that are cut off. It is safe for concurrent use.
+// networkCuts tracks the groups of addresses that are cut off. It is safe for concurrent use.
 type networkCuts struct {
 	gate *zonedelay.Partitioner // of the stand-ins in this process
 
@@ -29,8 +29,8 @@
 	active []cutCommand
 }
 
-// begin cuts a group off from the stand-ins and the processes and returns the function that
-// ends the cut.
+// begin cuts a group of addresses off, both in the stand-ins of this process and in the given processes, and returns
+// the function that ends the cut.
 func (c *networkCuts) begin(group []netip.Prefix, processes []*Process) (end func() error, err error) {
 	c.mutex.Lock()
 	c.number++
@@ -61,7 +61,8 @@
 	return nil
 }
 
-// CutOff cuts a group of addresses off from the process until heal is called.
+// CutOff cuts a group of addresses off from the process until heal is called. number identifies the cut in the commands
+// to the process.
 func (p *Process) CutOff(number int, group []netip.Prefix) (heal func() error, err error) {
 	err = sendCutCommand([]*Process{p}, cutCommand{Number: number, Group: group})
 	return func() error { return sendCutCommand([]*Process{p}, cutCommand{Number: number}) }, err
@@ -82,8 +83,8 @@
 	return trace.NewAggregate(problems...)
 }
 
-// ApplyCutCommands applies the commands that a fleet writes to a process's standard input to
-// the process's gate. It returns when the input ends.
+// ApplyCutCommands applies the commands that a fleet writes to a process's standard input to gate, the partitioner of
+// the process's connections. It returns when the input ends.
 func ApplyCutCommands(input io.Reader, gate *zonedelay.Partitioner) error {
 	heals := map[int]func(){}
 	for commands := json.NewDecoder(input); ; {
--- a/internal/fleet/description.go
+++ b/internal/fleet/description.go
@@ -15,13 +15,13 @@
 	"github.com/hazelpitch/hazelpitch/internal/yamlfile"
 )
 
-// networkBits is the prefix length of a network: its first two numbers.
+// networkBits is the prefix length of a fleet's network, which is the first two numbers of its addresses.
 const networkBits = 16
 
 // DescriptionFile is the file name of a deployment's fleet description.
 const DescriptionFile = "fleet.yaml"
 
-// Description is what the bench starts around the controllers and gateways of a deployment.
+// Description is what hazelbench starts besides the controllers and gateways of a deployment.
 type Description struct {
 	Name string `yaml:"name" check:"required"`
 	// Network is the first two numbers of every address, such as 127.41.
@@ -51,7 +51,7 @@
 	ToClients    time.Duration `yaml:"to_clients" check:"not-negative"`
 }
 
-// Credential is a name with its API key, for use on the bench only.
+// Credential is a name with its API key, for use in hazelbench runs only.
 type Credential struct {
 	Name string `yaml:"name" check:"required"`
 	Key  string `yaml:"key" check:"required"`
@@ -117,7 +117,7 @@
 	return description, trace.Wrap(err)
 }
 
-// OnNetwork returns the description with its addresses on another network.
+// OnNetwork returns the description with its addresses moved to another network.
 func (d Description) OnNetwork(network string) Description {
 	moved := d
 	moved.Network = network
@@ -126,7 +126,7 @@
 	return moved
 }
 
-// networkPrefix returns the network as a prefix. The network must have passed check.
+// networkPrefix returns the network as a prefix. The description must have passed check.
 func (d Description) networkPrefix() netip.Prefix {
 	return netip.PrefixFrom(netip.MustParseAddr(d.Network+".0.0"), networkBits)
 }
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -35,7 +35,7 @@
 	Process string `yaml:"process"`
 	// Zone targets all processes and stand-ins of the zone.
 	Zone string `yaml:"zone"`
-	// At is the time since the gateways became ready.
+	// At is the start of the fault, as the time since the gateways became ready.
 	At time.Duration `yaml:"at" check:"not-negative"`
 	// Length of the fault; after a kill of length 0 the target stays down.
 	Length time.Duration `yaml:"length" check:"not-negative"`
@@ -54,7 +54,7 @@
 	}
 }
 
-// cutsOff reports whether any fault of the description is a cut-off.
+// cutsOff reports whether any fault of the description is of the type cut-off.
 func (d Description) cutsOff() bool {
 	for _, fault := range d.Faults {
 		if fault.Fault == FaultCutOff {
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -31,17 +31,17 @@
 	Name string
 	Role Role
 	Zone string
-	// Listen and AdminListen are the IP:ports that it listens on.
+	// Listen and AdminListen are the IP:ports that the process listens on.
 	Listen      string
 	AdminListen string
-	// SettingsPath is the settings file that it is started with.
+	// SettingsPath is the settings file that the process is started with.
 	SettingsPath string
 	// LogPath is the file that receives the output of all its starts.
 	LogPath string
 	// DataDirectory is a controller's data directory; empty for gateways.
 	DataDirectory string
 
-	// drainTimeout is the time that the settings allow for work in flight after a request to stop.
+	// drainTimeout is the time that the settings allow for work in flight after the process was asked to stop.
 	drainTimeout time.Duration
 	// program is the path of the executable; empty for this program itself.
 	program    string
@@ -98,7 +98,7 @@
 	}
 }
 
-// ReplaceProgram changes the program and its arguments from the next start on; an empty program is this one.
+// ReplaceProgram changes the program and its arguments from the next start on; an empty program is this program itself.
 func (p *Process) ReplaceProgram(program string, arguments []string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/fleet/stand_ins.go
+++ b/internal/fleet/stand_ins.go
@@ -23,7 +23,7 @@
 	topology Topology
 }
 
-// StartStandIns starts the stand-ins of a description.
+// StartStandIns starts the stand-ins of a description. The stand-in engines have the timing of profile.
 func StartStandIns(description Description, profile enginemodel.Profile) (*StandIns, error) {
 	standIns := &StandIns{topology: NewTopology(description)}
 	if err := standIns.start(description, profile); err != nil {
--- a/internal/fleet/timeline.go
+++ b/internal/fleet/timeline.go
@@ -10,8 +10,8 @@
 	"github.com/gravitational/trace"
 )
 
-// InjectFaults schedules the description's faults from now on, until the context ends. It
-// resolves the targets of all faults before it returns and writes each fault to progress.
+// InjectFaults schedules the description's faults, whose times count from now, until the context ends. It resolves the
+// targets of all faults before it returns, and writes a line to progress for each fault.
 func (f *Fleet) InjectFaults(ctx context.Context, progress io.Writer) error {
 	targetsByFault := make([][]faultTarget, len(f.Description.Faults))
 	for index, fault := range f.Description.Faults {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// inject applies one fault. It returns when a kill or a cut-off is over; a pause ends on its own.
+// inject applies one fault to its targets. It returns when a kill or a cut-off is over; a pause ends on its own.
 func (f *Fleet) inject(ctx context.Context, fault Fault, targets []faultTarget) error {
 	switch fault.Fault {
 	case FaultPause:
--- a/internal/fleet/topology.go
+++ b/internal/fleet/topology.go
@@ -43,7 +43,7 @@
 func (t Topology) WaitUnsent() { t.unsent.Wait(unsentTimeout) }
 
 // LatencyBetween returns the one-way latency between two addresses; it is 0 if an address
-// is outside the fleet, such as those of the bench itself.
+// is outside the fleet, such as those of hazelbench itself.
 func (t Topology) LatencyBetween(one, other netip.Addr) time.Duration {
 	if !one.Is4() || !other.Is4() {
 		return 0
--- a/internal/load/audit.go
+++ b/internal/load/audit.go
@@ -75,7 +75,7 @@
 	FalseRan int `json:"false_ran"`
 	// Doubled counts idempotency keys that ran more than once.
 	Doubled int `json:"doubled"`
-	// Findings describes the first of them.
+	// Findings describes the first maxFindings of all these contradictions.
 	Findings []string `json:"findings,omitempty"`
 }
 
@@ -115,8 +115,8 @@
 	return found
 }
 
-// lastAttempts returns, for each key, the start of its last attempt without a verdict of not
-// run; only such an attempt may have run.
+// lastAttempts returns, for each idempotency key, the start of its last attempt whose verdict is not "not run"; only
+// such an attempt may have run.
 func lastAttempts(results []Result) map[string]time.Time {
 	last := make(map[string]time.Time)
 	for _, result := range results {
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -20,7 +20,7 @@
 	deadlineGrace = 10 * time.Second
 	// defaultTimeout replaces the deadline for kinds without one.
 	defaultTimeout = 60 * time.Second
-	// idleConnectionTimeout is shorter than the gateways', so that the client closes idle connections first.
+	// idleConnectionTimeout is shorter than the gateways' timeout, so that the client closes idle connections first.
 	idleConnectionTimeout = 2 * time.Second
 )
 
@@ -46,8 +46,8 @@
 	}}
 }
 
-// send sends one request that was due at a given time and returns its result. The text of a
-// chat's answer is written to echo as it arrives.
+// send sends one request and returns its result. Times in the result count from due, when the request was to be sent. The
+// text of a chat's answer is written to echo as it arrives.
 func (c *client) send(req request, due time.Time, echo io.Writer) (result Result) {
 	result = Result{
 		Kind: req.kind, Tenant: req.tenant, Due: req.arrival.at, Prompt: req.promptKey, Key: req.key, Gateway: c.target.addressFor(req),
--- a/internal/load/kinds.go
+++ b/internal/load/kinds.go
@@ -14,7 +14,7 @@
 // DeclarationsDirectory is the subdirectory of a deployment with its declarations.
 const DeclarationsDirectory = "declarations"
 
-// Kind is the declaration of a kind of request, as far as the load needs it.
+// Kind is the declaration of a kind of request, with the parts that package load needs.
 type Kind struct {
 	Worth      float64
 	Deadline   time.Duration
--- a/internal/load/outcome.go
+++ b/internal/load/outcome.go
@@ -31,7 +31,7 @@
 // Result is the result of one attempt of a request.
 type Result struct {
 	Kind string
-	// Tenant is the index of the caller's key in Target.Keys, modulo their number.
+	// Tenant selects the caller's API key: its index in Target.Keys is Tenant modulo the number of keys.
 	Tenant  int
 	Outcome Outcome
 	// Verdict is the last verdict of the answer: a stream's X-Run-Verdict-Final if present,
@@ -45,11 +45,11 @@
 	FirstByte time.Duration
 	Total     time.Duration
 	Tokens    int
-	// Prompt is the key of a chat's prompt; Key is a page request's idempotency key.
+	// Prompt is the hash of a chat's prompt, in hexadecimal; Key is a page request's idempotency key.
 	Prompt string
 	Key    string
 	Detail string
-	// Gateway is the IP:port that the request was sent to, Ended when its result was known.
+	// Gateway is the IP:port that the request was sent to, Ended the time at which its result was known.
 	Gateway string
 	Ended   time.Time
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -30,7 +30,7 @@
 	Seconds    float64 `json:"seconds"`
 	Sent       int     `json:"sent"`
 	// Goodput is the total worth of the requests that completed within their deadline;
-	// Offered is that of all requests sent.
+	// Offered is the total worth of all requests sent.
 	Goodput float64      `json:"goodput"`
 	Offered float64      `json:"offered"`
 	Kinds   []KindReport `json:"kinds"`
@@ -53,7 +53,7 @@
 	Completed  int     `json:"completed"`
 	InDeadline int     `json:"in_deadline"`
 	Goodput    float64 `json:"goodput"`
-	// Refusals counts refusals by "verdict code".
+	// Refusals counts refusals. Each key is a verdict and an error code, separated by a blank.
 	Refusals map[string]int `json:"refusals,omitempty"`
 	// RefusalExamples holds the first message for each key of Refusals.
 	RefusalExamples map[string]string `json:"refusal_examples,omitempty"`
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -23,10 +23,10 @@
 	body   []byte
 	chat   bool
 	resend bool
-	// gatewayOffset is the number of gateways that a resend is past the one of the first attempt.
+	// gatewayOffset is how many gateways after the gateway of the first attempt a resend goes to.
 	gatewayOffset int
 	deadline      time.Duration
-	// The expected answer.
+	// The following fields describe the expected answer.
 	promptHash   uint64
 	promptKey    string
 	promptTokens int
@@ -51,7 +51,7 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// requestBuilder builds the requests of a run; each depends on the seed and its arrival alone, apart from the run's label.
+// requestBuilder builds the requests of a run. Apart from the run's label, a request depends only on the seed and its arrival.
 type requestBuilder struct {
 	traffic  Traffic
 	kinds    map[string]Kind
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -28,8 +28,8 @@
 	// OnceScale further multiplies the rates of kinds that run at most once; 0 is 1.
 	OnceScale float64
 	Seed      uint64
-	// ResendUntilSettled makes callers resend an at-most-once request that got no answer,
-	// through the next gateway, until they know its outcome.
+	// ResendUntilSettled makes callers resend an at-most-once request, through the next gateway,
+	// until they know its outcome.
 	ResendUntilSettled bool
 	// OnResult, when not nil, is called with each request's result, from one goroutine.
 	OnResult func(Result)
--- a/internal/load/stream.go
+++ b/internal/load/stream.go
@@ -41,7 +41,7 @@
 	doneMarker = []byte("[DONE]")
 )
 
-// checkStream reads an event stream to its end and compares it with the expected answer:
+// checkStream reads an event stream to its end, copies its text to echo, and compares it with the expected answer:
 // every token in order, the finish reason, the usage and the end marker.
 func (r *Result) checkStream(req request, body io.Reader, due time.Time, echo io.Writer) {
 	reader := bufio.NewReaderSize(body, streamBuffer)
--- a/internal/load/stream_test.go
+++ b/internal/load/stream_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestAuditOfAttempts checks that a key's verdict of not run is false when an earlier attempt
-// ran, and true when only a later one can have run.
+// TestAuditOfAttempts checks that a verdict of not run for a request with an idempotency key is false when an earlier
+// attempt ran, and true when only a later attempt can have run.
 func TestAuditOfAttempts(t *testing.T) {
 	began := time.Unix(1000, 0)
 	attempt := func(second int, outcome Outcome, final verdict.Verdict) Result {
--- a/internal/load/target.go
+++ b/internal/load/target.go
@@ -4,8 +4,8 @@
 type Target struct {
 	// Gateways are IP:ports, used in turn.
 	Gateways []string
-	// GatewayZones are the zones of Gateways, in the same order; requests of a zone go to its
-	// gateways.
+	// GatewayZones are the zones of Gateways, in the same order; a request with a zone goes to
+	// the gateways of this zone.
 	GatewayZones []string
 	// Engines and Pages are the destinations of a direct run, which has no gateways.
 	Engines []string
