--- a/internal/experiment/benchmarks.go
+++ b/internal/experiment/benchmarks.go
@@ -130,8 +130,8 @@
 	return fmt.Sprintf("%s %.1f%%", best, share)
 }
 
-// goodputRatio returns the median goodput of the planned runs divided by that of the baseline runs, each as a share of
-// the offered worth; "-" without baseline runs.
+// goodputRatio returns the median goodput of the planned runs divided by that of the baseline runs, each as a share
+// of the offered worth; "-" without baseline runs.
 func goodputRatio(planned, baseline []*Run) string {
 	if len(baseline) == 0 {
 		return "-"
--- a/internal/experiment/controller.go
+++ b/internal/experiment/controller.go
@@ -19,8 +19,8 @@
 	world    *world
 	demands  *demand.Table
 	planners map[string]planner.Planner
-	// changes holds, by service, the times of the ordered changes. In the product they are in the replicated log, so they
-	// survive a crash of the planner here.
+	// changes holds, by service, the times of the ordered changes. In the product they are in the replicated log, so
+	// they survive a crash of the planner here.
 	changes map[string][]time.Duration
 	// plannerFaults counts the active faults that suspend the planner; reportFaults counts
 	// those that drop reports.
--- a/internal/experiment/hindsight.go
+++ b/internal/experiment/hindsight.go
@@ -107,7 +107,8 @@
 	return planner.NewModel(plannerProfile(service))
 }
 
-// meanSplit returns the split without mixed engines that has the highest modelled worth for the mean demand of the run.
+// meanSplit returns the split without mixed engines that has the highest modelled worth for the mean demand of the
+// run.
 func (s *Study) meanSplit(service *scenario.Service) planner.Split {
 	mean := demandWindows(&s.declared, s.arrivals, service.Name, s.declared.Duration, s.cachedShares)[0]
 	model := s.plannerModel(service)
--- a/internal/experiment/previousplanner/planner.go
+++ b/internal/experiment/previousplanner/planner.go
@@ -125,8 +125,8 @@
 	return result
 }
 
-// wants reports whether moving one engine from one role to the other gives a split whose worth per second is more than
-// 2 % higher.
+// wants reports whether moving one engine from one role to the other gives a split whose worth per second is more
+// than 2 % higher.
 func (e changeEvaluator) wants(from, to enginecontract.Role) bool {
 	after := e.split.Add(from, -1).Add(to, 1)
 	return e.model.goodput(after, e.load) > e.stayRate*1.02
--- a/internal/experiment/schedule.go
+++ b/internal/experiment/schedule.go
@@ -87,8 +87,8 @@
 	return from, to, from != "" && to != ""
 }
 
-// leastLoaded returns the serving engine of a role with the least work in flight that is not among the chosen changes;
-// the second value is false if there is none.
+// leastLoaded returns the serving engine of a role with the least work in flight that is not among the chosen
+// changes; the second value is false if there is none.
 func leastLoaded(engines []planner.EngineObservation, role enginecontract.Role, chosen []planner.Change) (planner.EngineObservation, bool) {
 	var fit []planner.EngineObservation
 	for _, engine := range engines {
--- a/internal/experiment/splits.go
+++ b/internal/experiment/splits.go
@@ -70,8 +70,9 @@
 	return roles
 }
 
-// mostUnderassigned returns the role to assign to the next engine, the one at position places (from 1) of total engines.
-// It is the role whose number of engines in assigned is furthest below its number in split times places/total.
+// mostUnderassigned returns the role to assign to the next engine, the one at position places (from 1) of total
+// engines. It is the role whose number of engines in assigned is furthest below its number in split times
+// places/total.
 func mostUnderassigned(split, assigned planner.Split, places, total int) enginecontract.Role {
 	best, most := enginecontract.RoleMixed, -1.0
 	for _, role := range planner.Roles() {
--- a/internal/experiment/windows.go
+++ b/internal/experiment/windows.go
@@ -15,8 +15,8 @@
 	upShare float64
 }
 
-// demandWindows divides a run's arrivals for one service into windows of length span. cached holds, by kind, the share of
-// prompt tokens found in prefix caches.
+// demandWindows divides a run's arrivals for one service into windows of length span. cached holds, by kind, the
+// share of prompt tokens found in prefix caches.
 func demandWindows(declared *scenario.Scenario, arrivals []scenario.Arrival, service string, span time.Duration, cached []float64) []window {
 	count := int((declared.Duration + span - 1) / span)
 	windows := make([]window, count)
--- a/internal/fleet/cuts.go
+++ b/internal/fleet/cuts.go
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// CutOff cuts a group of addresses off from the process until heal is called. number identifies the cut in the commands
-// to the process.
+// CutOff cuts a group of addresses off from the process until heal is called. number identifies the cut in the
+// commands to the process.
 func (p *Process) CutOff(number int, group []netip.Prefix) (heal func() error, err error) {
 	err = sendCutCommand([]*Process{p}, cutCommand{Number: number, Group: group})
 	return func() error { return sendCutCommand([]*Process{p}, cutCommand{Number: number}) }, err
--- a/internal/fleet/fault_target.go
+++ b/internal/fleet/fault_target.go
@@ -51,8 +51,8 @@
 	)
 }
 
-// resolveTargets returns the targets of a fault. It fails when no process, stand-in or zone has the name in the fault,
-// or when a target does not support the fault.
+// resolveTargets returns the targets of a fault. It fails when no process, stand-in or zone has the name in the
+// fault, or when a target does not support the fault.
 func (f *Fleet) resolveTargets(fault Fault) ([]faultTarget, error) {
 	var found []faultTarget
 	for _, target := range f.allTargets() {
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -98,7 +98,8 @@
 	}
 }
 
-// ReplaceProgram changes the program and its arguments from the next start on; an empty program is this program itself.
+// ReplaceProgram changes the program and its arguments from the next start on; an empty program is this program
+// itself.
 func (p *Process) ReplaceProgram(program string, arguments []string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/fleet/process_test.go
+++ b/internal/fleet/process_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAGatewaysDrainIsWaitedFor guards against killing gateways that still drain streams: the fleet once waited a fixed
-// ten seconds, whatever drain_timeout the gateways had.
+// TestAGatewaysDrainIsWaitedFor guards against killing gateways that still drain streams: the fleet once waited a
+// fixed ten seconds, whatever drain_timeout the gateways had.
 func TestAGatewaysDrainIsWaitedFor(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "gateway-a.yaml")
 	const settings = "name: a\nfleet: f\nzone: z\nlisten: 127.0.0.1:1\nadmin_listen: 127.0.0.1:2\ncontrollers: [\"127.0.0.1:3\"]\ndrain_timeout: 25s\n"
--- a/internal/fleet/timeline.go
+++ b/internal/fleet/timeline.go
@@ -10,8 +10,8 @@
 	"github.com/gravitational/trace"
 )
 
-// InjectFaults schedules the description's faults, whose times count from now, until the context ends. It resolves the
-// targets of all faults before it returns, and writes a line to progress for each fault.
+// InjectFaults schedules the description's faults, whose times count from now, until the context ends. It resolves
+// the targets of all faults before it returns, and writes a line to progress for each fault.
 func (f *Fleet) InjectFaults(ctx context.Context, progress io.Writer) error {
 	targetsByFault := make([][]faultTarget, len(f.Description.Faults))
 	for index, fault := range f.Description.Faults {
--- a/internal/gatewaycost/run.go
+++ b/internal/gatewaycost/run.go
@@ -142,7 +142,8 @@
 	return nil
 }
 
-// measureCuts cuts each connection to an engine after tokensBeforeCut tokens, also resumed ones.
+// measureCuts cuts each connection to an engine after tokensBeforeCut tokens, also the connections of resumed
+// streams.
 func (r *run) measureCuts(ctx context.Context, report *Report) error {
 	for _, each := range r.Fleet.StandIns.Engines {
 		each.Faults().Replace([]fault.Fault{{Kind: fault.Cut, Count: maxCuts(r.Streams, r.Tokens), Tokens: tokensBeforeCut}})
--- a/internal/gatewayloss/gauge.go
+++ b/internal/gatewayloss/gauge.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// gaugeValue returns the value of the first metric whose name ends with suffix; -1 if there is none.
+// gaugeValue returns the value, without its fraction, of the first metric whose name ends with suffix; -1 if there is
+// none.
 func gaugeValue(metrics, suffix string) int {
 	for line := range strings.Lines(metrics) {
 		metric, rest, _ := strings.Cut(line, " ")
--- a/internal/gatewayloss/report.go
+++ b/internal/gatewayloss/report.go
@@ -42,7 +42,7 @@
 	InFlight int `json:"in_flight"`
 	// BackAfterMs is the time from the fault until the target served again, in milliseconds.
 	BackAfterMs float64 `json:"back_after_ms"`
-	// Clean reports that a stopped gateway exited without being killed.
+	// Clean is true if a stopped gateway exited without being killed.
 	Clean bool `json:"clean"`
 }
 
--- a/internal/importrules/importrules_test.go
+++ b/internal/importrules/importrules_test.go
@@ -54,7 +54,7 @@
 	"internal/verdict",
 }
 
-// benchPackages may be imported only by the bench.
+// benchPackages are the packages of hazelbench, which product packages may not import.
 var benchPackages = []string{
 	"internal/benchcommand",
 	"internal/enginemodel",
--- a/internal/importrules/monotonic_clock_test.go
+++ b/internal/importrules/monotonic_clock_test.go
@@ -29,7 +29,8 @@
 // wallClockMethods are the methods of time.Time that drop the monotonic reading.
 var wallClockMethods = []string{"Unix", "UnixMilli", "UnixMicro", "UnixNano", "UTC", "Local", "In"}
 
-// A machine's time of day may jump by seconds in either direction, so no decision may depend on it.
+// TestDecisionsUseMonotonicTime checks that packages with decisions read the clock only in allowedClockReaders. A
+// machine's time of day may jump by seconds in either direction, so no decision may depend on it.
 func TestDecisionsUseMonotonicTime(t *testing.T) {
 	checked := 0
 	for _, file := range sourceFiles(t) {
--- a/internal/leaderloss/changes.go
+++ b/internal/leaderloss/changes.go
@@ -133,7 +133,8 @@
 	return highest
 }
 
-// acceptedAfter returns when the first change was accepted after a given time.
+// acceptedAfter returns when the first change was accepted after a given time; the second value is false if there is
+// none.
 func (c *markerChanges) acceptedAfter(after time.Time) (time.Time, bool) {
 	for _, change := range c.all() {
 		if change.accepted.After(after) {
--- a/internal/leaderloss/conclude.go
+++ b/internal/leaderloss/conclude.go
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// checkAcceptedChanges checks that every accepted change is among the revisions with its
-// number, and that the marker has the version of the last one.
+// checkAcceptedChanges checks that `show revisions` lists every accepted change with its change number, and that the
+// marker has the version of the last accepted change.
 func (r *run) checkAcceptedChanges(ctx context.Context, accepted []acceptedChange) error {
 	answer, err := r.operator.Execute(ctx, "show revisions")
 	if err != nil {
--- a/internal/leaderloss/faults.go
+++ b/internal/leaderloss/faults.go
@@ -183,7 +183,8 @@
 	return r.measureNextLeader(ctx, began, epoch)
 }
 
-// measureNextLeader measures, since the loss, when the next leader reaches each milestone.
+// measureNextLeader measures the time from began, when the leader was lost, until the next leader reaches each
+// milestone. epoch is the highest epoch in the engines' fences before the loss.
 func (r *run) measureNextLeader(ctx context.Context, began time.Time, epoch uint64) error {
 	milestones := []struct {
 		measurement string
--- a/internal/leaderloss/orders.go
+++ b/internal/leaderloss/orders.go
@@ -41,7 +41,7 @@
 	_, _ = o.operator.Execute(try, fmt.Sprintf("set role of engine %s to %s", changed.Name(), nextRole(state.Role)))
 }
 
-// nextRole returns the role that an engine is changed to.
+// nextRole returns the role that an engine with the given role is changed to.
 func nextRole(role enginecontract.Role) enginecontract.Role {
 	if role == enginecontract.RoleMixed {
 		return enginecontract.RoleDecode
@@ -94,7 +94,7 @@
 }
 
 // firstOrderAbove returns when an engine first accepted an order of an epoch above the given
-// one.
+// one; the second value is false if it has not.
 func firstOrderAbove(ordered *engine.Engine, epoch uint64) (time.Time, bool) {
 	for _, accepted := range ordered.AcceptedOrders() {
 		if accepted.Order.Fence.Epoch > epoch {
--- a/internal/leaderloss/revisions.go
+++ b/internal/leaderloss/revisions.go
@@ -64,7 +64,8 @@
 	return ""
 }
 
-// firstReached returns when the given revision, or a later one, was first read.
+// firstReached returns when the given revision, or a later one, was first read; the second value is false if none
+// was.
 func (r *revisionHistory) firstReached(revision uint64) (time.Time, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -46,8 +46,8 @@
 	}}
 }
 
-// send sends one request and returns its result. Times in the result count from due, when the request was to be sent. The
-// text of a chat's answer is written to echo as it arrives.
+// send sends one request and returns its result. Times in the result count from due, when the request was to be sent.
+// The text of a chat's answer is written to echo as it arrives.
 func (c *client) send(req request, due time.Time, echo io.Writer) (result Result) {
 	result = Result{
 		Kind: req.kind, Tenant: req.tenant, Due: req.arrival.at, Prompt: req.promptKey, Key: req.key, Gateway: c.target.addressFor(req),
--- a/internal/load/prompt.go
+++ b/internal/load/prompt.go
@@ -23,8 +23,8 @@
 	return &promptBuilder{seed: seed, dossiers: make(map[string]string)}
 }
 
-// text returns a prompt of about the given number of tokens. The first shared tokens of the prompt are the beginning of
-// the dossier's text; number makes the rest unique in the run.
+// text returns a prompt of about the given number of tokens. The first shared tokens of the prompt are the beginning
+// of the dossier's text; number makes the rest unique in the run.
 func (p *promptBuilder) text(dossier string, shared, number, tokens int) string {
 	var built strings.Builder
 	built.Grow((tokens + 16) * bytesPerToken)
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -51,7 +51,8 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// requestBuilder builds the requests of a run. Apart from the run's label, a request depends only on the seed and its arrival.
+// requestBuilder builds the requests of a run. Apart from the run's label, a request depends only on the seed and its
+// arrival.
 type requestBuilder struct {
 	traffic  Traffic
 	kinds    map[string]Kind
--- a/internal/measure/chooser.go
+++ b/internal/measure/chooser.go
@@ -116,7 +116,7 @@
 }
 
 // clairvoyantChooser knows the current load and prefix cache of every engine, and chooses the engine with the lowest
-// cost.
+// costInTokens.
 type clairvoyantChooser struct {
 	ignoresObservations
 	world *world
--- a/internal/measure/claims.go
+++ b/internal/measure/claims.go
@@ -26,7 +26,7 @@
 	claimLifetimeMs   = 3_600_000
 )
 
-// claimCounts are the numbers of claims in the state that are measured.
+// claimCounts are the numbers of claims in the replicated state for which the cost is measured.
 var claimCounts = []int{1_000, 50_000, 200_000}
 
 // claimCost is the cost of a number of claims at one controller.
--- a/internal/measure/isolation.go
+++ b/internal/measure/isolation.go
@@ -25,14 +25,14 @@
 	}
 }
 
-// floodLoad returns a load of ten times the engines' capacity.
+// floodLoad returns a load of about ten times the engines' capacity.
 func floodLoad(length time.Duration) workload {
 	flood := neighbourLoad(length)
 	flood.tenant, flood.requestsPerSecond = flooding, 320
 	return flood
 }
 
-// admissionRow is one kind of admission, with or without the flood.
+// admissionRow is one row of the isolation table: a kind of admission, with or without the flood.
 type admissionRow struct {
 	name      string
 	admission *admission.Config
--- a/internal/measure/results.go
+++ b/internal/measure/results.go
@@ -13,8 +13,8 @@
 	promptTokens int64
 	cachedTokens int64
 	firstTokens  []time.Duration
-	// imbalance holds samples of the coefficient of variation of the engines' requests: their standard deviation over
-	// their mean.
+	// imbalance holds samples of the coefficient of variation of the engines' numbers of requests: the standard
+	// deviation of these numbers over their mean.
 	imbalance []float64
 }
 
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -167,7 +167,8 @@
 	}
 }
 
-// refreshReports reads every engine's load and passes the load of reportLag ago to the gateways.
+// refreshReports reads every engine's load and passes the newest loads that are at least reportLag old, or
+// the oldest ones, to the gateways.
 func (w *world) refreshReports() {
 	directory := make([]routing.BackEnd, len(w.engines))
 	for i, engine := range w.engines {
--- a/internal/processrun/record.go
+++ b/internal/processrun/record.go
@@ -72,7 +72,8 @@
 	return &r.run.Series[second]
 }
 
-// tenant returns the row of a tenant. Names count from 1, as in experiments.
+// tenant returns the result of the tenant with the given index, from 0. Names of tenants count from 1, as in
+// experiments.
 func (r *recorder) tenant(number int) *experiment.Tenant {
 	name := fmt.Sprintf("tenant-%d", number+1)
 	index, found := r.tenants[name]
--- a/internal/property/controllers.go
+++ b/internal/property/controllers.go
@@ -17,8 +17,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/safeguard"
 )
 
-// controllers is a stand-in for a quorum of controllers: two addresses in front of one replicated state, which handles
-// claims with the code of the product. It is safe for concurrent use.
+// controllers is a stand-in for a quorum of controllers: two addresses in front of one replicated state, which
+// handles claims with the code of the product. It is safe for concurrent use.
 type controllers struct {
 	hazelpitchv1connect.UnimplementedNodeServiceHandler
 	configuration configuration
--- a/internal/property/faults.go
+++ b/internal/property/faults.go
@@ -94,8 +94,8 @@
 	controlLost    = "controllers out of reach"
 )
 
-// faultChoices are the faults to draw from, with their weights. inject returns true if the fault is to be counted now.
-// Faults that a stand-in engine or page service shows later are counted when it shows them.
+// faultChoices are the faults to draw from, with their weights. inject returns true if the fault is to be counted
+// now. Faults that a stand-in engine or page service shows later are counted when it shows them.
 var faultChoices = []struct {
 	name   string
 	weight int
--- a/internal/report/chart.go
+++ b/internal/report/chart.go
@@ -118,7 +118,7 @@
 	return render(caption, created, chartHeight)
 }
 
-// stackedOn adds a layer to the one below it; nil stands for the axis.
+// stackedOn adds a layer to the one below it; below is nil for the lowest layer.
 func stackedOn(layer, below plotter.XYs) plotter.XYs {
 	top := make(plotter.XYs, len(layer))
 	for index, point := range layer {
@@ -130,7 +130,7 @@
 	return top
 }
 
-// outline returns the polygon between top and below.
+// outline returns the polygon between the lines top and below; below is nil for the horizontal axis.
 func outline(top, below plotter.XYs) plotter.XYs {
 	around := append(plotter.XYs(nil), top...)
 	for index := len(top) - 1; index >= 0; index-- {
--- a/internal/report/figures.go
+++ b/internal/report/figures.go
@@ -27,7 +27,8 @@
 	return charts, nil
 }
 
-// shareChart compares the policies' medians; 100 is the bound, or what was offered if there is no bound.
+// shareChart compares the policies' median goodput in percent of the clairvoyant bound, or of the offered worth if a
+// policy has no bound.
 func (g *Group) shareChart([]experiment.Run) ([]chart, error) {
 	var names []string
 	values, caption := []float64{}, "Goodput as a share of the clairvoyant bound, median of the seeds"
--- a/internal/report/refusals.go
+++ b/internal/report/refusals.go
@@ -10,7 +10,7 @@
 // maxTenants is the number of tenants that are listed; the others are summed.
 const maxTenants = 10
 
-// otherTenants is the name of the row with that sum.
+// otherTenants is the name of the row that sums the refusals of the tenants beyond maxTenants.
 const otherTenants = "others"
 
 // refusalTable holds one run's refusals: a row for each tenant and a column for each verdict
--- a/internal/scenario/generate.go
+++ b/internal/scenario/generate.go
@@ -64,8 +64,8 @@
 	return generator
 }
 
-// setProcess sets gap, the distance to the next arrival in units of mean interarrival time,
-// and size, the number of requests that arrive at once.
+// setProcess sets gap, which draws the distance to the next arrival in units of the mean interarrival time,
+// and size, which draws the number of requests that arrive at once.
 func (g *arrivalGenerator) setProcess(source rand.Source) {
 	exponential := distuv.Exponential{Rate: 1, Src: source}
 	switch g.kind.Arrivals.Process {
@@ -83,7 +83,7 @@
 	}
 }
 
-// generate integrates the rate and emits arrivals each time the integral has passed a gap.
+// generate integrates the rate over time and emits arrivals each time the integral has grown by a drawn gap.
 func (g *arrivalGenerator) generate() []Arrival {
 	if g.kind.Arrivals.Rate <= 0 {
 		return nil
--- a/internal/scenario/keyset.go
+++ b/internal/scenario/keyset.go
@@ -8,7 +8,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/yamlfile"
 )
 
-// keySet lists the keys that a type of group accepts.
+// keySet lists the keys that one type of shape or one law of a distribution requires or accepts.
 type keySet struct {
 	required []string
 	optional []string
@@ -37,7 +37,7 @@
 
 var allLawKeys = []string{"value", "mean", "deviation", "low", "high"}
 
-// check reports missing keys of a group and keys that its type does not accept.
+// check reports missing keys of a group and keys that its type does not accept. all lists the keys of all types.
 func (k keySet) check(document *yamlfile.Document, group, typeName string, all []string) {
 	for _, name := range all {
 		key := group + "." + name
--- a/internal/scenario/names.go
+++ b/internal/scenario/names.go
@@ -9,7 +9,7 @@
 	"github.com/hazelpitch/hazelpitch/internal/yamlfile"
 )
 
-// checkName reports a name that is not among the known ones; an empty name is valid.
+// checkName reports a name at a key of the document that is not among the known names; an empty name is valid.
 func checkName(document *yamlfile.Document, key, name string, known []string) {
 	if name == "" || slices.Contains(known, name) {
 		return
--- a/internal/scenario/sampler.go
+++ b/internal/scenario/sampler.go
@@ -10,7 +10,7 @@
 // sampler draws token counts.
 type sampler func() int
 
-// sampler returns a sampler of the distribution with a random source.
+// sampler returns a function that draws token counts from the distribution, with the given random source.
 func (d Distribution) sampler(source rand.Source) sampler {
 	var draw func() float64
 	switch d.Law {
@@ -31,7 +31,7 @@
 	return func() int { return d.clamp(draw()) }
 }
 
-// clamp rounds a sample and limits it to the distribution's bounds.
+// clamp rounds a sample and limits it to the distribution's Low and High, where they are set, and to at least 1.
 func (d Distribution) clamp(value float64) int {
 	tokens := int(math.Round(min(value, math.MaxInt32)))
 	if d.High > 0 {
--- a/internal/scenario/service.go
+++ b/internal/scenario/service.go
@@ -70,7 +70,7 @@
 	return profile
 }
 
-// ModelName returns the model that callers of a kind name.
+// ModelName returns the model that callers name in requests of a kind.
 func (s Scenario) ModelName(kind Kind) string {
 	for _, service := range s.Services {
 		if service.Name == kind.Service && service.Model != "" {
--- a/internal/scenario/trace.go
+++ b/internal/scenario/trace.go
@@ -137,7 +137,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// name returns the index of a column's name in a list; without the column it returns 0.
+// name returns the index in known of the name in a column. It returns 0 without the column, or after it has reported
+// an unknown name.
 func (r *traceReader) name(column string, known []string) int {
 	text, found := r.cell(column)
 	if !found {
@@ -151,7 +152,8 @@
 	return index
 }
 
-// number returns a column's integer; without the column it returns least.
+// number returns the integer in a column, which must be from least to most. It returns least without the column, or
+// after it has reported another value.
 func (r *traceReader) number(column string, least, most int) int {
 	text, found := r.cell(column)
 	if !found {
--- a/internal/simulation/checks_answers.go
+++ b/internal/simulation/checks_answers.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// checkApplyAnswered checks that a submission gets the same response each time, and that an accepted one is durable and
-// the only one with its number and revision.
+// checkApplyAnswered checks that a submission gets the same response each time, and that an accepted one is durable
+// and the only one with its number and revision.
 func (c *checks) checkApplyAnswered(sent *submission, response *v1.ApplyResponse) {
 	c.world.trace.add(c.world.now, sent.operator, "%s is %s at revision %d, number %d", sent.request.GetRequestId(),
 		response.GetOutcome(), response.GetRevision(), response.GetChangeNumber())
--- a/internal/simulation/checks_orders.go
+++ b/internal/simulation/checks_orders.go
@@ -17,8 +17,8 @@
 	// issued holds the committed orders; unended holds, by engine, the committed order that has not ended yet.
 	issued  map[engineFence]bool
 	unended map[string]enginecontract.Fence
-	// overlapping maps each order that was committed before an earlier order to the same engine had ended to that earlier
-	// order; such an order must not be sent. ended holds the outcomes of ended orders.
+	// overlapping maps each order that was committed before an earlier order to the same engine had ended to that
+	// earlier order; such an order must not be sent. ended holds the outcomes of ended orders.
 	overlapping map[engineFence]enginecontract.Fence
 	ended       map[engineFence]v1.OrderOutcome
 	// acceptedOrders holds the orders that engines have accepted.
--- a/internal/simulation/checks_propagation.go
+++ b/internal/simulation/checks_propagation.go
@@ -41,9 +41,9 @@
 // begins at the revision of its snapshot.
 func (s *propagationChecks) forgetController(c *controller) { delete(s.controllers, c.name) }
 
-// checkGatewaySynced checks that a gateway's revision never reverts, also over restarts, and that the configuration that
-// the gateway applies is the one that controllers accepted as this revision. A gateway without any configuration serves no
-// requests and is left out.
+// checkGatewaySynced checks that a gateway's revision never reverts, also over restarts, and that the configuration
+// that the gateway applies is the one that controllers accepted as this revision. A gateway without any configuration
+// serves no requests and is left out.
 func (c *checks) checkGatewaySynced(g *gateway) {
 	revision := g.state.Revision()
 	if revision == 0 {
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -31,8 +31,8 @@
 	incarnation uint64
 	state       *gatewaystate.State
 	router      *routing.Router
-	// syncTarget is the index of the controller that receives the next Sync; leader is the address of the controller that
-	// was last named as the leader, empty if unknown.
+	// syncTarget is the index of the controller that receives the next Sync; leader is the address of the controller
+	// that was last named as the leader, empty if unknown.
 	syncTarget int
 	leader     string
 	// exchanges numbers the requests sent.
--- a/internal/simulation/random_planner.go
+++ b/internal/simulation/random_planner.go
@@ -13,8 +13,8 @@
 	random *rand.Rand
 }
 
-// changeShare is the share of the planner's decisions for which it draws an engine and a new role. If the engine already
-// has that role, the decision changes nothing.
+// changeShare is the share of the planner's decisions for which it draws an engine and a new role. If the engine
+// already has that role, the decision changes nothing.
 const changeShare = 0.5
 
 // Plan implements planner.Planner.
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -84,8 +84,8 @@
 	return steps
 }
 
-// unsettledReason describes what has not recovered after the faults, or returns an empty string when the whole fleet has.
-// Every controller and gateway must have reached at least the revision target.
+// unsettledReason describes what has not recovered after the faults, or returns an empty string when the whole fleet
+// has. Every controller and gateway must have reached at least the revision target.
 func (w *world) unsettledReason(target uint64) string {
 	if !w.isMembershipComplete() {
 		return "the members are not exactly the disks in use, or have another number of voters: " + w.membership()
--- a/internal/simulation/sweep.go
+++ b/internal/simulation/sweep.go
@@ -40,8 +40,8 @@
 	reportInOrder(results, first, stop, report)
 }
 
-// reportInOrder passes the results to report in the order of their seeds, beginning with the seed next. It closes stop
-// when report returns false, and passes on no further results.
+// reportInOrder passes the results to report in the order of their seeds, beginning with the seed next. It closes
+// stop when report returns false, and passes on no further results.
 func reportInOrder(results <-chan Result, next uint64, stop chan<- struct{}, report func(Result) bool) {
 	var early []Result
 	stopped := false
--- a/internal/soak/check/backoff.go
+++ b/internal/soak/check/backoff.go
@@ -28,9 +28,9 @@
 	return arrivals
 }
 
-// sentDuringBackoff finds back ends that asked a relay for backoff and received more than toleratedBackoffArrivals requests
-// from that relay between backoffSlack after the response and the end of the backoff. A relay that had a fault, or was cut off from the back end, may not know of the
-// backoff and is left out.
+// sentDuringBackoff finds back ends that asked a relay for backoff and received more than toleratedBackoffArrivals
+// requests from that relay between backoffSlack after the response and the end of the backoff. A relay that had a
+// fault, or was cut off from the back end, may not know of the backoff and is left out.
 func sentDuringBackoff(recorded *history.History) []Finding {
 	var findings []Finding
 	for at, arrivals := range arrivalsByRelayAndReplica(recorded) {
--- a/internal/soak/check/budget.go
+++ b/internal/soak/check/budget.go
@@ -16,8 +16,8 @@
 )
 
 // overCrashLimit finds requests that reach more than retriesAllowed further back ends after three have crashed under
-// them. An arrival counts if its relay was in contact with the controllers and Bounds.Contact had passed since the third
-// crash, so that the relay must know of it.
+// them. An arrival counts if its relay was in contact with the controllers and Bounds.Contact had passed since the
+// third crash, so that the relay must know of it.
 func overCrashLimit(recorded *history.History) []Finding {
 	contents := map[string]string{}
 	for _, sending := range recorded.Sendings {
@@ -70,8 +70,8 @@
 	return findings
 }
 
-// overRetryBudget finds the first time window in which more attempts beyond the first of their request reached back ends
-// than the retry budget allows.
+// overRetryBudget finds the first time window in which more attempts beyond the first of their request reached back
+// ends than the retry budget allows.
 func overRetryBudget(recorded *history.History) []Finding {
 	window := recorded.Bounds.RetryWindow
 	if window <= 0 {
--- a/internal/soak/check/config.go
+++ b/internal/soak/check/config.go
@@ -6,16 +6,16 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// answerSlack is how long after its route's timeout a request may still get its final response. overdueAnswers checks the
-// share of later responses once there are at least minLateAnswers of them.
+// answerSlack is how long after its route's timeout a request may still get its final response. overdueAnswers checks
+// the share of later responses once there are at least minLateAnswers of them.
 const (
 	minLateAnswers = 8
 	answerSlack    = 500 * time.Millisecond
 )
 
-// config finds requests that ran on a service that only an older configuration names, although their relay was in contact
-// with the controllers; reads that return an older configuration than was acknowledged; invalid configurations that were
-// accepted; and requests that get their final response too long after their route's timeout.
+// config finds requests that ran on a service that only an older configuration names, although their relay was in
+// contact with the controllers; reads that return an older configuration than was acknowledged; invalid
+// configurations that were accepted; and requests that get their final response too long after their route's timeout.
 func config(recorded *history.History) []Finding {
 	findings := onReplacedServices(recorded)
 	for _, read := range recorded.Reads {
@@ -48,8 +48,9 @@
 	return findings
 }
 
-// servicesOf returns the services to which a request may be routed: the service in the newest configuration that must be
-// applied when the request was sent, and those in all newer configurations that were submitted before the request ended.
+// servicesOf returns the services to which a request may be routed: the service in the newest configuration that must
+// be applied when the request was sent, and those in all newer configurations that were submitted before the request
+// ended.
 func servicesOf(recorded *history.History, sending history.Sending) map[string]bool {
 	newest := newestAcked(recorded, sending.SentAt-recorded.Bounds.ConfigApply)
 	allowed := map[string]bool{}
--- a/internal/soak/check/gone.go
+++ b/internal/soak/check/gone.go
@@ -17,9 +17,9 @@
 	goneMinSample = 8
 )
 
-// gone finds that more than toleratedGoneArrivals requests on repeatable routes reach back ends later than goneSlack after
-// their clients have left. It also finds that back ends, goneSlack after the clients have left, still work on more than a
-// quarter of the requests that outlast their clients.
+// gone finds that more than toleratedGoneArrivals requests on repeatable routes reach back ends later than goneSlack
+// after their clients have left. It also finds that back ends, goneSlack after the clients have left, still work on
+// more than a quarter of the requests that outlast their clients.
 func gone(recorded *history.History) []Finding {
 	abandoned := map[string]history.Sending{}
 	for _, sending := range recorded.Sendings {
--- a/internal/soak/check/lost.go
+++ b/internal/soak/check/lost.go
@@ -6,8 +6,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/soak/history"
 )
 
-// lost finds requests that maintenance cut off although no unplanned fault happened near them, and finds that the last
-// configuration that was read is older than the newest one that was acknowledged.
+// lost finds requests that maintenance cut off although no unplanned fault happened near them, and finds that the
+// last configuration that was read is older than the newest one that was acknowledged.
 func lost(recorded *history.History) []Finding {
 	findings := cutByMaintenance(recorded)
 	newest := newestAcked(recorded, 1<<62)
--- a/internal/soak/check/one.go
+++ b/internal/soak/check/one.go
@@ -17,7 +17,8 @@
 	return findings
 }
 
-// orderFault describes which part of the rule an order breaks, given the earlier orders to the same back end; empty for none.
+// orderFault describes which part of the rule an order breaks, given the earlier orders to the same back end; empty
+// for none.
 func orderFault(before []history.Order, order history.Order, bounds history.Bounds) string {
 	for index := len(before) - 1; index >= 0; index-- {
 		earlier := before[index]
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -44,7 +44,8 @@
 
 	mutex         sync.Mutex
 	struckTargets map[string]bool
-	// lostControllers counts the controllers with a fault under way and those that still catch up with the log after one.
+	// lostControllers counts the controllers with a fault under way and those that still catch up with the log after
+	// one.
 	lostControllers int
 	kinds           map[history.FaultKind]int
 	// onOtherBuild holds, by process name, whether the process runs the build of Options.OtherProgram.
--- a/internal/soak/history/history.go
+++ b/internal/soak/history/history.go
@@ -4,7 +4,7 @@
 
 // Bounds are the time bounds that the rules set for relays in contact with the controllers.
 type Bounds struct {
-	// Contact is how long a machine must be free of faults to count as in contact.
+	// Contact is how long a relay and all controllers must have been free of faults for the relay to count as in contact.
 	Contact time.Duration
 	// ConfigApply is the time from the acknowledgement of a configuration until it is applied everywhere.
 	ConfigApply time.Duration
--- a/internal/soak/history/recorder.go
+++ b/internal/soak/history/recorder.go
@@ -70,7 +70,8 @@
 	return &sortedHistory
 }
 
-// setMachines sets the relay of each arrival: the one to which the client sent the attempt with the arrival's identity.
+// setMachines sets the relay of each arrival: the one to which the client sent the attempt with the arrival's
+// identity.
 func setMachines(recorded *History) {
 	fronts := make(map[string]string, len(recorded.Sendings))
 	for _, sending := range recorded.Sendings {
--- a/internal/soak/options.go
+++ b/internal/soak/options.go
@@ -21,9 +21,9 @@
 	Directory string
 	// Program is the path of the server to run; empty for this program itself with Serve as its first argument.
 	Program, Serve string
-	// OtherProgram is the path of a server of another build, empty for none: processes are replaced by this build and back,
-	// in any order. FirstFormatOnly leaves out what builds of the first format cannot handle: back ends that ask for
-	// backoff, limits, and incarnations under one identity.
+	// OtherProgram is the path of a server of another build, empty for none: processes are replaced by this build and
+	// back, in any order. FirstFormatOnly leaves out what builds of the first format cannot handle: back ends that
+	// ask for backoff, limits, and incarnations under one identity.
 	OtherProgram    string
 	FirstFormatOnly bool
 	// CheckTimeBounds also checks the rules with time bounds, which can fail on a machine that is busy with other work.
--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -26,7 +26,8 @@
 	KVHandleLifetime  = 30 * time.Second
 )
 
-// ListenFunc opens a listener. A fleet passes one that delays each connection by the latency configured to the caller's zone.
+// ListenFunc opens a listener. A fleet passes one that delays each connection by the latency configured to the
+// caller's zone.
 type ListenFunc func(network, address string) (net.Listener, error)
 
 // Config configures one engine.
--- a/internal/standin/engine/driver.go
+++ b/internal/standin/engine/driver.go
@@ -72,8 +72,8 @@
 	return 0
 }
 
-// applyModelEvent records an event of the engine model at the exchange that the event belongs to and wakes the reader of
-// this exchange.
+// applyModelEvent records an event of the engine model at the exchange that the event belongs to and wakes the reader
+// of this exchange.
 func (p *process) applyModelEvent(now time.Duration, event enginemodel.Event) {
 	affected := p.exchanges[event.ID]
 	if affected == nil || affected.isOver() {
--- a/internal/standin/engine/orders/machine.go
+++ b/internal/standin/engine/orders/machine.go
@@ -220,7 +220,8 @@
 	m.durable.AdapterVersions = versions
 }
 
-// NextEvent returns the time of the next transition that depends on time alone; the second value is false if there is none.
+// NextEvent returns the time of the next transition that depends on time alone; the second value is false if there is
+// none.
 func (m *Machine) NextEvent() (time.Duration, bool) {
 	switch {
 	case m.durable.Phase == enginecontract.PhaseDraining:
--- a/internal/standin/engine/weights.go
+++ b/internal/standin/engine/weights.go
@@ -35,7 +35,8 @@
 	p.wakeDriver()
 }
 
-// attemptWeights makes one attempt. loaded is true if the weights were fetched, final if a further attempt is pointless.
+// attemptWeights makes one attempt. loaded is true if the weights were fetched, final if a further attempt is
+// pointless.
 func (p *process) attemptWeights(order enginecontract.Order) (loaded, final bool) {
 	call, answer := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(call)
