--- a/internal/experiment/benchmarks.go
+++ b/internal/experiment/benchmarks.go
@@ -119,7 +119,7 @@
 
 func shareOfOffered(run *Run) float64 { return 100 * run.Goodput / max(run.OfferedWorth, 1e-9) }
 
-// highestPolicy names the policy with the highest median share of the bound.
+// highestPolicy returns the policy with the highest median share of the bound, and this share, as text.
 func highestPolicy(group []*Run) string {
 	best, share := "", -1.0
 	for _, samePolicy := range groupRuns(group, func(run *Run) string { return run.Policy }) {
--- a/internal/experiment/exchange.go
+++ b/internal/experiment/exchange.go
@@ -49,7 +49,7 @@
 	g.send(current, current.prefillEngine, enginemodel.PhasePrefillOnly)
 }
 
-// pickReason returns routing's reason without the name of the service.
+// pickReason returns the reason of an error of package routing without the name of the service.
 func pickReason(err error) string {
 	var known *routing.PickError
 	if errors.As(err, &known) {
--- a/internal/experiment/program.go
+++ b/internal/experiment/program.go
@@ -25,7 +25,7 @@
 	step  int
 }
 
-// solve returns the best schedule of splits; each step starts earlier by lead.
+// solve returns the best schedule of splits. Each split of the schedule is set earlier by lead than the program's step.
 func (p *dynamicProgram) solve(lead time.Duration) schedule {
 	steps := len(p.windows)
 	// best is the maximum worth from a step to the end, by the split at the step's start.
@@ -63,7 +63,8 @@
 	return append([]planner.Split{p.initial}, p.splits...)
 }
 
-// bestMove compares staying with every change of up to maxMoves engines in one step.
+// bestMove returns the highest worth from a step to the end and the split to which to change from the given split. It
+// compares no change with every change of up to maxMoves engines; after holds the worth after the step, by split.
 func (p *dynamicProgram) bestMove(step int, from planner.Split, after map[planner.Split]float64) (float64, planner.Split) {
 	length := (p.windows[step].to - p.windows[step].from).Seconds()
 	bestTo := from
--- a/internal/gatewaycost/run.go
+++ b/internal/gatewaycost/run.go
@@ -168,7 +168,8 @@
 	return sum
 }
 
-// runStreams sends concurrent chat requests and waits for their ends.
+// runStreams sends concurrent chat requests and waits for their ends. Their prompts are numbered from first on, so that
+// they differ from those of earlier calls.
 func (r *run) runStreams(ctx context.Context, first int) ([]streamStats, error) {
 	group, _ := errgroup.WithContext(ctx)
 	var mutex sync.Mutex
--- a/internal/leaderloss/report.go
+++ b/internal/leaderloss/report.go
@@ -77,14 +77,14 @@
 	return &recorder{times: make(map[string][]time.Duration), conditions: make(map[string]*Condition)}
 }
 
-// addMeasurement adds one duration.
+// addMeasurement adds one duration to the measurement with a name.
 func (r *recorder) addMeasurement(name string, took time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.times[name] = append(r.times[name], took)
 }
 
-// addCheck counts one check of a condition; a non-empty finding is a violation.
+// addCheck counts one check of the condition with a name; a non-empty finding is a violation.
 func (r *recorder) addCheck(name, finding string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/leaderloss/run.go
+++ b/internal/leaderloss/run.go
@@ -162,7 +162,7 @@
 	}
 }
 
-// waitUntil waits until a state is reached, at most stateTimeout.
+// waitUntil waits until a state is reached, at most stateTimeout; what names the state in the error.
 func (r *run) waitUntil(ctx context.Context, what string, reached func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
--- a/internal/processrun/watch.go
+++ b/internal/processrun/watch.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// update polls an engine and records the events since its last poll.
+// update polls an engine and records the events since its last poll. since is the time since the start of the run.
 func (w *watcher) update(status *engineStatus, since time.Duration) {
 	state, up := status.engine.State()
 	if up != status.isUp {
--- a/internal/simulation/faults_members.go
+++ b/internal/simulation/faults_members.go
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// runUntilReached repeats an administrator's command until reached accepts the committed membership, and then calls then.
-// members maps each member's disk to whether it is a learner.
+// runUntilReached repeats an administrator's command, given as text, until reached returns true for the committed
+// membership, and then calls then. members maps each member's disk to whether the member is a learner.
 func (w *world) runUntilReached(text string, reached func(members map[string]bool) bool, then func()) {
 	members := map[string]bool{}
 	for _, member := range w.leaderMembership().GetMembers() {
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -82,8 +82,8 @@
 	err      error
 }
 
-// callController calls one controller and passes its response to done; answered is false when the response was lost or
-// late.
+// callController calls one controller: input makes the call's input to the controller's core. done gets the response;
+// answered is false when the response was lost or late.
 func (w *world) callController(from *host, target *controller, timeout time.Duration,
 	input func(control.CallID) control.Input, done func(answer controllerAnswer, answered bool)) {
 	call(w.network, from, &target.host, timeout, func(reply func(controllerAnswer)) {
--- a/internal/simulation/options.go
+++ b/internal/simulation/options.go
@@ -18,7 +18,7 @@
 	Steps int
 	// Deployment is the simulated fleet; the default is the small one.
 	Deployment Deployment
-	// Safeguards states which safeguards are disabled, to show that their check fails.
+	// Safeguards states which safeguards are disabled, to show that the check of each can fail.
 	Safeguards safeguard.Set
 	// OnlyCheck, when not empty, is the name of the only check that may fail the run.
 	OnlyCheck string
