--- a/internal/gatewaycost/run.go
+++ b/internal/gatewaycost/run.go
@@ -142,7 +142,8 @@
 	return nil
 }
 
-// measureCuts cuts each connection to an engine after tokensBeforeCut tokens, also resumed ones.
+// measureCuts cuts each connection to an engine after tokensBeforeCut tokens, also the connections of resumed
+// streams.
 func (r *run) measureCuts(ctx context.Context, report *Report) error {
 	for _, each := range r.Fleet.StandIns.Engines {
 		each.Faults().Replace([]fault.Fault{{Kind: fault.Cut, Count: maxCuts(r.Streams, r.Tokens), Tokens: tokensBeforeCut}})
@@ -167,7 +168,8 @@
 	return sum
 }
 
-// runStreams sends concurrent chat requests and waits for their ends.
+// runStreams sends concurrent chat requests and waits for their ends. Their prompts are numbered from first on, so that
+// they differ from those of earlier calls.
 func (r *run) runStreams(ctx context.Context, first int) ([]streamStats, error) {
 	group, _ := errgroup.WithContext(ctx)
 	var mutex sync.Mutex
