--- a/internal/cell/division_test.go
+++ b/internal/cell/division_test.go
@@ -86,7 +86,8 @@
 	require.Less(t, moved, prompts/50)
 }
 
-// Prompts are spread over cells in proportion to their engines, and every cell is the second home of some prompt.
+// Homes returns the cells for a prompt, the best first. The share of prompts that have a cell as their first home must be
+// about the cell's share of all engines. Every cell must be the second home of some prompt.
 func TestHomesAreProportionalToEngines(t *testing.T) {
 	division := Divide("service", fleet(5, 32))
 	const prompts = 20000
--- a/internal/closing/listener.go
+++ b/internal/closing/listener.go
@@ -105,9 +105,10 @@
 	return inner.SyscallConn()
 }
 
-// acceptPending returns a connection from the queue, or an error when the queue is empty and no handshake
-// is in progress. In that case it stops the socket from listening in the very next system call, so that
-// almost no connection can arrive in between if new handshakes could not be dropped.
+// acceptPending returns a connection from the queue. While the queue is empty and handshakes may be in progress, it
+// waits. When the queue is empty and no handshake is in progress, it stops the socket from listening and returns an
+// error. If new handshakes could not be dropped, a connection can arrive between the system call that finds the queue
+// empty and the one that stops the socket. The second call follows the first directly, so this almost never happens.
 func (l *Listener) acceptPending() (net.Conn, error) {
 	raw, err := l.rawSocket()
 	if err != nil {
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -133,7 +133,9 @@
 	})
 }
 
-// tickQuarantine checks which trials are due, and drops requests that have not been sent again.
+// tickQuarantine checks for which quarantined requests a trial run is due, and updates the list of quarantined requests
+// for nodes. Once in each housekeepInterval it removes the requests from the ledger whose entries have not changed for
+// their retention time.
 func (c *Core) tickQuarantine() {
 	ledger := c.suspects()
 	c.quarantine.trials.Observe(c.now, ledger)
--- a/internal/control/site_test.go
+++ b/internal/control/site_test.go
@@ -114,7 +114,8 @@
 	}
 }
 
-// The list shows a role change with a delay. An engine that was ordered must not be ordered back in the meantime.
+// The list of back ends shows an engine's role change with a delay. After the leader has ordered an engine to change its
+// role, it must not order that engine back to the former role before the list shows the change.
 func TestStagesSettleThoughTheListLags(t *testing.T) {
 	w := newTestCluster(t, 3, withSeeds)
 	site := newSite(w, 18, 7)
--- a/internal/experiment/previousplanner/workload.go
+++ b/internal/experiment/previousplanner/workload.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// kindLoad is the load of one kind of request.
+// kindLoad is the load that the requests of one kind put on the engines of a service.
 type kindLoad struct {
 	kind string
 	// arrivals per second.
--- a/internal/experiment/splits.go
+++ b/internal/experiment/splits.go
@@ -70,9 +70,10 @@
 	return roles
 }
 
-// mostUnderassigned returns the role to assign to the next engine, the one at position places (from 1) of total
-// engines. It is the role whose number of engines in assigned is furthest below its number in split times
-// places/total.
+// mostUnderassigned returns the role to assign to the next engine. The next engine is at position places of total engines,
+// counted from 1. The expected number of a role's engines is the role's number in split times places/total. The returned
+// role is the one whose number in assigned is furthest below the expected number. Roles that have reached their number in
+// split are not returned; if all roles have reached it, the result is RoleMixed.
 func mostUnderassigned(split, assigned planner.Split, places, total int) enginecontract.Role {
 	best, most := enginecontract.RoleMixed, -1.0
 	for _, role := range planner.Roles() {
--- a/internal/fleetlimit/member.go
+++ b/internal/fleetlimit/member.go
@@ -40,7 +40,9 @@
 	return m.counters.HandleRequest(now, request, fraction, draw), true
 }
 
-// fraction returns the fraction of the limit that this process grants.
+// fraction returns the fraction of the back end's limit that this process may grant; 0 if it is neither owner nor deputy.
+// listIsFresh is true if the list of processes is recent: otherwise the process may have missed a newer list, and an
+// owner grants at most cutOffFraction.
 func (m *Member) fraction(now time.Duration, backEnd uint64, listIsFresh bool) float64 {
 	return m.ownership.Fraction(now, backEnd, MembershipView{ListIsFresh: listIsFresh, FirstOwnerSilence: m.firstOwnerSilence(now, backEnd)})
 }
--- a/internal/fleetlimit/ownership.go
+++ b/internal/fleetlimit/ownership.go
@@ -24,8 +24,10 @@
 	// cutOffFraction is granted by an owner that may have missed a newer list, and by the first deputy if it has not
 	// received notices from the owner for settlingTime: the owner has then most likely failed.
 	cutOffFraction = 0.5
-	// newOwnerFraction is granted by a process that has only just become the owner, while its predecessor may still
-	// grant permits, by one that still receives notices from a process that ranks before it, and by the first deputy.
+	// newOwnerFraction is the fraction of a back end's limit that each of these processes grants:
+	//   - an owner that has ranked first for less than settlingTime: the previous owner may still grant permits;
+	//   - an owner that received a notice within settlingTime from a process that outranks the owner (see Outranks);
+	//   - the first deputy, unless cutOffFraction applies to it.
 	newOwnerFraction = 0.25
 	// lastDeputyFraction is granted by all other deputies.
 	lastDeputyFraction = 0.125
--- a/internal/formats/formerbuild/controller.go
+++ b/internal/formats/formerbuild/controller.go
@@ -68,7 +68,8 @@
 	return translate(message, c.ReadEntries)
 }
 
-// WriteMessage returns a message as this controller encodes it.
+// WriteMessage returns a message that this controller sends, without what the first format does not have. Entries that
+// this controller received from other controllers or from the disk are sent unchanged (see WriteEntries).
 func (c *Translator) WriteMessage(message *v1.ConsensusMessage) (*v1.ConsensusMessage, error) {
 	return translate(message, c.WriteEntries)
 }
--- a/internal/formats/number.go
+++ b/internal/formats/number.go
@@ -1,6 +1,6 @@
 package formats
 
-// Number identifies a format of everything that processes exchange and store.
+// Number identifies one format of the messages that processes send to each other and of the data that processes store.
 type Number uint32
 
 const (
@@ -16,8 +16,9 @@
 const (
 	// DocumentPatches is the first format in which a relay is sent patches of the configuration document.
 	DocumentPatches = Second
-	// ReplicaIncarnations is the first format in which listed back ends are identified by incarnation. The list also
-	// holds the replicas' identities and the times at which the incarnations started.
+	// ReplicaIncarnations is the first format in which the list of back ends that controllers send identifies each back
+	// end by its incarnation. From this format on the list also holds the replicas' identities and the times at which
+	// the incarnations started.
 	ReplicaIncarnations = Second
 	// QuarantinedRequests is the first format in which controllers send the quarantined requests to nodes and accept
 	// reports of replica crashes.
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// report sends a report to the last known leader first and then to the other controllers, until one of them accepts it.
-// Only the leader accepts reports.
+// report sends a report to the last known leader first and then to the other controllers, until a controller accepts the
+// report. Only the leader accepts reports. If no controller accepts the report, the error holds the failures of all.
 func (c *controllers) report(ctx context.Context, request *v1.ReportRequest) (*v1.ReportResponse, error) {
 	var failures []error
 	for _, address := range c.candidates(true) {
--- a/internal/leaderloss/options.go
+++ b/internal/leaderloss/options.go
@@ -17,7 +17,8 @@
 	Load load.Options
 	// Rounds is how often the sequence of faults is repeated.
 	Rounds int
-	// MissedChanges is the number of changes that a controller misses before it restarts.
+	// MissedChanges is how many revisions of the configuration a controller misses: the run stops the controller, submits
+	// changes until the revision has risen by this number, and starts the controller again.
 	MissedChanges int
 	// LeaderPause is how long a leader is suspended; it must exceed the lease and an election.
 	LeaderPause time.Duration
--- a/internal/limits/fleet_bound_test.go
+++ b/internal/limits/fleet_bound_test.go
@@ -12,9 +12,11 @@
 	"github.com/hazelpitch/hazelpitch/internal/shares"
 )
 
-// bound returns the documented bound on the tokens that a fleet uses within a window, relative to the
-// limit: the limit, one full bucket, the initial share and one request for each gateway that sees
-// the tenant, and one lease period's worth for gateways that are cut off.
+// bound returns the documented bound on the tokens that a fleet uses for a tenant within a window, as a ratio to the
+// tokens that the tenant's limit permits in the window. The tokens of the bound are the sum of these:
+//   - once for the fleet: what the limit permits in the window, and one full bucket, which is one second of the limit;
+//   - for each gateway that sees the tenant: its initial share, and one request;
+//   - once, if any gateway is cut off: what the limit permits in one lease period.
 func (f *fleet) bound(window time.Duration) float64 {
 	perSecond := float64(f.limit.TokensPerSecond)
 	allowed := perSecond * (window + time.Second).Seconds()
--- a/internal/load/resend.go
+++ b/internal/load/resend.go
@@ -12,7 +12,7 @@
 const (
 	// maxAttempts limits the attempts of one at-most-once request, the first included.
 	maxAttempts = 60
-	// resendPause is the time between two attempts.
+	// resendPause is the time between the outcome of one attempt to send a request and the next attempt.
 	resendPause = 500 * time.Millisecond
 	// codeStillRunning is the code of a resend whose earlier attempt is still running.
 	codeStillRunning = "still_running"
--- a/internal/planner/evaluation.go
+++ b/internal/planner/evaluation.go
@@ -117,7 +117,8 @@
 
 func (e *evaluation) paysBack(candidate target) bool { return candidate.gain > e.minGain() }
 
-// bestTarget evaluates splits and returns the one with the largest gain; false if there is none.
+// bestTarget returns the target with the largest gain among the given splits; false if no splits are given. It computes
+// gains only for the shortlistSize splits with the highest goodput at the mean demands.
 func (e *evaluation) bestTarget(splits []Split) (target, bool) {
 	var targets []target
 	for _, split := range splits {
--- a/internal/processrun/run.go
+++ b/internal/processrun/run.go
@@ -18,7 +18,7 @@
 
 // Options configure a run.
 type Options struct {
-	// Fleet is a running and ready fleet that was started with the scenario.
+	// Fleet is running and ready. It was started for Scenario, so that its engines are those of Scenario.
 	Fleet    *fleet.Fleet
 	Scenario scenario.Scenario
 	// Load selects where to send the requests; its Seed determines them.
--- a/internal/property/configuration.go
+++ b/internal/property/configuration.go
@@ -7,7 +7,7 @@
 	v1 "github.com/hazelpitch/hazelpitch/api/hazelpitch/v1"
 )
 
-// Names in the run's configuration.
+// Names, paths and the model version that the configuration of each property run declares.
 const (
 	model          = "base"
 	modelVersion   = "1"
--- a/internal/relay/back_end_limits.go
+++ b/internal/relay/back_end_limits.go
@@ -40,7 +40,7 @@
 	r.event(events.BackEndLimitChanged).Str("back_end", backEnd.ID).Bool("named", limit.IsSet).Float64("per_second", limit.PerSecond).Str("teller", source).Send()
 }
 
-// Sources of limits in log lines.
+// Values of the log field that says who reported a changed limit to this relay: another relay or the leader.
 const (
 	sourceRelay  = "relay"
 	sourceLeader = "leader"
--- a/internal/relay/back_end_limits_test.go
+++ b/internal/relay/back_end_limits_test.go
@@ -74,8 +74,9 @@
 	require.True(t, engine.hasLimit())
 }
 
-// A success without a limit lifts the limit, a failure does not. A request within the limit reveals that the back end has lifted
-// it, and the back end is then used as before.
+// A back end states its limit in its answers. A successful answer without a limit makes the relay drop the limit that it
+// has recorded for the back end; a failed answer does not. As long as the relay has the limit recorded, it still sends
+// the requests that the limit admits, so it receives such an answer. After it the relay sends requests without permits.
 func TestASuccessWithoutALimitLiftsIt(t *testing.T) {
 	generous := backpressure.Limit{IsSet: true, PerSecond: 10_000}
 	serves := startBackEnd(t, "serves", serving.StageWhole, answering(200, "served"))
--- a/internal/replicaplan/config.go
+++ b/internal/replicaplan/config.go
@@ -42,7 +42,8 @@
 	BootTime time.Duration
 	// SpotPrice is the price of a spot replica relative to an on-demand one; 0 if there are none.
 	SpotPrice float64
-	// OnDemandShare is the share of the operator's initial replicas that always stays on demand.
+	// OnDemandShare is the fraction of the operator's initial replicas of the service (Desired.Base) that the plan always
+	// keeps as on-demand replicas. The platform may reclaim the other kind, spot replicas.
 	OnDemandShare float64
 	// ZonePrices are the prices of a replica by zone.
 	ZonePrices map[string]float64
--- a/internal/requeststory/story.go
+++ b/internal/requeststory/story.go
@@ -101,7 +101,8 @@
 	return story
 }
 
-// lastStateLines returns a process's last line of each of the stateEvents, sorted by time.
+// lastStateLines returns, for each of the stateEvents, the last line in which the process logged the event. The result is
+// sorted by time and has no line for an event that the process did not log.
 func lastStateLines(lines []Line, process string) []Line {
 	last := map[events.Event]Line{}
 	for _, line := range lines {
--- a/internal/routing/candidate.go
+++ b/internal/routing/candidate.go
@@ -31,7 +31,8 @@
 	// cooldownUntil is the end of the cooldown after consecutive failures.
 	cooldownUntil time.Duration
 	failures      int
-	// isOutdated is true if the directory's row describes an earlier incarnation than the one known from answers.
+	// isOutdated is true if the directory's row describes an earlier incarnation of the back end than the newest one that
+	// is known here from earlier rows or from the back end's answers to this gateway's requests.
 	isOutdated bool
 	// signals are the backoff, limit and leaving state that this incarnation has signalled to this gateway.
 	signals *backpressure.Signals
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -14,7 +14,7 @@
 	OutputTokens int
 	// PrefixBlocks identify the prompt's prefix (see the function PrefixBlocks); may be empty.
 	PrefixBlocks []uint64
-	// Deadline is the time by which the last byte is due; 0 means none.
+	// Deadline is the time by which the last byte is due, on the clock of the time that Router.Pick receives; 0 means none.
 	Deadline time.Duration
 	// Rank orders requests if the limits of back ends do not admit all; 0 is the most urgent.
 	Rank int
--- a/internal/servercommand/reload_test.go
+++ b/internal/servercommand/reload_test.go
@@ -17,8 +17,8 @@
 	"github.com/hazelpitch/hazelpitch/internal/settings"
 )
 
-// TestSettingsAreReadAgain guards against SIGHUP, which ends a process by default: it must read the settings again, and
-// settings that cannot be read must not stop the process.
+// TestSettingsAreReadAgain checks that a process that receives SIGHUP reads its settings again. Without a handler, SIGHUP
+// would end the process. Settings that cannot be read must not stop the process either.
 func TestSettingsAreReadAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	require.NoError(t, os.WriteFile(path, []byte("a"), 0o600))
--- a/internal/simulation/checks_leases.go
+++ b/internal/simulation/checks_leases.go
@@ -6,8 +6,9 @@
 	"github.com/hazelpitch/hazelpitch/internal/consensus"
 )
 
-// isolationBound is how long a controller may take to detect that it is cut off from its peers: the delay of the
-// slowest message under way, the election timeout on a slow clock, and a margin.
+// isolationBound is how long a controller may take to detect that it is cut off from its peers. It is the sum of the
+// delay of the slowest message under way, the election timeout, and a margin of 500 ms. The margin also covers that the
+// controller's clock may be slow (see maximumDrift).
 const isolationBound = slowDelay + consensus.DefaultElectionTimeout + 500*time.Millisecond
 
 // maximumStepGap is the time without a step after which a controller must have been paused. After the pause it still
--- a/internal/simulation/checks_orders.go
+++ b/internal/simulation/checks_orders.go
@@ -66,8 +66,8 @@
 	o.ended[engineFence{engine, fence}] = outcome
 }
 
-// checkOrderSent checks that an order is committed before it is sent, and that every earlier order to the engine had
-// ended when it was committed.
+// checkOrderSent checks an order that a controller sends to an engine. Unless the order is an abort, it must be committed
+// before it is sent. When the order was committed, every earlier order to the engine must have ended.
 func (c *checks) checkOrderSent(from *controller, order enginecontract.Order, engine string) {
 	if order.Action != enginecontract.ActionAbort && !c.orders.issued[engineFence{engine, order.Fence}] {
 		c.fail("committed before sent", "%s sends order %v to %s, which is not committed", from.name, order.Fence, engine)
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -25,7 +25,7 @@
 // tenantName names a tenant.
 func tenantName(number int) string { return fmt.Sprintf("tenant-%d", number) }
 
-// submission is one declaration of an operator, with the identity that its copies share.
+// submission is one declaration of an operator. Every resend of a submission carries the same request ID.
 type submission struct {
 	operator string
 	request  *v1.ApplyRequest
--- a/internal/soak/check/config.go
+++ b/internal/soak/check/config.go
@@ -48,9 +48,10 @@
 	return findings
 }
 
-// servicesOf returns the services to which a request may be routed: the service in the newest configuration that must
-// be applied when the request was sent, and those in all newer configurations that were submitted before the request
-// ended.
+// servicesOf returns the services on which a request may run. The newest configuration that was acknowledged at least
+// Bounds.ConfigApply before the request was sent allows its service for the request's route. Each valid configuration
+// with a higher number also allows its service if the configuration was submitted before the request ended. The result
+// is empty if no configuration allows a service.
 func servicesOf(recorded *history.History, sending history.Sending) map[string]bool {
 	newest := newestAcked(recorded, sending.SentAt-recorded.Bounds.ConfigApply)
 	allowed := map[string]bool{}
--- a/internal/soak/history/history.go
+++ b/internal/soak/history/history.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Bounds are the time bounds that the rules set for relays in contact with the controllers.
+// Bounds are the durations and retry limits by which the checks of a soak run judge the recorded history. Contact defines
+// which relays count as in contact with the controllers; several checks apply only to these relays.
 type Bounds struct {
 	// Contact is how long a relay and all controllers must have been free of faults for the relay to count as in contact.
 	Contact time.Duration
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -20,8 +20,10 @@
 	formationTimeout = time.Minute
 	// restartPause is the time between two rounds in which back ends that crashed under a request are restarted.
 	restartPause = 1200 * time.Millisecond
-	// operatorQuietPercent is the share of the quiet phase, in percent, in which configurations still change: only in that
-	// phase are all relays in contact with the controllers, whatever builds they run.
+	// operatorQuietPercent is the percentage of the quiet phase, from its start, in which the operator still submits
+	// configurations. The operator submits configurations during the faults too, but the check of the services on which
+	// requests ran skips relays that are not in contact with the controllers. Only in the quiet phase, which follows
+	// the faults, are all relays in contact, whatever builds they run.
 	operatorQuietPercent = 70
 	// finalReads is how often the configuration is read at the end of the run until a controller returns it.
 	finalReads = 200
--- a/internal/standin/engine/orders/machine.go
+++ b/internal/standin/engine/orders/machine.go
@@ -24,7 +24,8 @@
 	Safeguards      safeguard.Set
 }
 
-// Machine is the state machine for the orders of one engine.
+// Machine accepts or refuses the orders that controllers send to one stand-in engine, and tracks the progress of the
+// accepted order.
 type Machine struct {
 	config  Config
 	durable Durable
@@ -282,7 +283,7 @@
 	return false
 }
 
-// State returns the engine's state in the form of its contract.
+// State returns the engine's state as the engine contract reports it. inFlight is the engine's number of requests in flight.
 func (m *Machine) State(inFlight int) enginecontract.EngineState {
 	return enginecontract.EngineState{
 		AdapterVersions: maps.Clone(m.durable.AdapterVersions),
